--- a/crates/agent/src/audit.rs
+++ b/crates/agent/src/audit.rs
@@ -30,19 +30,44 @@
 
 impl Audit {
     pub(crate) fn open(path: &Path) -> Result<Self, Error> {
-        let file = OpenOptions::new().append(true).create(true).mode(0o600).open(path);
+        let file = OpenOptions::new()
+            .append(true)
+            .create(true)
+            .mode(0o600)
+            .open(path);
         file.map(|file| Audit(Arc::new(Mutex::new(file))))
-            .map_err(|source| Error::OpenAuditLog { path: path.to_path_buf(), source })
+            .map_err(|source| Error::OpenAuditLog {
+                path: path.to_path_buf(),
+                source,
+            })
     }
 
     /// Writes a line that outlives a loss of power. Blocks; a change is asked for rarely.
-    pub(crate) fn write(&self, peer: &Peer, asked: &str, about: &str, outcome: &str) -> Result<(), Error> {
-        let Peer { name, role, serial, .. } = peer;
+    pub(crate) fn write(
+        &self,
+        peer: &Peer,
+        asked: &str,
+        about: &str,
+        outcome: &str,
+    ) -> Result<(), Error> {
+        let Peer {
+            name, role, serial, ..
+        } = peer;
         let role = role.to_string();
-        let line = Line { at: wall(), who: name, role, serial, asked, about, outcome };
+        let line = Line {
+            at: wall(),
+            who: name,
+            role,
+            serial,
+            asked,
+            about,
+            outcome,
+        };
         let mut text = serde_json::to_string(&line).map_err(Error::FormatAuditLine)?;
         text.push('\n');
         let mut file = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        file.write_all(text.as_bytes()).and_then(|()| file.sync_data()).map_err(Error::WriteAuditLog)
+        file.write_all(text.as_bytes())
+            .and_then(|()| file.sync_data())
+            .map_err(Error::WriteAuditLog)
     }
 }
--- a/crates/agent/src/batch.rs
+++ b/crates/agent/src/batch.rs
@@ -36,8 +36,14 @@
 
 /// Handles what a report of an instance that holds its name says of lists. Returns the answer to it, and what other
 /// instances are told; none where it says nothing of lists.
-pub(crate) fn share_lists(lists: &mut ListRelay, now: Micros, message: &ToAgent) -> Option<(Lists, Sends)> {
-    let ToAgent::Report(report) = message else { return None };
+pub(crate) fn share_lists(
+    lists: &mut ListRelay,
+    now: Micros,
+    message: &ToAgent,
+) -> Option<(Lists, Sends)> {
+    let ToAgent::Report(report) = message else {
+        return None;
+    };
     let tells = report.tells.as_ref()?;
     let (answer, others, notes) = lists.hear(now, &report.who.name, report.who.start, tells);
     for note in notes {
@@ -46,6 +52,9 @@
             Note::Odd { .. } => tracing::warn!("{note}"),
         }
     }
-    let others = others.into_iter().map(|(name, lists)| (name, ToInstance::Lists(lists))).collect();
+    let others = others
+        .into_iter()
+        .map(|(name, lists)| (name, ToInstance::Lists(lists)))
+        .collect();
     Some((answer, others))
 }
--- a/crates/agent/src/client.rs
+++ b/crates/agent/src/client.rs
@@ -80,13 +80,22 @@
     /// # Errors
     /// What is wrong with the address.
     pub fn with(address: &str, keyring: &Arc<Keyring>) -> Result<Self, String> {
-        let (host, port) = address.rsplit_once(':').ok_or_else(|| format!("{address:?}: write HOST:PORT"))?;
-        port.parse::<u16>().map_err(|_| format!("{address:?}: {port:?} is no port"))?;
+        let (host, port) = address
+            .rsplit_once(':')
+            .ok_or_else(|| format!("{address:?}: write HOST:PORT"))?;
+        port.parse::<u16>()
+            .map_err(|_| format!("{address:?}: {port:?} is no port"))?;
         let host = host.trim_matches(['[', ']']);
         let host = ServerName::try_from(host.to_string())
             .map_err(|_| format!("{address:?}: {host:?} is no host"))?;
         let connector = TlsConnector::from(keyring.client()?);
-        Ok(Client { connector, address: address.to_string(), host, dial: None, open: Mutex::new(None) })
+        Ok(Client {
+            connector,
+            address: address.to_string(),
+            host,
+            dial: None,
+            open: Mutex::new(None),
+        })
     }
 
     /// Opens the streams below TLS in another way than by a plain TCP connection, such as one that counts bytes.
@@ -113,12 +122,18 @@
             let stream = self.dial().await.map_err(|e| e.to_string())?;
             let stream = self.connector.connect(self.host.clone(), stream).await;
             let stream = stream.map_err(|problem| {
-                let rustls = problem.get_ref().and_then(|e| e.downcast_ref::<rustls::Error>());
+                let rustls = problem
+                    .get_ref()
+                    .and_then(|e| e.downcast_ref::<rustls::Error>());
                 rustls.map_or_else(|| problem.to_string(), explain)
             })?;
-            http1::handshake(TokioIo::new(stream)).await.map_err(|e| e.to_string())
+            http1::handshake(TokioIo::new(stream))
+                .await
+                .map_err(|e| e.to_string())
         };
-        let made = timeout(PATIENCE, connecting).await.unwrap_or_else(|_| Err("no answer in time".into()));
+        let made = timeout(PATIENCE, connecting)
+            .await
+            .unwrap_or_else(|_| Err("no answer in time".into()));
         let (sender, connection) = made.map_err(|why| format!("agent at {address}: {why}"))?;
         watchdog::spawn(TaskKind::AgentCall, async move {
             // How it ended shows in the requests over it.
@@ -153,8 +168,9 @@
             let mut told = problem.to_string();
             while let Some(error) = source {
                 let io = error.downcast_ref::<std::io::Error>();
-                if let Some(rustls) =
-                    io.and_then(|e| e.get_ref()).and_then(|e| e.downcast_ref::<rustls::Error>())
+                if let Some(rustls) = io
+                    .and_then(|e| e.get_ref())
+                    .and_then(|e| e.downcast_ref::<rustls::Error>())
                 {
                     told = explain(rustls);
                 }
@@ -178,9 +194,18 @@
             // The connection was opened with a certificate that is good no more; there may be a new one by now.
             *open = None;
         }
-        let body = timeout(PATIENCE, Limited::new(answer.into_body(), LARGEST_ORDER).collect()).await;
-        let body = body.map_err(|_| "the answer stops halfway".to_string())?.map_err(|e| e.to_string())?;
-        Ok(Answer { status, body: body.to_bytes() })
+        let body = timeout(
+            PATIENCE,
+            Limited::new(answer.into_body(), LARGEST_ORDER).collect(),
+        )
+        .await;
+        let body = body
+            .map_err(|_| "the answer stops halfway".to_string())?
+            .map_err(|e| e.to_string())?;
+        Ok(Answer {
+            status,
+            body: body.to_bytes(),
+        })
     }
 
     /// Asks for something, and reads it.
@@ -193,10 +218,14 @@
         path: &str,
         body: Vec<u8>,
     ) -> Result<T, Failed> {
-        let answer = self.ask(method, path, body).await.map_err(Failed::Unheard)?;
+        let answer = self
+            .ask(method, path, body)
+            .await
+            .map_err(Failed::Unheard)?;
         if answer.status == StatusCode::OK {
             let read = serde_json::from_slice(&answer.body);
-            return read.map_err(|e| Failed::Unheard(format!("the agent's answer makes no sense: {e}")));
+            return read
+                .map_err(|e| Failed::Unheard(format!("the agent's answer makes no sense: {e}")));
         }
         #[derive(Deserialize)]
         struct Told {
@@ -204,9 +233,15 @@
             declined: Option<Box<Declined>>,
         }
         match serde_json::from_slice::<Told>(&answer.body) {
-            Ok(Told { declined: Some(declined), .. }) => Err(Failed::Declined(declined)),
+            Ok(Told {
+                declined: Some(declined),
+                ..
+            }) => Err(Failed::Declined(declined)),
             Ok(Told { error, .. }) => Err(Failed::Refused(answer.status, error)),
-            Err(_) => Err(Failed::Refused(answer.status, format!("the agent answered {}", answer.status))),
+            Err(_) => Err(Failed::Refused(
+                answer.status,
+                format!("the agent answered {}", answer.status),
+            )),
         }
     }
 
@@ -227,7 +262,9 @@
                 Err(_) => return "the agent has said nothing for too long".into(),
                 Ok(None) => return "the watch has ended".into(),
                 Ok(Some(Err(problem))) => return problem.to_string(),
-                Ok(Some(Ok(frame))) => unread.extend_from_slice(frame.data_ref().map_or(&[], |d| d.as_ref())),
+                Ok(Some(Ok(frame))) => {
+                    unread.extend_from_slice(frame.data_ref().map_or(&[], |d| d.as_ref()))
+                }
             }
             while let Some(end) = unread.iter().position(|byte| *byte == b'\n') {
                 let whole = unread.split_to(end + 1);
--- a/crates/agent/src/clock.rs
+++ b/crates/agent/src/clock.rs
@@ -14,11 +14,16 @@
 
     /// Microseconds since the clock was made; the zero is no time at all.
     pub(crate) fn now(&self) -> u64 {
-        u64::try_from(self.0.elapsed().as_micros()).unwrap_or(u64::MAX).saturating_add(1)
+        u64::try_from(self.0.elapsed().as_micros())
+            .unwrap_or(u64::MAX)
+            .saturating_add(1)
     }
 
     pub(crate) fn time(&self) -> Time {
-        Time { now: self.now(), wall: wall() }
+        Time {
+            now: self.now(),
+            wall: wall(),
+        }
     }
 
     /// When the clock shows this.
@@ -31,6 +36,8 @@
 
 /// Milliseconds since 1970.
 pub(crate) fn wall() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let since = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
     u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/agent/src/config.rs
+++ b/crates/agent/src/config.rs
@@ -88,7 +88,11 @@
     path: Option<PathBuf>,
     field: &str,
 ) -> PathBuf {
-    document.require(path.is_some(), field, "is missing; write the path of a file");
+    document.require(
+        path.is_some(),
+        field,
+        "is missing; write the path of a file",
+    );
     beside(place, path.unwrap_or_default())
 }
 
@@ -125,31 +129,64 @@
 
 impl FleetLimit {
     fn check(self, at: usize, document: &mut Document<'_>) -> (String, Limit) {
-        let FleetLimit { name, requests_per_second: rate, burst, open, .. } = &self;
+        let FleetLimit {
+            name,
+            requests_per_second: rate,
+            burst,
+            open,
+            ..
+        } = &self;
         let field = |name: &str| format!("fleet_limits[{at}].{name}");
         if let Err(problem) = check_name(name) {
             document.problem(&field("name"), problem);
         }
         let bounds = rate.is_some() || open.is_some();
-        document.require(bounds, &field("name"), "bounds nothing; write requests_per_second, open, or both");
+        document.require(
+            bounds,
+            &field("name"),
+            "bounds nothing; write requests_per_second, open, or both",
+        );
         let sound = |rate: f64| (0.0..=MOST).contains(&rate);
-        document.require(rate.is_none_or(sound), &field("requests_per_second"), "must lie in 0 to 100000000");
-        document.require(rate.is_some() || burst.is_none(), &field("burst"), "goes with requests_per_second");
-        document.require(burst.is_none_or(|burst| burst > 0), &field("burst"), "must be 1 or more");
+        document.require(
+            rate.is_none_or(sound),
+            &field("requests_per_second"),
+            "must lie in 0 to 100000000",
+        );
+        document.require(
+            rate.is_some() || burst.is_none(),
+            &field("burst"),
+            "goes with requests_per_second",
+        );
+        document.require(
+            burst.is_none_or(|burst| burst > 0),
+            &field("burst"),
+            "must be 1 or more",
+        );
         document.require(
             open.is_none_or(|open| open as f64 <= MOST),
             &field("open"),
             "must be 100000000 at most",
         );
-        document.require(sound(self.floor), &field("floor"), "must lie in 0 to 100000000");
-        let heavy = self.weights.values().all(|weight| (1..=1_000).contains(weight));
+        document.require(
+            sound(self.floor),
+            &field("floor"),
+            "must lie in 0 to 100000000",
+        );
+        let heavy = self
+            .weights
+            .values()
+            .all(|weight| (1..=1_000).contains(weight));
         document.require(
             heavy && self.weights.len() <= 256,
             &field("weights"),
             "are 256 at most, each 1 to 1000",
         );
         let longest = self.longest.unwrap_or(LONGEST);
-        document.require(longest <= Span::s(3_600), &field("longest"), "must be 1h at most");
+        document.require(
+            longest <= Span::s(3_600),
+            &field("longest"),
+            "must be 1h at most",
+        );
         let thousandths = |figure: f64| (figure.clamp(0.0, MOST) * ONE as f64).round() as u64;
         // Usually a second's worth, so that each of many has a request or more of it.
         let burst = burst.map(f64::from).or(rate.map(|rate| rate.max(1.0)));
@@ -158,12 +195,26 @@
             burst: burst.map_or(UNBOUNDED, thousandths),
             open: open.unwrap_or(UNBOUNDED),
         };
-        let mut weights: Vec<(String, u64)> =
-            self.weights.into_iter().map(|(name, weight)| (name, u64::from(weight))).collect();
+        let mut weights: Vec<(String, u64)> = self
+            .weights
+            .into_iter()
+            .map(|(name, weight)| (name, u64::from(weight)))
+            .collect();
         // Whole names first, then the longer beginnings.
         weights.sort_by_key(|(name, _)| (name.ends_with('*'), std::cmp::Reverse(name.len())));
-        let (floor, by_zone, each_server) = (thousandths(self.floor), self.by_zone, self.each_server);
-        (self.name, Limit { whole, floor, weights, by_zone, each_server, longest: longest.micros() })
+        let (floor, by_zone, each_server) =
+            (thousandths(self.floor), self.by_zone, self.each_server);
+        (
+            self.name,
+            Limit {
+                whole,
+                floor,
+                weights,
+                by_zone,
+                each_server,
+                longest: longest.micros(),
+            },
+        )
     }
 }
 
@@ -184,8 +235,16 @@
             burst: self.burst.unwrap_or(usual.burst),
             horizon: self.horizon.map_or(usual.horizon, Span::micros),
         };
-        document.require(pace.rate > 0, "registrations.rate", "must be 1 or more a second");
-        document.require(pace.horizon >= 1_000_000, "registrations.horizon", "must be 1s or more");
+        document.require(
+            pace.rate > 0,
+            "registrations.rate",
+            "must be 1 or more a second",
+        );
+        document.require(
+            pace.horizon >= 1_000_000,
+            "registrations.horizon",
+            "must be 1s or more",
+        );
         pace
     }
 }
@@ -224,8 +283,16 @@
             "leases.report",
             "must be from 100ms to 1m",
         );
-        document.require(rules.leases.lease / 3 >= every, "leases.lease", "must be three reports or more");
-        document.require(rules.leases.grace > 0, "leases.grace", "must be more than nothing");
+        document.require(
+            rules.leases.lease / 3 >= every,
+            "leases.lease",
+            "must be three reports or more",
+        );
+        document.require(
+            rules.leases.grace > 0,
+            "leases.grace",
+            "must be more than nothing",
+        );
         document.require(
             (1..=65_536).contains(&rules.leases.most),
             "leases.instances",
@@ -246,7 +313,10 @@
         for (at, limit) in file.fleet_limits.into_iter().enumerate() {
             let (name, limit) = limit.check(at, &mut document);
             if limits.insert(name, limit).is_some() {
-                document.problem(&format!("fleet_limits[{at}].name"), "is that of another one");
+                document.problem(
+                    &format!("fleet_limits[{at}].name"),
+                    "is that of another one",
+                );
             }
         }
         let connections = file.connections.unwrap_or(USUAL_CONNECTIONS);
@@ -270,7 +340,11 @@
     pub fn bounds(&self) -> Vec<Bound> {
         let FleetLimitSettings { limits, duration } = &self.lending;
         let bound = |(name, limit): (&String, &Limit)| Bound {
-            name: if limit.each_server { format!("{name} (each server by itself)") } else { name.clone() },
+            name: if limit.each_server {
+                format!("{name} (each server by itself)")
+            } else {
+                name.clone()
+            },
             whole: limit.whole,
             lease: *duration,
             every: self.rules.every,
@@ -308,9 +382,15 @@
 
     #[test]
     fn what_is_missing_or_makes_no_sense_is_told_with_its_field() {
-        let text = FILE.replace("9s", "8s").replace("key = \"agent.key\"\n", "").replace("listen", "lisetn");
+        let text = FILE
+            .replace("9s", "8s")
+            .replace("key = \"agent.key\"\n", "")
+            .replace("listen", "lisetn");
         let problems = Config::read(&text, Path::new("agent.toml")).expect_err("problems");
-        let fields: Vec<&str> = problems.iter().map(|problem| problem.field.as_str()).collect();
+        let fields: Vec<&str> = problems
+            .iter()
+            .map(|problem| problem.field.as_str())
+            .collect();
         for field in ["lisetn", "listen", "keys.key", "leases.lease"] {
             assert!(fields.contains(&field), "{field} in {fields:?}");
         }
--- a/crates/agent/src/core.rs
+++ b/crates/agent/src/core.rs
@@ -81,13 +81,17 @@
 
     /// The messages for a start of an instance that come of what others ask. There are none where the agent is unable.
     pub(crate) async fn watch(&self, name: String, start: u64) -> mpsc::Receiver<ToInstance> {
-        self.ask(|reply| Ask::Watch(name, start, reply)).await.unwrap_or_else(|_| mpsc::channel(1).1)
+        self.ask(|reply| Ask::Watch(name, start, reply))
+            .await
+            .unwrap_or_else(|_| mpsc::channel(1).1)
     }
 
     /// The messages for all instances behind a start of a relay, which knows of this term. There are none where the agent
     /// is unable.
     pub(crate) async fn watch_relay(&self, relay: RelayId, term: u64) -> mpsc::Receiver<WatchLine> {
-        self.ask(|reply| Ask::WatchRelay(relay, term, reply)).await.unwrap_or_else(|_| mpsc::channel(1).1)
+        self.ask(|reply| Ask::WatchRelay(relay, term, reply))
+            .await
+            .unwrap_or_else(|_| mpsc::channel(1).1)
     }
 }
 
@@ -108,7 +112,9 @@
     fn record(&mut self, out: Output) -> Sends {
         for note in &out.notes {
             match note {
-                Note::Leases(Quota::Overcommitted(_) | Quota::Conflict(_)) => tracing::error!("{note}"),
+                Note::Leases(Quota::Overcommitted(_) | Quota::Conflict(_)) => {
+                    tracing::error!("{note}")
+                }
                 note => tracing::info!("{note}"),
             }
         }
@@ -246,10 +252,16 @@
             self.handle(time, ask, &mut turn);
         }
         let Turn { saves, sends, held } = turn;
-        let durable = if saves.is_empty() { Ok(()) } else { self.commit(saves).await };
+        let durable = if saves.is_empty() {
+            Ok(())
+        } else {
+            self.commit(saves).await
+        };
         match durable {
             Ok(()) => {
-                sends.into_iter().for_each(|(name, message)| self.routes.send(name, message));
+                sends
+                    .into_iter()
+                    .for_each(|(name, message)| self.routes.send(name, message));
                 held.into_iter().for_each(|answer| answer(Ok(())));
             }
             Err(problem) => {
@@ -258,7 +270,8 @@
                 let unable = Unable(format!("the agent can't write its state: {problem}"));
                 self.fleet = Err(unable.clone());
                 self.again = Instant::now() + AGAIN;
-                held.into_iter().for_each(|answer| answer(Err(unable.clone())));
+                held.into_iter()
+                    .for_each(|answer| answer(Err(unable.clone())));
             }
         }
     }
@@ -270,11 +283,14 @@
             Ask::Instance(message, reply) => {
                 let sends = turn.record(fleet.receive(time, &message, self.rng.rand_u64()));
                 let name = &message.who().name;
-                let (own, others): (Sends, Sends) = sends.into_iter().partition(|(to, _)| to == name);
+                let (own, others): (Sends, Sends) =
+                    sends.into_iter().partition(|(to, _)| to == name);
                 turn.sends.extend(others);
-                let mut own: Vec<ToInstance> = own.into_iter().map(|(_, message)| message).collect();
+                let mut own: Vec<ToInstance> =
+                    own.into_iter().map(|(_, message)| message).collect();
                 if own.iter().any(ToInstance::is_acceptance)
-                    && let Some((answer, updates)) = batch::share_lists(&mut self.lists, time.now, &message)
+                    && let Some((answer, updates)) =
+                        batch::share_lists(&mut self.lists, time.now, &message)
                 {
                     own.push(ToInstance::Lists(answer));
                     turn.sends.extend(updates);
@@ -282,7 +298,8 @@
                 turn.held.push(hold(reply, own));
             }
             Ask::Batch(relay, batch, reply) => {
-                let sends = turn.record(fleet.receive_batch(time, &batch.messages, self.rng.rand_u64()));
+                let sends =
+                    turn.record(fleet.receive_batch(time, &batch.messages, self.rng.rand_u64()));
                 let shared = (&mut self.routes, &mut self.lists, time.now);
                 let (answer, others) = batch::answer(fleet.term(), &batch, &relay, sends, shared);
                 turn.sends.extend(others);
@@ -304,12 +321,18 @@
                 turn.held.push(hold(reply, done));
             }
             Ask::See(what, reply) => {
-                turn.held.push(hold(reply, what(fleet, &self.lists, &self.routes, time.now)));
+                turn.held.push(hold(
+                    reply,
+                    what(fleet, &self.lists, &self.routes, time.now),
+                ));
+            }
+            Ask::Watch(name, start, reply) => {
+                turn.held.push(hold(reply, self.routes.watch(name, start)))
             }
-            Ask::Watch(name, start, reply) => turn.held.push(hold(reply, self.routes.watch(name, start))),
             Ask::WatchRelay(relay, term, reply) => {
                 turn.record_and_send(fleet.hear_of_term(term));
-                turn.held.push(hold(reply, self.routes.watch_relay(relay, fleet.term())));
+                turn.held
+                    .push(hold(reply, self.routes.watch_relay(relay, fleet.term())));
             }
         }
     }
@@ -333,13 +356,19 @@
         });
         let (storage, records) = task.await.map_err(Error::StorageThread)?;
         self.storage = Some(storage);
-        let (mut fleet, mut out) = Fleet::restore(self.rules, self.clock.time(), self.above, records?)
-            .map_err(Error::InvalidState)?;
-        let leases = fleet.serve_fleet_limits(self.clock.time(), self.lending.clone(), self.rng.rand_u64());
+        let (mut fleet, mut out) =
+            Fleet::restore(self.rules, self.clock.time(), self.above, records?)
+                .map_err(Error::InvalidState)?;
+        let leases =
+            fleet.serve_fleet_limits(self.clock.time(), self.lending.clone(), self.rng.rand_u64());
         out.saves.extend(leases.saves);
         self.commit(out.saves).await?;
         self.lists = ListRelay::new(fleet.term(), self.rng.rand_u64());
-        tracing::info!("term {} begins at revision {}", fleet.term(), fleet.newest());
+        tracing::info!(
+            "term {} begins at revision {}",
+            fleet.term(),
+            fleet.newest()
+        );
         self.fleet = Ok(fleet);
         Ok(())
     }
--- a/crates/agent/src/http.rs
+++ b/crates/agent/src/http.rs
@@ -43,19 +43,29 @@
     /// # Errors
     /// The certificate is not good any more.
     pub(crate) fn identify(&self, keyring: &Keyring) -> Result<Peer, Refusal> {
-        keyring.check_again(&self.shown, wall() / 1_000).map_err(|refused| {
-            tracing::warn!("{}: turned away: {refused}", self.from);
-            Refusal::new(StatusCode::FORBIDDEN, refused)
-        })
+        keyring
+            .check_again(&self.shown, wall() / 1_000)
+            .map_err(|refused| {
+                tracing::warn!("{}: turned away: {refused}", self.from);
+                Refusal::new(StatusCode::FORBIDDEN, refused)
+            })
     }
 }
 
 impl Caller {
     /// The answer to one whose role does not permit what it asks for.
     pub(crate) fn refuse_verb(&self, peer: &Peer, verb: Verb<'_>) -> Response<Body> {
-        let Peer { name, role, serial, .. } = peer;
-        tracing::warn!("{}: turned away: {name} ({role}, {serial}) may not {verb}", self.from);
-        refuse(StatusCode::FORBIDDEN, format!("{name} has the role {role} and may not {verb}"))
+        let Peer {
+            name, role, serial, ..
+        } = peer;
+        tracing::warn!(
+            "{}: turned away: {name} ({role}, {serial}) may not {verb}",
+            self.from
+        );
+        refuse(
+            StatusCode::FORBIDDEN,
+            format!("{name} has the role {role} and may not {verb}"),
+        )
     }
 }
 
@@ -68,7 +78,10 @@
 
 impl Refusal {
     fn new(status: StatusCode, error: impl ToString) -> Self {
-        Refusal { status, error: error.to_string() }
+        Refusal {
+            status,
+            error: error.to_string(),
+        }
     }
 }
 
@@ -88,13 +101,21 @@
 pub(crate) fn json(status: StatusCode, text: Vec<u8>) -> Response<Body> {
     let mut response = Response::new(BodyExt::boxed(Full::new(Bytes::from(text))));
     *response.status_mut() = status;
-    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    response
+        .headers_mut()
+        .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     response
 }
 
 /// A refusal with its reason.
 pub(crate) fn refuse(status: StatusCode, error: impl ToString) -> Response<Body> {
-    json(status, serde_json::to_vec(&WrittenRefusal { error: error.to_string() }).unwrap_or_default())
+    json(
+        status,
+        serde_json::to_vec(&WrittenRefusal {
+            error: error.to_string(),
+        })
+        .unwrap_or_default(),
+    )
 }
 
 /// What a request of an instance asks for: to be that instance. None for all other requests.
@@ -109,7 +130,9 @@
 /// The answer to a request to see something, which may not be there.
 pub(crate) fn seen(done: Result<Vec<u8>, Unable>) -> Response<Body> {
     match done {
-        Ok(text) if text == b"null" => refuse(StatusCode::NOT_FOUND, "there is nothing of that name"),
+        Ok(text) if text == b"null" => {
+            refuse(StatusCode::NOT_FOUND, "there is nothing of that name")
+        }
         Ok(text) => json(StatusCode::OK, text),
         Err(Unable(why)) => refuse(StatusCode::SERVICE_UNAVAILABLE, why),
     }
@@ -119,15 +142,26 @@
 ///
 /// # Errors
 /// The body is too long, too slow, or makes no sense.
-pub(crate) async fn read<T: DeserializeOwned>(request: Request<Incoming>, most: usize) -> Result<T, Refusal> {
+pub(crate) async fn read<T: DeserializeOwned>(
+    request: Request<Incoming>,
+    most: usize,
+) -> Result<T, Refusal> {
     let body = timeout(PATIENCE, Limited::new(request.into_body(), most).collect()).await;
     let body = match body {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(problem)) if problem.is::<LengthLimitError>() => {
-            return Err(Refusal::new(StatusCode::PAYLOAD_TOO_LARGE, format!("more than {most} bytes")));
+            return Err(Refusal::new(
+                StatusCode::PAYLOAD_TOO_LARGE,
+                format!("more than {most} bytes"),
+            ));
         }
         Ok(Err(problem)) => return Err(Refusal::new(StatusCode::BAD_REQUEST, problem)),
-        Err(_) => return Err(Refusal::new(StatusCode::REQUEST_TIMEOUT, "the body has not come")),
+        Err(_) => {
+            return Err(Refusal::new(
+                StatusCode::REQUEST_TIMEOUT,
+                "the body has not come",
+            ));
+        }
     };
     serde_json::from_slice(&body).map_err(|problem| Refusal::new(StatusCode::BAD_REQUEST, problem))
 }
@@ -139,7 +173,9 @@
 pub(crate) fn number_in_query(request: &Request<Incoming>, name: &str) -> Result<u64, Refusal> {
     let query = request.uri().query().unwrap_or_default();
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
-    let number = pairs.find(|(key, _)| *key == name).and_then(|(_, value)| value.parse().ok());
+    let number = pairs
+        .find(|(key, _)| *key == name)
+        .and_then(|(_, value)| value.parse().ok());
     let missing = || format!("{name}: is missing; write ?{name}=NUMBER");
     number.ok_or_else(|| Refusal::new(StatusCode::BAD_REQUEST, missing()))
 }
@@ -177,6 +213,9 @@
         }
     });
     let mut response = Response::new(BodyExt::boxed(body));
-    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/x-ndjson"));
+    response.headers_mut().insert(
+        CONTENT_TYPE,
+        HeaderValue::from_static("application/x-ndjson"),
+    );
     response
 }
--- a/crates/agent/src/link.rs
+++ b/crates/agent/src/link.rs
@@ -146,7 +146,8 @@
 
     fn handle(&mut self, event: Event<'_>, sender: &mpsc::Sender<Came>) {
         let mut actions = Vec::new();
-        self.machine.handle(self.clock.now(), event, self.rng.rand_u64(), &mut actions);
+        self.machine
+            .handle(self.clock.now(), event, self.rng.rand_u64(), &mut actions);
         for action in actions {
             match action {
                 Action::Keep(memory) => self.settings.keep(&memory),
@@ -247,7 +248,11 @@
 /// What the instance says of itself, once that has changed; none if it never will again.
 async fn changed(traits: &mut Option<watch::Receiver<Traits>>) -> Option<Traits> {
     match traits {
-        Some(traits) => traits.changed().await.ok().map(|()| traits.borrow_and_update().clone()),
+        Some(traits) => traits
+            .changed()
+            .await
+            .ok()
+            .map(|()| traits.borrow_and_update().clone()),
         None => std::future::pending().await,
     }
 }
--- a/crates/agent/src/listener.rs
+++ b/crates/agent/src/listener.rs
@@ -31,7 +31,11 @@
 /// Answers the requests that come over the connections of a listener.
 pub(crate) trait Handler: 'static {
     /// Answers one request.
-    fn answer(&self, caller: Caller, request: Request<Incoming>) -> impl Future<Output = Response<Body>>;
+    fn answer(
+        &self,
+        caller: Caller,
+        request: Request<Incoming>,
+    ) -> impl Future<Output = Response<Body>>;
 }
 
 /// A listener with its keys.
@@ -49,19 +53,35 @@
     ///
     /// # Errors
     /// What is wrong with the keys or the address.
-    pub(crate) async fn bind(address: SocketAddr, keys: &Files, connections: usize) -> Result<Self, Error> {
+    pub(crate) async fn bind(
+        address: SocketAddr,
+        keys: &Files,
+        connections: usize,
+    ) -> Result<Self, Error> {
         let keyring = Keyring::load(keys.clone()).map_err(Error::Keys)?;
         let certificate = || keys.certificate.clone();
         match keyring.own() {
             Some(own) if own.role == Role::Agent => {}
             Some(own) => {
-                return Err(Error::WrongRole { certificate: certificate(), role: own.role });
+                return Err(Error::WrongRole {
+                    certificate: certificate(),
+                    role: own.role,
+                });
+            }
+            None => {
+                return Err(Error::NoRole {
+                    certificate: certificate(),
+                });
             }
-            None => return Err(Error::NoRole { certificate: certificate() }),
         }
         let listener = TcpListener::bind(address).await;
         let listener = listener.map_err(|source| Error::Listen { address, source })?;
-        Ok(Listener { listener, keyring, counters: Arc::default(), connections })
+        Ok(Listener {
+            listener,
+            keyring,
+            counters: Arc::default(),
+            connections,
+        })
     }
 
     /// Where it listens.
@@ -82,13 +102,16 @@
         stop: impl Future<Output = ()>,
     ) -> Result<(), String> {
         let acceptor = TlsAcceptor::from(self.keyring.server()?);
-        let key_files = watchdog::spawn(TaskKind::KeyFiles, follow_files(Arc::clone(&self.keyring)));
+        let key_files =
+            watchdog::spawn(TaskKind::KeyFiles, follow_files(Arc::clone(&self.keyring)));
         let room = Arc::new(Semaphore::new(self.connections));
         // Connections end with the listener: one that lived on would hold an instance to an agent that is no more.
         let mut open = JoinSet::new();
         let accepting = async {
             loop {
-                let Ok(permit) = Arc::clone(&room).acquire_owned().await else { return };
+                let Ok(permit) = Arc::clone(&room).acquire_owned().await else {
+                    return;
+                };
                 while open.try_join_next().is_some() {}
                 match self.listener.accept().await {
                     Ok((stream, peer)) => {
@@ -98,7 +121,10 @@
                             serve_connection(stream, acceptor, stream_counters, handler).await;
                             drop(permit);
                         };
-                        open.spawn_local(watchdog::watch(TaskKind::AgentConnection.of_peer(peer), serving));
+                        open.spawn_local(watchdog::watch(
+                            TaskKind::AgentConnection.of_peer(peer),
+                            serving,
+                        ));
                     }
                     // Out of descriptors or the like: what is open goes on, and ends some time.
                     Err(problem) => {
@@ -141,19 +167,26 @@
     counters: Arc<Counters>,
     handler: Rc<H>,
 ) {
-    let from = stream.peer_addr().map(|from| from.to_string()).unwrap_or_default();
+    let from = stream
+        .peer_addr()
+        .map(|from| from.to_string())
+        .unwrap_or_default();
     let _ = stream.set_nodelay(true);
     let stream = Counted::new(stream, counters);
     let stream = match timeout(PATIENCE, acceptor.accept(stream)).await {
         Ok(Ok(stream)) => stream,
         Ok(Err(problem)) => {
-            let rustls = problem.get_ref().and_then(|e| e.downcast_ref::<rustls::Error>());
+            let rustls = problem
+                .get_ref()
+                .and_then(|e| e.downcast_ref::<rustls::Error>());
             let told = rustls.map_or_else(|| problem.to_string(), explain);
             return tracing::warn!("{from}: turned away: {told}");
         }
         Err(_) => return tracing::debug!("{from}: no handshake in time"),
     };
-    let shown = Rc::new(Shown::new(stream.get_ref().1.peer_certificates().unwrap_or_default()));
+    let shown = Rc::new(Shown::new(
+        stream.get_ref().1.peer_certificates().unwrap_or_default(),
+    ));
     let caller = Caller { from, shown };
     let answer = service_fn(move |request| {
         let (handler, caller) = (Rc::clone(&handler), caller.clone());
--- a/crates/agent/src/relay/config.rs
+++ b/crates/agent/src/relay/config.rs
@@ -85,15 +85,26 @@
         for (at, agent) in file.parent.agents.iter().enumerate() {
             let port = agent.rsplit_once(':').map(|(_, port)| port.parse::<u16>());
             let is_address = matches!(port, Some(Ok(_)));
-            document.require(is_address, &format!("parent.agents[{at}]"), "must be HOST:PORT");
+            document.require(
+                is_address,
+                &format!("parent.agents[{at}]"),
+                "must be HOST:PORT",
+            );
         }
         let keys = file.keys.files(&mut document, place);
         let parent_keys = Files {
-            certificate: needed_path(&mut document, place, file.parent.certificate, "parent.certificate"),
+            certificate: needed_path(
+                &mut document,
+                place,
+                file.parent.certificate,
+                "parent.certificate",
+            ),
             key: needed_path(&mut document, place, file.parent.key, "parent.key"),
             ..keys.clone()
         };
-        let pace = file.registrations.pace(&mut document, RelayRules::default().pace);
+        let pace = file
+            .registrations
+            .pace(&mut document, RelayRules::default().pace);
         let rules = file.children.rules(pace);
         let answer = file.children.answer.unwrap_or(Span::s(2));
         document.require(
--- a/crates/agent/src/relay/core.rs
+++ b/crates/agent/src/relay/core.rs
@@ -86,7 +86,10 @@
         agents: config.agents.clone(),
         agent: 0,
         keyring,
-        identity: Identity { name: config.name.clone(), start: rng.rand_u64() },
+        identity: Identity {
+            name: config.name.clone(),
+            start: rng.rand_u64(),
+        },
         connection: None,
         connections: 0,
         events,
@@ -100,7 +103,11 @@
 }
 
 impl Driver {
-    async fn run(mut self, mut asked: mpsc::Receiver<Ask>, mut happened: mpsc::Receiver<(u64, ParentEvent)>) {
+    async fn run(
+        mut self,
+        mut asked: mpsc::Receiver<Ask>,
+        mut happened: mpsc::Receiver<(u64, ParentEvent)>,
+    ) {
         loop {
             let due = self.next_timer();
             let timer = async {
@@ -124,7 +131,10 @@
     fn next_timer(&self) -> Option<Instant> {
         let tick = self.relay.next().map(|at| self.clock.at(at));
         let reconnect = Some(self.reconnect).filter(|_| self.connection.is_none());
-        [tick, reconnect, self.batch_due].into_iter().flatten().min()
+        [tick, reconnect, self.batch_due]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     fn take_ask(&mut self, ask: Ask) {
@@ -134,7 +144,9 @@
                 self.next_request += 1;
                 self.waiting.insert(request, reply);
                 let jitter = self.rng.rand_u64();
-                let output = self.relay.receive(self.clock.now(), request, *message, jitter);
+                let output = self
+                    .relay
+                    .receive(self.clock.now(), request, *message, jitter);
                 self.deliver(output);
             }
             Ask::Watch(name, start, reply) => {
@@ -147,7 +159,11 @@
     }
 
     fn take_event(&mut self, number: u64, event: ParentEvent) {
-        if self.connection.as_ref().is_none_or(|connection| connection.number() != number) {
+        if self
+            .connection
+            .as_ref()
+            .is_none_or(|connection| connection.number() != number)
+        {
             // Of a connection that was given up.
             return;
         }
@@ -155,7 +171,10 @@
         let output = match event {
             ParentEvent::Connected(term) => {
                 self.problems.clear();
-                tracing::info!("connected to the agent at {}, term {term}", self.agents[self.agent]);
+                tracing::info!(
+                    "connected to the agent at {}, term {term}",
+                    self.agents[self.agent]
+                );
                 self.relay.parent_connected(now, term);
                 RelayOutput::default()
             }
@@ -224,7 +243,9 @@
             self.batch_due = None;
             return;
         }
-        let due = *self.batch_due.get_or_insert_with(|| Instant::now() + BATCH_DELAY);
+        let due = *self
+            .batch_due
+            .get_or_insert_with(|| Instant::now() + BATCH_DELAY);
         if outgoing < MAX_BATCH && Instant::now() < due {
             return;
         }
--- a/crates/agent/src/relay/parent.rs
+++ b/crates/agent/src/relay/parent.rs
@@ -71,8 +71,17 @@
         let batches = Rc::new(Client::with(address, keyring)?);
         let watch = Client::with(address, keyring)?;
         let path = format!("{}&term={term}", identity.path("watch"));
-        let watch = watchdog::spawn(TaskKind::AgentCall, follow(number, watch, path, events.clone()));
-        Ok(Connection { number, identity, batches, events, watch: watch.abort_handle() })
+        let watch = watchdog::spawn(
+            TaskKind::AgentCall,
+            follow(number, watch, path, events.clone()),
+        );
+        Ok(Connection {
+            number,
+            identity,
+            batches,
+            events,
+            watch: watch.abort_handle(),
+        })
     }
 
     /// Its number.
@@ -93,7 +102,9 @@
                 }
                 Ok(answer) => match serde_json::from_slice(&answer.body) {
                     Ok(answer) => ParentEvent::Answered(answer),
-                    Err(problem) => ParentEvent::Lost(format!("the answer makes no sense: {problem}")),
+                    Err(problem) => {
+                        ParentEvent::Lost(format!("the answer makes no sense: {problem}"))
+                    }
                 },
             };
             let _ = events.send((number, event)).await;
@@ -110,17 +121,24 @@
 
 /// Writes a batch of [`LARGEST_BATCH`] and one message at most; returns it with the messages that were left.
 fn write(batch: Batch) -> (Vec<u8>, Vec<ToAgent>) {
-    let mut written = WrittenBatch { messages: Vec::new() };
+    let mut written = WrittenBatch {
+        messages: Vec::new(),
+    };
     let mut length = 0;
     let mut messages = batch.messages.into_iter();
     while length < LARGEST_BATCH
         && let Some(message) = messages.next()
     {
-        let Ok(message) = serde_json::value::to_raw_value(&message) else { continue };
+        let Ok(message) = serde_json::value::to_raw_value(&message) else {
+            continue;
+        };
         length += message.get().len();
         written.messages.push(message);
     }
-    (serde_json::to_vec(&written).unwrap_or_default(), messages.collect())
+    (
+        serde_json::to_vec(&written).unwrap_or_default(),
+        messages.collect(),
+    )
 }
 
 async fn follow(number: u64, client: Client, path: String, events: Events) {
@@ -133,7 +151,9 @@
             Err(problem) => return tracing::debug!("agent: a line makes no sense: {problem}"),
         };
         if lines.try_send((number, event)).is_err() {
-            tracing::debug!("agent: messages come faster than they are passed on, and one is dropped");
+            tracing::debug!(
+                "agent: messages come faster than they are passed on, and one is dropped"
+            );
         }
     });
     let why = ended.await;
--- a/crates/agent/src/relay/paths.rs
+++ b/crates/agent/src/relay/paths.rs
@@ -48,9 +48,21 @@
         let parent_keyring = Keyring::load(config.parent_keys.clone()).map_err(Error::Keys)?;
         let seed = u128::from(wall()) << 32 | u128::from(std::process::id());
         let core = core::start(config, Arc::clone(&parent_keyring), seed);
-        let (keyring, counters) = (Arc::clone(&listener.keyring), Arc::clone(&listener.counters));
-        let paths = Rc::new(RelayPaths { name: config.name.clone(), keyring, core, counters });
-        Ok(Relay { listener, paths, parent_keyring })
+        let (keyring, counters) = (
+            Arc::clone(&listener.keyring),
+            Arc::clone(&listener.counters),
+        );
+        let paths = Rc::new(RelayPaths {
+            name: config.name.clone(),
+            keyring,
+            core,
+            counters,
+        });
+        Ok(Relay {
+            listener,
+            paths,
+            parent_keyring,
+        })
     }
 
     /// Where it listens.
@@ -63,7 +75,10 @@
 
     /// Its keys, as a server and as a client; they may be read again at any time.
     pub fn keyrings(&self) -> [Arc<Keyring>; 2] {
-        [Arc::clone(&self.listener.keyring), Arc::clone(&self.parent_keyring)]
+        [
+            Arc::clone(&self.listener.keyring),
+            Arc::clone(&self.parent_keyring),
+        ]
     }
 
     /// Serves until it is told to stop.
@@ -93,7 +108,8 @@
         };
         let path = request.uri().path().to_string();
         let parts: Vec<&str> = path.split('/').skip(1).collect();
-        let own_view = (request.method() == Method::GET && parts == ["v1", "relay"]).then_some(Verb::See);
+        let own_view =
+            (request.method() == Method::GET && parts == ["v1", "relay"]).then_some(Verb::See);
         let verb = match instance_verb(request.method(), &parts).or(own_view) {
             Some(verb) => verb,
             None => {
@@ -105,7 +121,9 @@
             return caller.refuse_verb(&peer, verb);
         }
         match verb {
-            Verb::Be(name) if request.method() == Method::POST => self.answer_instance(name, request).await,
+            Verb::Be(name) if request.method() == Method::POST => {
+                self.answer_instance(name, request).await
+            }
             Verb::Be(name) => self.watch(caller, name, request).await,
             _ => self.view().await,
         }
@@ -127,27 +145,54 @@
         match self.core.ask(|reply| Ask::Message(message, reply)).await {
             Some(messages) => {
                 self.counters.messages_went(messages.len());
-                json(StatusCode::OK, serde_json::to_vec(&messages).unwrap_or_default())
+                json(
+                    StatusCode::OK,
+                    serde_json::to_vec(&messages).unwrap_or_default(),
+                )
             }
             None => stopping(),
         }
     }
 
-    async fn watch(&self, caller: Caller, name: &str, request: Request<Incoming>) -> Response<Body> {
+    async fn watch(
+        &self,
+        caller: Caller,
+        name: &str,
+        request: Request<Incoming>,
+    ) -> Response<Body> {
         let start = match number_in_query(&request, "start") {
             Ok(start) => start,
             Err(refusal) => return refusal.into(),
         };
-        match self.core.ask(|reply| Ask::Watch(name.to_string(), start, reply)).await {
-            Some(messages) => watch(caller, Arc::clone(&self.keyring), Arc::clone(&self.counters), messages),
+        match self
+            .core
+            .ask(|reply| Ask::Watch(name.to_string(), start, reply))
+            .await
+        {
+            Some(messages) => watch(
+                caller,
+                Arc::clone(&self.keyring),
+                Arc::clone(&self.counters),
+                messages,
+            ),
             None => stopping(),
         }
     }
 
     async fn view(&self) -> Response<Body> {
-        let Some((relay, agent)) = self.core.ask(Ask::Status).await else { return stopping() };
-        let view = RelayView { name: self.name.clone(), agent, relay, traffic: self.counters.read() };
-        json(StatusCode::OK, serde_json::to_vec(&view).unwrap_or_default())
+        let Some((relay, agent)) = self.core.ask(Ask::Status).await else {
+            return stopping();
+        };
+        let view = RelayView {
+            name: self.name.clone(),
+            agent,
+            relay,
+            traffic: self.counters.read(),
+        };
+        json(
+            StatusCode::OK,
+            serde_json::to_vec(&view).unwrap_or_default(),
+        )
     }
 }
 
--- a/crates/agent/src/routes.rs
+++ b/crates/agent/src/routes.rs
@@ -64,7 +64,8 @@
     pub(crate) fn relays(&self) -> BTreeMap<String, usize> {
         let is_open = |relay: &RelayId| self.relays.get(relay).is_some_and(|to| !to.is_closed());
         let open = self.relays.keys().filter(|relay| is_open(relay));
-        let mut counts: BTreeMap<String, usize> = open.map(|relay| (relay.name.clone(), 0)).collect();
+        let mut counts: BTreeMap<String, usize> =
+            open.map(|relay| (relay.name.clone(), 0)).collect();
         for relay in self.behind.values().filter(|relay| is_open(relay)) {
             *counts.entry(relay.name.clone()).or_default() += 1;
         }
@@ -79,7 +80,10 @@
             }
             return;
         }
-        let relay = self.behind.get(&name).and_then(|relay| self.relays.get(relay));
+        let relay = self
+            .behind
+            .get(&name)
+            .and_then(|relay| self.relays.get(relay));
         if let Some(to) = relay {
             let _ = to.try_send(WatchLine::Message(Addressed { name, message }));
         }
--- a/crates/agent/src/server.rs
+++ b/crates/agent/src/server.rs
@@ -38,11 +38,25 @@
         let listener = Listener::bind(config.listen, &config.keys, config.connections).await?;
         let audit = Audit::open(&config.audit)?;
         let seed = u128::from(wall()) << 32 | u128::from(std::process::id());
-        let core =
-            core::start(Clock::new(), config.rules, config.lending.clone(), config.term_above, storage, seed)
-                .await?;
-        let (keyring, counters) = (Arc::clone(&listener.keyring), Arc::clone(&listener.counters));
-        let paths = Rc::new(AgentPaths { keyring, core, audit, counters });
+        let core = core::start(
+            Clock::new(),
+            config.rules,
+            config.lending.clone(),
+            config.term_above,
+            storage,
+            seed,
+        )
+        .await?;
+        let (keyring, counters) = (
+            Arc::clone(&listener.keyring),
+            Arc::clone(&listener.counters),
+        );
+        let paths = Rc::new(AgentPaths {
+            keyring,
+            core,
+            audit,
+            counters,
+        });
         Ok(Agent { listener, paths })
     }
 
@@ -92,11 +106,17 @@
         });
         if !may(peer.role, &peer.name, verb) {
             if verb == Verb::Change {
-                let _ = self.audit.write(&peer, request.method().as_str(), &path, "refused: wrong role");
+                let _ = self.audit.write(
+                    &peer,
+                    request.method().as_str(),
+                    &path,
+                    "refused: wrong role",
+                );
             }
             return caller.refuse_verb(&peer, verb);
         }
-        self.answer_permitted(caller, &peer, &path, &parts, request).await
+        self.answer_permitted(caller, &peer, &path, &parts, request)
+            .await
     }
 }
 
@@ -111,20 +131,34 @@
     ) -> Response<Body> {
         let core = &self.core;
         match (request.method(), parts) {
-            (&Method::GET, ["v1", "status"]) => seen(core::status(core, self.counters.read()).await),
+            (&Method::GET, ["v1", "status"]) => {
+                seen(core::status(core, self.counters.read()).await)
+            }
             (&Method::GET, ["v1", "instances"]) => seen(core.see(view::instances).await),
-            (&Method::GET, ["v1", "instances", name, "orders"]) => match number_in_query(&request, "start") {
-                Ok(start) => {
-                    let messages = core.watch(name.to_string(), start).await;
-                    watch(caller, Arc::clone(&self.keyring), Arc::clone(&self.counters), messages)
+            (&Method::GET, ["v1", "instances", name, "orders"]) => {
+                match number_in_query(&request, "start") {
+                    Ok(start) => {
+                        let messages = core.watch(name.to_string(), start).await;
+                        watch(
+                            caller,
+                            Arc::clone(&self.keyring),
+                            Arc::clone(&self.counters),
+                            messages,
+                        )
+                    }
+                    Err(refusal) => refusal.into(),
                 }
-                Err(refusal) => refusal.into(),
-            },
+            }
             (&Method::GET, ["v1", "instances", name]) => {
                 let name = name.to_string();
-                seen(core.see(move |fleet, now| view::instance_whole(fleet, now, &name)).await)
+                seen(
+                    core.see(move |fleet, now| view::instance_whole(fleet, now, &name))
+                        .await,
+                )
+            }
+            (&Method::GET, ["v1", "rollouts"]) => {
+                seen(core.see(|fleet, _| view::history(fleet)).await)
             }
-            (&Method::GET, ["v1", "rollouts"]) => seen(core.see(|fleet, _| view::history(fleet)).await),
             (&Method::GET, ["v1", "rollouts", id]) => {
                 let id = id.to_string();
                 seen(core.see(move |fleet, _| view::rollout(fleet, &id)).await)
@@ -134,14 +168,21 @@
                 Ok(change) => {
                     let change: Box<Change> = change;
                     let id = change.id.clone();
-                    self.change_fleet(peer, "push", &id, |by, reply| Ask::Push(change, by, reply)).await
+                    self.change_fleet(peer, "push", &id, |by, reply| Ask::Push(change, by, reply))
+                        .await
                 }
             },
             (&Method::POST, ["v1", "rollouts", id, "stop"]) => {
-                self.change_fleet(peer, "stop", id, |by, reply| Ask::Stop(id.to_string(), by, reply)).await
+                self.change_fleet(peer, "stop", id, |by, reply| {
+                    Ask::Stop(id.to_string(), by, reply)
+                })
+                .await
             }
             (&Method::POST, ["v1", "rollouts", id, "undo"]) => {
-                self.change_fleet(peer, "undo", id, |by, reply| Ask::Undo(id.to_string(), by, reply)).await
+                self.change_fleet(peer, "undo", id, |by, reply| {
+                    Ask::Undo(id.to_string(), by, reply)
+                })
+                .await
             }
             (&Method::POST, ["v1", "instances", name, "register" | "report"]) => {
                 match read::<ToAgent>(request, LARGEST_FROM_INSTANCE).await {
@@ -149,7 +190,10 @@
                     Ok(message) => self.answer_instance(name, message).await,
                 }
             }
-            (method, ["v1", ..]) => refuse(StatusCode::NOT_FOUND, format!("there is no {method} {path}")),
+            (method, ["v1", ..]) => refuse(
+                StatusCode::NOT_FOUND,
+                format!("there is no {method} {path}"),
+            ),
             _ => refuse(
                 StatusCode::NOT_FOUND,
                 "this agent speaks version 1 of the protocol: paths begin with /v1/",
@@ -166,10 +210,17 @@
             );
         }
         self.counters.messages_came(1);
-        match self.core.ask(|reply| Ask::Instance(Box::new(message), reply)).await {
+        match self
+            .core
+            .ask(|reply| Ask::Instance(Box::new(message), reply))
+            .await
+        {
             Ok(messages) => {
                 self.counters.messages_went(messages.len());
-                json(StatusCode::OK, serde_json::to_vec(&messages).unwrap_or_default())
+                json(
+                    StatusCode::OK,
+                    serde_json::to_vec(&messages).unwrap_or_default(),
+                )
             }
             Err(Unable(why)) => refuse(StatusCode::SERVICE_UNAVAILABLE, why),
         }
@@ -188,7 +239,11 @@
             Ok(start) => start,
             Err(refusal) => return refusal.into(),
         };
-        let relay = RelayId { certificate: peer.name.clone(), name: relay.to_string(), start };
+        let relay = RelayId {
+            certificate: peer.name.clone(),
+            name: relay.to_string(),
+            start,
+        };
         match (request.method(), what) {
             (&Method::POST, "batch") => {
                 match read::<Batch>(request, LARGEST_BATCH + LARGEST_FROM_INSTANCE).await {
@@ -199,9 +254,17 @@
             (&Method::GET, "watch") => {
                 let term = number_in_query(&request, "term").unwrap_or(0);
                 let messages = self.core.watch_relay(relay, term).await;
-                watch(caller, Arc::clone(&self.keyring), Arc::clone(&self.counters), messages)
+                watch(
+                    caller,
+                    Arc::clone(&self.keyring),
+                    Arc::clone(&self.counters),
+                    messages,
+                )
             }
-            (method, _) => refuse(StatusCode::NOT_FOUND, format!("there is no {method} {what} of a relay")),
+            (method, _) => refuse(
+                StatusCode::NOT_FOUND,
+                format!("there is no {method} {what} of a relay"),
+            ),
         }
     }
 
@@ -213,17 +276,29 @@
         batch: Batch,
     ) -> Response<Body> {
         if batch.messages.len() > MAX_BATCH {
-            return refuse(StatusCode::BAD_REQUEST, format!("messages: are more than {MAX_BATCH}"));
+            return refuse(
+                StatusCode::BAD_REQUEST,
+                format!("messages: are more than {MAX_BATCH}"),
+            );
         }
-        let names = batch.messages.iter().map(|message| Verb::Be(&message.who().name));
-        if let Some(verb) = names.into_iter().find(|verb| !may(peer.role, &peer.name, *verb)) {
+        let names = batch
+            .messages
+            .iter()
+            .map(|message| Verb::Be(&message.who().name));
+        if let Some(verb) = names
+            .into_iter()
+            .find(|verb| !may(peer.role, &peer.name, *verb))
+        {
             return caller.refuse_verb(peer, verb);
         }
         self.counters.messages_came(batch.messages.len());
         match self.core.ask(|reply| Ask::Batch(relay, batch, reply)).await {
             Ok(answer) => {
                 self.counters.messages_went(answer.messages.len());
-                json(StatusCode::OK, serde_json::to_vec(&answer).unwrap_or_default())
+                json(
+                    StatusCode::OK,
+                    serde_json::to_vec(&answer).unwrap_or_default(),
+                )
             }
             Err(Unable(why)) => refuse(StatusCode::SERVICE_UNAVAILABLE, why),
         }
@@ -235,16 +310,26 @@
         peer: &Peer,
         asked: &str,
         about: &str,
-        ask: impl FnOnce(By, tokio::sync::oneshot::Sender<Result<Result<Accepted, Declined>, Unable>>) -> Ask,
+        ask: impl FnOnce(
+            By,
+            tokio::sync::oneshot::Sender<Result<Result<Accepted, Declined>, Unable>>,
+        ) -> Ask,
     ) -> Response<Body> {
         if let Err(problem) = self.audit.write(peer, asked, about, "asked") {
             // What can't be put on record is not done.
             return refuse(StatusCode::SERVICE_UNAVAILABLE, problem.to_string());
         }
-        let by = By { who: peer.name.clone(), at: wall() };
+        let by = By {
+            who: peer.name.clone(),
+            at: wall(),
+        };
         let done = self.core.ask(|reply| ask(by, reply)).await;
         let outcome = match &done {
-            Ok(Ok(Accepted { revision, repeat: false, .. })) => format!("accepted as revision {revision}"),
+            Ok(Ok(Accepted {
+                revision,
+                repeat: false,
+                ..
+            })) => format!("accepted as revision {revision}"),
             Ok(Ok(Accepted { revision, .. })) => format!("repeats what made revision {revision}"),
             Ok(Err(declined)) => format!("declined: {declined}"),
             Err(Unable(why)) => format!("not done: {why}"),
@@ -252,9 +337,16 @@
         if let Err(problem) = self.audit.write(peer, asked, about, &outcome) {
             tracing::error!("{problem}: {} {asked} {about}: {outcome}", peer.name);
         }
-        tracing::info!("{} ({}): {asked} {about}: {outcome}", peer.name, peer.serial);
+        tracing::info!(
+            "{} ({}): {asked} {about}: {outcome}",
+            peer.name,
+            peer.serial
+        );
         match done {
-            Ok(Ok(accepted)) => json(StatusCode::OK, serde_json::to_vec(&accepted).unwrap_or_default()),
+            Ok(Ok(accepted)) => json(
+                StatusCode::OK,
+                serde_json::to_vec(&accepted).unwrap_or_default(),
+            ),
             Ok(Err(declined)) => answer_declined(&declined),
             Err(Unable(why)) => refuse(StatusCode::SERVICE_UNAVAILABLE, why),
         }
@@ -266,13 +358,18 @@
         Declined::Invalid(_) => StatusCode::UNPROCESSABLE_ENTITY,
         Declined::Impossible(_) => StatusCode::NOT_FOUND,
         Declined::StoodDown(_) => StatusCode::SERVICE_UNAVAILABLE,
-        Declined::Conflict { .. } | Declined::Busy { .. } | Declined::IdUsed { .. } => StatusCode::CONFLICT,
+        Declined::Conflict { .. } | Declined::Busy { .. } | Declined::IdUsed { .. } => {
+            StatusCode::CONFLICT
+        }
     };
     #[derive(Serialize)]
     struct Both<'a> {
         error: String,
         declined: &'a Declined,
     }
-    let both = Both { error: declined.to_string(), declined };
+    let both = Both {
+        error: declined.to_string(),
+        declined,
+    };
     json(status, serde_json::to_vec(&both).unwrap_or_default())
 }
--- a/crates/agent/src/storage.rs
+++ b/crates/agent/src/storage.rs
@@ -31,7 +31,11 @@
 
 impl Storage for Memory {
     fn load(&mut self) -> Result<Vec<(String, Record)>, Error> {
-        Ok(self.0.iter().map(|(key, record)| (key.clone(), record.clone())).collect())
+        Ok(self
+            .0
+            .iter()
+            .map(|(key, record)| (key.clone(), record.clone()))
+            .collect())
     }
 
     fn commit(&mut self, saves: Saves) -> Result<(), Error> {
@@ -54,15 +58,25 @@
 impl Lasting {
     /// In a directory, which is made where it is not there.
     pub fn new(directory: &Path) -> Self {
-        Lasting { directory: directory.to_path_buf(), store: None }
+        Lasting {
+            directory: directory.to_path_buf(),
+            store: None,
+        }
     }
 
     fn store_error(&self, source: madderloom_store::Error) -> Error {
-        Error::Store { directory: self.directory.clone(), source }
+        Error::Store {
+            directory: self.directory.clone(),
+            source,
+        }
     }
 
     fn record_error(&self, key: &str, source: serde_json::Error) -> Error {
-        Error::Record { directory: self.directory.clone(), key: key.to_string(), source }
+        Error::Record {
+            directory: self.directory.clone(),
+            key: key.to_string(),
+            source,
+        }
     }
 }
 
@@ -70,14 +84,18 @@
     fn load(&mut self) -> Result<Vec<(String, Record)>, Error> {
         // The lock of the former one must go first. What a failed write left in doubt is settled by reading the log.
         self.store = None;
-        let disk = RealDisk::create(&self.directory)
-            .map_err(|source| Error::OpenDirectory { directory: self.directory.clone(), source })?;
-        let store = Store::open(disk, Options::default()).map_err(|error| self.store_error(error))?;
+        let disk = RealDisk::create(&self.directory).map_err(|source| Error::OpenDirectory {
+            directory: self.directory.clone(),
+            source,
+        })?;
+        let store =
+            Store::open(disk, Options::default()).map_err(|error| self.store_error(error))?;
         let mut records = Vec::new();
         for found in store.snapshot().scan(b"", 0) {
             let (key, value) = found.map_err(|error| self.store_error(error))?;
             let key = String::from_utf8_lossy(key).into_owned();
-            let record = serde_json::from_slice(&value).map_err(|error| self.record_error(&key, error))?;
+            let record =
+                serde_json::from_slice(&value).map_err(|error| self.record_error(&key, error))?;
             records.push((key, record));
         }
         self.store = Some(store);
@@ -89,15 +107,17 @@
         for (key, record) in saves {
             match record {
                 Some(record) => {
-                    let value =
-                        serde_json::to_vec(&record).map_err(|error| self.record_error(&key, error))?;
+                    let value = serde_json::to_vec(&record)
+                        .map_err(|error| self.record_error(&key, error))?;
                     batch.put(key, value);
                 }
                 None => drop(batch.delete(key)),
             }
         }
         let Some(store) = &mut self.store else {
-            return Err(Error::StoreNotOpen { directory: self.directory.clone() });
+            return Err(Error::StoreNotOpen {
+                directory: self.directory.clone(),
+            });
         };
         let mut done = store.write(&batch, Durability::Durable).map(|_| ());
         if done.is_ok() && store.is_compaction_due(0) {
@@ -119,10 +139,18 @@
         assert_eq!(first.load().expect("opened"), []);
         let saves = |term: u64| Saves::from([("term".to_string(), Some(Record::Term(term)))]);
         first.commit(saves(1)).expect("written");
-        assert!(Lasting::new(&place).load().is_err(), "one process at a time");
+        assert!(
+            Lasting::new(&place).load().is_err(),
+            "one process at a time"
+        );
         first.commit(saves(2)).expect("written");
-        assert_eq!(first.load().expect("opened again"), [("term".to_string(), Record::Term(2))]);
-        first.commit(Saves::from([("term".to_string(), None)])).expect("written");
+        assert_eq!(
+            first.load().expect("opened again"),
+            [("term".to_string(), Record::Term(2))]
+        );
+        first
+            .commit(Saves::from([("term".to_string(), None)]))
+            .expect("written");
         assert_eq!(first.load().expect("opened again"), []);
     }
 }
--- a/crates/agent/src/traffic.rs
+++ b/crates/agent/src/traffic.rs
@@ -93,7 +93,9 @@
         let before = buffer.filled().len();
         let polled = Pin::new(&mut self.stream).poll_read(context, buffer);
         let read = buffer.filled().len() - before;
-        self.counters.bytes_in.fetch_add(read as u64, Ordering::Relaxed);
+        self.counters
+            .bytes_in
+            .fetch_add(read as u64, Ordering::Relaxed);
         polled
     }
 }
@@ -101,7 +103,9 @@
 impl<S: AsyncWrite + Unpin> Counted<S> {
     fn wrote(&self, polled: &Poll<io::Result<usize>>) {
         if let Poll::Ready(Ok(written)) = polled {
-            self.counters.bytes_out.fetch_add(*written as u64, Ordering::Relaxed);
+            self.counters
+                .bytes_out
+                .fetch_add(*written as u64, Ordering::Relaxed);
         }
     }
 }
--- a/crates/agent/src/view.rs
+++ b/crates/agent/src/view.rs
@@ -89,9 +89,21 @@
 
 impl From<View> for Share {
     fn from(view: View) -> Self {
-        let View { whole, lent, used, wanted, open, instances, with_part } = view;
+        let View {
+            whole,
+            lent,
+            used,
+            wanted,
+            open,
+            instances,
+            with_part,
+        } = view;
         let whole_of = |figure: u64| figure as f64 / ONE as f64;
-        let over = if whole.rate == UNBOUNDED { 0 } else { used.saturating_sub(whole.rate) };
+        let over = if whole.rate == UNBOUNDED {
+            0
+        } else {
+            used.saturating_sub(whole.rate)
+        };
         Share {
             whole: whole.into(),
             lent: lent.into(),
@@ -202,7 +214,9 @@
 pub(crate) fn status(fleet: &Fleet, relay: &Relay, now: Micros) -> Status {
     let mut instances = BTreeMap::new();
     for (_, member) in fleet.membership().iter() {
-        *instances.entry(format!("{:?}", member.presence).to_lowercase()).or_insert(0) += 1;
+        *instances
+            .entry(format!("{:?}", member.presence).to_lowercase())
+            .or_insert(0) += 1;
     }
     Status {
         term: fleet.term(),
@@ -210,8 +224,16 @@
         stood_down: fleet.stood_down(),
         instances,
         rolling_out: fleet.rollout().map(|rollout| rollout.change.id.clone()),
-        in_effect: fleet.layers().0.iter().map(|layer| layer.id.clone()).collect(),
-        fleet_limits: fleet.lender().map(|lender| shares(lender.views(now))).unwrap_or_default(),
+        in_effect: fleet
+            .layers()
+            .0
+            .iter()
+            .map(|layer| layer.id.clone())
+            .collect(),
+        fleet_limits: fleet
+            .lender()
+            .map(|lender| shares(lender.views(now)))
+            .unwrap_or_default(),
         lends_all: fleet.lender().map(|lender| lender.has_learned(now)),
         shared_lists: relay.views(now).collect(),
         // The machine knows nothing of connections: whoever holds them fills this in.
@@ -221,7 +243,10 @@
 }
 
 fn shares(views: BTreeMap<String, View>) -> BTreeMap<String, Share> {
-    views.into_iter().map(|(name, view)| (name, view.into())).collect()
+    views
+        .into_iter()
+        .map(|(name, view)| (name, view.into()))
+        .collect()
 }
 
 pub(crate) fn instance(fleet: &Fleet, now: Micros, name: &str) -> Option<Instance> {
@@ -240,23 +265,42 @@
         build: member.traits.build.clone(),
         file: member.traits.file.to_string(),
         revision: line.map_or(0, |line| line.holding.revision),
-        in_line: line.filter(|_| member.presence != Presence::Joining).and_then(|_| fleet.in_line(name)),
+        in_line: line
+            .filter(|_| member.presence != Presence::Joining)
+            .and_then(|_| fleet.in_line(name)),
         refused,
         counts: line.map(|line| line.counts).unwrap_or_default(),
-        rival: member.rival.filter(|rival| rival.seen >= SEEN).map(|rival| rival.incarnation),
-        fleet_limits: fleet.lender().map(|lender| shares(lender.views_at(now, name))).unwrap_or_default(),
+        rival: member
+            .rival
+            .filter(|rival| rival.seen >= SEEN)
+            .map(|rival| rival.incarnation),
+        fleet_limits: fleet
+            .lender()
+            .map(|lender| shares(lender.views_at(now, name)))
+            .unwrap_or_default(),
     })
 }
 
 pub(crate) fn instances(fleet: &Fleet, now: Micros) -> Vec<Instance> {
-    fleet.membership().iter().filter_map(|(name, _)| instance(fleet, now, name)).collect()
+    fleet
+        .membership()
+        .iter()
+        .filter_map(|(name, _)| instance(fleet, now, name))
+        .collect()
 }
 
 pub(crate) fn instance_whole(fleet: &Fleet, now: Micros, name: &str) -> Option<InstanceWhole> {
     let member = fleet.membership().get(name)?;
     let (overlay, _) = fleet.layers().overlay(name, &member.traits);
-    let settled = overlay.0.iter().map(|(key, value)| format!("{key} = {value}")).collect();
-    Some(InstanceWhole { instance: instance(fleet, now, name)?, settled })
+    let settled = overlay
+        .0
+        .iter()
+        .map(|(key, value)| format!("{key} = {value}"))
+        .collect();
+    Some(InstanceWhole {
+        instance: instance(fleet, now, name)?,
+        settled,
+    })
 }
 
 fn state(step: &Step) -> &'static str {
@@ -273,7 +317,12 @@
     let text = target.step.to_string();
     let reason = text.split_once(": ").map(|(_, reason)| reason.to_string());
     let back = target.back.as_ref().map(Step::to_string);
-    Result { wave: target.wave + 1, state: state(&target.step).into(), reason, back }
+    Result {
+        wave: target.wave + 1,
+        state: state(&target.step).into(),
+        reason,
+        back,
+    }
 }
 
 fn counts(targets: &BTreeMap<String, Target>) -> BTreeMap<String, usize> {
@@ -281,11 +330,19 @@
     for target in targets.values() {
         *counts.entry(state(&target.step)).or_default() += 1;
     }
-    counts.into_iter().map(|(state, count)| (state.to_string(), count)).collect()
+    counts
+        .into_iter()
+        .map(|(state, count)| (state.to_string(), count))
+        .collect()
 }
 
 fn phase(rollout: &Rollout) -> String {
-    let waves = rollout.targets.values().map(|target| target.wave + 1).max().unwrap_or(1);
+    let waves = rollout
+        .targets
+        .values()
+        .map(|target| target.wave + 1)
+        .max()
+        .unwrap_or(1);
     match rollout.phase {
         Phase::Forward { wave } => format!("wave {} of {waves}", wave + 1),
         Phase::Watch { wave } => format!("watching after wave {} of {waves}", wave + 1),
@@ -316,7 +373,9 @@
         note: rollout.change.note.clone(),
         difference: madderloom_fleet::difference(&rollout.change),
         counts: counts(&rollout.targets),
-        results: results.map(|(name, target)| (name.clone(), result(target))).collect(),
+        results: results
+            .map(|(name, target)| (name.clone(), result(target)))
+            .collect(),
     }
 }
 
@@ -334,19 +393,26 @@
         note: entry.change.note.clone(),
         difference: madderloom_fleet::difference(&entry.change),
         counts: targets.map(counts).unwrap_or_default(),
-        results: results.map(|(name, target)| (name.clone(), result(target))).collect(),
+        results: results
+            .map(|(name, target)| (name.clone(), result(target)))
+            .collect(),
     }
 }
 
 pub(crate) fn rollout(fleet: &Fleet, id: &str) -> Option<Rollouts> {
     match fleet.rollout().filter(|rollout| rollout.change.id == id) {
         Some(rollout) => Some(under_way(rollout, true)),
-        None => fleet.history().find(|entry| entry.change.id == id).map(|entry| over(fleet, entry, true)),
+        None => fleet
+            .history()
+            .find(|entry| entry.change.id == id)
+            .map(|entry| over(fleet, entry, true)),
     }
 }
 
 /// Newest first.
 pub(crate) fn history(fleet: &Fleet) -> Vec<Rollouts> {
     let now = fleet.rollout().map(|rollout| under_way(rollout, false));
-    now.into_iter().chain(fleet.history().rev().map(|entry| over(fleet, entry, false))).collect()
+    now.into_iter()
+        .chain(fleet.history().rev().map(|entry| over(fleet, entry, false)))
+        .collect()
 }
--- a/crates/agent/tests/common/mod.rs
+++ b/crates/agent/tests/common/mod.rs
@@ -4,7 +4,9 @@
 #![allow(dead_code)]
 
 use madderloom_agent::relay::{Relay, RelayConfig, RelayView};
-use madderloom_agent::{Agent, Client, Config, Error, Link, Saves, Settings, Storage, Taking, view};
+use madderloom_agent::{
+    Agent, Client, Config, Error, Link, Saves, Settings, Storage, Taking, view,
+};
 use madderloom_config::Problem;
 use madderloom_fleet::change::{Change, Policy, Selector, Share, Then, Traits, What};
 use madderloom_fleet::gate::Counts;
@@ -44,7 +46,14 @@
 
 impl Storage for Disk {
     fn load(&mut self) -> Result<Vec<(String, Record)>, Error> {
-        Ok(self.0.lock().expect("not poisoned").kept.clone().into_iter().collect())
+        Ok(self
+            .0
+            .lock()
+            .expect("not poisoned")
+            .kept
+            .clone()
+            .into_iter()
+            .collect())
     }
 
     fn commit(&mut self, saves: Saves) -> Result<(), Error> {
@@ -86,9 +95,16 @@
     fn meet(&self, overlay: &Overlay) -> Outcome {
         let mut toy = self.0.borrow_mut();
         toy.taken += 1;
-        if let Some(key) = toy.refuses.clone().filter(|key| overlay.0.contains_key(key)) {
+        if let Some(key) = toy
+            .refuses
+            .clone()
+            .filter(|key| overlay.0.contains_key(key))
+        {
             let problem = "is not known to this instance".to_string();
-            return Outcome::Refused(madderloom_fleet::Problem { field: format!("set.{key}"), problem });
+            return Outcome::Refused(madderloom_fleet::Problem {
+                field: format!("set.{key}"),
+                problem,
+            });
         }
         toy.overlay = overlay.clone();
         Outcome::Applied
@@ -103,8 +119,18 @@
 
     fn counts(&mut self) -> Counts {
         let toy = self.0.borrow();
-        let hurt = toy.hurt_by.as_ref().is_some_and(|key| toy.overlay.0.contains_key(key));
-        Counts { bad: if hurt { toy.counts.ended / 2 } else { toy.counts.bad }, ..toy.counts }
+        let hurt = toy
+            .hurt_by
+            .as_ref()
+            .is_some_and(|key| toy.overlay.0.contains_key(key));
+        Counts {
+            bad: if hurt {
+                toy.counts.ended / 2
+            } else {
+                toy.counts.bad
+            },
+            ..toy.counts
+        }
     }
 
     fn keep(&mut self, memory: &Memory) {
@@ -137,8 +163,7 @@
 
 impl Rig {
     pub async fn new() -> Self {
-        let paces =
-            "[leases]\nreport = \"100ms\"\nlease = \"2s\"\ngrace = \"2s\"\n[registrations]\nrate = 1000\n";
+        let paces = "[leases]\nreport = \"100ms\"\nlease = \"2s\"\ngrace = \"2s\"\n[registrations]\nrate = 1000\n";
         Rig::at_paces(paces).await
     }
 
@@ -156,7 +181,9 @@
             ("vic", Role::View, &[]),
             ("shop-*", Role::Instance, &[]),
         ] {
-            authority.issue((name, role), hosts, 20, directory.path(), now).expect("a certificate");
+            authority
+                .issue((name, role), hosts, 20, directory.path(), now)
+                .expect("a certificate");
         }
         let mut rig = Rig {
             directory,
@@ -209,7 +236,10 @@
         };
         self.address = agent.address().expect("an address").to_string();
         self.agent = Some(tokio::task::spawn_local(async move {
-            agent.serve(std::future::pending()).await.expect("it serves");
+            agent
+                .serve(std::future::pending())
+                .await
+                .expect("it serves");
         }));
     }
 
@@ -230,10 +260,21 @@
 
     /// Starts an instance whose agent, or relay, is at this address. Gives its place for [`Rig::kill_instance`].
     pub fn start_instance_at(&mut self, address: &str, number: usize, toy: &Toy) -> usize {
-        let who =
-            Who { name: format!("shop-{number}"), start: 1_000 + self.links.len() as u64, incarnation: 1 };
-        let zone = if number.is_multiple_of(2) { "north" } else { "south" };
-        let traits = Traits { zone: zone.into(), build: "test".into(), ..Traits::default() };
+        let who = Who {
+            name: format!("shop-{number}"),
+            start: 1_000 + self.links.len() as u64,
+            incarnation: 1,
+        };
+        let zone = if number.is_multiple_of(2) {
+            "north"
+        } else {
+            "south"
+        };
+        let traits = Traits {
+            zone: zone.into(),
+            build: "test".into(),
+            ..Traits::default()
+        };
         let memory = toy.0.borrow().memory.clone();
         let machine = Instance::new(0, who, traits, memory);
         let client = || Client::new(address, self.files("shop-any")).expect("a client");
@@ -269,26 +310,44 @@
         };
         let address = relay.address().expect("an address").to_string();
         let task = tokio::task::spawn_local(async move {
-            relay.serve(std::future::pending()).await.expect("it serves");
+            relay
+                .serve(std::future::pending())
+                .await
+                .expect("it serves");
         });
-        TestRelay { name: name.to_string(), address, task }
+        TestRelay {
+            name: name.to_string(),
+            address,
+            task,
+        }
     }
 
     /// What a relay says of itself.
     pub async fn relay_view(&self, relay: &TestRelay) -> Option<RelayView> {
         let client = Client::new(&relay.address, self.files("vic")).expect("a client");
-        client.get(hyper::Method::GET, "/v1/relay", vec![]).await.ok()
+        client
+            .get(hyper::Method::GET, "/v1/relay", vec![])
+            .await
+            .ok()
     }
 
     /// Waits until a relay says what it should.
-    pub async fn until_relay(&self, relay: &TestRelay, what: &str, holds: impl Fn(&RelayView) -> bool) {
+    pub async fn until_relay(
+        &self,
+        relay: &TestRelay,
+        what: &str,
+        holds: impl Fn(&RelayView) -> bool,
+    ) {
         let begin = Instant::now();
         loop {
             let view = self.relay_view(relay).await;
             if view.as_ref().is_some_and(&holds) {
                 return;
             }
-            assert!(begin.elapsed() < Duration::from_secs(30), "never: {what}: {view:?}");
+            assert!(
+                begin.elapsed() < Duration::from_secs(30),
+                "never: {what}: {view:?}"
+            );
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
@@ -309,16 +368,25 @@
         for (number, toy) in toys.iter().enumerate() {
             self.start_instance(number, toy);
         }
-        self.until("all are there", |status| status.instances.get("alive") == Some(&count)).await;
+        self.until("all are there", |status| {
+            status.instances.get("alive") == Some(&count)
+        })
+        .await;
         toys
     }
 
     pub async fn status(&self) -> Option<view::Status> {
-        self.client("vic").get(hyper::Method::GET, "/v1/status", vec![]).await.ok()
+        self.client("vic")
+            .get(hyper::Method::GET, "/v1/status", vec![])
+            .await
+            .ok()
     }
 
     pub async fn instances(&self) -> Vec<view::Instance> {
-        self.client("vic").get(hyper::Method::GET, "/v1/instances", vec![]).await.unwrap_or_default()
+        self.client("vic")
+            .get(hyper::Method::GET, "/v1/instances", vec![])
+            .await
+            .unwrap_or_default()
     }
 
     pub async fn until(&self, what: &str, holds: impl Fn(&view::Status) -> bool) {
@@ -328,7 +396,10 @@
             if status.as_ref().is_some_and(&holds) {
                 return;
             }
-            assert!(begin.elapsed() < Duration::from_secs(30), "never: {what}: {status:?}");
+            assert!(
+                begin.elapsed() < Duration::from_secs(30),
+                "never: {what}: {status:?}"
+            );
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
@@ -338,20 +409,28 @@
         let begin = Instant::now();
         loop {
             let path = format!("/v1/rollouts/{id}");
-            let rollout = self.client("vic").get::<view::Rollouts>(hyper::Method::GET, &path, vec![]).await;
+            let rollout = self
+                .client("vic")
+                .get::<view::Rollouts>(hyper::Method::GET, &path, vec![])
+                .await;
             if let Ok(rollout) = &rollout
                 && rollout.end.is_some()
             {
                 return rollout.clone();
             }
-            assert!(begin.elapsed() < Duration::from_secs(30), "never ends: {rollout:?}");
+            assert!(
+                begin.elapsed() < Duration::from_secs(30),
+                "never ends: {rollout:?}"
+            );
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
 
     pub fn audit(&self) -> Vec<serde_json::Value> {
         let text = std::fs::read_to_string(self.at("audit.log")).unwrap_or_default();
-        text.lines().map(|line| serde_json::from_str(line).expect("JSON")).collect()
+        text.lines()
+            .map(|line| serde_json::from_str(line).expect("JSON"))
+            .collect()
     }
 }
 
@@ -388,11 +467,20 @@
     client: &Client,
     change: &Change,
 ) -> Result<madderloom_fleet::Accepted, madderloom_agent::Failed> {
-    client.get(hyper::Method::POST, "/v1/changes", serde_json::to_vec(change).expect("JSON")).await
+    client
+        .get(
+            hyper::Method::POST,
+            "/v1/changes",
+            serde_json::to_vec(change).expect("JSON"),
+        )
+        .await
 }
 
 /// Runs a test on a runtime of its own.
 pub fn run(test: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, test);
 }
--- a/crates/agent/tests/relays_stand_between_instances_and_an_agent.rs
+++ b/crates/agent/tests/relays_stand_between_instances_and_an_agent.rs
@@ -18,7 +18,10 @@
 async fn tree(rig: &mut Rig) -> (Vec<TestRelay>, Vec<Toy>) {
     let mut relays = Vec::new();
     for number in 0..RELAYS {
-        relays.push(rig.start_relay(&format!("zone-{number}"), "127.0.0.1:0").await);
+        relays.push(
+            rig.start_relay(&format!("zone-{number}"), "127.0.0.1:0")
+                .await,
+        );
     }
     let toys: Vec<Toy> = (0..RELAYS * EACH).map(|_| Toy::default()).collect();
     for (number, toy) in toys.iter().enumerate() {
@@ -29,11 +32,19 @@
 }
 
 async fn until_alive(rig: &Rig) {
-    rig.until("all are alive", |status| status.instances.get("alive") == Some(&(RELAYS * EACH))).await;
+    rig.until("all are alive", |status| {
+        status.instances.get("alive") == Some(&(RELAYS * EACH))
+    })
+    .await;
 }
 
 fn weight(toy: &Toy, server: &str) -> Option<Value> {
-    toy.0.borrow().overlay.0.get(&Key::Weight(server.into())).cloned()
+    toy.0
+        .borrow()
+        .overlay
+        .0
+        .get(&Key::Weight(server.into()))
+        .cloned()
 }
 
 fn registrations(toys: &[Toy]) -> usize {
@@ -43,11 +54,22 @@
 /// Pushes a change, and checks that each instance has it, by one order.
 async fn change_all(rig: &Rig, toys: &[Toy], id: &str, base: u64, value: u32) {
     let before: Vec<usize> = toys.iter().map(|toy| toy.0.borrow().taken).collect();
-    push(&rig.client("alice"), &change(id, base, "w7", value)).await.expect("accepted");
+    push(&rig.client("alice"), &change(id, base, "w7", value))
+        .await
+        .expect("accepted");
     let rollout = rig.ended(id).await;
-    assert!(rollout.is_applied() && rollout.results.len() == toys.len(), "{rollout:?}");
-    assert!(toys.iter().all(|toy| weight(toy, "w7") == Some(Value::Weight(value))));
-    let once = toys.iter().zip(before).all(|(toy, before)| toy.0.borrow().taken == before + 1);
+    assert!(
+        rollout.is_applied() && rollout.results.len() == toys.len(),
+        "{rollout:?}"
+    );
+    assert!(
+        toys.iter()
+            .all(|toy| weight(toy, "w7") == Some(Value::Weight(value)))
+    );
+    let once = toys
+        .iter()
+        .zip(before)
+        .all(|(toy, before)| toy.0.borrow().taken == before + 1);
     assert!(once, "each order is carried out once");
 }
 
@@ -61,7 +83,11 @@
         let behind: Vec<usize> = status.relays.values().copied().collect();
         assert_eq!(behind, [EACH; RELAYS], "{:?}", status.relays);
         // One of the operator who asks, and those of the operators of this test that are not closed yet.
-        assert!(status.traffic.connections as usize <= 2 * RELAYS + 4, "{:?}", status.traffic);
+        assert!(
+            status.traffic.connections as usize <= 2 * RELAYS + 4,
+            "{:?}",
+            status.traffic
+        );
     });
 }
 
@@ -80,14 +106,27 @@
                 }
             };
             // Each instance has reported three times meanwhile, and was answered.
-            rig.until_relay(relay, "reports are answered without the agent", alone(3 * EACH as u64)).await;
+            rig.until_relay(
+                relay,
+                "reports are answered without the agent",
+                alone(3 * EACH as u64),
+            )
+            .await;
         }
         let begin = Instant::now();
         rig.start_agent().await;
         until_alive(&rig).await;
-        assert!(begin.elapsed() < BACK, "all back after {:?}", begin.elapsed());
+        assert!(
+            begin.elapsed() < BACK,
+            "all back after {:?}",
+            begin.elapsed()
+        );
         change_all(&rig, &toys, "after", 1, 300).await;
-        assert_eq!(registrations(&toys), registered, "no instance has registered again");
+        assert_eq!(
+            registrations(&toys),
+            registered,
+            "no instance has registered again"
+        );
     });
 }
 
@@ -103,9 +142,17 @@
         let begin = Instant::now();
         rig.start_agent().await;
         until_alive(&rig).await;
-        assert!(begin.elapsed() < BACK, "all back after {:?}", begin.elapsed());
+        assert!(
+            begin.elapsed() < BACK,
+            "all back after {:?}",
+            begin.elapsed()
+        );
         change_all(&rig, &toys, "after", 0, 300).await;
-        assert_eq!(registrations(&toys), registered, "no instance has registered again");
+        assert_eq!(
+            registrations(&toys),
+            registered,
+            "no instance has registered again"
+        );
     });
 }
 
@@ -118,18 +165,29 @@
         let (name, address) = (dead.name.clone(), dead.address.clone());
         dead.kill().await;
         // A change made meanwhile is in effect where its instances are reached.
-        push(&rig.client("alice"), &change("meanwhile", 0, "w7", 200)).await.expect("accepted");
+        push(&rig.client("alice"), &change("meanwhile", 0, "w7", 200))
+            .await
+            .expect("accepted");
         let replacement = rig.start_relay(&name, &address).await;
         let rollout = rig.ended("meanwhile").await;
         assert!(rollout.is_applied(), "{rollout:?}");
-        assert!(toys.iter().all(|toy| weight(toy, "w7") == Some(Value::Weight(200))));
-        rig.until_relay(&replacement, "it has its instances", |view| view.relay.registered == EACH).await;
+        assert!(
+            toys.iter()
+                .all(|toy| weight(toy, "w7") == Some(Value::Weight(200)))
+        );
+        rig.until_relay(&replacement, "it has its instances", |view| {
+            view.relay.registered == EACH
+        })
+        .await;
 
         // One of them moves to another relay: it is the same instance, and has the next change once.
         let moved = Toy(toys[0].0.clone());
         rig.kill_instance(0);
         rig.start_instance_at(&relays[0].address, 0, &moved);
-        rig.until_relay(&relays[0], "it has one more", |view| view.relay.registered == EACH + 1).await;
+        rig.until_relay(&relays[0], "it has one more", |view| {
+            view.relay.registered == EACH + 1
+        })
+        .await;
         until_alive(&rig).await;
         change_all(&rig, &toys, "afterwards", 1, 300).await;
     });
@@ -148,10 +206,16 @@
             rig.start_instance_at(&second.address, place, &moved);
         }
         let half = EACH / 2;
-        rig.until_relay(&second, "half of them have come", |view| view.relay.registered == half).await;
+        rig.until_relay(&second, "half of them have come", |view| {
+            view.relay.registered == half
+        })
+        .await;
         until_alive(&rig).await;
         change_all(&rig, &toys, "both", 0, 200).await;
-        rig.until_relay(&relays[0], "it has forgotten them", |view| view.relay.children == half).await;
+        rig.until_relay(&relays[0], "it has forgotten them", |view| {
+            view.relay.children == half
+        })
+        .await;
         change_all(&rig, &toys, "both-again", 1, 300).await;
     });
 }
@@ -162,16 +226,24 @@
     run(async {
         let mut rig = Rig::new().await;
         let first = rig.start_relay("zone-0", "127.0.0.1:0").await;
-        let second = rig.start_relay_below(&first.address, "zone-1", "127.0.0.1:0").await;
+        let second = rig
+            .start_relay_below(&first.address, "zone-1", "127.0.0.1:0")
+            .await;
         let toy = Toy::default();
         rig.start_instance_at(&second.address, 0, &toy);
         let begin = Instant::now();
         while toy.0.borrow().registrations < 2 {
-            assert!(begin.elapsed() < Duration::from_secs(30), "it never comes again");
+            assert!(
+                begin.elapsed() < Duration::from_secs(30),
+                "it never comes again"
+            );
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
         let view = rig.relay_view(&second).await.expect("it answers");
-        assert!(!view.relay.is_connected && view.relay.registered == 0, "{view:?}");
+        assert!(
+            !view.relay.is_connected && view.relay.registered == 0,
+            "{view:?}"
+        );
         rig.until("the agent has heard of nobody", |status| {
             status.instances.values().all(|count| *count == 0)
         })
@@ -185,17 +257,30 @@
     run(async {
         let rig = Rig::new().await;
         let client = rig.client("shop-any");
-        let batch = r#"{"messages":[{"register":{"who":{"name":"till-1","start":1,"incarnation":1}}}]}"#;
+        let batch =
+            r#"{"messages":[{"register":{"who":{"name":"till-1","start":1,"incarnation":1}}}]}"#;
         let path = "/v1/relays/zone-0/batch?start=5";
-        let answer = client.ask(hyper::Method::POST, path, batch.into()).await.expect("it answers");
+        let answer = client
+            .ask(hyper::Method::POST, path, batch.into())
+            .await
+            .expect("it answers");
         assert_eq!(answer.status, hyper::StatusCode::FORBIDDEN, "{answer:?}");
         let viewer = rig.client("vic");
         let batch = batch.replace("till-1", "shop-1");
-        let answer = viewer.ask(hyper::Method::POST, path, batch.clone().into()).await.expect("it answers");
+        let answer = viewer
+            .ask(hyper::Method::POST, path, batch.clone().into())
+            .await
+            .expect("it answers");
         assert_eq!(answer.status, hyper::StatusCode::FORBIDDEN, "{answer:?}");
-        let answer = client.ask(hyper::Method::POST, path, batch.into()).await.expect("it answers");
+        let answer = client
+            .ask(hyper::Method::POST, path, batch.into())
+            .await
+            .expect("it answers");
         assert_eq!(answer.status, hyper::StatusCode::OK, "{answer:?}");
         let text = String::from_utf8_lossy(&answer.body).into_owned();
-        assert!(text.contains("welcome") && text.contains("shop-1"), "{text}");
+        assert!(
+            text.contains("welcome") && text.contains("shop-1"),
+            "{text}"
+        );
     });
 }
--- a/crates/balancer/examples/embed.rs
+++ b/crates/balancer/examples/embed.rs
@@ -40,18 +40,41 @@
 }
 
 fn listed(server: u64, state: ServerState) -> Listed {
-    Listed { server: ServerId(server), zone: 0, cell: 0, kind: 0, started: None, capacity: 1.0, state }
+    Listed {
+        server: ServerId(server),
+        zone: 0,
+        cell: 0,
+        kind: 0,
+        started: None,
+        capacity: 1.0,
+        state,
+    }
 }
 
 fn request(id: RequestId) -> Event<'static> {
     let time_left = 500 * MS;
-    Event::Request(NewRequest { id, class: 0, tenant: 0, key: None, time_left, cost: None, repeat: false })
+    Event::Request(NewRequest {
+        id,
+        class: 0,
+        tenant: 0,
+        key: None,
+        time_left,
+        cost: None,
+        repeat: false,
+    })
 }
 
 fn closed(request: RequestId, attempt: u32, server: ServerId, outcome: Outcome) -> Event<'static> {
     // The embedder hands an answer to the client itself; `ended` says that it did.
     let ended = outcome == Outcome::Ok;
-    Event::Closed(Closed { request, attempt, server, outcome, elapsed: 20 * MS, ended })
+    Event::Closed(Closed {
+        request,
+        attempt,
+        server,
+        outcome,
+        elapsed: 20 * MS,
+        ended,
+    })
 }
 
 /// Where the last attempt went.
@@ -63,8 +86,17 @@
 }
 
 fn main() -> Result<(), SettingsError> {
-    let wrong = Settings { classes: Vec::new(), ..settings() };
-    println!("refused: {}", Balancer::new(wrong, 1).err().map(|e| e.to_string()).unwrap_or_default());
+    let wrong = Settings {
+        classes: Vec::new(),
+        ..settings()
+    };
+    println!(
+        "refused: {}",
+        Balancer::new(wrong, 1)
+            .err()
+            .map(|e| e.to_string())
+            .unwrap_or_default()
+    );
 
     let mut balancer = Balancer::new(settings(), 1)?;
     let mut actions = Vec::new();
@@ -90,7 +122,11 @@
 
     // The second server drains: from now on nothing new goes there.
     let drained = [listed(second.0, ServerState::Draining)];
-    balancer.handle(now, Event::Members(Members::Changes(&drained)), &mut actions);
+    balancer.handle(
+        now,
+        Event::Members(Members::Changes(&drained)),
+        &mut actions,
+    );
     for id in 2..20 {
         actions.clear();
         balancer.handle(now, request(id), &mut actions);
--- a/crates/balancer/src/decide.rs
+++ b/crates/balancer/src/decide.rs
@@ -93,7 +93,11 @@
 
     pub(crate) fn new(ids: Vec<ServerId>) -> Self {
         let cells = (SUBREGIONS * ids.len().max(1)).next_power_of_two();
-        Interval { ids, tuned: 0, cells: vec![(0, 0); cells] }
+        Interval {
+            ids,
+            tuned: 0,
+            cells: vec![(0, 0); cells],
+        }
     }
 
     pub(crate) fn lookup(&self, offset: u64) -> Option<ServerId> {
@@ -108,11 +112,20 @@
     pub(crate) fn tune(&mut self, weights: &[f64]) {
         let total: f64 = weights.iter().sum();
         let half = self.cells.len() as i64 / 2 * i64::from(Self::CELL);
-        let mut change: Vec<i64> = weights.iter().map(|w| (w / total * half as f64) as i64).collect();
+        let mut change: Vec<i64> = weights
+            .iter()
+            .map(|w| (w / total * half as f64) as i64)
+            .collect();
         change[0] += half - change.iter().sum::<i64>();
-        self.cells.iter().for_each(|(owner, covered)| change[*owner as usize] -= i64::from(*covered));
+        self.cells
+            .iter()
+            .for_each(|(owner, covered)| change[*owner as usize] -= i64::from(*covered));
         for whole in [false, true] {
-            for (owner, covered) in self.cells.iter_mut().filter(|c| (c.1 == Self::CELL) == whole) {
+            for (owner, covered) in self
+                .cells
+                .iter_mut()
+                .filter(|c| (c.1 == Self::CELL) == whole)
+            {
                 let cut = (-change[*owner as usize]).clamp(0, i64::from(*covered));
                 *covered -= cut as u32;
                 change[*owner as usize] += cut;
@@ -122,7 +135,9 @@
         for free in [false, true] {
             for (owner, covered) in self.cells.iter_mut().filter(|c| (c.1 == 0) == free) {
                 if free {
-                    let Some(next) = change[growing..].iter().position(|c| *c > 0) else { return };
+                    let Some(next) = change[growing..].iter().position(|c| *c > 0) else {
+                        return;
+                    };
                     growing += next;
                     *owner = growing as u32;
                 }
@@ -146,7 +161,9 @@
             Event::Closed(closed) => self.closed(now, closed, actions),
             Event::Begun { request, .. } => self.conclude(request, true, actions),
             Event::Probed(server, report) => {
-                self.servers.entry(server).and_modify(|s| s.report = Some((now, report)));
+                self.servers
+                    .entry(server)
+                    .and_modify(|s| s.report = Some((now, report)));
             }
             Event::ClientGone(id) => self.settle(id, actions),
             Event::Timer(Timer::Request(id)) => self.review(now, id, actions),
@@ -170,19 +187,40 @@
     /// Instances start together and fail together: each calls once in every span of those that follow one
     /// another, anywhere in it, so that all call at the same rate whatever becomes of their calls. Spans grow
     /// for those alone that discovery has turned away: it may have too many callers.
-    fn ask_later(&mut self, now: Micros, (since, waited): (Micros, Micros), actions: &mut Vec<Action>) {
+    fn ask_later(
+        &mut self,
+        now: Micros,
+        (since, waited): (Micros, Micros),
+        actions: &mut Vec<Action>,
+    ) {
         if !std::mem::replace(&mut self.asking, true) {
             let (first, longest) = ask_wait(&self.settings);
             let overrun = !self.ask_heard && waited > 0;
-            let span = if overrun { (2 * self.ask_span).min(longest) } else { first };
+            let span = if overrun {
+                (2 * self.ask_span).min(longest)
+            } else {
+                first
+            };
             self.ask_span = span;
-            let latest =
-                ask_by(&self.settings.rules, now, since, if overrun { longest } else { ASK_AGAIN.0 });
+            let latest = ask_by(
+                &self.settings.rules,
+                now,
+                since,
+                if overrun { longest } else { ASK_AGAIN.0 },
+            );
             // Where the next span goes on for longer than is allowed, anywhere in the latter half of that.
-            let from = self.ask_until.max(now).min(latest - (latest - now).div_ceil(2));
+            let from = self
+                .ask_until
+                .max(now)
+                .min(latest - (latest - now).div_ceil(2));
             self.ask_until = (self.ask_until.max(now) + span).min(latest.max(now + span));
-            let at = self.random.rand_range(from..latest.min(self.ask_until).max(from + 1));
-            actions.push(Action::SetTimer { at, timer: Timer::Discovery });
+            let at = self
+                .random
+                .rand_range(from..latest.min(self.ask_until).max(from + 1));
+            actions.push(Action::SetTimer {
+                at,
+                timer: Timer::Discovery,
+            });
         }
     }
 
@@ -193,30 +231,45 @@
                 return self.ask_later(now, (since, waited), actions);
             }
             Members::Full(list) => {
-                self.servers.values_mut().for_each(|s| s.listed.state = ServerState::Gone);
+                self.servers
+                    .values_mut()
+                    .for_each(|s| s.listed.state = ServerState::Gone);
                 list
             }
             Members::Changes(list) => list,
         };
         self.ask_heard = true;
         let all = list.len().max(self.ready.len()).max(1);
-        let users = f64::from(self.settings.group_size) * self.reach(now).min(all) as f64 / all as f64;
+        let users =
+            f64::from(self.settings.group_size) * self.reach(now).min(all) as f64 / all as f64;
         let at_once = AT_ONCE / users;
         for listed in list {
             // Where each instance may give a cold server less than one request in all, some give one at once
             // and some late, by chance: all together give what it bears from the first moment on.
             let by_chance = |_| (self.random.rand_float() - at_once) * self.mean_size.at;
             let owed = listed.started.map_or(0.0, by_chance);
-            let server = self.servers.entry(listed.server).or_insert_with(|| Server::new(*listed, now, owed));
+            let server = self
+                .servers
+                .entry(listed.server)
+                .or_insert_with(|| Server::new(*listed, now, owed));
             if listed.started > server.listed.started {
                 // A crashed server comes back cold: nothing measured of its last life holds.
                 let out = std::mem::take(&mut server.out);
-                *server = Server { out, out_size: server.out_size, ..Server::new(*listed, now, owed) };
+                *server = Server {
+                    out,
+                    out_size: server.out_size,
+                    ..Server::new(*listed, now, owed)
+                };
             }
             server.listed = *listed;
         }
-        self.servers.retain(|_, s| s.listed.state != ServerState::Gone || !s.out.is_empty());
-        let ready = self.servers.values().map(|s| s.listed).filter(|l| l.state == ServerState::Ready);
+        self.servers
+            .retain(|_, s| s.listed.state != ServerState::Gone || !s.out.is_empty());
+        let ready = self
+            .servers
+            .values()
+            .map(|s| s.listed)
+            .filter(|l| l.state == ServerState::Ready);
         self.ready = ready.map(|l| l.server).collect();
         self.set_lanes(now);
     }
@@ -234,13 +287,23 @@
         let class = &self.settings.classes[at];
         // From outside: one hint beyond all reason would give a server the whole interval for minutes.
         let hint = new.cost.unwrap_or(0).min(class.deadline) as f64;
-        let size = if hint > 0.0 { hint } else { self.classes[at].cost.at };
+        let size = if hint > 0.0 {
+            hint
+        } else {
+            self.classes[at].cost.at
+        };
         self.mean_size.add(size);
         self.arrivals.add(now, 1.0);
-        let aim = class.aim.saturating_add((class.aim_stretch * hint) as Micros);
+        let aim = class
+            .aim
+            .saturating_add((class.aim_stretch * hint) as Micros);
         // Past the aim nothing is earned, so no wait; an unsafe request may have run, and its client is told.
         let worthless = class.late_worth <= 0.0 && class.effect != Effect::Unsafe;
-        let wait = if worthless { aim.min(new.time_left) } else { new.time_left };
+        let wait = if worthless {
+            aim.min(new.time_left)
+        } else {
+            new.time_left
+        };
         let wait = (self.reduced.patience * wait as f64) as Micros;
         let key = new.key.unwrap_or_else(|| self.random.rand_u64());
         let give_up = now + wait.saturating_sub(self.settings.tick);
@@ -265,8 +328,13 @@
             let (bar, time) = self.bar(now, s, request);
             (bar, time, s.listed.server)
         });
-        let best = rated.min_by(|a, b| (a.0, a.1).partial_cmp(&(b.0, b.1)).unwrap_or(Ordering::Equal));
-        best.filter(|(bar, ..)| *bar <= Bar::Tried).map(|(.., id)| id)
+        let best = rated.min_by(|a, b| {
+            (a.0, a.1)
+                .partial_cmp(&(b.0, b.1))
+                .unwrap_or(Ordering::Equal)
+        });
+        best.filter(|(bar, ..)| *bar <= Bar::Tried)
+            .map(|(.., id)| id)
     }
 
     /// Whether the level of service that holds turns this away: whom it befalls it befalls everywhere and at
@@ -319,9 +387,15 @@
         let delay = (WORKS.0 * seen.work.at).clamp(DELAY, WORKS.1);
         let slack = delay / seen.delay;
         let (gate, part) = (slack.powi(OPENING), delay * part);
-        let room = (part * gate.max(slack.min(1.0))).min(QUEUE) * served + (part * gate).min(1.0) * SPARE;
+        let room =
+            (part * gate.max(slack.min(1.0))).min(QUEUE) * served + (part * gate).min(1.0) * SPARE;
         let over = f64::from(seen.open) + self.random.rand_float() >= room;
-        if over && seen.refused.replace(now).is_none_or(|last| now > last + CALM) {
+        if over
+            && seen
+                .refused
+                .replace(now)
+                .is_none_or(|last| now > last + CALM)
+        {
             actions.push(Action::Log(Note::Overload(new.class)));
         }
         over
@@ -329,7 +403,13 @@
 
     /// What a class's work is worth, as a part of the worthiest that the same servers do.
     fn standing(&self, class: usize) -> f64 {
-        let work = |at: usize| if self.settings.worth_by_work { 1.0 } else { self.classes[at].cost.at };
+        let work = |at: usize| {
+            if self.settings.worth_by_work {
+                1.0
+            } else {
+                self.classes[at].cost.at
+            }
+        };
         let worth = |at: usize| self.settings.classes[at].worth / work(at);
         let beside = |at: &usize| !self.classes[*at].retired && self.long(*at) == self.long(class);
         let sharing = (0..self.classes.len()).filter(beside).map(worth);
@@ -338,43 +418,78 @@
 
     /// Whether a further attempt may go out: never where one may have run that must not run twice.
     fn may_resend(&self, now: Micros, request: &Request) -> bool {
-        let harmless =
-            now < request.write_by(self.settings.classes[request.class].effect, self.settings.tick);
+        let harmless = now
+            < request.write_by(
+                self.settings.classes[request.class].effect,
+                self.settings.tick,
+            );
         let more = request.attempts.len() < request.most_attempts;
         harmless && more && now < self.over_at(request)
     }
 
     /// Sends the request's next attempt to the server that the interval gives, if any may take it.
     fn send(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) -> bool {
-        if !self.requests.get(&id).is_some_and(|r| self.may_resend(now, r)) {
+        if !self
+            .requests
+            .get(&id)
+            .is_some_and(|r| self.may_resend(now, r))
+        {
             return false;
         }
-        let Some(mut request) = self.requests.remove(&id) else { return false };
+        let Some(mut request) = self.requests.remove(&id) else {
+            return false;
+        };
         // Where each of many instances sees little, own work out tells nothing of a queue: the first servers
         // that the hash family names are asked, and the one that holds least for its weight is taken.
-        if request.attempts.is_empty() && request.looked.is_empty() && self.asks > 1 && self.reduced.probes {
+        if request.attempts.is_empty()
+            && request.looked.is_empty()
+            && self.asks > 1
+            && self.reduced.probes
+        {
             for _ in 0..self.asks {
-                let Some(server) = self.choose(now, &mut request) else { break };
+                let Some(server) = self.choose(now, &mut request) else {
+                    break;
+                };
                 request.looked.push(server);
                 actions.push(Action::Probe(server));
             }
             self.requests.insert(id, request);
             return false;
         }
-        let chosen = self.least_held(now, &request).or_else(|| self.choose(now, &mut request));
+        let chosen = self
+            .least_held(now, &request)
+            .or_else(|| self.choose(now, &mut request));
         if let Some(server) = chosen.and_then(|to| self.servers.get_mut(&to)) {
             let seen = &self.classes[request.class];
             let long_by = (request.size / seen.cost.at.max(self.mean_size.at)).max(1.0);
             let due = now + (OVERDUE * seen.slow.at * long_by) as Micros;
             let attempt = request.attempts.len() as u32;
-            let write_by = request.write_by(self.settings.classes[request.class].effect, self.settings.tick);
-            server.out.push(Out { request: id, attempt, size: request.size, sent: now, due });
+            let write_by = request.write_by(
+                self.settings.classes[request.class].effect,
+                self.settings.tick,
+            );
+            server.out.push(Out {
+                request: id,
+                attempt,
+                size: request.size,
+                sent: now,
+                due,
+            });
             server.out_size += request.size;
             (server.cold_budget, server.cold_filled) = (server.cold_left(now) - request.size, now);
             request.looked.clear();
-            request.attempts.push(Attempt { to: server.listed, sent: now, outcome: None });
+            request.attempts.push(Attempt {
+                to: server.listed,
+                sent: now,
+                outcome: None,
+            });
             let (server, timeout_at) = (server.listed.server, request.give_up);
-            actions.push(Action::Send { request: id, server, timeout_at, write_by });
+            actions.push(Action::Send {
+                request: id,
+                server,
+                timeout_at,
+                write_by,
+            });
         }
         self.requests.insert(id, request);
         chosen.is_some()
@@ -401,13 +516,17 @@
         for hash in request.next_hash..request.next_hash + HASHES {
             let offset = FixedState::with_seed(u64::from(hash)).hash_one(request.key);
             let owner = interval.and_then(|i| i.lookup(offset));
-            let Some(id) = owner.filter(|id| !request.looked.contains(id)) else { continue };
+            let Some(id) = owner.filter(|id| !request.looked.contains(id)) else {
+                continue;
+            };
             let (bar, time) = self.bar(now, &self.servers[&id], request);
             if bar <= Bar::Tried && best.is_none_or(|(b, t, _)| (bar, time) < (b, t)) {
                 best = Some((bar, time, id));
             }
             if bar == Bar::Free {
-                taken = taken.filter(|(least, _)| time >= BETTER * least).or(Some((time, id)));
+                taken = taken
+                    .filter(|(least, _)| time >= BETTER * least)
+                    .or(Some((time, id)));
                 met += 1;
                 if met == choices || time <= in_time {
                     request.next_hash = hash + 1;
@@ -423,37 +542,78 @@
     /// weight and what it holds.
     fn bar(&self, now: Micros, server: &Server, request: &Request) -> (Bar, f64) {
         let listed = &server.listed;
-        let crossing = if listed.zone == self.settings.zone { 0.0 } else { self.settings.prices.cross_zone };
-        let held = server.out_size.max(server.reported(now) * self.mean_size.at);
+        let crossing = if listed.zone == self.settings.zone {
+            0.0
+        } else {
+            self.settings.prices.cross_zone
+        };
+        let held = server
+            .out_size
+            .max(server.reported(now) * self.mean_size.at);
         let work = held + CROSSING * crossing * self.mean_size.at;
         let class = &self.settings.classes[request.class];
         // What may be repeated is left to the servers that lose a part: a loss costs it little.
-        let risk = if class.effect == Effect::Unsafe { LOSS * server.loses * class.aim as f64 } else { 0.0 };
+        let risk = if class.effect == Effect::Unsafe {
+            LOSS * server.loses * class.aim as f64
+        } else {
+            0.0
+        };
         let time = (work + request.size) / server.value.max(f64::MIN_POSITIVE) + risk;
         let outside = match (request.first_run(), class.effect) {
-            (Some(first), Effect::Keyed { scope: Scope::Zone, .. }) => first.to.zone != listed.zone,
-            (Some(first), Effect::Keyed { scope: Scope::Cell, .. }) => first.to.cell != listed.cell,
+            (
+                Some(first),
+                Effect::Keyed {
+                    scope: Scope::Zone, ..
+                },
+            ) => first.to.zone != listed.zone,
+            (
+                Some(first),
+                Effect::Keyed {
+                    scope: Scope::Cell, ..
+                },
+            ) => first.to.cell != listed.cell,
             _ => false,
         };
         let cold = server.warmth(now, &self.settings.rules) < 1.0 && server.cold_left(now) <= 0.0;
-        let on_trial = server.ejected_until.is_some_and(|until| now < until || !server.out.is_empty());
+        let on_trial = server
+            .ejected_until
+            .is_some_and(|until| now < until || !server.out.is_empty());
         let bars = [
             (outside, Bar::OutsideGroup),
             (cold, Bar::Cold),
-            (request.attempts.iter().any(|a| a.to.server == listed.server), Bar::Tried),
+            (
+                request
+                    .attempts
+                    .iter()
+                    .any(|a| a.to.server == listed.server),
+                Bar::Tried,
+            ),
             (on_trial, Bar::Ejected),
         ];
-        (bars.iter().find(|(holds, _)| *holds).map_or(Bar::Free, |(_, bar)| *bar), time)
+        (
+            bars.iter()
+                .find(|(holds, _)| *holds)
+                .map_or(Bar::Free, |(_, bar)| *bar),
+            time,
+        )
     }
 
     /// Nothing more is decided: an attempt still out is called off unless it streams.
     fn conclude(&mut self, id: RequestId, streams: bool, actions: &mut Vec<Action>) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         let open = !std::mem::replace(&mut request.settled, true) && request.coming.is_none();
         self.classes[request.class].open -= u32::from(open);
         let cancels = !streams && self.settings.limits.cancel;
-        let useless = request.attempts.iter().position(|a| a.outcome.is_none() && cancels);
-        actions.extend(useless.map(|at| Action::Cancel { request: id, attempt: at as u32 }));
+        let useless = request
+            .attempts
+            .iter()
+            .position(|a| a.outcome.is_none() && cancels);
+        actions.extend(useless.map(|at| Action::Cancel {
+            request: id,
+            attempt: at as u32,
+        }));
     }
 
     /// The request is over, and forgotten once its attempts are.
@@ -465,13 +625,22 @@
     }
 
     fn refuse(&self, request: RequestId, actions: &mut Vec<Action>) {
-        let retry_after = self.settings.limits.retry_after.then_some(self.settings.limits.max_retry_after);
-        actions.push(Action::Refuse { request, retry_after });
+        let retry_after = self
+            .settings
+            .limits
+            .retry_after
+            .then_some(self.settings.limits.max_retry_after);
+        actions.push(Action::Refuse {
+            request,
+            retry_after,
+        });
     }
 
     /// The final answer: a refusal where another try can do no harm, else a failure.
     fn finish(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(request) = self.requests.get(&id) else { return };
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
         let safe = self.settings.classes[request.class].effect == Effect::Safe;
         if safe || request.first_run().is_none() {
             self.refuse(id, actions);
@@ -480,7 +649,10 @@
         }
         // A failure is no queue: to take it for one would refuse what idle servers can do.
         let last = request.attempts.last().and_then(|a| a.outcome);
-        if !matches!(last, Some(Outcome::Error | Outcome::Reset | Outcome::ConnectFailed)) {
+        if !matches!(
+            last,
+            Some(Outcome::Error | Outcome::Reset | Outcome::ConnectFailed)
+        ) {
             self.classes[request.class].delayed(now, 1.0);
         }
         self.settle(id, actions);
@@ -488,30 +660,48 @@
 
     /// A look at one request: when it is held or waits for probes, and when nothing is to be had any more.
     fn review(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(request) = self.requests.get(&id).filter(|r| !r.settled) else { return };
+        let Some(request) = self.requests.get(&id).filter(|r| !r.settled) else {
+            return;
+        };
         if now >= self.over_at(request) {
             return self.finish(now, id, actions);
         }
-        let at = if request.live() == 0 && !self.send(now, id, actions) { now + LOOK } else { Micros::MAX };
-        let Some(request) = self.requests.get(&id) else { return };
+        let at = if request.live() == 0 && !self.send(now, id, actions) {
+            now + LOOK
+        } else {
+            Micros::MAX
+        };
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
         let at = at.min(self.over_at(request));
         if at < Micros::MAX {
-            actions.push(Action::SetTimer { at, timer: Timer::Request(id) });
+            actions.push(Action::SetTimer {
+                at,
+                timer: Timer::Request(id),
+            });
         }
     }
 
     // ---- Answers ----
 
     fn closed(&mut self, now: Micros, closed: Closed, actions: &mut Vec<Action>) {
-        let Some(request) = self.requests.get_mut(&closed.request) else { return };
+        let Some(request) = self.requests.get_mut(&closed.request) else {
+            return;
+        };
         let attempt = request.attempts.get_mut(closed.attempt as usize);
-        let Some(attempt) = attempt.filter(|a| a.outcome.is_none()) else { return };
+        let Some(attempt) = attempt.filter(|a| a.outcome.is_none()) else {
+            return;
+        };
         attempt.outcome = Some(closed.outcome);
         let (class, size, came) = (request.class, request.size, request.came);
         let (settled, live) = (request.settled, request.live());
         self.measure(now, class, size, closed, actions);
         if closed.outcome == Outcome::Ok && !settled {
-            let (seen, aim) = (&mut self.classes[class], self.settings.classes[class].aim as f64);
+            let (seen, aim) = (
+                &mut self.classes[class],
+                self.settings.classes[class].aim as f64,
+            );
             let part = now.saturating_sub(came) as f64 / aim;
             seen.delayed(now, part.min(1.0)); // more would shut the class
             seen.served.add(now, 1.0);
@@ -527,9 +717,20 @@
         }
     }
 
-    fn measure(&mut self, now: Micros, class: usize, size: f64, closed: Closed, actions: &mut Vec<Action>) {
-        let Some(server) = self.servers.get_mut(&closed.server) else { return };
-        server.out.retain(|o| (o.request, o.attempt) != (closed.request, closed.attempt));
+    fn measure(
+        &mut self,
+        now: Micros,
+        class: usize,
+        size: f64,
+        closed: Closed,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(server) = self.servers.get_mut(&closed.server) else {
+            return;
+        };
+        server
+            .out
+            .retain(|o| (o.request, o.attempt) != (closed.request, closed.attempt));
         server.out_size = server.out.iter().map(|o| o.size).sum();
         let elapsed = closed.elapsed as f64;
         match closed.outcome {
@@ -565,7 +766,9 @@
             server.in_a_row += 1.0;
         }
         let most = f64::from(FAILURES) * (1.0 + ALIVE * server.loses);
-        let failed = server.ejected_until.map_or(f64::from(server.failures) >= most, |until| now >= until);
+        let failed = server
+            .ejected_until
+            .map_or(f64::from(server.failures) >= most, |until| now >= until);
         if weight > 0 && failed {
             server.ejection = (2 * server.ejection).clamp(EJECTION.0, EJECTION.1);
             server.ejected_until = Some(now + server.ejection);
@@ -588,7 +791,11 @@
         if order.len() > 1 && part > 0.0 && part < 1.0 {
             // A server that hangs or is ejected serves neither sort: the parts are counted without it.
             let fit = |s: &Server| !s.stalled(now) && s.ejected_until.is_none();
-            let count = self.ready.iter().filter(|id| fit(&self.servers[id])).count();
+            let count = self
+                .ready
+                .iter()
+                .filter(|id| fit(&self.servers[id]))
+                .count();
             let wanted = (LONG_PART * part * count as f64).round() as usize;
             let mut missing = wanted.clamp(1, count.max(2) - 1);
             order.sort_by_cached_key(|id| FixedState::with_seed(u64::MAX).hash_one(id));
@@ -639,7 +846,8 @@
         }
         let rules = self.settings.rules;
         // Where the whole fleet is cold nothing was served: all instances together begin at one a `fall`.
-        let first = self.mean_size.at / rules.fall.max(1) as f64 / f64::from(self.settings.group_size);
+        let first =
+            self.mean_size.at / rules.fall.max(1) as f64 / f64::from(self.settings.group_size);
         // Over the whole span also where this instance is younger: a cold server's budget errs low.
         let used = lane.len() + self.lanes.iter().map(Vec::len).sum::<usize>(); // this one is not in there
         let per_server = self.served.get(now) / RATE_SPAN / used as f64;
@@ -655,7 +863,11 @@
         let mut weights = Vec::with_capacity(lane.len());
         for server in self.servers.values_mut().filter(|s| s.long == long) {
             // A hung server completes nothing: the age of what is overdue there counts against it.
-            let overdue = server.out.iter().filter(|o| now > o.due).map(|o| (now - o.sent) as f64);
+            let overdue = server
+                .out
+                .iter()
+                .filter(|o| now > o.due)
+                .map(|o| (now - o.sent) as f64);
             let time = server.time_sum + overdue.sum::<f64>() + prior;
             let kind = kinds.entry(server.listed.kind).or_default();
             let usual = (kind.size + mean * prior) / (kind.time + prior);
@@ -664,7 +876,11 @@
             let warmth = server.warmth(now, &rules);
             server.value = ((server.size_sum + own * prior) / time) * warmth;
             weights.push(server.value);
-            let kept = if std::mem::take(&mut server.answered) { KEEP } else { 1.0 };
+            let kept = if std::mem::take(&mut server.answered) {
+                KEEP
+            } else {
+                1.0
+            };
             (server.size_sum, server.time_sum) = (kept * server.size_sum, kept * server.time_sum);
             // A cold server is given what it would bear of a warm one's usual work and a part more: the warm
             // can't do it all. Hardly any is saved up. A request takes the budget below nothing, so that an
@@ -674,10 +890,17 @@
             server.cold_most = server.cold_rate * rules.fall as f64 * SAVED;
         }
         if self.pool.len() >= POOL && !self.pool.contains_key(lane) {
-            let oldest = self.pool.iter().min_by_key(|(_, i)| i.tuned).map(|(key, _)| key.clone());
+            let oldest = self
+                .pool
+                .iter()
+                .min_by_key(|(_, i)| i.tuned)
+                .map(|(key, _)| key.clone());
             oldest.and_then(|key| self.pool.remove(&key));
         }
-        let interval = self.pool.entry(lane.to_vec()).or_insert_with(|| Interval::new(lane.to_vec()));
+        let interval = self
+            .pool
+            .entry(lane.to_vec())
+            .or_insert_with(|| Interval::new(lane.to_vec()));
         interval.tune(&weights);
         interval.tuned = now;
     }
--- a/crates/balancer/src/interface.rs
+++ b/crates/balancer/src/interface.rs
@@ -225,7 +225,13 @@
 
 impl Default for Reduced {
     fn default() -> Self {
-        Reduced { away: Vec::new(), spare_worth: f64::INFINITY, probes: true, retries: 1.0, patience: 1.0 }
+        Reduced {
+            away: Vec::new(),
+            spare_worth: f64::INFINITY,
+            probes: true,
+            retries: 1.0,
+            patience: 1.0,
+        }
     }
 }
 
@@ -451,23 +457,58 @@
     /// Checks every field and names the first that makes no sense.
     pub fn validate(&self) -> Result<(), SettingsError> {
         let check = |good: bool, field: &str, problem: &str| {
-            if good { Ok(()) } else { Err(SettingsError { field: field.into(), problem: problem.into() }) }
+            if good {
+                Ok(())
+            } else {
+                Err(SettingsError {
+                    field: field.into(),
+                    problem: problem.into(),
+                })
+            }
         };
         check(self.group_size > 0, "group_size", "must be at least 1")?;
-        check(!self.classes.is_empty(), "classes", "must name at least one class")?;
+        check(
+            !self.classes.is_empty(),
+            "classes",
+            "must name at least one class",
+        )?;
         for (i, class) in self.classes.iter().enumerate() {
-            check(class.aim > 0, &format!("classes[{i}].aim"), "must be above 0")?;
-            check(class.deadline > 0, &format!("classes[{i}].deadline"), "must be above 0")?;
-            let window = if let Effect::Keyed { window, .. } = class.effect { window } else { 0 };
-            for (span, field) in [(class.aim, "aim"), (class.deadline, "deadline"), (window, "window")] {
+            check(
+                class.aim > 0,
+                &format!("classes[{i}].aim"),
+                "must be above 0",
+            )?;
+            check(
+                class.deadline > 0,
+                &format!("classes[{i}].deadline"),
+                "must be above 0",
+            )?;
+            let window = if let Effect::Keyed { window, .. } = class.effect {
+                window
+            } else {
+                0
+            };
+            for (span, field) in [
+                (class.aim, "aim"),
+                (class.deadline, "deadline"),
+                (window, "window"),
+            ] {
                 check(span <= LONGEST, &format!("classes[{i}].{field}"), TOO_LONG)?;
             }
             let worth = class.worth.is_finite() && class.worth >= 0.0;
             check(worth, &format!("classes[{i}].worth"), "must be 0 or more")?;
             let late = (0.0..=1.0).contains(&class.late_worth);
-            check(late, &format!("classes[{i}].late_worth"), "must lie in 0..=1")?;
+            check(
+                late,
+                &format!("classes[{i}].late_worth"),
+                "must lie in 0..=1",
+            )?;
             let stretch = class.aim_stretch.is_finite() && class.aim_stretch >= 0.0;
-            check(stretch, &format!("classes[{i}].aim_stretch"), "must be 0 or more")?;
+            check(
+                stretch,
+                &format!("classes[{i}].aim_stretch"),
+                "must be 0 or more",
+            )?;
         }
         for (i, tenant) in self.tenants.iter().enumerate() {
             let quota = tenant.quota.is_finite() && tenant.quota >= 0.0;
@@ -482,14 +523,31 @@
         ] {
             check(span <= LONGEST, field, TOO_LONG)?;
         }
-        check(self.limits.max_attempts > 0, "limits.max_attempts", "must be at least 1")?;
-        check(self.rules.ask_within > 0, "rules.ask_within", "must be above 0")?;
+        check(
+            self.limits.max_attempts > 0,
+            "limits.max_attempts",
+            "must be at least 1",
+        )?;
+        check(
+            self.rules.ask_within > 0,
+            "rules.ask_within",
+            "must be above 0",
+        )?;
         let from = self.rules.cold_from;
-        check(from > 0.0 && from <= 1.0, "rules.cold_from", "must lie above 0 and at most at 1")?;
-        for (price, field) in
-            [(self.prices.cross_zone, "prices.cross_zone"), (self.prices.probe, "prices.probe")]
-        {
-            check(price.is_finite() && price >= 0.0, field, "must be 0 or more")?;
+        check(
+            from > 0.0 && from <= 1.0,
+            "rules.cold_from",
+            "must lie above 0 and at most at 1",
+        )?;
+        for (price, field) in [
+            (self.prices.cross_zone, "prices.cross_zone"),
+            (self.prices.probe, "prices.probe"),
+        ] {
+            check(
+                price.is_finite() && price >= 0.0,
+                field,
+                "must be 0 or more",
+            )?;
         }
         Ok(())
     }
--- a/crates/balancer/src/memory.rs
+++ b/crates/balancer/src/memory.rs
@@ -67,7 +67,10 @@
             classes: self
                 .classes
                 .iter()
-                .map(|seen| ClassMemory { usual: seen.cost.at, slow: seen.slow.at })
+                .map(|seen| ClassMemory {
+                    usual: seen.cost.at,
+                    slow: seen.slow.at,
+                })
                 .collect(),
             means: (self.mean_size.at, self.mean_time.at),
             servers: self.servers.values().filter(known).map(server).collect(),
@@ -82,7 +85,10 @@
                 quantile.at = if is_size(at) { at } else { quantile.at };
             }
         }
-        for (mean, at) in [(&mut self.mean_size, memory.means.0), (&mut self.mean_time, memory.means.1)] {
+        for (mean, at) in [
+            (&mut self.mean_size, memory.means.0),
+            (&mut self.mean_time, memory.means.1),
+        ] {
             mean.at = if is_size(at) { at } else { mean.at };
         }
     }
@@ -91,7 +97,9 @@
     /// this may be tried again. Nothing is taken over of a server that has started anew since, of one that this
     /// instance has measured or sent to itself, or that makes no sense.
     pub fn recall_server(&mut self, now: Micros, memory: &ServerMemory) -> bool {
-        let Some(server) = self.servers.get_mut(&memory.server) else { return false };
+        let Some(server) = self.servers.get_mut(&memory.server) else {
+            return false;
+        };
         let untouched = server.time_sum == 0.0 && server.failures == 0 && server.out.is_empty();
         let is_sum = |x: f64| x.is_finite() && x >= 0.0;
         let sound = is_sum(memory.work) && is_sum(memory.time);
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -138,14 +138,26 @@
 impl Layout {
     fn of(report: &LoadReport) -> Self {
         let place = |name: &str| report.fields.iter().position(|f| f == name);
-        Layout { held: place("rif").or(place("q")), errors: place("fail_rate") }
+        Layout {
+            held: place("rif").or(place("q")),
+            errors: place("fail_rate"),
+        }
     }
 
     /// Reads a report whose values come in the order of the settings.
     pub fn report(self, row: &str) -> Option<Report> {
-        let value = |place: usize| row.split(',').nth(place)?.parse().ok().filter(|v| *v >= 0.0);
+        let value = |place: usize| {
+            row.split(',')
+                .nth(place)?
+                .parse()
+                .ok()
+                .filter(|v| *v >= 0.0)
+        };
         let held = self.held.and_then(value)?;
-        Some(Report { held, errors: self.errors.and_then(value).unwrap_or(0.0) })
+        Some(Report {
+            held,
+            errors: self.errors.and_then(value).unwrap_or(0.0),
+        })
     }
 }
 
@@ -241,7 +253,13 @@
         zone: profile.my_zone,
         tick: profile.period,
         classes: profile.services.iter().map(class).collect(),
-        tenants: profile.tenants.iter().map(|t| Tenant { quota: t.quota_per_s }).collect(),
+        tenants: profile
+            .tenants
+            .iter()
+            .map(|t| Tenant {
+                quota: t.quota_per_s,
+            })
+            .collect(),
         discovery_on_request: profile.discovery == Discovery::Subscribe,
         limits: Limits {
             cancel: profile.limits.cancel,
@@ -258,7 +276,10 @@
             ask_within: profile.safety.ask_within,
             drain_grace: profile.safety.drain_grace,
         },
-        prices: Prices { cross_zone: profile.tariffs.cross_zone, probe: profile.tariffs.probe },
+        prices: Prices {
+            cross_zone: profile.tariffs.cross_zone,
+            probe: profile.tariffs.probe,
+        },
         worth_by_work: profile.worth_by == WorthBy::Work,
     }
 }
@@ -277,7 +298,10 @@
     ];
     let written = |part: &str| {
         let (name, index) = part.split_at(part.find('[').unwrap_or(part.len()));
-        let name = names.iter().find(|(ours, _)| *ours == name).map_or(name, |(_, theirs)| theirs);
+        let name = names
+            .iter()
+            .find(|(ours, _)| *ours == name)
+            .map_or(name, |(_, theirs)| theirs);
         format!("{name}{index}")
     };
     field.split('.').map(written).collect::<Vec<_>>().join(".")
--- a/crates/balancer/src/snapshot.rs
+++ b/crates/balancer/src/snapshot.rs
@@ -73,7 +73,9 @@
     /// where there is no such server.
     pub fn failing(&self, now: Micros) -> Option<f64> {
         let ready = self.ready.iter().filter_map(|id| self.servers.get(id));
-        let failing = ready.filter(|s| s.ejected_until.is_some() || s.stalled(now)).count();
+        let failing = ready
+            .filter(|s| s.ejected_until.is_some() || s.stalled(now))
+            .count();
         (!self.ready.is_empty()).then(|| failing as f64 / self.ready.len() as f64)
     }
 
@@ -89,7 +91,10 @@
             given_up: seen.given_up,
         };
         let lane = |long: Option<bool>| {
-            let of = self.servers.values().filter(move |s| long.is_some() && s.long == long);
+            let of = self
+                .servers
+                .values()
+                .filter(move |s| long.is_some() && s.long == long);
             of.map(|s| s.value).sum::<f64>()
         };
         let (short, long) = (lane(Some(false)), lane(Some(true)));
@@ -97,7 +102,11 @@
             let whole = if s.long == Some(true) { long } else { short };
             ServerView {
                 listed: s.listed,
-                share: if s.long.is_some() && whole > 0.0 { s.value / whole } else { 0.0 },
+                share: if s.long.is_some() && whole > 0.0 {
+                    s.value / whole
+                } else {
+                    0.0
+                },
                 value: s.value,
                 measured: (s.size_sum, s.time_sum),
                 answers: s.ended.get(now),
--- a/crates/balancer/src/state.rs
+++ b/crates/balancer/src/state.rs
@@ -19,13 +19,20 @@
 impl Quantile {
     /// Begins at a guess.
     pub fn new(guess: f64, part: f64) -> Self {
-        Quantile { at: guess, part, step: STEPS.0 }
+        Quantile {
+            at: guess,
+            part,
+            step: STEPS.0,
+        }
     }
 
     pub fn add(&mut self, x: f64) {
         self.step = (STEPS.1 * self.step).max(STEPS.2);
-        self.at *=
-            if x > self.at { 1.0 + self.step * self.part } else { 1.0 - self.step * (1.0 - self.part) };
+        self.at *= if x > self.at {
+            1.0 + self.step * self.part
+        } else {
+            1.0 - self.step * (1.0 - self.part)
+        };
     }
 }
 
@@ -53,7 +60,12 @@
 
 impl Fading {
     pub fn over(span: f64) -> Self {
-        Fading { sum: 0.0, at: 0, span, since: None }
+        Fading {
+            sum: 0.0,
+            at: 0,
+            span,
+            since: None,
+        }
     }
 
     pub fn add(&mut self, now: Micros, x: f64) {
@@ -129,7 +141,10 @@
     /// What was learned of a class under other settings. The work stays what it was, parts of the aim do not.
     fn under(&self, was: &Class, is: &Class) -> Self {
         let scale = was.aim as f64 / is.aim.max(1) as f64;
-        let work = Mean { at: (self.work.at * scale).min(1.0), step: self.work.step };
+        let work = Mean {
+            at: (self.work.at * scale).min(1.0),
+            step: self.work.step,
+        };
         ClassSeen {
             work,
             open: 0,
@@ -266,12 +281,16 @@
 
     /// A hung server completes nothing, so its last value would stand: silence past a due answer tells.
     pub fn stalled(&self, now: Micros) -> bool {
-        self.out.iter().any(|o| now > o.due && now.saturating_sub(self.last_answer) > o.due - o.sent)
+        self.out
+            .iter()
+            .any(|o| now > o.due && now.saturating_sub(self.last_answer) > o.due - o.sent)
     }
 
     /// The share of its capacity that a young server is held to have.
     pub fn warmth(&self, now: Micros, rules: &Rules) -> f64 {
-        let Some(started) = self.listed.started else { return 1.0 };
+        let Some(started) = self.listed.started else {
+            return 1.0;
+        };
         let age = now.saturating_sub(started) as f64 / rules.cold.max(1) as f64;
         (rules.cold_from + (1.0 - rules.cold_from) * age).min(1.0)
     }
@@ -347,7 +366,11 @@
     /// no more is kept back than half of its time.
     fn begin_by(&self, effect: Effect, slow_answer: f64) -> Micros {
         let whole = self.give_up.saturating_sub(self.came);
-        let kept_back = if effect == Effect::Unsafe { (slow_answer as Micros).min(whole / 2) } else { 0 };
+        let kept_back = if effect == Effect::Unsafe {
+            (slow_answer as Micros).min(whole / 2)
+        } else {
+            0
+        };
         self.give_up - kept_back
     }
 
@@ -358,7 +381,9 @@
         match (self.first_run(), effect) {
             (None, _) | (_, Effect::Safe) => Micros::MAX,
             (Some(_), Effect::Unsafe) => 0,
-            (Some(first), Effect::Keyed { window, .. }) => (first.sent + window).saturating_sub(tick),
+            (Some(first), Effect::Keyed { window, .. }) => {
+                (first.sent + window).saturating_sub(tick)
+            }
         }
     }
 }
@@ -408,7 +433,10 @@
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
         let shortest_aim = shortest_aim(&settings, |_| false);
-        let mean = Mean { at: COST.0 * settings.classes[0].aim as f64, step: WEIGHT };
+        let mean = Mean {
+            at: COST.0 * settings.classes[0].aim as f64,
+            step: WEIGHT,
+        };
         Ok(Balancer {
             shortest_aim,
             random: Rand64::new(u128::from(seed)),
@@ -440,29 +468,50 @@
 
     /// A request's body is on its way, and goes on as it comes.
     pub(crate) fn coming(&mut self, id: RequestId) {
-        let Some(request) = self.requests.get_mut(&id).filter(|r| !r.settled && r.coming.is_none()) else {
+        let Some(request) = self
+            .requests
+            .get_mut(&id)
+            .filter(|r| !r.settled && r.coming.is_none())
+        else {
             return;
         };
         request.coming = Some(request.give_up.saturating_sub(request.came));
         request.give_up = Micros::MAX;
         self.classes[request.class].open -= 1;
-        for out in self.servers.values_mut().flat_map(|s| &mut s.out).filter(|out| out.request == id) {
+        for out in self
+            .servers
+            .values_mut()
+            .flat_map(|s| &mut s.out)
+            .filter(|out| out.request == id)
+        {
             out.due = Micros::MAX;
         }
     }
 
     /// A request's body has come whole.
     pub(crate) fn came(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(request) = self.requests.get_mut(&id).filter(|r| !r.settled) else { return };
-        let Some(wait) = request.coming.take() else { return };
+        let Some(request) = self.requests.get_mut(&id).filter(|r| !r.settled) else {
+            return;
+        };
+        let Some(wait) = request.coming.take() else {
+            return;
+        };
         (request.came, request.give_up) = (now, now.saturating_add(wait));
         let seen = &mut self.classes[request.class];
         seen.open += 1;
         let due = now.saturating_add((OVERDUE * seen.slow.at) as Micros);
-        for out in self.servers.values_mut().flat_map(|s| &mut s.out).filter(|out| out.request == id) {
+        for out in self
+            .servers
+            .values_mut()
+            .flat_map(|s| &mut s.out)
+            .filter(|out| out.request == id)
+        {
             (out.sent, out.due) = (now, due);
         }
-        actions.push(Action::SetTimer { at: request.give_up, timer: Timer::Request(id) });
+        actions.push(Action::SetTimer {
+            at: request.give_up,
+            timer: Timer::Request(id),
+        });
     }
 
     /// Nothing of a request can be sent again.
@@ -477,13 +526,26 @@
         let former = std::mem::replace(&mut self.settings, new.settings.clone());
         let mut classes = Vec::with_capacity(self.settings.classes.len());
         for (at, class) in self.settings.classes.iter().enumerate() {
-            let learned = new.learned.get(at).copied().flatten().map(|from| from as usize);
-            let known = learned.and_then(|from| Some((self.classes.get(from)?, former.classes.get(from)?)));
-            let mut seen = known.map_or_else(|| ClassSeen::new(class), |(seen, was)| seen.under(was, class));
+            let learned = new
+                .learned
+                .get(at)
+                .copied()
+                .flatten()
+                .map(|from| from as usize);
+            let known =
+                learned.and_then(|from| Some((self.classes.get(from)?, former.classes.get(from)?)));
+            let mut seen = known.map_or_else(
+                || ClassSeen::new(class),
+                |(seen, was)| seen.under(was, class),
+            );
             if learned == Some(at) {
                 // Its own place: what is open and what clients were seen to do is its own too.
-                seen = ClassSeen { open: self.classes[at].open, ..seen };
-                (seen.refused, seen.first_left) = (self.classes[at].refused, self.classes[at].first_left);
+                seen = ClassSeen {
+                    open: self.classes[at].open,
+                    ..seen
+                };
+                (seen.refused, seen.first_left) =
+                    (self.classes[at].refused, self.classes[at].first_left);
                 seen.given_up = self.classes[at].given_up;
             }
             seen.retired = new.retired.get(at).copied().unwrap_or(false);
@@ -492,7 +554,8 @@
         self.classes = classes;
         self.shortest_aim = shortest_aim(&self.settings, |at| self.classes[at].retired);
         self.asks = asks(&self.settings);
-        self.tenants.resize(self.settings.tenants.len(), Fading::over(RATE_SPAN));
+        self.tenants
+            .resize(self.settings.tenants.len(), Fading::over(RATE_SPAN));
         if !self.ready.is_empty() {
             self.set_lanes(now);
         }
@@ -517,7 +580,10 @@
 pub(crate) fn ask_wait(settings: &Settings) -> (Micros, Micros) {
     let all = Micros::from(settings.group_size);
     let most = |part: f64| (part * settings.rules.ask_within as f64).max(1.0) as Micros;
-    let (first, longest) = (ASK_AGAIN.0.max(ASK_EACH.0 * all), ASK_AGAIN.1.max(ASK_EACH.1 * all));
+    let (first, longest) = (
+        ASK_AGAIN.0.max(ASK_EACH.0 * all),
+        ASK_AGAIN.1.max(ASK_EACH.1 * all),
+    );
     (first.min(most(ASK_PART.0)), longest.min(most(ASK_PART.1)))
 }
 
@@ -525,11 +591,17 @@
 /// allow; but in `least` at the soonest, where all wait for one discovery.
 pub(crate) fn ask_by(rules: &Rules, now: Micros, since: Micros, least: Micros) -> Micros {
     let allowed = now.saturating_add((ASK_PART.0 * rules.ask_within as f64).max(1.0) as Micros);
-    allowed.min(since.saturating_add(rules.ask_anew())).max(now.saturating_add(least))
+    allowed
+        .min(since.saturating_add(rules.ask_anew()))
+        .max(now.saturating_add(least))
 }
 
 fn shortest_aim(settings: &Settings, retired: impl Fn(usize) -> bool) -> f64 {
-    let live = settings.classes.iter().enumerate().filter(|(at, _)| !retired(*at));
+    let live = settings
+        .classes
+        .iter()
+        .enumerate()
+        .filter(|(at, _)| !retired(*at));
     live.map(|(_, c)| c.aim).min().unwrap_or(0) as f64
 }
 
--- a/crates/balancer/tests/alone.rs
+++ b/crates/balancer/tests/alone.rs
@@ -16,13 +16,28 @@
         rig.serve(0, 10 * MS).expect("it is served");
         rig.hint = Some(10 * MS);
         rig.now += S;
-        let most = rig.spread(400, |_| 10 * MS).into_values().max().unwrap_or(0);
-        assert!(most < 300, "after a hint of {hint}, one of four servers got {most} of 400 requests");
+        let most = rig
+            .spread(400, |_| 10 * MS)
+            .into_values()
+            .max()
+            .unwrap_or(0);
+        assert!(
+            most < 300,
+            "after a hint of {hint}, one of four servers got {most} of 400 requests"
+        );
     }
 }
 
 fn tried(rig: &mut Rig, id: RequestId, time_left: Micros, repeat: bool) -> Vec<Action> {
-    let new = NewRequest { id, class: 0, tenant: 0, key: None, time_left, cost: None, repeat };
+    let new = NewRequest {
+        id,
+        class: 0,
+        tenant: 0,
+        key: None,
+        time_left,
+        cost: None,
+        repeat,
+    };
     let actions = rig.event(Event::Request(new));
     if let Some(server) = sent(&actions) {
         rig.now += 5 * MS;
@@ -36,14 +51,22 @@
 #[rstest::rstest]
 #[case::as_long_as_its_class_allows(1_200 * MS)]
 #[case::a_day(86_400 * S)]
-fn one_client_that_waits_longer_than_all_others_does_not_shut_out_their_repeats(#[case] longest: Micros) {
+fn one_client_that_waits_longer_than_all_others_does_not_shut_out_their_repeats(
+    #[case] longest: Micros,
+) {
     let mut rig = Rig::new(settings(&[Effect::Safe]), &fleet(4));
     tried(&mut rig, 1, longest, false);
     for id in 2..10_000 {
         tried(&mut rig, id, 600 * MS, false);
     }
-    assert!(!refused(&tried(&mut rig, 10_000, 600 * MS, true)), "a repeat was refused for its age");
-    assert!(refused(&tried(&mut rig, 10_001, 400 * MS, true)), "an old one still is");
+    assert!(
+        !refused(&tried(&mut rig, 10_000, 600 * MS, true)),
+        "a repeat was refused for its age"
+    );
+    assert!(
+        refused(&tried(&mut rig, 10_001, 400 * MS, true)),
+        "an old one still is"
+    );
 }
 
 /// A mean delay is a part of the aim. Against a much shorter aim it was many times the whole, and the class let in next to
@@ -56,12 +79,19 @@
     rig.spread(100, |_| 9 * S);
     let mut short = long;
     (short.classes[0].aim, short.classes[0].deadline) = (100 * MS, 1_200 * MS);
-    let retuned = Retuned { settings: short, learned: vec![Some(0)], retired: vec![false] };
+    let retuned = Retuned {
+        settings: short,
+        learned: vec![Some(0)],
+        retired: vec![false],
+    };
     rig.event(Event::Settings(&retuned));
     rig.now += 60 * S;
     let refused = rig.stream(6_000, 10 * MS, 20 * MS, |_| (0, 0));
     let late = refused[3_000..].iter().filter(|refused| **refused).count();
-    assert!(late < 300, "half a minute later {late} of 3000 were still refused");
+    assert!(
+        late < 300,
+        "half a minute later {late} of 3000 were still refused"
+    );
 }
 
 /// A server that fails for months.
@@ -91,13 +121,20 @@
 #[test]
 fn a_span_beyond_all_clocks_is_an_error_that_names_its_field() {
     let forever = LONGEST + 1;
-    let keyed = Effect::Keyed { scope: Scope::All, window: forever };
+    let keyed = Effect::Keyed {
+        scope: Scope::All,
+        window: forever,
+    };
     type Set = fn(&mut Settings, Micros);
     let cases: [(&str, Set); 7] = [
         ("classes[0].aim", |s, span| s.classes[0].aim = span),
-        ("classes[0].deadline", |s, span| s.classes[0].deadline = span),
+        ("classes[0].deadline", |s, span| {
+            s.classes[0].deadline = span
+        }),
         ("tick", |s, span| s.tick = span),
-        ("limits.max_retry_after", |s, span| s.limits.max_retry_after = span),
+        ("limits.max_retry_after", |s, span| {
+            s.limits.max_retry_after = span
+        }),
         ("rules.cold", |s, span| s.rules.cold = span),
         ("rules.fall", |s, span| s.rules.fall = span),
         ("rules.ask_within", |s, span| s.rules.ask_within = span),
@@ -107,14 +144,36 @@
         set(&mut settings, LONGEST);
         assert!(Balancer::new(settings.clone(), 1).is_ok(), "{field}");
         set(&mut settings, forever);
-        assert_eq!(Balancer::new(settings, 1).err().map(|e| e.field).as_deref(), Some(field));
+        assert_eq!(
+            Balancer::new(settings, 1).err().map(|e| e.field).as_deref(),
+            Some(field)
+        );
     }
-    assert_eq!(settings(&[keyed]).validate().err().map(|e| e.field).as_deref(), Some("classes[0].window"));
+    assert_eq!(
+        settings(&[keyed])
+            .validate()
+            .err()
+            .map(|e| e.field)
+            .as_deref(),
+        Some("classes[0].window")
+    );
     // The longest that are sound break nothing.
-    let mut long = settings(&[Effect::Keyed { scope: Scope::All, window: LONGEST }]);
+    let mut long = settings(&[Effect::Keyed {
+        scope: Scope::All,
+        window: LONGEST,
+    }]);
     (long.classes[0].aim, long.classes[0].deadline) = (LONGEST, LONGEST);
     (long.rules.cold, long.rules.fall) = (LONGEST, LONGEST);
-    let mut rig = Rig::new(long, &[Listed { started: Some(1_000 * S), ..listed(0) }, listed(1)]);
+    let mut rig = Rig::new(
+        long,
+        &[
+            Listed {
+                started: Some(1_000 * S),
+                ..listed(0)
+            },
+            listed(1),
+        ],
+    );
     for outcome in [Outcome::Error, Outcome::Timeout, Outcome::Ok] {
         let (id, actions) = rig.request(0);
         let server = sent(&actions).expect("sent");
--- a/crates/balancer/tests/asks.rs
+++ b/crates/balancer/tests/asks.rs
@@ -14,7 +14,10 @@
 
 /// When the last of so many instances that start together has its list.
 fn all_have_it(instances: u32) -> Option<Micros> {
-    let settings = Settings { group_size: instances, ..settings(&[Effect::Safe]) };
+    let settings = Settings {
+        group_size: instances,
+        ..settings(&[Effect::Safe])
+    };
     let known = fleet(4);
     let mut all: Vec<Balancer> = (0..instances)
         .map(|seed| Balancer::new(settings.clone(), u64::from(seed)).expect("they make sense"))
@@ -25,7 +28,11 @@
     let mut tell = |at: usize, now: Micros, members: Members<'_>, queue: &mut BinaryHeap<_>| {
         all[at].handle(now, Event::Members(members), &mut actions);
         for action in actions.drain(..) {
-            if let Action::SetTimer { at: due, timer: Timer::Discovery } = action {
+            if let Action::SetTimer {
+                at: due,
+                timer: Timer::Discovery,
+            } = action
+            {
                 all[at].handle(due, Event::Timer(Timer::Discovery), &mut Vec::new());
                 queue.push(Reverse((due, at, None)));
             }
@@ -49,7 +56,15 @@
                 }
             }
             Some(false) => {
-                tell(at, now, Members::Failed { since: now - PATIENCE, waited: PATIENCE }, &mut queue);
+                tell(
+                    at,
+                    now,
+                    Members::Failed {
+                        since: now - PATIENCE,
+                        waited: PATIENCE,
+                    },
+                    &mut queue,
+                );
             }
         }
     }
@@ -62,14 +77,20 @@
 fn every_instance_gets_its_list_from_a_discovery_that_is_called_by_all() {
     for (instances, within) in [(4, 2 * S), (24, 6 * S), (48, 10 * S), (100, 25 * S)] {
         let took = all_have_it(instances);
-        assert!(took.is_some_and(|took| took <= within), "{instances} instances: {took:?}");
+        assert!(
+            took.is_some_and(|took| took <= within),
+            "{instances} instances: {took:?}"
+        );
     }
 }
 
 /// When it will ask.
 fn asks_at(rig: &mut Rig) -> Option<Micros> {
     rig.actions.drain(..).find_map(|action| match action {
-        Action::SetTimer { at, timer: Timer::Discovery } => Some(at),
+        Action::SetTimer {
+            at,
+            timer: Timer::Discovery,
+        } => Some(at),
         _ => None,
     })
 }
@@ -82,7 +103,10 @@
         let at = asks_at(&mut rig).expect("it will ask");
         waits.push(at - rig.now);
         rig.now = at;
-        assert!(rig.event(Event::Timer(Timer::Discovery)).contains(&Action::Subscribe));
+        assert!(
+            rig.event(Event::Timer(Timer::Discovery))
+                .contains(&Action::Subscribe)
+        );
         let since = rig.now;
         rig.now += waited;
         rig.event(Event::Members(Members::Failed { since, waited }));
@@ -95,12 +119,22 @@
 #[test]
 fn no_fleet_is_so_large_that_an_instance_asks_later_than_the_rules_allow() {
     for group_size in [1, 100, 300, 2_000, 100_000] {
-        let settings = Settings { group_size, ..settings(&[Effect::Safe]) };
+        let settings = Settings {
+            group_size,
+            ..settings(&[Effect::Safe])
+        };
         let within = settings.rules.ask_within;
         for seed in 0..40 {
             let waits = waits(&settings, seed, PATIENCE);
-            assert!(waits[0] < within, "{group_size} instances: the first call after {} us", waits[0]);
-            assert!(waits.iter().all(|wait| *wait < 4 * within), "{group_size} instances: {waits:?}");
+            assert!(
+                waits[0] < within,
+                "{group_size} instances: the first call after {} us",
+                waits[0]
+            );
+            assert!(
+                waits.iter().all(|wait| *wait < 4 * within),
+                "{group_size} instances: {waits:?}"
+            );
         }
     }
 }
@@ -109,13 +143,26 @@
 /// where it turns calls away do more than fifteen instances ask more seldom than that.
 #[test]
 fn whatever_fails_a_list_is_asked_for_in_time_for_what_counts_as_told() {
-    for (group_size, waited) in [(1, 0), (60, 0), (300, 0), (100_000, 0), (1, PATIENCE), (15, PATIENCE)] {
-        let settings = Settings { group_size, ..settings(&[Effect::Safe]) };
+    for (group_size, waited) in [
+        (1, 0),
+        (60, 0),
+        (300, 0),
+        (100_000, 0),
+        (1, PATIENCE),
+        (15, PATIENCE),
+    ] {
+        let settings = Settings {
+            group_size,
+            ..settings(&[Effect::Safe])
+        };
         let told = Rules::TOLD + settings.rules.drain_grace;
         for seed in 0..40 {
             for wait in waits(&settings, seed, waited) {
                 let known = waited + wait + Rules::ANSWERED;
-                assert!(known <= told, "{group_size} instances, {waited}: known {known} us behind a call");
+                assert!(
+                    known <= told,
+                    "{group_size} instances, {waited}: known {known} us behind a call"
+                );
             }
         }
     }
@@ -128,7 +175,10 @@
 /// The calls of so many instances that start together, over a minute, where each is let wait in vain for so long, or is
 /// answered by a list whose watch ends at once, as this draws.
 fn calls(instances: u32, waited: Micros, mut fails: impl FnMut() -> bool) -> Vec<Micros> {
-    let settings = Settings { group_size: instances, ..settings(&[Effect::Safe]) };
+    let settings = Settings {
+        group_size: instances,
+        ..settings(&[Effect::Safe])
+    };
     let mut calls = Vec::new();
     for seed in 0..instances {
         let mut rig = Rig::seeded(settings.clone(), u64::from(seed), &fleet(4));
@@ -144,7 +194,10 @@
             if !failed {
                 rig.event(Event::Members(Members::Full(&fleet(4))));
             }
-            rig.event(Event::Members(Members::Failed { since, waited: if failed { waited } else { 0 } }));
+            rig.event(Event::Members(Members::Failed {
+                since,
+                waited: if failed { waited } else { 0 },
+            }));
         }
     }
     calls.sort_unstable();
@@ -156,9 +209,17 @@
 /// missed before its start counts as told then: one of each instance, evenly, and none beside them. What follows keeps to the span.
 #[test]
 fn what_becomes_of_calls_never_brings_more_of_them_than_the_first_wave() {
-    for (instances, span) in [(6, 0.5e6_f64), (60, 4.8e6), (100, 8e6), (300, 8e6), (1_000, 8e6)] {
+    for (instances, span) in [
+        (6, 0.5e6_f64),
+        (60, 4.8e6),
+        (100, 8e6),
+        (300, 8e6),
+        (1_000, 8e6),
+    ] {
         let many = f64::from(instances);
-        for (waited, part_that_fails) in [(PATIENCE, 0), (PATIENCE, 1), (PATIENCE, 4), (0, 1), (0, 4)] {
+        for (waited, part_that_fails) in
+            [(PATIENCE, 0), (PATIENCE, 1), (PATIENCE, 4), (0, 1), (0, 4)]
+        {
             let mut turn = 0;
             let fails = || {
                 turn += 1;
@@ -168,7 +229,11 @@
             assert!(calls.len() > instances as usize);
             let wave = span.min(FIRST_CALLS);
             let (first, later) = calls.split_at(calls.partition_point(|at| (*at as f64) < wave));
-            assert_eq!(first.len(), instances as usize, "one call of each in the first {wave} us");
+            assert_eq!(
+                first.len(),
+                instances as usize,
+                "one call of each in the first {wave} us"
+            );
             let over = worst(first.iter().map(|at| *at as f64), many / wave);
             assert!(
                 over <= 3.0 * many.sqrt(),
@@ -177,9 +242,18 @@
             // What discovery has counts as told so soon that a call is wanted within 8 s, which may be before the next
             // span is over: where watches end as soon as they were told, or no call arrives, two of an instance's calls
             // fall into one. Where calls wait in vain none do.
-            let each = span / many / if part_that_fails == 4 && waited > 0 { 1.0 } else { 2.0 };
+            let each = span
+                / many
+                / if part_that_fails == 4 && waited > 0 {
+                    1.0
+                } else {
+                    2.0
+                };
             let over = worst(later.iter().map(|at| *at as f64), 1.0 / each);
-            assert!(over <= 3.0 * many.sqrt(), "{instances}, {waited}, {part_that_fails} of 4 fail: {over}");
+            assert!(
+                over <= 3.0 * many.sqrt(),
+                "{instances}, {waited}, {part_that_fails} of 4 fail: {over}"
+            );
         }
     }
 }
@@ -189,7 +263,10 @@
 #[test]
 fn behind_a_watch_that_fell_silent_the_list_is_asked_for_before_its_news_count_as_told() {
     for group_size in [1, 30, 300] {
-        let settings = Settings { group_size, ..settings(&[Effect::Safe]) };
+        let settings = Settings {
+            group_size,
+            ..settings(&[Effect::Safe])
+        };
         let told = Rules::TOLD + settings.rules.drain_grace;
         let mut asked: Vec<Micros> = Vec::new();
         for seed in 0..u64::from(group_size.max(20)) {
@@ -229,7 +306,10 @@
 #[test]
 fn an_instance_that_starts_again_asks_in_time_for_what_it_missed() {
     for group_size in [1, 60, 300] {
-        let settings = Settings { group_size, ..settings(&[Effect::Safe]) };
+        let settings = Settings {
+            group_size,
+            ..settings(&[Effect::Safe])
+        };
         let allowed = Rules::TOLD + settings.rules.drain_grace - DOWN;
         for seed in 0..40 {
             let first = waits(&settings, seed, 0)[0];
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -8,7 +8,14 @@
 pub const S: Micros = 1_000_000;
 
 pub fn class(effect: Effect) -> Class {
-    Class { aim: 400 * MS, aim_stretch: 0.0, deadline: 1_200 * MS, effect, worth: 1.0, late_worth: 0.0 }
+    Class {
+        aim: 400 * MS,
+        aim_stretch: 0.0,
+        deadline: 1_200 * MS,
+        effect,
+        worth: 1.0,
+        late_worth: 0.0,
+    }
 }
 
 pub fn settings(effects: &[Effect]) -> Settings {
@@ -26,7 +33,13 @@
             max_retry_after: 2 * S,
             max_attempts: 4,
         },
-        rules: Rules { cold_from: 0.2, cold: 10 * S, fall: S, ask_within: 10 * S, drain_grace: 3 * S },
+        rules: Rules {
+            cold_from: 0.2,
+            cold: 10 * S,
+            fall: S,
+            ask_within: 10 * S,
+            drain_grace: 3 * S,
+        },
         prices: Prices::default(),
         worth_by_work: false,
     }
@@ -66,7 +79,13 @@
 
     pub fn seeded(settings: Settings, seed: u64, servers: &[Listed]) -> Self {
         let balancer = Balancer::new(settings, seed).expect("settings are sound");
-        let mut rig = Rig { balancer, now: 1_000 * S, actions: Vec::new(), hint: None, next: 0 };
+        let mut rig = Rig {
+            balancer,
+            now: 1_000 * S,
+            actions: Vec::new(),
+            hint: None,
+            next: 0,
+        };
         rig.event(Event::Members(Members::Full(servers)));
         rig
     }
@@ -85,7 +104,15 @@
     pub fn request_of(&mut self, class: u32, tenant: u32) -> (RequestId, Vec<Action>) {
         self.next += 1;
         let (id, time_left) = (self.next, 1_200 * MS);
-        let new = NewRequest { id, class, tenant, key: None, time_left, cost: self.hint, repeat: false };
+        let new = NewRequest {
+            id,
+            class,
+            tenant,
+            key: None,
+            time_left,
+            cost: self.hint,
+            repeat: false,
+        };
         (id, self.event(Event::Request(new)))
     }
 
@@ -98,7 +125,14 @@
         elapsed: Micros,
     ) -> Vec<Action> {
         let ended = outcome == Outcome::Ok;
-        self.event(Event::Closed(Closed { request, attempt, server, outcome, elapsed, ended }))
+        self.event(Event::Closed(Closed {
+            request,
+            attempt,
+            server,
+            outcome,
+            elapsed,
+            ended,
+        }))
     }
 
     /// One request, answered after `elapsed`; gives back the server that had it.
@@ -111,7 +145,11 @@
     }
 
     /// Requests served one after another, counted by server.
-    pub fn spread(&mut self, requests: u32, elapsed: impl Fn(ServerId) -> Micros) -> BTreeMap<ServerId, u32> {
+    pub fn spread(
+        &mut self,
+        requests: u32,
+        elapsed: impl Fn(ServerId) -> Micros,
+    ) -> BTreeMap<ServerId, u32> {
         let mut count = BTreeMap::new();
         for _ in 0..requests {
             let (id, actions) = self.request(0);
@@ -166,8 +204,13 @@
 }
 
 pub fn asked(actions: &[Action]) -> Vec<ServerId> {
-    let probes =
-        actions.iter().filter_map(|a| if let Action::Probe(server) = a { Some(*server) } else { None });
+    let probes = actions.iter().filter_map(|a| {
+        if let Action::Probe(server) = a {
+            Some(*server)
+        } else {
+            None
+        }
+    });
     probes.collect()
 }
 
@@ -181,7 +224,10 @@
 
 pub fn timer_at(actions: &[Action]) -> Option<Micros> {
     actions.iter().rev().find_map(|a| match a {
-        Action::SetTimer { at, timer: Timer::Request(_) } => Some(*at),
+        Action::SetTimer {
+            at,
+            timer: Timer::Request(_),
+        } => Some(*at),
         _ => None,
     })
 }
--- a/crates/balancer/tests/every_sequence.rs
+++ b/crates/balancer/tests/every_sequence.rs
@@ -57,9 +57,14 @@
     let first = P::new().moves();
     let each = |depth: usize| {
         std::thread::scope(|scope| {
-            let parts = first.iter().map(|first| scope.spawn(move || explore::<P>(&mut vec![*first], depth)));
+            let parts = first
+                .iter()
+                .map(|first| scope.spawn(move || explore::<P>(&mut vec![*first], depth)));
             let parts: Vec<_> = parts.collect();
-            parts.into_iter().map(|part| part.join().expect("no checker panics")).sum()
+            parts
+                .into_iter()
+                .map(|part| part.join().expect("no checker panics"))
+                .sum()
         })
     };
     (1..=deepest).map(each).collect()
@@ -86,7 +91,9 @@
     }
 
     fn over(&mut self, id: RequestId) {
-        self.requests.entry(id).and_modify(|request| request.1 = true);
+        self.requests
+            .entry(id)
+            .and_modify(|request| request.1 = true);
     }
 
     fn did(&mut self, now: Micros, action: &Action) -> Broken {
@@ -94,7 +101,9 @@
             Action::Refuse { request, .. } | Action::Fail { request } => {
                 let (deadline, over) = self.requests[request];
                 rule(!over, || format!("dropped: {request} was answered twice"))?;
-                rule(now <= deadline, || format!("dropped: {request} was answered too late"))?;
+                rule(now <= deadline, || {
+                    format!("dropped: {request} was answered too late")
+                })?;
                 self.over(*request);
             }
             Action::Send { request, .. } => {
@@ -108,8 +117,13 @@
     }
 
     fn look(&self, now: Micros) -> Broken {
-        let lost = self.requests.iter().find(|(_, (deadline, over))| !over && now > *deadline);
-        rule(lost.is_none(), || format!("dropped: no answer for {lost:?} at {now}"))
+        let lost = self
+            .requests
+            .iter()
+            .find(|(_, (deadline, over))| !over && now > *deadline);
+        rule(lost.is_none(), || {
+            format!("dropped: no answer for {lost:?} at {now}")
+        })
     }
 }
 
@@ -131,7 +145,10 @@
         match event {
             Event::Request(new) => {
                 let effect = settings.classes[new.class as usize].effect;
-                self.requests.insert(new.id, (effect, settings.limits.max_attempts as usize, Vec::new()));
+                self.requests.insert(
+                    new.id,
+                    (effect, settings.limits.max_attempts as usize, Vec::new()),
+                );
             }
             Event::Closed(closed) => {
                 let (.., tried) = self.requests.get_mut(&closed.request).expect("it came");
@@ -146,7 +163,12 @@
     fn did(&mut self, now: Micros, action: &Action, zone: impl Fn(ServerId) -> u32) -> Broken {
         let may_have_run = |tried: &&Tried| !tried.outcome.is_some_and(Outcome::proves_not_run);
         match action {
-            Action::Send { request, server, write_by, .. } => {
+            Action::Send {
+                request,
+                server,
+                write_by,
+                ..
+            } => {
                 let (effect, most, tried) = self.requests.get_mut(request).expect("it came");
                 let zone = zone(*server);
                 let first = tried.iter().find(may_have_run);
@@ -157,7 +179,9 @@
                         first.zone == zone && now <= first.at + window
                     }
                 };
-                rule(allowed, || format!("repeated: {request} went out again and may have run"))?;
+                rule(allowed, || {
+                    format!("repeated: {request} went out again and may have run")
+                })?;
                 // Its connection may come up as late as that.
                 let harmless_until = match (first, *effect) {
                     (Some(first), Effect::Keyed { window, .. }) => first.at + window,
@@ -172,12 +196,18 @@
                 rule(tried.len() < *most, || {
                     format!("repeated: {request} went out {} times", tried.len() + 1)
                 })?;
-                tried.push(Tried { zone, at: now, outcome: None });
+                tried.push(Tried {
+                    zone,
+                    at: now,
+                    outcome: None,
+                });
             }
             Action::Refuse { request, .. } => {
                 let (effect, _, tried) = &self.requests[request];
                 let harmless = *effect == Effect::Safe || tried.iter().find(may_have_run).is_none();
-                rule(harmless, || format!("repeated: {request} was refused and may have run"))?;
+                rule(harmless, || {
+                    format!("repeated: {request} was refused and may have run")
+                })?;
             }
             _ => {}
         }
@@ -197,20 +227,34 @@
 
 impl Drained {
     fn told(&mut self, now: Micros, event: &Event<'_>) {
-        let Event::Members(Members::Full(list) | Members::Changes(list)) = event else { return };
+        let Event::Members(Members::Full(list) | Members::Changes(list)) = event else {
+            return;
+        };
         if let Event::Members(Members::Full(_)) = event {
-            let absent = self.since.iter_mut().filter(|(id, _)| list.iter().all(|l| l.server != **id));
+            let absent = self
+                .since
+                .iter_mut()
+                .filter(|(id, _)| list.iter().all(|l| l.server != **id));
             absent.for_each(|(_, since)| *since = since.or(Some(now)));
         }
         for listed in *list {
             let since = self.since.entry(listed.server).or_default();
-            *since = if listed.state == ServerState::Ready { None } else { since.or(Some(now)) };
+            *since = if listed.state == ServerState::Ready {
+                None
+            } else {
+                since.or(Some(now))
+            };
         }
     }
 
     fn did(&self, now: Micros, action: &Action) -> Broken {
-        let Action::Send { server, .. } = action else { return Ok(()) };
-        let since = self.since.get(server).ok_or("drained: sent to a server that was never listed")?;
+        let Action::Send { server, .. } = action else {
+            return Ok(());
+        };
+        let since = self
+            .since
+            .get(server)
+            .ok_or("drained: sent to a server that was never listed")?;
         rule(since.is_none_or(|since| now <= since + DRAIN_GRACE), || {
             format!("drained: sent to {server} at {now}, which was told to leave at {since:?}")
         })
@@ -234,17 +278,29 @@
 
 impl Cold {
     fn did(&mut self, now: Micros, action: &Action, size: f64) -> Broken {
-        let Action::Send { server, .. } = action else { return Ok(()) };
+        let Action::Send { server, .. } = action else {
+            return Ok(());
+        };
         if *server != self.server {
             return Ok(());
         }
         self.sent.push((now, size));
-        let Rules { cold_from, cold, fall, .. } = self.rules;
+        let Rules {
+            cold_from,
+            cold,
+            fall,
+            ..
+        } = self.rules;
         let warmth = cold_from + (1.0 - cold_from) * (now - self.started) as f64 / cold as f64;
         if warmth >= 1.0 {
             return Ok(());
         }
-        let within: f64 = self.sent.iter().filter(|(at, _)| *at + fall > now).map(|(_, size)| size).sum();
+        let within: f64 = self
+            .sent
+            .iter()
+            .filter(|(at, _)| *at + fall > now)
+            .map(|(_, size)| size)
+            .sum();
         let bears = FALL_MULTIPLE * warmth * self.warm * fall as f64 + SLACK * size;
         rule(within <= bears, || {
             format!("cold: {within} us of work reached it, which bears {bears} at {now}")
@@ -254,7 +310,10 @@
 
 // ---- Two requests of different effects, two servers ----
 
-const KEYED: Effect = Effect::Keyed { scope: Scope::Zone, window: 300 * MS };
+const KEYED: Effect = Effect::Keyed {
+    scope: Scope::Zone,
+    window: 300 * MS,
+};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Move {
@@ -317,7 +376,11 @@
 }
 
 fn as_listed(server: u64, state: ServerState, started: Option<Micros>) -> Listed {
-    Listed { state, started, ..listed(server) }
+    Listed {
+        state,
+        started,
+        ..listed(server)
+    }
 }
 
 impl Pair {
@@ -330,19 +393,41 @@
         self.balancer.handle(self.now, event, &mut actions);
         for action in actions {
             self.answered.did(self.now, &action)?;
-            self.repeated.did(self.now, &action, |server| listed(server.0).zone)?;
+            self.repeated
+                .did(self.now, &action, |server| listed(server.0).zone)?;
             self.drained.did(self.now, &action)?;
             match action {
-                Action::Send { request, server, timeout_at, .. } => {
+                Action::Send {
+                    request,
+                    server,
+                    timeout_at,
+                    ..
+                } => {
                     let attempt = self.repeated.requests[&request].2.len() as u32 - 1;
                     let (outcome, sent) = (Outcome::Timeout, self.now);
-                    let closed = Closed { request, attempt, server, outcome, elapsed: 0, ended: false };
-                    self.out.push(Flight { closed, sent, timeout_at, called_off: false });
+                    let closed = Closed {
+                        request,
+                        attempt,
+                        server,
+                        outcome,
+                        elapsed: 0,
+                        ended: false,
+                    };
+                    self.out.push(Flight {
+                        closed,
+                        sent,
+                        timeout_at,
+                        called_off: false,
+                    });
                 }
                 Action::Cancel { request, attempt } => {
-                    let of = |f: &&mut Flight| (f.closed.request, f.closed.attempt) == (request, attempt);
+                    let of = |f: &&mut Flight| {
+                        (f.closed.request, f.closed.attempt) == (request, attempt)
+                    };
                     let flight = self.out.iter_mut().find(of);
-                    flight.ok_or("an attempt was called off that is not out")?.called_off = true;
+                    flight
+                        .ok_or("an attempt was called off that is not out")?
+                        .called_off = true;
                 }
                 Action::SetTimer { at, timer } => self.timers.push((at, timer)),
                 _ => {}
@@ -354,24 +439,48 @@
     fn ends(&mut self, flight: usize, outcome: Outcome) -> Broken {
         let Flight { closed, sent, .. } = self.out.swap_remove(flight);
         let over = self.answered.requests[&closed.request].1 || outcome == Outcome::Ok;
-        let closed = Closed { outcome, elapsed: self.now - sent, ended: over, ..closed };
+        let closed = Closed {
+            outcome,
+            elapsed: self.now - sent,
+            ended: over,
+            ..closed
+        };
         self.last = Some(closed);
         self.event(Event::Closed(closed))
     }
 
     /// What is due next: attempts that were called off end at once, a time-out goes before an alarm of the same time.
     fn due(&self) -> Option<(Micros, Result<usize, usize>)> {
-        let ends = |f: &Flight| if f.called_off { self.now } else { f.timeout_at.max(self.now) };
-        let flights = self.out.iter().enumerate().map(|(at, f)| (ends(f), 0, at, Ok(at)));
-        let timers = self.timers.iter().enumerate().map(|(at, t)| (t.0.max(self.now), 1, at, Err(at)));
-        flights.chain(timers).min_by_key(|due| (due.0, due.1, due.2)).map(|due| (due.0, due.3))
+        let ends = |f: &Flight| {
+            if f.called_off {
+                self.now
+            } else {
+                f.timeout_at.max(self.now)
+            }
+        };
+        let flights = self
+            .out
+            .iter()
+            .enumerate()
+            .map(|(at, f)| (ends(f), 0, at, Ok(at)));
+        let timers = self
+            .timers
+            .iter()
+            .enumerate()
+            .map(|(at, t)| (t.0.max(self.now), 1, at, Err(at)));
+        flights
+            .chain(timers)
+            .min_by_key(|due| (due.0, due.1, due.2))
+            .map(|due| (due.0, due.3))
     }
 
     fn pass(&mut self, until: Micros) -> Broken {
         while let Some((at, what)) = self.due().filter(|(at, _)| *at <= until) {
             self.now = at;
             match what {
-                Ok(flight) if self.out[flight].called_off => self.ends(flight, Outcome::Cancelled)?,
+                Ok(flight) if self.out[flight].called_off => {
+                    self.ends(flight, Outcome::Cancelled)?
+                }
                 Ok(flight) => self.ends(flight, Outcome::Timeout)?,
                 Err(timer) => {
                     let (_, timer) = self.timers.swap_remove(timer);
@@ -388,7 +497,11 @@
         settings.classes.push(class(Effect::Safe));
         settings.limits.max_attempts = 2;
         let learned = vec![Some(0), Some(1), Some(0)];
-        Retuned { settings, learned, retired: vec![true, false, false] }
+        Retuned {
+            settings,
+            learned,
+            retired: vec![true, false, false],
+        }
     }
 }
 
@@ -414,13 +527,24 @@
             drained: Drained::default(),
         };
         let fleet = [listed(0), as_listed(1, ServerState::Ready, Some(now))];
-        pair.event(Event::Members(Members::Full(&fleet))).expect("it is a beginning");
+        pair.event(Event::Members(Members::Full(&fleet)))
+            .expect("it is a beginning");
         pair
     }
 
     fn moves(&self) -> Vec<Move> {
-        let mut moves = vec![Move::ToNextAlarm, Move::Past(310 * MS), Move::Past(DRAIN_GRACE + 100 * MS)];
-        let news = [News::Drains, News::Gone, News::BackAnew, News::OthersInPlace, News::Failed];
+        let mut moves = vec![
+            Move::ToNextAlarm,
+            Move::Past(310 * MS),
+            Move::Past(DRAIN_GRACE + 100 * MS),
+        ];
+        let news = [
+            News::Drains,
+            News::Gone,
+            News::BackAnew,
+            News::OthersInPlace,
+            News::Failed,
+        ];
         moves.extend(news.map(Move::News));
         moves.push(Move::ProbeUnanswered);
         for id in [1, 2] {
@@ -444,13 +568,29 @@
         match made {
             Move::Come(id) => {
                 self.come.push(id);
-                let class = if id == 1 && self.retuned { 2 } else { id as u32 - 1 };
+                let class = if id == 1 && self.retuned {
+                    2
+                } else {
+                    id as u32 - 1
+                };
                 let (time_left, key) = (1_200 * MS, Some(id));
-                let new = NewRequest { id, class, tenant: 0, key, time_left, cost: None, repeat: false };
+                let new = NewRequest {
+                    id,
+                    class,
+                    tenant: 0,
+                    key,
+                    time_left,
+                    cost: None,
+                    repeat: false,
+                };
                 self.event(Event::Request(new))
             }
             Move::Ends(id, outcome) => {
-                let flight = self.out.iter().position(|f| f.closed.request == id).expect("it is out");
+                let flight = self
+                    .out
+                    .iter()
+                    .position(|f| f.closed.request == id)
+                    .expect("it is out");
                 self.ends(flight, outcome)
             }
             Move::ToldTwice => self.event(Event::Closed(self.last.expect("one has ended"))),
@@ -464,11 +604,18 @@
                     News::BackAnew => vec![as_listed(0, ServerState::Ready, anew)],
                     News::OthersInPlace => vec![listed(1), as_listed(2, ServerState::Ready, anew)],
                     News::Failed => {
-                        return self.event(Event::Members(Members::Failed { since: self.now, waited: 0 }));
+                        return self.event(Event::Members(Members::Failed {
+                            since: self.now,
+                            waited: 0,
+                        }));
                     }
                 };
                 let whole = news == News::OthersInPlace;
-                self.event(Event::Members(if whole { Members::Full(&list) } else { Members::Changes(&list) }))
+                self.event(Event::Members(if whole {
+                    Members::Full(&list)
+                } else {
+                    Members::Changes(&list)
+                }))
             }
             Move::Retune => {
                 let retuned = self.other_settings();
@@ -483,11 +630,17 @@
 
     fn end(mut self) -> Broken {
         self.pass(self.now + 60 * S)?;
-        rule(self.out.is_empty(), || "an attempt is out for ever".to_string())?;
+        rule(self.out.is_empty(), || {
+            "an attempt is out for ever".to_string()
+        })?;
         let snapshot = self.balancer.snapshot(self.now);
-        rule(snapshot.requests == 0, || format!("{} requests are never forgotten", snapshot.requests))?;
+        rule(snapshot.requests == 0, || {
+            format!("{} requests are never forgotten", snapshot.requests)
+        })?;
         let open: u32 = snapshot.classes.iter().map(|class| class.open).sum();
-        rule(open == 0, || format!("{open} requests count as open for ever"))
+        rule(open == 0, || {
+            format!("{open} requests count as open for ever")
+        })
     }
 }
 
@@ -536,7 +689,9 @@
                 cold.did(self.now, &action, WORK as f64)?;
             }
             match action {
-                Action::Send { request, server, .. } => {
+                Action::Send {
+                    request, server, ..
+                } => {
                     let attempt = self.attempts.entry(request).or_default();
                     self.out[instance].push((request, *attempt, server, self.now));
                     *attempt += 1;
@@ -551,14 +706,29 @@
     fn come(&mut self, instance: usize) -> Broken {
         self.next += 1;
         let (id, time_left, cost) = (self.next, 1_200 * MS, Some(WORK));
-        let new = NewRequest { id, class: 0, tenant: 0, key: None, time_left, cost, repeat: false };
+        let new = NewRequest {
+            id,
+            class: 0,
+            tenant: 0,
+            key: None,
+            time_left,
+            cost,
+            repeat: false,
+        };
         self.event(instance, Event::Request(new))
     }
 
     fn all_end(&mut self, instance: usize, outcome: Outcome) -> Broken {
         for (request, attempt, server, sent) in std::mem::take(&mut self.out[instance]) {
             let (elapsed, ended) = (self.now - sent, outcome == Outcome::Ok);
-            let closed = Closed { request, attempt, server, outcome, elapsed, ended };
+            let closed = Closed {
+                request,
+                attempt,
+                server,
+                outcome,
+                elapsed,
+                ended,
+            };
             self.event(instance, Event::Closed(closed))?;
         }
         Ok(())
@@ -571,8 +741,14 @@
 
     fn pass(&mut self, until: Micros) -> Broken {
         loop {
-            let due = self.timers.iter().enumerate().min_by_key(|(at, timer)| (timer.0, *at));
-            let Some((at, (when, ..))) = due.filter(|(_, timer)| timer.0 <= until) else { break };
+            let due = self
+                .timers
+                .iter()
+                .enumerate()
+                .min_by_key(|(at, timer)| (timer.0, *at));
+            let Some((at, (when, ..))) = due.filter(|(_, timer)| timer.0 <= until) else {
+                break;
+            };
             self.now = self.now.max(*when);
             let (_, instance, timer) = self.timers.swap_remove(at);
             self.event(instance, Event::Timer(timer))?;
@@ -589,11 +765,25 @@
     fn new() -> Self {
         let mut settings = settings(&[Effect::Safe]);
         settings.group_size = 2;
-        settings.rules = Rules { cold_from: 0.3, cold: 800 * MS, fall: 100 * MS, ..settings.rules };
+        settings.rules = Rules {
+            cold_from: 0.3,
+            cold: 800 * MS,
+            fall: 100 * MS,
+            ..settings.rules
+        };
         let instances = [11, 12].map(|seed| Balancer::new(settings.clone(), seed).expect("sound"));
         let (timers, out) = (Vec::new(), Default::default());
         let (attempts, now) = (BTreeMap::new(), 1_000 * S);
-        let mut two = Two { instances, now, timers, out, attempts, next: 0, cold: None, drains: false };
+        let mut two = Two {
+            instances,
+            now,
+            timers,
+            out,
+            attempts,
+            next: 0,
+            cold: None,
+            drains: false,
+        };
         let mut begin = || {
             two.both(&fleet(2))?;
             for _ in 0..40 {
@@ -605,7 +795,13 @@
             }
             let (started, server) = (two.now, ServerId(1));
             let sent = Vec::new();
-            two.cold = Some(Cold { server, started, rules: settings.rules, warm: 1.0, sent });
+            two.cold = Some(Cold {
+                server,
+                started,
+                rules: settings.rules,
+                warm: 1.0,
+                sent,
+            });
             two.both(&[as_listed(1, ServerState::Ready, Some(started))])
         };
         begin().expect("it is a beginning");
@@ -613,7 +809,11 @@
     }
 
     fn moves(&self) -> Vec<Rush> {
-        let mut moves = vec![Rush::WarmOneDrains(!self.drains), Rush::Past(60 * MS), Rush::Past(500 * MS)];
+        let mut moves = vec![
+            Rush::WarmOneDrains(!self.drains),
+            Rush::Past(60 * MS),
+            Rush::Past(500 * MS),
+        ];
         for instance in 0..2 {
             moves.push(Rush::Burst(instance));
             if !self.out[instance].is_empty() {
@@ -631,7 +831,11 @@
             Rush::TurnedAway(instance) => self.all_end(instance, Outcome::Full),
             Rush::WarmOneDrains(drains) => {
                 self.drains = drains;
-                let state = if drains { ServerState::Draining } else { ServerState::Ready };
+                let state = if drains {
+                    ServerState::Draining
+                } else {
+                    ServerState::Ready
+                };
                 self.both(&[as_listed(0, state, None)])
             }
             Rush::Past(span) => self.pass(self.now + span),
--- a/crates/balancer/tests/levels.rs
+++ b/crates/balancer/tests/levels.rs
@@ -6,7 +6,15 @@
 
 fn asked_with(rig: &mut Rig, id: RequestId, class: u32, key: Option<u64>) -> Vec<Action> {
     let time_left = 1_200 * MS;
-    rig.event(Event::Request(NewRequest { id, class, tenant: 0, key, time_left, cost: None, repeat: false }))
+    rig.event(Event::Request(NewRequest {
+        id,
+        class,
+        tenant: 0,
+        key,
+        time_left,
+        cost: None,
+        repeat: false,
+    }))
 }
 
 fn two_classes() -> Settings {
@@ -17,7 +25,10 @@
 
 #[test]
 fn a_class_is_turned_away_by_its_keys_the_same_at_every_instance() {
-    let reduced = Reduced { away: vec![0.3], ..Reduced::default() };
+    let reduced = Reduced {
+        away: vec![0.3],
+        ..Reduced::default()
+    };
     let away = |seed: usize| {
         let mut rig = Rig::new(two_classes(), &fleet(4));
         // Another past, and so other random numbers.
@@ -32,7 +43,13 @@
                 Some(server) => drop(rig.close(id, 0, server, Outcome::Ok, 20 * MS)),
                 None => {
                     let retry_after = Some(2 * S);
-                    assert_eq!(actions, [Action::Refuse { request: id, retry_after }]);
+                    assert_eq!(
+                        actions,
+                        [Action::Refuse {
+                            request: id,
+                            retry_after
+                        }]
+                    );
                     away.push(key);
                 }
             }
@@ -41,14 +58,22 @@
         away
     };
     let first = away(0);
-    assert!((500..700).contains(&first.len()), "{} of 2,000", first.len());
+    assert!(
+        (500..700).contains(&first.len()),
+        "{} of 2,000",
+        first.len()
+    );
     assert_eq!(first, away(3));
 }
 
 #[test]
 fn requests_without_a_key_go_by_chance_and_other_classes_and_the_worthy_stay() {
     let mut rig = Rig::new(two_classes(), &fleet(4));
-    rig.event(Event::Level(&Reduced { away: vec![0.5, 1.0], spare_worth: 5.0, ..Reduced::default() }));
+    rig.event(Event::Level(&Reduced {
+        away: vec![0.5, 1.0],
+        spare_worth: 5.0,
+        ..Reduced::default()
+    }));
     let served = |rig: &mut Rig, class| {
         let served = (0..1_000).filter(|_| {
             rig.now += 50 * MS;
@@ -59,7 +84,10 @@
     let first = served(&mut rig, 0);
     assert!((450..550).contains(&first), "{first} of 1,000");
     assert_eq!(served(&mut rig, 1), 1_000, "it is worthy");
-    rig.event(Event::Level(&Reduced { away: vec![0.0, 1.0], ..Reduced::default() }));
+    rig.event(Event::Level(&Reduced {
+        away: vec![0.0, 1.0],
+        ..Reduced::default()
+    }));
     assert_eq!((served(&mut rig, 0), served(&mut rig, 1)), (1_000, 0));
     rig.event(Event::Level(&Reduced::default()));
     assert_eq!(served(&mut rig, 1), 1_000, "all is well again at once");
@@ -69,19 +97,27 @@
 fn what_is_left_of_the_retry_budget_is_what_the_level_says() {
     for (retries, least, most) in [(1.0, 15, 200), (0.1, 1, 5), (0.0, 0, 0)] {
         let mut rig = Rig::new(settings(&[Effect::Safe]), &fleet(8));
-        rig.event(Event::Level(&Reduced { retries, ..Reduced::default() }));
+        rig.event(Event::Level(&Reduced {
+            retries,
+            ..Reduced::default()
+        }));
         let mut again = 0;
         for _ in 0..100 {
             rig.now += 50 * MS;
             let (id, actions) = rig.request(0);
-            let Some(server) = sent(&actions) else { continue };
+            let Some(server) = sent(&actions) else {
+                continue;
+            };
             let next = rig.close(id, 0, server, Outcome::Full, MS);
             if let Some(second) = sent(&next) {
                 again += 1;
                 rig.close(id, 1, second, Outcome::Ok, 20 * MS);
             }
         }
-        assert!((least..=most).contains(&again), "{again} retries where {retries} of the budget are left");
+        assert!(
+            (least..=most).contains(&again),
+            "{again} retries where {retries} of the budget are left"
+        );
     }
 }
 
@@ -91,7 +127,11 @@
     (set.limits.probes, set.group_size) = (true, 40);
     let mut rig = Rig::new(set, &fleet(8));
     assert!(!asked(&rig.request(0).1).is_empty(), "usually it asks");
-    rig.event(Event::Level(&Reduced { probes: false, patience: 0.5, ..Reduced::default() }));
+    rig.event(Event::Level(&Reduced {
+        probes: false,
+        patience: 0.5,
+        ..Reduced::default()
+    }));
     let start = rig.now;
     let (id, mut actions) = rig.request(0);
     assert!(asked(&actions).is_empty() && sent(&actions).is_some());
@@ -99,5 +139,8 @@
         actions = rig.timer(at, id);
     }
     let waited = rig.now - start;
-    assert!(failed(&actions) && (590 * MS..=600 * MS).contains(&waited), "given up after {waited} us");
+    assert!(
+        failed(&actions) && (590 * MS..=600 * MS).contains(&waited),
+        "given up after {waited} us"
+    );
 }
