--- a/crates/balancer/tests/mechanism.rs
+++ b/crates/balancer/tests/mechanism.rs
@@ -11,7 +11,10 @@
     rig.spread(600, elapsed);
     let spread = rig.spread(600, elapsed);
     let slow = spread.get(&ServerId(0)).copied().unwrap_or(0);
-    assert!(slow > 0 && slow < 90, "a server four times slower got {slow} of 600");
+    assert!(
+        slow > 0 && slow < 90,
+        "a server four times slower got {slow} of 600"
+    );
 }
 
 #[test]
@@ -19,8 +22,15 @@
     let mut rig = Rig::new(settings(&[Effect::Safe]), &fleet(6));
     let mut servers = std::collections::BTreeSet::new();
     for id in 1_000..1_020 {
-        let new =
-            NewRequest { id, class: 0, tenant: 0, key: Some(42), time_left: S, cost: None, repeat: false };
+        let new = NewRequest {
+            id,
+            class: 0,
+            tenant: 0,
+            key: Some(42),
+            time_left: S,
+            cost: None,
+            repeat: false,
+        };
         let server = sent(&rig.event(Event::Request(new))).expect("sent");
         rig.close(id, 0, server, Outcome::Ok, 20 * MS);
         servers.insert(server);
@@ -55,7 +65,10 @@
             rig.close(id, 0, server, Outcome::Ok, 20 * MS);
         }
     }
-    assert!(!hung.is_empty() && later == 0, "{later} requests went to a server silent for two seconds");
+    assert!(
+        !hung.is_empty() && later == 0,
+        "{later} requests went to a server silent for two seconds"
+    );
 }
 
 #[test]
@@ -85,9 +98,16 @@
     let mut set = settings(&[Effect::Safe, Effect::Unsafe]);
     set.classes[1].aim = 1_200 * MS;
     let mut rig = Rig::new(set, &fleet(8));
-    let (mut short, mut long) = (std::collections::BTreeSet::new(), std::collections::BTreeSet::new());
+    let (mut short, mut long) = (
+        std::collections::BTreeSet::new(),
+        std::collections::BTreeSet::new(),
+    );
     for round in 0..1_000 {
-        let (kind, elapsed) = if round % 10 == 0 { (1, 900 * MS) } else { (0, 50 * MS) };
+        let (kind, elapsed) = if round % 10 == 0 {
+            (1, 900 * MS)
+        } else {
+            (0, 50 * MS)
+        };
         if let Some(server) = rig.serve(kind, elapsed).filter(|_| round >= 900) {
             if kind == 1 {
                 long.insert(server)
@@ -97,7 +117,10 @@
         }
     }
     assert!(!long.is_empty() && !short.is_empty());
-    assert!(short.is_disjoint(&long), "short requests wait behind long ones: {short:?} {long:?}");
+    assert!(
+        short.is_disjoint(&long),
+        "short requests wait behind long ones: {short:?} {long:?}"
+    );
 }
 
 #[test]
@@ -105,16 +128,26 @@
     let mut rig = Rig::new(settings(&[Effect::Safe]), &fleet(4));
     rig.spread(100, |_| 170 * MS);
     let early = (0..100).filter(|_| refused(&rig.request(0).1)).count();
-    let logged = rig.actions.iter().filter(|a| **a == Action::Log(Note::Overload(0))).count();
+    let logged = rig
+        .actions
+        .iter()
+        .filter(|a| **a == Action::Log(Note::Overload(0)))
+        .count();
     assert_eq!(logged, 1, "one line for the stretch");
-    assert!(early > 80, "only {early} of a burst of 100 were refused though answers are slow");
+    assert!(
+        early > 80,
+        "only {early} of a burst of 100 were refused though answers are slow"
+    );
 }
 
 #[test]
 fn a_start_is_not_taken_for_overload() {
     let mut rig = Rig::new(settings(&[Effect::Safe]), &fleet(4));
     let early = rig.stream(200, 10 * MS, 150 * MS, |_| (0, 0));
-    assert!(!early.contains(&true), "answers take less than half the aim, as many as come");
+    assert!(
+        !early.contains(&true),
+        "answers take less than half the aim, as many as come"
+    );
 }
 
 #[test]
@@ -124,7 +157,12 @@
     let mut rig = Rig::new(settings, &fleet(4));
     let early = rig.stream(1_000, 10 * MS, 170 * MS, |i| (i as u32 % 2, 0));
     let lost = |class| early.iter().skip(class).step_by(2).filter(|e| **e).count();
-    assert!(lost(0) < 25 && lost(1) > 100, "refused {} of 500 and {} of 500", lost(0), lost(1));
+    assert!(
+        lost(0) < 25 && lost(1) > 100,
+        "refused {} of 500 and {} of 500",
+        lost(0),
+        lost(1)
+    );
 }
 
 /// On days whose aim is little over twice the work, a third of the lower class was refused from empty servers.
@@ -135,10 +173,16 @@
         settings.classes[0].worth = 3.0;
         let mut rig = Rig::new(settings, &fleet(8));
         rig.hint = Some(150 * MS);
-        rig.stream(1_000, 10 * MS, elapsed, |i| (i as u32 % 2, 0)).into_iter().filter(|e| *e).count()
+        rig.stream(1_000, 10 * MS, elapsed, |i| (i as u32 % 2, 0))
+            .into_iter()
+            .filter(|e| *e)
+            .count()
     };
     let (work, queued) = (lost(150 * MS), lost(300 * MS));
-    assert!(work < 10 && queued > 200, "refused {work} of 1000 as hinted, {queued} at twice that");
+    assert!(
+        work < 10 && queued > 200,
+        "refused {work} of 1000 as hinted, {queued} at twice that"
+    );
 }
 
 /// An embedder whose requests tell nothing of their work is not let off: what is slow may be a queue.
@@ -156,13 +200,18 @@
     settings.tenants = vec![Tenant { quota: 100.0 }, Tenant { quota: 100.0 }];
     let lost = |of_ten: usize, elapsed| {
         let mut rig = Rig::new(settings.clone(), &fleet(4));
-        let early = rig.stream(1_000, 10 * MS, elapsed, |i| (0, u32::from(i * 7 % 10 >= of_ten)));
+        let early = rig.stream(1_000, 10 * MS, elapsed, |i| {
+            (0, u32::from(i * 7 % 10 >= of_ten))
+        });
         let mine = |tenant| move |i: &usize| (i * 7 % 10 >= of_ten) == (tenant == 1);
         [0, 1].map(|t| (0..1_000).filter(mine(t)).filter(|i| early[*i]).count())
     };
     let (near, far) = (lost(6, 140 * MS), lost(9, 190 * MS));
     assert!(near[0] < 60, "{near:?} refused of 600 and 400");
-    assert!(far[0] > 120 && far[1] < 20, "{far:?} refused of 900 and 100");
+    assert!(
+        far[0] > 120 && far[1] < 20,
+        "{far:?} refused of 900 and 100"
+    );
 }
 
 #[test]
@@ -171,7 +220,10 @@
     let early = rig.stream(300, 10 * MS, 80 * MS, |_| (0, 0));
     assert!(!early.contains(&true));
     let taken = (0..200).filter(|_| !refused(&rig.request(0).1)).count();
-    assert!((12..40).contains(&taken), "{taken} taken at once where 40 are served in an aim");
+    assert!(
+        (12..40).contains(&taken),
+        "{taken} taken at once where 40 are served in an aim"
+    );
 }
 
 /// Twenty at a time, each over after 140 ms as `end` says of its place; gives back how many were refused early.
@@ -194,8 +246,18 @@
 #[test]
 fn failures_are_not_taken_for_a_queue() {
     let mut rig = Rig::new(settings(&[Effect::Unsafe]), &fleet(4));
-    let end = |place| if place % 4 == 0 { Outcome::Reset } else { Outcome::Ok };
-    assert_eq!(in_batches(&mut rig, 40, end), 0, "refused though nothing waits");
+    let end = |place| {
+        if place % 4 == 0 {
+            Outcome::Reset
+        } else {
+            Outcome::Ok
+        }
+    };
+    assert_eq!(
+        in_batches(&mut rig, 40, end),
+        0,
+        "refused though nothing waits"
+    );
 }
 
 /// The delay was a mean over ten answers: among hundreds a second, a pause of one server closed the gate.
@@ -203,8 +265,18 @@
 fn some_late_answers_among_many_are_no_slow_service() {
     let mut rig = Rig::new(settings(&[Effect::Unsafe]), &fleet(4));
     in_batches(&mut rig, 40, |_| Outcome::Ok);
-    in_batches(&mut rig, 1, |place| if place < 4 { Outcome::Ok } else { Outcome::Timeout });
-    assert_eq!(in_batches(&mut rig, 1, |_| Outcome::Ok), 0, "refused for one bad moment");
+    in_batches(&mut rig, 1, |place| {
+        if place < 4 {
+            Outcome::Ok
+        } else {
+            Outcome::Timeout
+        }
+    });
+    assert_eq!(
+        in_batches(&mut rig, 1, |_| Outcome::Ok),
+        0,
+        "refused for one bad moment"
+    );
 }
 
 /// A heavy request went to a slow server, which answers it after the aim, as soon as light ones did.
@@ -232,7 +304,10 @@
         });
         went.count()
     };
-    assert!(at_slow(20 * MS, 600) > 20, "it has its share of what it can do in time");
+    assert!(
+        at_slow(20 * MS, 600) > 20,
+        "it has its share of what it can do in time"
+    );
     let late = at_slow(180 * MS, 300);
     assert!(late < 8, "{late} of 300 were late for where they went");
 }
@@ -266,14 +341,28 @@
 fn a_repeat_that_is_past_the_aim_is_refused() {
     let mut rig = Rig::new(settings(&[Effect::Safe]), &fleet(4));
     let mut ask = |id, time_left, repeat| {
-        let new = NewRequest { id, class: 0, tenant: 0, key: None, time_left, cost: None, repeat };
+        let new = NewRequest {
+            id,
+            class: 0,
+            tenant: 0,
+            key: None,
+            time_left,
+            cost: None,
+            repeat,
+        };
         refused(&rig.event(Event::Request(new)))
     };
     assert!(!ask(1, 900 * MS, false));
     assert!(!ask(2, 900 * MS, true), "its age is not known");
     assert!(!ask(3, 850 * MS, true), "350 ms old, the aim is 400 ms");
-    assert!(ask(4, 700 * MS, true), "500 ms old: nobody gains by an answer");
-    assert!(!ask(5, 700 * MS, false), "a first try with little patience is served");
+    assert!(
+        ask(4, 700 * MS, true),
+        "500 ms old: nobody gains by an answer"
+    );
+    assert!(
+        !ask(5, 700 * MS, false),
+        "a first try with little patience is served"
+    );
 }
 
 #[test]
@@ -283,7 +372,9 @@
     let (mut bad, mut all) = (0, 0);
     for round in 0..1_200 {
         let (id, actions) = rig.request(0);
-        let Some(server) = sent(&actions) else { continue };
+        let Some(server) = sent(&actions) else {
+            continue;
+        };
         let fails = server == ServerId(3) && all % 3 != 0;
         rig.now += if fails { MS } else { 40 * MS };
         if server == ServerId(3) {
@@ -306,7 +397,11 @@
 /// Eight servers, and a second class with time for long work.
 fn short_and_long() -> Rig {
     let mut settings = settings(&[Effect::Safe, Effect::Safe]);
-    settings.classes[1] = Class { aim: 2 * S, deadline: 4 * S, ..class(Effect::Safe) };
+    settings.classes[1] = Class {
+        aim: 2 * S,
+        deadline: 4 * S,
+        ..class(Effect::Safe)
+    };
     Rig::new(settings, &fleet(8))
 }
 
@@ -323,7 +418,10 @@
         for _ in 0..60 {
             rig.serve(0, 100 * MS);
         }
-        for (id, server) in long.iter().filter_map(|(id, actions)| Some((*id, sent(actions)?))) {
+        for (id, server) in long
+            .iter()
+            .filter_map(|(id, actions)| Some((*id, sent(actions)?)))
+        {
             rig.close(id, 0, server, Outcome::Ok, 1_900 * MS);
             used.extend((round >= 40).then_some(server));
         }
@@ -395,10 +493,22 @@
     let mut rig = one_of_many_that_ask(0.0);
     let (id, actions) = rig.request(0);
     let probed = asked(&actions);
-    rig.event(Event::Probed(probed[0], Some(Report { held: 0.0, errors: 30.0 })));
+    rig.event(Event::Probed(
+        probed[0],
+        Some(Report {
+            held: 0.0,
+            errors: 30.0,
+        }),
+    ));
     rig.event(Event::Probed(probed[1], None));
     for server in &probed[2..] {
-        rig.event(Event::Probed(*server, Some(Report { held: 5.0, errors: 0.0 })));
+        rig.event(Event::Probed(
+            *server,
+            Some(Report {
+                held: 5.0,
+                errors: 0.0,
+            }),
+        ));
     }
     let at = timer_at(&actions).expect("held until the probes are in");
     let server = sent(&rig.timer(at, id)).expect("sent");
@@ -424,17 +534,35 @@
 #[test]
 fn a_kind_of_machine_that_was_slow_elsewhere_gets_less_before_it_was_tried() {
     let kinds = |servers: std::ops::Range<u64>| -> Vec<Listed> {
-        servers.map(|n| Listed { kind: (n % 2) as u32, ..listed(n) }).collect()
+        servers
+            .map(|n| Listed {
+                kind: (n % 2) as u32,
+                ..listed(n)
+            })
+            .collect()
     };
     let mut rig = Rig::new(settings(&[Effect::Safe]), &kinds(0..4));
-    rig.spread(200, |server| if server.0 % 2 == 0 { 20 * MS } else { 100 * MS });
+    rig.spread(
+        200,
+        |server| if server.0 % 2 == 0 { 20 * MS } else { 100 * MS },
+    );
     // Others of the same kinds take their place; all take the same time from now on.
     rig.now += S;
     rig.event(Event::Members(Members::Changes(&kinds(4..20))));
     let count = rig.spread(60, |_| 20 * MS);
-    let new =
-        |odd: u64| -> u32 { count.iter().filter(|(s, _)| s.0 >= 4 && s.0 % 2 == odd).map(|(_, n)| *n).sum() };
-    assert!(new(0) > 2 * new(1), "{} of the fast kind, {} of the slow", new(0), new(1));
+    let new = |odd: u64| -> u32 {
+        count
+            .iter()
+            .filter(|(s, _)| s.0 >= 4 && s.0 % 2 == odd)
+            .map(|(_, n)| *n)
+            .sum()
+    };
+    assert!(
+        new(0) > 2 * new(1),
+        "{} of the fast kind, {} of the slow",
+        new(0),
+        new(1)
+    );
 }
 
 #[test]
@@ -478,14 +606,21 @@
         to
     };
     for id in 10_001..10_010 {
-        assert_eq!(heavy(&mut rig, id), ServerId(0), "the others need three times as long");
+        assert_eq!(
+            heavy(&mut rig, id),
+            ServerId(0),
+            "the others need three times as long"
+        );
     }
 }
 
 #[test]
 fn dear_probes_are_fewer_and_too_dear_ones_none() {
     let probes = |price| asked(&one_of_many_that_ask(price).request(0).1).len();
-    assert_eq!([probes(0.0), probes(0.002), probes(0.01), probes(0.5)], [3, 3, 2, 0]);
+    assert_eq!(
+        [probes(0.0), probes(0.002), probes(0.01), probes(0.5)],
+        [3, 3, 2, 0]
+    );
 }
 
 /// Four servers, of which those named lose every third answer; how many of the last 600 went to each.
@@ -512,16 +647,26 @@
 fn what_must_not_run_twice_keeps_to_servers_that_lose_nothing_and_what_may_uses_the_others_too() {
     let at_lossy = |effect| {
         let count = with_losses(effect, &[2, 3]).1;
-        count.iter().filter(|(s, _)| s.0 >= 2).map(|(_, n)| *n).sum::<u32>()
+        count
+            .iter()
+            .filter(|(s, _)| s.0 >= 2)
+            .map(|(_, n)| *n)
+            .sum::<u32>()
     };
     let (never, again) = (at_lossy(Effect::Unsafe), at_lossy(Effect::Safe));
-    assert!(never < 60 && again > 120, "{never} and {again} of 600 went where a third is lost");
+    assert!(
+        never < 60 && again > 120,
+        "{never} and {again} of 600 went where a third is lost"
+    );
 }
 
 #[test]
 fn where_all_lose_alike_none_is_avoided() {
     let count = with_losses(Effect::Unsafe, &[0, 1, 2, 3]).1;
-    assert!(count.len() == 4 && count.values().all(|n| *n > 30), "{count:?} of 600");
+    assert!(
+        count.len() == 4 && count.values().all(|n| *n > 30),
+        "{count:?} of 600"
+    );
 }
 
 /// Two connections lost in a row eject a server; one that loses a third does that all the time, and half of such a
@@ -536,7 +681,11 @@
             let (id, actions) = rig.request(0);
             let server = sent(&actions).expect("sent");
             rig.now += 40 * MS;
-            let outcome = if server.0 == 3 { Outcome::Reset } else { Outcome::Ok };
+            let outcome = if server.0 == 3 {
+                Outcome::Reset
+            } else {
+                Outcome::Ok
+            };
             run += u32::from(server.0 == 3);
             if let Some(other) = sent(&rig.close(id, 0, server, outcome, 40 * MS)) {
                 rig.close(id, 1, other, Outcome::Ok, 40 * MS);
@@ -555,7 +704,11 @@
 fn a_server_that_never_answered_is_not_held_for_one_that_loses_a_part() {
     let mut rig = Rig::new(settings(&[Effect::Safe]), &fleet(4));
     let mut errors = 0;
-    while !rig.actions.iter().any(|a| matches!(a, Action::Log(Note::Ejected(ServerId(3), _)))) {
+    while !rig
+        .actions
+        .iter()
+        .any(|a| matches!(a, Action::Log(Note::Ejected(ServerId(3), _))))
+    {
         let (id, actions) = rig.request(0);
         let server = sent(&actions).expect("sent");
         rig.now += 400 * MS;
@@ -580,7 +733,11 @@
             let Some(server) = sent(&actions) else { break };
             rig.now += 40 * MS;
             sends += 1;
-            let outcome = if sends % 3 == 0 { Outcome::Reset } else { Outcome::Ok };
+            let outcome = if sends % 3 == 0 {
+                Outcome::Reset
+            } else {
+                Outcome::Ok
+            };
             actions = rig.close(id, attempt, server, outcome, 40 * MS);
             unserved += u32::from(refused(&actions));
         }
@@ -592,7 +749,11 @@
 #[test]
 fn one_of_many_instances_that_asks_nobody_keeps_to_few_servers_and_all_together_use_all() {
     let mut settings = settings(&[Effect::Safe]);
-    (settings.group_size, settings.limits.probes, settings.prices.probe) = (100, true, 0.08);
+    (
+        settings.group_size,
+        settings.limits.probes,
+        settings.prices.probe,
+    ) = (100, true, 0.08);
     let mut users = std::collections::BTreeMap::new();
     for seed in 0..100 {
         let mut rig = Rig::seeded(settings.clone(), seed, &fleet(60));
@@ -602,7 +763,8 @@
             used.extend(rig.serve(0, 66 * MS));
         }
         assert!(used.len() <= 16, "one uses {} servers", used.len());
-        used.into_iter().for_each(|server| *users.entry(server).or_insert(0) += 1);
+        used.into_iter()
+            .for_each(|server| *users.entry(server).or_insert(0) += 1);
     }
     assert_eq!(users.len(), 60, "servers that nobody uses");
     let most = users.values().copied().max().unwrap_or(0);
--- a/crates/balancer/tests/memory.rs
+++ b/crates/balancer/tests/memory.rs
@@ -9,7 +9,9 @@
     let mut rig = Rig::new(settings(&[Effect::Safe]), &fleet(4));
     for _ in 0..300 {
         let (id, actions) = rig.request(0);
-        let Some(server) = sent(&actions) else { continue };
+        let Some(server) = sent(&actions) else {
+            continue;
+        };
         let (outcome, elapsed) = match server.0 {
             0 => (Outcome::Error, 5 * MS),
             1 => (Outcome::Ok, 80 * MS),
@@ -32,11 +34,19 @@
     rig.now = now;
     rig.balancer.recall_classes(memory);
     assert!(
-        memory.servers.iter().all(|server| !rig.balancer.recall_server(now, server)),
+        memory
+            .servers
+            .iter()
+            .all(|server| !rig.balancer.recall_server(now, server)),
         "none is listed yet"
     );
     rig.event(Event::Members(Members::Full(servers)));
-    assert!(memory.servers.iter().all(|server| rig.balancer.recall_server(now, server)));
+    assert!(
+        memory
+            .servers
+            .iter()
+            .all(|server| rig.balancer.recall_server(now, server))
+    );
     rig
 }
 
@@ -44,15 +54,27 @@
 fn the_next_instance_knows_what_the_last_one_measured() {
     let rig = experienced();
     let memory = rig.balancer.memory(rig.now);
-    assert!(memory.servers[0].failures > 0 && memory.servers[0].ejection > 0, "{memory:?}");
+    assert!(
+        memory.servers[0].failures > 0 && memory.servers[0].ejection > 0,
+        "{memory:?}"
+    );
     let mut warm = next(&memory, &fleet(4), rig.now);
     assert_eq!(warm.balancer.memory(rig.now), memory);
     // Once more changes nothing.
-    assert!(warm.balancer.recall_server(rig.now, &ServerMemory { work: 1.0, ..memory.servers[1] }));
+    assert!(warm.balancer.recall_server(
+        rig.now,
+        &ServerMemory {
+            work: 1.0,
+            ..memory.servers[1]
+        }
+    ));
     assert_eq!(warm.balancer.memory(rig.now), memory);
     let spread = warm.spread(100, |_| 5 * MS);
     let got = |server: u64| spread.get(&ServerId(server)).copied().unwrap_or(0);
-    assert!(got(0) <= 5 && got(1) < got(2) && got(1) < got(3), "{spread:?}");
+    assert!(
+        got(0) <= 5 && got(1) < got(2) && got(1) < got(3),
+        "{spread:?}"
+    );
     let mut cold = Rig::new(settings(&[Effect::Safe]), &fleet(4));
     assert!(cold.spread(100, |_| 5 * MS)[&ServerId(0)] > 10);
 }
@@ -66,11 +88,17 @@
     memory.servers[1].work = f64::NAN;
     memory.servers[2].time = -1.0;
     memory.servers[3].ejected = u64::MAX;
-    memory.classes[0] = ClassMemory { usual: 0.0, slow: f64::INFINITY };
+    memory.classes[0] = ClassMemory {
+        usual: 0.0,
+        slow: f64::INFINITY,
+    };
     memory.means = (f64::NAN, -1.0);
     let next = next(&memory, &servers, rig.now);
     let kept = next.balancer.memory(rig.now);
-    assert_eq!(kept.servers.iter().map(|s| s.server.0).collect::<Vec<_>>(), [3]);
+    assert_eq!(
+        kept.servers.iter().map(|s| s.server.0).collect::<Vec<_>>(),
+        [3]
+    );
     assert!(kept.servers[0].ejected <= 60 * S, "no ejection is for good");
     let fresh = Rig::new(settings(&[Effect::Safe]), &[]).balancer.memory(0);
     assert_eq!((kept.classes, kept.means), (fresh.classes, fresh.means));
--- a/crates/balancer/tests/random.rs
+++ b/crates/balancer/tests/random.rs
@@ -33,7 +33,9 @@
 impl Open {
     /// The first attempt that may have run, if there is one.
     fn run(&self) -> Option<&Sent> {
-        self.sends.iter().find(|s| !s.outcome.is_some_and(Outcome::proves_not_run))
+        self.sends
+            .iter()
+            .find(|s| !s.outcome.is_some_and(Outcome::proves_not_run))
     }
 }
 
@@ -55,11 +57,22 @@
         let now = self.rig.now;
         for action in actions {
             match action {
-                Action::Send { request, server, timeout_at, .. } => {
-                    assert!(self.ready[&server], "sent to a server that drains or is gone");
+                Action::Send {
+                    request,
+                    server,
+                    timeout_at,
+                    ..
+                } => {
+                    assert!(
+                        self.ready[&server],
+                        "sent to a server that drains or is gone"
+                    );
                     let open = self.open.get_mut(&request).expect("known");
                     assert!(!open.over, "sent after the request's end");
-                    assert!(open.sends.iter().all(|s| s.outcome.is_some()), "two attempts out");
+                    assert!(
+                        open.sends.iter().all(|s| s.outcome.is_some()),
+                        "two attempts out"
+                    );
                     if let Some(first) = open.run() {
                         assert!(self.reduced.retries > 0.0, "a retry where none is left");
                         match open.effect {
@@ -72,23 +85,35 @@
                             }
                         }
                     }
-                    open.sends.push(Sent { server, at: now, timeout_at, outcome: None });
+                    open.sends.push(Sent {
+                        server,
+                        at: now,
+                        timeout_at,
+                        outcome: None,
+                    });
                     assert!(open.sends.len() <= 4);
                 }
                 Action::Refuse { request, .. } => {
                     let open = self.open.get_mut(&request).expect("known");
-                    assert!(!std::mem::replace(&mut open.over, true), "two final answers");
+                    assert!(
+                        !std::mem::replace(&mut open.over, true),
+                        "two final answers"
+                    );
                     assert!(now <= open.deadline);
                     let safe = open.effect == Effect::Safe;
                     assert!(safe || open.run().is_none(), "refused what may have run");
                 }
                 Action::Fail { request } => {
                     let open = self.open.get_mut(&request).expect("known");
-                    assert!(!std::mem::replace(&mut open.over, true), "two final answers");
+                    assert!(
+                        !std::mem::replace(&mut open.over, true),
+                        "two final answers"
+                    );
                     assert!(now <= open.deadline + 20 * MS);
                 }
                 Action::Cancel { request, attempt } => {
-                    let sent = &mut self.open.get_mut(&request).expect("known").sends[attempt as usize];
+                    let sent =
+                        &mut self.open.get_mut(&request).expect("known").sends[attempt as usize];
                     sent.timeout_at = sent.timeout_at.min(now);
                 }
                 Action::SetTimer { at, timer } => self.timers.push((at, timer)),
@@ -120,19 +145,32 @@
                 1 => drop(self.rig.event(Event::Probed(server, None))),
                 _ => {
                     let held = self.random.rand_range(0..20) as f64;
-                    self.rig.event(Event::Probed(server, Some(Report { held, errors: 0.0 })));
+                    self.rig
+                        .event(Event::Probed(server, Some(Report { held, errors: 0.0 })));
                 }
             }
         }
         for _ in 0..self.random.rand_range(0..4) {
             let class = self.random.rand_range(0..effects.len() as u64) as u32;
             let deadline = now + 1_200 * MS;
-            let open = Open { effect: effects[class as usize], deadline, sends: Vec::new(), over: false };
+            let open = Open {
+                effect: effects[class as usize],
+                deadline,
+                sends: Vec::new(),
+                over: false,
+            };
             // The driver numbers requests in the order they come.
             self.open.insert(self.open.len() as u64 + 1, open);
             let (id, actions) = self.rig.request(class);
-            if self.reduced.away.get(class as usize) == Some(&1.0) && self.reduced.spare_worth > 1.0 {
-                assert_eq!(actions, [Action::Refuse { request: id, retry_after: Some(2 * S) }]);
+            if self.reduced.away.get(class as usize) == Some(&1.0) && self.reduced.spare_worth > 1.0
+            {
+                assert_eq!(
+                    actions,
+                    [Action::Refuse {
+                        request: id,
+                        retry_after: Some(2 * S)
+                    }]
+                );
             }
             self.carry_out(actions);
         }
@@ -154,18 +192,31 @@
                 open.over |= ended;
                 open.sends[at].outcome = Some(outcome);
                 let attempt = at as u32;
-                let closed = Closed { request: id, attempt, server, outcome, elapsed, ended };
+                let closed = Closed {
+                    request: id,
+                    attempt,
+                    server,
+                    outcome,
+                    elapsed,
+                    ended,
+                };
                 let actions = self.rig.event(Event::Closed(closed));
                 self.carry_out(actions);
             }
         }
         for (id, open) in &self.open {
-            assert!(open.over || now <= open.deadline + 20 * MS, "request {id} was never answered");
+            assert!(
+                open.over || now <= open.deadline + 20 * MS,
+                "request {id} was never answered"
+            );
         }
         if self.levels > 0 && self.random.rand_range(0..self.levels.into()) == 0 {
-            let share =
-                |random: &mut Rand64| [0.0, random.rand_float(), 1.0][random.rand_range(0..3) as usize];
-            let away = (0..self.random.rand_range(0..7)).map(|_| share(&mut self.random)).collect();
+            let share = |random: &mut Rand64| {
+                [0.0, random.rand_float(), 1.0][random.rand_range(0..3) as usize]
+            };
+            let away = (0..self.random.rand_range(0..7))
+                .map(|_| share(&mut self.random))
+                .collect();
             self.reduced = Reduced {
                 away,
                 spare_worth: [0.0, 1.0, f64::INFINITY][self.random.rand_range(0..3) as usize],
@@ -179,10 +230,16 @@
         if self.random.rand_range(0..40) == 0 {
             let server = self.random.rand_range(0..8);
             let kind = self.random.rand_range(0..3);
-            let state = [ServerState::Ready, ServerState::Draining, ServerState::Gone][kind as usize];
+            let state =
+                [ServerState::Ready, ServerState::Draining, ServerState::Gone][kind as usize];
             let started = (self.random.rand_range(0..2) == 0).then_some(now);
-            self.ready.insert(ServerId(server), state == ServerState::Ready);
-            let change = Listed { state, started, ..listed(server) };
+            self.ready
+                .insert(ServerId(server), state == ServerState::Ready);
+            let change = Listed {
+                state,
+                started,
+                ..listed(server)
+            };
             let actions = self.rig.event(Event::Members(Members::Changes(&[change])));
             self.carry_out(actions);
         }
@@ -201,8 +258,17 @@
 
 /// With a change of level every so many steps; 0 for none.
 fn the_rules_hold(levels: u32) {
-    let keyed = |scope| Effect::Keyed { scope, window: 300 * MS };
-    let effects = [Effect::Safe, Effect::Unsafe, keyed(Scope::All), keyed(Scope::Zone), keyed(Scope::Cell)];
+    let keyed = |scope| Effect::Keyed {
+        scope,
+        window: 300 * MS,
+    };
+    let effects = [
+        Effect::Safe,
+        Effect::Unsafe,
+        keyed(Scope::All),
+        keyed(Scope::Zone),
+        keyed(Scope::Cell),
+    ];
     let mut served = 0;
     for seed in 0..24 {
         let mut set = settings(&effects);
@@ -219,15 +285,28 @@
         let random = Rand64::new(u128::from(seed));
         let (probed, open, timers) = (Vec::new(), BTreeMap::new(), Vec::new());
         let reduced = Reduced::default();
-        let mut world =
-            World { rig, random, probes, probed, open, timers, ready, served: 0, reduced, levels };
+        let mut world = World {
+            rig,
+            random,
+            probes,
+            probed,
+            open,
+            timers,
+            ready,
+            served: 0,
+            reduced,
+            levels,
+        };
         let first = std::mem::take(&mut world.rig.actions);
         world.carry_out(first);
         for _ in 0..600 {
             world.step(&effects);
         }
         // A level may turn away all, or wait for nothing, for a long while.
-        assert!(world.served > 0 || levels > 0, "seed {seed}: nothing was served");
+        assert!(
+            world.served > 0 || levels > 0,
+            "seed {seed}: nothing was served"
+        );
         served += world.served;
     }
     assert!(served > 100, "{served} were served");
--- a/crates/balancer/tests/retuned.rs
+++ b/crates/balancer/tests/retuned.rs
@@ -4,13 +4,25 @@
 use common::*;
 use madderloom_balancer::*;
 
-const KEYED: Effect = Effect::Keyed { scope: Scope::All, window: 4 * S };
+const KEYED: Effect = Effect::Keyed {
+    scope: Scope::All,
+    window: 4 * S,
+};
 
-fn retuned(classes: Vec<Class>, learned: &[Option<u32>], retired: &[bool], max_attempts: u32) -> Retuned {
+fn retuned(
+    classes: Vec<Class>,
+    learned: &[Option<u32>],
+    retired: &[bool],
+    max_attempts: u32,
+) -> Retuned {
     let mut settings = settings(&[]);
     settings.classes = classes;
     settings.limits.max_attempts = max_attempts;
-    Retuned { settings, learned: learned.to_vec(), retired: retired.to_vec() }
+    Retuned {
+        settings,
+        learned: learned.to_vec(),
+        retired: retired.to_vec(),
+    }
 }
 
 #[test]
@@ -19,15 +31,23 @@
     let (open, actions) = rig.request(0);
     let server = sent(&actions).expect("sent");
     // The class is to be repeated freely from now on, under another number, and never more than once.
-    let new =
-        retuned(vec![class(Effect::Unsafe), class(Effect::Safe)], &[Some(0), Some(0)], &[true, false], 2);
+    let new = retuned(
+        vec![class(Effect::Unsafe), class(Effect::Safe)],
+        &[Some(0), Some(0)],
+        &[true, false],
+        2,
+    );
     rig.event(Event::Settings(&new));
     rig.now += 10 * MS;
     let actions = rig.close(open, 0, server, Outcome::Error, 10 * MS);
-    assert!(actions.contains(&Action::Fail { request: open }), "{actions:?}");
+    assert!(
+        actions.contains(&Action::Fail { request: open }),
+        "{actions:?}"
+    );
     let (next, actions) = rig.request(1);
     let first = sent(&actions).expect("sent");
-    let second = sent(&rig.close(next, 0, first, Outcome::Error, 10 * MS)).expect("it may be repeated");
+    let second =
+        sent(&rig.close(next, 0, first, Outcome::Error, 10 * MS)).expect("it may be repeated");
     let actions = rig.close(next, 1, second, Outcome::Error, 10 * MS);
     assert!(sent(&actions).is_none(), "it was sent a third time");
 }
@@ -69,13 +89,23 @@
     assert!(actions.is_empty(), "{actions:?}");
     let whole = rig.now;
     let actions = rig.event(Event::Came(id));
-    let Some(Action::SetTimer { at, timer: Timer::Request(_) }) = actions.first() else {
+    let Some(Action::SetTimer {
+        at,
+        timer: Timer::Request(_),
+    }) = actions.first()
+    else {
         panic!("nothing ends it: {actions:?}");
     };
-    assert!(*at > whole && *at <= whole + 1_200 * MS, "{at} after {whole}");
+    assert!(
+        *at > whole && *at <= whole + 1_200 * MS,
+        "{at} after {whole}"
+    );
     rig.now = *at;
     let actions = rig.event(Event::Timer(Timer::Request(id)));
-    assert!(actions.contains(&Action::Fail { request: id }), "{actions:?}");
+    assert!(
+        actions.contains(&Action::Fail { request: id }),
+        "{actions:?}"
+    );
     let _ = server;
 }
 
@@ -88,5 +118,8 @@
     rig.event(Event::Spent(id));
     let actions = rig.close(id, 0, server, Outcome::Full, 10 * MS);
     assert!(sent(&actions).is_none());
-    assert!(matches!(actions[..], [.., Action::Refuse { .. }]), "{actions:?}");
+    assert!(
+        matches!(actions[..], [.., Action::Refuse { .. }]),
+        "{actions:?}"
+    );
 }
--- a/crates/balancer/tests/rules.rs
+++ b/crates/balancer/tests/rules.rs
@@ -4,7 +4,10 @@
 use common::*;
 use madderloom_balancer::*;
 
-const KEYED: Effect = Effect::Keyed { scope: Scope::Zone, window: 6 * S };
+const KEYED: Effect = Effect::Keyed {
+    scope: Scope::Zone,
+    window: 6 * S,
+};
 
 #[test]
 fn a_silent_server_costs_one_final_answer_before_the_deadline_and_nothing_follows() {
@@ -17,7 +20,10 @@
             actions = rig.timer(at, id);
             finals += u32::from(refused(&actions)) + u32::from(failed(&actions));
             assert!(!(failed(&actions) && effect == Effect::Safe));
-            assert!(!(refused(&actions) && effect != Effect::Safe), "it may have run");
+            assert!(
+                !(refused(&actions) && effect != Effect::Safe),
+                "it may have run"
+            );
         }
         assert_eq!(finals, 1);
         assert!(rig.now <= start + 1_200 * MS);
@@ -66,7 +72,9 @@
         while let Some(at) = timer_at(&actions).filter(|at| *at < over - left) {
             actions = rig.timer(at, id);
         }
-        let refused = actions.iter().any(|action| matches!(action, Action::Refuse { .. }));
+        let refused = actions
+            .iter()
+            .any(|action| matches!(action, Action::Refuse { .. }));
         rig.now = over - left;
         rig.event(Event::Members(Members::Full(&fleet(4))));
         let then = rig.timer(over - left, id);
@@ -94,7 +102,13 @@
     let (id, actions) = rig.request(0);
     let server = sent(&actions).expect("sent");
     let gone = rig.event(Event::ClientGone(id));
-    assert_eq!(gone, vec![Action::Cancel { request: id, attempt: 0 }]);
+    assert_eq!(
+        gone,
+        vec![Action::Cancel {
+            request: id,
+            attempt: 0
+        }]
+    );
     assert!(rig.close(id, 0, server, Outcome::Error, MS).is_empty());
 }
 
@@ -126,14 +140,30 @@
         let first = sent(&actions).expect("sent");
         let next = rig.close(id, 0, first, Outcome::Error, MS);
         let second = sent(&next).expect("a repeat in the group is discarded, so it may go");
-        assert_eq!(first.0 % 2, second.0 % 2, "the repeat crossed to another zone");
+        assert_eq!(
+            first.0 % 2,
+            second.0 % 2,
+            "the repeat crossed to another zone"
+        );
     }
-    let short = Effect::Keyed { scope: Scope::Zone, window: 100 * MS };
+    let short = Effect::Keyed {
+        scope: Scope::Zone,
+        window: 100 * MS,
+    };
     let mut rig = Rig::new(settings(&[short]), &fleet(4));
     let (id, actions) = rig.request(0);
     rig.now += 150 * MS;
-    let next = rig.close(id, 0, sent(&actions).expect("sent"), Outcome::Error, 150 * MS);
-    assert!(sent(&next).is_none() && failed(&next), "the group has forgotten the first attempt");
+    let next = rig.close(
+        id,
+        0,
+        sent(&actions).expect("sent"),
+        Outcome::Error,
+        150 * MS,
+    );
+    assert!(
+        sent(&next).is_none() && failed(&next),
+        "the group has forgotten the first attempt"
+    );
 }
 
 #[test]
@@ -155,14 +185,24 @@
 #[test]
 fn nothing_new_goes_to_a_server_that_drains_or_is_gone() {
     let mut rig = Rig::new(settings(&[Effect::Safe]), &fleet(4));
-    let draining = Listed { state: ServerState::Draining, ..listed(1) };
-    let gone = Listed { state: ServerState::Gone, ..listed(2) };
+    let draining = Listed {
+        state: ServerState::Draining,
+        ..listed(1)
+    };
+    let gone = Listed {
+        state: ServerState::Gone,
+        ..listed(2)
+    };
     rig.event(Event::Members(Members::Changes(&[draining, gone])));
     let spread = rig.spread(300, |_| 20 * MS);
     assert!(!spread.contains_key(&ServerId(1)) && !spread.contains_key(&ServerId(2)));
     rig.event(Event::Members(Members::Full(&[listed(0)])));
     let spread = rig.spread(50, |_| 20 * MS);
-    assert_eq!(spread.keys().collect::<Vec<_>>(), [&ServerId(0)], "absent from a full list means gone");
+    assert_eq!(
+        spread.keys().collect::<Vec<_>>(),
+        [&ServerId(0)],
+        "absent from a full list means gone"
+    );
 }
 
 #[test]
@@ -170,7 +210,10 @@
     // Every instance may send at once: each keeps to its own part, in a step and in a burst.
     let mut rig = Rig::new(settings(&[Effect::Safe]), &fleet(4));
     rig.spread(400, |_| 20 * MS);
-    let young = Listed { started: Some(rig.now), ..listed(9) };
+    let young = Listed {
+        started: Some(rig.now),
+        ..listed(9)
+    };
     rig.event(Event::Members(Members::Changes(&[young])));
     let mut cold = 0;
     let mut ids = Vec::new();
@@ -181,7 +224,10 @@
             ids.push((id, server));
         }
     }
-    assert!(cold <= 1, "a burst of 200 put {cold} on a server that has just started");
+    assert!(
+        cold <= 1,
+        "a burst of 200 put {cold} on a server that has just started"
+    );
     for (id, server) in ids {
         rig.close(id, 0, server, Outcome::Ok, 20 * MS);
     }
@@ -194,11 +240,25 @@
 fn a_lost_subscription_is_asked_for_again() {
     let mut rig = Rig::new(settings(&[Effect::Safe]), &fleet(4));
     let ask = |actions: &[Action]| {
-        actions.iter().any(|a| matches!(a, Action::SetTimer { timer: Timer::Discovery, .. }))
+        actions.iter().any(|a| {
+            matches!(
+                a,
+                Action::SetTimer {
+                    timer: Timer::Discovery,
+                    ..
+                }
+            )
+        })
     };
     assert!(ask(&rig.actions), "the list must be asked for");
-    assert_eq!(rig.event(Event::Timer(Timer::Discovery)), [Action::Subscribe]);
-    let failed = rig.event(Event::Members(Members::Failed { since: rig.now, waited: 0 }));
+    assert_eq!(
+        rig.event(Event::Timer(Timer::Discovery)),
+        [Action::Subscribe]
+    );
+    let failed = rig.event(Event::Members(Members::Failed {
+        since: rig.now,
+        waited: 0,
+    }));
     assert!(ask(&failed));
     let spread = rig.spread(20, |_| 20 * MS);
     assert!(!spread.is_empty(), "the old list serves on");
@@ -207,8 +267,14 @@
 #[test]
 fn a_fleet_that_is_all_cold_is_neither_flooded_nor_left_idle() {
     let now = 1_000 * S;
-    let young = |at| Listed { started: Some(now), ..listed(at) };
-    let mut rig = Rig::new(settings(&[Effect::Safe]), &(0..4).map(young).collect::<Vec<_>>());
+    let young = |at| Listed {
+        started: Some(now),
+        ..listed(at)
+    };
+    let mut rig = Rig::new(
+        settings(&[Effect::Safe]),
+        &(0..4).map(young).collect::<Vec<_>>(),
+    );
     assert_eq!(rig.now, now);
     let mut total = 0;
     let mut held = Vec::new();
@@ -218,22 +284,37 @@
             rig.now += 10 * MS;
             let (id, actions) = rig.request(0);
             answers.extend(sent(&actions).map(|server| (id, server)));
-            held.extend(timer_at(&actions).filter(|_| sent(&actions).is_none()).map(|at| (at, id)));
+            held.extend(
+                timer_at(&actions)
+                    .filter(|_| sent(&actions).is_none())
+                    .map(|at| (at, id)),
+            );
             for (at, id) in std::mem::take(&mut held) {
                 let due = at <= rig.now;
                 let actions = if due { rig.timer(at, id) } else { Vec::new() };
                 answers.extend(sent(&actions).map(|server| (id, server)));
-                held.extend(timer_at(&actions).or((!due).then_some(at)).map(|at| (at, id)));
+                held.extend(
+                    timer_at(&actions)
+                        .or((!due).then_some(at))
+                        .map(|at| (at, id)),
+                );
             }
         }
-        assert!(second > 0 || answers.len() <= 4, "{} of 50 went to cold servers at once", answers.len());
+        assert!(
+            second > 0 || answers.len() <= 4,
+            "{} of 50 went to cold servers at once",
+            answers.len()
+        );
         total += answers.len();
         for (id, server) in answers {
             rig.close(id, 0, server, Outcome::Ok, 20 * MS);
         }
         rig.now += 500 * MS;
     }
-    assert!(total > 0, "nothing was ever sent to a fleet that started together");
+    assert!(
+        total > 0,
+        "nothing was ever sent to a fleet that started together"
+    );
 }
 
 /// Of a hundred instances each owes a cold server less than one request in all the time that it is cold. If each waited
@@ -243,7 +324,10 @@
     let mut settings = settings(&[Effect::Safe]);
     (settings.group_size, settings.rules.fall) = (100, 2 * S);
     let start = 1_020 * S;
-    let young = Listed { started: Some(start), ..listed(0) };
+    let young = Listed {
+        started: Some(start),
+        ..listed(0)
+    };
     let warm: Vec<_> = (1..8).map(listed).collect();
     let (mut cold, mut all) = ([0; 4], [0; 4]);
     for seed in 0..100 {
@@ -265,5 +349,8 @@
         "{cold:?} of {usual:?} went to the cold server"
     );
     // Three times the fifth that it can do at its start would push it over.
-    assert!(cold[0] * 5 < usual[0] * 3, "{cold:?} of {usual:?} went to the cold server");
+    assert!(
+        cold[0] * 5 < usual[0] * 3,
+        "{cold:?} of {usual:?} went to the cold server"
+    );
 }
--- a/crates/balancer/tests/snapshot.rs
+++ b/crates/balancer/tests/snapshot.rs
@@ -6,7 +6,8 @@
 
 #[test]
 fn shares_open_requests_and_ejections_are_shown_as_they_stand() {
-    let mut balancer = Balancer::new(settings(&[Effect::Unsafe]), 1).expect("the settings make sense");
+    let mut balancer =
+        Balancer::new(settings(&[Effect::Unsafe]), 1).expect("the settings make sense");
     let mut actions = Vec::new();
     let servers: Vec<Listed> = (1..=4).map(listed).collect();
     balancer.handle(S, Event::Members(Members::Full(&servers)), &mut actions);
@@ -15,8 +16,15 @@
     // One server fails all that it gets, the others answer in 10 ms.
     for id in 1..=60 {
         actions.clear();
-        let new =
-            NewRequest { id, class: 0, tenant: 0, key: None, time_left: 400 * MS, cost: None, repeat: false };
+        let new = NewRequest {
+            id,
+            class: 0,
+            tenant: 0,
+            key: None,
+            time_left: 400 * MS,
+            cost: None,
+            repeat: false,
+        };
         balancer.handle(now, Event::Request(new), &mut actions);
         let sent = actions.iter().find_map(|a| match a {
             Action::Send { server, .. } => Some(*server),
@@ -27,14 +35,29 @@
         assert_eq!((open.classes[0].open, open.requests), (1, 1));
         assert_eq!(open.servers.iter().map(|s| s.out).sum::<usize>(), 1);
         now += 10 * MS;
-        let outcome = if server == ServerId(1) { Outcome::Reset } else { Outcome::Ok };
-        let closed = Closed { request: id, attempt: 0, server, outcome, elapsed: 10 * MS, ended: true };
+        let outcome = if server == ServerId(1) {
+            Outcome::Reset
+        } else {
+            Outcome::Ok
+        };
+        let closed = Closed {
+            request: id,
+            attempt: 0,
+            server,
+            outcome,
+            elapsed: 10 * MS,
+            ended: true,
+        };
         balancer.handle(now, Event::Closed(closed), &mut actions);
     }
     let seen = balancer.snapshot(now);
     assert_eq!((seen.classes[0].open, seen.requests), (0, 0));
-    let ejected: Vec<ServerId> =
-        seen.servers.iter().filter(|s| s.ejected_until.is_some()).map(|s| s.listed.server).collect();
+    let ejected: Vec<ServerId> = seen
+        .servers
+        .iter()
+        .filter(|s| s.ejected_until.is_some())
+        .map(|s| s.listed.server)
+        .collect();
     assert_eq!(ejected, [ServerId(1)]);
     let whole: f64 = seen.servers.iter().map(|s| s.share).sum();
     assert!((whole - 1.0).abs() < 1e-9, "{whole}");
--- a/crates/cli/examples/bad_night.rs
+++ b/crates/cli/examples/bad_night.rs
@@ -60,7 +60,9 @@
         thread::sleep(Duration::from_secs(1));
         let well = if fails(begun) { 1 } else { 3 };
         let told = counts.each_ref().map(|class| {
-            let [served, asked] = class.each_ref().map(|count| count.swap(0, Ordering::Relaxed));
+            let [served, asked] = class
+                .each_ref()
+                .map(|count| count.swap(0, Ordering::Relaxed));
             format!("{served} of {asked}")
         });
         println!("{second:>6}  {well:>7}  {:>19}  {:>16}", told[0], told[1]);
@@ -93,14 +95,20 @@
     let mut reader = BufReader::new(stream);
     while common::read(&mut reader)?.is_some() {
         if may_fail && fails(begun) {
-            write!(reader.get_mut(), "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n")?;
+            write!(
+                reader.get_mut(),
+                "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"
+            )?;
             continue;
         }
         {
             let _core = core.lock();
             thread::sleep(Duration::from_millis(20));
         }
-        write!(reader.get_mut(), "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")?;
+        write!(
+            reader.get_mut(),
+            "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+        )?;
     }
     Ok(())
 }
--- a/crates/cli/examples/common/mod.rs
+++ b/crates/cli/examples/common/mod.rs
@@ -31,7 +31,9 @@
     loop {
         line.clear();
         reader.read_line(&mut line)?;
-        let Some((name, value)) = line.trim_end().split_once(':') else { break };
+        let Some((name, value)) = line.trim_end().split_once(':') else {
+            break;
+        };
         if name.eq_ignore_ascii_case("content-length") {
             length = value.trim().parse().unwrap_or(0);
         }
--- a/crates/cli/examples/graphql_hop.rs
+++ b/crates/cli/examples/graphql_hop.rs
@@ -43,7 +43,9 @@
                         .write_all(&[head.as_bytes(), body.as_bytes()].concat())
                         .expect("it reads");
                     let status = read(&mut client).expect("an answer");
-                    times.record(sent.elapsed().as_nanos() as u64).expect("under its bound");
+                    times
+                        .record(sent.elapsed().as_nanos() as u64)
+                        .expect("under its bound");
                     assert!(status.contains(" 200 "), "{status}");
                 }
             }
@@ -104,7 +106,11 @@
     std::fs::write(&path, file).expect("the file is written");
     // Beside this example's folder.
     let own = std::env::current_exe().expect("it has a path");
-    let program = own.parent().and_then(|p| p.parent()).expect("a folder").join("madderloom");
+    let program = own
+        .parent()
+        .and_then(|p| p.parent())
+        .expect("a folder")
+        .join("madderloom");
     let mut child = Command::new(&program)
         .args(["serve", "--operator"])
         .arg(&path)
@@ -112,17 +118,28 @@
         .spawn()
         .unwrap_or_else(|e| panic!("{}: {e}; build it first", program.display()));
     let mut log = BufReader::new(child.stderr.take().expect("piped")).lines();
-    let line =
-        log.by_ref().map_while(Result::ok).find(|line| line.contains("listening on")).expect("it listens");
+    let line = log
+        .by_ref()
+        .map_while(Result::ok)
+        .find(|line| line.contains("listening on"))
+        .expect("it listens");
     std::thread::spawn(move || log.for_each(drop));
     let _ = std::fs::remove_file(path);
-    (child, line.rsplit(' ').next().and_then(|at| at.parse().ok()).expect("an address"))
+    (
+        child,
+        line.rsplit(' ')
+            .next()
+            .and_then(|at| at.parse().ok())
+            .expect("an address"),
+    )
 }
 
 fn connect(at: SocketAddr) -> BufReader<TcpStream> {
     let stream = TcpStream::connect(at).expect("it accepts");
     stream.set_nodelay(true).expect("it can be set");
-    stream.set_read_timeout(Some(Duration::from_secs(20))).expect("it can be set");
+    stream
+        .set_read_timeout(Some(Duration::from_secs(20)))
+        .expect("it can be set");
     BufReader::new(stream)
 }
 
--- a/crates/cli/examples/graphql_servers.rs
+++ b/crates/cli/examples/graphql_servers.rs
@@ -34,10 +34,17 @@
     let mut reader = BufReader::new(stream.try_clone()?);
     while let Some(body) = request(&mut reader)? {
         let message: Value = serde_json::from_slice(&body).unwrap_or_default();
-        let text =
-            message["query"].as_str().unwrap_or("(a hash)").split_whitespace().collect::<Vec<_>>().join(" ");
+        let text = message["query"]
+            .as_str()
+            .unwrap_or("(a hash)")
+            .split_whitespace()
+            .collect::<Vec<_>>()
+            .join(" ");
         let breaks = count.fetch_add(1, Ordering::Relaxed) % BREAKS == BREAKS - 1;
-        println!("{address} ran {text}{}", if breaks { ", and breaks" } else { "" });
+        println!(
+            "{address} ran {text}{}",
+            if breaks { ", and breaks" } else { "" }
+        );
         if breaks {
             return Ok(());
         }
--- a/crates/cli/examples/idle_connections.rs
+++ b/crates/cli/examples/idle_connections.rs
@@ -19,8 +19,12 @@
 
 fn main() -> Result<()> {
     let mut arguments = std::env::args().skip(1);
-    let seconds = arguments.next().map_or(5.0, |text| text.parse().expect("a number of seconds"));
-    let program = arguments.next().unwrap_or_else(|| "target/release/madderloom".to_string());
+    let seconds = arguments
+        .next()
+        .map_or(5.0, |text| text.parse().expect("a number of seconds"));
+    let program = arguments
+        .next()
+        .unwrap_or_else(|| "target/release/madderloom".to_string());
     let server = TcpListener::bind("127.0.0.1:0")?;
     let at = server.local_addr()?;
     thread::spawn(move || {
@@ -140,13 +144,18 @@
             }
         }
         reader.read_exact(&mut [0; 5])?;
-        reader.get_mut().write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\ns")?;
+        reader
+            .get_mut()
+            .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\ns")?;
     }
 }
 
 fn start(program: &str, server: SocketAddr) -> Result<(Child, SocketAddr)> {
     let dir = tempfile::tempdir()?;
-    let (file, config) = (dir.path().join("operator.toml"), dir.path().join("config.json"));
+    let (file, config) = (
+        dir.path().join("operator.toml"),
+        dir.path().join("config.json"),
+    );
     // The head's limit is the one on idle connections too, so that programs of before can be asked as well.
     std::fs::write(
         &file,
@@ -170,14 +179,22 @@
          \"limits\":{\"cancel\":true,\"max_attempts\":6},\"safety\":{\"cold\":1000000,\"cold_from\":0.3,\"fall\":1000000}}}",
     )?;
     let mut command = Command::new(program);
-    command.args(["serve", "--operator"]).arg(&file).env("RELAY_CONFIG", &config).stderr(Stdio::piped());
+    command
+        .args(["serve", "--operator"])
+        .arg(&file)
+        .env("RELAY_CONFIG", &config)
+        .stderr(Stdio::piped());
     let mut child = command.spawn()?;
     let mut errors = BufReader::new(child.stderr.take().expect("piped"));
     let mut seen = String::new();
     while errors.read_line(&mut seen)? > 0 {
         let line = seen.lines().next_back().unwrap_or_default();
         if let Some((_, at)) = line.split_once("in: listening on ") {
-            let at = at.split_whitespace().next().and_then(|at| at.parse().ok()).expect("an address");
+            let at = at
+                .split_whitespace()
+                .next()
+                .and_then(|at| at.parse().ok())
+                .expect("an address");
             thread::spawn(move || std::io::copy(&mut errors, &mut std::io::sink()));
             return Ok((child, at));
         }
@@ -187,11 +204,23 @@
 
 fn resident(child: &Child) -> u64 {
     let text = std::fs::read_to_string(format!("/proc/{}/status", child.id())).unwrap_or_default();
-    let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap_or_default();
-    line.split_whitespace().next().and_then(|kib| kib.parse().ok()).unwrap_or(0)
+    let line = text
+        .lines()
+        .find_map(|line| line.strip_prefix("VmRSS:"))
+        .unwrap_or_default();
+    line.split_whitespace()
+        .next()
+        .and_then(|kib| kib.parse().ok())
+        .unwrap_or(0)
 }
 
 fn cpu(child: &Child) -> Duration {
-    let text = std::fs::read_to_string(format!("/proc/{}/schedstat", child.id())).unwrap_or_default();
-    Duration::from_nanos(text.split(' ').next().and_then(|nanos| nanos.parse().ok()).unwrap_or(0))
+    let text =
+        std::fs::read_to_string(format!("/proc/{}/schedstat", child.id())).unwrap_or_default();
+    Duration::from_nanos(
+        text.split(' ')
+            .next()
+            .and_then(|nanos| nanos.parse().ok())
+            .unwrap_or(0),
+    )
 }
--- a/crates/cli/examples/ledger_cost.rs
+++ b/crates/cli/examples/ledger_cost.rs
@@ -48,10 +48,18 @@
     let mut rows: Vec<Vec<Row>> = ARMS.iter().map(|_| Vec::new()).collect();
     for _ in 0..rounds {
         for (rows, arm) in rows.iter_mut().zip(ARMS) {
-            rows.push(run(arm, Path::new(&directory), server, rate, Duration::from_secs(seconds))?);
+            rows.push(run(
+                arm,
+                Path::new(&directory),
+                server,
+                rate,
+                Duration::from_secs(seconds),
+            )?);
         }
     }
-    println!("{rounds} rounds of {seconds} s, {rate} submissions a second; median (least to most)\n");
+    println!(
+        "{rounds} rounds of {seconds} s, {rate} submissions a second; median (least to most)\n"
+    );
     println!(
         "| ledger | p50 ms | p99 ms | served a second | errors | CPU µs a request | of it serving | batches a group | a flush ms |"
     );
@@ -81,7 +89,10 @@
     let state = if arm == "off" {
         String::new()
     } else {
-        format!("[state]\ndir = \"{}\"\nledger = \"{arm}\"\n", store.display())
+        format!(
+            "[state]\ndir = \"{}\"\nledger = \"{arm}\"\n",
+            store.display()
+        )
     };
     let text = format!(
         "version = 1\n{state}[admin]\nlisten = \"127.0.0.1:0\"\n\
@@ -103,7 +114,10 @@
         .spawn()?;
     let mut lines = BufReader::new(child.stderr.take().expect("piped")).lines();
     let mut next = |what: &str| {
-        let line = lines.by_ref().map_while(Result::ok).find(|line| line.contains(what));
+        let line = lines
+            .by_ref()
+            .map_while(Result::ok)
+            .find(|line| line.contains(what));
         let line = line.expect("it says where it listens");
         line.rsplit(' ')
             .next()
@@ -159,13 +173,19 @@
     };
     let nanos = |path: &Path| {
         let text = std::fs::read_to_string(path).unwrap_or_default();
-        text.split(' ').next().and_then(|first| first.parse::<f64>().ok()).unwrap_or(0.0)
+        text.split(' ')
+            .next()
+            .and_then(|first| first.parse::<f64>().ok())
+            .unwrap_or(0.0)
     };
     match thread {
         Some(_) => nanos(Path::new(&path)) / 1e9,
         None => {
             let tasks = std::fs::read_dir(path).into_iter().flatten().flatten();
-            tasks.map(|task| nanos(&task.path().join("schedstat"))).sum::<f64>() / 1e9
+            tasks
+                .map(|task| nanos(&task.path().join("schedstat")))
+                .sum::<f64>()
+                / 1e9
         }
     }
 }
@@ -199,14 +219,18 @@
     let mut reader = BufReader::new(stream);
     while read(&mut reader)?.is_some() {
         thread::sleep(Duration::from_millis(2));
-        reader.get_mut().write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmade")?;
+        reader
+            .get_mut()
+            .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmade")?;
     }
     Ok(())
 }
 
 /// Submissions on a schedule; microseconds of those that were served, and how many were not.
 fn load(at: SocketAddr, rate: u32, span: Duration) -> (Histogram<u64>, u64) {
-    let clients: Vec<_> = (0..CLIENTS).map(|n| thread::spawn(move || ask(at, n, rate, span))).collect();
+    let clients: Vec<_> = (0..CLIENTS)
+        .map(|n| thread::spawn(move || ask(at, n, rate, span)))
+        .collect();
     let (mut all, mut errors) = (Histogram::new(3).expect("three digits"), 0);
     for client in clients {
         let (times, failed) = client.join().expect("a client panicked");
@@ -240,7 +264,9 @@
             Ok(first.is_some_and(|first| first.contains(" 200 ")))
         };
         match exchange() {
-            Ok(true) => times.record(due.elapsed().as_micros() as u64).expect("it grows"),
+            Ok(true) => times
+                .record(due.elapsed().as_micros() as u64)
+                .expect("it grows"),
             _ => errors += 1,
         }
         due += gap;
--- a/crates/cli/examples/neighbours.rs
+++ b/crates/cli/examples/neighbours.rs
@@ -38,10 +38,14 @@
 }
 
 use Neighbour::*;
-const ARMS: [Neighbour; 7] = [None, Quiet, LongBodies, ByteByByte, Silent, Failing, Hanging];
+const ARMS: [Neighbour; 7] = [
+    None, Quiet, LongBodies, ByteByByte, Silent, Failing, Hanging,
+];
 
 fn main() -> Result<()> {
-    let mut arguments = std::env::args().skip(1).map(|a| a.parse().expect("a whole number"));
+    let mut arguments = std::env::args()
+        .skip(1)
+        .map(|a| a.parse().expect("a whole number"));
     let seconds = arguments.next().unwrap_or(5);
     let rounds = arguments.next().unwrap_or(5);
     let mut rows: Vec<Vec<Row>> = ARMS.iter().map(|_| Vec::new()).collect();
@@ -57,16 +61,26 @@
     let alone: Vec<f64> = rows[0].iter().map(|row| row.p99).collect();
     for (rows, arm) in rows.iter().zip(ARMS) {
         let of = |pick: fn(&Row) -> f64| spread(rows.iter().map(pick).collect());
-        let ratio = spread(rows.iter().zip(&alone).map(|(row, alone)| row.p99 / alone).collect());
+        let ratio = spread(
+            rows.iter()
+                .zip(&alone)
+                .map(|(row, alone)| row.p99 / alone)
+                .collect(),
+        );
         let mut errors = Errors::new();
         for (what, times) in rows.iter().flat_map(|r| &r.errors) {
             *errors.entry(what.clone()).or_default() += times;
         }
-        let told: Vec<String> = errors.iter().map(|(what, times)| format!(", {times}x {what}")).collect();
+        let told: Vec<String> = errors
+            .iter()
+            .map(|(what, times)| format!(", {times}x {what}"))
+            .collect();
         let (errors, told) = (errors.values().sum::<u64>(), told.concat());
         let asked: u64 = rows.iter().map(|r| r.asked).sum();
         let (p50, p99, flood, cpu) = (of(|r| r.p50), of(|r| r.p99), of(|r| r.flood), of(|r| r.cpu));
-        println!("| {arm:?} | {p50} | {p99} | {errors} of {asked}{told} | {ratio} | {flood} | {cpu} |");
+        println!(
+            "| {arm:?} | {p50} | {p99} | {errors} of {asked}{told} | {ratio} | {flood} | {cpu} |"
+        );
     }
     Ok(())
 }
@@ -97,11 +111,15 @@
         _ => (FLOODERS, FLOOD),
     };
     for at in 0..threads {
-        clients.push(thread::spawn(move || bother(arm, neighbour_at, at, threads, rate, over, floods)));
+        clients.push(thread::spawn(move || {
+            bother(arm, neighbour_at, at, threads, rate, over, floods)
+        }));
     }
     thread::sleep(Duration::from_millis(500));
     let (cpu, flooded, began) = (cpu_of(program.0.id()), floods.load(Relaxed), Instant::now());
-    let asking: Vec<_> = (0..CLIENTS).map(|at| thread::spawn(move || ask(victim_at, at, span))).collect();
+    let asking: Vec<_> = (0..CLIENTS)
+        .map(|at| thread::spawn(move || ask(victim_at, at, span)))
+        .collect();
     let mut all = Histogram::<u64>::new(3).expect("three digits");
     let (mut errors, mut asked) = (Errors::new(), 0);
     for client in asking {
@@ -121,7 +139,14 @@
         client.join().expect("a flooder panicked");
     }
     let ms = |part: f64| all.value_at_quantile(part) as f64 / 1e3;
-    Ok(Row { p50: ms(0.5), p99: ms(0.99), errors, asked, flood, cpu })
+    Ok(Row {
+        p50: ms(0.5),
+        p99: ms(0.99),
+        errors,
+        asked,
+        flood,
+        cpu,
+    })
 }
 
 /// Starts the program with a pool for each of the two, and gives the addresses of their listeners.
@@ -147,12 +172,18 @@
     let file = std::env::temp_dir().join(format!("neighbours-{}.toml", std::process::id()));
     std::fs::write(&file, text.concat())?;
     let program = std::env::current_exe()?.with_file_name("../madderloom");
-    let mut child =
-        Command::new(program).args(["serve", "--operator"]).arg(&file).stderr(Stdio::piped()).spawn()?;
+    let mut child = Command::new(program)
+        .args(["serve", "--operator"])
+        .arg(&file)
+        .stderr(Stdio::piped())
+        .spawn()?;
     let mut lines = BufReader::new(child.stderr.take().expect("piped")).lines();
     let mut next = || {
         let line = lines.next().expect("it listens").expect("text");
-        line.rsplit(' ').next().and_then(|at| at.parse().ok()).unwrap_or_else(|| panic!("{line}"))
+        line.rsplit(' ')
+            .next()
+            .and_then(|at| at.parse().ok())
+            .unwrap_or_else(|| panic!("{line}"))
     };
     let (victim, neighbour) = (next(), next());
     // What it logs from now on is read, so that it never waits for that.
@@ -164,8 +195,13 @@
 /// User and system time of a process, in seconds.
 fn cpu_of(id: u32) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
-    let fields: Vec<f64> =
-        stat.rsplit(')').next().unwrap_or("").split(' ').filter_map(|f| f.parse().ok()).collect();
+    let fields: Vec<f64> = stat
+        .rsplit(')')
+        .next()
+        .unwrap_or("")
+        .split(' ')
+        .filter_map(|f| f.parse().ok())
+        .collect();
     // The state, a letter, is the field before the first of these.
     (fields.get(10).unwrap_or(&0.0) + fields.get(11).unwrap_or(&0.0)) / 100.0
 }
@@ -187,11 +223,15 @@
     let mut reader = BufReader::new(stream);
     while read(&mut reader)?.is_some() {
         match arm {
-            Failing => reader.get_mut().write_all(b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n")?,
+            Failing => reader
+                .get_mut()
+                .write_all(b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n")?,
             Hanging => thread::sleep(Duration::from_secs(60)),
             _ => {
                 thread::sleep(Duration::from_millis(2));
-                reader.get_mut().write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmade")?;
+                reader
+                    .get_mut()
+                    .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmade")?;
             }
         }
     }
@@ -230,7 +270,9 @@
     loop {
         line.clear();
         reader.read_line(&mut line)?;
-        let Some((name, value)) = line.trim_end().split_once(": ") else { break };
+        let Some((name, value)) = line.trim_end().split_once(": ") else {
+            break;
+        };
         match name {
             "content-length" => length = value.parse().unwrap_or(0),
             "connection" => closes = value == "close",
@@ -254,7 +296,9 @@
     while due < until {
         thread::sleep(due.saturating_duration_since(Instant::now()));
         match exchange(&mut kept, at, b"paper") {
-            Ok(200) => times.record(due.elapsed().as_micros() as u64).expect("it grows"),
+            Ok(200) => times
+                .record(due.elapsed().as_micros() as u64)
+                .expect("it grows"),
             Ok(status) => *errors.entry(status.to_string()).or_default() += 1,
             Err(problem) => *errors.entry(problem.to_string()).or_default() += 1,
         }
--- a/crates/cli/examples/two_services.rs
+++ b/crates/cli/examples/two_services.rs
@@ -6,15 +6,28 @@
 use std::thread;
 use std::time::Duration;
 
-const SERVERS: [&str; 5] =
-    ["127.0.0.1:6001", "127.0.0.1:6002", "127.0.0.1:6011", "127.0.0.1:6012", "127.0.0.1:6013"];
+const SERVERS: [&str; 5] = [
+    "127.0.0.1:6001",
+    "127.0.0.1:6002",
+    "127.0.0.1:6011",
+    "127.0.0.1:6012",
+    "127.0.0.1:6013",
+];
 
 fn main() -> Result<()> {
-    let listeners: Vec<TcpListener> = SERVERS.into_iter().map(TcpListener::bind).collect::<Result<_>>()?;
+    let listeners: Vec<TcpListener> = SERVERS
+        .into_iter()
+        .map(TcpListener::bind)
+        .collect::<Result<_>>()?;
     println!("listening on {}", SERVERS.join(", "));
-    let servers: Vec<_> =
-        listeners.into_iter().zip(SERVERS).map(|(l, at)| thread::spawn(move || listen(&l, at))).collect();
-    servers.into_iter().try_for_each(|server| server.join().expect("a server panicked"))
+    let servers: Vec<_> = listeners
+        .into_iter()
+        .zip(SERVERS)
+        .map(|(l, at)| thread::spawn(move || listen(&l, at)))
+        .collect();
+    servers
+        .into_iter()
+        .try_for_each(|server| server.join().expect("a server panicked"))
 }
 
 /// Gives every connection a thread of its own.
@@ -38,7 +51,9 @@
         loop {
             let mut line = String::new();
             reader.read_line(&mut line)?;
-            let Some((name, value)) = line.trim_end().split_once(':') else { break };
+            let Some((name, value)) = line.trim_end().split_once(':') else {
+                break;
+            };
             if name.eq_ignore_ascii_case("content-length") {
                 length = value.trim().parse().unwrap_or(0);
             }
@@ -47,6 +62,10 @@
         println!("{at}: {}", start.trim_end());
         thread::sleep(Duration::from_millis(50));
         let body = format!("served by {at}\n");
-        write!(reader.get_mut(), "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())?;
+        write!(
+            reader.get_mut(),
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        )?;
     }
 }
--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -36,7 +36,14 @@
             read.map(|config| (relays_summary(&config), Vec::new(), Vec::new(), Vec::new()))
         } else if operator && is_agents(&text) {
             let read = madderloom_agent::Config::read(&text, &self.file);
-            read.map(|config| (agents_summary(&config), agents_bounds(&config), Vec::new(), Vec::new()))
+            read.map(|config| {
+                (
+                    agents_summary(&config),
+                    agents_bounds(&config),
+                    Vec::new(),
+                    Vec::new(),
+                )
+            })
         } else if operator {
             Operator::load(&self.file)
                 .map(|o| (o.summary(), safe_parts(&o), shared_lists(&o), o.levels()))
@@ -44,15 +51,31 @@
         } else {
             let summary = |c: Config| (c.summary(), Vec::new(), Vec::new(), Vec::new());
             Config::from_json(&text).map(summary).map_err(|problem| {
-                let madderloom_sidecar::Problem { field, line, column, problem } = problem;
-                vec![Problem { field, line, column, problem }]
+                let madderloom_sidecar::Problem {
+                    field,
+                    line,
+                    column,
+                    problem,
+                } = problem;
+                vec![Problem {
+                    field,
+                    line,
+                    column,
+                    problem,
+                }]
             })
         };
         match (&checked, self.output) {
             (Ok((summary, limits, lists, levels)), Output::Text) => {
                 let levels: String = levels.iter().map(|levels| format!("\n{levels}")).collect();
-                let limits: String = limits.iter().chain(lists).map(|limit| format!("\n{limit}")).collect();
-                tell(format_args!("{name}: makes sense: {summary}{limits}{levels}"));
+                let limits: String = limits
+                    .iter()
+                    .chain(lists)
+                    .map(|limit| format!("\n{limit}"))
+                    .collect();
+                tell(format_args!(
+                    "{name}: makes sense: {summary}{limits}{levels}"
+                ));
             }
             (Ok((summary, limits, lists, levels)), Output::Json) => {
                 let levels: serde_json::Value = levels.iter().map(PoolLevels::to_json).collect();
@@ -64,15 +87,26 @@
             }
             (Err(problems), output) => tell_problems(&self.file, problems, output),
         }
-        Ok(if checked.is_ok() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+        Ok(if checked.is_ok() {
+            ExitCode::SUCCESS
+        } else {
+            ExitCode::FAILURE
+        })
     }
 }
 
 /// Whether this is an agent's file, by what stands before its first section.
 fn is_agents(text: &str) -> bool {
-    let head = text.lines().map(str::trim_start).take_while(|line| !line.starts_with('['));
-    let names = head.filter_map(|line| line.split_once('=')).map(|(name, _)| name.trim());
-    names.into_iter().any(|name| ["listen", "audit"].contains(&name))
+    let head = text
+        .lines()
+        .map(str::trim_start)
+        .take_while(|line| !line.starts_with('['));
+    let names = head
+        .filter_map(|line| line.split_once('='))
+        .map(|(name, _)| name.trim());
+    names
+        .into_iter()
+        .any(|name| ["listen", "audit"].contains(&name))
 }
 
 /// Whether this is a relay's file: that of an agent which has one above it.
@@ -87,7 +121,10 @@
 
 /// What an instance may let in of each fleet-wide limit while it has no lease.
 fn safe_parts(operator: &Operator) -> Vec<String> {
-    let limits = operator.control.iter().flat_map(|control| &control.fleet_limits);
+    let limits = operator
+        .control
+        .iter()
+        .flat_map(|control| &control.fleet_limits);
     let told = limits.map(|limit| {
         let name = &limit.name;
         let own = match limit.safe {
@@ -108,8 +145,14 @@
 
 /// How old a list of each pool that is shared with the fleet may be.
 fn shared_lists(operator: &Operator) -> Vec<String> {
-    let shares = operator.control.as_ref().is_some_and(|control| control.share_lists.is_some());
-    let pools = operator.pools.iter().filter(|pool| shares && pool.discovery.is_some());
+    let shares = operator
+        .control
+        .as_ref()
+        .is_some_and(|control| control.share_lists.is_some());
+    let pools = operator
+        .pools
+        .iter()
+        .filter(|pool| shares && pool.discovery.is_some());
     let told = pools.map(|pool| {
         let ask_within = pool.site.settings.rules.ask_within;
         let (after, spread) = madderloom_roster::own_calls(ask_within);
@@ -134,7 +177,10 @@
 
 /// What an agent's file configures, in a few words.
 fn agents_summary(config: &madderloom_agent::Config) -> String {
-    let state = config.state.as_ref().map_or("nowhere".to_string(), |state| state.display().to_string());
+    let state = config
+        .state
+        .as_ref()
+        .map_or("nowhere".to_string(), |state| state.display().to_string());
     let (listen, key) = (config.listen, config.keys.certificate.display());
     format!("an agent on {listen} with {key}; state kept in {state}")
 }
--- a/crates/cli/src/fleet/connection.rs
+++ b/crates/cli/src/fleet/connection.rs
@@ -12,13 +12,23 @@
 #[derive(clap::Args)]
 pub(super) struct Connection {
     /// The agent, as HOST:PORT
-    #[arg(long, env = "MADDERLOOM_AGENT", default_value = "127.0.0.1:7070", value_name = "HOST:PORT")]
+    #[arg(
+        long,
+        env = "MADDERLOOM_AGENT",
+        default_value = "127.0.0.1:7070",
+        value_name = "HOST:PORT"
+    )]
     agent: String,
     /// Whose certificate and key are shown: NAME.pem and NAME.key
     #[arg(long = "as", env = "MADDERLOOM_AS", value_name = "NAME")]
     whom: String,
     /// Where these and authority.pem are
-    #[arg(long, env = "MADDERLOOM_KEYS", default_value = ".", value_name = "DIRECTORY")]
+    #[arg(
+        long,
+        env = "MADDERLOOM_KEYS",
+        default_value = ".",
+        value_name = "DIRECTORY"
+    )]
     keys: PathBuf,
 }
 
@@ -40,7 +50,9 @@
         command: impl AsyncFnOnce(Client) -> Result<ExitCode, Failed>,
     ) -> Result<ExitCode, String> {
         let client = self.client()?;
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build();
         let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
         let done = tokio::task::LocalSet::new().block_on(&runtime, command(client));
         match done {
@@ -53,14 +65,18 @@
     }
 }
 
-pub(super) async fn get<T: for<'a> serde::Deserialize<'a>>(client: &Client, path: &str) -> Result<T, Failed> {
+pub(super) async fn get<T: for<'a> serde::Deserialize<'a>>(
+    client: &Client,
+    path: &str,
+) -> Result<T, Failed> {
     client.get(Method::GET, path, Vec::new()).await
 }
 
 /// What is not there, with the nearest name that is.
 pub(super) fn unknown(kind: &str, name: &str, known: impl Iterator<Item = String>) -> Failed {
-    let near =
-        known.map(|known| (strsim::jaro_winkler(name, &known), known)).max_by(|a, b| a.0.total_cmp(&b.0));
+    let near = known
+        .map(|known| (strsim::jaro_winkler(name, &known), known))
+        .max_by(|a, b| a.0.total_cmp(&b.0));
     let suggestion = match near {
         Some((likeness, near)) if likeness > 0.7 => format!("; did you mean {near}?"),
         _ => String::new(),
--- a/crates/cli/src/fleet/declined.rs
+++ b/crates/cli/src/fleet/declined.rs
@@ -7,8 +7,15 @@
 /// Tells why a change was declined, with what to do.
 pub(super) fn explain(declined: &Declined) {
     let mut text = format!("madderloom: declined: {declined}");
-    if let Declined::Conflict { base, newest, since, more } = declined {
-        text = format!("madderloom: declined: made on revision {base}, but the fleet is at {newest}");
+    if let Declined::Conflict {
+        base,
+        newest,
+        since,
+        more,
+    } = declined
+    {
+        text =
+            format!("madderloom: declined: made on revision {base}, but the fleet is at {newest}");
         if *more {
             text += "\n  (what came right after it is no longer remembered)";
         }
@@ -25,7 +32,8 @@
                 text += &format!("\n    {line}");
             }
         }
-        text += &format!("\nlook whether the change is still right, then push it with base = {newest}");
+        text +=
+            &format!("\nlook whether the change is still right, then push it with base = {newest}");
     }
     let _ = writeln!(std::io::stderr(), "{text}");
 }
--- a/crates/cli/src/fleet/follow.rs
+++ b/crates/cli/src/fleet/follow.rs
@@ -29,9 +29,10 @@
     if waiting.no_wait {
         match waiting.output {
             Output::Json => json(accepted),
-            Output::Text => {
-                tell(format_args!("{} is accepted as revision {}", accepted.id, accepted.revision))
-            }
+            Output::Text => tell(format_args!(
+                "{} is accepted as revision {}",
+                accepted.id, accepted.revision
+            )),
         }
         return Ok(ExitCode::SUCCESS);
     }
@@ -58,7 +59,11 @@
 /// On a terminal in one line that is written over, else a line each.
 fn show_progress(progress: &str) {
     let mut err = std::io::stderr();
-    let _ = if err.is_terminal() { write!(err, "\r\x1b[K{progress}") } else { writeln!(err, "{progress}") };
+    let _ = if err.is_terminal() {
+        write!(err, "\r\x1b[K{progress}")
+    } else {
+        writeln!(err, "{progress}")
+    };
     let _ = err.flush();
 }
 
@@ -76,13 +81,33 @@
     if output == Output::Json {
         return json(rollout);
     }
-    let why = rollout.why.as_ref().map(|why| format!(": {why}")).unwrap_or_default();
-    let Rollouts { id, revision, by, phase, .. } = rollout;
-    tell(format_args!("{id}, revision {revision}, by {} at {}: {phase}{why}", by.who, when(by.at)));
-    rollout.difference.iter().for_each(|line| tell(format_args!("  {line}")));
+    let why = rollout
+        .why
+        .as_ref()
+        .map(|why| format!(": {why}"))
+        .unwrap_or_default();
+    let Rollouts {
+        id,
+        revision,
+        by,
+        phase,
+        ..
+    } = rollout;
+    tell(format_args!(
+        "{id}, revision {revision}, by {} at {}: {phase}{why}",
+        by.who,
+        when(by.at)
+    ));
+    rollout
+        .difference
+        .iter()
+        .for_each(|line| tell(format_args!("  {line}")));
     tell(format_args!("{}", counts(rollout)));
     let mut table = Table::new(["NAME", "WAVE", "RESULT", "REASON", "TAKEN BACK"]);
-    let odd = rollout.results.iter().filter(|(_, result)| result.state != "applied" || result.back.is_some());
+    let odd = rollout
+        .results
+        .iter()
+        .filter(|(_, result)| result.state != "applied" || result.back.is_some());
     let mut any = false;
     for (name, result) in odd {
         any = true;
--- a/crates/cli/src/fleet/instances.rs
+++ b/crates/cli/src/fleet/instances.rs
@@ -25,7 +25,9 @@
             let instances: Vec<Instance> = get(&client, "/v1/instances").await?;
             match self.output {
                 Output::Json => json(&instances),
-                Output::Text if instances.is_empty() => tell(format_args!("no instance has registered yet")),
+                Output::Text if instances.is_empty() => {
+                    tell(format_args!("no instance has registered yet"))
+                }
                 Output::Text => tell(format_args!("{}", table(&instances))),
             }
             Ok(ExitCode::SUCCESS)
@@ -48,7 +50,8 @@
 impl Show {
     pub(crate) fn run(self) -> Result<ExitCode, String> {
         self.connection.run(async |client| {
-            let found = get::<InstanceWhole>(&client, &format!("/v1/instances/{}", self.name)).await;
+            let found =
+                get::<InstanceWhole>(&client, &format!("/v1/instances/{}", self.name)).await;
             let whole = match found {
                 Err(failed) if is_missing(&failed) => {
                     let known: Vec<Instance> = get(&client, "/v1/instances").await?;
@@ -63,10 +66,20 @@
             }
             let instance = &whole.instance;
             tell(format_args!("{}", table(std::slice::from_ref(instance))));
-            let labels: Vec<String> =
-                instance.labels.iter().map(|(label, value)| format!("{label}={value}")).collect();
-            tell(format_args!("build {}, incarnation {}", instance.build, instance.incarnation));
-            tell(format_args!("own file {}, labels {}", instance.file, labels.join(" ")));
+            let labels: Vec<String> = instance
+                .labels
+                .iter()
+                .map(|(label, value)| format!("{label}={value}"))
+                .collect();
+            tell(format_args!(
+                "build {}, incarnation {}",
+                instance.build, instance.incarnation
+            ));
+            tell(format_args!(
+                "own file {}, labels {}",
+                instance.file,
+                labels.join(" ")
+            ));
             if !instance.fleet_limits.is_empty() {
                 tell(format_args!("{}", shares(&instance.fleet_limits)));
             }
@@ -74,7 +87,10 @@
             if whole.settled.is_empty() {
                 tell(format_args!("  nothing beside its own file"));
             }
-            whole.settled.iter().for_each(|line| tell(format_args!("  {line}")));
+            whole
+                .settled
+                .iter()
+                .for_each(|line| tell(format_args!("  {line}")));
             Ok(ExitCode::SUCCESS)
         })
     }
--- a/crates/cli/src/fleet/push.rs
+++ b/crates/cli/src/fleet/push.rs
@@ -41,7 +41,10 @@
         let text = std::fs::read_to_string(&self.file).map_err(|e| format!("{name}: {e}"))?;
         let read = |newest| {
             madderloom_fleet::file::read(&text, newest).map_err(|problems| {
-                let lines: Vec<String> = problems.iter().map(|problem| format!("{name}:{problem}")).collect();
+                let lines: Vec<String> = problems
+                    .iter()
+                    .map(|problem| format!("{name}:{problem}"))
+                    .collect();
                 lines.join("\n")
             })
         };
@@ -73,22 +76,54 @@
         Some(format!("an agent of term {term} has taken over"))
     } else if let Some(former) = known.iter().find(|former| former.id == id) {
         let same = former.difference == difference;
-        let told = if same { "a push of the same changes nothing" } else { "choose another id" };
+        let told = if same {
+            "a push of the same changes nothing"
+        } else {
+            "choose another id"
+        };
         Some(format!("{id} is revision {}; {told}", former.revision))
     } else if base != newest {
-        Some(format!("made on revision {base}, but the fleet is at {newest}"))
+        Some(format!(
+            "made on revision {base}, but the fleet is at {newest}"
+        ))
     } else {
-        status.rolling_out.as_ref().map(|other| format!("{other} is rolling out"))
+        status
+            .rolling_out
+            .as_ref()
+            .map(|other| format!("{other} is rolling out"))
     };
-    let there = instances.iter().filter(|instance| instance.presence != Presence::Gone);
+    let there = instances
+        .iter()
+        .filter(|instance| instance.presence != Presence::Gone);
     let chosen = there.filter(|instance| {
         let (zone, labels) = (instance.zone.clone(), instance.labels.clone());
-        change.select.matches(&instance.name, &Traits { zone, labels, ..Traits::default() })
+        change.select.matches(
+            &instance.name,
+            &Traits {
+                zone,
+                labels,
+                ..Traits::default()
+            },
+        )
     });
-    let chosen = chosen.map(|instance| (instance.name.clone(), instance.counts)).collect();
-    let by = By { who: String::new(), at: 0 };
-    let rollout = FleetRollout::new(change, newest.saturating_add(1), by, chosen, Default::default());
-    let waves = rollout.targets.iter().map(|(name, target)| (name.as_str(), target.wave + 1));
+    let chosen = chosen
+        .map(|instance| (instance.name.clone(), instance.counts))
+        .collect();
+    let by = By {
+        who: String::new(),
+        at: 0,
+    };
+    let rollout = FleetRollout::new(
+        change,
+        newest.saturating_add(1),
+        by,
+        chosen,
+        Default::default(),
+    );
+    let waves = rollout
+        .targets
+        .iter()
+        .map(|(name, target)| (name.as_str(), target.wave + 1));
     let waves: BTreeMap<&str, u32> = waves.collect();
     if output == Output::Json {
         json(&serde_json::json!({
@@ -97,17 +132,28 @@
     } else {
         match &why {
             Some(why) => tell(format_args!("{id} would be declined: {why}")),
-            None => tell(format_args!("{id} would be accepted as revision {}", newest.saturating_add(1))),
+            None => tell(format_args!(
+                "{id} would be accepted as revision {}",
+                newest.saturating_add(1)
+            )),
         }
-        difference.iter().for_each(|line| tell(format_args!("  {line}")));
+        difference
+            .iter()
+            .for_each(|line| tell(format_args!("  {line}")));
         let mut table = Table::new(["NAME", "WAVE"]);
-        waves.iter().for_each(|(name, wave)| table.row([name.to_string(), wave.to_string()]));
+        waves
+            .iter()
+            .for_each(|(name, wave)| table.row([name.to_string(), wave.to_string()]));
         match waves.is_empty() {
             true => tell(format_args!("no instance is selected")),
             false => tell(format_args!("{table}")),
         }
     }
-    Ok(if why.is_none() { ExitCode::SUCCESS } else { ExitCode::from(REFUSED) })
+    Ok(if why.is_none() {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::from(REFUSED)
+    })
 }
 
 async fn push(client: &Client, change: &Change, waiting: &Waiting) -> Result<ExitCode, Failed> {
@@ -138,7 +184,9 @@
 
 impl Drain {
     pub(crate) fn run(self) -> Result<ExitCode, String> {
-        let key: Key = format!("drain/{}", self.server).parse().map_err(|error: Error| error.to_string())?;
+        let key: Key = format!("drain/{}", self.server)
+            .parse()
+            .map_err(|error: Error| error.to_string())?;
         self.connection.run(async |client| {
             let status: Status = get(&client, "/v1/status").await?;
             let verb = if self.lift { "lift" } else { "drain" };
@@ -147,7 +195,10 @@
                 id: format!("{verb}-{}-{}", self.server, status.revision + 1),
                 base: status.revision,
                 note: self.note.clone(),
-                select: Selector { zones: self.zones.clone(), ..Selector::default() },
+                select: Selector {
+                    zones: self.zones.clone(),
+                    ..Selector::default()
+                },
                 // A drain is wanted at once, and harms nobody who is slow to hear of it.
                 rollout: Policy {
                     waves: vec![],
--- a/crates/cli/src/fleet/rollout.rs
+++ b/crates/cli/src/fleet/rollout.rs
@@ -48,8 +48,9 @@
         one.connection.run(async |client| {
             let path = format!("/v1/rollouts/{}", one.id);
             if let Some(verb) = verb {
-                let accepted =
-                    client.get::<Accepted>(Method::POST, &format!("{path}/{verb}"), Vec::new()).await?;
+                let accepted = client
+                    .get::<Accepted>(Method::POST, &format!("{path}/{verb}"), Vec::new())
+                    .await?;
                 let code = follow(&client, &accepted, &one.waiting).await?;
                 // What was asked for is that it ends so.
                 return Ok(if one.waiting.no_wait || verb == "stop" {
@@ -61,12 +62,20 @@
             match get::<Rollouts>(&client, &path).await {
                 Err(failed) if is_missing(&failed) => {
                     let known: Vec<Rollouts> = get(&client, "/v1/rollouts").await?;
-                    Err(unknown("change", &one.id, known.into_iter().map(|rollout| rollout.id)))
+                    Err(unknown(
+                        "change",
+                        &one.id,
+                        known.into_iter().map(|rollout| rollout.id),
+                    ))
                 }
                 Err(failed) => Err(failed),
                 Ok(rollout) => {
                     tell_rollout(&rollout, one.waiting.output);
-                    Ok(if rollout.end.is_none() { ExitCode::SUCCESS } else { code(&rollout) })
+                    Ok(if rollout.end.is_none() {
+                        ExitCode::SUCCESS
+                    } else {
+                        code(&rollout)
+                    })
                 }
             }
         })
@@ -75,7 +84,11 @@
 
 /// A change that was taken back on the way counts as undone.
 fn undone(code: ExitCode) -> ExitCode {
-    if code == ExitCode::from(FAILED) { ExitCode::SUCCESS } else { code }
+    if code == ExitCode::from(FAILED) {
+        ExitCode::SUCCESS
+    } else {
+        code
+    }
 }
 
 /// Lists the changes of late, newest first.
@@ -96,15 +109,35 @@
                 json(&all);
                 return Ok(ExitCode::SUCCESS);
             }
-            let mut table = Table::new(["REVISION", "CHANGE", "BY", "AT", "STATE", "INSTANCES", "WHAT"]);
+            let mut table = Table::new([
+                "REVISION",
+                "CHANGE",
+                "BY",
+                "AT",
+                "STATE",
+                "INSTANCES",
+                "WHAT",
+            ]);
             for rollout in &all {
                 let what = match rollout.difference.as_slice() {
                     [one] => one.clone(),
                     [first, ..] => format!("{first} and {} more", rollout.difference.len() - 1),
                     [] => String::new(),
                 };
-                let Rollouts { id, revision, by, phase, .. } = rollout;
-                let row = [revision.to_string(), id.clone(), by.who.clone(), when(by.at), phase.clone()];
+                let Rollouts {
+                    id,
+                    revision,
+                    by,
+                    phase,
+                    ..
+                } = rollout;
+                let row = [
+                    revision.to_string(),
+                    id.clone(),
+                    by.who.clone(),
+                    when(by.at),
+                    phase.clone(),
+                ];
                 let [revision, id, who, at, phase] = row;
                 table.row([revision, id, who, at, phase, counts(rollout), what]);
             }
--- a/crates/cli/src/fleet/text.rs
+++ b/crates/cli/src/fleet/text.rs
@@ -22,17 +22,28 @@
     let format = format_description!("[year]-[month]-[day] [hour]:[minute]:[second]Z");
     let seconds = i64::try_from(millis / 1_000).unwrap_or(0);
     let time = OffsetDateTime::from_unix_timestamp(seconds).ok();
-    time.and_then(|time| time.format(format).ok()).unwrap_or_else(|| "?".into())
+    time.and_then(|time| time.format(format).ok())
+        .unwrap_or_else(|| "?".into())
 }
 
 pub(super) fn json(value: &impl Serialize) {
-    tell(format_args!("{}", serde_json::to_string(value).unwrap_or_default()));
+    tell(format_args!(
+        "{}",
+        serde_json::to_string(value).unwrap_or_default()
+    ));
 }
 
 pub(super) fn counts(rollout: &Rollouts) -> String {
-    let counts: Vec<String> =
-        rollout.counts.iter().map(|(state, count)| format!("{count} {state}")).collect();
-    if counts.is_empty() { "no instance is selected".into() } else { counts.join(", ") }
+    let counts: Vec<String> = rollout
+        .counts
+        .iter()
+        .map(|(state, count)| format!("{count} {state}"))
+        .collect();
+    if counts.is_empty() {
+        "no instance is selected".into()
+    } else {
+        counts.join(", ")
+    }
 }
 
 fn line(instance: &Instance) -> [String; 8] {
@@ -44,8 +55,10 @@
     };
     let share = instance.counts.bad as f64 * 100.0 / instance.counts.ended.max(1) as f64;
     let mut note = instance.refused.clone().unwrap_or_default();
-    let without =
-        instance.fleet_limits.iter().filter(|(_, share)| share.instances > 0 && share.with_part == 0);
+    let without = instance
+        .fleet_limits
+        .iter()
+        .filter(|(_, share)| share.instances > 0 && share.with_part == 0);
     let without: Vec<&str> = without.map(|(name, _)| name.as_str()).collect();
     if !without.is_empty() {
         note = format!("no lease of {} {note}", without.join(", "));
@@ -95,7 +108,9 @@
     ]);
     for (name, share) in limits {
         let figures = |figures: &Figures| {
-            let rate = figures.requests_per_second.map(|rate| format!("{rate:.1}/s"));
+            let rate = figures
+                .requests_per_second
+                .map(|rate| format!("{rate:.1}/s"));
             let open = figures.open.map(|open| format!("{open} open"));
             rate.into_iter().chain(open).collect::<Vec<_>>().join(", ")
         };
@@ -124,7 +139,11 @@
 }
 
 pub(super) fn table(instances: &[Instance]) -> Table {
-    let mut table = Table::new(["NAME", "STATE", "ZONE", "REVISION", "IN LINE", "REQUESTS", "BAD", "NOTE"]);
-    instances.iter().for_each(|instance| table.row(line(instance)));
+    let mut table = Table::new([
+        "NAME", "STATE", "ZONE", "REVISION", "IN LINE", "REQUESTS", "BAD", "NOTE",
+    ]);
+    instances
+        .iter()
+        .for_each(|instance| table.row(line(instance)));
     table
 }
--- a/crates/cli/src/fleet/top.rs
+++ b/crates/cli/src/fleet/top.rs
@@ -67,15 +67,33 @@
     let mut instances: Vec<Instance> = get(client, "/v1/instances").await?;
     // What needs a look stands first.
     instances.sort_by_key(|i| {
-        (i.presence == Presence::Alive && i.in_line == Some(true) && i.refused.is_none(), i.name.clone())
+        (
+            i.presence == Presence::Alive && i.in_line == Some(true) && i.refused.is_none(),
+            i.name.clone(),
+        )
     });
-    Ok(View { status, rollout, instances, rows })
+    Ok(View {
+        status,
+        rollout,
+        instances,
+        rows,
+    })
 }
 
 impl fmt::Display for View {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Status { term, revision, instances, in_effect, stood_down, .. } = &self.status;
-        let there: Vec<String> = instances.iter().map(|(state, count)| format!("{count} {state}")).collect();
+        let Status {
+            term,
+            revision,
+            instances,
+            in_effect,
+            stood_down,
+            ..
+        } = &self.status;
+        let there: Vec<String> = instances
+            .iter()
+            .map(|(state, count)| format!("{count} {state}"))
+            .collect();
         let changes = in_effect.len();
         writeln!(
             f,
@@ -83,7 +101,10 @@
             there.join(", ")
         )?;
         if let Some(term) = stood_down {
-            writeln!(f, "an agent of term {term} has taken over: this one gives no orders any more")?;
+            writeln!(
+                f,
+                "an agent of term {term} has taken over: this one gives no orders any more"
+            )?;
         }
         match &self.rollout {
             Some(rollout) => writeln!(f, "{}: {}: {}", rollout.id, rollout.phase, counts(rollout))?,
@@ -91,13 +112,24 @@
         }
         if !self.status.fleet_limits.is_empty() {
             if self.status.lends_all == Some(false) {
-                writeln!(f, "fleet limits: what a former agent lent may be out, and is lent again alone")?;
+                writeln!(
+                    f,
+                    "fleet limits: what a former agent lent may be out, and is lent again alone"
+                )?;
             }
             writeln!(f, "{}", shares(&self.status.fleet_limits))?;
         }
         if !self.status.relays.is_empty() {
-            let behind = self.status.relays.iter().map(|(relay, count)| format!("{relay} {count}"));
-            writeln!(f, "instances behind relays: {}", behind.collect::<Vec<_>>().join(", "))?;
+            let behind = self
+                .status
+                .relays
+                .iter()
+                .map(|(relay, count)| format!("{relay} {count}"));
+            writeln!(
+                f,
+                "instances behind relays: {}",
+                behind.collect::<Vec<_>>().join(", ")
+            )?;
         }
         if !self.status.shared_lists.is_empty() {
             writeln!(f, "{}", lists(&self.status.shared_lists))?;
--- a/crates/cli/src/keys.rs
+++ b/crates/cli/src/keys.rs
@@ -87,7 +87,13 @@
                     "founded {name} in {dir}; keep {dir}/authority.key where no one else can read it"
                 ));
             }
-            What::Issue { name, role, hosts, days, out } => {
+            What::Issue {
+                name,
+                role,
+                hosts,
+                days,
+                out,
+            } => {
                 let mut authority = Authority::open(&self.dir)?;
                 let (issued, file) = authority.issue((&name, role), &hosts, days, &out, now)?;
                 let (until, file) = (day(issued.until), file.display());
@@ -96,10 +102,19 @@
                     issued.serial
                 ));
             }
-            What::Rotate { name, days, out, revoke } => {
+            What::Rotate {
+                name,
+                days,
+                out,
+                revoke,
+            } => {
                 let mut authority = Authority::open(&self.dir)?;
                 let issued = authority.rotate(&name, days, &out, revoke, now)?;
-                let former = if revoke { "is revoked" } else { "is good until it expires" };
+                let former = if revoke {
+                    "is revoked"
+                } else {
+                    "is good until it expires"
+                };
                 tell(format_args!(
                     "issued anew for {name} until {}, serial {}; the former one {former}",
                     day(issued.until),
@@ -115,7 +130,10 @@
                 for issued in &revoked {
                     tell(format_args!("revoked {} of {}", issued.serial, issued.name));
                 }
-                tell(format_args!("copy {} to every agent", authority.revoked_file().display()));
+                tell(format_args!(
+                    "copy {} to every agent",
+                    authority.revoked_file().display()
+                ));
             }
             What::List { output } => list(&Authority::open(&self.dir)?, output, now),
         }
@@ -143,7 +161,13 @@
             State::Revoked => "revoked".into(),
         };
         let serial = issued.serial.clone();
-        table.row([issued.name.clone(), issued.role.to_string(), state, day(issued.until), serial]);
+        table.row([
+            issued.name.clone(),
+            issued.role.to_string(),
+            state,
+            day(issued.until),
+            serial,
+        ]);
     }
     tell(format_args!("{table}"));
 }
--- a/crates/cli/src/level.rs
+++ b/crates/cli/src/level.rs
@@ -10,7 +10,9 @@
 /// The process's admin view must be on a Unix socket: `socket = "..."` in [admin] of the operator file. Orders are told
 /// in its log with who gave them, and end by themselves. Exits with 0 where the order was taken, with 1 where not.
 #[derive(clap::Subcommand)]
-#[command(after_help = "Example:\n  madderloom level pin reports reduced --for 30m --operator operator.toml")]
+#[command(
+    after_help = "Example:\n  madderloom level pin reports reduced --for 30m --operator operator.toml"
+)]
 pub(crate) enum Level {
     /// Has a level hold, whatever the signals say
     Pin(Order),
@@ -54,12 +56,21 @@
         let (place, pool, asked) = match self {
             Level::Pin(order) => order.asked("pin"),
             Level::Bar(order) => order.asked("bar"),
-            Level::Clear(Clear { pool, level, by, place }) => {
-                (place, pool, json!({"order": "clear", "level": level, "by": by}))
-            }
+            Level::Clear(Clear {
+                pool,
+                level,
+                by,
+                place,
+            }) => (
+                place,
+                pool,
+                json!({"order": "clear", "level": level, "by": by}),
+            ),
         };
         let at = place.find()?;
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build();
         let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
         runtime.block_on(madderloom_sidecar::admin::order(&at, &pool, &asked))?;
         Ok(ExitCode::SUCCESS)
@@ -68,7 +79,13 @@
 
 impl Order {
     fn asked(self, order: &str) -> (Place, String, Value) {
-        let Order { pool, level, lasts, by, place } = self;
+        let Order {
+            pool,
+            level,
+            lasts,
+            by,
+            place,
+        } = self;
         let asked = json!({"order": order, "level": level, "for_us": lasts.micros(), "by": by});
         (place, pool, asked)
     }
--- a/crates/cli/src/logging.rs
+++ b/crates/cli/src/logging.rs
@@ -95,11 +95,15 @@
         let (queue, pace) = queue(self.log_format)?;
         let written = Written(Arc::clone(&queue.waiting));
         // The library would report its own trouble on standard error by a macro that panics when it can't.
-        let lines = tracing_subscriber::fmt::layer().with_writer(queue).log_internal_errors(false);
+        let lines = tracing_subscriber::fmt::layer()
+            .with_writer(queue)
+            .log_internal_errors(false);
         let log = tracing_subscriber::registry().with(filter).with(pace);
         match self.log_format {
             Format::Text => log.with(lines.event_format(Sentence)).init(),
-            Format::Json => log.with(lines.json().with_timer(SystemTime).with_target(false)).init(),
+            Format::Json => log
+                .with(lines.json().with_timer(SystemTime).with_target(false))
+                .init(),
         }
         let own = self.log_level;
         // It fails only where there is no log any more.
@@ -165,18 +169,32 @@
     type Writer = Line<'a>;
 
     fn make_writer(&'a self) -> Line<'a> {
-        Line { queue: self, most: MOST }
+        Line {
+            queue: self,
+            most: MOST,
+        }
     }
 
     fn make_writer_for(&'a self, of: &Metadata<'_>) -> Line<'a> {
-        Line { queue: self, most: if of.level() <= &Level::INFO { MOST } else { MOST / 2 } }
+        Line {
+            queue: self,
+            most: if of.level() <= &Level::INFO {
+                MOST
+            } else {
+                MOST / 2
+            },
+        }
     }
 }
 
 impl Write for Line<'_> {
     /// Takes a whole line, as the library gives it, or leaves it out. It never waits and never fails.
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        let Queue { lines, waiting, lost } = self.queue;
+        let Queue {
+            lines,
+            waiting,
+            lost,
+        } = self.queue;
         // Several threads may find the same room: each adds a line more than there is for at most.
         if waiting.load(Ordering::Relaxed) + line.len() > self.most {
             lost.fetch_add(1, Ordering::Relaxed);
@@ -224,7 +242,11 @@
             since: now,
             written: 0,
             left_out: 0,
-            place: format!("{}:{}", of.module_path().unwrap_or_default(), of.line().unwrap_or(0)),
+            place: format!(
+                "{}:{}",
+                of.module_path().unwrap_or_default(),
+                of.line().unwrap_or(0)
+            ),
         });
         // What was left out is told of before anything more of its kind is written.
         if kind.left_out == 0 && now.duration_since(kind.since) >= SECOND {
@@ -246,13 +268,31 @@
 /// Starts the thread that writes.
 fn queue(format: Format) -> Result<(Queue, Pace), String> {
     let (lines, sent) = channel();
-    let (waiting, lost, kinds) =
-        (Arc::<AtomicUsize>::default(), Arc::<AtomicU64>::default(), Kinds::default());
-    let queue = Queue { lines: lines.clone(), waiting: Arc::clone(&waiting), lost: Arc::clone(&lost) };
-    let pace = Pace { kinds: Arc::clone(&kinds), lines };
-    let writer = LogThread { format, sent, waiting, lost, kinds };
+    let (waiting, lost, kinds) = (
+        Arc::<AtomicUsize>::default(),
+        Arc::<AtomicU64>::default(),
+        Kinds::default(),
+    );
+    let queue = Queue {
+        lines: lines.clone(),
+        waiting: Arc::clone(&waiting),
+        lost: Arc::clone(&lost),
+    };
+    let pace = Pace {
+        kinds: Arc::clone(&kinds),
+        lines,
+    };
+    let writer = LogThread {
+        format,
+        sent,
+        waiting,
+        lost,
+        kinds,
+    };
     let thread = std::thread::Builder::new().name("log".to_string());
-    thread.spawn(move || writer.run()).map_err(|e| format!("log: its thread cannot be started: {e}"))?;
+    thread
+        .spawn(move || writer.run())
+        .map_err(|e| format!("log: its thread cannot be started: {e}"))?;
     Ok((queue, pace))
 }
 
@@ -279,9 +319,15 @@
                     // Closed or broken, it loses the line and nothing else.
                     let written = io::stderr().lock().write_all(&line).is_ok();
                     self.waiting.fetch_sub(line.len(), Ordering::Release);
-                    let lost = if written { self.lost.swap(0, Ordering::Relaxed) } else { 0 };
+                    let lost = if written {
+                        self.lost.swap(0, Ordering::Relaxed)
+                    } else {
+                        0
+                    };
                     if lost > 0 {
-                        self.tell(&format!("log: {lost} lines were left out, as nobody took them in time"));
+                        self.tell(&format!(
+                            "log: {lost} lines were left out, as nobody took them in time"
+                        ));
                     }
                 }
                 Ok(Sent::LeftOut) => untold = true,
@@ -334,7 +380,12 @@
     S: Subscriber + for<'a> LookupSpan<'a>,
     N: for<'a> FormatFields<'a> + 'static,
 {
-    fn format_event(&self, _: &FmtContext<'_, S, N>, mut to: Writer<'_>, event: &Event<'_>) -> fmt::Result {
+    fn format_event(
+        &self,
+        _: &FmtContext<'_, S, N>,
+        mut to: Writer<'_>,
+        event: &Event<'_>,
+    ) -> fmt::Result {
         struct Message<'a, 'b>(&'a mut Writer<'b>, fmt::Result);
         impl tracing::field::Visit for Message<'_, '_> {
             fn record_debug(&mut self, field: &tracing::field::Field, value: &dyn fmt::Debug) {
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -23,7 +23,12 @@
 
 /// A client-side load balancer: a sidecar beside every copy of an application, and the tools around it.
 #[derive(Parser)]
-#[command(name = "madderloom", version, propagate_version = true, max_term_width = 100)]
+#[command(
+    name = "madderloom",
+    version,
+    propagate_version = true,
+    max_term_width = 100
+)]
 struct Arguments {
     #[command(subcommand)]
     command: Command,
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -32,7 +32,10 @@
 pub(crate) fn table(rows: &[Vec<String>]) -> String {
     let columns = rows.iter().map(Vec::len).max().unwrap_or(0);
     let cells = |column: usize| rows.iter().filter_map(move |row| row.get(column));
-    let is_number = |cell: &String| cell.bytes().all(|b| b.is_ascii_digit() || b".-%/".contains(&b));
+    let is_number = |cell: &String| {
+        cell.bytes()
+            .all(|b| b.is_ascii_digit() || b".-%/".contains(&b))
+    };
     let shape: Vec<(usize, bool)> = (0..columns)
         .map(|column| {
             let width = cells(column).map(|c| c.chars().count()).max().unwrap_or(0);
@@ -44,11 +47,13 @@
         let line: Vec<String> = row
             .iter()
             .zip(&shape)
-            .map(
-                |(cell, (width, right))| {
-                    if *right { format!("{cell:>width$}") } else { format!("{cell:<width$}") }
-                },
-            )
+            .map(|(cell, (width, right))| {
+                if *right {
+                    format!("{cell:>width$}")
+                } else {
+                    format!("{cell:<width$}")
+                }
+            })
             .collect();
         text += line.join("  ").trim_end();
         text.push('\n');
--- a/crates/cli/src/place.rs
+++ b/crates/cli/src/place.rs
@@ -37,7 +37,9 @@
 
 /// Waits for what is asked of an admin view.
 pub(crate) fn wait_for<T>(answer: impl Future<Output = T>) -> Result<T, String> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
     Ok(runtime.block_on(answer))
 }
--- a/crates/cli/src/route.rs
+++ b/crates/cli/src/route.rs
@@ -63,9 +63,14 @@
         let places = 0..=operator.listeners.len();
         let listener = match &self.listener {
             Some(name) => {
-                let known =
-                    places.clone().map(|at| operator.listener_name(at)).collect::<Vec<_>>().join(", ");
-                let found = places.clone().find(|at| operator.listener_name(*at) == name);
+                let known = places
+                    .clone()
+                    .map(|at| operator.listener_name(at))
+                    .collect::<Vec<_>>()
+                    .join(", ");
+                let found = places
+                    .clone()
+                    .find(|at| operator.listener_name(*at) == name);
                 found.ok_or_else(|| format!("--listener: there is no {name}; there are {known}"))?
             }
             None => usize::from(!operator.listeners.is_empty()),
@@ -84,21 +89,37 @@
             }
         };
         let verdicts = table.explain(listener, &asked);
-        let taken = routes.iter().zip(&verdicts).find(|(_, v)| **v == Verdict::Taken).map(|(route, _)| route);
+        let taken = routes
+            .iter()
+            .zip(&verdicts)
+            .find(|(_, v)| **v == Verdict::Taken)
+            .map(|(route, _)| route);
         // What no route takes on the platform's own listener goes on as it does without a file.
         let fallback = (taken.is_none() && listener == 0).then_some(PLATFORM);
         let key = split_key(&headers);
-        let pool = taken.map(|route| operator.pool_name(route.choose(key.unwrap_or(0)))).or(fallback);
+        let pool = taken
+            .map(|route| operator.pool_name(route.choose(key.unwrap_or(0))))
+            .or(fallback);
         let split: Vec<(&str, u32)> = taken
             .filter(|route| route.to.len() > 1)
-            .map(|route| route.to.iter().map(|(p, weight)| (operator.pool_name(*p), *weight)).collect())
+            .map(|route| {
+                route
+                    .to
+                    .iter()
+                    .map(|(p, weight)| (operator.pool_name(*p), *weight))
+                    .collect()
+            })
             .unwrap_or_default();
         let by_chance = !split.is_empty() && key.is_none();
-        let by_document =
-            taken.is_some_and(|route| route.graphql).then(|| "by what it asks in GraphQL".to_string());
+        let by_document = taken
+            .is_some_and(|route| route.graphql)
+            .then(|| "by what it asks in GraphQL".to_string());
         let class = by_document.or(taken.and_then(|route| route.set_class.clone()));
         let class = class.unwrap_or_else(|| String::from_utf8_lossy(asked.class()).into_owned());
-        let others = routes.iter().zip(&verdicts).filter(|(_, v)| **v != Verdict::Taken);
+        let others = routes
+            .iter()
+            .zip(&verdicts)
+            .filter(|(_, v)| **v != Verdict::Taken);
         match self.output {
             Output::Json => tell(json!({
                 "listener": operator.listener_name(listener), "route": taken.map(|r| &r.name),
@@ -108,44 +129,76 @@
             })),
             Output::Text => {
                 let named = |name: Option<&str>| name.unwrap_or("none").to_string();
-                let shares = split.iter().map(|(p, w)| format!("{p} {w}")).collect::<Vec<_>>().join(", ");
+                let shares = split
+                    .iter()
+                    .map(|(p, w)| format!("{p} {w}"))
+                    .collect::<Vec<_>>()
+                    .join(", ");
                 let pool = match (by_chance, split.is_empty()) {
                     (true, _) => format!("by the request's key: {shares}"),
                     (false, false) => format!("{} (of {shares})", named(pool)),
                     (false, true) => named(pool),
                 };
                 let mut rows = vec![
-                    vec!["listener".to_string(), operator.listener_name(listener).to_string()],
+                    vec![
+                        "listener".to_string(),
+                        operator.listener_name(listener).to_string(),
+                    ],
                     vec!["route".to_string(), named(taken.map(|r| r.name.as_str()))],
                     vec!["pool".to_string(), pool],
                     vec!["class".to_string(), class],
                 ];
-                rows.extend(others.map(|(r, v)| vec![format!("not {}", r.name), format!("it {v}")]));
+                rows.extend(
+                    others.map(|(r, v)| vec![format!("not {}", r.name), format!("it {v}")]),
+                );
                 tell(table_of(&rows));
             }
         }
-        Ok(if pool.is_some() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+        Ok(if pool.is_some() {
+            ExitCode::SUCCESS
+        } else {
+            ExitCode::FAILURE
+        })
     }
 
     /// Target and headers as a client would send them.
     fn head(&self) -> Result<(Uri, HeaderMap), String> {
-        let uri: Uri = self.url.parse().map_err(|e| format!("URL: {}: {e}", self.url))?;
+        let uri: Uri = self
+            .url
+            .parse()
+            .map_err(|e| format!("URL: {}: {e}", self.url))?;
         let mut headers = HeaderMap::new();
         for header in &self.headers {
             let (name, value) = header
                 .split_once(':')
                 .ok_or_else(|| format!("-H: {header:?} has no colon; write 'Name: value'"))?;
-            let name: HeaderName = name.trim().parse().map_err(|e| format!("-H: {header:?}: {e}"))?;
-            let value: HeaderValue = value.trim().parse().map_err(|e| format!("-H: {header:?}: {e}"))?;
+            let name: HeaderName = name
+                .trim()
+                .parse()
+                .map_err(|e| format!("-H: {header:?}: {e}"))?;
+            let value: HeaderValue = value
+                .trim()
+                .parse()
+                .map_err(|e| format!("-H: {header:?}: {e}"))?;
             headers.append(name, value);
         }
         let authority = uri.authority().cloned().filter(|_| uri.scheme().is_some());
         let Some(authority) = authority.filter(|_| !headers.contains_key(HOST)) else {
             return Ok((uri, headers));
         };
-        headers.insert(HOST, authority.as_str().parse().map_err(|e| format!("URL: {}: {e}", self.url))?);
+        headers.insert(
+            HOST,
+            authority
+                .as_str()
+                .parse()
+                .map_err(|e| format!("URL: {}: {e}", self.url))?,
+        );
         let path = uri.path_and_query().map_or("/", |p| p.as_str());
-        Ok((path.parse().map_err(|e| format!("URL: {}: {e}", self.url))?, headers))
+        Ok((
+            path.parse()
+                .map_err(|e| format!("URL: {}: {e}", self.url))?,
+            headers,
+        ))
     }
 }
 
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -26,7 +26,9 @@
 impl Serve {
     pub(crate) fn run(self) -> Result<ExitCode, String> {
         let (log, written) = self.logging.start()?;
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build();
         let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
         let _watchdog = watchdog::start();
         let served = tokio::task::LocalSet::new().block_on(&runtime, async {
--- a/crates/cli/src/server.rs
+++ b/crates/cli/src/server.rs
@@ -18,7 +18,10 @@
     let name = file.display();
     let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: {e}"))?;
     read(&text, file).map_err(|problems| {
-        let lines: Vec<String> = problems.iter().map(|problem| format!("{name}:{problem}")).collect();
+        let lines: Vec<String> = problems
+            .iter()
+            .map(|problem| format!("{name}:{problem}"))
+            .collect();
         lines.join("\n")
     })
 }
@@ -27,8 +30,12 @@
 ///
 /// # Errors
 /// Those of the server, and that there is no runtime.
-pub(crate) fn serve_locally(served: impl Future<Output = Result<(), String>>) -> Result<(), String> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+pub(crate) fn serve_locally(
+    served: impl Future<Output = Result<(), String>>,
+) -> Result<(), String> {
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
     let _watchdog = watchdog::start();
     tokio::task::LocalSet::new().block_on(&runtime, served)
--- a/crates/cli/src/status.rs
+++ b/crates/cli/src/status.rs
@@ -28,8 +28,16 @@
         let mut status = wait_for(madderloom_sidecar::admin::fetch(&at))??;
         if let Some(name) = &self.pool {
             let pools = list(&status["pools"]);
-            let known = pools.iter().map(|p| text(&p["name"])).collect::<Vec<_>>().join(", ");
-            let found: Vec<Value> = pools.iter().filter(|p| p["name"] == **name).cloned().collect();
+            let known = pools
+                .iter()
+                .map(|p| text(&p["name"]))
+                .collect::<Vec<_>>()
+                .join(", ");
+            let found: Vec<Value> = pools
+                .iter()
+                .filter(|p| p["name"] == **name)
+                .cloned()
+                .collect();
             if found.is_empty() {
                 return Err(format!("there is no pool {name}; there are {known}"));
             }
@@ -39,8 +47,14 @@
             Output::Json => tell(&status),
             Output::Text => tell(told(&status, self.pool.is_some()).trim_end()),
         }
-        let ready = list(&status["pools"]).iter().all(|p| p["ready"] == true || p["state"] != "serving");
-        Ok(if ready { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+        let ready = list(&status["pools"])
+            .iter()
+            .all(|p| p["ready"] == true || p["state"] != "serving");
+        Ok(if ready {
+            ExitCode::SUCCESS
+        } else {
+            ExitCode::FAILURE
+        })
     }
 }
 
@@ -82,13 +96,24 @@
 fn connections(status: &Value) -> String {
     let (all, timers) = (&status["connections"], &status["timers"]);
     let held = &all["held"];
-    let idle: f64 = list(&status["pools"]).iter().map(|pool| number(&pool["connections"]["idle"])).sum();
+    let idle: f64 = list(&status["pools"])
+        .iter()
+        .map(|pool| number(&pool["connections"]["idle"]))
+        .sum();
     let servers = &status["limits"]["server_connections"]["used"];
     let kib = |bytes: &Value| format!("{:.0} KiB", number(bytes) / 1024.0);
     let rows = [
         row(&["connections", "number", "held"]),
-        row(&["clients, parked", &text(&all["parked"]), &kib(&held["parked"])]),
-        row(&["clients, served", &text(&all["served"]), &kib(&held["served"])]),
+        row(&[
+            "clients, parked",
+            &text(&all["parked"]),
+            &kib(&held["parked"]),
+        ]),
+        row(&[
+            "clients, served",
+            &text(&all["served"]),
+            &kib(&held["served"]),
+        ]),
         row(&["servers", &text(servers), &kib(&held["servers"])]),
         row(&["servers, idle", &format!("{idle}"), ""]),
         row(&["at most", "", &kib(&held["most"])]),
@@ -99,15 +124,28 @@
 
 fn told(status: &Value, classes: bool) -> String {
     let up = number(&status["up_us"]);
-    let name = status["name"].as_str().filter(|n| !n.is_empty()).unwrap_or("madderloom");
+    let name = status["name"]
+        .as_str()
+        .filter(|n| !n.is_empty())
+        .unwrap_or("madderloom");
     let since = humantime(up);
     let mut told = format!("{name}, build {}, up {since}\n\n", text(&status["build"]));
-    let mut rows =
-        vec![row(&["listener", "address", "state", "connections", "open", "bodies", "denied", "thread"])];
+    let mut rows = vec![row(&[
+        "listener",
+        "address",
+        "state",
+        "connections",
+        "open",
+        "bodies",
+        "denied",
+        "thread",
+    ])];
     for listener in list(&status["listeners"]) {
         let limits = &listener["limits"];
-        let denied: f64 =
-            ["connections", "open", "bodies"].iter().map(|l| number(&limits[l]["denied"])).sum();
+        let denied: f64 = ["connections", "open", "bodies"]
+            .iter()
+            .map(|l| number(&limits[l]["denied"]))
+            .sum();
         rows.push(vec![
             text(&listener["name"]),
             text(&listener["address"]),
@@ -136,7 +174,10 @@
     let mut rows = vec![row(&columns)];
     for pool in list(&status["pools"]) {
         let servers = list(&pool["servers"]);
-        let ready = servers.iter().filter(|s| s["state"] == "ready" && s["ejected_for_us"].is_null()).count();
+        let ready = servers
+            .iter()
+            .filter(|s| s["state"] == "ready" && s["ejected_for_us"].is_null())
+            .count();
         let requests = &pool["requests"];
         rows.push(vec![
             text(&pool["name"]),
@@ -156,8 +197,13 @@
     told += &shared_lists(&status["shared_lists"]);
     told += &levels(list(&status["pools"]), classes);
     if classes {
-        let mut rows = vec![row(&["class", "effect", "open", "usual ms", "slow ms", "delay", "served/s"])];
-        for class in list(&status["pools"]).iter().flat_map(|pool| list(&pool["classes"])) {
+        let mut rows = vec![row(&[
+            "class", "effect", "open", "usual ms", "slow ms", "delay", "served/s",
+        ])];
+        for class in list(&status["pools"])
+            .iter()
+            .flat_map(|pool| list(&pool["classes"]))
+        {
             let ms = |us: &Value| format!("{:.1}", number(us) / 1e3);
             rows.push(vec![
                 text(&class["name"]),
@@ -171,12 +217,25 @@
         }
         told += &format!("\n{}", table(&rows));
     }
-    let columns = ["server", "pool", "address", "zone", "state", "share", "out", "failures", "last answer s"];
+    let columns = [
+        "server",
+        "pool",
+        "address",
+        "zone",
+        "state",
+        "share",
+        "out",
+        "failures",
+        "last answer s",
+    ];
     let mut rows = vec![row(&columns)];
     for pool in list(&status["pools"]) {
         for server in list(&pool["servers"]) {
-            let state =
-                if server["ejected_for_us"].is_null() { text(&server["state"]) } else { "ejected".into() };
+            let state = if server["ejected_for_us"].is_null() {
+                text(&server["state"])
+            } else {
+                "ejected".into()
+            };
             rows.push(vec![
                 text(&server["name"]),
                 text(&pool["name"]),
@@ -195,7 +254,9 @@
 
 /// Fleet-wide limits: what this instance may let in, and whether under a lease.
 fn fleet_limits(of: &Value) -> String {
-    let Some(limits) = of["limits"].as_object() else { return String::new() };
+    let Some(limits) = of["limits"].as_object() else {
+        return String::new();
+    };
     let lease = match of["leased"] == true {
         true => format!(
             "a lease of term {} holds for {:.1} s more",
@@ -205,11 +266,24 @@
         false => format!("no lease holds, for {}", humantime(number(&of["since_us"]))),
     };
     let figures = |of: &Value| {
-        let told = [("requests_per_second", "/s"), ("burst", " at once"), ("open", " open")];
+        let told = [
+            ("requests_per_second", "/s"),
+            ("burst", " at once"),
+            ("open", " open"),
+        ];
         let told = told.iter().filter(|(name, _)| !of[name].is_null());
-        told.map(|(name, unit)| text(&of[name]) + unit).collect::<Vec<_>>().join(", ")
+        told.map(|(name, unit)| text(&of[name]) + unit)
+            .collect::<Vec<_>>()
+            .join(", ")
     };
-    let mut rows = vec![row(&["fleet limit", "may let in", "all of it", "used/s", "open", "denied"])];
+    let mut rows = vec![row(&[
+        "fleet limit",
+        "may let in",
+        "all of it",
+        "used/s",
+        "open",
+        "denied",
+    ])];
     for (name, limit) in limits {
         rows.push(vec![
             name.clone(),
@@ -225,10 +299,16 @@
 
 /// Lists that the fleet shares, with how old what is known of each may be.
 fn shared_lists(of: &Value) -> String {
-    let Some(lists) = of.as_object() else { return String::new() };
+    let Some(lists) = of.as_object() else {
+        return String::new();
+    };
     let mut rows = vec![row(&["shared list", "version", "age"])];
     for (name, list) in lists {
-        rows.push(vec![name.clone(), text(&list["version"]), humantime(number(&list["age_us"]))]);
+        rows.push(vec![
+            name.clone(),
+            text(&list["version"]),
+            humantime(number(&list["age_us"])),
+        ]);
     }
     format!("\n{}", table(&rows))
 }
@@ -236,17 +316,31 @@
 /// The level of each pool that has levels, with what caused it, the orders that hold and, `in_full`, the last changes
 /// and the signals.
 fn levels(pools: &[Value], in_full: bool) -> String {
-    let leveled: Vec<&Value> = pools.iter().filter(|pool| !pool["service_level"].is_null()).collect();
+    let leveled: Vec<&Value> = pools
+        .iter()
+        .filter(|pool| !pool["service_level"].is_null())
+        .collect();
     if leveled.is_empty() {
         return String::new();
     }
     let span = |us: &Value| humantime(number(us));
-    let mut rows = vec![row(&["pool", "level", "since", "turned away by it", "cause", "orders"])];
+    let mut rows = vec![row(&[
+        "pool",
+        "level",
+        "since",
+        "turned away by it",
+        "cause",
+        "orders",
+    ])];
     for pool in &leveled {
         let level = &pool["service_level"];
         let last = list(&level["history"]).last();
         let order = |order: &Value| {
-            let what = if order["pin"] == true { "pinned" } else { "barred" };
+            let what = if order["pin"] == true {
+                "pinned"
+            } else {
+                "barred"
+            };
             let (name, by) = (text(&order["level"]), text(&order["by"]));
             format!("{name} {what} for {} by {by}", span(&order["for_us"]))
         };
@@ -257,22 +351,47 @@
             span(&level["since_us"]),
             text(&level["given_up"]),
             last.map_or("-".into(), |change| text(&change["cause"])),
-            if orders.is_empty() { "-".into() } else { orders.join("; ") },
+            if orders.is_empty() {
+                "-".into()
+            } else {
+                orders.join("; ")
+            },
         ]);
     }
     let mut told = format!("\n{}", table(&rows));
     if in_full {
-        let full = |name: &Value| if name.is_null() { "full".to_string() } else { text(name) };
+        let full = |name: &Value| {
+            if name.is_null() {
+                "full".to_string()
+            } else {
+                text(name)
+            }
+        };
         let mut rows = vec![row(&["changed", "from", "to", "cause"])];
-        for change in leveled.iter().flat_map(|pool| list(&pool["service_level"]["history"])).rev() {
+        for change in leveled
+            .iter()
+            .flat_map(|pool| list(&pool["service_level"]["history"]))
+            .rev()
+        {
             let ago = format!("{} ago", span(&change["ago_us"]));
-            rows.push(vec![ago, full(&change["from"]), full(&change["to"]), text(&change["cause"])]);
+            rows.push(vec![
+                ago,
+                full(&change["from"]),
+                full(&change["to"]),
+                text(&change["cause"]),
+            ]);
         }
         told += &format!("\n{}", table(&rows));
         let mut rows = vec![row(&["signal", "now"])];
-        let signals = leveled.iter().filter_map(|pool| pool["service_level"]["signals"].as_object());
+        let signals = leveled
+            .iter()
+            .filter_map(|pool| pool["service_level"]["signals"].as_object());
         for (name, value) in signals.flatten() {
-            let value = if name == "list_age" { span(value) } else { format!("{:.3}", number(value)) };
+            let value = if name == "list_age" {
+                span(value)
+            } else {
+                format!("{:.3}", number(value))
+            };
             rows.push(vec![name.clone(), value]);
         }
         told += &format!("\n{}", table(&rows));
--- a/crates/cli/src/store.rs
+++ b/crates/cli/src/store.rs
@@ -12,9 +12,11 @@
 /// The program that uses the store must not run meanwhile. Exits with 0 where all is well, with 1 where the store is
 /// damaged or can't be opened.
 #[derive(Args)]
-#[command(after_help = "Examples:\n  madderloom store verify /var/lib/madderloom\n  \
+#[command(
+    after_help = "Examples:\n  madderloom store verify /var/lib/madderloom\n  \
     madderloom store dump /var/lib/madderloom --prefix drain/\n  \
-    madderloom store salvage /var/lib/madderloom /var/lib/madderloom.saved")]
+    madderloom store salvage /var/lib/madderloom /var/lib/madderloom.saved"
+)]
 pub(crate) struct Store {
     #[command(subcommand)]
     command: Command,
@@ -113,13 +115,25 @@
     }
 
     fn open(&self, read_only: bool) -> Result<Opened<RealDisk>, String> {
-        let options = Options { create: false, read_only, ..Options::default() };
+        let options = Options {
+            create: false,
+            read_only,
+            ..Options::default()
+        };
         Opened::open(self.disk()?, options).map_err(|e| self.refused(&e))
     }
 
     fn verify(&self) -> Result<ExitCode, String> {
         let verified = verify(&self.disk()?).map_err(|e| self.refused(&e))?;
-        let Verified { damage, files, frames, records, bytes, torn, strays } = &verified;
+        let Verified {
+            damage,
+            files,
+            frames,
+            records,
+            bytes,
+            torn,
+            strays,
+        } = &verified;
         if self.output == Output::Json {
             let place = |d: &madderloom_store::Damage| json!({"file": d.file, "offset": d.offset, "problem": d.problem});
             tell(json!({
@@ -128,11 +142,13 @@
                 "strays": strays,
             }));
         } else {
-            let read = format!("{files} segments, {frames} batches, {records} records, {bytes} bytes");
+            let read =
+                format!("{files} segments, {frames} batches, {records} records, {bytes} bytes");
             match damage {
-                Some(damage) => {
-                    tell(self.refused(&Error::Damaged(damage.clone())) + &format!("; read before it: {read}"))
-                }
+                Some(damage) => tell(
+                    self.refused(&Error::Damaged(damage.clone()))
+                        + &format!("; read before it: {read}"),
+                ),
                 None => tell(format_args!("{}: sound: {read}", self.directory.display())),
             }
             if *torn > 0 {
@@ -141,10 +157,16 @@
                 ));
             }
             if *strays > 0 {
-                tell(format_args!("{strays} files that a crash left are removed at the next opening"));
+                tell(format_args!(
+                    "{strays} files that a crash left are removed at the next opening"
+                ));
             }
         }
-        Ok(if damage.is_none() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+        Ok(if damage.is_none() {
+            ExitCode::SUCCESS
+        } else {
+            ExitCode::FAILURE
+        })
     }
 
     fn stat(&self) -> Result<ExitCode, String> {
@@ -164,13 +186,16 @@
             ("torn_bytes", stat.cut),
         ];
         if self.output == Output::Json {
-            let mut object: serde_json::Map<String, Value> =
-                rows.iter().map(|(name, value)| ((*name).to_owned(), json!(value))).collect();
+            let mut object: serde_json::Map<String, Value> = rows
+                .iter()
+                .map(|(name, value)| ((*name).to_owned(), json!(value)))
+                .collect();
             object.insert("directory".into(), json!(self.directory));
             tell(Value::Object(object));
         } else {
-            rows.iter()
-                .for_each(|(name, value)| tell(format_args!("{:<11} {value:>16}", name.replace('_', " "))));
+            rows.iter().for_each(|(name, value)| {
+                tell(format_args!("{:<11} {value:>16}", name.replace('_', " ")))
+            });
         }
     }
 }
@@ -196,8 +221,11 @@
             writeln!(out)
         };
         for (key, _, expires) in snapshot.keys(self.prefix.as_bytes(), 0) {
-            let value =
-                if self.keys { None } else { snapshot.get(key, 0).map_err(|e| self.of.refused(&e))? };
+            let value = if self.keys {
+                None
+            } else {
+                snapshot.get(key, 0).map_err(|e| self.of.refused(&e))?
+            };
             if line(key, expires, value.as_deref()).is_err() {
                 // Whoever read it has seen enough.
                 return Ok(ExitCode::SUCCESS);
@@ -216,21 +244,31 @@
         let of = &self.of;
         let mut store = of.open(false)?;
         let before = store.stat(0).log;
-        let compacted = store.begin_compaction(self.expired_by).and_then(|mut compaction| {
-            let mut done = 0;
-            while !compaction.step(PROGRESS)? {
-                done += PROGRESS;
-                if std::io::stderr().is_terminal() {
-                    let _ = writeln!(std::io::stderr(), "{} MiB of {} at most", done >> 20, before >> 20);
+        let compacted = store
+            .begin_compaction(self.expired_by)
+            .and_then(|mut compaction| {
+                let mut done = 0;
+                while !compaction.step(PROGRESS)? {
+                    done += PROGRESS;
+                    if std::io::stderr().is_terminal() {
+                        let _ = writeln!(
+                            std::io::stderr(),
+                            "{} MiB of {} at most",
+                            done >> 20,
+                            before >> 20
+                        );
+                    }
                 }
-            }
-            store.finish_compaction(compaction)?;
-            store.relocate(usize::MAX);
-            Ok(())
-        });
+                store.finish_compaction(compaction)?;
+                store.relocate(usize::MAX);
+                Ok(())
+            });
         compacted.map_err(|e| of.refused(&e))?;
         if of.output == Output::Text {
-            tell(format_args!("{}: {before} bytes before", of.directory.display()));
+            tell(format_args!(
+                "{}: {before} bytes before",
+                of.directory.display()
+            ));
         }
         of.tell_stat(&store);
         Ok(ExitCode::SUCCESS)
@@ -258,11 +296,14 @@
             );
         } else {
             let into = into.display();
-            tell(format_args!("{into}: {} batches, {} records copied", salvaged.frames, salvaged.records));
+            tell(format_args!(
+                "{into}: {} batches, {} records copied",
+                salvaged.frames, salvaged.records
+            ));
             for lost in &salvaged.lost {
                 let batches = lost.sequences.as_ref();
-                let batches =
-                    batches.map(|s| format!(", batches {} to {}", s.start, s.end.saturating_sub(1)));
+                let batches = batches
+                    .map(|s| format!(", batches {} to {}", s.start, s.end.saturating_sub(1)));
                 tell(format_args!(
                     "lost: {}: {} bytes{}",
                     lost.damage,
--- a/crates/cli/src/stories.rs
+++ b/crates/cli/src/stories.rs
@@ -33,7 +33,11 @@
         let mut told = wait_for(fetch_at(&self.place.find()?, "/v1/servers"))??;
         if let Some(pool) = &self.pool {
             for part in ["servers", "shared"] {
-                told[part] = list(&told[part]).iter().filter(|one| one["pool"] == **pool).cloned().collect();
+                told[part] = list(&told[part])
+                    .iter()
+                    .filter(|one| one["pool"] == **pool)
+                    .cloned()
+                    .collect();
             }
         }
         let departs = |one: &Value| !list(&one["departures"]).is_empty();
@@ -42,13 +46,18 @@
             Output::Json => tell(&told),
             Output::Text => tell(servers(&told).trim_end()),
         }
-        Ok(if calm { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+        Ok(if calm {
+            ExitCode::SUCCESS
+        } else {
+            ExitCode::FAILURE
+        })
     }
 }
 
 fn servers(told: &Value) -> String {
     let mut table = Table::new([
-        "server", "pool", "zone", "state", "share", "out", "served", "lost", "refused", "p50 ms", "p99 ms",
+        "server", "pool", "zone", "state", "share", "out", "served", "lost", "refused", "p50 ms",
+        "p99 ms",
     ]);
     let mut departures = String::new();
     for server in list(&told["servers"]) {
@@ -57,7 +66,11 @@
             text(&server["name"]),
             text(&server["pool"]),
             text(&server["zone"]),
-            if server["ejected_for_us"].is_null() { text(&server["state"]) } else { "ejected".into() },
+            if server["ejected_for_us"].is_null() {
+                text(&server["state"])
+            } else {
+                "ejected".into()
+            },
             format!("{:.1}%", 100.0 * number(&server["share"])),
             text(&server["out"]),
             text(&lately["served"]),
@@ -71,20 +84,30 @@
         }
     }
     for departure in list(&told["shared"]) {
-        departures += &format!("{}: {}\n", text(&departure["pool"]), text(&departure["text"]));
+        departures += &format!(
+            "{}: {}\n",
+            text(&departure["pool"]),
+            text(&departure["text"])
+        );
     }
     if told["timelines"] != true {
         departures += "time lines are off; write [timeline] into the operator file to have them\n";
     }
-    if departures.is_empty() { format!("{table}\n") } else { format!("{table}\n\n{departures}") }
+    if departures.is_empty() {
+        format!("{table}\n")
+    } else {
+        format!("{table}\n\n{departures}")
+    }
 }
 
 /// Shows the story of one server: what it answered, what departed from its usual, what was decided about it
 ///
 /// Exits with 0 where it does not depart from its usual, else, or where no story is kept of it, with 1.
 #[derive(clap::Args)]
-#[command(after_help = "Examples:\n  madderloom server --operator operator.toml node-3\n  \
-                        madderloom server --operator operator.toml node-3 --svg night.svg --span 2d")]
+#[command(
+    after_help = "Examples:\n  madderloom server --operator operator.toml node-3\n  \
+                        madderloom server --operator operator.toml node-3 --svg night.svg --span 2d"
+)]
 pub(crate) struct Server {
     #[command(flatten)]
     place: Place,
@@ -136,7 +159,11 @@
     pub(crate) fn run(self) -> Result<ExitCode, String> {
         let at = self.place.find()?;
         let (span, length) = self.span.known();
-        let pool = self.pool.as_ref().map(|pool| format!("pool={}&", escaped(pool))).unwrap_or_default();
+        let pool = self
+            .pool
+            .as_ref()
+            .map(|pool| format!("pool={}&", escaped(pool)))
+            .unwrap_or_default();
         let path = format!("/v1/servers/{}", escaped(&self.name));
         let unknown = |fault| match fault {
             Fault::NotFound => format!(
@@ -146,9 +173,13 @@
             ),
             Fault::Problem(problem) => problem,
         };
-        let told = wait_for(fetch_at(&at, &format!("{path}?{pool}span={span}")))?.map_err(unknown)?;
+        let told =
+            wait_for(fetch_at(&at, &format!("{path}?{pool}span={span}")))?.map_err(unknown)?;
         let [story] = list(&told["stories"]) else {
-            let pools: Vec<String> = list(&told["stories"]).iter().map(|s| text(&s["pool"])).collect();
+            let pools: Vec<String> = list(&told["stories"])
+                .iter()
+                .map(|s| text(&s["pool"]))
+                .collect();
             return Err(format!(
                 "several pools have a server {}: {}; name one with --pool",
                 self.name,
@@ -156,12 +187,13 @@
             ));
         };
         if let Some(file) = &self.svg {
-            let drawn =
-                wait_for(get(&at, &format!("{path}/plot.svg?{pool}span={span}")))?.map_err(unknown)?;
+            let drawn = wait_for(get(&at, &format!("{path}/plot.svg?{pool}span={span}")))?
+                .map_err(unknown)?;
             write(file, &drawn)?;
         }
         if let Some(file) = &self.export {
-            let text = serde_json::to_string_pretty(&story["recording"]).map_err(|e| e.to_string())?;
+            let text =
+                serde_json::to_string_pretty(&story["recording"]).map_err(|e| e.to_string())?;
             write(file, format!("{text}\n").as_bytes())?;
         }
         match self.output {
@@ -169,7 +201,11 @@
             Output::Text => tell(self::story(story, length).trim_end()),
         }
         let calm = list(&story["departures"]).is_empty();
-        Ok(if calm { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+        Ok(if calm {
+            ExitCode::SUCCESS
+        } else {
+            ExitCode::FAILURE
+        })
     }
 }
 
@@ -184,7 +220,11 @@
         text(&story["name"]),
         text(&story["pool"]),
         text(&story["address"]),
-        if story["ejected_for_us"].is_null() { text(&story["state"]) } else { "ejected".into() },
+        if story["ejected_for_us"].is_null() {
+            text(&story["state"])
+        } else {
+            "ejected".into()
+        },
     );
     for departure in list(&story["departures"]) {
         told += &format!("{}\n", text(&departure["text"]));
@@ -202,9 +242,22 @@
         "share",
         "reported",
     ]);
-    for step in list(&story["steps"]).iter().filter(|step| number(&step["from_us"]) >= now - span) {
-        let sum = |names: &[&str]| names.iter().map(|name| number(&step[name])).sum::<f64>().to_string();
-        let middle = if step["p50_us"].is_null() { &step["mean_us"] } else { &step["p50_us"] };
+    for step in list(&story["steps"])
+        .iter()
+        .filter(|step| number(&step["from_us"]) >= now - span)
+    {
+        let sum = |names: &[&str]| {
+            names
+                .iter()
+                .map(|name| number(&step[name]))
+                .sum::<f64>()
+                .to_string()
+        };
+        let middle = if step["p50_us"].is_null() {
+            &step["mean_us"]
+        } else {
+            &step["p50_us"]
+        };
         table.row([
             clock(&step["from_us"]),
             format!("{}", number(&step["width_us"]) / 1e6),
@@ -234,7 +287,9 @@
 
 /// Tells what happened to servers of late, and with --follow what happens
 #[derive(clap::Args)]
-#[command(after_help = "Example:\n  madderloom events --operator operator.toml --follow --output json")]
+#[command(
+    after_help = "Example:\n  madderloom events --operator operator.toml --follow --output json"
+)]
 pub(crate) struct Events {
     #[command(flatten)]
     place: Place,
@@ -256,21 +311,31 @@
         if !self.follow {
             let told = wait_for(fetch_at(&at, &format!("/v1/events?after={from}")))??;
             if number(&told["oldest"]) > from as f64 && self.from.is_some() {
-                let _ =
-                    writeln!(std::io::stderr(), "madderloom: the oldest that is kept is {}", told["oldest"]);
+                let _ = writeln!(
+                    std::io::stderr(),
+                    "madderloom: the oldest that is kept is {}",
+                    told["oldest"]
+                );
             }
-            let _ = list(&told["events"]).iter().try_for_each(|event| self.tell(event));
+            let _ = list(&told["events"])
+                .iter()
+                .try_for_each(|event| self.tell(event));
             return Ok(ExitCode::SUCCESS);
         }
         let line = |line: &str| match serde_json::from_str(line) {
             Ok(event) => self.tell(&event),
             Err(_) => ControlFlow::Continue(()),
         };
-        wait_for(follow(&at, &format!("/v1/events?follow=1&after={from}"), line))?.map_err(|fault| {
-            match fault {
-                Fault::NotFound => "time lines are off; write [timeline] into the operator file".to_string(),
-                Fault::Problem(problem) => problem,
+        wait_for(follow(
+            &at,
+            &format!("/v1/events?follow=1&after={from}"),
+            line,
+        ))?
+        .map_err(|fault| match fault {
+            Fault::NotFound => {
+                "time lines are off; write [timeline] into the operator file".to_string()
             }
+            Fault::Problem(problem) => problem,
         })?;
         Err(format!("{at}: the process has ended"))
     }
@@ -281,7 +346,12 @@
             (Output::Json, _) => event.to_string(),
             (Output::Text, Some(missed)) => format!("{missed} older events are not kept any more"),
             (Output::Text, None) => {
-                format!("{}  {}: {}", clock(&event["at_us"]), text(&event["pool"]), text(&event["text"]))
+                format!(
+                    "{}  {}: {}",
+                    clock(&event["at_us"]),
+                    text(&event["pool"]),
+                    text(&event["text"])
+                )
             }
         };
         match writeln!(std::io::stdout().lock(), "{line}") {
@@ -308,12 +378,16 @@
 }
 
 fn ms(us: &Value) -> String {
-    us.as_f64().map_or_else(|| "-".to_string(), |us| format!("{:.1}", us / 1e3))
+    us.as_f64()
+        .map_or_else(|| "-".to_string(), |us| format!("{:.1}", us / 1e3))
 }
 
 /// A time of the clock, in UTC, to the second.
 fn clock(us: &Value) -> String {
-    let seconds = us.as_u64().and_then(|us| i64::try_from(us / 1_000_000).ok());
+    let seconds = us
+        .as_u64()
+        .and_then(|us| i64::try_from(us / 1_000_000).ok());
     let time = seconds.and_then(|seconds| OffsetDateTime::from_unix_timestamp(seconds).ok());
-    time.and_then(|time| time.format(&Rfc3339).ok()).unwrap_or_else(|| "-".to_string())
+    time.and_then(|time| time.format(&Rfc3339).ok())
+        .unwrap_or_else(|| "-".to_string())
 }
--- a/crates/cli/tests/acceptance/answers.rs
+++ b/crates/cli/tests/acceptance/answers.rs
@@ -26,7 +26,10 @@
 #[case::must_not_reset_at_once("submit-check", false)]
 #[case::may_run_twice_reset_later("recheck", true)]
 #[case::must_not_reset_later("submit-check", true)]
-fn half_of_a_short_answer_without_a_length_never_looks_whole(#[case] class: &str, #[case] later: bool) {
+fn half_of_a_short_answer_without_a_length_never_looks_whole(
+    #[case] class: &str,
+    #[case] later: bool,
+) {
     let mut nodes = vec![Node::new(), Node::new()];
     let addresses = [nodes[0].address(), nodes[1].address()];
     let sidecar = Sidecar::start(&addresses);
@@ -43,7 +46,9 @@
     let text = String::from_utf8_lossy(&bytes);
     let again = class == "recheck";
     match text.split(' ').nth(1) {
-        Some("200") if text.contains(HALF) => assert!(!text.ends_with("0\r\n\r\n"), "it looks whole: {text}"),
+        Some("200") if text.contains(HALF) => {
+            assert!(!text.ends_with("0\r\n\r\n"), "it looks whole: {text}")
+        }
         Some("200") => assert!(again && !later && text.ends_with("made"), "{text}"),
         Some("502") => assert!(!again && !later, "{text}"),
         _ => panic!("{text:?}"),
@@ -68,12 +73,22 @@
     until("it has been read", || !crate::has_unread(port));
     let head = client.read().expect("a head");
     assert_eq!(head.status(), 200);
-    assert_eq!(head.header("transfer-encoding"), Some("chunked"), "{:?}", head.headers);
+    assert_eq!(
+        head.header("transfer-encoding"),
+        Some("chunked"),
+        "{:?}",
+        head.headers
+    );
     match ended {
         true => drop(conn),
         false => conn.reset(),
     }
     let bytes = rest(&mut client);
-    assert_eq!(bytes.ends_with(LAST_CHUNK), ended, "{} bytes came", bytes.len());
+    assert_eq!(
+        bytes.ends_with(LAST_CHUNK),
+        ended,
+        "{} bytes came",
+        bytes.len()
+    );
     assert!(!ended || bytes.iter().filter(|byte| **byte == b'x').count() == LONG);
 }
--- a/crates/cli/tests/acceptance/closes.rs
+++ b/crates/cli/tests/acceptance/closes.rs
@@ -22,7 +22,11 @@
     let mut conn = node.accept();
     assert!(conn.read().is_some());
     assert_eq!(client.read().expect("an answer").status(), 502);
-    assert!(told.elapsed() < KILLED_AFTER, "{:?} behind SIGTERM", told.elapsed());
+    assert!(
+        told.elapsed() < KILLED_AFTER,
+        "{:?} behind SIGTERM",
+        told.elapsed()
+    );
     assert!(sidecar.child.wait().expect("it ends").success());
 }
 
@@ -48,7 +52,11 @@
     drop((half, client));
     let asked = Asked::by(node);
     assert!(sidecar.child.wait().expect("it ends").success());
-    assert!(told.elapsed() < KILLED_AFTER, "it ended {:?} behind SIGTERM", told.elapsed());
+    assert!(
+        told.elapsed() < KILLED_AFTER,
+        "it ended {:?} behind SIGTERM",
+        told.elapsed()
+    );
     assert_eq!(asked.all(), 0);
 }
 
@@ -56,7 +64,12 @@
 #[test]
 fn signals_in_the_first_moment_twice_and_with_sighup_end_it_in_order() {
     let node = Node::new();
-    for signals in [&["TERM"][..], &["TERM", "TERM"], &["HUP", "TERM", "HUP"], &["TERM", "HUP", "TERM"]] {
+    for signals in [
+        &["TERM"][..],
+        &["TERM", "TERM"],
+        &["HUP", "TERM", "HUP"],
+        &["TERM", "HUP", "TERM"],
+    ] {
         let mut sidecar = Sidecar::start(&[node.address()]);
         signals.iter().for_each(|signal| sidecar.signal(signal));
         let ended = sidecar.child.wait().expect("it ends");
@@ -80,10 +93,15 @@
     let mut conn = node.accept();
     assert!(conn.read().is_some());
     // More than is read ahead.
-    client.write(format!("POST /recheck HTTP/1.1\r\nX-Trace-Id: {}", "x".repeat(60_000)));
+    client.write(format!(
+        "POST /recheck HTTP/1.1\r\nX-Trace-Id: {}",
+        "x".repeat(60_000)
+    ));
     conn.write(format!("HTTP/1.1 200 OK\r\nContent-Length: {LONG}\r\n\r\n"));
     conn.write(vec![b'x'; LONG]);
-    until("its side has closed", || !is_open(sidecar.address.port(), port));
+    until("its side has closed", || {
+        !is_open(sidecar.address.port(), port)
+    });
     let answer = client.read().expect("all of the answer");
     assert_eq!((answer.status(), answer.body.len()), (200, LONG));
 }
@@ -95,7 +113,10 @@
     let (from, to) = (format!(":{from:04X}"), format!(":{to:04X}"));
     all.lines().any(|line| {
         let words: Vec<&str> = line.split_whitespace().collect();
-        words.len() > 3 && words[1].ends_with(&from) && words[2].ends_with(&to) && words[3] == ESTABLISHED
+        words.len() > 3
+            && words[1].ends_with(&from)
+            && words[2].ends_with(&to)
+            && words[3] == ESTABLISHED
     })
 }
 
@@ -106,19 +127,27 @@
     let node = Node::new();
     let mut sidecar = Sidecar::start(&[node.address()]);
     let asked = Asked::by(node);
-    let mut clients: Vec<TcpStream> =
-        (0..40).map(|_| TcpStream::connect(sidecar.address).expect("it accepts")).collect();
+    let mut clients: Vec<TcpStream> = (0..40)
+        .map(|_| TcpStream::connect(sidecar.address).expect("it accepts"))
+        .collect();
     crate::is_served(sidecar.client());
     sidecar.signal("TERM");
     sidecar.wait_for("closed to new clients");
     let mut answered = 0;
-    let ids: Vec<String> = (0..clients.len()).map(|number| format!("crossing-{number}")).collect();
+    let ids: Vec<String> = (0..clients.len())
+        .map(|number| format!("crossing-{number}"))
+        .collect();
     for (client, id) in clients.iter_mut().zip(&ids) {
-        let _ = client.write_all(crate::rig::request_with(id, "submit-check", 5_900, "").as_bytes());
+        let _ =
+            client.write_all(crate::rig::request_with(id, "submit-check", 5_900, "").as_bytes());
     }
     for (client, id) in clients.into_iter().zip(&ids) {
         let answer = Conn::new(client).read().map(|answer| answer.status());
-        assert_eq!(asked.times(id), u32::from(answer == Some(200)), "{id}: {answer:?}");
+        assert_eq!(
+            asked.times(id),
+            u32::from(answer == Some(200)),
+            "{id}: {answer:?}"
+        );
         answered += u32::from(answer.is_some());
     }
     eprintln!("{answered} of {} were served", ids.len());
@@ -137,7 +166,10 @@
 #[test]
 fn a_connection_that_its_server_closed_while_the_process_stood_still_is_not_written_to() {
     let node = Node::new();
-    let options = Options { edit: cold_for_long, ..Options::default() };
+    let options = Options {
+        edit: cold_for_long,
+        ..Options::default()
+    };
     let sidecar = Sidecar::with(&[node.address()], options);
     let mut client = sidecar.ask("submit-check", 5_900);
     let mut conn = node.accept();
@@ -146,9 +178,13 @@
     assert_eq!(client.read().expect("an answer").status(), 200);
     let mut held = sidecar.ask("submit-check", 5_900);
     // Whether it is held is for the server to tell: it has been read here, and did not go on.
-    crate::rig::until("it has been read", || !crate::has_unread(sidecar.address.port()));
+    crate::rig::until("it has been read", || {
+        !crate::has_unread(sidecar.address.port())
+    });
     sidecar.signal("STOP");
-    crate::rig::until("it stands still", || crate::stands_still(sidecar.child.id()));
+    crate::rig::until("it stands still", || {
+        crate::stands_still(sidecar.child.id())
+    });
     let went_on = conn.has_something();
     drop(conn);
     // What it is held by fills up by a quarter of a request a second, and a little less than one is missing.
--- a/crates/cli/tests/acceptance/gone_clients.rs
+++ b/crates/cli/tests/acceptance/gone_clients.rs
@@ -22,7 +22,9 @@
         match self {
             Unread::Nothing => client.write(request_with(id, "recheck", 5_900, "")),
             Unread::NextRequest => {
-                client.write(request_with(id, "recheck", 5_900, "") + "POST /recheck HTTP/1.1\r\nHost: s");
+                client.write(
+                    request_with(id, "recheck", 5_900, "") + "POST /recheck HTTP/1.1\r\nHost: s",
+                );
             }
             Unread::PausedBody => {
                 client.write(format!(
@@ -44,10 +46,15 @@
     #[values(false, true)] drains: bool,
 ) {
     let node = Node::new();
-    let options = Options { edit: late_connections, ..Options::default() };
+    let options = Options {
+        edit: late_connections,
+        ..Options::default()
+    };
     let mut sidecar = Sidecar::with(&[node.address()], options);
     let held = node.hold_connections();
-    let ids: Vec<String> = (0..clients).map(|number| format!("gone-{number}")).collect();
+    let ids: Vec<String> = (0..clients)
+        .map(|number| format!("gone-{number}"))
+        .collect();
     let waiting: Vec<Conn> = ids.iter().map(|id| unread.ask(&sidecar, id)).collect();
     until("connections are tried", || node.is_tried());
     // This one stays, on a connection that it opened before any drain.
@@ -61,7 +68,11 @@
     drop(held);
     let asked = Asked::by(node);
     assert_eq!(stays.read().expect("an answer").status(), 200);
-    assert_eq!((asked.times("stays"), asked.all()), (1, 1), "an attempt began for a client that had gone");
+    assert_eq!(
+        (asked.times("stays"), asked.all()),
+        (1, 1),
+        "an attempt began for a client that had gone"
+    );
 }
 
 /// The first attempt has been read whole when its client leaves, and is lost then. The class may be repeated.
@@ -73,12 +84,19 @@
     let sidecar = Sidecar::start(&[nodes[0].address(), nodes[1].address()]);
     let client = unread.ask(&sidecar, "gone");
     let (_, mut conn) = accept_any(&[&nodes[0], &nodes[1]]);
-    assert_eq!(conn.read().expect("the first attempt").header("x-trace-id"), Some("gone"));
+    assert_eq!(
+        conn.read().expect("the first attempt").header("x-trace-id"),
+        Some("gone")
+    );
     drop(client);
     conn.reset();
     let asked = nodes.map(Asked::by);
     // Two in a row, since the first may find its connection before the repeat would have.
     is_served(sidecar.client());
     is_served(sidecar.client());
-    assert_eq!(asked.iter().map(|asked| asked.times("gone")).sum::<u32>(), 0, "a second attempt began");
+    assert_eq!(
+        asked.iter().map(|asked| asked.times("gone")).sum::<u32>(),
+        0,
+        "a second attempt began"
+    );
 }
--- a/crates/cli/tests/acceptance/main.rs
+++ b/crates/cli/tests/acceptance/main.rs
@@ -34,11 +34,21 @@
     }
 
     fn note(&self, id: &str) {
-        *self.0.lock().expect("no thread panics").entry(id.to_string()).or_default() += 1;
+        *self
+            .0
+            .lock()
+            .expect("no thread panics")
+            .entry(id.to_string())
+            .or_default() += 1;
     }
 
     fn times(&self, id: &str) -> u32 {
-        self.0.lock().expect("no thread panics").get(id).copied().unwrap_or(0)
+        self.0
+            .lock()
+            .expect("no thread panics")
+            .get(id)
+            .copied()
+            .unwrap_or(0)
     }
 
     fn all(&self) -> u32 {
@@ -59,7 +69,9 @@
 
 /// Now, in milliseconds of Unix time.
 fn now_ms() -> u64 {
-    let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
+    let now = std::time::SystemTime::now()
+        .duration_since(std::time::UNIX_EPOCH)
+        .unwrap_or_default();
     u64::try_from(now.as_millis()).expect("not that late")
 }
 
@@ -77,5 +89,7 @@
 /// Whether a process has been stopped.
 fn stands_still(id: u32) -> bool {
     let told = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
-    told.rsplit(") ").next().is_some_and(|rest| rest.starts_with('T'))
+    told.rsplit(") ")
+        .next()
+        .is_some_and(|rest| rest.starts_with('T'))
 }
--- a/crates/cli/tests/acceptance/repeats.rs
+++ b/crates/cli/tests/acceptance/repeats.rs
@@ -16,7 +16,13 @@
 fn a_repeat_whose_connection_comes_up_behind_its_window_is_never_written() {
     let mut nodes = vec![Node::new(), Node::new()];
     let addresses = [nodes[0].address(), nodes[1].address()];
-    let sidecar = Sidecar::with(&addresses, Options { edit: short_window, ..Options::default() });
+    let sidecar = Sidecar::with(
+        &addresses,
+        Options {
+            edit: short_window,
+            ..Options::default()
+        },
+    );
     let mut client = sidecar.ask("recheck", 5_000);
     let (first, mut conn) = accept_any(&[&nodes[0], &nodes[1]]);
     assert!(conn.read().is_some());
@@ -38,7 +44,10 @@
 fn a_request_whose_time_is_over_when_its_connection_is_up_is_never_written() {
     const LEFT: Duration = Duration::from_millis(1_500);
     let late = Node::new();
-    let options = Options { edit: late_connections, ..Options::default() };
+    let options = Options {
+        edit: late_connections,
+        ..Options::default()
+    };
     let sidecar = Sidecar::with(&[late.address()], options);
     let held = late.hold_connections();
     let asked_at = Instant::now();
@@ -50,7 +59,11 @@
     until("its time is over", || asked_at.elapsed() > LEFT);
     let asked = Asked::by(late);
     sidecar.signal("CONT");
-    assert_eq!(client.read().expect("an answer").status(), 503, "it ran nowhere");
+    assert_eq!(
+        client.read().expect("an answer").status(),
+        503,
+        "it ran nowhere"
+    );
     assert_eq!(asked.all(), 0, "it was written when its time was over");
 }
 
@@ -59,14 +72,20 @@
 #[test]
 fn a_connection_that_comes_up_behind_a_drain_carries_nothing_new() {
     let (late, other) = (Node::new(), Node::new());
-    let options = Options { edit: late_connections, ..Options::default() };
+    let options = Options {
+        edit: late_connections,
+        ..Options::default()
+    };
     let sidecar = Sidecar::with(&[late.address()], options);
     let mut watch = sidecar.discovery.accept();
     assert!(watch.read().is_some());
     let held = late.hold_connections();
     let mut client = sidecar.ask("submit-check", 5_900);
     until("a connection is tried", || late.is_tried());
-    let entries = [("n0", late.address(), "terminating"), ("n1", other.address(), "in_service")];
+    let entries = [
+        ("n0", late.address(), "terminating"),
+        ("n1", other.address(), "in_service"),
+    ];
     watch.tell(&listing(42, true, &entries).to_string());
     sidecar.serves(&[&other]);
     drop(held);
@@ -83,7 +102,13 @@
     const LEFT_MS: u128 = 5_000;
     let mut nodes = vec![Node::new(), Node::new()];
     let addresses = [nodes[0].address(), nodes[1].address()];
-    let sidecar = Sidecar::with(&addresses, Options { edit: late_connections, ..Options::default() });
+    let sidecar = Sidecar::with(
+        &addresses,
+        Options {
+            edit: late_connections,
+            ..Options::default()
+        },
+    );
     let asked = Instant::now();
     let mut client = sidecar.ask("recheck", LEFT_MS as u64);
     let (first, mut conn) = accept_any(&[&nodes[0], &nodes[1]]);
@@ -97,8 +122,14 @@
     drop(held);
     let mut conn = late.accept();
     let told = conn.read().expect("the repeat");
-    let told: u128 = told.header("x-expires-in-ms").and_then(|left| left.parse().ok()).expect("a time");
-    assert!(told > 0 && told <= LEFT_MS - came, "{told} ms are told {came} ms behind the request");
+    let told: u128 = told
+        .header("x-expires-in-ms")
+        .and_then(|left| left.parse().ok())
+        .expect("a time");
+    assert!(
+        told > 0 && told <= LEFT_MS - came,
+        "{told} ms are told {came} ms behind the request"
+    );
     conn.answer("200 OK", "made");
     assert_eq!(client.read().expect("an answer").status(), 200);
 }
--- a/crates/cli/tests/acceptance/uploads.rs
+++ b/crates/cli/tests/acceptance/uploads.rs
@@ -25,7 +25,9 @@
     fn piece(self, bytes: &[u8]) -> Vec<u8> {
         match self {
             Framing::Length => bytes.to_vec(),
-            Framing::Chunks => [format!("{:x}\r\n", bytes.len()).as_bytes(), bytes, b"\r\n"].concat(),
+            Framing::Chunks => {
+                [format!("{:x}\r\n", bytes.len()).as_bytes(), bytes, b"\r\n"].concat()
+            }
         }
     }
 
@@ -39,7 +41,8 @@
 
 /// A request whose body is still to come.
 fn head(framing: Framing, length: usize) -> String {
-    request("submit-check", 5_900, "").replace("Content-Length: 5\r\n\r\npaper", &framing.header(length))
+    request("submit-check", 5_900, "")
+        .replace("Content-Length: 5\r\n\r\npaper", &framing.header(length))
 }
 
 /// A body of which a part that is missing, doubled or moved shows.
@@ -63,7 +66,10 @@
     let node = Node::new();
     let mut sidecar = Sidecar::start(&[node.address()]);
     let sent = body(length);
-    let pieces: Vec<Vec<u8>> = sent.chunks(length / PIECES).map(|piece| framing.piece(piece)).collect();
+    let pieces: Vec<Vec<u8>> = sent
+        .chunks(length / PIECES)
+        .map(|piece| framing.piece(piece))
+        .collect();
     let server = std::thread::spawn(move || {
         let mut conn = node.accept();
         let message = conn.read_whole().expect("a request");
@@ -75,7 +81,9 @@
     let port = sidecar.address.port();
     let mut client = sidecar.client();
     client.write(head(framing, length));
-    pieces[..PIECES / 2].iter().for_each(|piece| client.write(piece));
+    pieces[..PIECES / 2]
+        .iter()
+        .for_each(|piece| client.write(piece));
     until("the first half has been read", || !crate::has_unread(port));
     let told = Instant::now();
     sidecar.signal("TERM");
@@ -85,17 +93,30 @@
         until("it has been read", || !crate::has_unread(port));
     }
     sidecar.wait_for("closed to new clients");
-    pieces[PIECES - 1..].iter().for_each(|piece| client.write(piece));
+    pieces[PIECES - 1..]
+        .iter()
+        .for_each(|piece| client.write(piece));
     client.write(framing.end());
     let answer = client.read().expect("an answer");
-    assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
+    assert_eq!(
+        (answer.status(), answer.header("connection")),
+        (200, Some("close"))
+    );
     assert!(client.read().is_none(), "more than one answer came");
     // As clients do behind the end; the process would wait a second for it.
     drop(client);
     assert_eq!(sidecar.child.wait().expect("it ends").code(), Some(0));
-    assert!(told.elapsed() < KILLED_AFTER, "it ended {:?} behind SIGTERM", told.elapsed());
+    assert!(
+        told.elapsed() < KILLED_AFTER,
+        "it ended {:?} behind SIGTERM",
+        told.elapsed()
+    );
     let arrived = server.join().expect("the server had one request");
-    assert!(arrived == sent, "{} bytes arrived of {length}, or others", arrived.len());
+    assert!(
+        arrived == sent,
+        "{} bytes arrived of {length}, or others",
+        arrived.len()
+    );
 }
 
 /// The client stops writing for good when the process is told to stop: it is not waited for beyond its time, it is told so,
@@ -107,13 +128,19 @@
     let mut client = sidecar.client();
     client.write(head(Framing::Length, 90_000));
     client.write(body(1_000));
-    until("it has been read", || !crate::has_unread(sidecar.address.port()));
+    until("it has been read", || {
+        !crate::has_unread(sidecar.address.port())
+    });
     let told = Instant::now();
     sidecar.signal("TERM");
     sidecar.wait_for("stopping");
     assert_eq!(client.read().expect("an answer").status(), 408);
     drop(client);
     assert_eq!(sidecar.child.wait().expect("it ends").code(), Some(0));
-    assert!(told.elapsed() < KILLED_AFTER, "it ended {:?} behind SIGTERM", told.elapsed());
+    assert!(
+        told.elapsed() < KILLED_AFTER,
+        "it ended {:?} behind SIGTERM",
+        told.elapsed()
+    );
     assert!(node.try_accept().is_none(), "half a request was sent on");
 }
--- a/crates/cli/tests/acceptance/watches.rs
+++ b/crates/cli/tests/acceptance/watches.rs
@@ -64,7 +64,9 @@
             Form::Line => chunk(conn, &format!("{list}\n")),
             Form::BehindSpace => chunk(conn, &format!(" \t  {list}  \r\n")),
             Form::Indented => chunk(conn, &indented()),
-            Form::Bytes => indented().chars().for_each(|byte| chunk(conn, &byte.to_string())),
+            Form::Bytes => indented()
+                .chars()
+                .for_each(|byte| chunk(conn, &byte.to_string())),
         }
     }
 }
@@ -89,11 +91,24 @@
     settles_on(&sidecar, both, 1);
     chunk(&mut conn, "\n");
     // What a whole list does not name is gone, also where it still answers.
-    form.tell(&mut conn, &listing(43, true, &[("n0", first, "in_service")]));
+    form.tell(
+        &mut conn,
+        &listing(43, true, &[("n0", first, "in_service")]),
+    );
     settles_on(&sidecar, both, 0);
-    form.tell(&mut conn, &listing(44, false, &[("n1", second, "in_service"), ("n0", first, "terminated")]));
+    form.tell(
+        &mut conn,
+        &listing(
+            44,
+            false,
+            &[("n1", second, "in_service"), ("n0", first, "terminated")],
+        ),
+    );
     settles_on(&sidecar, both, 1);
-    assert!(sidecar.discovery.try_accept().is_none(), "the watch was given up");
+    assert!(
+        sidecar.discovery.try_accept().is_none(),
+        "the watch was given up"
+    );
 }
 
 /// A change of which all but the end has come when the watch falls silent. Nothing of it is taken, the watch is opened anew and
@@ -111,8 +126,11 @@
     let (mut old, asked) = watch(&sidecar.discovery);
     assert!(asked.contains("after=41 "), "{asked}");
     let change = drains(43, ("n0", first));
-    let text =
-        if indented { serde_json::to_string_pretty(&change).expect("written") } else { change.to_string() };
+    let text = if indented {
+        serde_json::to_string_pretty(&change).expect("written")
+    } else {
+        change.to_string()
+    };
     // So that the pause that ends it is the one within the list.
     chunk(&mut old, "\n");
     for piece in [&text[..20], &text[20..text.len() - 2]] {
@@ -121,8 +139,14 @@
     let silent = Instant::now();
     let (mut new, asked) = watch(&sidecar.discovery);
     let took = silent.elapsed();
-    assert!(took > BEATS && took < TOLD, "it was opened anew after {took:?}");
-    assert!(asked.contains("after=41 "), "{asked}: half a change was taken");
+    assert!(
+        took > BEATS && took < TOLD,
+        "it was opened anew after {took:?}"
+    );
+    assert!(
+        asked.contains("after=41 "),
+        "{asked}: half a change was taken"
+    );
     assert!(old.read().is_none(), "the old watch is still open");
     Form::Line.tell(&mut new, &change);
     settles_on(&sidecar, both, 1);
@@ -168,5 +192,8 @@
         std::thread::sleep(Duration::from_millis(1_500));
     }
     settles_on(&sidecar, both, 1);
-    assert!(sidecar.discovery.try_accept().is_none(), "the watch was given up");
+    assert!(
+        sidecar.discovery.try_accept().is_none(),
+        "the watch was given up"
+    );
 }
--- a/crates/cli/tests/alone/border.rs
+++ b/crates/cli/tests/alone/border.rs
@@ -25,7 +25,10 @@
         .args(["10", env!("CARGO_BIN_EXE_madderloom"), "serve"])
         .env("RELAY_CONFIG", config)
         .env(variable, OsStr::from_bytes(b"\xff\xfe"));
-    let done = command.stderr(Stdio::piped()).output().expect("it starts and ends");
+    let done = command
+        .stderr(Stdio::piped())
+        .output()
+        .expect("it starts and ends");
     let errors = String::from_utf8_lossy(&done.stderr);
     assert_eq!(done.status.code(), Some(1), "{errors}");
     assert!(
@@ -35,10 +38,16 @@
 }
 
 fn processor_ms(sidecar: &Sidecar) -> u64 {
-    let stat = std::fs::read_to_string(format!("/proc/{}/stat", sidecar.child.id())).expect("it runs");
+    let stat =
+        std::fs::read_to_string(format!("/proc/{}/stat", sidecar.child.id())).expect("it runs");
     let (_, fields) = stat.rsplit_once(')').expect("a name");
-    let ticks =
-        |at: usize| fields.split_whitespace().nth(at).and_then(|t| t.parse::<u64>().ok()).expect("a time");
+    let ticks = |at: usize| {
+        fields
+            .split_whitespace()
+            .nth(at)
+            .and_then(|t| t.parse::<u64>().ok())
+            .expect("a time")
+    };
     10 * (ticks(11) + ticks(12))
 }
 
@@ -50,8 +59,14 @@
     let address = listener.local_addr().expect("it is bound");
     let shared = rustix::io::dup(&listener).expect("a descriptor is free");
     let inherited = Some((address, shared.as_raw_fd()));
-    let mut sidecar =
-        Sidecar::with(&[node.address()], Options { control: true, inherited, ..Options::default() });
+    let mut sidecar = Sidecar::with(
+        &[node.address()],
+        Options {
+            control: true,
+            inherited,
+            ..Options::default()
+        },
+    );
     sidecar.serves(&[&node]);
     rustix::net::shutdown(&shared, rustix::net::Shutdown::Both).expect("it is shut down");
     sidecar.wait_for("no client can be taken");
--- a/crates/cli/tests/alone/log.rs
+++ b/crates/cli/tests/alone/log.rs
@@ -12,7 +12,10 @@
 
 /// What its standard error is read by.
 fn take_errors(sidecar: &mut Sidecar) -> BufReader<ChildStderr> {
-    let mut nobody = Command::new("true").stderr(Stdio::piped()).spawn().expect("it starts");
+    let mut nobody = Command::new("true")
+        .stderr(Stdio::piped())
+        .spawn()
+        .expect("it starts");
     let errors = BufReader::new(nobody.stderr.take().expect("piped"));
     nobody.wait().expect("it ends");
     std::mem::replace(&mut sidecar.errors, errors)
@@ -21,7 +24,12 @@
 /// Its lines, as they come.
 fn lines(errors: BufReader<ChildStderr>) -> Receiver<String> {
     let (tell, told) = channel();
-    std::thread::spawn(move || errors.lines().map_while(Result::ok).all(|line| tell.send(line).is_ok()));
+    std::thread::spawn(move || {
+        errors
+            .lines()
+            .map_while(Result::ok)
+            .all(|line| tell.send(line).is_ok())
+    });
     told
 }
 
@@ -30,7 +38,9 @@
     let until = Instant::now() + PATIENCE;
     loop {
         let left = until.saturating_duration_since(Instant::now());
-        let line = told.recv_timeout(left).unwrap_or_else(|_| panic!("it never says {text}"));
+        let line = told
+            .recv_timeout(left)
+            .unwrap_or_else(|_| panic!("it never says {text}"));
         if line.contains(text) {
             return line;
         }
@@ -38,9 +48,16 @@
 }
 
 fn resident_kb(sidecar: &Sidecar) -> u64 {
-    let status = std::fs::read_to_string(format!("/proc/{}/status", sidecar.child.id())).expect("it runs");
-    let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("it is told");
-    line.trim().trim_end_matches(" kB").parse().expect("a number")
+    let status =
+        std::fs::read_to_string(format!("/proc/{}/status", sidecar.child.id())).expect("it runs");
+    let line = status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmRSS:"))
+        .expect("it is told");
+    line.trim()
+        .trim_end_matches(" kB")
+        .parse()
+        .expect("a number")
 }
 
 #[derive(Clone, Copy, PartialEq)]
@@ -63,7 +80,11 @@
     for node in nodes {
         serve_all(node);
     }
-    let options = Options { arguments: "--log-level debug", control: true, ..Options::default() };
+    let options = Options {
+        arguments: "--log-level debug",
+        control: true,
+        ..Options::default()
+    };
     let mut sidecar = Sidecar::with(&addresses, options);
     let told = match errors {
         Errors::Read => Some(lines(take_errors(&mut sidecar))),
@@ -80,15 +101,27 @@
             before = resident_kb(&sidecar);
         }
         client.write(request("recheck", 5_000, ""));
-        assert_eq!(client.read().expect("it answers, whoever reads its log").status(), 200);
+        assert_eq!(
+            client
+                .read()
+                .expect("it answers, whoever reads its log")
+                .status(),
+            200
+        );
     }
     let ended = ["fulfilled", "throttled", "faulted"]
         .map(|end| sidecar.figure(&format!("app.operations.recheck.{end}")));
-    assert_eq!((ended, sidecar.figure("app.open_requests")), ([4_000, 0, 0], 0), "taken is ended and open");
+    assert_eq!(
+        (ended, sidecar.figure("app.open_requests")),
+        ([4_000, 0, 0], 0),
+        "taken is ended and open"
+    );
     let grown = resident_kb(&sidecar).saturating_sub(before);
     assert!(grown < 4_096, "it has grown by {grown} kB");
     sidecar.signal("TERM");
-    until("it has ended", || sidecar.child.try_wait().expect("it can be asked").is_some());
+    until("it has ended", || {
+        sidecar.child.try_wait().expect("it can be asked").is_some()
+    });
     assert_eq!(sidecar.child.wait().expect("it has ended").code(), Some(0));
     if let Some(told) = told {
         // The last line of all is there.
@@ -104,7 +137,11 @@
     let slow = Arc::new(AtomicBool::new(false));
     let is_slow = Arc::clone(&slow);
     serve(well, move |_, conn| {
-        std::thread::sleep(Duration::from_millis(if is_slow.load(Ordering::Relaxed) { 60 } else { 0 }));
+        std::thread::sleep(Duration::from_millis(if is_slow.load(Ordering::Relaxed) {
+            60
+        } else {
+            0
+        }));
         conn.answer("200 OK", "made");
         true
     });
@@ -128,15 +165,30 @@
             counts_broken.fetch_add(u64::from(client.read().is_none()), Ordering::Relaxed);
         }
     });
-    let counted = comes(&told, " more lines like those of madderloom_sidecar::passing");
-    let written = |line: &str| line.split(' ').nth(1).and_then(|count| count.parse::<u64>().ok());
-    assert!(written(&counted).is_some_and(|left_out| left_out > 10), "{counted}");
+    let counted = comes(
+        &told,
+        " more lines like those of madderloom_sidecar::passing",
+    );
+    let written = |line: &str| {
+        line.split(' ')
+            .nth(1)
+            .and_then(|count| count.parse::<u64>().ok())
+    };
+    assert!(
+        written(&counted).is_some_and(|left_out| left_out > 10),
+        "{counted}"
+    );
     // How many answers break off within a second is up to the machine; that over a hundred do is a flood.
-    until("over a hundred answers broke off", || broken.load(Ordering::Relaxed) > 100);
+    until("over a hundred answers broke off", || {
+        broken.load(Ordering::Relaxed) > 100
+    });
     // The flood goes on, and the server that was well becomes slow.
     slow.store(true, Ordering::Relaxed);
     let moved = comes(&told, "regions moved: ");
-    assert!(moved.contains("% to ") && moved.contains(" over time "), "{moved}");
+    assert!(
+        moved.contains("% to ") && moved.contains(" over time "),
+        "{moved}"
+    );
     comes(&told, "n0 from ");
     over.store(true, Ordering::Relaxed);
     flood.join().expect("it ends");
--- a/crates/cli/tests/alone/writes.rs
+++ b/crates/cli/tests/alone/writes.rs
@@ -75,7 +75,11 @@
             tries += 1;
             let id = format!("{number:04x}{meaning:08x}{number_of_try:04x}");
             // Every other client marks its tries.
-            let mark = if number_of_try > 0 && number.is_multiple_of(2) { "X-Second-Try: 1\r\n" } else { "" };
+            let mark = if number_of_try > 0 && number.is_multiple_of(2) {
+                "X-Second-Try: 1\r\n"
+            } else {
+                ""
+            };
             let more = format!("X-Meaning: {class}-{number}-{meaning}\r\n{mark}");
             let mut conn = Conn::new(TcpStream::connect(at).expect("it accepts"));
             conn.write(request_with(&id, class, 300, &more));
@@ -95,28 +99,56 @@
 
 fn play(ways: [&'static [u64]; 2], all_fail: bool) {
     let arrived = Arc::<Mutex<Arrived>>::default();
-    let nodes = [server(&arrived, ways[0]), server(&arrived, ways[1]), dropper()];
+    let nodes = [
+        server(&arrived, ways[0]),
+        server(&arrived, ways[1]),
+        dropper(),
+    ];
     let sidecar = Sidecar::start(&nodes);
     let at = sidecar.address;
     let clients = (0..8).map(|number| {
-        let class = if number < 4 { "submit-check" } else { "recheck" };
+        let class = if number < 4 {
+            "submit-check"
+        } else {
+            "recheck"
+        };
         std::thread::spawn(move || client(at, number, class, 12))
     });
     let clients: Vec<_> = clients.collect();
-    let tries: u64 = clients.into_iter().map(|client| client.join().expect("each try is answered")).sum();
+    let tries: u64 = clients
+        .into_iter()
+        .map(|client| client.join().expect("each try is answered"))
+        .sum();
     let arrived = arrived.lock().expect("nobody panics");
-    let unsafe_twice: Vec<_> =
-        arrived.may_have_run.iter().filter(|(of, count)| of.starts_with("submit") && **count > 1).collect();
-    assert!(unsafe_twice.is_empty(), "may have run twice: {unsafe_twice:?}");
+    let unsafe_twice: Vec<_> = arrived
+        .may_have_run
+        .iter()
+        .filter(|(of, count)| of.starts_with("submit") && **count > 1)
+        .collect();
+    assert!(
+        unsafe_twice.is_empty(),
+        "may have run twice: {unsafe_twice:?}"
+    );
     let most = arrived.by_try.values().max().copied().unwrap_or(0);
-    assert!(most <= MOST_ATTEMPTS, "one request was written {most} times");
+    assert!(
+        most <= MOST_ATTEMPTS,
+        "one request was written {most} times"
+    );
     assert!(arrived.all > 0);
     // Each request earns half an attempt more, and ten are saved up at the start.
     let bound = tries + tries / 2 + 10;
-    assert!(arrived.all <= bound, "{} writes for {tries} requests", arrived.all);
+    assert!(
+        arrived.all <= bound,
+        "{} writes for {tries} requests",
+        arrived.all
+    );
     if all_fail {
         // With no answer at all, each meaning costs three tries of its client at most.
-        assert!(arrived.all <= 8 * 12 * 3 * 3 / 2 + 10, "{} writes", arrived.all);
+        assert!(
+            arrived.all <= 8 * 12 * 3 * 3 / 2 + 10,
+            "{} writes",
+            arrived.all
+        );
     }
 }
 
--- a/crates/cli/tests/connections/ends.rs
+++ b/crates/cli/tests/connections/ends.rs
@@ -22,14 +22,23 @@
 
 /// Those of connections to the server, which may be kept for later, are not counted.
 fn descriptors(process: &Process) -> usize {
-    let all = std::fs::read_dir(format!("/proc/{}/fd", process.id())).expect("it runs").count();
+    let all = std::fs::read_dir(format!("/proc/{}/fd", process.id()))
+        .expect("it runs")
+        .count();
     all - figure(process, "/limits/server_connections/used") as usize
 }
 
 fn memory(process: &Process) -> u64 {
-    let status = std::fs::read_to_string(format!("/proc/{}/status", process.id())).expect("it runs");
-    let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("a figure");
-    line.split_whitespace().next().and_then(|kib| kib.parse().ok()).expect("a number")
+    let status =
+        std::fs::read_to_string(format!("/proc/{}/status", process.id())).expect("it runs");
+    let line = status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmRSS:"))
+        .expect("a figure");
+    line.split_whitespace()
+        .next()
+        .and_then(|kib| kib.parse().ok())
+        .expect("a number")
 }
 
 fn end_by(process: &Process, way: Way) {
@@ -56,7 +65,14 @@
 #[case(Way::Senseless)]
 fn descriptors_and_memory_return_to_where_they_were(#[case] way: Way) {
     let late = Manner::ServesLate(Duration::from_millis(1));
-    let server = StandIn::new("s", if matches!(way, Way::Gone) { late } else { Manner::Serves });
+    let server = StandIn::new(
+        "s",
+        if matches!(way, Way::Gone) {
+            late
+        } else {
+            Manner::Serves
+        },
+    );
     let process = process("head_within = \"1s\"", &[&server], "");
     let settled = |process: &Process| {
         wait_until(process, "/connections/parked", |parked| parked == 0);
@@ -76,8 +92,9 @@
         if after <= before + 2 && memory_after <= memory_before + 3_072 {
             return;
         }
-        let seen =
-            format!("{before} descriptors, {memory_before} KiB before, {after} and {memory_after} after");
+        let seen = format!(
+            "{before} descriptors, {memory_before} KiB before, {after} and {memory_after} after"
+        );
         assert!(Instant::now() < until, "{seen}");
     }
 }
--- a/crates/cli/tests/connections/main.rs
+++ b/crates/cli/tests/connections/main.rs
@@ -1,10 +1,16 @@
 //! Connections that lie idle, come and go, are slow or break, against the real program. Waits are for something to
 //! happen; requests that are active meanwhile must all be served.
 
-#[allow(dead_code, reason = "shared with the tests of the sidecar, which use more of it")]
+#[allow(
+    dead_code,
+    reason = "shared with the tests of the sidecar, which use more of it"
+)]
 #[path = "../sidecar/rig.rs"]
 mod rig;
-#[allow(dead_code, reason = "shared with the tests of services, which use more of it")]
+#[allow(
+    dead_code,
+    reason = "shared with the tests of services, which use more of it"
+)]
 #[path = "../services/stand_ins.rs"]
 mod stand_ins;
 
@@ -83,7 +89,10 @@
     fn none_lost(self) {
         self.over.store(true, Ordering::Relaxed);
         let (served, others) = self.thread.join().expect("no assertion of its own");
-        assert!(served > 0 && others.iter().all(|status| *status == 503), "{served} beside {others:?}");
+        assert!(
+            served > 0 && others.iter().all(|status| *status == 503),
+            "{served} beside {others:?}"
+        );
     }
 
     /// How many were served; no other answer may have come.
--- a/crates/cli/tests/connections/servers.rs
+++ b/crates/cli/tests/connections/servers.rs
@@ -54,8 +54,16 @@
         id = line.strip_prefix("x-trace-id: ").map_or(id, str::to_string);
     }
     reader.read_exact(&mut [0; 5]).ok()?;
-    *seen.lock().expect("no thread panics").entry(id).or_default() += 1;
-    let close = if matches!(after, After::Says) { "Connection: close\r\n" } else { "" };
+    *seen
+        .lock()
+        .expect("no thread panics")
+        .entry(id)
+        .or_default() += 1;
+    let close = if matches!(after, After::Says) {
+        "Connection: close\r\n"
+    } else {
+        ""
+    };
     let answer = format!("HTTP/1.1 200 OK\r\n{close}Content-Length: 4\r\n\r\nmade");
     reader.get_mut().write_all(answer.as_bytes()).ok()?;
     if matches!(after, After::ClosesLater) {
@@ -69,7 +77,10 @@
 #[case(After::Says, 0)]
 #[case(After::Closes, 0)]
 #[case(After::ClosesLater, 50)]
-fn a_server_that_closes_after_each_answer_gets_no_request_twice(#[case] after: After, #[case] lost: usize) {
+fn a_server_that_closes_after_each_answer_gets_no_request_twice(
+    #[case] after: After,
+    #[case] lost: usize,
+) {
     const ASKED: usize = 100;
     let server = OneAnswer::start(after);
     let sidecar = Sidecar::start(&[server.address]);
@@ -84,7 +95,10 @@
         std::thread::sleep(Duration::from_millis(if lost > 0 { 22 } else { 1 }));
     }
     // Written whole to a connection that closes at that moment, a request may have run: it is failed, not sent again.
-    assert!(others.len() <= lost && others.iter().all(|(_, status)| *status == 502), "{others:?}");
+    assert!(
+        others.len() <= lost && others.iter().all(|(_, status)| *status == 502),
+        "{others:?}"
+    );
     let seen = server.seen.lock().expect("no thread panics");
     assert!(seen.values().all(|times| *times == 1), "{seen:?}");
 }
@@ -92,14 +106,20 @@
 /// It accepts and never answers, while others serve.
 #[test]
 fn a_server_that_accepts_and_never_answers_keeps_nobody_from_the_others() {
-    let (hangs, serves) = (StandIn::new("hangs", Manner::Hangs), StandIn::new("serves", Manner::Serves));
+    let (hangs, serves) = (
+        StandIn::new("hangs", Manner::Hangs),
+        StandIn::new("serves", Manner::Serves),
+    );
     let process = process("", &[&hangs, &serves], "");
     let mut conn = process.client("in");
     let mut served = 0;
     let until = Instant::now() + PATIENCE;
     while served < 100 {
         assert!(Instant::now() < until, "{served} were served");
-        let id = format!("v-{}", Instant::now().duration_since(until - PATIENCE).as_nanos());
+        let id = format!(
+            "v-{}",
+            Instant::now().duration_since(until - PATIENCE).as_nanos()
+        );
         conn.write(format!(
             "GET /view HTTP/1.1\r\nHost: papers.test\r\nX-Trace-Id: {id}\r\nX-Expires-In-Ms: 1000\r\n\r\n"
         ));
@@ -130,7 +150,9 @@
     for client in &mut clients {
         client.write(rig::request("submit-check", 1900, ""));
     }
-    let mut new: Vec<Conn> = (0..OPEN).map(|_| rig::accept_any(&[&nodes[0], &nodes[1]]).1).collect();
+    let mut new: Vec<Conn> = (0..OPEN)
+        .map(|_| rig::accept_any(&[&nodes[0], &nodes[1]]).1)
+        .collect();
     for conn in &mut new {
         assert!(conn.read().is_some());
         conn.answer("200 OK", "made");
@@ -162,9 +184,16 @@
         let (_, head) = submit("papers", 5);
         client.write(head + "paper");
     }
-    let answers: Vec<u16> = clients.iter_mut().filter_map(Conn::read).map(|answer| answer.status()).collect();
+    let answers: Vec<u16> = clients
+        .iter_mut()
+        .filter_map(Conn::read)
+        .map(|answer| answer.status())
+        .collect();
     // Nothing ran, so each was told that it may try again, or had no time left.
-    assert!(answers.len() == 150 && answers.iter().all(|status| [502, 503].contains(status)), "{answers:?}");
+    assert!(
+        answers.len() == 150 && answers.iter().all(|status| [502, 503].contains(status)),
+        "{answers:?}"
+    );
     let peak = figure(&process, "/pools/0/limits/connections/peak");
     assert!((1..=32).contains(&peak), "{peak} at once");
 }
--- a/crates/cli/tests/descriptors/main.rs
+++ b/crates/cli/tests/descriptors/main.rs
@@ -17,7 +17,12 @@
 
 fn processor_ms(id: u32) -> u64 {
     let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).expect("it runs");
-    let fields: Vec<&str> = stat.rsplit(") ").next().expect("fields").split(' ').collect();
+    let fields: Vec<&str> = stat
+        .rsplit(") ")
+        .next()
+        .expect("fields")
+        .split(' ')
+        .collect();
     let ticks: u64 =
         fields[11].parse::<u64>().expect("a number") + fields[12].parse::<u64>().expect("a number");
     ticks * 10
@@ -28,9 +33,14 @@
 #[test]
 fn discovery_servers_and_a_new_client_are_reached_when_idle_clients_hold_all_descriptors() {
     let (known, new) = (Node::new(), Node::new());
-    let inherited: Vec<OwnedFd> =
-        (0..INHERITED).map(|_| rustix::io::dup(&known.0).expect("a descriptor is free")).collect();
-    let options = Options { sockets: 64, before: "ulimit -n 64", ..Options::default() };
+    let inherited: Vec<OwnedFd> = (0..INHERITED)
+        .map(|_| rustix::io::dup(&known.0).expect("a descriptor is free"))
+        .collect();
+    let options = Options {
+        sockets: 64,
+        before: "ulimit -n 64",
+        ..Options::default()
+    };
     let mut sidecar = Sidecar::with(&[known.address()], options);
     drop(inherited);
     let held = sidecar.discovery.hold_connections();
@@ -69,5 +79,8 @@
     assert_eq!(client.read().expect("an answer").status(), 200);
     over.store(true, Ordering::Relaxed);
     flood.join().expect("no panic");
-    assert!(part < 0.5, "{part} of a processor while there was no descriptor");
+    assert!(
+        part < 0.5,
+        "{part} of a processor while there was no descriptor"
+    );
 }
