--- a/crates/cli/tests/fleet/faults.rs
+++ b/crates/cli/tests/fleet/faults.rs
@@ -71,9 +71,15 @@
         let mut rig = Rig::new();
         std::fs::write(rig.at("site.json"), SITE).expect("written");
         let more = |number| if number >= COUNT - 5 { EXTRA } else { "" };
-        rig.instances = (0..COUNT).map(|number| rig.launch(number, more(number))).collect();
+        rig.instances = (0..COUNT)
+            .map(|number| rig.launch(number, more(number)))
+            .collect();
         rig.until_alive(COUNT);
-        Run { rig, random: oorandom::Rand32::new(seed), round: 0 }
+        Run {
+            rig,
+            random: oorandom::Rand32::new(seed),
+            round: 0,
+        }
     }
 
     /// One that may fail.
@@ -84,7 +90,11 @@
     /// A weight for a server that none had in the round before, which takes it.
     fn weight(&mut self) -> String {
         let server = self.random.rand_range(0..3);
-        format!("\"weight/w{server}\" = {}.{}", 1 + self.round % 90, self.random.rand_range(1..10))
+        format!(
+            "\"weight/w{server}\" = {}.{}",
+            1 + self.round % 90,
+            self.random.rand_range(1..10)
+        )
     }
 
     fn accepted(&self, pushed: &Output) {
@@ -96,8 +106,7 @@
         self.round += 1;
         let (id, victim, weight) = (format!("c{}", self.round), self.victim(), self.weight());
         // Waves of half a second, and none is waited for long.
-        let slowly =
-            "waves = [3, \"50%\"]\npause = \"500ms\"\nsilence = \"2s\"\nfailures = 100\nthen = \"stop\"";
+        let slowly = "waves = [3, \"50%\"]\npause = \"500ms\"\nsilence = \"2s\"\nfailures = 100\nthen = \"stop\"";
         let push = |rig: &Rig, id: &str, set: &str| rig.push(id, slowly, set);
         let name = format!("shop-{victim}");
         let begin = Instant::now();
@@ -106,7 +115,10 @@
                 self.accepted(&push(&self.rig, &id, &weight));
                 self.rig.instances[victim].program = None;
                 let results = self.rig.ended(&id);
-                assert!(["failed", "applied"].contains(&state(&results, &name)), "{results:?}");
+                assert!(
+                    ["failed", "applied"].contains(&state(&results, &name)),
+                    "{results:?}"
+                );
                 self.relaunch(victim);
             }
             Fault::Still => {
@@ -129,12 +141,17 @@
                 let set = || self.rig.instances[victim].set();
                 let before = set();
                 // To all at once: the watch still brings the order, until the instance holds the agent to be away.
-                let at_once = "waves = []\npause = \"0\"\nsilence = \"2s\"\nfailures = 100\nthen = \"stop\"";
+                let at_once =
+                    "waves = []\npause = \"0\"\nsilence = \"2s\"\nfailures = 100\nthen = \"stop\"";
                 self.accepted(&self.rig.push(&id, at_once, &weight));
                 until("the order has come", || (set() != before).then_some(()));
                 self.rig.instances[victim].program = None;
                 let results = self.rig.ended(&id);
-                assert_eq!(state(&results, &name), "failed", "it could not say so: {results:?}");
+                assert_eq!(
+                    state(&results, &name),
+                    "failed",
+                    "it could not say so: {results:?}"
+                );
                 self.rig.roads[ZONES[victim % 2]].heal();
                 self.relaunch(victim);
             }
@@ -147,7 +164,10 @@
                 self.accepted(&one);
                 self.accepted(&other);
                 let results = self.rig.ended(&id);
-                assert!(results.values().all(|result| result["state"] == "applied"), "{results:?}");
+                assert!(
+                    results.values().all(|result| result["state"] == "applied"),
+                    "{results:?}"
+                );
                 // And once more, when it is over.
                 self.accepted(&push(&self.rig, &id, &weight));
             }
@@ -156,7 +176,10 @@
                 let other_weight = self.weight();
                 let (one, other) = std::thread::scope(|scope| {
                     let other = scope.spawn(|| push(&self.rig, &rival, &other_weight));
-                    (push(&self.rig, &id, &weight), other.join().expect("no panic"))
+                    (
+                        push(&self.rig, &id, &weight),
+                        other.join().expect("no panic"),
+                    )
                 });
                 let mut codes = [code(&one), code(&other)];
                 let winner = if codes[0] == 0 { &id } else { &rival };
@@ -164,7 +187,10 @@
                 let told = String::from_utf8_lossy(&loser.stderr).into_owned();
                 codes.sort_unstable();
                 assert_eq!(codes, [0, 3], "{told}");
-                assert!(told.contains("declined") && told.contains(winner.as_str()), "{told}");
+                assert!(
+                    told.contains("declined") && told.contains(winner.as_str()),
+                    "{told}"
+                );
                 let winner = winner.clone();
                 self.rig.ended(&winner);
             }
@@ -173,7 +199,10 @@
                 std::thread::sleep(Duration::from_millis(self.random.rand_range(0..900).into()));
                 self.rig.told("alice", &["rollout", "undo", &id], 0);
                 let results = self.rig.ended(&id);
-                assert!(results.values().all(|r| r["state"] != "sent"), "{results:?}");
+                assert!(
+                    results.values().all(|r| r["state"] != "sent"),
+                    "{results:?}"
+                );
                 // Undone on the way, or as one more change after it was through: it is in effect nowhere.
                 self.settle();
                 let settled = self.rig.told("vic", &["show", "shop-0"], 0);
@@ -186,10 +215,17 @@
                 let results = self.rig.ended(&id);
                 for number in 0..COUNT {
                     let name = format!("shop-{number}");
-                    let wanted = if number >= COUNT - 5 { "applied" } else { "refused" };
+                    let wanted = if number >= COUNT - 5 {
+                        "applied"
+                    } else {
+                        "refused"
+                    };
                     assert_eq!(state(&results, &name), wanted, "{name}: {results:?}");
                 }
-                let reason = results["shop-0"]["reason"].as_str().unwrap_or_default().to_string();
+                let reason = results["shop-0"]["reason"]
+                    .as_str()
+                    .unwrap_or_default()
+                    .to_string();
                 assert!(
                     reason.contains("set.limit/extra/open: there is no pool extra; there are shop"),
                     "{reason}"
@@ -197,7 +233,9 @@
                 // Whole or not at all: what came with it is not in effect either.
                 let refused = self.rig.instances[0].set().expect("it is up");
                 let key = weight.split('"').nth(1).expect("a key");
-                let weighed = refused.get(key).is_some_and(|value| *value == as_told(&weight));
+                let weighed = refused
+                    .get(key)
+                    .is_some_and(|value| *value == as_told(&weight));
                 assert!(!weighed, "{key} in {refused:?}");
                 self.rig.told("alice", &["rollout", "undo", &id], 0);
             }
@@ -206,7 +244,10 @@
                 let before = std::fs::read(&kept).expect("it keeps something");
                 self.accepted(&push(&self.rig, &id, &weight));
                 let results = self.rig.ended(&id);
-                assert!(results.values().all(|result| result["state"] == "applied"), "{results:?}");
+                assert!(
+                    results.values().all(|result| result["state"] == "applied"),
+                    "{results:?}"
+                );
                 self.rig.instances[victim].program = None;
                 std::fs::write(&kept, before).expect("written");
                 self.relaunch(victim);
@@ -217,7 +258,10 @@
                 instance.program().signal(Signal::HUP);
                 instance.program().wait_for("operator file read again");
                 let results = self.rig.ended(&id);
-                assert!(results.values().all(|result| result["state"] == "applied"), "{results:?}");
+                assert!(
+                    results.values().all(|result| result["state"] == "applied"),
+                    "{results:?}"
+                );
             }
         }
         self.settle();
@@ -236,18 +280,27 @@
         for instance in &self.rig.instances {
             let name = &instance.name;
             until(&format!("{name} agrees"), || {
-                let text = self.rig.run("vic", &["show", name, "--output", "json"]).stdout;
+                let text = self
+                    .rig
+                    .run("vic", &["show", name, "--output", "json"])
+                    .stdout;
                 let told: serde_json::Value = serde_json::from_slice(&text).ok()?;
                 let settled: Vec<String> = serde_json::from_value(told["settled"].clone()).ok()?;
                 let own: Overlay =
                     serde_json::from_value(instance.status()?["control"]["set"].clone()).ok()?;
-                let lines: Vec<String> =
-                    own.0.iter().map(|(key, value)| format!("{key} = {value}")).collect();
+                let lines: Vec<String> = own
+                    .0
+                    .iter()
+                    .map(|(key, value)| format!("{key} = {value}"))
+                    .collect();
                 (lines == settled).then_some(())?;
                 // What it says is set is what its decision module has.
                 for server in ["w0", "w1", "w2"] {
-                    let weight = own.0.get(&format!("weight/{server}").parse().expect("a key"));
-                    let Some(Value::Weight(thousandths)) = weight.or(Some(&Value::Weight(1_000))) else {
+                    let weight = own
+                        .0
+                        .get(&format!("weight/{server}").parse().expect("a key"));
+                    let Some(Value::Weight(thousandths)) = weight.or(Some(&Value::Weight(1_000)))
+                    else {
                         return None;
                     };
                     let held = instance.server(server)?;
@@ -265,22 +318,41 @@
 
 fn nobody() -> Instance {
     let nowhere = std::net::SocketAddr::from(([127, 0, 0, 1], 9));
-    Instance { name: String::new(), file: "".into(), front: nowhere, admin: nowhere, program: None }
+    Instance {
+        name: String::new(),
+        file: "".into(),
+        front: nowhere,
+        admin: nowhere,
+        program: None,
+    }
 }
 
 fn state<'r>(results: &'r BTreeMap<String, serde_json::Value>, name: &str) -> &'r str {
-    results.get(name).and_then(|result| result["state"].as_str()).unwrap_or("nowhere")
+    results
+        .get(name)
+        .and_then(|result| result["state"].as_str())
+        .unwrap_or("nowhere")
 }
 
 /// The value of `"weight/w1" = 2.5` as instances tell it.
 fn as_told(weight: &str) -> serde_json::Value {
-    let weight: f64 = weight.rsplit(' ').next().and_then(|w| w.parse().ok()).expect("a number");
+    let weight: f64 = weight
+        .rsplit(' ')
+        .next()
+        .and_then(|w| w.parse().ok())
+        .expect("a number");
     serde_json::json!({"weight": (weight * 1e3).round() as u64})
 }
 
 fn run(seed: u64, faults: &[Fault]) {
     let mut run = Run::new(seed);
-    let fronts: Vec<_> = run.rig.instances.iter().take(STEADY).map(|instance| instance.front).collect();
+    let fronts: Vec<_> = run
+        .rig
+        .instances
+        .iter()
+        .take(STEADY)
+        .map(|instance| instance.front)
+        .collect();
     let load = Load::on(&fronts, PAUSE);
     let mut faults = faults.to_vec();
     // In an order that the seed tells.
@@ -294,7 +366,11 @@
     eprintln!("{} requests", got.len());
     for instance in &run.rig.instances {
         let log = instance.program().log();
-        assert!(!log.iter().any(|line| line.contains("panicked")), "{}: {log:#?}", instance.name);
+        assert!(
+            !log.iter().any(|line| line.contains("panicked")),
+            "{}: {log:#?}",
+            instance.name
+        );
     }
 }
 
@@ -307,7 +383,10 @@
 #[test]
 #[ignore = "takes minutes"]
 fn every_change_ends_under_many_lists_of_faults() {
-    let seeds = std::env::var("MADDERLOOM_SEEDS").ok().and_then(|seeds| seeds.parse().ok()).unwrap_or(3);
+    let seeds = std::env::var("MADDERLOOM_SEEDS")
+        .ok()
+        .and_then(|seeds| seeds.parse().ok())
+        .unwrap_or(3);
     for seed in 2..2 + seeds {
         run(seed, &[FAULTS, FAULTS, FAULTS].concat());
     }
@@ -320,10 +399,16 @@
     let run = Run::new(1);
     let at_once = "waves = []\npause = \"0\"\nsilence = \"15s\"\nat_once = 1000";
     let memory = |instance: &Instance| {
-        let status = std::fs::read_to_string(format!("/proc/{}/status", instance.program().child.id()));
+        let status =
+            std::fs::read_to_string(format!("/proc/{}/status", instance.program().child.id()));
         let status = status.expect("it is up");
-        let line =
-            |name: &str| status.lines().find(|line| line.starts_with(name)).unwrap_or_default().to_string();
+        let line = |name: &str| {
+            status
+                .lines()
+                .find(|line| line.starts_with(name))
+                .unwrap_or_default()
+                .to_string()
+        };
         format!("{} {}", line("VmRSS"), line("RssAnon"))
     };
     for kind in ["\"weight/w1\" = 2", "\"limit/shop/open\" = 50"] {
--- a/crates/cli/tests/fleet/limits.rs
+++ b/crates/cli/tests/fleet/limits.rs
@@ -3,7 +3,9 @@
 
 use crate::many::Fleet;
 use crate::rig::{found, madderloom};
-use madderloom_rig::{Act, Arrivals, Direction, Fault, Got, Link, Menu, Plan, Server, served, shrink, until};
+use madderloom_rig::{
+    Act, Arrivals, Direction, Fault, Got, Link, Menu, Plan, Server, served, shrink, until,
+};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -54,7 +56,9 @@
 
     /// An agent and three servers.
     fn of_servers(leases: &str, limits: &str) -> Self {
-        let servers = (0..3).map(|n| Server::that_takes(&format!("w{n}"), millis(5))).collect();
+        let servers = (0..3)
+            .map(|n| Server::that_takes(&format!("w{n}"), millis(5)))
+            .collect();
         Fleet::found(&format!("{leases}{limits}"), servers, SITE)
     }
 
@@ -65,7 +69,10 @@
             let zone = zones[number % zones.len()];
             fleet.add_one(&format!("{zone}-{number}"), &format!("shop-{number}"), own);
         }
-        fleet.stage.program("agent").wait_for("all of them can be lent");
+        fleet
+            .stage
+            .program("agent")
+            .wait_for("all of them can be lent");
         until("each has a lease", || fleet.all_leased().then_some(()));
     }
 
@@ -79,7 +86,10 @@
     fn add_second(&mut self, state: &'static str) -> SocketAddr {
         self.add_agent("second", "second.toml", state);
         let line = self.stage.program("second").wait_for("listening on ");
-        line.rsplit(' ').next().and_then(|at| at.parse().ok()).expect("an address")
+        line.rsplit(' ')
+            .next()
+            .and_then(|at| at.parse().ok())
+            .expect("an address")
     }
 
     /// A link leads to another agent from now on.
@@ -91,7 +101,10 @@
     fn all_leased(&self) -> bool {
         let leased = |name: &String| {
             let log = self.stage.program(name).log();
-            let last = log.iter().rev().find(|line| line.contains("fleet limits: "));
+            let last = log
+                .iter()
+                .rev()
+                .find(|line| line.contains("fleet limits: "));
             last.is_some_and(|line| line.contains("a lease holds"))
         };
         self.fronts.keys().all(leased)
@@ -100,10 +113,21 @@
     /// Each had its one answer, some were served and some refused, and no sidecar says that it is wrong.
     fn judge(&self, got: &[Got], killed: bool) {
         let served = served(got, &self.rig.servers, killed);
-        assert!(served > 20 && served < got.len(), "{served} of {} served prove nothing", got.len());
-        for slot in self.stage.slots.values().filter_map(|slot| slot.program.as_ref()) {
+        assert!(
+            served > 20 && served < got.len(),
+            "{served} of {} served prove nothing",
+            got.len()
+        );
+        for slot in self
+            .stage
+            .slots
+            .values()
+            .filter_map(|slot| slot.program.as_ref())
+        {
             let log = slot.log();
-            let odd = log.iter().find(|line| line.contains("panicked") || line.contains("beyond itself"));
+            let odd = log
+                .iter()
+                .find(|line| line.contains("panicked") || line.contains("beyond itself"));
             assert!(odd.is_none(), "{odd:?}");
         }
     }
@@ -127,7 +151,9 @@
     fleet.stage.play(plan, over, |_, _| {});
     fleet.stage.heal();
     let healed = Instant::now();
-    until("each has a lease again", || fleet.all_leased().then_some(()));
+    until("each has a lease again", || {
+        fleet.all_leased().then_some(())
+    });
     // An agent that starts learns for a lease; then parts grow.
     std::thread::sleep((OUT + millis(1_500)).saturating_sub(healed.elapsed()));
     let from = Instant::now();
@@ -154,16 +180,25 @@
         Act::Swallow,
     ];
     let processes = vec![Act::Kill, Act::Stop];
-    let of_processes = ["north-2", "south-3", "agent"].map(|on| (on.to_string(), processes.clone()));
-    let of_links =
-        ["north-0>agent", "south-1>agent", "south-5>agent"].map(|on| (on.to_string(), links.clone()));
+    let of_processes =
+        ["north-2", "south-3", "agent"].map(|on| (on.to_string(), processes.clone()));
+    let of_links = ["north-0>agent", "south-1>agent", "south-5>agent"]
+        .map(|on| (on.to_string(), links.clone()));
     let choices = of_processes.into_iter().chain(of_links).collect();
-    Menu { choices, over, lasts: (millis(300), millis(5_000)) }
+    Menu {
+        choices,
+        over,
+        lasts: (millis(300), millis(5_000)),
+    }
 }
 
 /// Judges a plan on twelve sidecars.
 fn holds(plan: &Plan, over: Duration) {
-    holds_on(|| Fleet::new(12, &limit("submissions", SUBMISSIONS), OWN), plan, over);
+    holds_on(
+        || Fleet::new(12, &limit("submissions", SUBMISSIONS), OWN),
+        plan,
+        over,
+    );
 }
 
 /// Judges a plan; a failure prints the shortest plan found that fails too, if it is asked for.
@@ -175,7 +210,11 @@
     };
     if fails(plan) {
         let asked = std::env::var_os("MADDERLOOM_SHRINK").is_some();
-        let least = if asked { shrink(plan, fails) } else { plan.clone() };
+        let least = if asked {
+            shrink(plan, fails)
+        } else {
+            plan.clone()
+        };
         panic!(
             "the limit is not kept, or not used again, with this plan (MADDERLOOM_SHRINK=1 shortens it):\n{least}"
         );
@@ -195,7 +234,10 @@
         let text = std::fs::read_to_string(file).expect("a file");
         return holds(&text.parse().expect("a plan"), millis(15_000));
     }
-    let seeds = std::env::var("MADDERLOOM_SEEDS").ok().and_then(|seeds| seeds.parse().ok()).unwrap_or(6);
+    let seeds = std::env::var("MADDERLOOM_SEEDS")
+        .ok()
+        .and_then(|seeds| seeds.parse().ok())
+        .unwrap_or(6);
     for seed in 100..100 + seeds {
         eprintln!("seed {seed}");
         holds(&menu(millis(12_000)).draw(seed, 14), millis(15_000));
@@ -203,7 +245,11 @@
 }
 
 fn fault(at: u64, on: &str, act: Act) -> Fault {
-    Fault { at: millis(at), on: on.into(), act }
+    Fault {
+        at: millis(at),
+        on: on.into(),
+        act,
+    }
 }
 
 /// Two thirds of the fleet are cut off for longer than a lease, and come back in one moment; what was said to some of
@@ -241,12 +287,21 @@
         Act::Swallow,
     ];
     let processes = vec![Act::Kill, Act::Stop];
-    let of_links = ["relay-north>agent", "relay-south>agent", "north-0>agent", "east-2>agent"];
+    let of_links = [
+        "relay-north>agent",
+        "relay-south>agent",
+        "north-0>agent",
+        "east-2>agent",
+    ];
     let of_processes = ["relay-south", "relay-east", "agent", "north-3"];
     let of_links = of_links.map(|on| (on.to_string(), links.clone()));
     let of_processes = of_processes.map(|on| (on.to_string(), processes.clone()));
     let choices = of_links.into_iter().chain(of_processes).collect();
-    let menu = Menu { choices, over: millis(8_000), lasts: (millis(300), millis(5_000)) };
+    let menu = Menu {
+        choices,
+        over: millis(8_000),
+        lasts: (millis(300), millis(5_000)),
+    };
     let found = || Fleet::behind_relays(24, &limit("submissions", SUBMISSIONS), OWN);
     holds_on(found, &menu.draw(12, 10), millis(11_000));
 }
@@ -254,7 +309,11 @@
 fn push(fleet: &Fleet, id: &str, set: &str) {
     let at_once = "waves = []\npause = \"0\"\nsilence = \"5s\"\nat_once = 1000";
     let pushed = fleet.rig.push(id, at_once, set);
-    assert!(pushed.status.success(), "{}", String::from_utf8_lossy(&pushed.stderr));
+    assert!(
+        pushed.status.success(),
+        "{}",
+        String::from_utf8_lossy(&pushed.stderr)
+    );
     fleet.rig.ended(id);
 }
 
@@ -268,10 +327,18 @@
         std::thread::sleep(millis(over));
         fleet.arrivals().rate(from, from + millis(over))
     };
-    push(&fleet, "none", "\"fleet/submissions/requests_per_second\" = 0");
+    push(
+        &fleet,
+        "none",
+        "\"fleet/submissions/requests_per_second\" = 0",
+    );
     std::thread::sleep(OUT);
     assert_eq!(rate(&fleet, 1_500), 0.0);
-    push(&fleet, "half", "\"fleet/submissions/requests_per_second\" = 50\n\"fleet/submissions/open\" = 2");
+    push(
+        &fleet,
+        "half",
+        "\"fleet/submissions/requests_per_second\" = 50\n\"fleet/submissions/open\" = 2",
+    );
     std::thread::sleep(OUT + millis(1_000));
     let (half, from) = (rate(&fleet, 3_000), Instant::now());
     // Twelve want it, and two have a part at a time: they take turns.
@@ -280,12 +347,18 @@
     let open = fleet.arrivals().since(from).most_open();
     assert!(open <= 2, "{open} open");
     let told = fleet.rig.told("vic", &["top", "--once"], 0);
-    assert!(told.contains("submissions") && told.contains("50.0/s, 2 open"), "{told}");
+    assert!(
+        told.contains("submissions") && told.contains("50.0/s, 2 open"),
+        "{told}"
+    );
     fleet.rig.told("alice", &["rollout", "undo", "half"], 0);
     fleet.rig.told("alice", &["rollout", "undo", "none"], 0);
     std::thread::sleep(OUT + millis(1_500));
     let whole = rate(&fleet, 3_000);
-    assert!((0.95 * RATE..=RATE + BURST / 3.0).contains(&whole), "{whole}");
+    assert!(
+        (0.95 * RATE..=RATE + BURST / 3.0).contains(&whole),
+        "{whole}"
+    );
     assert!(fleet.arrivals().over(RATE, BURST, JITTER) <= 0.0);
     fleet.judge(&load.stop(), false);
     let odd = fleet.rig.push("odd", "", "\"fleet/other/open\" = 3");
@@ -303,15 +376,24 @@
     // A second term, which all have heard of; then a first one again.
     fleet.stage.act("agent", Act::Kill);
     fleet.stage.act("agent", Act::Start);
-    fleet.stage.program("agent").wait_for("all of them can be lent");
+    fleet
+        .stage
+        .program("agent")
+        .wait_for("all of them can be lent");
     fleet.stage.act("agent", Act::Kill);
     fleet.stage.act("agent", Act::StartAfresh);
-    fleet.stage.program("agent").wait_for("no more orders are given here");
+    fleet
+        .stage
+        .program("agent")
+        .wait_for("no more orders are given here");
     std::thread::sleep(OUT);
     let from = Instant::now();
     std::thread::sleep(millis(3_000));
     let safe = fleet.arrivals().rate(from, from + millis(3_000));
-    assert!(safe > 3.0 && safe <= 6.0 * 1.4, "{safe} a second under six safe parts of 1");
+    assert!(
+        safe > 3.0 && safe <= 6.0 * 1.4,
+        "{safe} a second under six safe parts of 1"
+    );
     for name in fleet.fronts.keys() {
         fleet.stage.program(name).wait_for("the safe part holds");
     }
@@ -321,19 +403,35 @@
     let text = std::fs::read_to_string(&file).expect("written");
     std::fs::write(&file, format!("term_above = 5\n{text}")).expect("written");
     fleet.stage.act("agent", Act::Start);
-    until("each has a lease again", || fleet.all_leased().then_some(()));
+    until("each has a lease again", || {
+        fleet.all_leased().then_some(())
+    });
     // A second one, on a state of its own; half of the instances are led to it.
-    let second = text.replace(&fleet.rig.address.port().to_string(), "0").replace("\"state\"", "\"other\"");
-    std::fs::write(fleet.rig.at("second.toml"), format!("term_above = 9\n{second}")).expect("written");
+    let second = text
+        .replace(&fleet.rig.address.port().to_string(), "0")
+        .replace("\"state\"", "\"other\"");
+    std::fs::write(
+        fleet.rig.at("second.toml"),
+        format!("term_above = 9\n{second}"),
+    )
+    .expect("written");
     let second = fleet.add_second("other");
     let both = Instant::now();
-    ["north-0>agent", "south-1>agent", "north-2>agent"].iter().for_each(|name| fleet.lead(name, second));
+    ["north-0>agent", "south-1>agent", "north-2>agent"]
+        .iter()
+        .for_each(|name| fleet.lead(name, second));
     std::thread::sleep(OUT + millis(4_000));
     let while_two = fleet.arrivals().since(both);
-    assert!(while_two.over(2.0 * RATE, 2.0 * BURST + 6.0, JITTER) <= 0.0, "each lends all of it once");
+    assert!(
+        while_two.over(2.0 * RATE, 2.0 * BURST + 6.0, JITTER) <= 0.0,
+        "each lends all of it once"
+    );
     // One that has heard of the second comes back to the first.
     fleet.lead("north-0>agent", fleet.rig.address);
-    fleet.stage.program("agent").wait_for("an agent of term 10 is known");
+    fleet
+        .stage
+        .program("agent")
+        .wait_for("an agent of term 10 is known");
     std::thread::sleep(OUT);
     let one = Instant::now();
     std::thread::sleep(millis(2_500));
@@ -355,18 +453,32 @@
     fleet.stage.act("agent", Act::Kill);
     let at = fleet.rig.directory.path().to_path_buf();
     std::fs::create_dir(at.join("copy")).expect("made");
-    for file in std::fs::read_dir(at.join("state")).expect("it is there").flatten() {
+    for file in std::fs::read_dir(at.join("state"))
+        .expect("it is there")
+        .flatten()
+    {
         std::fs::copy(file.path(), at.join("copy").join(file.file_name())).expect("copied");
     }
     fleet.stage.act("agent", Act::Start);
-    fleet.stage.program("agent").wait_for("all of them can be lent");
+    fleet
+        .stage
+        .program("agent")
+        .wait_for("all of them can be lent");
     let text = std::fs::read_to_string(at.join("agent.toml")).expect("written");
     let port = fleet.rig.address.port().to_string();
-    std::fs::write(at.join("second.toml"), text.replace(&port, "0").replace("\"state\"", "\"copy\""))
-        .expect("written");
+    std::fs::write(
+        at.join("second.toml"),
+        text.replace(&port, "0").replace("\"state\"", "\"copy\""),
+    )
+    .expect("written");
     let second = fleet.add_second("copy");
-    ["north-0>agent", "south-1>agent"].iter().for_each(|name| fleet.lead(name, second));
-    fleet.stage.program("second").wait_for("another agent of term 2 lends");
+    ["north-0>agent", "south-1>agent"]
+        .iter()
+        .for_each(|name| fleet.lead(name, second));
+    fleet
+        .stage
+        .program("second")
+        .wait_for("another agent of term 2 lends");
     std::thread::sleep(OUT + millis(3_000));
     let over = fleet.arrivals().over(RATE, BURST, JITTER);
     assert!(over <= 0.0, "over by {over}");
@@ -378,17 +490,29 @@
 #[test]
 fn more_instances_than_units_two_processes_of_one_name_and_a_limit_for_each_server() {
     let few = limit("submissions", "requests_per_second = 20\nburst = 4")
-        + &limit("node", "requests_per_second = 4\nburst = 6\neach_server = true");
+        + &limit(
+            "node",
+            "requests_per_second = 4\nburst = 6\neach_server = true",
+        );
     let own = format!("{OWN}[[control.fleet_limits]]\nname = \"node\"\neach_server = true\n");
     let mut fleet = Fleet::new(8, &few, &own);
     fleet.add_one("north-8", "shop-0", &own);
     let load = fleet.load();
     std::thread::sleep(millis(9_000));
     let arrivals = fleet.arrivals();
-    assert!(arrivals.over(20.0, 4.0, JITTER) <= 0.0, "over by {}", arrivals.over(20.0, 4.0, JITTER));
+    assert!(
+        arrivals.over(20.0, 4.0, JITTER) <= 0.0,
+        "over by {}",
+        arrivals.over(20.0, 4.0, JITTER)
+    );
     for server in &fleet.rig.servers {
         let own = Arrivals::of([server]);
-        assert!(own.over(4.0, 6.0, JITTER) <= 0.0, "{}: over by {}", server.name, own.over(4.0, 6.0, JITTER));
+        assert!(
+            own.over(4.0, 6.0, JITTER) <= 0.0,
+            "{}: over by {}",
+            server.name,
+            own.over(4.0, 6.0, JITTER)
+        );
         assert!(own.len() > 4, "{}: {}", server.name, own.len());
     }
     fleet.judge(&load.stop(), false);
@@ -398,7 +522,9 @@
 fn check_prints_the_bounds_of_a_file_and_names_what_makes_no_sense() {
     let directory = found(&limit("submissions", SUBMISSIONS));
     let checked = |at: &Path| {
-        let done = madderloom(at, &["check", "agent.toml"]).output().expect("it runs");
+        let done = madderloom(at, &["check", "agent.toml"])
+            .output()
+            .expect("it runs");
         String::from_utf8_lossy(&[done.stdout, done.stderr].concat()).into_owned()
     };
     let told = checked(directory.path());
@@ -413,13 +539,25 @@
     let file = directory.path().join("agent.toml");
     let text = std::fs::read_to_string(&file).expect("written");
     for (sound, odd, field) in [
-        ("requests_per_second = 100", "requests_per_second = -1", "fleet_limits[0].requests_per_second"),
+        (
+            "requests_per_second = 100",
+            "requests_per_second = -1",
+            "fleet_limits[0].requests_per_second",
+        ),
         ("burst = 60", "burst = 0", "fleet_limits[0].burst"),
         ("open = 40", "opne = 40", "opne"),
-        ("name = \"submissions\"", "name = \"a/b\"", "fleet_limits[0].name"),
+        (
+            "name = \"submissions\"",
+            "name = \"a/b\"",
+            "fleet_limits[0].name",
+        ),
     ] {
         std::fs::write(&file, text.replace(sound, odd)).expect("written");
-        assert!(checked(directory.path()).contains(field), "{field}: {}", checked(directory.path()));
+        assert!(
+            checked(directory.path()).contains(field),
+            "{field}: {}",
+            checked(directory.path())
+        );
     }
 }
 
@@ -431,14 +569,17 @@
     let (rate, burst) = (800.0, 1_000.0);
     let leases = "report = \"1s\"\nlease = \"6s\"\ngrace = \"3s\"\nlimits = \"5s\"\n[registrations]\nrate = 500\n\
         burst = 200\nhorizon = \"1s\"\n";
-    let limits =
-        limit("submissions", "requests_per_second = 800\nburst = 1000\nopen = 600\nlongest = \"1s\"");
+    let limits = limit(
+        "submissions",
+        "requests_per_second = 800\nburst = 1000\nopen = 600\nlongest = \"1s\"",
+    );
     let mut fleet = Fleet::with(COUNT, leases, &limits, OWN);
     std::thread::sleep(millis(4_000));
     // Bytes over the links for each instance, and the part of a core of the agent and of one instance, over some time.
     let cost = |fleet: &Fleet, over: u64| {
         let look = |fleet: &Fleet| {
-            let carried = |link: &Link| link.carried(Direction::Out) + link.carried(Direction::Back);
+            let carried =
+                |link: &Link| link.carried(Direction::Out) + link.carried(Direction::Back);
             let bytes: u64 = fleet.stage.links.values().map(carried).sum();
             (bytes as f64, fleet.cpu("agent"), fleet.cpu("north-0"))
         };
@@ -458,7 +599,8 @@
     println!("calm: {}", cost(&fleet, 10_000));
     // A tenth of the links flap: two seconds away, one there.
     let flapping: Vec<String> = fleet.stage.links.keys().step_by(10).cloned().collect();
-    let flaps = |fleet: &mut Fleet, act: Act| flapping.iter().for_each(|name| fleet.stage.act(name, act));
+    let flaps =
+        |fleet: &mut Fleet, act: Act| flapping.iter().for_each(|name| fleet.stage.act(name, act));
     let (came, begin) = (fleet.arrivals().len(), Instant::now());
     for _ in 0..5 {
         flaps(&mut fleet, Act::Cut);
--- a/crates/cli/tests/fleet/lists.rs
+++ b/crates/cli/tests/fleet/lists.rs
@@ -20,7 +20,8 @@
 const ASK_WITHIN: Duration = millis(5_000);
 /// What a busy machine takes for timers and messages.
 const SLACK: Duration = millis(1_500);
-const AGENT: &str = "report = \"500ms\"\nlease = \"5s\"\ngrace = \"5s\"\n[registrations]\nhorizon = \"1s\"\n";
+const AGENT: &str =
+    "report = \"500ms\"\nlease = \"5s\"\ngrace = \"5s\"\n[registrations]\nhorizon = \"1s\"\n";
 const PASSED_ON: &str = "by way of the agent";
 
 const fn millis(millis: u64) -> Duration {
@@ -29,7 +30,10 @@
 
 /// `MADDERLOOM_MANY` sidecars, or forty-five; `MADDERLOOM_BINARY` says of which build.
 fn many() -> usize {
-    std::env::var("MADDERLOOM_MANY").ok().and_then(|many| many.parse().ok()).unwrap_or(45)
+    std::env::var("MADDERLOOM_MANY")
+        .ok()
+        .and_then(|many| many.parse().ok())
+        .unwrap_or(45)
 }
 
 fn site() -> String {
@@ -54,9 +58,14 @@
     /// Many sidecars that start as fast as they can be and know one server of three; discovery knows all. With
     /// `MADDERLOOM_UNSHARED` they share nothing, to see what that costs.
     fn start(cut: &[&str]) -> Self {
-        let servers: Vec<Server> = (0..3).map(|n| Server::that_takes(&format!("w{n}"), millis(5))).collect();
+        let servers: Vec<Server> = (0..3)
+            .map(|n| Server::that_takes(&format!("w{n}"), millis(5)))
+            .collect();
         let lists = Lists::new(manner(), &servers.iter().collect::<Vec<_>>());
-        let known = format!("servers = [{{ name = \"w0\", address = \"{}\" }}]", servers[0].address);
+        let known = format!(
+            "servers = [{{ name = \"w0\", address = \"{}\" }}]",
+            servers[0].address
+        );
         let mut fleet = Fleet::found(AGENT, servers, &site());
         for zone in ZONES {
             let link = Link::new(lists.address);
@@ -66,22 +75,40 @@
             fleet.stage.links.insert(format!("{zone}>lists"), link);
         }
         let unshared = std::env::var_os("MADDERLOOM_UNSHARED").is_some();
-        let own = if unshared { "" } else { "share_lists = \"fleet\"\n" };
+        let own = if unshared {
+            ""
+        } else {
+            "share_lists = \"fleet\"\n"
+        };
         let began = Instant::now();
         for number in 0..many() {
             let zone = ZONES[number % ZONES.len()];
             let discovery = fleet.stage.links[&format!("{zone}>lists")].address();
             let pool = format!("discovery = \"{discovery}\"\n{known}");
-            fleet.begin(&format!("{zone}-{number}"), &format!("shop-{number}"), own, &pool);
+            fleet.begin(
+                &format!("{zone}-{number}"),
+                &format!("shop-{number}"),
+                own,
+                &pool,
+            );
         }
-        let shared = Shared { fleet, lists, began };
+        let shared = Shared {
+            fleet,
+            lists,
+            began,
+        };
         shared.wait("front: listening on ", "");
         shared
     }
 
     /// Waits until each sidecar whose name begins so has logged this since it was last started.
     fn wait(&self, text: &str, names: &str) {
-        for name in self.fleet.fronts.keys().filter(|name| name.starts_with(names)) {
+        for name in self
+            .fleet
+            .fronts
+            .keys()
+            .filter(|name| name.starts_with(names))
+        {
             self.fleet.stage.program(name).wait_for(text);
         }
     }
@@ -94,19 +121,32 @@
 
     /// A client at each of these, which keeps its connection.
     fn load(&self, zones: &[&str]) -> Load {
-        let at = self.fleet.fronts.iter().filter(|(name, _)| zones.iter().any(|zone| name.starts_with(zone)));
+        let at = self
+            .fleet
+            .fronts
+            .iter()
+            .filter(|(name, _)| zones.iter().any(|zone| name.starts_with(zone)));
         Load::on(&at.map(|(_, front)| *front).collect::<Vec<_>>(), millis(50))
     }
 
     /// Does this to the processes of these zones.
     fn act_on(&mut self, zones: &[&str], act: Act) {
-        for name in self.fleet.fronts.keys().filter(|name| zones.iter().any(|zone| name.starts_with(zone))) {
+        for name in self
+            .fleet
+            .fronts
+            .keys()
+            .filter(|name| zones.iter().any(|zone| name.starts_with(zone)))
+        {
             self.fleet.stage.act(name, act);
         }
     }
 
     fn publish(&self, index: u64, draining: &[&str]) -> Instant {
-        self.lists.publish(index, &self.fleet.rig.servers.iter().collect::<Vec<_>>(), draining);
+        self.lists.publish(
+            index,
+            &self.fleet.rig.servers.iter().collect::<Vec<_>>(),
+            draining,
+        );
         Instant::now()
     }
 
@@ -114,12 +154,18 @@
         let served = served(got, &self.fleet.rig.servers, killed);
         eprintln!("{served} of {} served", got.len());
         let least = if killed { 0.5 } else { 0.97 };
-        assert!(got.len() > many() && served as f64 > least * got.len() as f64, "{served} of {}", got.len());
+        assert!(
+            got.len() > many() && served as f64 > least * got.len() as f64,
+            "{served} of {}",
+            got.len()
+        );
     }
 
     /// What came to a server from then on.
     fn came(&self, server: usize, from: Instant) -> usize {
-        madderloom_rig::Arrivals::of([&self.fleet.rig.servers[server]]).since(from).len()
+        madderloom_rig::Arrivals::of([&self.fleet.rig.servers[server]])
+            .since(from)
+            .len()
     }
 }
 
@@ -131,7 +177,10 @@
     let load = shared.load(&ZONES);
     let took = shared.all_have_it(shared.began);
     let calls = shared.lists.calls().len();
-    eprintln!("{calls} calls for {} sidecars, all have the list after {took:.1?}", many());
+    eprintln!(
+        "{calls} calls for {} sidecars, all have the list after {took:.1?}",
+        many()
+    );
     assert!(calls <= many() / 3, "{calls} calls");
     shared.wait(PASSED_ON, "south");
     let drained = shared.publish(3, &["w2"]);
@@ -152,11 +201,19 @@
     let calls = shared.lists.calls().len() - before;
     eprintln!("{calls} calls for two thirds that come back, south has the list after {took:.1?}");
     assert!(calls <= many() / 6, "{calls} calls");
-    assert_eq!(shared.came(2, again + SLACK), 0, "nobody forgets that it drains");
+    assert_eq!(
+        shared.came(2, again + SLACK),
+        0,
+        "nobody forgets that it drains"
+    );
 
     shared.fleet.stage.act("agent", Act::Kill);
     shared.fleet.stage.act("agent", Act::StartAfresh);
-    shared.fleet.stage.program("agent").wait_for("is at version 3");
+    shared
+        .fleet
+        .stage
+        .program("agent")
+        .wait_for("is at version 3");
     shared.judge(&load.stop(), true);
 }
 
@@ -184,7 +241,11 @@
     std::thread::sleep(due.saturating_sub(cut.elapsed()));
     assert_eq!(shared.lists.told(), many(), "all have called, and watch");
     std::thread::sleep(millis(500));
-    assert_eq!(shared.came(2, cut + due), 0, "none goes by a list that is older than it may be");
+    assert_eq!(
+        shared.came(2, cut + due),
+        0,
+        "none goes by a list that is older than it may be"
+    );
     let calls = shared.lists.calls().since(cut);
     // They are spread over three tenths of the time.
     let over = calls.over(
@@ -205,8 +266,16 @@
     until("a few watch", || (shared.lists.told() <= 8).then_some(()));
     let drained = shared.publish(4, &["w1", "w2"]);
     std::thread::sleep(millis(1_500));
-    assert_eq!(shared.came(1, drained + millis(1_000)), 0, "it drains, and all were told");
-    assert!((1..=8).contains(&shared.lists.told()), "{} watch", shared.lists.told());
+    assert_eq!(
+        shared.came(1, drained + millis(1_000)),
+        0,
+        "it drains, and all were told"
+    );
+    assert!(
+        (1..=8).contains(&shared.lists.told()),
+        "{} watch",
+        shared.lists.told()
+    );
     until("top has a row of it, with nobody behind", || {
         let top = shared.fleet.rig.told("vic", &["top", "--once"], 0);
         let row = top.lines().find(|line| line.contains("fleet/shop"))?;
@@ -216,8 +285,16 @@
 
     // The agent stands still while lists change, and what it said to a third before is held and comes behind newer words.
     let held = |name: &str| name.starts_with("south") && name.ends_with(">agent");
-    let old = shared.fleet.stage.links.keys().filter(|name| held(name)).cloned().collect::<Vec<_>>();
-    old.iter().for_each(|link| shared.fleet.stage.act(link, Act::HoldOld));
+    let old = shared
+        .fleet
+        .stage
+        .links
+        .keys()
+        .filter(|name| held(name))
+        .cloned()
+        .collect::<Vec<_>>();
+    old.iter()
+        .for_each(|link| shared.fleet.stage.act(link, Act::HoldOld));
     shared.publish(5, &["w2"]);
     std::thread::sleep(millis(500));
     shared.fleet.stage.act("agent", Act::Stop);
@@ -225,10 +302,15 @@
     std::thread::sleep(millis(1_500));
     shared.fleet.stage.act("agent", Act::Continue);
     std::thread::sleep(SLACK);
-    old.iter().for_each(|link| shared.fleet.stage.act(link, Act::LetGo));
+    old.iter()
+        .for_each(|link| shared.fleet.stage.act(link, Act::LetGo));
     let late = Instant::now() + millis(1_000);
     std::thread::sleep(millis(2_500));
-    assert_eq!((shared.came(0, late), shared.came(2, late)), (0, 0), "an older list undoes nothing");
+    assert_eq!(
+        (shared.came(0, late), shared.came(2, late)),
+        (0, 0),
+        "an older list undoes nothing"
+    );
     assert!(shared.came(1, late) > 0, "it serves again");
     shared.judge(&load.stop(), false);
 }
--- a/crates/cli/tests/fleet/many.rs
+++ b/crates/cli/tests/fleet/many.rs
@@ -30,13 +30,29 @@
         let port = free_port();
         let file = directory.path().join("agent.toml");
         let text = std::fs::read_to_string(&file).expect("written");
-        std::fs::write(&file, text.replace("127.0.0.1:0", &format!("127.0.0.1:{port}"))).expect("written");
+        std::fs::write(
+            &file,
+            text.replace("127.0.0.1:0", &format!("127.0.0.1:{port}")),
+        )
+        .expect("written");
         let address = SocketAddr::from(([127, 0, 0, 1], port));
         let (instances, roads) = Default::default();
-        let rig = Rig { directory, agent: None, address, roads, servers, instances };
+        let rig = Rig {
+            directory,
+            agent: None,
+            address,
+            roads,
+            servers,
+            instances,
+        };
         std::fs::write(rig.at("site.json"), site).expect("written");
         let (stage, fronts, relays) = Default::default();
-        let mut fleet = Fleet { rig, stage, fronts, relays };
+        let mut fleet = Fleet {
+            rig,
+            stage,
+            fronts,
+            relays,
+        };
         fleet.add_agent("agent", "agent.toml", "state");
         fleet
     }
@@ -51,12 +67,18 @@
         };
         let program = Program::start(make(false));
         program.wait_for("listening on ");
-        self.stage.slots.insert(name.into(), Slot::new(program, make));
+        self.stage
+            .slots
+            .insert(name.into(), Slot::new(program, make));
     }
 
     /// A relay of a zone, at a port that it keeps, with a link of its own to the agent. Its file ends with this.
     pub fn add_relay(&mut self, zone: &str, more: &str) {
-        let (name, link, address) = (format!("relay-{zone}"), Link::new(self.rig.address), own_address());
+        let (name, link, address) = (
+            format!("relay-{zone}"),
+            Link::new(self.rig.address),
+            own_address(),
+        );
         let text = format!(
             "version = 1\nname = \"{name}\"\nlisten = \"{address}\"\n[keys]\nauthority = \"authority.pem\"\n\
              certificate = \"agent.pem\"\nkey = \"agent.key\"\nrevoked = \"keys/revoked.pem\"\n[parent]\n\
@@ -64,7 +86,10 @@
             link.address(),
         );
         std::fs::write(self.rig.at(&format!("{name}.toml")), text).expect("written");
-        let (at, file) = (self.rig.directory.path().to_path_buf(), format!("{name}.toml"));
+        let (at, file) = (
+            self.rig.directory.path().to_path_buf(),
+            format!("{name}.toml"),
+        );
         let make = move |_| madderloom(&at, &["relay", "--config", &file]);
         let program = Program::start(make(false));
         program.wait_for("listening on ");
@@ -95,12 +120,17 @@
             link.address(),
         );
         std::fs::write(self.rig.at(&format!("{name}.toml")), text).expect("written");
-        let (at, file) = (self.rig.directory.path().to_path_buf(), format!("{name}.toml"));
+        let (at, file) = (
+            self.rig.directory.path().to_path_buf(),
+            format!("{name}.toml"),
+        );
         let make = move |_| madderloom(&at, &["serve", "--operator", &file]);
         let program = Program::start(make(false));
         self.fronts.insert(name.into(), front);
         self.stage.links.insert(format!("{name}>agent"), link);
-        self.stage.slots.insert(name.into(), Slot::new(program, make));
+        self.stage
+            .slots
+            .insert(name.into(), Slot::new(program, make));
     }
 
     /// Two clients at each sidecar.
@@ -115,10 +145,22 @@
 
     /// Seconds of CPU that a process has used.
     pub fn cpu(&self, name: &str) -> f64 {
-        let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.stage.program(name).child.id()));
+        let stat = std::fs::read_to_string(format!(
+            "/proc/{}/stat",
+            self.stage.program(name).child.id()
+        ));
         let stat = stat.expect("it is up");
-        let fields = stat.rsplit(')').next().unwrap_or_default().split_whitespace();
-        fields.skip(11).take(2).filter_map(|ticks| ticks.parse::<f64>().ok()).sum::<f64>() / 100.0
+        let fields = stat
+            .rsplit(')')
+            .next()
+            .unwrap_or_default()
+            .split_whitespace();
+        fields
+            .skip(11)
+            .take(2)
+            .filter_map(|ticks| ticks.parse::<f64>().ok())
+            .sum::<f64>()
+            / 100.0
     }
 
     pub fn arrivals(&self) -> Arrivals {
--- a/crates/cli/tests/fleet/relays.rs
+++ b/crates/cli/tests/fleet/relays.rs
@@ -15,11 +15,14 @@
     "key_scope": "all", "window": 4000000}],
     "limits": {"cancel": true, "max_attempts": 3, "retry_after": true, "max_retry_after": 2000000},
     "safety": {"cold": 1000000, "cold_from": 0.3, "fall": 1000000}}"#;
-const AT_ONCE: &str = "waves = []\npause = \"0\"\nsilence = \"3s\"\nat_once = 1000\nfailures = 1000";
+const AT_ONCE: &str =
+    "waves = []\npause = \"0\"\nsilence = \"3s\"\nat_once = 1000\nfailures = 1000";
 
 /// An agent, a relay in each of three zones, and four sidecars behind each.
 fn tree() -> Fleet {
-    let servers = (0..3).map(|n| Server::that_takes(&format!("w{n}"), Duration::from_millis(5))).collect();
+    let servers = (0..3)
+        .map(|n| Server::that_takes(&format!("w{n}"), Duration::from_millis(5)))
+        .collect();
     let mut fleet = Fleet::found(LEASES, servers, SITE);
     for zone in ZONES {
         fleet.add_relay(zone, "[children]\nlease = \"3s\"\nanswer = \"500ms\"\n");
@@ -27,7 +30,12 @@
     let pool = format!("servers = [{}]", fleet.rig.entries());
     for number in 0..ZONES.len() * EACH {
         let zone = ZONES[number % ZONES.len()];
-        fleet.add(&format!("{zone}-{number}"), &format!("shop-{number}"), "", &pool);
+        fleet.add(
+            &format!("{zone}-{number}"),
+            &format!("shop-{number}"),
+            "",
+            &pool,
+        );
     }
     fleet.rig.until_alive(ZONES.len() * EACH);
     fleet
@@ -36,18 +44,31 @@
 /// Requests were served on, and none was lost.
 fn judge(fleet: &Fleet, load: Load) {
     let got = load.stop();
-    assert_eq!(served(&got, &fleet.rig.servers, false), got.len(), "not all requests were served");
+    assert_eq!(
+        served(&got, &fleet.rig.servers, false),
+        got.len(),
+        "not all requests were served"
+    );
 }
 
 fn push(fleet: &Fleet, id: &str, set: &str) {
     let pushed = fleet.rig.push(id, AT_ONCE, set);
-    assert!(pushed.status.success(), "{}", String::from_utf8_lossy(&pushed.stderr));
+    assert!(
+        pushed.status.success(),
+        "{}",
+        String::from_utf8_lossy(&pushed.stderr)
+    );
 }
 
 /// How many instances have each outcome.
 fn results(fleet: &Fleet, id: &str) -> (usize, usize) {
     let results = fleet.rig.ended(id);
-    let count = |state: &str| results.values().filter(|result| result["state"] == state).count();
+    let count = |state: &str| {
+        results
+            .values()
+            .filter(|result| result["state"] == state)
+            .count()
+    };
     (count("applied"), count("failed"))
 }
 
@@ -68,7 +89,9 @@
     assert_eq!(results(&fleet, "meanwhile"), (8, 4));
     push(&fleet, "regretted", "\"weight/w2\" = 0.5");
     assert_eq!(results(&fleet, "regretted"), (8, 4));
-    fleet.rig.told("alice", &["rollout", "undo", "regretted"], 0);
+    fleet
+        .rig
+        .told("alice", &["rollout", "undo", "regretted"], 0);
     fleet.stage.act("relay-north>agent", Act::Heal);
     fleet.rig.until_alive(12);
     for instance in fleet.rig.listed() {
@@ -91,7 +114,8 @@
     fleet.stage.act("relay-south", Act::Start);
     until("each relay has its instances", || {
         let told = fleet.rig.told("vic", &["top", "--once"], 0);
-        told.contains("behind relays: relay-east 4, relay-north 4, relay-south 4").then_some(())
+        told.contains("behind relays: relay-east 4, relay-north 4, relay-south 4")
+            .then_some(())
     });
     fleet.rig.until_alive(12);
     push(&fleet, "after", "\"weight/w0\" = 0.5");
@@ -108,8 +132,14 @@
     fleet.rig.until_alive(12);
     fleet.stage.act("agent", Act::Kill);
     fleet.stage.act("agent", Act::StartAfresh);
-    fleet.stage.program("agent").wait_for("no more orders are given here");
-    fleet.stage.program("relay-east").wait_for("it is of an earlier term than one that is known");
+    fleet
+        .stage
+        .program("agent")
+        .wait_for("no more orders are given here");
+    fleet
+        .stage
+        .program("relay-east")
+        .wait_for("it is of an earlier term than one that is known");
     // The operator says that the former one is gone.
     fleet.stage.act("agent", Act::Kill);
     let file = fleet.rig.at("agent.toml");
--- a/crates/cli/tests/fleet/rig.rs
+++ b/crates/cli/tests/fleet/rig.rs
@@ -14,7 +14,10 @@
 /// The program of this build, or the one that `MADDERLOOM_BINARY` names: a release build, for figures.
 pub fn madderloom(at: &Path, arguments: &[&str]) -> Command {
     let mut command = built(env!("CARGO_BIN_EXE_madderloom"));
-    command.current_dir(at).args(arguments).env_remove("RELAY_CONFIG");
+    command
+        .current_dir(at)
+        .args(arguments)
+        .env_remove("RELAY_CONFIG");
     command
 }
 
@@ -25,13 +28,25 @@
     let at = directory.path();
     for arguments in [
         &["keys", "init"][..],
-        &["keys", "issue", "agent", "--role", "agent", "--host", "127.0.0.1"],
+        &[
+            "keys",
+            "issue",
+            "agent",
+            "--role",
+            "agent",
+            "--host",
+            "127.0.0.1",
+        ],
         &["keys", "issue", "alice", "--role", "operate"],
         &["keys", "issue", "vic", "--role", "view"],
         &["keys", "issue", "shop-*", "--role", "instance"],
     ] {
         let done = madderloom(at, arguments).output().expect("it runs");
-        assert!(done.status.success(), "{arguments:?}: {}", String::from_utf8_lossy(&done.stderr));
+        assert!(
+            done.status.success(),
+            "{arguments:?}: {}",
+            String::from_utf8_lossy(&done.stderr)
+        );
     }
     std::fs::copy(at.join("keys/authority.pem"), at.join("authority.pem")).expect("copied");
     let config = format!(
@@ -58,7 +73,9 @@
     pub fn status(&self) -> Option<Value> {
         let mut stream = TcpStream::connect(self.admin).ok()?;
         stream.set_read_timeout(Some(Duration::from_secs(5))).ok()?;
-        stream.write_all(b"GET /v1/status HTTP/1.1\r\nHost: it\r\n\r\n").ok()?;
+        stream
+            .write_all(b"GET /v1/status HTTP/1.1\r\nHost: it\r\n\r\n")
+            .ok()?;
         let mut text = Vec::new();
         stream.read_to_end(&mut text).ok()?;
         let body = text.windows(4).position(|four| four == b"\r\n\r\n")? + 4;
@@ -75,7 +92,10 @@
         let status = self.status()?;
         let servers = status["pools"][0]["servers"].as_array()?;
         let server = servers.iter().find(|server| server["name"] == name)?;
-        Some((server["state"].as_str()?.to_string(), server["capacity"].as_f64()?))
+        Some((
+            server["state"].as_str()?.to_string(),
+            server["capacity"].as_f64()?,
+        ))
     }
 
     pub fn program(&self) -> &Program {
@@ -98,14 +118,25 @@
 impl Rig {
     /// An agent, and three servers `w0` to `w2`.
     pub fn new() -> Self {
-        let directory =
-            found("report = \"300ms\"\nlease = \"3s\"\ngrace = \"3s\"\n[registrations]\nhorizon = \"1s\"\n");
+        let directory = found(
+            "report = \"300ms\"\nlease = \"3s\"\ngrace = \"3s\"\n[registrations]\nhorizon = \"1s\"\n",
+        );
         let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
         let servers = (0..3).map(|n| Server::new(&format!("w{n}"))).collect();
         let (instances, roads) = Default::default();
-        let mut rig = Rig { directory, agent: None, address: nowhere, roads, servers, instances };
+        let mut rig = Rig {
+            directory,
+            agent: None,
+            address: nowhere,
+            roads,
+            servers,
+            instances,
+        };
         rig.start_agent();
-        rig.roads = ZONES.iter().map(|zone| (zone.to_string(), Link::new(rig.address))).collect();
+        rig.roads = ZONES
+            .iter()
+            .map(|zone| (zone.to_string(), Link::new(rig.address)))
+            .collect();
         rig
     }
 
@@ -115,14 +146,21 @@
 
     /// Starts the agent on what it kept; the roads lead there.
     pub fn start_agent(&mut self) {
-        self.start_agent_by(madderloom(self.directory.path(), &["agent", "--config", "agent.toml"]));
+        self.start_agent_by(madderloom(
+            self.directory.path(),
+            &["agent", "--config", "agent.toml"],
+        ));
     }
 
     /// The same, by a command of the test's own.
     pub fn start_agent_by(&mut self, command: Command) {
         let agent = Program::start(command);
         let line = agent.wait_for("listening on ");
-        self.address = line.rsplit(' ').next().and_then(|at| at.parse().ok()).expect("an address");
+        self.address = line
+            .rsplit(' ')
+            .next()
+            .and_then(|at| at.parse().ok())
+            .expect("an address");
         self.roads.values().for_each(|road| road.lead(self.address));
         self.agent = Some(agent);
     }
@@ -134,8 +172,13 @@
 
     /// The servers as a pool of an operator file lists them.
     pub fn entries(&self) -> String {
-        let listed = |s: &Server| format!("{{ name = \"{}\", address = \"{}\" }}", s.name, s.address);
-        self.servers.iter().map(listed).collect::<Vec<_>>().join(", ")
+        let listed =
+            |s: &Server| format!("{{ name = \"{}\", address = \"{}\" }}", s.name, s.address);
+        self.servers
+            .iter()
+            .map(listed)
+            .collect::<Vec<_>>()
+            .join(", ")
     }
 
     /// The operator file of an instance.
@@ -169,7 +212,13 @@
         std::fs::write(&file, text).expect("written");
         let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
         let name = name.to_string();
-        let mut instance = Instance { name, file, front: nowhere, admin: nowhere, program: None };
+        let mut instance = Instance {
+            name,
+            file,
+            front: nowhere,
+            admin: nowhere,
+            program: None,
+        };
         self.relaunch(&mut instance);
         instance
     }
@@ -178,9 +227,19 @@
     pub fn relaunch(&self, instance: &mut Instance) {
         let program = Program::start(madderloom(
             self.directory.path(),
-            &["serve", "--operator", instance.file.to_str().expect("a path")],
+            &[
+                "serve",
+                "--operator",
+                instance.file.to_str().expect("a path"),
+            ],
         ));
-        let at = |text: &str| program.wait_for(text).rsplit(' ').next().and_then(|at| at.parse().ok());
+        let at = |text: &str| {
+            program
+                .wait_for(text)
+                .rsplit(' ')
+                .next()
+                .and_then(|at| at.parse().ok())
+        };
         instance.front = at("front: listening on ").expect("an address");
         instance.admin = at("admin view on ").expect("an address");
         instance.program = Some(program);
@@ -195,20 +254,28 @@
     pub fn until_alive(&self, count: usize) {
         until("all are alive", || {
             let all = self.listed();
-            let there = all.iter().filter(|i| i["presence"] == "alive" && i["in_line"] == true);
+            let there = all
+                .iter()
+                .filter(|i| i["presence"] == "alive" && i["in_line"] == true);
             (there.count() == count).then_some(())
         });
     }
 
     pub fn run(&self, who: &str, arguments: &[&str]) -> Output {
         let mut command = madderloom(self.directory.path(), arguments);
-        command.args(["--agent", &self.address.to_string(), "--as", who]).output().expect("it runs")
+        command
+            .args(["--agent", &self.address.to_string(), "--as", who])
+            .output()
+            .expect("it runs")
     }
 
     pub fn told(&self, who: &str, arguments: &[&str], code: i32) -> String {
         let done = self.run(who, arguments);
-        let told =
-            format!("{}{}", String::from_utf8_lossy(&done.stdout), String::from_utf8_lossy(&done.stderr));
+        let told = format!(
+            "{}{}",
+            String::from_utf8_lossy(&done.stdout),
+            String::from_utf8_lossy(&done.stderr)
+        );
         assert_eq!(done.status.code(), Some(code), "{arguments:?}: {told}");
         told
     }
@@ -221,24 +288,30 @@
     /// The instances as the agent lists them; none where it can't be asked.
     pub fn listed(&self) -> Vec<Value> {
         let all = self.json(&["instances"]);
-        all.and_then(|all| all.as_array().cloned()).unwrap_or_default()
+        all.and_then(|all| all.as_array().cloned())
+            .unwrap_or_default()
     }
 
     pub fn rollout(&self, id: &str) -> Option<Value> {
-        self.json(&["rollout", "status", id]).filter(|rollout| rollout["id"] == id)
+        self.json(&["rollout", "status", id])
+            .filter(|rollout| rollout["id"] == id)
     }
 
     /// Waits until a rollout has ended, and gives how each instance did.
     pub fn ended(&self, id: &str) -> BTreeMap<String, Value> {
         until(&format!("the end of {id}"), || {
-            let rollout = self.rollout(id).filter(|rollout| !rollout["end"].is_null())?;
+            let rollout = self
+                .rollout(id)
+                .filter(|rollout| !rollout["end"].is_null())?;
             serde_json::from_value(rollout["results"].clone()).ok()
         })
     }
 
     /// Writes a change, and pushes it without waiting.
     pub fn push(&self, id: &str, rollout: &str, set: &str) -> Output {
-        let text = format!("version = 1\nid = \"{id}\"\n[rollout]\ngate = false\n{rollout}\n[set]\n{set}\n");
+        let text = format!(
+            "version = 1\nid = \"{id}\"\n[rollout]\ngate = false\n{rollout}\n[set]\n{set}\n"
+        );
         let name = format!("{id}.toml");
         std::fs::write(self.at(&name), text).expect("written");
         self.run("alice", &["push", &name, "--no-wait"])
@@ -253,8 +326,15 @@
     let seen = Server::seen_by(&rig.servers);
     let twice: Vec<_> = seen.iter().filter(|(_, times)| **times > 1).collect();
     assert!(twice.is_empty(), "seen twice: {twice:?}");
-    let lost: Vec<_> =
-        got.iter().filter(|got| got.status != Some(200) || !seen.contains_key(&got.id)).collect();
-    assert!(lost.is_empty(), "{} of {} were not served: {lost:?}", lost.len(), got.len());
+    let lost: Vec<_> = got
+        .iter()
+        .filter(|got| got.status != Some(200) || !seen.contains_key(&got.id))
+        .collect();
+    assert!(
+        lost.is_empty(),
+        "{} of {} were not served: {lost:?}",
+        lost.len(),
+        got.len()
+    );
     assert!(got.len() > 20, "{} requests prove nothing", got.len());
 }
--- a/crates/cli/tests/graphql/servers.rs
+++ b/crates/cli/tests/graphql/servers.rs
@@ -56,13 +56,22 @@
 impl Servers {
     /// The fault of an exchange follows from its number.
     pub fn start(count: usize, fault: fn(u64) -> Fault) -> Self {
-        let mut servers =
-            Servers { addresses: Vec::new(), shared: Arc::default(), down: Vec::new(), over: Arc::default() };
+        let mut servers = Servers {
+            addresses: Vec::new(),
+            shared: Arc::default(),
+            down: Vec::new(),
+            over: Arc::default(),
+        };
         for _ in 0..count {
             let listener = madderloom_rig::own_listener();
-            servers.addresses.push(listener.local_addr().expect("it is bound"));
-            let (shared, over, down) =
-                (Arc::clone(&servers.shared), Arc::clone(&servers.over), Arc::default());
+            servers
+                .addresses
+                .push(listener.local_addr().expect("it is bound"));
+            let (shared, over, down) = (
+                Arc::clone(&servers.shared),
+                Arc::clone(&servers.over),
+                Arc::default(),
+            );
             servers.down.push(Arc::clone(&down));
             std::thread::spawn(move || {
                 let known = Arc::new(Mutex::new(BTreeSet::new()));
@@ -83,11 +92,23 @@
     }
 
     pub fn ran(&self, id: &str) -> u32 {
-        self.shared.ran.lock().expect("no thread panics").get(id).copied().unwrap_or(0)
+        self.shared
+            .ran
+            .lock()
+            .expect("no thread panics")
+            .get(id)
+            .copied()
+            .unwrap_or(0)
     }
 
     pub fn came(&self, id: &str) -> u32 {
-        self.shared.came.lock().expect("no thread panics").get(id).copied().unwrap_or(0)
+        self.shared
+            .came
+            .lock()
+            .expect("no thread panics")
+            .get(id)
+            .copied()
+            .unwrap_or(0)
     }
 
     pub fn exchanges(&self) -> u64 {
@@ -100,7 +121,8 @@
     }
 
     pub fn file(&self, more: &str) -> String {
-        let entry = |(n, at): (usize, &SocketAddr)| format!("{{ name = \"s{n}\", address = \"{at}\" }}");
+        let entry =
+            |(n, at): (usize, &SocketAddr)| format!("{{ name = \"s{n}\", address = \"{at}\" }}");
         let servers: Vec<String> = self.addresses.iter().enumerate().map(entry).collect();
         let class = |name: &str, effect: &str| {
             format!(
@@ -124,7 +146,9 @@
             )
         };
         let route = |path: &str, pool: &str| {
-            format!("[[routes]]\nname = \"{pool}\"\npath = \"{path}\"\npool = \"{pool}\"\ngraphql = true\n")
+            format!(
+                "[[routes]]\nname = \"{pool}\"\npath = \"{path}\"\npool = \"{pool}\"\ngraphql = true\n"
+            )
         };
         [
             "version = 1\n".to_string(),
@@ -159,13 +183,17 @@
         let _ = stream.set_nodelay(true);
         let mut reader = BufReader::with_capacity(16 << 10, stream);
         loop {
-            let Ok([_, ..]) = reader.fill_buf() else { return };
+            let Ok([_, ..]) = reader.fill_buf() else {
+                return;
+            };
             let number = self.shared.exchanges.fetch_add(1, Ordering::Relaxed);
             let fault = fault(number);
             if self.down.load(Ordering::Relaxed) {
                 return;
             }
-            let Some(body) = read(&mut reader, fault) else { return };
+            let Some(body) = read(&mut reader, fault) else {
+                return;
+            };
             if fault == Fault::NeverRan {
                 let away = "HTTP/1.1 503 Busy\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n";
                 if reader.get_mut().write_all(away.as_bytes()).is_err() {
@@ -174,7 +202,9 @@
                 continue;
             }
             let answer = match serde_json::from_slice::<Value>(&body).expect("what comes is JSON") {
-                Value::Array(all) => Value::Array(all.iter().map(|one| self.run(one, fault)).collect()),
+                Value::Array(all) => {
+                    Value::Array(all.iter().map(|one| self.run(one, fault)).collect())
+                }
                 one => self.run(&one, fault),
             };
             let (status, body) = match fault {
@@ -190,7 +220,9 @@
             match fault {
                 Fault::Hang => {
                     // Until the other side gives up.
-                    let _ = reader.get_mut().set_read_timeout(Some(Duration::from_secs(5)));
+                    let _ = reader
+                        .get_mut()
+                        .set_read_timeout(Some(Duration::from_secs(5)));
                     let _ = reader.read(&mut [0]);
                     return;
                 }
@@ -205,16 +237,33 @@
     }
 
     fn run(&self, message: &Value, fault: Fault) -> Value {
-        let id = message["variables"]["id"].as_str().expect("an id").to_string();
-        *self.shared.came.lock().expect("no thread panics").entry(id.clone()).or_default() += 1;
-        let hash = message["extensions"]["persistedQuery"]["sha256Hash"].as_str().map(str::to_string);
+        let id = message["variables"]["id"]
+            .as_str()
+            .expect("an id")
+            .to_string();
+        *self
+            .shared
+            .came
+            .lock()
+            .expect("no thread panics")
+            .entry(id.clone())
+            .or_default() += 1;
+        let hash = message["extensions"]["persistedQuery"]["sha256Hash"]
+            .as_str()
+            .map(str::to_string);
         let text = match (message["query"].as_str(), &hash) {
             (Some(text), hash) => {
-                self.known.lock().expect("no thread panics").extend(hash.clone());
+                self.known
+                    .lock()
+                    .expect("no thread panics")
+                    .extend(hash.clone());
                 text
             }
             (None, Some(hash)) if self.known.lock().expect("no thread panics").contains(hash) => {
-                [READ, FILE, KEYED].into_iter().find(|text| hash_of(text) == *hash).expect("a known text")
+                [READ, FILE, KEYED]
+                    .into_iter()
+                    .find(|text| hash_of(text) == *hash)
+                    .expect("a known text")
             }
             _ => {
                 return json!({"errors": [{
@@ -229,11 +278,26 @@
             _ => panic!("{text}"),
         };
         // A repeat is known by its key, and runs nothing.
-        if text != KEYED || self.shared.keys.lock().expect("no thread panics").insert(id.clone()) {
-            *self.shared.ran.lock().expect("no thread panics").entry(id.clone()).or_default() += 1;
+        if text != KEYED
+            || self
+                .shared
+                .keys
+                .lock()
+                .expect("no thread panics")
+                .insert(id.clone())
+        {
+            *self
+                .shared
+                .ran
+                .lock()
+                .expect("no thread panics")
+                .entry(id.clone())
+                .or_default() += 1;
         }
         match fault {
-            Fault::Partial => json!({"data": {field: id}, "errors": [{"message": "half", "path": [field]}]}),
+            Fault::Partial => {
+                json!({"data": {field: id}, "errors": [{"message": "half", "path": [field]}]})
+            }
             _ => json!({"data": {field: id}}),
         }
     }
@@ -248,8 +312,10 @@
         }
     }
     let text = String::from_utf8_lossy(&head).to_ascii_lowercase();
-    let length =
-        text.lines().find_map(|line| line.strip_prefix("content-length: ")?.parse().ok()).unwrap_or(0);
+    let length = text
+        .lines()
+        .find_map(|line| line.strip_prefix("content-length: ")?.parse().ok())
+        .unwrap_or(0);
     let cut = match fault {
         Fault::CutRequest(at) => at % (head.len() + length),
         _ => usize::MAX,
@@ -264,7 +330,10 @@
 
 pub fn hash_of(text: &str) -> String {
     use sha2::Digest;
-    sha2::Sha256::digest(text).iter().map(|byte| format!("{byte:02x}")).collect()
+    sha2::Sha256::digest(text)
+        .iter()
+        .map(|byte| format!("{byte:02x}"))
+        .collect()
 }
 
 /// A message with the text, or with its hash alone, or with both.
@@ -274,7 +343,8 @@
         message["query"] = text.into();
     }
     if with_hash {
-        message["extensions"] = json!({"persistedQuery": {"version": 1, "sha256Hash": hash_of(text)}});
+        message["extensions"] =
+            json!({"persistedQuery": {"version": 1, "sha256Hash": hash_of(text)}});
     }
     message
 }
--- a/crates/cli/tests/graphql/under_faults.rs
+++ b/crates/cli/tests/graphql/under_faults.rs
@@ -48,38 +48,67 @@
     if let Some(code) = answer["errors"][0]["extensions"]["code"].as_str() {
         return Told::Code(code.to_string());
     }
-    let data = answer["data"].as_object().unwrap_or_else(|| panic!("{id}: {answer}"));
-    assert_eq!(data.values().next().and_then(Value::as_str), Some(id), "an answer of another operation");
+    let data = answer["data"]
+        .as_object()
+        .unwrap_or_else(|| panic!("{id}: {answer}"));
+    assert_eq!(
+        data.values().next().and_then(Value::as_str),
+        Some(id),
+        "an answer of another operation"
+    );
     Told::Data
 }
 
 /// One client: single operations, batches whole and apart, texts and hashes. What each operation was told.
-fn client(process: &Process, client: usize, requests: usize) -> BTreeMap<String, (&'static str, Told)> {
+fn client(
+    process: &Process,
+    client: usize,
+    requests: usize,
+) -> BTreeMap<String, (&'static str, Told)> {
     let connect = || Conn::new(TcpStream::connect(process.at("front")).expect("it accepts"));
     let (mut connection, mut outcomes) = (connect(), BTreeMap::new());
     for request in 0..requests {
         let operations = [1, 1, 1, 1, 2, 4][request % 6];
-        let path = if request % 12 < 6 { "/graphql" } else { "/apart" };
+        let path = if request % 12 < 6 {
+            "/graphql"
+        } else {
+            "/apart"
+        };
         let named: Vec<(&str, String)> = (0..operations)
-            .map(|n| (kind_of(client + 7 * request + 3 * n), format!("{client}-{request}-{n}")))
+            .map(|n| {
+                (
+                    kind_of(client + 7 * request + 3 * n),
+                    format!("{client}-{request}-{n}"),
+                )
+            })
             .collect();
         let by_hash = request % 4 == 1;
         let mut with_text = !by_hash;
         let answers = loop {
-            let messages: Vec<Value> =
-                named.iter().map(|(text, id)| message(text, id, with_text, by_hash)).collect();
-            let one = if operations == 1 { messages[0].clone() } else { Value::Array(messages) };
+            let messages: Vec<Value> = named
+                .iter()
+                .map(|(text, id)| message(text, id, with_text, by_hash))
+                .collect();
+            let one = if operations == 1 {
+                messages[0].clone()
+            } else {
+                Value::Array(messages)
+            };
             connection.write(post(path, &one, &format!("{client}-{request}-{with_text}")));
             let answer = connection.read().expect("one answer for each request");
             let body: Value = serde_json::from_slice(&answer.body).expect("JSON");
             if answer.header("connection") == Some("close") {
                 connection = connect();
             }
-            let answers =
-                if operations == 1 { vec![body] } else { body.as_array().expect("an array").clone() };
+            let answers = if operations == 1 {
+                vec![body]
+            } else {
+                body.as_array().expect("an array").clone()
+            };
             assert_eq!(answers.len(), operations, "each operation is answered once");
             // A client sends the text of what was not found; the others of a batch have been answered.
-            let unknown = |a: &Value| a["errors"][0]["extensions"]["code"] == "PERSISTED_QUERY_NOT_FOUND";
+            let unknown =
+                |a: &Value| a["errors"][0]["extensions"]["code"] == "PERSISTED_QUERY_NOT_FOUND";
             if answers.iter().all(unknown) && !with_text {
                 with_text = true;
                 continue;
@@ -153,7 +182,12 @@
     std::thread::scope(|scope| {
         // Restarts: one server after the other is away for a moment.
         scope.spawn(|| {
-            for down in servers.down.iter().cycle().take_while(|_| !over.load(Ordering::Relaxed)) {
+            for down in servers
+                .down
+                .iter()
+                .cycle()
+                .take_while(|_| !over.load(Ordering::Relaxed))
+            {
                 down.store(true, Ordering::Relaxed);
                 std::thread::sleep(Duration::from_millis(150));
                 down.store(false, Ordering::Relaxed);
@@ -164,13 +198,18 @@
             .map(|n| {
                 let (process, outcomes) = (&process, &outcomes);
                 scope.spawn(move || {
-                    outcomes.lock().expect("no thread panics").extend(client(process, n, requests))
+                    outcomes
+                        .lock()
+                        .expect("no thread panics")
+                        .extend(client(process, n, requests))
                 })
             })
             .collect();
         let ended: Vec<_> = clients.into_iter().map(|client| client.join()).collect();
         over.store(true, Ordering::Relaxed);
-        ended.into_iter().for_each(|client| client.expect("no client panics"));
+        ended
+            .into_iter()
+            .for_each(|client| client.expect("no client panics"));
     });
     let outcomes = outcomes.into_inner().expect("no thread panics");
     assert!(outcomes.len() > 12 * requests, "{}", outcomes.len());
@@ -188,16 +227,28 @@
             }
             Told::Code(code) => {
                 // A client may send again what was refused.
-                assert!(code != "REFUSED" || *text == READ || ran == 0, "{id} is refused and ran");
+                assert!(
+                    code != "REFUSED" || *text == READ || ran == 0,
+                    "{id} is refused and ran"
+                );
                 code.clone()
             }
         };
-        *counts.entry((text.split(' ').nth(1).unwrap_or_default(), code)).or_default() += 1;
+        *counts
+            .entry((text.split(' ').nth(1).unwrap_or_default(), code))
+            .or_default() += 1;
     }
-    println!("{} operations: {counts:?}; came more than once: {repeated:?}", outcomes.len());
+    println!(
+        "{} operations: {counts:?}; came more than once: {repeated:?}",
+        outcomes.len()
+    );
     let of = |text: &str| outcomes.values().filter(|(t, _)| *t == text).count() as f64;
-    let good =
-        |text: &str| outcomes.values().filter(|(t, told)| *t == text && *told == Told::Data).count() as f64;
+    let good = |text: &str| {
+        outcomes
+            .values()
+            .filter(|(t, told)| *t == text && *told == Told::Data)
+            .count() as f64
+    };
     // Reads and keyed mutations outlive faults by being sent again; mutations must not be.
     assert!(good(READ) > 0.9 * of(READ), "{counts:?}");
     assert!(repeated[READ] > requests / 30, "{repeated:?}");
--- a/crates/cli/tests/known_red.rs
+++ b/crates/cli/tests/known_red.rs
@@ -9,11 +9,18 @@
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let file = tempfile::NamedTempFile::new().expect("a file");
     std::fs::write(file.path(), list).expect("written");
-    let run = format!("printf 'test a::well ... ok\\ntest a::planted ... {outcome}\\n'; exit {ended}");
+    let run =
+        format!("printf 'test a::well ... ok\\ntest a::planted ... {outcome}\\n'; exit {ended}");
     let mut command = Command::new("bash");
-    command.arg(root.join(".ci/tests")).args(["sh", "-c", &run]).env("KNOWN_RED", file.path());
+    command
+        .arg(root.join(".ci/tests"))
+        .args(["sh", "-c", &run])
+        .env("KNOWN_RED", file.path());
     let done = command.output().expect("it runs");
-    (done.status.success(), String::from_utf8(done.stdout).expect("text"))
+    (
+        done.status.success(),
+        String::from_utf8(done.stdout).expect("text"),
+    )
 }
 
 #[rstest]
@@ -26,7 +33,13 @@
     true,
     "known red: a::planted: FAILED"
 )]
-#[case::a_listed_test_that_passes("a::planted, a race, 34\n", "ok", 0, true, "known red: a::planted: ok")]
+#[case::a_listed_test_that_passes(
+    "a::planted, a race, 34\n",
+    "ok",
+    0,
+    true,
+    "known red: a::planted: ok"
+)]
 #[case::another_one_is_listed(
     "a::well, a race, 34\n",
     "FAILED",
@@ -35,8 +48,20 @@
     "red, and not known: a::planted"
 )]
 #[case::a_name_that_no_test_has("a::plante, a race, 34\n", "ok", 0, false, "no test has this name")]
-#[case::a_line_without_its_issue("a::planted, a race\n", "ok", 0, false, "write \"test, cause, issue\"")]
-#[case::a_fourth_line("a, b, 1\na, b, 1\na, b, 1\na, b, 1\n", "ok", 0, false, "three are the most")]
+#[case::a_line_without_its_issue(
+    "a::planted, a race\n",
+    "ok",
+    0,
+    false,
+    "write \"test, cause, issue\""
+)]
+#[case::a_fourth_line(
+    "a, b, 1\na, b, 1\na, b, 1\na, b, 1\n",
+    "ok",
+    0,
+    false,
+    "three are the most"
+)]
 #[case::a_run_that_ends_badly("", "ok", 101, false, "no test is told to have failed")]
 fn only_what_is_listed_is_passed_over(
     #[case] list: &str,
@@ -46,5 +71,8 @@
     #[case] prints: &str,
 ) {
     let (passed, printed) = judged(list, outcome, ended);
-    assert!(passed == passes && printed.contains(prints), "passed {passed}: {printed}");
+    assert!(
+        passed == passes && printed.contains(prints),
+        "passed {passed}: {printed}"
+    );
 }
--- a/crates/cli/tests/ledger/a_disk_that_refuses.rs
+++ b/crates/cli/tests/ledger/a_disk_that_refuses.rs
@@ -7,8 +7,15 @@
     Process::with(text, |command| {
         let arguments: Vec<_> = command.get_args().map(|a| a.to_owned()).collect();
         let mut shell = Command::new("/bin/sh");
-        shell.args(["-c", "trap '' XFSZ; ulimit -f 0; exec \"$0\" \"$@\"", env!("CARGO_BIN_EXE_madderloom")]);
-        shell.args(arguments).env_remove("RELAY_CONFIG").stderr(Stdio::piped());
+        shell.args([
+            "-c",
+            "trap '' XFSZ; ulimit -f 0; exec \"$0\" \"$@\"",
+            env!("CARGO_BIN_EXE_madderloom"),
+        ]);
+        shell
+            .args(arguments)
+            .env_remove("RELAY_CONFIG")
+            .stderr(Stdio::piped());
         *command = shell;
     })
 }
@@ -28,7 +35,11 @@
     client.write(submission("b").replace("POST /submit", "GET /view"));
     assert_eq!(client.read().expect("an answer").status(), 200);
     assert_eq!(server.seen().get("a"), None);
-    let told = process.log().iter().filter(|line| line.contains("no record can be written")).count();
+    let told = process
+        .log()
+        .iter()
+        .filter(|line| line.contains("no record can be written"))
+        .count();
     assert_eq!(told, 1, "{:#?}", process.log());
     assert_eq!(process.stop(), Some(0));
 }
@@ -41,7 +52,11 @@
     for key in ["a", "b", "c"] {
         assert_eq!(status(&process, key), 200);
     }
-    let told = process.log().iter().filter(|line| line.contains("no record can be written")).count();
+    let told = process
+        .log()
+        .iter()
+        .filter(|line| line.contains("no record can be written"))
+        .count();
     assert_eq!(told, 1, "{:#?}", process.log());
     assert_eq!(process.stop(), Some(0));
 }
--- a/crates/cli/tests/ledger/main.rs
+++ b/crates/cli/tests/ledger/main.rs
@@ -1,9 +1,15 @@
 //! The ledger of submissions in the program itself: nothing that must not run twice does, whatever ends the process.
 
-#[allow(dead_code, reason = "shared with the tests of the sidecar, which use more of it")]
+#[allow(
+    dead_code,
+    reason = "shared with the tests of the sidecar, which use more of it"
+)]
 #[path = "../sidecar/rig.rs"]
 mod rig;
-#[allow(dead_code, reason = "shared with the tests of services, which use more of it")]
+#[allow(
+    dead_code,
+    reason = "shared with the tests of services, which use more of it"
+)]
 #[path = "../services/stand_ins.rs"]
 mod stand_ins;
 
@@ -21,10 +27,17 @@
 
 /// An operator file with one pool, `pay`, which keeps a ledger.
 fn file(dir: &Path, ledger: &str, servers: &[&StandIn]) -> String {
-    let pool =
-        pool("pay", servers, "").replacen("servers = ", &format!("ledger = \"{ledger}\"\nservers = "), 1);
+    let pool = pool("pay", servers, "").replacen(
+        "servers = ",
+        &format!("ledger = \"{ledger}\"\nservers = "),
+        1,
+    );
     let state = format!("[state]\ndir = \"{}\"\n", dir.display());
-    format!("version = 1\n{state}{}{pool}{}", listener("front", ""), host_route("pay"))
+    format!(
+        "version = 1\n{state}{}{pool}{}",
+        listener("front", ""),
+        host_route("pay")
+    )
 }
 
 /// Sends a submission with this key and reads its answer; none where the connection ends before.
@@ -43,7 +56,9 @@
 
 /// The status that this process answers such a submission with.
 fn status(process: &Process, key: &str) -> u16 {
-    submit(process.at("front"), key).expect("an answer").status()
+    submit(process.at("front"), key)
+        .expect("an answer")
+        .status()
 }
 
 fn until(what: &str, condition: impl Fn() -> bool) {
--- a/crates/cli/tests/ledger/no_submission_runs_twice.rs
+++ b/crates/cli/tests/ledger/no_submission_runs_twice.rs
@@ -26,7 +26,10 @@
     let process = Process::start(&text);
     let asked = Instant::now();
     assert_eq!(status(&process, "a"), 502);
-    assert!(asked.elapsed() < PATIENCE / 4, "at once, not at its deadline");
+    assert!(
+        asked.elapsed() < PATIENCE / 4,
+        "at once, not at its deadline"
+    );
     assert_eq!(server.seen()["a"], 1);
 }
 
@@ -34,7 +37,10 @@
 fn what_is_refused_as_harmless_is_served_when_it_comes_again() {
     let directory = tempfile::tempdir().expect("a directory");
     // Nobody listens there at first.
-    let place = TcpListener::bind("127.0.0.1:0").expect("a port is free").local_addr().expect("it is bound");
+    let place = TcpListener::bind("127.0.0.1:0")
+        .expect("a port is free")
+        .local_addr()
+        .expect("it is bound");
     let server = StandIn::new("s1", Manner::Serves);
     let text = file(directory.path(), "durable", &[&server]);
     let nowhere = text.replace(&server.address.to_string(), &place.to_string());
@@ -106,9 +112,16 @@
     let late = Manner::ServesLate(Duration::from_millis(3));
     let manners = [Manner::Serves, late, Manner::Breaks, Manner::Fails];
     let names = ["s0", "s1", "s2", "s3"];
-    let servers: Vec<StandIn> =
-        names.iter().zip(manners).map(|(name, how)| StandIn::new(name, how)).collect();
-    let text = file(directory.path(), ledger, &servers.iter().collect::<Vec<_>>());
+    let servers: Vec<StandIn> = names
+        .iter()
+        .zip(manners)
+        .map(|(name, how)| StandIn::new(name, how))
+        .collect();
+    let text = file(
+        directory.path(),
+        ledger,
+        &servers.iter().collect::<Vec<_>>(),
+    );
     let mut process = Process::start(&text);
     let at = Arc::new(Mutex::new(process.at("front")));
     let (over, tally) = (Arc::new(AtomicBool::new(false)), Arc::new(Tally::default()));
@@ -120,10 +133,14 @@
         .collect();
     let mut random = seed;
     for _ in 0..kills {
-        random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        random = random
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         let served = tally.served.load(Ordering::Relaxed);
         // Work is being done, and is cut off anywhere in it.
-        until("something is served", || tally.served.load(Ordering::Relaxed) > served);
+        until("something is served", || {
+            tally.served.load(Ordering::Relaxed) > served
+        });
         std::thread::sleep(Duration::from_micros((random >> 33) % 60_000));
         process.signal("KILL");
         drop(process);
@@ -131,15 +148,25 @@
         *at.lock().expect("no thread panics") = process.at("front");
     }
     over.store(true, Ordering::Relaxed);
-    clients.into_iter().for_each(|client| client.join().expect("it does not panic"));
+    clients
+        .into_iter()
+        .for_each(|client| client.join().expect("it does not panic"));
     let mut ran: BTreeMap<String, u32> = BTreeMap::new();
     for server in &servers {
-        server.seen().into_iter().for_each(|(key, times)| *ran.entry(key).or_default() += times);
+        server
+            .seen()
+            .into_iter()
+            .for_each(|(key, times)| *ran.entry(key).or_default() += times);
     }
     let twice: Vec<_> = ran.iter().filter(|(_, times)| **times > 1).collect();
     assert!(twice.is_empty(), "{ledger}: ran twice: {twice:?}");
     let count = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
-    let Tally { served, failed, refused, cut_off } = &*tally;
+    let Tally {
+        served,
+        failed,
+        refused,
+        cut_off,
+    } = &*tally;
     println!(
         "{ledger}: {kills} kills, {} ran once; served {}, failed {}, refused {}, cut off {}",
         ran.len(),
@@ -148,7 +175,10 @@
         count(refused),
         count(cut_off)
     );
-    assert!(count(cut_off) >= kills, "the load was not cut off each time");
+    assert!(
+        count(cut_off) >= kills,
+        "the load was not cut off each time"
+    );
     assert_eq!(process.stop(), Some(0));
 }
 
@@ -163,7 +193,10 @@
 #[test]
 #[ignore = "takes minutes; run it by hand, with --nocapture"]
 fn killed_at_random_times_some_hundred_times() {
-    let kills = std::env::var("MADDERLOOM_KILLS").ok().and_then(|kills| kills.parse().ok()).unwrap_or(200);
+    let kills = std::env::var("MADDERLOOM_KILLS")
+        .ok()
+        .and_then(|kills| kills.parse().ok())
+        .unwrap_or(200);
     for (ledger, seed) in [("durable", 21), ("relaxed", 22)] {
         kill_again_and_again(ledger, kills, seed);
     }
--- a/crates/cli/tests/ledger/warm_start.rs
+++ b/crates/cli/tests/ledger/warm_start.rs
@@ -8,9 +8,16 @@
 fn file(dir: &Path, warm: bool, servers: &[&StandIn]) -> String {
     let spans = "warm_every = \"200ms\"\nwarm_oldest = \"5m\"";
     let state = format!("[state]\ndir = \"{}\"\n{spans}\n", dir.display());
-    let pool =
-        pool("pay", servers, "").replacen("servers = ", &format!("warm_start = {warm}\nservers = "), 1);
-    format!("version = 1\n{state}{}{pool}{}", listener("front", ""), host_route("pay"))
+    let pool = pool("pay", servers, "").replacen(
+        "servers = ",
+        &format!("warm_start = {warm}\nservers = "),
+        1,
+    );
+    format!(
+        "version = 1\n{state}{}{pool}{}",
+        listener("front", ""),
+        host_route("pay")
+    )
 }
 
 /// Reads, which may be sent to another server where one fails.
@@ -48,13 +55,17 @@
     #[case] expected: std::ops::RangeInclusive<u32>,
 ) {
     let directory = tempfile::tempdir().expect("a directory");
-    let (good, bad) = (StandIn::new("s1", Manner::Serves), StandIn::new("s2", Manner::Fails));
+    let (good, bad) = (
+        StandIn::new("s1", Manner::Serves),
+        StandIn::new("s2", Manner::Fails),
+    );
     learn(directory.path(), &[&good, &bad]);
     if oldest == "1s" {
         std::thread::sleep(Duration::from_millis(1_100));
     }
     let before = tries(&bad);
-    let text = file(directory.path(), warm, &[&good, &bad]).replace("\"5m\"", &format!("\"{oldest}\""));
+    let text =
+        file(directory.path(), warm, &[&good, &bad]).replace("\"5m\"", &format!("\"{oldest}\""));
     let process = Process::start(&text);
     views(&process, 100);
     let after = tries(&bad) - before;
@@ -65,17 +76,26 @@
 #[test]
 fn without_discovery_and_a_list_the_servers_of_the_snapshot_stand() {
     let directory = tempfile::tempdir().expect("a directory");
-    let (one, other) = (StandIn::new("s1", Manner::Serves), StandIn::new("s2", Manner::Serves));
+    let (one, other) = (
+        StandIn::new("s1", Manner::Serves),
+        StandIn::new("s2", Manner::Serves),
+    );
     // Nobody answers there.
     let discovery = Node::new();
     let with = |servers: &str| {
         let text = file(directory.path(), true, &[&one]);
         let (before, rest) = text.split_once("servers = ").expect("there");
         let (_, after) = rest.split_once('\n').expect("a line");
-        format!("{before}discovery = \"{}\"\n{servers}\n{after}", discovery.address())
+        format!(
+            "{before}discovery = \"{}\"\n{servers}\n{after}",
+            discovery.address()
+        )
     };
     let list = |server: &StandIn| {
-        format!("servers = [{{ name = \"{}\", address = \"{}\" }}]", server.name, server.address)
+        format!(
+            "servers = [{{ name = \"{}\", address = \"{}\" }}]",
+            server.name, server.address
+        )
     };
     let mut process = Process::start(&with(&list(&one)));
     views(&process, 5);
--- a/crates/cli/tests/liveness/clients.rs
+++ b/crates/cli/tests/liveness/clients.rs
@@ -1,7 +1,9 @@
 //! Clients that read nothing, or write without end.
 
 use crate::rig::{Conn, Node, Sidecar, request, serve_all, until};
-use crate::{CLASS, IN_TIME, WAITS_MS, is_at_rest, is_reached, others_are_served, start, until_within};
+use crate::{
+    CLASS, IN_TIME, WAITS_MS, is_at_rest, is_reached, others_are_served, start, until_within,
+};
 use std::thread::JoinHandle;
 
 /// What is written at once.
@@ -48,10 +50,14 @@
     let client = sidecar.ask(CLASS, WAITS_MS);
     let mut conn = node.accept();
     assert!(conn.read().is_some());
-    conn.write(format!("HTTP/1.1 200 OK\r\nContent-Length: {LONG_ANSWER}\r\n\r\n"));
+    conn.write(format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {LONG_ANSWER}\r\n\r\n"
+    ));
     let writes = pour(conn, LONG_ANSWER / PIECE);
     serve_all(node);
-    until("its answer lies unread", || client.unread_here() >= PIECE as u64);
+    until("its answer lies unread", || {
+        client.unread_here() >= PIECE as u64
+    });
     is_reached(&sidecar);
     others_are_served(&sidecar);
     is_at_rest(&sidecar);
@@ -69,7 +75,9 @@
     let writes = uploads(&sidecar);
     let conn = takes_pieces(&node, 4);
     serve_all(node);
-    until("what it does not take lies unread", || conn.unread_here() >= PIECE as u64);
+    until("what it does not take lies unread", || {
+        conn.unread_here() >= PIECE as u64
+    });
     is_reached(&sidecar);
     others_are_served(&sidecar);
     is_at_rest(&sidecar);
@@ -89,7 +97,10 @@
     serve_all(node);
     let takes = std::thread::spawn(move || conn.skip());
     others_are_served(&sidecar);
-    assert!(!writes.is_finished(), "it was over before the others were served");
+    assert!(
+        !writes.is_finished(),
+        "it was over before the others were served"
+    );
     drop(sidecar);
     drop(writes.join().expect("it ends with its connection"));
     takes.join().expect("it ends with its connection");
@@ -109,7 +120,9 @@
     sidecar.signal("TERM");
     sidecar.wait_for("closed to new clients");
     answers.answer("200 OK", "made");
-    until_within(IN_TIME, "a request that was open has its answer", || other.has_something());
+    until_within(IN_TIME, "a request that was open has its answer", || {
+        other.has_something()
+    });
     assert_eq!(other.read().expect("an answer").status(), 200);
     drop(sidecar);
     drop(writes.join().expect("it ends with its connection"));
@@ -130,7 +143,11 @@
     let writers: Vec<_> = (0..WRITERS).map(|_| begin()).collect();
     others_are_served(&sidecar);
     for writer in writers {
-        drop(writer.join().expect("its connection is closed over what it writes"));
+        drop(
+            writer
+                .join()
+                .expect("its connection is closed over what it writes"),
+        );
     }
     is_at_rest(&sidecar);
 }
--- a/crates/cli/tests/liveness/lists.rs
+++ b/crates/cli/tests/liveness/lists.rs
@@ -17,12 +17,19 @@
     let mut watch = sidecar.discovery.accept();
     assert!(watch.read().is_some());
     let names: Vec<String> = (0..SERVERS).map(|at| format!("n{at}")).collect();
-    let entries: Vec<_> = names.iter().map(|name| (name.as_str(), node.address(), "in_service")).collect();
+    let entries: Vec<_> = names
+        .iter()
+        .map(|name| (name.as_str(), node.address(), "in_service"))
+        .collect();
     watch.tell(&listing(42, true, &entries).to_string());
     until("the list is read", || watch.unread_there() == 0);
     is_reached(&sidecar);
     let change = |number: u64| {
-        let status = if number.is_multiple_of(2) { "terminating" } else { "in_service" };
+        let status = if number.is_multiple_of(2) {
+            "terminating"
+        } else {
+            "in_service"
+        };
         listing(43 + number, false, &[("n7", node.address(), status)]).to_string()
     };
     let changes: Vec<String> = (0..CHANGES).map(change).collect();
@@ -35,5 +42,8 @@
         longest = longest.max(asked.elapsed());
     }
     let all = began.elapsed();
-    assert!(longest * PART < all, "a request waited for {longest:?} of {all:?}");
+    assert!(
+        longest * PART < all,
+        "a request waited for {longest:?} of {all:?}"
+    );
 }
--- a/crates/cli/tests/liveness/main.rs
+++ b/crates/cli/tests/liveness/main.rs
@@ -34,12 +34,21 @@
         let settings = &mut config["settings"];
         settings["limits"]["probes"] = false.into();
         let classes = settings["services"].as_array_mut().expect("classes");
-        let class = classes.iter_mut().find(|class| class["name"] == CLASS).expect("the class");
+        let class = classes
+            .iter_mut()
+            .find(|class| class["name"] == CLASS)
+            .expect("the class");
         for time in ["on_time", "give_up"] {
             class[time] = (WAITS_MS * 1_000).into();
         }
     };
-    Sidecar::with(&addresses, Options { edit, ..Options::default() })
+    Sidecar::with(
+        &addresses,
+        Options {
+            edit,
+            ..Options::default()
+        },
+    )
 }
 
 /// Asks on connections of their own, one after the other, and wants each answered in time.
@@ -48,11 +57,18 @@
         let began = Instant::now();
         let mut client = sidecar.client();
         client.write(request(CLASS, WAITS_MS, ""));
-        until_within(IN_TIME, &format!("request {number} of another client is answered"), || {
-            client.has_something()
-        });
+        until_within(
+            IN_TIME,
+            &format!("request {number} of another client is answered"),
+            || client.has_something(),
+        );
         let answer = client.read().expect("an answer");
-        assert_eq!(answer.status(), 200, "request {number} of another client, after {:?}", began.elapsed());
+        assert_eq!(
+            answer.status(),
+            200,
+            "request {number} of another client, after {:?}",
+            began.elapsed()
+        );
     }
 }
 
@@ -60,7 +76,10 @@
 fn until_within(limit: Duration, what: &str, mut holds: impl FnMut() -> bool) {
     let end = Instant::now() + limit;
     while !holds() {
-        assert!(Instant::now() < end, "it did not come within {limit:?} that {what}");
+        assert!(
+            Instant::now() < end,
+            "it did not come within {limit:?} that {what}"
+        );
         std::thread::sleep(Duration::from_millis(1));
     }
 }
@@ -68,7 +87,9 @@
 /// Waits until the process has read all that this client has written. Looked at twice, since bytes may pass from one end of
 /// the connection to the other between the looks at them.
 fn until_read(client: &Conn) {
-    until("all that a client wrote is read", || client.unread_there() == 0 && client.unread_there() == 0);
+    until("all that a client wrote is read", || {
+        client.unread_there() == 0 && client.unread_there() == 0
+    });
 }
 
 /// Waits until the process has done what it could do before: a request that it answers by itself, on a connection that comes
@@ -77,18 +98,25 @@
     for _ in 0..2 {
         let mut client = sidecar.client();
         client.write("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n");
-        until_within(IN_TIME, "the process says that it is ready", || client.has_something());
+        until_within(IN_TIME, "the process says that it is ready", || {
+            client.has_something()
+        });
         assert_eq!(client.read().expect("an answer").status(), 200);
     }
 }
 
 /// The processor's time that the process has used.
 fn processor_time(sidecar: &Sidecar) -> Duration {
-    let told = std::fs::read_to_string(format!("/proc/{}/stat", sidecar.child.id())).expect("it runs");
+    let told =
+        std::fs::read_to_string(format!("/proc/{}/stat", sidecar.child.id())).expect("it runs");
     // Behind the name, which may hold spaces: the 14th and 15th of all, in hundredths of a second.
     let behind_name = told.rsplit(") ").next().expect("more than a name");
-    let ticks: u64 =
-        behind_name.split(' ').skip(11).take(2).map(|ticks| ticks.parse::<u64>().expect("a number")).sum();
+    let ticks: u64 = behind_name
+        .split(' ')
+        .skip(11)
+        .take(2)
+        .map(|ticks| ticks.parse::<u64>().expect("a number"))
+        .sum();
     Duration::from_millis(10 * ticks)
 }
 
@@ -97,5 +125,8 @@
     let before = processor_time(sidecar);
     std::thread::sleep(WATCHED);
     let used = processor_time(sidecar) - before;
-    assert!(used <= IDLE_USE, "it used {used:?} of the processor within {WATCHED:?} of waiting");
+    assert!(
+        used <= IDLE_USE,
+        "it used {used:?} of the processor within {WATCHED:?} of waiting"
+    );
 }
--- a/crates/cli/tests/liveness/servers.rs
+++ b/crates/cli/tests/liveness/servers.rs
@@ -42,7 +42,9 @@
     client.write(long_request(LONG));
     let mut conn = node.accept();
     for number in 1..=MOST {
-        until("a long request is on its way", || conn.unread_here() > (number - 1) * LONG as u64);
+        until("a long request is on its way", || {
+            conn.unread_here() > (number - 1) * LONG as u64
+        });
         until_read(client);
         is_reached(sidecar);
         if conn.unread_here() < number * LONG as u64 {
@@ -67,7 +69,10 @@
     others_are_served(&sidecar);
     is_at_rest(&sidecar);
     others_are_served(&sidecar);
-    assert!(conn.unread_here() < whole && !client.has_something(), "its request is not stuck");
+    assert!(
+        conn.unread_here() < whole && !client.has_something(),
+        "its request is not stuck"
+    );
     // Its connection breaks before its last byte: it is sent again, to where it is taken.
     conn.reset();
     assert_eq!(client.read().expect("an answer").status(), 200);
@@ -82,13 +87,17 @@
     let mut conn = node.accept();
     assert!(conn.read().is_some());
     conn.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-    let writes = std::thread::spawn(move || conn.pour("1\r\nx\r\n".repeat(CHUNKS).into_bytes(), usize::MAX));
+    let writes =
+        std::thread::spawn(move || conn.pour("1\r\nx\r\n".repeat(CHUNKS).into_bytes(), usize::MAX));
     let mut some = vec![0; CHUNKS];
     client.fill(&mut some);
     let reads = std::thread::spawn(move || client.skip());
     serve_all(node);
     others_are_served(&sidecar);
-    assert!(!writes.is_finished() && !reads.is_finished(), "it was over before the others were served");
+    assert!(
+        !writes.is_finished() && !reads.is_finished(),
+        "it was over before the others were served"
+    );
     drop(sidecar);
     writes.join().expect("it ends with its connection");
     reads.join().expect("it ends with its connection");
@@ -102,12 +111,17 @@
     let client = sidecar.ask(CLASS, WAITS_MS);
     let mut conn = node.accept();
     assert!(conn.read().is_some());
-    let interim = "HTTP/1.1 102 Processing\r\n\r\n".repeat(CHUNKS).into_bytes();
+    let interim = "HTTP/1.1 102 Processing\r\n\r\n"
+        .repeat(CHUNKS)
+        .into_bytes();
     let writes = std::thread::spawn(move || conn.pour(interim, usize::MAX));
     serve_all(node);
     is_reached(&sidecar);
     others_are_served(&sidecar);
-    assert!(!writes.is_finished(), "it was over before the others were served");
+    assert!(
+        !writes.is_finished(),
+        "it was over before the others were served"
+    );
     drop((client, sidecar));
     writes.join().expect("it ends with its connection");
 }
--- a/crates/cli/tests/operations/bodies.rs
+++ b/crates/cli/tests/operations/bodies.rs
@@ -6,7 +6,10 @@
 
 /// The head of a request whose body is to follow.
 fn head(class: &str, framing: &str) -> String {
-    request(class, 15_000, "").replace("Content-Length: 5\r\n\r\npaper", &format!("{framing}\r\n\r\n"))
+    request(class, 15_000, "").replace(
+        "Content-Length: 5\r\n\r\npaper",
+        &format!("{framing}\r\n\r\n"),
+    )
 }
 
 /// Reads a head, up to its empty line.
@@ -39,7 +42,10 @@
     let node = Node::new();
     let sidecar = asked(&[&node]);
     let mut client = sidecar.client();
-    client.write(head("submit-check", "Expect: 100-continue\r\nContent-Length: 5"));
+    client.write(head(
+        "submit-check",
+        "Expect: 100-continue\r\nContent-Length: 5",
+    ));
     assert_eq!(client.read().expect("a word").status(), 100);
     client.write("paper");
     let mut conn = node.accept();
@@ -60,7 +66,12 @@
     let mut client = sidecar.client();
     // To a reader of chunks it is whole.
     client.write(
-        head("submit-check", framing) + if framing.contains("chunked") { "0\r\n\r\n" } else { "paper" },
+        head("submit-check", framing)
+            + if framing.contains("chunked") {
+                "0\r\n\r\n"
+            } else {
+                "paper"
+            },
     );
     assert_eq!(client.read().expect("an answer").status(), 400);
     while client.line().is_some() {}
@@ -87,7 +98,12 @@
     let piece = move |number: usize| {
         let bytes = vec![b'a' + number as u8; PIECE];
         if chunked {
-            [format!("{PIECE:x}\r\n").into_bytes(), bytes, b"\r\n".to_vec()].concat()
+            [
+                format!("{PIECE:x}\r\n").into_bytes(),
+                bytes,
+                b"\r\n".to_vec(),
+            ]
+            .concat()
         } else {
             bytes
         }
@@ -98,10 +114,24 @@
     });
     let mut conn = node.accept();
     let told = read_head(&mut conn);
-    let expected = if chunked { "transfer-encoding: chunked".into() } else { framing.to_ascii_lowercase() };
+    let expected = if chunked {
+        "transfer-encoding: chunked".into()
+    } else {
+        framing.to_ascii_lowercase()
+    };
     assert!(told.contains(&expected), "{told:?}");
     let mut client = writer.join().expect("it is read");
-    client.write([piece(PIECES - 1), if chunked { b"0\r\n\r\n".to_vec() } else { Vec::new() }].concat());
+    client.write(
+        [
+            piece(PIECES - 1),
+            if chunked {
+                b"0\r\n\r\n".to_vec()
+            } else {
+                Vec::new()
+            },
+        ]
+        .concat(),
+    );
     let mut got = 0;
     let mut read = |conn: &mut Conn, size: usize| {
         let mut bytes = vec![0; size];
@@ -139,14 +169,28 @@
     let nodes = [Node::new(), Node::new()];
     let sidecar = asked(&[&nodes[0], &nodes[1]]);
     let mut client = sidecar.client();
-    let chunk = [b"100000\r\n".to_vec(), vec![b'x'; 1 << 20], b"\r\n1\r\nx\r\nodd\r\n".to_vec()].concat();
-    client.write([head("submit-check", "Transfer-Encoding: chunked").into_bytes(), chunk].concat());
+    let chunk = [
+        b"100000\r\n".to_vec(),
+        vec![b'x'; 1 << 20],
+        b"\r\n1\r\nx\r\nodd\r\n".to_vec(),
+    ]
+    .concat();
+    client.write(
+        [
+            head("submit-check", "Transfer-Encoding: chunked").into_bytes(),
+            chunk,
+        ]
+        .concat(),
+    );
     assert_eq!(client.read().expect("an answer").status(), 400);
     for node in &nodes {
         while let Some(mut conn) = node.try_accept() {
             let mut got = Vec::new();
             conn.rest(&mut got);
-            assert!(!got.ends_with(b"0\r\n\r\n"), "it was ended as if it were whole");
+            assert!(
+                !got.ends_with(b"0\r\n\r\n"),
+                "it was ended as if it were whole"
+            );
         }
     }
     assert_eq!(sidecar.figure("app.relayed"), 0);
@@ -162,8 +206,14 @@
         let mut client = sidecar.ask("submit-check", 5000);
         let mut conn = node.accept();
         assert!(conn.read().is_some());
-        let framing = if chunked { "Transfer-Encoding: chunked" } else { "Content-Length: 200000" };
-        conn.write(format!("HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\n{framing}\r\n\r\n"));
+        let framing = if chunked {
+            "Transfer-Encoding: chunked"
+        } else {
+            "Content-Length: 200000"
+        };
+        conn.write(format!(
+            "HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\n{framing}\r\n\r\n"
+        ));
         let piece = |conn: &mut Conn| {
             let bytes = vec![b'x'; 100_000];
             match chunked {
@@ -180,7 +230,10 @@
             drop(conn);
             let mut rest = Vec::new();
             client.rest(&mut rest);
-            assert!(!rest.ends_with(b"0\r\n\r\n") && rest.len() < 200_000, "it looks whole");
+            assert!(
+                !rest.ends_with(b"0\r\n\r\n") && rest.len() < 200_000,
+                "it looks whole"
+            );
             break;
         }
         piece(&mut conn);
@@ -190,7 +243,9 @@
         let mut got = 0;
         while got < 200_000 {
             let size = match chunked {
-                true => usize::from_str_radix(&client.line().expect("a chunk"), 16).expect("a size"),
+                true => {
+                    usize::from_str_radix(&client.line().expect("a chunk"), 16).expect("a size")
+                }
                 false => 200_000,
             };
             let mut bytes = vec![0; size];
@@ -225,9 +280,17 @@
         stopped.push((client, writer));
     }
     sidecar.serves(&[&node]);
-    let status = std::fs::read_to_string(format!("/proc/{}/status", sidecar.child.id())).expect("it lives");
-    let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("a line");
-    let peak: u64 = peak.trim().trim_end_matches(" kB").parse().expect("a number");
+    let status =
+        std::fs::read_to_string(format!("/proc/{}/status", sidecar.child.id())).expect("it lives");
+    let peak = status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmHWM:"))
+        .expect("a line");
+    let peak: u64 = peak
+        .trim()
+        .trim_end_matches(" kB")
+        .parse()
+        .expect("a number");
     assert!(peak < 40_000, "{peak} kB at {MANY} answers of 32 MiB");
     for (client, writer) in stopped {
         drop(client);
--- a/crates/cli/tests/operations/calls.rs
+++ b/crates/cli/tests/operations/calls.rs
@@ -17,7 +17,10 @@
     assert_eq!(sidecar.call("REJOIN\nLAMEDUCK\nmore"), "ok\n");
     let told = sidecar.call("INFO\n");
     assert!(
-        told.ends_with("\neof\n") && told.lines().all(|line| line == "eof" || line.starts_with("app.")),
+        told.ends_with("\neof\n")
+            && told
+                .lines()
+                .all(|line| line == "eof" || line.starts_with("app.")),
         "{told}"
     );
     assert_eq!(sidecar.figure("app.registry_entries"), 1);
@@ -30,11 +33,19 @@
     let node = Node::new();
     let sidecar = asked(&[&node]);
     let told = sidecar.call("INFO\n");
-    let names = told.lines().filter_map(|line| line.split_once('=')).map(|(name, _)| name);
-    let names: Vec<&str> = names.filter(|name| !name.starts_with("app.operations.")).collect();
+    let names = told
+        .lines()
+        .filter_map(|line| line.split_once('='))
+        .map(|(name, _)| name);
+    let names: Vec<&str> = names
+        .filter(|name| !name.starts_with("app.operations."))
+        .collect();
     assert!(names.len() >= 8, "{told}");
     for name in names {
-        assert!(page.contains(&format!("`{name}`")), "{name} is not on the page");
+        assert!(
+            page.contains(&format!("`{name}`")),
+            "{name} is not on the page"
+        );
     }
 }
 
@@ -48,7 +59,10 @@
     let node = Node::new();
     let sidecar = asked(&[&node]);
     let told = sidecar.call(line);
-    assert!(told.starts_with("fail ") && told.ends_with('\n') && told.lines().count() == 1, "{told:?}");
+    assert!(
+        told.starts_with("fail ") && told.ends_with('\n') && told.lines().count() == 1,
+        "{told:?}"
+    );
     assert_eq!(sidecar.call("PING\n"), "ok\n");
 }
 
@@ -72,7 +86,9 @@
     drop(idle);
     // Nor do they leave anything behind.
     until("only its own descriptors are open", || {
-        let open = std::fs::read_dir(format!("/proc/{}/fd", sidecar.child.id())).expect("it lives").count();
+        let open = std::fs::read_dir(format!("/proc/{}/fd", sidecar.child.id()))
+            .expect("it lives")
+            .count();
         open < 40
     });
 }
@@ -81,7 +97,12 @@
 #[test]
 fn a_call_is_answered_when_clients_hold_all_their_descriptors() {
     let node = Node::new();
-    let options = Options { control: true, sockets: 80, before: "ulimit -n 80", ..Options::default() };
+    let options = Options {
+        control: true,
+        sockets: 80,
+        before: "ulimit -n 80",
+        ..Options::default()
+    };
     let sidecar = Sidecar::with(&[node.address()], options);
     let clients: Vec<_> = (0..120).map(|_| sidecar.client()).collect();
     for call in ["PING\n", "LAMEDUCK\n", "REJOIN\n"] {
@@ -97,12 +118,21 @@
     let at = taken.local_addr().expect("it is bound").to_string();
     let node = Node::new();
     let sidecar = Sidecar::start(&[node.address()]);
-    let config = sidecar.config.0.replacen('{', &format!("{{\"control\":\"{at}\","), 1);
+    let config = sidecar
+        .config
+        .0
+        .replacen('{', &format!("{{\"control\":\"{at}\","), 1);
     let mut command = Command::new(env!("CARGO_BIN_EXE_madderloom"));
-    let command = command.arg("serve").env("RELAY_CONFIG", write_config(&config)).stderr(Stdio::piped());
+    let command = command
+        .arg("serve")
+        .env("RELAY_CONFIG", write_config(&config))
+        .stderr(Stdio::piped());
     let done = command.output().expect("it starts and ends");
     let errors = String::from_utf8(done.stderr).expect("text");
-    assert!(!done.status.success() && errors.contains(&format!("RELAY_CONTROL: {at}")), "{errors}");
+    assert!(
+        !done.status.success() && errors.contains(&format!("RELAY_CONTROL: {at}")),
+        "{errors}"
+    );
 }
 
 /// Each request ends in one figure of its class, and what is open is counted by what is open.
@@ -140,10 +170,15 @@
     ] {
         assert_eq!(sidecar.figure(&format!("app.{name}")), count, "{name}");
     }
-    assert!(!sidecar.call("INFO\n").contains("nothing"), "a class that there is not is counted");
+    assert!(
+        !sidecar.call("INFO\n").contains("nothing"),
+        "a class that there is not is counted"
+    );
     // Its client goes; whether that is counted or not, nothing is open.
     drop(open);
-    until("nothing is open", || sidecar.figure("app.open_requests") == 0);
+    until("nothing is open", || {
+        sidecar.figure("app.open_requests") == 0
+    });
     assert_eq!(sidecar.figure("app.operations.submit-check.faulted"), 1);
 }
 
@@ -156,9 +191,14 @@
     let list = listing(
         42,
         true,
-        &[("n0", nodes[0].address(), "in_service"), ("n1", nodes[1].address(), "terminating")],
+        &[
+            ("n0", nodes[0].address(), "in_service"),
+            ("n1", nodes[1].address(), "terminating"),
+        ],
     );
     watch.write(format!("HTTP/1.1 200 OK\r\n\r\n{list}\n"));
-    until("one is out of rotation", || sidecar.figure("app.out_of_rotation") == 1);
+    until("one is out of rotation", || {
+        sidecar.figure("app.out_of_rotation") == 1
+    });
     assert_eq!(sidecar.figure("app.registry_entries"), 2);
 }
--- a/crates/cli/tests/operations/drain.rs
+++ b/crates/cli/tests/operations/drain.rs
@@ -30,7 +30,10 @@
         let mut conn = node.accept();
         answer(&mut conn, "200 OK");
         let told = client.read().expect("an answer");
-        assert_eq!((told.status(), told.header("connection")), (200, Some("close")));
+        assert_eq!(
+            (told.status(), told.header("connection")),
+            (200, Some("close"))
+        );
         assert!(client.line().is_none());
     }
     // Idle ones go; what is open is not cut off.
@@ -63,6 +66,8 @@
     sidecar.wait_for("stopping");
     assert!(sidecar.call("REJOIN\n").starts_with("fail "));
     assert_ne!(ready(&sidecar), 200);
-    until("it has ended", || sidecar.child.try_wait().expect("it can be asked").is_some());
+    until("it has ended", || {
+        sidecar.child.try_wait().expect("it can be asked").is_some()
+    });
     assert_eq!(sidecar.child.wait().expect("it has ended").code(), Some(0));
 }
--- a/crates/cli/tests/operations/long_turns.rs
+++ b/crates/cli/tests/operations/long_turns.rs
@@ -12,7 +12,13 @@
 fn pipe_for_configuration(sidecar: &Sidecar) -> PathBuf {
     let path = sidecar.config.1.clone();
     std::fs::remove_file(&path).expect("it is there");
-    assert!(Command::new("mkfifo").arg(&path).status().expect("it runs").success());
+    assert!(
+        Command::new("mkfifo")
+            .arg(&path)
+            .status()
+            .expect("it runs")
+            .success()
+    );
     path
 }
 
@@ -24,13 +30,23 @@
     let path = pipe_for_configuration(&sidecar);
     sidecar.signal("HUP");
     sidecar.wait_for("event loop: held by reload for");
-    let mut pipe = std::fs::OpenOptions::new().write(true).open(&path).expect("it is read");
-    pipe.write_all(sidecar.config.0.as_bytes()).expect("it is read");
+    let mut pipe = std::fs::OpenOptions::new()
+        .write(true)
+        .open(&path)
+        .expect("it is read");
+    pipe.write_all(sidecar.config.0.as_bytes())
+        .expect("it is read");
     drop(pipe);
     sidecar.wait_for("event loop: a turn of reload took");
     until("it is taken", || sidecar.figure("app.cfg_accepted") == 1);
     // It waited, and used no processor.
-    assert_eq!((sidecar.figure("app.busy_turns"), sidecar.figure("app.stalled_turns")), (0, 1));
+    assert_eq!(
+        (
+            sidecar.figure("app.busy_turns"),
+            sidecar.figure("app.stalled_turns")
+        ),
+        (0, 1)
+    );
     sidecar.serves(&[&node]);
 }
 
@@ -40,10 +56,18 @@
     const CLASSES: usize = 15_000;
     let node = Node::new();
     let mut sidecar = asked(&[&node]);
-    assert_eq!((sidecar.figure("app.busy_turns"), sidecar.figure("app.stalled_turns")), (0, 0));
+    assert_eq!(
+        (
+            sidecar.figure("app.busy_turns"),
+            sidecar.figure("app.stalled_turns")
+        ),
+        (0, 0)
+    );
     sidecar.reconfigure(|config| {
         let mut config: serde_json::Value = serde_json::from_str(config).expect("an object");
-        let services = config["settings"]["services"].as_array_mut().expect("a list");
+        let services = config["settings"]["services"]
+            .as_array_mut()
+            .expect("a list");
         for number in 0..CLASSES {
             let mut class = services[1].clone();
             class["name"] = format!("class-{number}").into();
@@ -52,7 +76,10 @@
         config.to_string()
     });
     sidecar.wait_for("event loop: a turn of reload took");
-    assert_eq!(sidecar.figure("app.busy_turns") + sidecar.figure("app.stalled_turns"), 1);
+    assert_eq!(
+        sidecar.figure("app.busy_turns") + sidecar.figure("app.stalled_turns"),
+        1
+    );
 }
 
 /// Stopped while nothing ran: no task is to blame.
--- a/crates/cli/tests/operations/main.rs
+++ b/crates/cli/tests/operations/main.rs
@@ -1,7 +1,10 @@
 //! What on-call staff and the platform do with a sidecar that serves: ask it, drain it, retune it, upgrade it. The real
 //! program, with its clients, servers and callers played by the test.
 
-#[allow(dead_code, reason = "shared with the tests of the sidecar, which use more of it")]
+#[allow(
+    dead_code,
+    reason = "shared with the tests of the sidecar, which use more of it"
+)]
 #[path = "../sidecar/rig.rs"]
 mod rig;
 
@@ -17,7 +20,13 @@
 /// A sidecar with a second address.
 fn asked(nodes: &[&Node]) -> Sidecar {
     let addresses: Vec<_> = nodes.iter().map(|node| node.address()).collect();
-    Sidecar::with(&addresses, Options { control: true, ..Options::default() })
+    Sidecar::with(
+        &addresses,
+        Options {
+            control: true,
+            ..Options::default()
+        },
+    )
 }
 
 /// What `GET /ready` says.
--- a/crates/cli/tests/operations/retune.rs
+++ b/crates/cli/tests/operations/retune.rs
@@ -9,7 +9,9 @@
 /// A class more in a configuration.
 fn with_class(config: &str, name: &str, effect: &str) -> String {
     let mut config: serde_json::Value = serde_json::from_str(config).expect("an object");
-    let services = config["settings"]["services"].as_array_mut().expect("a list");
+    let services = config["settings"]["services"]
+        .as_array_mut()
+        .expect("a list");
     let mut class = services[1].clone();
     (class["name"], class["effect"]) = (name.into(), effect.into());
     services.push(class);
@@ -27,7 +29,9 @@
     sidecar.reconfigure(|config| {
         let config = with_class(config, "late", "keyed");
         // What must not run twice may be repeated from now on, and "recheck" is no more.
-        config.replace("\"unsafe\"", "\"keyed\"").replace("\"recheck\"", "\"renamed\"")
+        config
+            .replace("\"unsafe\"", "\"keyed\"")
+            .replace("\"recheck\"", "\"renamed\"")
     });
     until("it is taken", || sidecar.figure("app.cfg_accepted") == 1);
     // Came under the rule that it must not run twice.
@@ -71,19 +75,41 @@
     let other = asked(&[&node]);
     let path = write_config("");
     std::fs::remove_file(&path).expect("it is there");
-    assert!(Command::new("mkfifo").arg(&path).status().expect("it runs").success());
+    assert!(
+        Command::new("mkfifo")
+            .arg(&path)
+            .status()
+            .expect("it runs")
+            .success()
+    );
     let mut command = Command::new(env!("CARGO_BIN_EXE_madderloom"));
-    let command = command.arg("serve").env("RELAY_CONFIG", &path).stderr(Stdio::piped());
+    let command = command
+        .arg("serve")
+        .env("RELAY_CONFIG", &path)
+        .stderr(Stdio::piped());
     let mut child = command.spawn().expect("it starts");
     // Opened once the program opens it, which then waits for what it says.
-    let mut pipe = std::fs::OpenOptions::new().write(true).open(&path).expect("it is read");
+    let mut pipe = std::fs::OpenOptions::new()
+        .write(true)
+        .open(&path)
+        .expect("it is read");
     std::fs::rename(write_config(&other.config.0), &path).expect("it is replaced");
     let id = child.id().to_string();
-    assert!(Command::new("kill").args(["-s", "HUP", &id]).status().expect("kill runs").success());
-    pipe.write_all(other.config.0.as_bytes()).expect("it is read");
+    assert!(
+        Command::new("kill")
+            .args(["-s", "HUP", &id])
+            .status()
+            .expect("kill runs")
+            .success()
+    );
+    pipe.write_all(other.config.0.as_bytes())
+        .expect("it is read");
     drop(pipe);
     let errors = BufReader::new(child.stderr.take().expect("piped"));
-    let told = errors.lines().map_while(Result::ok).any(|line| line.contains("configuration read again"));
+    let told = errors
+        .lines()
+        .map_while(Result::ok)
+        .any(|line| line.contains("configuration read again"));
     let _ = child.kill();
     let _ = child.wait();
     assert!(told, "it ended without having read the newer file");
@@ -110,7 +136,9 @@
     let sidecar = asked(&[&node]);
     // A class that is good, so that a file of which a part were taken would show.
     sidecar.reconfigure(|config| broken(&config.replace("\"submit-check\"", "\"other\"")));
-    until("it is turned down", || sidecar.figure("app.cfg_invalid") == 1);
+    until("it is turned down", || {
+        sidecar.figure("app.cfg_invalid") == 1
+    });
     assert_eq!(sidecar.figure("app.cfg_accepted"), 0);
     let mut client = sidecar.ask("submit-check", 5000);
     answer(&mut node.accept(), "200 OK");
--- a/crates/cli/tests/operations/upgrade.rs
+++ b/crates/cli/tests/operations/upgrade.rs
@@ -27,7 +27,14 @@
 
     fn start(&self, node: SocketAddr) -> Sidecar {
         let inherited = Some((self.address, self.socket.as_raw_fd()));
-        Sidecar::with(&[node], Options { control: true, inherited, ..Options::default() })
+        Sidecar::with(
+            &[node],
+            Options {
+                control: true,
+                inherited,
+                ..Options::default()
+            },
+        )
     }
 }
 
@@ -70,13 +77,20 @@
         until("the new one says yes", || next.call("PING\n") == "ok\n");
         let before = next.figure("app.operations.submit-check.fulfilled");
         present.signal("TERM");
-        until("the old one has ended", || present.child.try_wait().expect("it can be asked").is_some());
+        until("the old one has ended", || {
+            present.child.try_wait().expect("it can be asked").is_some()
+        });
         assert_eq!(present.child.wait().expect("it has ended").code(), Some(0));
-        until("the new one serves", || next.figure("app.operations.submit-check.fulfilled") > before);
+        until("the new one serves", || {
+            next.figure("app.operations.submit-check.fulfilled") > before
+        });
         present = next;
     }
     stop.store(true, Ordering::Relaxed);
-    let served: u64 = clients.into_iter().map(|client| client.join().expect("nothing was lost")).sum();
+    let served: u64 = clients
+        .into_iter()
+        .map(|client| client.join().expect("nothing was lost"))
+        .sum();
     assert!(served > 0);
 }
 
@@ -96,20 +110,33 @@
     let sidecar = asked(&[&node]);
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     let elsewhere = rustix::io::dup(&listener).expect("a descriptor is free");
-    let stream = TcpStream::connect(listener.local_addr().expect("it is bound")).expect("it accepts");
+    let stream =
+        TcpStream::connect(listener.local_addr().expect("it is bound")).expect("it accepts");
     let stream = rustix::io::dup(&stream).expect("a descriptor is free");
     for (number, why) in [
         ("900".to_string(), "is not open"),
         ("three".to_string(), "invalid digit"),
         ("2".to_string(), "standard stream"),
         (stream.as_raw_fd().to_string(), "no listening stream socket"),
-        (elsewhere.as_raw_fd().to_string(), "clients are to connect to"),
+        (
+            elsewhere.as_raw_fd().to_string(),
+            "clients are to connect to",
+        ),
     ] {
         let mut command = Command::new(env!("CARGO_BIN_EXE_madderloom"));
-        command.arg("serve").env("RELAY_CONFIG", &sidecar.config.1).env("RELAY_ACCEPT_FD", &number);
-        let done = command.stderr(Stdio::piped()).output().expect("it starts and ends");
+        command
+            .arg("serve")
+            .env("RELAY_CONFIG", &sidecar.config.1)
+            .env("RELAY_ACCEPT_FD", &number);
+        let done = command
+            .stderr(Stdio::piped())
+            .output()
+            .expect("it starts and ends");
         let errors = String::from_utf8(done.stderr).expect("text");
-        assert!(!done.status.success() && errors.contains("RELAY_ACCEPT_FD: "), "{errors}");
+        assert!(
+            !done.status.success() && errors.contains("RELAY_ACCEPT_FD: "),
+            "{errors}"
+        );
         assert!(errors.contains(why), "{errors}");
     }
     assert!(matches!(
--- a/crates/cli/tests/pages/mod.rs
+++ b/crates/cli/tests/pages/mod.rs
@@ -16,11 +16,17 @@
 
 /// The options of a command of this program and of all those below it.
 pub fn helped(program: &str, path: &[&str]) -> BTreeSet<String> {
-    let done = Command::new(program).args(path).arg("--help").output().expect("it runs");
+    let done = Command::new(program)
+        .args(path)
+        .arg("--help")
+        .output()
+        .expect("it runs");
     assert!(done.status.success(), "{path:?}: {done:?}");
     let help = String::from_utf8(done.stdout).expect("text");
     let mut found = options(&help);
-    let commands = help.split_once("\nCommands:\n").map_or("", |(_, below)| below);
+    let commands = help
+        .split_once("\nCommands:\n")
+        .map_or("", |(_, below)| below);
     for line in commands.lines().take_while(|line| !line.is_empty()) {
         let name = line.split_whitespace().next().unwrap_or_default();
         if line.starts_with("  ") && !line.starts_with("   ") && name != "help" {
--- a/crates/cli/tests/services/levels.rs
+++ b/crates/cli/tests/services/levels.rs
@@ -8,7 +8,10 @@
 use std::time::Duration;
 
 fn madderloom(arguments: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_madderloom")).args(arguments).output().expect("it runs")
+    Command::new(env!("CARGO_BIN_EXE_madderloom"))
+        .args(arguments)
+        .output()
+        .expect("it runs")
 }
 
 fn text(bytes: &[u8]) -> String {
@@ -20,17 +23,24 @@
 
 fn file(admin: &str, server: &StandIn, levels: &str) -> String {
     let front = listener("front", "");
-    format!("version = 1\n{admin}{front}{}{levels}{}", pool("a", &[server], ""), host_route("a"))
+    format!(
+        "version = 1\n{admin}{front}{}{levels}{}",
+        pool("a", &[server], ""),
+        host_route("a")
+    )
 }
 
 fn view(host: &str, id: u32) -> String {
-    format!("GET /view HTTP/1.1\r\nHost: {host}.test\r\nX-Trace-Id: v-{id}\r\nX-Expires-In-Ms: 5000\r\n\r\n")
+    format!(
+        "GET /view HTTP/1.1\r\nHost: {host}.test\r\nX-Trace-Id: v-{id}\r\nX-Expires-In-Ms: 5000\r\n\r\n"
+    )
 }
 
 #[test]
 fn an_operator_pins_a_level_on_the_socket_and_sees_what_it_gives_up() {
     let server = StandIn::new("s-one", Manner::Serves);
-    let socket = std::env::temp_dir().join(format!("madderloom-levels-{}.sock", std::process::id()));
+    let socket =
+        std::env::temp_dir().join(format!("madderloom-levels-{}.sock", std::process::id()));
     let socket = socket.display().to_string();
     let admin = format!("[admin]\nsocket = \"{socket}\"\n");
     let mut process = Process::start(&file(&admin, &server, LEVELS));
@@ -53,22 +63,45 @@
         assert_eq!(done.status.code(), Some(1));
         assert!(text(&done.stderr).contains(words), "{}", text(&done.stderr));
     };
-    refused(order(&["pin", "a", "no-such", "--for", "1m"]), "there is no level no-such; there are careful");
-    refused(order(&["pin", "b", "careful", "--for", "1m"]), "there is no pool b");
-    refused(order(&["pin", "a", "careful", "--for", "8d"]), "7days at most");
+    refused(
+        order(&["pin", "a", "no-such", "--for", "1m"]),
+        "there is no level no-such; there are careful",
+    );
+    refused(
+        order(&["pin", "b", "careful", "--for", "1m"]),
+        "there is no pool b",
+    );
+    refused(
+        order(&["pin", "a", "careful", "--for", "8d"]),
+        "7days at most",
+    );
     refused(order(&["clear", "a"]), "there is nothing to take back");
-    assert_eq!(order(&["pin", "a", "careful"]).status.code(), Some(2), "without an end");
+    assert_eq!(
+        order(&["pin", "a", "careful"]).status.code(),
+        Some(2),
+        "without an end"
+    );
 
     let done = order(&["pin", "a", "careful", "--for", "1m"]);
     assert_eq!(done.status.code(), Some(0), "{}", text(&done.stderr));
     let line = process.wait_for("service level: from full service to careful");
-    assert!(line.starts_with("a: ") && line.contains("ordered by ana (user "), "{line}");
+    assert!(
+        line.starts_with("a: ") && line.contains("ordered by ana (user "),
+        "{line}"
+    );
     process.wait_for("service level: careful is pinned for 1m by ana (user ");
     let answer = ask_view();
-    assert_eq!((answer.status(), answer.header("retry-after")), (503, Some("1.5")));
+    assert_eq!(
+        (answer.status(), answer.header("retry-after")),
+        (503, Some("1.5"))
+    );
     let mut other = process.client("front");
     other.write(submit("a", 0).1);
-    assert_eq!(other.read().expect("an answer").status(), 200, "what may not be asked again is served");
+    assert_eq!(
+        other.read().expect("an answer").status(),
+        200,
+        "what may not be asked again is served"
+    );
     // What the level does is none of its signals.
     (0..30).for_each(|_| assert_eq!(ask_view().status(), 503));
     // Signals are looked at every tenth of a second.
@@ -81,7 +114,13 @@
         (&31.into(), &serde_json::Value::Null)
     );
     let told = text(&madderloom(&["status", "--socket", &socket, "a"]).stdout);
-    for words in ["careful", "careful pinned for", "ordered by ana", "signal", "full"] {
+    for words in [
+        "careful",
+        "careful pinned for",
+        "ordered by ana",
+        "signal",
+        "full",
+    ] {
         assert!(told.contains(words), "no {words} in {told}");
     }
     // A file without that level is another matter; one with it keeps it.
@@ -92,13 +131,22 @@
     process.wait_for("from careful to full service: the file has it no more");
     assert_eq!(ask_view().status(), 200);
     // Barred or not, nothing holds once the file has no levels.
-    assert_eq!(order(&["bar", "a", "other", "--for", "1m"]).status.code(), Some(0));
+    assert_eq!(
+        order(&["bar", "a", "other", "--for", "1m"]).status.code(),
+        Some(0)
+    );
     assert_eq!(order(&["clear", "a", "other"]).status.code(), Some(0));
-    assert_eq!(order(&["pin", "a", "other", "--for", "1m"]).status.code(), Some(0));
+    assert_eq!(
+        order(&["pin", "a", "other", "--for", "1m"]).status.code(),
+        Some(0)
+    );
     process.wait_for("from full service to other");
     process.reload(&file(&admin, &server, ""));
     assert_eq!(ask_view().status(), 200);
-    refused(order(&["pin", "a", "other", "--for", "1m"]), "the file has no levels for a");
+    refused(
+        order(&["pin", "a", "other", "--for", "1m"]),
+        "the file has no levels for a",
+    );
     assert_eq!(process.stop(), Some(0));
 }
 
@@ -111,7 +159,9 @@
     let state = format!("[state]\ndir = \"{}\"\n", directory.path().display());
     let pin = |process: &mut Process| {
         process.wait_for("admin view on ");
-        let order = ["level", "pin", "a", "careful", "--for", "1h", "--by", "ana", "--socket", &socket];
+        let order = [
+            "level", "pin", "a", "careful", "--for", "1h", "--by", "ana", "--socket", &socket,
+        ];
         let done = madderloom(&order);
         assert_eq!(done.status.code(), Some(0), "{}", text(&done.stderr));
         // Killed, it says no good-bye.
@@ -147,12 +197,25 @@
 #[test]
 fn a_loopback_address_takes_no_orders() {
     let server = StandIn::new("s-one", Manner::Serves);
-    let process = Process::start(&file("[admin]\nlisten = \"127.0.0.1:0\"\n", &server, LEVELS));
+    let process = Process::start(&file(
+        "[admin]\nlisten = \"127.0.0.1:0\"\n",
+        &server,
+        LEVELS,
+    ));
     let at = process.at("admin view").to_string();
-    let done = madderloom(&["level", "pin", "a", "careful", "--for", "1m", "--listen", &at]);
+    let done = madderloom(&[
+        "level", "pin", "a", "careful", "--for", "1m", "--listen", &at,
+    ]);
     assert_eq!(done.status.code(), Some(1));
-    assert!(text(&done.stderr).contains("on a Unix socket alone"), "{}", text(&done.stderr));
-    assert_eq!(process.status()["pools"][0]["service_level"]["level"], "full");
+    assert!(
+        text(&done.stderr).contains("on a Unix socket alone"),
+        "{}",
+        text(&done.stderr)
+    );
+    assert_eq!(
+        process.status()["pools"][0]["service_level"]["level"],
+        "full"
+    );
 }
 
 #[test]
@@ -162,21 +225,37 @@
     let name = process.file.display().to_string();
     let told = text(&madderloom(&["check", &name]).stdout);
     let wanted = "pool a: at most ";
-    assert!(told.contains(wanted) && told.contains("gives up: 100% of view"), "{told}");
+    assert!(
+        told.contains(wanted) && told.contains("gives up: 100% of view"),
+        "{told}"
+    );
     let json = madderloom(&["check", "--output", "json", &name]);
     let json: serde_json::Value = serde_json::from_slice(&json.stdout).expect("an object");
-    let bound = json["levels"][0]["changes_in_ten_minutes"].as_u64().expect("a number");
+    let bound = json["levels"][0]["changes_in_ten_minutes"]
+        .as_u64()
+        .expect("a number");
     assert!(told.contains(&format!("{wanted}{bound} changes")), "{told}");
-    std::fs::write(&process.file, file("", &server, &LEVELS.replace("view", "vew"))).expect("it is written");
+    std::fs::write(
+        &process.file,
+        file("", &server, &LEVELS.replace("view", "vew")),
+    )
+    .expect("it is written");
     let told = text(&madderloom(&["check", &name]).stdout);
-    assert!(told.contains("turn_away.vew: there is no class vew; there are submit, view"), "{told}");
+    assert!(
+        told.contains("turn_away.vew: there is no class vew; there are submit, view"),
+        "{told}"
+    );
 }
 
 /// Plays a server that fails in the first half of each cycle, so many times, with clients of both classes, until the
 /// service is back; and gives the changes.
 fn swing(cycle: Duration, cycles: u32) -> Vec<String> {
     let server = StandIn::new("s-one", Manner::Swings(cycle, cycles));
-    let mut process = Process::start(&file("[admin]\nlisten = \"127.0.0.1:0\"\n", &server, LEVELS));
+    let mut process = Process::start(&file(
+        "[admin]\nlisten = \"127.0.0.1:0\"\n",
+        &server,
+        LEVELS,
+    ));
     let (over, at) = (AtomicBool::new(false), process.at("front"));
     std::thread::scope(|scope| {
         for client in 0..4 {
@@ -188,7 +267,11 @@
                         return;
                     }
                     let id = client * 1_000_000 + number;
-                    conn.write(if client % 2 == 0 { submit("a", 0).1 } else { view("a", id) });
+                    conn.write(if client % 2 == 0 {
+                        submit("a", 0).1
+                    } else {
+                        view("a", id)
+                    });
                     let status = conn.read().expect("each request has one answer").status();
                     assert!([200, 502, 503].contains(&status), "{status}");
                     std::thread::sleep(Duration::from_millis(10));
@@ -201,9 +284,16 @@
         over.store(true, Ordering::Relaxed);
     });
     let level = process.status()["pools"][0]["service_level"].clone();
-    let changes: Vec<String> =
-        process.log().into_iter().filter(|l| l.contains("service level: from ")).collect();
-    assert_eq!(level["history"].as_array().map(Vec::len), Some(changes.len()), "a line for each change");
+    let changes: Vec<String> = process
+        .log()
+        .into_iter()
+        .filter(|l| l.contains("service level: from "))
+        .collect();
+    assert_eq!(
+        level["history"].as_array().map(Vec::len),
+        Some(changes.len()),
+        "a line for each change"
+    );
     assert!(changes.len() as u64 <= level["changes_in_ten_minutes"].as_u64().expect("a number"));
     assert_eq!(process.stop(), Some(0));
     changes
--- a/crates/cli/tests/services/operators.rs
+++ b/crates/cli/tests/services/operators.rs
@@ -7,7 +7,10 @@
 use std::process::{Command, Output};
 
 fn madderloom(arguments: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_madderloom")).args(arguments).output().expect("it runs")
+    Command::new(env!("CARGO_BIN_EXE_madderloom"))
+        .args(arguments)
+        .output()
+        .expect("it runs")
 }
 
 fn text(bytes: &[u8]) -> String {
@@ -34,7 +37,10 @@
     }
     let mut process = Process::start(&file);
     process.wait_for("admin view on ");
-    let mode = std::fs::metadata(&socket).expect("it is there").permissions().mode();
+    let mode = std::fs::metadata(&socket)
+        .expect("it is there")
+        .permissions()
+        .mode();
     assert_eq!(mode & 0o777, 0o600);
     let mut client = process.client("front");
     client.write(submit("a", 0).1);
@@ -48,39 +54,70 @@
     }
     let done = madderloom(&["status", "--socket", &socket_name, "--output", "json", "a"]);
     let told: serde_json::Value = serde_json::from_slice(&done.stdout).expect("an object");
-    assert_eq!((&told["version"], &told["pools"][0]["requests"]["served"]), (&1.into(), &1.into()));
+    assert_eq!(
+        (&told["version"], &told["pools"][0]["requests"]["served"]),
+        (&1.into(), &1.into())
+    );
     assert_eq!(told["pools"][0]["servers"][0]["share"], 1.0);
     for turns in ["busy_turns", "stalled_turns"] {
-        assert!(told["event_loop"][turns].is_u64(), "{turns}: {}", told["event_loop"]);
+        assert!(
+            told["event_loop"][turns].is_u64(),
+            "{turns}: {}",
+            told["event_loop"]
+        );
     }
     let done = madderloom(&["status", "--socket", &socket_name, "z"]);
     assert_eq!(done.status.code(), Some(1));
-    assert!(text(&done.stderr).contains("there is no pool z; there are a"), "{}", text(&done.stderr));
+    assert!(
+        text(&done.stderr).contains("there is no pool z; there are a"),
+        "{}",
+        text(&done.stderr)
+    );
     assert_eq!(process.stop(), Some(0));
     assert!(!socket.exists(), "its socket is still there");
     let done = madderloom(&["status", "--operator", &operator]);
     assert_eq!(done.status.code(), Some(1));
-    assert!(text(&done.stderr).contains("is the process there"), "{}", text(&done.stderr));
+    assert!(
+        text(&done.stderr).contains("is the process there"),
+        "{}",
+        text(&done.stderr)
+    );
 }
 
 #[test]
 fn explain_says_which_route_takes_a_request_and_why_the_others_lose() {
-    let example = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/services/operator.toml");
+    let example =
+        Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/services/operator.toml");
     let example = example.display().to_string();
     let explain = |more: &[&str]| {
         let mut arguments = vec!["route", "explain", "--operator", &example];
         arguments.extend(more);
         madderloom(&arguments)
     };
-    let done = explain(&["GET", "http://reports.example.org/reports/7", "--output", "json"]);
+    let done = explain(&[
+        "GET",
+        "http://reports.example.org/reports/7",
+        "--output",
+        "json",
+    ]);
     assert_eq!(done.status.code(), Some(0));
     let told: serde_json::Value = serde_json::from_slice(&done.stdout).expect("an object");
     assert_eq!(
         (&told["route"], &told["pool"], &told["class"]),
         (&"one-report".into(), &"reports".into(), &"view".into())
     );
-    assert_eq!(told["others"][0]["why"], "matches too, but its host is less specific");
-    let keyed = ["GET", "/x", "-H", "Host: reports.example.org", "-H", "Cookie: key=12a"];
+    assert_eq!(
+        told["others"][0]["why"],
+        "matches too, but its host is less specific"
+    );
+    let keyed = [
+        "GET",
+        "/x",
+        "-H",
+        "Host: reports.example.org",
+        "-H",
+        "Cookie: key=12a",
+    ];
     let told = text(&explain(&keyed).stdout);
     assert!(told.contains("(of reports 90, reports-next 10)"), "{told}");
     let done = explain(&["GET", "http://reports.example.org/a//b"]);
@@ -96,7 +133,8 @@
 
 #[test]
 fn check_reads_the_operator_file_too_and_tells_all_problems_at_once() {
-    let example = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/services/operator.toml");
+    let example =
+        Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/services/operator.toml");
     let done = madderloom(&["check", &example.display().to_string()]);
     assert_eq!(done.status.code(), Some(0));
     assert!(text(&done.stdout).contains("pools submissions, reports, reports-next; 3 routes"));
@@ -110,8 +148,11 @@
     assert_eq!(done.status.code(), Some(1));
     let told = text(&done.stdout);
     assert_eq!(told.lines().count(), 3, "{told}");
-    for words in ["listeners[0].name: is no name", "listeners[0].address: is missing", "did you mean admin?"]
-    {
+    for words in [
+        "listeners[0].name: is no name",
+        "listeners[0].address: is missing",
+        "did you mean admin?",
+    ] {
         assert!(told.contains(words), "{told}");
     }
 }
@@ -126,7 +167,11 @@
         .output()
         .expect("it ends");
     assert_eq!(done.status.code(), Some(1));
-    assert!(text(&done.stderr).contains("RELAY_CONFIG is not set"), "{}", text(&done.stderr));
+    assert!(
+        text(&done.stderr).contains("RELAY_CONFIG is not set"),
+        "{}",
+        text(&done.stderr)
+    );
 
     let (node, extra) = (Node::new(), StandIn::new("s", Manner::Serves));
     // The configuration of the sidecar's own tests, taken from one that has ended: its discovery is gone.
@@ -142,7 +187,8 @@
     let line = process.wait_for("platform: listening on ");
     let at = line.rsplit(' ').next().expect("an address");
     let ask = |path: &str, id: &str| {
-        let mut client = crate::rig::Conn::new(std::net::TcpStream::connect(at).expect("it accepts"));
+        let mut client =
+            crate::rig::Conn::new(std::net::TcpStream::connect(at).expect("it accepts"));
         client.write(format!(
             "POST {path} HTTP/1.1\r\nHost: s\r\nX-Trace-Id: {id}\r\nX-Expires-In-Ms: 5000\r\nContent-Length: 0\r\n\r\n"
         ));
@@ -152,7 +198,10 @@
     // What no route takes goes to the platform's own servers.
     let mut client = ask("/submit-check", "2");
     let mut conn = node.accept();
-    assert_eq!(conn.read().expect("a request").header("x-trace-id"), Some("2"));
+    assert_eq!(
+        conn.read().expect("a request").header("x-trace-id"),
+        Some("2")
+    );
     conn.answer("200 OK", "made");
     assert_eq!(client.read().expect("an answer").body, b"made");
 }
--- a/crates/cli/tests/services/reload.rs
+++ b/crates/cli/tests/services/reload.rs
@@ -8,11 +8,18 @@
 use std::time::{Duration, Instant};
 
 fn file(parts: &[&str]) -> String {
-    format!("version = 1\n[admin]\nlisten = \"127.0.0.1:0\"\n{}", parts.concat())
+    format!(
+        "version = 1\n[admin]\nlisten = \"127.0.0.1:0\"\n{}",
+        parts.concat()
+    )
 }
 
 /// Clients that ask for these hosts' services until the work is done: what each request got.
-fn under_load(process: &mut Process, hosts: &[&str], work: impl FnOnce(&mut Process)) -> Vec<(String, u16)> {
+fn under_load(
+    process: &mut Process,
+    hosts: &[&str],
+    work: impl FnOnce(&mut Process),
+) -> Vec<(String, u16)> {
     let (over, answers) = (AtomicBool::new(false), Mutex::new(Vec::new()));
     let at = process.at("front");
     std::thread::scope(|scope| {
@@ -27,7 +34,10 @@
                         client.write(head + "paper");
                         let answer = client.read().expect("one answer for each request");
                         let closes = answer.header("connection") == Some("close");
-                        answers.lock().expect("no thread panics").push((id, answer.status()));
+                        answers
+                            .lock()
+                            .expect("no thread panics")
+                            .push((id, answer.status()));
                         std::thread::sleep(Duration::from_millis(1));
                         if closes {
                             break;
@@ -57,13 +67,29 @@
 #[test]
 fn ten_reloads_in_a_second_cost_no_request_its_one_answer() {
     let late = Manner::ServesLate(Duration::from_millis(20));
-    let servers = [StandIn::new("s0", late), StandIn::new("s1", late), StandIn::new("s2", late)];
+    let servers = [
+        StandIn::new("s0", late),
+        StandIn::new("s1", late),
+        StandIn::new("s2", late),
+    ];
     let [s0, s1, s2] = &servers;
     let front = listener("front", "");
     let files = [
-        file(&[&front, &pool("a", &[s0], ""), &pool("b", &[s1], ""), &host_route("a"), &host_route("b")]),
+        file(&[
+            &front,
+            &pool("a", &[s0], ""),
+            &pool("b", &[s1], ""),
+            &host_route("a"),
+            &host_route("b"),
+        ]),
         // Swapped lists.
-        file(&[&front, &pool("a", &[s1], ""), &pool("b", &[s0], ""), &host_route("a"), &host_route("b")]),
+        file(&[
+            &front,
+            &pool("a", &[s1], ""),
+            &pool("b", &[s0], ""),
+            &host_route("a"),
+            &host_route("b"),
+        ]),
         // Another pool, and a has other limits.
         file(&[
             &front,
@@ -94,12 +120,18 @@
         assert!(began.elapsed() < PATIENCE);
     });
     assert!(answers.len() > 100, "{}", answers.len());
-    let odd: Vec<_> = answers.iter().filter(|(_, status)| *status != 200).collect();
+    let odd: Vec<_> = answers
+        .iter()
+        .filter(|(_, status)| *status != 200)
+        .collect();
     assert!(odd.is_empty(), "{odd:?}");
     let seen = seen(&servers.each_ref());
     assert!(answers.iter().all(|(id, _)| seen.contains_key(id)));
     assert_eq!(seen.len(), answers.len());
-    assert!(s2.seen().is_empty(), "a pool that no route leads to was asked");
+    assert!(
+        s2.seen().is_empty(),
+        "a pool that no route leads to was asked"
+    );
 }
 
 /// A pool that goes finishes what it has, and gets nothing new.
@@ -132,7 +164,13 @@
         .as_array()
         .expect("pools")
         .iter()
-        .map(|p| format!("{} {}", p["name"].as_str().unwrap_or("?"), p["state"].as_str().unwrap_or("?")))
+        .map(|p| {
+            format!(
+                "{} {}",
+                p["name"].as_str().unwrap_or("?"),
+                p["state"].as_str().unwrap_or("?")
+            )
+        })
         .collect();
     assert_eq!(states, ["a leaving", "b serving"]);
     let mut late = process.client("front");
@@ -154,7 +192,10 @@
 /// What was routed to a pool before it went is its own, though its body came later.
 #[test]
 fn a_request_whose_body_comes_after_its_pool_has_gone_is_served() {
-    let servers = [StandIn::new("s0", Manner::Serves), StandIn::new("s1", Manner::Serves)];
+    let servers = [
+        StandIn::new("s0", Manner::Serves),
+        StandIn::new("s1", Manner::Serves),
+    ];
     let front = listener("front", "");
     let [a, b] = [pool("a", &[&servers[0]], ""), pool("b", &[&servers[1]], "")];
     let mut process = Process::start(&file(&[&front, &a, &b, &host_route("a"), &host_route("b")]));
@@ -189,9 +230,16 @@
     let mut process = Process::start(&with);
     let mut open = process.client("front");
     // A read may be tried again.
-    open.write("GET /view HTTP/1.1\r\nHost: a.test\r\nX-Trace-Id: v\r\nX-Expires-In-Ms: 5000\r\n\r\n");
+    open.write(
+        "GET /view HTTP/1.1\r\nHost: a.test\r\nX-Trace-Id: v\r\nX-Expires-In-Ms: 5000\r\n\r\n",
+    );
     let until = Instant::now() + PATIENCE;
-    let attempts = || servers.iter().map(|s| s.seen().values().sum::<u32>()).sum::<u32>();
+    let attempts = || {
+        servers
+            .iter()
+            .map(|s| s.seen().values().sum::<u32>())
+            .sum::<u32>()
+    };
     while attempts() == 0 {
         assert!(Instant::now() < until, "it never comes");
         std::thread::sleep(Duration::from_millis(1));
@@ -212,15 +260,27 @@
     let taken = busy.local_addr().expect("it is bound");
     let other = format!("[[listeners]]\nname = \"more\"\naddress = \"{taken}\"\n");
     for (bad, words) in [
-        (sound.replace("pool = \"a\"", "pool = \"z\""), "routes[0].pool: there is no z"),
+        (
+            sound.replace("pool = \"a\"", "pool = \"z\""),
+            "routes[0].pool: there is no z",
+        ),
         ("version = [".to_string(), "toml:1:"),
         // It makes sense, but can't be had: the pool in it must not appear.
-        (file(&[&front, &other, &pool("b", &[&server], ""), &host_route("b")]), "listeners[1].address"),
-        (sound.replace("127.0.0.1:0\"\n[[", &format!("{taken}\"\n[[")), "admin"),
+        (
+            file(&[&front, &other, &pool("b", &[&server], ""), &host_route("b")]),
+            "listeners[1].address",
+        ),
+        (
+            sound.replace("127.0.0.1:0\"\n[[", &format!("{taken}\"\n[[")),
+            "admin",
+        ),
     ] {
         let lines = process.log().len();
         let told = process.reload(&bad);
-        assert!(told.starts_with("operator file not read again: ") && told.contains(words), "{told}");
+        assert!(
+            told.starts_with("operator file not read again: ") && told.contains(words),
+            "{told}"
+        );
         assert_eq!(process.log().len(), lines + 1, "{:#?}", process.log());
         let mut client = process.client("front");
         client.write(submit("a", 0).1);
@@ -233,7 +293,12 @@
 fn listeners_come_and_go_and_one_that_goes_finishes_what_it_has() {
     let server = StandIn::new("s", Manner::ServesLate(Duration::from_millis(2_200)));
     let pool = pool("a", &[&server], "");
-    let two = file(&[&listener("front", ""), &listener("side", ""), &pool, &host_route("a")]);
+    let two = file(&[
+        &listener("front", ""),
+        &listener("side", ""),
+        &pool,
+        &host_route("a"),
+    ]);
     let one = file(&[&listener("front", ""), &pool, &host_route("a")]);
     let mut process = Process::start(&two);
     let (front, side) = (process.at("front"), process.at("side"));
@@ -244,11 +309,24 @@
     let mut open = process.client("side");
     open.write(submit("a", 0).1);
     std::thread::sleep(Duration::from_millis(1_000));
-    assert!(!process.log().iter().any(|line| line.contains("side: closed")), "{:#?}", process.log());
+    assert!(
+        !process
+            .log()
+            .iter()
+            .any(|line| line.contains("side: closed")),
+        "{:#?}",
+        process.log()
+    );
     process.reload(&one);
     process.wait_for("side: closed to new clients");
-    assert!(std::net::TcpStream::connect(side).is_err(), "it still listens");
-    assert_eq!(open.read().expect("an answer").header("connection"), Some("close"));
+    assert!(
+        std::net::TcpStream::connect(side).is_err(),
+        "it still listens"
+    );
+    assert_eq!(
+        open.read().expect("an answer").header("connection"),
+        Some("close")
+    );
     let mut client = process.client("front");
     client.write(submit("a", 0).1);
     assert_eq!(client.read().expect("an answer").status(), 200);
--- a/crates/cli/tests/services/routing.rs
+++ b/crates/cli/tests/services/routing.rs
@@ -12,7 +12,10 @@
 
 /// Submissions by their path, reports by their host.
 fn two_services() -> Two {
-    let servers = [StandIn::new("a-one", Manner::Serves), StandIn::new("b-one", Manner::Serves)];
+    let servers = [
+        StandIn::new("a-one", Manner::Serves),
+        StandIn::new("b-one", Manner::Serves),
+    ];
     let text = [
         "version = 1\n".to_string(),
         listener("front", ""),
@@ -23,14 +26,22 @@
          set_class = \"view\"\npool = \"reports\"\n"
             .to_string(),
     ];
-    Two { process: Process::start(&text.concat()), servers }
+    Two {
+        process: Process::start(&text.concat()),
+        servers,
+    }
 }
 
 #[test]
 fn several_services_are_served_by_one_thread() {
     let Two { process, .. } = two_services();
     // Beside it one writes the log, and one watches it.
-    assert_eq!(process.threads(), ["madderloom", "log", "watchdog"], "{:?}", process.threads());
+    assert_eq!(
+        process.threads(),
+        ["madderloom", "log", "watchdog"],
+        "{:?}",
+        process.threads()
+    );
 }
 
 /// Each hard case has one outcome: the pool whose server sees the request, or the status of its refusal.
@@ -57,23 +68,37 @@
 fn a_request_has_one_outcome(#[case] start: &str, #[case] host: &str, #[case] outcome: &str) {
     let Two { process, servers } = two_services();
     let mut client = process.client("front");
-    client.write(format!("{start} HTTP/1.1\r\n{host}\r\nX-Trace-Id: t1\r\nX-Expires-In-Ms: 5000\r\n\r\n"));
+    client.write(format!(
+        "{start} HTTP/1.1\r\n{host}\r\nX-Trace-Id: t1\r\nX-Expires-In-Ms: 5000\r\n\r\n"
+    ));
     let answer = client.read().expect("an answer");
     let told = if answer.status() == 200 {
         String::from_utf8_lossy(&answer.body).into_owned()
     } else {
-        assert_eq!(answer.header("connection"), Some("close"), "what follows may be a part of it");
+        assert_eq!(
+            answer.header("connection"),
+            Some("close"),
+            "what follows may be a part of it"
+        );
         answer.status().to_string()
     };
     assert_eq!(told, outcome);
     for server in &servers {
-        assert_eq!(server.seen().contains_key("t1"), server.name == outcome, "{}", server.name);
+        assert_eq!(
+            server.seen().contains_key("t1"),
+            server.name == outcome,
+            "{}",
+            server.name
+        );
     }
 }
 
 #[test]
 fn a_canary_gets_its_part_and_a_key_stays_where_it_is() {
-    let servers = [StandIn::new("old", Manner::Serves), StandIn::new("new", Manner::Serves)];
+    let servers = [
+        StandIn::new("old", Manner::Serves),
+        StandIn::new("new", Manner::Serves),
+    ];
     let text = [
         "version = 1\n".to_string(),
         listener("front", ""),
@@ -105,9 +130,13 @@
 #[test]
 fn two_hundred_services_in_one_process_answer_each_by_their_own_servers() {
     const SERVICES: usize = 200;
-    let servers: Vec<StandIn> =
-        (0..SERVICES).map(|at| StandIn::new(&format!("s{at}"), Manner::Serves)).collect();
-    let mut text = format!("version = 1\n[admin]\nlisten = \"127.0.0.1:0\"\n{}", listener("front", ""));
+    let servers: Vec<StandIn> = (0..SERVICES)
+        .map(|at| StandIn::new(&format!("s{at}"), Manner::Serves))
+        .collect();
+    let mut text = format!(
+        "version = 1\n[admin]\nlisten = \"127.0.0.1:0\"\n{}",
+        listener("front", "")
+    );
     for (at, server) in servers.iter().enumerate() {
         text += &pool(&format!("p{at}"), &[server], "");
         text += &host_route(&format!("p{at}"));
@@ -118,13 +147,22 @@
         let (_, head) = submit(&format!("p{at}"), 0);
         client.write(head);
         let answer = client.read().expect("an answer");
-        assert_eq!((answer.status(), answer.body), (200, format!("s{at}").into_bytes()));
+        assert_eq!(
+            (answer.status(), answer.body),
+            (200, format!("s{at}").into_bytes())
+        );
     }
     for (at, server) in servers.iter().enumerate() {
         let seen = server.seen();
-        assert!(seen.len() == 1 && seen.keys().all(|id| id.starts_with(&format!("p{at}-"))), "{seen:?}");
+        assert!(
+            seen.len() == 1 && seen.keys().all(|id| id.starts_with(&format!("p{at}-"))),
+            "{seen:?}"
+        );
     }
-    assert_eq!(process.status()["pools"].as_array().map(Vec::len), Some(SERVICES));
+    assert_eq!(
+        process.status()["pools"].as_array().map(Vec::len),
+        Some(SERVICES)
+    );
 }
 
 /// Where a pool learns of its servers is nobody else's matter.
@@ -134,11 +172,17 @@
 fn a_pool_whose_discovery_is_lost_leaves_the_others_alone(#[case] gone: bool) {
     let discovery = Node::new();
     let address = discovery.address();
-    let servers = [StandIn::new("a-one", Manner::Serves), StandIn::new("b-one", Manner::Serves)];
+    let servers = [
+        StandIn::new("a-one", Manner::Serves),
+        StandIn::new("b-one", Manner::Serves),
+    ];
     if gone {
         drop(discovery);
     }
-    let lost = format!("[[pools]]\nname = \"lost\"\ndiscovery = \"{address}\"\n{}", settings());
+    let lost = format!(
+        "[[pools]]\nname = \"lost\"\ndiscovery = \"{address}\"\n{}",
+        settings()
+    );
     let text = [
         "version = 1\n",
         &listener("front", ""),
@@ -161,27 +205,48 @@
         client.write(format!("GET /ready{of} HTTP/1.1\r\nHost: s\r\n\r\n"));
         client.read().expect("an answer").status()
     };
-    assert_eq!([ready(""), ready("?pool=a"), ready("?pool=lost")], [200, 200, 503]);
+    assert_eq!(
+        [ready(""), ready("?pool=a"), ready("?pool=lost")],
+        [200, 200, 503]
+    );
 }
 
 /// Each pool follows a discovery of its own, and a new file may name another one.
 #[test]
 fn pools_follow_their_own_discoveries() {
     let discoveries = [Node::new(), Node::new(), Node::new()];
-    let servers = [StandIn::new("s0", Manner::Serves), StandIn::new("s1", Manner::Serves)];
+    let servers = [
+        StandIn::new("s0", Manner::Serves),
+        StandIn::new("s1", Manner::Serves),
+    ];
     let pool = |name: &str, discovery: &Node| {
-        format!("[[pools]]\nname = \"{name}\"\ndiscovery = \"{}\"\n{}", discovery.address(), settings())
+        format!(
+            "[[pools]]\nname = \"{name}\"\ndiscovery = \"{}\"\n{}",
+            discovery.address(),
+            settings()
+        )
     };
     let file = |first: &Node| {
         let pools = pool("a", first) + &pool("b", &discoveries[1]);
-        ["version = 1\n", &listener("front", ""), &pools, &host_route("a"), &host_route("b")].concat()
+        [
+            "version = 1\n",
+            &listener("front", ""),
+            &pools,
+            &host_route("a"),
+            &host_route("b"),
+        ]
+        .concat()
     };
     let mut process = Process::start(&file(&discoveries[0]));
     let watch = |discovery: &Node, after: u64, server: &StandIn| {
         let mut conn = discovery.accept();
         let asked = conn.read().expect("a request").start;
-        assert_eq!(asked, format!("GET /v1/endpoints?watch=1&after={after} HTTP/1.1"));
-        let list = listing(7, true, &[(&server.name, server.address, "in_service")]).to_string() + "\n";
+        assert_eq!(
+            asked,
+            format!("GET /v1/endpoints?watch=1&after={after} HTTP/1.1")
+        );
+        let list =
+            listing(7, true, &[(&server.name, server.address, "in_service")]).to_string() + "\n";
         conn.write(format!(
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{list}\r\n",
             list.len()
@@ -202,14 +267,20 @@
     };
     let mut first = watch(&discoveries[0], 0, &servers[0]);
     let _second = watch(&discoveries[1], 0, &servers[1]);
-    assert_eq!([served_by(&process, "a"), served_by(&process, "b")], ["s0", "s1"]);
+    assert_eq!(
+        [served_by(&process, "a"), served_by(&process, "b")],
+        ["s0", "s1"]
+    );
     // Another discovery, which names a server that is another pool's too.
     process.reload(&file(&discoveries[2]));
     assert!(first.line().is_none(), "the old watch is still open");
     let _third = watch(&discoveries[2], 0, &servers[1]);
     let until = std::time::Instant::now() + PATIENCE;
     while served_by(&process, "a") != "s1" {
-        assert!(std::time::Instant::now() < until, "the new list is not heard");
+        assert!(
+            std::time::Instant::now() < until,
+            "the new list is not heard"
+        );
     }
     assert_eq!(served_by(&process, "b"), "s1");
     assert!(servers[0].seen().keys().all(|id| id.starts_with("a-")));
@@ -230,13 +301,17 @@
     ];
     let process = Process::start(&text.concat());
     for host in ["a", "b", "a", "b"] {
-        let mut client: Conn = Conn::new(TcpStream::connect(process.at("front")).expect("it accepts"));
+        let mut client: Conn =
+            Conn::new(TcpStream::connect(process.at("front")).expect("it accepts"));
         client.write(submit(host, 0).1);
         assert_eq!(client.read().expect("an answer").status(), 200);
     }
     let status = process.status();
     for pool in status["pools"].as_array().expect("pools") {
         assert_eq!(pool["requests"]["served"], 2);
-        assert!(pool["limits"]["connections"]["peak"].as_u64() >= Some(1), "{pool}");
+        assert!(
+            pool["limits"]["connections"]["peak"].as_u64() >= Some(1),
+            "{pool}"
+        );
     }
 }
--- a/crates/cli/tests/services/stand_ins.rs
+++ b/crates/cli/tests/services/stand_ins.rs
@@ -50,8 +50,18 @@
         let listener = madderloom_rig::own_listener();
         let address = listener.local_addr().expect("it is bound");
         let (name, manner) = (name.to_string(), Arc::new(Mutex::new(manner)));
-        let server = StandIn { name, address, seen: Arc::default(), manner, over: Arc::default() };
-        let (seen, over, name) = (Arc::clone(&server.seen), Arc::clone(&server.over), server.name.clone());
+        let server = StandIn {
+            name,
+            address,
+            seen: Arc::default(),
+            manner,
+            over: Arc::default(),
+        };
+        let (seen, over, name) = (
+            Arc::clone(&server.seen),
+            Arc::clone(&server.over),
+            server.name.clone(),
+        );
         let manner = Arc::clone(&server.manner);
         let begun = Instant::now();
         std::thread::spawn(move || {
@@ -92,16 +102,25 @@
 ) {
     let mut reader = BufReader::new(stream);
     while let Some(request) = read(&mut reader) {
-        let id = request.header("idempotency-key").or(request.header("x-trace-id")).unwrap_or_default();
+        let id = request
+            .header("idempotency-key")
+            .or(request.header("x-trace-id"))
+            .unwrap_or_default();
         let id = id.to_string();
         let turn = {
             let mut seen = seen.lock().expect("no thread panics");
             *seen.entry(id).or_default() += 1;
             seen.len() as u32
         };
-        let ok = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{name}", name.len());
+        let ok = format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{name}",
+            name.len()
+        );
         let failed = "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n".to_string();
-        let hint = request.header("x-size-hint").and_then(|hint| hint.parse::<u64>().ok()).unwrap_or(0);
+        let hint = request
+            .header("x-size-hint")
+            .and_then(|hint| hint.parse::<u64>().ok())
+            .unwrap_or(0);
         let manner = *manner.lock().expect("no thread panics");
         let answer = match manner {
             Manner::Serves => ok,
@@ -156,8 +175,15 @@
     while let Some((name, value)) = line()?.split_once(':') {
         headers.push((name.to_string(), value.trim().to_string()));
     }
-    let mut message = Message { start, headers, body: Vec::new() };
-    let length = message.header("content-length").and_then(|l| l.parse().ok()).unwrap_or(0);
+    let mut message = Message {
+        start,
+        headers,
+        body: Vec::new(),
+    };
+    let length = message
+        .header("content-length")
+        .and_then(|l| l.parse().ok())
+        .unwrap_or(0);
     message.body.resize(length, 0);
     reader.read_exact(&mut message.body).ok()?;
     Some(message)
@@ -180,11 +206,19 @@
 
     pub fn with(text: &str, edit: impl FnOnce(&mut Command)) -> Self {
         static NEXT: AtomicU32 = AtomicU32::new(0);
-        let name = format!("services-{}-{}.toml", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
+        let name = format!(
+            "services-{}-{}.toml",
+            std::process::id(),
+            NEXT.fetch_add(1, Ordering::Relaxed)
+        );
         let file = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
         std::fs::write(&file, text).expect("the file is written");
         let mut command = Command::new(env!("CARGO_BIN_EXE_madderloom"));
-        command.args(["serve", "--operator"]).arg(&file).env_remove("RELAY_CONFIG").stderr(Stdio::piped());
+        command
+            .args(["serve", "--operator"])
+            .arg(&file)
+            .env_remove("RELAY_CONFIG")
+            .stderr(Stdio::piped());
         edit(&mut command);
         let mut child = command.spawn().expect("the program starts");
         let errors = BufReader::new(child.stderr.take().expect("piped"));
@@ -195,22 +229,38 @@
                 kept.lock().expect("no thread panics").push(line);
             }
         });
-        let mut process = Process { child, file, places: BTreeMap::new(), log };
+        let mut process = Process {
+            child,
+            file,
+            places: BTreeMap::new(),
+            log,
+        };
         process.find_places(text);
         process
     }
 
     /// Reads from the log where the listeners of this file are.
     fn find_places(&mut self, text: &str) {
-        let names = text.split("[[listeners]]\nname = \"").skip(1).filter_map(|rest| rest.split('"').next());
+        let names = text
+            .split("[[listeners]]\nname = \"")
+            .skip(1)
+            .filter_map(|rest| rest.split('"').next());
         for name in names {
             let line = self.wait_for(&format!("{name}: listening on "));
-            let address = line.rsplit(' ').next().and_then(|a| a.parse().ok()).expect("an address");
+            let address = line
+                .rsplit(' ')
+                .next()
+                .and_then(|a| a.parse().ok())
+                .expect("an address");
             self.places.insert(name.to_string(), address);
         }
         if text.contains("[admin]\nlisten") {
             let line = self.wait_for("admin view on ");
-            let address = line.rsplit(' ').next().and_then(|a| a.parse().ok()).expect("an address");
+            let address = line
+                .rsplit(' ')
+                .next()
+                .and_then(|a| a.parse().ok())
+                .expect("an address");
             self.places.insert("admin view".to_string(), address);
         }
     }
@@ -255,26 +305,46 @@
         self.signal("HUP");
         let until = Instant::now() + PATIENCE;
         while self.reloads() == before {
-            assert!(Instant::now() < until, "it reads nothing: {:#?}", self.log());
+            assert!(
+                Instant::now() < until,
+                "it reads nothing: {:#?}",
+                self.log()
+            );
             std::thread::sleep(Duration::from_millis(1));
         }
-        self.log().into_iter().rfind(|line| line.contains("read again")).expect("it was read")
+        self.log()
+            .into_iter()
+            .rfind(|line| line.contains("read again"))
+            .expect("it was read")
     }
 
     fn reloads(&self) -> usize {
-        self.log().iter().filter(|line| line.contains("read again")).count()
+        self.log()
+            .iter()
+            .filter(|line| line.contains("read again"))
+            .count()
     }
 
     /// The names of its threads.
     pub fn threads(&self) -> Vec<String> {
         let tasks = std::fs::read_dir(format!("/proc/{}/task", self.child.id())).expect("it runs");
         let name = |task: std::fs::DirEntry| std::fs::read_to_string(task.path().join("comm"));
-        tasks.flatten().filter_map(|task| name(task).ok()).map(|name| name.trim().to_string()).collect()
+        tasks
+            .flatten()
+            .filter_map(|task| name(task).ok())
+            .map(|name| name.trim().to_string())
+            .collect()
     }
 
     pub fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
-        assert!(Command::new("kill").args(["-s", name, &id]).status().expect("kill runs").success());
+        assert!(
+            Command::new("kill")
+                .args(["-s", name, &id])
+                .status()
+                .expect("kill runs")
+                .success()
+        );
     }
 
     /// Tells it to stop, and gives its exit code.
@@ -286,7 +356,13 @@
     /// What its admin view says.
     pub fn status(&self) -> serde_json::Value {
         let done = Command::new(env!("CARGO_BIN_EXE_madderloom"))
-            .args(["status", "--output", "json", "--listen", &self.at("admin view").to_string()])
+            .args([
+                "status",
+                "--output",
+                "json",
+                "--listen",
+                &self.at("admin view").to_string(),
+            ])
             .output()
             .expect("it runs");
         serde_json::from_slice(&done.stdout).expect("an object")
@@ -306,8 +382,10 @@
 
 /// A pool of the operator file with these servers: its class `view` is safe, `submit` must not run twice.
 pub fn pool(name: &str, servers: &[&StandIn], limits: &str) -> String {
-    let servers: Vec<String> =
-        servers.iter().map(|s| format!("{{ name = \"{}\", address = \"{}\" }}", s.name, s.address)).collect();
+    let servers: Vec<String> = servers
+        .iter()
+        .map(|s| format!("{{ name = \"{}\", address = \"{}\" }}", s.name, s.address))
+        .collect();
     format!(
         "[[pools]]\nname = \"{name}\"\nservers = [{}]\n[pools.limits]\n{limits}\n{}",
         servers.join(", "),
@@ -334,7 +412,9 @@
 
 /// A listener of the operator file on a port that the system chooses.
 pub fn listener(name: &str, limits: &str) -> String {
-    format!("[[listeners]]\nname = \"{name}\"\naddress = \"127.0.0.1:0\"\n[listeners.limits]\n{limits}\n")
+    format!(
+        "[[listeners]]\nname = \"{name}\"\naddress = \"127.0.0.1:0\"\n[listeners.limits]\n{limits}\n"
+    )
 }
 
 /// A route of the operator file: all of a host to a pool.
--- a/crates/cli/tests/services/walls.rs
+++ b/crates/cli/tests/services/walls.rs
@@ -22,16 +22,23 @@
 fn flood(at: SocketAddr, how: Flood, over: Arc<AtomicBool>, answered: Arc<AtomicU32>) {
     let body = vec![b'x'; 64 << 10];
     while !over.load(Ordering::Relaxed) {
-        let Ok(mut stream) = TcpStream::connect(at) else { continue };
+        let Ok(mut stream) = TcpStream::connect(at) else {
+            continue;
+        };
         let limit = Some(Duration::from_millis(500));
-        let _ = (stream.set_read_timeout(limit), stream.set_write_timeout(limit));
+        let _ = (
+            stream.set_read_timeout(limit),
+            stream.set_write_timeout(limit),
+        );
         let (_, head) = submit("loud", body.len());
         let sent = match how {
             Flood::Silent => {
                 std::thread::sleep(Duration::from_millis(300));
                 continue;
             }
-            Flood::LongBodies => stream.write_all(head.as_bytes()).and_then(|()| stream.write_all(&body)),
+            Flood::LongBodies => stream
+                .write_all(head.as_bytes())
+                .and_then(|()| stream.write_all(&body)),
             Flood::ByteByByte => {
                 let bytes = head.as_bytes().iter().chain(&body[..100]);
                 bytes.into_iter().try_for_each(|byte| {
@@ -80,7 +87,11 @@
             &servers.iter().skip(2).collect::<Vec<_>>(),
             "requests_per_second = 50\nopen = { most = 20 }",
         ),
-        &pool("quiet", &servers.iter().take(2).collect::<Vec<_>>(), "weight = 4"),
+        &pool(
+            "quiet",
+            &servers.iter().take(2).collect::<Vec<_>>(),
+            "weight = 4",
+        ),
         &host_route("loud"),
         &host_route("quiet"),
     ];
@@ -100,17 +111,25 @@
     let errors = errors_of(&process, "quiet-front", "quiet", 100);
     over.store(true, Ordering::Relaxed);
     let status = process.status();
-    flooders.into_iter().for_each(|flooder| flooder.join().expect("it ends"));
+    flooders
+        .into_iter()
+        .for_each(|flooder| flooder.join().expect("it ends"));
     assert_eq!(errors, 0, "beside the flood");
     let loud = &status["pools"][0];
     let turned_away = loud["requests"]["turned_away"].as_u64().expect("a number");
     if how == Flood::LongBodies {
         assert!(turned_away > 50, "the flood was not one: {loud}");
         // What is turned away is told so: its answer is not lost with its unread body.
-        assert!(u64::from(answered.load(Ordering::Relaxed)) > turned_away, "{answered:?} of {turned_away}");
+        assert!(
+            u64::from(answered.load(Ordering::Relaxed)) > turned_away,
+            "{answered:?} of {turned_away}"
+        );
     }
     let peak = status["listeners"][0]["limits"]["connections"]["peak"].as_u64();
-    assert!(peak <= Some(30), "{peak:?} connections at the listener that is flooded");
+    assert!(
+        peak <= Some(30),
+        "{peak:?} connections at the listener that is flooded"
+    );
     // All that it may have were taken, and no more.
     assert!(how != Flood::Silent || peak == Some(30), "{peak:?}");
 }
@@ -122,8 +141,11 @@
 #[case::babble(Manner::Babbles)]
 #[case::break_off(Manner::Breaks)]
 fn a_pool_whose_servers_are_all_lost_costs_the_other_no_request(#[case] manner: Manner) {
-    let servers =
-        [StandIn::new("q-one", Manner::Serves), StandIn::new("l-one", manner), StandIn::new("l-two", manner)];
+    let servers = [
+        StandIn::new("q-one", Manner::Serves),
+        StandIn::new("l-one", manner),
+        StandIn::new("l-two", manner),
+    ];
     let text = [
         "version = 1\n[limits]\ndescriptors = 120\n",
         &listener("front", ""),
@@ -155,7 +177,10 @@
         servers[0].seen().keys().all(|id| id.starts_with("quiet-")),
         "a server of another pool was asked"
     );
-    assert!(servers[1].seen().keys().all(|id| id.starts_with("lost-")), "a server of another pool was asked");
+    assert!(
+        servers[1].seen().keys().all(|id| id.starts_with("lost-")),
+        "a server of another pool was asked"
+    );
 }
 
 /// What a limit turns away it turns away at once: the body of this one never comes.
@@ -178,7 +203,10 @@
     client.write(head);
     let answer = client.read().expect("an answer before the body");
     assert_eq!(answer.status(), 503);
-    let wait: f64 = answer.header("retry-after").and_then(|w| w.parse().ok()).expect("a time");
+    let wait: f64 = answer
+        .header("retry-after")
+        .and_then(|w| w.parse().ok())
+        .expect("a time");
     // The bucket fills in 2 s, and clients honour 1.5 s at the most.
     assert!((0.5..=1.5).contains(&wait), "{wait}");
     assert!(!server.seen().contains_key(&id), "it was sent on");
@@ -189,7 +217,11 @@
     assert_eq!(client.read().expect("an answer").status(), 503);
     let requests = process.status()["pools"][0]["requests"].clone();
     assert_eq!(
-        (&requests["served"], &requests["turned_away"], &requests["over_rate"]),
+        (
+            &requests["served"],
+            &requests["turned_away"],
+            &requests["over_rate"]
+        ),
         (&2.into(), &2.into(), &2.into())
     );
 }
@@ -197,7 +229,10 @@
 /// Open requests of one pool fill all that is common; what is the other's own is still there.
 #[test]
 fn what_is_guaranteed_to_a_pool_is_there_when_others_have_taken_all_else() {
-    let servers = [StandIn::new("s", Manner::Hangs), StandIn::new("t", Manner::Serves)];
+    let servers = [
+        StandIn::new("s", Manner::Hangs),
+        StandIn::new("t", Manner::Serves),
+    ];
     let text = [
         "version = 1\n[limits]\nopen = 10\n",
         &listener("front", ""),
@@ -217,7 +252,11 @@
     // 8 are at the server, of which all can be seen; the other two are turned away.
     let until = Instant::now() + crate::rig::PATIENCE;
     while servers[0].seen().len() < 8 {
-        assert!(Instant::now() < until, "only {} are open", servers[0].seen().len());
+        assert!(
+            Instant::now() < until,
+            "only {} are open",
+            servers[0].seen().len()
+        );
         std::thread::sleep(Duration::from_millis(1));
     }
     let mut client = process.client("front");
@@ -245,7 +284,9 @@
     let process = Process::start(&text.concat());
     for host in ["first", "second"] {
         let mut clients: Vec<Conn> = (0..18).map(|_| process.client("front")).collect();
-        clients.iter_mut().for_each(|client| client.write(submit(host, 0).1));
+        clients
+            .iter_mut()
+            .for_each(|client| client.write(submit(host, 0).1));
         for client in &mut clients {
             assert_eq!(client.read().expect("an answer").status(), 200, "{host}");
         }
@@ -288,7 +329,14 @@
     std::thread::sleep(Duration::from_millis(100));
     let mut more: Vec<Conn> = (0..3).map(|_| process.client("quiet")).collect();
     assert!(more.iter_mut().all(ready));
-    assert!(idle.iter_mut().all(ready), "an idle client has made room for no need");
-    assert_eq!(held(), Some(67), "the others did not hold all that is common");
+    assert!(
+        idle.iter_mut().all(ready),
+        "an idle client has made room for no need"
+    );
+    assert_eq!(
+        held(),
+        Some(67),
+        "the others did not hold all that is common"
+    );
     drop(busy);
 }
--- a/crates/cli/tests/sidecar/main.rs
+++ b/crates/cli/tests/sidecar/main.rs
@@ -25,11 +25,23 @@
         assert!(round > 0 || got.header("x-trace-id") == Some("9b1f03aa5c7e2d41"));
         assert_eq!(got.header("idempotency-key"), Some("5c0f6e1a"));
         assert_eq!(got.body, b"paper");
-        let left: u64 = got.header("x-expires-in-ms").expect("is passed on").parse().expect("whole");
-        assert!((1..1500).contains(&left), "{left} ms are not what is left of 1500");
-        conn.write("HTTP/1.1 200 OK\r\nContent-Encoding: odd\r\nContent-Length: 4\r\n\r\n\x00\x01\r\n");
+        let left: u64 = got
+            .header("x-expires-in-ms")
+            .expect("is passed on")
+            .parse()
+            .expect("whole");
+        assert!(
+            (1..1500).contains(&left),
+            "{left} ms are not what is left of 1500"
+        );
+        conn.write(
+            "HTTP/1.1 200 OK\r\nContent-Encoding: odd\r\nContent-Length: 4\r\n\r\n\x00\x01\r\n",
+        );
         let answer = client.read().expect("an answer");
-        assert_eq!((answer.status(), &answer.body[..]), (200, &b"\x00\x01\r\n"[..]));
+        assert_eq!(
+            (answer.status(), &answer.body[..]),
+            (200, &b"\x00\x01\r\n"[..])
+        );
         // Without it the body could not be understood.
         assert_eq!(answer.header("content-encoding"), Some("odd"));
         if round == 0 {
@@ -45,7 +57,10 @@
 #[test]
 fn at_the_level_debug_each_attempt_and_connection_is_a_line_of_the_log() {
     let node = Node::new();
-    let options = Options { arguments: "--log-level debug", ..Options::default() };
+    let options = Options {
+        arguments: "--log-level debug",
+        ..Options::default()
+    };
     let mut sidecar = Sidecar::with(&[node.address()], options);
     let mut client = sidecar.ask("recheck", 1900);
     let mut conn = node.accept();
@@ -59,18 +74,42 @@
 
 /// What may have run must not run twice where the class forbids it, and is tried again where it may be.
 #[rstest]
-#[case::error("submit-check", "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", false)]
-#[case::unproven("submit-check", "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", false)]
-#[case::disproven("submit-check", "HTTP/1.1 503 Busy\r\nX-Never-Ran: 0\r\nContent-Length: 0\r\n\r\n", false)]
-#[case::proven("submit-check", "HTTP/1.1 503 Busy\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", true)]
-#[case::late("submit-check", "HTTP/1.1 504 Over\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", true)]
+#[case::error(
+    "submit-check",
+    "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n",
+    false
+)]
+#[case::unproven(
+    "submit-check",
+    "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
+    false
+)]
+#[case::disproven(
+    "submit-check",
+    "HTTP/1.1 503 Busy\r\nX-Never-Ran: 0\r\nContent-Length: 0\r\n\r\n",
+    false
+)]
+#[case::proven(
+    "submit-check",
+    "HTTP/1.1 503 Busy\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n",
+    true
+)]
+#[case::late(
+    "submit-check",
+    "HTTP/1.1 504 Over\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n",
+    true
+)]
 #[case::proof_on_500(
     "submit-check",
     "HTTP/1.1 500 Oops\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n",
     false
 )]
 #[case::silence("submit-check", "", false)]
-#[case::half("submit-check", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", false)]
+#[case::half(
+    "submit-check",
+    "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
+    false
+)]
 #[case::garbage("submit-check", "no such thing\r\n\r\n", false)]
 #[case::repeatable_error("recheck", "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", true)]
 #[case::repeatable_reset("recheck", "", true)]
@@ -93,7 +132,10 @@
     }
     let answer = client.read().expect("an answer");
     assert_eq!(answer.status(), if repeated { 200 } else { 502 });
-    assert!(nodes.iter().all(|n| n.try_accept().is_none()), "it was sent once more");
+    assert!(
+        nodes.iter().all(|n| n.try_accept().is_none()),
+        "it was sent once more"
+    );
 }
 
 #[test]
@@ -111,7 +153,9 @@
 #[rstest]
 #[case::time_out(true)]
 #[case::client_gone(false)]
-fn an_abandoned_attempt_closes_its_connection_and_nothing_is_sent_over_it_again(#[case] time_out: bool) {
+fn an_abandoned_attempt_closes_its_connection_and_nothing_is_sent_over_it_again(
+    #[case] time_out: bool,
+) {
     let node = Node::new();
     let sidecar = Sidecar::start(&[node.address()]);
     let mut client = sidecar.ask("submit-check", if time_out { 300 } else { 6000 });
@@ -138,10 +182,22 @@
 /// What makes no sense is never passed on; its connection is closed, since what follows may be a part of it.
 #[rstest]
 #[case::no_time(400, "POST /submit-check", "X-Trace-Id: 1\r\n")]
-#[case::odd_time(400, "POST /submit-check", "X-Trace-Id: 1\r\nX-Expires-In-Ms: soon\r\n")]
-#[case::no_time_left(400, "POST /submit-check", "X-Trace-Id: 1\r\nX-Expires-In-Ms: -500\r\n")]
+#[case::odd_time(
+    400,
+    "POST /submit-check",
+    "X-Trace-Id: 1\r\nX-Expires-In-Ms: soon\r\n"
+)]
+#[case::no_time_left(
+    400,
+    "POST /submit-check",
+    "X-Trace-Id: 1\r\nX-Expires-In-Ms: -500\r\n"
+)]
 #[case::no_id(400, "POST /submit-check", "X-Expires-In-Ms: 500\r\n")]
-#[case::two_ids(400, "POST /submit-check", "X-Trace-Id: 1\r\nX-Trace-Id: 2\r\nX-Expires-In-Ms: 500\r\n")]
+#[case::two_ids(
+    400,
+    "POST /submit-check",
+    "X-Trace-Id: 1\r\nX-Trace-Id: 2\r\nX-Expires-In-Ms: 500\r\n"
+)]
 #[case::no_key(400, "POST /recheck", "X-Trace-Id: 1\r\nX-Expires-In-Ms: 500\r\n")]
 #[case::two_keys(
     400,
@@ -155,7 +211,11 @@
 )]
 #[case::odd_header(400, "POST /submit-check", "X Y: 1\r\n")]
 #[case::method(405, "GET /submit-check", "X-Trace-Id: 1\r\nX-Expires-In-Ms: 500\r\n")]
-#[case::unknown_class(404, "POST /no-such-class", "X-Trace-Id: 1\r\nX-Expires-In-Ms: 500\r\n")]
+#[case::unknown_class(
+    404,
+    "POST /no-such-class",
+    "X-Trace-Id: 1\r\nX-Expires-In-Ms: 500\r\n"
+)]
 #[case::long_body(
     413,
     "POST /submit-check",
@@ -230,17 +290,28 @@
 #[test]
 fn open_bodies_are_bounded_in_total_and_what_finds_no_room_is_passed_on() {
     let node = Node::new();
-    let sidecar = Sidecar::with(&[node.address()], Options { memory_mb: 1, ..Options::default() });
+    let sidecar = Sidecar::with(
+        &[node.address()],
+        Options {
+            memory_mb: 1,
+            ..Options::default()
+        },
+    );
     let long = |class| {
         let mut client = sidecar.client();
-        client.write(request(class, 5000, "").replace("Length: 5\r\n\r\npaper", "Length: 65536\r\n\r\n"));
+        client.write(
+            request(class, 5000, "").replace("Length: 5\r\n\r\npaper", "Length: 65536\r\n\r\n"),
+        );
         client.write(vec![b'x'; 65536]);
         client
     };
-    let mut taken: Vec<(Conn, Conn)> = (0..4).map(|_| (long("submit-check"), node.accept())).collect();
+    let mut taken: Vec<(Conn, Conn)> = (0..4)
+        .map(|_| (long("submit-check"), node.accept()))
+        .collect();
     // Kept, none of its bytes could be with the server before the last one is here.
     let mut passed = sidecar.client();
-    let head = request("submit-check", 5000, "").replace("Length: 5\r\n\r\npaper", "Length: 65536\r\n\r\n");
+    let head = request("submit-check", 5000, "")
+        .replace("Length: 5\r\n\r\npaper", "Length: 65536\r\n\r\n");
     passed.write(head + &"x".repeat(32768));
     let conn = node.accept();
     passed.write(vec![b'x'; 32768]);
@@ -261,7 +332,10 @@
 #[case::odd_address(r#""discovery":"nowhere""#, "discovery")]
 #[case::odd_setting(r#""settings":{"group_size":"many"}"#, "settings.group_size")]
 #[case::senseless(r#""settings":0"#, "settings")]
-fn a_bad_configuration_ends_it_with_one_line_that_names_the_field(#[case] part: &str, #[case] field: &str) {
+fn a_bad_configuration_ends_it_with_one_line_that_names_the_field(
+    #[case] part: &str,
+    #[case] field: &str,
+) {
     let sound = r#""listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1""#;
     let config = if part.starts_with('"') {
         let key = part.split(':').next().expect("a key");
@@ -271,7 +345,10 @@
         part.to_string()
     };
     let mut command = Command::new(env!("CARGO_BIN_EXE_madderloom"));
-    command.arg("serve").env_remove("RELAY_CONFIG").stderr(Stdio::piped());
+    command
+        .arg("serve")
+        .env_remove("RELAY_CONFIG")
+        .stderr(Stdio::piped());
     if !part.is_empty() {
         command.env("RELAY_CONFIG", write_config(&config));
     }
@@ -326,7 +403,10 @@
     let both = [&nodes[0], &nodes[1]];
     let (mut conn, asked) = watch(&sidecar.discovery);
     assert_eq!(asked, "GET /v1/endpoints?watch=1&after=41 HTTP/1.1");
-    tell(&mut conn, &listing(43, false, &[("n0", first, "terminating")]).to_string());
+    tell(
+        &mut conn,
+        &listing(43, false, &[("n0", first, "terminating")]).to_string(),
+    );
     settles_on(&sidecar, &both, 1);
     // Heartbeats, a line in two pieces, an older change that must not undo a newer one.
     tell(&mut conn, "");
@@ -334,10 +414,16 @@
     for piece in [&line[..30], &line[30..]] {
         conn.write(format!("{:x}\r\n{piece}\r\n", piece.len()));
     }
-    tell(&mut conn, &listing(42, false, &[("n1", second, "in_service")]).to_string());
+    tell(
+        &mut conn,
+        &listing(42, false, &[("n1", second, "in_service")]).to_string(),
+    );
     settles_on(&sidecar, &both, 0);
     // Garbage ends the watch; what was known is kept, and asked is from there.
-    tell(&mut conn, "{\"index\":50,\"snapshot\":true,\"endpoints\":[{}]}");
+    tell(
+        &mut conn,
+        "{\"index\":50,\"snapshot\":true,\"endpoints\":[{}]}",
+    );
     let (mut conn, asked) = watch(&sidecar.discovery);
     assert_eq!(asked, "GET /v1/endpoints?watch=1&after=44 HTTP/1.1");
     settles_on(&sidecar, &both, 0);
@@ -346,7 +432,12 @@
     let (mut conn, _) = watch(&sidecar.discovery);
     tell(
         &mut conn,
-        &listing(45, false, &[("n1", second, "in_service"), ("n0", first, "terminated")]).to_string(),
+        &listing(
+            45,
+            false,
+            &[("n1", second, "in_service"), ("n0", first, "terminated")],
+        )
+        .to_string(),
     );
     settles_on(&sidecar, &both, 1);
 }
@@ -362,13 +453,19 @@
     sidecar.reconfigure(|_| "{".to_string());
     sidecar.wait_for("not read again: configuration");
     sidecar.serves(&both);
-    let (from, to) = (sidecar.discovery.address().to_string(), next.address().to_string());
+    let (from, to) = (
+        sidecar.discovery.address().to_string(),
+        next.address().to_string(),
+    );
     sidecar.reconfigure(|sound| sound.replace(&from, &to));
     let (mut conn, asked) = watch(&next);
     assert_eq!(asked, "GET /v1/endpoints?watch=1&after=0 HTTP/1.1");
     assert!(old.line().is_none(), "the old watch is still open");
     sidecar.serves(&both[..1]);
-    tell(&mut conn, &listing(3, true, &[("n1", nodes[1].address(), "in_service")]).to_string());
+    tell(
+        &mut conn,
+        &listing(3, true, &[("n1", nodes[1].address(), "in_service")]).to_string(),
+    );
     settles_on(&sidecar, &both, 1);
 }
 
@@ -406,7 +503,10 @@
     }
     for client in [&mut late, &mut idle] {
         let answer = client.read().expect("an answer");
-        assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
+        assert_eq!(
+            (answer.status(), answer.header("connection")),
+            (200, Some("close"))
+        );
     }
     // What was taken before is waited for.
     sidecar.wait_for("closed");
@@ -437,14 +537,22 @@
 #[test]
 fn in_a_crowd_of_connections_those_with_a_request_stay() {
     let node = Node::new();
-    let sidecar = Sidecar::with(&[node.address()], Options { sockets: 116, ..Options::default() });
+    let sidecar = Sidecar::with(
+        &[node.address()],
+        Options {
+            sockets: 116,
+            ..Options::default()
+        },
+    );
     // 50 places. Half are taken by requests that are open, the rest again and again by connections that are idle.
     let mut open: Vec<Conn> = (0..25).map(|_| sidecar.ask("submit-check", 6000)).collect();
     let mut idle = Vec::new();
     for _ in 0..60 {
         let mut client = sidecar.client();
         client.write("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n");
-        let ready = client.read().expect("what is asked over a new connection is answered");
+        let ready = client
+            .read()
+            .expect("what is asked over a new connection is answered");
         assert_eq!(ready.status(), 200);
         idle.push((ready.header("connection").map(str::to_string), client));
     }
@@ -467,7 +575,10 @@
 #[case::named_as_in_the_protocol("inflight")]
 fn where_it_may_ask_it_sends_to_the_node_that_holds_least(#[case] name: &str) {
     let nodes = [Node::new(), Node::new()];
-    let options = Options { group_size: 16, ..Options::default() };
+    let options = Options {
+        group_size: 16,
+        ..Options::default()
+    };
     let sidecar = Sidecar::with(&nodes.each_ref().map(Node::address), options);
     let both = [&nodes[0], &nodes[1]];
     for busy in [0, 1, 0, 1] {
@@ -475,7 +586,10 @@
         let mut idle_conn = None;
         for _ in 0..2 {
             let (at, mut conn) = accept_any(&both);
-            assert_eq!(conn.read().expect("a probe").start, "GET /status/load HTTP/1.1");
+            assert_eq!(
+                conn.read().expect("a probe").start,
+                "GET /status/load HTTP/1.1"
+            );
             let held = if at == busy { 50 } else { 0 };
             conn.answer("200 OK", &format!("TEXT {name}={held}, busy=0.5, novel=x"));
             if at != busy {
@@ -492,7 +606,12 @@
                 None => std::thread::sleep(std::time::Duration::from_millis(1)),
             }
         }
-        assert!(conn.read().expect("it is sent here").start.starts_with("POST /submit-check"));
+        assert!(
+            conn.read()
+                .expect("it is sent here")
+                .start
+                .starts_with("POST /submit-check")
+        );
         conn.answer("200 OK", "made");
         assert_eq!(client.read().expect("an answer").status(), 200);
     }
@@ -509,7 +628,10 @@
     };
     assert_eq!(ready(&sidecar), 503);
     let (mut conn, _) = watch(&sidecar.discovery);
-    tell(&mut conn, &listing(42, true, &[("n0", node.address(), "in_service")]).to_string());
+    tell(
+        &mut conn,
+        &listing(42, true, &[("n0", node.address(), "in_service")]).to_string(),
+    );
     while ready(&sidecar) == 503 {}
     sidecar.serves(&[&node]);
 }
@@ -535,7 +657,9 @@
     }
     // The connection used last is used first.
     quiet();
-    let [(_, oldest), (_, second), (_, newest)] = &mut made[..] else { panic!("three were made") };
+    let [(_, oldest), (_, second), (_, newest)] = &mut made[..] else {
+        panic!("three were made")
+    };
     let mut lost = sidecar.ask("submit-check", 400);
     assert!(newest.read().is_some());
     if heard {
@@ -547,7 +671,11 @@
     assert_eq!(lost.read().expect("an answer").status(), 502);
     let mut client = sidecar.ask("recheck", 1900);
     let mut fresh = None;
-    let conn = if heard { second } else { fresh.insert(node.accept()) };
+    let conn = if heard {
+        second
+    } else {
+        fresh.insert(node.accept())
+    };
     assert!(conn.read().is_some());
     conn.answer("200 OK", "made");
     assert_eq!(client.read().expect("an answer").status(), 200);
@@ -574,7 +702,10 @@
     assert!(second.read().is_some());
     second.answer("200 OK", "its own");
     assert_eq!(client.read().expect("an answer").body, b"its own");
-    assert!(first.read().is_none(), "a connection with something left over is still open");
+    assert!(
+        first.read().is_none(),
+        "a connection with something left over is still open"
+    );
 }
 
 /// The address of a server that has gone may be given to a new one: what was open belongs to the old machine.
@@ -588,7 +719,10 @@
     assert!(old.read().is_some());
     old.answer("200 OK", "made");
     assert_eq!(client.read().expect("an answer").status(), 200);
-    let change = [("n0", node.address(), "terminated"), ("n1", node.address(), "in_service")];
+    let change = [
+        ("n0", node.address(), "terminated"),
+        ("n1", node.address(), "in_service"),
+    ];
     tell(&mut watch, &listing(42, false, &change).to_string());
     assert!(old.read().is_none(), "the old one is still open");
     sidecar.serves(&[&node]);
@@ -616,7 +750,11 @@
     });
     // The reset may come too late for one request, but hardly for a hundred.
     let repeated = (0..100).any(|_| {
-        let status = sidecar.ask("submit-check", 5000).read().expect("an answer").status();
+        let status = sidecar
+            .ask("submit-check", 5000)
+            .read()
+            .expect("an answer")
+            .status();
         let events: Vec<_> = told.try_iter().collect();
         status == 200 && events == ["broke", "served"]
     });
@@ -642,7 +780,10 @@
 #[test]
 fn a_connection_is_dropped_before_the_node_would_close_it_as_idle() {
     let node = Node::new();
-    let options = Options { conn_idle_ms: 250, ..Options::default() };
+    let options = Options {
+        conn_idle_ms: 250,
+        ..Options::default()
+    };
     let sidecar = Sidecar::with(&[node.address()], options);
     let mut client = sidecar.ask("recheck", 1900);
     let mut conn = node.accept();
