--- a/crates/cli/tests/sidecar/rig.rs
+++ b/crates/cli/tests/sidecar/rig.rs
@@ -26,7 +26,11 @@
         "safety": {"ask_within": 10000000, "cold": 1000000, "cold_from": 0.3, "fall": 1000000}})
 }
 
-pub fn listing(index: u64, snapshot: bool, entries: &[(&str, SocketAddr, &str)]) -> serde_json::Value {
+pub fn listing(
+    index: u64,
+    snapshot: bool,
+    entries: &[(&str, SocketAddr, &str)],
+) -> serde_json::Value {
     let entry = |(name, address, status): &(&str, SocketAddr, &str)| {
         serde_json::json!({"name": name, "address": address.to_string(), "zone": "a", "type": "m1",
             "group": 0, "status": status, "weight": 1.0, "since_ms": 0})
@@ -38,7 +42,11 @@
 /// A configuration in a file of its own.
 pub fn write_config(config: &str) -> PathBuf {
     static NEXT: AtomicU32 = AtomicU32::new(0);
-    let name = format!("sidecar-{}-{}.json", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
+    let name = format!(
+        "sidecar-{}-{}.json",
+        std::process::id(),
+        NEXT.fetch_add(1, Ordering::Relaxed)
+    );
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, config).expect("the file is written");
     path
@@ -108,9 +116,14 @@
     pub fn with(nodes: &[SocketAddr], options: Options) -> Self {
         let discovery = Node::new();
         let names: Vec<String> = (0..nodes.len()).map(|at| format!("n{at}")).collect();
-        let entries: Vec<_> =
-            names.iter().zip(nodes).map(|(name, at)| (name.as_str(), *at, "in_service")).collect();
-        let listen = options.inherited.map_or("127.0.0.1:0".to_string(), |(at, _)| at.to_string());
+        let entries: Vec<_> = names
+            .iter()
+            .zip(nodes)
+            .map(|(name, at)| (name.as_str(), *at, "in_service"))
+            .collect();
+        let listen = options
+            .inherited
+            .map_or("127.0.0.1:0".to_string(), |(at, _)| at.to_string());
         let mut config = serde_json::json!({
             "name": "n3", "listen": listen, "discovery": discovery.address().to_string(),
             "seed": "8c1f30d27a5be964", "known": listing(41, true, &entries),
@@ -122,7 +135,10 @@
         (options.edit)(&mut config);
         let program = std::env::var("MADDERLOOM_BINARY");
         let program = program.unwrap_or_else(|_| env!("CARGO_BIN_EXE_madderloom").to_string());
-        let script = format!("{}; exec {program} serve {}", options.before, options.arguments);
+        let script = format!(
+            "{}; exec {program} serve {}",
+            options.before, options.arguments
+        );
         let path = write_config(&config.to_string());
         let mut command = Command::new("/bin/sh");
         if let Some((_, number)) = options.inherited {
@@ -163,7 +179,13 @@
 
     pub fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
-        assert!(Command::new("kill").args(["-s", name, &id]).status().expect("kill runs").success());
+        assert!(
+            Command::new("kill")
+                .args(["-s", name, &id])
+                .status()
+                .expect("kill runs")
+                .success()
+        );
     }
 
     /// Makes another configuration of the one that it was started with, and tells the sidecar of it.
@@ -185,8 +207,13 @@
     /// A figure of its own.
     pub fn figure(&self, name: &str) -> u64 {
         let told = self.call("INFO\n");
-        let value = told.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix('='));
-        value.unwrap_or_else(|| panic!("no {name} in {told}")).parse().expect("a number")
+        let value = told
+            .lines()
+            .find_map(|line| line.strip_prefix(name)?.strip_prefix('='));
+        value
+            .unwrap_or_else(|| panic!("no {name} in {told}"))
+            .parse()
+            .expect("a number")
     }
 
     pub fn client(&self) -> Conn {
@@ -205,7 +232,11 @@
         let mut line = String::new();
         while !line.contains(text) {
             line.clear();
-            assert_ne!(self.errors.read_line(&mut line).expect("text"), 0, "it ends without saying {text}");
+            assert_ne!(
+                self.errors.read_line(&mut line).expect("text"),
+                0,
+                "it ends without saying {text}"
+            );
         }
     }
 
--- a/crates/cli/tests/starts/alone.rs
+++ b/crates/cli/tests/starts/alone.rs
@@ -9,7 +9,9 @@
 fn windows(server: &Server, from: Instant, many: u32) -> Vec<usize> {
     let arrivals = Arrivals::of([server]);
     let edge = |number: u32| arrivals.since(from + millis(500) * number).len();
-    (0..many).map(|number| edge(number) - edge(number + 1)).collect()
+    (0..many)
+        .map(|number| edge(number) - edge(number + 1))
+        .collect()
 }
 
 #[test]
@@ -17,8 +19,9 @@
 fn figures_of_sixty_that_find_out_each_by_itself() {
     for answers in [Answers::Errors, Answers::Never] {
         let alone = alone();
-        let servers: Vec<Server> =
-            (0..10).map(|number| Server::that_takes(&format!("w{number}"), millis(5))).collect();
+        let servers: Vec<Server> = (0..10)
+            .map(|number| Server::that_takes(&format!("w{number}"), millis(5)))
+            .collect();
         let known = listing(1, &servers.iter().collect::<Vec<_>>());
         let fleet = Fleet::start_with(
             alone,
@@ -39,11 +42,15 @@
         std::thread::sleep(millis(12_000));
         let got = load.stop();
         let lost = |from: Instant, over: Duration| {
-            got.iter().filter(|got| got.at >= from && got.at < from + over && got.status != Some(200)).count()
+            got.iter()
+                .filter(|got| got.at >= from && got.at < from + over && got.status != Some(200))
+                .count()
         };
         eprintln!(
             "{answers:?}: of {} requests {} not served in 12 s of it, {} in the first second; it got {:?}, and {:?} once it was well",
-            got.iter().filter(|got| got.at >= from && got.at < well).count(),
+            got.iter()
+                .filter(|got| got.at >= from && got.at < well)
+                .count(),
             lost(from, millis(12_000)),
             lost(from, millis(1_000)),
             windows(bad, from, 24),
--- a/crates/cli/tests/starts/cold.rs
+++ b/crates/cli/tests/starts/cold.rs
@@ -10,7 +10,12 @@
 
 /// A cold server begins with a twentieth of its 200 requests a second and is warm after 8 s. It bears three times what it can
 /// do in a second, and what chance adds: 43 requests at first, 142 after a second. An equal part of all would be more.
-const COLD: Cold = Cold { from: 0.05, warm_after: millis(8_000), window: millis(1_000), bears: 3.0 };
+const COLD: Cold = Cold {
+    from: 0.05,
+    warm_after: millis(8_000),
+    window: millis(1_000),
+    bears: 3.0,
+};
 const WORK: Duration = millis(5);
 
 fn cold(number: usize) -> Server {
@@ -22,7 +27,15 @@
 }
 
 fn half_cold() -> Vec<Server> {
-    (0..6).map(|number| if number < 3 { warm(number) } else { cold(number) }).collect()
+    (0..6)
+        .map(|number| {
+            if number < 3 {
+                warm(number)
+            } else {
+                cold(number)
+            }
+        })
+        .collect()
 }
 
 fn all_cold() -> Vec<Server> {
@@ -39,17 +52,33 @@
     let alone = alone();
     let servers = servers();
     let known = listing(1, &servers.iter().collect::<Vec<_>>());
-    Fleet::start_with(alone, (servers, COLD.warm_after), &known, (MANNER, size), |_| ())
+    Fleet::start_with(
+        alone,
+        (servers, COLD.warm_after),
+        &known,
+        (MANNER, size),
+        |_| (),
+    )
 }
 
 /// Three clients at each sidecar: some 1,000 requests a second together.
 fn load(fleet: &Fleet) -> Load {
-    Load::on(&fleet.fronts.values().flat_map(|front| [*front; 3]).collect::<Vec<_>>(), millis(150))
+    Load::on(
+        &fleet
+            .fronts
+            .values()
+            .flat_map(|front| [*front; 3])
+            .collect::<Vec<_>>(),
+        millis(150),
+    )
 }
 
 /// Of what was asked between these times, the part that was served.
 fn part(got: &[Got], from: Instant, to: Instant) -> f64 {
-    let within: Vec<&Got> = got.iter().filter(|got| (from..to).contains(&got.at)).collect();
+    let within: Vec<&Got> = got
+        .iter()
+        .filter(|got| (from..to).contains(&got.at))
+        .collect();
     let served = within.iter().filter(|got| got.status == Some(200)).count();
     served as f64 / within.len().max(1) as f64
 }
@@ -63,7 +92,11 @@
         let at = from + millis(1_000) * number;
         part(got, at, at + millis(1_000))
     };
-    eprintln!("served, second by second: {:.2?} of {}", (0..12).map(second).collect::<Vec<_>>(), got.len());
+    eprintln!(
+        "served, second by second: {:.2?} of {}",
+        (0..12).map(second).collect::<Vec<_>>(),
+        got.len()
+    );
 }
 
 /// Under this load none falls, and once they are warm nearly all is served.
@@ -84,7 +117,10 @@
     std::thread::sleep(millis(7_000));
     let got = load.stop();
     judge(&fleet, &got, from);
-    assert!(served(&got, &fleet.servers, false) as f64 > 0.97 * got.len() as f64, "the others have room");
+    assert!(
+        served(&got, &fleet.servers, false) as f64 > 0.97 * got.len() as f64,
+        "the others have room"
+    );
     for new in &fleet.servers[3..] {
         assert!(!new.seen().is_empty(), "{} got nothing", new.name);
     }
@@ -110,19 +146,29 @@
 
 /// The names of an upgrade of a whole fleet: an old and a new process have each, with one seed, and the settings count names.
 fn two_to_a_name() -> Size {
-    Size { group_size: many() / 2, names: many() / 2 }
+    Size {
+        group_size: many() / 2,
+        names: many() / 2,
+    }
 }
 
 /// The clients of the processes whose numbers are these, so many at each.
 fn clients(fleet: &Fleet, numbers: Range<usize>, each: usize) -> Vec<SocketAddr> {
     let wanted = |name: &&String| numbers.contains(&number(name));
-    let fronts = fleet.fronts.iter().filter(|(name, _)| wanted(name)).map(|(_, front)| *front);
+    let fronts = fleet
+        .fronts
+        .iter()
+        .filter(|(name, _)| wanted(name))
+        .map(|(_, front)| *front);
     fronts.flat_map(|front| vec![front; each]).collect()
 }
 
 /// A process's number, which its name ends in.
 fn number(name: &str) -> usize {
-    name.rsplit('-').next().and_then(|number| number.parse().ok()).expect("a number")
+    name.rsplit('-')
+        .next()
+        .and_then(|number| number.parse().ok())
+        .expect("a number")
 }
 
 /// Cold servers join a fleet that is at work, and all hear of them in one moment: they have their whole cold time ahead. Three
@@ -141,7 +187,9 @@
     std::thread::sleep(millis(3_000));
     fleet.servers.extend((3..6).map(cold));
     let from = Instant::now();
-    fleet.lists.publish(3, &fleet.servers.iter().collect::<Vec<_>>(), &[]);
+    fleet
+        .lists
+        .publish(3, &fleet.servers.iter().collect::<Vec<_>>(), &[]);
     std::thread::sleep(millis(3_000));
     let mut got = leaving.stop();
     let turned = Load::on(&clients(&fleet, new, EACH), pause);
@@ -150,10 +198,19 @@
     got.extend(turned.stop());
     got.sort_unstable_by_key(|got| got.at);
     judge(&fleet, &got, from);
-    assert!(served(&got, &fleet.servers, false) as f64 > 0.97 * got.len() as f64, "the others have room");
+    assert!(
+        served(&got, &fleet.servers, false) as f64 > 0.97 * got.len() as f64,
+        "the others have room"
+    );
     for cold in &fleet.servers[3..] {
-        let first = Arrivals::of([cold]).since(from).rate(from, from + millis(1_000));
-        eprintln!("{} got {first} requests in its first second, {} in all", cold.name, cold.seen().len());
+        let first = Arrivals::of([cold])
+            .since(from)
+            .rate(from, from + millis(1_000));
+        eprintln!(
+            "{} got {first} requests in its first second, {} in all",
+            cold.name,
+            cold.seen().len()
+        );
         assert!(!cold.seen().is_empty(), "{} got nothing", cold.name);
     }
 }
@@ -165,7 +222,11 @@
     let mut links: Vec<(Link, SocketAddr)> = Vec::new();
     let fleet = start(|| {
         let mut servers = half_cold();
-        links.extend(servers[..3].iter().map(|server| (Link::new(server.address), server.address)));
+        links.extend(
+            servers[..3]
+                .iter()
+                .map(|server| (Link::new(server.address), server.address)),
+        );
         for (server, (link, _)) in servers.iter_mut().zip(&links) {
             server.address = link.address();
         }
--- a/crates/cli/tests/starts/main.rs
+++ b/crates/cli/tests/starts/main.rs
@@ -6,8 +6,8 @@
 mod told;
 
 use madderloom_rig::{
-    Arrivals, Got, Link, Lists, Load, Manner, PATIENCE, Program, Says, Server, Slot, Stage, built, listing,
-    own_address, served,
+    Arrivals, Got, Link, Lists, Load, Manner, PATIENCE, Program, Says, Server, Slot, Stage, built,
+    listing, own_address, served,
 };
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,7 +17,10 @@
 
 /// `MADDERLOOM_MANY` sidecars start, or sixty; `MADDERLOOM_BINARY` says of which build.
 fn many() -> usize {
-    std::env::var("MADDERLOOM_MANY").ok().and_then(|many| many.parse().ok()).unwrap_or(60)
+    std::env::var("MADDERLOOM_MANY")
+        .ok()
+        .and_then(|many| many.parse().ok())
+        .unwrap_or(60)
 }
 
 /// Over which the calls of all of them are drawn that follow the first: 80 ms for each, and nine tenths of what the rules
@@ -41,7 +44,12 @@
 const ZONES: [&str; 3] = ["north", "south", "east"];
 
 /// What discovery bears: some 50 calls a second, of which 16 may wait.
-const MANNER: Manner = Manner { each: millis(20), most: 16, down: Duration::from_secs(1), says: Says::List };
+const MANNER: Manner = Manner {
+    each: millis(20),
+    most: 16,
+    down: Duration::from_secs(1),
+    says: Says::List,
+};
 
 const fn millis(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -63,7 +71,10 @@
 impl Size {
     /// The settings say this, and each process has a name of its own.
     fn said_to_be(group_size: usize) -> Self {
-        Size { group_size, names: many() }
+        Size {
+            group_size,
+            names: many(),
+        }
     }
 }
 
@@ -114,13 +125,22 @@
     /// The same, of a fleet that is said to be of this size.
     fn start_among(group_size: usize, manner: Manner, before: impl FnOnce(&Stage)) -> Self {
         let alone = alone();
-        let servers: Vec<Server> =
-            (0..6).map(|number| Server::that_takes(&format!("w{number}"), millis(5))).collect();
-        let gone: Vec<Server> = (0..3).map(|number| Server::new(&format!("gone{number}"))).collect();
+        let servers: Vec<Server> = (0..6)
+            .map(|number| Server::that_takes(&format!("w{number}"), millis(5)))
+            .collect();
+        let gone: Vec<Server> = (0..3)
+            .map(|number| Server::new(&format!("gone{number}")))
+            .collect();
         let known = listing(1, &gone.iter().chain(&servers[..3]).collect::<Vec<_>>());
         drop(gone);
         let size = Size::said_to_be(group_size);
-        Fleet::start_with(alone, (servers, millis(1_000)), &known, (manner, size), before)
+        Fleet::start_with(
+            alone,
+            (servers, millis(1_000)),
+            &known,
+            (manner, size),
+            before,
+        )
     }
 
     /// Sixty that start as fast as they can be and know this list, with these servers, which are cold for so long.
@@ -135,7 +155,9 @@
         let lists = Lists::new(manner, &servers.iter().collect::<Vec<_>>());
         let mut stage = Stage::default();
         for zone in ZONES {
-            stage.links.insert(format!("{zone}>lists"), Link::new(lists.address));
+            stage
+                .links
+                .insert(format!("{zone}>lists"), Link::new(lists.address));
         }
         before(&stage);
         let began = Instant::now();
@@ -145,19 +167,39 @@
             let front = own_address();
             let file = directory.path().join(format!("{number}.json"));
             let discovery = stage.links[&format!("{zone}>lists")].address();
-            std::fs::write(&file, config(number % names, front, discovery, known, warm_after, group_size))
-                .expect("written");
+            std::fs::write(
+                &file,
+                config(
+                    number % names,
+                    front,
+                    discovery,
+                    known,
+                    warm_after,
+                    group_size,
+                ),
+            )
+            .expect("written");
             let make = move |_| {
                 let mut command = built(env!("CARGO_BIN_EXE_madderloom"));
                 command.arg("serve").env("RELAY_CONFIG", &file);
                 command
             };
             let name = format!("{zone}-{number}");
-            stage.slots.insert(name.clone(), Slot::new(Program::start(make(false)), make));
+            stage
+                .slots
+                .insert(name.clone(), Slot::new(Program::start(make(false)), make));
             fronts.insert(name, front);
         }
-        let mut fleet =
-            Fleet { _directory: directory, lists, stage, fronts, servers, began, up: began, _alone: alone };
+        let mut fleet = Fleet {
+            _directory: directory,
+            lists,
+            stage,
+            fronts,
+            servers,
+            began,
+            up: began,
+            _alone: alone,
+        };
         fleet.all_up();
         fleet
     }
@@ -172,7 +214,10 @@
 
     /// A client at each.
     fn load(&self) -> Load {
-        Load::on(&self.fronts.values().copied().collect::<Vec<_>>(), millis(150))
+        Load::on(
+            &self.fronts.values().copied().collect::<Vec<_>>(),
+            millis(150),
+        )
     }
 
     /// Waits until all have the list, and gives how long that took from the start on.
@@ -182,7 +227,10 @@
             if waits.elapsed() > PATIENCE {
                 let last = |name: &String| (name.clone(), self.stage.program(name).log().pop());
                 let last: Vec<_> = self.fronts.keys().map(last).collect();
-                panic!("{} have it after {PATIENCE:?}; {last:#?}", self.lists.told());
+                panic!(
+                    "{} have it after {PATIENCE:?}; {last:#?}",
+                    self.lists.told()
+                );
             }
             std::thread::sleep(millis(20));
         }
@@ -207,8 +255,16 @@
             later.len(),
             self.began.elapsed()
         );
-        assert!(first_over <= 0.0, "{first_over} calls over the ceiling of some window, of {}", calls.len());
-        assert!(later_over <= 0.0, "{later_over} calls over the later ceiling, of {}", later.len());
+        assert!(
+            first_over <= 0.0,
+            "{first_over} calls over the ceiling of some window, of {}",
+            calls.len()
+        );
+        assert!(
+            later_over <= 0.0,
+            "{later_over} calls over the later ceiling, of {}",
+            later.len()
+        );
     }
 
     /// Each had its one answer, and nearly all were served.
@@ -217,7 +273,11 @@
         let part = served as f64 / got.len().max(1) as f64;
         eprintln!("{served} of {} served, {part:.3}", got.len());
         let least = if killed { 0.8 } else { 0.97 };
-        assert!(got.len() > 10 * many() && part > least, "{served} of {} served", got.len());
+        assert!(
+            got.len() > 10 * many() && part > least,
+            "{served} of {} served",
+            got.len()
+        );
     }
 }
 
@@ -226,13 +286,23 @@
     let fleet = Fleet::start(MANNER, |_| ());
     let load = fleet.load();
     let took = fleet.all_told();
-    assert!(took < first_spread() + SLACK, "the last had its list after {took:?}");
+    assert!(
+        took < first_spread() + SLACK,
+        "the last had its list after {took:?}"
+    );
     std::thread::sleep(millis(1_000));
     fleet.judge(&load.stop(), false);
     fleet.judge_calls();
-    assert_eq!((fleet.lists.calls().len(), fleet.lists.deaths().len()), (many(), 0));
+    assert_eq!(
+        (fleet.lists.calls().len(), fleet.lists.deaths().len()),
+        (many(), 0)
+    );
     for new in &fleet.servers[3..] {
-        assert!(!new.seen().is_empty(), "{} is in no old list, and got nothing", new.name);
+        assert!(
+            !new.seen().is_empty(),
+            "{} is in no old list, and got nothing",
+            new.name
+        );
     }
 }
 
@@ -251,16 +321,28 @@
     fleet.judge_calls();
     // The first wave goes on for as long as it would have: it can't know. Those who failed come in the next span,
     // which is twice as long, and in the one behind it; one who meets silence hears of it late.
-    assert!(took < 7 * spread() + SILENCE + SLACK, "the last had its list after {took:?}");
+    assert!(
+        took < 7 * spread() + SILENCE + SLACK,
+        "the last had its list after {took:?}"
+    );
     let deaths = fleet.lists.deaths();
-    let last = deaths.last().map_or(Duration::ZERO, |at| at.duration_since(fleet.began));
-    assert!(last < 3 * spread() + SLACK, "it died {} times, at last after {last:?}", deaths.len());
+    let last = deaths
+        .last()
+        .map_or(Duration::ZERO, |at| at.duration_since(fleet.began));
+    assert!(
+        last < 3 * spread() + SLACK,
+        "it died {} times, at last after {last:?}",
+        deaths.len()
+    );
 }
 
 /// First lists that make no sense, then halves of one, then the list.
 #[test]
 fn lists_that_are_wrong_or_half_stop_nobody_and_bring_no_storm() {
-    let manner = Manner { says: Says::Nonsense, ..MANNER };
+    let manner = Manner {
+        says: Says::Nonsense,
+        ..MANNER
+    };
     let fleet = Fleet::start(manner, |_| ());
     let load = fleet.load();
     std::thread::sleep(millis(2_000));
@@ -268,7 +350,10 @@
     std::thread::sleep(millis(2_000));
     fleet.lists.behave(|manner| manner.says = Says::List);
     let took = fleet.all_told();
-    assert!(took < 7 * spread() + SLACK, "the last had its list after {took:?}");
+    assert!(
+        took < 7 * spread() + SLACK,
+        "the last had its list after {took:?}"
+    );
     fleet.judge(&load.stop(), false);
     fleet.judge_calls();
     assert_eq!(fleet.lists.deaths().len(), 0);
--- a/crates/cli/tests/starts/told.rs
+++ b/crates/cli/tests/starts/told.rs
@@ -9,7 +9,9 @@
 const GRACE_OVER: Duration = millis(6_000 + 3_000 + 50);
 
 fn on_all_links(fleet: &mut Fleet, act: Act) {
-    ZONES.iter().for_each(|zone| fleet.stage.act(&format!("{zone}>lists"), act));
+    ZONES
+        .iter()
+        .for_each(|zone| fleet.stage.act(&format!("{zone}>lists"), act));
 }
 
 /// The first of the new servers drains from now on, by a list of this version.
@@ -22,7 +24,10 @@
     let server = &fleet.servers[3];
     assert!(!server.seen().is_empty(), "it had requests before");
     let late = Arrivals::of([server]).since(from + GRACE_OVER).len();
-    assert_eq!(late, 0, "{late} requests went to a server that drains, behind its grace");
+    assert_eq!(
+        late, 0,
+        "{late} requests went to a server that drains, behind its grace"
+    );
 }
 
 /// All watches are stalled at once, as they are where something on the way forgets its connections; calls go through.
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -25,7 +25,12 @@
 
 impl fmt::Display for Problem {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Problem { line, column, field, problem } = self;
+        let Problem {
+            line,
+            column,
+            field,
+            problem,
+        } = self;
         let colon = if field.is_empty() { "" } else { ": " };
         write!(f, "{line}:{column}: {field}{colon}{problem}")
     }
@@ -46,13 +51,22 @@
         if !faults.is_empty() {
             let told = faults.iter().map(|fault| {
                 let (line, column) = place(text, fault.span().map_or(0, |span| span.start));
-                Problem { line, column, field: String::new(), problem: one_line(fault.message()) }
+                Problem {
+                    line,
+                    column,
+                    field: String::new(),
+                    problem: one_line(fault.message()),
+                }
             });
             return Err(told.take(MOST).collect());
         }
         let span = root.span();
         let root = Spanned::new(span, DeValue::Table(root.into_inner()));
-        let mut document = Document { text, root, problems: Vec::new() };
+        let mut document = Document {
+            text,
+            root,
+            problems: Vec::new(),
+        };
         let mut rest = document.root.clone();
         let value = loop {
             let reader = toml::de::ValueDeserializer::from(rest.clone());
@@ -86,7 +100,12 @@
         if self.problems.len() < MOST {
             let (line, column) = self.place(field);
             let problem = problem.to_string();
-            self.problems.push(Problem { line, column, field: field.to_string(), problem });
+            self.problems.push(Problem {
+                line,
+                column,
+                field: field.to_string(),
+                problem,
+            });
         }
     }
 
@@ -110,13 +129,21 @@
     /// The value of a field, or the innermost of those round it that is there, and whether it is the field's own.
     fn nearest(&self, field: &str) -> (&Spanned<DeValue<'t>>, bool) {
         let mut at = &self.root;
-        for step in field.split(['.', '[']).map(|step| step.trim_end_matches(']')) {
+        for step in field
+            .split(['.', '['])
+            .map(|step| step.trim_end_matches(']'))
+        {
             let inner = match at.get_ref() {
-                DeValue::Array(list) => step.parse::<usize>().ok().and_then(|number| list.get(number)),
+                DeValue::Array(list) => step
+                    .parse::<usize>()
+                    .ok()
+                    .and_then(|number| list.get(number)),
                 DeValue::Table(table) => table.get(step),
                 _ => None,
             };
-            let Some(inner) = inner else { return (at, false) };
+            let Some(inner) = inner else {
+                return (at, false);
+            };
             at = inner;
         }
         (at, true)
@@ -141,7 +168,10 @@
 fn place(text: &str, offset: usize) -> (usize, usize) {
     let before = text.get(..offset.min(text.len())).unwrap_or_default();
     let line_start = before.rfind('\n').map_or(0, |end| end + 1);
-    (before.matches('\n').count() + 1, before[line_start..].chars().count() + 1)
+    (
+        before.matches('\n').count() + 1,
+        before[line_start..].chars().count() + 1,
+    )
 }
 
 fn written(path: &[Segment]) -> String {
@@ -172,10 +202,14 @@
 
 fn suggest(name: &str, known: &[String]) -> String {
     let nearest = known.iter().max_by(|a, b| {
-        strsim::jaro_winkler(name, a).total_cmp(&strsim::jaro_winkler(name, b)).then_with(|| b.cmp(a))
+        strsim::jaro_winkler(name, a)
+            .total_cmp(&strsim::jaro_winkler(name, b))
+            .then_with(|| b.cmp(a))
     });
     match nearest {
-        Some(near) if strsim::jaro_winkler(name, near) > 0.8 => format!("is not known; did you mean {near}?"),
+        Some(near) if strsim::jaro_winkler(name, near) > 0.8 => {
+            format!("is not known; did you mean {near}?")
+        }
         Some(_) => format!("is not known; there are {}", known.join(", ")),
         None => "is not known".to_string(),
     }
@@ -183,7 +217,9 @@
 
 /// Sets a value aside, so that reading goes on behind it. False where there is none.
 fn remove(from: &mut DeValue<'_>, path: &[Segment]) -> bool {
-    let Some((first, rest)) = path.split_first() else { return false };
+    let Some((first, rest)) = path.split_first() else {
+        return false;
+    };
     match (first, from) {
         (Segment::Seq { index }, DeValue::Array(list)) => match list.get_mut(*index) {
             // An element alone stays in its place, for those behind it keep their numbers; so all of the list goes.
@@ -192,7 +228,8 @@
         },
         (Segment::Map { key }, DeValue::Table(table)) => {
             let inner = table.get_mut(key.as_str());
-            let deeper = inner.is_some_and(|inner| !rest.is_empty() && remove(inner.get_mut(), rest));
+            let deeper =
+                inner.is_some_and(|inner| !rest.is_empty() && remove(inner.get_mut(), rest));
             deeper || table.remove(key.as_str()).is_some()
         }
         // The variant of an enum is no place of its own.
@@ -237,13 +274,26 @@
         let told = problems(
             "version = \"one\"\nwait = 5\n[[pools]]\nname = \"a\"\nopne = 3\n[[pools]]\nopen = -1\nsides = [1, 999]\n[one]\nzzz = 1\n",
         );
-        let begin = ["1:11: version: ", "2:8: wait: ", "5:8: pools[0].opne: ", "7:8: pools[1].open: "];
+        let begin = [
+            "1:11: version: ",
+            "2:8: wait: ",
+            "5:8: pools[0].opne: ",
+            "7:8: pools[1].open: ",
+        ];
         for (told, begin) in told.iter().zip(begin) {
             assert!(told.starts_with(begin), "{told} is not {begin}");
         }
         assert!(told[2].ends_with("did you mean open?"), "{}", told[2]);
-        assert!(told[4].starts_with("8:13: pools[1].sides[1]: "), "{}", told[4]);
-        assert!(told[5].starts_with("10:7: one.zzz: is not known; there are name, open"), "{}", told[5]);
+        assert!(
+            told[4].starts_with("8:13: pools[1].sides[1]: "),
+            "{}",
+            told[4]
+        );
+        assert!(
+            told[5].starts_with("10:7: one.zzz: is not known; there are name, open"),
+            "{}",
+            told[5]
+        );
         assert_eq!(told.len(), 6);
     }
 
@@ -256,13 +306,21 @@
     #[test]
     fn a_check_names_places_of_what_is_there_and_of_what_is_missing() {
         let (mut document, file) =
-            Document::read::<File>("version = 1\n[[pools]]\nname = \"é\"\nopen = 2\n").expect("TOML");
+            Document::read::<File>("version = 1\n[[pools]]\nname = \"é\"\nopen = 2\n")
+                .expect("TOML");
         document.require(file.pools[0].open > 2, "pools[0].open", "must be above 2");
-        document.require(!file.pools[0].sides.is_empty(), "pools[0].sides", "is missing");
+        document.require(
+            !file.pools[0].sides.is_empty(),
+            "pools[0].sides",
+            "is missing",
+        );
         assert!(document.has("pools[0].open") && !document.has("pools[0].sides"));
         let told = document.finish(file).expect_err("two problems");
         assert_eq!(told[1].to_string(), "4:8: pools[0].open: must be above 2");
-        assert_eq!((told[0].line, told[0].field.as_str()), (2, "pools[0].sides"));
+        assert_eq!(
+            (told[0].line, told[0].field.as_str()),
+            (2, "pools[0].sides")
+        );
     }
 
     proptest! {
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -43,7 +43,9 @@
             return Ok(Span(0));
         }
         // Decimals ("1.5s") are not known to the library: a plain number with one unit is read here.
-        let unit_at = text.find(|c: char| !c.is_ascii_digit() && c != '.').unwrap_or(text.len());
+        let unit_at = text
+            .find(|c: char| !c.is_ascii_digit() && c != '.')
+            .unwrap_or(text.len());
         let (number, unit) = text.split_at(unit_at);
         let micros = match (number.contains('.'), number.parse::<f64>(), unit) {
             (true, Ok(number), "us" | "ms" | "s" | "m" | "min" | "h") => {
@@ -61,17 +63,27 @@
                 u64::try_from(span.as_micros()).unwrap_or(u64::MAX)
             }
         };
-        if micros > LONGEST { Err(format!("{text} is more than a hundred years")) } else { Ok(Span(micros)) }
+        if micros > LONGEST {
+            Err(format!("{text} is more than a hundred years"))
+        } else {
+            Ok(Span(micros))
+        }
     }
 }
 
 fn wanted(text: &str) -> String {
-    format!("{text:?} is no span of time; write a number with its unit, such as \"250ms\" or \"1.5s\"")
+    format!(
+        "{text:?} is no span of time; write a number with its unit, such as \"250ms\" or \"1.5s\""
+    )
 }
 
 impl fmt::Display for Span {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}", humantime::format_duration(std::time::Duration::from_micros(self.0)))
+        write!(
+            f,
+            "{}",
+            humantime::format_duration(std::time::Duration::from_micros(self.0))
+        )
     }
 }
 
@@ -90,11 +102,19 @@
             }
 
             fn visit_i64<E: Error>(self, number: i64) -> Result<Span, E> {
-                if number == 0 { Ok(Span(0)) } else { Err(E::custom(wanted(&number.to_string()))) }
+                if number == 0 {
+                    Ok(Span(0))
+                } else {
+                    Err(E::custom(wanted(&number.to_string())))
+                }
             }
 
             fn visit_u64<E: Error>(self, number: u64) -> Result<Span, E> {
-                if number == 0 { Ok(Span(0)) } else { Err(E::custom(wanted(&number.to_string()))) }
+                if number == 0 {
+                    Ok(Span(0))
+                } else {
+                    Err(E::custom(wanted(&number.to_string())))
+                }
             }
         }
         reader.deserialize_any(Visitor)
@@ -127,14 +147,27 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
-        let wanted =
-            || format!("{text:?} is no size; write a number with its unit, such as \"64KiB\" or \"1.5MB\"");
+        let wanted = || {
+            format!(
+                "{text:?} is no size; write a number with its unit, such as \"64KiB\" or \"1.5MB\""
+            )
+        };
         let trimmed = text.trim();
-        let unit_at = trimmed.find(|c: char| !c.is_ascii_digit() && c != '.').unwrap_or(trimmed.len());
+        let unit_at = trimmed
+            .find(|c: char| !c.is_ascii_digit() && c != '.')
+            .unwrap_or(trimmed.len());
         let (number, unit) = trimmed.split_at(unit_at);
         let unit = unit.trim();
-        let scale = if unit.is_empty() { Some(1) } else { UNITS.iter().find(|u| u.0 == unit).map(|u| u.1) };
-        let bytes = number.parse::<f64>().ok().zip(scale).map(|(number, scale)| number * scale as f64);
+        let scale = if unit.is_empty() {
+            Some(1)
+        } else {
+            UNITS.iter().find(|u| u.0 == unit).map(|u| u.1)
+        };
+        let bytes = number
+            .parse::<f64>()
+            .ok()
+            .zip(scale)
+            .map(|(number, scale)| number * scale as f64);
         match bytes {
             Some(bytes) if bytes <= (1u64 << 53) as f64 => Ok(Size(bytes.round() as u64)),
             Some(_) => Err(format!("{text:?} is more than 8 PiB")),
@@ -145,8 +178,10 @@
 
 impl fmt::Display for Size {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let whole =
-            UNITS[..5].iter().rev().find(|(_, scale)| self.0 >= *scale && self.0.is_multiple_of(*scale));
+        let whole = UNITS[..5]
+            .iter()
+            .rev()
+            .find(|(_, scale)| self.0 >= *scale && self.0.is_multiple_of(*scale));
         match whole {
             Some((unit, scale)) => write!(f, "{}{unit}", self.0 / scale),
             None => write!(f, "{}B", self.0),
@@ -169,7 +204,9 @@
             }
 
             fn visit_i64<E: Error>(self, number: i64) -> Result<Size, E> {
-                u64::try_from(number).map(Size).map_err(|_| E::custom("a size is not negative"))
+                u64::try_from(number)
+                    .map(Size)
+                    .map_err(|_| E::custom("a size is not negative"))
             }
 
             fn visit_u64<E: Error>(self, number: u64) -> Result<Size, E> {
@@ -193,13 +230,31 @@
 
     #[test]
     fn spans_and_sizes_are_read_with_their_units() {
-        for (text, micros) in [("250ms", 250_000), ("1.5s", 1_500_000), ("0", 0), ("1m 30s", 90_000_000)] {
+        for (text, micros) in [
+            ("250ms", 250_000),
+            ("1.5s", 1_500_000),
+            ("0", 0),
+            ("1m 30s", 90_000_000),
+        ] {
             assert_eq!(text.parse(), Ok(Span(micros)), "{text}");
         }
-        for text in ["", "5", "-1s", "soon", "1.5.5s", "99999999999 years", "1e300s"] {
+        for text in [
+            "",
+            "5",
+            "-1s",
+            "soon",
+            "1.5.5s",
+            "99999999999 years",
+            "1e300s",
+        ] {
             assert!(text.parse::<Span>().is_err(), "{text}");
         }
-        for (text, bytes) in [("64KiB", 65_536), ("1.5 MB", 1_500_000), ("7", 7), ("0B", 0)] {
+        for (text, bytes) in [
+            ("64KiB", 65_536),
+            ("1.5 MB", 1_500_000),
+            ("7", 7),
+            ("0B", 0),
+        ] {
             assert_eq!(text.parse(), Ok(Size(bytes)), "{text}");
         }
         for text in ["", "-1", "KiB", "5 furlongs", "9999999999TiB", "1.5.5MB"] {
--- a/crates/fleet/examples/explore.rs
+++ b/crates/fleet/examples/explore.rs
@@ -13,11 +13,18 @@
 fn main() -> ExitCode {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     let is_large = arguments.iter().any(|a| a == "large");
-    let most = arguments.iter().find_map(|a| a.parse().ok()).unwrap_or(10_000_000);
+    let most = arguments
+        .iter()
+        .find_map(|a| a.parse().ok())
+        .unwrap_or(10_000_000);
     let mut violations = 0;
     let mut report = |name: &str, begin: Instant, result: Result<Explored, String>| match result {
         Ok(explored) => {
-            let all = if explored.is_complete { "all" } else { "the first" };
+            let all = if explored.is_complete {
+                "all"
+            } else {
+                "the first"
+            };
             println!(
                 "{name}: sound in {all} {} states ({} steps, {} deep, {} at rest), {:.1} s",
                 explored.states,
@@ -32,13 +39,33 @@
             println!("{name}: {found}");
         }
     };
-    for model in if is_large { larger_rollout_models() } else { rollout_models() } {
+    for model in if is_large {
+        larger_rollout_models()
+    } else {
+        rollout_models()
+    } {
         let begin = Instant::now();
-        report(model.name, begin, explore(&model, most).map_err(|violation| violation.to_string()));
+        report(
+            model.name,
+            begin,
+            explore(&model, most).map_err(|violation| violation.to_string()),
+        );
     }
-    for model in if is_large { larger_lease_models() } else { lease_models() } {
+    for model in if is_large {
+        larger_lease_models()
+    } else {
+        lease_models()
+    } {
         let begin = Instant::now();
-        report(model.name, begin, explore(&model, most).map_err(|violation| violation.to_string()));
+        report(
+            model.name,
+            begin,
+            explore(&model, most).map_err(|violation| violation.to_string()),
+        );
+    }
+    if violations == 0 {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
     }
-    if violations == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
--- a/crates/fleet/src/change.rs
+++ b/crates/fleet/src/change.rs
@@ -33,14 +33,20 @@
     /// # Errors
     /// The invalid field, and why.
     pub fn check(&self) -> Result<(), Problem> {
-        let problem = |field: &str, problem: String| Problem { field: field.into(), problem };
+        let problem = |field: &str, problem: String| Problem {
+            field: field.into(),
+            problem,
+        };
         if !self.zone.is_empty() {
             check_name(&self.zone).map_err(|error| problem("zone", error.to_string()))?;
         }
         if self.labels.len() > MOST_PATTERNS {
             return Err(problem(
                 "labels",
-                format!("{} of them; there are {MOST_PATTERNS} at most", self.labels.len()),
+                format!(
+                    "{} of them; there are {MOST_PATTERNS} at most",
+                    self.labels.len()
+                ),
             ));
         }
         for (label, value) in &self.labels {
@@ -70,7 +76,10 @@
 impl Selector {
     /// Selects exactly these instances.
     pub fn named(names: impl IntoIterator<Item = String>) -> Self {
-        Selector { names: names.into_iter().collect(), ..Selector::default() }
+        Selector {
+            names: names.into_iter().collect(),
+            ..Selector::default()
+        }
     }
 
     /// Whether it matches every instance.
@@ -83,7 +92,10 @@
         let named = |pattern: &String| madderloom_quota::fits(pattern, name);
         (self.names.is_empty() || self.names.iter().any(named))
             && (self.zones.is_empty() || self.zones.contains(&traits.zone))
-            && self.labels.iter().all(|(label, value)| traits.labels.get(label) == Some(value))
+            && self
+                .labels
+                .iter()
+                .all(|(label, value)| traits.labels.get(label) == Some(value))
     }
 
     fn check(&self, problems: &mut Vec<Problem>) {
@@ -95,7 +107,10 @@
         ];
         for (field, count, most) in lists {
             if count > most {
-                add(format!("select.{field}"), format!("{count} of them; there are {most} at most"));
+                add(
+                    format!("select.{field}"),
+                    format!("{count} of them; there are {most} at most"),
+                );
             }
         }
         for (at, pattern) in self.names.iter().enumerate() {
@@ -141,7 +156,9 @@
 }
 
 /// What happens when too many instances refuse or fail, or the change does harm.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 #[serde(rename_all = "kebab-case")]
 pub enum Then {
     /// The rollout stops. Instances that have the change keep it.
@@ -194,20 +211,35 @@
     fn check(&self, problems: &mut Vec<Problem>) {
         let mut require = |holds: bool, field: &str, problem: &str| {
             if !holds {
-                problems.push(Problem { field: format!("rollout.{field}"), problem: problem.into() });
+                problems.push(Problem {
+                    field: format!("rollout.{field}"),
+                    problem: problem.into(),
+                });
             }
         };
         require(self.at_once > 0, "at_once", "must be at least 1");
         require(self.silence > 0, "silence", "must be more than nothing");
-        require(self.silence <= LONGEST_WAIT, "silence", "must be a day at most");
+        require(
+            self.silence <= LONGEST_WAIT,
+            "silence",
+            "must be a day at most",
+        );
         require(self.pause <= LONGEST_WAIT, "pause", "must be a day at most");
-        require(self.waves.len() <= MOST_PATTERNS, "waves", "are too many; there are 256 at most");
+        require(
+            self.waves.len() <= MOST_PATTERNS,
+            "waves",
+            "are too many; there are 256 at most",
+        );
         for (at, wave) in self.waves.iter().enumerate() {
             let sound = match *wave {
                 Share::Count(count) => count > 0,
                 Share::Percent(percent) => (1..=100).contains(&percent),
             };
-            require(sound, &format!("waves[{at}]"), "must be at least 1, and in percent at most 100");
+            require(
+                sound,
+                &format!("waves[{at}]"),
+                "must be at least 1, and in percent at most 100",
+            );
         }
         if let Some(gate) = &self.gate {
             for Problem { field, problem } in gate.check() {
@@ -253,30 +285,49 @@
     pub fn check(&self) -> Vec<Problem> {
         let mut problems = Vec::new();
         if let Err(error) = check_name(&self.id) {
-            problems.push(Problem { field: "id".into(), problem: error.to_string() });
+            problems.push(Problem {
+                field: "id".into(),
+                problem: error.to_string(),
+            });
         }
         if self.note.len() > LONGEST_NOTE {
-            let problem = format!("has {} bytes; there are {LONGEST_NOTE} at most", self.note.len());
-            problems.push(Problem { field: "note".into(), problem });
+            let problem = format!(
+                "has {} bytes; there are {LONGEST_NOTE} at most",
+                self.note.len()
+            );
+            problems.push(Problem {
+                field: "note".into(),
+                problem,
+            });
         }
         self.select.check(&mut problems);
         self.rollout.check(&mut problems);
         match &self.what {
             What::Set(edits) if edits.is_empty() => {
-                problems.push(Problem { field: "set".into(), problem: "nothing is set".into() });
+                problems.push(Problem {
+                    field: "set".into(),
+                    problem: "nothing is set".into(),
+                });
             }
             What::Set(edits) => {
                 check_edits(edits, &mut problems);
                 let of_fleet = edits.keys().find(|key| matches!(key, Key::Fleet { .. }));
                 if let Some(key) = of_fleet.filter(|_| !self.select.is_all()) {
-                    let problem =
-                        format!("{key} holds for the whole fleet; a change of it selects all instances");
-                    problems.push(Problem { field: "select".into(), problem });
+                    let problem = format!(
+                        "{key} holds for the whole fleet; a change of it selects all instances"
+                    );
+                    problems.push(Problem {
+                        field: "select".into(),
+                        problem,
+                    });
                 }
             }
             What::Undo(id) => {
                 if let Err(error) = check_name(id) {
-                    problems.push(Problem { field: "undo".into(), problem: error.to_string() });
+                    problems.push(Problem {
+                        field: "undo".into(),
+                        problem: error.to_string(),
+                    });
                 }
             }
         }
@@ -316,7 +367,11 @@
     pub fn overlay(&self, name: &str, traits: &Traits) -> (Overlay, Option<&Layer>) {
         let mut overlay = Overlay::default();
         let mut newest = None;
-        for layer in self.0.iter().filter(|layer| layer.select.matches(name, traits)) {
+        for layer in self
+            .0
+            .iter()
+            .filter(|layer| layer.select.matches(name, traits))
+        {
             overlay.apply(&layer.edits);
             newest = Some(layer);
         }
@@ -331,16 +386,28 @@
             let layer = &self.0[at];
             let over = &self.0[at + 1..fixed];
             let covers = |over: &&Layer| over.select.is_all() || over.select == layer.select;
-            layer.edits.keys().all(|key| over.iter().filter(covers).any(|over| over.edits.contains_key(key)))
+            layer.edits.keys().all(|key| {
+                over.iter()
+                    .filter(covers)
+                    .any(|over| over.edits.contains_key(key))
+            })
         };
-        let keep: Vec<bool> = (0..self.0.len()).map(|at| at >= fixed || !hidden(at)).collect();
+        let keep: Vec<bool> = (0..self.0.len())
+            .map(|at| at >= fixed || !hidden(at))
+            .collect();
         let mut keep = keep.into_iter();
         self.0.retain(|_| keep.next().unwrap_or(true));
     }
 
     /// The layers without that of a change.
     pub fn without(&self, id: &str) -> Layers {
-        Layers(self.0.iter().filter(|layer| layer.id != id).cloned().collect())
+        Layers(
+            self.0
+                .iter()
+                .filter(|layer| layer.id != id)
+                .cloned()
+                .collect(),
+        )
     }
 
     /// The layer of a change that can be undone.
@@ -351,7 +418,9 @@
         let place = self.0.iter().position(|layer| layer.id == id);
         match place {
             None => Err(Error::NotInEffect { id: id.to_string() }),
-            Some(place) if self.0.len() - place > UNDOABLE => Err(Error::TooOldToUndo { id: id.to_string() }),
+            Some(place) if self.0.len() - place > UNDOABLE => {
+                Err(Error::TooOldToUndo { id: id.to_string() })
+            }
             Some(place) => Ok(&self.0[place]),
         }
     }
--- a/crates/fleet/src/explore/lease_model.rs
+++ b/crates/fleet/src/explore/lease_model.rs
@@ -133,7 +133,11 @@
         let (rate, burst, open) = self.whole;
         let of = |all: u64| if lowered { all / 2 } else { all };
         Limit {
-            whole: Amount { rate: of(rate) * ONE, burst: of(burst) * ONE, open: of(open) },
+            whole: Amount {
+                rate: of(rate) * ONE,
+                burst: of(burst) * ONE,
+                open: of(open),
+            },
             longest: self.longest * SECOND,
             ..Limit::default()
         }
@@ -155,9 +159,18 @@
 
     fn server(&self, state: &LeaseModelState, former: u64) -> LeaseServer {
         let second = state.term > 1;
-        let duration = SECOND * if second { self.durations.1 } else { self.durations.0 };
-        let id = ServerId { term: state.term, id: state.term };
-        let mut server = LeaseServer::new(self.by_agent(state), id, duration, former * SECOND, SECOND);
+        let duration = SECOND
+            * if second {
+                self.durations.1
+            } else {
+                self.durations.0
+            };
+        let id = ServerId {
+            term: state.term,
+            id: state.term,
+        };
+        let mut server =
+            LeaseServer::new(self.by_agent(state), id, duration, former * SECOND, SECOND);
         server.set_limits(
             self.by_agent(state),
             BTreeMap::from([(LIMIT.to_string(), self.limit(state.lowered.is_some()))]),
@@ -167,8 +180,18 @@
 
     fn start(&self, state: &mut LeaseModelState, name: usize, demand: u64) {
         let mut holder = LeaseHolder::default();
-        holder.follow(self.by_start(state, state.starts.len()), [(LIMIT.to_string(), Safe::Nothing)]);
-        state.starts.push(Start { name, holder, reports: 0, replaced: false, open: Vec::new(), demand });
+        holder.follow(
+            self.by_start(state, state.starts.len()),
+            [(LIMIT.to_string(), Safe::Nothing)],
+        );
+        state.starts.push(Start {
+            name,
+            holder,
+            reports: 0,
+            replaced: false,
+            open: Vec::new(),
+            demand,
+        });
     }
 
     /// The sums of rate and burst over all valid leases.
@@ -176,10 +199,17 @@
         let of = |at: usize| {
             let now = self.by_start(state, at);
             let holder = &state.starts[at].holder;
-            let grant = holder.standings(now).next().filter(|(_, standing)| standing.leased);
-            grant.map_or((0, 0), |(_, standing)| (standing.may.rate, standing.may.burst))
+            let grant = holder
+                .standings(now)
+                .next()
+                .filter(|(_, standing)| standing.leased);
+            grant.map_or((0, 0), |(_, standing)| {
+                (standing.may.rate, standing.may.burst)
+            })
         };
-        (0..state.starts.len()).map(of).fold((0, 0), |all, one| (all.0 + one.0, all.1 + one.1))
+        (0..state.starts.len())
+            .map(of)
+            .fold((0, 0), |all, one| (all.0 + one.0, all.1 + one.1))
     }
 }
 
@@ -215,7 +245,11 @@
             let what = match packet {
                 Packet::Up(from, requests) => format!("report {} of {from}", requests.seq),
                 Packet::Down(to, grant) => {
-                    let amount = grant.of.first().map(|lease| lease.amount).unwrap_or_default();
+                    let amount = grant
+                        .of
+                        .first()
+                        .map(|lease| lease.amount)
+                        .unwrap_or_default();
                     let (term, number) = (grant.by.term, grant.number);
                     format!(
                         "word {number} of term {term} to {to} ({} a second, {} open)",
@@ -226,8 +260,10 @@
             steps.push(Step::Deliver(at, what));
         }
         for (at, start) in state.starts.iter().enumerate() {
-            let on_its_way =
-                state.packets.iter().any(|packet| matches!(packet, Packet::Up(from, _) if *from == at));
+            let on_its_way = state
+                .packets
+                .iter()
+                .any(|packet| matches!(packet, Packet::Up(from, _) if *from == at));
             if start.reports < self.reports && !start.replaced && (self.reorder || !on_its_way) {
                 steps.push(Step::Report(at));
             }
@@ -298,14 +334,16 @@
             }
             Step::ChangeDemand => {
                 next.demand_changes += 1;
-                next.starts.iter_mut().for_each(|start| start.demand = 100 - start.demand);
+                next.starts
+                    .iter_mut()
+                    .for_each(|start| start.demand = 100 - start.demand);
             }
             Step::Lower => {
                 next.lowered = Some(next.ticks);
                 let (now, limit) = (self.by_agent(&next), self.limit(true));
-                next.agent
-                    .iter_mut()
-                    .for_each(|a| a.set_limits(now, BTreeMap::from([(LIMIT.to_string(), limit.clone())])));
+                next.agent.iter_mut().for_each(|a| {
+                    a.set_limits(now, BTreeMap::from([(LIMIT.to_string(), limit.clone())]))
+                });
             }
         }
         next.packets.sort();
@@ -317,15 +355,40 @@
         let essences: Vec<u64> = (0..state.starts.len())
             .map(|at| {
                 let (now, start) = (self.by_start(state, at), &state.starts[at]);
-                let of =
-                    (start.holder.essence(now), start.reports, start.replaced, &start.open, start.demand);
+                let of = (
+                    start.holder.essence(now),
+                    start.reports,
+                    start.replaced,
+                    &start.open,
+                    start.demand,
+                );
                 FixedState::with_seed(1).hash_one(of)
             })
             .collect();
-        let LeaseModelState { ticks, agent, term, packets, demand_changes, lowered, level, .. } = state;
+        let LeaseModelState {
+            ticks,
+            agent,
+            term,
+            packets,
+            demand_changes,
+            lowered,
+            level,
+            ..
+        } = state;
         let now = self.by_agent(state);
-        let server = agent.as_ref().map(|agent| FixedState::with_seed(2).hash_one(agent.essence(now)));
-        let all = (essences, ticks, server, term, packets, demand_changes, lowered, level);
+        let server = agent
+            .as_ref()
+            .map(|agent| FixedState::with_seed(2).hash_one(agent.essence(now)));
+        let all = (
+            essences,
+            ticks,
+            server,
+            term,
+            packets,
+            demand_changes,
+            lowered,
+            level,
+        );
         let half = |seed| {
             let mut hasher = FixedState::with_seed(seed).build_hasher();
             all.hash(&mut hasher);
@@ -341,20 +404,40 @@
         // longest of them.
         let by_lease = self.durations.0.max(self.durations.1) + 1;
         let of = |all: u64, after: u64| {
-            if state.lowered.is_some_and(|since| now > since + after) { all / 2 } else { all }
+            if state.lowered.is_some_and(|since| now > since + after) {
+                all / 2
+            } else {
+                all
+            }
         };
         if rate > of(whole.0, by_lease) * ONE {
-            return Err(format!("rates: {rate} of {} thousandths", of(whole.0, by_lease) * ONE));
+            return Err(format!(
+                "rates: {rate} of {} thousandths",
+                of(whole.0, by_lease) * ONE
+            ));
         }
         if burst > of(whole.1, by_lease) * ONE {
-            return Err(format!("bursts: {burst} of {} thousandths", of(whole.1, by_lease) * ONE));
+            return Err(format!(
+                "bursts: {burst} of {} thousandths",
+                of(whole.1, by_lease) * ONE
+            ));
         }
-        let open = state.starts.iter().map(|start| start.open.len() as u64).sum::<u64>();
+        let open = state
+            .starts
+            .iter()
+            .map(|start| start.open.len() as u64)
+            .sum::<u64>();
         if open > of(whole.2, by_lease + self.longest) {
-            return Err(format!("open: {open} of {}", of(whole.2, by_lease + self.longest)));
+            return Err(format!(
+                "open: {open} of {}",
+                of(whole.2, by_lease + self.longest)
+            ));
         }
         if state.level > whole.1 * SECOND {
-            return Err(format!("windows: {} millionths over the burst", state.level - whole.1 * SECOND));
+            return Err(format!(
+                "windows: {} millionths over the burst",
+                state.level - whole.1 * SECOND
+            ));
         }
         Ok(())
     }
@@ -368,7 +451,9 @@
     /// Whether it was sent after the other one in the same direction.
     fn is_newer(&self, other: &Packet) -> bool {
         match (self, other) {
-            (Packet::Up(from, requests), Packet::Up(its, other)) => from == its && other.seq < requests.seq,
+            (Packet::Up(from, requests), Packet::Up(its, other)) => {
+                from == its && other.seq < requests.seq
+            }
             (Packet::Down(to, grant), Packet::Down(its, other)) => {
                 to == its && (other.by, other.number) < (grant.by, grant.number)
             }
@@ -383,7 +468,11 @@
             Packet::Up(..) => self.late.0,
             Packet::Down(..) => self.late.1,
         };
-        if late { state.packets.push(packet) } else { self.deliver(state, packet) }
+        if late {
+            state.packets.push(packet)
+        } else {
+            self.deliver(state, packet)
+        }
     }
 
     fn deliver(&self, next: &mut LeaseModelState, packet: Packet) {
@@ -391,8 +480,10 @@
             Packet::Up(from, requests) => {
                 let name = next.starts[from].name.to_string();
                 let now = self.by_agent(next);
-                let grant =
-                    next.agent.as_mut().and_then(|a| a.handle_report(now, &name, "", from as u64, &requests));
+                let grant = next
+                    .agent
+                    .as_mut()
+                    .and_then(|a| a.handle_report(now, &name, "", from as u64, &requests));
                 if let Some(grant) = grant {
                     self.send(next, Packet::Down(from, grant));
                 }
@@ -415,7 +506,8 @@
         let mut requests = start.holder.ask(now);
         // The demand is that of the model, not the measured one.
         for request in &mut requests.of {
-            (request.wanted, request.wanted_open, request.used) = (start.demand * ONE, start.demand, 0);
+            (request.wanted, request.wanted_open, request.used) =
+                (start.demand * ONE, start.demand, 0);
         }
         self.send(state, Packet::Up(at, requests));
     }
@@ -446,11 +538,25 @@
         admits: false,
     };
     let late = (true, false);
-    let few = LeaseModel { reports: 2, demand_changes: 0, ..base.clone() };
-    let three = LeaseModel { ticks: 3, reports: 3, ..few.clone() };
+    let few = LeaseModel {
+        reports: 2,
+        demand_changes: 0,
+        ..base.clone()
+    };
+    let three = LeaseModel {
+        ticks: 3,
+        reports: 3,
+        ..few.clone()
+    };
     vec![
-        LeaseModel { demand_changes: 1, ..few.clone() },
-        LeaseModel { name: "three reports each", ..three.clone() },
+        LeaseModel {
+            demand_changes: 1,
+            ..few.clone()
+        },
+        LeaseModel {
+            name: "three reports each",
+            ..three.clone()
+        },
         LeaseModel {
             name: "words that come behind newer ones",
             reorder: true,
@@ -459,7 +565,12 @@
             durations: (3, 3),
             ..few.clone()
         },
-        LeaseModel { name: "reports that are late or lost", late, reports: 3, ..few.clone() },
+        LeaseModel {
+            name: "reports that are late or lost",
+            late,
+            reports: 3,
+            ..few.clone()
+        },
         LeaseModel {
             name: "reports that come behind newer ones",
             late,
@@ -467,10 +578,27 @@
             admits: true,
             ..few.clone()
         },
-        LeaseModel { name: "both, of two reports each", late: (true, true), ticks: 2, ..few.clone() },
-        LeaseModel { name: "an agent 2% fast and an instance 2% slow", drift: (2, -2), ..few.clone() },
-        LeaseModel { name: "an agent 2% slow and an instance 2% fast", drift: (-2, 2), ..few.clone() },
-        LeaseModel { name: "an agent that is killed", kill: true, ..few.clone() },
+        LeaseModel {
+            name: "both, of two reports each",
+            late: (true, true),
+            ticks: 2,
+            ..few.clone()
+        },
+        LeaseModel {
+            name: "an agent 2% fast and an instance 2% slow",
+            drift: (2, -2),
+            ..few.clone()
+        },
+        LeaseModel {
+            name: "an agent 2% slow and an instance 2% fast",
+            drift: (-2, 2),
+            ..few.clone()
+        },
+        LeaseModel {
+            name: "an agent that is killed",
+            kill: true,
+            ..few.clone()
+        },
         LeaseModel {
             name: "the next agent with shorter leases",
             kill: true,
@@ -483,8 +611,18 @@
             ticks: 3,
             ..few.clone()
         },
-        LeaseModel { name: "a limit that is lowered", lower: true, whole: (4, 4, 4), ..few.clone() },
-        LeaseModel { name: "requests that are let in", admits: true, whole: (1, 2, 9), ..few.clone() },
+        LeaseModel {
+            name: "a limit that is lowered",
+            lower: true,
+            whole: (4, 4, 4),
+            ..few.clone()
+        },
+        LeaseModel {
+            name: "requests that are let in",
+            admits: true,
+            whole: (1, 2, 9),
+            ..few.clone()
+        },
         LeaseModel {
             name: "requests that stay open for long",
             admits: true,
--- a/crates/fleet/src/explore/mod.rs
+++ b/crates/fleet/src/explore/mod.rs
@@ -98,7 +98,10 @@
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "broken after {} states: {}", self.states, self.invariant)?;
-        self.trace.iter().enumerate().try_for_each(|(at, line)| writeln!(f, "{:>3}. {line}", at + 1))
+        self.trace
+            .iter()
+            .enumerate()
+            .try_for_each(|(at, line)| writeln!(f, "{:>3}. {line}", at + 1))
     }
 }
 
@@ -141,7 +144,9 @@
     let mut is_complete = true;
     while let Some((at, state)) = search.frontier.pop_front() {
         let depth = search.visited[at as usize].depth as usize;
-        if let Some(violation) = search.fair_violation.take_if(|violation| violation.trace.len() <= depth + 1)
+        if let Some(violation) = search
+            .fair_violation
+            .take_if(|violation| violation.trace.len() <= depth + 1)
         {
             return Err(violation);
         }
@@ -163,8 +168,19 @@
         return Err(violation);
     }
     let at_rest = search.come_to_rest()?;
-    let depth = search.visited.iter().map(|v| v.depth as usize).max().unwrap_or(0);
-    Ok(Explored { states: search.visited.len(), steps: search.steps, depth, at_rest, is_complete })
+    let depth = search
+        .visited
+        .iter()
+        .map(|v| v.depth as usize)
+        .max()
+        .unwrap_or(0);
+    Ok(Explored {
+        states: search.visited.len(),
+        steps: search.steps,
+        depth,
+        at_rest,
+        is_complete,
+    })
 }
 
 impl<M: Model> Search<'_, M> {
@@ -183,9 +199,17 @@
             return Err(self.violation(invariant, parent, taken));
         }
         let index = self.visited.len() as u32;
-        let depth = self.visited.get(parent as usize).map_or(0, |parent| parent.depth + 1);
+        let depth = self
+            .visited
+            .get(parent as usize)
+            .map_or(0, |parent| parent.depth + 1);
         self.indices.insert(hash, index);
-        self.visited.push(Visited { parent, step, depth, fair: UNKNOWN });
+        self.visited.push(Visited {
+            parent,
+            step,
+            depth,
+            fair: UNKNOWN,
+        });
         self.frontier.push_back((index, state));
         Ok(index)
     }
@@ -208,13 +232,18 @@
             if let Some(invariant) = self.model.check(&next).err().or(circle) {
                 let mut violation = self.violation(invariant, at, None);
                 violation.trace.append(&mut lines);
-                let former = self.fair_violation.as_ref().map(|former| former.trace.len());
+                let former = self
+                    .fair_violation
+                    .as_ref()
+                    .map(|former| former.trace.len());
                 if former.is_none_or(|former| former > violation.trace.len()) {
                     self.fair_violation = Some(violation);
                 }
                 return at;
             }
-            let Some(step) = self.model.fair(&next) else { return at };
+            let Some(step) = self.model.fair(&next) else {
+                return at;
+            };
             lines.push(step.to_string());
             next = self.model.apply(&next, &step);
         }
@@ -245,7 +274,9 @@
             }
             path.into_iter().for_each(|at| sound[at] = true);
         }
-        Ok((0..count).filter(|at| self.visited[*at].fair as usize == *at).count())
+        Ok((0..count)
+            .filter(|at| self.visited[*at].fair as usize == *at)
+            .count())
     }
 
     fn violation(&self, invariant: String, parent: u32, taken: Option<&M::Step>) -> Box<Violation> {
@@ -258,7 +289,11 @@
     fn violation_at(&self, invariant: String, index: u32) -> Box<Violation> {
         let mut path = Vec::new();
         let mut at = index;
-        while let Some(visited) = self.visited.get(at as usize).filter(|v| v.parent != UNKNOWN) {
+        while let Some(visited) = self
+            .visited
+            .get(at as usize)
+            .filter(|v| v.parent != UNKNOWN)
+        {
             path.push(visited.step);
             at = visited.parent;
         }
@@ -266,10 +301,16 @@
         let mut trace = Vec::new();
         for number in path.into_iter().rev() {
             let steps = self.model.steps(&state);
-            let Some(step) = steps.get(number as usize) else { break };
+            let Some(step) = steps.get(number as usize) else {
+                break;
+            };
             trace.push(step.to_string());
             state = self.model.apply(&state, step);
         }
-        Box::new(Violation { invariant, trace, states: self.visited.len() })
+        Box::new(Violation {
+            invariant,
+            trace,
+            states: self.visited.len(),
+        })
     }
 }
--- a/crates/fleet/src/explore/relay_model/mod.rs
+++ b/crates/fleet/src/explore/relay_model/mod.rs
@@ -67,7 +67,12 @@
 
 /// The models that are explored in each test run.
 pub fn relay_models() -> Vec<RelayModel> {
-    let usual = || RelayModel { instances: vec![0], relays: 1, pushes: true, ..RelayModel::default() };
+    let usual = || RelayModel {
+        instances: vec![0],
+        relays: 1,
+        pushes: true,
+        ..RelayModel::default()
+    };
     vec![
         RelayModel {
             name: "the agent killed twice at any step, time passes",
@@ -95,7 +100,13 @@
             passes: 2,
             ..usual()
         },
-        RelayModel { name: "a relay killed at any step", relay_kills: 2, cuts: 1, passes: 2, ..usual() },
+        RelayModel {
+            name: "a relay killed at any step",
+            relay_kills: 2,
+            cuts: 1,
+            passes: 2,
+            ..usual()
+        },
         RelayModel {
             name: "an instance that moves in the middle of a change, late messages",
             relays: 2,
@@ -117,7 +128,12 @@
 
 /// Larger models, which take minutes.
 pub fn larger_relay_models() -> Vec<RelayModel> {
-    let usual = || RelayModel { instances: vec![0, 1], relays: 2, pushes: true, ..RelayModel::default() };
+    let usual = || RelayModel {
+        instances: vec![0, 1],
+        relays: 2,
+        pushes: true,
+        ..RelayModel::default()
+    };
     vec![
         RelayModel {
             name: "two relays, the agent killed, its records lost, a cut",
@@ -175,7 +191,11 @@
             Ok(restored) => restored,
             Err(problem) => panic!("an empty disk makes sense: {problem}"),
         };
-        let mut agent = AgentNode { fleet, disk: BTreeMap::new(), routes: BTreeMap::new() };
+        let mut agent = AgentNode {
+            fleet,
+            disk: BTreeMap::new(),
+            routes: BTreeMap::new(),
+        };
         agent.save(out.saves);
         let mut state = RelayModelState {
             agents: vec![agent],
@@ -212,9 +232,15 @@
         steps.extend((0..state.late.len()).map(Step::DeliverLate));
         for (at, instance) in state.instances.iter().enumerate() {
             if remaining.moves > 0 && state.relays.len() > 1 {
-                steps.push(Step::Move { instance: at, leaves_request: false });
+                steps.push(Step::Move {
+                    instance: at,
+                    leaves_request: false,
+                });
                 if remaining.late > 0 && instance.request.is_some() {
-                    steps.push(Step::Move { instance: at, leaves_request: true });
+                    steps.push(Step::Move {
+                        instance: at,
+                        leaves_request: true,
+                    });
                 }
             }
         }
@@ -222,9 +248,15 @@
         for (at, relay) in state.relays.iter().enumerate() {
             match relay.agent {
                 None => {
-                    steps.push(Step::Connect { relay: at, agent: newest });
+                    steps.push(Step::Connect {
+                        relay: at,
+                        agent: newest,
+                    });
                     if newest > 0 && remaining.stale_connections > 0 {
-                        steps.push(Step::Connect { relay: at, agent: 0 });
+                        steps.push(Step::Connect {
+                            relay: at,
+                            agent: 0,
+                        });
                     }
                 }
                 Some(_) if remaining.cuts > 0 => steps.push(Step::Cut(at)),
@@ -285,11 +317,17 @@
         }
         let newest = state.agents.len() - 1;
         // An agent that was replaced is ended some time.
-        let lost = state.relays.iter().position(|relay| relay.agent.is_some_and(|agent| agent < newest));
+        let lost = state
+            .relays
+            .iter()
+            .position(|relay| relay.agent.is_some_and(|agent| agent < newest));
         if let Some(relay) = lost {
             return Some(Step::Cut(relay));
         }
         let apart = state.relays.iter().position(|relay| relay.agent.is_none());
-        Some(apart.map_or(Step::Pass, |relay| Step::Connect { relay, agent: newest }))
+        Some(apart.map_or(Step::Pass, |relay| Step::Connect {
+            relay,
+            agent: newest,
+        }))
     }
 }
--- a/crates/fleet/src/explore/relay_model/rules.rs
+++ b/crates/fleet/src/explore/relay_model/rules.rs
@@ -16,7 +16,10 @@
 
 /// The settings of the change.
 fn changed() -> BTreeMap<Key, Value> {
-    edits().into_iter().filter_map(|(key, value)| Some((key, value?))).collect()
+    edits()
+        .into_iter()
+        .filter_map(|(key, value)| Some((key, value?)))
+        .collect()
 }
 
 /// Checks the invariants of every state.
@@ -29,17 +32,27 @@
     for instance in &state.instances {
         let name = instance.name();
         if instance.effective != instance.machine.overlay().0 {
-            return Err(format!("whole: {name} says that it has what is not in effect"));
+            return Err(format!(
+                "whole: {name} says that it has what is not in effect"
+            ));
         }
         if !instance.effective.is_empty() && instance.effective != changed {
             return Err(format!("whole: {name} has half of the change"));
         }
-        let Some((line, outcome)) = fleet.line(name).and_then(|line| Some((line, line.answer.as_ref()?)))
+        let Some((line, outcome)) = fleet
+            .line(name)
+            .and_then(|line| Some((line, line.answer.as_ref()?)))
         else {
             continue;
         };
-        let stamp = Stamp { term: fleet.term(), number: line.number };
-        let answer = instance.machine.answer().filter(|answer| answer.stamp == stamp);
+        let stamp = Stamp {
+            term: fleet.term(),
+            number: line.number,
+        };
+        let answer = instance
+            .machine
+            .answer()
+            .filter(|answer| answer.stamp == stamp);
         if answer.is_none_or(|answer| answer.outcome != *outcome) {
             return Err(format!(
                 "true: {outcome:?} of {name} is recorded for {stamp:?}, which it never carried out"
@@ -65,7 +78,8 @@
     }
     for instance in &state.instances {
         let member = fleet.membership().get(instance.name())?;
-        let is_alive = member.presence == Presence::Alive && member.start == instance.machine.who().start;
+        let is_alive =
+            member.presence == Presence::Alive && member.start == instance.machine.who().start;
         let line = fleet.line(instance.name())?;
         let agrees = line.holding.overlay == instance.machine.holding().overlay;
         if !is_alive
@@ -81,14 +95,27 @@
 
 fn check_rest(state: &RelayModelState, fleet: &Fleet) -> Result<(), String> {
     let is_in_effect = !fleet.layers().0.is_empty();
-    let wanted = if is_in_effect { changed() } else { BTreeMap::new() };
+    let wanted = if is_in_effect {
+        changed()
+    } else {
+        BTreeMap::new()
+    };
     for instance in &state.instances {
         if instance.effective != wanted {
-            return Err(format!("rest: {} has {:?}", instance.name(), instance.effective));
+            return Err(format!(
+                "rest: {} has {:?}",
+                instance.name(),
+                instance.effective
+            ));
         }
-        let refused = fleet.line(instance.name()).and_then(|line| line.answer.clone());
+        let refused = fleet
+            .line(instance.name())
+            .and_then(|line| line.answer.clone());
         if matches!(refused, Some(Outcome::Refused(_))) {
-            return Err(format!("rest: {} is recorded as having refused", instance.name()));
+            return Err(format!(
+                "rest: {} is recorded as having refused",
+                instance.name()
+            ));
         }
     }
     Ok(())
--- a/crates/fleet/src/explore/relay_model/state.rs
+++ b/crates/fleet/src/explore/relay_model/state.rs
@@ -45,14 +45,28 @@
             lease: 3 * UNIT,
             answer_timeout: UNIT / 5,
             max_children: 8,
-            pace: Pace { rate: u32::MAX, burst: u32::MAX, horizon: UNIT },
+            pace: Pace {
+                rate: u32::MAX,
+                burst: u32::MAX,
+                horizon: UNIT,
+            },
         };
         let (agent, answer, lines) = Default::default();
-        RelayNode { relay: Relay::new(rules), agent, answer, lines }
+        RelayNode {
+            relay: Relay::new(rules),
+            agent,
+            answer,
+            lines,
+        }
     }
 
     pub(super) fn explored_hash(&self) -> u64 {
-        hash_of((self.relay.explored_hash(), self.agent, &self.answer, &self.lines))
+        hash_of((
+            self.relay.explored_hash(),
+            self.agent,
+            &self.answer,
+            &self.lines,
+        ))
     }
 }
 
@@ -74,10 +88,25 @@
 
 impl InstanceNode {
     pub(super) fn new(number: usize, relay: usize) -> Self {
-        let who = Who { name: format!("i{number}"), start: number as u64 + 1, incarnation: 1 };
+        let who = Who {
+            name: format!("i{number}"),
+            start: number as u64 + 1,
+            incarnation: 1,
+        };
         let machine = Instance::new(0, who, Traits::default(), Memory::default()).max_unanswered(2);
-        let (request, is_asking, answer, pushes, in_progress, effective, obeyed) = Default::default();
-        InstanceNode { machine, relay, request, is_asking, answer, pushes, in_progress, effective, obeyed }
+        let (request, is_asking, answer, pushes, in_progress, effective, obeyed) =
+            Default::default();
+        InstanceNode {
+            machine,
+            relay,
+            request,
+            is_asking,
+            answer,
+            pushes,
+            in_progress,
+            effective,
+            obeyed,
+        }
     }
 
     pub(super) fn name(&self) -> &str {
@@ -211,7 +240,9 @@
             Step::DeliverLate(_) => f.write_str("a late message arrives"),
             Step::Connect { relay, agent } => write!(f, "relay {relay} connects to agent {agent}"),
             Step::Cut(at) => write!(f, "the connection of relay {at} is cut"),
-            Step::KillAgent { loses_state: true } => f.write_str("the agent is killed and loses its records"),
+            Step::KillAgent { loses_state: true } => {
+                f.write_str("the agent is killed and loses its records")
+            }
             Step::KillAgent { .. } => f.write_str("the agent is killed"),
             Step::KillRelay(at) => write!(f, "relay {at} is killed"),
             Step::Move { instance, .. } => write!(f, "i{instance} moves to the next relay"),
--- a/crates/fleet/src/explore/relay_model/transitions.rs
+++ b/crates/fleet/src/explore/relay_model/transitions.rs
@@ -59,16 +59,21 @@
             }
             Step::KillAgent { loses_state } => self.kill_agent(model, loses_state),
             Step::KillRelay(at) => self.kill_relay(at),
-            Step::Move { instance, leaves_request } => {
+            Step::Move {
+                instance,
+                leaves_request,
+            } => {
                 self.remaining.moves -= 1;
                 if leaves_request {
                     self.remaining.late -= 1;
                     let node = &mut self.instances[instance];
-                    self.late.extend(node.request.take().map(|message| (node.relay, message)));
+                    self.late
+                        .extend(node.request.take().map(|message| (node.relay, message)));
                 }
                 let next = (self.instances[instance].relay + 1) % self.relays.len();
                 let name = self.instances[instance].name().to_string();
-                self.late.retain(|(relay, message)| *relay != next || message.who().name != name);
+                self.late
+                    .retain(|(relay, message)| *relay != next || message.who().name != name);
                 self.instances[instance].relay = next;
                 self.lose_connection(instance);
             }
@@ -88,15 +93,21 @@
     /// What a relay has for its instances is in transit from now on.
     fn deliver(&mut self, relay: usize, output: RelayOutput) {
         for (request, messages) in output.answers {
-            let instance = usize::try_from(request).ok().and_then(|at| self.instances.get_mut(at));
+            let instance = usize::try_from(request)
+                .ok()
+                .and_then(|at| self.instances.get_mut(at));
             // The answer to a request over a connection that has ended is lost.
             if let Some(instance) = instance.filter(|instance| instance.relay == relay) {
                 instance.answer.get_or_insert_default().extend(messages);
             }
         }
         for Addressed { name, message } in output.pushes {
-            let to = self.instances.iter_mut().find(|instance| instance.name() == name);
-            if let Some(instance) = to.filter(|to| to.relay == relay && to.pushes.len() < MAX_LINES) {
+            let to = self
+                .instances
+                .iter_mut()
+                .find(|instance| instance.name() == name);
+            if let Some(instance) = to.filter(|to| to.relay == relay && to.pushes.len() < MAX_LINES)
+            {
                 instance.pushes.push(message);
             }
         }
@@ -106,7 +117,9 @@
         let was_in = self.instances[at].machine.session() == Session::In;
         self.instance(at, Event::Message(message));
         if was_in && self.instances[at].machine.session() != Session::In {
-            self.violation = Some(format!("quiet: i{at} leaves its session because of {message:?}"));
+            self.violation = Some(format!(
+                "quiet: i{at} leaves its session because of {message:?}"
+            ));
         }
     }
 
@@ -125,7 +138,9 @@
 
     fn carry_out(&mut self, at: usize) {
         let instance = &mut self.instances[at];
-        let Some(order) = instance.in_progress.take() else { return };
+        let Some(order) = instance.in_progress.take() else {
+            return;
+        };
         if order.stamp < instance.obeyed {
             let (stamp, obeyed) = (order.stamp, instance.obeyed);
             self.violation = Some(format!("fenced: i{at} obeys {stamp:?} after {obeyed:?}"));
@@ -138,7 +153,9 @@
     fn agent_receives(&mut self, relay: usize) {
         let node = &mut self.relays[relay];
         let Some(at) = node.agent else { return };
-        let Some(batch) = node.relay.take_batch() else { return };
+        let Some(batch) = node.relay.take_batch() else {
+            return;
+        };
         let agent = &mut self.agents[at];
         let out = agent.fleet.receive_batch(now(), &batch.messages, 0);
         agent.save(out.saves);
@@ -153,7 +170,9 @@
     /// Sends messages of an agent over the watches of relays.
     fn send(&mut self, agent: usize, sends: Vec<(String, ToInstance)>) {
         for (name, message) in sends {
-            let Some(relay) = self.agents[agent].routes.get(&name) else { continue };
+            let Some(relay) = self.agents[agent].routes.get(&name) else {
+                continue;
+            };
             let relay = &mut self.relays[*relay];
             if relay.agent == Some(agent) && relay.lines.len() < MAX_LINES {
                 relay.lines.push(Addressed { name, message });
@@ -192,13 +211,20 @@
         self.remaining.agent_kills -= 1;
         let newest = self.agents.len() - 1;
         let former = self.agents[newest].clone();
-        let (records, above) =
-            if loses_state { (BTreeMap::new(), former.fleet.term()) } else { (former.disk.clone(), 0) };
+        let (records, above) = if loses_state {
+            (BTreeMap::new(), former.fleet.term())
+        } else {
+            (former.disk.clone(), 0)
+        };
         let (fleet, out) = match Fleet::restore(fleet_rules(), now(), above, records.clone()) {
             Ok(restored) => restored,
             Err(problem) => return self.violation = Some(format!("lasting: {problem}")),
         };
-        let mut agent = AgentNode { fleet, disk: records, routes: BTreeMap::new() };
+        let mut agent = AgentNode {
+            fleet,
+            disk: records,
+            routes: BTreeMap::new(),
+        };
         agent.save(out.saves);
         if model.stale_agent {
             self.agents.push(agent);
@@ -240,9 +266,15 @@
     /// Time passes until the next deadline, for all alike.
     fn pass(&mut self) {
         let newest = self.agents.len() - 1;
-        let instances = self.instances.iter().map(|instance| instance.machine.next());
+        let instances = self
+            .instances
+            .iter()
+            .map(|instance| instance.machine.next());
         let relays = self.relays.iter().filter_map(|node| node.relay.next());
-        let next = instances.chain(relays).chain(self.agents[newest].fleet.next(0)).min();
+        let next = instances
+            .chain(relays)
+            .chain(self.agents[newest].fleet.next(0))
+            .min();
         let Some(by) = next else { return };
         for at in 0..self.instances.len() {
             let is_due = self.instances[at].machine.next() <= by;
--- a/crates/fleet/src/explore/relay_tests.rs
+++ b/crates/fleet/src/explore/relay_tests.rs
@@ -13,8 +13,16 @@
         match explore(&model, MAX_STATES) {
             Ok(explored) => {
                 println!("{}: {explored:?} in {:?}", model.name, begin.elapsed());
-                assert!(explored.is_complete, "{}: more than {MAX_STATES} states", model.name);
-                assert!(explored.at_rest > 0 && explored.states > 500, "{}: {explored:?}", model.name);
+                assert!(
+                    explored.is_complete,
+                    "{}: more than {MAX_STATES} states",
+                    model.name
+                );
+                assert!(
+                    explored.at_rest > 0 && explored.states > 500,
+                    "{}: {explored:?}",
+                    model.name
+                );
             }
             Err(violation) => panic!("{}: {violation}", model.name),
         }
@@ -36,13 +44,19 @@
 #[test]
 fn a_relay_that_does_not_register_its_children_anew_is_found() {
     let invariant = broken_by(InjectedBug::RelayForgetsToRegister);
-    assert!(invariant.starts_with("a fair continuation never comes to rest"), "{invariant}");
+    assert!(
+        invariant.starts_with("a fair continuation never comes to rest"),
+        "{invariant}"
+    );
 }
 
 #[test]
 fn a_relay_that_obeys_an_agent_of_a_former_term_is_found() {
     let invariant = broken_by(InjectedBug::RelayObeysFormerTerms);
-    assert!(invariant.starts_with("quiet: ") || invariant.starts_with("fenced: "), "{invariant}");
+    assert!(
+        invariant.starts_with("quiet: ") || invariant.starts_with("fenced: "),
+        "{invariant}"
+    );
 }
 
 #[test]
--- a/crates/fleet/src/explore/rollout_model/bounds.rs
+++ b/crates/fleet/src/explore/rollout_model/bounds.rs
@@ -83,8 +83,17 @@
 
 pub(in crate::explore) fn rules() -> Rules {
     Rules {
-        leases: Leases { lease: 2 * UNIT, grace: UNIT, memory: 1_000 * UNIT, most: 8 },
-        pace: Pace { rate: u32::MAX, burst: u32::MAX, horizon: UNIT },
+        leases: Leases {
+            lease: 2 * UNIT,
+            grace: UNIT,
+            memory: 1_000 * UNIT,
+            most: 8,
+        },
+        pace: Pace {
+            rate: u32::MAX,
+            burst: u32::MAX,
+            horizon: UNIT,
+        },
         every: UNIT,
     }
 }
@@ -97,7 +106,11 @@
     // Two settings, so that a partly applied change can be detected. One of them is set by both changes.
     let weight = Value::Weight(100 * (change as u32 + 1));
     let other = Key::Drain(format!("d{change}"));
-    [(Key::Weight("w".into()), Some(weight)), (other, Some(Value::Drained(true)))].into()
+    [
+        (Key::Weight("w".into()), Some(weight)),
+        (other, Some(Value::Drained(true))),
+    ]
+    .into()
 }
 
 impl RolloutModel {
@@ -136,12 +149,31 @@
         possible
     }
 
-    pub(super) fn process(&self, name: usize, start: u64, incarnation: u64, memory: Memory) -> Process {
-        let who = Who { name: format!("i{name}"), start, incarnation };
+    pub(super) fn process(
+        &self,
+        name: usize,
+        start: u64,
+        incarnation: u64,
+        memory: Memory,
+    ) -> Process {
+        let who = Who {
+            name: format!("i{name}"),
+            start,
+            incarnation,
+        };
         let effective = memory.overlay.0.clone();
         let machine = Instance::new(0, who, Traits::default(), memory.clone()).max_unanswered(1);
         let (in_progress, last, obeyed, obeyed_term) = Default::default();
-        Process { name, machine, effective, in_progress, memory, last, obeyed, obeyed_term }
+        Process {
+            name,
+            machine,
+            effective,
+            in_progress,
+            memory,
+            last,
+            obeyed,
+            obeyed_term,
+        }
     }
 
     pub(super) fn names(&self) -> usize {
--- a/crates/fleet/src/explore/rollout_model/hashed.rs
+++ b/crates/fleet/src/explore/rollout_model/hashed.rs
@@ -14,7 +14,10 @@
 
 impl<T> Clone for Hashed<T> {
     fn clone(&self) -> Self {
-        Hashed { value: Arc::clone(&self.value), hash: self.hash }
+        Hashed {
+            value: Arc::clone(&self.value),
+            hash: self.hash,
+        }
     }
 }
 
@@ -28,6 +31,9 @@
         let mut nameless = value.clone();
         nameless.name = 0;
         nameless.machine.forget_name();
-        Hashed { hash: hash_of(&nameless), value: Arc::new(value) }
+        Hashed {
+            hash: hash_of(&nameless),
+            value: Arc::new(value),
+        }
     }
 }
--- a/crates/fleet/src/explore/rollout_model/invariants.rs
+++ b/crates/fleet/src/explore/rollout_model/invariants.rs
@@ -25,9 +25,14 @@
             let who = process.machine.who();
             let start = who.start;
             if process.effective != process.machine.overlay().0 {
-                return Err(format!("whole: start {start} says that it has what is not in effect"));
+                return Err(format!(
+                    "whole: start {start} says that it has what is not in effect"
+                ));
             }
-            if !possible.iter().any(|overlay| overlay.0 == process.effective) {
+            if !possible
+                .iter()
+                .any(|overlay| overlay.0 == process.effective)
+            {
                 return Err(format!("whole: start {start} has half of a change"));
             }
             let revision = process.machine.overlay().0.len() as u64;
@@ -43,7 +48,12 @@
                     && other.machine.who().incarnation == who.incarnation
             };
             if in_session(process)
-                && state.processes.iter().filter(|other| in_session(&other.value)).count() > 1
+                && state
+                    .processes
+                    .iter()
+                    .filter(|other| in_session(&other.value))
+                    .count()
+                    > 1
             {
                 return Err(format!(
                     "one name: two processes are {} under incarnation {}",
@@ -53,24 +63,47 @@
             self.check_record(fleet, process)?;
         }
         if let Some(rollout) = fleet.rollout() {
-            let sent = rollout.targets.values().filter(|target| target.step == TargetStep::Sent).count();
+            let sent = rollout
+                .targets
+                .values()
+                .filter(|target| target.step == TargetStep::Sent)
+                .count();
             if sent > self.at_once as usize {
                 return Err(format!("waves: {sent} instances are under way at once"));
             }
-            let through = |wave: u32| rollout.targets.values().all(|t| t.wave > wave || t.step.is_final());
+            let through = |wave: u32| {
+                rollout
+                    .targets
+                    .values()
+                    .all(|t| t.wave > wave || t.step.is_final())
+            };
             let begun = |t: &crate::rollout::Target| {
-                !matches!(t.step, TargetStep::Pending | TargetStep::Failed(Reason::NotReached))
+                !matches!(
+                    t.step,
+                    TargetStep::Pending | TargetStep::Failed(Reason::NotReached)
+                )
             };
-            if rollout.targets.values().any(|t| t.wave > 0 && begun(t) && !through(t.wave - 1)) {
+            if rollout
+                .targets
+                .values()
+                .any(|t| t.wave > 0 && begun(t) && !through(t.wave - 1))
+            {
                 return Err("waves: a wave has begun before the one before it was through".into());
             }
         }
         for (change, revision) in &state.accepted {
             let id = format!("c{change}");
-            let under_way = fleet.rollout().map(|rollout| (&rollout.change.id, rollout.revision));
-            let mut known = fleet.history().map(|entry| (&entry.change.id, entry.revision)).chain(under_way);
+            let under_way = fleet
+                .rollout()
+                .map(|rollout| (&rollout.change.id, rollout.revision));
+            let mut known = fleet
+                .history()
+                .map(|entry| (&entry.change.id, entry.revision))
+                .chain(under_way);
             if !known.any(|known| known == (&id, *revision)) {
-                return Err(format!("lasting: {id} was accepted as revision {revision} and is not known"));
+                return Err(format!(
+                    "lasting: {id} was accepted as revision {revision} and is not known"
+                ));
             }
         }
         Ok(())
@@ -79,13 +112,23 @@
     /// Checks that the agent's record of an answer agrees with the instance.
     fn check_record(&self, fleet: &Fleet, process: &Process) -> Result<(), String> {
         let who = process.machine.who();
-        let holder = fleet.membership().get(&who.name).filter(|member| member.start == who.start);
+        let holder = fleet
+            .membership()
+            .get(&who.name)
+            .filter(|member| member.start == who.start);
         let line = fleet.line(&who.name).filter(|_| holder.is_some());
-        let Some((line, outcome)) = line.and_then(|line| Some((line, line.answer.as_ref()?))) else {
+        let Some((line, outcome)) = line.and_then(|line| Some((line, line.answer.as_ref()?)))
+        else {
             return Ok(());
         };
-        let stamp = Stamp { term: fleet.term(), number: line.number };
-        let said = process.machine.answer().filter(|answer| answer.stamp == stamp);
+        let stamp = Stamp {
+            term: fleet.term(),
+            number: line.number,
+        };
+        let said = process
+            .machine
+            .answer()
+            .filter(|answer| answer.stamp == stamp);
         let Some(said) = said else {
             let has = process.machine.stamp();
             return Err(format!(
@@ -93,7 +136,8 @@
                 who.name
             ));
         };
-        let held = *outcome != Outcome::Applied || process.machine.holding().overlay == said.overlay;
+        let held =
+            *outcome != Outcome::Applied || process.machine.holding().overlay == said.overlay;
         if said.outcome != *outcome || !held {
             return Err(format!(
                 "true: the agent has recorded {outcome:?} of {}, which made otherwise of it",
@@ -111,7 +155,10 @@
         }
         for process in state.processes.iter().map(|process| &process.value) {
             let who = process.machine.who();
-            let member = fleet.membership().get(&who.name).filter(|m| m.presence == Presence::Alive)?;
+            let member = fleet
+                .membership()
+                .get(&who.name)
+                .filter(|m| m.presence == Presence::Alive)?;
             if process.in_progress.is_some() {
                 return None;
             }
@@ -138,24 +185,45 @@
     fn check_rest(&self, state: &ModelState, fleet: &Fleet) -> Result<(), String> {
         for entry in fleet.history() {
             let targets = fleet.results(entry.revision).cloned().unwrap_or_default();
-            if let Some((name, target)) = targets.iter().find(|(_, target)| !target.step.is_final()) {
-                return Err(format!("rest: {} has ended, {name} is {}", entry.change.id, target.step));
+            if let Some((name, target)) = targets.iter().find(|(_, target)| !target.step.is_final())
+            {
+                return Err(format!(
+                    "rest: {} has ended, {name} is {}",
+                    entry.change.id, target.step
+                ));
             }
         }
-        let Some(last) = fleet.history().last() else { return Ok(()) };
-        let What::Set(edits) = &last.change.what else { return Ok(()) };
+        let Some(last) = fleet.history().last() else {
+            return Ok(());
+        };
+        let What::Set(edits) = &last.change.what else {
+            return Ok(());
+        };
         let targets = fleet.results(last.revision).cloned().unwrap_or_default();
         for process in state.processes.iter().map(|process| &process.value) {
             let who = process.machine.who();
-            let has = edits.iter().all(|(key, value)| process.effective.get(key) == value.as_ref());
-            let holder = fleet.membership().get(&who.name).is_some_and(|member| member.start == who.start);
-            let Some(target) = targets.get(&who.name).filter(|_| holder) else { continue };
-            let refused =
-                matches!(fleet.line(&who.name).and_then(|l| l.answer.as_ref()), Some(Outcome::Refused(_)));
+            let has = edits
+                .iter()
+                .all(|(key, value)| process.effective.get(key) == value.as_ref());
+            let holder = fleet
+                .membership()
+                .get(&who.name)
+                .is_some_and(|member| member.start == who.start);
+            let Some(target) = targets.get(&who.name).filter(|_| holder) else {
+                continue;
+            };
+            let refused = matches!(
+                fleet.line(&who.name).and_then(|l| l.answer.as_ref()),
+                Some(Outcome::Refused(_))
+            );
             if last.end == End::TakenBack && has {
-                return Err(format!("rest: {} was taken back and {} still has it", last.change.id, who.name));
+                return Err(format!(
+                    "rest: {} was taken back and {} still has it",
+                    last.change.id, who.name
+                ));
             }
-            if last.end != End::TakenBack && target.step == TargetStep::Applied && !has && !refused {
+            if last.end != End::TakenBack && target.step == TargetStep::Applied && !has && !refused
+            {
                 return Err(format!(
                     "rest: {} is recorded as applied and {} does not have it",
                     last.change.id, who.name
--- a/crates/fleet/src/explore/rollout_model/mod.rs
+++ b/crates/fleet/src/explore/rollout_model/mod.rs
@@ -106,14 +106,21 @@
     fn steps(&self, state: &ModelState) -> Vec<Step> {
         let mut steps = Vec::new();
         let newest = state.agents.len() - 1;
-        let coming = state.net.iter().map(|(from, (packet, _))| (packet, Some(*from)));
+        let coming = state
+            .net
+            .iter()
+            .map(|(from, (packet, _))| (packet, Some(*from)));
         for (packet, from) in coming.chain(state.late.keys().map(|packet| (packet, None))) {
             let shown = || Box::new(PacketShown(packet.clone()));
             let agents = match packet {
                 Packet::Up { .. } => 0..state.agents.len(),
                 Packet::Down { .. } => 0..1,
             };
-            steps.extend(agents.map(|agent| Step::Deliver { packet: shown(), agent, from }));
+            steps.extend(agents.map(|agent| Step::Deliver {
+                packet: shown(),
+                agent,
+                from,
+            }));
             if state.remaining.late > 0 && from.is_some() && !state.late.contains_key(packet) {
                 steps.push(Step::Keep(shown()));
             }
@@ -127,12 +134,25 @@
                 steps.push(Step::InstanceTick(at));
             }
             if state.remaining.kills > 0 {
-                steps.push(Step::Kill { process: at, keeps: true, backwards: false });
-                steps.push(Step::Kill { process: at, keeps: false, backwards: true });
+                steps.push(Step::Kill {
+                    process: at,
+                    keeps: true,
+                    backwards: false,
+                });
+                steps.push(Step::Kill {
+                    process: at,
+                    keeps: false,
+                    backwards: true,
+                });
             }
         }
         if state.remaining.agent_ticks > 0 {
-            let ticks = |agent: &usize| state.agents[*agent].fleet.next(0).is_some_and(|at| at < 100 * UNIT);
+            let ticks = |agent: &usize| {
+                state.agents[*agent]
+                    .fleet
+                    .next(0)
+                    .is_some_and(|at| at < 100 * UNIT)
+            };
             steps.extend((0..=newest).filter(ticks).map(Step::AgentTick));
         }
         if state.remaining.agent_kills > 0 {
@@ -164,7 +184,11 @@
     fn apply(&self, state: &ModelState, step: &Step) -> ModelState {
         let mut state = state.clone();
         match step {
-            Step::Deliver { packet, agent, from } => {
+            Step::Deliver {
+                packet,
+                agent,
+                from,
+            } => {
                 match from {
                     Some(from) => drop(state.net.remove(from)),
                     None => drop(state.late.remove(&packet.0)),
@@ -173,7 +197,9 @@
             }
             Step::Keep(packet) => {
                 state.remaining.late -= 1;
-                state.late.insert(packet.0.clone(), packet.0.hash_without_name());
+                state
+                    .late
+                    .insert(packet.0.clone(), packet.0.hash_without_name());
             }
             Step::AgentTick(agent) => {
                 state.remaining.agent_ticks -= 1;
@@ -182,7 +208,8 @@
                 }
             }
             Step::InstanceTick(at) => {
-                state.remaining.disconnects -= u8::from(state.processes[*at].value.machine.ends_session());
+                state.remaining.disconnects -=
+                    u8::from(state.processes[*at].value.machine.ends_session());
                 self.instance_tick(&mut state, *at);
             }
             Step::Take(at) => self.apply_order(&mut state, *at),
@@ -196,7 +223,11 @@
                 self.push(&mut state, *change, base, false);
                 self.kill_agent(&mut state);
             }
-            Step::Kill { process, keeps, backwards } => {
+            Step::Kill {
+                process,
+                keeps,
+                backwards,
+            } => {
                 state.remaining.kills -= 1;
                 self.kill(&mut state, *process, *keeps, *backwards);
             }
@@ -222,8 +253,13 @@
             Step::Pass => {
                 let fleet = &self.fleet(&state);
                 let agent = state.agents.len() - 1;
-                let timers = state.processes.iter().map(|process| process.value.machine.next());
-                let Some(by) = timers.chain(fleet.next(0)).min() else { return state };
+                let timers = state
+                    .processes
+                    .iter()
+                    .map(|process| process.value.machine.next());
+                let Some(by) = timers.chain(fleet.next(0)).min() else {
+                    return state;
+                };
                 for at in 0..state.processes.len() {
                     let mut process = (*state.processes[at].value).clone();
                     let due = process.machine.next() <= by;
@@ -243,7 +279,11 @@
         // One part for each name, with the state of all its processes; symmetric parts are sorted.
         let mut names: Vec<u64> = (0..self.names())
             .map(|name| {
-                let agents: Vec<u64> = state.agents.iter().map(|agent| agent.by_name[name]).collect();
+                let agents: Vec<u64> = state
+                    .agents
+                    .iter()
+                    .map(|agent| agent.by_name[name])
+                    .collect();
                 let own = |at: &usize| state.processes[*at].value.name == name;
                 let processes: Vec<usize> = (0..state.processes.len()).filter(own).collect();
                 let each = |at: &usize| {
@@ -251,16 +291,32 @@
                     (state.processes[*at].hash, coming(false), coming(true))
                 };
                 let processes: Vec<_> = processes.iter().map(each).collect();
-                let late = state.late.iter().filter(|(packet, _)| packet.name() == name);
+                let late = state
+                    .late
+                    .iter()
+                    .filter(|(packet, _)| packet.name() == name);
                 let late: Vec<u64> = late.map(|(_, hash)| *hash).collect();
-                hash_of((agents, processes, late, state.starts[name], self.refuses.contains(&name)))
+                hash_of((
+                    agents,
+                    processes,
+                    late,
+                    state.starts[name],
+                    self.refuses.contains(&name),
+                ))
             })
             .collect();
         if self.symmetric {
             names.sort_unstable();
         }
         let common: Vec<u64> = state.agents.iter().map(|agent| agent.common).collect();
-        let whole = (common, names, state.remaining, &state.pushed, &state.accepted, &state.violation);
+        let whole = (
+            common,
+            names,
+            state.remaining,
+            &state.pushed,
+            &state.accepted,
+            &state.violation,
+        );
         let half = |seed: u64| FixedState::with_seed(seed).hash_one(&whole);
         u128::from(half(3)) << 64 | u128::from(half(4))
     }
@@ -274,15 +330,27 @@
         if self.rest(state).is_some() {
             return None;
         }
-        if let Some(at) = state.processes.iter().position(|process| process.value.in_progress.is_some()) {
+        if let Some(at) = state
+            .processes
+            .iter()
+            .position(|process| process.value.in_progress.is_some())
+        {
             return Some(Step::Take(at));
         }
         let agent = state.agents.len() - 1;
-        let coming = state.net.iter().map(|(from, (packet, _))| (packet, Some(*from)));
-        match coming.chain(state.late.keys().map(|packet| (packet, None))).next() {
-            Some((packet, from)) => {
-                Some(Step::Deliver { packet: Box::new(PacketShown(packet.clone())), agent, from })
-            }
+        let coming = state
+            .net
+            .iter()
+            .map(|(from, (packet, _))| (packet, Some(*from)));
+        match coming
+            .chain(state.late.keys().map(|packet| (packet, None)))
+            .next()
+        {
+            Some((packet, from)) => Some(Step::Deliver {
+                packet: Box::new(PacketShown(packet.clone())),
+                agent,
+                from,
+            }),
             None => Some(Step::Pass),
         }
     }
--- a/crates/fleet/src/explore/rollout_model/packet.rs
+++ b/crates/fleet/src/explore/rollout_model/packet.rs
@@ -19,11 +19,17 @@
 
     pub(super) fn hash_without_name(&self) -> u64 {
         match self.clone() {
-            Packet::Up { message: ToAgent::Register(mut registration), .. } => {
+            Packet::Up {
+                message: ToAgent::Register(mut registration),
+                ..
+            } => {
                 registration.who.name.clear();
                 hash_of(registration)
             }
-            Packet::Up { message: ToAgent::Report(mut report), .. } => {
+            Packet::Up {
+                message: ToAgent::Report(mut report),
+                ..
+            } => {
                 report.who.name.clear();
                 hash_of(report)
             }
@@ -43,16 +49,38 @@
             Outcome::Refused(problem) => format!("refused ({problem})"),
         };
         match &self.0 {
-            Packet::Up { message: ToAgent::Register(registration), .. } => {
-                let Who { name, start, incarnation } = &registration.who;
-                write!(f, "{name} (start {start}, incarnation {incarnation}) -> agent: I want to be known")
+            Packet::Up {
+                message: ToAgent::Register(registration),
+                ..
+            } => {
+                let Who {
+                    name,
+                    start,
+                    incarnation,
+                } = &registration.who;
+                write!(
+                    f,
+                    "{name} (start {start}, incarnation {incarnation}) -> agent: I want to be known"
+                )
             }
-            Packet::Up { message: ToAgent::Report(report), .. } => {
+            Packet::Up {
+                message: ToAgent::Report(report),
+                ..
+            } => {
                 let Who { name, start, .. } = &report.who;
-                write!(f, "{name} (start {start}) -> agent: I have revision {}", report.holding.revision)?;
+                write!(
+                    f,
+                    "{name} (start {start}) -> agent: I have revision {}",
+                    report.holding.revision
+                )?;
                 report.answer.as_ref().map_or(Ok(()), |a| {
                     let Stamp { term, number } = a.stamp;
-                    write!(f, ", {} order {term}.{number} (revision {})", outcome(&a.outcome), a.revision)
+                    write!(
+                        f,
+                        ", {} order {term}.{number} (revision {})",
+                        outcome(&a.outcome),
+                        a.revision
+                    )
                 })
             }
             Packet::Down { name, message } => {
@@ -67,7 +95,11 @@
                     }
                     ToInstance::Order(o) => {
                         let Stamp { term, number } = o.stamp;
-                        write!(f, "order {term}.{number} for start {}: have revision {}", o.start, o.revision)
+                        write!(
+                            f,
+                            "order {term}.{number} for start {}: have revision {}",
+                            o.start, o.revision
+                        )
                     }
                     other => write!(f, "{other:?}"),
                 }
--- a/crates/fleet/src/explore/rollout_model/shipped.rs
+++ b/crates/fleet/src/explore/rollout_model/shipped.rs
@@ -5,8 +5,16 @@
 
 /// The models that are explored in each test run.
 pub fn rollout_models() -> Vec<RolloutModel> {
-    let usual = || RolloutModel { disconnects: 0, ..RolloutModel::default() };
-    let all = || RolloutModel { waves: vec![], at_once: 3, agent_ticks: 0, ..usual() };
+    let usual = || RolloutModel {
+        disconnects: 0,
+        ..RolloutModel::default()
+    };
+    let all = || RolloutModel {
+        waves: vec![],
+        at_once: 3,
+        agent_ticks: 0,
+        ..usual()
+    };
     vec![
         RolloutModel {
             name: "one instance, both killed once",
@@ -16,9 +24,22 @@
             late: 1,
             ..usual()
         },
-        RolloutModel { name: "the agent killed at any step", agent_kills: 1, late: 1, ..usual() },
-        RolloutModel { name: "an instance killed at any step", kills: 1, ..usual() },
-        RolloutModel { name: "a connection cut at any step", disconnects: 1, ..usual() },
+        RolloutModel {
+            name: "the agent killed at any step",
+            agent_kills: 1,
+            late: 1,
+            ..usual()
+        },
+        RolloutModel {
+            name: "an instance killed at any step",
+            kills: 1,
+            ..usual()
+        },
+        RolloutModel {
+            name: "a connection cut at any step",
+            disconnects: 1,
+            ..usual()
+        },
         RolloutModel {
             name: "one instance refuses, taken back",
             refuses: vec![1],
--- a/crates/fleet/src/explore/rollout_model/state.rs
+++ b/crates/fleet/src/explore/rollout_model/state.rs
@@ -30,14 +30,23 @@
         names: usize,
     ) -> Self {
         let former = former.filter(|former| Arc::ptr_eq(&former.disk, &disk));
-        let lasting = former.map_or_else(|| Arc::new(lasting(&disk)), |former| Arc::clone(&former.lasting));
+        let lasting = former.map_or_else(
+            || Arc::new(lasting(&disk)),
+            |former| Arc::clone(&former.lasting),
+        );
         let (common, by_name) = fleet.parts();
         let of_name = |name: usize| {
             let name = format!("i{name}");
             hash_of((by_name.get(&name), lasting.1.get(&name)))
         };
         let by_name = (0..names).map(of_name).collect();
-        Agent { common: hash_of((common, lasting.0)), by_name, fleet: Arc::new(fleet), disk, lasting }
+        Agent {
+            common: hash_of((common, lasting.0)),
+            by_name,
+            fleet: Arc::new(fleet),
+            disk,
+            lasting,
+        }
     }
 }
 
@@ -52,9 +61,16 @@
                 *former = hash_of((*former, place, record));
             }
             // The parts that contain names of instances are in the agent's memory too, and are hashed there.
-            (Record::Settled(newest, layers), None) => common.push(hash_of((key, newest, layers.0.len()))),
+            (Record::Settled(newest, layers), None) => {
+                common.push(hash_of((key, newest, layers.0.len())))
+            }
             (Record::Rollout(rollout), None) => {
-                common.push(hash_of((key, rollout.revision, rollout.phase, rollout.back_revision)));
+                common.push(hash_of((
+                    key,
+                    rollout.revision,
+                    rollout.phase,
+                    rollout.back_revision,
+                )));
             }
             (record, None) => common.push(hash_of((key, record))),
         }
@@ -97,8 +113,14 @@
     /// Puts a message in transit. A message to a start that has ended is lost.
     pub(super) fn insert(&mut self, packet: Packet) {
         let start = match &packet {
-            Packet::Up { message: ToAgent::Register(registration), .. } => registration.who.start,
-            Packet::Up { message: ToAgent::Report(report), .. } => report.who.start,
+            Packet::Up {
+                message: ToAgent::Register(registration),
+                ..
+            } => registration.who.start,
+            Packet::Up {
+                message: ToAgent::Report(report),
+                ..
+            } => report.who.start,
             Packet::Down { message, .. } => message.start(),
         };
         let to = |process: &Hashed<Process>| {
@@ -106,7 +128,8 @@
         };
         if let Some(at) = self.processes.iter().position(to) {
             let hash = packet.hash_without_name();
-            self.net.insert((at, matches!(packet, Packet::Up { .. })), (packet, hash));
+            self.net
+                .insert((at, matches!(packet, Packet::Up { .. })), (packet, hash));
         }
     }
 }
--- a/crates/fleet/src/explore/rollout_model/transitions.rs
+++ b/crates/fleet/src/explore/rollout_model/transitions.rs
@@ -7,7 +7,9 @@
 use super::state::{Agent, ModelState};
 use crate::fleet::Record;
 use crate::protocol::{Outcome, Report, ToAgent, ToInstance, Who};
-use crate::{Action, By, Event, Fleet, InjectedBug, Memory, Micros, Output, Problem, Time, is_injected};
+use crate::{
+    Action, By, Event, Fleet, InjectedBug, Memory, Micros, Output, Problem, Time, is_injected,
+};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -30,7 +32,12 @@
 
     fn send_down(&self, state: &mut ModelState, sends: Vec<(String, ToInstance)>) {
         for (name, message) in sends {
-            let Some(name) = name.strip_prefix('i').and_then(|number| number.parse().ok()) else { continue };
+            let Some(name) = name
+                .strip_prefix('i')
+                .and_then(|number| number.parse().ok())
+            else {
+                continue;
+            };
             if let ToInstance::Renewed { .. } = message {
                 // It is lost only with the connection, so it is delivered at once.
                 self.deliver_to_instance(state, name, &message);
@@ -69,20 +76,29 @@
     /// Plays the embedder: checks the whole order and applies it in full, or refuses it.
     pub(super) fn apply_order(&self, state: &mut ModelState, at: usize) {
         let mut process = (*state.processes[at].value).clone();
-        let Some(order) = process.in_progress.take() else { return };
+        let Some(order) = process.in_progress.take() else {
+            return;
+        };
         let fingerprint = order.overlay.fingerprint();
         let this = Some((order.change.clone(), order.revision, fingerprint));
         let start = process.machine.who().start;
         if process.last == this {
-            state.violation = Some(format!("once: start {start} carries {} out twice", order.change));
+            state.violation = Some(format!(
+                "once: start {start} carries {} out twice",
+                order.change
+            ));
         }
         if order.stamp < process.obeyed {
-            state.violation =
-                Some(format!("fenced: start {start} obeys {:?} after {:?}", order.stamp, process.obeyed));
+            state.violation = Some(format!(
+                "fenced: start {start} obeys {:?} after {:?}",
+                order.stamp, process.obeyed
+            ));
         }
         if order.stamp.term < process.obeyed_term {
             let (term, after) = (order.stamp.term, process.obeyed_term);
-            state.violation = Some(format!("fenced: start {start} obeys term {term} after term {after}"));
+            state.violation = Some(format!(
+                "fenced: start {start} obeys term {term} after term {after}"
+            ));
         }
         (process.last, process.obeyed) = (this, order.stamp);
         process.obeyed_term = process.obeyed_term.max(order.stamp.term);
@@ -94,7 +110,10 @@
                 process.effective.insert(key.clone(), value.clone());
             }
             let problem = "is not known to this instance".into();
-            Outcome::Refused(Problem { field: "set.weight/w".into(), problem })
+            Outcome::Refused(Problem {
+                field: "set.weight/w".into(),
+                problem,
+            })
         } else {
             process.effective = order.overlay.0.clone();
             Outcome::Applied
@@ -109,12 +128,19 @@
                 let mut fleet = (*state.agents[agent].fleet).clone();
                 let out = fleet.receive(now(), message, 0);
                 if let ToAgent::Report(Report { who, .. }) = message
-                    && out.sends.iter().any(|(_, message)| matches!(message, ToInstance::Renewed { .. }))
-                    && fleet.membership().get(&who.name).is_none_or(|member| member.start != who.start)
+                    && out
+                        .sends
+                        .iter()
+                        .any(|(_, message)| matches!(message, ToInstance::Renewed { .. }))
+                    && fleet
+                        .membership()
+                        .get(&who.name)
+                        .is_none_or(|member| member.start != who.start)
                 {
                     let Who { name, start, .. } = who;
-                    state.violation =
-                        Some(format!("one name: start {start} is heard as {name}, which another one holds"));
+                    state.violation = Some(format!(
+                        "one name: start {start} is heard as {name}, which another one holds"
+                    ));
                 }
                 self.commit(state, agent, fleet, out);
             }
@@ -137,7 +163,9 @@
     }
 
     pub(super) fn kill_agent(&self, state: &mut ModelState) {
-        let Some(last) = state.agents.last().cloned() else { return };
+        let Some(last) = state.agents.last().cloned() else {
+            return;
+        };
         let mut records: BTreeMap<String, Record> = (*last.disk).clone();
         if is_injected(InjectedBug::ForgetRollout) {
             records.remove("rollout");
@@ -158,8 +186,16 @@
         let former = Arc::clone(&state.processes[at].value);
         let start = former.machine.who().start;
         state.starts[former.name] += 1;
-        let incarnation = if backwards { 1 } else { former.machine.who().incarnation + 1 };
-        let memory = if keeps { former.memory.clone() } else { Memory::default() };
+        let incarnation = if backwards {
+            1
+        } else {
+            former.machine.who().incarnation + 1
+        };
+        let memory = if keeps {
+            former.memory.clone()
+        } else {
+            Memory::default()
+        };
         let mut process = self.process(former.name, state.starts[former.name], incarnation, memory);
         process.obeyed_term = if keeps { former.obeyed_term } else { 0 };
         // Messages to the former start were sent over a connection that is gone.
@@ -168,13 +204,17 @@
             Packet::Up { .. } => true,
         };
         state.net.remove(&(at, false));
-        state.late.retain(|packet, _| other(packet) || packet.name() != former.name);
+        state
+            .late
+            .retain(|packet, _| other(packet) || packet.name() != former.name);
         state.processes[at] = Hashed::new(process);
     }
 
     pub(super) fn push(&self, state: &mut ModelState, change: usize, base: u64, save: bool) {
         let agent = state.agents.len() - 1;
-        let document = state.pushed[change].clone().unwrap_or_else(|| self.change(change, base));
+        let document = state.pushed[change]
+            .clone()
+            .unwrap_or_else(|| self.change(change, base));
         let mut fleet = (*state.agents[agent].fleet).clone();
         let (done, out) = fleet.push(now(), document.clone(), By::default());
         if !save {
@@ -184,8 +224,9 @@
         if let Ok(accepted) = done {
             let former = state.accepted.iter().find(|former| former.0 == change);
             if former.is_some_and(|former| former.1 != accepted.revision) {
-                state.violation =
-                    Some(format!("lasting: change {change} was accepted twice, as different revisions"));
+                state.violation = Some(format!(
+                    "lasting: change {change} was accepted twice, as different revisions"
+                ));
             }
             if former.is_none() {
                 state.accepted.push((change, accepted.revision));
--- a/crates/fleet/src/explore/tests.rs
+++ b/crates/fleet/src/explore/tests.rs
@@ -12,8 +12,16 @@
     match explore(&model, MAX_STATES) {
         Ok(explored) => {
             println!("{}: {explored:?} in {:?}", model.name, begin.elapsed());
-            assert!(explored.is_complete, "{}: more than {MAX_STATES} states", model.name);
-            assert!(explored.at_rest > 0 && explored.states > 1_000, "{}: {explored:?}", model.name);
+            assert!(
+                explored.is_complete,
+                "{}: more than {MAX_STATES} states",
+                model.name
+            );
+            assert!(
+                explored.at_rest > 0 && explored.states > 1_000,
+                "{}: {explored:?}",
+                model.name
+            );
         }
         Err(violation) => panic!("{}: {violation}", model.name),
     }
@@ -61,45 +69,82 @@
 
 #[test]
 fn an_answer_before_the_effect_is_found() {
-    assert!(found(InjectedBug::AckBeforeEffect).1.invariant.starts_with("whole: "));
+    assert!(
+        found(InjectedBug::AckBeforeEffect)
+            .1
+            .invariant
+            .starts_with("whole: ")
+    );
 }
 
 #[test]
 fn half_a_change_is_found() {
-    assert!(found(InjectedBug::ApplyPartially).1.invariant.starts_with("whole: "));
+    assert!(
+        found(InjectedBug::ApplyPartially)
+            .1
+            .invariant
+            .starts_with("whole: ")
+    );
 }
 
 #[test]
 fn a_missing_fence_is_found() {
     let violation = found(InjectedBug::NoFencing).1;
-    assert!(violation.invariant.starts_with("fenced: "), "{}", violation.invariant);
+    assert!(
+        violation.invariant.starts_with("fenced: "),
+        "{}",
+        violation.invariant
+    );
 }
 
 #[test]
 fn a_repeat_that_is_carried_out_again_is_found() {
-    assert!(found(InjectedBug::ForgetRepeats).1.invariant.starts_with("once: "));
+    assert!(
+        found(InjectedBug::ForgetRepeats)
+            .1
+            .invariant
+            .starts_with("once: ")
+    );
 }
 
 #[test]
 fn an_answer_to_an_earlier_term_is_found() {
-    assert!(found(InjectedBug::AcceptOldAnswers).1.invariant.starts_with("true: "));
+    assert!(
+        found(InjectedBug::AcceptOldAnswers)
+            .1
+            .invariant
+            .starts_with("true: ")
+    );
 }
 
 #[test]
 fn an_order_sent_before_it_lasts_is_found() {
     let violation = found(InjectedBug::SendBeforeSave).1;
-    assert!(violation.invariant.starts_with("lasting: "), "{}", violation.invariant);
+    assert!(
+        violation.invariant.starts_with("lasting: "),
+        "{}",
+        violation.invariant
+    );
 }
 
 #[test]
 fn a_rollout_that_does_not_last_is_found() {
-    assert!(found(InjectedBug::ForgetRollout).1.invariant.starts_with("lasting: "));
+    assert!(
+        found(InjectedBug::ForgetRollout)
+            .1
+            .invariant
+            .starts_with("lasting: ")
+    );
 }
 
 #[test]
 fn one_name_for_two_is_found() {
     let violation = found(InjectedBug::IdentifyByName).1;
-    assert!(violation.invariant.starts_with("one name: "), "{}", violation.invariant);
+    assert!(
+        violation.invariant.starts_with("one name: "),
+        "{}",
+        violation.invariant
+    );
 }
 
 #[test]
@@ -107,7 +152,10 @@
     let (_, violation) = found(InjectedBug::AckBeforeEffect);
     let text = violation.to_string();
     assert!(violation.trace.len() <= 4, "{text}");
-    assert!(text.contains("an operator pushes change 0") && text.contains("order 1.1"), "{text}");
+    assert!(
+        text.contains("an operator pushes change 0") && text.contains("order 1.1"),
+        "{text}"
+    );
 }
 
 /// The most states of one lease model that a test explores. Each state takes some 3 kB.
@@ -139,21 +187,54 @@
     let two = "two instances, messages late or lost, wants that change";
     for (bug, breaks, name) in [
         (InjectedBug::ReuseBeforeAcknowledgement, "rates", two),
-        (InjectedBug::NoDrift, "rates", "an agent 2% fast and an instance 2% slow"),
-        (InjectedBug::IdentifyByName, "rates", "another process of the first one's name"),
+        (
+            InjectedBug::NoDrift,
+            "rates",
+            "an agent 2% fast and an instance 2% slow",
+        ),
+        (
+            InjectedBug::IdentifyByName,
+            "rates",
+            "another process of the first one's name",
+        ),
         (InjectedBug::NoRecovery, "rates", killed),
-        (InjectedBug::ForgetFormerDuration, "rates", "the next agent with shorter leases"),
+        (
+            InjectedBug::ForgetFormerDuration,
+            "rates",
+            "the next agent with shorter leases",
+        ),
         (InjectedBug::CountFromArrival, "rates", two),
-        (InjectedBug::NoFencing, "rates", "words that come behind newer ones"),
-        (InjectedBug::RefillOnGrant, "windows", "requests that are let in"),
-        (InjectedBug::ForgetOpen, "open", "requests that stay open for long"),
+        (
+            InjectedBug::NoFencing,
+            "rates",
+            "words that come behind newer ones",
+        ),
+        (
+            InjectedBug::RefillOnGrant,
+            "windows",
+            "requests that are let in",
+        ),
+        (
+            InjectedBug::ForgetOpen,
+            "open",
+            "requests that stay open for long",
+        ),
     ] {
-        let model = lease_models().into_iter().find(|model| model.name == name).expect("a model");
+        let model = lease_models()
+            .into_iter()
+            .find(|model| model.name == name)
+            .expect("a model");
         let explored = with_injected_bug(Some(bug), || explore(&model, MAX_LEASE_STATES));
-        let Err(violation) = explored else { panic!("{bug:?} is not found") };
+        let Err(violation) = explored else {
+            panic!("{bug:?} is not found")
+        };
         println!("{bug:?}, in: {name}\n{violation}");
         // Leases that exceed the limit do so in rate or burst, whichever shows first.
         let message = violation.invariant.replace("bursts:", "rates:");
-        assert!(message.starts_with(breaks), "{bug:?}: {}", violation.invariant);
+        assert!(
+            message.starts_with(breaks),
+            "{bug:?}: {}",
+            violation.invariant
+        );
     }
 }
--- a/crates/fleet/src/file.rs
+++ b/crates/fleet/src/file.rs
@@ -103,7 +103,10 @@
     let (mut document, file) = Document::read::<File>(text)?;
     document.require(file.version == 1, "version", "must be 1");
     let Some(base) = file.base.or(newest) else {
-        document.problem("base", "is missing; write the revision that the change is made on");
+        document.problem(
+            "base",
+            "is missing; write the revision that the change is made on",
+        );
         return document.finish(Change {
             id: file.id,
             base: 0,
@@ -127,10 +130,23 @@
             },
         }
     }
-    let File { id, note, select, .. } = file;
+    let File {
+        id, note, select, ..
+    } = file;
     let sound = edits.len() == file.set.len();
-    let change = Change { id, base, note, select, rollout, what: What::Set(edits) };
-    for problem in change.check().into_iter().filter(|problem| sound || problem.field != "set") {
+    let change = Change {
+        id,
+        base,
+        note,
+        select,
+        rollout,
+        what: What::Set(edits),
+    };
+    for problem in change
+        .check()
+        .into_iter()
+        .filter(|problem| sound || problem.field != "set")
+    {
         document.problem(&problem.field, &problem.problem);
     }
     document.finish(change)
@@ -142,11 +158,15 @@
         let read = |(at, wave): (usize, Wave)| match wave {
             Wave::Count(count) => Share::Count(count),
             Wave::Text(text) => {
-                match (text.strip_suffix('%').unwrap_or(&text).parse(), text.ends_with('%')) {
+                match (
+                    text.strip_suffix('%').unwrap_or(&text).parse(),
+                    text.ends_with('%'),
+                ) {
                     (Ok(percent), true) => Share::Percent(percent),
                     (Ok(count), false) => Share::Count(count),
                     (Err(_), _) => {
-                        let problem = format!("{text:?} is no wave; write a number of instances or \"10%\"");
+                        let problem =
+                            format!("{text:?} is no wave; write a number of instances or \"10%\"");
                         document.problem(&format!("rollout.waves[{at}]"), problem);
                         Share::Count(1)
                     }
@@ -161,15 +181,21 @@
         Some(Gate::Rule(gate)) => {
             let usual = GateRule::default();
             let worse = gate.worse.map(|text| {
-                let percent = text.strip_suffix('%').and_then(|number| number.parse::<f64>().ok());
+                let percent = text
+                    .strip_suffix('%')
+                    .and_then(|number| number.parse::<f64>().ok());
                 let percent = percent.filter(|percent| (0.0..=100.0).contains(percent));
                 if percent.is_none() {
-                    document
-                        .problem("rollout.gate.worse", format!("{text:?} is no share; write one as \"1%\""));
+                    document.problem(
+                        "rollout.gate.worse",
+                        format!("{text:?} is no share; write one as \"1%\""),
+                    );
                 }
                 (percent.unwrap_or(1.0) * 10.0).round() as u32
             });
-            let sure = gate.sure.map(|sure| (sure.clamp(0.0, 1e6) * 100.0).round() as u32);
+            let sure = gate
+                .sure
+                .map(|sure| (sure.clamp(0.0, 1e6) * 100.0).round() as u32);
             Some(GateRule {
                 worse: worse.unwrap_or(usual.worse),
                 evidence: gate.evidence.unwrap_or(usual.evidence),
@@ -205,9 +231,9 @@
         (Key::Weight(_), _) => Err(Error::NotAWeight),
         (Key::Drain(_), Plain::Flag(drained)) => Ok(Some(Value::Drained(*drained))),
         (Key::Drain(_), _) => Err(Error::NotABoolean),
-        (Key::Limit { .. } | Key::Fleet { .. }, Plain::Whole(limit)) => {
-            u64::try_from(*limit).map(|limit| Some(Value::Limit(limit))).map_err(|_| Error::NegativeNumber)
-        }
+        (Key::Limit { .. } | Key::Fleet { .. }, Plain::Whole(limit)) => u64::try_from(*limit)
+            .map(|limit| Some(Value::Limit(limit)))
+            .map_err(|_| Error::NegativeNumber),
         (Key::Limit { .. } | Key::Fleet { .. }, _) => Err(Error::NotAWholeNumber),
         (Key::Route(_), Plain::Text(text)) => Ok(Some(Value::Route(text.clone()))),
         (Key::Route(_), _) => Err(Error::NotARoute),
--- a/crates/fleet/src/fleet/declined.rs
+++ b/crates/fleet/src/fleet/declined.rs
@@ -82,15 +82,26 @@
                 let lines: Vec<String> = problems.iter().map(Problem::to_string).collect();
                 f.write_str(&lines.join("; "))
             }
-            Declined::Conflict { base, newest, since, .. } => {
+            Declined::Conflict {
+                base,
+                newest,
+                since,
+                ..
+            } => {
                 write!(f, "made on revision {base}, but the fleet is at {newest}")?;
                 for since in since {
-                    write!(f, "; {} by {} made {}: ", since.id, since.by.who, since.revision)?;
+                    write!(
+                        f,
+                        "; {} by {} made {}: ",
+                        since.id, since.by.who, since.revision
+                    )?;
                     f.write_str(&since.difference.join(", "))?;
                 }
                 Ok(())
             }
-            Declined::Busy { id, by } => write!(f, "{id}, pushed by {}, is still rolling out", by.who),
+            Declined::Busy { id, by } => {
+                write!(f, "{id}, pushed by {}, is still rolling out", by.who)
+            }
             Declined::IdUsed { revision } => {
                 write!(
                     f,
@@ -99,7 +110,10 @@
             }
             Declined::Impossible(why) => f.write_str(why),
             Declined::StoodDown(StandDown { term }) => {
-                write!(f, "an agent of term {term} has taken over; this one gives no orders any more")
+                write!(
+                    f,
+                    "an agent of term {term} has taken over; this one gives no orders any more"
+                )
             }
         }
     }
--- a/crates/fleet/src/fleet/mod.rs
+++ b/crates/fleet/src/fleet/mod.rs
@@ -54,7 +54,11 @@
 
 impl Default for Rules {
     fn default() -> Self {
-        Rules { leases: Leases::default(), pace: Pace::default(), every: 3_000_000 }
+        Rules {
+            leases: Leases::default(),
+            pace: Pace::default(),
+            every: 3_000_000,
+        }
     }
 }
 
@@ -133,13 +137,20 @@
                 Record::Settled(newest, layers) => (fleet.newest, fleet.layers) = (newest, layers),
                 Record::Rollout(rollout) => fleet.rollout = Some(*rollout),
                 Record::Target(target) => {
-                    let place = key.strip_prefix("target/").and_then(|rest| rest.split_once('/'));
+                    let place = key
+                        .strip_prefix("target/")
+                        .and_then(|rest| rest.split_once('/'));
                     let (revision, name) =
                         place.ok_or_else(|| Error::InvalidTargetKey { key: key.clone() })?;
-                    let revision = revision
-                        .parse()
-                        .map_err(|source| Error::InvalidRevision { key: key.clone(), source })?;
-                    fleet.results.entry(revision).or_default().insert(name.to_string(), target);
+                    let revision = revision.parse().map_err(|source| Error::InvalidRevision {
+                        key: key.clone(),
+                        source,
+                    })?;
+                    fleet
+                        .results
+                        .entry(revision)
+                        .or_default()
+                        .insert(name.to_string(), target);
                 }
                 Record::Member(member) => {
                     let name = key
@@ -159,7 +170,8 @@
         }
         fleet.term = fleet.term.max(above).saturating_add(1);
         let mut out = Output::default();
-        out.saves.insert("term".into(), Some(Record::Term(fleet.term)));
+        out.saves
+            .insert("term".into(), Some(Record::Term(fleet.term)));
         Ok((fleet, out))
     }
 
@@ -203,7 +215,10 @@
         let mut out = Output::default();
         for (name, presence) in self.membership.tick(time.now) {
             if self.membership.get(&name).is_none() {
-                let number = self.instances.remove(&name).map_or(0, |instance| instance.number);
+                let number = self
+                    .instances
+                    .remove(&name)
+                    .map_or(0, |instance| instance.number);
                 self.highest_number = self.highest_number.max(number);
                 out.saves.insert(format!("member/{name}"), None);
             } else {
@@ -213,7 +228,11 @@
         self.advance(time, &mut out);
         if let Some(fleet_limits) = &mut self.fleet_limits {
             let grants = fleet_limits.server.tick(time.now);
-            out.sends.extend(grants.into_iter().map(|(name, grant)| (name, ToInstance::Lent(grant))));
+            out.sends.extend(
+                grants
+                    .into_iter()
+                    .map(|(name, grant)| (name, ToInstance::Lent(grant))),
+            );
         }
         self.collect_lease_notes(&mut out);
         out
@@ -222,8 +241,16 @@
     /// When [`Fleet::tick`] is due next, if nothing else happens before.
     pub fn next(&self, now: Micros) -> Option<Micros> {
         let rollout = self.rollout.as_ref().and_then(|rollout| rollout.next(now));
-        let leases = self.fleet_limits.as_ref().and_then(|fleet_limits| fleet_limits.server.next(now));
-        self.membership.next().into_iter().chain(rollout).chain(leases).min()
+        let leases = self
+            .fleet_limits
+            .as_ref()
+            .and_then(|fleet_limits| fleet_limits.server.next(now));
+        self.membership
+            .next()
+            .into_iter()
+            .chain(rollout)
+            .chain(leases)
+            .min()
     }
 
     /// The term of this agent.
--- a/crates/fleet/src/fleet/note.rs
+++ b/crates/fleet/src/fleet/note.rs
@@ -41,7 +41,10 @@
                 why.as_ref().map_or(Ok(()), |why| write!(f, ": {why}"))
             }
             Note::StoodDown(term) => {
-                write!(f, "an agent of term {term} is known to the instances: no more orders are given here")
+                write!(
+                    f,
+                    "an agent of term {term} is known to the instances: no more orders are given here"
+                )
             }
             Note::Leases(note) => note.fmt(f),
         }
--- a/crates/fleet/src/fleet/operator.rs
+++ b/crates/fleet/src/fleet/operator.rs
@@ -19,7 +19,12 @@
     ///
     /// # Errors
     /// Why the change was not accepted; nothing has changed then.
-    pub fn push(&mut self, time: Time, change: Change, by: By) -> (Result<Accepted, Declined>, Output) {
+    pub fn push(
+        &mut self,
+        time: Time,
+        change: Change,
+        by: By,
+    ) -> (Result<Accepted, Declined>, Output) {
         let mut out = Output::default();
         let done = self.try_push(time, change, by, &mut out);
         (done, out)
@@ -34,17 +39,29 @@
     ) -> Result<Accepted, Declined> {
         if let Some((former, revision)) = self.find_change(&change.id) {
             // The same change on another base repeats a request that was accepted.
-            if *former != (Change { base: former.base, ..change.clone() }) {
+            if *former
+                != (Change {
+                    base: former.base,
+                    ..change.clone()
+                })
+            {
                 return Err(Declined::IdUsed { revision });
             }
-            return Ok(Accepted { id: change.id, revision, repeat: true });
+            return Ok(Accepted {
+                id: change.id,
+                revision,
+                repeat: true,
+            });
         }
         if let Some(term) = self.stood_down {
             return Err(Declined::StoodDown(StandDown { term }));
         }
         let mut problems = change.check();
         if let What::Undo(_) = change.what {
-            problems.push(Problem { field: "what".into(), problem: "a change is undone by its id".into() });
+            problems.push(Problem {
+                field: "what".into(),
+                problem: "a change is undone by its id".into(),
+            });
         }
         if !problems.is_empty() {
             return Err(Declined::Invalid(problems));
@@ -55,10 +72,18 @@
         self.begin(time, change, by, out)
     }
 
-    fn begin(&mut self, time: Time, change: Change, by: By, out: &mut Output) -> Result<Accepted, Declined> {
+    fn begin(
+        &mut self,
+        time: Time,
+        change: Change,
+        by: By,
+        out: &mut Output,
+    ) -> Result<Accepted, Declined> {
         if let What::Set(edits) = &change.what {
             let known = |limit: &str| {
-                self.fleet_limits.as_ref().is_some_and(|fleet_limits| fleet_limits.has_limit(limit))
+                self.fleet_limits
+                    .as_ref()
+                    .is_some_and(|fleet_limits| fleet_limits.has_limit(limit))
             };
             let unknown: Vec<&str> = edits
                 .keys()
@@ -74,7 +99,10 @@
             }
         }
         if let Some(rollout) = &self.rollout {
-            return Err(Declined::Busy { id: rollout.change.id.clone(), by: rollout.by.clone() });
+            return Err(Declined::Busy {
+                id: rollout.change.id.clone(),
+                by: rollout.by.clone(),
+            });
         }
         if self.layers.0.len() >= MOST_LAYERS {
             let why = format!(
@@ -88,8 +116,16 @@
             What::Undo(id) => &self.layers.undoable(id).map_err(impossible)?.select,
         };
         let (mut chosen, mut others) = (BTreeMap::new(), BTreeMap::new());
-        for (name, member) in self.membership.iter().filter(|(_, member)| member.presence != Presence::Gone) {
-            let counts = self.instances.get(name).map(|instance| instance.counts).unwrap_or_default();
+        for (name, member) in self
+            .membership
+            .iter()
+            .filter(|(_, member)| member.presence != Presence::Gone)
+        {
+            let counts = self
+                .instances
+                .get(name)
+                .map(|instance| instance.counts)
+                .unwrap_or_default();
             if let What::Set(edits) = &change.what
                 && select.matches(name, &member.traits)
             {
@@ -103,13 +139,24 @@
                     return Err(Declined::Impossible(why));
                 }
             }
-            let group = if select.matches(name, &member.traits) { &mut chosen } else { &mut others };
+            let group = if select.matches(name, &member.traits) {
+                &mut chosen
+            } else {
+                &mut others
+            };
             group.insert(name.clone(), counts);
         }
         self.newest = self.newest.saturating_add(1);
-        let accepted = Accepted { id: change.id.clone(), revision: self.newest, repeat: false };
+        let accepted = Accepted {
+            id: change.id.clone(),
+            revision: self.newest,
+            repeat: false,
+        };
         self.rollout = Some(Rollout::new(change, self.newest, by, chosen, others));
-        out.saves.insert("settled".into(), Some(Record::Settled(self.newest, self.layers.clone())));
+        out.saves.insert(
+            "settled".into(),
+            Some(Record::Settled(self.newest, self.layers.clone())),
+        );
         self.advance(time, out);
         Ok(accepted)
     }
@@ -120,11 +167,21 @@
         (self.try_stop(time, id, by, &mut out), out)
     }
 
-    fn try_stop(&mut self, time: Time, id: &str, by: &By, out: &mut Output) -> Result<Accepted, Declined> {
+    fn try_stop(
+        &mut self,
+        time: Time,
+        id: &str,
+        by: &By,
+        out: &mut Output,
+    ) -> Result<Accepted, Declined> {
         if let Some(term) = self.stood_down {
             return Err(Declined::StoodDown(StandDown { term }));
         }
-        let Some(rollout) = self.rollout.as_mut().filter(|rollout| rollout.change.id == id) else {
+        let Some(rollout) = self
+            .rollout
+            .as_mut()
+            .filter(|rollout| rollout.change.id == id)
+        else {
             return Err(match self.find_change(id) {
                 Some(_) => Declined::Impossible(format!("{id} has ended; undo it if it is to go")),
                 None => Declined::Impossible(format!("no change {id} is known")),
@@ -137,7 +194,11 @@
             return Err(Declined::Impossible(why));
         }
         let repeat = !rollout.stop(format!("stopped by {}", by.who));
-        let accepted = Accepted { id: id.to_string(), revision: rollout.revision, repeat };
+        let accepted = Accepted {
+            id: id.to_string(),
+            revision: rollout.revision,
+            repeat,
+        };
         self.advance(time, out);
         Ok(accepted)
     }
@@ -148,11 +209,21 @@
         (self.try_undo(time, id, by, &mut out), out)
     }
 
-    fn try_undo(&mut self, time: Time, id: &str, by: By, out: &mut Output) -> Result<Accepted, Declined> {
+    fn try_undo(
+        &mut self,
+        time: Time,
+        id: &str,
+        by: By,
+        out: &mut Output,
+    ) -> Result<Accepted, Declined> {
         if let Some(term) = self.stood_down {
             return Err(Declined::StoodDown(StandDown { term }));
         }
-        if let Some(rollout) = self.rollout.as_mut().filter(|rollout| rollout.change.id == id) {
+        if let Some(rollout) = self
+            .rollout
+            .as_mut()
+            .filter(|rollout| rollout.change.id == id)
+        {
             if rollout.is_undo() {
                 return Err(Declined::Impossible(format!(
                     "{id} takes a change back; push that one anew instead"
@@ -163,23 +234,47 @@
             let revision = rollout.back_revision.unwrap_or(rollout.revision);
             if taken {
                 self.newest = next;
-                out.saves.insert("settled".into(), Some(Record::Settled(self.newest, self.layers.clone())));
+                out.saves.insert(
+                    "settled".into(),
+                    Some(Record::Settled(self.newest, self.layers.clone())),
+                );
             }
             self.advance(time, out);
-            return Ok(Accepted { id: id.to_string(), revision, repeat: !taken });
+            return Ok(Accepted {
+                id: id.to_string(),
+                revision,
+                repeat: !taken,
+            });
         }
         let undone = |what: &What| matches!(what, What::Undo(of) if of == id);
-        if let Some(rollout) = self.rollout.as_ref().filter(|rollout| undone(&rollout.change.what)) {
-            let Rollout { change, revision, .. } = rollout;
-            return Ok(Accepted { id: change.id.clone(), revision: *revision, repeat: true });
+        if let Some(rollout) = self
+            .rollout
+            .as_ref()
+            .filter(|rollout| undone(&rollout.change.what))
+        {
+            let Rollout {
+                change, revision, ..
+            } = rollout;
+            return Ok(Accepted {
+                id: change.id.clone(),
+                revision: *revision,
+                repeat: true,
+            });
         }
-        let former =
-            self.history.iter().rev().find(|entry| entry.change.id == id || undone(&entry.change.what));
+        let former = self
+            .history
+            .iter()
+            .rev()
+            .find(|entry| entry.change.id == id || undone(&entry.change.what));
         if let Some(entry) = former
             && (entry.end == End::TakenBack || undone(&entry.change.what))
         {
             let revision = entry.back_revision.unwrap_or(entry.revision);
-            return Ok(Accepted { id: entry.change.id.clone(), revision, repeat: true });
+            return Ok(Accepted {
+                id: entry.change.id.clone(),
+                revision,
+                repeat: true,
+            });
         }
         self.layers.undoable(id).map_err(impossible)?;
         let policy = Policy {
@@ -206,24 +301,49 @@
     }
 
     fn find_change(&self, id: &str) -> Option<(&Change, u64)> {
-        let rollout = self.rollout.iter().map(|rollout| (&rollout.change, rollout.revision));
-        let history = self.history.iter().map(|entry| (&entry.change, entry.revision));
+        let rollout = self
+            .rollout
+            .iter()
+            .map(|rollout| (&rollout.change, rollout.revision));
+        let history = self
+            .history
+            .iter()
+            .map(|entry| (&entry.change, entry.revision));
         rollout.chain(history).find(|(change, _)| change.id == id)
     }
 
     fn conflict(&self, base: u64) -> Declined {
-        let ended = self.history.iter().map(|e| (&e.change, e.revision, e.back_revision, &e.by, Some(e.end)));
-        let under_way = self.rollout.iter().map(|r| (&r.change, r.revision, r.back_revision, &r.by, None));
+        let ended = self
+            .history
+            .iter()
+            .map(|e| (&e.change, e.revision, e.back_revision, &e.by, Some(e.end)));
+        let under_way = self
+            .rollout
+            .iter()
+            .map(|r| (&r.change, r.revision, r.back_revision, &r.by, None));
         let since: Vec<Since> = ended
             .chain(under_way)
             .filter(|(_, revision, back, ..)| back.unwrap_or(*revision) > base)
             .map(|(change, revision, _, by, end)| {
                 let (id, by) = (change.id.clone(), by.clone());
-                Since { revision, id, by, end, difference: difference(change) }
+                Since {
+                    revision,
+                    id,
+                    by,
+                    end,
+                    difference: difference(change),
+                }
             })
             .collect();
-        let oldest = since.first().map_or(self.newest + 1, |since| since.revision);
+        let oldest = since
+            .first()
+            .map_or(self.newest + 1, |since| since.revision);
         let more = oldest > base.saturating_add(1);
-        Declined::Conflict { base, newest: self.newest, since, more }
+        Declined::Conflict {
+            base,
+            newest: self.newest,
+            since,
+            more,
+        }
     }
 }
--- a/crates/fleet/src/fleet/orders.rs
+++ b/crates/fleet/src/fleet/orders.rs
@@ -34,9 +34,16 @@
 
 impl Fleet {
     pub(super) fn record_answer(&mut self, name: &str, answer: &Answer, out: &mut Output) {
-        let Some(instance) = self.instances.get_mut(name) else { return };
-        let Some(issued) = &instance.issued else { return };
-        let stamp = Stamp { term: self.term, number: instance.number };
+        let Some(instance) = self.instances.get_mut(name) else {
+            return;
+        };
+        let Some(issued) = &instance.issued else {
+            return;
+        };
+        let stamp = Stamp {
+            term: self.term,
+            number: instance.number,
+        };
         let answers = answer.stamp == stamp || is_injected(InjectedBug::AcceptOldAnswers);
         if !answers || answer.overlay != issued.overlay || instance.answer.is_some() {
             return;
@@ -47,7 +54,11 @@
             shorten(&mut problem.problem);
         }
         instance.answer = Some(outcome.clone());
-        out.notes.push(Note::Answered(name.to_string(), issued.change.clone(), outcome.clone()));
+        out.notes.push(Note::Answered(
+            name.to_string(),
+            issued.change.clone(),
+            outcome.clone(),
+        ));
         let (cause, revision) = (issued.cause, issued.revision);
         if let Some(rollout) = &mut self.rollout {
             match (cause, &outcome) {
@@ -62,11 +73,14 @@
 
     /// The desired settings of an instance, with the id and the revision of the newest change in them.
     pub(super) fn desired_settings(&self, name: &str) -> (Overlay, String, u64) {
-        let Some(member) = self.membership.get(name) else { return Default::default() };
+        let Some(member) = self.membership.get(name) else {
+            return Default::default();
+        };
         let settled = |layers: &Layers| {
             let (overlay, newest) = layers.overlay(name, &member.traits);
-            let (id, revision) =
-                newest.map_or((String::new(), 0), |layer| (layer.id.clone(), layer.revision));
+            let (id, revision) = newest.map_or((String::new(), 0), |layer| {
+                (layer.id.clone(), layer.revision)
+            });
             (overlay, id, revision)
         };
         match &self.rollout {
@@ -87,12 +101,20 @@
 
     /// Orders the desired settings of an instance, unless it has them, has refused them or is not alive.
     pub(super) fn send_order(&mut self, name: &str, out: &mut Output) {
-        let alive = self.membership.get(name).filter(|member| member.presence == Presence::Alive);
-        let (Some(member), None) = (alive, self.stood_down) else { return };
+        let alive = self
+            .membership
+            .get(name)
+            .filter(|member| member.presence == Presence::Alive);
+        let (Some(member), None) = (alive, self.stood_down) else {
+            return;
+        };
         let start = member.start;
         let (overlay, change, revision) = self.desired_settings(name);
         let fingerprint = overlay.fingerprint();
-        let cause = self.rollout.as_ref().and_then(|rollout| rollout.cause(name));
+        let cause = self
+            .rollout
+            .as_ref()
+            .and_then(|rollout| rollout.cause(name));
         let instance = self.instances.entry(name.to_string()).or_default();
         let current = instance.issued.as_ref().is_some_and(|issued| {
             issued.overlay == fingerprint
@@ -110,18 +132,34 @@
         if !again {
             instance.number = instance.number.saturating_add(1);
             instance.answer = None;
-            instance.issued =
-                Some(IssuedOrder { change: change.clone(), revision, overlay: fingerprint, cause });
+            instance.issued = Some(IssuedOrder {
+                change: change.clone(),
+                revision,
+                overlay: fingerprint,
+                cause,
+            });
         }
-        let stamp = Stamp { term: self.term, number: instance.number };
-        let order = Order { start, stamp, change, revision, overlay };
+        let stamp = Stamp {
+            term: self.term,
+            number: instance.number,
+        };
+        let order = Order {
+            start,
+            stamp,
+            change,
+            revision,
+            overlay,
+        };
         out.sends.push((name.to_string(), ToInstance::Order(order)));
     }
 }
 
 fn shorten(text: &mut String) {
     if text.len() > LONGEST_REASON {
-        let end = (0..=LONGEST_REASON).rev().find(|end| text.is_char_boundary(*end)).unwrap_or(0);
+        let end = (0..=LONGEST_REASON)
+            .rev()
+            .find(|end| text.is_char_boundary(*end))
+            .unwrap_or(0);
         text.truncate(end);
     }
 }
--- a/crates/fleet/src/fleet/registry.rs
+++ b/crates/fleet/src/fleet/registry.rs
@@ -27,7 +27,12 @@
         out: &mut Output,
     ) {
         let Who { name, start, .. } = &registration.who;
-        if registration.who.check().and_then(|()| registration.traits.check()).is_err() {
+        if registration
+            .who
+            .check()
+            .and_then(|()| registration.traits.check())
+            .is_err()
+        {
             return;
         }
         self.observe_term(registration.term, out);
@@ -35,32 +40,57 @@
         if admission == Admission::Paced
             && let Err(again) = self.spread.admit(time.now, name, jitter)
         {
-            return out.sends.push((name.clone(), ToInstance::Later { start, again }));
+            return out
+                .sends
+                .push((name.clone(), ToInstance::Later { start, again }));
         }
         let known = self.membership.len();
         let answer = match self.membership.register(time.now, registration) {
             Registered::Welcome { incarnation, new } => {
                 if new {
                     // A stamp is never used twice within a term: a start may lose its name and win it back.
-                    let former = self.instances.get(name).map_or(0, |instance| instance.number);
+                    let former = self
+                        .instances
+                        .get(name)
+                        .map_or(0, |instance| instance.number);
                     let number = former.max(self.highest_number);
-                    self.instances.insert(name.clone(), InstanceState { number, ..InstanceState::default() });
+                    self.instances.insert(
+                        name.clone(),
+                        InstanceState {
+                            number,
+                            ..InstanceState::default()
+                        },
+                    );
                 }
                 if self.membership.len() <= known && new {
                     self.forget_instances_without_member(out);
                 }
                 if let Some(member) = self.membership.get(name) {
-                    out.saves.insert(format!("member/{name}"), Some(Record::Member(member.persisted())));
+                    out.saves.insert(
+                        format!("member/{name}"),
+                        Some(Record::Member(member.persisted())),
+                    );
                 }
-                out.notes.push(Note::Presence(name.clone(), Presence::Joining));
+                out.notes
+                    .push(Note::Presence(name.clone(), Presence::Joining));
                 let spread = self.spread.span(self.membership.len());
-                ToInstance::Welcome(Welcome { start, incarnation, term, every, spread })
+                ToInstance::Welcome(Welcome {
+                    start,
+                    incarnation,
+                    term,
+                    every,
+                    spread,
+                })
             }
             Registered::Superseded { by, again } => {
-                out.notes.push(Note::Rival(name.clone(), registration.who.incarnation, by));
+                out.notes
+                    .push(Note::Rival(name.clone(), registration.who.incarnation, by));
                 ToInstance::Superseded { start, by, again }
             }
-            Registered::Full => ToInstance::Later { start, again: self.rules.pace.horizon },
+            Registered::Full => ToInstance::Later {
+                start,
+                again: self.rules.pace.horizon,
+            },
         };
         out.sends.push((name.clone(), answer));
     }
@@ -107,7 +137,10 @@
         let is_order = |message: &ToInstance| matches!(message, ToInstance::Order(_));
         let ordered = out.sends.iter().filter(|(_, message)| is_order(message));
         let ordered: BTreeSet<String> = ordered.map(|(name, _)| name.clone()).collect();
-        for name in reporters.into_iter().filter(|name| !ordered.contains(*name)) {
+        for name in reporters
+            .into_iter()
+            .filter(|name| !ordered.contains(*name))
+        {
             self.send_order(name, out);
         }
     }
@@ -123,23 +156,37 @@
         let was = match self.membership.renew(time.now, &report.who) {
             Renewed::Renewed(was) => was,
             Renewed::Unknown => {
-                out.sends.push((name.clone(), ToInstance::Unknown { start }));
+                out.sends
+                    .push((name.clone(), ToInstance::Unknown { start }));
                 return false;
             }
             Renewed::Superseded { by, again } => {
-                out.notes.push(Note::Rival(name.clone(), report.who.incarnation, by));
-                out.sends.push((name.clone(), ToInstance::Superseded { start, by, again }));
+                out.notes
+                    .push(Note::Rival(name.clone(), report.who.incarnation, by));
+                out.sends
+                    .push((name.clone(), ToInstance::Superseded { start, by, again }));
                 return false;
             }
         };
         if was != Presence::Alive {
-            out.notes.push(Note::Presence(name.clone(), Presence::Alive));
+            out.notes
+                .push(Note::Presence(name.clone(), Presence::Alive));
         }
-        out.sends.push((name.clone(), ToInstance::Renewed { start, term: self.term }));
+        out.sends.push((
+            name.clone(),
+            ToInstance::Renewed {
+                start,
+                term: self.term,
+            },
+        ));
         if let Some(fleet_limits) = &mut self.fleet_limits {
-            let zone = self.membership.get(name).map_or("", |member| &member.traits.zone);
+            let zone = self
+                .membership
+                .get(name)
+                .map_or("", |member| &member.traits.zone);
             let grant = fleet_limits.handle_report(time.now, zone, report);
-            out.sends.extend(grant.map(|grant| (name.clone(), ToInstance::Lent(grant))));
+            out.sends
+                .extend(grant.map(|grant| (name.clone(), ToInstance::Lent(grant))));
             self.collect_lease_notes(out);
         }
         let instance = self.instances.entry(name.clone()).or_default();
--- a/crates/fleet/src/fleet_limits.rs
+++ b/crates/fleet/src/fleet_limits.rs
@@ -40,8 +40,11 @@
         let mut limits = self.settings.limits.clone();
         for layer in layers.0.iter().filter(|layer| layer.select.is_all()) {
             for (key, value) in &layer.edits {
-                let Key::Fleet { limit, figure } = key else { continue };
-                let (Some(own), Some(limit)) = (self.settings.limits.get(limit), limits.get_mut(limit))
+                let Key::Fleet { limit, figure } = key else {
+                    continue;
+                };
+                let (Some(own), Some(limit)) =
+                    (self.settings.limits.get(limit), limits.get_mut(limit))
                 else {
                     continue;
                 };
@@ -65,9 +68,15 @@
         self.server.set_limits(now, limits);
     }
 
-    pub(crate) fn handle_report(&mut self, now: Micros, zone: &str, report: &Report) -> Option<Grant> {
+    pub(crate) fn handle_report(
+        &mut self,
+        now: Micros,
+        zone: &str,
+        report: &Report,
+    ) -> Option<Grant> {
         let requests = report.asks.as_ref()?;
-        self.server.handle_report(now, &report.who.name, zone, report.who.start, requests)
+        self.server
+            .handle_report(now, &report.who.name, zone, report.who.start, requests)
     }
 
     /// Takes the events for the log. The flag says whether the recovery has ended.
--- a/crates/fleet/src/gate.rs
+++ b/crates/fleet/src/gate.rs
@@ -11,7 +11,9 @@
 use serde::{Deserialize, Serialize};
 
 /// Requests of a window, as an instance counts them itself.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 #[serde(default)]
 pub struct Counts {
     /// Requests that ended.
@@ -59,7 +61,13 @@
 
 impl Default for GateRule {
     fn default() -> Self {
-        GateRule { worse: 10, evidence: 200, sure: 233, patience: 60_000_000, unproven: false }
+        GateRule {
+            worse: 10,
+            evidence: 200,
+            sure: 233,
+            patience: 60_000_000,
+            unproven: false,
+        }
     }
 }
 
@@ -69,12 +77,23 @@
         let mut problems = Vec::new();
         let mut require = |holds: bool, field: &str, problem: &str| {
             if !holds {
-                problems.push(Problem { field: field.into(), problem: problem.into() });
+                problems.push(Problem {
+                    field: field.into(),
+                    problem: problem.into(),
+                });
             }
         };
-        require(self.worse <= 1_000, "worse", "must be 1000 thousandths at most");
+        require(
+            self.worse <= 1_000,
+            "worse",
+            "must be 1000 thousandths at most",
+        );
         let is_sure = (50..=1_000).contains(&self.sure);
-        require(is_sure, "sure", "must be from 50 to 1000 hundredths of a standard error");
+        require(
+            is_sure,
+            "sure",
+            "must be from 50 to 1000 hundredths of a standard error",
+        );
         let has_patience = self.patience <= crate::change::LONGEST_WAIT;
         require(has_patience, "patience", "must be a day at most");
         problems
@@ -106,28 +125,43 @@
 fn group(samples: &[Sample]) -> Group {
     let count = samples.len() as f64;
     if samples.is_empty() {
-        return Group { mean: 0.0, variance: 0.0 };
+        return Group {
+            mean: 0.0,
+            variance: 0.0,
+        };
     }
     let differences = samples.iter().map(|s| s.after.share() - s.before.share());
     let mean = differences.clone().sum::<f64>() / count;
-    let counted =
-        samples.iter().map(|s| s.after.variance() + s.before.variance()).sum::<f64>() / (count * count);
+    let counted = samples
+        .iter()
+        .map(|s| s.after.variance() + s.before.variance())
+        .sum::<f64>()
+        / (count * count);
     let spread = if samples.len() > 2 {
         differences.map(|d| (d - mean).powi(2)).sum::<f64>() / (count - 1.0) / count
     } else {
         0.0
     };
-    Group { mean, variance: counted.max(spread) }
+    Group {
+        mean,
+        variance: counted.max(spread),
+    }
 }
 
 /// Compares the instances that have the change with those that do not.
 pub fn judge(rule: &GateRule, changed: &[Sample], unchanged: &[Sample]) -> Verdict {
     // One that saw nothing in either window tells nothing.
     let seen = |samples: &[Sample]| -> Vec<Sample> {
-        samples.iter().copied().filter(|s| s.before.ended > 0 && s.after.ended > 0).collect()
+        samples
+            .iter()
+            .copied()
+            .filter(|s| s.before.ended > 0 && s.after.ended > 0)
+            .collect()
     };
     let (changed, unchanged) = (seen(changed), seen(unchanged));
-    let evidence = changed.iter().fold(0u64, |sum, s| sum.saturating_add(s.after.ended));
+    let evidence = changed
+        .iter()
+        .fold(0u64, |sum, s| sum.saturating_add(s.after.ended));
     if evidence < rule.evidence || changed.is_empty() && rule.evidence > 0 {
         return Verdict::TooLittle(evidence);
     }
@@ -149,16 +183,33 @@
 
     fn sample(before: (u64, u64), after: (u64, u64)) -> Sample {
         let counts = |(ended, bad)| Counts { ended, bad };
-        Sample { before: counts(before), after: counts(after) }
+        Sample {
+            before: counts(before),
+            after: counts(after),
+        }
     }
 
     /// Instances with errors drawn from a binomial; `rough` draws for each instance a rate of its own round it.
-    fn drawn(rng: &mut oorandom::Rand64, count: usize, before: f64, after: f64, rough: f64) -> Vec<Sample> {
+    fn drawn(
+        rng: &mut oorandom::Rand64,
+        count: usize,
+        before: f64,
+        after: f64,
+        rough: f64,
+    ) -> Vec<Sample> {
         let counts = |rate: f64, rng: &mut oorandom::Rand64| {
             let rate = (rate + (rng.rand_float() - 0.5) * rough).clamp(0.0, 1.0);
-            Counts { ended: 400, bad: (0..400).filter(|_| rng.rand_float() < rate).count() as u64 }
+            Counts {
+                ended: 400,
+                bad: (0..400).filter(|_| rng.rand_float() < rate).count() as u64,
+            }
         };
-        (0..count).map(|_| Sample { before: counts(before, rng), after: counts(after, rng) }).collect()
+        (0..count)
+            .map(|_| Sample {
+                before: counts(before, rng),
+                after: counts(after, rng),
+            })
+            .collect()
     }
 
     #[test]
@@ -177,20 +228,32 @@
     fn an_instance_that_was_always_bad_is_no_sign() {
         let rule = GateRule::default();
         let always = [sample((500, 100), (500, 104))];
-        assert_eq!(judge(&rule, &always, &[sample((500, 5), (500, 6))]), Verdict::Sound);
+        assert_eq!(
+            judge(&rule, &always, &[sample((500, 5), (500, 6))]),
+            Verdict::Sound
+        );
     }
 
     #[test]
     fn without_requests_there_is_no_verdict() {
         let rule = GateRule::default();
         assert_eq!(judge(&rule, &[], &[]), Verdict::TooLittle(0));
-        assert_eq!(judge(&rule, &[sample((500, 0), (199, 0))], &[]), Verdict::TooLittle(199));
-        assert_eq!(judge(&rule, &[sample((0, 0), (500, 500))], &[]), Verdict::TooLittle(0));
+        assert_eq!(
+            judge(&rule, &[sample((500, 0), (199, 0))], &[]),
+            Verdict::TooLittle(199)
+        );
+        assert_eq!(
+            judge(&rule, &[sample((0, 0), (500, 500))], &[]),
+            Verdict::TooLittle(0)
+        );
     }
 
     #[test]
     fn false_alarms_stay_under_their_bound_and_harm_is_found() {
-        let rule = GateRule { worse: 0, ..GateRule::default() };
+        let rule = GateRule {
+            worse: 0,
+            ..GateRule::default()
+        };
         let mut rng = oorandom::Rand64::new(11);
         let mut alarms = |after: f64, rough: f64| {
             let runs = 400;
--- a/crates/fleet/src/instance.rs
+++ b/crates/fleet/src/instance.rs
@@ -6,7 +6,9 @@
 
 use crate::change::Traits;
 use crate::gate::Counts;
-use crate::protocol::{Answer, Holding, Order, Outcome, Register, Report, Stamp, ToAgent, ToInstance, Who};
+use crate::protocol::{
+    Answer, Holding, Order, Outcome, Register, Report, Stamp, ToAgent, ToInstance, Who,
+};
 use crate::settings::Overlay;
 use crate::{InjectedBug, Micros, is_injected};
 use madderloom_quota::Grant;
@@ -106,7 +108,12 @@
     /// already; it must be empty where it could not be applied. `who.incarnation` is raised above the persisted one.
     pub fn new(now: Micros, mut who: Who, traits: Traits, memory: Memory) -> Self {
         who.incarnation = who.incarnation.max(memory.incarnation.saturating_add(1));
-        let Memory { term, revision, overlay, .. } = memory;
+        let Memory {
+            term,
+            revision,
+            overlay,
+            ..
+        } = memory;
         let (stamp, answer, in_progress, queued, counts) = Default::default();
         Instance {
             who,
@@ -114,7 +121,10 @@
             session: Session::Out,
             term,
             stamp,
-            holding: Holding { revision, overlay: overlay.fingerprint() },
+            holding: Holding {
+                revision,
+                overlay: overlay.fingerprint(),
+            },
             overlay,
             answer,
             in_progress,
@@ -130,7 +140,10 @@
 
     /// Sets the number of unanswered reports in a row after which the agent counts as unreachable.
     pub fn max_unanswered(self, reports: u32) -> Self {
-        Instance { max_unanswered: reports.max(1), ..self }
+        Instance {
+            max_unanswered: reports.max(1),
+            ..self
+        }
     }
 
     /// Sets the request counts of the window that ends now; the next report contains them.
@@ -179,14 +192,22 @@
     }
 
     /// Handles an event and appends the resulting actions. `jitter` must be random.
-    pub fn handle(&mut self, now: Micros, event: Event<'_>, jitter: u64, actions: &mut Vec<Action>) {
+    pub fn handle(
+        &mut self,
+        now: Micros,
+        event: Event<'_>,
+        jitter: u64,
+        actions: &mut Vec<Action>,
+    ) {
         match event {
             Event::Timer if now < self.next => {}
             Event::Timer => self.on_timer(now, jitter, actions),
             Event::Message(message) => self.on_message(now, message, jitter, actions),
             Event::Taken(outcome) => self.order_completed(outcome, actions),
             Event::Lost => self.end_session(now, jitter),
-            Event::Report if self.session == Session::In => actions.push(Action::Send(self.report())),
+            Event::Report if self.session == Session::In => {
+                actions.push(Action::Send(self.report()))
+            }
             Event::Report => {}
             Event::FileChanged(traits) => {
                 self.traits = traits.clone();
@@ -202,10 +223,14 @@
         match self.session {
             Session::Out | Session::Asked => {
                 self.session = Session::Asked;
-                self.next =
-                    now.saturating_add(REGISTRATION_TIMEOUT).saturating_add(jitter % REGISTRATION_TIMEOUT);
-                let registration =
-                    Register { who: self.who.clone(), traits: self.traits.clone(), term: self.term };
+                self.next = now
+                    .saturating_add(REGISTRATION_TIMEOUT)
+                    .saturating_add(jitter % REGISTRATION_TIMEOUT);
+                let registration = Register {
+                    who: self.who.clone(),
+                    traits: self.traits.clone(),
+                    term: self.term,
+                };
                 actions.push(Action::Send(ToAgent::Register(registration)));
             }
             Session::In if self.unanswered >= self.max_unanswered => self.end_session(now, jitter),
@@ -221,10 +246,18 @@
     fn end_session(&mut self, now: Micros, jitter: u64) {
         self.session = Session::Out;
         self.unanswered = 0;
-        self.next = now.saturating_add(SHORTEST_WAIT).saturating_add(jitter % self.spread.max(1));
+        self.next = now
+            .saturating_add(SHORTEST_WAIT)
+            .saturating_add(jitter % self.spread.max(1));
     }
 
-    fn on_message(&mut self, now: Micros, message: &ToInstance, jitter: u64, actions: &mut Vec<Action>) {
+    fn on_message(
+        &mut self,
+        now: Micros,
+        message: &ToInstance,
+        jitter: u64,
+        actions: &mut Vec<Action>,
+    ) {
         let wait = |again: Micros| now.saturating_add(again.clamp(1, LONGEST_WAIT));
         match message {
             ToInstance::Welcome(welcome) if welcome.start == self.who.start => {
@@ -259,7 +292,9 @@
                 self.session = Session::Out;
                 self.next = wait(*again);
             }
-            ToInstance::Unknown { start } if *start == self.who.start && self.session == Session::In => {
+            ToInstance::Unknown { start }
+                if *start == self.who.start && self.session == Session::In =>
+            {
                 self.session = Session::Out;
                 self.next = now;
             }
@@ -278,7 +313,9 @@
             {
                 actions.push(Action::Lists(lists.clone()));
             }
-            ToInstance::Order(order) if order.start == self.who.start => self.on_order(order, actions),
+            ToInstance::Order(order) if order.start == self.who.start => {
+                self.on_order(order, actions)
+            }
             _ => {}
         }
     }
@@ -314,7 +351,9 @@
         let overlay = order.overlay.fingerprint();
         let holds = overlay == self.holding.overlay;
         let same = |answer: &&mut Answer| {
-            answer.change == order.change && answer.revision == order.revision && answer.overlay == overlay
+            answer.change == order.change
+                && answer.revision == order.revision
+                && answer.overlay == overlay
         };
         let known = self.answer.as_mut().filter(same);
         if let Some(answer) = known.filter(|answer| holds || answer.outcome != Outcome::Applied)
@@ -335,17 +374,30 @@
 
     fn record_outcome(&mut self, order: &Order, outcome: Outcome) {
         let overlay = order.overlay.fingerprint();
-        let Order { stamp, change, revision, .. } = order.clone();
+        let Order {
+            stamp,
+            change,
+            revision,
+            ..
+        } = order.clone();
         if outcome == Outcome::Applied {
             self.overlay = order.overlay.clone();
             self.holding = Holding { revision, overlay };
         }
         self.stamp = stamp;
-        self.answer = Some(Answer { stamp, change, revision, overlay, outcome });
+        self.answer = Some(Answer {
+            stamp,
+            change,
+            revision,
+            overlay,
+            outcome,
+        });
     }
 
     fn order_completed(&mut self, outcome: Outcome, actions: &mut Vec<Action>) {
-        let Some(order) = self.in_progress.take() else { return };
+        let Some(order) = self.in_progress.take() else {
+            return;
+        };
         self.record_outcome(&order, outcome);
         actions.push(Action::Keep(self.persisted_state()));
         actions.push(Action::Send(self.report()));
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -31,8 +31,8 @@
 
 pub use error::Error;
 pub use fleet::{
-    Accepted, By, Declined, Entry, Fleet, InstanceState, Note, Output, Record, Rules, Since, StandDown, Time,
-    difference,
+    Accepted, By, Declined, Entry, Fleet, InstanceState, Note, Output, Record, Rules, Since,
+    StandDown, Time, difference,
 };
 // The former name, for code that still uses it.
 pub use fleet::InstanceState as Line;
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -33,7 +33,12 @@
 
 impl Default for Leases {
     fn default() -> Self {
-        Leases { lease: 10_000_000, grace: 20_000_000, memory: 86_400_000_000, most: 16_384 }
+        Leases {
+            lease: 10_000_000,
+            grace: 20_000_000,
+            memory: 86_400_000_000,
+            most: 16_384,
+        }
     }
 }
 
@@ -143,23 +148,46 @@
 impl Membership {
     /// Creates an empty membership.
     pub fn new(leases: Leases) -> Self {
-        Membership { leases, ..Membership::default() }
+        Membership {
+            leases,
+            ..Membership::default()
+        }
     }
 
     /// Adds a member that was known before the agent started. It is suspect until it reports.
     pub fn restore(&mut self, now: Micros, name: String, member: PersistedMember) {
-        let PersistedMember { start, incarnation, traits } = member;
-        let until = now.saturating_add(self.leases.lease).saturating_add(self.leases.grace);
+        let PersistedMember {
+            start,
+            incarnation,
+            traits,
+        } = member;
+        let until = now
+            .saturating_add(self.leases.lease)
+            .saturating_add(self.leases.grace);
         if self.members.len() < self.leases.most {
             let presence = Presence::Suspect;
-            self.insert(name, Member { start, incarnation, traits, presence, until, rival: None });
+            self.insert(
+                name,
+                Member {
+                    start,
+                    incarnation,
+                    traits,
+                    presence,
+                    until,
+                    rival: None,
+                },
+            );
         }
     }
 
     /// Adds a member or replaces the one of this name.
     fn insert(&mut self, name: String, member: Member) {
         self.deadlines.insert((member.until, name.clone()));
-        if let Some(former) = self.members.get(&name).filter(|former| former.until != member.until) {
+        if let Some(former) = self
+            .members
+            .get(&name)
+            .filter(|former| former.until != member.until)
+        {
             self.deadlines.remove(&(former.until, name.clone()));
         }
         self.members.insert(name, member);
@@ -167,7 +195,9 @@
 
     /// Puts a member into a state that ends at `until`.
     fn set_presence(&mut self, name: &str, presence: Presence, until: Micros) {
-        let Some(member) = self.members.get_mut(name) else { return };
+        let Some(member) = self.members.get_mut(name) else {
+            return;
+        };
         let former = std::mem::replace(&mut member.until, until);
         member.presence = presence;
         if former != until {
@@ -178,14 +208,20 @@
 
     /// Forgets a member. Returns whether it was known.
     fn remove(&mut self, name: &str) -> bool {
-        let Some(member) = self.members.remove(name) else { return false };
+        let Some(member) = self.members.remove(name) else {
+            return false;
+        };
         self.deadlines.remove(&(member.until, name.to_string()));
         true
     }
 
     /// Registers a start under its name. The name must have been checked.
     pub fn register(&mut self, now: Micros, registration: &Register) -> Registered {
-        let Who { name, start, incarnation } = &registration.who;
+        let Who {
+            name,
+            start,
+            incarnation,
+        } = &registration.who;
         let until = now.saturating_add(self.leases.lease);
         if let Some(member) = self.members.get_mut(name) {
             let same = member.start == *start;
@@ -197,24 +233,45 @@
                 member.traits = registration.traits.clone();
                 let incarnation = member.incarnation;
                 self.set_presence(name, Presence::Joining, until);
-                return Registered::Welcome { incarnation, new: false };
+                return Registered::Welcome {
+                    incarnation,
+                    new: false,
+                };
             }
             // Two starts with the same incarnation would be taken for one.
             let above = member.incarnation.saturating_add(1);
-            let granted = if same { member.incarnation } else { above.max(*incarnation) };
-            self.insert(name.clone(), Member::joining(*start, granted, registration.traits.clone(), until));
-            return Registered::Welcome { incarnation: granted, new: !same };
+            let granted = if same {
+                member.incarnation
+            } else {
+                above.max(*incarnation)
+            };
+            self.insert(
+                name.clone(),
+                Member::joining(*start, granted, registration.traits.clone(), until),
+            );
+            return Registered::Welcome {
+                incarnation: granted,
+                new: !same,
+            };
         }
         if self.members.len() >= self.leases.most && !self.forget_longest_gone() {
             return Registered::Full;
         }
-        self.insert(name.clone(), Member::joining(*start, *incarnation, registration.traits.clone(), until));
-        Registered::Welcome { incarnation: *incarnation, new: true }
+        self.insert(
+            name.clone(),
+            Member::joining(*start, *incarnation, registration.traits.clone(), until),
+        );
+        Registered::Welcome {
+            incarnation: *incarnation,
+            new: true,
+        }
     }
 
     /// Renews the lease of a start that has reported.
     pub fn renew(&mut self, now: Micros, who: &Who) -> Renewed {
-        let Some(member) = self.members.get_mut(&who.name) else { return Renewed::Unknown };
+        let Some(member) = self.members.get_mut(&who.name) else {
+            return Renewed::Unknown;
+        };
         if member.start != who.start && !is_injected(InjectedBug::IdentifyByName) {
             if member.presence == Presence::Gone {
                 return Renewed::Unknown;
@@ -230,24 +287,34 @@
         {
             return Renewed::Unknown;
         }
-        self.set_presence(&who.name, Presence::Alive, now.saturating_add(self.leases.lease));
+        self.set_presence(
+            &who.name,
+            Presence::Alive,
+            now.saturating_add(self.leases.lease),
+        );
         Renewed::Renewed(was)
     }
 
     /// Returns the members whose state has changed by now, ordered by name. A member that is forgotten appears as gone once
     /// more.
     pub fn tick(&mut self, now: Micros) -> Vec<(String, Presence)> {
-        let later = self.deadlines.split_off(&(now.saturating_add(1), String::new()));
+        let later = self
+            .deadlines
+            .split_off(&(now.saturating_add(1), String::new()));
         let due = std::mem::replace(&mut self.deadlines, later);
-        let mut changed: Vec<(String, Presence)> =
-            due.into_iter().map(|(_, name)| (name.clone(), self.expire(now, name))).collect();
+        let mut changed: Vec<(String, Presence)> = due
+            .into_iter()
+            .map(|(_, name)| (name.clone(), self.expire(now, name)))
+            .collect();
         changed.sort_unstable();
         changed
     }
 
     /// Puts a member whose deadline has passed, and is no longer indexed, into its next state.
     fn expire(&mut self, now: Micros, name: String) -> Presence {
-        let Some(member) = self.members.get_mut(&name) else { return Presence::Gone };
+        let Some(member) = self.members.get_mut(&name) else {
+            return Presence::Gone;
+        };
         let (next, wait) = match member.presence {
             Presence::Joining | Presence::Alive => (Presence::Suspect, self.leases.grace),
             Presence::Suspect => (Presence::Gone, self.leases.memory),
@@ -289,32 +356,63 @@
 
     /// Forgets the member that has been gone for longest. Returns whether there was one.
     fn forget_longest_gone(&mut self) -> bool {
-        let gone = self.members.iter().filter(|(_, member)| member.presence == Presence::Gone);
-        let longest = gone.min_by_key(|(_, member)| member.until).map(|(name, _)| name.clone());
+        let gone = self
+            .members
+            .iter()
+            .filter(|(_, member)| member.presence == Presence::Gone);
+        let longest = gone
+            .min_by_key(|(_, member)| member.until)
+            .map(|(name, _)| name.clone());
         longest.is_some_and(|name| self.remove(&name))
     }
 
     #[cfg(any(test, feature = "explore"))]
     pub(crate) fn rebase(&mut self, by: Micros) {
-        self.members.values_mut().for_each(|member| member.until = member.until.saturating_sub(by));
-        let deadlines = self.members.iter().map(|(name, member)| (member.until, name.clone()));
+        self.members
+            .values_mut()
+            .for_each(|member| member.until = member.until.saturating_sub(by));
+        let deadlines = self
+            .members
+            .iter()
+            .map(|(name, member)| (member.until, name.clone()));
         self.deadlines = deadlines.collect();
     }
 }
 
 impl Member {
     fn joining(start: u64, incarnation: u64, traits: Traits, until: Micros) -> Self {
-        Member { start, incarnation, traits, presence: Presence::Joining, until, rival: None }
+        Member {
+            start,
+            incarnation,
+            traits,
+            presence: Presence::Joining,
+            until,
+            rival: None,
+        }
     }
 
     /// The part of the member that is persisted.
     pub fn persisted(&self) -> PersistedMember {
-        PersistedMember { start: self.start, incarnation: self.incarnation, traits: self.traits.clone() }
+        PersistedMember {
+            start: self.start,
+            incarnation: self.incarnation,
+            traits: self.traits.clone(),
+        }
     }
 
     fn reject(&mut self, now: Micros, start: u64, incarnation: u64) -> Registered {
-        let seen = self.rival.filter(|rival| rival.start == start).map_or(0, |rival| rival.seen);
-        self.rival = Some(Rival { start, incarnation, seen: (seen + 1).min(SEEN) });
-        Registered::Superseded { by: self.incarnation, again: self.until.saturating_sub(now) }
+        let seen = self
+            .rival
+            .filter(|rival| rival.start == start)
+            .map_or(0, |rival| rival.seen);
+        self.rival = Some(Rival {
+            start,
+            incarnation,
+            seen: (seen + 1).min(SEEN),
+        });
+        Registered::Superseded {
+            by: self.incarnation,
+            again: self.until.saturating_sub(now),
+        }
     }
 }
--- a/crates/fleet/src/protocol.rs
+++ b/crates/fleet/src/protocol.rs
@@ -24,7 +24,9 @@
 
 /// Orders the agent's orders: by the term of the agent that gave them, then by number. Numbers count the orders to
 /// one instance within one term, from 1.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Stamp {
     /// The term of the agent; it grows with each of the agent's starts.
     pub term: u64,
@@ -49,7 +51,10 @@
     /// # Errors
     /// The invalid field.
     pub fn check(&self) -> Result<(), Problem> {
-        check_name(&self.name).map_err(|error| Problem { field: "name".into(), problem: error.to_string() })
+        check_name(&self.name).map_err(|error| Problem {
+            field: "name".into(),
+            problem: error.to_string(),
+        })
     }
 }
 
--- a/crates/fleet/src/relay/child.rs
+++ b/crates/fleet/src/relay/child.rs
@@ -70,12 +70,17 @@
 
     /// When the relay has to look at it next.
     pub(super) fn deadline(&self) -> Micros {
-        self.waiting.map_or(self.until, |waiting| waiting.until.min(self.until))
+        self.waiting
+            .map_or(self.until, |waiting| waiting.until.min(self.until))
     }
 }
 
 /// The part of a report that stays true for a while. Leases and lists are bounded by the age of what they answer: a
 /// report that is repeated asks for none.
 pub(super) fn repeatable(report: &Report) -> Report {
-    Report { asks: None, tells: None, ..report.clone() }
+    Report {
+        asks: None,
+        tells: None,
+        ..report.clone()
+    }
 }
--- a/crates/fleet/src/relay/mod.rs
+++ b/crates/fleet/src/relay/mod.rs
@@ -69,7 +69,10 @@
             lease: 10_000_000,
             answer_timeout: 2_000_000,
             max_children: 16_384,
-            pace: Pace { rate: 400, ..Pace::default() },
+            pace: Pace {
+                rate: 400,
+                ..Pace::default()
+            },
         }
     }
 }
@@ -143,7 +146,11 @@
             is_connected: self.is_connected,
             term: self.term,
             children: self.children.len(),
-            registered: self.children.values().filter(|child| child.is_registered).count(),
+            registered: self
+                .children
+                .values()
+                .filter(|child| child.is_registered)
+                .count(),
             outgoing: self.outgoing.len(),
             answered_alone: self.answered_alone,
         }
@@ -161,7 +168,11 @@
 
     /// How many messages could go with a batch now: none while one is not answered yet.
     pub fn ready_for_batch(&self) -> usize {
-        if self.is_connected && self.in_flight.is_none() { self.outgoing.len() } else { 0 }
+        if self.is_connected && self.in_flight.is_none() {
+            self.outgoing.len()
+        } else {
+            0
+        }
     }
 
     /// When [`Relay::tick`] is due next.
@@ -174,7 +185,11 @@
         let mut output = RelayOutput::default();
         while let Some((_, key)) = self.deadlines.first().filter(|(at, _)| *at <= now).cloned() {
             self.answer_alone(now, &key, &mut output);
-            if self.children.get(&key).is_some_and(|child| child.until <= now) {
+            if self
+                .children
+                .get(&key)
+                .is_some_and(|child| child.until <= now)
+            {
                 self.forget(&key, &mut output);
             }
         }
@@ -182,10 +197,18 @@
     }
 
     /// Handles a request of a child. `jitter` must be random.
-    pub fn receive(&mut self, now: Micros, request: RequestId, message: ToAgent, jitter: u64) -> RelayOutput {
+    pub fn receive(
+        &mut self,
+        now: Micros,
+        request: RequestId,
+        message: ToAgent,
+        jitter: u64,
+    ) -> RelayOutput {
         let mut output = RelayOutput::default();
         match message {
-            ToAgent::Register(registration) => self.register(now, request, registration, jitter, &mut output),
+            ToAgent::Register(registration) => {
+                self.register(now, request, registration, jitter, &mut output)
+            }
             ToAgent::Report(report) => self.report(now, request, report, &mut output),
         }
         output
@@ -208,7 +231,14 @@
     #[cfg(any(test, feature = "explore"))]
     pub(crate) fn explored_hash(&self) -> u64 {
         let order: Vec<&ChildKey> = self.outgoing.values().collect();
-        let state = (self.term, self.is_connected, self.every, &self.children, order, &self.in_flight);
+        let state = (
+            self.term,
+            self.is_connected,
+            self.every,
+            &self.children,
+            order,
+            &self.in_flight,
+        );
         crate::explore::hash_of((state, &self.spread))
     }
 }
