--- a/crates/fleet/src/relay/parent.rs
+++ b/crates/fleet/src/relay/parent.rs
@@ -58,7 +58,11 @@
         while batch.messages.len() < MAX_BATCH
             && let Some((_, key)) = self.outgoing.pop_first()
         {
-            if let Some(message) = self.children.get_mut(&key).and_then(|child| child.outgoing.take()) {
+            if let Some(message) = self
+                .children
+                .get_mut(&key)
+                .and_then(|child| child.outgoing.take())
+            {
                 batch.messages.push(message);
                 keys.push(key);
             }
@@ -77,7 +81,11 @@
             if let Some(keys) = &mut self.in_flight {
                 keys.retain(|in_flight| *in_flight != key);
             }
-            if self.children.get(&key).is_some_and(|child| child.outgoing.is_none()) {
+            if self
+                .children
+                .get(&key)
+                .is_some_and(|child| child.outgoing.is_none())
+            {
                 self.queue(&key, message);
             }
         }
@@ -85,7 +93,9 @@
 
     /// Handles the parent's answer to the last batch.
     pub fn batch_answered(&mut self, now: Micros, answer: BatchAnswer) -> RelayOutput {
-        let Some(keys) = self.in_flight.take() else { return RelayOutput::default() };
+        let Some(keys) = self.in_flight.take() else {
+            return RelayOutput::default();
+        };
         if answer.term < self.term && !is_injected(InjectedBug::RelayObeysFormerTerms) {
             // A parent that was replaced: another connection has to be made.
             return self.parent_lost(now);
@@ -94,7 +104,10 @@
         let mut by_child: BTreeMap<ChildKey, Vec<ToInstance>> =
             keys.into_iter().map(|key| (key, Vec::new())).collect();
         for Addressed { name, message } in answer.messages {
-            let key = ChildKey { name, start: message.start() };
+            let key = ChildKey {
+                name,
+                start: message.start(),
+            };
             by_child.entry(key).or_default().push(message);
         }
         let mut output = RelayOutput::default();
@@ -107,7 +120,10 @@
     /// Handles a message that came over the watch at the parent.
     pub fn parent_message(&mut self, message: Addressed) -> RelayOutput {
         let mut output = RelayOutput::default();
-        let key = ChildKey { name: message.name.clone(), start: message.message.start() };
+        let key = ChildKey {
+            name: message.name.clone(),
+            start: message.message.start(),
+        };
         let term = term_of(&message.message).unwrap_or(self.term);
         if term < self.term && !is_injected(InjectedBug::RelayObeysFormerTerms) {
             return output;
@@ -120,12 +136,17 @@
     /// Sends a message over the watch of a child. One that would overtake an answer under a former term is dropped: read
     /// behind it, that answer would end the session. The next report brings the message again.
     fn push(&self, key: &ChildKey, message: ToInstance, output: &mut RelayOutput) {
-        let Some(child) = self.children.get(key) else { return };
+        let Some(child) = self.children.get(key) else {
+            return;
+        };
         let overtakes = child.unread_term.is_some_and(|unread| unread < self.term);
         // That a lease is renewed is the answer to a report, and says nothing over a watch.
         let is_answer = matches!(message, ToInstance::Renewed { .. });
         if (!overtakes || is_injected(InjectedBug::RelayOvertakesAnswers)) && !is_answer {
-            output.pushes.push(Addressed { name: key.name.clone(), message });
+            output.pushes.push(Addressed {
+                name: key.name.clone(),
+                message,
+            });
         }
     }
 
@@ -141,12 +162,19 @@
         }
         match self.take_waiting(key) {
             Some(request) => output.answers.push((request, delivered)),
-            None => delivered.into_iter().for_each(|message| self.push(key, message, output)),
+            None => delivered
+                .into_iter()
+                .for_each(|message| self.push(key, message, output)),
         }
     }
 
     /// The parent has accepted a registration: one that the child waits for, or one that the relay made for it.
-    fn accept(&mut self, key: &ChildKey, welcome: &Welcome, is_waiting: bool) -> Option<ToInstance> {
+    fn accept(
+        &mut self,
+        key: &ChildKey,
+        welcome: &Welcome,
+        is_waiting: bool,
+    ) -> Option<ToInstance> {
         self.every = welcome.every.clamp(REPORT_INTERVALS.0, REPORT_INTERVALS.1);
         let child = self.children.get_mut(key)?;
         let was_registered = std::mem::replace(&mut child.is_registered, true);
@@ -203,7 +231,10 @@
 
 fn key_of(message: &ToAgent) -> ChildKey {
     let who = message.who();
-    ChildKey { name: who.name.clone(), start: who.start }
+    ChildKey {
+        name: who.name.clone(),
+        start: who.start,
+    }
 }
 
 /// The term of the agent that decided what a message says; none where it says nothing that lasts.
@@ -214,6 +245,8 @@
         ToInstance::Order(order) => Some(order.stamp.term),
         ToInstance::Lent(grant) => Some(grant.by.term),
         ToInstance::Lists(lists) => Some(lists.stamp.term),
-        ToInstance::Superseded { .. } | ToInstance::Later { .. } | ToInstance::Unknown { .. } => None,
+        ToInstance::Superseded { .. } | ToInstance::Later { .. } | ToInstance::Unknown { .. } => {
+            None
+        }
     }
 }
--- a/crates/fleet/src/relay/wire.rs
+++ b/crates/fleet/src/relay/wire.rs
@@ -44,20 +44,33 @@
         batch: &Batch,
         sends: Vec<(String, ToInstance)>,
     ) -> (Self, Vec<(String, ToInstance)>) {
-        let names: BTreeSet<&str> =
-            batch.messages.iter().map(|message| message.who().name.as_str()).collect();
-        let is_short = |message: &ToInstance| !matches!(message, ToInstance::Order(_) | ToInstance::Lists(_));
-        let is_answer =
-            |(name, message): &(String, ToInstance)| is_short(message) && names.contains(name.as_str());
+        let names: BTreeSet<&str> = batch
+            .messages
+            .iter()
+            .map(|message| message.who().name.as_str())
+            .collect();
+        let is_short =
+            |message: &ToInstance| !matches!(message, ToInstance::Order(_) | ToInstance::Lists(_));
+        let is_answer = |(name, message): &(String, ToInstance)| {
+            is_short(message) && names.contains(name.as_str())
+        };
         let (own, others): (Vec<_>, Vec<_>) = sends.into_iter().partition(is_answer);
-        let messages = own.into_iter().map(|(name, message)| Addressed { name, message }).collect();
+        let messages = own
+            .into_iter()
+            .map(|(name, message)| Addressed { name, message })
+            .collect();
         (BatchAnswer { term, messages }, others)
     }
 
     /// The starts that hold their names, by name and start.
     pub fn accepted(&self) -> BTreeSet<(&str, u64)> {
-        let accepted = self.messages.iter().filter(|addressed| addressed.message.is_acceptance());
-        accepted.map(|addressed| (addressed.name.as_str(), addressed.message.start())).collect()
+        let accepted = self
+            .messages
+            .iter()
+            .filter(|addressed| addressed.message.is_acceptance());
+        accepted
+            .map(|addressed| (addressed.name.as_str(), addressed.message.start()))
+            .collect()
     }
 }
 
--- a/crates/fleet/src/rollout.rs
+++ b/crates/fleet/src/rollout.rs
@@ -55,8 +55,12 @@
             Step::Applied => f.write_str("applied"),
             Step::Refused(problem) => write!(f, "refused: {problem}"),
             Step::Failed(Reason::Unreachable) => f.write_str("failed: unreachable"),
-            Step::Failed(Reason::NotReached) => f.write_str("failed: the rollout ended before its turn"),
-            Step::Failed(Reason::Overtaken) => f.write_str("failed: taken back before it had answered"),
+            Step::Failed(Reason::NotReached) => {
+                f.write_str("failed: the rollout ended before its turn")
+            }
+            Step::Failed(Reason::Overtaken) => {
+                f.write_str("failed: taken back before it had answered")
+            }
         }
     }
 }
@@ -174,32 +178,71 @@
         others: BTreeMap<String, Counts>,
     ) -> Self {
         // The order does not depend on names alone, so that it is not always the same instances that are first.
-        let mut order: Vec<(&String, Counts)> = chosen.iter().map(|(name, counts)| (name, *counts)).collect();
+        let mut order: Vec<(&String, Counts)> = chosen
+            .iter()
+            .map(|(name, counts)| (name, *counts))
+            .collect();
         order.sort_by_cached_key(|(name, _)| Fingerprint::of(&(&change.id, name)));
-        let ends: Vec<usize> =
-            change.rollout.waves.iter().map(|share| Share::of(*share, order.len())).collect();
+        let ends: Vec<usize> = change
+            .rollout
+            .waves
+            .iter()
+            .map(|share| Share::of(*share, order.len()))
+            .collect();
         let target = |(at, (name, before)): (usize, (&String, Counts))| {
             let wave = ends.iter().filter(|end| **end <= at).count() as u32;
-            (name.clone(), Target { wave, step: Step::Pending, back: None, before, until: None })
+            (
+                name.clone(),
+                Target {
+                    wave,
+                    step: Step::Pending,
+                    back: None,
+                    before,
+                    until: None,
+                },
+            )
         };
         let targets: BTreeMap<String, Target> = order.into_iter().enumerate().map(target).collect();
-        let unsaved = Unsaved { head: true, targets: targets.keys().cloned().collect() };
+        let unsaved = Unsaved {
+            head: true,
+            targets: targets.keys().cloned().collect(),
+        };
         let phase = Phase::Forward { wave: 0 };
         let (back_revision, why, watch) = (None, None, None);
-        Rollout { change, revision, back_revision, by, phase, why, others, targets, watch, unsaved }
+        Rollout {
+            change,
+            revision,
+            back_revision,
+            by,
+            phase,
+            why,
+            others,
+            targets,
+            watch,
+            unsaved,
+        }
     }
 
     /// The rollout without its targets.
     pub fn head(&self) -> Rollout {
         let (targets, watch, unsaved) = Default::default();
-        Rollout { targets, watch, unsaved, ..self.clone() }
+        Rollout {
+            targets,
+            watch,
+            unsaved,
+            ..self.clone()
+        }
     }
 
     /// Resumes the rollout after a restart of the agent: every deadline starts anew.
     pub fn resume(&mut self, now: Micros) {
         let until = Some(now.saturating_add(self.change.rollout.silence));
         for target in self.targets.values_mut() {
-            target.until = if target.is_awaited(self.phase) { until } else { None };
+            target.until = if target.is_awaited(self.phase) {
+                until
+            } else {
+                None
+            };
         }
         if let Phase::Watch { .. } = self.phase {
             self.begin_watch(now);
@@ -214,12 +257,17 @@
 
     /// The settings that an instance should have.
     pub fn side(&self, name: &str) -> Side {
-        let Some(target) = self.targets.get(name) else { return Side::Old };
+        let Some(target) = self.targets.get(name) else {
+            return Side::Old;
+        };
         match (&self.phase, &target.step) {
             (Phase::Back | Phase::Ended(End::TakenBack), _) => Side::Old,
-            (_, Step::Pending | Step::Refused(_) | Step::Failed(Reason::NotReached | Reason::Overtaken)) => {
-                Side::Old
-            }
+            (
+                _,
+                Step::Pending
+                | Step::Refused(_)
+                | Step::Failed(Reason::NotReached | Reason::Overtaken),
+            ) => Side::Old,
             (_, Step::Sent | Step::Applied | Step::Failed(Reason::Unreachable)) => Side::New,
         }
     }
@@ -227,8 +275,14 @@
     /// The order that an instance has to answer, if there is one.
     pub fn cause(&self, name: &str) -> Option<Cause> {
         let back = self.phase == Phase::Back;
-        let target = self.targets.get(name).filter(|target| target.is_awaited(self.phase))?;
-        (target.until.is_some()).then_some(Cause { revision: self.revision, back })
+        let target = self
+            .targets
+            .get(name)
+            .filter(|target| target.is_awaited(self.phase))?;
+        (target.until.is_some()).then_some(Cause {
+            revision: self.revision,
+            back,
+        })
     }
 
     /// Records the answer to an order of this rollout.
@@ -236,7 +290,9 @@
         if self.cause(name) != Some(cause) {
             return;
         }
-        let Some(target) = self.targets.get_mut(name) else { return };
+        let Some(target) = self.targets.get_mut(name) else {
+            return;
+        };
         let step = match outcome {
             Outcome::Applied => Step::Applied,
             Outcome::Refused(problem) => Step::Refused(problem.clone()),
@@ -268,7 +324,10 @@
 
     /// Takes the change back under a new revision. Returns false where it is too late.
     pub fn take_back(&mut self, now: Micros, revision: u64, why: String) -> bool {
-        let under_way = matches!(self.phase, Phase::Forward { .. } | Phase::Watch { .. } | Phase::Stopping);
+        let under_way = matches!(
+            self.phase,
+            Phase::Forward { .. } | Phase::Watch { .. } | Phase::Stopping
+        );
         if under_way {
             self.change_phase(Phase::Back, why);
             self.back_revision = Some(revision);
@@ -304,7 +363,12 @@
     /// Does what is due. `next` is the revision that taking the change back makes; `counts` returns the newest
     /// request counts of an instance that is alive. Returns whether taking it back has begun, so that the revision is
     /// used.
-    pub fn advance(&mut self, now: Micros, next: u64, counts: &dyn Fn(&str) -> Option<Counts>) -> bool {
+    pub fn advance(
+        &mut self,
+        now: Micros,
+        next: u64,
+        counts: &dyn Fn(&str) -> Option<Counts>,
+    ) -> bool {
         self.expire(now);
         let mut took_back = false;
         while self.advance_once(now, next, counts, &mut took_back) {}
@@ -326,8 +390,17 @@
             }
             Phase::Forward { wave } => {
                 self.send_wave(now, wave);
-                if self.targets.values().all(|target| target.wave > wave || target.step.is_final()) {
-                    let last = self.targets.values().map(|target| target.wave).max().unwrap_or(0);
+                if self
+                    .targets
+                    .values()
+                    .all(|target| target.wave > wave || target.step.is_final())
+                {
+                    let last = self
+                        .targets
+                        .values()
+                        .map(|target| target.wave)
+                        .max()
+                        .unwrap_or(0);
                     if wave >= last {
                         self.phase = Phase::Ended(End::Done);
                     } else {
@@ -337,18 +410,25 @@
                 }
             }
             Phase::Watch { wave } => {
-                let Some((until, patience)) = self.watch else { return false };
+                let Some((until, patience)) = self.watch else {
+                    return false;
+                };
                 if now < until {
                     return false;
                 }
                 match self.verdict(counts) {
                     Verdict::Sound => self.phase = Phase::Forward { wave: wave + 1 },
                     Verdict::TooLittle(_) if now < patience => return false,
-                    Verdict::TooLittle(_) if self.change.rollout.gate.is_none_or(|gate| gate.unproven) => {
+                    Verdict::TooLittle(_)
+                        if self.change.rollout.gate.is_none_or(|gate| gate.unproven) =>
+                    {
                         self.phase = Phase::Forward { wave: wave + 1 };
                     }
                     Verdict::TooLittle(seen) => {
-                        let why = format!("too little evidence after wave {}: {seen} requests", wave + 1);
+                        let why = format!(
+                            "too little evidence after wave {}: {seen} requests",
+                            wave + 1
+                        );
                         *took_back |= self.end_early(now, next, why);
                     }
                     Verdict::Hurts { by, error } => {
@@ -365,7 +445,11 @@
                 }
             }
             Phase::Stopping => {
-                if self.targets.values().all(|target| target.step != Step::Sent) {
+                if self
+                    .targets
+                    .values()
+                    .all(|target| target.step != Step::Sent)
+                {
                     for (name, target) in &mut self.targets {
                         if target.step == Step::Pending {
                             target.step = Step::Failed(Reason::NotReached);
@@ -376,7 +460,11 @@
                 }
             }
             Phase::Back => {
-                if self.targets.values().all(|target| target.back.as_ref().is_none_or(Step::is_final)) {
+                if self
+                    .targets
+                    .values()
+                    .all(|target| target.back.as_ref().is_none_or(Step::is_final))
+                {
                     self.phase = Phase::Ended(End::TakenBack);
                 }
             }
@@ -389,13 +477,17 @@
     /// When the rollout has to be advanced next.
     pub fn next(&self, now: Micros) -> Option<Micros> {
         let silences = self.targets.values().filter_map(|target| target.until);
-        let watch = self.watch.into_iter().flat_map(|(until, patience)| [until, patience]);
+        let watch = self
+            .watch
+            .into_iter()
+            .flat_map(|(until, patience)| [until, patience]);
         silences.chain(watch).filter(|at| *at > now).min()
     }
 
     /// The number of targets that refused the change or failed.
     pub fn failures(&self) -> usize {
-        let failed = |t: &&Target| matches!(t.step, Step::Refused(_) | Step::Failed(Reason::Unreachable));
+        let failed =
+            |t: &&Target| matches!(t.step, Step::Refused(_) | Step::Failed(Reason::Unreachable));
         self.targets.values().filter(failed).count()
     }
 
@@ -426,10 +518,17 @@
     }
 
     fn send_wave(&mut self, now: Micros, wave: u32) {
-        let under_way = self.targets.values().filter(|target| target.step == Step::Sent).count();
+        let under_way = self
+            .targets
+            .values()
+            .filter(|target| target.step == Step::Sent)
+            .count();
         let room = (self.change.rollout.at_once as usize).saturating_sub(under_way);
         let until = Some(now.saturating_add(self.change.rollout.silence));
-        let pending = self.targets.iter_mut().filter(|(_, t)| t.wave <= wave && t.step == Step::Pending);
+        let pending = self
+            .targets
+            .iter_mut()
+            .filter(|(_, t)| t.wave <= wave && t.step == Step::Pending);
         for (name, target) in pending.take(room) {
             target.step = Step::Sent;
             target.until = until;
@@ -438,14 +537,30 @@
     }
 
     fn verdict(&self, counts: &dyn Fn(&str) -> Option<Counts>) -> Verdict {
-        let Some(rule) = &self.change.rollout.gate else { return Verdict::Sound };
-        let sample = |name: &String, before: Counts| counts(name).map(|after| Sample { before, after });
-        let changed = self.targets.iter().filter(|(_, target)| target.step == Step::Applied);
-        let unchanged = self.targets.iter().filter(|(_, target)| target.step == Step::Pending);
-        let changed: Vec<Sample> = changed.filter_map(|(name, target)| sample(name, target.before)).collect();
-        let mut others: Vec<Sample> =
-            unchanged.filter_map(|(name, target)| sample(name, target.before)).collect();
-        others.extend(self.others.iter().filter_map(|(name, before)| sample(name, *before)));
+        let Some(rule) = &self.change.rollout.gate else {
+            return Verdict::Sound;
+        };
+        let sample =
+            |name: &String, before: Counts| counts(name).map(|after| Sample { before, after });
+        let changed = self
+            .targets
+            .iter()
+            .filter(|(_, target)| target.step == Step::Applied);
+        let unchanged = self
+            .targets
+            .iter()
+            .filter(|(_, target)| target.step == Step::Pending);
+        let changed: Vec<Sample> = changed
+            .filter_map(|(name, target)| sample(name, target.before))
+            .collect();
+        let mut others: Vec<Sample> = unchanged
+            .filter_map(|(name, target)| sample(name, target.before))
+            .collect();
+        others.extend(
+            self.others
+                .iter()
+                .filter_map(|(name, before)| sample(name, *before)),
+        );
         judge(rule, &changed, &others)
     }
 
@@ -457,7 +572,10 @@
     #[cfg(any(test, feature = "explore"))]
     pub(crate) fn rebase(&mut self, by: Micros) {
         let back = |at: &mut Micros| *at = at.saturating_sub(by);
-        self.targets.values_mut().filter_map(|target| target.until.as_mut()).for_each(back);
+        self.targets
+            .values_mut()
+            .filter_map(|target| target.until.as_mut())
+            .for_each(back);
         if let Some((until, patience)) = &mut self.watch {
             back(until);
             back(patience);
@@ -483,6 +601,10 @@
     }
 
     fn step_mut(&mut self, back: bool) -> &mut Step {
-        if back { self.back.get_or_insert(Step::Sent) } else { &mut self.step }
+        if back {
+            self.back.get_or_insert(Step::Sent)
+        } else {
+            &mut self.step
+        }
     }
 }
--- a/crates/fleet/src/settings.rs
+++ b/crates/fleet/src/settings.rs
@@ -83,7 +83,10 @@
 
 impl fmt::Display for FleetFigure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let name = FleetFigure::ALL.iter().find(|(figure, _)| figure == self).map_or("", |(_, name)| name);
+        let name = FleetFigure::ALL
+            .iter()
+            .find(|(figure, _)| figure == self)
+            .map_or("", |(_, name)| name);
         f.write_str(name)
     }
 }
@@ -118,9 +121,10 @@
         match (kind, rest.as_slice()) {
             ("weight", [server]) => Ok(Key::Weight(server.to_string())),
             ("drain", [server]) => Ok(Key::Drain(server.to_string())),
-            ("limit", [service, limit]) => {
-                Ok(Key::Limit { service: service.to_string(), limit: limit.to_string() })
-            }
+            ("limit", [service, limit]) => Ok(Key::Limit {
+                service: service.to_string(),
+                limit: limit.to_string(),
+            }),
             ("route", [name]) => Ok(Key::Route(name.to_string())),
             ("log_level", []) => Ok(Key::LogLevel),
             ("fleet", [limit, figure]) => {
@@ -129,9 +133,14 @@
                     key: text.to_string(),
                     figure: figure.to_string(),
                 })?;
-                Ok(Key::Fleet { limit: limit.to_string(), figure: *figure })
+                Ok(Key::Fleet {
+                    limit: limit.to_string(),
+                    figure: *figure,
+                })
             }
-            _ => Err(Error::UnknownSetting { key: text.to_string() }),
+            _ => Err(Error::UnknownSetting {
+                key: text.to_string(),
+            }),
         }
     }
 }
@@ -144,7 +153,9 @@
 
 impl<'a> Deserialize<'a> for Key {
     fn deserialize<D: Deserializer<'a>>(reader: D) -> Result<Self, D::Error> {
-        String::deserialize(reader)?.parse().map_err(de::Error::custom)
+        String::deserialize(reader)?
+            .parse()
+            .map_err(de::Error::custom)
     }
 }
 
@@ -204,7 +215,9 @@
     /// Why the value is invalid.
     pub fn validate(&self, key: &Key) -> Result<(), Error> {
         match (key, self) {
-            (Key::Weight(_), Value::Weight(w)) if *w > GREATEST_WEIGHT => Err(Error::WeightOutOfRange),
+            (Key::Weight(_), Value::Weight(w)) if *w > GREATEST_WEIGHT => {
+                Err(Error::WeightOutOfRange)
+            }
             (Key::Route(_), Value::Route(text)) if text.len() > LONGEST_ROUTE => {
                 Err(Error::RouteTooLong { length: text.len() })
             }
@@ -228,12 +241,21 @@
 /// Checks the settings of a change; problems name their field below `set`.
 pub fn check_edits(edits: &Edits, problems: &mut Vec<Problem>) {
     if edits.len() > MOST_SETTINGS {
-        let problem = format!("{} settings; a change has {MOST_SETTINGS} at most", edits.len());
-        problems.push(Problem { field: "set".into(), problem });
+        let problem = format!(
+            "{} settings; a change has {MOST_SETTINGS} at most",
+            edits.len()
+        );
+        problems.push(Problem {
+            field: "set".into(),
+            problem,
+        });
     }
     for (key, value) in edits {
         if let Err(error) = value.as_ref().map_or(Ok(()), |value| value.validate(key)) {
-            problems.push(Problem { field: format!("set.{key}"), problem: error.to_string() });
+            problems.push(Problem {
+                field: format!("set.{key}"),
+                problem: error.to_string(),
+            });
         }
     }
 }
@@ -250,7 +272,10 @@
 
     /// Sets what is to be set. What is the agent's own is passed over.
     pub fn apply(&mut self, edits: &Edits) {
-        for (key, value) in edits.iter().filter(|(key, _)| !matches!(key, Key::Fleet { .. })) {
+        for (key, value) in edits
+            .iter()
+            .filter(|(key, _)| !matches!(key, Key::Fleet { .. }))
+        {
             match value {
                 Some(value) => self.0.insert(key.clone(), value.clone()),
                 None => self.0.remove(key),
@@ -264,7 +289,13 @@
         let told = |value: Option<&Value>| value.map_or_else(|| "-".to_string(), Value::to_string);
         keys.into_iter()
             .filter(|key| self.0.get(key) != later.0.get(key))
-            .map(|key| format!("{key}: {} -> {}", told(self.0.get(key)), told(later.0.get(key))))
+            .map(|key| {
+                format!(
+                    "{key}: {} -> {}",
+                    told(self.0.get(key)),
+                    told(later.0.get(key))
+                )
+            })
             .collect()
     }
 }
@@ -279,7 +310,10 @@
         // What is given here has string keys alone, so that it can always be written.
         let text = serde_json::to_vec(what).unwrap_or_default();
         let hash = Sha256::digest(&text);
-        let half = hash.iter().take(16).fold(0u128, |all, byte| all << 8 | u128::from(*byte));
+        let half = hash
+            .iter()
+            .take(16)
+            .fold(0u128, |all, byte| all << 8 | u128::from(*byte));
         Fingerprint(half)
     }
 }
--- a/crates/fleet/src/spread.rs
+++ b/crates/fleet/src/spread.rs
@@ -20,7 +20,11 @@
 
 impl Default for Pace {
     fn default() -> Self {
-        Pace { rate: 100, burst: 50, horizon: 60_000_000 }
+        Pace {
+            rate: 100,
+            burst: 50,
+            horizon: 60_000_000,
+        }
     }
 }
 
@@ -38,7 +42,11 @@
 impl Spread {
     /// Creates a limiter with an empty queue.
     pub fn new(pace: Pace) -> Self {
-        Spread { pace, queue_end: 0, reservations: BTreeMap::new() }
+        Spread {
+            pace,
+            queue_end: 0,
+            reservations: BTreeMap::new(),
+        }
     }
 
     fn gap(&self) -> Micros {
@@ -64,7 +72,8 @@
         // Places that were not used in time are dropped.
         let stale = self.pace.horizon;
         if self.reservations.len() >= MAX_RESERVATIONS {
-            self.reservations.retain(|_, at| at.saturating_add(stale) > now);
+            self.reservations
+                .retain(|_, at| at.saturating_add(stale) > now);
         }
         if ahead >= self.pace.horizon || self.reservations.len() >= MAX_RESERVATIONS {
             // No place is reserved that far ahead: the instance asks again within the last half.
@@ -78,13 +87,17 @@
 
     /// The time over which a number of instances should spread their return, in microseconds.
     pub fn span(&self, instances: usize) -> Micros {
-        self.gap().saturating_mul(instances as Micros).min(self.pace.horizon)
+        self.gap()
+            .saturating_mul(instances as Micros)
+            .min(self.pace.horizon)
     }
 
     #[cfg(any(test, feature = "explore"))]
     pub(crate) fn rebase(&mut self, by: Micros) {
         self.queue_end = self.queue_end.saturating_sub(by);
-        self.reservations.values_mut().for_each(|at| *at = at.saturating_sub(by));
+        self.reservations
+            .values_mut()
+            .for_each(|at| *at = at.saturating_sub(by));
     }
 }
 
@@ -114,21 +127,45 @@
 
     #[test]
     fn five_hundred_at_once_come_in_at_the_pace_and_all_of_them_do() {
-        let times = come_back(Pace { rate: 100, burst: 50, horizon: 60_000_000 }, 500);
+        let times = come_back(
+            Pace {
+                rate: 100,
+                burst: 50,
+                horizon: 60_000_000,
+            },
+            500,
+        );
         assert_eq!(times.len(), 500);
         assert!(*times.last().expect("some") <= 1_000_000 + 5_100_000);
         for (at, start) in times.iter().enumerate() {
-            let within = times[at..].iter().take_while(|t| **t < start + 1_000_000).count();
+            let within = times[at..]
+                .iter()
+                .take_while(|t| **t < start + 1_000_000)
+                .count();
             assert!(within <= 152, "{within} in a second from {start}");
         }
     }
 
     #[test]
     fn more_than_the_horizon_holds_still_come_in_at_the_pace() {
-        let times = come_back(Pace { rate: 100, burst: 10, horizon: 2_000_000 }, 1_000);
+        let times = come_back(
+            Pace {
+                rate: 100,
+                burst: 10,
+                horizon: 2_000_000,
+            },
+            1_000,
+        );
         assert_eq!(times.len(), 1_000);
-        let most =
-            (0..times.len()).map(|at| times[at..].iter().take_while(|t| **t < times[at] + 1_000_000).count());
-        assert!(most.max().expect("some") <= 320, "more than the pace and what had places");
+        let most = (0..times.len()).map(|at| {
+            times[at..]
+                .iter()
+                .take_while(|t| **t < times[at] + 1_000_000)
+                .count()
+        });
+        assert!(
+            most.max().expect("some") <= 320,
+            "more than the pace and what had places"
+        );
     }
 }
--- a/crates/fleet/tests/a_change_is_refused_with_its_field.rs
+++ b/crates/fleet/tests/a_change_is_refused_with_its_field.rs
@@ -40,14 +40,25 @@
     let change = file::read(FILE, None).expect("sound");
     assert_eq!((change.id.as_str(), change.base), ("slow-w7", 41));
     assert_eq!(change.rollout.waves, [Share::Count(1), Share::Percent(10)]);
-    assert_eq!((change.rollout.pause, change.rollout.then), (20_000_000, Then::Stop));
+    assert_eq!(
+        (change.rollout.pause, change.rollout.then),
+        (20_000_000, Then::Stop)
+    );
     assert_eq!(change.rollout.gate.map(|gate| gate.worse), Some(5));
-    let What::Set(edits) = &change.what else { panic!("it sets") };
-    assert_eq!(edits[&Key::Weight("w7.north".into())], Some(Value::Weight(200)));
+    let What::Set(edits) = &change.what else {
+        panic!("it sets")
+    };
+    assert_eq!(
+        edits[&Key::Weight("w7.north".into())],
+        Some(Value::Weight(200))
+    );
     assert_eq!(edits[&Key::Route("viewer".into())], None);
     assert_eq!(edits[&Key::LogLevel], Some(Value::Level(LogLevel::Debug)));
     let text = serde_json::to_string(&change).expect("JSON");
-    assert_eq!(serde_json::from_str::<Change>(&text).expect("the same"), change);
+    assert_eq!(
+        serde_json::from_str::<Change>(&text).expect("the same"),
+        change
+    );
 }
 
 #[test]
@@ -56,36 +67,73 @@
         let text = FILE.replace(from, to);
         assert_ne!(text, FILE, "{from} is there");
         let problems = file::read(&text, None).expect_err(to);
-        problems.iter().map(|problem| format!("{}: {}", problem.field, problem.problem)).collect()
+        problems
+            .iter()
+            .map(|problem| format!("{}: {}", problem.field, problem.problem))
+            .collect()
+    };
+    let begins = |told: Vec<String>, begin: &str| {
+        assert!(told[0].starts_with(begin), "{told:?} is not {begin}")
     };
-    let begins =
-        |told: Vec<String>, begin: &str| assert!(told[0].starts_with(begin), "{told:?} is not {begin}");
-    begins(told("id = \"slow-w7\"", "id = \"slow w7\""), "id: holds ' '");
+    begins(
+        told("id = \"slow-w7\"", "id = \"slow w7\""),
+        "id: holds ' '",
+    );
     begins(told("base = 41", ""), "base: is missing");
-    begins(told("at_once = 5", "at_once = 0"), "rollout.at_once: must be at least 1");
-    begins(told("\"10%\"", "\"ten\""), "rollout.waves[1]: \"ten\" is no wave");
+    begins(
+        told("at_once = 5", "at_once = 0"),
+        "rollout.at_once: must be at least 1",
+    );
+    begins(
+        told("\"10%\"", "\"ten\""),
+        "rollout.waves[1]: \"ten\" is no wave",
+    );
     begins(told("\"10%\"", "\"110%\""), "rollout.waves[1]: must be");
-    begins(told("\"0.5%\"", "\"half\""), "rollout.gate.worse: \"half\" is no share");
+    begins(
+        told("\"0.5%\"", "\"half\""),
+        "rollout.gate.worse: \"half\" is no share",
+    );
     begins(told("true", "1"), "set.drain/w9: must be true or false");
-    begins(told("= 200", "= -1"), "set.limit/reports/open: is not negative");
-    begins(told("log_level", "log_levle"), "set: \"log_levle\" is no setting; there are");
-    begins(told("[select]", "[selcet]"), "selcet: is not known; did you mean select?");
-    begins(told("zones = [\"north\"]", "zones = [\"a b\"]"), "select.zones[0]: holds ' '");
+    begins(
+        told("= 200", "= -1"),
+        "set.limit/reports/open: is not negative",
+    );
+    begins(
+        told("log_level", "log_levle"),
+        "set: \"log_levle\" is no setting; there are",
+    );
+    begins(
+        told("[select]", "[selcet]"),
+        "selcet: is not known; did you mean select?",
+    );
+    begins(
+        told("zones = [\"north\"]", "zones = [\"a b\"]"),
+        "select.zones[0]: holds ' '",
+    );
 }
 
 /// A change may name each instance of a large fleet, and there is a bound that is told.
 #[test]
 fn a_change_names_4_096_instances_and_no_more() {
     let named = |count: usize| {
-        let names: Vec<String> = (0..count).map(|number| format!("\"shop-{number}\"")).collect();
+        let names: Vec<String> = (0..count)
+            .map(|number| format!("\"shop-{number}\""))
+            .collect();
         file::read(&FILE.replace("\"shop-*\"", &names.join(", ")), None)
     };
     let change = named(MOST_NAMES).expect("sound");
     assert!(change.select.names.len() == 4_096 && change.check().is_empty());
-    let all = Traits { zone: "north".into(), ..Traits::default() };
+    let all = Traits {
+        zone: "north".into(),
+        ..Traits::default()
+    };
     assert!(change.select.matches("shop-4095", &all) && !change.select.matches("shop-4096", &all));
     let fields: Vec<String> = match named(MOST_NAMES + 1) {
-        Ok(change) => change.check().into_iter().map(|problem| problem.field).collect(),
+        Ok(change) => change
+            .check()
+            .into_iter()
+            .map(|problem| problem.field)
+            .collect(),
         Err(problems) => problems.into_iter().map(|problem| problem.field).collect(),
     };
     assert_eq!(fields, ["select.names"]);
@@ -94,20 +142,32 @@
 #[test]
 fn a_difference_tells_people_what_changed() {
     let mut former = Overlay::default();
-    former.0.insert(Key::Weight("w7".into()), Value::Weight(1_000));
-    former.0.insert(Key::Drain("w9".into()), Value::Drained(true));
+    former
+        .0
+        .insert(Key::Weight("w7".into()), Value::Weight(1_000));
+    former
+        .0
+        .insert(Key::Drain("w9".into()), Value::Drained(true));
     let mut later = former.clone();
     later.apply(&Edits::from([
         (Key::Weight("w7".into()), Some(Value::Weight(200))),
         (Key::Drain("w9".into()), None),
     ]));
-    assert_eq!(former.diff(&later), ["weight/w7: 1 -> 0.2", "drain/w9: true -> -"]);
+    assert_eq!(
+        former.diff(&later),
+        ["weight/w7: 1 -> 0.2", "drain/w9: true -> -"]
+    );
     assert_ne!(former.fingerprint(), later.fingerprint());
 }
 
 fn layer(revision: u64, select: Selector, server: &str, weight: u32) -> Layer {
     let edits = Edits::from([(Key::Weight(server.into()), Some(Value::Weight(weight)))]);
-    Layer { revision, id: format!("c{revision}"), select, edits }
+    Layer {
+        revision,
+        id: format!("c{revision}"),
+        select,
+        edits,
+    }
 }
 
 #[test]
@@ -116,7 +176,14 @@
     for (revision, weight) in [(1, 100), (2, 200), (3, 300)] {
         layers.add(layer(revision, Selector::default(), "w", weight));
     }
-    let weight = |layers: &Layers| layers.overlay("a", &Traits::default()).0.0.into_values().next();
+    let weight = |layers: &Layers| {
+        layers
+            .overlay("a", &Traits::default())
+            .0
+            .0
+            .into_values()
+            .next()
+    };
     assert_eq!(weight(&layers), Some(Value::Weight(300)));
     assert_eq!(weight(&layers.without("c2")), Some(Value::Weight(300)));
     assert_eq!(weight(&layers.without("c3")), Some(Value::Weight(200)));
@@ -126,7 +193,10 @@
     prop_oneof![
         Just(Selector::default()),
         Just(Selector::named(["a".to_string()])),
-        Just(Selector { names: vec!["b*".into()], ..Selector::default() }),
+        Just(Selector {
+            names: vec!["b*".into()],
+            ..Selector::default()
+        }),
     ]
 }
 
--- a/crates/fleet/tests/names_on_the_wire_and_on_disk_stay.rs
+++ b/crates/fleet/tests/names_on_the_wire_and_on_disk_stay.rs
@@ -6,13 +6,28 @@
 use madderloom_quota::{Amount, Grant, Lease, LeaseRequest, LeaseRequests, ServerId};
 use serde_json::{json, to_value};
 
-const AMOUNT: Amount = Amount { rate: 1, burst: 2, open: 3 };
+const AMOUNT: Amount = Amount {
+    rate: 1,
+    burst: 2,
+    open: 3,
+};
 
 #[test]
 fn a_grant_is_written_as_before() {
-    let lease = Lease { limit: "submissions".into(), amount: AMOUNT, whole: AMOUNT };
+    let lease = Lease {
+        limit: "submissions".into(),
+        amount: AMOUNT,
+        whole: AMOUNT,
+    };
     let by = ServerId { term: 4, id: 5 };
-    let grant = Grant { start: 6, by, number: 7, answers: 8, duration: 9, of: vec![lease] };
+    let grant = Grant {
+        start: 6,
+        by,
+        number: 7,
+        answers: 8,
+        duration: 9,
+        of: vec![lease],
+    };
     let amount = json!({"rate": 1, "burst": 2, "open": 3});
     let written = json!({"lent": {
         "start": 6,
@@ -22,8 +37,14 @@
         "lasts": 9,
         "of": [{"limit": "submissions", "amount": amount, "whole": amount}],
     }});
-    assert_eq!(to_value(ToInstance::Lent(grant.clone())).expect("JSON"), written);
-    assert_eq!(serde_json::from_value::<ToInstance>(written).expect("a grant"), ToInstance::Lent(grant));
+    assert_eq!(
+        to_value(ToInstance::Lent(grant.clone())).expect("JSON"),
+        written
+    );
+    assert_eq!(
+        serde_json::from_value::<ToInstance>(written).expect("a grant"),
+        ToInstance::Lent(grant)
+    );
 }
 
 #[test]
@@ -37,8 +58,17 @@
         used: 7,
     };
     let by = Some(ServerId { term: 8, id: 9 });
-    let requests = LeaseRequests { seq: 10, by, number: 11, of: vec![request] };
-    let report = Report { who: Who::default(), asks: Some(Box::new(requests)), ..Report::default() };
+    let requests = LeaseRequests {
+        seq: 10,
+        by,
+        number: 11,
+        of: vec![request],
+    };
+    let report = Report {
+        who: Who::default(),
+        asks: Some(Box::new(requests)),
+        ..Report::default()
+    };
     let written = to_value(ToAgent::Report(report)).expect("JSON");
     let expected = json!({
         "seq": 10,
@@ -59,7 +89,10 @@
 #[test]
 fn the_record_of_outstanding_leases_is_written_as_before() {
     let written = json!({"lending": 30_000_000});
-    assert_eq!(to_value(Record::LeaseDuration(30_000_000)).expect("JSON"), written);
+    assert_eq!(
+        to_value(Record::LeaseDuration(30_000_000)).expect("JSON"),
+        written
+    );
     let read = serde_json::from_value::<Record>(written).expect("a record");
     assert_eq!(read, Record::LeaseDuration(30_000_000));
 }
--- a/crates/fleet/tests/one_name_is_one_instance.rs
+++ b/crates/fleet/tests/one_name_is_one_instance.rs
@@ -8,11 +8,22 @@
 const S: u64 = 1_000_000;
 
 fn who(name: &str, start: u64, incarnation: u64) -> Who {
-    Who { name: name.into(), start, incarnation }
+    Who {
+        name: name.into(),
+        start,
+        incarnation,
+    }
 }
 
 fn register(members: &mut Membership, now: u64, start: u64, incarnation: u64) -> Registered {
-    members.register(now, &Register { who: who("a", start, incarnation), traits: Traits::default(), term: 0 })
+    members.register(
+        now,
+        &Register {
+            who: who("a", start, incarnation),
+            traits: Traits::default(),
+            term: 0,
+        },
+    )
 }
 
 fn presence(members: &Membership) -> Presence {
@@ -22,30 +33,63 @@
 #[test]
 fn an_instance_joins_lives_is_suspected_goes_and_comes_back() {
     let mut members = Membership::new(Leases::default());
-    assert_eq!(register(&mut members, 0, 7, 3), Registered::Welcome { incarnation: 3, new: true });
+    assert_eq!(
+        register(&mut members, 0, 7, 3),
+        Registered::Welcome {
+            incarnation: 3,
+            new: true
+        }
+    );
     assert_eq!(presence(&members), Presence::Joining);
-    assert_eq!(members.renew(S, &who("a", 7, 3)), Renewed::Renewed(Presence::Joining));
+    assert_eq!(
+        members.renew(S, &who("a", 7, 3)),
+        Renewed::Renewed(Presence::Joining)
+    );
     assert_eq!(presence(&members), Presence::Alive);
     assert!(members.tick(11 * S - 1).is_empty());
     assert_eq!(members.next(), Some(11 * S));
     assert_eq!(members.tick(11 * S), [("a".to_string(), Presence::Suspect)]);
-    assert_eq!(members.renew(12 * S, &who("a", 7, 3)), Renewed::Renewed(Presence::Suspect));
+    assert_eq!(
+        members.renew(12 * S, &who("a", 7, 3)),
+        Renewed::Renewed(Presence::Suspect)
+    );
     assert_eq!(members.tick(22 * S).len(), 1);
     assert_eq!(members.tick(42 * S), [("a".to_string(), Presence::Gone)]);
     assert_eq!(members.renew(43 * S, &who("a", 7, 3)), Renewed::Unknown);
-    assert_eq!(register(&mut members, 44 * S, 7, 3), Registered::Welcome { incarnation: 3, new: false });
-    assert_eq!(members.renew(45 * S, &who("a", 7, 3)), Renewed::Renewed(Presence::Joining));
+    assert_eq!(
+        register(&mut members, 44 * S, 7, 3),
+        Registered::Welcome {
+            incarnation: 3,
+            new: false
+        }
+    );
+    assert_eq!(
+        members.renew(45 * S, &who("a", 7, 3)),
+        Renewed::Renewed(Presence::Joining)
+    );
 }
 
 #[test]
 fn a_restart_takes_the_name_over_at_once_and_the_former_start_is_turned_away() {
     let mut members = Membership::new(Leases::default());
     register(&mut members, 0, 7, 3);
-    assert_eq!(register(&mut members, S, 8, 4), Registered::Welcome { incarnation: 4, new: true });
+    assert_eq!(
+        register(&mut members, S, 8, 4),
+        Registered::Welcome {
+            incarnation: 4,
+            new: true
+        }
+    );
     let again = 11 * S - 2 * S;
-    assert_eq!(members.renew(2 * S, &who("a", 7, 3)), Renewed::Superseded { by: 4, again });
     assert_eq!(
-        members.get("a").and_then(|member| member.rival).map(|rival| (rival.start, rival.seen)),
+        members.renew(2 * S, &who("a", 7, 3)),
+        Renewed::Superseded { by: 4, again }
+    );
+    assert_eq!(
+        members
+            .get("a")
+            .and_then(|member| member.rival)
+            .map(|rival| (rival.start, rival.seen)),
         Some((7, 1))
     );
 }
@@ -55,20 +99,48 @@
     let mut members = Membership::new(Leases::default());
     register(&mut members, 0, 7, 30);
     for now in 1..4 {
-        assert!(matches!(register(&mut members, now * S, 8, 2), Registered::Superseded { by: 30, .. }));
+        assert!(matches!(
+            register(&mut members, now * S, 8, 2),
+            Registered::Superseded { by: 30, .. }
+        ));
     }
-    assert_eq!(members.get("a").and_then(|member| member.rival).map(|rival| rival.seen), Some(3));
+    assert_eq!(
+        members
+            .get("a")
+            .and_then(|member| member.rival)
+            .map(|rival| rival.seen),
+        Some(3)
+    );
     members.tick(10 * S);
-    assert!(matches!(register(&mut members, 11 * S, 8, 2), Registered::Superseded { .. }));
+    assert!(matches!(
+        register(&mut members, 11 * S, 8, 2),
+        Registered::Superseded { .. }
+    ));
     members.tick(30 * S);
-    assert_eq!(register(&mut members, 31 * S, 8, 2), Registered::Welcome { incarnation: 31, new: true });
+    assert_eq!(
+        register(&mut members, 31 * S, 8, 2),
+        Registered::Welcome {
+            incarnation: 31,
+            new: true
+        }
+    );
 }
 
 #[test]
 fn names_are_bounded_and_the_one_that_is_gone_for_longest_makes_room() {
-    let mut members = Membership::new(Leases { most: 2, ..Leases::default() });
+    let mut members = Membership::new(Leases {
+        most: 2,
+        ..Leases::default()
+    });
     let register = |members: &mut Membership, now: u64, name: &str| {
-        members.register(now, &Register { who: who(name, 1, 1), traits: Traits::default(), term: 0 })
+        members.register(
+            now,
+            &Register {
+                who: who(name, 1, 1),
+                traits: Traits::default(),
+                term: 0,
+            },
+        )
     };
     register(&mut members, 0, "a");
     register(&mut members, S, "b");
@@ -76,7 +148,10 @@
     for now in [12, 40] {
         members.tick(now * S);
     }
-    assert!(matches!(register(&mut members, 41 * S, "c"), Registered::Welcome { .. }));
+    assert!(matches!(
+        register(&mut members, 41 * S, "c"),
+        Registered::Welcome { .. }
+    ));
     assert!(members.get("a").is_none() && members.get("b").is_some());
 }
 
--- a/crates/fleet/tests/the_longest_lists_fit_into_messages.rs
+++ b/crates/fleet/tests/the_longest_lists_fit_into_messages.rs
@@ -5,10 +5,18 @@
 
 #[test]
 fn a_report_with_a_list_of_which_each_byte_is_escaped_leaves_64_kib_for_the_rest() {
-    let tell = |text| Tell { list: "l".repeat(256), text, ..Tell::default() };
+    let tell = |text| Tell {
+        list: "l".repeat(256),
+        text,
+        ..Tell::default()
+    };
     let mut of = vec![tell(None); MOST_LISTS - 1];
     of.push(tell(Some("\"".repeat(MOST_TEXT))));
-    let tells = serde_json::to_vec(&Tells { of, ..Tells::default() }).expect("it can be written");
+    let tells = serde_json::to_vec(&Tells {
+        of,
+        ..Tells::default()
+    })
+    .expect("it can be written");
     let without = tells.len() - 2 * MOST_TEXT;
     assert!(without < 16 << 10, "{without} bytes beside the list");
     assert!(tells.len() + (48 << 10) <= LARGEST_FROM_INSTANCE);
@@ -16,10 +24,18 @@
 
 #[test]
 fn all_lists_of_an_agent_as_they_are_usually_written_fit_into_one_message() {
-    const ROW: &str = r#"["s-5be2a07c","10.1.0.18:5000","a","m2",3,"in_service",1.0,1796188154326],"#;
+    const ROW: &str =
+        r#"["s-5be2a07c","10.1.0.18:5000","a","m2",3,"in_service",1.0,1796188154326],"#;
     let text = ROW.repeat(MOST_TEXT / ROW.len());
-    let line = Line { list: "l".repeat(256), text: Some(text), ..Line::default() };
-    let lists = Lists { of: vec![line; MOST_LISTS], ..Lists::default() };
+    let line = Line {
+        list: "l".repeat(256),
+        text: Some(text),
+        ..Line::default()
+    };
+    let lists = Lists {
+        of: vec![line; MOST_LISTS],
+        ..Lists::default()
+    };
     let written = serde_json::to_vec(&lists).expect("it can be written").len();
     assert!(written < LARGEST_ORDER, "{written} bytes");
 }
@@ -27,8 +43,7 @@
 /// Fields that are not known are passed over, so that an instance that knows of no room hears the rest.
 #[test]
 fn a_word_with_fields_that_are_not_known_is_read() {
-    let word =
-        r#"{"start": 7, "answers": 3, "room": 262144, "of_later": [1], "of": [{"list": "l", "later": {}}]}"#;
+    let word = r#"{"start": 7, "answers": 3, "room": 262144, "of_later": [1], "of": [{"list": "l", "later": {}}]}"#;
     let word: Lists = serde_json::from_str(word).expect("a word");
     assert_eq!((word.start, word.answers, word.of.len()), (7, 3, 1));
     let word: Lists = serde_json::from_str(r#"{"start": 7}"#).expect("a word");
--- a/crates/graphql/benches/classing.rs
+++ b/crates/graphql/benches/classing.rs
@@ -7,9 +7,17 @@
 use std::fmt::Write;
 
 fn policy() -> Policy {
-    let class = |name: &str, effect| ClassInfo { name: name.into(), effect, aim: 400_000 };
+    let class = |name: &str, effect| ClassInfo {
+        name: name.into(),
+        effect,
+        aim: 400_000,
+    };
     let classes = [class("read", Effect::Safe), class("file", Effect::Unsafe)];
-    let mut section = Section { query: "read".into(), mutation: "file".into(), ..Section::default() };
+    let mut section = Section {
+        query: "read".into(),
+        mutation: "file".into(),
+        ..Section::default()
+    };
     (section.limits.tokens, section.limits.aliases) = (20_000, 20_000);
     Policy::new(&section, &classes).expect("the section is sound")
 }
@@ -31,21 +39,33 @@
         document += &line;
     }
     document += tail;
-    serde_json::json!({ "query": document, "variables": { "id": "p7" } }).to_string().into_bytes()
+    serde_json::json!({ "query": document, "variables": { "id": "p7" } })
+        .to_string()
+        .into_bytes()
 }
 
 fn classing(c: &mut Criterion) {
     let mut headers = HeaderMap::new();
-    headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    headers.insert(
+        header::CONTENT_TYPE,
+        HeaderValue::from_static("application/json"),
+    );
     let mut group = c.benchmark_group("classing");
     for bytes in [200, 2 << 10, 60 << 10] {
         let body = message(bytes);
-        let message = Message { method: &Method::POST, query: None, headers: &headers, body: &body };
+        let message = Message {
+            method: &Method::POST,
+            query: None,
+            headers: &headers,
+            body: &body,
+        };
         group.throughput(Throughput::Bytes(body.len() as u64));
         let policy = policy();
         let mut front = Front::new(policy.clone());
         front.take(&message).expect("within the limits");
-        group.bench_function(format!("seen/{bytes}"), |b| b.iter(|| front.take(&message).is_ok()));
+        group.bench_function(format!("seen/{bytes}"), |b| {
+            b.iter(|| front.take(&message).is_ok())
+        });
         group.bench_function(format!("new/{bytes}"), |b| {
             b.iter_batched_ref(
                 || Front::new(policy.clone()),
--- a/crates/graphql/src/answer.rs
+++ b/crates/graphql/src/answer.rs
@@ -30,11 +30,16 @@
     /// specification allows: an error in a form that it does not expect tells more than none.
     pub fn accepted(headers: &HeaderMap) -> Self {
         let (mut response, mut json) = (None, None);
-        let lines = headers.get_all(header::ACCEPT).iter().filter_map(|line| line.to_str().ok());
+        let lines = headers
+            .get_all(header::ACCEPT)
+            .iter()
+            .filter_map(|line| line.to_str().ok());
         for range in lines.flat_map(|line| line.split(',')).take(64) {
             let mut parts = range.split(';').map(str::trim);
             let media = parts.next().unwrap_or_default().to_ascii_lowercase();
-            let weight = parts.filter_map(|p| p.strip_prefix("q=").or(p.strip_prefix("Q="))).next();
+            let weight = parts
+                .filter_map(|p| p.strip_prefix("q=").or(p.strip_prefix("Q=")))
+                .next();
             let weight = weight.map_or(1.0, |q| q.parse::<f32>().unwrap_or(0.0));
             match media.as_str() {
                 "application/graphql-response+json" => response = Some(weight),
@@ -74,14 +79,22 @@
         let error = error_object(fault);
         let body = match operations {
             None => error,
-            Some(operations) => [b"[".as_slice(), &vec![error; operations].join(&b','), b"]"].concat(),
+            Some(operations) => {
+                [b"[".as_slice(), &vec![error; operations].join(&b','), b"]"].concat()
+            }
         };
         let allow = match fault.code {
             Code::MethodNotAllowed => Some("GET, POST"),
             Code::MutationOverGet => Some("POST"),
             _ => None,
         };
-        Reply { status: fault.code.status(), media, allow, retry_after: fault.retry_after, body }
+        Reply {
+            status: fault.code.status(),
+            media,
+            allow,
+            retry_after: fault.retry_after,
+            body,
+        }
     }
 }
 
@@ -111,7 +124,12 @@
 pub fn judge(status: u16, media: Option<&str>, body: &[u8], hash_only: bool) -> Verdict {
     // An answer in several parts, as to `@defer`: what it holds has run.
     let in_parts = |media: &str| {
-        let name = media.split(';').next().unwrap_or_default().trim().to_ascii_lowercase();
+        let name = media
+            .split(';')
+            .next()
+            .unwrap_or_default()
+            .trim()
+            .to_ascii_lowercase();
         matches!(name.as_str(), "multipart/mixed" | "text/event-stream")
     };
     if matches!(status, 200..=299) && media.is_some_and(in_parts) {
@@ -163,13 +181,19 @@
 }
 
 /// Tells `null` from a value that is not there.
-fn there<'de, D: serde::Deserializer<'de>>(reader: D) -> Result<Option<Option<IgnoredAny>>, D::Error> {
+fn there<'de, D: serde::Deserializer<'de>>(
+    reader: D,
+) -> Result<Option<Option<IgnoredAny>>, D::Error> {
     Option::deserialize(reader).map(Some)
 }
 
 impl Response<'_> {
     fn is_well_formed(&self) -> bool {
-        self.data.is_some() || self.errors.as_ref().is_some_and(|errors| !errors.is_empty())
+        self.data.is_some()
+            || self
+                .errors
+                .as_ref()
+                .is_some_and(|errors| !errors.is_empty())
     }
 
     fn has_data(&self) -> bool {
@@ -180,12 +204,18 @@
     fn is_not_found(&self) -> bool {
         let told = |error: &Told<'_>| {
             let code = error.extensions.as_ref().and_then(|e| e.code.as_deref());
-            matches!(code, Some("PERSISTED_QUERY_NOT_FOUND" | "PERSISTED_QUERY_NOT_SUPPORTED"))
-                || matches!(
-                    error.message.as_deref(),
-                    Some("PersistedQueryNotFound" | "PersistedQueryNotSupported")
-                )
+            matches!(
+                code,
+                Some("PERSISTED_QUERY_NOT_FOUND" | "PERSISTED_QUERY_NOT_SUPPORTED")
+            ) || matches!(
+                error.message.as_deref(),
+                Some("PersistedQueryNotFound" | "PersistedQueryNotSupported")
+            )
         };
-        self.data.is_none() && self.errors.as_ref().is_some_and(|e| !e.is_empty() && e.iter().all(told))
+        self.data.is_none()
+            && self
+                .errors
+                .as_ref()
+                .is_some_and(|e| !e.is_empty() && e.iter().all(told))
     }
 }
--- a/crates/graphql/src/batch.rs
+++ b/crates/graphql/src/batch.rs
@@ -34,12 +34,13 @@
             body.push(b',');
         }
         let read = match answer {
-            PartAnswer::Served { status, body } => {
-                as_object(body).map(|object| (*status, object)).ok_or_else(|| {
-                    let problem = "the server's answer is no object of JSON; the operation may have run";
+            PartAnswer::Served { status, body } => as_object(body)
+                .map(|object| (*status, object))
+                .ok_or_else(|| {
+                    let problem =
+                        "the server's answer is no object of JSON; the operation may have run";
                     Fault::new(Code::UnreadableAnswer, problem)
-                })
-            }
+                }),
             PartAnswer::Fault(fault) => Err(fault.clone()),
         };
         match read {
@@ -59,7 +60,13 @@
         Some(_) => (200, None),
         None => alone(&faults),
     };
-    Reply { status, media, allow: None, retry_after, body }
+    Reply {
+        status,
+        media,
+        allow: None,
+        retry_after,
+        body,
+    }
 }
 
 /// The status of an answer that holds errors of the sidecar's alone.
@@ -69,10 +76,20 @@
         return (failed.code.status(), None);
     }
     if faults.iter().any(|fault| fault.code == Code::Refused) {
-        return (Code::Refused.status(), faults.iter().filter_map(|fault| fault.retry_after).max());
+        return (
+            Code::Refused.status(),
+            faults.iter().filter_map(|fault| fault.retry_after).max(),
+        );
     }
     let first = statuses().next().unwrap_or(400);
-    (if statuses().all(|status| status == first) { first } else { 400 }, None)
+    (
+        if statuses().all(|status| status == first) {
+            first
+        } else {
+            400
+        },
+        None,
+    )
 }
 
 /// The object of JSON that some bytes are, without what is round it.
@@ -89,7 +106,9 @@
     let mut stages: Vec<Range<usize>> = Vec::new();
     for (place, effect) in effects.iter().enumerate() {
         match stages.last_mut() {
-            Some(last) if *effect == Effect::Safe && effects[last.start] == Effect::Safe => last.end += 1,
+            Some(last) if *effect == Effect::Safe && effects[last.start] == Effect::Safe => {
+                last.end += 1
+            }
             _ => stages.push(place..place + 1),
         }
     }
--- a/crates/graphql/src/class.rs
+++ b/crates/graphql/src/class.rs
@@ -53,7 +53,13 @@
 }
 
 fn plain(policy: &Policy, class: usize, why: Why) -> Classed {
-    Classed { class: class as u32, effect: policy.effect(class), key: None, cost: None, why }
+    Classed {
+        class: class as u32,
+        effect: policy.effect(class),
+        key: None,
+        cost: None,
+        why,
+    }
 }
 
 /// The kind of the operation that would run, and its class.
@@ -67,9 +73,13 @@
         (_, []) => return Ok((None, doubtful(policy, Why::Unread))),
         (None, [only]) => Some(only),
         (None, _) => None,
-        (Some(name), all) => all.iter().find(|operation| operation.name.as_deref() == Some(name)),
+        (Some(name), all) => all
+            .iter()
+            .find(|operation| operation.name.as_deref() == Some(name)),
+    };
+    let Some(operation) = operation else {
+        return Ok((None, doubtful(policy, Why::NoOperation)));
     };
-    let Some(operation) = operation else { return Ok((None, doubtful(policy, Why::NoOperation))) };
     if operation.kind == Kind::Subscription {
         let problem = "subscriptions are not served here; ask the server for them itself";
         return Err(Fault::new(Code::SubscriptionUnsupported, problem));
@@ -79,9 +89,17 @@
         Kind::Query => query(policy, operation),
         _ => mutation(policy, operation, &variables),
     };
-    let rules = if operation.kind == Kind::Query { &policy.queries } else { &policy.mutations };
+    let rules = if operation.kind == Kind::Query {
+        &policy.queries
+    } else {
+        &policy.mutations
+    };
     let classed = Classed {
-        key: operation.roots.iter().find_map(|root| variables.scalar(&root.subject)).map(|s| s.hash),
+        key: operation
+            .roots
+            .iter()
+            .find_map(|root| variables.scalar(&root.subject))
+            .map(|s| s.hash),
         cost: cost(policy, operation, rules, &variables),
         ..plain(policy, class, why)
     };
@@ -90,15 +108,28 @@
 
 /// The class that the operator gives operations of this name, unless it would allow more than the one it has.
 fn named(policy: &Policy, operation: &Operation, class: usize) -> usize {
-    let rule = operation.name.as_deref().and_then(|name| policy.operations.get(name));
+    let rule = operation
+        .name
+        .as_deref()
+        .and_then(|name| policy.operations.get(name));
     let wanted = rule.and_then(|rule| rule.class);
-    wanted.filter(|wanted| policy.covers(*wanted, policy.effect(class))).unwrap_or(class)
+    wanted
+        .filter(|wanted| policy.covers(*wanted, policy.effect(class)))
+        .unwrap_or(class)
 }
 
 fn query(policy: &Policy, operation: &Operation) -> (usize, Why) {
-    let rule = operation.name.as_deref().and_then(|name| policy.operations.get(name));
+    let rule = operation
+        .name
+        .as_deref()
+        .and_then(|name| policy.operations.get(name));
     let once = rule.is_some_and(|rule| !rule.repeat)
-        || operation.roots.iter().any(|root| policy.queries.get(root.rule).is_none_or(|rule| !rule.repeat));
+        || operation.roots.iter().any(|root| {
+            policy
+                .queries
+                .get(root.rule)
+                .is_none_or(|rule| !rule.repeat)
+        });
     match once {
         true => (named(policy, operation, policy.mutation), Why::QueryOnce),
         false => (named(policy, operation, policy.query), Why::Query),
@@ -113,7 +144,11 @@
     };
     let classes: Option<Vec<usize>> = operation.roots.iter().map(keyed).collect();
     let strictest = classes.filter(|_| !operation.others).and_then(|classes| {
-        classes.iter().copied().find(|class| classes.iter().all(|c| policy.covers(*class, policy.effect(*c))))
+        classes.iter().copied().find(|class| {
+            classes
+                .iter()
+                .all(|c| policy.covers(*class, policy.effect(*c)))
+        })
     });
     match strictest {
         Some(class) => (named(policy, operation, class), Why::Keyed),
@@ -130,9 +165,15 @@
     if policy.unit == 0 {
         return None;
     }
-    let more = operation.roots.iter().filter(|root| rules.get(root.rule).is_some_and(|r| !r.cost.is_empty()));
+    let more = operation
+        .roots
+        .iter()
+        .filter(|root| rules.get(root.rule).is_some_and(|r| !r.cost.is_empty()));
     let units = more.fold(operation.units, |units, root| {
-        let times = variables.scalar(&root.cost).and_then(|scalar| scalar.number).unwrap_or(1);
+        let times = variables
+            .scalar(&root.cost)
+            .and_then(|scalar| scalar.number)
+            .unwrap_or(1);
         units.saturating_add(root.units.saturating_mul(times.clamp(1, MOST_TIMES) - 1))
     });
     Some(units.max(1).saturating_mul(policy.unit).min(MOST_COST))
@@ -144,17 +185,29 @@
         let class = part.class as usize;
         parts.iter().all(|other| policy.covers(class, other.effect))
     });
-    let aim = |part: &&Classed| policy.classes.get(part.class as usize).map_or(0, |class| class.aim);
+    let aim = |part: &&Classed| {
+        policy
+            .classes
+            .get(part.class as usize)
+            .map_or(0, |class| class.aim)
+    };
     // The first of those with the longest aim.
     let strictest = strict.rev().max_by_key(aim);
-    let why = parts.iter().map(|part| part.why).max().unwrap_or(Why::OddMessage);
+    let why = parts
+        .iter()
+        .map(|part| part.why)
+        .max()
+        .unwrap_or(Why::OddMessage);
     let mut whole = match strictest {
         Some(part) => plain(policy, part.class as usize, why),
         None => doubtful(policy, why),
     };
     let first = parts.first().and_then(|part| part.key);
     whole.key = first.filter(|key| parts.iter().all(|part| part.key == Some(*key)));
-    whole.cost = parts.iter().filter_map(|part| part.cost).reduce(Micros::saturating_add);
+    whole.cost = parts
+        .iter()
+        .filter_map(|part| part.cost)
+        .reduce(Micros::saturating_add);
     whole
 }
 
@@ -179,10 +232,19 @@
     fn found(&self, source: &Source) -> Found {
         let (name, path, default) = match source {
             Source::Known(found) => return found.clone(),
-            Source::Variable { name, path, default } => (name, path, default),
+            Source::Variable {
+                name,
+                path,
+                default,
+            } => (name, path, default),
+        };
+        let Some(Pairs(pairs)) = &self.0 else {
+            return Found::Uncertain;
         };
-        let Some(Pairs(pairs)) = &self.0 else { return Found::Uncertain };
-        let mut named = pairs.iter().filter(|(n, _)| **n == **name).map(|(_, value)| value.get());
+        let mut named = pairs
+            .iter()
+            .filter(|(n, _)| **n == **name)
+            .map(|(_, value)| value.get());
         match (named.next(), named.next()) {
             (None, _) => default.clone(),
             (Some(value), None) => find(value, path),
--- a/crates/graphql/src/document.rs
+++ b/crates/graphql/src/document.rs
@@ -72,7 +72,9 @@
         return Ok(Summary::default());
     }
     // Behind the pass over the tokens this bound is never met.
-    let tree = Parser::new(text).recursion_limit(4 * Limits::DEEPEST as usize).parse();
+    let tree = Parser::new(text)
+        .recursion_limit(4 * Limits::DEEPEST as usize)
+        .parse();
     if tree.errors().len() > 0 {
         return Ok(Summary::default());
     }
@@ -130,10 +132,16 @@
     let variables = Variables::of(definition);
     for field in root_fields(definition, fragments, &mut read.others) {
         let name = field.name().map(|n| n.text());
-        match name.as_deref().map(|name| rules.iter().position(|rule| *rule.field == *name)) {
+        match name
+            .as_deref()
+            .map(|name| rules.iter().position(|rule| *rule.field == *name))
+        {
             Some(Some(rule)) if roots.len() < MOST_ROOTS => {
                 let of = |path: &[Box<str>]| variables.source(&field, path);
-                let mut below = Count { fields: 1, ..Count::default() };
+                let mut below = Count {
+                    fields: 1,
+                    ..Count::default()
+                };
                 if let Some(set) = field.selection_set() {
                     below.selections(&set, 2);
                 }
@@ -171,7 +179,9 @@
                 Selection::Field(field) => fields.push(field),
                 Selection::InlineFragment(inline) => sets.extend(inline.selection_set()),
                 Selection::FragmentSpread(spread) => match fragments.place(&spread) {
-                    Some(place) if seen.insert(place) => sets.extend(fragments.all[place].set.clone()),
+                    Some(place) if seen.insert(place) => {
+                        sets.extend(fragments.all[place].set.clone())
+                    }
                     Some(_) => {}
                     None => *others = true,
                 },
@@ -208,7 +218,9 @@
                         self.selections(&set, depth);
                     }
                 }
-                Selection::FragmentSpread(spread) => self.spreads.push((spread_name(&spread), depth)),
+                Selection::FragmentSpread(spread) => {
+                    self.spreads.push((spread_name(&spread), depth))
+                }
             }
         }
     }
@@ -229,7 +241,10 @@
 
 fn within(total: &Total, limits: &Limits) -> Result<(), Fault> {
     let too_many = |code, what: &str, most: u32| {
-        Err(Fault::new(code, format!("the operation holds more than {most} {what}, fragments included")))
+        Err(Fault::new(
+            code,
+            format!("the operation holds more than {most} {what}, fragments included"),
+        ))
     };
     if total.depth > limits.depth {
         return Err(too_deep(limits));
@@ -258,14 +273,23 @@
 impl Fragments {
     /// False where one of this name is there.
     fn add(&mut self, definition: &cst::FragmentDefinition) -> bool {
-        let name = definition.fragment_name().and_then(|n| n.name()).map(|n| n.text().to_string());
+        let name = definition
+            .fragment_name()
+            .and_then(|n| n.name())
+            .map(|n| n.text().to_string());
         let mut count = Count::default();
         let set = definition.selection_set();
         if let Some(set) = &set {
             count.selections(set, 1);
         }
-        self.all.push(Fragment { set, count, total: None });
-        self.places.insert(name.unwrap_or_default(), self.all.len() - 1).is_none()
+        self.all.push(Fragment {
+            set,
+            count,
+            total: None,
+        });
+        self.places
+            .insert(name.unwrap_or_default(), self.all.len() - 1)
+            .is_none()
     }
 
     fn place(&self, spread: &cst::FragmentSpread) -> Option<usize> {
@@ -307,9 +331,16 @@
 
     /// A count with the fragments that it spreads, all of them summed up.
     fn with(&self, count: &Count) -> Total {
-        let mut total = Total { fields: count.fields, aliases: count.aliases, depth: count.depth };
+        let mut total = Total {
+            fields: count.fields,
+            aliases: count.aliases,
+            depth: count.depth,
+        };
         for (name, depth) in &count.spreads {
-            let inner = self.places.get(name).and_then(|&place| self.all.get(place)?.total);
+            let inner = self
+                .places
+                .get(name)
+                .and_then(|&place| self.all.get(place)?.total);
             let inner = inner.unwrap_or_default();
             total.fields = total.fields.saturating_add(inner.fields);
             total.aliases = total.aliases.saturating_add(inner.aliases);
@@ -327,18 +358,28 @@
         let mut all = BTreeMap::new();
         let definitions = operation.variable_definitions();
         for definition in definitions.iter().flat_map(|d| d.variable_definitions()) {
-            let name = definition.variable().and_then(|v| v.name()).map(|n| n.text().to_string());
+            let name = definition
+                .variable()
+                .and_then(|v| v.name())
+                .map(|n| n.text().to_string());
             let default = definition.default_value().and_then(|d| d.value());
-            all.entry(name.unwrap_or_default()).and_modify(|twice| *twice = None).or_insert(Some(default));
+            all.entry(name.unwrap_or_default())
+                .and_modify(|twice| *twice = None)
+                .or_insert(Some(default));
         }
         Variables(all)
     }
 
     /// Where a field's argument, at a path that begins with the argument's name, comes from.
     fn source(&self, field: &cst::Field, path: &[Box<str>]) -> Source {
-        let Some((name, rest)) = path.split_first() else { return Source::Known(Found::Absent) };
+        let Some((name, rest)) = path.split_first() else {
+            return Source::Known(Found::Absent);
+        };
         let arguments = field.arguments();
-        let named = arguments.iter().flat_map(|a| a.arguments()).filter(|a| is_named(a.name(), name));
+        let named = arguments
+            .iter()
+            .flat_map(|a| a.arguments())
+            .filter(|a| is_named(a.name(), name));
         self.only(named.map(|a| a.value()), rest)
     }
 
@@ -354,15 +395,26 @@
     fn value(&self, value: &Value, path: &[Box<str>]) -> Source {
         match (value, path.split_first()) {
             (Value::Variable(variable), _) => {
-                let name = variable.name().map(|n| n.text().to_string()).unwrap_or_default();
-                let Some(Some(default)) = self.0.get(&name) else { return Source::Known(Found::Uncertain) };
-                let default =
-                    match default.as_ref().map(|value| Variables(BTreeMap::new()).value(value, path)) {
-                        Some(Source::Known(found)) => found,
-                        Some(Source::Variable { .. }) => Found::Uncertain,
-                        None => Found::Absent,
-                    };
-                Source::Variable { name: name.into(), path: path.into(), default }
+                let name = variable
+                    .name()
+                    .map(|n| n.text().to_string())
+                    .unwrap_or_default();
+                let Some(Some(default)) = self.0.get(&name) else {
+                    return Source::Known(Found::Uncertain);
+                };
+                let default = match default
+                    .as_ref()
+                    .map(|value| Variables(BTreeMap::new()).value(value, path))
+                {
+                    Some(Source::Known(found)) => found,
+                    Some(Source::Variable { .. }) => Found::Uncertain,
+                    None => Found::Absent,
+                };
+                Source::Variable {
+                    name: name.into(),
+                    path: path.into(),
+                    default,
+                }
             }
             (Value::NullValue(_), _) => Source::Known(Found::Absent),
             (Value::ObjectValue(object), Some((name, rest))) => {
@@ -371,11 +423,21 @@
             }
             (Value::StringValue(string), None) => {
                 let text = String::from(string);
-                Source::Known(if text.is_empty() { Found::Absent } else { Found::Is(Scalar::of(&text)) })
+                Source::Known(if text.is_empty() {
+                    Found::Absent
+                } else {
+                    Found::Is(Scalar::of(&text))
+                })
             }
             (Value::IntValue(int), None) => {
-                let token = int.syntax().children_with_tokens().filter_map(|e| e.into_token());
-                let text = token.filter(|t| t.kind() == SyntaxKind::INT).map(|t| t.text().to_string()).next();
+                let token = int
+                    .syntax()
+                    .children_with_tokens()
+                    .filter_map(|e| e.into_token());
+                let text = token
+                    .filter(|t| t.kind() == SyntaxKind::INT)
+                    .map(|t| t.text().to_string())
+                    .next();
                 Source::Known(text.map_or(Found::Uncertain, |text| Found::Is(Scalar::of(&text))))
             }
             _ => Source::Known(Found::Uncertain),
@@ -393,11 +455,16 @@
         let source = |source: &Source| match source {
             Source::Known(_) => 0,
             Source::Variable { name, path, .. } => {
-                name.len() + path.iter().map(|p| size_of::<Box<str>>() + p.len()).sum::<usize>()
+                name.len()
+                    + path
+                        .iter()
+                        .map(|p| size_of::<Box<str>>() + p.len())
+                        .sum::<usize>()
             }
         };
-        let root =
-            |root: &Root| size_of::<Root>() + source(&root.key) + source(&root.subject) + source(&root.cost);
+        let root = |root: &Root| {
+            size_of::<Root>() + source(&root.key) + source(&root.subject) + source(&root.cost)
+        };
         let operation = |operation: &Operation| {
             let name = operation.name.as_ref().map_or(0, |name| name.len());
             size_of::<Operation>() + name + operation.roots.iter().map(root).sum::<usize>()
--- a/crates/graphql/src/fault.rs
+++ b/crates/graphql/src/fault.rs
@@ -103,7 +103,11 @@
 
 impl Fault {
     pub(crate) fn new(code: Code, message: impl Into<Cow<'static, str>>) -> Self {
-        Fault { code, message: message.into(), retry_after: None }
+        Fault {
+            code,
+            message: message.into(),
+            retry_after: None,
+        }
     }
 
     /// Of a message that is at fault itself.
@@ -114,7 +118,10 @@
     /// Of a transaction that was refused: nothing ran.
     pub fn refused(retry_after: Option<Micros>) -> Self {
         let message = "refused: no server took it, and trying again is harmless";
-        Fault { retry_after, ..Fault::new(Code::Refused, message) }
+        Fault {
+            retry_after,
+            ..Fault::new(Code::Refused, message)
+        }
     }
 
     /// Of a transaction that failed: it may have run.
--- a/crates/graphql/src/front.rs
+++ b/crates/graphql/src/front.rs
@@ -79,13 +79,24 @@
     pub fn new(policy: Policy) -> Self {
         let persisted = Table::new(policy.persisted, policy.table_bytes);
         let others = Table::new(policy.others, policy.table_bytes);
-        Front { policy, persisted, others }
+        Front {
+            policy,
+            persisted,
+            others,
+        }
     }
 
     /// Says what to do with a message, and learns from it.
     pub fn take<'a>(&mut self, message: &Message<'a>) -> Result<Plan<'a>, Rejection> {
-        let alone = |fault| Rejection { fault, operations: None };
-        let whole = |(classed, hash_only)| Plan::Whole { classed, operations: None, hash_only };
+        let alone = |fault| Rejection {
+            fault,
+            operations: None,
+        };
+        let whole = |(classed, hash_only)| Plan::Whole {
+            classed,
+            operations: None,
+            hash_only,
+        };
         match request::read(message, &self.policy).map_err(alone)? {
             Asked::Get(envelope) => {
                 let (kind, read) = self.class(&envelope).map_err(alone)?;
@@ -100,18 +111,29 @@
                 let count = elements.len();
                 let parts = elements.into_iter().map(|(text, envelope)| {
                     let (_, (classed, hash_only)) = self.class(&envelope?)?;
-                    Ok(Part { classed, body: text.as_bytes(), hash_only })
+                    Ok(Part {
+                        classed,
+                        body: text.as_bytes(),
+                        hash_only,
+                    })
                 });
                 let parts: Vec<Result<Part<'a>, Fault>> = parts.collect();
                 if self.policy.split {
                     return Ok(Plan::Split(parts));
                 }
                 let parts: Result<Vec<Part<'a>>, Fault> = parts.into_iter().collect();
-                let parts = parts.map_err(|fault| Rejection { fault, operations: Some(count) })?;
+                let parts = parts.map_err(|fault| Rejection {
+                    fault,
+                    operations: Some(count),
+                })?;
                 let hash_only = parts.iter().all(|part| part.hash_only);
                 let parts: Vec<Classed> = parts.into_iter().map(|part| part.classed).collect();
                 let classed = together(&self.policy, &parts);
-                Ok(Plan::Whole { classed, operations: Some(count), hash_only })
+                Ok(Plan::Whole {
+                    classed,
+                    operations: Some(count),
+                    hash_only,
+                })
             }
         }
     }
@@ -123,7 +145,10 @@
 
     /// What the front holds in memory.
     pub fn usage(&self) -> Usage {
-        Usage { persisted: self.persisted.usage(), others: self.others.usage() }
+        Usage {
+            persisted: self.persisted.usage(),
+            others: self.others.usage(),
+        }
     }
 
     fn class(&mut self, envelope: &Envelope<'_>) -> Result<(Option<Kind>, Read), Fault> {
@@ -139,7 +164,11 @@
             None => (None, doubtful(&self.policy, Why::UnknownHash)),
         };
         // What is known is within the limits and no subscription; what the rest may mean can't be told.
-        let classed = if envelope.odd { doubtful(&self.policy, Why::OddMessage) } else { classed };
+        let classed = if envelope.odd {
+            doubtful(&self.policy, Why::OddMessage)
+        } else {
+            classed
+        };
         Ok((kind, (classed, hash_only)))
     }
 
@@ -150,12 +179,19 @@
             let problem = "the text is not the one that its hash names";
             return Err(Fault::new(Code::PersistedQueryMismatch, problem));
         }
-        let seen = self.persisted.get(&digest).or_else(|| self.others.get(&digest));
+        let seen = self
+            .persisted
+            .get(&digest)
+            .or_else(|| self.others.get(&digest));
         let summary = match seen {
             Some(summary) => summary,
             None => Rc::new(document::read(text, &self.policy)?),
         };
-        let table = if hash.is_some() { &mut self.persisted } else { &mut self.others };
+        let table = if hash.is_some() {
+            &mut self.persisted
+        } else {
+            &mut self.others
+        };
         if table.get(&digest).is_none() {
             table.put(digest, Rc::clone(&summary));
         }
--- a/crates/graphql/src/json.rs
+++ b/crates/graphql/src/json.rs
@@ -121,18 +121,28 @@
         use std::hash::BuildHasher;
         // The same at every instance.
         let hash = foldhash::quality::FixedState::with_seed(0).hash_one(text);
-        Scalar { hash, number: text.parse().ok() }
+        Scalar {
+            hash,
+            number: text.parse().ok(),
+        }
     }
 }
 
 /// The value at a path into an object.
 pub(crate) fn find(json: &str, path: &[Box<str>]) -> Found {
-    let Some((name, rest)) = path.split_first() else { return scalar(json) };
+    let Some((name, rest)) = path.split_first() else {
+        return scalar(json);
+    };
     if json == "null" {
         return Found::Absent;
     }
-    let Ok(Pairs(pairs)) = Pairs::read(json) else { return Found::Uncertain };
-    let mut named = pairs.iter().filter(|(n, _)| **n == **name).map(|(_, value)| value.get());
+    let Ok(Pairs(pairs)) = Pairs::read(json) else {
+        return Found::Uncertain;
+    };
+    let mut named = pairs
+        .iter()
+        .filter(|(n, _)| **n == **name)
+        .map(|(_, value)| value.get());
     match (named.next(), named.next()) {
         (None, _) => Found::Absent,
         (Some(value), None) => find(value, rest),
--- a/crates/graphql/src/limits.rs
+++ b/crates/graphql/src/limits.rs
@@ -51,12 +51,19 @@
             continue;
         };
         match token.kind() {
-            TokenKind::Whitespace | TokenKind::Comment | TokenKind::Comma | TokenKind::Eof => continue,
+            TokenKind::Whitespace | TokenKind::Comment | TokenKind::Comma | TokenKind::Eof => {
+                continue;
+            }
             TokenKind::LCurly | TokenKind::LParen | TokenKind::LBracket => depth += 1,
-            TokenKind::RCurly | TokenKind::RParen | TokenKind::RBracket => depth = depth.saturating_sub(1),
+            TokenKind::RCurly | TokenKind::RParen | TokenKind::RBracket => {
+                depth = depth.saturating_sub(1)
+            }
             TokenKind::Name if token.data().len() > limits.name => {
-                let problem =
-                    format!("a name holds {} bytes; at most {} are allowed", token.data().len(), limits.name);
+                let problem = format!(
+                    "a name holds {} bytes; at most {} are allowed",
+                    token.data().len(),
+                    limits.name
+                );
                 return Err(Fault::new(Code::NameTooLong, problem));
             }
             _ => {}
@@ -78,5 +85,8 @@
 }
 
 pub(crate) fn too_deep(limits: &Limits) -> Fault {
-    Fault::new(Code::TooDeep, format!("the document is nested deeper than {} levels", limits.depth))
+    Fault::new(
+        Code::TooDeep,
+        format!("the document is nested deeper than {} levels", limits.depth),
+    )
 }
--- a/crates/graphql/src/persisted.rs
+++ b/crates/graphql/src/persisted.rs
@@ -22,7 +22,12 @@
 
 impl Table {
     pub fn new(most_entries: usize, most_bytes: usize) -> Self {
-        Table { documents: LruCache::unbounded(), bytes: 0, most_entries, most_bytes }
+        Table {
+            documents: LruCache::unbounded(),
+            bytes: 0,
+            most_entries,
+            most_bytes,
+        }
     }
 
     /// What is known of a document, which is then the one last used.
@@ -41,7 +46,9 @@
             self.bytes -= ENTRY + old.size();
         }
         while self.bytes > self.most_bytes || self.documents.len() > self.most_entries {
-            let Some((_, gone)) = self.documents.pop_lru() else { break };
+            let Some((_, gone)) = self.documents.pop_lru() else {
+                break;
+            };
             self.bytes -= ENTRY + gone.size();
         }
     }
--- a/crates/graphql/src/policy.rs
+++ b/crates/graphql/src/policy.rs
@@ -61,9 +61,14 @@
 impl Policy {
     /// A section as it is used, or all that is wrong with it: the field, and what to write instead.
     pub fn new(section: &Section, classes: &[ClassInfo]) -> Result<Self, Vec<(String, String)>> {
-        let mut check = Check { classes, problems: Vec::new() };
+        let mut check = Check {
+            classes,
+            problems: Vec::new(),
+        };
         let limits = check.limits(section);
-        let query = check.class("query", &section.query, "safe", |effect| effect == Effect::Safe);
+        let query = check.class("query", &section.query, "safe", |effect| {
+            effect == Effect::Safe
+        });
         let unsafe_only = |effect| effect == Effect::Unsafe;
         let mutation = check.class("mutation", &section.mutation, "unsafe", unsafe_only);
         check.names("operations", section.operations.keys());
@@ -71,8 +76,15 @@
         check.names("mutations", section.mutations.keys());
         let operations = section.operations.iter().map(|(name, rule)| {
             let at = format!("operations.{name}.class");
-            let class = (!rule.class.is_empty()).then(|| check.class(&at, &rule.class, "known", |_| true));
-            (name.clone(), OperationRule { class: class.flatten(), repeat: rule.repeat })
+            let class =
+                (!rule.class.is_empty()).then(|| check.class(&at, &rule.class, "known", |_| true));
+            (
+                name.clone(),
+                OperationRule {
+                    class: class.flatten(),
+                    repeat: rule.repeat,
+                },
+            )
         });
         let operations = operations.collect();
         let queries = section.queries.iter().map(|(name, rule)| FieldRule {
@@ -84,7 +96,10 @@
             cost: check.path(&format!("queries.{name}.cost"), &rule.cost),
         });
         let queries = queries.collect();
-        let mutations = section.mutations.iter().map(|(name, rule)| check.mutation(name, rule));
+        let mutations = section
+            .mutations
+            .iter()
+            .map(|(name, rule)| check.mutation(name, rule));
         let mutations = mutations.collect();
         match (query, mutation) {
             (Some(query), Some(mutation)) if check.problems.is_empty() => Ok(Policy {
@@ -108,11 +123,15 @@
 
     /// Whether what may be done twice in `class` may be done twice with what needs `needed`.
     pub(crate) fn covers(&self, class: usize, needed: Effect) -> bool {
-        self.classes.get(class).is_some_and(|class| is_as_strict(class.effect, needed))
+        self.classes
+            .get(class)
+            .is_some_and(|class| is_as_strict(class.effect, needed))
     }
 
     pub(crate) fn effect(&self, class: usize) -> Effect {
-        self.classes.get(class).map_or(Effect::Unsafe, |class| class.effect)
+        self.classes
+            .get(class)
+            .map_or(Effect::Unsafe, |class| class.effect)
     }
 }
 
@@ -125,9 +144,16 @@
     };
     match (a, b) {
         (Effect::Unsafe, _) | (_, Effect::Safe) => true,
-        (Effect::Keyed { scope: a, window: short }, Effect::Keyed { scope: b, window: long }) => {
-            breadth(a) <= breadth(b) && short <= long
-        }
+        (
+            Effect::Keyed {
+                scope: a,
+                window: short,
+            },
+            Effect::Keyed {
+                scope: b,
+                window: long,
+            },
+        ) => breadth(a) <= breadth(b) && short <= long,
         _ => false,
     }
 }
@@ -142,19 +168,33 @@
         self.problems.push((field.to_string(), problem.into()));
     }
 
-    fn class(&mut self, field: &str, name: &str, wanted: &str, fits: fn(Effect) -> bool) -> Option<usize> {
+    fn class(
+        &mut self,
+        field: &str,
+        name: &str,
+        wanted: &str,
+        fits: fn(Effect) -> bool,
+    ) -> Option<usize> {
         let place = self.classes.iter().position(|class| class.name == name);
         match place {
             Some(class) if fits(self.classes[class].effect) => return place,
-            Some(_) => {
-                self.wrong(field, format!("the effect of {name:?} is not {wanted}; name a class that is"))
-            }
+            Some(_) => self.wrong(
+                field,
+                format!("the effect of {name:?} is not {wanted}; name a class that is"),
+            ),
             None if name.is_empty() => {
                 self.wrong(field, format!("is missing; name a class that is {wanted}"))
             }
             None => {
-                let names: Vec<&str> = self.classes.iter().map(|class| class.name.as_str()).collect();
-                self.wrong(field, format!("{name:?} is no class; there are {}", names.join(", ")));
+                let names: Vec<&str> = self
+                    .classes
+                    .iter()
+                    .map(|class| class.name.as_str())
+                    .collect();
+                self.wrong(
+                    field,
+                    format!("{name:?} is no class; there are {}", names.join(", ")),
+                );
             }
         }
         None
@@ -168,11 +208,15 @@
             EffectName::Unsafe => None,
         };
         if rule.effect == EffectName::Keyed && rule.key.is_empty() {
-            let problem = "is missing; name the argument that holds it, such as \"input.clientMutationId\"";
+            let problem =
+                "is missing; name the argument that holds it, such as \"input.clientMutationId\"";
             self.wrong(&at("key"), problem);
         }
         if rule.effect == EffectName::Unsafe && !(rule.key.is_empty() && rule.class.is_empty()) {
-            self.wrong(&at("effect"), "is unsafe, while a key or a class is named; write effect = \"keyed\"");
+            self.wrong(
+                &at("effect"),
+                "is unsafe, while a key or a class is named; write effect = \"keyed\"",
+            );
         }
         FieldRule {
             field: name.into(),
@@ -200,10 +244,19 @@
 
     fn names<'n>(&mut self, table: &str, names: impl ExactSizeIterator<Item = &'n String>) {
         if names.len() > MOST_RULES {
-            self.wrong(table, format!("holds {} names; at most {MOST_RULES} are allowed", names.len()));
+            self.wrong(
+                table,
+                format!(
+                    "holds {} names; at most {MOST_RULES} are allowed",
+                    names.len()
+                ),
+            );
         }
         for name in names.filter(|name| !is_name(name)) {
-            self.wrong(&format!("{table}.{name}"), "is no GraphQL name; use letters, digits and _");
+            self.wrong(
+                &format!("{table}.{name}"),
+                "is no GraphQL name; use letters, digits and _",
+            );
         }
     }
 
@@ -211,23 +264,39 @@
         let told = &section.limits;
         let mut within = |field: &str, value: u64, least: u64, most: u64| {
             if value < least || value > most {
-                self.wrong(field, format!("is {value}; it must lie in {least}..={most}"));
+                self.wrong(
+                    field,
+                    format!("is {value}; it must lie in {least}..={most}"),
+                );
             }
             value
         };
         Limits {
             bytes: within("limits.bytes", told.bytes.0, 64, 16 << 20) as usize,
             tokens: within("limits.tokens", told.tokens as u64, 1, 1 << 20) as usize,
-            depth: within("limits.depth", u64::from(told.depth), 1, u64::from(Limits::DEEPEST)) as u32,
+            depth: within(
+                "limits.depth",
+                u64::from(told.depth),
+                1,
+                u64::from(Limits::DEEPEST),
+            ) as u32,
             aliases: within("limits.aliases", u64::from(told.aliases), 0, 1 << 20) as u32,
             fields: within("limits.fields", u64::from(told.fields), 1, 1 << 20) as u32,
             name: within("limits.name", told.name.0, 1, 64 << 10) as usize,
-            operations: within("batch.operations", section.batch.operations as u64, 0, 1_000) as usize,
+            operations: within(
+                "batch.operations",
+                section.batch.operations as u64,
+                0,
+                1_000,
+            ) as usize,
         }
     }
 }
 
 fn is_name(text: &str) -> bool {
-    let begins = text.bytes().next().is_some_and(|b| b.is_ascii_alphabetic() || b == b'_');
+    let begins = text
+        .bytes()
+        .next()
+        .is_some_and(|b| b.is_ascii_alphabetic() || b == b'_');
     begins && text.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'_')
 }
--- a/crates/graphql/src/request.rs
+++ b/crates/graphql/src/request.rs
@@ -58,12 +58,18 @@
 pub(crate) fn read<'a>(message: &Message<'a>, policy: &Policy) -> Result<Asked<'a>, Fault> {
     let most = policy.limits.bytes;
     if message.body.len() > most || message.query.is_some_and(|query| query.len() > most) {
-        return Err(Fault::new(Code::BodyTooLarge, format!("the request holds more than {most} bytes")));
+        return Err(Fault::new(
+            Code::BodyTooLarge,
+            format!("the request holds more than {most} bytes"),
+        ));
     }
     match *message.method {
         Method::GET => get(message, policy).map(Asked::Get),
         Method::POST => post(message, policy),
-        _ => Err(Fault::new(Code::MethodNotAllowed, "GraphQL is served by POST, and queries by GET")),
+        _ => Err(Fault::new(
+            Code::MethodNotAllowed,
+            "GraphQL is served by POST, and queries by GET",
+        )),
     }
 }
 
@@ -83,7 +89,8 @@
             "operationName" => envelope.operation = Some(value.clone()),
             _ if !is_shallow(value.as_bytes(), JSON_DEPTH) => return Err(json_too_deep()),
             "variables" => {
-                envelope.variables = object(value, "variables")?.map(|json| Cow::Owned(json.to_string()))
+                envelope.variables =
+                    object(value, "variables")?.map(|json| Cow::Owned(json.to_string()))
             }
             _ => extensions(value, &mut envelope)?,
         }
@@ -99,7 +106,9 @@
     let mut parameters = Vec::new();
     for parameter in url.split('&').filter(|parameter| !parameter.is_empty()) {
         if parameters.len() >= MOST_NAMES {
-            return Err(Fault::bad(format!("the URL has more than {MOST_NAMES} parameters")));
+            return Err(Fault::bad(format!(
+                "the URL has more than {MOST_NAMES} parameters"
+            )));
         }
         let (name, value) = parameter.split_once('=').unwrap_or((parameter, ""));
         parameters.push((decode(name)?, decode(value)?));
@@ -122,16 +131,29 @@
     let mut odd = false;
     if let Some(url) = message.query {
         let parameters = parameters(url)?;
-        if parameters.iter().any(|(name, _)| KNOWN.iter().any(|known| is_alike(name, known))) {
-            let problem = "the URL carries parameters of GraphQL beside the body; servers read either";
+        if parameters
+            .iter()
+            .any(|(name, _)| KNOWN.iter().any(|known| is_alike(name, known)))
+        {
+            let problem =
+                "the URL carries parameters of GraphQL beside the body; servers read either";
             return Err(Fault::new(Code::AmbiguousRequest, problem));
         }
-        odd = parameters.iter().any(|(name, _)| !policy.ignore.iter().any(|ignored| name == ignored))
+        odd = parameters
+            .iter()
+            .any(|(name, _)| !policy.ignore.iter().any(|ignored| name == ignored))
             || url.contains(';');
     }
-    let text = std::str::from_utf8(message.body)
-        .map_err(|fault| Fault::bad(format!("the body is no UTF-8 from byte {} on", fault.valid_up_to())))?;
-    let text = text.strip_prefix('\u{feff}').unwrap_or(text).trim_matches([' ', '\t', '\r', '\n']);
+    let text = std::str::from_utf8(message.body).map_err(|fault| {
+        Fault::bad(format!(
+            "the body is no UTF-8 from byte {} on",
+            fault.valid_up_to()
+        ))
+    })?;
+    let text = text
+        .strip_prefix('\u{feff}')
+        .unwrap_or(text)
+        .trim_matches([' ', '\t', '\r', '\n']);
     if !is_shallow(text.as_bytes(), JSON_DEPTH) {
         return Err(json_too_deep());
     }
@@ -158,7 +180,10 @@
     impl<'de> serde::de::DeserializeSeed<'de> for Read<'de> {
         type Value = (Vec<&'de str>, bool);
 
-        fn deserialize<D: serde::Deserializer<'de>>(self, reader: D) -> Result<Self::Value, D::Error> {
+        fn deserialize<D: serde::Deserializer<'de>>(
+            self,
+            reader: D,
+        ) -> Result<Self::Value, D::Error> {
             reader.deserialize_seq(self)
         }
     }
@@ -169,7 +194,10 @@
             f.write_str("an array")
         }
 
-        fn visit_seq<A: serde::de::SeqAccess<'de>>(mut self, mut array: A) -> Result<Self::Value, A::Error> {
+        fn visit_seq<A: serde::de::SeqAccess<'de>>(
+            mut self,
+            mut array: A,
+        ) -> Result<Self::Value, A::Error> {
             while self.0.len() < self.1 {
                 match array.next_element::<&RawValue>()? {
                     Some(element) => self.0.push(element.get()),
@@ -185,7 +213,9 @@
     }
     let mut reader = serde_json::Deserializer::from_str(text);
     let read = serde::de::DeserializeSeed::deserialize(Read(Vec::new(), most), &mut reader);
-    let (elements, more) = read.and_then(|read| reader.end().map(|()| read)).map_err(no_json)?;
+    let (elements, more) = read
+        .and_then(|read| reader.end().map(|()| read))
+        .map_err(no_json)?;
     if more {
         let problem = match most {
             0 => "batches are not taken here; send one operation".to_string(),
@@ -202,7 +232,9 @@
 fn element<'a>(json: &'a str, policy: &Policy) -> Result<Envelope<'a>, Fault> {
     let Pairs(pairs) = Pairs::read(json).map_err(no_json)?;
     if pairs.len() > MOST_NAMES {
-        return Err(Fault::bad(format!("the message has more than {MOST_NAMES} names")));
+        return Err(Fault::bad(format!(
+            "the message has more than {MOST_NAMES} names"
+        )));
     }
     let mut envelope = Envelope::default();
     let pairs = pairs.iter().map(|(name, value)| (name.as_ref(), value));
@@ -229,12 +261,14 @@
     for (name, value) in pairs {
         match KNOWN.into_iter().find(|known| is_alike(name, known)) {
             Some(alike) if alike != name => {
-                let problem =
-                    format!("a name is written otherwise than {alike}; some servers tell no difference");
+                let problem = format!(
+                    "a name is written otherwise than {alike}; some servers tell no difference"
+                );
                 return Err(Fault::new(Code::AmbiguousRequest, problem));
             }
             Some(alike) if known.iter().any(|(there, _)| *there == alike) => {
-                let problem = format!("{alike} is given twice; some servers read the first, some the last");
+                let problem =
+                    format!("{alike} is given twice; some servers read the first, some the last");
                 return Err(Fault::new(Code::AmbiguousRequest, problem));
             }
             Some(alike) => known.push((alike, value)),
@@ -272,8 +306,12 @@
 
 /// The hash of a persisted query. Another version than 1 is odd: it may mean anything.
 fn extensions(json: &str, envelope: &mut Envelope<'_>) -> Result<(), Fault> {
-    let Some(json) = object(json, "extensions")? else { return Ok(()) };
-    let Some(persisted) = field(json, "persistedQuery")? else { return Ok(()) };
+    let Some(json) = object(json, "extensions")? else {
+        return Ok(());
+    };
+    let Some(persisted) = field(json, "persistedQuery")? else {
+        return Ok(());
+    };
     if !persisted.starts_with('{') {
         return Err(Fault::bad("extensions.persistedQuery is no object"));
     }
@@ -282,9 +320,13 @@
         return Ok(());
     }
     let Some(hash) = field(persisted, "sha256Hash")? else {
-        return Err(Fault::bad("extensions.persistedQuery.sha256Hash is missing"));
+        return Err(Fault::bad(
+            "extensions.persistedQuery.sha256Hash is missing",
+        ));
     };
-    let digest = string(hash, "extensions.persistedQuery.sha256Hash").ok().and_then(|h| parse_digest(&h));
+    let digest = string(hash, "extensions.persistedQuery.sha256Hash")
+        .ok()
+        .and_then(|h| parse_digest(&h));
     let wanted = "extensions.persistedQuery.sha256Hash is not 64 hex digits in lower case";
     envelope.hash = Some(digest.ok_or(Fault::bad(wanted))?);
     Ok(())
@@ -296,7 +338,9 @@
     let mut alike = pairs.iter().filter(|(name, _)| is_alike(name, wanted));
     match (alike.next(), alike.next()) {
         (None, _) => Ok(None),
-        (Some((name, value)), None) if name == wanted => Ok(Some(value.get()).filter(|json| *json != "null")),
+        (Some((name, value)), None) if name == wanted => {
+            Ok(Some(value.get()).filter(|json| *json != "null"))
+        }
         _ => {
             let problem = format!("{wanted} is given twice, or written otherwise");
             Err(Fault::new(Code::AmbiguousRequest, problem))
@@ -316,26 +360,39 @@
 fn no_json(fault: serde_json::Error) -> Fault {
     // It may quote what is there.
     let fault: String = fault.to_string().chars().take(160).collect();
-    Fault::bad(format!("the message is no JSON of the form it should have: {fault}"))
+    Fault::bad(format!(
+        "the message is no JSON of the form it should have: {fault}"
+    ))
 }
 
 fn json_too_deep() -> Fault {
-    Fault::new(Code::JsonTooDeep, format!("the JSON is nested deeper than {JSON_DEPTH} levels"))
+    Fault::new(
+        Code::JsonTooDeep,
+        format!("the JSON is nested deeper than {JSON_DEPTH} levels"),
+    )
 }
 
 /// Only JSON in UTF-8 goes further, and only as it is: what else servers may read, such as forms, is not classed.
 fn is_json(headers: &HeaderMap) -> Result<(), Fault> {
     let unsupported = |problem: &'static str| Fault::new(Code::UnsupportedMediaType, problem);
     let plain = headers.get_all(header::CONTENT_ENCODING).iter();
-    if plain.into_iter().any(|coding| !coding.as_bytes().eq_ignore_ascii_case(b"identity")) {
+    if plain
+        .into_iter()
+        .any(|coding| !coding.as_bytes().eq_ignore_ascii_case(b"identity"))
+    {
         return Err(unsupported("the body is encoded; send it as it is"));
     }
     let mut types = headers.get_all(header::CONTENT_TYPE).iter();
     let wanted = unsupported("the content type is not application/json");
-    let (Some(given), None) = (types.next(), types.next()) else { return Err(wanted) };
+    let (Some(given), None) = (types.next(), types.next()) else {
+        return Err(wanted);
+    };
     let given = given.to_str().map_err(|_| wanted.clone())?;
     let mut parts = given.split(';').map(str::trim);
-    if !parts.next().is_some_and(|media| media.eq_ignore_ascii_case("application/json")) {
+    if !parts
+        .next()
+        .is_some_and(|media| media.eq_ignore_ascii_case("application/json"))
+    {
         return Err(wanted);
     }
     for parameter in parts {
--- a/crates/graphql/src/section.rs
+++ b/crates/graphql/src/section.rs
@@ -148,32 +148,51 @@
 
 impl Default for Remember {
     fn default() -> Self {
-        Remember { persisted: 10_000, others: 1_000, bytes: Size(4 << 20) }
+        Remember {
+            persisted: 10_000,
+            others: 1_000,
+            bytes: Size(4 << 20),
+        }
     }
 }
 
 impl Default for Batch {
     fn default() -> Self {
-        Batch { operations: 16, split: false }
+        Batch {
+            operations: 16,
+            split: false,
+        }
     }
 }
 
 impl Default for Operation {
     fn default() -> Self {
-        Operation { class: String::new(), repeat: true }
+        Operation {
+            class: String::new(),
+            repeat: true,
+        }
     }
 }
 
 impl Default for Query {
     fn default() -> Self {
-        Query { repeat: true, subject: String::new(), cost: String::new() }
+        Query {
+            repeat: true,
+            subject: String::new(),
+            cost: String::new(),
+        }
     }
 }
 
 impl Section {
     /// The policy that the section words, or none where something in it makes no sense, which is then a problem of the
     /// document. `at` is the section's place, such as `graphql` or `routes[2].graphql`.
-    pub fn check(&self, document: &mut Document<'_>, at: &str, classes: &[ClassInfo]) -> Option<Policy> {
+    pub fn check(
+        &self,
+        document: &mut Document<'_>,
+        at: &str,
+        classes: &[ClassInfo],
+    ) -> Option<Policy> {
         match Policy::new(self, classes) {
             Ok(policy) => Some(policy),
             Err(problems) => {
--- a/crates/graphql/tests/a_batch_is_answered_in_its_order.rs
+++ b/crates/graphql/tests/a_batch_is_answered_in_its_order.rs
@@ -34,24 +34,39 @@
         // Of classes alike in effect, the one with the longest aim: a batch is as slow as its slowest.
         (&["{a}", "query Dashboard{b}"], is("board", Why::Query)),
         (&["query Dashboard{b}", "{a}"], is("board", Why::Query)),
-        (&["{a}", "mutation Slow{b}", "mutation{c}"], is("file-slow", Why::Mutation)),
+        (
+            &["{a}", "mutation Slow{b}", "mutation{c}"],
+            is("file-slow", Why::Mutation),
+        ),
     ] {
-        assert_eq!(class(&mut front(), &batch(documents)), wanted, "{documents:?}");
+        assert_eq!(
+            class(&mut front(), &batch(documents)),
+            wanted,
+            "{documents:?}"
+        );
     }
 }
 
 #[test]
 fn keyed_operations_that_no_one_class_covers_make_a_batch_unsafe() {
     // One class discards repeats in fewer servers but for longer than the other.
-    let effects = [(madderloom_balancer::Scope::Cell, 9), (madderloom_balancer::Scope::All, 5)];
+    let effects = [
+        (madderloom_balancer::Scope::Cell, 9),
+        (madderloom_balancer::Scope::All, 5),
+    ];
     let mut classes = classes();
     for (class, (scope, window)) in classes[4..].iter_mut().zip(effects) {
         class.effect = Effect::Keyed { scope, window };
     }
-    let mut section = Section { query: "read".into(), mutation: "file".into(), ..Section::default() };
-    for (name, class, key) in
-        [("fileReport", "keyed", "input.clientMutationId"), ("pay", "keyed-cell", "key")]
-    {
+    let mut section = Section {
+        query: "read".into(),
+        mutation: "file".into(),
+        ..Section::default()
+    };
+    for (name, class, key) in [
+        ("fileReport", "keyed", "input.clientMutationId"),
+        ("pay", "keyed-cell", "key"),
+    ] {
         let rule = section.mutations.entry(name.into()).or_default();
         rule.effect = madderloom_graphql::section::EffectName::Keyed;
         (rule.class, rule.key) = (class.into(), key.into());
@@ -59,17 +74,29 @@
     let mut front = Front::new(Policy::new(&section, &classes).expect("the section is sound"));
     assert_eq!(classed(&mut front, &batch(&[KEYED])).class, 4);
     assert_eq!(classed(&mut front, &batch(&[PAY])).class, 5);
-    assert_eq!(classed(&mut front, &batch(&[KEYED, PAY])).effect, Effect::Unsafe);
+    assert_eq!(
+        classed(&mut front, &batch(&[KEYED, PAY])).effect,
+        Effect::Unsafe
+    );
     let both = text("mutation { pay(key: 1) fileReport(input: {clientMutationId: 1}) }");
-    assert_eq!(classed(&mut front, &Sent::post(both)).effect, Effect::Unsafe);
+    assert_eq!(
+        classed(&mut front, &Sent::post(both)).effect,
+        Effect::Unsafe
+    );
 }
 
 #[test]
 fn a_batch_has_the_subject_of_all_and_the_cost_of_all() {
     let mut front = front();
     let alone = classed(&mut front, &batch(&["{report(id: 1){b}}"]));
-    let alike = classed(&mut front, &batch(&["{report(id: 1){b}}", "{x: report(id: 1){b}}"]));
-    let other = classed(&mut front, &batch(&["{report(id: 1){b}}", "{report(id: 2){b}}"]));
+    let alike = classed(
+        &mut front,
+        &batch(&["{report(id: 1){b}}", "{x: report(id: 1){b}}"]),
+    );
+    let other = classed(
+        &mut front,
+        &batch(&["{report(id: 1){b}}", "{report(id: 2){b}}"]),
+    );
     assert!(alone.key.is_some());
     assert_eq!((alike.key, other.key), (alone.key, None));
     assert_eq!((alone.cost, alike.cost), (Some(20), Some(40)));
@@ -79,9 +106,16 @@
 fn one_operation_at_fault_rejects_a_batch_that_goes_on_whole() {
     let sent = batch(&["{a}", "subscription{b}", "{c}"]);
     let rejection = sent.to(&mut front()).expect_err("no server hears of it");
-    assert_eq!((rejection.fault.code, rejection.operations), (Code::SubscriptionUnsupported, Some(3)));
+    assert_eq!(
+        (rejection.fault.code, rejection.operations),
+        (Code::SubscriptionUnsupported, Some(3))
+    );
     let reply: Value = serde_json::from_slice(&rejection.reply(Media::Json).body).expect("JSON");
-    assert_eq!(reply.as_array().map(Vec::len), Some(3), "an answer for each");
+    assert_eq!(
+        reply.as_array().map(Vec::len),
+        Some(3),
+        "an answer for each"
+    );
 }
 
 #[test]
@@ -97,9 +131,14 @@
         elements[0], elements[1], elements[2], elements[3]
     ));
     let plan = sent.to(&mut splitting()).expect("it is taken apart");
-    let Plan::Split(parts) = plan else { panic!("{plan:?}") };
+    let Plan::Split(parts) = plan else {
+        panic!("{plan:?}")
+    };
     let effect = |part: &Part| (part.classed.effect, part.body.to_vec());
-    let told: Vec<_> = parts.iter().map(|part| part.as_ref().map(effect).map_err(|f| f.code)).collect();
+    let told: Vec<_> = parts
+        .iter()
+        .map(|part| part.as_ref().map(effect).map_err(|f| f.code))
+        .collect();
     assert_eq!(
         told,
         [
@@ -114,21 +153,39 @@
 #[test]
 fn what_is_no_batch_is_not_taken_apart() {
     let sent = Sent::post(text("{a}"));
-    assert!(matches!(sent.to(&mut splitting()), Ok(Plan::Whole { operations: None, .. })));
+    assert!(matches!(
+        sent.to(&mut splitting()),
+        Ok(Plan::Whole {
+            operations: None,
+            ..
+        })
+    ));
     let bad = Sent::post("[}");
-    assert_eq!(bad.to(&mut splitting()).map_err(|r| r.fault.code), Err(Code::BadRequest));
+    assert_eq!(
+        bad.to(&mut splitting()).map_err(|r| r.fault.code),
+        Err(Code::BadRequest)
+    );
 }
 
 #[test]
 fn safe_operations_run_beside_each_other_and_others_alone() {
-    let keyed = Effect::Keyed { scope: madderloom_balancer::Scope::All, window: 1 };
+    let keyed = Effect::Keyed {
+        scope: madderloom_balancer::Scope::All,
+        window: 1,
+    };
     let (s, u) = (Effect::Safe, Effect::Unsafe);
-    assert_eq!(stages(&[s, s, u, s, keyed, u, s, s]), [0..2, 2..3, 3..4, 4..5, 5..6, 6..8]);
+    assert_eq!(
+        stages(&[s, s, u, s, keyed, u, s, s]),
+        [0..2, 2..3, 3..4, 4..5, 5..6, 6..8]
+    );
     assert_eq!(stages(&[]), []);
 }
 
 fn served(status: u16, body: &str) -> PartAnswer<'_> {
-    PartAnswer::Served { status, body: body.as_bytes() }
+    PartAnswer::Served {
+        status,
+        body: body.as_bytes(),
+    }
 }
 
 #[test]
@@ -138,23 +195,43 @@
     let fine = r#"{ "data" : {"a":1e2,"é":"\u00e9"} , "errors":[{"message":"half"}]}"#;
     let joined = |answers: &[PartAnswer<'_>]| {
         let reply = join(answers, Media::GraphqlResponse);
-        (reply.status, reply.retry_after, String::from_utf8(reply.body).expect("UTF-8"))
+        (
+            reply.status,
+            reply.retry_after,
+            String::from_utf8(reply.body).expect("UTF-8"),
+        )
     };
     let refusal = r#"{"errors":[{"extensions":{"code":"REFUSED"},"message":"refused: no server took it, and trying again is harmless"}]}"#;
-    let (status, retry_after, body) = joined(&[served(200, fine), refused(), served(200, "\u{feff} {}\n")]);
+    let (status, retry_after, body) =
+        joined(&[served(200, fine), refused(), served(200, "\u{feff} {}\n")]);
     assert_eq!((status, retry_after), (200, None));
     assert_eq!(body, format!("[{fine},{refusal},{{}}]"));
 
-    assert_eq!(joined(&[served(400, "{}"), served(400, "{}")]).0, 400, "servers agree");
-    assert_eq!(joined(&[served(400, "{}"), served(200, "{}")]).0, 200, "servers don't");
+    assert_eq!(
+        joined(&[served(400, "{}"), served(400, "{}")]).0,
+        400,
+        "servers agree"
+    );
+    assert_eq!(
+        joined(&[served(400, "{}"), served(200, "{}")]).0,
+        200,
+        "servers don't"
+    );
     let later = PartAnswer::Fault(Fault::refused(Some(900_000)));
     let (status, retry_after, _) = joined(&[refused(), later]);
-    assert_eq!((status, retry_after), (503, Some(900_000)), "nothing ran: all of it may come again");
+    assert_eq!(
+        (status, retry_after),
+        (503, Some(900_000)),
+        "nothing ran: all of it may come again"
+    );
     let (status, retry_after, _) = joined(&[refused(), failed()]);
     assert_eq!((status, retry_after), (502, None), "something may have run");
     for spoilt in ["", "[]", "7", "{", "<html>", "{}{}", "{},{}", "\u{feff}"] {
         let (status, _, body) = joined(&[refused(), served(200, spoilt)]);
-        assert!(status == 502 && body.contains("UNREADABLE_ANSWER"), "{spoilt:?}: {status} {body}");
+        assert!(
+            status == 502 && body.contains("UNREADABLE_ANSWER"),
+            "{spoilt:?}: {status} {body}"
+        );
         let read: Vec<Value> = serde_json::from_str(&body).expect("well-formed all the same");
         assert_eq!(read.len(), 2);
     }
@@ -186,8 +263,14 @@
     match value {
         Value::Object(fields) => {
             let fields = fields.iter().map(|(name, value)| {
-                let name: String = name.chars().map(|c| format!("\\u{:04x}", c as u32)).collect();
-                format!("{spaces}\"{name}\"{spaces}:{spaces}{}{spaces}", spaced(value, spaces))
+                let name: String = name
+                    .chars()
+                    .map(|c| format!("\\u{:04x}", c as u32))
+                    .collect();
+                format!(
+                    "{spaces}\"{name}\"{spaces}:{spaces}{}{spaces}",
+                    spaced(value, spaces)
+                )
             });
             format!("{{{}}}", fields.collect::<Vec<_>>().join(","))
         }
--- a/crates/graphql/tests/a_section_names_what_is_wrong.rs
+++ b/crates/graphql/tests/a_section_names_what_is_wrong.rs
@@ -49,7 +49,10 @@
         "19:14: graphql.batch.operations: is 5000; it must lie in 0..=1000",
     ];
     for wanted in wanted {
-        assert!(told.iter().any(|told| told == wanted), "{wanted} is not in {told:#?}");
+        assert!(
+            told.iter().any(|told| told == wanted),
+            "{wanted} is not in {told:#?}"
+        );
     }
     assert_eq!(told.len(), wanted.len(), "{told:#?}");
 }
@@ -58,15 +61,18 @@
 fn what_is_missing_or_not_known_is_told() {
     let told = policy("[graphql]\nqurey = \"read\"\n").expect_err("problems");
     assert!(
-        told.iter().any(|told| told.contains("graphql.qurey: is not known; did you mean query?")),
+        told.iter()
+            .any(|told| told.contains("graphql.qurey: is not known; did you mean query?")),
         "{told:?}"
     );
     let told = policy("[graphql]\n").expect_err("problems");
     assert!(
-        told.iter().any(|told| told.contains("graphql.query: is missing; name a class that is safe")),
+        told.iter()
+            .any(|told| told.contains("graphql.query: is missing; name a class that is safe")),
         "{told:?}"
     );
     assert!(
-        told.iter().any(|told| told.contains("graphql.mutation: is missing; name a class that is unsafe"))
+        told.iter()
+            .any(|told| told.contains("graphql.mutation: is missing; name a class that is unsafe"))
     );
 }
--- a/crates/graphql/tests/common/mod.rs
+++ b/crates/graphql/tests/common/mod.rs
@@ -60,7 +60,13 @@
         ("keyed", keyed(Scope::All, 10_000_000), 800_000),
         ("keyed-cell", keyed(Scope::Cell, 5_000_000), 800_000),
     ];
-    classes.map(|(name, effect, aim)| ClassInfo { name: name.into(), effect, aim }).to_vec()
+    classes
+        .map(|(name, effect, aim)| ClassInfo {
+            name: name.into(),
+            effect,
+            aim,
+        })
+        .to_vec()
 }
 
 #[derive(Default, serde::Deserialize)]
@@ -76,7 +82,10 @@
     };
     let (mut document, file) = Document::read::<File>(text).map_err(told)?;
     let policy = file.graphql.check(&mut document, "graphql", &classes());
-    document.finish(policy).map(|policy| policy.expect("without a problem there is a policy")).map_err(told)
+    document
+        .finish(policy)
+        .map(|policy| policy.expect("without a problem there is a policy"))
+        .map_err(told)
 }
 
 pub fn front() -> Front {
@@ -93,7 +102,12 @@
 /// So many cases, alike on every run.
 pub fn cases(cases: u32) -> ProptestConfig {
     let seed = proptest::test_runner::RngSeed::Fixed(7);
-    ProptestConfig { cases, failure_persistence: None, rng_seed: seed, ..ProptestConfig::default() }
+    ProptestConfig {
+        cases,
+        failure_persistence: None,
+        rng_seed: seed,
+        ..ProptestConfig::default()
+    }
 }
 
 /// A request as a client sends it.
@@ -107,12 +121,25 @@
 impl Sent {
     pub fn post(body: impl Into<Vec<u8>>) -> Self {
         let mut headers = HeaderMap::new();
-        headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
-        Sent { method: Method::POST, query: None, headers, body: body.into() }
+        headers.insert(
+            header::CONTENT_TYPE,
+            HeaderValue::from_static("application/json"),
+        );
+        Sent {
+            method: Method::POST,
+            query: None,
+            headers,
+            body: body.into(),
+        }
     }
 
     pub fn get(query: impl Into<String>) -> Self {
-        Sent { method: Method::GET, query: Some(query.into()), headers: HeaderMap::new(), body: Vec::new() }
+        Sent {
+            method: Method::GET,
+            query: Some(query.into()),
+            headers: HeaderMap::new(),
+            body: Vec::new(),
+        }
     }
 
     pub fn url(mut self, query: &str) -> Self {
@@ -189,7 +216,10 @@
 /// The SHA-256 of a text as a client writes it.
 pub fn hash(text: &str) -> String {
     use sha2::Digest;
-    sha2::Sha256::digest(text).iter().map(|byte| format!("{byte:02x}")).collect()
+    sha2::Sha256::digest(text)
+        .iter()
+        .map(|byte| format!("{byte:02x}"))
+        .collect()
 }
 
 /// A message with a hash, and with the text or without.
--- a/crates/graphql/tests/common/oracle.rs
+++ b/crates/graphql/tests/common/oracle.rs
@@ -26,17 +26,24 @@
 pub fn graphql_parser(document: &str, name: Option<&str>) -> Option<Kind> {
     use graphql_parser::query::{Definition, OperationDefinition, parse_query};
     let document = parse_query::<String>(document).ok()?;
-    let operations = document.definitions.into_iter().filter_map(|definition| match definition {
-        Definition::Operation(OperationDefinition::SelectionSet(_)) => Some((None, Kind::Query)),
-        Definition::Operation(OperationDefinition::Query(query)) => Some((query.name, Kind::Query)),
-        Definition::Operation(OperationDefinition::Mutation(mutation)) => {
-            Some((mutation.name, Kind::Mutation))
-        }
-        Definition::Operation(OperationDefinition::Subscription(other)) => {
-            Some((other.name, Kind::Subscription))
-        }
-        Definition::Fragment(_) => None,
-    });
+    let operations = document
+        .definitions
+        .into_iter()
+        .filter_map(|definition| match definition {
+            Definition::Operation(OperationDefinition::SelectionSet(_)) => {
+                Some((None, Kind::Query))
+            }
+            Definition::Operation(OperationDefinition::Query(query)) => {
+                Some((query.name, Kind::Query))
+            }
+            Definition::Operation(OperationDefinition::Mutation(mutation)) => {
+                Some((mutation.name, Kind::Mutation))
+            }
+            Definition::Operation(OperationDefinition::Subscription(other)) => {
+                Some((other.name, Kind::Subscription))
+            }
+            Definition::Fragment(_) => None,
+        });
     pick(operations.collect(), name)
 }
 
@@ -44,6 +51,9 @@
     match (name, operations.as_slice()) {
         (None, [(_, only)]) => Some(*only),
         (None, _) => None,
-        (Some(_), all) => all.iter().find(|(there, _)| there.as_deref() == name).map(|(_, kind)| *kind),
+        (Some(_), all) => all
+            .iter()
+            .find(|(there, _)| there.as_deref() == name)
+            .map(|(_, kind)| *kind),
     }
 }
--- a/crates/graphql/tests/memory_is_bounded.rs
+++ b/crates/graphql/tests/memory_is_bounded.rs
@@ -20,7 +20,10 @@
 
 fn tables() {
     for (kind, document) in [
-        ("a query", "query Board {{ report(id: 7) {{ status }} x{} }}"),
+        (
+            "a query",
+            "query Board {{ report(id: 7) {{ status }} x{} }}",
+        ),
         (
             "a mutation with a key in its variables",
             "mutation F{}($i: In!) {{ fileReport(input: $i) {{ id }} }}",
@@ -30,7 +33,10 @@
         let sent: Vec<Sent> = (0..5_000)
             .map(|n| {
                 Sent::post(persisted(
-                    &document.replace("{}", &n.to_string()).replace("{{", "{").replace("}}", "}"),
+                    &document
+                        .replace("{}", &n.to_string())
+                        .replace("{{", "{")
+                        .replace("}}", "}"),
                     true,
                 ))
             })
@@ -41,9 +47,16 @@
         }
         let taken = MEMORY.current_usage() - before;
         let (entries, counted) = front.usage().persisted;
-        println!("{kind}: {entries} entries, {} B each, counted as {}", taken / entries, counted / entries);
+        println!(
+            "{kind}: {entries} entries, {} B each, counted as {}",
+            taken / entries,
+            counted / entries
+        );
         assert_eq!(entries, 5_000);
-        assert!(taken < counted + counted / 4 && taken > counted / 2, "{taken} B, counted as {counted}");
+        assert!(
+            taken < counted + counted / 4 && taken > counted / 2,
+            "{taken} B, counted as {counted}"
+        );
     }
 }
 
@@ -65,15 +78,30 @@
     let board = text(&fields(1_200));
     let worst = [
         ("fields with arguments", board.clone()),
-        ("tokens of one letter", text(&format!("{{a(b:[{}])}}", "1 ".repeat(7_980)))),
+        (
+            "tokens of one letter",
+            text(&format!("{{a(b:[{}])}}", "1 ".repeat(7_980))),
+        ),
         ("commas", text(&format!("{{a{}}}", ",".repeat(31_900)))),
         ("comments", text(&format!("{{a{}}}", "#\n".repeat(15_900)))),
-        ("what is no token", text(&format!("{{a{}}}", "? ".repeat(7_900)))),
-        ("names of a message's variables", fill(r#"{"query":"{a}","variables":{"":1"#, r#","":1"#, "}}")),
-        ("names of a message", fill(r#"{"query":"{a}""#, r#","":1"#, "}")),
+        (
+            "what is no token",
+            text(&format!("{{a{}}}", "? ".repeat(7_900))),
+        ),
+        (
+            "names of a message's variables",
+            fill(r#"{"query":"{a}","variables":{"":1"#, r#","":1"#, "}}"),
+        ),
+        (
+            "names of a message",
+            fill(r#"{"query":"{a}""#, r#","":1"#, "}"),
+        ),
         ("elements", fill("[7", ",7", "]")),
         ("escapes", fill(r#"{"query":"{a}"#, r"\u0020", r#""}"#)),
-        ("a batch", format!("[{}]", vec![text(&fields(220)); 16].join(","))),
+        (
+            "a batch",
+            format!("[{}]", vec![text(&fields(220)); 16].join(",")),
+        ),
     ];
     for (kind, body) in worst {
         assert!(body.len() <= 64 << 10, "{kind}: {}", body.len());
@@ -87,7 +115,11 @@
         let before = MEMORY.current_usage();
         let told = class(&mut front, &sent);
         let peak = MEMORY.peak_usage() - before;
-        println!("{kind}: {} KiB at most for {} KiB: {told:?}", peak >> 10, sent.body.len() >> 10);
+        println!(
+            "{kind}: {} KiB at most for {} KiB: {told:?}",
+            peak >> 10,
+            sent.body.len() >> 10
+        );
         assert!(peak < 4 << 20, "{kind}: {peak}");
     }
 }
--- a/crates/graphql/tests/no_server_hears_of_what_breaks_a_limit.rs
+++ b/crates/graphql/tests/no_server_hears_of_what_breaks_a_limit.rs
@@ -24,9 +24,15 @@
         Sent::post(body)
     };
     assert_eq!(class(&mut front(), &body(64 << 10)), is("read", Why::Query));
-    assert_eq!(class(&mut front(), &body((64 << 10) + 1)), Err(Code::BodyTooLarge));
+    assert_eq!(
+        class(&mut front(), &body((64 << 10) + 1)),
+        Err(Code::BodyTooLarge)
+    );
     let url = format!("query={{a}}&apiKey={}", "x".repeat(64 << 10));
-    assert_eq!(class(&mut front(), &Sent::get(url)), Err(Code::BodyTooLarge));
+    assert_eq!(
+        class(&mut front(), &Sent::get(url)),
+        Err(Code::BodyTooLarge)
+    );
 }
 
 #[test]
@@ -60,7 +66,13 @@
     between(&value(22), &value(23), Code::TooDeep);
     let object = |depth: usize| format!("{{a(b: {}1{})}}", "{c:".repeat(depth), "}".repeat(depth));
     between(&object(22), &object(23), Code::TooDeep);
-    let of_type = |depth: usize| format!("query($x: {}T{}) {{a}}", "[".repeat(depth), "]".repeat(depth));
+    let of_type = |depth: usize| {
+        format!(
+            "query($x: {}T{}) {{a}}",
+            "[".repeat(depth),
+            "]".repeat(depth)
+        )
+    };
     between(&of_type(23), &of_type(24), Code::TooDeep);
 }
 
@@ -69,7 +81,10 @@
     for open in ["{a", "{a(b:[", "{a(b:{c:", "...{", "[", "(", "query($a:["] {
         let nested = format!("{{a {}", open.repeat(900));
         let told = fault(&mut front(), &nested);
-        assert!(matches!(told, Some(Code::TooDeep | Code::TooManyTokens)), "{open}: {told:?}");
+        assert!(
+            matches!(told, Some(Code::TooDeep | Code::TooManyTokens)),
+            "{open}: {told:?}"
+        );
     }
     // As deep as may be allowed, by the parser's own recursion, on a small stack.
     let deepest = std::thread::Builder::new().stack_size(1 << 20).spawn(|| {
@@ -89,22 +104,45 @@
         let nested = format!("{}{}", "{a".repeat(128), "}".repeat(128));
         assert_eq!(fault(&mut front, &nested), None);
     });
-    deepest.expect("a thread").join().expect("the stack is enough");
+    deepest
+        .expect("a thread")
+        .join()
+        .expect("the stack is enough");
 }
 
 #[test]
 fn json_nested_by_the_thousand() {
     let nested = |open: &str, close: &str, depth: usize| {
         let value = format!("{}{}", open.repeat(depth), close.repeat(depth));
-        Sent::post(format!(r#"{{"query":"{{a}}","variables":{{"a":{value}}}}}"#))
+        Sent::post(format!(
+            r#"{{"query":"{{a}}","variables":{{"a":{value}}}}}"#
+        ))
     };
-    assert_eq!(class(&mut front(), &nested("[", "]", 62)), is("read", Why::Query));
-    assert_eq!(class(&mut front(), &nested("[", "]", 63)), Err(Code::JsonTooDeep));
-    assert_eq!(class(&mut front(), &nested(r#"{"a":"#, "}", 5_000)), Err(Code::JsonTooDeep));
-    assert_eq!(class(&mut front(), &Sent::post("[".repeat(60_000))), Err(Code::JsonTooDeep));
+    assert_eq!(
+        class(&mut front(), &nested("[", "]", 62)),
+        is("read", Why::Query)
+    );
+    assert_eq!(
+        class(&mut front(), &nested("[", "]", 63)),
+        Err(Code::JsonTooDeep)
+    );
+    assert_eq!(
+        class(&mut front(), &nested(r#"{"a":"#, "}", 5_000)),
+        Err(Code::JsonTooDeep)
+    );
+    assert_eq!(
+        class(&mut front(), &Sent::post("[".repeat(60_000))),
+        Err(Code::JsonTooDeep)
+    );
     // Brackets within strings nest nothing.
-    let quoted = format!(r#"{{"query":"{{a}}","variables":{{"a":"\\\"{}"}}}}"#, "[".repeat(200));
-    assert_eq!(class(&mut front(), &Sent::post(quoted)), is("read", Why::Query));
+    let quoted = format!(
+        r#"{{"query":"{{a}}","variables":{{"a":"\\\"{}"}}}}"#,
+        "[".repeat(200)
+    );
+    assert_eq!(
+        class(&mut front(), &Sent::post(quoted)),
+        is("read", Why::Query)
+    );
     let url = format!("query={{a}}&variables={}", "[".repeat(500));
     assert_eq!(class(&mut front(), &Sent::get(url)), Err(Code::JsonTooDeep));
 }
@@ -118,18 +156,27 @@
         }) + "}"
     };
     between(&aliased(20), &aliased(21), Code::TooManyAliases);
-    let spread = |count: usize| format!("{{{}}} fragment F on X {{a:b c:d}}", "...F ".repeat(count));
+    let spread =
+        |count: usize| format!("{{{}}} fragment F on X {{a:b c:d}}", "...F ".repeat(count));
     between(&spread(10), &spread(11), Code::TooManyAliases);
     let mut front = front_with(|section| {
         section.limits.tokens = 100_000;
         section.limits.fields = 100_000;
     });
-    assert_eq!(fault(&mut front, &aliased(7_000)), Some(Code::TooManyAliases), "as many as fit");
+    assert_eq!(
+        fault(&mut front, &aliased(7_000)),
+        Some(Code::TooManyAliases),
+        "as many as fit"
+    );
 }
 
 #[test]
 fn fields_and_fragments_that_grow_without_end() {
-    between(&format!("{{{}}}", "a ".repeat(300)), &format!("{{{}}}", "a ".repeat(301)), Code::TooManyFields);
+    between(
+        &format!("{{{}}}", "a ".repeat(300)),
+        &format!("{{{}}}", "a ".repeat(301)),
+        Code::TooManyFields,
+    );
     // Sixty doublings: 2^60 fields, in a kilobyte or two.
     let mut bomb = String::from("{ ...F0 }");
     for n in 0..60 {
@@ -144,7 +191,10 @@
     }
     bomb += " fragment F200 on X { a }";
     assert_eq!(
-        fault(&mut front_with(|section| section.limits.tokens = 100_000), &bomb),
+        fault(
+            &mut front_with(|section| section.limits.tokens = 100_000),
+            &bomb
+        ),
         Some(Code::TooManyFields)
     );
 }
@@ -156,7 +206,13 @@
         let _ = write!(chain, " fragment F{n} on X {{ ...F{} }}", n + 1);
     }
     chain += " fragment F1700 on X { a }";
-    assert_eq!(fault(&mut front_with(|section| section.limits.tokens = 100_000), &chain), None);
+    assert_eq!(
+        fault(
+            &mut front_with(|section| section.limits.tokens = 100_000),
+            &chain
+        ),
+        None
+    );
 }
 
 #[test]
@@ -167,7 +223,11 @@
         "{ a } fragment F on X { ...G } fragment G on X { ...F }",
         "mutation { ...F } fragment F on X { ...F }",
     ] {
-        assert_eq!(fault(&mut front(), circle), Some(Code::FragmentCycle), "{circle}");
+        assert_eq!(
+            fault(&mut front(), circle),
+            Some(Code::FragmentCycle),
+            "{circle}"
+        );
     }
     for none in [
         "{ ...F ...F ...G } fragment F on X { ...G } fragment G on X { a }",
@@ -181,7 +241,11 @@
 #[test]
 fn names_of_64_kib() {
     let name = |bytes: usize| "n".repeat(bytes);
-    between(&format!("{{{}}}", name(64)), &format!("{{{}}}", name(65)), Code::NameTooLong);
+    between(
+        &format!("{{{}}}", name(64)),
+        &format!("{{{}}}", name(65)),
+        Code::NameTooLong,
+    );
     let long = name(60 << 10);
     for document in [
         format!("{{{long}}}"),
@@ -192,7 +256,12 @@
         format!("{{...{long}}}"),
         long.clone(),
     ] {
-        assert_eq!(fault(&mut front(), &document), Some(Code::NameTooLong), "{}", &document[..20]);
+        assert_eq!(
+            fault(&mut front(), &document),
+            Some(Code::NameTooLong),
+            "{}",
+            &document[..20]
+        );
     }
     // A name of JSON is none of GraphQL, and goes no further than the message.
     let odd = Sent::post(format!(r#"{{"query":"{{a}}","{long}":1}}"#));
@@ -205,11 +274,17 @@
     assert_eq!(class(&mut front(), &batch(4)), is("read", Why::Query));
     assert_eq!(class(&mut front(), &batch(5)), Err(Code::BatchTooLarge));
     assert_eq!(
-        class(&mut front(), &Sent::post(format!("[{}]", ["7"; 20_000].join(",")))),
+        class(
+            &mut front(),
+            &Sent::post(format!("[{}]", ["7"; 20_000].join(",")))
+        ),
         Err(Code::BatchTooLarge)
     );
     assert_eq!(
-        class(&mut front_with(|section| section.batch.operations = 0), &batch(1)),
+        class(
+            &mut front_with(|section| section.batch.operations = 0),
+            &batch(1)
+        ),
         Err(Code::BatchTooLarge)
     );
 }
@@ -220,7 +295,10 @@
     assert_eq!(class(&mut front(), &Sent::get(url)), Err(Code::BadRequest));
     let names: Vec<String> = (0..1_000).map(|n| format!("\"n{n}\":1")).collect();
     let body = format!("{{\"query\":\"{{a}}\",{}}}", names.join(","));
-    assert_eq!(class(&mut front(), &Sent::post(body)), Err(Code::BadRequest));
+    assert_eq!(
+        class(&mut front(), &Sent::post(body)),
+        Err(Code::BadRequest)
+    );
 }
 
 #[test]
@@ -236,7 +314,11 @@
     ] {
         let sent = Sent::post(text(&document));
         let rejection = sent.to(&mut front()).expect_err("it breaks a limit");
-        assert!(rejection.fault.message.contains(told), "{}", rejection.fault.message);
+        assert!(
+            rejection.fault.message.contains(told),
+            "{}",
+            rejection.fault.message
+        );
         assert_eq!(rejection.fault.code.status(), 400);
         assert!(
             codes.insert(rejection.fault.code.name()),
--- a/crates/graphql/tests/parsers_agree_on_the_class.rs
+++ b/crates/graphql/tests/parsers_agree_on_the_class.rs
@@ -36,10 +36,32 @@
 fn string() -> impl Strategy<Value = String> {
     prop_oneof![
         "[ -!#-\\[\\]-~é{}]{0,8}".prop_map(|text| format!("\"{text}\"")),
-        prop::sample::select(vec!["", "mutation { a }", "\\\"", "\\\\", "\\n", "\\u0041", "#", "\"\""])
-            .prop_map(|text| if text == "\"\"" { "\"\"".into() } else { format!("\"{text}\"") }),
-        prop::sample::select(vec!["", " ", "mutation { a }", "\\\"\"\"", "\n\" \n", "#", "\"\" x", "\\n"])
-            .prop_map(|text| format!("\"\"\"{text}\"\"\"")),
+        prop::sample::select(vec![
+            "",
+            "mutation { a }",
+            "\\\"",
+            "\\\\",
+            "\\n",
+            "\\u0041",
+            "#",
+            "\"\""
+        ])
+        .prop_map(|text| if text == "\"\"" {
+            "\"\"".into()
+        } else {
+            format!("\"{text}\"")
+        }),
+        prop::sample::select(vec![
+            "",
+            " ",
+            "mutation { a }",
+            "\\\"\"\"",
+            "\n\" \n",
+            "#",
+            "\"\" x",
+            "\\n"
+        ])
+        .prop_map(|text| format!("\"\"\"{text}\"\"\"")),
     ]
 }
 
@@ -51,10 +73,16 @@
 
 fn value(constant: bool) -> impl Strategy<Value = Tokens> {
     let leaf = prop_oneof![
-        prop::sample::select(vec!["0", "-12", "1.5e3", "true", "false", "null", "MUTATION", "mutation"])
-            .prop_map(|word| words(&[word])),
+        prop::sample::select(vec![
+            "0", "-12", "1.5e3", "true", "false", "null", "MUTATION", "mutation"
+        ])
+        .prop_map(|word| words(&[word])),
         string().prop_map(|string| vec![string]),
-        name().prop_map(move |name| if constant { vec![name] } else { vec!["$".into(), name] }),
+        name().prop_map(move |name| if constant {
+            vec![name]
+        } else {
+            vec!["$".into(), name]
+        }),
     ];
     leaf.prop_recursive(2, 8, 3, |inner| {
         prop_oneof![
@@ -90,7 +118,9 @@
 
 fn directives() -> impl Strategy<Value = Tokens> {
     prop::collection::vec((name(), arguments(true)), 0..2).prop_map(|all| {
-        all.into_iter().flat_map(|(name, arguments)| [vec!["@".into(), name], arguments].concat()).collect()
+        all.into_iter()
+            .flat_map(|(name, arguments)| [vec!["@".into(), name], arguments].concat())
+            .collect()
     })
 }
 
@@ -112,7 +142,8 @@
             }),
         ]
     });
-    prop::collection::vec(one, 1..3).prop_map(|all| [words(&["{"]), all.concat(), words(&["}"])].concat())
+    prop::collection::vec(one, 1..3)
+        .prop_map(|all| [words(&["{"]), all.concat(), words(&["}"])].concat())
 }
 
 fn variables() -> impl Strategy<Value = Tokens> {
@@ -123,9 +154,19 @@
         }
         let one = |(n, (of_type, default)): (usize, (Tokens, Option<Tokens>))| {
             let default = default.map_or(Vec::new(), |value| [words(&["="]), value].concat());
-            [vec!["$".into(), format!("v{n}"), ":".into()], of_type, default].concat()
+            [
+                vec!["$".into(), format!("v{n}"), ":".into()],
+                of_type,
+                default,
+            ]
+            .concat()
         };
-        [words(&["("]), all.into_iter().enumerate().flat_map(one).collect(), words(&[")"])].concat()
+        [
+            words(&["("]),
+            all.into_iter().enumerate().flat_map(one).collect(),
+            words(&[")"]),
+        ]
+        .concat()
     })
 }
 
@@ -134,8 +175,13 @@
     let kind = prop_oneof![3 => Just("query"), 3 => Just("mutation"), 1 => Just("subscription")];
     let operation = (kind, any::<bool>(), variables(), directives(), selections());
     let several = prop::collection::vec(operation, 1..4);
-    (several, selections(), any::<prop::sample::Index>(), any::<bool>()).prop_map(
-        |(operations, inner, which, short)| {
+    (
+        several,
+        selections(),
+        any::<prop::sample::Index>(),
+        any::<bool>(),
+    )
+        .prop_map(|(operations, inner, which, short)| {
             let alone = operations.len() == 1;
             let mut tokens = Vec::new();
             let mut spread = false;
@@ -145,38 +191,60 @@
                     tokens.push(set.clone());
                     continue;
                 }
-                let name = if alone && !named { Vec::new() } else { vec![format!("O{n}")] };
+                let name = if alone && !named {
+                    Vec::new()
+                } else {
+                    vec![format!("O{n}")]
+                };
                 tokens.push(
-                    [words(&[kind]), name, variables.clone(), directives.clone(), set.clone()].concat(),
+                    [
+                        words(&[kind]),
+                        name,
+                        variables.clone(),
+                        directives.clone(),
+                        set.clone(),
+                    ]
+                    .concat(),
                 );
             }
             if spread {
                 // Its own spreads would make circles.
-                let inner: Tokens =
-                    if inner.iter().any(|t| t == "...") { words(&["{", "a", "}"]) } else { inner };
+                let inner: Tokens = if inner.iter().any(|t| t == "...") {
+                    words(&["{", "a", "}"])
+                } else {
+                    inner
+                };
                 for fragment in ["F0", "F1"] {
                     let at = if which.index(2) == 0 { 0 } else { tokens.len() };
-                    tokens
-                        .insert(at, [words(&["fragment", fragment, "on Mutation"]), inner.clone()].concat());
+                    tokens.insert(
+                        at,
+                        [words(&["fragment", fragment, "on Mutation"]), inner.clone()].concat(),
+                    );
                 }
             }
             let name = (!alone).then(|| format!("O{}", which.index(operations.len() + 1)));
             (tokens.concat(), name)
-        },
-    )
+        })
 }
 
 /// Tokens with gaps between them; none is needed beside a sign.
 fn written(tokens: &[String], gaps: &[String]) -> String {
     let is_word = |token: &str| {
-        !matches!(token, "{" | "}" | "(" | ")" | "[" | "]" | ":" | "=" | "$" | "@" | "!" | "...")
+        !matches!(
+            token,
+            "{" | "}" | "(" | ")" | "[" | "]" | ":" | "=" | "$" | "@" | "!" | "..."
+        )
     };
     let mut text = String::new();
     let mut before = "{";
     for (n, token) in tokens.iter().enumerate() {
         // A comma may stand there too, but not all parsers know: see the test of where they disagree.
         let gap = &gaps[n % gaps.len()];
-        let gap = if token == ":" || before == "..." { &gap.replace(',', " ") } else { gap };
+        let gap = if token == ":" || before == "..." {
+            &gap.replace(',', " ")
+        } else {
+            gap
+        };
         if (is_word(before) && is_word(token)) || n % 3 != 0 {
             text += gap;
         }
@@ -212,9 +280,15 @@
     if let Ok(Some(Kind::Query)) = ours(document, operation) {
         for (parser, kind) in [
             ("async-graphql", oracle::async_graphql(document, operation)),
-            ("graphql-parser", oracle::graphql_parser(document, operation)),
+            (
+                "graphql-parser",
+                oracle::graphql_parser(document, operation),
+            ),
         ] {
-            prop_assert!(matches!(kind, None | Some(Kind::Query)), "{parser} reads {kind:?} in {document:?}");
+            prop_assert!(
+                matches!(kind, None | Some(Kind::Query)),
+                "{parser} reads {kind:?} in {document:?}"
+            );
         }
     }
     Ok(())
@@ -229,17 +303,26 @@
         let ((tokens, name), gaps) = corpus.new_tree(&mut runner).expect("a document").current();
         let (document, name) = (written(&tokens, &gaps), name.as_deref());
         let ours = ours(&document, name).expect("within the limits");
-        let others = [oracle::async_graphql(&document, name), oracle::graphql_parser(&document, name)];
+        let others = [
+            oracle::async_graphql(&document, name),
+            oracle::graphql_parser(&document, name),
+        ];
         for other in others {
             // One that reads nothing is a matter of the test below.
-            assert!(other.is_none() || other == ours, "{ours:?}, {others:?}: {document:?} {name:?}");
+            assert!(
+                other.is_none() || other == ours,
+                "{ours:?}, {others:?}: {document:?} {name:?}"
+            );
         }
         if others == [ours, ours] {
             agreed[ours.map_or(3, |kind| kind as usize)] += 1;
         }
     }
     // Of each kind there were many, and all three read nearly every document.
-    assert!(agreed.iter().all(|kind| *kind > 30) && agreed.iter().sum::<i32>() > 590, "{agreed:?}");
+    assert!(
+        agreed.iter().all(|kind| *kind > 30) && agreed.iter().sum::<i32>() > 590,
+        "{agreed:?}"
+    );
 }
 
 #[test]
@@ -259,15 +342,26 @@
         ("{a(b:\"\\u{1f600}\")}", [None, None], Some(Query)),
         // A comma between an alias and its colon, and before the name of a fragment.
         ("{a,:b}", [Some(Query), Some(Query)], None),
-        ("{...,F}fragment F on A{a}", [Some(Query), Some(Query)], None),
+        (
+            "{...,F}fragment F on A{a}",
+            [Some(Query), Some(Query)],
+            None,
+        ),
         // Gaps within a type, and a comment behind `on`.
         ("query($a:[ A ]){a}", [None, Some(Query)], Some(Query)),
-        ("{...F}fragment F on#x\nA{a}", [None, Some(Query)], Some(Query)),
+        (
+            "{...F}fragment F on#x\nA{a}",
+            [None, Some(Query)],
+            Some(Query),
+        ),
         // Definitions of types.
         ("type A{a:Int} query{a}", [None, None], None),
         ("{a(b:01)}", [None, None], None),
     ] {
-        let told = [oracle::async_graphql(document, None), oracle::graphql_parser(document, None)];
+        let told = [
+            oracle::async_graphql(document, None),
+            oracle::graphql_parser(document, None),
+        ];
         assert_eq!(told, others, "{document:?}");
         assert_eq!(ours(document, None), Ok(stricter), "{document:?}");
         is_strict(document, None).expect("never safe where another reads a mutation");
--- a/crates/graphql/tests/what_is_not_certain_is_unsafe.rs
+++ b/crates/graphql/tests/what_is_not_certain_is_unsafe.rs
@@ -10,10 +10,18 @@
 
 #[test]
 fn a_query_is_safe_and_a_mutation_is_not() {
-    for query in ["{a}", "query{a}", "query Q($x: [Int!]! = [1]) @d(a: 1) { a(b: $x) { c } }"] {
+    for query in [
+        "{a}",
+        "query{a}",
+        "query Q($x: [Int!]! = [1]) @d(a: 1) { a(b: $x) { c } }",
+    ] {
         assert_eq!(of(query), is("read", Why::Query), "{query}");
     }
-    for mutation in ["mutation{a}", "mutation M { a { b } }", "mutation { __typename }"] {
+    for mutation in [
+        "mutation{a}",
+        "mutation M { a { b } }",
+        "mutation { __typename }",
+    ] {
         assert_eq!(of(mutation), is("file", Why::Mutation), "{mutation}");
     }
 }
@@ -22,8 +30,14 @@
 fn a_subscription_is_refused_also_where_another_operation_is_beside_it() {
     assert_eq!(of("subscription { a }"), Err(Code::SubscriptionUnsupported));
     let several = "query Q { a } subscription S { a }";
-    assert_eq!(class(&mut front(), &Sent::post(named(several, "S"))), Err(Code::SubscriptionUnsupported));
-    assert_eq!(class(&mut front(), &Sent::post(named(several, "Q"))), is("read", Why::Query));
+    assert_eq!(
+        class(&mut front(), &Sent::post(named(several, "S"))),
+        Err(Code::SubscriptionUnsupported)
+    );
+    assert_eq!(
+        class(&mut front(), &Sent::post(named(several, "Q"))),
+        is("read", Why::Query)
+    );
 }
 
 #[test]
@@ -36,12 +50,23 @@
         ("m", is("file", Why::NoOperation)),
         ("", is("file", Why::NoOperation)),
     ] {
-        assert_eq!(class(&mut front(), &Sent::post(named(several, name))), class_and_why, "{name:?}");
+        assert_eq!(
+            class(&mut front(), &Sent::post(named(several, name))),
+            class_and_why,
+            "{name:?}"
+        );
     }
     assert_eq!(of(several), is("file", Why::NoOperation), "no name");
-    assert_eq!(of("query Q { a } query R { a }"), is("file", Why::NoOperation), "no name among queries");
+    assert_eq!(
+        of("query Q { a } query R { a }"),
+        is("file", Why::NoOperation),
+        "no name among queries"
+    );
     let escaped = r#"{"query":"query Q{a} mutation M{a}","operationN\u0061me":"\u004d"}"#;
-    assert_eq!(class(&mut front(), &Sent::post(escaped)), is("file", Why::Mutation));
+    assert_eq!(
+        class(&mut front(), &Sent::post(escaped)),
+        is("file", Why::Mutation)
+    );
 }
 
 #[test]
@@ -55,7 +80,11 @@
         "extend type Query { a: Int } { a }",
     ] {
         assert_eq!(of(odd), is("file", Why::Unread), "{odd}");
-        assert_eq!(class(&mut front(), &Sent::post(named(odd, "B"))), is("file", Why::Unread), "{odd}");
+        assert_eq!(
+            class(&mut front(), &Sent::post(named(odd, "B"))),
+            is("file", Why::Unread),
+            "{odd}"
+        );
     }
 }
 
@@ -128,15 +157,30 @@
 #[test]
 fn escapes_of_json_hide_nothing() {
     let escaped = r#"{"qu\u0065ry":"\u006dut\u0061tion{\u0061}"}"#;
-    assert_eq!(class(&mut front(), &Sent::post(escaped)), is("file", Why::Mutation));
+    assert_eq!(
+        class(&mut front(), &Sent::post(escaped)),
+        is("file", Why::Mutation)
+    );
     let lone = r#"{"query":"{a(b:\"\ud800\")}"}"#;
-    assert_eq!(class(&mut front(), &Sent::post(lone)), Err(Code::BadRequest), "half of a pair");
+    assert_eq!(
+        class(&mut front(), &Sent::post(lone)),
+        Err(Code::BadRequest),
+        "half of a pair"
+    );
     let marked = format!("\u{feff} \n{}", text("mutation{a}"));
-    assert_eq!(class(&mut front(), &Sent::post(marked)), is("file", Why::Mutation), "byte order mark");
+    assert_eq!(
+        class(&mut front(), &Sent::post(marked)),
+        is("file", Why::Mutation),
+        "byte order mark"
+    );
     let mut broken = text("{a(b:\"x\")}").into_bytes();
     let at = broken.iter().position(|b| *b == b'x').expect("x");
     broken[at] = 0xff;
-    assert_eq!(class(&mut front(), &Sent::post(broken)), Err(Code::BadRequest), "no UTF-8");
+    assert_eq!(
+        class(&mut front(), &Sent::post(broken)),
+        Err(Code::BadRequest),
+        "no UTF-8"
+    );
 }
 
 #[test]
@@ -154,7 +198,11 @@
         r#"{"query":"{a}","extensions":{"persistedquery":{}}}"#,
         r#"{"query":"{a}","extensions":{"persistedQuery":{"version":1,"sha256Hash":"a","sha256Hash":"b"}}}"#,
     ] {
-        assert_eq!(class(&mut front(), &Sent::post(odd)), Err(Code::AmbiguousRequest), "{odd}");
+        assert_eq!(
+            class(&mut front(), &Sent::post(odd)),
+            Err(Code::AmbiguousRequest),
+            "{odd}"
+        );
     }
 }
 
@@ -169,7 +217,10 @@
     let url = Sent::post(text("{a}")).url("documentId=7");
     assert_eq!(class(&mut front(), &url), is("file", Why::OddMessage));
     let later = r#"{"query":"{a}","extensions":{"persistedQuery":{"version":2,"sha256Hash":"7"}}}"#;
-    assert_eq!(class(&mut front(), &Sent::post(later)), is("file", Why::OddMessage));
+    assert_eq!(
+        class(&mut front(), &Sent::post(later)),
+        is("file", Why::OddMessage)
+    );
 }
 
 #[test]
@@ -196,23 +247,37 @@
         "[{\"query\":\"{a}\"}] 7",
         "[7]",
     ] {
-        assert_eq!(class(&mut front(), &Sent::post(odd)), Err(Code::BadRequest), "{odd}");
+        assert_eq!(
+            class(&mut front(), &Sent::post(odd)),
+            Err(Code::BadRequest),
+            "{odd}"
+        );
     }
     let nulls = r#"{"query":"{a}","operationName":null,"variables":null,"extensions":null}"#;
-    assert_eq!(class(&mut front(), &Sent::post(nulls)), is("read", Why::Query));
+    assert_eq!(
+        class(&mut front(), &Sent::post(nulls)),
+        is("read", Why::Query)
+    );
 }
 
 #[test]
 fn only_json_in_utf_8_is_read() {
-    let post =
-        |media| Sent::post(text("{a}")).without(header::CONTENT_TYPE).header(header::CONTENT_TYPE, media);
+    let post = |media| {
+        Sent::post(text("{a}"))
+            .without(header::CONTENT_TYPE)
+            .header(header::CONTENT_TYPE, media)
+    };
     for media in [
         "application/json",
         "Application/JSON; charset=utf-8",
         "application/json;charset=\"UTF-8\"",
         "application/json; x=y",
     ] {
-        assert_eq!(class(&mut front(), &post(media)), is("read", Why::Query), "{media}");
+        assert_eq!(
+            class(&mut front(), &post(media)),
+            is("read", Why::Query),
+            "{media}"
+        );
     }
     for media in [
         "application/x-www-form-urlencoded",
@@ -224,21 +289,41 @@
         "application/json; charset=latin1",
         "application/json, application/x-www-form-urlencoded",
     ] {
-        assert_eq!(class(&mut front(), &post(media)), Err(Code::UnsupportedMediaType), "{media}");
+        assert_eq!(
+            class(&mut front(), &post(media)),
+            Err(Code::UnsupportedMediaType),
+            "{media}"
+        );
     }
-    let twice = post("application/json").header(header::CONTENT_TYPE, "application/x-www-form-urlencoded");
-    assert_eq!(class(&mut front(), &twice), Err(Code::UnsupportedMediaType), "two types");
+    let twice =
+        post("application/json").header(header::CONTENT_TYPE, "application/x-www-form-urlencoded");
+    assert_eq!(
+        class(&mut front(), &twice),
+        Err(Code::UnsupportedMediaType),
+        "two types"
+    );
     let none = Sent::post(text("{a}")).without(header::CONTENT_TYPE);
-    assert_eq!(class(&mut front(), &none), Err(Code::UnsupportedMediaType), "no type");
+    assert_eq!(
+        class(&mut front(), &none),
+        Err(Code::UnsupportedMediaType),
+        "no type"
+    );
     let packed = Sent::post(text("{a}")).header(header::CONTENT_ENCODING, "gzip");
-    assert_eq!(class(&mut front(), &packed), Err(Code::UnsupportedMediaType), "encoded");
+    assert_eq!(
+        class(&mut front(), &packed),
+        Err(Code::UnsupportedMediaType),
+        "encoded"
+    );
 }
 
 #[test]
 fn a_body_that_is_a_form_and_json_is_read_as_what_its_type_says() {
     // As a form, this is the parameter `query`; as JSON it is no message.
     let both = r#"query=mutation{a}&x={"query":"{a}"}"#;
-    assert_eq!(class(&mut front(), &Sent::post(both)), Err(Code::BadRequest));
+    assert_eq!(
+        class(&mut front(), &Sent::post(both)),
+        Err(Code::BadRequest)
+    );
     // As JSON it is a message; as a form, some parameter.
     let form = Sent::post(r#"{"query":"{a}","x":"&query=mutation{a}&"}"#)
         .without(header::CONTENT_TYPE)
@@ -248,22 +333,43 @@
 
 #[test]
 fn a_url_that_carries_graphql_beside_a_body_is_refused() {
-    for url in
-        ["query={a}", "QUERY={a}", "x=1&qu%65ry={a}", "operationName=A", "variables={}", "extensions={}"]
-    {
+    for url in [
+        "query={a}",
+        "QUERY={a}",
+        "x=1&qu%65ry={a}",
+        "operationName=A",
+        "variables={}",
+        "extensions={}",
+    ] {
         let sent = Sent::post(text("{a}")).url(url);
-        assert_eq!(class(&mut front(), &sent), Err(Code::AmbiguousRequest), "{url}");
+        assert_eq!(
+            class(&mut front(), &sent),
+            Err(Code::AmbiguousRequest),
+            "{url}"
+        );
     }
-    assert_eq!(class(&mut front(), &Sent::post(text("{a}")).url("")), is("read", Why::Query));
+    assert_eq!(
+        class(&mut front(), &Sent::post(text("{a}")).url("")),
+        is("read", Why::Query)
+    );
 }
 
 #[test]
 fn a_get_asks_queries_alone() {
     for (url, class_and_why) in [
         ("query={a}", is("read", Why::Query)),
-        ("query=%7Ba%7D&variables=%7B%7D&operationName=", is("file", Why::NoOperation)),
-        ("query=query+Q{a}+mutation+M{a}&operationName=Q", is("read", Why::Query)),
-        ("query=query+Q{a}+mutation+M{a}&operationName=M", Err(Code::MutationOverGet)),
+        (
+            "query=%7Ba%7D&variables=%7B%7D&operationName=",
+            is("file", Why::NoOperation),
+        ),
+        (
+            "query=query+Q{a}+mutation+M{a}&operationName=Q",
+            is("read", Why::Query),
+        ),
+        (
+            "query=query+Q{a}+mutation+M{a}&operationName=M",
+            Err(Code::MutationOverGet),
+        ),
         ("query=mutation{a}", Err(Code::MutationOverGet)),
         ("query=%6Dutation%7Ba%7D", Err(Code::MutationOverGet)),
         ("query=mutation{a}&documentId=7", Err(Code::MutationOverGet)),
@@ -284,7 +390,11 @@
     }
     let mut body = Sent::get("query={a}");
     body.body = text("mutation{a}").into_bytes();
-    assert_eq!(class(&mut front(), &body), Err(Code::BadRequest), "a GET with a body");
+    assert_eq!(
+        class(&mut front(), &body),
+        Err(Code::BadRequest),
+        "a GET with a body"
+    );
     let mut put = Sent::post(text("{a}"));
     put.method = http::Method::PUT;
     assert_eq!(class(&mut front(), &put), Err(Code::MethodNotAllowed));
@@ -311,16 +421,41 @@
     for (document, variables) in [
         ("mutation { KEYED { id } }", "{}"),
         ("mutation { KEYED b: KEYED __typename }", "{}"),
-        ("mutation { fileReport(input: {clientMutationId: 7}) { id } }", "{}"),
-        (r#"mutation { x: fileReport(input: {clientMutationId: """k"""}) { id } }"#, "{}"),
-        ("mutation($i: In!) { fileReport(input: $i) }", r#"{"i": {"clientMutationId": "k"}}"#),
-        ("mutation($k: ID!) { fileReport(input: {clientMutationId: $k}) }", r#"{"k": "k"}"#),
-        (r#"mutation($k: ID = "k") { fileReport(input: {clientMutationId: $k}) }"#, "{}"),
-        (r#"mutation($i: In = {clientMutationId: "k"}) { fileReport(input: $i) }"#, "{}"),
+        (
+            "mutation { fileReport(input: {clientMutationId: 7}) { id } }",
+            "{}",
+        ),
+        (
+            r#"mutation { x: fileReport(input: {clientMutationId: """k"""}) { id } }"#,
+            "{}",
+        ),
+        (
+            "mutation($i: In!) { fileReport(input: $i) }",
+            r#"{"i": {"clientMutationId": "k"}}"#,
+        ),
+        (
+            "mutation($k: ID!) { fileReport(input: {clientMutationId: $k}) }",
+            r#"{"k": "k"}"#,
+        ),
+        (
+            r#"mutation($k: ID = "k") { fileReport(input: {clientMutationId: $k}) }"#,
+            "{}",
+        ),
+        (
+            r#"mutation($i: In = {clientMutationId: "k"}) { fileReport(input: $i) }"#,
+            "{}",
+        ),
         ("mutation { ...F } fragment F on M { KEYED }", "{}"),
-        ("mutation { ... on M { KEYED } ... @skip(if: true) { KEYED } }", "{}"),
+        (
+            "mutation { ... on M { KEYED } ... @skip(if: true) { KEYED } }",
+            "{}",
+        ),
     ] {
-        assert_eq!(filing(document, variables), is("keyed", Why::Keyed), "{document} {variables}");
+        assert_eq!(
+            filing(document, variables),
+            is("keyed", Why::Keyed),
+            "{document} {variables}"
+        );
     }
 }
 
@@ -329,23 +464,69 @@
     for (document, variables) in [
         ("mutation { fileReport }", "{}"),
         ("mutation { fileReport(input: {}) }", "{}"),
-        ("mutation { fileReport(input: {clientMutationId: null}) }", "{}"),
-        (r#"mutation { fileReport(input: {clientMutationId: ""}) }"#, "{}"),
-        (r#"mutation { fileReport(input: {clientMutationId: ["k"]}) }"#, "{}"),
-        ("mutation { fileReport(input: {clientMutationId: true}) }", "{}"),
+        (
+            "mutation { fileReport(input: {clientMutationId: null}) }",
+            "{}",
+        ),
+        (
+            r#"mutation { fileReport(input: {clientMutationId: ""}) }"#,
+            "{}",
+        ),
+        (
+            r#"mutation { fileReport(input: {clientMutationId: ["k"]}) }"#,
+            "{}",
+        ),
+        (
+            "mutation { fileReport(input: {clientMutationId: true}) }",
+            "{}",
+        ),
         (r#"mutation { fileReport(input: "k") }"#, "{}"),
-        (r#"mutation { fileReport(input: {clientMutationId: "k", clientMutationId: "l"}) }"#, "{}"),
-        (r#"mutation { fileReport(input: {clientMutationId: "k"}, input: {}) }"#, "{}"),
-        ("mutation($i: In!) { fileReport(input: $i) }", r#"{"i": {}}"#),
-        ("mutation($i: In!) { fileReport(input: $i) }", r#"{"i": [{"clientMutationId": "k"}]}"#),
-        ("mutation($i: In!) { fileReport(input: $i) }", r#"{"j": {"clientMutationId": "k"}}"#),
-        (r#"mutation($k: ID = "k") { fileReport(input: {clientMutationId: $k}) }"#, r#"{"k": null}"#),
-        (r#"mutation($k: ID = "k") { fileReport(input: {clientMutationId: $k}) }"#, r#"{"k": 1.5}"#),
-        (r#"mutation($i: In = {clientMutationId: "k"}) { fileReport(input: $i) }"#, r#"{"i": {}}"#),
-        ("mutation { fileReport(input: {clientMutationId: $k}) }", r#"{"k": "k"}"#),
-        ("mutation($k: ID, $k: ID) { fileReport(input: {clientMutationId: $k}) }", r#"{"k": "k"}"#),
+        (
+            r#"mutation { fileReport(input: {clientMutationId: "k", clientMutationId: "l"}) }"#,
+            "{}",
+        ),
+        (
+            r#"mutation { fileReport(input: {clientMutationId: "k"}, input: {}) }"#,
+            "{}",
+        ),
+        (
+            "mutation($i: In!) { fileReport(input: $i) }",
+            r#"{"i": {}}"#,
+        ),
+        (
+            "mutation($i: In!) { fileReport(input: $i) }",
+            r#"{"i": [{"clientMutationId": "k"}]}"#,
+        ),
+        (
+            "mutation($i: In!) { fileReport(input: $i) }",
+            r#"{"j": {"clientMutationId": "k"}}"#,
+        ),
+        (
+            r#"mutation($k: ID = "k") { fileReport(input: {clientMutationId: $k}) }"#,
+            r#"{"k": null}"#,
+        ),
+        (
+            r#"mutation($k: ID = "k") { fileReport(input: {clientMutationId: $k}) }"#,
+            r#"{"k": 1.5}"#,
+        ),
+        (
+            r#"mutation($i: In = {clientMutationId: "k"}) { fileReport(input: $i) }"#,
+            r#"{"i": {}}"#,
+        ),
+        (
+            "mutation { fileReport(input: {clientMutationId: $k}) }",
+            r#"{"k": "k"}"#,
+        ),
+        (
+            "mutation($k: ID, $k: ID) { fileReport(input: {clientMutationId: $k}) }",
+            r#"{"k": "k"}"#,
+        ),
     ] {
-        assert_eq!(filing(document, variables), is("file", Why::Mutation), "{document} {variables}");
+        assert_eq!(
+            filing(document, variables),
+            is("file", Why::Mutation),
+            "{document} {variables}"
+        );
     }
 }
 
@@ -361,24 +542,43 @@
         "mutation { KEYED ... @include(if: false) { wipe } }",
         "mutation { KEYED b: fileReport(input: {}) }",
     ] {
-        assert_eq!(filing(document, "{}"), is("file", Why::Mutation), "{document}");
+        assert_eq!(
+            filing(document, "{}"),
+            is("file", Why::Mutation),
+            "{document}"
+        );
     }
 }
 
 #[test]
 fn a_key_given_twice_in_the_variables_is_none() {
     let twice = r#"{"query":"mutation($i: In!) { fileReport(input: $i) }","variables":{"i":{"clientMutationId":"k","clientMutationId":null}}}"#;
-    assert_eq!(class(&mut front(), &Sent::post(twice)), is("file", Why::Mutation));
+    assert_eq!(
+        class(&mut front(), &Sent::post(twice)),
+        is("file", Why::Mutation)
+    );
     let twice = r#"{"query":"mutation($i: In!) { fileReport(input: $i) }","variables":{"i":{"clientMutationId":"k"},"i":{}}}"#;
-    assert_eq!(class(&mut front(), &Sent::post(twice)), is("file", Why::Mutation));
+    assert_eq!(
+        class(&mut front(), &Sent::post(twice)),
+        is("file", Why::Mutation)
+    );
 }
 
 #[test]
 fn mutations_of_two_keyed_classes_are_as_strict_as_the_stricter() {
     let file = "fileReport(input: {clientMutationId: \"k\"})";
-    assert_eq!(of(&format!("mutation {{ pay(key: 1) {file} }}")), is("keyed-cell", Why::Keyed));
-    assert_eq!(of(&format!("mutation {{ {file} pay(key: 1) }}")), is("keyed-cell", Why::Keyed));
-    assert_eq!(of(&format!("mutation {{ {file} pay }}")), is("file", Why::Mutation));
+    assert_eq!(
+        of(&format!("mutation {{ pay(key: 1) {file} }}")),
+        is("keyed-cell", Why::Keyed)
+    );
+    assert_eq!(
+        of(&format!("mutation {{ {file} pay(key: 1) }}")),
+        is("keyed-cell", Why::Keyed)
+    );
+    assert_eq!(
+        of(&format!("mutation {{ {file} pay }}")),
+        is("file", Why::Mutation)
+    );
 }
 
 #[test]
@@ -392,8 +592,14 @@
         ("query Slow { a }", is("file-slow", Why::Query)),
         ("query Export { a }", is("file", Why::QueryOnce)),
         ("query Other { b drain }", is("file", Why::QueryOnce)),
-        ("query Dashboard { x: drain { a } }", is("file", Why::QueryOnce)),
-        ("query Slow { ...F } fragment F on Query { drain }", is("file-slow", Why::QueryOnce)),
+        (
+            "query Dashboard { x: drain { a } }",
+            is("file", Why::QueryOnce),
+        ),
+        (
+            "query Slow { ...F } fragment F on Query { drain }",
+            is("file-slow", Why::QueryOnce),
+        ),
         ("{ a { drain } }", is("read", Why::Query)),
     ] {
         assert_eq!(of(document), wanted, "{document}");
@@ -407,10 +613,22 @@
     let literal = key(text("{ report(id: \"p7\") }"));
     assert!(literal.is_some());
     assert_eq!(key(text("{ x: report(id: \"p\\u0037\") { a } }")), literal);
-    assert_eq!(key(with("query($i: ID!) { report(id: $i) }", json!({"i": "p7"}))), literal);
-    assert_eq!(key(text("query($i: ID = \"p7\") { report(id: $i) }")), literal);
+    assert_eq!(
+        key(with(
+            "query($i: ID!) { report(id: $i) }",
+            json!({"i": "p7"})
+        )),
+        literal
+    );
+    assert_eq!(
+        key(text("query($i: ID = \"p7\") { report(id: $i) }")),
+        literal
+    );
     assert_ne!(key(text("{ report(id: \"p8\") }")), literal);
-    assert_eq!(key(text("{ report(id: 7) }")), key(text("{ report(id: \"7\") }")));
+    assert_eq!(
+        key(text("{ report(id: 7) }")),
+        key(text("{ report(id: \"7\") }"))
+    );
     assert_eq!(key(text("{ other(id: \"p7\") }")), None);
     assert_eq!(key(text("mutation { note(paper: \"p7\") }")), literal);
 }
@@ -421,12 +639,25 @@
     let mut cost = |body: String| classed(&mut front, &Sent::post(body)).cost;
     assert_eq!(cost(text("{ a }")), Some(10));
     assert_eq!(cost(text("{ a { b c { d } } }")), Some(40));
-    assert_eq!(cost(text("{ a { ...F } b { ...F } } fragment F on X { c d }")), Some(60));
+    assert_eq!(
+        cost(text("{ a { ...F } b { ...F } } fragment F on X { c d }")),
+        Some(60)
+    );
     assert_eq!(cost(text("{ report(first: 5) { a b } }")), Some(150));
-    assert_eq!(cost(with("query($n: Int) { report(first: $n) { a b } c }", json!({"n": 3}))), Some(100));
+    assert_eq!(
+        cost(with(
+            "query($n: Int) { report(first: $n) { a b } c }",
+            json!({"n": 3})
+        )),
+        Some(100)
+    );
     assert_eq!(cost(text("{ report(first: -1) { a } }")), Some(20));
     let most = cost(text("{ report(first: 99999999999) { a } }"));
-    assert_eq!(most, Some(200_000), "an argument multiplies by so much at most");
+    assert_eq!(
+        most,
+        Some(200_000),
+        "an argument multiplies by so much at most"
+    );
 }
 
 #[test]
--- a/crates/inherited/src/lib.rs
+++ b/crates/inherited/src/lib.rs
@@ -21,15 +21,20 @@
 ///
 /// In one line, what the descriptor is that it should not be. It stays open then.
 pub fn listener(number: &str, address: SocketAddr) -> Result<TcpListener, String> {
-    let raw: RawFd = number.trim().parse().map_err(|e| format!("{e}: {number:?}"))?;
+    let raw: RawFd = number
+        .trim()
+        .parse()
+        .map_err(|e| format!("{e}: {number:?}"))?;
     if raw < 3 {
-        return Err(format!("{raw} is a standard stream; name the number of a listening socket"));
+        return Err(format!(
+            "{raw} is a standard stream; name the number of a listening socket"
+        ));
     }
     if TAKEN.swap(true, Ordering::SeqCst) {
         return Err(format!("descriptor {raw}: has been taken already"));
     }
-    let owned =
-        own(raw).ok_or_else(|| format!("descriptor {raw} is not open; the platform must leave it open"))?;
+    let owned = own(raw)
+        .ok_or_else(|| format!("descriptor {raw} is not open; the platform must leave it open"))?;
     match check(&owned, address) {
         Ok(()) => {}
         Err(problem) => {
@@ -39,7 +44,9 @@
         }
     }
     let listener = TcpListener::from(owned);
-    listener.set_nonblocking(true).map_err(|e| format!("descriptor {raw}: {e}"))?;
+    listener
+        .set_nonblocking(true)
+        .map_err(|e| format!("descriptor {raw}: {e}"))?;
     Ok(listener)
 }
 
@@ -51,7 +58,9 @@
     let bound = getsockname(socket).map_err(|e| e.to_string())?;
     let bound = SocketAddr::try_from(bound).map_err(|e| format!("has no internet address: {e}"))?;
     if bound != address {
-        return Err(format!("listens on {bound}, and clients are to connect to {address}"));
+        return Err(format!(
+            "listens on {bound}, and clients are to connect to {address}"
+        ));
     }
     fcntl_setfd(socket.as_fd(), FdFlags::CLOEXEC).map_err(|e| e.to_string())
 }
--- a/crates/keys/src/authority.rs
+++ b/crates/keys/src/authority.rs
@@ -3,9 +3,9 @@
 use crate::files::{self, Readers};
 use crate::role::Role;
 use rcgen::{
-    BasicConstraints, CertificateParams, CertificateRevocationListParams, DistinguishedName, DnType,
-    ExtendedKeyUsagePurpose, IsCa, Issuer, KeyIdMethod, KeyPair, KeyUsagePurpose, RevocationReason,
-    RevokedCertParams, SanType, SerialNumber,
+    BasicConstraints, CertificateParams, CertificateRevocationListParams, DistinguishedName,
+    DnType, ExtendedKeyUsagePurpose, IsCa, Issuer, KeyIdMethod, KeyPair, KeyUsagePurpose,
+    RevocationReason, RevokedCertParams, SanType, SerialNumber,
 };
 use serde::{Deserialize, Serialize};
 use std::net::IpAddr;
@@ -77,12 +77,22 @@
 
 /// Whether a name can stand in a certificate: as that of an instance, or with a `*` at its end.
 fn check_name(name: &str, role: Role) -> Result<(), String> {
-    let begin = if role == Role::Instance { name.strip_suffix('*').unwrap_or(name) } else { name };
+    let begin = if role == Role::Instance {
+        name.strip_suffix('*').unwrap_or(name)
+    } else {
+        name
+    };
     let odd = |c: char| !(c.is_ascii_alphanumeric() || matches!(c, '.' | '_' | '-'));
     let dots = begin.starts_with('.');
     if (begin.is_empty() && name != "*") || begin.len() > 64 || begin.contains(odd) || dots {
-        let star = if role == Role::Instance { ", with * at its end for all that begin so" } else { "" };
-        return Err(format!("{name:?}: a name has 1 to 64 letters, digits and . _ -, not a dot first{star}"));
+        let star = if role == Role::Instance {
+            ", with * at its end for all that begin so"
+        } else {
+            ""
+        };
+        return Err(format!(
+            "{name:?}: a name has 1 to 64 letters, digits and . _ -, not a dot first{star}"
+        ));
     }
     Ok(())
 }
@@ -92,7 +102,12 @@
     ///
     /// # Errors
     /// What could not be made.
-    pub fn init(directory: &Path, name: &str, days: u32, now: OffsetDateTime) -> Result<(), String> {
+    pub fn init(
+        directory: &Path,
+        name: &str,
+        days: u32,
+        now: OffsetDateTime,
+    ) -> Result<(), String> {
         check_name(name, Role::Agent)?;
         let key = KeyPair::generate().map_err(told("key"))?;
         let mut params = CertificateParams::default();
@@ -103,8 +118,16 @@
         (params.not_before, params.not_after) = span(days, now)?;
         let certificate = params.self_signed(&key).map_err(told("certificate"))?;
         files::create_directory(directory)?;
-        files::create(&directory.join("authority.key"), &key.serialize_pem(), Readers::Owner)?;
-        files::create(&directory.join("authority.pem"), &certificate.pem(), Readers::All)?;
+        files::create(
+            &directory.join("authority.key"),
+            &key.serialize_pem(),
+            Readers::Owner,
+        )?;
+        files::create(
+            &directory.join("authority.pem"),
+            &certificate.pem(),
+            Readers::All,
+        )?;
         files::create(&directory.join("issued.json"), "[]", Readers::Owner)?;
         Authority::open(directory)?.write_revoked(now, true)
     }
@@ -129,7 +152,11 @@
         let place = directory.join("issued.json");
         let issued = serde_json::from_str(&files::read(&place)?);
         let issued = issued.map_err(|e| format!("{}: {e}", place.display()))?;
-        Ok(Authority { directory: directory.to_path_buf(), issuer, issued })
+        Ok(Authority {
+            directory: directory.to_path_buf(),
+            issuer,
+            issued,
+        })
     }
 
     /// What it has issued, oldest first.
@@ -157,7 +184,8 @@
     ) -> Result<(Issued, PathBuf), String> {
         if role == Role::Agent && hosts.is_empty() {
             return Err(
-                "an agent's certificate needs the hosts or addresses it is reached at (--host)".into()
+                "an agent's certificate needs the hosts or addresses it is reached at (--host)"
+                    .into(),
             );
         }
         let (certificate, key, issued) = self.make((name, role), hosts, days, now)?;
@@ -190,7 +218,8 @@
         let good = |issued: &&Issued| issued.name == name && issued.state(now) != State::Revoked;
         let former = self.issued.iter().rev().find(good).cloned();
         let former = former.ok_or_else(|| self.nothing(name))?;
-        let (certificate, key, issued) = self.make((name, former.role), &former.hosts, days, now)?;
+        let (certificate, key, issued) =
+            self.make((name, former.role), &former.hosts, days, now)?;
         self.note(issued.clone())?;
         let (pem, secret) = places(to, name);
         // A program that reads both in between sees that they do not belong together, and reads again.
@@ -212,7 +241,11 @@
             return Err(self.nothing(which));
         }
         let mut revoked = Vec::new();
-        for issued in self.issued.iter_mut().filter(|issued| meant(issued) && issued.revoked.is_none()) {
+        for issued in self
+            .issued
+            .iter_mut()
+            .filter(|issued| meant(issued) && issued.revoked.is_none())
+        {
             issued.revoked = Some(now.unix_timestamp());
             revoked.push(issued.clone());
         }
@@ -223,7 +256,8 @@
     }
 
     fn nothing(&self, which: &str) -> String {
-        let names: std::collections::BTreeSet<&str> = self.issued.iter().map(|i| i.name.as_str()).collect();
+        let names: std::collections::BTreeSet<&str> =
+            self.issued.iter().map(|i| i.name.as_str()).collect();
         let names: Vec<&str> = names.into_iter().take(10).collect();
         let known = if names.is_empty() {
             "nothing was issued yet".into()
@@ -242,22 +276,28 @@
     ) -> Result<(String, String, Issued), String> {
         check_name(name, role)?;
         if self.issued.len() >= MOST {
-            return Err(format!("{MOST} certificates were issued; found a new authority"));
+            return Err(format!(
+                "{MOST} certificates were issued; found a new authority"
+            ));
         }
         let key = KeyPair::generate().map_err(told("key"))?;
         let mut params = CertificateParams::default();
         params.distinguished_name = DistinguishedName::new();
         params.distinguished_name.push(DnType::CommonName, name);
-        params.distinguished_name.push(DnType::OrganizationalUnitName, role.to_string());
+        params
+            .distinguished_name
+            .push(DnType::OrganizationalUnitName, role.to_string());
         // The star of a group's name can't stand in an address of this kind; its letter can.
         let urn = format!("{URN}{role}:{}", name.replace('*', "%2A"));
         params.subject_alt_names = vec![SanType::URI(urn.try_into().map_err(told("name"))?)];
         for host in hosts {
             let host = match host.parse::<IpAddr>() {
                 Ok(address) => SanType::IpAddress(address),
-                Err(_) => {
-                    SanType::DnsName(host.as_str().try_into().map_err(|_| format!("{host:?}: is no host"))?)
-                }
+                Err(_) => SanType::DnsName(
+                    host.as_str()
+                        .try_into()
+                        .map_err(|_| format!("{host:?}: is no host"))?,
+                ),
             };
             params.subject_alt_names.push(host);
         }
@@ -270,8 +310,11 @@
         params.key_usages = vec![KeyUsagePurpose::DigitalSignature];
         params.use_authority_key_identifier_extension = true;
         (params.not_before, params.not_after) = span(days, now)?;
-        let certificate = params.signed_by(&key, &self.issuer).map_err(told("certificate"))?;
-        let (_, read) = x509_parser::parse_x509_certificate(certificate.der()).map_err(|e| e.to_string())?;
+        let certificate = params
+            .signed_by(&key, &self.issuer)
+            .map_err(told("certificate"))?;
+        let (_, read) =
+            x509_parser::parse_x509_certificate(certificate.der()).map_err(|e| e.to_string())?;
         let issued = Issued {
             serial: hexadecimal(read.raw_serial()),
             name: name.to_string(),
@@ -296,7 +339,10 @@
     }
 
     fn write_revoked(&self, now: OffsetDateTime, new: bool) -> Result<(), String> {
-        let revoked_certs = self.issued.iter().filter_map(|issued| Some((issued, issued.revoked?)));
+        let revoked_certs = self
+            .issued
+            .iter()
+            .filter_map(|issued| Some((issued, issued.revoked?)));
         let revoked_certs: Vec<RevokedCertParams> = revoked_certs
             .map(|(issued, at)| RevokedCertParams {
                 serial_number: SerialNumber::from(bytes(&issued.serial)),
@@ -313,7 +359,9 @@
             revoked_certs,
             key_identifier_method: KeyIdMethod::Sha256,
         };
-        let list = params.signed_by(&self.issuer).map_err(told("revoked.pem"))?;
+        let list = params
+            .signed_by(&self.issuer)
+            .map_err(told("revoked.pem"))?;
         let text = list.pem().map_err(told("revoked.pem"))?;
         let place = self.revoked_file();
         if new {
@@ -327,16 +375,24 @@
 /// An hour before now, since clocks differ, until so many days from now.
 fn span(days: u32, now: OffsetDateTime) -> Result<(OffsetDateTime, OffsetDateTime), String> {
     if days == 0 || days > LONGEST {
-        return Err(format!("{days} days: a certificate is good for 1 to {LONGEST} days"));
+        return Err(format!(
+            "{days} days: a certificate is good for 1 to {LONGEST} days"
+        ));
     }
     let until = now.checked_add(Duration::days(i64::from(days)));
-    Ok((now - Duration::hours(1), until.ok_or("the time is out of range")?))
+    Ok((
+        now - Duration::hours(1),
+        until.ok_or("the time is out of range")?,
+    ))
 }
 
 /// Where certificate and key of a name stand.
 fn places(to: &Path, name: &str) -> (PathBuf, PathBuf) {
     let file = name.replace('*', "any");
-    (to.join(format!("{file}.pem")), to.join(format!("{file}.key")))
+    (
+        to.join(format!("{file}.pem")),
+        to.join(format!("{file}.key")),
+    )
 }
 
 pub(crate) fn hexadecimal(bytes: &[u8]) -> String {
@@ -344,6 +400,12 @@
 }
 
 fn bytes(hexadecimal: &str) -> Vec<u8> {
-    let digit = |at: usize| hexadecimal.get(at..at + 2).and_then(|pair| u8::from_str_radix(pair, 16).ok());
-    (0..hexadecimal.len() / 2).filter_map(|at| digit(at * 2)).collect()
+    let digit = |at: usize| {
+        hexadecimal
+            .get(at..at + 2)
+            .and_then(|pair| u8::from_str_radix(pair, 16).ok())
+    };
+    (0..hexadecimal.len() / 2)
+        .filter_map(|at| digit(at * 2))
+        .collect()
 }
--- a/crates/keys/src/files.rs
+++ b/crates/keys/src/files.rs
@@ -23,7 +23,11 @@
     match DirBuilder::new().mode(0o700).create(path) {
         Err(e) if e.kind() == ErrorKind::AlreadyExists => {
             let mut entries = path.read_dir().map_err(|e| format!("{name}: {e}"))?;
-            if entries.next().is_some() { Err(format!("{name} is not empty")) } else { Ok(()) }
+            if entries.next().is_some() {
+                Err(format!("{name} is not empty"))
+            } else {
+                Ok(())
+            }
         }
         made => made.map_err(|e| format!("{name}: {e}")),
     }
@@ -31,14 +35,20 @@
 
 /// Writes a file that is not there yet.
 pub(crate) fn create(path: &Path, text: &str, readers: Readers) -> Result<(), String> {
-    let mode = if readers == Readers::Owner { 0o600 } else { 0o644 };
+    let mode = if readers == Readers::Owner {
+        0o600
+    } else {
+        0o644
+    };
     let mut file = OpenOptions::new()
         .write(true)
         .create_new(true)
         .mode(mode)
         .open(path)
         .map_err(|e| format!("{}: {e}", path.display()))?;
-    let written = file.write_all(text.as_bytes()).and_then(|()| file.sync_all());
+    let written = file
+        .write_all(text.as_bytes())
+        .and_then(|()| file.sync_all());
     written.map_err(|e| {
         // Half a file is worse than none; that it can't be removed either changes nothing about the error.
         let _ = std::fs::remove_file(path);
@@ -70,14 +80,18 @@
 }
 
 fn sync_directory(path: &Path) -> std::io::Result<()> {
-    let parent = path.parent().filter(|parent| !parent.as_os_str().is_empty());
+    let parent = path
+        .parent()
+        .filter(|parent| !parent.as_os_str().is_empty());
     File::open(parent.unwrap_or(Path::new(".")))?.sync_all()
 }
 
 /// Reads a file of a bounded size.
 pub(crate) fn read(path: &Path) -> Result<String, String> {
     let name = path.display();
-    let size = std::fs::metadata(path).map_err(|e| format!("{name}: {e}"))?.len();
+    let size = std::fs::metadata(path)
+        .map_err(|e| format!("{name}: {e}"))?
+        .len();
     if size > LARGEST {
         return Err(format!("{name}: has {size} bytes, which is too much"));
     }
@@ -87,7 +101,11 @@
 /// Reads a file that nobody but its owner may be able to read.
 pub(crate) fn read_secret(path: &Path) -> Result<String, String> {
     let name = path.display();
-    let mode = std::fs::metadata(path).map_err(|e| format!("{name}: {e}"))?.permissions().mode() & 0o777;
+    let mode = std::fs::metadata(path)
+        .map_err(|e| format!("{name}: {e}"))?
+        .permissions()
+        .mode()
+        & 0o777;
     if mode & 0o077 != 0 {
         return Err(format!(
             "{name}: others can read this key (mode {mode:o}); make a new one, or run chmod 600 on it if they never could"
--- a/crates/keys/src/keyring.rs
+++ b/crates/keys/src/keyring.rs
@@ -7,13 +7,15 @@
 use rustls::client::{ResolvesClientCert, WebPkiServerVerifier};
 use rustls::crypto::CryptoProvider;
 use rustls::pki_types::pem::PemObject;
-use rustls::pki_types::{CertificateDer, CertificateRevocationListDer, PrivateKeyDer, ServerName, UnixTime};
+use rustls::pki_types::{
+    CertificateDer, CertificateRevocationListDer, PrivateKeyDer, ServerName, UnixTime,
+};
 use rustls::server::danger::{ClientCertVerified, ClientCertVerifier};
 use rustls::server::{ClientHello, ResolvesServerCert, WebPkiClientVerifier};
 use rustls::sign::CertifiedKey;
 use rustls::{
-    AlertDescription, CertificateError, ClientConfig, DigitallySignedStruct, DistinguishedName, Error,
-    RootCertStore, ServerConfig, SignatureScheme,
+    AlertDescription, CertificateError, ClientConfig, DigitallySignedStruct, DistinguishedName,
+    Error, RootCertStore, ServerConfig, SignatureScheme,
 };
 use std::fmt;
 use std::path::PathBuf;
@@ -81,17 +83,23 @@
 
 impl From<&Error> for Refused {
     fn from(error: &Error) -> Self {
-        let Error::InvalidCertificate(error) = error else { return Refused::Odd(error.to_string()) };
+        let Error::InvalidCertificate(error) = error else {
+            return Refused::Odd(error.to_string());
+        };
         match error {
             CertificateError::Expired | CertificateError::ExpiredContext { .. } => Refused::Expired,
-            CertificateError::NotValidYet | CertificateError::NotValidYetContext { .. } => Refused::TooEarly,
+            CertificateError::NotValidYet | CertificateError::NotValidYetContext { .. } => {
+                Refused::TooEarly
+            }
             CertificateError::Revoked => Refused::Revoked,
             CertificateError::UnknownIssuer | CertificateError::BadSignature => Refused::Foreign,
             CertificateError::UnknownRevocationStatus => Refused::Foreign,
             CertificateError::InvalidPurpose
             | CertificateError::InvalidPurposeContext { .. }
             | CertificateError::NotValidForName
-            | CertificateError::NotValidForNameContext { .. } => Refused::Misused(error.to_string()),
+            | CertificateError::NotValidForNameContext { .. } => {
+                Refused::Misused(error.to_string())
+            }
             other => Refused::Odd(other.to_string()),
         }
     }
@@ -108,7 +116,10 @@
 impl Shown {
     /// One that was shown at a handshake.
     pub fn new(chain: &[CertificateDer<'static>]) -> Self {
-        Shown { chain: chain.to_vec(), found: Mutex::new(None) }
+        Shown {
+            chain: chain.to_vec(),
+            found: Mutex::new(None),
+        }
     }
 }
 
@@ -116,7 +127,10 @@
 pub fn explain(error: &Error) -> String {
     match error {
         Error::InvalidCertificate(_) => {
-            format!("the other side's certificate is refused: {}", Refused::from(error))
+            format!(
+                "the other side's certificate is refused: {}",
+                Refused::from(error)
+            )
         }
         Error::AlertReceived(alert) => {
             let refused = match alert {
@@ -163,7 +177,11 @@
     pub fn load(files: Files) -> Result<Arc<Self>, String> {
         let provider = Arc::new(rustls::crypto::ring::default_provider());
         let loaded = RwLock::new(Arc::new(read(&files, &provider)?));
-        Ok(Arc::new(Keyring { files, provider, loaded }))
+        Ok(Arc::new(Keyring {
+            files,
+            provider,
+            loaded,
+        }))
     }
 
     /// Reads the files again. True if they have changed; new connections go by what they say then.
@@ -194,9 +212,14 @@
     /// # Errors
     /// Why it is refused.
     pub fn check(&self, chain: &[CertificateDer<'_>], now: u64) -> Result<Peer, Refused> {
-        let (first, rest) = chain.split_first().ok_or_else(|| Refused::Odd("none was shown".into()))?;
+        let (first, rest) = chain
+            .split_first()
+            .ok_or_else(|| Refused::Odd("none was shown".into()))?;
         let time = UnixTime::since_unix_epoch(Duration::from_secs(now));
-        self.now().clients.verify_client_cert(first, rest, time).map_err(|e| Refused::from(&e))?;
+        self.now()
+            .clients
+            .verify_client_cert(first, rest, time)
+            .map_err(|e| Refused::from(&e))?;
         peer(first)
     }
 
@@ -232,10 +255,13 @@
     /// What the library does not support.
     pub fn server(self: &Arc<Self>) -> Result<Arc<ServerConfig>, String> {
         let builder = ServerConfig::builder_with_provider(Arc::clone(&self.provider));
-        let builder =
-            builder.with_protocol_versions(&[&rustls::version::TLS13]).map_err(|e| e.to_string())?;
+        let builder = builder
+            .with_protocol_versions(&[&rustls::version::TLS13])
+            .map_err(|e| e.to_string())?;
         let own = Arc::clone(self);
-        let mut config = builder.with_client_cert_verifier(own.clone()).with_cert_resolver(own);
+        let mut config = builder
+            .with_client_cert_verifier(own.clone())
+            .with_cert_resolver(own);
         config.alpn_protocols = vec![b"http/1.1".to_vec()];
         // A session that is taken up again shows no certificate again.
         config.session_storage = Arc::new(rustls::server::NoServerSessionStorage {});
@@ -249,10 +275,13 @@
     /// What the library does not support.
     pub fn client(self: &Arc<Self>) -> Result<Arc<ClientConfig>, String> {
         let builder = ClientConfig::builder_with_provider(Arc::clone(&self.provider));
-        let builder =
-            builder.with_protocol_versions(&[&rustls::version::TLS13]).map_err(|e| e.to_string())?;
+        let builder = builder
+            .with_protocol_versions(&[&rustls::version::TLS13])
+            .map_err(|e| e.to_string())?;
         let own = Arc::clone(self);
-        let builder = builder.dangerous().with_custom_certificate_verifier(own.clone());
+        let builder = builder
+            .dangerous()
+            .with_custom_certificate_verifier(own.clone());
         let mut config = builder.with_client_cert_resolver(own);
         config.alpn_protocols = vec![b"http/1.1".to_vec()];
         config.resumption = rustls::client::Resumption::disabled();
@@ -265,7 +294,11 @@
     let authority = files::read(&files.authority)?;
     let certificate = files::read(&files.certificate)?;
     let key = files::read_secret(&files.key)?;
-    let revoked = files.revoked.as_ref().map(|path| files::read(path)).transpose()?;
+    let revoked = files
+        .revoked
+        .as_ref()
+        .map(|path| files::read(path))
+        .transpose()?;
 
     let mut roots = RootCertStore::empty();
     for root in CertificateDer::pem_slice_iter(authority.as_bytes()) {
@@ -285,8 +318,12 @@
     }
     let secret = PrivateKeyDer::from_pem_slice(key.as_bytes()).map_err(|e| at(&files.key, &e))?;
     let own = CertifiedKey::from_der(chain, secret, provider);
-    let own =
-        own.map_err(|e| at(&files.key, &format!("does not fit {}: {e}", files.certificate.display())))?;
+    let own = own.map_err(|e| {
+        at(
+            &files.key,
+            &format!("does not fit {}: {e}", files.certificate.display()),
+        )
+    })?;
     let mut lists = Vec::new();
     if let (Some(path), Some(text)) = (&files.revoked, &revoked) {
         for list in CertificateRevocationListDer::pem_slice_iter(text.as_bytes()) {
@@ -296,30 +333,52 @@
             return Err(at(path, &"holds no list of revoked certificates"));
         }
     }
-    let clients = WebPkiClientVerifier::builder_with_provider(Arc::clone(&roots), Arc::clone(provider));
+    let clients =
+        WebPkiClientVerifier::builder_with_provider(Arc::clone(&roots), Arc::clone(provider));
     // While one authority follows another there may be a list of one of them alone.
-    let clients = clients.with_crls(lists.clone()).only_check_end_entity_revocation();
-    let clients = clients.allow_unknown_revocation_status().build().map_err(|e| at(&files.authority, &e))?;
+    let clients = clients
+        .with_crls(lists.clone())
+        .only_check_end_entity_revocation();
+    let clients = clients
+        .allow_unknown_revocation_status()
+        .build()
+        .map_err(|e| at(&files.authority, &e))?;
     let servers = WebPkiServerVerifier::builder_with_provider(roots, Arc::clone(provider));
     let servers = servers.with_crls(lists).only_check_end_entity_revocation();
-    let servers = servers.allow_unknown_revocation_status().build().map_err(|e| at(&files.authority, &e))?;
+    let servers = servers
+        .allow_unknown_revocation_status()
+        .build()
+        .map_err(|e| at(&files.authority, &e))?;
     let texts = [authority, certificate, key, revoked.unwrap_or_default()];
-    Ok(Loaded { own: Arc::new(own), own_peer, clients, servers, texts })
+    Ok(Loaded {
+        own: Arc::new(own),
+        own_peer,
+        clients,
+        servers,
+        texts,
+    })
 }
 
 /// Whose a certificate is. Says nothing of whether it is good.
 fn peer(certificate: &CertificateDer<'_>) -> Result<Peer, Refused> {
     let odd = |why: &str| Refused::Odd(why.to_string());
-    let (_, read) = x509_parser::parse_x509_certificate(certificate).map_err(|_| odd("it can't be read"))?;
+    let (_, read) =
+        x509_parser::parse_x509_certificate(certificate).map_err(|_| odd("it can't be read"))?;
     let names = read.subject_alternative_name().ok().flatten();
-    let names = names.map(|names| names.value.general_names.as_slice()).unwrap_or_default();
+    let names = names
+        .map(|names| names.value.general_names.as_slice())
+        .unwrap_or_default();
     let mut own = names.iter().filter_map(|name| match name {
         GeneralName::URI(uri) => uri.strip_prefix(URN),
         _ => None,
     });
-    let (Some(own), None) = (own.next(), own.next()) else { return Err(odd("it holds no role")) };
+    let (Some(own), None) = (own.next(), own.next()) else {
+        return Err(odd("it holds no role"));
+    };
     let (role, name) = own.split_once(':').ok_or_else(|| odd("it holds no name"))?;
-    let role = role.parse().map_err(|problem: String| Refused::Odd(problem))?;
+    let role = role
+        .parse()
+        .map_err(|problem: String| Refused::Odd(problem))?;
     Ok(Peer {
         name: name.replace("%2A", "*"),
         role,
@@ -365,7 +424,9 @@
         certificate: &CertificateDer<'_>,
         signature: &DigitallySignedStruct,
     ) -> Result<HandshakeSignatureValid, Error> {
-        self.now().clients.verify_tls12_signature(message, certificate, signature)
+        self.now()
+            .clients
+            .verify_tls12_signature(message, certificate, signature)
     }
 
     fn verify_tls13_signature(
@@ -374,7 +435,9 @@
         certificate: &CertificateDer<'_>,
         signature: &DigitallySignedStruct,
     ) -> Result<HandshakeSignatureValid, Error> {
-        self.now().clients.verify_tls13_signature(message, certificate, signature)
+        self.now()
+            .clients
+            .verify_tls13_signature(message, certificate, signature)
     }
 
     fn supported_verify_schemes(&self) -> Vec<SignatureScheme> {
@@ -391,7 +454,9 @@
         stapled: &[u8],
         now: UnixTime,
     ) -> Result<ServerCertVerified, Error> {
-        self.now().servers.verify_server_cert(first, rest, host, stapled, now)
+        self.now()
+            .servers
+            .verify_server_cert(first, rest, host, stapled, now)
     }
 
     fn verify_tls12_signature(
@@ -400,7 +465,9 @@
         certificate: &CertificateDer<'_>,
         signature: &DigitallySignedStruct,
     ) -> Result<HandshakeSignatureValid, Error> {
-        self.now().servers.verify_tls12_signature(message, certificate, signature)
+        self.now()
+            .servers
+            .verify_tls12_signature(message, certificate, signature)
     }
 
     fn verify_tls13_signature(
@@ -409,7 +476,9 @@
         certificate: &CertificateDer<'_>,
         signature: &DigitallySignedStruct,
     ) -> Result<HandshakeSignatureValid, Error> {
-        self.now().servers.verify_tls13_signature(message, certificate, signature)
+        self.now()
+            .servers
+            .verify_tls13_signature(message, certificate, signature)
     }
 
     fn supported_verify_schemes(&self) -> Vec<SignatureScheme> {
--- a/crates/keys/src/role.rs
+++ b/crates/keys/src/role.rs
@@ -39,7 +39,9 @@
 
     fn from_str(text: &str) -> Result<Self, String> {
         let named = Role::ALL.into_iter().find(|role| role.to_string() == text);
-        named.ok_or_else(|| format!("{text:?} is no role; there are view, operate, instance and agent"))
+        named.ok_or_else(|| {
+            format!("{text:?} is no role; there are view, operate, instance and agent")
+        })
     }
 }
 
