--- a/crates/keys/tests/a_wrong_certificate_gets_nothing.rs
+++ b/crates/keys/tests/a_wrong_certificate_gets_nothing.rs
@@ -15,7 +15,9 @@
 
 impl Rig {
     fn new() -> Self {
-        let rig = Rig { directory: TempDir::new().expect("a directory") };
+        let rig = Rig {
+            directory: TempDir::new().expect("a directory"),
+        };
         for authority in ["ours", "theirs"] {
             Authority::init(&rig.at(authority), authority, 3_650, now()).expect("an authority");
         }
@@ -29,11 +31,16 @@
 
     /// Issued for two days from then on.
     fn issue(&self, authority: &str, (name, role): (&str, Role), then: OffsetDateTime) -> Files {
-        let hosts =
-            if role == Role::Agent { vec!["localhost".to_string(), "127.0.0.1".into()] } else { vec![] };
+        let hosts = if role == Role::Agent {
+            vec!["localhost".to_string(), "127.0.0.1".into()]
+        } else {
+            vec![]
+        };
         let mut issuer = Authority::open(&self.at(authority)).expect("an authority");
         let to = self.directory.path();
-        issuer.issue((name, role), &hosts, 2, to, then).expect("a certificate");
+        issuer
+            .issue((name, role), &hosts, 2, to, then)
+            .expect("a certificate");
         self.files(authority, name)
     }
 
@@ -60,7 +67,10 @@
 }
 
 fn chain(path: &Path) -> Vec<CertificateDer<'static>> {
-    CertificateDer::pem_file_iter(path).expect("a file").map(|c| c.expect("a certificate")).collect()
+    CertificateDer::pem_file_iter(path)
+        .expect("a file")
+        .map(|c| c.expect("a certificate"))
+        .collect()
 }
 
 /// What each side makes of a handshake between them.
@@ -69,9 +79,11 @@
     client: &Arc<Keyring>,
     host: &str,
 ) -> (Result<Peer, String>, Result<(), String>) {
-    let mut server = ServerConnection::new(agent.server().expect("settings")).expect("a connection");
+    let mut server =
+        ServerConnection::new(agent.server().expect("settings")).expect("a connection");
     let host = ServerName::try_from(host.to_string()).expect("a host");
-    let mut client = ClientConnection::new(client.client().expect("settings"), host).expect("a connection");
+    let mut client =
+        ClientConnection::new(client.client().expect("settings"), host).expect("a connection");
     let (mut at_server, mut at_client) = (Ok(()), Ok(()));
     for _ in 0..10 {
         let mut wire = Vec::new();
@@ -81,7 +93,10 @@
         let mut read = wire.as_slice();
         while !read.is_empty() && at_server.is_ok() {
             server.read_tls(&mut read).expect("memory");
-            at_server = server.process_new_packets().map(|_| ()).map_err(|e| explain(&e));
+            at_server = server
+                .process_new_packets()
+                .map(|_| ())
+                .map_err(|e| explain(&e));
         }
         let mut wire = Vec::new();
         while server.wants_write() {
@@ -90,12 +105,17 @@
         let mut read = wire.as_slice();
         while !read.is_empty() && at_client.is_ok() {
             client.read_tls(&mut read).expect("memory");
-            at_client = client.process_new_packets().map(|_| ()).map_err(|e| explain(&e));
+            at_client = client
+                .process_new_packets()
+                .map(|_| ())
+                .map_err(|e| explain(&e));
         }
     }
     let peer = at_server.and_then(|()| {
         let chain = server.peer_certificates().ok_or("no certificate")?;
-        agent.check(chain, unix(now())).map_err(|refused| refused.to_string())
+        agent
+            .check(chain, unix(now()))
+            .map_err(|refused| refused.to_string())
     });
     (peer, at_client)
 }
@@ -106,8 +126,15 @@
     let client = Keyring::load(rig.issue("ours", ("alice", Role::Operate), now())).expect("keys");
     let (peer, own) = shake(&rig.agent(), &client, "localhost");
     let peer = peer.expect("she is let in");
-    assert_eq!((peer.name.as_str(), peer.role, own), ("alice", Role::Operate, Ok(())));
-    let group = Keyring::load(rig.issue("ours", ("shop-*", Role::Instance), now()).at_any()).expect("keys");
+    assert_eq!(
+        (peer.name.as_str(), peer.role, own),
+        ("alice", Role::Operate, Ok(()))
+    );
+    let group = Keyring::load(
+        rig.issue("ours", ("shop-*", Role::Instance), now())
+            .at_any(),
+    )
+    .expect("keys");
     let (peer, _) = shake(&rig.agent(), &group, "127.0.0.1");
     assert_eq!(peer.expect("it is let in").name, "shop-*");
 }
@@ -130,7 +157,8 @@
 fn an_expired_one_is_told_so_on_both_sides() {
     let rig = Rig::new();
     let client =
-        Keyring::load(rig.issue("ours", ("bob", Role::Operate), now() - Duration::days(3))).expect("keys");
+        Keyring::load(rig.issue("ours", ("bob", Role::Operate), now() - Duration::days(3)))
+            .expect("keys");
     let (peer, own) = shake(&rig.agent(), &client, "localhost");
     assert!(peer.expect_err("refused").contains("has expired"));
     assert!(own.expect_err("told").contains("has expired"));
@@ -147,14 +175,20 @@
     let mut ours = Authority::open(&rig.at("ours")).expect("an authority");
     assert_eq!(ours.revoke("bob", now()).expect("revoked").len(), 1);
     assert!(agent.reload().expect("read again"));
-    assert!(!agent.reload().expect("read again"), "nothing has changed since");
+    assert!(
+        !agent.reload().expect("read again"),
+        "nothing has changed since"
+    );
     let (peer, own) = shake(&agent, &client, "localhost");
     assert!(peer.expect_err("refused").contains("was revoked"));
     assert!(own.expect_err("told").contains("was revoked"));
     // One that was in before is found out at its next request.
     let chain = chain(&rig.at("bob.pem"));
     assert_eq!(agent.check(&chain, unix(now())), Err(Refused::Revoked));
-    assert_eq!(agent.check_again(&before, unix(now())), Err(Refused::Revoked));
+    assert_eq!(
+        agent.check_again(&before, unix(now())),
+        Err(Refused::Revoked)
+    );
 }
 
 #[test]
@@ -162,7 +196,11 @@
     let rig = Rig::new();
     let mut files = rig.issue("theirs", ("eve", Role::Operate), now());
     files.authority = rig.at("ours").join("authority.pem");
-    let (peer, own) = shake(&rig.agent(), &Keyring::load(files).expect("keys"), "localhost");
+    let (peer, own) = shake(
+        &rig.agent(),
+        &Keyring::load(files).expect("keys"),
+        "localhost",
+    );
     assert!(peer.expect_err("refused").contains("another authority"));
     assert!(own.expect_err("told").contains("another authority"));
 }
@@ -195,10 +233,19 @@
     assert!(agent.check(&chain, until).is_ok());
     assert_eq!(agent.check(&chain, until + 1), Err(Refused::Expired));
     let shown = Shown::new(&chain);
-    for (time, good) in [(unix(now()), true), (until, true), (until + 1, false), (until, true), (1, false)] {
+    for (time, good) in [
+        (unix(now()), true),
+        (until, true),
+        (until + 1, false),
+        (until, true),
+        (1, false),
+    ] {
         assert_eq!(agent.check_again(&shown, time).is_ok(), good, "{time}");
     }
-    assert_eq!(agent.check(&chain, unix(now()) - 7_200), Err(Refused::TooEarly));
+    assert_eq!(
+        agent.check(&chain, unix(now()) - 7_200),
+        Err(Refused::TooEarly)
+    );
 }
 
 #[test]
@@ -214,14 +261,26 @@
     let rig = Rig::new();
     let client = Keyring::load(rig.issue("ours", ("alice", Role::Operate), now())).expect("keys");
     let agent = rig.agent();
-    let first = shake(&agent, &client, "localhost").0.expect("let in").serial;
+    let first = shake(&agent, &client, "localhost")
+        .0
+        .expect("let in")
+        .serial;
     let mut ours = Authority::open(&rig.at("ours")).expect("an authority");
-    let issued = ours.rotate("alice", 2, rig.directory.path(), true, now()).expect("a new one");
-    ours.rotate("agent", 2, rig.directory.path(), false, now()).expect("a new one");
+    let issued = ours
+        .rotate("alice", 2, rig.directory.path(), true, now())
+        .expect("a new one");
+    ours.rotate("agent", 2, rig.directory.path(), false, now())
+        .expect("a new one");
     assert_ne!(issued.serial, first);
     let stale = Keyring::load(rig.files("ours", "alice")).expect("keys");
     assert!(client.reload().expect("read again") && agent.reload().expect("read again"));
-    assert_eq!(shake(&agent, &client, "localhost").0.expect("let in").serial, issued.serial);
+    assert_eq!(
+        shake(&agent, &client, "localhost")
+            .0
+            .expect("let in")
+            .serial,
+        issued.serial
+    );
     assert_eq!(stale.own().map(|own| own.serial), Some(issued.serial));
 }
 
@@ -232,8 +291,17 @@
     let agent = rig.agent();
     std::fs::write(rig.at("agent.pem"), "nothing").expect("written");
     let problem = agent.reload().expect_err("no certificate");
-    assert!(problem.contains("agent.pem") && problem.contains("no certificate"), "{problem}");
+    assert!(
+        problem.contains("agent.pem") && problem.contains("no certificate"),
+        "{problem}"
+    );
     assert!(shake(&agent, &client, "localhost").0.is_ok());
     let fits = std::fs::copy(rig.at("alice.pem"), rig.at("agent.pem"));
-    assert!(fits.is_ok() && agent.reload().expect_err("another key").contains("does not fit"));
+    assert!(
+        fits.is_ok()
+            && agent
+                .reload()
+                .expect_err("another key")
+                .contains("does not fit")
+    );
 }
--- a/crates/lab/examples/levels.rs
+++ b/crates/lab/examples/levels.rs
@@ -51,7 +51,8 @@
     let changes = Rc::new(RefCell::new(Vec::new()));
     let log = Rc::clone(&changes);
     let told: Told = Rc::new(move |instance, change| {
-        log.borrow_mut().push((change.at, instance, change.to.clone()));
+        log.borrow_mut()
+            .push((change.at, instance, change.to.clone()));
     });
     let make = |start: Start| leveled::make(experiment, arm, start, Some(Rc::clone(&told)));
     let go_on = |_| ControlFlow::Continue(());
@@ -63,7 +64,9 @@
 /// Of each change, the part of all instances that make one to the same level within a second of it, in the mean.
 fn together(changes: &[Changed], instances: u32) -> Option<f64> {
     let near = |(at, _, to): &Changed| {
-        let same = changes.iter().filter(|other| other.0.abs_diff(*at) <= 500_000 && other.2 == *to);
+        let same = changes
+            .iter()
+            .filter(|other| other.0.abs_diff(*at) <= 500_000 && other.2 == *to);
         let mut who: Vec<u32> = same.map(|other| other.1).collect();
         who.sort_unstable();
         who.dedup();
@@ -76,7 +79,11 @@
 fn told(interval: Option<Interval>, digits: usize) -> String {
     match interval {
         None => "-".into(),
-        Some(Interval { mean, ends: Some((low, high)), .. }) => {
+        Some(Interval {
+            mean,
+            ends: Some((low, high)),
+            ..
+        }) => {
             format!("{mean:.digits$} [{low:.digits$}, {high:.digits$}]")
         }
         Some(Interval { mean, .. }) => format!("{mean:.digits$}"),
@@ -97,70 +104,128 @@
         });
     }
     let mut arms = vec![
-        Arm { name: "without".into(), policy: "madderloom".into(), ..Arm::default() },
+        Arm {
+            name: "without".into(),
+            policy: "madderloom".into(),
+            ..Arm::default()
+        },
         Arm {
             name: "built in".into(),
             policy: "madderloom".into(),
-            levels: Some(Section { built_in: true, ..Section::default() }),
+            levels: Some(Section {
+                built_in: true,
+                ..Section::default()
+            }),
             ..Arm::default()
         },
     ];
-    let own = experiment.arms.iter().filter(|arm| arm.levels.as_ref().is_some_and(|l| !l.level.is_empty()));
+    let own = experiment
+        .arms
+        .iter()
+        .filter(|arm| arm.levels.as_ref().is_some_and(|l| !l.level.is_empty()));
     arms.extend(own.cloned());
     let last = experiment.seeds.last().copied().unwrap_or(0);
-    let seeds: Vec<u64> = experiment.seeds.iter().copied().chain(last + 1..).take(arguments.seeds).collect();
+    let seeds: Vec<u64> = experiment
+        .seeds
+        .iter()
+        .copied()
+        .chain(last + 1..)
+        .take(arguments.seeds)
+        .collect();
     if arguments.changes {
         for arm in arms.iter().filter(|arm| arm.levels.is_some()) {
             println!("{}, {}, seed {}:", experiment.name, arm.name, seeds[0]);
             let told: Told = Rc::new(|instance, change| {
-                println!("{:8.1} s, instance {instance}: {change}", change.at as f64 / 1e6);
+                println!(
+                    "{:8.1} s, instance {instance}: {change}",
+                    change.at as f64 / 1e6
+                );
+            });
+            let make =
+                |start: Start| leveled::make(&experiment, arm, start, Some(Rc::clone(&told)));
+            virtual_time::run(&experiment, arm, seeds[0], &make, &|_| {
+                ControlFlow::Continue(())
             });
-            let make = |start: Start| leveled::make(&experiment, arm, start, Some(Rc::clone(&told)));
-            virtual_time::run(&experiment, arm, seeds[0], &make, &|_| ControlFlow::Continue(()));
         }
         return;
     }
-    let jobs: Vec<(usize, u64)> =
-        seeds.iter().flat_map(|seed| (0..arms.len()).map(|arm| (arm, *seed))).collect();
+    let jobs: Vec<(usize, u64)> = seeds
+        .iter()
+        .flat_map(|seed| (0..arms.len()).map(|arm| (arm, *seed)))
+        .collect();
     let (next, done) = (AtomicUsize::new(0), Mutex::new(Vec::new()));
     std::thread::scope(|scope| {
         for _ in 0..arguments.jobs.clamp(1, 8) {
             scope.spawn(|| {
                 while let Some((arm, seed)) = jobs.get(next.fetch_add(1, Ordering::Relaxed)) {
                     let played = play(&experiment, &arms[*arm], *seed);
-                    done.lock().expect("no player panics").push((*arm, *seed, played));
+                    done.lock()
+                        .expect("no player panics")
+                        .push((*arm, *seed, played));
                 }
             });
         }
     });
     let mut done = done.into_inner().expect("no player panics");
     done.sort_by_key(|(arm, seed, _)| (*arm, *seed));
-    let of = |arm: usize| done.iter().filter(move |d| d.0 == arm).map(|d| &d.2).collect::<Vec<_>>();
+    let of = |arm: usize| {
+        done.iter()
+            .filter(move |d| d.0 == arm)
+            .map(|d| &d.2)
+            .collect::<Vec<_>>()
+    };
     let base = of(0);
-    println!("\n## {}, {} instances, {} seeds\n", experiment.name, experiment.instances.count, seeds.len());
+    println!(
+        "\n## {}, {} instances, {} seeds\n",
+        experiment.name,
+        experiment.instances.count,
+        seeds.len()
+    );
     println!("| arm | figure | value | difference to without |\n| --- | --- | --- | --- |");
     for (at, arm) in arms.iter().enumerate() {
         let mine = of(at);
         let row = |name: &str, digits: usize, value: &dyn Fn(&Played) -> Option<f64>| {
             let values: Vec<f64> = mine.iter().filter_map(|p| value(p)).collect();
-            let pairs = mine.iter().zip(&base).filter_map(|(a, b)| Some(value(a)? - value(b)?));
+            let pairs = mine
+                .iter()
+                .zip(&base)
+                .filter_map(|(a, b)| Some(value(a)? - value(b)?));
             let differences: Vec<f64> = pairs.collect();
-            let other = if at == 0 { None } else { bootstrap(&differences, 0.95) };
+            let other = if at == 0 {
+                None
+            } else {
+                bootstrap(&differences, 0.95)
+            };
             let value = told(bootstrap(&values, 0.95), digits);
-            println!("| {} | {name} | {value} | {} |", arm.name, told(other, digits));
+            println!(
+                "| {} | {name} | {value} | {} |",
+                arm.name,
+                told(other, digits)
+            );
         };
-        row("goodput", 4, &|p| Figure::Goodput.of(&experiment, &p.run, None));
+        row("goodput", 4, &|p| {
+            Figure::Goodput.of(&experiment, &p.run, None)
+        });
         for class in &experiment.classes {
             let name = format!("goodput({})", class.name);
-            row(&name, 4, &|p| Figure::Goodput.of(&experiment, &p.run, Some(&class.name)));
+            row(&name, 4, &|p| {
+                Figure::Goodput.of(&experiment, &p.run, Some(&class.name))
+            });
         }
-        row("worth lost", 0, &|p| Figure::WorthLost.of(&experiment, &p.run, None));
-        row("recovery [s]", 1, &|p| Figure::Recovery.of(&experiment, &p.run, None));
+        row("worth lost", 0, &|p| {
+            Figure::WorthLost.of(&experiment, &p.run, None)
+        });
+        row("recovery [s]", 1, &|p| {
+            Figure::Recovery.of(&experiment, &p.run, None)
+        });
         if at > 0 {
             let instances = experiment.instances.count;
-            row("changes an instance", 2, &|p| Some(p.changes.len() as f64 / f64::from(instances)));
+            row("changes an instance", 2, &|p| {
+                Some(p.changes.len() as f64 / f64::from(instances))
+            });
             row("most changes of an instance", 0, &|p| {
-                let of = |instance: u32| p.changes.iter().filter(|c| c.1 == instance).count() as f64;
+                let of =
+                    |instance: u32| p.changes.iter().filter(|c| c.1 == instance).count() as f64;
                 (0..instances).map(of).reduce(f64::max)
             });
             row("changing together", 2, &|p| together(&p.changes, instances));
@@ -168,7 +233,11 @@
         let broken: u64 = mine.iter().flat_map(|p| p.run.breaches.values()).sum();
         let void: Vec<&str> = mine.iter().filter_map(|p| p.run.void.as_deref()).collect();
         if broken > 0 || !void.is_empty() {
-            println!("| {} | rules broken, void | {broken}, {} | |", arm.name, void.join("; "));
+            println!(
+                "| {} | rules broken, void | {broken}, {} | |",
+                arm.name,
+                void.join("; ")
+            );
         }
     }
 }
@@ -176,11 +245,15 @@
 fn main() {
     let mut arguments = Arguments::parse();
     if arguments.experiments.is_empty() {
-        let own = shipped::ALL.iter().filter(|(name, _)| !name.starts_with("paper") && *name != "fleet-2000");
+        let own = shipped::ALL
+            .iter()
+            .filter(|(name, _)| !name.starts_with("paper") && *name != "fleet-2000");
         arguments.experiments = own.map(|(name, _)| name.to_string()).collect();
     }
     for name in &arguments.experiments {
-        let text = shipped::find(name).expect("there is such an experiment").text;
+        let text = shipped::find(name)
+            .expect("there is such an experiment")
+            .text;
         measure(Experiment::read(&text).expect("it makes sense"), &arguments);
     }
 }
--- a/crates/lab/examples/night.rs
+++ b/crates/lab/examples/night.rs
@@ -5,7 +5,9 @@
 //! cargo run --release -p madderloom-lab --example night
 //! ```
 
-use madderloom_balancer::{Action, Event, Members, Micros, Note, Outcome, RequestId, ServerId, ServerState};
+use madderloom_balancer::{
+    Action, Event, Members, Micros, Note, Outcome, RequestId, ServerId, ServerState,
+};
 use madderloom_lab::experiment::Experiment;
 use madderloom_lab::policy::{self, Policy, Start};
 use madderloom_lab::virtual_time;
@@ -34,7 +36,10 @@
 
 impl Night {
     fn name(&self, id: ServerId) -> String {
-        self.names.get(&id).cloned().unwrap_or_else(|| format!("{:016x}", id.0))
+        self.names
+            .get(&id)
+            .cloned()
+            .unwrap_or_else(|| format!("{:016x}", id.0))
     }
 
     fn say(&mut self, said: &Departure) {
@@ -43,8 +48,11 @@
             Subject::Zone(zone) => self.zones.get(zone as usize).cloned().unwrap_or_default(),
             Subject::Fleet => String::new(),
         };
-        let class = said.class.and_then(|class| self.classes.get(class as usize));
-        self.told.push((said.at, said.told(&name, class.map(String::as_str))));
+        let class = said
+            .class
+            .and_then(|class| self.classes.get(class as usize));
+        self.told
+            .push((said.at, said.told(&name, class.map(String::as_str))));
     }
 
     fn hear(&mut self, now: Micros, event: &Event<'_>) {
@@ -60,7 +68,11 @@
                     if server.state == ServerState::Gone {
                         self.story.left(now, server.server);
                     } else {
-                        let arrival = Arrival { zone: server.zone, kind: server.kind, ..Arrival::default() };
+                        let arrival = Arrival {
+                            zone: server.zone,
+                            kind: server.kind,
+                            ..Arrival::default()
+                        };
                         self.story.listed(now, server.server, arrival);
                     }
                 }
@@ -71,19 +83,34 @@
             Event::Closed(closed) => {
                 let (class, hint) = self.open.get(&closed.request).copied().unwrap_or((0, None));
                 let (mean, count) = &mut self.hints;
-                let size = hint.map_or(1.0, |hint| if *count > 0.0 { hint as f64 / *mean } else { 1.0 });
+                let size = hint.map_or(1.0, |hint| {
+                    if *count > 0.0 {
+                        hint as f64 / *mean
+                    } else {
+                        1.0
+                    }
+                });
                 if let Some(hint) = hint {
                     *count = (*count + 1.0).min(1_000.0);
                     *mean += (hint as f64 - *mean) / *count;
                 }
                 let (server, outcome) = (closed.server, closed.outcome);
-                let seen = Observed { server, class, outcome, elapsed: closed.elapsed, size };
-                self.story.attempt(now, (now / (60 * S) % 1_440) as u16, &seen);
+                let seen = Observed {
+                    server,
+                    class,
+                    outcome,
+                    elapsed: closed.elapsed,
+                    size,
+                };
+                self.story
+                    .attempt(now, (now / (60 * S) % 1_440) as u16, &seen);
                 if closed.ended {
                     self.open.remove(&closed.request);
                 }
             }
-            Event::Probed(server, Some(report)) => self.story.reported(now, *server, report.held, 0),
+            Event::Probed(server, Some(report)) => {
+                self.story.reported(now, *server, report.held, 0)
+            }
             _ => {}
         }
     }
@@ -141,15 +168,27 @@
         hints: (0.0, 0.0),
         told: Vec::new(),
         next: 0,
-        names: world.servers.iter().map(|server| (server.id, server.name.clone())).collect(),
+        names: world
+            .servers
+            .iter()
+            .map(|server| (server.id, server.name.clone()))
+            .collect(),
         zones: experiment.network.zones.clone(),
-        classes: experiment.classes.iter().map(|class| class.name.clone()).collect(),
+        classes: experiment
+            .classes
+            .iter()
+            .map(|class| class.name.clone())
+            .collect(),
     }));
     let arm = experiment.arms.first().ok_or("it has no arm")?;
     let make = |start: Start| -> Result<Box<dyn Policy>, String> {
         let (is_first, inner) = (start.instance == 0, policy::own(start)?);
         let night = Rc::clone(&night);
-        Ok(if is_first { Box::new(Listened { inner, night }) } else { inner })
+        Ok(if is_first {
+            Box::new(Listened { inner, night })
+        } else {
+            inner
+        })
     };
     let run = virtual_time::run(&experiment, arm, 1, &make, &|_| ControlFlow::Continue(()));
     for (at, text) in &night.borrow().told {
--- a/crates/lab/examples/throughput.rs
+++ b/crates/lab/examples/throughput.rs
@@ -20,7 +20,9 @@
 impl Policy for InTurn {
     fn handle(&mut self, _now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
         match event {
-            Event::Members(Members::Full(list)) => self.servers = list.iter().map(|l| l.server).collect(),
+            Event::Members(Members::Full(list)) => {
+                self.servers = list.iter().map(|l| l.server).collect()
+            }
             Event::Request(new) => {
                 self.next = (self.next + 1) % self.servers.len();
                 let server = self.servers[self.next];
@@ -32,7 +34,10 @@
                 });
             }
             Event::Closed(closed) if !closed.ended => {
-                actions.push(Action::Refuse { request: closed.request, retry_after: None });
+                actions.push(Action::Refuse {
+                    request: closed.request,
+                    retry_after: None,
+                });
             }
             _ => {}
         }
@@ -40,18 +45,38 @@
 }
 
 fn in_turn(start: Start) -> Result<Box<dyn Policy>, String> {
-    Ok(Box::new(InTurn { servers: Vec::new(), next: start.instance as usize }))
+    Ok(Box::new(InTurn {
+        servers: Vec::new(),
+        next: start.instance as usize,
+    }))
 }
 
 fn experiment(servers: u32, instances: u32, rate: f64, duration: Span) -> Experiment {
-    let class = Class { name: "read".into(), work: Span::ms(10), ..Class::default() };
-    let mut experiment = Experiment { duration, classes: vec![class], ..Experiment::default() };
+    let class = Class {
+        name: "read".into(),
+        work: Span::ms(10),
+        ..Class::default()
+    };
+    let mut experiment = Experiment {
+        duration,
+        classes: vec![class],
+        ..Experiment::default()
+    };
     experiment.instances.count = instances;
     experiment.clients.rate = rate;
     // Seven tenths of what the servers can do.
     let cores = (rate * 0.010 / 0.7 / f64::from(servers)).ceil().max(1.0) as u32;
-    let kind = ServerKind { name: "s".into(), count: servers, cores, queue: 1_000, ..ServerKind::default() };
-    experiment.servers = vec![ServerKind { connections: 100_000, ..kind }];
+    let kind = ServerKind {
+        name: "s".into(),
+        count: servers,
+        cores,
+        queue: 1_000,
+        ..ServerKind::default()
+    };
+    experiment.servers = vec![ServerKind {
+        connections: 100_000,
+        ..kind
+    }];
     experiment
 }
 
@@ -63,10 +88,17 @@
     let run = virtual_time::run(&experiment, &Arm::default(), 1, make, &go_on);
     let took = begun.elapsed().as_secs_f64();
     // Others on the machine count for less by the processor's time than by the clock's.
-    let used = used.zip(processor_seconds()).map_or(took, |(before, after)| after - before);
+    let used = used
+        .zip(processor_seconds())
+        .map_or(took, |(before, after)| after - before);
     assert_eq!(run.void, None);
     let peak = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-    let peak = peak.lines().find_map(|l| l.strip_prefix("VmHWM:")).unwrap_or(" ?").trim().to_string();
+    let peak = peak
+        .lines()
+        .find_map(|l| l.strip_prefix("VmHWM:"))
+        .unwrap_or(" ?")
+        .trim()
+        .to_string();
     println!(
         "{name:>8} {servers:>7} {instances:>9} {:>9} {took:>8.2} {used:>9.2} {:>10.0} {:>8.3} {:>7.2}  {peak}",
         run.total.asked,
--- a/crates/lab/examples/warm_restart.rs
+++ b/crates/lab/examples/warm_restart.rs
@@ -21,7 +21,10 @@
 const EVERY: Micros = 5_000_000;
 const KILLED: Span = Span::s(40);
 const AWAY: Span = Span::ms(500);
-const AGING: Aging = Aging { half: 30_000_000, oldest: 300_000_000 };
+const AGING: Aging = Aging {
+    half: 30_000_000,
+    oldest: 300_000_000,
+};
 const SEEDS: u64 = 30;
 
 /// The last snapshot of each instance.
@@ -41,27 +44,39 @@
 impl Warmed {
     fn begin(&mut self, now: Micros) -> Vec<ServerMemory> {
         let store = self.store.borrow();
-        let Some((warm, servers)) = store.get(&self.instance) else { return Vec::new() };
+        let Some((warm, servers)) = store.get(&self.instance) else {
+            return Vec::new();
+        };
         let recalled = warm.recall(now + self.older, AGING);
         if recalled.weight == 0.0 {
             return Vec::new();
         }
         let guess = self.inner.memory(now);
         let mixed = |guess: f64, kept: f64| blend(guess, kept, recalled.weight);
-        let mut memory = Memory { servers: Vec::new(), ..guess.clone() };
+        let mut memory = Memory {
+            servers: Vec::new(),
+            ..guess.clone()
+        };
         for (class, kept) in memory.classes.iter_mut().zip(&recalled.classes) {
-            (class.usual, class.slow) = (mixed(class.usual, kept.cost), mixed(class.slow, kept.slow));
+            (class.usual, class.slow) =
+                (mixed(class.usual, kept.cost), mixed(class.slow, kept.slow));
         }
-        memory.means = (mixed(guess.means.0, recalled.means.0), mixed(guess.means.1, recalled.means.1));
+        memory.means = (
+            mixed(guess.means.0, recalled.means.0),
+            mixed(guess.means.1, recalled.means.1),
+        );
         self.inner.recall_classes(&memory);
-        let faded = servers.iter().zip(&recalled.servers).map(|(server, kept)| ServerMemory {
-            work: kept.work,
-            time: kept.time,
-            failures: kept.failures,
-            ejected: kept.ejected,
-            ejection: kept.ejection,
-            ..*server
-        });
+        let faded = servers
+            .iter()
+            .zip(&recalled.servers)
+            .map(|(server, kept)| ServerMemory {
+                work: kept.work,
+                time: kept.time,
+                failures: kept.failures,
+                ejected: kept.ejected,
+                ejection: kept.ejection,
+                ..*server
+            });
         faded.collect()
     }
 
@@ -83,10 +98,16 @@
             classes: memory
                 .classes
                 .iter()
-                .map(|class| ClassMemory { name: String::new(), cost: class.usual, slow: class.slow })
+                .map(|class| ClassMemory {
+                    name: String::new(),
+                    cost: class.usual,
+                    slow: class.slow,
+                })
                 .collect(),
         };
-        self.store.borrow_mut().insert(self.instance, (warm, memory.servers));
+        self.store
+            .borrow_mut()
+            .insert(self.instance, (warm, memory.servers));
     }
 }
 
@@ -114,11 +135,22 @@
     let store = Store::default();
     let make = |start: Start| -> Result<Box<dyn Policy>, String> {
         let inner = Balancer::new(start.settings, start.seed).map_err(|e| e.to_string())?;
-        let Some(older) = older else { return Ok(Box::new(inner)) };
+        let Some(older) = older else {
+            return Ok(Box::new(inner));
+        };
         let (instance, store) = (start.instance, Rc::clone(&store));
-        Ok(Box::new(Warmed { inner, instance, store, older, left: None, next: EVERY }))
+        Ok(Box::new(Warmed {
+            inner,
+            instance,
+            store,
+            older,
+            left: None,
+            next: EVERY,
+        }))
     };
-    let run = virtual_time::run(experiment, &Arm::default(), seed, &make, &|_| ControlFlow::Continue(()));
+    let run = virtual_time::run(experiment, &Arm::default(), seed, &make, &|_| {
+        ControlFlow::Continue(())
+    });
     assert_eq!(run.void, None);
     assert!(run.breaches.is_empty(), "{:?}", run.breaches);
     let window = experiment.window.micros();
@@ -127,12 +159,21 @@
         steps.iter().map(|w| w.earned).sum::<f64>() / steps.iter().map(|w| w.worth).sum::<f64>()
     };
     let back = KILLED.micros() + AWAY.micros();
-    [goodput(back, back + 10_000_000), goodput(back, back + 2_000_000)]
+    [
+        goodput(back, back + 10_000_000),
+        goodput(back, back + 2_000_000),
+    ]
 }
 
 fn ill(kind: FaultKind, servers: &[&str], size: f64) -> Fault {
     let servers = servers.iter().map(|s| s.to_string()).collect();
-    Fault { at: Span::s(5), kind, servers, size, ..Fault::default() }
+    Fault {
+        at: Span::s(5),
+        kind,
+        servers,
+        size,
+        ..Fault::default()
+    }
 }
 
 fn spread(mut values: Vec<f64>) -> String {
@@ -142,31 +183,67 @@
 }
 
 fn main() {
-    let seeds = std::env::args().nth(1).map_or(SEEDS, |seeds| seeds.parse().expect("a number of seeds"));
-    let text = shipped::find("rolling-restart").expect("it is shipped").text;
+    let seeds = std::env::args()
+        .nth(1)
+        .map_or(SEEDS, |seeds| seeds.parse().expect("a number of seeds"));
+    let text = shipped::find("rolling-restart")
+        .expect("it is shipped")
+        .text;
     let base = Experiment::read(&text).expect("it makes sense");
     let worlds = [
         ("well, of three speeds", Vec::new()),
-        ("two fail all", vec![ill(FaultKind::FastErrors, &["quick-0", "plain-0"], 1.0)]),
-        ("two fail half", vec![ill(FaultKind::FastErrors, &["quick-0", "plain-0"], 0.5)]),
-        ("two ten times slower", vec![ill(FaultKind::Slow, &["quick-0", "plain-0"], 10.0)]),
-        ("two hang", vec![ill(FaultKind::Hang, &["quick-0", "plain-0"], 0.0)]),
+        (
+            "two fail all",
+            vec![ill(FaultKind::FastErrors, &["quick-0", "plain-0"], 1.0)],
+        ),
+        (
+            "two fail half",
+            vec![ill(FaultKind::FastErrors, &["quick-0", "plain-0"], 0.5)],
+        ),
+        (
+            "two ten times slower",
+            vec![ill(FaultKind::Slow, &["quick-0", "plain-0"], 10.0)],
+        ),
+        (
+            "two hang",
+            vec![ill(FaultKind::Hang, &["quick-0", "plain-0"], 0.0)],
+        ),
     ];
     println!("{seeds} seeds; goodput as median (least to most); differences are of pairs\n");
-    println!("| servers | of | cold | warm | warm less cold | pairs that gain | 600 s old less cold |");
+    println!(
+        "| servers | of | cold | warm | warm less cold | pairs that gain | 600 s old less cold |"
+    );
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     for (name, ills) in worlds {
-        let killed = Fault { at: KILLED, lasts: AWAY, kind: FaultKind::InstanceRestart, ..Fault::default() };
+        let killed = Fault {
+            at: KILLED,
+            lasts: AWAY,
+            kind: FaultKind::InstanceRestart,
+            ..Fault::default()
+        };
         let faults = ills.into_iter().chain([killed]).collect();
         let (duration, window) = (Span::s(55), Span::ms(500));
-        let mut experiment = Experiment { duration, window, faults, ..base.clone() };
+        let mut experiment = Experiment {
+            duration,
+            window,
+            faults,
+            ..base.clone()
+        };
         experiment.instances.allow.probes = false;
-        let all = |older| (1..=seeds).map(|seed| play(&experiment, older, seed)).collect::<Vec<_>>();
+        let all = |older| {
+            (1..=seeds)
+                .map(|seed| play(&experiment, older, seed))
+                .collect::<Vec<_>>()
+        };
         let (cold, warm, old) = (all(None), all(Some(0)), all(Some(600_000_000)));
         for (at, of) in ["10 s", "2 s"].into_iter().enumerate() {
             let pick = |arm: &[[f64; 2]]| arm.iter().map(|run| run[at]).collect::<Vec<_>>();
-            let less =
-                |arm: &[[f64; 2]]| arm.iter().zip(&cold).map(|(a, b)| a[at] - b[at]).collect::<Vec<_>>();
+            let less = |arm: &[[f64; 2]]| {
+                arm.iter()
+                    .zip(&cold)
+                    .map(|(a, b)| a[at] - b[at])
+                    .collect::<Vec<_>>()
+            };
             let gains = less(&warm).iter().filter(|gain| **gain > 0.0).count();
             println!(
                 "| {name} | {of} | {} | {} | {} | {gains} | {} |",
--- a/crates/lab/src/check/events.rs
+++ b/crates/lab/src/check/events.rs
@@ -19,7 +19,9 @@
     fn fault(&mut self, at: &str, fault: &Fault, e: &Experiment) {
         let field = |name: &str| format!("{at}.{name}");
         if !self.is_told(&field("kind")) {
-            return self.document.problem(&field("kind"), "is missing; say what breaks");
+            return self
+                .document
+                .problem(&field("kind"), "is missing; say what breaks");
         }
         self.document.require(
             fault.at < e.duration,
@@ -58,13 +60,15 @@
             && !e.classes.iter().any(|known| known.name == *class)
         {
             let known = e.classes.iter().map(|class| class.name.as_str());
-            self.document.problem(&field("class"), unknown("class", class, known));
+            self.document
+                .problem(&field("class"), unknown("class", class, known));
         }
         if let Some(zone) = &fault.seen_from
             && !e.network.zones.contains(zone)
         {
             let known = e.network.zones.iter().map(String::as_str);
-            self.document.problem(&field("seen_from"), unknown("zone", zone, known));
+            self.document
+                .problem(&field("seen_from"), unknown("zone", zone, known));
         }
     }
 
@@ -77,13 +81,18 @@
             | FaultKind::Resets
             | FaultKind::Neighbour => {
                 let sound = fault.size > 0.0 && fault.size <= 1.0;
-                let problem = format!("is {}, but must be a share above 0 and at most 1", fault.size);
+                let problem = format!(
+                    "is {}, but must be a share above 0 and at most 1",
+                    fault.size
+                );
                 self.document.require(sound, field, problem);
             }
             FaultKind::Slow => {
                 let sound = fault.size > 1.0 && fault.size <= 1_000.0;
-                let problem =
-                    format!("is {}, but must be above 1 and at most 1000: how many times slower", fault.size);
+                let problem = format!(
+                    "is {}, but must be above 1 and at most 1000: how many times slower",
+                    fault.size
+                );
                 self.document.require(sound, field, problem);
             }
             _ => self.document.require(
@@ -102,7 +111,11 @@
         let named = !fault.servers.is_empty();
         match fault.kind {
             FaultKind::DiscoveryDown | FaultKind::DiscoveryMoves => {
-                self.document.require(!named, &field("servers"), "befalls discovery, and no server");
+                self.document.require(
+                    !named,
+                    &field("servers"),
+                    "befalls discovery, and no server",
+                );
                 return self.document.require(
                     fault.share == 0.0,
                     &field("share"),
@@ -132,15 +145,24 @@
                 "cuts one zone off, but there is no other",
             );
             let alone = matches!(&fault.servers[..], [one] if one.starts_with("zone:"));
-            self.document.require(alone, &field("servers"), "must be one zone, as [\"zone:NAME\"]");
+            self.document.require(
+                alone,
+                &field("servers"),
+                "must be one zone, as [\"zone:NAME\"]",
+            );
         }
         for (i, name) in fault.servers.iter().enumerate() {
             let place = format!("{at}.servers[{i}]");
             if let Some(zone) = name.strip_prefix("zone:") {
                 let known = e.network.zones.iter().map(String::as_str);
                 let there = e.network.zones.iter().any(|known| known == zone);
-                self.document.require(there, &place, unknown("zone", zone, known));
-            } else if !e.servers.iter().any(|kind| kind.name == *name || is_of_kind(name, kind)) {
+                self.document
+                    .require(there, &place, unknown("zone", zone, known));
+            } else if !e
+                .servers
+                .iter()
+                .any(|kind| kind.name == *name || is_of_kind(name, kind))
+            {
                 let names: Vec<String> = e
                     .servers
                     .iter()
@@ -150,23 +172,31 @@
                             .chain([kind.name.clone()])
                     })
                     .collect();
-                self.document
-                    .problem(&place, unknown("server or kind", name, names.iter().map(String::as_str)));
+                self.document.problem(
+                    &place,
+                    unknown("server or kind", name, names.iter().map(String::as_str)),
+                );
             }
         }
     }
 
     fn arms(&mut self, e: &Experiment) {
         self.list("arms", e.arms.len());
-        self.document.require(!e.arms.is_empty(), "arms", "is missing; name at least one policy to play");
+        self.document.require(
+            !e.arms.is_empty(),
+            "arms",
+            "is missing; name at least one policy to play",
+        );
         self.names("arms", e.arms.iter().map(|arm| arm.name.as_str()));
         for (i, arm) in e.arms.iter().enumerate() {
             let field = |name: &str| format!("arms[{i}].{name}");
             if arm.policy.is_empty() {
-                self.document.problem(&field("policy"), "is missing; say what decides");
+                self.document
+                    .problem(&field("policy"), "is missing; say what decides");
             } else if !play::policies().any(|(name, _)| name == arm.policy) {
                 let known = play::policies().map(|(name, _)| name);
-                self.document.problem(&field("policy"), unknown("policy", &arm.policy, known));
+                self.document
+                    .problem(&field("policy"), unknown("policy", &arm.policy, known));
             }
             if arm.binary.is_some() {
                 self.document.require(
@@ -190,10 +220,13 @@
             }
             if let Some(levels) = &arm.levels {
                 let module = arm.policy == "madderloom" && arm.binary.is_none();
-                let problem =
-                    "are levels of the decision module, so the policy must be madderloom, and of this build";
+                let problem = "are levels of the decision module, so the policy must be madderloom, and of this build";
                 self.document.require(module, &field("levels"), problem);
-                levels.check(&mut self.document, &field("levels"), &leveled::facts(&e.classes));
+                levels.check(
+                    &mut self.document,
+                    &field("levels"),
+                    &leveled::facts(&e.classes),
+                );
             }
         }
     }
@@ -206,13 +239,15 @@
                 && !e.arms.iter().any(|known| known.name == *arm)
             {
                 let known = e.arms.iter().map(|arm| arm.name.as_str());
-                self.document.problem(&field("arm"), unknown("arm", arm, known));
+                self.document
+                    .problem(&field("arm"), unknown("arm", arm, known));
             }
             if let Some(class) = &expect.class
                 && !e.classes.iter().any(|known| known.name == *class)
             {
                 let known = e.classes.iter().map(|class| class.name.as_str());
-                self.document.problem(&field("class"), unknown("class", class, known));
+                self.document
+                    .problem(&field("class"), unknown("class", class, known));
             }
             if let Some(goodput) = expect.goodput {
                 self.figure(&field("goodput"), goodput, 0.0..=1.0);
--- a/crates/lab/src/check/load.rs
+++ b/crates/lab/src/check/load.rs
@@ -32,7 +32,10 @@
         self.document.require(
             class.aim <= class.deadline,
             &field("aim"),
-            format!("is {}, but the client leaves after {} (deadline)", class.aim, class.deadline),
+            format!(
+                "is {}, but the client leaves after {} (deadline)",
+                class.aim, class.deadline
+            ),
         );
         self.figure(&field("worth"), class.worth, 0.0..=1e9);
         self.figure(&field("late_worth"), class.late_worth, 0.0..=1.0);
@@ -52,20 +55,25 @@
         self.count("clients.outstanding", c.outstanding, 0..=1_000_000);
         let closed = c.outstanding > 0;
         if closed && c.rate > 0.0 {
-            let problem =
-                "is set beside outstanding: a load is an open loop (rate) or a closed one (outstanding)";
+            let problem = "is set beside outstanding: a load is an open loop (rate) or a closed one (outstanding)";
             self.document.problem("clients.rate", problem);
         }
         if closed && !e.phases.is_empty() {
-            let problem = "are set beside clients.outstanding: in a closed loop the servers set the pace";
+            let problem =
+                "are set beside clients.outstanding: in a closed loop the servers set the pace";
             self.document.problem("phases", problem);
         }
         if c.arrivals.is_some() && (closed || c.rate > 0.0 || !e.phases.is_empty()) {
-            let problem = "is set beside a rate, phases or outstanding: the recorded arrivals are the load";
+            let problem =
+                "is set beside a rate, phases or outstanding: the recorded arrivals are the load";
             self.document.problem("clients.arrivals", problem);
         }
-        if c.arrivals.as_ref().is_some_and(|file| file.trim().is_empty()) {
-            self.document.problem("clients.arrivals", "must name a file");
+        if c.arrivals
+            .as_ref()
+            .is_some_and(|file| file.trim().is_empty())
+        {
+            self.document
+                .problem("clients.arrivals", "must name a file");
         }
         let load = closed || c.rate > 0.0 || c.arrivals.is_some() || !e.phases.is_empty();
         self.document.require(
@@ -81,7 +89,11 @@
         self.count("clients.retries", c.retries, 0..=100);
         self.figure("clients.try_share", c.try_share, 0.01..=1.0);
         self.span("clients.backoff", c.backoff, Span(0)..=HOUR);
-        self.figure("clients.honour_retry_after", c.honour_retry_after, 0.0..=1.0);
+        self.figure(
+            "clients.honour_retry_after",
+            c.honour_retry_after,
+            0.0..=1.0,
+        );
         self.figure("clients.impatient", c.impatient, 0.0..=1.0);
     }
 
@@ -93,13 +105,20 @@
             self.figure(&field("rate_to"), phase.rate_to, 0.0..=HIGHEST_RATE);
             self.figure(&field("wave"), phase.wave, 0.0..=1.0);
             if phase.wave > 0.0 {
-                self.span(&field("wave_every"), phase.wave_every, Span::ms(1)..=LONGEST);
+                self.span(
+                    &field("wave_every"),
+                    phase.wave_every,
+                    Span::ms(1)..=LONGEST,
+                );
             }
             let begins = phase.from < e.duration;
             self.document.require(
                 begins,
                 &field("from"),
-                format!("is {}, but the experiment ends at {}", phase.from, e.duration),
+                format!(
+                    "is {}, but the experiment ends at {}",
+                    phase.from, e.duration
+                ),
             );
             if phase.to > Span(0) {
                 self.document.require(
@@ -113,7 +132,9 @@
                     format!("is {}, but the experiment ends at {}", phase.to, e.duration),
                 );
             }
-            let Some(before) = i.checked_sub(1).and_then(|before| e.phases.get(before)) else { continue };
+            let Some(before) = i.checked_sub(1).and_then(|before| e.phases.get(before)) else {
+                continue;
+            };
             self.document.require(
                 phase.from > before.from,
                 &field("from"),
@@ -125,7 +146,10 @@
             self.document.require(
                 before.to <= phase.from || phase.from <= before.from,
                 &field("from"),
-                format!("is {}, but the phase before ends at {}: they overlap", phase.from, before.to),
+                format!(
+                    "is {}, but the phase before ends at {}: they overlap",
+                    phase.from, before.to
+                ),
             );
         }
     }
@@ -139,7 +163,11 @@
     for (i, phase) in e.phases.iter().enumerate() {
         requests += e.clients.rate * between(at, phase.from);
         at = end_of(phase, e.phases.get(i + 1), e.duration);
-        let last = if phase.rate_to > 0.0 { phase.rate_to } else { phase.rate };
+        let last = if phase.rate_to > 0.0 {
+            phase.rate_to
+        } else {
+            phase.rate
+        };
         requests += (phase.rate + last) / 2.0 * between(phase.from, at);
     }
     requests + e.clients.rate * between(at, e.duration)
@@ -147,5 +175,9 @@
 
 /// When a phase ends.
 fn end_of(phase: &Phase, next: Option<&Phase>, duration: Span) -> Span {
-    if phase.to > Span(0) { phase.to } else { next.map_or(duration, |next| next.from) }
+    if phase.to > Span(0) {
+        phase.to
+    } else {
+        next.map_or(duration, |next| next.from)
+    }
 }
--- a/crates/lab/src/check/mod.rs
+++ b/crates/lab/src/check/mod.rs
@@ -44,13 +44,21 @@
     pub fn read(text: &str) -> Result<Experiment, Vec<Problem>> {
         if text.len() > LONGEST_TEXT {
             let problem = format!("is longer than {LONGEST_TEXT} bytes: this is no experiment");
-            return Err(vec![Problem { line: 1, column: 1, field: String::new(), problem }]);
+            return Err(vec![Problem {
+                line: 1,
+                column: 1,
+                field: String::new(),
+                problem,
+            }]);
         }
         let (document, _) = Document::read::<Experiment>(text)?;
         let unread = document.finish(()).err().unwrap_or_default();
         let check = |look: fn(&mut Checker<'_>, &Experiment)| {
             let (document, experiment) = Document::read::<Experiment>(text)?;
-            let mut checker = Checker { document, unread: &unread };
+            let mut checker = Checker {
+                document,
+                unread: &unread,
+            };
             look(&mut checker, &experiment);
             checker.document.finish(experiment)
         };
@@ -58,7 +66,9 @@
             // What could not be read stands at its default now: that this makes no sense either is no news.
             let follows = |problem: &Problem| {
                 let field = problem.field.as_str();
-                unread.iter().any(|first| lies_in(field, &first.field) || lies_in(&first.field, field))
+                unread
+                    .iter()
+                    .any(|first| lies_in(field, &first.field) || lies_in(&first.field, field))
             };
             problems
                 .into_iter()
@@ -76,18 +86,24 @@
 
     /// Servers of all kinds.
     pub fn server_count(&self) -> u32 {
-        self.servers.iter().fold(0u32, |sum, kind| sum.saturating_add(kind.count))
+        self.servers
+            .iter()
+            .fold(0u32, |sum, kind| sum.saturating_add(kind.count))
     }
 }
 
 /// Whether a field is another one or lies within it: `a[1].b` lies in `a` and in `a[1]`.
 fn lies_in(field: &str, outer: &str) -> bool {
-    field.strip_prefix(outer).is_some_and(|rest| rest.is_empty() || rest.starts_with(['.', '[']))
+    field
+        .strip_prefix(outer)
+        .is_some_and(|rest| rest.is_empty() || rest.starts_with(['.', '[']))
 }
 
 /// The name among these that is most like another, if one is like it at all.
 pub fn nearest<'n>(name: &str, known: impl IntoIterator<Item = &'n str>) -> Option<&'n str> {
-    let like = known.into_iter().map(|near| (strsim::jaro_winkler(name, near), near));
+    let like = known
+        .into_iter()
+        .map(|near| (strsim::jaro_winkler(name, near), near));
     // Of several alike the first is taken, whatever the order of floats makes of ties.
     let best = like.fold(None, |best: Option<(f64, &str)>, next| match best {
         Some(best) if best.0 >= next.0 => Some(best),
@@ -97,7 +113,11 @@
 }
 
 /// What to say of a name that is not known.
-pub fn unknown<'n>(what: &str, name: &str, known: impl IntoIterator<Item = &'n str> + Clone) -> String {
+pub fn unknown<'n>(
+    what: &str,
+    name: &str,
+    known: impl IntoIterator<Item = &'n str> + Clone,
+) -> String {
     match nearest(name, known.clone()) {
         Some(near) => format!("there is no {what} {name:?}; did you mean {near:?}?"),
         None => {
@@ -111,7 +131,10 @@
                     known.len() - 16
                 )
             } else {
-                format!("there is no {what} {name:?}; there are {}", known.join(", "))
+                format!(
+                    "there is no {what} {name:?}; there are {}",
+                    known.join(", ")
+                )
             }
         }
     }
@@ -163,17 +186,26 @@
         let requests = load::arrivals(e);
         self.document.require(
             requests <= MOST_REQUESTS,
-            if e.phases.is_empty() { "clients.rate" } else { "phases" },
+            if e.phases.is_empty() {
+                "clients.rate"
+            } else {
+                "phases"
+            },
             format!("makes {requests:.0} requests in all; at most {MOST_REQUESTS:.0}"),
         );
     }
 
     fn head(&mut self, e: &Experiment) {
         if !self.document.has("version") {
-            self.document.problem("version", format!("is missing; this build reads version {VERSION}"));
+            self.document.problem(
+                "version",
+                format!("is missing; this build reads version {VERSION}"),
+            );
         } else if e.version != VERSION {
-            self.document
-                .problem("version", format!("is {}, but this build reads version {VERSION}", e.version));
+            self.document.problem(
+                "version",
+                format!("is {}, but this build reads version {VERSION}", e.version),
+            );
         }
         self.name("name", &e.name);
         self.document.require(
@@ -196,7 +228,8 @@
                 format!("is longer than the experiment, {}", e.duration),
             );
         }
-        self.document.require(!e.seeds.is_empty(), "seeds", "must hold at least one seed");
+        self.document
+            .require(!e.seeds.is_empty(), "seeds", "must hold at least one seed");
         self.document.require(
             e.seeds.len() as u64 <= MOST_SEEDS,
             "seeds",
@@ -220,11 +253,14 @@
     /// A name that is also part of a path: short, and of letters that every file system takes.
     fn name(&mut self, field: &str, name: &str) {
         if name.is_empty() {
-            return self
-                .document
-                .problem(field, "is missing; give a name of letters, digits, '-', '_' and '.'");
+            return self.document.problem(
+                field,
+                "is missing; give a name of letters, digits, '-', '_' and '.'",
+            );
         }
-        let plain = name.chars().all(|c| c.is_ascii_alphanumeric() || "-_.".contains(c));
+        let plain = name
+            .chars()
+            .all(|c| c.is_ascii_alphanumeric() || "-_.".contains(c));
         let begins = name.starts_with(|c: char| c.is_ascii_alphanumeric());
         self.document.require(
             plain && begins && name.len() <= 64,
--- a/crates/lab/src/cli/check.rs
+++ b/crates/lab/src/cli/check.rs
@@ -50,7 +50,11 @@
         if self.output == Output::Json {
             tell_json(&objects)?;
         }
-        Ok(if sound { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+        Ok(if sound {
+            ExitCode::SUCCESS
+        } else {
+            ExitCode::FAILURE
+        })
     }
 }
 
--- a/crates/lab/src/cli/compare.rs
+++ b/crates/lab/src/cli/compare.rs
@@ -56,20 +56,32 @@
                     obstacles.join("\n  ")
                 ));
             }
-            notes.extend(obstacles.iter().map(|what| format!("The days differ: {what}.")));
+            notes.extend(
+                obstacles
+                    .iter()
+                    .map(|what| format!("The days differ: {what}.")),
+            );
             notes.extend(compare::notes(&first, second));
         }
         let sides = self.sides(&first, second.as_ref())?;
-        let pairs: Vec<Pair> = sides.into_iter().map(|(a, b)| compare::pair(a, b, self.confidence)).collect();
+        let pairs: Vec<Pair> = sides
+            .into_iter()
+            .map(|(a, b)| compare::pair(a, b, self.confidence))
+            .collect();
         for folder in [Some(&first), second.as_ref()].into_iter().flatten() {
             notes.extend(
-                folder.flaws().iter().take(10).map(|flaw| format!("{}: {flaw}", folder.path.display())),
+                folder
+                    .flaws()
+                    .iter()
+                    .take(10)
+                    .map(|flaw| format!("{}: {flaw}", folder.path.display())),
             );
         }
-        if pairs
-            .iter()
-            .any(|pair| pair.differences.iter().any(|d| d.figure == crate::figures::Figure::Recovery))
-        {
+        if pairs.iter().any(|pair| {
+            pair.differences
+                .iter()
+                .any(|d| d.figure == crate::figures::Figure::Recovery)
+        }) {
             notes.push(
                 "Where goodput never recovered, the time there was for it counts: recovery took longer."
                     .into(),
@@ -112,13 +124,42 @@
         }
         let pairs: Vec<_> = match second {
             Some(second) => {
-                let common = first.manifest.arms.iter().filter(|arm| second.manifest.arms.contains(arm));
-                common.map(|arm| (Side { results: first, arm }, Side { results: second, arm })).collect()
+                let common = first
+                    .manifest
+                    .arms
+                    .iter()
+                    .filter(|arm| second.manifest.arms.contains(arm));
+                common
+                    .map(|arm| {
+                        (
+                            Side {
+                                results: first,
+                                arm,
+                            },
+                            Side {
+                                results: second,
+                                arm,
+                            },
+                        )
+                    })
+                    .collect()
             }
             None => {
                 let mut arms = first.manifest.arms.iter();
                 let base = arms.next().map(String::as_str).unwrap_or_default();
-                arms.map(|arm| (Side { results: first, arm: base }, Side { results: first, arm })).collect()
+                arms.map(|arm| {
+                    (
+                        Side {
+                            results: first,
+                            arm: base,
+                        },
+                        Side {
+                            results: first,
+                            arm,
+                        },
+                    )
+                })
+                .collect()
             }
         };
         if pairs.is_empty() {
@@ -129,7 +170,13 @@
 }
 
 fn people(pair: &Pair, two: bool) -> String {
-    let Pair { first, second, seeds, left_out, differences } = pair;
+    let Pair {
+        first,
+        second,
+        seeds,
+        left_out,
+        differences,
+    } = pair;
     let (a, b) = if two {
         (format!("{first} (first)"), format!("{second} (second)"))
     } else {
@@ -138,15 +185,17 @@
     let mut text = format!("{b} beside {a}, {} common seeds", seeds.len());
     if !left_out.is_empty() {
         let list: Vec<String> = left_out.iter().map(u64::to_string).collect();
-        text += &format!("; left out, for one has no sound run of them: {}", list.join(", "));
+        text += &format!(
+            "; left out, for one has no sound run of them: {}",
+            list.join(", ")
+        );
     }
     let mut table = table(&["figure", "class", &a, &b, "difference", "seen"]);
     for d in differences {
         let written = |value: f64| d.figure.written(value);
-        let ends = d
-            .difference
-            .ends
-            .map_or(String::new(), |(low, high)| format!(" [{}, {}]", written(low), written(high)));
+        let ends = d.difference.ends.map_or(String::new(), |(low, high)| {
+            format!(" [{}, {}]", written(low), written(high))
+        });
         let seen = match d.seen {
             Seen::Better => "better",
             Seen::Worse => "worse",
--- a/crates/lab/src/cli/count.rs
+++ b/crates/lab/src/cli/count.rs
@@ -48,8 +48,11 @@
                 logs.push(String::from_utf8_lossy(&bytes).into_owned());
             }
         }
-        let counted =
-            count::count(logs.iter().map(String::as_str), 1_000 * self.step_ms, 1_000 * self.cold_ms);
+        let counted = count::count(
+            logs.iter().map(String::as_str),
+            1_000 * self.step_ms,
+            1_000 * self.cold_ms,
+        );
         if counted.instances == 0 {
             return Err(format!(
                 "{place}: no file *.log there holds a line to count; are they of `--log-level debug --log-format json`?"
@@ -66,7 +69,11 @@
 }
 
 fn outcomes(ended: &BTreeMap<String, u64>) -> String {
-    ended.iter().map(|(outcome, many)| format!("{outcome} {many}")).collect::<Vec<_>>().join(", ")
+    ended
+        .iter()
+        .map(|(outcome, many)| format!("{outcome} {many}"))
+        .collect::<Vec<_>>()
+        .join(", ")
 }
 
 fn steps(counted: &Counted) -> String {
@@ -101,14 +108,23 @@
             step.asks,
         ];
         let row = std::iter::once(format!("{:.1}", step.at as f64 / 1e6));
-        table.add_row(row.chain(numbers.map(|n| n.to_string())).chain([outcomes(&step.ended)]));
+        table.add_row(
+            row.chain(numbers.map(|n| n.to_string()))
+                .chain([outcomes(&step.ended)]),
+        );
     }
-    format!("{table}\n{} instances; {} lines passed over\n", counted.instances, counted.passed_over)
+    format!(
+        "{table}\n{} instances; {} lines passed over\n",
+        counted.instances, counted.passed_over
+    )
 }
 
 fn starts(counted: &Counted) -> String {
     let mut text = String::new();
-    let kinds = ["processes that are the first in their logs", "processes that follow"];
+    let kinds = [
+        "processes that are the first in their logs",
+        "processes that follow",
+    ];
     for (kind, started) in kinds.iter().zip(&counted.starts) {
         let mut ages = table(&[
             "age up to s",
@@ -122,16 +138,42 @@
             "left",
         ]);
         for (most, at) in AGES.iter().zip(&started.ages) {
-            let most = if *most == u64::MAX { "any".to_string() } else { format!("{}", most / 1_000_000) };
-            let numbers =
-                [at.requests, at.sent, at.early, at.no_list, at.all_cold, at.no_server, at.tried, at.left];
+            let most = if *most == u64::MAX {
+                "any".to_string()
+            } else {
+                format!("{}", most / 1_000_000)
+            };
+            let numbers = [
+                at.requests,
+                at.sent,
+                at.early,
+                at.no_list,
+                at.all_cold,
+                at.no_server,
+                at.tried,
+                at.left,
+            ];
             ages.add_row(std::iter::once(most).chain(numbers.map(|n| n.to_string())));
         }
         let mut firsts = table(&["ms to the first", "median", "nine in ten", "all", "never"]);
-        let of = [("list", &started.list), ("attempt", &started.attempt), ("answer", &started.answer)];
+        let of = [
+            ("list", &started.list),
+            ("attempt", &started.attempt),
+            ("answer", &started.answer),
+        ];
         for (name, first) in of {
-            let at = |part| first.quantile(part).map_or("-".into(), |us| format!("{:.1}", us as f64 / 1e3));
-            firsts.add_row([name.into(), at(0.5), at(0.9), at(1.0), first.never.to_string()]);
+            let at = |part| {
+                first
+                    .quantile(part)
+                    .map_or("-".into(), |us| format!("{:.1}", us as f64 / 1e3))
+            };
+            firsts.add_row([
+                name.into(),
+                at(0.5),
+                at(0.9),
+                at(1.0),
+                first.never.to_string(),
+            ]);
         }
         text += &format!("{} {kind}\n{ages}\n{firsts}\n", started.lives);
     }
@@ -139,7 +181,14 @@
 }
 
 fn servers(counted: &Counted) -> String {
-    let mut table = table(&["server", "senders", "sent", "opened", "served in ms", "ended"]);
+    let mut table = table(&[
+        "server",
+        "senders",
+        "sent",
+        "opened",
+        "served in ms",
+        "ended",
+    ]);
     for server in &counted.servers {
         let served_in = format!("{:.1}", server.served_in as f64 / 1e3);
         let numbers = [server.senders, server.sent, server.opened].map(|n| n.to_string());
--- a/crates/lab/src/cli/list.rs
+++ b/crates/lab/src/cli/list.rs
@@ -40,13 +40,26 @@
             return Ok(ExitCode::SUCCESS);
         }
         let (head, entries): (_, Vec<(String, String)>) = if self.policies {
-            ("policy", play::policies().map(|(name, about)| (name.into(), about.into())).collect())
+            (
+                "policy",
+                play::policies()
+                    .map(|(name, about)| (name.into(), about.into()))
+                    .collect(),
+            )
         } else {
-            ("experiment", shipped::ALL.iter().map(|(name, text)| ((*name).into(), about(text))).collect())
+            (
+                "experiment",
+                shipped::ALL
+                    .iter()
+                    .map(|(name, text)| ((*name).into(), about(text)))
+                    .collect(),
+            )
         };
         if self.output == Output::Json {
-            let objects: Vec<_> =
-                entries.iter().map(|(name, about)| json!({ "name": name, "about": about })).collect();
+            let objects: Vec<_> = entries
+                .iter()
+                .map(|(name, about)| json!({ "name": name, "about": about }))
+                .collect();
             tell_json(&objects)?;
         } else {
             let mut table = table(&[head, "what it shows"]);
@@ -63,6 +76,8 @@
 }
 
 fn about(text: &str) -> String {
-    Experiment::read(text)
-        .map_or_else(|_| "(makes no sense to this build)".into(), |experiment| experiment.about)
+    Experiment::read(text).map_or_else(
+        |_| "(makes no sense to this build)".into(),
+        |experiment| experiment.about,
+    )
 }
--- a/crates/lab/src/cli/mod.rs
+++ b/crates/lab/src/cli/mod.rs
@@ -46,10 +46,14 @@
 /// A table with this head, as wide as the terminal where there is one.
 pub(crate) fn table(head: &[&str]) -> Table {
     let mut table = Table::new();
-    table.load_style(presets::UTF8_BORDERS_ONLY).set_header(head.iter().copied());
+    table
+        .load_style(presets::UTF8_BORDERS_ONLY)
+        .set_header(head.iter().copied());
     // Into a pipe no line is broken.
     if let Some((_, columns)) = console::Term::stdout().size_checked() {
-        table.set_content_arrangement(ContentArrangement::Dynamic).set_width(columns);
+        table
+            .set_content_arrangement(ContentArrangement::Dynamic)
+            .set_width(columns);
     }
     table
 }
@@ -57,8 +61,12 @@
 /// Reads an experiment with its recorded arrivals, and the arrivals' hash; else all problems, a line each.
 fn read(text: &Text) -> Result<(Experiment, Option<String>), Vec<String>> {
     let Text { name, text, beside } = text;
-    let mut experiment = Experiment::read(text)
-        .map_err(|problems| problems.iter().map(|problem| format!("{name}:{problem}")).collect::<Vec<_>>())?;
+    let mut experiment = Experiment::read(text).map_err(|problems| {
+        problems
+            .iter()
+            .map(|problem| format!("{name}:{problem}"))
+            .collect::<Vec<_>>()
+    })?;
     let hash = play::with_files(&mut experiment, beside).map_err(|problem| vec![problem])?;
     Ok((experiment, hash))
 }
--- a/crates/lab/src/cli/run.rs
+++ b/crates/lab/src/cli/run.rs
@@ -65,8 +65,11 @@
     pub fn run(self) -> Result<ExitCode, String> {
         let text = shipped::find(&self.experiment)?;
         let (experiment, arrivals) = super::read(&text).map_err(|lines| {
-            let more =
-                if lines.len() > 1 { format!("\n{} problems in all", lines.len()) } else { String::new() };
+            let more = if lines.len() > 1 {
+                format!("\n{} problems in all", lines.len())
+            } else {
+                String::new()
+            };
             format!("{}{more}", lines.join("\n"))
         })?;
         let manifest = Manifest {
@@ -106,10 +109,18 @@
 
     fn chosen_arms(&self, experiment: &Experiment) -> Result<Vec<String>, String> {
         let names = || experiment.arms.iter().map(|arm| arm.name.as_str());
-        if let Some(stray) = self.arms.iter().find(|arm| !names().any(|name| name == *arm)) {
-            return Err(format!("--arms: {}", unknown("arm", stray, names().collect::<Vec<_>>())));
+        if let Some(stray) = self
+            .arms
+            .iter()
+            .find(|arm| !names().any(|name| name == *arm))
+        {
+            return Err(format!(
+                "--arms: {}",
+                unknown("arm", stray, names().collect::<Vec<_>>())
+            ));
         }
-        let chosen = names().filter(|name| self.arms.is_empty() || self.arms.iter().any(|arm| arm == name));
+        let chosen =
+            names().filter(|name| self.arms.is_empty() || self.arms.iter().any(|arm| arm == name));
         Ok(chosen.map(str::to_string).collect())
     }
 
@@ -122,8 +133,16 @@
         runs: &Runs,
     ) -> Result<bool, String> {
         let cores = || std::thread::available_parallelism().map_or(1, usize::from);
-        let workers =
-            self.jobs.map_or_else(|| if self.driver == Driver::Sockets { 1 } else { cores() }, usize::from);
+        let workers = self.jobs.map_or_else(
+            || {
+                if self.driver == Driver::Sockets {
+                    1
+                } else {
+                    cores()
+                }
+            },
+            usize::from,
+        );
         let progress = Progress::new(experiment, jobs.len());
         let problem = Mutex::new(None);
         runs.play(
@@ -135,26 +154,44 @@
                 progress.done(place, &run);
                 if let Err(e) = folder.write_run(&run) {
                     // A full disk, say: what follows could not be kept either.
-                    *problem.lock().unwrap_or_else(std::sync::PoisonError::into_inner) = Some(e);
+                    *problem
+                        .lock()
+                        .unwrap_or_else(std::sync::PoisonError::into_inner) = Some(e);
                     runs.break_off();
                 }
             },
         );
         progress.bar.finish_and_clear();
-        match problem.into_inner().unwrap_or_else(std::sync::PoisonError::into_inner) {
+        match problem
+            .into_inner()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
+        {
             Some(problem) => Err(problem),
             None => Ok(runs.broken_off()),
         }
     }
 
     /// Judges what was played, tells it, and says with which code to exit.
-    fn finish(&self, folder: &Folder, mut manifest: Manifest, broken_off: bool) -> Result<ExitCode, String> {
+    fn finish(
+        &self,
+        folder: &Folder,
+        mut manifest: Manifest,
+        broken_off: bool,
+    ) -> Result<ExitCode, String> {
         let mut played = Results::read(folder.path())?;
         let whole = played.missing.is_empty();
-        manifest.end = Some(if broken_off && !whole { End::BrokenOff } else { End::Complete });
+        manifest.end = Some(if broken_off && !whole {
+            End::BrokenOff
+        } else {
+            End::Complete
+        });
         if whole {
-            manifest.verdicts =
-                expect::verdicts(&played.experiment, &manifest.arms, manifest.seeds.len(), &played.runs);
+            manifest.verdicts = expect::verdicts(
+                &played.experiment,
+                &manifest.arms,
+                manifest.seeds.len(),
+                &played.runs,
+            );
         }
         folder.write_manifest(&manifest)?;
         played.manifest = manifest.clone();
@@ -177,7 +214,10 @@
         } else {
             tell(&people(&played, &summaries, &manifest));
         }
-        let failed = manifest.verdicts.iter().any(|verdict| verdict.held == Some(false));
+        let failed = manifest
+            .verdicts
+            .iter()
+            .any(|verdict| verdict.held == Some(false));
         Ok(if !whole {
             ExitCode::from(BROKEN_OFF)
         } else if failed {
@@ -196,8 +236,11 @@
     let wanted = wanted.unwrap_or(seeds.len() as u64) as usize;
     let highest = seeds.iter().copied().max().unwrap_or(0);
     // Past the highest number there is it goes on from 0, without those that are there.
-    let more: Vec<u64> =
-        (1..).map(|n| highest.wrapping_add(n)).filter(|seed| !seeds.contains(seed)).take(wanted).collect();
+    let more: Vec<u64> = (1..)
+        .map(|n| highest.wrapping_add(n))
+        .filter(|seed| !seeds.contains(seed))
+        .take(wanted)
+        .collect();
     seeds.extend(more);
     seeds.truncate(wanted);
     seeds
@@ -208,7 +251,10 @@
     let mut text = format!("{}\n", arms_table(summaries));
     let seeds = manifest.seeds.len();
     let few = if seeds < crate::stats::FEWEST {
-        format!("; under {} seeds there are no intervals", crate::stats::FEWEST)
+        format!(
+            "; under {} seeds there are no intervals",
+            crate::stats::FEWEST
+        )
     } else {
         String::new()
     };
@@ -221,9 +267,16 @@
     for flaw in flaws_in_short(played) {
         text += &format!("{flaw}\n");
     }
-    let failed = manifest.verdicts.iter().filter(|Verdict { held, .. }| *held != Some(true)).count();
+    let failed = manifest
+        .verdicts
+        .iter()
+        .filter(|Verdict { held, .. }| *held != Some(true))
+        .count();
     if failed > 0 {
-        text += &format!("{failed} of {} expectations did not hold\n", manifest.verdicts.len());
+        text += &format!(
+            "{failed} of {} expectations did not hold\n",
+            manifest.verdicts.len()
+        );
     }
     let path = folder_name(&played.path);
     text + &format!("results: {path}; look at them with: madderloom-lab report {path}\n")
@@ -247,10 +300,21 @@
 
 /// The table of arms.
 fn arms_table(summaries: &[Summary]) -> comfy_table::Table {
-    const COLUMNS: [Figure; 6] =
-        [Figure::Goodput, Figure::Mean, Figure::P99, Figure::Attempts, Figure::Refused, Figure::Failed];
-    let recovers = summaries.iter().any(|arm| arm.figure(Figure::Recovery).is_some());
-    let columns: Vec<Figure> = COLUMNS.into_iter().chain(recovers.then_some(Figure::Recovery)).collect();
+    const COLUMNS: [Figure; 6] = [
+        Figure::Goodput,
+        Figure::Mean,
+        Figure::P99,
+        Figure::Attempts,
+        Figure::Refused,
+        Figure::Failed,
+    ];
+    let recovers = summaries
+        .iter()
+        .any(|arm| arm.figure(Figure::Recovery).is_some());
+    let columns: Vec<Figure> = COLUMNS
+        .into_iter()
+        .chain(recovers.then_some(Figure::Recovery))
+        .collect();
     let head: Vec<&str> = ["arm"]
         .into_iter()
         .chain(columns.iter().map(|figure| figure.name()))
@@ -260,7 +324,9 @@
     for arm in summaries {
         let mut row = vec![arm.arm.clone()];
         for figure in &columns {
-            let mut cell = arm.figure(*figure).map_or("-".into(), |i| figure.written(i.mean));
+            let mut cell = arm
+                .figure(*figure)
+                .map_or("-".into(), |i| figure.written(i.mean));
             if let Some(interval) = arm.figure(*figure)
                 && let Some((low, high)) = interval.ends
             {
@@ -298,11 +364,16 @@
     fn new(experiment: &Experiment, jobs: usize) -> Self {
         let duration = experiment.duration.micros().max(1);
         let bar = ProgressBar::new(duration.saturating_mul(jobs as u64));
-        if let Ok(style) = ProgressStyle::with_template("{msg} {wide_bar} {percent:>3}% {eta} left") {
+        if let Ok(style) = ProgressStyle::with_template("{msg} {wide_bar} {percent:>3}% {eta} left")
+        {
             bar.set_style(style);
         }
         bar.set_message(format!("0 of {jobs} runs"));
-        Progress { bar, state: Mutex::new((vec![0; jobs], 0)), duration }
+        Progress {
+            bar,
+            state: Mutex::new((vec![0; jobs], 0)),
+            duration,
+        }
     }
 
     fn at(&self, place: usize, at: Span) {
@@ -318,7 +389,10 @@
     }
 
     fn moved(&self, place: usize, at: u64, ended: bool) {
-        let mut state = self.state.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+        let mut state = self
+            .state
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner);
         let (come, runs) = &mut *state;
         if let Some(come) = come.get_mut(place) {
             self.bar.inc(at.saturating_sub(*come));
@@ -326,7 +400,8 @@
         }
         if ended {
             *runs += 1;
-            self.bar.set_message(format!("{runs} of {} runs", come.len()));
+            self.bar
+                .set_message(format!("{runs} of {} runs", come.len()));
         }
     }
 }
--- a/crates/lab/src/compare.rs
+++ b/crates/lab/src/compare.rs
@@ -86,14 +86,24 @@
         notes.push(format!("Other drivers: {} and {}.", a.driver, b.driver));
     }
     if (&a.version, &a.build) != (&b.version, &b.build) {
-        notes.push(format!("Other builds: {} ({}) and {} ({}).", a.version, a.build, b.version, b.build));
+        notes.push(format!(
+            "Other builds: {} ({}) and {} ({}).",
+            a.version, a.build, b.version, b.build
+        ));
     }
     for arm in &first.experiment.arms {
-        if let Some(other) = second.experiment.arms.iter().find(|other| other.name == arm.name)
+        if let Some(other) = second
+            .experiment
+            .arms
+            .iter()
+            .find(|other| other.name == arm.name)
             && (&other.policy, &other.with, &other.binary, &other.levels)
                 != (&arm.policy, &arm.with, &arm.binary, &arm.levels)
         {
-            notes.push(format!("The arm {} is defined otherwise in the second folder.", arm.name));
+            notes.push(format!(
+                "The arm {} is defined otherwise in the second folder.",
+                arm.name
+            ));
         }
     }
     notes
@@ -133,7 +143,11 @@
             }
         }
         (Value::Array(list), Value::Array(others)) => {
-            found.push(format!("{path}: {} entries and {}", list.len(), others.len()));
+            found.push(format!(
+                "{path}: {} entries and {}",
+                list.len(),
+                others.len()
+            ));
         }
         _ => found.push(format!("{path}: {a} and {b}")),
     }
@@ -141,31 +155,61 @@
 
 /// Two arms against each other, with intervals of this confidence.
 pub fn pair(first: Side<'_>, second: Side<'_>, confidence: f64) -> Pair {
-    let runs = |side: Side<'_>| side.results.of_arm(side.arm).map(|run| run.seed).collect::<Vec<_>>();
+    let runs = |side: Side<'_>| {
+        side.results
+            .of_arm(side.arm)
+            .map(|run| run.seed)
+            .collect::<Vec<_>>()
+    };
     let (a, b) = (runs(first), runs(second));
     let seeds: Vec<u64> = a.iter().copied().filter(|seed| b.contains(seed)).collect();
     let mut planned = first.results.manifest.seeds.clone();
     planned.extend(
-        second.results.manifest.seeds.iter().filter(|seed| !first.results.manifest.seeds.contains(seed)),
+        second
+            .results
+            .manifest
+            .seeds
+            .iter()
+            .filter(|seed| !first.results.manifest.seeds.contains(seed)),
     );
-    let left_out = planned.into_iter().filter(|seed| !seeds.contains(seed)).collect();
+    let left_out = planned
+        .into_iter()
+        .filter(|seed| !seeds.contains(seed))
+        .collect();
     let pairs: Vec<(&Run, &Run)> = seeds
         .iter()
         .filter_map(|seed| {
             let of = |side: Side<'_>| {
-                side.results.runs.iter().position(|run| run.arm == side.arm && run.seed == *seed)
+                side.results
+                    .runs
+                    .iter()
+                    .position(|run| run.arm == side.arm && run.seed == *seed)
             };
-            Some((first.results.runs.get(of(first)?)?, second.results.runs.get(of(second)?)?))
+            Some((
+                first.results.runs.get(of(first)?)?,
+                second.results.runs.get(of(second)?)?,
+            ))
         })
         .collect();
-    let classes = first.results.experiment.classes.iter().map(|class| Some(class.name.as_str()));
+    let classes = first
+        .results
+        .experiment
+        .classes
+        .iter()
+        .map(|class| Some(class.name.as_str()));
     let several = classes.len() > 1;
     let groups = std::iter::once(None).chain(classes.filter(|_| several));
     let differences = groups
         .flat_map(|class| figures::ALL.iter().map(move |figure| (class, *figure)))
         .filter_map(|(class, figure)| difference(figure, class, &pairs, first, second, confidence))
         .collect();
-    Pair { first: first.arm.into(), second: second.arm.into(), seeds, left_out, differences }
+    Pair {
+        first: first.arm.into(),
+        second: second.arm.into(),
+        seeds,
+        left_out,
+        differences,
+    }
 }
 
 fn difference(
@@ -205,8 +249,11 @@
 
 /// What must be borne in mind with so many intervals at once.
 pub fn caution(pairs: &[Pair], confidence: f64) -> String {
-    let judged =
-        pairs.iter().flat_map(|pair| &pair.differences).filter(|d| d.seen != Seen::TooFewSeeds).count();
+    let judged = pairs
+        .iter()
+        .flat_map(|pair| &pair.differences)
+        .filter(|d| d.seen != Seen::TooFewSeeds)
+        .count();
     if judged == 0 {
         return format!("No difference is judged: that takes {FEWEST} seeds that both have.");
     }
--- a/crates/lab/src/count.rs
+++ b/crates/lab/src/count.rs
@@ -135,13 +135,18 @@
     let step = step.max(1);
     let mut counted = Counted::default();
     let (mut busy, mut told) = (BTreeMap::<u64, Busy>::new(), HashMap::<String, Told>::new());
-    let (mut servers, mut times) = (HashMap::<String, OfServer>::new(), HashMap::<String, (u64, u64)>::new());
+    let (mut servers, mut times) = (
+        HashMap::<String, OfServer>::new(),
+        HashMap::<String, (u64, u64)>::new(),
+    );
     for log in logs {
         let (mut of_use, mut sent_to) = (false, HashSet::<String>::new());
         let mut lives = Lives::default();
         for line in log.lines() {
             let object = line.find('{').map(|at| &line[at..]);
-            let Some(line) = object.and_then(|object| serde_json::from_str::<Line<'_>>(object).ok()) else {
+            let Some(line) =
+                object.and_then(|object| serde_json::from_str::<Line<'_>>(object).ok())
+            else {
                 counted.passed_over += 1;
                 continue;
             };
@@ -160,7 +165,8 @@
                 "send" => {
                     let started = told.get(&server).map_or(0, |told| told.started);
                     at.step.sent += 1;
-                    at.step.sent_cold += u64::from(started > 0 && fields.t < started.saturating_add(cold));
+                    at.step.sent_cold +=
+                        u64::from(started > 0 && fields.t < started.saturating_add(cold));
                     let of = servers.entry(server.clone()).or_default();
                     of.sent += 1;
                     of.senders += u64::from(sent_to.insert(server.clone()));
@@ -195,18 +201,30 @@
     }
     let first = busy.keys().next().copied().unwrap_or(0);
     let most = |counts: &HashMap<String, u64>| counts.values().copied().max().unwrap_or(0);
-    counted.steps.extend(busy.into_iter().map(|(at, busy)| Step {
-        at: (at - first) * step,
-        sent_most: most(&busy.sent),
-        opened_most: most(&busy.opened),
-        ..busy.step
-    }));
-    let quiet = |step: &Step| *step == Step { at: step.at, ..Step::default() };
+    counted
+        .steps
+        .extend(busy.into_iter().map(|(at, busy)| Step {
+            at: (at - first) * step,
+            sent_most: most(&busy.sent),
+            opened_most: most(&busy.opened),
+            ..busy.step
+        }));
+    let quiet = |step: &Step| {
+        *step
+            == Step {
+                at: step.at,
+                ..Step::default()
+            }
+    };
     counted.steps.retain(|step| !quiet(step));
     counted.servers.extend(servers.into_iter().map(|(id, of)| {
         let served_in = times.get(&id).map_or(0, |(sum, many)| sum / (*many).max(1));
         let name = told.remove(&id).and_then(|told| told.name).unwrap_or(id);
-        OfServer { name, served_in, ..of }
+        OfServer {
+            name,
+            served_in,
+            ..of
+        }
     }));
     counted.servers.sort_by(|a, b| a.name.cmp(&b.name));
     counted
@@ -237,12 +255,34 @@
         let counted = count([ONE, OTHER], 100_000, 1_000_000);
         assert_eq!((counted.instances, counted.passed_over), (2, 1));
         let first = &counted.steps[0];
-        assert_eq!((first.at, first.requests, first.sent, first.sent_cold, first.sent_most), (0, 1, 2, 2, 2));
-        assert_eq!((first.opened, first.not_up, first.opened_most, first.refused), (2, 1, 2, 1));
-        assert_eq!(first.ended, BTreeMap::from([("ConnectFailed".to_string(), 1)]));
+        assert_eq!(
+            (
+                first.at,
+                first.requests,
+                first.sent,
+                first.sent_cold,
+                first.sent_most
+            ),
+            (0, 1, 2, 2, 2)
+        );
+        assert_eq!(
+            (first.opened, first.not_up, first.opened_most, first.refused),
+            (2, 1, 2, 1)
+        );
+        assert_eq!(
+            first.ended,
+            BTreeMap::from([("ConnectFailed".to_string(), 1)])
+        );
         let last = counted.steps.last().expect("there are steps");
-        assert_eq!((last.at, last.sent, last.sent_cold, last.asks), (8_000_000, 1, 0, 1));
-        assert_eq!(counted.steps.len(), 3, "steps in which nothing happened are left out");
+        assert_eq!(
+            (last.at, last.sent, last.sent_cold, last.asks),
+            (8_000_000, 1, 0, 1)
+        );
+        assert_eq!(
+            counted.steps.len(),
+            3,
+            "steps in which nothing happened are left out"
+        );
     }
 
     #[test]
@@ -269,20 +309,48 @@
 {"fields":{"t":7300000,"what":"ended","request":1,"server":"a","outcome":"Ok","us":200000}}
 "#;
         let [first, later] = count([log], 100_000, 1_000_000).starts;
-        let young = AtAge { requests: 3, early: 1, no_list: 1, all_cold: 1, ..AtAge::default() };
-        let old = AtAge { requests: 2, sent: 1, tried: 1, no_server: 1, ..AtAge::default() };
+        let young = AtAge {
+            requests: 3,
+            early: 1,
+            no_list: 1,
+            all_cold: 1,
+            ..AtAge::default()
+        };
+        let old = AtAge {
+            requests: 2,
+            sent: 1,
+            tried: 1,
+            no_server: 1,
+            ..AtAge::default()
+        };
         assert_eq!((first.lives, first.ages[0], first.ages[3]), (1, young, old));
-        assert_eq!((first.list.quantile(1.0), first.attempt.quantile(0.5)), (Some(500_000), Some(4_100_000)));
+        assert_eq!(
+            (first.list.quantile(1.0), first.attempt.quantile(0.5)),
+            (Some(500_000), Some(4_100_000))
+        );
         assert_eq!((first.answer.never, first.answer.quantile(0.5)), (1, None));
         assert_eq!((later.lives, later.answer.after), (1, vec![300_000]));
-        assert_eq!(later.ages[0], AtAge { requests: 2, sent: 1, left: 1, ..AtAge::default() });
+        assert_eq!(
+            later.ages[0],
+            AtAge {
+                requests: 2,
+                sent: 1,
+                left: 1,
+                ..AtAge::default()
+            }
+        );
     }
 
     #[test]
     fn a_server_is_counted_over_all_that_send_to_it() {
         let counted = count([ONE, OTHER], 100_000, 1_000_000);
-        let [server] = &counted.servers[..] else { panic!("one server: {:?}", counted.servers) };
-        assert_eq!((&*server.name, server.senders, server.sent, server.opened), ("s-1", 2, 3, 2));
+        let [server] = &counted.servers[..] else {
+            panic!("one server: {:?}", counted.servers)
+        };
+        assert_eq!(
+            (&*server.name, server.senders, server.sent, server.opened),
+            ("s-1", 2, 3, 2)
+        );
         assert_eq!(server.served_in, 100_000);
     }
 }
--- a/crates/lab/src/expect.rs
+++ b/crates/lab/src/expect.rs
@@ -25,7 +25,13 @@
 
 impl fmt::Display for Verdict {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Verdict { arm, what, wanted, got, held } = self;
+        let Verdict {
+            arm,
+            what,
+            wanted,
+            got,
+            held,
+        } = self;
         let word = match held {
             Some(true) => "held",
             Some(false) => "FAILED",
@@ -36,13 +42,27 @@
 }
 
 /// What became of all that the experiment expects of these arms, over these seeds.
-pub fn verdicts(experiment: &Experiment, arms: &[String], seeds: usize, runs: &[Run]) -> Vec<Verdict> {
+pub fn verdicts(
+    experiment: &Experiment,
+    arms: &[String],
+    seeds: usize,
+    runs: &[Run],
+) -> Vec<Verdict> {
     let mut verdicts = Vec::new();
-    for arm in arms.iter().filter_map(|name| experiment.arms.iter().find(|arm| arm.name == *name)) {
+    for arm in arms
+        .iter()
+        .filter_map(|name| experiment.arms.iter().find(|arm| arm.name == *name))
+    {
         let all: Vec<&Run> = runs.iter().filter(|run| run.arm == arm.name).collect();
-        let sound: Vec<&Run> = all.iter().filter(|run| run.void.is_none()).copied().collect();
-        for expected in
-            experiment.expect.iter().filter(|e| e.arm.as_ref().is_none_or(|name| *name == arm.name))
+        let sound: Vec<&Run> = all
+            .iter()
+            .filter(|run| run.void.is_none())
+            .copied()
+            .collect();
+        for expected in experiment
+            .expect
+            .iter()
+            .filter(|e| e.arm.as_ref().is_none_or(|name| *name == arm.name))
         {
             let from = verdicts.len();
             judge(expected, arm, &sound, &mut verdicts);
@@ -66,30 +86,74 @@
             None => Some(&run.total),
         })
         .collect();
-    let of = expected.class.as_ref().map(|class| format!(" of {class}")).unwrap_or_default();
+    let of = expected
+        .class
+        .as_ref()
+        .map(|class| format!(" of {class}"))
+        .unwrap_or_default();
     let mut put = |what: &str, wanted: String, got: String, held: bool| {
-        let what = if what == "rules" { what.to_string() } else { format!("{what}{of}") };
-        verdicts.push(Verdict { arm: arm.name.clone(), what, wanted, got, held: Some(held) });
+        let what = if what == "rules" {
+            what.to_string()
+        } else {
+            format!("{what}{of}")
+        };
+        verdicts.push(Verdict {
+            arm: arm.name.clone(),
+            what,
+            wanted,
+            got,
+            held: Some(held),
+        });
     };
     if let Some(least) = expected.goodput {
-        let goodput = stats::mean(&tallies.iter().map(|tally| tally.goodput()).collect::<Vec<_>>());
-        put("goodput", format!("at least {least}"), format!("{goodput:.4}"), goodput >= least);
+        let goodput = stats::mean(
+            &tallies
+                .iter()
+                .map(|tally| tally.goodput())
+                .collect::<Vec<_>>(),
+        );
+        put(
+            "goodput",
+            format!("at least {least}"),
+            format!("{goodput:.4}"),
+            goodput >= least,
+        );
     }
     if let Some(most) = expected.p99 {
         // Where nothing was served nothing was served in time.
-        let p99 = Latency::merged(tallies.iter().map(|tally| &tally.latency)).percentile(0.99).map(Span);
-        let got = p99.map_or("nothing served".to_string(), |p99| format!("{:.1}ms", p99.seconds() * 1e3));
-        put("p99", format!("at most {most}"), got, p99.is_some_and(|p99| p99 <= most));
+        let p99 = Latency::merged(tallies.iter().map(|tally| &tally.latency))
+            .percentile(0.99)
+            .map(Span);
+        let got = p99.map_or("nothing served".to_string(), |p99| {
+            format!("{:.1}ms", p99.seconds() * 1e3)
+        });
+        put(
+            "p99",
+            format!("at most {most}"),
+            got,
+            p99.is_some_and(|p99| p99 <= most),
+        );
     }
     if let Some(most) = expected.attempts {
-        let per_run: Vec<f64> = tallies.iter().filter_map(|tally| figures::attempts(tally)).collect();
+        let per_run: Vec<f64> = tallies
+            .iter()
+            .filter_map(|tally| figures::attempts(tally))
+            .collect();
         let attempts = stats::mean(&per_run);
-        put("attempts a request", format!("at most {most}"), format!("{attempts:.3}"), attempts <= most);
+        put(
+            "attempts a request",
+            format!("at most {most}"),
+            format!("{attempts:.3}"),
+            attempts <= most,
+        );
     }
     if let Some(within) = expected.recovers_within {
         let slowest = runs
             .iter()
-            .map(|run| run.recovery.map_or((Span(u64::MAX), run.seed), |span| (span, run.seed)))
+            .map(|run| {
+                run.recovery
+                    .map_or((Span(u64::MAX), run.seed), |span| (span, run.seed))
+            })
             .max();
         let held = slowest.is_none_or(|(span, _)| span <= within);
         let got = match slowest {
@@ -97,11 +161,20 @@
             Some((span, seed)) => format!("{:.1}s with seed {seed}", span.seconds()),
             None => "no run".to_string(),
         };
-        put("recovery with each seed", format!("within {within}"), got, held);
+        put(
+            "recovery with each seed",
+            format!("within {within}"),
+            got,
+            held,
+        );
     }
     if expected.rules != Some(false) {
-        let broken =
-            runs.iter().find_map(|run| run.breaches.iter().find(|(_, n)| **n > 0).map(|b| (run.seed, b)));
+        let broken = runs.iter().find_map(|run| {
+            run.breaches
+                .iter()
+                .find(|(_, n)| **n > 0)
+                .map(|b| (run.seed, b))
+        });
         let got = match broken {
             Some((seed, (rule, times))) => format!("{rule} broken {times} times with seed {seed}"),
             None => "none broken".to_string(),
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -438,7 +438,12 @@
 
 impl Default for Instances {
     fn default() -> Self {
-        Instances { count: 6, tick: Span::ms(1), skew: 0.0, allow: Allow::default() }
+        Instances {
+            count: 6,
+            tick: Span::ms(1),
+            skew: 0.0,
+            allow: Allow::default(),
+        }
     }
 }
 
--- a/crates/lab/src/figures.rs
+++ b/crates/lab/src/figures.rs
@@ -75,7 +75,11 @@
         };
         let text = format!("{value:.digits$}");
         // What rounds to nothing has no sign.
-        if text.trim_start_matches(['-', '0', '.']).is_empty() { format!("{:.digits$}", 0.0) } else { text }
+        if text.trim_start_matches(['-', '0', '.']).is_empty() {
+            format!("{:.digits$}", 0.0)
+        } else {
+            text
+        }
     }
 
     /// Its value for a class of a run, or for all together; none where the run has none.
@@ -85,7 +89,12 @@
             None => &run.total,
         };
         let share = |part: u64| (tally.asked > 0).then(|| part as f64 / tally.asked as f64);
-        let latency = |part: f64| tally.latency.percentile(part).map(|micros| micros as f64 / 1e3);
+        let latency = |part: f64| {
+            tally
+                .latency
+                .percentile(part)
+                .map(|micros| micros as f64 / 1e3)
+        };
         match self {
             Figure::Goodput => Some(tally.goodput()),
             Figure::WorthLost => Some(tally.worth - tally.earned),
@@ -112,8 +121,15 @@
 /// Seconds to recovery, or those that there were for it; none where nothing breaks, or nothing is mended.
 fn recovery(experiment: &Experiment, run: &Run) -> Option<f64> {
     let (_, ends) = faults::bounds(experiment)?;
-    let left = experiment.duration.micros().checked_sub(ends).filter(|left| *left > 0)?;
-    Some(run.recovery.map_or(left as f64 / 1e6, |span| span.seconds()))
+    let left = experiment
+        .duration
+        .micros()
+        .checked_sub(ends)
+        .filter(|left| *left > 0)?;
+    Some(
+        run.recovery
+            .map_or(left as f64 / 1e6, |span| span.seconds()),
+    )
 }
 
 /// What an arm came to over the seeds.
@@ -139,11 +155,18 @@
         let all = || runs.iter().filter(|run| run.arm == arm);
         let sound: Vec<&Run> = all().filter(|run| run.void.is_none()).collect();
         let figures = ALL.iter().filter_map(|figure| {
-            let values: Vec<f64> = sound.iter().filter_map(|run| figure.of(experiment, run, class)).collect();
+            let values: Vec<f64> = sound
+                .iter()
+                .filter_map(|run| figure.of(experiment, run, class))
+                .collect();
             Some((*figure, bootstrap(&values, 0.95)?))
         });
         let mut breaches = BTreeMap::new();
-        for (rule, times) in sound.iter().flat_map(|run| &run.breaches).filter(|(_, times)| **times > 0) {
+        for (rule, times) in sound
+            .iter()
+            .flat_map(|run| &run.breaches)
+            .filter(|(_, times)| **times > 0)
+        {
             *breaches.entry(rule.clone()).or_default() += times;
         }
         Summary {
--- a/crates/lab/src/hop/bare.rs
+++ b/crates/lab/src/hop/bare.rs
@@ -45,11 +45,19 @@
     pub fn run(self) -> Result<(), String> {
         stay_with(self.parent)?;
         log_to_standard_error();
-        let all = self.servers.into_iter().map(|address| Server { address, idle: RefCell::default() });
-        let servers = Rc::new(Servers { all: all.collect(), next: Cell::new(0) });
+        let all = self.servers.into_iter().map(|address| Server {
+            address,
+            idle: RefCell::default(),
+        });
+        let servers = Rc::new(Servers {
+            all: all.collect(),
+            next: Cell::new(0),
+        });
         on_one_thread(async {
             let stop = told_to_stop()?;
-            let listener = TcpListener::bind("127.0.0.1:0").await.map_err(|e| e.to_string())?;
+            let listener = TcpListener::bind("127.0.0.1:0")
+                .await
+                .map_err(|e| e.to_string())?;
             let at = listener.local_addr().map_err(|e| e.to_string())?;
             tracing::info!("listening on {at}");
             // In a task of its own: what is awaited outside is polled again whenever any task has been.
@@ -75,7 +83,10 @@
     }
 }
 
-async fn pass_on(servers: &Servers, request: Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
+async fn pass_on(
+    servers: &Servers,
+    request: Request<Incoming>,
+) -> Result<Response<Full<Bytes>>, Infallible> {
     let answer = exchange(servers, request).await;
     Ok(answer.unwrap_or_else(|| {
         let mut failed = Response::new(Full::default());
@@ -102,7 +113,10 @@
         }
     };
     sender.ready().await.ok()?;
-    let answer = sender.send_request(Request::from_parts(head, Full::new(body))).await.ok()?;
+    let answer = sender
+        .send_request(Request::from_parts(head, Full::new(body)))
+        .await
+        .ok()?;
     let (head, body) = answer.into_parts();
     let body = body.collect().await.ok()?.to_bytes();
     server.idle.borrow_mut().push(sender);
--- a/crates/lab/src/hop/chain.rs
+++ b/crates/lab/src/hop/chain.rs
@@ -13,7 +13,10 @@
 impl Chain {
     /// No hop: the clients are at a server.
     pub(super) fn direct(at: SocketAddr) -> Self {
-        Chain { processes: Vec::new(), at }
+        Chain {
+            processes: Vec::new(),
+            at,
+        }
     }
 
     /// So many hops before these servers. `start` starts one that passes on to these addresses.
@@ -43,16 +46,21 @@
 
     /// What all of its processes used.
     pub(super) fn usage(&self) -> Usage {
-        self.processes.iter().map(Process::usage).fold(Usage::default(), |all, one| Usage {
-            cpu: all.cpu + one.cpu,
-            waited: all.waited + one.waited,
-            memory: all.memory + one.memory,
-        })
+        self.processes
+            .iter()
+            .map(Process::usage)
+            .fold(Usage::default(), |all, one| Usage {
+                cpu: all.cpu + one.cpu,
+                waited: all.waited + one.waited,
+                memory: all.memory + one.memory,
+            })
     }
 
     /// The last line of the first one's log, for a report.
     pub(super) fn last_line(&self) -> String {
-        self.processes.first().map_or_else(|| "a server says nothing".into(), Process::last_line)
+        self.processes
+            .first()
+            .map_or_else(|| "a server says nothing".into(), Process::last_line)
     }
 
     /// Stops all of them.
--- a/crates/lab/src/hop/load.rs
+++ b/crates/lab/src/hop/load.rs
@@ -36,7 +36,9 @@
         shares[(at % THREADS) as usize].push(listener);
     }
     for share in shares {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()?;
         std::thread::Builder::new().spawn(move || {
             runtime.block_on(async {
                 for listener in share {
@@ -82,7 +84,9 @@
 
 /// The length of the message at the beginning, if it is there whole, and the first bytes of its second word.
 fn whole_message(bytes: &[u8]) -> io::Result<Option<(usize, [u8; 3])>> {
-    let Some(head) = bytes.windows(4).position(|w| w == b"\r\n\r\n") else { return Ok(None) };
+    let Some(head) = bytes.windows(4).position(|w| w == b"\r\n\r\n") else {
+        return Ok(None);
+    };
     let text = std::str::from_utf8(&bytes[..head]).map_err(io::Error::other)?;
     let length = text.lines().skip(1).filter_map(|line| line.split_once(':'));
     let length = length
@@ -90,7 +94,11 @@
         .find_map(|(_, value)| value.trim().parse::<usize>().ok())
         .unwrap_or(0);
     let whole = head.saturating_add(4).saturating_add(length);
-    let word = text.split(' ').nth(1).and_then(|w| w.as_bytes().first_chunk::<3>()).copied();
+    let word = text
+        .split(' ')
+        .nth(1)
+        .and_then(|w| w.as_bytes().first_chunk::<3>())
+        .copied();
     Ok((bytes.len() >= whole).then_some((whole, word.unwrap_or_default())))
 }
 
@@ -114,11 +122,14 @@
     let mut threads = Vec::new();
     for thread in 0..THREADS {
         let (share, ids) = ((thread..count).step_by(THREADS as usize), Arc::clone(&ids));
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()?;
         threads.push(std::thread::Builder::new().spawn(move || {
             runtime.block_on(async {
-                let clients: Vec<_> =
-                    share.map(|_| tokio::spawn(busy_client(at, until, Arc::clone(&ids)))).collect();
+                let clients: Vec<_> = share
+                    .map(|_| tokio::spawn(busy_client(at, until, Arc::clone(&ids))))
+                    .collect();
                 let mut all = Answers::default();
                 for client in clients {
                     match client.await {
@@ -132,7 +143,11 @@
     }
     let mut all = Answers::default();
     for thread in threads {
-        all.add(&thread.join().map_err(|_| io::Error::other("the clients panicked"))?);
+        all.add(
+            &thread
+                .join()
+                .map_err(|_| io::Error::other("the clients panicked"))?,
+        );
     }
     Ok(all)
 }
@@ -148,13 +163,20 @@
 
 impl Default for Answers {
     fn default() -> Self {
-        Answers { good: 0, bad: 0, latency: empty_histogram() }
+        Answers {
+            good: 0,
+            bad: 0,
+            latency: empty_histogram(),
+        }
     }
 }
 
 /// Up to a minute, with three significant digits.
 fn empty_histogram() -> Histogram<u64> {
-    #[expect(clippy::expect_used, reason = "the bounds are constants that the library accepts")]
+    #[expect(
+        clippy::expect_used,
+        reason = "the bounds are constants that the library accepts"
+    )]
     Histogram::new_with_bounds(1, 60_000_000, 3).expect("constant bounds")
 }
 
@@ -199,7 +221,10 @@
         let text = b"HTTP/1.1 503 No\r\nX: y\r\ncontent-length: 3\r\n\r\nabcHTTP";
         let whole = text.len() - 4;
         for end in 0..whole {
-            assert!(whole_message(&text[..end]).expect("text").is_none(), "{end}");
+            assert!(
+                whole_message(&text[..end]).expect("text").is_none(),
+                "{end}"
+            );
         }
         assert_eq!(whole_message(text).expect("text"), Some((whole, *b"503")));
     }
--- a/crates/lab/src/hop/mod.rs
+++ b/crates/lab/src/hop/mod.rs
@@ -68,7 +68,11 @@
         } else {
             at(half)
         };
-        Spread { median, least: at(0), greatest: at(last) }
+        Spread {
+            median,
+            least: at(0),
+            greatest: at(last),
+        }
     }
 }
 
@@ -120,7 +124,10 @@
     /// Something did not start, or answered nothing.
     pub fn run(self) -> Result<(), String> {
         if !(self.seconds >= 0.1 && self.seconds <= 3600.0) {
-            return Err(format!("--seconds {}: must lie in 0.1..=3600", self.seconds));
+            return Err(format!(
+                "--seconds {}: must lie in 0.1..=3600",
+                self.seconds
+            ));
         }
         if cfg!(debug_assertions) && self.output == Output::Text {
             eprintln!("this is a debug build: its figures say nothing of a release");
@@ -148,13 +155,23 @@
         let program = Chain::start(depth, &servers, |number, next| {
             let name = format!("program-{number}");
             let config = config(next);
-            Process::start(&name, &["sidecar"], self.binary.as_deref(), Some((dir.path(), &config)))
+            Process::start(
+                &name,
+                &["sidecar"],
+                self.binary.as_deref(),
+                Some((dir.path(), &config)),
+            )
         });
         let program = program.await?;
         let bare = Chain::start(depth, &servers, |number, next| {
             let named: Vec<String> = next.iter().map(|at| format!("--server={at}")).collect();
             let named = std::iter::once("pass-through").chain(named.iter().map(String::as_str));
-            Process::start(&format!("pass-through-{number}"), &named.collect::<Vec<_>>(), None, None)
+            Process::start(
+                &format!("pass-through-{number}"),
+                &named.collect::<Vec<_>>(),
+                None,
+                None,
+            )
         });
         let bare = bare.await?;
         let direct = Chain::direct(servers[0]);
@@ -175,10 +192,22 @@
                 }
                 of_direct.push(self.round(&direct, clients)?);
             }
-            let ratio = of_program.iter().zip(&of_bare).map(|(p, b)| p.cpu / b.cpu).collect();
+            let ratio = of_program
+                .iter()
+                .zip(&of_bare)
+                .map(|(p, b)| p.cpu / b.cpu)
+                .collect();
             let ratio = Spread::of(ratio);
-            let (program, bare, direct) = (figures(&of_program), figures(&of_bare), figures(&of_direct));
-            rows.push(Row { depth, clients, program, bare, direct, ratio });
+            let (program, bare, direct) =
+                (figures(&of_program), figures(&of_bare), figures(&of_direct));
+            rows.push(Row {
+                depth,
+                clients,
+                program,
+                bare,
+                direct,
+                ratio,
+            });
         }
         program.stop(STOP).await?;
         bare.stop(STOP).await?;
@@ -186,7 +215,8 @@
     }
 
     fn round(&self, of: &Chain, clients: u32) -> Result<Round, String> {
-        let load = |time| load::busy_clients(of.at(), clients, time).map_err(|e| format!("clients: {e}"));
+        let load =
+            |time| load::busy_clients(of.at(), clients, time).map_err(|e| format!("clients: {e}"));
         load(SETTLE)?;
         let (begun, before) = (Instant::now(), of.usage());
         let time = Duration::from_secs_f64(self.seconds / f64::from(self.rounds));
@@ -197,7 +227,12 @@
         }
         let all = (answers.good + answers.bad) as f64;
         let cpu = cpu.saturating_sub(before.cpu) as f64 / 1e3 / all;
-        Ok(Round { cpu, rate: all / took.as_secs_f64(), answers, memory })
+        Ok(Round {
+            cpu,
+            rate: all / took.as_secs_f64(),
+            answers,
+            memory,
+        })
     }
 }
 
@@ -248,15 +283,29 @@
 fn table(rows: &[Row]) -> String {
     let mut text = format!(
         "{:>4} {:>7}  {:<12} {:>24} {:>10} {:>8} {:>8} {:>6} {:>7}  {}\n",
-        "hops", "clients", "", "CPU µs a request", "requests/s", "p50 µs", "p99 µs", "bad", "MiB", "ratio"
+        "hops",
+        "clients",
+        "",
+        "CPU µs a request",
+        "requests/s",
+        "p50 µs",
+        "p99 µs",
+        "bad",
+        "MiB",
+        "ratio"
     );
     let spread = |s: &Spread| format!("{:.1} ({:.1} to {:.1})", s.median, s.least, s.greatest);
     for row in rows {
-        for (name, figures) in
-            [("program", &row.program), ("pass-through", &row.bare), ("no hop", &row.direct)]
-        {
+        for (name, figures) in [
+            ("program", &row.program),
+            ("pass-through", &row.bare),
+            ("no hop", &row.direct),
+        ] {
             let ratio = if name == "program" {
-                format!("{:.2} ({:.2} to {:.2})", row.ratio.median, row.ratio.least, row.ratio.greatest)
+                format!(
+                    "{:.2} ({:.2} to {:.2})",
+                    row.ratio.median, row.ratio.least, row.ratio.greatest
+                )
             } else {
                 String::new()
             };
@@ -285,8 +334,22 @@
     #[test]
     fn a_spread_is_the_middle_and_both_ends_whatever_the_order() {
         let odd = Spread::of(vec![3.0, 1.0, 2.0]);
-        assert_eq!(odd, Spread { median: 2.0, least: 1.0, greatest: 3.0 });
+        assert_eq!(
+            odd,
+            Spread {
+                median: 2.0,
+                least: 1.0,
+                greatest: 3.0
+            }
+        );
         assert_eq!(Spread::of(vec![4.0, 1.0, 2.0, 3.0]).median, 2.5);
-        assert_eq!(Spread::of(vec![7.0]), Spread { median: 7.0, least: 7.0, greatest: 7.0 });
+        assert_eq!(
+            Spread::of(vec![7.0]),
+            Spread {
+                median: 7.0,
+                least: 7.0,
+                greatest: 7.0
+            }
+        );
     }
 }
--- a/crates/lab/src/judge.rs
+++ b/crates/lab/src/judge.rs
@@ -24,7 +24,12 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 /// The rules, as results name them.
-pub const RULES: [&str; 4] = ["dropped-request", "repeated-effect", "unsafe-drain", "unsafe-fail-back"];
+pub const RULES: [&str; 4] = [
+    "dropped-request",
+    "repeated-effect",
+    "unsafe-drain",
+    "unsafe-fail-back",
+];
 
 const DROPPED: usize = 0;
 const REPEATED: usize = 1;
@@ -152,7 +157,10 @@
         let class = |c: &crate::experiment::Class| (c.name.clone(), c.effect, c.window.micros());
         Judge {
             names: world.servers.iter().map(|s| s.name.clone()).collect(),
-            places: (0..).zip(&world.servers).map(|(at, s)| (s.id, at)).collect(),
+            places: (0..)
+                .zip(&world.servers)
+                .map(|(at, s)| (s.id, at))
+                .collect(),
             classes: experiment.classes.iter().map(class).collect(),
             drain_grace: allow.drain_grace.micros(),
             fall: allow.fall.micros(),
@@ -161,7 +169,14 @@
             past: VecDeque::new(),
             servers: vec![ServerBook::default(); world.servers.len()],
             told: HashMap::default(),
-            contacts: vec![Contact { watches: false, asked: 0, failed: false }; world.instances.len()],
+            contacts: vec![
+                Contact {
+                    watches: false,
+                    asked: 0,
+                    failed: false
+                };
+                world.instances.len()
+            ],
             broken: Vec::new(),
             counts: [0; 4],
             kept: [0; 4],
@@ -209,7 +224,9 @@
         timeout_at: Micros,
     ) -> u32 {
         let place = server.unwrap_or(u32::MAX);
-        let Some(book) = self.books.get(&id) else { return self.sent_after_all(now, id, place) };
+        let Some(book) = self.books.get(&id) else {
+            return self.sent_after_all(now, id, place);
+        };
         let (class, number) = (book.class, book.sent.len() as u32);
         if book.own_end() || book.told_over < now {
             self.breach_of(now, DROPPED, id);
@@ -228,7 +245,9 @@
             }
         }
         if let Some(server) = server
-            && self.knows_it_leaves(now, instance, server).is_some_and(|since| now > since + self.drain_grace)
+            && self
+                .knows_it_leaves(now, instance, server)
+                .is_some_and(|since| now > since + self.drain_grace)
         {
             self.breach_of(now, DRAIN, id);
         }
@@ -252,7 +271,9 @@
     fn sent_after_all(&mut self, now: Micros, id: RequestId, server: u32) -> u32 {
         let Some(at) = self.past.iter().rposition(|b| b.id == id) else {
             self.breach(now, DROPPED, || {
-                vec![format!("request {id}, long over or never known, was sent again")]
+                vec![format!(
+                    "request {id}, long over or never known, was sent again"
+                )]
             });
             return 0;
         };
@@ -261,14 +282,22 @@
             return book.sent.len() as u32;
         }
         let mut story = self.story(book);
-        story.push(format!("{}  sent again, to {}, after its end", stamp(now), self.name(server)));
+        story.push(format!(
+            "{}  sent again, to {}, after its end",
+            stamp(now),
+            self.name(server)
+        ));
         self.breach(now, DROPPED, || story);
         self.past[at].sent.len() as u32
     }
 
     /// The policy has called off an attempt.
     pub fn cancelled(&mut self, now: Micros, id: RequestId, attempt: u32) {
-        if let Some(sent) = self.books.get_mut(&id).and_then(|b| b.sent.get_mut(attempt as usize)) {
+        if let Some(sent) = self
+            .books
+            .get_mut(&id)
+            .and_then(|b| b.sent.get_mut(attempt as usize))
+        {
             sent.cancelled_at = sent.cancelled_at.min(now);
         }
     }
@@ -277,7 +306,9 @@
     pub fn closed(&mut self, now: Micros, id: RequestId, attempt: u32, outcome: Outcome) {
         let Some(book) = self.books.get_mut(&id) else {
             if outcome != Outcome::Moot {
-                self.wrong(format!("attempt {attempt} of request {id}, which is over, has an outcome"));
+                self.wrong(format!(
+                    "attempt {attempt} of request {id}, which is over, has an outcome"
+                ));
             }
             return;
         };
@@ -290,7 +321,9 @@
         };
         book.out = book.out.saturating_sub(1);
         if twice {
-            self.wrong(format!("attempt {attempt} of request {id} has two outcomes, or was never sent"));
+            self.wrong(format!(
+                "attempt {attempt} of request {id} has two outcomes, or was never sent"
+            ));
         }
         self.put_away(id);
     }
@@ -363,10 +396,16 @@
 
     /// Discovery lists this of a server from now on.
     pub fn published(&mut self, now: Micros, listed: &Listed) {
-        let Some(server) = self.places.get(&listed.server) else { return };
+        let Some(server) = self.places.get(&listed.server) else {
+            return;
+        };
         let book = &mut self.servers[*server as usize];
         let leaves = listed.state != ServerState::Ready;
-        book.leaves = if leaves { book.leaves.or(Some(now)) } else { None };
+        book.leaves = if leaves {
+            book.leaves.or(Some(now))
+        } else {
+            None
+        };
         if let Some(started) = listed.started
             && book.started.is_none_or(|(last, _)| last != started)
         {
@@ -378,7 +417,9 @@
     pub fn told(&mut self, now: Micros, instance: u32, listed: &[Listed], whole: bool) {
         let mut missing = whole.then(|| vec![true; self.servers.len()]);
         for entry in listed {
-            let Some(server) = self.places.get(&entry.server).copied() else { continue };
+            let Some(server) = self.places.get(&entry.server).copied() else {
+                continue;
+            };
             if let Some(missing) = &mut missing {
                 missing[server as usize] = false;
             }
@@ -388,10 +429,19 @@
                 continue;
             }
             let told = self.told.entry((instance, server)).or_default();
-            told.leaves = if leaves { told.leaves.or(Some(now)) } else { None };
+            told.leaves = if leaves {
+                told.leaves.or(Some(now))
+            } else {
+                None
+            };
             told.started = entry.started.or(told.started);
         }
-        for server in missing.into_iter().flatten().zip(0..).filter(|(missing, _)| *missing).map(|(_, at)| at)
+        for server in missing
+            .into_iter()
+            .flatten()
+            .zip(0..)
+            .filter(|(missing, _)| *missing)
+            .map(|(_, at)| at)
         {
             let told = self.told.entry((instance, server)).or_default();
             told.leaves = told.leaves.or(Some(now));
@@ -400,18 +450,29 @@
 
     /// An instance has asked discovery, or its watch began (`watches`), ended or failed.
     pub fn contact(&mut self, now: Micros, instance: u32, watches: bool, failed: bool) {
-        self.contacts[instance as usize] = Contact { watches, asked: now, failed };
+        self.contacts[instance as usize] = Contact {
+            watches,
+            asked: now,
+            failed,
+        };
     }
 
     /// An instance has ended, and with it all it was told.
     pub fn killed(&mut self, now: Micros, instance: u32) {
         self.told.retain(|(of, _), _| *of != instance);
         // It is told of no end any more.
-        let over = self.books.values().filter(|b| b.instance == instance && b.ended.is_some());
+        let over = self
+            .books
+            .values()
+            .filter(|b| b.instance == instance && b.ended.is_some());
         let mut over: Vec<RequestId> = over.map(|b| b.id).collect();
         over.sort_unstable();
         over.into_iter().for_each(|id| self.void(now, id));
-        self.contacts[instance as usize] = Contact { watches: false, asked: now, failed: false };
+        self.contacts[instance as usize] = Contact {
+            watches: false,
+            asked: now,
+            failed: false,
+        };
     }
 
     /// A request has reached a cold server.
@@ -428,8 +489,11 @@
         let reached = std::mem::take(&mut self.servers[server as usize].reached);
         let knew = |instance: u32, at: Micros| self.knew_start(at, instance, server, started);
         let all: f64 = reached.iter().map(|(.., work)| work).sum();
-        let knowing: f64 =
-            reached.iter().filter(|(at, instance, _)| knew(*instance, *at)).map(|(.., work)| work).sum();
+        let knowing: f64 = reached
+            .iter()
+            .filter(|(at, instance, _)| knew(*instance, *at))
+            .map(|(.., work)| work)
+            .sum();
         if knowing * 3.0 < all * 2.0 {
             return;
         }
@@ -444,16 +508,30 @@
                 self.fall as f64 / 1e6,
             ),
         ];
-        story.extend(reached.iter().rev().take(LISTED_ARRIVALS).rev().map(|(at, instance, work)| {
-            let how = if knew(*instance, *at) { "which knew" } else { "which did not know" };
-            format!("{}  {:.0} us of work from instance {instance}, {how}", stamp(*at), work)
-        }));
+        story.extend(reached.iter().rev().take(LISTED_ARRIVALS).rev().map(
+            |(at, instance, work)| {
+                let how = if knew(*instance, *at) {
+                    "which knew"
+                } else {
+                    "which did not know"
+                };
+                format!(
+                    "{}  {:.0} us of work from instance {instance}, {how}",
+                    stamp(*at),
+                    work
+                )
+            },
+        ));
         self.breach(now, FAIL_BACK, || story);
     }
 
     /// Since when an instance knows, or counts as knowing, that a server drains or is gone.
     fn knows_it_leaves(&self, now: Micros, instance: u32, server: u32) -> Option<Micros> {
-        let told = if self.told.is_empty() { None } else { self.told.get(&(instance, server)) };
+        let told = if self.told.is_empty() {
+            None
+        } else {
+            self.told.get(&(instance, server))
+        };
         if let Some(since) = told.and_then(|t| t.leaves) {
             return Some(since);
         }
@@ -463,7 +541,9 @@
 
     fn knew_start(&self, at: Micros, instance: u32, server: u32, started: Micros) -> bool {
         let told = self.told.get(&(instance, server)).and_then(|t| t.started);
-        let listed = self.servers[server as usize].started.filter(|(which, _)| *which == started);
+        let listed = self.servers[server as usize]
+            .started
+            .filter(|(which, _)| *which == started);
         told.is_some_and(|told| told >= started)
             || listed.is_some_and(|(_, since)| self.counts_as_told(at, instance, since).is_some())
     }
@@ -474,7 +554,11 @@
         if !self.on_request || contact.watches {
             return None;
         }
-        let patience = if contact.failed { 4 * ASK_WITHIN } else { ASK_WITHIN };
+        let patience = if contact.failed {
+            4 * ASK_WITHIN
+        } else {
+            ASK_WITHIN
+        };
         let since = (contact.asked + patience).max(listed + ASK_WITHIN);
         (now >= since).then_some(since)
     }
@@ -483,11 +567,18 @@
 
     /// All that was found. Requests that are still open have lost their driver, which is its mistake.
     pub fn finish(mut self) -> Verdict {
-        let mut open: Vec<RequestId> =
-            self.books.values().filter(|b| b.ended.is_none()).map(|b| b.id).collect();
+        let mut open: Vec<RequestId> = self
+            .books
+            .values()
+            .filter(|b| b.ended.is_none())
+            .map(|b| b.id)
+            .collect();
         open.sort_unstable();
         if let Some(first) = open.first() {
-            self.wrong(format!("{} requests never ended, {first} the first", open.len()));
+            self.wrong(format!(
+                "{} requests never ended, {first} the first",
+                open.len()
+            ));
         }
         let open: Vec<RequestId> = self.books.keys().copied().collect();
         for id in open {
@@ -497,9 +588,18 @@
                 self.broken[at].story = self.story(book);
             }
         }
-        let counts = RULES.iter().zip(self.counts).filter(|(_, count)| *count > 0);
-        let counts = counts.map(|(rule, count)| (rule.to_string(), count)).collect();
-        Verdict { broken: self.broken, counts, wrong: self.wrong }
+        let counts = RULES
+            .iter()
+            .zip(self.counts)
+            .filter(|(_, count)| *count > 0);
+        let counts = counts
+            .map(|(rule, count)| (rule.to_string(), count))
+            .collect();
+        Verdict {
+            broken: self.broken,
+            counts,
+            wrong: self.wrong,
+        }
     }
 
     fn wrong(&mut self, what: String) {
@@ -512,7 +612,9 @@
             None => true,
         };
         if ended_before {
-            self.wrong(format!("request {id} ended twice, the second time as {how:?}"));
+            self.wrong(format!(
+                "request {id} ended twice, the second time as {how:?}"
+            ));
         }
         self.put_away(id);
     }
@@ -522,7 +624,9 @@
         if !self.books.get(&id).is_some_and(Book::is_past) {
             return;
         }
-        let Some(book) = self.books.remove(&id) else { return };
+        let Some(book) = self.books.remove(&id) else {
+            return;
+        };
         if let Some(at) = book.breach {
             self.broken[at].story = self.story(&book);
         }
@@ -552,22 +656,34 @@
         self.counts[rule] += 1;
         if self.kept[rule] < STORIES {
             self.kept[rule] += 1;
-            self.broken.push(Breach { rule: RULES[rule].into(), at: Span(now), story: story() });
+            self.broken.push(Breach {
+                rule: RULES[rule].into(),
+                at: Span(now),
+                story: story(),
+            });
         }
     }
 
     fn name(&self, server: u32) -> &str {
-        self.names.get(server as usize).map_or("a server that is not there", |n| n)
+        self.names
+            .get(server as usize)
+            .map_or("a server that is not there", |n| n)
     }
 
     /// Everything that happened to a request, earlier tries of the same client first.
     fn story(&self, book: &Book) -> Vec<String> {
-        let earlier = self.past.iter().filter(|b| b.ask == book.ask && b.came < book.came);
+        let earlier = self
+            .past
+            .iter()
+            .filter(|b| b.ask == book.ask && b.came < book.came);
         let mut lines = Vec::new();
         for book in earlier.chain([book]) {
             let mut told = self.told_of(book);
             told.sort_by_key(|(at, _)| *at);
-            lines.extend(told.into_iter().map(|(at, what)| format!("{}  {what}", stamp(at))));
+            lines.extend(
+                told.into_iter()
+                    .map(|(at, what)| format!("{}  {what}", stamp(at))),
+            );
         }
         lines
     }
@@ -583,22 +699,38 @@
         for (number, sent) in book.sent.iter().enumerate() {
             let server = self.name(sent.server);
             let until = stamp(sent.timeout_at.min(book.deadline));
-            told.push((sent.at, format!("attempt {number} sent to {server}, to time out at {until}")));
+            told.push((
+                sent.at,
+                format!("attempt {number} sent to {server}, to time out at {until}"),
+            ));
             if sent.cancelled_at != NEVER {
                 told.push((sent.cancelled_at, format!("attempt {number} called off")));
             }
             if sent.ran_at != NEVER {
-                let how = if sent.ran_again { "known for a repeat at" } else { "run by" };
+                let how = if sent.ran_again {
+                    "known for a repeat at"
+                } else {
+                    "run by"
+                };
                 told.push((sent.ran_at, format!("attempt {number} {how} {server}")));
             }
             if let Some(outcome) = sent.outcome {
-                told.push((sent.closed_at, format!("attempt {number} over: {outcome:?}")));
+                told.push((
+                    sent.closed_at,
+                    format!("attempt {number} over: {outcome:?}"),
+                ));
             }
-            let leaves = self.told.get(&(book.instance, sent.server)).and_then(|t| t.leaves);
+            let leaves = self
+                .told
+                .get(&(book.instance, sent.server))
+                .and_then(|t| t.leaves);
             if let Some(since) = leaves {
                 told.push((
                     since,
-                    format!("instance {} told that {server} drains or is gone", book.instance),
+                    format!(
+                        "instance {} told that {server} drains or is gone",
+                        book.instance
+                    ),
                 ));
             }
         }
@@ -606,7 +738,10 @@
             told.push((at, format!("request {id} over: {how:?}")));
         }
         if book.told_over != NEVER {
-            told.push((book.told_over, format!("instance {} told that it is over", book.instance)));
+            told.push((
+                book.told_over,
+                format!("instance {} told that it is over", book.instance),
+            ));
         }
         told
     }
--- a/crates/lab/src/leveled.rs
+++ b/crates/lab/src/leveled.rs
@@ -19,8 +19,10 @@
 
 /// What levels need to know of an experiment's classes.
 pub fn facts(classes: &[Class]) -> Vec<ClassFacts> {
-    let facts =
-        |class: &Class| ClassFacts { name: class.name.clone(), repeatable: class.effect != Effect::Unsafe };
+    let facts = |class: &Class| ClassFacts {
+        name: class.name.clone(),
+        repeatable: class.effect != Effect::Unsafe,
+    };
     classes.iter().map(facts).collect()
 }
 
@@ -35,15 +37,34 @@
     start: Start,
     told: Option<Told>,
 ) -> Result<Box<dyn Policy>, String> {
-    let Some(section) = &arm.levels else { return crate::policy::own(start) };
+    let Some(section) = &arm.levels else {
+        return crate::policy::own(start);
+    };
     let checked = section.resolve(&facts(&experiment.classes))?;
-    let names = experiment.classes.iter().map(|class| class.name.clone()).collect();
+    let names = experiment
+        .classes
+        .iter()
+        .map(|class| class.name.clone())
+        .collect();
     let settings = crate::rivals::restricted(arm, start.settings)?;
-    let aims = settings.classes.iter().map(|class| (class.aim, class.aim_stretch)).collect();
+    let aims = settings
+        .classes
+        .iter()
+        .map(|class| (class.aim, class.aim_stretch))
+        .collect();
     let keeper = Keeper::new(checked, names, place(start.seed), 0);
     let inner = Balancer::new(settings, start.seed).map_err(|e| e.to_string())?;
     let (open, list_failed) = (HashMap::default(), None);
-    Ok(Box::new(Leveled { inner, keeper, aims, open, list_failed, look: 0, instance: start.instance, told }))
+    Ok(Box::new(Leveled {
+        inner,
+        keeper,
+        aims,
+        open,
+        list_failed,
+        look: 0,
+        instance: start.instance,
+        told,
+    }))
 }
 
 struct Open {
@@ -73,7 +94,8 @@
             ..Outside::default()
         };
         if let Some(change) = self.keeper.look(now, &outside) {
-            self.inner.handle(now, Event::Level(self.keeper.reduced()), actions);
+            self.inner
+                .handle(now, Event::Level(self.keeper.reduced()), actions);
             if let Some(told) = &self.told {
                 told(self.instance, &change);
             }
@@ -81,7 +103,9 @@
     }
 
     fn ended(&mut self, now: Micros, id: RequestId, how: impl Fn(Micros, Micros) -> Option<End>) {
-        let Some(Open { class, came, aim }) = self.open.remove(&id) else { return };
+        let Some(Open { class, came, aim }) = self.open.remove(&id) else {
+            return;
+        };
         if let Some(end) = how(now - came, aim) {
             self.keeper.ended(now, class, end);
         }
@@ -99,16 +123,27 @@
                 let class = new.class as usize;
                 let (aim, stretch) = self.aims.get(class).copied().unwrap_or((Micros::MAX, 0.0));
                 let aim = aim.saturating_add((stretch * new.cost.unwrap_or(0) as f64) as Micros);
-                self.open.insert(new.id, Open { class, came: now, aim });
+                self.open.insert(
+                    new.id,
+                    Open {
+                        class,
+                        came: now,
+                        aim,
+                    },
+                );
             }
             Event::Closed(closed) => {
                 self.keeper.closed(now, closed);
                 if closed.outcome == Outcome::Ok {
-                    self.ended(now, closed.request, |elapsed, aim| Some(End::served(elapsed, aim)));
+                    self.ended(now, closed.request, |elapsed, aim| {
+                        Some(End::served(elapsed, aim))
+                    });
                 }
             }
             Event::ClientGone(id) => self.ended(now, *id, End::left),
-            Event::Members(Members::Failed { .. }) => self.list_failed = self.list_failed.or(Some(now)),
+            Event::Members(Members::Failed { .. }) => {
+                self.list_failed = self.list_failed.or(Some(now))
+            }
             Event::Members(_) => self.list_failed = None,
             _ => {}
         }
@@ -121,7 +156,9 @@
                 _ => continue,
             };
             // The level's own doing is none of its signals.
-            self.ended(now, id, |elapsed, aim| (!level).then(|| End::unserved(elapsed, aim, refused)));
+            self.ended(now, id, |elapsed, aim| {
+                (!level).then(|| End::unserved(elapsed, aim, refused))
+            });
         }
     }
 }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -14,7 +14,12 @@
 /// Exits with 0 where all is well, with 1 where it is not or can't be done, with 2 where the command line makes no
 /// sense; `run` also with 3 where an expectation failed, with 4 where runs are void, and with 130 where it was broken off.
 #[derive(Parser)]
-#[command(name = "madderloom-lab", version, propagate_version = true, max_term_width = 100)]
+#[command(
+    name = "madderloom-lab",
+    version,
+    propagate_version = true,
+    max_term_width = 100
+)]
 struct Arguments {
     #[command(subcommand)]
     command: Command,
--- a/crates/lab/src/model/clients.rs
+++ b/crates/lab/src/model/clients.rs
@@ -39,21 +39,38 @@
         let problem = |what: String| format!("line {number}: {what}");
         let fields: Vec<&str> = line.split_ascii_whitespace().collect();
         let [at, class, key, work] = fields[..] else {
-            return Err(problem(format!("has {} fields; wanted are MICROS CLASS KEY WORK", fields.len())));
+            return Err(problem(format!(
+                "has {} fields; wanted are MICROS CLASS KEY WORK",
+                fields.len()
+            )));
         };
         let number_of = |text: &str, name: &str| {
-            text.parse::<u64>().map_err(|_| problem(format!("{name} {text:?} is no whole number")))
+            text.parse::<u64>()
+                .map_err(|_| problem(format!("{name} {text:?} is no whole number")))
         };
         let at = number_of(at, "MICROS")?;
         if at < last {
-            return Err(problem(format!("{at} is before the line above; times must not fall")));
+            return Err(problem(format!(
+                "{at} is before the line above; times must not fall"
+            )));
         }
         last = at;
         let known = classes.iter().position(|c| c.name == class);
-        let Some(class) = known else { return Err(problem(format!("there is no class {class:?}"))) };
-        let key = if key == "-" { None } else { Some(number_of(key, "KEY")?) };
+        let Some(class) = known else {
+            return Err(problem(format!("there is no class {class:?}")));
+        };
+        let key = if key == "-" {
+            None
+        } else {
+            Some(number_of(key, "KEY")?)
+        };
         let work = number_of(work, "WORK")?.clamp(1, 1 << 40) as f64;
-        arrivals.push(Arrival { at, class: class as u32, key, work });
+        arrivals.push(Arrival {
+            at,
+            class: class as u32,
+            key,
+            work,
+        });
     }
     Ok(arrivals)
 }
@@ -181,7 +198,8 @@
 
 fn place(sums: &[f64], random: &mut Random) -> u32 {
     let at = random.random::<f64>() * sums.last().copied().unwrap_or(0.0);
-    sums.partition_point(|sum| *sum <= at).min(sums.len().saturating_sub(1)) as u32
+    sums.partition_point(|sum| *sum <= at)
+        .min(sums.len().saturating_sub(1)) as u32
 }
 
 impl Clients {
@@ -192,7 +210,12 @@
         let skew = experiment.instances.skew;
         let end = experiment.duration.micros();
         let highest = |p: &Phase| p.rate.max(p.rate_to) * (1.0 + p.wave.abs());
-        let highest = experiment.phases.iter().map(highest).fold(spec.rate, f64::max) / 1e6;
+        let highest = experiment
+            .phases
+            .iter()
+            .map(highest)
+            .fold(spec.rate, f64::max)
+            / 1e6;
         Clients {
             classes: experiment.classes.clone(),
             spec: spec.clone(),
@@ -201,13 +224,19 @@
             highest,
             shares: sums(experiment.classes.iter().map(|c| c.share)),
             instances: if skew > 0.0 {
-                Spread::Skewed(sums((1..=instances).map(|rank| f64::from(rank).powf(-skew))))
+                Spread::Skewed(sums(
+                    (1..=instances).map(|rank| f64::from(rank).powf(-skew)),
+                ))
             } else {
                 Spread::Even(instances)
             },
             works: experiment.classes.iter().map(Work::of).collect(),
-            keys: Zipf::new(f64::from(spec.keys), spec.key_skew.max(0.0)).ok().filter(|_| spec.keys > 0),
-            hint: spec.hint_noise.and_then(|noise| LogNormal::from_mean_cv(1.0, noise.max(0.0)).ok()),
+            keys: Zipf::new(f64::from(spec.keys), spec.key_skew.max(0.0))
+                .ok()
+                .filter(|_| spec.keys > 0),
+            hint: spec
+                .hint_noise
+                .and_then(|noise| LogNormal::from_mean_cv(1.0, noise.max(0.0)).ok()),
             arrivals: stream(seed, Concern::Arrivals, 0),
             asks: stream(seed, Concern::Asks, 0),
             work: stream(seed, Concern::Works, 0),
@@ -223,7 +252,10 @@
             return None;
         }
         if !self.recorded.is_empty() {
-            let arrival = *self.recorded.get(self.next as usize).filter(|a| a.at < self.duration)?;
+            let arrival = *self
+                .recorded
+                .get(self.next as usize)
+                .filter(|a| a.at < self.duration)?;
             return Some(self.draw(arrival.at, Some(arrival)));
         }
         if self.highest <= 0.0 {
@@ -245,7 +277,11 @@
 
     /// The requests that a closed loop begins with.
     pub fn begin(&mut self) -> Vec<Ask> {
-        let count = if self.classes.is_empty() { 0 } else { self.spec.outstanding };
+        let count = if self.classes.is_empty() {
+            0
+        } else {
+            self.spec.outstanding
+        };
         (0..count).map(|_| self.draw(0, None)).collect()
     }
 
@@ -262,12 +298,19 @@
         };
         let phase = &self.phases[at];
         let (from, to) = (phase.from.micros(), phase.to.micros());
-        let next = self.phases.get(at + 1).map_or(self.duration, |next| next.from.micros());
+        let next = self
+            .phases
+            .get(at + 1)
+            .map_or(self.duration, |next| next.from.micros());
         let to = if to > 0 { to } else { next };
         if now >= to {
             return self.spec.rate;
         }
-        let end = if phase.rate_to > 0.0 { phase.rate_to } else { phase.rate };
+        let end = if phase.rate_to > 0.0 {
+            phase.rate_to
+        } else {
+            phase.rate
+        };
         let part = (now - from) as f64 / (to - from).max(1) as f64;
         let turn = (now - from) as f64 / phase.wave_every.micros().max(1) as f64;
         let wave = if phase.wave == 0.0 || phase.wave_every.micros() == 0 {
@@ -335,7 +378,11 @@
         if !harmless || tries > self.spec.retries {
             return Next::Done;
         }
-        let doublings = if self.spec.backoff_doubles { (tries - 1).min(20) } else { 0 };
+        let doublings = if self.spec.backoff_doubles {
+            (tries - 1).min(20)
+        } else {
+            0
+        };
         let backoff = self.spec.backoff.micros() << doublings;
         let told = match end {
             End::Refused(Some(stay_away)) if ask.honours => stay_away,
@@ -343,6 +390,10 @@
         };
         let again = now + backoff.max(told).max(PAUSE);
         let gone = ask.leaves.is_some_and(|leaves| leaves <= again);
-        if again >= ask.deadline || gone { Next::Done } else { Next::TryAgain(again) }
+        if again >= ask.deadline || gone {
+            Next::Done
+        } else {
+            Next::TryAgain(again)
+        }
     }
 }
--- a/crates/lab/src/model/discovery.rs
+++ b/crates/lab/src/model/discovery.rs
@@ -61,7 +61,11 @@
 
     /// How late a change is known here: planned ones, and those that nobody tells of.
     pub fn notice(&self, silent: bool) -> Micros {
-        if silent { self.spec.silent_notice.micros() } else { self.spec.notice.micros() }
+        if silent {
+            self.spec.silent_notice.micros()
+        } else {
+            self.spec.notice.micros()
+        }
     }
 
     /// A change is known now. Whoever watches is to be told.
@@ -72,13 +76,25 @@
     /// The list entry of a server as it stands.
     pub fn listed(&self, at: usize) -> Listed {
         let first = self.base[at];
-        self.log.iter().rev().find(|l| l.server == first.server).copied().unwrap_or(first)
+        self.log
+            .iter()
+            .rev()
+            .find(|l| l.server == first.server)
+            .copied()
+            .unwrap_or(first)
     }
 
     /// The instances that are to be told of changes: all that watch, while it is not down.
     pub fn watchers(&self) -> impl Iterator<Item = u32> + '_ {
-        let all = if self.down { &[][..] } else { &self.watchers[..] };
-        (0..).zip(all).filter(|(_, watches)| **watches).map(|(at, _)| at)
+        let all = if self.down {
+            &[][..]
+        } else {
+            &self.watchers[..]
+        };
+        (0..)
+            .zip(all)
+            .filter(|(_, watches)| **watches)
+            .map(|(at, _)| at)
     }
 
     /// Whether this instance watches.
@@ -89,18 +105,31 @@
     /// An instance asks to watch: its call waits its turn, and fails if that takes too long or discovery is down.
     pub fn call(&mut self, now: Micros, instance: u32) -> Reply {
         if self.down {
-            return Reply { at: now, news: News::Failed };
+            return Reply {
+                at: now,
+                news: News::Failed,
+            };
         }
-        let gap = if self.spec.calls_per_second > 0.0 { 1e6 / self.spec.calls_per_second } else { 0.0 };
+        let gap = if self.spec.calls_per_second > 0.0 {
+            1e6 / self.spec.calls_per_second
+        } else {
+            0.0
+        };
         let done = self.busy_until.max(now) + gap as Micros;
         let limit = now + self.spec.timeout.micros();
         if done > limit {
-            return Reply { at: limit, news: News::Failed };
+            return Reply {
+                at: limit,
+                news: News::Failed,
+            };
         }
         self.busy_until = done;
         let (epoch, version) = self.held[instance as usize];
         let lags = epoch != self.epoch || self.log.len() - version > BACKLOG;
-        Reply { at: done, news: if lags { News::Full } else { News::Changes } }
+        Reply {
+            at: done,
+            news: if lags { News::Full } else { News::Changes },
+        }
     }
 
     /// The answer of a call leaves for an instance, which watches from now on; it fails if discovery went down
@@ -130,7 +159,11 @@
     /// What an instance holds from its last life, for its start.
     pub fn saved(&self, instance: u32) -> Vec<Listed> {
         let (epoch, version) = self.held[instance as usize];
-        self.list(if epoch == self.epoch { version } else { self.log.len() })
+        self.list(if epoch == self.epoch {
+            version
+        } else {
+            self.log.len()
+        })
     }
 
     /// An instance has ended; its watch with it.
@@ -160,7 +193,11 @@
         if !self.spec.on_request {
             return Vec::new();
         }
-        let ended = (0..).zip(&self.watchers).filter(|(_, w)| **w).map(|(at, _)| at).collect();
+        let ended = (0..)
+            .zip(&self.watchers)
+            .filter(|(_, w)| **w)
+            .map(|(at, _)| at)
+            .collect();
         self.watchers.fill(false);
         ended
     }
--- a/crates/lab/src/model/faults.rs
+++ b/crates/lab/src/model/faults.rs
@@ -116,9 +116,9 @@
     let ends = experiment.faults.iter().map(|fault| {
         // A rolling restart is over when its last server is back.
         let turns = match fault.kind {
-            FaultKind::RollingRestart => {
-                befallen(experiment, &world, 0, 0, fault).len().saturating_sub(1) as u64
-            }
+            FaultKind::RollingRestart => befallen(experiment, &world, 0, 0, fault)
+                .len()
+                .saturating_sub(1) as u64,
             _ => 0,
         };
         fault.at.micros() + turns * fault.every.micros() + fault.lasts.micros()
@@ -142,14 +142,24 @@
 
 /// The servers that a fault befalls: those it names, or a share of all; where it names some and a share too, that
 /// share of them.
-fn befallen(experiment: &Experiment, world: &World, seed: u64, number: u32, fault: &Fault) -> Vec<u32> {
+fn befallen(
+    experiment: &Experiment,
+    world: &World,
+    seed: u64,
+    number: u32,
+    fault: &Fault,
+) -> Vec<u32> {
     let named = !fault.servers.is_empty();
     let all = if named {
         world.named(experiment, &fault.servers)
     } else {
         (0..world.servers.len() as u32).collect()
     };
-    let share = if named && fault.share == 0.0 { 1.0 } else { fault.share };
+    let share = if named && fault.share == 0.0 {
+        1.0
+    } else {
+        fault.share
+    };
     pick(all, share, seed, number)
 }
 
@@ -163,10 +173,22 @@
 ) {
     let at = fault.at.micros();
     let end = (fault.lasts.micros() > 0).then(|| at + fault.lasts.micros());
-    let zone = |name: &str| experiment.network.zones.iter().position(|z| z == name).map(|z| z as u32);
-    let class = fault.class.as_ref().and_then(|name| experiment.classes.iter().position(|c| c.name == *name));
-    let scope =
-        Scope { class: class.map(|c| c as u32), zone: fault.seen_from.as_ref().and_then(|name| zone(name)) };
+    let zone = |name: &str| {
+        experiment
+            .network
+            .zones
+            .iter()
+            .position(|z| z == name)
+            .map(|z| z as u32)
+    };
+    let class = fault
+        .class
+        .as_ref()
+        .and_then(|name| experiment.classes.iter().position(|c| c.name == *name));
+    let scope = Scope {
+        class: class.map(|c| c as u32),
+        zone: fault.seen_from.as_ref().and_then(|name| zone(name)),
+    };
     let servers = befallen(experiment, world, seed, number, fault);
     let size = fault.size;
     let trouble = match fault.kind {
@@ -182,14 +204,26 @@
     let mut put = |at: Micros, change: Change| line.push((at, change));
     if let Some(trouble) = trouble {
         for server in servers {
-            put(at, Change::Begin { server, number, trouble, scope });
-            end.into_iter().for_each(|end| put(end, Change::End { server, number }));
+            put(
+                at,
+                Change::Begin {
+                    server,
+                    number,
+                    trouble,
+                    scope,
+                },
+            );
+            end.into_iter()
+                .for_each(|end| put(end, Change::End { server, number }));
         }
         return;
     }
     match fault.kind {
         FaultKind::Replay => {
-            let moments = fault.recording.as_ref().map_or(&[][..], |recording| &recording.moments);
+            let moments = fault
+                .recording
+                .as_ref()
+                .map_or(&[][..], |recording| &recording.moments);
             let all = experiment.faults.len() as u32;
             // Each trouble of each moment ends by a number of its own, which no fault of the file has.
             let mut numbers = (1u32..).map(|turn| number + all * turn);
@@ -198,60 +232,114 @@
                 let over = (from + moment.lasts_ms * 1_000).min(end.unwrap_or(Micros::MAX));
                 let errors = (moment.errors + moment.refused).min(1.0);
                 // Faster than usual is no fault.
-                let slower = if moment.slower > 1.0 { moment.slower } else { 0.0 };
+                let slower = if moment.slower > 1.0 {
+                    moment.slower
+                } else {
+                    0.0
+                };
                 for (trouble, size) in [
                     (Trouble::FastErrors(errors), errors),
                     (Trouble::LostAnswers(moment.lost), moment.lost),
                     (Trouble::Slow(slower), slower),
                 ] {
-                    let Some(number) = numbers.next().filter(|_| size > 0.0 && from < over) else { continue };
+                    let Some(number) = numbers.next().filter(|_| size > 0.0 && from < over) else {
+                        continue;
+                    };
                     for server in &servers {
-                        put(from, Change::Begin { server: *server, number, trouble, scope });
-                        put(over, Change::End { server: *server, number });
+                        put(
+                            from,
+                            Change::Begin {
+                                server: *server,
+                                number,
+                                trouble,
+                                scope,
+                            },
+                        );
+                        put(
+                            over,
+                            Change::End {
+                                server: *server,
+                                number,
+                            },
+                        );
                     }
                 }
             }
         }
         FaultKind::Resets => {
-            servers
-                .iter()
-                .for_each(|server| put(at, Change::Resets { number, server: *server, share: size }));
-            end.into_iter().for_each(|end| put(end, Change::Mend { number }));
+            servers.iter().for_each(|server| {
+                put(
+                    at,
+                    Change::Resets {
+                        number,
+                        server: *server,
+                        share: size,
+                    },
+                )
+            });
+            end.into_iter()
+                .for_each(|end| put(end, Change::Mend { number }));
         }
         FaultKind::Crash | FaultKind::Vanish => {
             let silent = fault.kind == FaultKind::Vanish;
             for server in servers {
                 put(at, Change::Stop { server, silent });
-                end.into_iter().for_each(|end| put(end, Change::Start { server }));
+                end.into_iter()
+                    .for_each(|end| put(end, Change::Start { server }));
             }
         }
         FaultKind::RollingRestart => {
             for (turn, server) in (0..).zip(servers) {
                 let at = at + turn * fault.every.micros();
                 let grace = experiment.instances.allow.drain_grace.micros();
-                put(at, Change::Drain { server, then_stop: true });
+                put(
+                    at,
+                    Change::Drain {
+                        server,
+                        then_stop: true,
+                    },
+                );
                 // It is back no sooner than it can have been drained and stopped.
-                put(at + fault.lasts.micros().max(grace + AWAY), Change::Start { server });
+                put(
+                    at + fault.lasts.micros().max(grace + AWAY),
+                    Change::Start { server },
+                );
             }
         }
         FaultKind::Drain => {
             for server in servers {
-                put(at, Change::Drain { server, then_stop: false });
-                end.into_iter().for_each(|end| put(end, Change::Undrain { server }));
+                put(
+                    at,
+                    Change::Drain {
+                        server,
+                        then_stop: false,
+                    },
+                );
+                end.into_iter()
+                    .for_each(|end| put(end, Change::Undrain { server }));
             }
         }
         FaultKind::CutZone | FaultKind::CutAnswers => {
             let answers_alone = fault.kind == FaultKind::CutAnswers;
             for name in &fault.servers {
                 if let Some(zone) = zone(name.strip_prefix("zone:").unwrap_or(name)) {
-                    put(at, Change::Cut { number, zone, answers_alone });
+                    put(
+                        at,
+                        Change::Cut {
+                            number,
+                            zone,
+                            answers_alone,
+                        },
+                    );
                 }
             }
-            end.into_iter().for_each(|end| put(end, Change::Mend { number }));
+            end.into_iter()
+                .for_each(|end| put(end, Change::Mend { number }));
         }
         FaultKind::DiscoveryDown => {
             put(at, Change::Discovery { up: false });
-            end.into_iter().for_each(|end| put(end, Change::Discovery { up: true }));
+            end.into_iter()
+                .for_each(|end| put(end, Change::Discovery { up: true }));
         }
         FaultKind::DiscoveryMoves => put(at, Change::DiscoveryMoves),
         FaultKind::InstanceRestart => {
@@ -260,7 +348,11 @@
             for (turn, instance) in (0..).zip(pick(all, share, seed, number)) {
                 let at = at + turn * fault.every.micros();
                 put(at, Change::Kill { instance });
-                let away = if fault.lasts.micros() > 0 { fault.lasts.micros() } else { AWAY };
+                let away = if fault.lasts.micros() > 0 {
+                    fault.lasts.micros()
+                } else {
+                    AWAY
+                };
                 put(at + away, Change::Revive { instance });
             }
         }
--- a/crates/lab/src/model/network.rs
+++ b/crates/lab/src/model/network.rs
@@ -47,9 +47,18 @@
 impl Network {
     /// A network where all is well.
     pub fn new(spec: &experiment::Network, random: Random) -> Self {
-        let jitter = LogNormal::from_mean_cv(1.0, spec.jitter).ok().filter(|_| spec.jitter > 0.0);
+        let jitter = LogNormal::from_mean_cv(1.0, spec.jitter)
+            .ok()
+            .filter(|_| spec.jitter > 0.0);
         let (same, cross) = (spec.same.micros() as f64, spec.cross.micros() as f64);
-        Network { same, cross, jitter, cuts: Vec::new(), resets: Vec::new(), random }
+        Network {
+            same,
+            cross,
+            jitter,
+            cuts: Vec::new(),
+            resets: Vec::new(),
+            random,
+        }
     }
 
     /// How long a message takes one way between an instance in a zone and a server in one; none where it is lost.
@@ -57,15 +66,25 @@
         if !self.reaches(instance, server, way) {
             return None;
         }
-        let mean = if instance == server { self.same } else { self.cross };
-        let factor = self.jitter.map_or(1.0, |jitter| jitter.sample(&mut self.random));
+        let mean = if instance == server {
+            self.same
+        } else {
+            self.cross
+        };
+        let factor = self
+            .jitter
+            .map_or(1.0, |jitter| jitter.sample(&mut self.random));
         Some((mean * factor).round().max(1.0) as Micros)
     }
 
     /// Whether anything gets through this way.
     pub fn reaches(&self, instance: u32, server: u32, way: Way) -> bool {
         let crosses = |cut: &&Cut| (cut.zone == instance) != (cut.zone == server);
-        !self.cuts.iter().filter(crosses).any(|cut| !cut.answers_alone || way == Way::Back)
+        !self
+            .cuts
+            .iter()
+            .filter(crosses)
+            .any(|cut| !cut.answers_alone || way == Way::Back)
     }
 
     /// What becomes of a request to this server.
@@ -82,13 +101,22 @@
 
     /// The share of connections to this server that break under a request.
     pub fn breaking(&self, server: u32) -> f64 {
-        let whole = self.resets.iter().filter(|r| r.1 == server).map(|r| 1.0 - r.2).product::<f64>();
+        let whole = self
+            .resets
+            .iter()
+            .filter(|r| r.1 == server)
+            .map(|r| 1.0 - r.2)
+            .product::<f64>();
         1.0 - whole
     }
 
     /// A zone is cut off from all others, both ways or answers alone, under a number by which that ends.
     pub fn cut(&mut self, number: u32, zone: u32, answers_alone: bool) {
-        self.cuts.push(Cut { number, zone, answers_alone });
+        self.cuts.push(Cut {
+            number,
+            zone,
+            answers_alone,
+        });
     }
 
     /// A share of the connections to a server breaks under a request.
--- a/crates/lab/src/model/server.rs
+++ b/crates/lab/src/model/server.rs
@@ -51,7 +51,13 @@
     /// A server of this kind and speed.
     pub fn new(kind: &ServerKind, speed: f64, allow: &Allow, mean_work: f64) -> Self {
         let (fall_multiple, fall) = (allow.fall_multiple, allow.fall.micros());
-        Spec { kind: kind.clone(), speed, fall_multiple, fall, mean_work }
+        Spec {
+            kind: kind.clone(),
+            speed,
+            fall_multiple,
+            fall,
+            mean_work,
+        }
     }
 }
 
@@ -163,7 +169,12 @@
 
     /// Whether this took effect within its window.
     pub fn knows(&mut self, now: Micros, once: u64) -> bool {
-        while let Some((_, old)) = self.ends.front().filter(|(until, _)| *until <= now).copied() {
+        while let Some((_, old)) = self
+            .ends
+            .front()
+            .filter(|(until, _)| *until <= now)
+            .copied()
+        {
             self.ends.pop_front();
             if self.known.get(&old).is_some_and(|until| *until <= now) {
                 self.known.remove(&old);
@@ -323,15 +334,25 @@
         if let Some(next) = self.running.last()
             && self.rate > 0.0
         {
-            at = self.at + ((next.done_at - self.work_clock) / self.rate).max(0.0).ceil() as Micros;
+            at = self.at
+                + ((next.done_at - self.work_clock) / self.rate)
+                    .max(0.0)
+                    .ceil() as Micros;
         }
         if let Some(since) = self.turning_since {
             let kind = &self.spec.kind;
-            let after = if self.crowded { kind.crowded_rest } else { kind.crowded_after };
+            let after = if self.crowded {
+                kind.crowded_rest
+            } else {
+                kind.crowded_after
+            };
             at = at.min(since + after.micros().max(1));
         }
         if let Some(started) = self.started {
-            let (cold, age) = (self.spec.kind.cold.micros(), self.at.saturating_sub(started));
+            let (cold, age) = (
+                self.spec.kind.cold.micros(),
+                self.at.saturating_sub(started),
+            );
             let step = (cold / WARMING).max(1);
             at = at.min(started + ((age / step + 1) * step).min(cold.max(age + 1)));
         }
@@ -384,7 +405,11 @@
     /// counts as one of all.
     pub fn truth(&self, now: Micros) -> ServerTruth {
         let clock = self.work_clock + now.saturating_sub(self.at) as f64 * self.rate;
-        let runs: f64 = self.running.iter().map(|r| (r.done_at - clock).max(0.0)).sum();
+        let runs: f64 = self
+            .running
+            .iter()
+            .map(|r| (r.done_at - clock).max(0.0))
+            .sum();
         let waits: f64 = self.waiting.iter().map(|w| self.price(&w.task)).sum();
         let spoils = |t: &Trouble| match t {
             Trouble::LostAnswers(share) | Trouble::SpoiltAnswers(share) => 1.0 - share,
@@ -394,8 +419,16 @@
         let failing = 1.0 - (1.0 - self.failing(None)) * whole.max(0.0);
         ServerTruth {
             backlog: runs + waits,
-            speed: if self.is_up() { self.rate * f64::from(self.spec.kind.cores) } else { 0.0 },
-            free_cores: self.spec.kind.cores.saturating_sub(self.running.len() as u32),
+            speed: if self.is_up() {
+                self.rate * f64::from(self.spec.kind.cores)
+            } else {
+                0.0
+            },
+            free_cores: self
+                .spec
+                .kind
+                .cores
+                .saturating_sub(self.running.len() as u32),
             failing,
             takes_work: self.life == Life::Up,
         }
@@ -421,7 +454,10 @@
                 if self.spec.kind.handshake.micros() == 0 {
                     out.push(Output::Connected(tag));
                 } else {
-                    self.waiting.push_back(Waiting { task: Task::Handshake(tag), given_up: false });
+                    self.waiting.push_back(Waiting {
+                        task: Task::Handshake(tag),
+                        given_up: false,
+                    });
                     self.begin_what_waits(out);
                 }
             }
@@ -447,11 +483,18 @@
             self.done.turned_away += 1;
             return out.push(Output::TurnedAway(job.tag));
         }
-        if self.troubles.iter().any(|(_, t, scope, _)| *t == Trouble::Hang && scope.holds(&job)) {
+        if self
+            .troubles
+            .iter()
+            .any(|(_, t, scope, _)| *t == Trouble::Hang && scope.holds(&job))
+        {
             // A whole hang freezes what came before, too, and lets it go on at its end; one of a class swallows.
             if self.hung && self.room() {
                 self.held += 1;
-                self.waiting.push_back(Waiting { task: Task::Request(job), given_up: false });
+                self.waiting.push_back(Waiting {
+                    task: Task::Request(job),
+                    given_up: false,
+                });
                 self.note_held(now);
             }
             return;
@@ -466,7 +509,10 @@
             return out.push(Output::TurnedAway(job.tag));
         }
         self.held += 1;
-        self.waiting.push_back(Waiting { task: Task::Request(job), given_up: false });
+        self.waiting.push_back(Waiting {
+            task: Task::Request(job),
+            given_up: false,
+        });
         self.begin_what_waits(out);
         self.note_held(now);
     }
@@ -506,17 +552,32 @@
         }
         let cost = self.spec.kind.probe.micros() as f64;
         if cost > 0.0 {
-            self.waiting.push_front(Waiting { task: Task::Chore(cost), given_up: false });
+            self.waiting.push_front(Waiting {
+                task: Task::Chore(cost),
+                given_up: false,
+            });
             self.begin_what_waits(out);
         }
         let told = now.saturating_sub(self.spec.kind.report_delay.micros());
-        let report = self.snapshots.iter().rev().find(|(at, _)| *at <= told).or(self.snapshots.front())?.1;
+        let report = self
+            .snapshots
+            .iter()
+            .rev()
+            .find(|(at, _)| *at <= told)
+            .or(self.snapshots.front())?
+            .1;
         let noise = self.spec.kind.report_noise;
-        let factor = match LogNormal::from_mean_cv(1.0, noise).ok().filter(|_| noise > 0.0) {
+        let factor = match LogNormal::from_mean_cv(1.0, noise)
+            .ok()
+            .filter(|_| noise > 0.0)
+        {
             Some(noise) => noise.sample(&mut self.random),
             None => 1.0,
         };
-        Some(Report { held: report.held * factor, errors: report.errors * factor })
+        Some(Report {
+            held: report.held * factor,
+            errors: report.errors * factor,
+        })
     }
 
     /// It takes nothing new and finishes what it holds, then says [`Output::Drained`].
@@ -545,20 +606,29 @@
         for running in self.running.drain(..) {
             self.done.wasted += self.use_clock - running.begun;
             match running.task {
-                Task::Request(job) if !silent && !running.given_up => out.push(Output::Broken(job.tag)),
+                Task::Request(job) if !silent && !running.given_up => {
+                    out.push(Output::Broken(job.tag))
+                }
                 Task::Handshake(tag) if !silent => out.push(Output::Refused(tag)),
                 _ => {}
             }
         }
         for waiting in self.waiting.drain(..) {
             match waiting.task {
-                Task::Request(job) if !silent && !waiting.given_up => out.push(Output::Broken(job.tag)),
+                Task::Request(job) if !silent && !waiting.given_up => {
+                    out.push(Output::Broken(job.tag))
+                }
                 Task::Handshake(tag) if !silent => out.push(Output::Refused(tag)),
                 _ => {}
             }
         }
         self.life = if silent { Life::Silent } else { Life::Down };
-        (self.held, self.connections, self.crowded, self.turning_since) = (0, 0, false, None);
+        (
+            self.held,
+            self.connections,
+            self.crowded,
+            self.turning_since,
+        ) = (0, 0, false, None);
         self.started = None;
         self.cold_log.clear();
         self.cold_sum = 0.0;
@@ -582,7 +652,14 @@
     }
 
     /// A trouble begins, under a number by which it ends.
-    pub fn begin(&mut self, now: Micros, number: u32, trouble: Trouble, scope: Scope, out: &mut Vec<Output>) {
+    pub fn begin(
+        &mut self,
+        now: Micros,
+        number: u32,
+        trouble: Trouble,
+        scope: Scope,
+        out: &mut Vec<Output>,
+    ) {
         self.catch_up(now, out);
         self.troubles.push((number, trouble, scope, now));
         self.hung |= trouble == Trouble::Hang && scope.is_all();
@@ -593,7 +670,10 @@
     pub fn end(&mut self, now: Micros, number: u32, out: &mut Vec<Output>) {
         self.catch_up(now, out);
         self.troubles.retain(|(n, ..)| *n != number);
-        self.hung = self.troubles.iter().any(|(_, t, scope, _)| *t == Trouble::Hang && scope.is_all());
+        self.hung = self
+            .troubles
+            .iter()
+            .any(|(_, t, scope, _)| *t == Trouble::Hang && scope.is_all());
         self.set_rate(now);
         self.begin_what_waits(out);
     }
@@ -627,7 +707,9 @@
             && next.done_at - self.work_clock <= NOTHING
             && !self.hung
         {
-            let Some(done) = self.running.pop() else { break };
+            let Some(done) = self.running.pop() else {
+                break;
+            };
             self.serving -= u32::from(matches!(done.task, Task::Request(_)));
             self.finish(done, out);
         }
@@ -645,13 +727,18 @@
         let used = self.use_clock - done.begun;
         self.held -= 1;
         let repeated = done.known
-            || job.once.is_some_and(|(once, window)| !self.repeats().takes_effect(self.at, once, window));
+            || job
+                .once
+                .is_some_and(|(once, window)| !self.repeats().takes_effect(self.at, once, window));
         if repeated {
             self.done.repeated += 1
         } else {
             self.done.executed += 1
         };
-        out.push(Output::Ran { tag: job.tag, repeated });
+        out.push(Output::Ran {
+            tag: job.tag,
+            repeated,
+        });
         if let Some(key) = job.key {
             self.remember(key);
         }
@@ -659,9 +746,25 @@
             self.done.wasted += used;
             return;
         }
-        let lost = self.share(&job, |t| if let Trouble::LostAnswers(share) = t { share } else { 0.0 });
-        let spoilt = self.share(&job, |t| if let Trouble::SpoiltAnswers(share) = t { share } else { 0.0 });
-        let luck = if lost + spoilt > 0.0 { self.random.random::<f64>() } else { 1.0 };
+        let lost = self.share(&job, |t| {
+            if let Trouble::LostAnswers(share) = t {
+                share
+            } else {
+                0.0
+            }
+        });
+        let spoilt = self.share(&job, |t| {
+            if let Trouble::SpoiltAnswers(share) = t {
+                share
+            } else {
+                0.0
+            }
+        });
+        let luck = if lost + spoilt > 0.0 {
+            self.random.random::<f64>()
+        } else {
+            1.0
+        };
         if luck < lost {
             self.done.wasted += used;
             out.push(Output::Broken(job.tag));
@@ -675,17 +778,27 @@
 
     fn begin_what_waits(&mut self, out: &mut Vec<Output>) {
         while self.running.len() < self.spec.kind.cores as usize && !self.hung {
-            let Some(Waiting { task, given_up }) = self.waiting.pop_front() else { return };
+            let Some(Waiting { task, given_up }) = self.waiting.pop_front() else {
+                return;
+            };
             let mut left = self.price(&task);
             let mut known = false;
             if let Task::Request(job) = &task {
-                known = job.once.is_some_and(|(once, _)| self.repeats().knows(self.at, once));
+                known = job
+                    .once
+                    .is_some_and(|(once, _)| self.repeats().knows(self.at, once));
                 if known {
                     left = 0.0;
                 }
             }
             let done_at = self.work_clock + left;
-            let running = Running { task, done_at, begun: self.use_clock, given_up, known };
+            let running = Running {
+                task,
+                done_at,
+                begun: self.use_clock,
+                given_up,
+                known,
+            };
             if left <= NOTHING {
                 self.finish(running, out);
             } else {
@@ -700,8 +813,9 @@
     /// Whether one more request finds a core or a place to wait.
     fn room(&self) -> bool {
         let waits = self.held - self.serving;
-        let free =
-            self.running.len() < self.spec.kind.cores as usize && self.waiting.is_empty() && !self.hung;
+        let free = self.running.len() < self.spec.kind.cores as usize
+            && self.waiting.is_empty()
+            && !self.hung;
         free || waits < self.spec.kind.queue
     }
 
@@ -711,10 +825,23 @@
             Task::Handshake(_) => self.spec.kind.handshake.micros() as f64,
             Task::Chore(work) => *work,
             Task::Request(job) => {
-                let slow = self.troubles.iter().filter(|(.., scope, _)| scope.holds(job));
-                let slow = slow.map(|(_, t, ..)| if let Trouble::Slow(times) = *t { times } else { 1.0 });
+                let slow = self
+                    .troubles
+                    .iter()
+                    .filter(|(.., scope, _)| scope.holds(job));
+                let slow = slow.map(|(_, t, ..)| {
+                    if let Trouble::Slow(times) = *t {
+                        times
+                    } else {
+                        1.0
+                    }
+                });
                 let warm = job.key.is_some_and(|key| self.remembers(key));
-                let part = if warm { self.spec.kind.warm_key_work } else { 1.0 };
+                let part = if warm {
+                    self.spec.kind.warm_key_work
+                } else {
+                    1.0
+                };
                 job.work * part * slow.product::<f64>()
             }
         }
@@ -751,12 +878,17 @@
         }
         if self.key_order.len() > 8 * self.spec.kind.warm_keys as usize {
             let keys = &self.keys;
-            self.key_order.retain(|(met, key)| keys.get(key) == Some(met));
+            self.key_order
+                .retain(|(met, key)| keys.get(key) == Some(met));
         }
     }
 
     fn share(&self, job: &Job, of: impl Fn(Trouble) -> f64) -> f64 {
-        self.troubles.iter().filter(|(.., scope, _)| scope.holds(job)).map(|(_, t, ..)| of(*t)).sum()
+        self.troubles
+            .iter()
+            .filter(|(.., scope, _)| scope.holds(job))
+            .map(|(_, t, ..)| of(*t))
+            .sum()
     }
 
     /// The share of requests that fail at once: of those like this one, or of all.
@@ -776,7 +908,9 @@
 
     /// The part of its capacity that it has by its age.
     fn warmth(&self, now: Micros) -> f64 {
-        let Some(started) = self.started else { return 1.0 };
+        let Some(started) = self.started else {
+            return 1.0;
+        };
         let (cold, age) = (self.spec.kind.cold.micros(), now.saturating_sub(started));
         if age >= cold {
             1.0
@@ -786,20 +920,28 @@
     }
 
     fn set_rate(&mut self, now: Micros) {
-        let mut rate = if self.hung { 0.0 } else { self.spec.speed * self.warmth(now) };
+        let mut rate = if self.hung {
+            0.0
+        } else {
+            self.spec.speed * self.warmth(now)
+        };
         if self.crowded {
             rate /= self.spec.kind.crowded_slower.max(1.0);
         }
         for (_, trouble, _, since) in &self.troubles {
             if let Trouble::Neighbour(takes, every) = *trouble
                 && (every == 0
-                    || (now.saturating_sub(*since) / (every / 2).max(SHORTEST_TURN)).is_multiple_of(2))
+                    || (now.saturating_sub(*since) / (every / 2).max(SHORTEST_TURN))
+                        .is_multiple_of(2))
             {
                 rate *= (1.0 - takes).max(0.01);
             }
         }
         self.rate = rate;
-        if self.started.is_some_and(|at| now >= at + self.spec.kind.cold.micros()) {
+        if self
+            .started
+            .is_some_and(|at| now >= at + self.spec.kind.cold.micros())
+        {
             self.started = None;
             self.cold_log.clear();
             self.cold_sum = 0.0;
@@ -813,14 +955,29 @@
             return;
         }
         let a_core = f64::from(self.held) / f64::from(kind.cores.max(1));
-        let turns = if self.crowded { a_core < kind.crowded_until } else { a_core > kind.crowded_at };
-        self.turning_since = if turns { self.turning_since.or(Some(now)) } else { None };
+        let turns = if self.crowded {
+            a_core < kind.crowded_until
+        } else {
+            a_core > kind.crowded_at
+        };
+        self.turning_since = if turns {
+            self.turning_since.or(Some(now))
+        } else {
+            None
+        };
     }
 
     fn turn(&mut self, now: Micros) {
         let kind = &self.spec.kind;
-        let after = if self.crowded { kind.crowded_rest } else { kind.crowded_after };
-        if self.turning_since.is_some_and(|since| now >= since + after.micros().max(1)) {
+        let after = if self.crowded {
+            kind.crowded_rest
+        } else {
+            kind.crowded_after
+        };
+        if self
+            .turning_since
+            .is_some_and(|since| now >= since + after.micros().max(1))
+        {
             self.crowded = !self.crowded;
             self.turning_since = None;
             self.note_held(now);
@@ -836,12 +993,18 @@
         }
         self.cold_log.push_back((now, job.work));
         self.cold_sum += job.work;
-        while let Some((_, work)) = self.cold_log.front().filter(|(at, _)| at + fall < now).copied() {
+        while let Some((_, work)) = self
+            .cold_log
+            .front()
+            .filter(|(at, _)| at + fall < now)
+            .copied()
+        {
             self.cold_log.pop_front();
             self.cold_sum -= work;
         }
         let capacity = self.spec.speed * self.warmth(now) * f64::from(self.spec.kind.cores);
-        let bears = self.spec.fall_multiple * capacity * fall as f64 + FALL_SLACK * self.spec.mean_work;
+        let bears =
+            self.spec.fall_multiple * capacity * fall as f64 + FALL_SLACK * self.spec.mean_work;
         let falls = self.cold_sum > bears;
         if falls {
             out.push(Output::Broken(job.tag));
@@ -852,7 +1015,10 @@
     }
 
     fn note_drained(&mut self, out: &mut Vec<Output>) {
-        if self.life == Life::Draining && self.held == 0 && !std::mem::replace(&mut self.drained, true) {
+        if self.life == Life::Draining
+            && self.held == 0
+            && !std::mem::replace(&mut self.drained, true)
+        {
             out.push(Output::Drained);
         }
     }
@@ -863,15 +1029,22 @@
         if every == 0 || !self.is_up() || now < self.next_snapshot {
             return;
         }
-        let stuck = self.troubles.iter().any(|(_, t, ..)| *t == Trouble::StuckReports);
+        let stuck = self
+            .troubles
+            .iter()
+            .any(|(_, t, ..)| *t == Trouble::StuckReports);
         let errors = f64::from(std::mem::take(&mut self.errors)) * 1e6 / every as f64;
         let due = (now - self.next_snapshot) / every;
         if !stuck || self.snapshots.is_empty() {
             let first = due.saturating_sub(SNAPSHOTS as u64 - 1);
             for number in first..=due {
                 let errors = if number == 0 { errors } else { 0.0 };
-                let report = Report { held: f64::from(self.held), errors };
-                self.snapshots.push_back((self.next_snapshot + number * every, report));
+                let report = Report {
+                    held: f64::from(self.held),
+                    errors,
+                };
+                self.snapshots
+                    .push_back((self.next_snapshot + number * every, report));
             }
             while self.snapshots.len() > SNAPSHOTS {
                 self.snapshots.pop_front();
--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/play.rs
@@ -43,10 +43,10 @@
 
 /// The policies that an arm may name, each with what it is in a line.
 pub fn policies() -> impl Iterator<Item = (&'static str, &'static str)> + Clone {
-    rivals::KNOWN
-        .iter()
-        .copied()
-        .chain([(PANICS, "`madderloom` until it panics, on purpose: to see the lab survive")])
+    rivals::KNOWN.iter().copied().chain([(
+        PANICS,
+        "`madderloom` until it panics, on purpose: to see the lab survive",
+    )])
 }
 
 /// Whether an arm's policy takes its figures.
@@ -63,11 +63,21 @@
 }
 
 /// Plays an arm with a seed.
-pub fn play(experiment: &Experiment, arm: &Arm, seed: u64, driver: Driver, watch: Watch<'_>) -> Run {
+pub fn play(
+    experiment: &Experiment,
+    arm: &Arm,
+    seed: u64,
+    driver: Driver,
+    watch: Watch<'_>,
+) -> Run {
     match driver {
-        Driver::Virtual => {
-            virtual_time::run(experiment, arm, seed, &|start| make(experiment, arm, start), watch)
-        }
+        Driver::Virtual => virtual_time::run(
+            experiment,
+            arm,
+            seed,
+            &|start| make(experiment, arm, start),
+            watch,
+        ),
         Driver::Sockets => sockets::run(experiment, arm, seed, watch),
     }
 }
@@ -90,7 +100,10 @@
     }
     if arm.policy == PANICS {
         let left = arm.with.get("after").copied().unwrap_or(PANICS_AFTER) as u64;
-        return Ok(Box::new(Panics { inner: policy::own(start)?, left }));
+        return Ok(Box::new(Panics {
+            inner: policy::own(start)?,
+            left,
+        }));
     }
     rivals::maker(arm).make(start)
 }
@@ -121,9 +134,13 @@
         let Some(name) = &fault.file else { continue };
         let file = beside.join(name);
         let told = |problem: String| format!("{}: {problem}", file.display());
-        let long = std::fs::metadata(&file).map_err(|e| told(e.to_string()))?.len();
+        let long = std::fs::metadata(&file)
+            .map_err(|e| told(e.to_string()))?
+            .len();
         if long > LONGEST_RECORDING {
-            return Err(told(format!("has {long} bytes; at most {LONGEST_RECORDING}")));
+            return Err(told(format!(
+                "has {long} bytes; at most {LONGEST_RECORDING}"
+            )));
         }
         let text = std::fs::read_to_string(&file).map_err(|e| told(e.to_string()))?;
         let recording: Recording = serde_json::from_str(&text).map_err(|e| told(e.to_string()))?;
@@ -131,7 +148,11 @@
             return Err(told(problem));
         }
         // It lasts as long as what was recorded, unless it is to be shorter.
-        let end = recording.moments.last().map_or(0, |moment| moment.from_ms + moment.lasts_ms) * 1_000;
+        let end = recording
+            .moments
+            .last()
+            .map_or(0, |moment| moment.from_ms + moment.lasts_ms)
+            * 1_000;
         if fault.lasts.micros() == 0 || fault.lasts.micros() > end {
             fault.lasts = Span(end);
         }
@@ -152,12 +173,18 @@
 
 /// Reads the recorded arrivals of an experiment whose file lies in `beside`, and gives their bytes' hash.
 fn with_arrivals(experiment: &mut Experiment, beside: &Path) -> Result<Option<String>, String> {
-    let Some(name) = &experiment.clients.arrivals else { return Ok(None) };
+    let Some(name) = &experiment.clients.arrivals else {
+        return Ok(None);
+    };
     let file = beside.join(name);
     let told = |problem: String| format!("{}: {problem}", file.display());
-    let long = std::fs::metadata(&file).map_err(|e| told(e.to_string()))?.len();
+    let long = std::fs::metadata(&file)
+        .map_err(|e| told(e.to_string()))?
+        .len();
     if long > LONGEST_ARRIVALS {
-        return Err(told(format!("has {long} bytes; at most {LONGEST_ARRIVALS}")));
+        return Err(told(format!(
+            "has {long} bytes; at most {LONGEST_ARRIVALS}"
+        )));
     }
     let text = std::fs::read_to_string(&file).map_err(|e| told(e.to_string()))?;
     let arrivals = read_arrivals(&text, &experiment.classes).map_err(told)?;
--- a/crates/lab/src/record.rs
+++ b/crates/lab/src/record.rs
@@ -70,7 +70,11 @@
 impl Tally {
     /// Worth earned over worth asked for; 1 where nothing was.
     pub fn goodput(&self) -> f64 {
-        if self.worth > 0.0 { self.earned / self.worth } else { 1.0 }
+        if self.worth > 0.0 {
+            self.earned / self.worth
+        } else {
+            1.0
+        }
     }
 }
 
--- a/crates/lab/src/recorder.rs
+++ b/crates/lab/src/recorder.rs
@@ -13,8 +13,16 @@
 use std::collections::BTreeMap;
 
 /// The outcomes in the order in which they are counted, as results name them.
-const OUTCOMES: [&str; 8] =
-    ["ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot"];
+const OUTCOMES: [&str; 8] = [
+    "ok",
+    "error",
+    "full",
+    "timeout",
+    "connect_failed",
+    "reset",
+    "cancelled",
+    "moot",
+];
 
 /// Goodput of before that counts as recovered.
 const RECOVERED: f64 = 0.95;
@@ -83,10 +91,18 @@
         };
         let window = experiment.window.micros().max(1);
         let steps = experiment.duration.micros().div_ceil(window) as usize;
-        let step = Step { classes: vec![(0, 0); experiment.classes.len()], ..Step::default() };
+        let step = Step {
+            classes: vec![(0, 0); experiment.classes.len()],
+            ..Step::default()
+        };
         let server = |place: &crate::world::ServerPlace| ServerTally {
             kind: experiment.servers[place.kind as usize].name.clone(),
-            zone: experiment.network.zones.get(place.zone as usize).cloned().unwrap_or_default(),
+            zone: experiment
+                .network
+                .zones
+                .get(place.zone as usize)
+                .cloned()
+                .unwrap_or_default(),
             ..ServerTally::default()
         };
         Recorder {
@@ -214,8 +230,11 @@
     /// A window has ended; what each server has done up to now.
     pub fn end_window(&mut self, done: impl Iterator<Item = Done>) {
         let (recent, window) = (&self.recent, self.window as f64);
-        let latency =
-            (recent.value_at_quantile(0.5), recent.value_at_quantile(0.9), recent.value_at_quantile(0.99));
+        let latency = (
+            recent.value_at_quantile(0.5),
+            recent.value_at_quantile(0.9),
+            recent.value_at_quantile(0.99),
+        );
         let (busy, cores) = (&mut self.busy, &self.cores);
         let load = done.zip(busy).zip(cores).map(|((done, before), cores)| {
             let used = done.busy - std::mem::replace(before, done.busy);
@@ -230,15 +249,24 @@
     }
 
     /// The record of the run. `done` is what each server did in all.
-    pub fn finish(mut self, done: impl Iterator<Item = Done>, verdict: Verdict, void: Option<String>) -> Run {
-        self.run.void = void.or(verdict.wrong.map(|wrong| format!("the lab lost count: {wrong}")));
+    pub fn finish(
+        mut self,
+        done: impl Iterator<Item = Done>,
+        verdict: Verdict,
+        void: Option<String>,
+    ) -> Run {
+        self.run.void = void.or(verdict
+            .wrong
+            .map(|wrong| format!("the lab lost count: {wrong}")));
         let mut total = Tally::default();
         let mut latency = histogram();
         for (name, mut class) in self.names.iter().zip(self.classes) {
             class.tally.outcomes = by_name(&class.outcomes);
             class.tally.latency.buckets = buckets(&class.latency);
             // Both have the same bounds.
-            latency.add(&class.latency).expect("the histograms are alike");
+            latency
+                .add(&class.latency)
+                .expect("the histograms are alike");
             add(&mut total, &class.tally);
             self.run.classes.insert(name.clone(), class.tally);
         }
@@ -258,16 +286,33 @@
         // Results name servers in the order of their names, and loads go by that order.
         let mut order: Vec<usize> = (0..self.server_names.len()).collect();
         order.sort_by(|a, b| self.server_names[*a].cmp(&self.server_names[*b]));
-        self.run.recovery = recovery(&self.steps, self.window, self.warmup, self.duration, self.faults);
+        self.run.recovery = recovery(
+            &self.steps,
+            self.window,
+            self.warmup,
+            self.duration,
+            self.faults,
+        );
         let names = &self.names;
-        let whole = if self.run.void.is_some() { self.ended_steps } else { self.steps.len() };
+        let whole = if self.run.void.is_some() {
+            self.ended_steps
+        } else {
+            self.steps.len()
+        };
         let windows = self.steps.into_iter().take(whole).map(|step| Window {
             worth: step.worth,
             earned: step.earned,
-            classes: names.iter().cloned().zip(step.classes).collect::<BTreeMap<_, _>>(),
+            classes: names
+                .iter()
+                .cloned()
+                .zip(step.classes)
+                .collect::<BTreeMap<_, _>>(),
             latency: step.latency,
             attempts: step.attempts,
-            load: order.iter().filter_map(|at| step.load.get(*at).copied()).collect(),
+            load: order
+                .iter()
+                .filter_map(|at| step.load.get(*at).copied())
+                .collect(),
         });
         self.run.windows = windows.collect();
         self.run.broken = verdict.broken;
@@ -277,12 +322,19 @@
 }
 
 fn by_name(outcomes: &[u64; 8]) -> BTreeMap<String, u64> {
-    let seen = OUTCOMES.iter().zip(outcomes).filter(|(_, count)| **count > 0);
-    seen.map(|(name, count)| (name.to_string(), *count)).collect()
+    let seen = OUTCOMES
+        .iter()
+        .zip(outcomes)
+        .filter(|(_, count)| **count > 0);
+    seen.map(|(name, count)| (name.to_string(), *count))
+        .collect()
 }
 
 fn buckets(latency: &Histogram<u64>) -> Vec<(u64, u64)> {
-    latency.iter_recorded().map(|v| (v.value_iterated_to(), v.count_since_last_iteration())).collect()
+    latency
+        .iter_recorded()
+        .map(|v| (v.value_iterated_to(), v.count_since_last_iteration()))
+        .collect()
 }
 
 fn add(total: &mut Tally, class: &Tally) {
@@ -314,7 +366,9 @@
 ) -> Option<Span> {
     let (first, last) = faults?;
     let goodput = |steps: &[Step]| {
-        let (earned, worth) = steps.iter().fold((0.0, 0.0), |sum, s| (sum.0 + s.earned, sum.1 + s.worth));
+        let (earned, worth) = steps
+            .iter()
+            .fold((0.0, 0.0), |sum, s| (sum.0 + s.earned, sum.1 + s.worth));
         (worth > 0.0).then(|| earned / worth)
     };
     let place = |at: Micros| (at.div_ceil(window) as usize).min(steps.len());
@@ -322,7 +376,9 @@
     for at in place(last)..steps.len() {
         let end = (at + STEADY).min(steps.len());
         if goodput(&steps[at..end]).is_some_and(|now| now >= RECOVERED * before) {
-            return Some(Span((at as u64 * window).min(duration).saturating_sub(last)));
+            return Some(Span(
+                (at as u64 * window).min(duration).saturating_sub(last),
+            ));
         }
     }
     None
