--- a/crates/lab/src/report/page.rs
+++ b/crates/lab/src/report/page.rs
@@ -117,7 +117,10 @@
 
 impl<'r> Page<'r> {
     fn new(results: &'r Results) -> Self {
-        Page { results, bands: series::bands(&results.experiment) }
+        Page {
+            results,
+            bands: series::bands(&results.experiment),
+        }
     }
 
     fn runs(&self, arm: &'r str) -> Vec<&'r Run> {
@@ -125,13 +128,24 @@
     }
 
     fn arms(&self, class: Option<&str>) -> Markup {
-        let Results { experiment, manifest, runs, .. } = self.results;
-        let summaries: Vec<Summary> =
-            manifest.arms.iter().map(|arm| Summary::of(experiment, arm, runs, class)).collect();
+        let Results {
+            experiment,
+            manifest,
+            runs,
+            ..
+        } = self.results;
+        let summaries: Vec<Summary> = manifest
+            .arms
+            .iter()
+            .map(|arm| Summary::of(experiment, arm, runs, class))
+            .collect();
         let shown = |figure: &Figure| summaries.iter().any(|arm| arm.figure(*figure).is_some());
         // Goodput says as much of worth, in less room.
-        let columns: Vec<Figure> =
-            crate::figures::ALL.iter().copied().filter(|f| *f != Figure::WorthLost && shown(f)).collect();
+        let columns: Vec<Figure> = crate::figures::ALL
+            .iter()
+            .copied()
+            .filter(|f| *f != Figure::WorthLost && shown(f))
+            .collect();
         html! { div.scroll { table {
             tr { th { "arm" } @for column in &columns { th { (column.name()) } } @if class.is_none() { th { "rules" } th { "runs" } } }
             @for arm in &summaries { tr {
@@ -185,16 +199,30 @@
         let mut lines = Vec::new();
         for (i, arm) in self.results.manifest.arms.iter().enumerate() {
             let runs = self.runs(arm);
-            let ours =
-                self.results.experiment.arms.iter().any(|a| a.name == *arm && a.policy == "madderloom");
-            lines.push(Line { colour: i, bold: ours, stretches: points(&runs) });
+            let ours = self
+                .results
+                .experiment
+                .arms
+                .iter()
+                .any(|a| a.name == *arm && a.policy == "madderloom");
+            lines.push(Line {
+                colour: i,
+                bold: ours,
+                stretches: points(&runs),
+            });
         }
         // Ours last, on top of the others.
         lines.sort_by_key(|line| line.bold);
-        let highest =
-            lines.iter().flat_map(|l| l.stretches.iter().flatten()).map(|(_, y)| *y).fold(0.0, f64::max);
-        let lowest =
-            lines.iter().flat_map(|l| l.stretches.iter().flatten()).map(|(_, y)| *y).fold(f64::MAX, f64::min);
+        let highest = lines
+            .iter()
+            .flat_map(|l| l.stretches.iter().flatten())
+            .map(|(_, y)| *y)
+            .fold(0.0, f64::max);
+        let lowest = lines
+            .iter()
+            .flat_map(|l| l.stretches.iter().flatten())
+            .map(|(_, y)| *y)
+            .fold(f64::MAX, f64::min);
         let mut chart = Chart { lines, ..chart };
         if chart.up.1 == 0.0 {
             chart.up.1 = highest * 1.08;
@@ -224,10 +252,15 @@
             words: None,
             dots: false,
         };
-        self.chart(&format!("{y} over time"), chart, |runs| series::over_time(e, runs, value))
+        self.chart(&format!("{y} over time"), chart, |runs| {
+            series::over_time(e, runs, value)
+        })
     }
 
-    fn latency_over_time(&self, of: &dyn Fn(&crate::record::Window) -> u64) -> Result<Markup, String> {
+    fn latency_over_time(
+        &self,
+        of: &dyn Fn(&crate::record::Window) -> u64,
+    ) -> Result<Markup, String> {
         let e = &self.results.experiment;
         let bands: Vec<(f64, f64)> = self.bands.iter().map(|band| band.span).collect();
         let chart = Chart {
@@ -241,11 +274,16 @@
             words: None,
             dots: false,
         };
-        self.chart("latency over time", chart, |runs| series::over_time(e, runs, |w| series::latency(of, w)))
+        self.chart("latency over time", chart, |runs| {
+            series::over_time(e, runs, |w| series::latency(of, w))
+        })
     }
 
     fn percentiles(&self, class: &str) -> Result<Markup, String> {
-        let words = series::PERCENTILES.iter().map(|(_, name)| (*name).to_string()).collect();
+        let words = series::PERCENTILES
+            .iter()
+            .map(|(_, name)| (*name).to_string())
+            .collect();
         let chart = Chart {
             x: "percentile of what was served",
             y: "latency [ms]",
@@ -257,7 +295,9 @@
             words: Some(words),
             dots: false,
         };
-        self.chart(&format!("latency percentiles of {class}"), chart, |runs| series::percentiles(runs, class))
+        self.chart(&format!("latency percentiles of {class}"), chart, |runs| {
+            series::percentiles(runs, class)
+        })
     }
 
     fn attempts(&self) -> Result<Markup, String> {
@@ -265,8 +305,11 @@
     }
 
     fn recovers(&self) -> bool {
-        let Results { experiment, runs, .. } = self.results;
-        runs.iter().any(|run| run.void.is_none() && Figure::Recovery.of(experiment, run, None).is_some())
+        let Results {
+            experiment, runs, ..
+        } = self.results;
+        runs.iter()
+            .any(|run| run.void.is_none() && Figure::Recovery.of(experiment, run, None).is_some())
     }
 
     /// A dot for each seed.
@@ -279,14 +322,24 @@
             .map(|(i, arm)| {
                 let runs = self.runs(arm);
                 // Beside each other, or equal ones would hide each other.
-                let across = |n: usize| i as f64 + 0.5 * ((n as f64 + 0.5) / runs.len() as f64 - 0.5);
-                let dot = |(n, run): (usize, &&Run)| Some((across(n), Figure::Recovery.of(e, run, None)?));
+                let across =
+                    |n: usize| i as f64 + 0.5 * ((n as f64 + 0.5) / runs.len() as f64 - 0.5);
+                let dot = |(n, run): (usize, &&Run)| {
+                    Some((across(n), Figure::Recovery.of(e, run, None)?))
+                };
                 let dots = runs.iter().enumerate().filter_map(dot).collect();
-                Line { colour: i, bold: false, stretches: vec![dots] }
+                Line {
+                    colour: i,
+                    bold: false,
+                    stretches: vec![dots],
+                }
             })
             .collect();
-        let highest =
-            lines.iter().flat_map(|l| l.stretches.iter().flatten()).map(|(_, y)| *y).fold(0.0, f64::max);
+        let highest = lines
+            .iter()
+            .flat_map(|l| l.stretches.iter().flatten())
+            .map(|(_, y)| *y)
+            .fold(0.0, f64::max);
         let chart = Chart {
             x: "",
             y: "seconds",
@@ -302,7 +355,12 @@
             .iter()
             .map(|arm| Summary::of(e, arm, &self.results.runs, None))
             .filter(|arm| arm.never_recovered > 0)
-            .map(|arm| format!("{} of {} runs of {}", arm.never_recovered, arm.runs, arm.arm))
+            .map(|arm| {
+                format!(
+                    "{} of {} runs of {}",
+                    arm.never_recovered, arm.runs, arm.arm
+                )
+            })
             .collect();
         Ok(html! {
             p.soft { "From the end of the last fault until goodput was back at 0.95 of what it was before the first; a dot for each seed. "
@@ -312,8 +370,12 @@
     }
 
     fn breaches(&self) -> Markup {
-        let all =
-            || self.results.runs.iter().flat_map(|run| run.broken.iter().map(move |breach| (run, breach)));
+        let all = || {
+            self.results
+                .runs
+                .iter()
+                .flat_map(|run| run.broken.iter().map(move |breach| (run, breach)))
+        };
         let count = all().count();
         html! {
             @if count == 0 { p.good { "None." } }
--- a/crates/lab/src/report/plot.rs
+++ b/crates/lab/src/report/plot.rs
@@ -20,7 +20,11 @@
 }
 
 fn of_heat(part: f64) -> RGBColor {
-    RGBColor(3, 0, (part.clamp(0.0, 1.0) * f64::from(HEATS)).round() as u8)
+    RGBColor(
+        3,
+        0,
+        (part.clamp(0.0, 1.0) * f64::from(HEATS)).round() as u8,
+    )
 }
 
 /// The rules that give the colours of roles their true ones.
@@ -30,14 +34,17 @@
         let code = format!("#{r:02X}{g:02X}{b:02X}");
         format!("[fill=\"{code}\"]{{fill:{value}}}[stroke=\"{code}\"]{{stroke:{value}}}")
     };
-    let mut style = rule(INK, "var(--ink)") + &rule(GRID, "var(--grid)") + &rule(BAND, "var(--band)");
+    let mut style =
+        rule(INK, "var(--ink)") + &rule(GRID, "var(--grid)") + &rule(BAND, "var(--band)");
     for number in 0..COLOURS {
         style += &rule(of_series(number), &format!("var(--s{number})"));
     }
     for heat in 0..=HEATS {
         let RGBColor(r, g, b) = of_heat(f64::from(heat) / f64::from(HEATS));
         let opacity = f64::from(heat) / f64::from(HEATS);
-        style += &format!("[fill=\"#{r:02X}{g:02X}{b:02X}\"]{{fill:var(--heat);fill-opacity:{opacity}}}");
+        style += &format!(
+            "[fill=\"#{r:02X}{g:02X}{b:02X}\"]{{fill:var(--heat);fill-opacity:{opacity}}}"
+        );
     }
     style
 }
@@ -83,7 +90,10 @@
         let (low, high) = sound(self.up);
         if self.log {
             let (low, high) = (low.max(1e-6), high.max(low.max(1e-6) * 1.01));
-            self.on(title, (low..high).log_scale().with_key_points(decades(low, high)))
+            self.on(
+                title,
+                (low..high).log_scale().with_key_points(decades(low, high)),
+            )
         } else {
             self.on(title, low..high)
         }
@@ -104,7 +114,10 @@
                 .build_cartesian_2d(across.0..across.1, up)
                 .map_err(told)?;
             let bands = self.bands.iter().map(|(from, to)| {
-                Rectangle::new([(from.max(across.0), floor.0), (to.min(across.1), floor.1)], BAND.filled())
+                Rectangle::new(
+                    [(from.max(across.0), floor.0), (to.min(across.1), floor.1)],
+                    BAND.filled(),
+                )
             });
             chart.draw_series(bands).map_err(told)?;
             let word = |x: &f64| match &self.words {
@@ -135,10 +148,13 @@
                 for points in &line.stretches {
                     let alone = points.len() == 1 || self.dots;
                     if alone {
-                        let dots = points.iter().map(|point| Circle::new(*point, 4, colour.filled()));
+                        let dots = points
+                            .iter()
+                            .map(|point| Circle::new(*point, 4, colour.filled()));
                         chart.draw_series(dots).map_err(told)?;
                     } else {
-                        let line = LineSeries::new(points.iter().copied(), colour.stroke_width(width));
+                        let line =
+                            LineSeries::new(points.iter().copied(), colour.stroke_width(width));
                         chart.draw_series(line).map_err(told)?;
                     }
                 }
@@ -185,11 +201,22 @@
         for (at, (_, values)) in rows.iter().enumerate() {
             let row = count - 1 - at;
             let step = until / values.len().max(1) as f64;
-            let cells = values.iter().enumerate().filter(|(_, value)| **value > 0.0).map(|(i, value)| {
-                let (from, to) = (i as f64 * step, (i + 1) as f64 * step);
-                let top = if row + 1 < count { SegmentValue::Exact(row + 1) } else { SegmentValue::Last };
-                Rectangle::new([(from, SegmentValue::Exact(row)), (to, top)], of_heat(*value).filled())
-            });
+            let cells = values
+                .iter()
+                .enumerate()
+                .filter(|(_, value)| **value > 0.0)
+                .map(|(i, value)| {
+                    let (from, to) = (i as f64 * step, (i + 1) as f64 * step);
+                    let top = if row + 1 < count {
+                        SegmentValue::Exact(row + 1)
+                    } else {
+                        SegmentValue::Last
+                    };
+                    Rectangle::new(
+                        [(from, SegmentValue::Exact(row)), (to, top)],
+                        of_heat(*value).filled(),
+                    )
+                });
             chart.draw_series(cells).map_err(told)?;
         }
         Ok(())
@@ -202,20 +229,35 @@
 /// Marks of a logarithmic axis: 1, 2, 5, 10, 20, 50 and so on.
 fn decades(from: f64, to: f64) -> Vec<f64> {
     let first = from.log10().floor() as i32;
-    let all = (first..=first + 12).flat_map(|decade| [1.0, 2.0, 5.0].map(|n| n * 10f64.powi(decade)));
-    all.filter(|mark| (from..=to).contains(mark)).take(MARKS).collect()
+    let all =
+        (first..=first + 12).flat_map(|decade| [1.0, 2.0, 5.0].map(|n| n * 10f64.powi(decade)));
+    all.filter(|mark| (from..=to).contains(mark))
+        .take(MARKS)
+        .collect()
 }
 
 /// A number without digits that say nothing.
 fn plain(value: f64) -> String {
-    let text = if value.abs() >= 100.0 { format!("{value:.0}") } else { format!("{value:.3}") };
-    if text.contains('.') { text.trim_end_matches('0').trim_end_matches('.').to_string() } else { text }
+    let text = if value.abs() >= 100.0 {
+        format!("{value:.0}")
+    } else {
+        format!("{value:.3}")
+    };
+    if text.contains('.') {
+        text.trim_end_matches('0').trim_end_matches('.').to_string()
+    } else {
+        text
+    }
 }
 
 /// A range that has a beginning and an end.
 fn sound((from, to): (f64, f64)) -> (f64, f64) {
     let from = if from.is_finite() { from } else { 0.0 };
-    if to.is_finite() && to > from { (from, to) } else { (from, from + 1.0) }
+    if to.is_finite() && to > from {
+        (from, to)
+    } else {
+        (from, from + 1.0)
+    }
 }
 
 fn told(problem: impl std::fmt::Display) -> String {
@@ -235,8 +277,15 @@
         draw(&area)?;
         area.present().map_err(told)?;
     }
-    let label = title.replace('&', "&amp;").replace('"', "&quot;").replace('<', "&lt;");
+    let label = title
+        .replace('&', "&amp;")
+        .replace('"', "&quot;")
+        .replace('<', "&lt;");
     // Within a page the name space is known, and its address would only look like a resource from elsewhere.
     let svg = svg.replacen(" xmlns=\"http://www.w3.org/2000/svg\"", "", 1);
-    Ok(svg.replacen("<svg ", &format!("<svg role=\"img\" aria-label=\"{label}\" "), 1))
+    Ok(svg.replacen(
+        "<svg ",
+        &format!("<svg role=\"img\" aria-label=\"{label}\" "),
+        1,
+    ))
 }
--- a/crates/lab/src/report/slopes.rs
+++ b/crates/lab/src/report/slopes.rs
@@ -41,7 +41,11 @@
 }
 
 /// The chart of a figure; none where nothing was measured of it.
-fn chart(measured: &Measured, series: &[&String], figure: Figure) -> Result<Option<String>, String> {
+fn chart(
+    measured: &Measured,
+    series: &[&String],
+    figure: Figure,
+) -> Result<Option<String>, String> {
     let mut lines = Vec::new();
     let (mut right, mut top) = (0.0f64, 0.0f64);
     for (colour, name) in series.iter().enumerate() {
@@ -52,9 +56,16 @@
         let mut stretches: Vec<Vec<(f64, f64)>> = points.iter().map(|point| vec![*point]).collect();
         if let Some(line) = measured.line(name, figure) {
             let end = points.iter().fold(0.0f64, |end, (x, _)| end.max(*x));
-            stretches.push(vec![(0.0, line.at(0.0).value.max(0.0)), (end, line.at(end).value)]);
+            stretches.push(vec![
+                (0.0, line.at(0.0).value.max(0.0)),
+                (end, line.at(end).value),
+            ]);
         }
-        lines.push(Drawn { colour, bold: false, stretches });
+        lines.push(Drawn {
+            colour,
+            bold: false,
+            stretches,
+        });
     }
     if right <= 0.0 {
         return Ok(None);
--- a/crates/lab/src/results.rs
+++ b/crates/lab/src/results.rs
@@ -77,7 +77,10 @@
     /// # Errors
     /// The folder exists, whatever is in it, or can't be made.
     pub fn create(path: &Path, manifest: &Manifest) -> Result<Folder, String> {
-        if let Some(parent) = path.parent().filter(|parent| !parent.as_os_str().is_empty()) {
+        if let Some(parent) = path
+            .parent()
+            .filter(|parent| !parent.as_os_str().is_empty())
+        {
             fs::create_dir_all(parent).map_err(|e| format!("{}: {e}", parent.display()))?;
         }
         fs::create_dir(path).map_err(|e| match e.kind() {
@@ -89,7 +92,9 @@
             }
             _ => format!("{}: {e}", path.display()),
         })?;
-        let folder = Folder { path: path.to_path_buf() };
+        let folder = Folder {
+            path: path.to_path_buf(),
+        };
         write_whole(&path.join("experiment.toml"), manifest.text.as_bytes())?;
         for arm in &manifest.arms {
             let of_arm = path.join("runs").join(arm);
@@ -103,7 +108,8 @@
     pub fn free_name(parent: &Path, name: &str) -> PathBuf {
         let numbered = (2..).map(|n| parent.join(format!("{name}-{n}")));
         let mut all = std::iter::once(parent.join(name)).chain(numbered);
-        all.find(|path| !path.exists()).unwrap_or_else(|| parent.join(name))
+        all.find(|path| !path.exists())
+            .unwrap_or_else(|| parent.join(name))
     }
 
     /// Writes the manifest anew.
@@ -173,23 +179,39 @@
     pub fn read(path: &Path) -> Result<Results, String> {
         let file = path.join("manifest.json");
         if !file.is_file() {
-            return Err(format!("{}: is no folder of results: there is no manifest.json", path.display()));
+            return Err(format!(
+                "{}: is no folder of results: there is no manifest.json",
+                path.display()
+            ));
         }
         let Format { format } = read_json(&file)?;
         if format != FORMAT {
-            return Err(format!("{}: has format {format}, but this build reads {FORMAT}", file.display()));
+            return Err(format!(
+                "{}: has format {format}, but this build reads {FORMAT}",
+                file.display()
+            ));
         }
         let manifest: Manifest = read_json(&file)?;
         let experiment = Experiment::read(&manifest.text).map_err(|problems| {
-            let first = problems.first().map(ToString::to_string).unwrap_or_default();
-            format!("{}: the experiment in it makes no sense to this build: {first}", file.display())
+            let first = problems
+                .first()
+                .map(ToString::to_string)
+                .unwrap_or_default();
+            format!(
+                "{}: the experiment in it makes no sense to this build: {first}",
+                file.display()
+            )
         })?;
         let (mut runs, mut missing) = (Vec::new(), Vec::new());
         for arm in &manifest.arms {
             // Names of folders: what the check has passed as an arm's name is one.
             if !experiment.arms.iter().any(|known| known.name == *arm) {
                 let known = experiment.arms.iter().map(|arm| arm.name.as_str());
-                return Err(format!("{}: {}", file.display(), unknown("arm", arm, known)));
+                return Err(format!(
+                    "{}: {}",
+                    file.display(),
+                    unknown("arm", arm, known)
+                ));
             }
             for seed in &manifest.seeds {
                 let file = run_file(path, arm, *seed);
@@ -209,12 +231,20 @@
                 runs.push(run);
             }
         }
-        Ok(Results { path: path.to_path_buf(), manifest, experiment, runs, missing })
+        Ok(Results {
+            path: path.to_path_buf(),
+            manifest,
+            experiment,
+            runs,
+            missing,
+        })
     }
 
     /// The runs of an arm that count.
     pub fn of_arm<'r>(&'r self, arm: &'r str) -> impl Iterator<Item = &'r Run> + Clone {
-        self.runs.iter().filter(move |run| run.arm == arm && run.void.is_none())
+        self.runs
+            .iter()
+            .filter(move |run| run.arm == arm && run.void.is_none())
     }
 
     /// What keeps these results from being whole, a line each.
@@ -230,7 +260,10 @@
         }
         for run in &self.runs {
             if let Some(why) = &run.void {
-                flaws.push(format!("The run of {} with seed {} is void: {why}", run.arm, run.seed));
+                flaws.push(format!(
+                    "The run of {} with seed {} is void: {why}",
+                    run.arm, run.seed
+                ));
             }
         }
         flaws
@@ -246,7 +279,9 @@
     let told = |problem: String| format!("{}: {problem}", file.display());
     let long = fs::metadata(file).map_err(|e| told(e.to_string()))?.len();
     if long > LONGEST {
-        return Err(told(format!("has {long} bytes, more than any file of results")));
+        return Err(told(format!(
+            "has {long} bytes, more than any file of results"
+        )));
     }
     let text = fs::read(file).map_err(|e| told(e.to_string()))?;
     serde_json::from_slice(&text).map_err(|e| told(format!("can't be read: {e}")))
--- a/crates/lab/src/rivals/chassis.rs
+++ b/crates/lab/src/rivals/chassis.rs
@@ -38,7 +38,13 @@
 /// attempts end, and what probes tell.
 pub trait Choice {
     /// The server for a request's next attempt, out of `from`: at least one, in rising order, all ready.
-    fn choose(&mut self, now: Micros, request: &NewRequest, from: &[ServerId], fleet: &Fleet) -> ServerId;
+    fn choose(
+        &mut self,
+        now: Micros,
+        request: &NewRequest,
+        from: &[ServerId],
+        fleet: &Fleet,
+    ) -> ServerId;
 
     /// A request has come; servers named here are probed where the site allows it.
     fn arrived(&mut self, _now: Micros, _fleet: &Fleet, _probes: &mut Vec<ServerId>) {}
@@ -80,7 +86,10 @@
 impl FromIterator<Member> for Fleet {
     fn from_iter<T: IntoIterator<Item = Member>>(members: T) -> Self {
         let members = members.into_iter().map(|m| (m.listed.server, m)).collect();
-        let mut fleet = Fleet { members, ..Fleet::default() };
+        let mut fleet = Fleet {
+            members,
+            ..Fleet::default()
+        };
         fleet.update(false, &[]);
         fleet
     }
@@ -105,26 +114,42 @@
     /// A server's listed capacity, above 0 whatever is listed.
     pub fn capacity(&self, server: ServerId) -> f64 {
         let listed = self.get(server).map_or(1.0, |m| m.listed.capacity);
-        if listed.is_finite() { listed.max(1e-9) } else { 1.0 }
+        if listed.is_finite() {
+            listed.max(1e-9)
+        } else {
+            1.0
+        }
     }
 
     /// Takes over news; gives back the servers that are gone or have started again.
     fn update(&mut self, whole: bool, list: &[Listed]) -> Vec<ServerId> {
         let mut forget = Vec::new();
         if whole {
-            self.members.values_mut().for_each(|m| m.listed.state = ServerState::Gone);
+            self.members
+                .values_mut()
+                .for_each(|m| m.listed.state = ServerState::Gone);
         }
         for listed in list {
-            let member = self.members.entry(listed.server).or_insert(Member { listed: *listed, out: 0 });
+            let member = self.members.entry(listed.server).or_insert(Member {
+                listed: *listed,
+                out: 0,
+            });
             if listed.started > member.listed.started {
                 forget.push(listed.server);
             }
             member.listed = *listed;
         }
-        let gone = self.members.values().filter(|m| m.listed.state == ServerState::Gone);
+        let gone = self
+            .members
+            .values()
+            .filter(|m| m.listed.state == ServerState::Gone);
         forget.extend(gone.map(|m| m.listed.server));
-        self.members.retain(|_, m| m.listed.state != ServerState::Gone || m.out > 0);
-        let ready = self.members.values().filter(|m| m.listed.state == ServerState::Ready);
+        self.members
+            .retain(|_, m| m.listed.state != ServerState::Gone || m.out > 0);
+        let ready = self
+            .members
+            .values()
+            .filter(|m| m.listed.state == ServerState::Ready);
         self.ready = ready.map(|m| m.listed.server).collect();
         if let Some((most, seed)) = self.subset.filter(|(most, _)| *most < self.ready.len()) {
             let own = FixedState::with_seed(seed);
@@ -269,7 +294,10 @@
             settings,
             stakes,
             choice,
-            fleet: Fleet { subset: (stakes.subset > 0).then_some((stakes.subset, seed)), ..Fleet::default() },
+            fleet: Fleet {
+                subset: (stakes.subset > 0).then_some((stakes.subset, seed)),
+                ..Fleet::default()
+            },
             random: Rand64::new(u128::from(seed)),
             started: false,
             known: false,
@@ -289,7 +317,10 @@
         if !std::mem::replace(&mut self.asking, true) {
             let wait = self.random.rand_range(0..self.ask_wait);
             self.ask_wait = (2 * self.ask_wait).min(ASK_AGAIN.1);
-            actions.push(Action::SetTimer { at: now + wait, timer: Timer::Discovery });
+            actions.push(Action::SetTimer {
+                at: now + wait,
+                timer: Timer::Discovery,
+            });
         }
     }
 
@@ -320,7 +351,13 @@
             return self.refuse(new.id, actions);
         }
         let give_up = now.saturating_add(new.time_left.saturating_sub(self.settings.tick));
-        let open = Open { new, give_up, attempts: SmallVec::new(), stage: Stage::Held, retrying: false };
+        let open = Open {
+            new,
+            give_up,
+            attempts: SmallVec::new(),
+            stage: Stage::Held,
+            retrying: false,
+        };
         self.requests.insert(new.id, open);
         self.active += 1;
         if self.settings.limits.probes {
@@ -334,13 +371,18 @@
             self.held.insert(new.id);
         }
         if self.requests.contains_key(&new.id) {
-            actions.push(Action::SetTimer { at: give_up, timer: Timer::Request(new.id) });
+            actions.push(Action::SetTimer {
+                at: give_up,
+                timer: Timer::Request(new.id),
+            });
         }
     }
 
     /// A timer of a request has come due: its wait for the next attempt, or its time, is over.
     fn due(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(open) = self.requests.get(&id).filter(|o| o.stage != Stage::Settled) else { return };
+        let Some(open) = self.requests.get(&id).filter(|o| o.stage != Stage::Settled) else {
+            return;
+        };
         if now >= open.give_up {
             self.finish(id, actions);
         } else if matches!(open.stage, Stage::Backoff(until) if now >= until) {
@@ -350,14 +392,19 @@
 
     /// Whether one more attempt may go out: never where one may have run that must not run twice.
     fn may_send(&self, now: Micros, open: &Open) -> bool {
-        let harmless = match (open.first_run(), self.settings.classes[open.new.class as usize].effect) {
+        let harmless = match (
+            open.first_run(),
+            self.settings.classes[open.new.class as usize].effect,
+        ) {
             (None, _) | (_, Effect::Safe) => true,
             (Some(_), Effect::Unsafe) => false,
             (Some(first), Effect::Keyed { window, .. }) => {
                 now.saturating_add(self.settings.tick) < first.sent.saturating_add(window)
             }
         };
-        harmless && open.attempts.len() < self.settings.limits.max_attempts as usize && now < open.give_up
+        harmless
+            && open.attempts.len() < self.settings.limits.max_attempts as usize
+            && now < open.give_up
     }
 
     /// The servers that may have a request's next attempt: of its group, if it has one, those not yet tried, or if
@@ -365,10 +412,22 @@
     fn candidates(&self, open: &Open) -> Vec<ServerId> {
         let effect = self.settings.classes[open.new.class as usize].effect;
         let in_group = |id: &ServerId| {
-            let Some(listed) = self.fleet.get(*id).map(|m| m.listed) else { return false };
+            let Some(listed) = self.fleet.get(*id).map(|m| m.listed) else {
+                return false;
+            };
             match (open.first_run().map(|a| a.to), effect) {
-                (Some(first), Effect::Keyed { scope: Scope::Zone, .. }) => first.zone == listed.zone,
-                (Some(first), Effect::Keyed { scope: Scope::Cell, .. }) => first.cell == listed.cell,
+                (
+                    Some(first),
+                    Effect::Keyed {
+                        scope: Scope::Zone, ..
+                    },
+                ) => first.zone == listed.zone,
+                (
+                    Some(first),
+                    Effect::Keyed {
+                        scope: Scope::Cell, ..
+                    },
+                ) => first.cell == listed.cell,
                 _ => true,
             }
         };
@@ -379,32 +438,55 @@
     }
 
     fn send_or_finish(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(open) = self.requests.get(&id).filter(|o| o.stage != Stage::Settled) else { return };
+        let Some(open) = self.requests.get(&id).filter(|o| o.stage != Stage::Settled) else {
+            return;
+        };
         if !self.may_send(now, open) {
             return self.finish(id, actions);
         }
-        let narrowed = if open.attempts.is_empty() { None } else { Some(self.candidates(open)) };
+        let narrowed = if open.attempts.is_empty() {
+            None
+        } else {
+            Some(self.candidates(open))
+        };
         let from = narrowed.as_deref().unwrap_or(&self.fleet.ready);
         if from.is_empty() {
             return self.finish(id, actions);
         }
         let server = self.choice.choose(now, &open.new, from, &self.fleet);
-        let Some(member) = self.fleet.members.get_mut(&server) else { return self.finish(id, actions) };
-        let Some(open) = self.requests.get_mut(&id) else { return };
+        let Some(member) = self.fleet.members.get_mut(&server) else {
+            return self.finish(id, actions);
+        };
+        let Some(open) = self.requests.get_mut(&id) else {
+            return;
+        };
         member.out += 1;
         let attempt = open.attempts.len() as u32;
-        open.attempts.push(Attempt { to: member.listed, sent: now, outcome: None });
+        open.attempts.push(Attempt {
+            to: member.listed,
+            sent: now,
+            outcome: None,
+        });
         open.stage = Stage::Out;
         let left = (open.give_up - now) as f64 * self.stakes.try_share;
         let timeout_at = now + (left as Micros).max(1);
         self.choice.sent(now, server, (id, attempt));
-        actions.push(Action::Send { request: id, server, timeout_at, write_by: Micros::MAX });
+        actions.push(Action::Send {
+            request: id,
+            server,
+            timeout_at,
+            write_by: Micros::MAX,
+        });
     }
 
     fn closed(&mut self, now: Micros, closed: Closed, actions: &mut Vec<Action>) {
-        let Some(open) = self.requests.get_mut(&closed.request) else { return };
+        let Some(open) = self.requests.get_mut(&closed.request) else {
+            return;
+        };
         let attempt = open.attempts.get_mut(closed.attempt as usize);
-        let Some(attempt) = attempt.filter(|a| a.outcome.is_none()) else { return };
+        let Some(attempt) = attempt.filter(|a| a.outcome.is_none()) else {
+            return;
+        };
         attempt.outcome = Some(closed.outcome);
         let (to, class) = (attempt.to.server, open.new.class);
         self.retrying -= u32::from(std::mem::take(&mut open.retrying));
@@ -415,7 +497,9 @@
             }
         }
         self.choice.closed(now, class, &closed, &self.fleet);
-        let Some(open) = self.requests.get(&closed.request) else { return };
+        let Some(open) = self.requests.get(&closed.request) else {
+            return;
+        };
         if closed.ended || open.stage == Stage::Settled || closed.outcome == Outcome::Ok {
             self.settle(closed.request, actions);
         } else if !open.live() {
@@ -425,12 +509,16 @@
 
     /// Sets the request's next attempt for later, or ends it where it may have none.
     fn retry(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(open) = self.requests.get(&id) else { return };
-        let budget = (self.stakes.retry_share * f64::from(self.active)).max(self.stakes.retry_floor);
+        let Some(open) = self.requests.get(&id) else {
+            return;
+        };
+        let budget =
+            (self.stakes.retry_share * f64::from(self.active)).max(self.stakes.retry_floor);
         let doublings = open.attempts.len().saturating_sub(1).min(30) as i32;
         let most = (self.stakes.backoff * 2f64.powi(doublings)).min(self.stakes.backoff_most);
         let until = now + (most * self.random.rand_float()) as Micros;
-        if !self.may_send(now, open) || f64::from(self.retrying) >= budget || until >= open.give_up {
+        if !self.may_send(now, open) || f64::from(self.retrying) >= budget || until >= open.give_up
+        {
             return self.finish(id, actions);
         }
         self.retrying += 1;
@@ -439,7 +527,10 @@
             open.stage = Stage::Backoff(until);
         }
         if until > now {
-            actions.push(Action::SetTimer { at: until, timer: Timer::Request(id) });
+            actions.push(Action::SetTimer {
+                at: until,
+                timer: Timer::Request(id),
+            });
         } else {
             self.send_or_finish(now, id, actions);
         }
@@ -449,7 +540,9 @@
 
     /// Nothing more is decided.
     fn conclude(&mut self, id: RequestId) {
-        let Some(open) = self.requests.get_mut(&id) else { return };
+        let Some(open) = self.requests.get_mut(&id) else {
+            return;
+        };
         if std::mem::replace(&mut open.stage, Stage::Settled) != Stage::Settled {
             self.active -= 1;
             self.retrying -= u32::from(std::mem::take(&mut open.retrying));
@@ -460,10 +553,15 @@
     /// The request is over, and forgotten once its attempts are.
     fn settle(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         self.conclude(id);
-        let Some(open) = self.requests.get(&id) else { return };
+        let Some(open) = self.requests.get(&id) else {
+            return;
+        };
         match open.attempts.iter().position(|a| a.outcome.is_none()) {
             Some(at) if self.settings.limits.cancel => {
-                actions.push(Action::Cancel { request: id, attempt: at as u32 });
+                actions.push(Action::Cancel {
+                    request: id,
+                    attempt: at as u32,
+                });
             }
             Some(_) => {}
             None => drop(self.requests.remove(&id)),
@@ -473,12 +571,17 @@
     fn refuse(&self, request: RequestId, actions: &mut Vec<Action>) {
         let limits = self.settings.limits;
         let advised = limits.retry_after && self.stakes.retry_after;
-        actions.push(Action::Refuse { request, retry_after: advised.then_some(limits.max_retry_after) });
+        actions.push(Action::Refuse {
+            request,
+            retry_after: advised.then_some(limits.max_retry_after),
+        });
     }
 
     /// The final answer.
     fn finish(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(open) = self.requests.get(&id) else { return };
+        let Some(open) = self.requests.get(&id) else {
+            return;
+        };
         let safe = self.settings.classes[open.new.class as usize].effect == Effect::Safe;
         if safe || open.first_run().is_none() {
             self.refuse(id, actions);
--- a/crates/lab/src/rivals/envoy.rs
+++ b/crates/lab/src/rivals/envoy.rs
@@ -53,9 +53,9 @@
     pub fn weight(&self, now: Micros, server: ServerId, fleet: &Fleet) -> f64 {
         let started = fleet.get(server).and_then(|m| m.listed.started);
         let warmth = match started.map(|at| now.saturating_sub(at) as f64) {
-            Some(age) if age < self.slow_start => {
-                (age / self.slow_start).powf(1.0 / self.aggression).max(self.least_weight)
-            }
+            Some(age) if age < self.slow_start => (age / self.slow_start)
+                .powf(1.0 / self.aggression)
+                .max(self.least_weight),
             _ => 1.0,
         };
         warmth * fleet.capacity(server) / f64::from(fleet.out(server) + 1).powf(self.bias)
@@ -63,13 +63,26 @@
 }
 
 impl Choice for LeastRequest {
-    fn choose(&mut self, now: Micros, _: &NewRequest, from: &[ServerId], fleet: &Fleet) -> ServerId {
+    fn choose(
+        &mut self,
+        now: Micros,
+        _: &NewRequest,
+        from: &[ServerId],
+        fleet: &Fleet,
+    ) -> ServerId {
         if !self.unequal && now as f64 >= self.slow_until {
             let drawn = draw(&mut self.random, from, self.choices);
-            return drawn.into_iter().min_by_key(|id| fleet.out(*id)).unwrap_or(from[0]);
+            return drawn
+                .into_iter()
+                .min_by_key(|id| fleet.out(*id))
+                .unwrap_or(from[0]);
         }
         let due = |id: &ServerId| self.due.get(id).copied().unwrap_or(self.time);
-        let next = from.iter().min_by(|a, b| due(a).total_cmp(&due(b))).copied().unwrap_or(from[0]);
+        let next = from
+            .iter()
+            .min_by(|a, b| due(a).total_cmp(&due(b)))
+            .copied()
+            .unwrap_or(from[0]);
         self.time = self.time.max(due(&next));
         let again = self.time + 1.0 / self.weight(now, next, fleet);
         self.due.insert(next, again);
@@ -87,8 +100,17 @@
         let mut weights = ready.iter().map(|id| fleet.capacity(*id));
         let first = weights.next();
         self.unequal = weights.any(|w| Some(w) != first);
-        let started = ready.iter().filter_map(|id| fleet.get(*id)?.listed.started).max();
-        let window = |at: Micros| if self.slow_start > 0.0 { at as f64 + self.slow_start } else { 0.0 };
+        let started = ready
+            .iter()
+            .filter_map(|id| fleet.get(*id)?.listed.started)
+            .max();
+        let window = |at: Micros| {
+            if self.slow_start > 0.0 {
+                at as f64 + self.slow_start
+            } else {
+                0.0
+            }
+        };
         self.slow_until = started.map_or(0.0, window);
     }
 }
@@ -157,20 +179,35 @@
 
     fn ejected(&self, now: Micros, server: ServerId) -> bool {
         let out = self.out.contains(&server);
-        out && self.hosts.get(&server).and_then(|h| h.ejected_until).is_some_and(|until| now < until)
+        out && self
+            .hosts
+            .get(&server)
+            .and_then(|h| h.ejected_until)
+            .is_some_and(|until| now < until)
     }
 
     /// Takes off the list those whose time is over.
     fn sweep(&mut self, now: Micros) {
         let until = |id: &ServerId| self.hosts.get(id).and_then(|h| h.ejected_until);
-        self.out.retain(|id| until(id).is_some_and(|until| now < until));
+        self.out
+            .retain(|id| until(id).is_some_and(|until| now < until));
     }
 
     fn eject(&mut self, now: Micros, server: ServerId, fleet: &Fleet) {
         self.sweep(now);
-        let out = self.out.iter().filter(|id| fleet.ready().binary_search(id).is_ok()).count();
+        let out = self
+            .out
+            .iter()
+            .filter(|id| fleet.ready().binary_search(id).is_ok())
+            .count();
         let most = (self.ejected_share * fleet.ready().len() as f64).max(1.0);
-        let Some(host) = self.hosts.get_mut(&server).filter(|_| out as f64 + 1.0 <= most) else { return };
+        let Some(host) = self
+            .hosts
+            .get_mut(&server)
+            .filter(|_| out as f64 + 1.0 <= most)
+        else {
+            return;
+        };
         self.out.insert(server);
         host.ejections += 1;
         host.failures = 0;
@@ -202,7 +239,11 @@
         }
         let count = rates.len() as f64;
         let mean = rates.iter().map(|(_, rate)| rate).sum::<f64>() / count;
-        let variance = rates.iter().map(|(_, rate)| (rate - mean).powi(2)).sum::<f64>() / count;
+        let variance = rates
+            .iter()
+            .map(|(_, rate)| (rate - mean).powi(2))
+            .sum::<f64>()
+            / count;
         let bound = mean - self.deviations * variance.sqrt();
         for (id, _) in rates.iter().filter(|(_, rate)| *rate < bound) {
             if !self.ejected(now, *id) {
@@ -213,17 +254,35 @@
 }
 
 impl Choice for Outliers {
-    fn choose(&mut self, now: Micros, request: &NewRequest, from: &[ServerId], fleet: &Fleet) -> ServerId {
+    fn choose(
+        &mut self,
+        now: Micros,
+        request: &NewRequest,
+        from: &[ServerId],
+        fleet: &Fleet,
+    ) -> ServerId {
         self.check(now, fleet);
         self.sweep(now);
         if self.out.is_empty() {
             return self.inner.choose(now, request, from, fleet);
         }
         let ready = fleet.ready();
-        let out = self.out.iter().filter(|id| ready.binary_search(id).is_ok()).count();
+        let out = self
+            .out
+            .iter()
+            .filter(|id| ready.binary_search(id).is_ok())
+            .count();
         let panics = ((ready.len() - out) as f64) < self.panic_share * ready.len() as f64;
-        let left: Vec<ServerId> = from.iter().copied().filter(|id| !self.out.contains(id)).collect();
-        let from = if panics || left.is_empty() { from } else { &left };
+        let left: Vec<ServerId> = from
+            .iter()
+            .copied()
+            .filter(|id| !self.out.contains(id))
+            .collect();
+        let from = if panics || left.is_empty() {
+            from
+        } else {
+            &left
+        };
         self.inner.choose(now, request, from, fleet)
     }
 
@@ -248,7 +307,8 @@
     fn closed(&mut self, now: Micros, class: u32, closed: &Closed, fleet: &Fleet) {
         self.inner.closed(now, class, closed, fleet);
         self.check(now, fleet);
-        if matches!(closed.outcome, Outcome::Moot | Outcome::Cancelled) || fleet.get(closed.server).is_none()
+        if matches!(closed.outcome, Outcome::Moot | Outcome::Cancelled)
+            || fleet.get(closed.server).is_none()
         {
             return;
         }
--- a/crates/lab/src/rivals/figures.rs
+++ b/crates/lab/src/rivals/figures.rs
@@ -14,18 +14,26 @@
 impl<'a> Figures<'a> {
     /// The figures `with` of an arm with this policy.
     pub fn new(policy: &'a str, with: &'a BTreeMap<String, f64>) -> Self {
-        Figures { policy, with, known: Vec::new(), problem: None }
+        Figures {
+            policy,
+            with,
+            known: Vec::new(),
+            problem: None,
+        }
     }
 
     /// A figure, or its usual value, also where what is given lies out of its bounds: [`Figures::end`] tells of that.
     pub fn take(&mut self, name: &'static str, usual: f64, bounds: RangeInclusive<f64>) -> f64 {
         self.known.push(name);
-        let Some(value) = self.with.get(name).copied() else { return usual };
+        let Some(value) = self.with.get(name).copied() else {
+            return usual;
+        };
         if bounds.contains(&value) {
             return value;
         }
         let (least, most, policy) = (bounds.start(), bounds.end(), self.policy);
-        let problem = format!("{name} = {value}: policy `{policy}` takes it from {least} to {most}");
+        let problem =
+            format!("{name} = {value}: policy `{policy}` takes it from {least} to {most}");
         self.problem.get_or_insert(problem);
         usual
     }
@@ -40,7 +48,10 @@
     /// # Errors
     /// A figure that nobody took, with those that are known, or the first that lay out of its bounds.
     pub fn end(self) -> Result<(), String> {
-        let stray = self.with.keys().find(|name| !self.known.contains(&name.as_str()));
+        let stray = self
+            .with
+            .keys()
+            .find(|name| !self.known.contains(&name.as_str()));
         let stray = stray.map(|name| {
             format!(
                 "{name}: policy `{}` takes no such figure; it takes {}",
--- a/crates/lab/src/rivals/least_of_two.rs
+++ b/crates/lab/src/rivals/least_of_two.rs
@@ -22,13 +22,19 @@
     /// With a seed of its own.
     pub fn new(figures: &mut Figures<'_>, seed: u64) -> Self {
         let choices = figures.take("choices", 2.0, 1.0..=1e4) as usize;
-        LeastOfTwo { random: Rand64::new(u128::from(seed)), choices }
+        LeastOfTwo {
+            random: Rand64::new(u128::from(seed)),
+            choices,
+        }
     }
 }
 
 impl Choice for LeastOfTwo {
     fn choose(&mut self, _: Micros, _: &NewRequest, from: &[ServerId], fleet: &Fleet) -> ServerId {
         let drawn = draw(&mut self.random, from, self.choices);
-        drawn.into_iter().min_by_key(|id| fleet.out(*id)).unwrap_or(from[0])
+        drawn
+            .into_iter()
+            .min_by_key(|id| fleet.out(*id))
+            .unwrap_or(from[0])
     }
 }
--- a/crates/lab/src/rivals/mod.rs
+++ b/crates/lab/src/rivals/mod.rs
@@ -24,11 +24,23 @@
 
 /// Every policy by name, with what it is in a line.
 pub const KNOWN: &[(&str, &str)] = &[
-    ("madderloom", "our decision module: adaptive distribution on a tunable unit interval (Wu and Burns)"),
-    ("random", "any server, each as likely (the paper's randomized protocol)"),
-    ("weighted_random", "any server, each as likely as its listed capacity is large"),
+    (
+        "madderloom",
+        "our decision module: adaptive distribution on a tunable unit interval (Wu and Burns)",
+    ),
+    (
+        "random",
+        "any server, each as likely (the paper's randomized protocol)",
+    ),
+    (
+        "weighted_random",
+        "any server, each as likely as its listed capacity is large",
+    ),
     ("round_robin", "one server after another (gRPC)"),
-    ("least_of_two", "of two drawn, the one with fewer own requests out (Mitzenmacher)"),
+    (
+        "least_of_two",
+        "of two drawn, the one with fewer own requests out (Mitzenmacher)",
+    ),
     (
         "peak_ewma",
         "of two drawn, the one with less peak EWMA of latency times own requests out (Finagle, tower)",
@@ -39,7 +51,10 @@
         "prequal",
         "the hot-cold rule over a pool of probes (Prequal, NSDI 2024); random where probes are not allowed",
     ),
-    ("centralized", "sees all queues: the least expected time (the paper's centralized protocol)"),
+    (
+        "centralized",
+        "sees all queues: the least expected time (the paper's centralized protocol)",
+    ),
     (
         "oracle",
         "sees the true state of every server, also what fails, drains or is down: the least expected time",
@@ -66,7 +81,9 @@
     restrict(&mut figures, &mut settings);
     if policy == "madderloom" {
         figures.end()?;
-        return Ok(Box::new(Balancer::new(settings, seed).map_err(|e| e.to_string())?));
+        return Ok(Box::new(
+            Balancer::new(settings, seed).map_err(|e| e.to_string())?,
+        ));
     }
     let stakes = Stakes::read(&mut figures);
     // The chassis and the choice draw from streams of their own.
@@ -84,8 +101,11 @@
         }
         "prequal" => Box::new(prequal::Prequal::new(&mut figures, own)),
         "centralized" | "oracle" => {
-            let blind =
-                || format!("policy `{policy}` needs the true state, which only the virtual driver gives");
+            let blind = || {
+                format!(
+                    "policy `{policy}` needs the true state, which only the virtual driver gives"
+                )
+            };
             let truth = truth.ok_or_else(blind)?;
             Box::new(match policy {
                 "oracle" => sighted::Sighted::oracle(&mut figures, truth, &settings, own),
@@ -94,7 +114,10 @@
         }
         _ => {
             let names: Vec<_> = KNOWN.iter().map(|(name, _)| *name).collect();
-            return Err(format!("there is no policy `{policy}`; known are {}", names.join(", ")));
+            return Err(format!(
+                "there is no policy `{policy}`; known are {}",
+                names.join(", ")
+            ));
         }
     };
     figures.end()?;
@@ -157,8 +180,20 @@
         }],
         tenants: Vec::new(),
         discovery_on_request: true,
-        limits: Limits { cancel: true, probes: true, retry_after: true, max_retry_after: 0, max_attempts: 1 },
-        rules: Rules { cold_from: 1.0, cold: 0, fall: 0, ask_within: ASK_WITHIN, drain_grace: 0 },
+        limits: Limits {
+            cancel: true,
+            probes: true,
+            retry_after: true,
+            max_retry_after: 0,
+            max_attempts: 1,
+        },
+        rules: Rules {
+            cold_from: 1.0,
+            cold: 0,
+            fall: 0,
+            ask_within: ASK_WITHIN,
+            drain_grace: 0,
+        },
         prices: Prices::default(),
         worth_by_work: false,
     }
--- a/crates/lab/src/rivals/peak_ewma.rs
+++ b/crates/lab/src/rivals/peak_ewma.rs
@@ -18,14 +18,21 @@
 impl Estimate {
     /// Begins at a guess, in microseconds.
     pub fn new(now: Micros, guess: f64) -> Self {
-        Estimate { at: guess, updated: now }
+        Estimate {
+            at: guess,
+            updated: now,
+        }
     }
 
     /// Takes in a latency, in microseconds: in full where it is a peak, else with the weight of the time since the last
     /// update, `1 - exp(-time / decay)`. Gives back the average.
     pub fn add(&mut self, now: Micros, latency: f64, decay: f64) -> f64 {
         let kept = (-(now.saturating_sub(self.updated) as f64) / decay).exp();
-        self.at = if latency > self.at { latency } else { kept * self.at + (1.0 - kept) * latency };
+        self.at = if latency > self.at {
+            latency
+        } else {
+            kept * self.at + (1.0 - kept) * latency
+        };
         self.updated = now;
         self.at
     }
@@ -49,23 +56,42 @@
 impl PeakEwma {
     /// With a seed of its own.
     pub fn new(figures: &mut Figures<'_>, seed: u64) -> Self {
-        let (decay, default) = (figures.time("decay_ms", 10_000.0), figures.time("default_rtt_ms", 1_000.0));
+        let (decay, default) = (
+            figures.time("decay_ms", 10_000.0),
+            figures.time("default_rtt_ms", 1_000.0),
+        );
         let decay = decay.max(1.0);
-        PeakEwma { random: Rand64::new(u128::from(seed)), decay, default, estimates: BTreeMap::new() }
+        PeakEwma {
+            random: Rand64::new(u128::from(seed)),
+            decay,
+            default,
+            estimates: BTreeMap::new(),
+        }
     }
 
     /// What a request more would cost there.
     fn cost(&mut self, now: Micros, server: ServerId, fleet: &Fleet) -> f64 {
-        let estimate = self.estimates.entry(server).or_insert(Estimate::new(now, self.default));
+        let estimate = self
+            .estimates
+            .entry(server)
+            .or_insert(Estimate::new(now, self.default));
         estimate.add(now, 0.0, self.decay) * f64::from(fleet.out(server) + 1)
     }
 }
 
 impl Choice for PeakEwma {
-    fn choose(&mut self, now: Micros, _: &NewRequest, from: &[ServerId], fleet: &Fleet) -> ServerId {
+    fn choose(
+        &mut self,
+        now: Micros,
+        _: &NewRequest,
+        from: &[ServerId],
+        fleet: &Fleet,
+    ) -> ServerId {
         let drawn = draw(&mut self.random, from, 2);
         let costs = drawn.into_iter().map(|id| (self.cost(now, id, fleet), id));
-        costs.min_by(|a, b| a.0.total_cmp(&b.0)).map_or(from[0], |(_, id)| id)
+        costs
+            .min_by(|a, b| a.0.total_cmp(&b.0))
+            .map_or(from[0], |(_, id)| id)
     }
 
     fn forget(&mut self, server: ServerId) {
@@ -74,8 +100,10 @@
 
     fn closed(&mut self, now: Micros, _: u32, closed: &Closed, _: &Fleet) {
         // A server that is gone has no entry, and gets none.
-        if let Some(estimate) =
-            self.estimates.get_mut(&closed.server).filter(|_| closed.outcome != Outcome::Moot)
+        if let Some(estimate) = self
+            .estimates
+            .get_mut(&closed.server)
+            .filter(|_| closed.outcome != Outcome::Moot)
         {
             estimate.add(now, closed.elapsed as f64, self.decay);
         }
--- a/crates/lab/src/rivals/prequal.rs
+++ b/crates/lab/src/rivals/prequal.rs
@@ -33,14 +33,26 @@
 /// `limit` requests in flight. The cold one with the least latency, or where all are hot, the one with the fewest
 /// requests in flight. Of equal ones the earlier.
 pub fn best(pool: &[Probe], limit: f64) -> Option<usize> {
-    let rank = |p: &Probe| if p.in_flight > limit { (1, p.in_flight) } else { (0, p.latency) };
+    let rank = |p: &Probe| {
+        if p.in_flight > limit {
+            (1, p.in_flight)
+        } else {
+            (0, p.latency)
+        }
+    };
     extreme(pool, |a, b| order(rank(a), rank(b)))
 }
 
 /// The worst of some probes: the hot one with the most requests in flight, or where all are cold, the one with the
 /// most latency.
 pub fn worst(pool: &[Probe], limit: f64) -> Option<usize> {
-    let rank = |p: &Probe| if p.in_flight > limit { (1, p.in_flight) } else { (0, p.latency) };
+    let rank = |p: &Probe| {
+        if p.in_flight > limit {
+            (1, p.in_flight)
+        } else {
+            (0, p.latency)
+        }
+    };
     extreme(pool, |a, b| order(rank(b), rank(a)))
 }
 
@@ -64,7 +76,11 @@
 /// bound where probes do not come in faster than they are removed.
 pub fn reuses(delta: f64, pool: f64, servers: f64, probes: f64, removed: f64) -> f64 {
     let surplus = (1.0 - pool / servers) * probes - removed;
-    if surplus > 0.0 { ((1.0 + delta) / surplus).max(1.0) } else { f64::INFINITY }
+    if surplus > 0.0 {
+        ((1.0 + delta) / surplus).max(1.0)
+    } else {
+        f64::INFINITY
+    }
 }
 
 /// Latencies by the requests that were in flight.
@@ -80,7 +96,11 @@
     }
 
     fn at(&self, in_flight: f64) -> Option<f64> {
-        let mut near: Vec<(f64, f64)> = self.0.iter().map(|(n, t)| ((n - in_flight).abs(), *t)).collect();
+        let mut near: Vec<(f64, f64)> = self
+            .0
+            .iter()
+            .map(|(n, t)| ((n - in_flight).abs(), *t))
+            .collect();
         near.sort_by(|a, b| a.0.total_cmp(&b.0));
         near.truncate(NEAREST);
         (!near.is_empty()).then(|| quantile(near.into_iter().map(|(_, t)| t), 0.5))
@@ -165,14 +185,19 @@
     }
 
     fn drop_old(&mut self, now: Micros) {
-        self.pool.retain(|p| now.saturating_sub(p.at) as f64 <= self.age);
+        self.pool
+            .retain(|p| now.saturating_sub(p.at) as f64 <= self.age);
     }
 
     fn remove_some(&mut self, limit: f64) {
         self.owed.1 += self.remove;
         while self.owed.1 >= 1.0 {
             self.owed.1 -= 1.0;
-            let place = if self.worst_next { worst(&self.pool, limit) } else { Some(0) };
+            let place = if self.worst_next {
+                worst(&self.pool, limit)
+            } else {
+                Some(0)
+            };
             self.worst_next = !self.worst_next;
             if let Some(place) = place.filter(|at| *at < self.pool.len()) {
                 self.pool.remove(place);
@@ -181,8 +206,14 @@
     }
 
     fn uses(&mut self) -> u32 {
-        let mean =
-            reuses(self.delta, self.most as f64, self.servers as f64, self.probes, self.remove).min(1e6);
+        let mean = reuses(
+            self.delta,
+            self.most as f64,
+            self.servers as f64,
+            self.probes,
+            self.remove,
+        )
+        .min(1e6);
         mean as u32 + u32::from(self.random.rand_float() < mean.fract())
     }
 }
@@ -191,9 +222,15 @@
     fn choose(&mut self, now: Micros, _: &NewRequest, from: &[ServerId], _: &Fleet) -> ServerId {
         self.drop_old(now);
         let limit = self.limit();
-        let open: Vec<Probe> =
-            self.pool.iter().copied().filter(|p| from.binary_search(&p.server).is_ok()).collect();
-        let taken = best(&open, limit).filter(|_| open.len() >= self.least).map(|at| open[at]);
+        let open: Vec<Probe> = self
+            .pool
+            .iter()
+            .copied()
+            .filter(|p| from.binary_search(&p.server).is_ok())
+            .collect();
+        let taken = best(&open, limit)
+            .filter(|_| open.len() >= self.least)
+            .map(|at| open[at]);
         self.chosen = taken.map(|p| p.in_flight);
         if let Some(taken) = taken {
             for probe in self.pool.iter_mut().filter(|p| p.server == taken.server) {
@@ -203,7 +240,10 @@
             self.pool.retain(|p| p.uses > 0);
         }
         self.remove_some(limit);
-        taken.map_or_else(|| from[self.random.rand_range(0..from.len() as u64) as usize], |p| p.server)
+        taken.map_or_else(
+            || from[self.random.rand_range(0..from.len() as u64) as usize],
+            |p| p.server,
+        )
     }
 
     fn arrived(&mut self, _: Micros, fleet: &Fleet, probes: &mut Vec<ServerId>) {
@@ -215,7 +255,8 @@
 
     fn listed(&mut self, _: Micros, fleet: &Fleet) {
         self.servers = fleet.ready().len();
-        self.pool.retain(|p| fleet.ready().binary_search(&p.server).is_ok());
+        self.pool
+            .retain(|p| fleet.ready().binary_search(&p.server).is_ok());
     }
 
     fn forget(&mut self, server: ServerId) {
@@ -234,14 +275,19 @@
         let counts = matches!(closed.outcome, Outcome::Ok | Outcome::Timeout);
         if let Some(in_flight) = sent.filter(|_| counts && fleet.get(closed.server).is_some()) {
             let sample = (in_flight, closed.elapsed as f64);
-            self.latencies.entry(closed.server).or_default().add(sample, SAMPLES.0);
+            self.latencies
+                .entry(closed.server)
+                .or_default()
+                .add(sample, SAMPLES.0);
             self.all.add(sample, SAMPLES.1);
         }
     }
 
     fn probed(&mut self, now: Micros, server: ServerId, report: Option<Report>) {
         self.pool.retain(|p| p.server != server);
-        let Some(in_flight) = report.map(|r| r.held).filter(|held| held.is_finite()) else { return };
+        let Some(in_flight) = report.map(|r| r.held).filter(|held| held.is_finite()) else {
+            return;
+        };
         self.seen.push_back(in_flight);
         if self.seen.len() > SEEN {
             self.seen.pop_front();
@@ -252,6 +298,12 @@
             self.pool.remove(0);
         }
         let uses = self.uses();
-        self.pool.push(Probe { server, at: now, in_flight, latency, uses });
+        self.pool.push(Probe {
+            server,
+            at: now,
+            in_flight,
+            latency,
+            uses,
+        });
     }
 }
--- a/crates/lab/src/rivals/random.rs
+++ b/crates/lab/src/rivals/random.rs
@@ -39,7 +39,9 @@
 impl Random {
     /// With a seed of its own.
     pub fn new(seed: u64) -> Self {
-        Random { random: Rand64::new(u128::from(seed)) }
+        Random {
+            random: Rand64::new(u128::from(seed)),
+        }
     }
 }
 
@@ -60,7 +62,9 @@
 impl WeightedRandom {
     /// With a seed of its own.
     pub fn new(seed: u64) -> Self {
-        WeightedRandom { random: Rand64::new(u128::from(seed)) }
+        WeightedRandom {
+            random: Rand64::new(u128::from(seed)),
+        }
     }
 }
 
--- a/crates/lab/src/rivals/round_robin.rs
+++ b/crates/lab/src/rivals/round_robin.rs
@@ -16,7 +16,10 @@
 impl RoundRobin {
     /// With a seed of its own.
     pub fn new(seed: u64) -> Self {
-        RoundRobin { random: Rand64::new(u128::from(seed)), last: None }
+        RoundRobin {
+            random: Rand64::new(u128::from(seed)),
+            last: None,
+        }
     }
 }
 
--- a/crates/lab/src/rivals/sighted.rs
+++ b/crates/lab/src/rivals/sighted.rs
@@ -57,9 +57,18 @@
     }
 
     /// `oracle`, with a seed of its own.
-    pub fn oracle(figures: &mut Figures<'_>, truth: Rc<dyn Truth>, settings: &Settings, seed: u64) -> Self {
+    pub fn oracle(
+        figures: &mut Figures<'_>,
+        truth: Rc<dyn Truth>,
+        settings: &Settings,
+        seed: u64,
+    ) -> Self {
         let failure_cost = figures.take("failure_cost", 1.0, 0.0..=1e6);
-        Sighted { oracle: true, failure_cost, ..Sighted::centralized(truth, settings, seed) }
+        Sighted {
+            oracle: true,
+            failure_cost,
+            ..Sighted::centralized(truth, settings, seed)
+        }
     }
 
     /// The expected cost of a server, and in it the wait and the speed of a core; none where it is not to be had.
@@ -78,14 +87,29 @@
 }
 
 impl Choice for Sighted {
-    fn choose(&mut self, _: Micros, request: &NewRequest, from: &[ServerId], _: &Fleet) -> ServerId {
+    fn choose(
+        &mut self,
+        _: Micros,
+        request: &NewRequest,
+        from: &[ServerId],
+        _: &Fleet,
+    ) -> ServerId {
         let class = request.class as usize;
-        let hint = request.cost.filter(|cost| *cost > 0).map(|cost| cost as f64);
+        let hint = request
+            .cost
+            .filter(|cost| *cost > 0)
+            .map(|cost| cost as f64);
         let work = hint.unwrap_or(self.works[class]);
         let (mut taken, mut least, mut ties) = (None, f64::INFINITY, 0);
         for server in from {
-            let Some((cost, wait, speed)) = self.rate(*server, class, work) else { continue };
-            ties = if cost < least { 1 } else { ties + u64::from(cost == least) };
+            let Some((cost, wait, speed)) = self.rate(*server, class, work) else {
+                continue;
+            };
+            ties = if cost < least {
+                1
+            } else {
+                ties + u64::from(cost == least)
+            };
             if cost < least || (cost == least && self.random.rand_range(0..ties) == 0) {
                 (taken, least) = (Some(*server), cost);
                 self.chosen = Some((wait, speed));
@@ -105,7 +129,9 @@
     }
 
     fn closed(&mut self, _: Micros, class: u32, closed: &Closed, _: &Fleet) {
-        let Some((wait, speed)) = self.sent.remove(&(closed.request, closed.attempt)) else { return };
+        let Some((wait, speed)) = self.sent.remove(&(closed.request, closed.attempt)) else {
+            return;
+        };
         if closed.outcome == Outcome::Ok {
             let elapsed = closed.elapsed as f64;
             let work = speed * (elapsed - wait).max(0.1 * elapsed);
--- a/crates/lab/src/scale/agent.rs
+++ b/crates/lab/src/scale/agent.rs
@@ -41,7 +41,13 @@
 impl AgentSettings {
     /// The agent's file. `above` is a term that its own must be greater than.
     fn file(&self, listen: &str, above: u64) -> String {
-        let AgentSettings { report_ms, lease_ms, registrations, instances, limits } = self;
+        let AgentSettings {
+            report_ms,
+            lease_ms,
+            registrations,
+            instances,
+            limits,
+        } = self;
         let connections = 2 * instances + 64;
         let mut text = format!(
             "version = 1\nlisten = \"{listen}\"\nstate = \"state\"\naudit = \"audit.log\"\nterm_above = {above}\n\
@@ -82,11 +88,22 @@
         settings: AgentSettings,
     ) -> Result<Self, String> {
         make_keys(directory)?;
-        let (process, address) =
-            spawn(directory, binary.as_deref(), &settings.file("127.0.0.1:0", 0)).await?;
+        let (process, address) = spawn(
+            directory,
+            binary.as_deref(),
+            &settings.file("127.0.0.1:0", 0),
+        )
+        .await?;
         let client = Client::new(&address, files(directory, "alice"))?;
         let directory = directory.to_path_buf();
-        Ok(AgentProcess { directory, binary, settings, address, process: Some(process), client })
+        Ok(AgentProcess {
+            directory,
+            binary,
+            settings,
+            address,
+            process: Some(process),
+            client,
+        })
     }
 
     /// Where it listens, also after a restart.
@@ -128,7 +145,10 @@
     /// # Errors
     /// It does not answer.
     pub async fn totals(&self) -> Result<Totals, String> {
-        let usage = self.process.as_ref().map_or_else(Default::default, |process| usage::of(process.id()));
+        let usage = self
+            .process
+            .as_ref()
+            .map_or_else(Default::default, |process| usage::of(process.id()));
         let traffic = self.status().await?.traffic;
         if traffic.opened == 0 {
             // An answer came over a connection.
@@ -143,7 +163,10 @@
     /// It is declined, or the agent does not answer.
     pub async fn push(&self, change: &Change) -> Result<Accepted, String> {
         let body = serde_json::to_vec(change).map_err(|e| e.to_string())?;
-        let accepted = self.client.get::<Accepted>(Method::POST, "/v1/changes", body).await;
+        let accepted = self
+            .client
+            .get::<Accepted>(Method::POST, "/v1/changes", body)
+            .await;
         accepted.map_err(|e| e.to_string())
     }
 
@@ -178,7 +201,11 @@
     }
 }
 
-async fn spawn(directory: &Path, binary: Option<&Path>, file: &str) -> Result<(Process, String), String> {
+async fn spawn(
+    directory: &Path,
+    binary: Option<&Path>,
+    file: &str,
+) -> Result<(Process, String), String> {
     let path = directory.join("agent.toml");
     std::fs::write(&path, file).map_err(|e| format!("{}: {e}", path.display()))?;
     let mut process = start_child("agent", Program::Agent, &path, binary)?;
@@ -202,7 +229,12 @@
         Program::Sidecar => "sidecar",
     };
     let file = file.display().to_string();
-    Process::start(name, &["scale-child", program, "--file", &file], binary, None)
+    Process::start(
+        name,
+        &["scale-child", program, "--file", &file],
+        binary,
+        None,
+    )
 }
 
 fn make_keys(directory: &Path) -> Result<(), String> {
@@ -210,8 +242,11 @@
     Authority::init(&own, "fleet", 30, now)?;
     let mut authority = Authority::open(&own)?;
     let hosts = ["127.0.0.1".to_string()];
-    let all =
-        [("agent", Role::Agent, &hosts[..]), ("alice", Role::Operate, &[]), ("shop-*", Role::Instance, &[])];
+    let all = [
+        ("agent", Role::Agent, &hosts[..]),
+        ("alice", Role::Operate, &[]),
+        ("shop-*", Role::Instance, &[]),
+    ];
     for (name, role, hosts) in all {
         authority.issue((name, role), hosts, DAYS, directory, now)?;
     }
--- a/crates/lab/src/scale/bounds.rs
+++ b/crates/lab/src/scale/bounds.rs
@@ -53,7 +53,13 @@
 
     /// What hops behind each other add to a call.
     fn added_by_hops(&self, hops: &HopRow) -> Row {
-        let HopRow { depth, clients, program, direct, .. } = hops;
+        let HopRow {
+            depth,
+            clients,
+            program,
+            direct,
+            ..
+        } = hops;
         let added = program.p99.saturating_sub(direct.p99) as f64 / 1e3;
         Row {
             role: "sidecar",
@@ -81,11 +87,21 @@
             from: "not measured".into(),
             carried_by,
         };
-        let hops = self.measured.hops.iter().map(|hops| self.added_by_hops(hops));
+        let hops = self
+            .measured
+            .hops
+            .iter()
+            .map(|hops| self.added_by_hops(hops));
         let mut rows: Vec<Row> = hops.collect();
         if rows.is_empty() {
             let what = "added to a call, 99 in 100, ten deep";
-            rows.push(row("sidecar", what, Some(budget.added_to_call_ms), "ms", TRANSACTION));
+            rows.push(row(
+                "sidecar",
+                what,
+                Some(budget.added_to_call_ms),
+                "ms",
+                TRANSACTION,
+            ));
         }
         rows.extend([
             row(
@@ -126,7 +142,14 @@
         let connections = CONNECTIONS * self.sidecars;
         let rate = f64::from(Pace::default().rate);
         let bound = |what: &str, needs: f64, budget: f64, unit, from, carried_by| {
-            reckoned("bound in code", what.into(), (needs, Some(budget)), unit, from, carried_by)
+            reckoned(
+                "bound in code",
+                what.into(),
+                (needs, Some(budget)),
+                unit,
+                from,
+                carried_by,
+            )
         };
         vec![
             bound(
--- a/crates/lab/src/scale/capacity.rs
+++ b/crates/lab/src/scale/capacity.rs
@@ -93,7 +93,11 @@
 
 /// The table of a size.
 pub fn rows(file: &SizeFile, measured: &Measured) -> Vec<Row> {
-    let reckoner = Reckoner { file, measured, sidecars: f64::from(file.size.sidecars) };
+    let reckoner = Reckoner {
+        file,
+        measured,
+        sidecars: f64::from(file.size.sidecars),
+    };
     let mut rows = reckoner.sidecar();
     rows.extend(reckoner.agent());
     rows.extend(reckoner.faults());
@@ -106,11 +110,31 @@
 
 impl Reckoner<'_> {
     pub(super) fn row(&self, wanted: Wanted) -> Row {
-        let Wanted { series, role, what, figure, factor, budget, unit, carried_by } = wanted;
+        let Wanted {
+            series,
+            role,
+            what,
+            figure,
+            factor,
+            budget,
+            unit,
+            carried_by,
+        } = wanted;
         let line = self.measured.line(series, figure);
         let value = line.map(|line| scaled(line.at(self.sidecars), factor));
-        let from = line.map_or_else(|| "not measured".into(), |line| self.words(series, figure, &line));
-        Row { role, what: what.into(), value, budget, unit, from, carried_by }
+        let from = line.map_or_else(
+            || "not measured".into(),
+            |line| self.words(series, figure, &line),
+        );
+        Row {
+            role,
+            what: what.into(),
+            value,
+            budget,
+            unit,
+            from,
+            carried_by,
+        }
     }
 
     /// The line in words, and how it was measured.
@@ -186,11 +210,18 @@
     fn real_sidecar(&self) -> Vec<Row> {
         let (budget, real) = (&self.file.budget, self.measured.real.as_ref());
         let each = |value: f64, of: usize| value / of.max(1) as f64;
-        let processor =
-            real.map(|all| each(100.0 * all.real.own.cpu_seconds / all.calm_seconds, all.instances));
+        let processor = real.map(|all| {
+            each(
+                100.0 * all.real.own.cpu_seconds / all.calm_seconds,
+                all.instances,
+            )
+        });
         let memory = real.map(|all| each(all.real.own.memory as f64 / 1e6, all.instances));
         let from = real.map_or("not measured".into(), |all| {
-            format!("the mean of {} real sidecars without requests, one run", all.instances)
+            format!(
+                "the mean of {} real sidecars without requests, one run",
+                all.instances
+            )
         });
         let row = |what: &str, value: Option<f64>, budget, unit| Row {
             role: "sidecar",
@@ -202,15 +233,34 @@
             carried_by: "`sidecar/src/process.rs` `Sidecar`",
         };
         vec![
-            row("real, no requests: processor time", processor, budget.sidecar_core_percent, "% of a core"),
-            row("real, no requests: resident memory", memory, budget.sidecar_memory_mb, "MB"),
+            row(
+                "real, no requests: processor time",
+                processor,
+                budget.sidecar_core_percent,
+                "% of a core",
+            ),
+            row(
+                "real, no requests: resident memory",
+                memory,
+                budget.sidecar_memory_mb,
+                "MB",
+            ),
         ]
     }
 
     fn agent(&self) -> Vec<Row> {
         let (size, role) = (&self.file.size, "agent");
         let row = |what, figure, factor, budget, unit, carried_by| {
-            self.row(Wanted { series: BASE, role, what, figure, factor, budget, unit, carried_by })
+            self.row(Wanted {
+                series: BASE,
+                role,
+                what,
+                figure,
+                factor,
+                budget,
+                unit,
+                carried_by,
+            })
         };
         let rollout = "`fleet/src/rollout.rs` `Rollout`";
         let mut rows = self.ordinary_day(BASE, role).to_vec();
@@ -232,13 +282,43 @@
     /// What an agent needs on an ordinary day.
     pub(super) fn ordinary_day(&self, series: &'static str, role: &'static str) -> [Row; 4] {
         let row = |what, figure, budget, unit, carried_by| {
-            self.row(Wanted { series, role, what, figure, factor: 1.0, budget, unit, carried_by })
+            self.row(Wanted {
+                series,
+                role,
+                what,
+                figure,
+                factor: 1.0,
+                budget,
+                unit,
+                carried_by,
+            })
         };
-        let (fleet, server) = ("`fleet/src/fleet/mod.rs` `Fleet`", "`agent/src/server.rs` `Agent`");
+        let (fleet, server) = (
+            "`fleet/src/fleet/mod.rs` `Fleet`",
+            "`agent/src/server.rs` `Agent`",
+        );
         [
-            row("ordinary day: memory", Figure::AgentMemory, None, "MB", fleet),
-            row("ordinary day: processor time", Figure::AgentProcessor, Some(100.0), "% of a core", DRIVER),
-            row("ordinary day: both directions", Figure::Bytes, None, "KB/s", server),
+            row(
+                "ordinary day: memory",
+                Figure::AgentMemory,
+                None,
+                "MB",
+                fleet,
+            ),
+            row(
+                "ordinary day: processor time",
+                Figure::AgentProcessor,
+                Some(100.0),
+                "% of a core",
+                DRIVER,
+            ),
+            row(
+                "ordinary day: both directions",
+                Figure::Bytes,
+                None,
+                "KB/s",
+                server,
+            ),
             row("connections", Figure::Connections, None, "", server),
         ]
     }
@@ -252,12 +332,24 @@
     ) -> [Row; 3] {
         let pushes = [
             ("push to all: last in force", Figure::PushAllLast),
-            ("push to one service: last in force", Figure::PushServiceLast),
+            (
+                "push to one service: last in force",
+                Figure::PushServiceLast,
+            ),
             ("push to one zone: last in force", Figure::PushZoneLast),
         ];
         let budget = Some(self.file.budget.change_seconds());
         pushes.map(|(what, figure)| {
-            self.row(Wanted { series, role, what, figure, factor: 1e-3, budget, unit: "s", carried_by })
+            self.row(Wanted {
+                series,
+                role,
+                what,
+                figure,
+                factor: 1e-3,
+                budget,
+                unit: "s",
+                carried_by,
+            })
         })
     }
 
@@ -281,7 +373,10 @@
                 "start of all at once: processor time, beside the time at the usual pace",
                 Figure::StartProcessor,
             ),
-            row("restarted: processor time until all are back, beside that time", Figure::RestartProcessor),
+            row(
+                "restarted: processor time until all are back, beside that time",
+                Figure::RestartProcessor,
+            ),
         ]
     }
 
@@ -306,7 +401,11 @@
         let machines = |percent: f64| (percent / PLANNED_PERCENT).ceil().max(1.0);
         let value = line.map(|line| {
             let Foretold { value, low, high } = line.at(self.sidecars);
-            Foretold { value: machines(value), low: machines(low), high: machines(high) }
+            Foretold {
+                value: machines(value),
+                low: machines(low),
+                high: machines(high),
+            }
         });
         Row {
             role: "agent",
@@ -314,7 +413,9 @@
             value,
             budget: Some(f64::from(self.file.budget.machines)),
             unit: "",
-            from: "the agent's processor time; only if the work could be split, which it can't today".into(),
+            from:
+                "the agent's processor time; only if the work could be split, which it can't today"
+                    .into(),
             carried_by: "not built",
         }
     }
@@ -335,12 +436,42 @@
         };
         let spread = "`fleet/src/spread.rs` `Spread`";
         vec![
-            row("agent", "start of all at once: last registered", Figure::StartLast, spread),
-            row("agent", "restarted with its state: last back", Figure::RestartLast, spread),
-            row("agent", "restarted without its state: last back", Figure::RestartWithoutStateLast, spread),
-            row("agent", "zone back: its last instance back", Figure::ZoneLast, spread),
-            row("agent", "rack back: its last instance back", Figure::RackLast, spread),
-            row("agent", "region's cut over: its last instance back", Figure::RegionLast, spread),
+            row(
+                "agent",
+                "start of all at once: last registered",
+                Figure::StartLast,
+                spread,
+            ),
+            row(
+                "agent",
+                "restarted with its state: last back",
+                Figure::RestartLast,
+                spread,
+            ),
+            row(
+                "agent",
+                "restarted without its state: last back",
+                Figure::RestartWithoutStateLast,
+                spread,
+            ),
+            row(
+                "agent",
+                "zone back: its last instance back",
+                Figure::ZoneLast,
+                spread,
+            ),
+            row(
+                "agent",
+                "rack back: its last instance back",
+                Figure::RackLast,
+                spread,
+            ),
+            row(
+                "agent",
+                "region's cut over: its last instance back",
+                Figure::RegionLast,
+                spread,
+            ),
             row(
                 "agent",
                 "region's cut over: change made meanwhile in force at its last",
@@ -366,15 +497,31 @@
     from: &str,
     carried_by: &'static str,
 ) -> Row {
-    Row { role, what, value: Some(exactly(value)), budget, unit, from: from.into(), carried_by }
+    Row {
+        role,
+        what,
+        value: Some(exactly(value)),
+        budget,
+        unit,
+        from: from.into(),
+        carried_by,
+    }
 }
 
 pub(super) fn exactly(value: f64) -> Foretold {
-    Foretold { value, low: value, high: value }
+    Foretold {
+        value,
+        low: value,
+        high: value,
+    }
 }
 
 fn scaled(of: Foretold, factor: f64) -> Foretold {
-    Foretold { value: of.value * factor, low: of.low * factor, high: of.high * factor }
+    Foretold {
+        value: of.value * factor,
+        low: of.low * factor,
+        high: of.high * factor,
+    }
 }
 
 /// A number with three digits that count.
@@ -386,6 +533,14 @@
         _ => 3,
     };
     let text = format!("{value:.digits$}");
-    let whole = if text.contains('.') { text.trim_end_matches('0').trim_end_matches('.') } else { &text };
-    if whole == "-0" { "0".into() } else { whole.into() }
+    let whole = if text.contains('.') {
+        text.trim_end_matches('0').trim_end_matches('.')
+    } else {
+        &text
+    };
+    if whole == "-0" {
+        "0".into()
+    } else {
+        whole.into()
+    }
 }
--- a/crates/lab/src/scale/child.rs
+++ b/crates/lab/src/scale/child.rs
@@ -96,7 +96,10 @@
 
 /// The problems of a file, a line each.
 fn written(file: &Path, problems: &[Problem]) -> String {
-    let lines: Vec<String> = problems.iter().map(|problem| format!("{}:{problem}", file.display())).collect();
+    let lines: Vec<String> = problems
+        .iter()
+        .map(|problem| format!("{}:{problem}", file.display()))
+        .collect();
     lines.join("\n")
 }
 
@@ -105,6 +108,8 @@
     on_one_thread(async {
         let stop = told_to_stop()?;
         let sidecar = Sidecar::new(None, Some((file.to_path_buf(), operator)))?;
-        tokio::task::spawn_local(sidecar.serve(stop)).await.map_err(|e| e.to_string())?
+        tokio::task::spawn_local(sidecar.serve(stop))
+            .await
+            .map_err(|e| e.to_string())?
     })
 }
--- a/crates/lab/src/scale/command.rs
+++ b/crates/lab/src/scale/command.rs
@@ -127,7 +127,10 @@
         if self.check_against_real {
             return self.compare(binary);
         }
-        let folder = self.folder.clone().unwrap_or_else(|| Folder::free_name(Path::new(RESULTS), "scale"));
+        let folder = self
+            .folder
+            .clone()
+            .unwrap_or_else(|| Folder::free_name(Path::new(RESULTS), "scale"));
         let records = on_one_thread(async {
             let stop = told_to_stop()?;
             tokio::select! {
@@ -146,8 +149,15 @@
                 tell(&format!("written to {}\n", folder.display()));
             }
         }
-        let failed = records.iter().flat_map(|record| &record.steps).any(|step| step.problem.is_some());
-        Ok(if failed { ExitCode::FAILURE } else { ExitCode::SUCCESS })
+        let failed = records
+            .iter()
+            .flat_map(|record| &record.steps)
+            .any(|step| step.problem.is_some());
+        Ok(if failed {
+            ExitCode::FAILURE
+        } else {
+            ExitCode::SUCCESS
+        })
     }
 
     /// Tells what was measured before.
@@ -169,7 +179,10 @@
         let name = place.display();
         let text = std::fs::read_to_string(place).map_err(|e| format!("{name}: {e}"))?;
         let size = SizeFile::read(&text).map_err(|problems| {
-            let lines: Vec<String> = problems.iter().map(|problem| format!("{name}:{problem}")).collect();
+            let lines: Vec<String> = problems
+                .iter()
+                .map(|problem| format!("{name}:{problem}"))
+                .collect();
             lines.join("\n")
         })?;
         let rows = capacity::rows(&size, &measured);
@@ -185,7 +198,9 @@
     /// Compares hollow instances with real ones; the file is written where `-o` says.
     fn compare(&self, binary: Option<PathBuf>) -> Result<ExitCode, String> {
         let instances = self.instances.first().copied().unwrap_or(1) as usize;
-        say(&format!("{instances} real sidecars, then {instances} hollow instances"));
+        say(&format!(
+            "{instances} real sidecars, then {instances} hollow instances"
+        ));
         let settings = self.settings(instances, binary);
         let comparison = on_one_thread(async {
             let stop = told_to_stop()?;
@@ -206,19 +221,33 @@
             Output::Text => tell(&tables::comparison(&comparison)),
         }
         let same = comparison.differences().iter().all(Difference::is_small);
-        Ok(if same { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+        Ok(if same {
+            ExitCode::SUCCESS
+        } else {
+            ExitCode::FAILURE
+        })
     }
 
-    async fn measure(&self, binary: Option<PathBuf>, folder: &Path) -> Result<Vec<RunRecord>, String> {
+    async fn measure(
+        &self,
+        binary: Option<PathBuf>,
+        folder: &Path,
+    ) -> Result<Vec<RunRecord>, String> {
         if folder.exists() {
-            return Err(format!("{}: exists, and results are never overwritten", folder.display()));
+            return Err(format!(
+                "{}: exists, and results are never overwritten",
+                folder.display()
+            ));
         }
         std::fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
         let mut records = Vec::new();
         for run in 1..=self.runs {
             for &instances in &self.instances {
                 let begin = Instant::now();
-                say(&format!("{instances} instances, run {run} of {}", self.runs));
+                say(&format!(
+                    "{instances} instances, run {run} of {}",
+                    self.runs
+                ));
                 let settings = self.settings(instances as usize, binary.clone());
                 let record = self.one_run(settings).await?;
                 record.write(&folder.join(format!("{instances:05}-{run}.json")))?;
@@ -230,7 +259,11 @@
     }
 
     fn settings(&self, instances: usize, binary: Option<PathBuf>) -> RigSettings {
-        let manner = Manner { requests: self.requests, limits: self.limits.into(), lists: self.lists.into() };
+        let manner = Manner {
+            requests: self.requests,
+            limits: self.limits.into(),
+            lists: self.lists.into(),
+        };
         RigSettings {
             instances,
             manner,
@@ -257,7 +290,12 @@
             version: env!("CARGO_PKG_VERSION").into(),
             build,
             built,
-            agent: if settings.binary.is_some() { "madderloom agent" } else { "built into the lab" }.into(),
+            agent: if settings.binary.is_some() {
+                "madderloom agent"
+            } else {
+                "built into the lab"
+            }
+            .into(),
             instances: settings.instances,
             manner: settings.manner.clone(),
             report_ms: settings.report_ms,
@@ -278,7 +316,11 @@
 
     /// All steps or the chosen ones, with the start first.
     fn chosen(&self) -> Vec<Step> {
-        let all = if self.steps.is_empty() { &Step::ALL[..] } else { &self.steps };
+        let all = if self.steps.is_empty() {
+            &Step::ALL[..]
+        } else {
+            &self.steps
+        };
         let others = all.iter().copied().filter(|step| *step != Step::Start);
         std::iter::once(Step::Start).chain(others).collect()
     }
@@ -308,5 +350,8 @@
 
 fn load_average() -> f64 {
     let text = std::fs::read_to_string("/proc/loadavg").unwrap_or_default();
-    text.split_whitespace().next().and_then(|number| number.parse().ok()).unwrap_or(0.0)
+    text.split_whitespace()
+        .next()
+        .and_then(|number| number.parse().ok())
+        .unwrap_or(0.0)
 }
--- a/crates/lab/src/scale/conductor.rs
+++ b/crates/lab/src/scale/conductor.rs
@@ -105,7 +105,10 @@
 
 impl Outcome {
     fn about(count: usize) -> Self {
-        Outcome { about: count, ..Outcome::default() }
+        Outcome {
+            about: count,
+            ..Outcome::default()
+        }
     }
 
     fn time(mut self, name: &str, times: Times) -> Self {
@@ -128,17 +131,43 @@
         let relays = if settings.has_relays { ZONES } else { 0 };
         limits::check(settings.instances, relays, Allowed::here()).map_err(|e| e.to_string())?;
         let directory = tempfile::tempdir().map_err(|e| format!("a directory for keys: {e}"))?;
-        let agent = AgentProcess::start(directory.path(), settings.binary.clone(), settings.agent()).await?;
+        let agent =
+            AgentProcess::start(directory.path(), settings.binary.clone(), settings.agent())
+                .await?;
         let relays = if settings.has_relays {
             let lease_ms = settings.agent().lease_ms;
-            Relays::start(directory.path(), settings.binary.clone(), agent.address(), lease_ms).await?
+            Relays::start(
+                directory.path(),
+                settings.binary.clone(),
+                agent.address(),
+                lease_ms,
+            )
+            .await?
         } else {
             Relays::default()
         };
-        let agents = if relays.is_empty() { vec![agent.address().into()] } else { relays.addresses() };
-        let workers = Workers::start(settings.instances, &agents, directory.path(), &settings.manner)?;
+        let agents = if relays.is_empty() {
+            vec![agent.address().into()]
+        } else {
+            relays.addresses()
+        };
+        let workers = Workers::start(
+            settings.instances,
+            &agents,
+            directory.path(),
+            &settings.manner,
+        )?;
         let former = Totals::default();
-        Ok(Rig { settings, agent, relays, workers, former, marker: 0, discovery: 1, _directory: directory })
+        Ok(Rig {
+            settings,
+            agent,
+            relays,
+            workers,
+            former,
+            marker: 0,
+            discovery: 1,
+            _directory: directory,
+        })
     }
 
     /// Takes one step. What can't be done is told in the record.
@@ -171,7 +200,8 @@
         let (agent, instances) = (self.agent_totals().await?, self.workers.totals()?);
         let relays = self.relay_totals();
         let memory = agent.usage.memory + instances.usage.memory + relays.usage.memory;
-        limits::check_memory(self.settings.instances, memory, Allowed::here()).map_err(|e| e.to_string())?;
+        limits::check_memory(self.settings.instances, memory, Allowed::here())
+            .map_err(|e| e.to_string())?;
         Ok(StepRecord {
             step,
             about: outcome.about,
@@ -188,12 +218,20 @@
     async fn begin(&mut self) -> Result<Begin, String> {
         let agent = self.agent_totals().await?;
         let (instances, relays) = (self.workers.totals()?, self.relay_totals());
-        Ok(Begin { agent, instances, relays, at: Instant::now() })
+        Ok(Begin {
+            agent,
+            instances,
+            relays,
+            at: Instant::now(),
+        })
     }
 
     /// What the relays used. What passes over them is not counted.
     fn relay_totals(&self) -> Totals {
-        Totals { usage: self.relays.usage(), ..Totals::default() }
+        Totals {
+            usage: self.relays.usage(),
+            ..Totals::default()
+        }
     }
 
     /// What all agents of this rig came to; what is held is the present one's.
@@ -209,11 +247,19 @@
 
     /// The longest that so many may take to register.
     fn patience(&self, instances: usize) -> Duration {
-        PATIENCE + Duration::from_secs_f64(2.0 * instances as f64 / f64::from(self.settings.registrations))
+        PATIENCE
+            + Duration::from_secs_f64(
+                2.0 * instances as f64 / f64::from(self.settings.registrations),
+            )
     }
 
     /// Waits until the workers count so many, or until it has taken too long.
-    async fn until(&mut self, command: Command, wanted: usize, patience: Duration) -> Result<(), String> {
+    async fn until(
+        &mut self,
+        command: Command,
+        wanted: usize,
+        patience: Duration,
+    ) -> Result<(), String> {
         let begin = Instant::now();
         while self.workers.count(&command)? < wanted && begin.elapsed() < patience {
             tokio::time::sleep(LOOK).await;
@@ -224,8 +270,13 @@
     /// Waits until the leases of these are renewed, and tells how long after `begin` each was.
     async fn renewed(&mut self, group: Group, begin: u64) -> Result<Times, String> {
         let wanted = group.count(self.settings.instances);
-        self.until(Command::CountRenewed(group), wanted, self.patience(wanted)).await?;
-        Ok(Times::since(begin, self.workers.times(&Command::Renewed(group))?, wanted))
+        self.until(Command::CountRenewed(group), wanted, self.patience(wanted))
+            .await?;
+        Ok(Times::since(
+            begin,
+            self.workers.times(&Command::Renewed(group))?,
+            wanted,
+        ))
     }
 
     /// Waits until the agent has all instances, and tells how long after `begin` that was.
@@ -263,11 +314,18 @@
         let wanted = group.count(self.settings.instances);
         let (id, begin) = self.push(group).await?;
         let marker = self.marker;
-        self.until(Command::CountInForce(group, marker), wanted, PATIENCE).await?;
-        let in_force = Times::since(begin, self.workers.times(&Command::InForce(group, marker))?, wanted);
+        self.until(Command::CountInForce(group, marker), wanted, PATIENCE)
+            .await?;
+        let in_force = Times::since(
+            begin,
+            self.workers.times(&Command::InForce(group, marker))?,
+            wanted,
+        );
         let rollout = self.agent.ended(&id, PATIENCE).await?;
         let ended = Times::since(begin, vec![now()], 1);
-        let outcome = Outcome::about(wanted).time("in_force", in_force).time("rollout_ended", ended);
+        let outcome = Outcome::about(wanted)
+            .time("in_force", in_force)
+            .time("rollout_ended", ended);
         Ok(count_results(outcome, &rollout.counts))
     }
 
@@ -302,7 +360,9 @@
         self.workers.start_group(group)?;
         let healed = self.renewed(group, begin).await?;
         let noticed = self.settings.instances.saturating_sub(alive);
-        Ok(Outcome::about(wanted).time("healed", healed).count("noticed", noticed as u64))
+        Ok(Outcome::about(wanted)
+            .time("healed", healed)
+            .count("noticed", noticed as u64))
     }
 
     /// The links of a region are cut, a change for all is pushed, and the links are back.
@@ -313,7 +373,12 @@
         let cut = Instant::now();
         let (id, begin) = self.push(Group::All).await?;
         let marker = self.marker;
-        self.until(Command::CountInForce(Group::All, marker), elsewhere, self.settings.cut).await?;
+        self.until(
+            Command::CountInForce(Group::All, marker),
+            elsewhere,
+            self.settings.cut,
+        )
+        .await?;
         let all = self.workers.times(&Command::InForce(Group::All, marker))?;
         let others = Times::since(begin, all, elsewhere);
         let rollout = self.agent.ended(&id, PATIENCE).await?;
@@ -327,8 +392,15 @@
         } else {
             self.all_alive(back).await?
         };
-        self.until(Command::CountInForce(Group::Region, marker), wanted, PATIENCE).await?;
-        let times = self.workers.times(&Command::InForce(Group::Region, marker))?;
+        self.until(
+            Command::CountInForce(Group::Region, marker),
+            wanted,
+            PATIENCE,
+        )
+        .await?;
+        let times = self
+            .workers
+            .times(&Command::InForce(Group::Region, marker))?;
         let outcome = Outcome::about(wanted)
             .time("in_force_elsewhere", others)
             .time("rollout_ended", ended)
@@ -385,7 +457,9 @@
 }
 
 fn count_results(outcome: Outcome, counts: &BTreeMap<String, usize>) -> Outcome {
-    counts.iter().fold(outcome, |outcome, (name, count)| outcome.count(name, *count as u64))
+    counts.iter().fold(outcome, |outcome, (name, count)| {
+        outcome.count(name, *count as u64)
+    })
 }
 
 /// Sets the marker of all instances of a group to this number, at once. One that does not answer for `silence` counts as
@@ -394,7 +468,9 @@
 /// # Errors
 /// Nothing tells these instances apart from others.
 pub fn change(marker: u32, base: u64, group: Group, silence: Duration) -> Result<Change, String> {
-    let select = group.selector().ok_or_else(|| format!("no label selects {group:?}"))?;
+    let select = group
+        .selector()
+        .ok_or_else(|| format!("no label selects {group:?}"))?;
     let rollout = Policy {
         waves: vec![],
         at_once: u32::MAX,
@@ -410,6 +486,9 @@
         note: String::new(),
         select,
         rollout,
-        what: What::Set(Edits::from([(Key::Weight(MARKER.into()), Some(Value::Weight(marker)))])),
+        what: What::Set(Edits::from([(
+            Key::Weight(MARKER.into()),
+            Some(Value::Weight(marker)),
+        )])),
     })
 }
--- a/crates/lab/src/scale/figures.rs
+++ b/crates/lab/src/scale/figures.rs
@@ -95,25 +95,35 @@
             Figure::Bytes => "agent, calm: both directions [KB/s]",
             Figure::Messages => "agent, calm: both directions [messages/s]",
             Figure::Connections => "agent: connections",
-            Figure::InstancesProcessor => "all hollow instances, calm: processor time [% of a core]",
+            Figure::InstancesProcessor => {
+                "all hollow instances, calm: processor time [% of a core]"
+            }
             Figure::PushAllLast => "push to all: last in force [ms]",
             Figure::PushServiceLast => "push to one service: last in force [ms]",
             Figure::PushZoneLast => "push to one zone: last in force [ms]",
             Figure::PushAllProcessor => "push to all: agent's processor time beyond calm [ms]",
             Figure::PushAllBytes => "push to all: both directions beyond calm [KB]",
             Figure::StartLast => "start of all at once: last registered [s]",
-            Figure::StartProcessor => "start of all at once: the agent's processor time until then [s]",
+            Figure::StartProcessor => {
+                "start of all at once: the agent's processor time until then [s]"
+            }
             Figure::RestartLast => "agent restarted with its state: last back [s]",
-            Figure::RestartProcessor => "agent restarted with its state: its processor time until then [s]",
+            Figure::RestartProcessor => {
+                "agent restarted with its state: its processor time until then [s]"
+            }
             Figure::RestartWithoutStateLast => "agent restarted without its state: last back [s]",
             Figure::ZoneLast => "zone back: its last instance back [s]",
             Figure::RackLast => "rack back: its last instance back [s]",
             Figure::RegionLast => "region's cut ends: its last instance back [s]",
-            Figure::RegionInForce => "region's cut ends: change made meanwhile in force at its last [s]",
+            Figure::RegionInForce => {
+                "region's cut ends: change made meanwhile in force at its last [s]"
+            }
             Figure::RegionRollout => "push while a region is cut: rollout ended [s]",
             Figure::RelaysProcessor => "all relays, calm: processor time [% of a core]",
             Figure::RelaysMemory => "all relays, calm: memory [MB]",
-            Figure::RelaysStartProcessor => "start of all at once: all relays' processor time until then [s]",
+            Figure::RelaysStartProcessor => {
+                "start of all at once: all relays' processor time until then [s]"
+            }
         }
     }
 
@@ -139,18 +149,23 @@
             Figure::StartLast => seconds(run, Step::Start, "registered"),
             Figure::StartProcessor => run.step(Step::Start).map(|step| step.agent.cpu_seconds),
             Figure::RestartLast => seconds(run, Step::RestartWithState, "healed"),
-            Figure::RestartProcessor => run.step(Step::RestartWithState).map(|step| step.agent.cpu_seconds),
+            Figure::RestartProcessor => run
+                .step(Step::RestartWithState)
+                .map(|step| step.agent.cpu_seconds),
             Figure::RestartWithoutStateLast => seconds(run, Step::RestartWithoutState, "healed"),
             Figure::ZoneLast => seconds(run, Step::ZoneLost, "healed"),
             Figure::RackLast => seconds(run, Step::RackLost, "healed"),
             Figure::RegionLast => seconds(run, Step::RegionCut, "back"),
             Figure::RegionInForce => seconds(run, Step::RegionCut, "in_force_after_heal"),
             Figure::RegionRollout => seconds(run, Step::RegionCut, "rollout_ended"),
-            Figure::RelaysProcessor => {
-                relays(run, Step::Calm).map(|(relays, seconds)| 100.0 * relays.cpu_seconds / seconds)
+            Figure::RelaysProcessor => relays(run, Step::Calm)
+                .map(|(relays, seconds)| 100.0 * relays.cpu_seconds / seconds),
+            Figure::RelaysMemory => {
+                relays(run, Step::Calm).map(|(relays, _)| relays.memory as f64 / 1e6)
+            }
+            Figure::RelaysStartProcessor => {
+                relays(run, Step::Start).map(|(relays, _)| relays.cpu_seconds)
             }
-            Figure::RelaysMemory => relays(run, Step::Calm).map(|(relays, _)| relays.memory as f64 / 1e6),
-            Figure::RelaysStartProcessor => relays(run, Step::Start).map(|(relays, _)| relays.cpu_seconds),
         }
     }
 }
@@ -173,6 +188,7 @@
 
 /// What a push to all cost the agent, less what calm costs in the same time.
 fn beyond_calm(run: &RunRecord, value: fn(&Work) -> f64) -> Option<f64> {
-    let (push, calm): (&StepRecord, &StepRecord) = (run.step(Step::PushAll)?, run.step(Step::Calm)?);
+    let (push, calm): (&StepRecord, &StepRecord) =
+        (run.step(Step::PushAll)?, run.step(Step::Calm)?);
     Some(value(&push.agent) - value(&calm.agent) / calm.seconds * push.seconds)
 }
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -70,7 +70,13 @@
     /// One that is not started.
     pub fn new(number: usize, shared: &Rc<Shared>) -> Self {
         let switch = Switch::new(Arc::clone(&shared.counters));
-        Hollow { number, shared: Rc::clone(shared), switch, seen: Rc::default(), tasks: Vec::new() }
+        Hollow {
+            number,
+            shared: Rc::clone(shared),
+            switch,
+            seen: Rc::default(),
+            tasks: Vec::new(),
+        }
     }
 
     /// Starts it, with what the last start kept. A former start ends.
@@ -92,7 +98,8 @@
             holder: holder(&self.shared.manner),
             lists: Rc::clone(&lists),
         };
-        let link = Link::new(machine, settings, self.client()?, self.client()?, seed).told_by(lists.news());
+        let link = Link::new(machine, settings, self.client()?, self.client()?, seed)
+            .told_by(lists.news());
         let link = tokio::task::spawn_local(link.run());
         self.tasks = lists.follow_discovery();
         self.tasks.push(link.abort_handle());
@@ -127,7 +134,11 @@
 
     /// Since when the change of this number is in effect, where it is the newest.
     pub fn in_force(&self, marker: u32) -> Option<u64> {
-        self.seen.in_force.get().filter(|(of, _)| *of == marker).map(|(_, at)| at)
+        self.seen
+            .in_force
+            .get()
+            .filter(|(of, _)| *of == marker)
+            .map(|(_, at)| at)
     }
 
     fn client(&self) -> Result<Client, String> {
@@ -141,7 +152,9 @@
 
 /// A new start of an instance, as the sidecar makes it.
 fn who(number: usize) -> Who {
-    let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let unix = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
     Who {
         name: places::name(number),
         start: RandomState::new().hash_one(number),
@@ -165,7 +178,9 @@
 pub fn boottime() -> u64 {
     let time = clock_gettime(ClockId::Boottime);
     let seconds = u64::try_from(time.tv_sec).unwrap_or(0);
-    seconds.saturating_mul(1_000_000).saturating_add(u64::try_from(time.tv_nsec / 1_000).unwrap_or(0))
+    seconds
+        .saturating_mul(1_000_000)
+        .saturating_add(u64::try_from(time.tv_nsec / 1_000).unwrap_or(0))
 }
 
 /// What the link asks of a hollow instance.
@@ -181,10 +196,21 @@
 fn check(overlay: &Overlay) -> Result<(), Problem> {
     if overlay.0.len() > MOST_SETTINGS {
         let problem = format!("holds more than {MOST_SETTINGS} settings");
-        return Err(Problem { field: "set".into(), problem });
+        return Err(Problem {
+            field: "set".into(),
+            problem,
+        });
     }
-    let fault = overlay.0.iter().find_map(|(key, value)| Some((key, value.check(key).err()?)));
-    fault.map_or(Ok(()), |(key, problem)| Err(Problem { field: format!("set.{key}"), problem }))
+    let fault = overlay
+        .0
+        .iter()
+        .find_map(|(key, value)| Some((key, value.check(key).err()?)));
+    fault.map_or(Ok(()), |(key, problem)| {
+        Err(Problem {
+            field: format!("set.{key}"),
+            problem,
+        })
+    })
 }
 
 impl Settings for HollowSettings {
@@ -203,7 +229,10 @@
 
     fn counts(&mut self) -> Counts {
         let ended = self.manner.requests;
-        Counts { ended, bad: ended * BAD_OF_A_THOUSAND / 1_000 }
+        Counts {
+            ended,
+            bad: ended * BAD_OF_A_THOUSAND / 1_000,
+        }
     }
 
     fn keep(&mut self, memory: &Memory) {
--- a/crates/lab/src/scale/limits.rs
+++ b/crates/lab/src/scale/limits.rs
@@ -47,12 +47,21 @@
 impl fmt::Display for Unable {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Unable::Descriptors { process, instances, needed, allowed } => write!(
+            Unable::Descriptors {
+                process,
+                instances,
+                needed,
+                allowed,
+            } => write!(
                 f,
                 "{instances} instances can't be had here: the {process} needs {needed} descriptors and may open \
                  {allowed}"
             ),
-            Unable::Memory { instances, needed, allowed } => write!(
+            Unable::Memory {
+                instances,
+                needed,
+                allowed,
+            } => write!(
                 f,
                 "{instances} instances can't be had here: they take {} MB or so, and half of the machine's memory \
                  is {} MB",
@@ -60,7 +69,10 @@
                 allowed >> 20
             ),
             Unable::Processes { needed } => {
-                write!(f, "{needed} processes can't be had: a rig starts {MOST_PROCESSES} at most")
+                write!(
+                    f,
+                    "{needed} processes can't be had: a rig starts {MOST_PROCESSES} at most"
+                )
             }
         }
     }
@@ -80,14 +92,27 @@
 pub fn check(instances: usize, relays: usize, allowed: Allowed) -> Result<(), Unable> {
     // Behind relays, a relay has the connections of its instances, and the agent those of the relays.
     let at_agent = if relays == 0 { instances } else { relays };
-    let at_relay = if relays == 0 { 0 } else { instances.div_ceil(relays) };
+    let at_relay = if relays == 0 {
+        0
+    } else {
+        instances.div_ceil(relays)
+    };
     let of_agent = CONNECTIONS * at_agent as u64 + OWN_DESCRIPTORS;
     let of_relay = CONNECTIONS * at_relay as u64 + OWN_DESCRIPTORS;
     let of_worker = CONNECTIONS * instances.div_ceil(workers(instances)) as u64 + OWN_DESCRIPTORS;
-    for (process, needed) in [("agent", of_agent), ("relay", of_relay), ("worker", of_worker)] {
+    for (process, needed) in [
+        ("agent", of_agent),
+        ("relay", of_relay),
+        ("worker", of_worker),
+    ] {
         if needed > allowed.descriptors {
             let allowed = allowed.descriptors;
-            return Err(Unable::Descriptors { process, instances, needed, allowed });
+            return Err(Unable::Descriptors {
+                process,
+                instances,
+                needed,
+                allowed,
+            });
         }
     }
     let needed = BYTES_PER_INSTANCE * instances as u64;
@@ -101,7 +126,15 @@
 /// More is.
 pub fn check_memory(instances: usize, needed: u64, allowed: Allowed) -> Result<(), Unable> {
     let allowed = allowed.memory / 2;
-    if needed > allowed { Err(Unable::Memory { instances, needed, allowed }) } else { Ok(()) }
+    if needed > allowed {
+        Err(Unable::Memory {
+            instances,
+            needed,
+            allowed,
+        })
+    } else {
+        Ok(())
+    }
 }
 
 /// Checks that so many processes may be started.
@@ -109,5 +142,9 @@
 /// # Errors
 /// They may not.
 pub fn check_processes(needed: usize) -> Result<(), Unable> {
-    if needed > MOST_PROCESSES { Err(Unable::Processes { needed }) } else { Ok(()) }
+    if needed > MOST_PROCESSES {
+        Err(Unable::Processes { needed })
+    } else {
+        Ok(())
+    }
 }
--- a/crates/lab/src/scale/line.rs
+++ b/crates/lab/src/scale/line.rs
@@ -58,12 +58,22 @@
         if spread_x <= 0.0 {
             return None;
         }
-        let both: f64 = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum();
+        let both: f64 = points
+            .iter()
+            .map(|(x, y)| (x - mean_x) * (y - mean_y))
+            .sum();
         let slope = both / spread_x;
         let fixed = mean_y - slope * mean_x;
-        let left: f64 = points.iter().map(|(x, y)| (y - fixed - slope * x).powi(2)).sum();
+        let left: f64 = points
+            .iter()
+            .map(|(x, y)| (y - fixed - slope * x).powi(2))
+            .sum();
         let deviation = (left / (points.len() - 2) as f64).sqrt();
-        let r_squared = if spread_y > 0.0 { 1.0 - left / spread_y } else { 1.0 };
+        let r_squared = if spread_y > 0.0 {
+            1.0 - left / spread_y
+        } else {
+            1.0
+        };
         let means = means(points);
         Some(Line {
             fixed,
@@ -85,9 +95,14 @@
     pub fn at(&self, x: f64) -> Foretold {
         let value = self.fixed + self.slope * x;
         let away = (x - self.mean_x).powi(2) / self.spread_x;
-        let half = quantile(self.points) * self.deviation * (1.0 + 1.0 / self.points as f64 + away).sqrt();
+        let half =
+            quantile(self.points) * self.deviation * (1.0 + 1.0 / self.points as f64 + away).sqrt();
         let high = (value + half).max(self.last_piece_at(x).unwrap_or(f64::NEG_INFINITY));
-        Foretold { value, low: (value - half).max(0.0), high }
+        Foretold {
+            value,
+            low: (value - half).max(0.0),
+            high,
+        }
     }
 
     fn last_piece_at(&self, x: f64) -> Option<f64> {
@@ -97,14 +112,16 @@
 
     /// Whether the cost grows faster or slower at the end than at the beginning.
     pub fn bends(&self) -> bool {
-        self.ends.is_some_and(|(first, last)| (last - first).abs() > BEND * first.abs().max(last.abs()))
+        self.ends
+            .is_some_and(|(first, last)| (last - first).abs() > BEND * first.abs().max(last.abs()))
     }
 }
 
 /// How many standard errors half an interval is, for so many points.
 fn quantile(points: usize) -> f64 {
     let freedom = points.saturating_sub(2).max(1) as f64;
-    StudentsT::new(0.0, 1.0, freedom).map_or(f64::INFINITY, |t| t.inverse_cdf(0.5 + CONFIDENCE / 2.0))
+    StudentsT::new(0.0, 1.0, freedom)
+        .map_or(f64::INFINITY, |t| t.inverse_cdf(0.5 + CONFIDENCE / 2.0))
 }
 
 /// The mean at each place, by place.
@@ -112,13 +129,22 @@
     let mut sorted = points.to_vec();
     sorted.sort_by(|one, other| one.0.total_cmp(&other.0));
     let places = sorted.chunk_by(|one, other| one.0 == other.0);
-    places.map(|all| (all[0].0, mean(&all.iter().map(|(_, y)| *y).collect::<Vec<_>>()))).collect()
+    places
+        .map(|all| {
+            (
+                all[0].0,
+                mean(&all.iter().map(|(_, y)| *y).collect::<Vec<_>>()),
+            )
+        })
+        .collect()
 }
 
 fn ends(means: &[(f64, f64)]) -> Option<(f64, f64)> {
     let between = |from: (f64, f64), to: (f64, f64)| (to.1 - from.1) / (to.0 - from.0);
     match means {
-        [first, second, .., before, last] => Some((between(*first, *second), between(*before, *last))),
+        [first, second, .., before, last] => {
+            Some((between(*first, *second), between(*before, *last)))
+        }
         [first, second, last] => Some((between(*first, *second), between(*second, *last))),
         _ => None,
     }
--- a/crates/lab/src/scale/lists.rs
+++ b/crates/lab/src/scale/lists.rs
@@ -45,12 +45,21 @@
     pub fn new(lists: usize, discovery: Discovery) -> Rc<Self> {
         let pool = |number: usize| {
             let list = format!("shop/pool-{number:04}");
-            Rc::new(Pool { list, call: Notify::new(), watches: Cell::new(false) })
+            Rc::new(Pool {
+                list,
+                call: Notify::new(),
+                watches: Cell::new(false),
+            })
         };
         let pools: Vec<Rc<Pool>> = (0..lists).map(pool).collect();
         let mut share = Share::default();
         share.follow(pools.iter().map(|pool| pool.list.clone()));
-        Rc::new(SharedLists { pools, discovery, share: RefCell::new(share), news: Rc::default() })
+        Rc::new(SharedLists {
+            pools,
+            discovery,
+            share: RefCell::new(share),
+            news: Rc::default(),
+        })
     }
 
     /// Is notified where the agent is to hear of news at once.
@@ -68,7 +77,10 @@
     pub fn hear(&self, lists: &Lists) -> bool {
         let mut share = self.share.borrow_mut();
         let heard = share.hear(boottime(), lists);
-        heard.offers.into_iter().for_each(|offer| share.taken(offer));
+        heard
+            .offers
+            .into_iter()
+            .for_each(|offer| share.taken(offer));
         for pool in &self.pools {
             if heard.enough.contains(&pool.list) {
                 pool.watches.set(false);
@@ -108,12 +120,20 @@
         let own = RandomState::new().hash_one(0) % spread.max(1);
         let first = boottime().saturating_add(ASK_WITHIN / 5);
         loop {
-            let due = self.share.borrow().due(&pool.list, after.saturating_add(own)).unwrap_or(first);
+            let due = self
+                .share
+                .borrow()
+                .due(&pool.list, after.saturating_add(own))
+                .unwrap_or(first);
             let now = boottime();
             if due <= now {
                 return;
             }
-            if self.share.borrow_mut().asks(now, &pool.list, asks_agent(ASK_WITHIN)) {
+            if self
+                .share
+                .borrow_mut()
+                .asks(now, &pool.list, asks_agent(ASK_WITHIN))
+            {
                 self.news.notify_one();
             }
             tokio::select! {
--- a/crates/lab/src/scale/markdown.rs
+++ b/crates/lab/src/scale/markdown.rs
@@ -12,12 +12,21 @@
          | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n",
     );
     for row in rows {
-        let unit = |value: f64| format!("{} {}", number(value), row.unit).trim_end().to_string();
-        let value = row.value.map_or_else(|| "not measured".into(), |value| unit(value.value));
+        let unit = |value: f64| {
+            format!("{} {}", number(value), row.unit)
+                .trim_end()
+                .to_string()
+        };
+        let value = row
+            .value
+            .map_or_else(|| "not measured".into(), |value| unit(value.value));
         let interval = row.value.filter(|value| value.low < value.high);
-        let interval = interval
-            .map_or(String::new(), |value| format!("{} to {}", number(value.low), number(value.high)));
-        let used = row.used().map_or(String::new(), |used| format!("{}%", number(100.0 * used)));
+        let interval = interval.map_or(String::new(), |value| {
+            format!("{} to {}", number(value.low), number(value.high))
+        });
+        let used = row
+            .used()
+            .map_or(String::new(), |used| format!("{}%", number(100.0 * used)));
         let _ = writeln!(
             text,
             "| {} | {} | {value} | {interval} | {} | {used} | {} | {} | {} |",
@@ -46,8 +55,11 @@
 pub fn slopes(measured: &Measured) -> String {
     let mut text = String::new();
     for (series, runs) in &measured.series {
-        let sizes: Vec<String> =
-            measured.sizes(series).iter().map(|(size, runs)| format!("{size} (runs: {runs})")).collect();
+        let sizes: Vec<String> = measured
+            .sizes(series)
+            .iter()
+            .map(|(size, runs)| format!("{size} (runs: {runs})"))
+            .collect();
         let _ = writeln!(text, "### {series}\n");
         if let Some(run) = runs.first() {
             let _ = writeln!(
@@ -93,9 +105,16 @@
         }
         None if points.is_empty() => format!("| {} | not measured | | | | 0 | |", figure.name()),
         None => {
-            let values: Vec<String> =
-                points.iter().map(|(x, y)| format!("{} at {}", number(*y), number(*x))).collect();
-            format!("| {} | too few: {} | | | | {} | |", figure.name(), values.join(", "), points.len())
+            let values: Vec<String> = points
+                .iter()
+                .map(|(x, y)| format!("{} at {}", number(*y), number(*x)))
+                .collect();
+            format!(
+                "| {} | too few: {} | | | | {} | |",
+                figure.name(),
+                values.join(", "),
+                points.len()
+            )
         }
     }
 }
--- a/crates/lab/src/scale/measured.rs
+++ b/crates/lab/src/scale/measured.rs
@@ -39,16 +39,25 @@
         let mut measured = Measured::default();
         for path in entries(folder)? {
             if path.is_dir() {
-                let name = path.file_name().unwrap_or_default().to_string_lossy().into_owned();
+                let name = path
+                    .file_name()
+                    .unwrap_or_default()
+                    .to_string_lossy()
+                    .into_owned();
                 let files = entries(&path)?;
-                let runs: Result<Vec<_>, _> = files.iter().map(|file| RunRecord::read(file)).collect();
+                let runs: Result<Vec<_>, _> =
+                    files.iter().map(|file| RunRecord::read(file)).collect();
                 measured.series.insert(name, runs?);
             } else if path.file_name().is_some_and(|name| name == REAL) {
                 measured.real = Some(read_json(&path)?);
             } else if path.file_name().is_some_and(|name| name == HOPS) {
                 measured.hops = read_json(&path)?;
             } else if path.extension().is_some_and(|ending| ending == "json") {
-                measured.series.entry(BASE.into()).or_default().push(RunRecord::read(&path)?);
+                measured
+                    .series
+                    .entry(BASE.into())
+                    .or_default()
+                    .push(RunRecord::read(&path)?);
             }
         }
         Ok(measured)
@@ -57,7 +66,8 @@
     /// The points of a figure in a series: instances and value.
     pub fn points(&self, series: &str, figure: Figure) -> Vec<(f64, f64)> {
         let runs = self.series.get(series).into_iter().flatten();
-        runs.filter_map(|run| Some((run.instances as f64, figure.of(run)?))).collect()
+        runs.filter_map(|run| Some((run.instances as f64, figure.of(run)?)))
+            .collect()
     }
 
     /// The line of a figure in a series.
@@ -95,7 +105,9 @@
 fn entries(folder: &Path) -> Result<Vec<PathBuf>, String> {
     let say = |e: std::io::Error| format!("{}: {e}", folder.display());
     let all = std::fs::read_dir(folder).map_err(say)?;
-    let mut paths = all.map(|entry| entry.map(|e| e.path()).map_err(say)).collect::<Result<Vec<_>, _>>()?;
+    let mut paths = all
+        .map(|entry| entry.map(|e| e.path()).map_err(say))
+        .collect::<Result<Vec<_>, _>>()?;
     paths.sort();
     Ok(paths)
 }
--- a/crates/lab/src/scale/places.rs
+++ b/crates/lab/src/scale/places.rs
@@ -45,10 +45,16 @@
 
 /// What an instance says of itself.
 pub fn traits(number: usize) -> Traits {
-    let labels = [("service", service(number)), ("region", format!("region-{}", region(number)))];
+    let labels = [
+        ("service", service(number)),
+        ("region", format!("region-{}", region(number))),
+    ];
     Traits {
         zone: zone(number),
-        labels: labels.into_iter().map(|(label, value)| (label.to_string(), value)).collect(),
+        labels: labels
+            .into_iter()
+            .map(|(label, value)| (label.to_string(), value))
+            .collect(),
         build: env!("CARGO_PKG_VERSION").to_string(),
         file: Fingerprint::of(&"an operator file"),
     }
@@ -96,12 +102,21 @@
             Group::All => Some(Selector::default()),
             Group::Service => {
                 let labels = BTreeMap::from([("service".to_string(), service(0))]);
-                Some(Selector { labels, ..Selector::default() })
+                Some(Selector {
+                    labels,
+                    ..Selector::default()
+                })
             }
-            Group::Zone => Some(Selector { zones: vec![zone_name(0)], ..Selector::default() }),
+            Group::Zone => Some(Selector {
+                zones: vec![zone_name(0)],
+                ..Selector::default()
+            }),
             Group::Region => {
                 let labels = BTreeMap::from([("region".to_string(), "region-0".to_string())]);
-                Some(Selector { labels, ..Selector::default() })
+                Some(Selector {
+                    labels,
+                    ..Selector::default()
+                })
             }
             Group::Rack => None,
             Group::One(number) => Some(Selector::named([name(number)])),
--- a/crates/lab/src/scale/real.rs
+++ b/crates/lab/src/scale/real.rs
@@ -84,7 +84,10 @@
 impl Comparison {
     /// Bytes and messages each way, in the calm stretch and from the change on.
     pub fn differences(&self) -> Vec<Difference> {
-        let (calm, push) = ((self.real.calm, self.hollow.calm), (self.real.push, self.hollow.push));
+        let (calm, push) = (
+            (self.real.calm, self.hollow.calm),
+            (self.real.push, self.hollow.push),
+        );
         let of = |figure, (real, hollow): (Work, Work), value: fn(&Work) -> u64| Difference {
             figure,
             real: value(&real),
@@ -94,11 +97,15 @@
             of("calm, bytes to the agent", calm, |work| work.bytes_in),
             of("calm, bytes from the agent", calm, |work| work.bytes_out),
             of("calm, messages to the agent", calm, |work| work.messages_in),
-            of("calm, messages from the agent", calm, |work| work.messages_out),
+            of("calm, messages from the agent", calm, |work| {
+                work.messages_out
+            }),
             of("push, bytes to the agent", push, |work| work.bytes_in),
             of("push, bytes from the agent", push, |work| work.bytes_out),
             of("push, messages to the agent", push, |work| work.messages_in),
-            of("push, messages from the agent", push, |work| work.messages_out),
+            of("push, messages from the agent", push, |work| {
+                work.messages_out
+            }),
         ]
     }
 }
@@ -118,7 +125,10 @@
                 for process in processes {
                     // In nanoseconds: within a short stretch one of them takes less than a tick.
                     let cpu_seconds = process.usage().cpu as f64 / 1e9;
-                    all += Usage { cpu_seconds, ..usage::of(process.id()) };
+                    all += Usage {
+                        cpu_seconds,
+                        ..usage::of(process.id())
+                    };
                 }
                 Ok(all)
             }
@@ -134,8 +144,15 @@
     // Real ones are a process each, beside the agent and the lab.
     limits::check_processes(settings.instances + 2).map_err(|e| e.to_string())?;
     limits::check(settings.instances, 0, Allowed::here()).map_err(|e| e.to_string())?;
-    let manner = Manner { requests: 0, lists: 0, ..settings.manner.clone() };
-    let settings = RigSettings { manner, ..settings.clone() };
+    let manner = Manner {
+        requests: 0,
+        lists: 0,
+        ..settings.manner.clone()
+    };
+    let settings = RigSettings {
+        manner,
+        ..settings.clone()
+    };
     Ok(Comparison {
         instances: settings.instances,
         report_ms: settings.report_ms,
@@ -152,8 +169,12 @@
     let mut instances = if real {
         Instances::Real(start_sidecars(settings, place, agent.address())?)
     } else {
-        let mut workers =
-            Workers::start(settings.instances, &[agent.address().into()], place, &settings.manner)?;
+        let mut workers = Workers::start(
+            settings.instances,
+            &[agent.address().into()],
+            place,
+            &settings.manner,
+        )?;
         workers.tell(&Command::Start(Group::All))?;
         Instances::Hollow(workers)
     };
@@ -165,12 +186,21 @@
     let calm = agent.totals().await?;
     let uses = instances.usage()?;
     let pushed = push(&agent, settings).await?;
-    let own = Usage { cpu_seconds: uses.cpu_seconds - used.cpu_seconds, ..uses };
-    Ok(Kind { calm: Work::between(&begin, &calm), push: Work::between(&calm, &pushed), own })
+    let own = Usage {
+        cpu_seconds: uses.cpu_seconds - used.cpu_seconds,
+        ..uses
+    };
+    Ok(Kind {
+        calm: Work::between(&begin, &calm),
+        push: Work::between(&calm, &pushed),
+        own,
+    })
 }
 
 async fn push(agent: &AgentProcess, settings: &RigSettings) -> Result<Totals, String> {
-    agent.push(&change(1, 0, Group::All, settings.silence())?).await?;
+    agent
+        .push(&change(1, 0, Group::All, settings.silence())?)
+        .await?;
     tokio::time::sleep(PUSH).await;
     agent.totals().await
 }
@@ -178,23 +208,40 @@
 async fn until_alive(agent: &AgentProcess, wanted: usize) -> Result<(), String> {
     let begin = Instant::now();
     loop {
-        let alive = agent.status().await?.instances.get("alive").copied().unwrap_or(0);
+        let alive = agent
+            .status()
+            .await?
+            .instances
+            .get("alive")
+            .copied()
+            .unwrap_or(0);
         if alive == wanted {
             return Ok(());
         }
         if begin.elapsed() > PATIENCE {
-            return Err(format!("{alive} of {wanted} instances are there after {PATIENCE:?}"));
+            return Err(format!(
+                "{alive} of {wanted} instances are there after {PATIENCE:?}"
+            ));
         }
         tokio::time::sleep(LOOK).await;
     }
 }
 
-fn start_sidecars(settings: &RigSettings, place: &Path, agent: &str) -> Result<Vec<Process>, String> {
+fn start_sidecars(
+    settings: &RigSettings,
+    place: &Path,
+    agent: &str,
+) -> Result<Vec<Process>, String> {
     let start = |number| {
         let file = place.join(format!("{}.toml", places::name(number)));
         std::fs::write(&file, operator_file(number, agent, settings.manner.limits))
             .map_err(|e| format!("{}: {e}", file.display()))?;
-        start_child(&places::name(number), Program::Sidecar, &file, settings.binary.as_deref())
+        start_child(
+            &places::name(number),
+            Program::Sidecar,
+            &file,
+            settings.binary.as_deref(),
+        )
     };
     (0..settings.instances).map(start).collect()
 }
@@ -202,10 +249,18 @@
 /// The operator file of a real sidecar with one pool, whose only server nobody calls.
 fn operator_file(number: usize, agent: &str, limits: usize) -> String {
     let traits = places::traits(number);
-    let labels: Vec<String> =
-        traits.labels.iter().map(|(label, value)| format!("{label} = \"{value}\"")).collect();
+    let labels: Vec<String> = traits
+        .labels
+        .iter()
+        .map(|(label, value)| format!("{label} = \"{value}\""))
+        .collect();
     let limits: String = (0..limits)
-        .map(|limit| format!("[[control.fleet_limits]]\nname = \"{}\"\npool = \"shop\"\n", limit_name(limit)))
+        .map(|limit| {
+            format!(
+                "[[control.fleet_limits]]\nname = \"{}\"\npool = \"shop\"\n",
+                limit_name(limit)
+            )
+        })
         .collect();
     format!(
         "version = 1\n[admin]\nlisten = \"127.0.0.1:0\"\n[control]\nagent = \"{agent}\"\nname = \"{}\"\n\
--- a/crates/lab/src/scale/record.rs
+++ b/crates/lab/src/scale/record.rs
@@ -155,7 +155,9 @@
 impl RunRecord {
     /// The step of this kind, where it was done.
     pub fn step(&self, step: Step) -> Option<&StepRecord> {
-        self.steps.iter().find(|record| record.step == step && record.problem.is_none())
+        self.steps
+            .iter()
+            .find(|record| record.step == step && record.problem.is_none())
     }
 
     /// Writes it to a file.
@@ -173,9 +175,13 @@
     pub fn read(file: &Path) -> Result<Self, String> {
         let place = file.display();
         let text = std::fs::read(file).map_err(|e| format!("{place}: {e}"))?;
-        let record: RunRecord = serde_json::from_slice(&text).map_err(|e| format!("{place}: {e}"))?;
+        let record: RunRecord =
+            serde_json::from_slice(&text).map_err(|e| format!("{place}: {e}"))?;
         if record.format != FORMAT {
-            return Err(format!("{place}: has format {}, but this build reads {FORMAT}", record.format));
+            return Err(format!(
+                "{place}: has format {}, but this build reads {FORMAT}",
+                record.format
+            ));
         }
         Ok(record)
     }
@@ -196,6 +202,10 @@
 /// # Errors
 /// The program's file can't be read.
 pub fn build(built: Option<&str>) -> Result<(String, String), String> {
-    let usual = if cfg!(debug_assertions) { "debug" } else { "release" };
+    let usual = if cfg!(debug_assertions) {
+        "debug"
+    } else {
+        "release"
+    };
     Ok((own_build()?, built.unwrap_or(usual).to_string()))
 }
--- a/crates/lab/src/scale/relays.rs
+++ b/crates/lab/src/scale/relays.rs
@@ -40,7 +40,11 @@
             std::fs::write(&path, file).map_err(|e| format!("{}: {e}", path.display()))?;
             let mut process = start_child(&name, Program::Relay, &path, binary.as_deref())?;
             let address = process.listens().await?.to_string();
-            relays.push(RelayProcess { process, link, address });
+            relays.push(RelayProcess {
+                process,
+                link,
+                address,
+            });
         }
         Ok(Relays(relays))
     }
@@ -62,7 +66,8 @@
 
     /// Cuts the links of the first region's relays: neither end hears of the other.
     pub fn cut_region(&self) {
-        self.of_first_region().for_each(|relay| relay.link.cut_both());
+        self.of_first_region()
+            .for_each(|relay| relay.link.cut_both());
     }
 
     /// The links are back.
@@ -73,12 +78,18 @@
     /// What all of them used.
     pub fn usage(&self) -> Usage {
         let mut all = Usage::default();
-        self.0.iter().for_each(|relay| all += usage::of(relay.process.id()));
+        self.0
+            .iter()
+            .for_each(|relay| all += usage::of(relay.process.id()));
         all
     }
 
     fn of_first_region(&self) -> impl Iterator<Item = &RelayProcess> {
-        self.0.iter().enumerate().filter(|(zone, _)| places::region(*zone) == 0).map(|(_, relay)| relay)
+        self.0
+            .iter()
+            .enumerate()
+            .filter(|(zone, _)| places::region(*zone) == 0)
+            .map(|(_, relay)| relay)
     }
 }
 
--- a/crates/lab/src/scale/size.rs
+++ b/crates/lab/src/scale/size.rs
@@ -76,9 +76,15 @@
         );
         let figures = [
             (file.size.changes_per_day, "size.changes_per_day"),
-            (file.budget.sidecar_core_percent, "budget.sidecar_core_percent"),
+            (
+                file.budget.sidecar_core_percent,
+                "budget.sidecar_core_percent",
+            ),
             (file.budget.sidecar_memory_mb, "budget.sidecar_memory_mb"),
-            (file.budget.sidecar_bytes_per_second, "budget.sidecar_bytes_per_second"),
+            (
+                file.budget.sidecar_bytes_per_second,
+                "budget.sidecar_bytes_per_second",
+            ),
         ];
         for (figure, field) in figures {
             document.require(figure.is_finite() && figure > 0.0, field, "must be above 0");
--- a/crates/lab/src/scale/steps.rs
+++ b/crates/lab/src/scale/steps.rs
@@ -5,7 +5,17 @@
 
 /// A step.
 #[derive(
-    Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, clap::ValueEnum, Serialize, Deserialize,
+    Clone,
+    Copy,
+    Debug,
+    PartialEq,
+    Eq,
+    PartialOrd,
+    Ord,
+    Hash,
+    clap::ValueEnum,
+    Serialize,
+    Deserialize,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Step {
--- a/crates/lab/src/scale/switch.rs
+++ b/crates/lab/src/scale/switch.rs
@@ -29,7 +29,11 @@
 impl Switch {
     /// A link that is not held, whose bytes are counted.
     pub fn new(counters: Arc<Counters>) -> Arc<Self> {
-        Arc::new(Switch { counters, state: Mutex::default(), released: Notify::new() })
+        Arc::new(Switch {
+            counters,
+            state: Mutex::default(),
+            released: Notify::new(),
+        })
     }
 
     /// Nothing passes from now on, in either direction; connecting takes until the release.
@@ -39,7 +43,9 @@
 
     /// What waits passes on. Streams that were given up meanwhile end now.
     pub fn release(&self) {
-        let State { waiting, given_up, .. } = std::mem::take(&mut *self.state());
+        let State {
+            waiting, given_up, ..
+        } = std::mem::take(&mut *self.state());
         drop(given_up);
         waiting.into_iter().for_each(Waker::wake);
         self.released.notify_waiters();
@@ -80,7 +86,10 @@
             let stream = TcpSocket::new_v4()?.connect(address).await?;
             let _ = stream.set_nodelay(true);
             let stream = Counted::new(stream, Arc::clone(&self.0.counters));
-            let stream = Switched { stream: Some(stream), switch: Arc::clone(&self.0) };
+            let stream = Switched {
+                stream: Some(stream),
+                switch: Arc::clone(&self.0),
+            };
             Ok(Box::new(stream) as Box<dyn ByteStream>)
         })
     }
@@ -95,7 +104,11 @@
 impl Switched {
     /// The stream, where it may be used now.
     fn open(&mut self, context: &Context<'_>) -> Option<Pin<&mut Counted<TcpStream>>> {
-        if self.switch.holds(context) { None } else { self.stream.as_mut().map(Pin::new) }
+        if self.switch.holds(context) {
+            None
+        } else {
+            self.stream.as_mut().map(Pin::new)
+        }
     }
 }
 
@@ -114,7 +127,8 @@
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        self.open(context).map_or(Poll::Pending, |stream| stream.poll_read(context, buffer))
+        self.open(context)
+            .map_or(Poll::Pending, |stream| stream.poll_read(context, buffer))
     }
 }
 
@@ -124,7 +138,8 @@
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        self.open(context).map_or(Poll::Pending, |stream| stream.poll_write(context, bytes))
+        self.open(context)
+            .map_or(Poll::Pending, |stream| stream.poll_write(context, bytes))
     }
 
     fn poll_write_vectored(
@@ -132,7 +147,9 @@
         context: &mut Context<'_>,
         slices: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.open(context).map_or(Poll::Pending, |stream| stream.poll_write_vectored(context, slices))
+        self.open(context).map_or(Poll::Pending, |stream| {
+            stream.poll_write_vectored(context, slices)
+        })
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -140,10 +157,12 @@
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.open(context).map_or(Poll::Pending, |stream| stream.poll_flush(context))
+        self.open(context)
+            .map_or(Poll::Pending, |stream| stream.poll_flush(context))
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.open(context).map_or(Poll::Pending, |stream| stream.poll_shutdown(context))
+        self.open(context)
+            .map_or(Poll::Pending, |stream| stream.poll_shutdown(context))
     }
 }
--- a/crates/lab/src/scale/tables.rs
+++ b/crates/lab/src/scale/tables.rs
@@ -39,7 +39,9 @@
 }
 
 fn row(step: &StepRecord) -> Vec<String> {
-    let StepRecord { agent, instances, .. } = step;
+    let StepRecord {
+        agent, instances, ..
+    } = step;
     let mb = |work: &Work| format!("{:.1}", work.memory as f64 / 1e6);
     vec![
         step.step.to_string(),
@@ -60,15 +62,28 @@
 
 fn times(step: &StepRecord) -> String {
     let told = |(name, times): (&String, &super::record::Times)| {
-        let missing = if times.missing > 0 { format!(" ({} missing)", times.missing) } else { String::new() };
-        format!("{name} {:.0}, {:.0}, {:.0}{missing}", times.median_ms, times.p99_ms, times.last_ms)
+        let missing = if times.missing > 0 {
+            format!(" ({} missing)", times.missing)
+        } else {
+            String::new()
+        };
+        format!(
+            "{name} {:.0}, {:.0}, {:.0}{missing}",
+            times.median_ms, times.p99_ms, times.last_ms
+        )
     };
     step.times.iter().map(told).collect::<Vec<_>>().join("; ")
 }
 
 /// Real and hollow instances beside each other.
 pub fn comparison(comparison: &Comparison) -> String {
-    let Comparison { instances, calm_seconds, real, hollow, .. } = comparison;
+    let Comparison {
+        instances,
+        calm_seconds,
+        real,
+        hollow,
+        ..
+    } = comparison;
     let mut table = table(&["figure, at the agent", "real", "hollow", "difference"]);
     for difference in comparison.differences() {
         table.add_row([
@@ -86,5 +101,9 @@
             usage.memory as f64 / 1e6 / each
         )
     };
-    format!("{table}\nreal: {}; hollow: {}\n", own(&real.own), own(&hollow.own))
+    format!(
+        "{table}\nreal: {}; hollow: {}\n",
+        own(&real.own),
+        own(&hollow.own)
+    )
 }
--- a/crates/lab/src/scale/usage.rs
+++ b/crates/lab/src/scale/usage.rs
@@ -29,27 +29,49 @@
 
 /// What a process uses; nothing once it has ended.
 pub fn of(pid: u32) -> Usage {
-    let read = |file: &str| std::fs::read_to_string(format!("/proc/{pid}/{file}")).unwrap_or_default();
+    let read =
+        |file: &str| std::fs::read_to_string(format!("/proc/{pid}/{file}")).unwrap_or_default();
     let stat = read("stat");
     // The name in parentheses may hold spaces; user and system time are the 12th and 13th field behind it.
-    let fields = stat.rsplit(')').next().unwrap_or_default().split_whitespace();
-    let ticks: f64 = fields.skip(11).take(2).filter_map(|ticks| ticks.parse::<f64>().ok()).sum();
+    let fields = stat
+        .rsplit(')')
+        .next()
+        .unwrap_or_default()
+        .split_whitespace();
+    let ticks: f64 = fields
+        .skip(11)
+        .take(2)
+        .filter_map(|ticks| ticks.parse::<f64>().ok())
+        .sum();
     let status = read("status");
     let memory = kilobytes(&status, "VmRSS:") * 1_024;
-    let descriptors = std::fs::read_dir(format!("/proc/{pid}/fd")).map_or(0, |all| all.count() as u64);
-    Usage { cpu_seconds: ticks / TICKS, memory, descriptors }
+    let descriptors =
+        std::fs::read_dir(format!("/proc/{pid}/fd")).map_or(0, |all| all.count() as u64);
+    Usage {
+        cpu_seconds: ticks / TICKS,
+        memory,
+        descriptors,
+    }
 }
 
 fn kilobytes(text: &str, field: &str) -> u64 {
-    let line = text.lines().find_map(|line| line.strip_prefix(field)).unwrap_or_default();
-    line.split_whitespace().next().and_then(|number| number.parse().ok()).unwrap_or(0)
+    let line = text
+        .lines()
+        .find_map(|line| line.strip_prefix(field))
+        .unwrap_or_default();
+    line.split_whitespace()
+        .next()
+        .and_then(|number| number.parse().ok())
+        .unwrap_or(0)
 }
 
 /// Nanoseconds by a clock that all processes of the machine share.
 pub fn now() -> u64 {
     let time = clock_gettime(ClockId::Monotonic);
     let seconds = u64::try_from(time.tv_sec).unwrap_or(0);
-    seconds.saturating_mul(1_000_000_000).saturating_add(u64::try_from(time.tv_nsec).unwrap_or(0))
+    seconds
+        .saturating_mul(1_000_000_000)
+        .saturating_add(u64::try_from(time.tv_nsec).unwrap_or(0))
 }
 
 /// What the system allows.
--- a/crates/lab/src/scale/with_relays.rs
+++ b/crates/lab/src/scale/with_relays.rs
@@ -34,9 +34,24 @@
             })
         };
         vec![
-            row("ordinary day: processor time of each", Figure::RelaysProcessor, Some(100.0), "% of a core"),
-            row("ordinary day: memory of each", Figure::RelaysMemory, None, "MB"),
-            row("start of all at once: processor time of each", Figure::RelaysStartProcessor, None, "s"),
+            row(
+                "ordinary day: processor time of each",
+                Figure::RelaysProcessor,
+                Some(100.0),
+                "% of a core",
+            ),
+            row(
+                "ordinary day: memory of each",
+                Figure::RelaysMemory,
+                None,
+                "MB",
+            ),
+            row(
+                "start of all at once: processor time of each",
+                Figure::RelaysStartProcessor,
+                None,
+                "s",
+            ),
             reckoned(
                 "relay",
                 "connections of each".into(),
@@ -59,7 +74,11 @@
     fn agent_above_relays(&self) -> Vec<Row> {
         let role = "agent above relays";
         let mut rows = self.ordinary_day(RELAYS, role).to_vec();
-        rows.extend(self.pushes(RELAYS, role, "`fleet/src/fleet/registry.rs` `Fleet::report_all`"));
+        rows.extend(self.pushes(
+            RELAYS,
+            role,
+            "`fleet/src/fleet/registry.rs` `Fleet::report_all`",
+        ));
         rows
     }
 
@@ -79,17 +98,42 @@
         };
         let (agent, relay) = ("agent above relays", "`fleet/src/relay/mod.rs` `Relay`");
         vec![
-            row(agent, "start of all at once: last registered", Figure::StartLast, relay),
-            row(agent, "restarted with its state: has all of them", Figure::RestartLast, relay),
+            row(
+                agent,
+                "start of all at once: last registered",
+                Figure::StartLast,
+                relay,
+            ),
+            row(
+                agent,
+                "restarted with its state: has all of them",
+                Figure::RestartLast,
+                relay,
+            ),
             row(
                 agent,
                 "restarted without its state: has all of them",
                 Figure::RestartWithoutStateLast,
                 relay,
             ),
-            row(agent, "zone back: its last instance back", Figure::ZoneLast, relay),
-            row(agent, "rack back: its last instance back", Figure::RackLast, relay),
-            row(agent, "region's cut over: it has all of them", Figure::RegionLast, relay),
+            row(
+                agent,
+                "zone back: its last instance back",
+                Figure::ZoneLast,
+                relay,
+            ),
+            row(
+                agent,
+                "rack back: its last instance back",
+                Figure::RackLast,
+                relay,
+            ),
+            row(
+                agent,
+                "region's cut over: it has all of them",
+                Figure::RegionLast,
+                relay,
+            ),
             row(
                 agent,
                 "region's cut over: change made meanwhile in force at its last",
--- a/crates/lab/src/scale/worker.rs
+++ b/crates/lab/src/scale/worker.rs
@@ -37,7 +37,9 @@
                 let mut text = serde_json::to_vec(&reply).map_err(|e| e.to_string())?;
                 text.push(b'\n');
                 let mut out = std::io::stdout().lock();
-                out.write_all(&text).and_then(|()| out.flush()).map_err(|e| e.to_string())?;
+                out.write_all(&text)
+                    .and_then(|()| out.flush())
+                    .map_err(|e| e.to_string())?;
             }
             Ok(())
         })
@@ -71,19 +73,33 @@
             Command::Stop(group) => self.of(group).for_each(Hollow::stop),
             Command::Hold(group) => self.of(group).for_each(|instance| instance.hold()),
             Command::Release(group) => self.of(group).for_each(|instance| instance.release()),
-            Command::Discovery(version) => self.shared.iter().for_each(|s| s.discovery.set(version)),
+            Command::Discovery(version) => {
+                self.shared.iter().for_each(|s| s.discovery.set(version))
+            }
             Command::Mark => self.instances.iter().for_each(Hollow::mark),
             Command::CountRenewed(group) => {
-                return Ok(Reply::Count(self.of(group).filter_map(|one| one.renewed()).count()));
+                return Ok(Reply::Count(
+                    self.of(group).filter_map(|one| one.renewed()).count(),
+                ));
             }
             Command::Renewed(group) => {
-                return Ok(Reply::Times(self.of(group).filter_map(|one| one.renewed()).collect()));
+                return Ok(Reply::Times(
+                    self.of(group).filter_map(|one| one.renewed()).collect(),
+                ));
             }
             Command::CountInForce(group, marker) => {
-                return Ok(Reply::Count(self.of(group).filter_map(|one| one.in_force(marker)).count()));
+                return Ok(Reply::Count(
+                    self.of(group)
+                        .filter_map(|one| one.in_force(marker))
+                        .count(),
+                ));
             }
             Command::InForce(group, marker) => {
-                return Ok(Reply::Times(self.of(group).filter_map(|one| one.in_force(marker)).collect()));
+                return Ok(Reply::Times(
+                    self.of(group)
+                        .filter_map(|one| one.in_force(marker))
+                        .collect(),
+                ));
             }
             Command::Totals => return Ok(Reply::Totals(self.totals())),
         }
@@ -91,13 +107,20 @@
     }
 
     fn of(&mut self, group: Group) -> impl Iterator<Item = &mut Hollow> {
-        self.instances.iter_mut().filter(move |instance| group.holds(instance.number))
+        self.instances
+            .iter_mut()
+            .filter(move |instance| group.holds(instance.number))
     }
 
     fn set_up(&mut self, setup: Setup) -> Result<(), String> {
         let file = |ending: &str| setup.keys.join(format!("shop-any.{ending}"));
         let authority = setup.keys.join("keys/authority.pem");
-        let files = Files { authority, certificate: file("pem"), key: file("key"), revoked: None };
+        let files = Files {
+            authority,
+            certificate: file("pem"),
+            key: file("key"),
+            revoked: None,
+        };
         let shared = Rc::new(Shared {
             agents: setup.agents,
             keyring: Keyring::load(files)?,
@@ -105,13 +128,22 @@
             counters: Arc::new(Counters::default()),
             discovery: Rc::new(Cell::new(1)),
         });
-        self.instances = setup.instances.map(|number| Hollow::new(number, &shared)).collect();
+        self.instances = setup
+            .instances
+            .map(|number| Hollow::new(number, &shared))
+            .collect();
         self.shared = Some(shared);
         Ok(())
     }
 
     fn totals(&self) -> Totals {
-        let traffic = self.shared.as_ref().map_or(Traffic::default(), |shared| shared.counters.read());
-        Totals { traffic, usage: usage::of(std::process::id()) }
+        let traffic = self
+            .shared
+            .as_ref()
+            .map_or(Traffic::default(), |shared| shared.counters.read());
+        Totals {
+            traffic,
+            usage: usage::of(std::process::id()),
+        }
     }
 }
--- a/crates/lab/src/scale/workers.rs
+++ b/crates/lab/src/scale/workers.rs
@@ -23,7 +23,12 @@
     ///
     /// # Errors
     /// A process can't be started, or can't read the keys.
-    pub fn start(instances: usize, agents: &[String], keys: &Path, manner: &Manner) -> Result<Self, String> {
+    pub fn start(
+        instances: usize,
+        agents: &[String],
+        keys: &Path,
+        manner: &Manner,
+    ) -> Result<Self, String> {
         let each = instances.div_ceil(workers(instances));
         let mut all = Workers(Vec::new());
         for first in (0..instances).step_by(each.max(1)) {
@@ -63,7 +68,16 @@
     /// A worker has ended.
     pub fn count(&mut self, command: &Command) -> Result<usize, String> {
         let replies = self.ask(command)?;
-        Ok(replies.iter().map(|reply| if let Reply::Count(count) = reply { *count } else { 0 }).sum())
+        Ok(replies
+            .iter()
+            .map(|reply| {
+                if let Reply::Count(count) = reply {
+                    *count
+                } else {
+                    0
+                }
+            })
+            .sum())
     }
 
     /// Times, over all workers.
@@ -74,7 +88,13 @@
         let replies = self.ask(command)?;
         Ok(replies
             .into_iter()
-            .flat_map(|reply| if let Reply::Times(times) = reply { times } else { vec![] })
+            .flat_map(|reply| {
+                if let Reply::Times(times) = reply {
+                    times
+                } else {
+                    vec![]
+                }
+            })
             .collect())
     }
 
@@ -93,7 +113,9 @@
     }
 
     fn ask(&mut self, command: &Command) -> Result<Vec<Reply>, String> {
-        self.0.iter_mut().try_for_each(|worker| worker.tell(command))?;
+        self.0
+            .iter_mut()
+            .try_for_each(|worker| worker.tell(command))?;
         self.0.iter_mut().map(Worker::hear).collect()
     }
 }
@@ -102,23 +124,37 @@
     fn start() -> Result<Self, String> {
         let say = |problem: std::io::Error| format!("a worker: {problem}");
         let mut command = std::process::Command::new(own_program().map_err(say)?);
-        command.args(["scale-worker", "--parent"]).arg(std::process::id().to_string());
-        let mut child = command.stdin(Stdio::piped()).stdout(Stdio::piped()).spawn().map_err(say)?;
+        command
+            .args(["scale-worker", "--parent"])
+            .arg(std::process::id().to_string());
+        let mut child = command
+            .stdin(Stdio::piped())
+            .stdout(Stdio::piped())
+            .spawn()
+            .map_err(say)?;
         let (Some(input), Some(output)) = (child.stdin.take(), child.stdout.take()) else {
             return Err("a worker: has no pipes".into());
         };
-        Ok(Worker { child, input, output: BufReader::new(output) })
+        Ok(Worker {
+            child,
+            input,
+            output: BufReader::new(output),
+        })
     }
 
     fn tell(&mut self, command: &Command) -> Result<(), String> {
         let mut text = serde_json::to_vec(command).map_err(|e| e.to_string())?;
         text.push(b'\n');
-        self.input.write_all(&text).map_err(|e| format!("a worker has ended: {e}"))
+        self.input
+            .write_all(&text)
+            .map_err(|e| format!("a worker has ended: {e}"))
     }
 
     fn hear(&mut self) -> Result<Reply, String> {
         let mut line = String::new();
-        self.output.read_line(&mut line).map_err(|e| format!("a worker has ended: {e}"))?;
+        self.output
+            .read_line(&mut line)
+            .map_err(|e| format!("a worker has ended: {e}"))?;
         match serde_json::from_str(&line) {
             Ok(Reply::Failed(why)) => Err(why),
             Ok(reply) => Ok(reply),
--- a/crates/lab/src/schedule.rs
+++ b/crates/lab/src/schedule.rs
@@ -60,16 +60,23 @@
 /// The job makes no sense, or the parent has gone.
 pub fn one_run() -> Result<(), String> {
     std::panic::set_hook(Box::new(|panic| {
-        let place = panic.location().map(|at| format!(" at {}:{}", at.file(), at.line())).unwrap_or_default();
+        let place = panic
+            .location()
+            .map(|at| format!(" at {}:{}", at.file(), at.line()))
+            .unwrap_or_default();
         let payload = panic.payload();
-        let said =
-            payload.downcast_ref::<&str>().copied().or(payload.downcast_ref::<String>().map(String::as_str));
+        let said = payload
+            .downcast_ref::<&str>()
+            .copied()
+            .or(payload.downcast_ref::<String>().map(String::as_str));
         let said = said.unwrap_or("a panic without words").replace('\n', "; ");
         let _ = writeln!(std::io::stderr(), "{PANIC}{said}{place}");
     }));
     let mut input = BufReader::new(std::io::stdin());
     let mut line = String::new();
-    input.read_line(&mut line).map_err(|e| format!("the job: {e}"))?;
+    input
+        .read_line(&mut line)
+        .map_err(|e| format!("the job: {e}"))?;
     let job: Job = serde_json::from_str(&line).map_err(|e| format!("the job: {e}"))?;
     std::thread::spawn(move || {
         // The parent holds its end open and never writes again.
@@ -84,7 +91,9 @@
     let tell = |line: &Line| -> Result<(), String> {
         let text = serde_json::to_string(line).map_err(|e| e.to_string())?;
         let mut out = std::io::stdout().lock();
-        writeln!(out, "{text}").and_then(|()| out.flush()).map_err(|e| format!("the parent has gone: {e}"))
+        writeln!(out, "{text}")
+            .and_then(|()| out.flush())
+            .map_err(|e| format!("the parent has gone: {e}"))
     };
     let watch = |at: Span| match tell(&Line::At(at)) {
         Ok(()) => ControlFlow::Continue(()),
@@ -121,7 +130,9 @@
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, Wanted> {
-        self.wanted.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+        self.wanted
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
     /// Plays these jobs, `workers` at a time at most. `at` is told how far the job of a place has come, `done` its
@@ -140,8 +151,11 @@
                 scope.spawn(|| {
                     loop {
                         let place = next.fetch_add(1, Ordering::Relaxed);
-                        let Some(job) = jobs.get(place).filter(|_| !self.broken_off()) else { break };
-                        let Some(arm) = experiment.arms.iter().find(|arm| arm.name == job.arm) else {
+                        let Some(job) = jobs.get(place).filter(|_| !self.broken_off()) else {
+                            break;
+                        };
+                        let Some(arm) = experiment.arms.iter().find(|arm| arm.name == job.arm)
+                        else {
                             continue;
                         };
                         if let Some(run) = self.one(experiment, arm, place, job, &at) {
@@ -237,9 +251,16 @@
     if let Some(panic) = complaint.lines().find_map(|line| line.strip_prefix(PANIC)) {
         return format!("its policy panicked: {panic}");
     }
-    let last = complaint.lines().rfind(|line| !line.trim().is_empty()).unwrap_or("without a word").trim();
+    let last = complaint
+        .lines()
+        .rfind(|line| !line.trim().is_empty())
+        .unwrap_or("without a word")
+        .trim();
     match status.signal() {
         Some(signal) => format!("its process was ended by signal {signal}: {last}"),
-        None => format!("its process ended with {}: {last}", status.code().unwrap_or(-1)),
+        None => format!(
+            "its process ended with {}: {last}",
+            status.code().unwrap_or(-1)
+        ),
     }
 }
--- a/crates/lab/src/shipped.rs
+++ b/crates/lab/src/shipped.rs
@@ -54,11 +54,18 @@
     let path = Path::new(named);
     let shipped = ALL.iter().find(|(name, _)| *name == named);
     if let Some((name, text)) = shipped.filter(|_| !path.is_file()) {
-        return Ok(Text { name: (*name).into(), text: (*text).into(), beside: PathBuf::from(".") });
+        return Ok(Text {
+            name: (*name).into(),
+            text: (*text).into(),
+            beside: PathBuf::from("."),
+        });
     }
     if !path.exists() {
         let names = ALL.iter().map(|(name, _)| *name);
-        let stem = path.file_stem().and_then(|stem| stem.to_str()).unwrap_or(named);
+        let stem = path
+            .file_stem()
+            .and_then(|stem| stem.to_str())
+            .unwrap_or(named);
         let hint = match nearest(stem, names.clone()) {
             Some(near) => format!("did you mean {near}?"),
             None => format!("shipped are {}", names.collect::<Vec<_>>().join(", ")),
@@ -70,8 +77,14 @@
     let mut bytes = Vec::new();
     let file = std::fs::File::open(path).map_err(|e| format!("{named}: {e}"))?;
     // A byte over the bound is enough for the check to tell that it is too long.
-    file.take(LONGEST_TEXT as u64 + 1).read_to_end(&mut bytes).map_err(|e| format!("{named}: {e}"))?;
+    file.take(LONGEST_TEXT as u64 + 1)
+        .read_to_end(&mut bytes)
+        .map_err(|e| format!("{named}: {e}"))?;
     let text = String::from_utf8(bytes).map_err(|_| format!("{named}: is no text in UTF-8"))?;
     let beside = path.parent().map(Path::to_path_buf).unwrap_or_default();
-    Ok(Text { name: named.into(), text, beside })
+    Ok(Text {
+        name: named.into(),
+        text,
+        beside,
+    })
 }
--- a/crates/lab/src/sockets/books.rs
+++ b/crates/lab/src/sockets/books.rs
@@ -78,7 +78,10 @@
             served: 0,
             refused: 0,
             failed: 0,
-            #[expect(clippy::expect_used, reason = "the bounds are constants that the library accepts")]
+            #[expect(
+                clippy::expect_used,
+                reason = "the bounds are constants that the library accepts"
+            )]
             latency: Histogram::new_with_bounds(1, 3_600_000_000, 3).expect("constant bounds"),
             servers: vec![(0, 0); world.servers.len()],
             instances: vec![(0, 0); world.instances.len()],
@@ -109,7 +112,11 @@
             class.window = Span(class.window.micros() + MARGIN);
         }
         Books {
-            classes: experiment.classes.iter().map(|c| (c.aim.micros(), c.worth, c.late_worth)).collect(),
+            classes: experiment
+                .classes
+                .iter()
+                .map(|c| (c.aim.micros(), c.worth, c.late_worth))
+                .collect(),
             judge: RefCell::new(Some(Judge::new(&lenient, world))),
             recorder: RefCell::new(Some(Recorder::new(experiment, world, arm, seed, "sockets"))),
             requests: RefCell::default(),
@@ -155,7 +162,14 @@
         self.tell_of_ends(now);
         let id = self.last.get() + 1;
         self.last.set(id);
-        let request = Request { ask: *ask, instance, deadline, out: 0, over: false, void: false };
+        let request = Request {
+            ask: *ask,
+            instance,
+            deadline,
+            out: 0,
+            over: false,
+            void: false,
+        };
         let mut requests = self.requests.borrow_mut();
         requests.insert(id, request);
         if requests.len() > MOST_OPEN {
@@ -182,7 +196,12 @@
 
     /// A live instance has let go of a request without an answer, or let its client wait in vain.
     pub fn dropped(&self, now: Micros, id: RequestId) {
-        if self.requests.borrow().get(&id).is_some_and(|r| !r.void && !r.over) {
+        if self
+            .requests
+            .borrow()
+            .get(&id)
+            .is_some_and(|r| !r.void && !r.over)
+        {
             self.judge(|judge| judge.overdue(now, id));
             self.settle(id, |request| request.over = true);
         }
@@ -209,7 +228,9 @@
     /// Tells the judge of the ends that are old enough.
     fn tell_of_ends(&self, now: Micros) {
         loop {
-            let Some((at, id, end)) = self.ends.borrow().front().copied() else { return };
+            let Some((at, id, end)) = self.ends.borrow().front().copied() else {
+                return;
+            };
             if at + MARGIN > now {
                 return;
             }
@@ -219,7 +240,9 @@
     }
 
     fn tell_of_end(&self, at: Micros, id: RequestId, end: End) {
-        let Some((void, over)) = self.requests.borrow().get(&id).map(|r| (r.void, r.over)) else { return };
+        let Some((void, over)) = self.requests.borrow().get(&id).map(|r| (r.void, r.over)) else {
+            return;
+        };
         self.judge(|judge| match end {
             _ if over => judge.told_over(at, id),
             _ if void => judge.void(at, id),
@@ -241,7 +264,9 @@
     /// Changes what is known of a request, and forgets it if it is over.
     fn settle(&self, id: RequestId, change: impl FnOnce(&mut Request)) {
         let mut requests = self.requests.borrow_mut();
-        let Some(request) = requests.get_mut(&id) else { return };
+        let Some(request) = requests.get_mut(&id) else {
+            return;
+        };
         change(request);
         // Its end may still be in the line; what comes after finds it gone and is told nothing.
         if request.over && request.out == 0 {
@@ -255,7 +280,12 @@
     pub fn killed(&self, now: Micros, instance: u32) {
         self.tell_of_ends(Micros::MAX);
         self.judge(|judge| judge.killed(now, instance));
-        for request in self.requests.borrow_mut().values_mut().filter(|r| r.instance == instance) {
+        for request in self
+            .requests
+            .borrow_mut()
+            .values_mut()
+            .filter(|r| r.instance == instance)
+        {
             request.void = true;
         }
     }
@@ -280,13 +310,19 @@
     ) -> Option<Attempt> {
         self.tell_of_ends(now);
         self.seen.borrow_mut().servers[server as usize].0 += 1;
-        let open = self.requests.borrow().get(&id).map(|r| (r.ask, r.instance, r.void, r.deadline));
+        let open = self
+            .requests
+            .borrow()
+            .get(&id)
+            .map(|r| (r.ask, r.instance, r.void, r.deadline));
         let Some((ask, of, void, deadline)) = open else {
             self.judge(|judge| _ = judge.sent(now, instance, id, Some(server), now + waits));
             return None;
         };
         if of != instance {
-            self.void(format!("request {id} of instance {of} was sent by instance {instance}"));
+            self.void(format!(
+                "request {id} of instance {of} was sent by instance {instance}"
+            ));
         }
         self.recorder(|recorder| recorder.sent(now, ask.due, ask.class, crosses));
         let (mut number, judged) = (0, !void);
@@ -295,7 +331,12 @@
             self.judge(|judge| number = judge.sent(now, instance, id, Some(server), until));
         }
         self.settle(id, |request| request.out += 1);
-        Some(Attempt { id, ask, number, judged })
+        Some(Attempt {
+            id,
+            ask,
+            number,
+            judged,
+        })
     }
 
     /// An attempt is over, by what the server did with it or by the sidecar's closing of its connection.
@@ -304,7 +345,11 @@
         if !matches!(outcome, Outcome::Ok | Outcome::Cancelled) {
             self.seen.borrow_mut().servers[server as usize].1 += 1;
         }
-        let void = self.requests.borrow().get(&attempt.id).is_none_or(|r| r.void);
+        let void = self
+            .requests
+            .borrow()
+            .get(&attempt.id)
+            .is_none_or(|r| r.void);
         if attempt.judged && !void {
             self.judge(|judge| {
                 if outcome == Outcome::Cancelled {
@@ -313,7 +358,9 @@
                 judge.closed(now, attempt.id, attempt.number, outcome);
             });
         }
-        self.settle(attempt.id, |request| request.out = request.out.saturating_sub(1));
+        self.settle(attempt.id, |request| {
+            request.out = request.out.saturating_sub(1)
+        });
     }
 
     /// A server ran an attempt, or knew it for a repeat.
@@ -343,7 +390,12 @@
     }
 
     /// Makes the record; none where that was done before.
-    pub fn finish(&self, now: Micros, done: impl Iterator<Item = Done>, void: Option<String>) -> Option<Run> {
+    pub fn finish(
+        &self,
+        now: Micros,
+        done: impl Iterator<Item = Done>,
+        void: Option<String>,
+    ) -> Option<Run> {
         self.tell_of_ends(Micros::MAX);
         let mut judge = self.judge.take()?;
         if void.is_some() {
--- a/crates/lab/src/sockets/child.rs
+++ b/crates/lab/src/sockets/child.rs
@@ -53,7 +53,10 @@
     ) -> Result<Self, String> {
         let say = |problem: std::io::Error| format!("{name}: {problem}");
         let mut command = Command::new(own_program().map_err(say)?);
-        command.args(arguments).arg("--parent").arg(std::process::id().to_string());
+        command
+            .args(arguments)
+            .arg("--parent")
+            .arg(std::process::id().to_string());
         if let Some(binary) = binary {
             command.arg("--binary").arg(binary);
         }
@@ -66,7 +69,11 @@
             command.env_remove(variable);
         }
         // In a group of its own, Ctrl-C reaches the lab alone, which then stops it in good order.
-        command.process_group(0).stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
+        command
+            .process_group(0)
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(Stdio::piped());
         let mut child = command.spawn().map_err(say)?;
         let log = Arc::new(Mutex::new(VecDeque::new()));
         let (listens, listening) = oneshot::channel();
@@ -74,9 +81,13 @@
         let errors = child.stderr.take();
         // Ends with the process, whose standard error it reads.
         std::thread::spawn(move || {
-            for line in errors.into_iter().flat_map(|e| BufReader::new(e).lines().map_while(Result::ok)) {
-                let address =
-                    line.split_once("listening on ").and_then(|(_, at)| at.split_whitespace().next());
+            for line in errors
+                .into_iter()
+                .flat_map(|e| BufReader::new(e).lines().map_while(Result::ok))
+            {
+                let address = line
+                    .split_once("listening on ")
+                    .and_then(|(_, at)| at.split_whitespace().next());
                 let address = address.and_then(|at| at.parse().ok());
                 if let Some(address) = address
                     && let Some(listens) = listens.take()
@@ -84,14 +95,22 @@
                     // Nobody may wait for it any more.
                     let _ = listens.send(address);
                 }
-                let mut kept = kept.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+                let mut kept = kept
+                    .lock()
+                    .unwrap_or_else(std::sync::PoisonError::into_inner);
                 kept.push_back(line);
                 if kept.len() > KEPT_LINES {
                     kept.pop_front();
                 }
             }
         });
-        Ok(Process { name: name.into(), child, log, listening: Some(listening), stopping: false })
+        Ok(Process {
+            name: name.into(),
+            child,
+            log,
+            listening: Some(listening),
+            stopping: false,
+        })
     }
 
     /// Waits until it listens, and says where.
@@ -99,7 +118,10 @@
     /// # Errors
     /// It has ended, or has not said so in time; with the last line of its log.
     pub async fn listens(&mut self) -> Result<SocketAddr, String> {
-        let listening = self.listening.take().ok_or_else(|| format!("{}: asked before", self.name))?;
+        let listening = self
+            .listening
+            .take()
+            .ok_or_else(|| format!("{}: asked before", self.name))?;
         match tokio::time::timeout(START, listening).await {
             Ok(Ok(address)) => Ok(address),
             _ => Err(format!("{} did not start: {}", self.name, self.last_line())),
@@ -108,8 +130,13 @@
 
     /// The last line of its log.
     pub fn last_line(&self) -> String {
-        let log = self.log.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-        log.back().cloned().unwrap_or_else(|| "it said nothing".into())
+        let log = self
+            .log
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner);
+        log.back()
+            .cloned()
+            .unwrap_or_else(|| "it said nothing".into())
     }
 
     /// Its process number.
@@ -150,7 +177,12 @@
     pub async fn stop(mut self, patience: Duration) -> Result<(), String> {
         if !self.stopping {
             if let Some(status) = self.ended() {
-                return Err(format!("{} had ended before: {}: {}", self.name, say(status), self.last_line()));
+                return Err(format!(
+                    "{} had ended before: {}: {}",
+                    self.name,
+                    say(status),
+                    self.last_line()
+                ));
             }
             self.signal(Signal::TERM);
         }
@@ -158,7 +190,14 @@
         loop {
             match self.ended() {
                 Some(status) if status.success() => return Ok(()),
-                Some(status) => return Err(format!("{}: {}: {}", self.name, say(status), self.last_line())),
+                Some(status) => {
+                    return Err(format!(
+                        "{}: {}: {}",
+                        self.name,
+                        say(status),
+                        self.last_line()
+                    ));
+                }
                 None if Instant::now() >= until => {
                     return Err(format!("{} did not stop within {patience:?}", self.name));
                 }
@@ -191,21 +230,40 @@
         return Ok(own);
     }
     // A test's program lies in `deps` beside the lab's.
-    let beside = own.parent().and_then(Path::parent).map(|dir| dir.join("madderloom-lab"));
-    beside.filter(|path| path.is_file()).ok_or_else(|| std::io::Error::other("there is no madderloom-lab"))
+    let beside = own
+        .parent()
+        .and_then(Path::parent)
+        .map(|dir| dir.join("madderloom-lab"));
+    beside
+        .filter(|path| path.is_file())
+        .ok_or_else(|| std::io::Error::other("there is no madderloom-lab"))
 }
 
 fn usage(pid: u32) -> Option<Usage> {
     // Nanoseconds, where the ticks of `stat` are hundredths of a second.
     let tasks = std::fs::read_dir(format!("/proc/{pid}/task")).ok()?;
     let mut usage = Usage::default();
-    for text in tasks.filter_map(|task| std::fs::read_to_string(task.ok()?.path().join("schedstat")).ok()) {
-        let mut numbers = text.split_whitespace().map_while(|number| number.parse::<u64>().ok());
+    for text in
+        tasks.filter_map(|task| std::fs::read_to_string(task.ok()?.path().join("schedstat")).ok())
+    {
+        let mut numbers = text
+            .split_whitespace()
+            .map_while(|number| number.parse::<u64>().ok());
         usage.cpu += numbers.next().unwrap_or(0);
         usage.waited += numbers.next().unwrap_or(0);
     }
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
-    let memory = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap_or_default();
-    let memory = memory.split_whitespace().next().and_then(|kb| kb.parse::<u64>().ok()).unwrap_or(0);
-    Some(Usage { memory: memory * 1024, ..usage })
+    let memory = status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmRSS:"))
+        .unwrap_or_default();
+    let memory = memory
+        .split_whitespace()
+        .next()
+        .and_then(|kb| kb.parse::<u64>().ok())
+        .unwrap_or(0);
+    Some(Usage {
+        memory: memory * 1024,
+        ..usage
+    })
 }
--- a/crates/lab/src/sockets/clock.rs
+++ b/crates/lab/src/sockets/clock.rs
@@ -29,9 +29,14 @@
 
 impl Alarm {
     fn start() -> std::io::Result<Arc<Self>> {
-        let alarm = Arc::new(Alarm { at: Mutex::new(Some(None)), ..Alarm::default() });
+        let alarm = Arc::new(Alarm {
+            at: Mutex::new(Some(None)),
+            ..Alarm::default()
+        });
         let own = Arc::clone(&alarm);
-        std::thread::Builder::new().name("alarm".into()).spawn(move || own.run())?;
+        std::thread::Builder::new()
+            .name("alarm".into())
+            .spawn(move || own.run())?;
         Ok(alarm)
     }
 
@@ -45,14 +50,20 @@
         while let Some(at) = *wanted {
             let left = at.map(|at| at.saturating_duration_since(Instant::now()));
             wanted = match left {
-                None => self.changed.wait(wanted).unwrap_or_else(PoisonError::into_inner),
+                None => self
+                    .changed
+                    .wait(wanted)
+                    .unwrap_or_else(PoisonError::into_inner),
                 Some(Duration::ZERO) => {
                     *wanted = Some(None);
                     self.goes_off.notify_one();
                     wanted
                 }
                 Some(left) => {
-                    self.changed.wait_timeout(wanted, left).unwrap_or_else(PoisonError::into_inner).0
+                    self.changed
+                        .wait_timeout(wanted, left)
+                        .unwrap_or_else(PoisonError::into_inner)
+                        .0
                 }
             };
         }
@@ -97,7 +108,11 @@
 
     /// The run begins now.
     pub fn begin(&self) {
-        self.unix.set(micros(SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()));
+        self.unix.set(micros(
+            SystemTime::now()
+                .duration_since(UNIX_EPOCH)
+                .unwrap_or_default(),
+        ));
         self.start.set(Some(Instant::now()));
         self.arm();
     }
@@ -115,7 +130,12 @@
     /// Sleeps until a time of the run. The time that has come is told.
     pub async fn until(&self, at: Micros) -> Micros {
         if at > self.now() {
-            Sleep { clock: self, at, number: None }.await;
+            Sleep {
+                clock: self,
+                at,
+                number: None,
+            }
+            .await;
             let late = self.now().saturating_sub(at);
             self.slept.set(self.slept.get() + 1);
             self.late.set(self.late.get() + u64::from(late > LATE));
@@ -156,16 +176,24 @@
 
     fn pop_due(&self, now: Micros) -> Option<Reverse<(Micros, u64)>> {
         let mut due = self.due.borrow_mut();
-        due.peek().is_some_and(|Reverse((at, _))| *at <= now).then(|| due.pop()).flatten()
+        due.peek()
+            .is_some_and(|Reverse((at, _))| *at <= now)
+            .then(|| due.pop())
+            .flatten()
     }
 
     /// Sets the timer for the next sleep to end, if it would go off later than that.
     fn arm(&self) {
-        let Some(at) = self.due.borrow().peek().map(|Reverse((at, _))| *at) else { return };
+        let Some(at) = self.due.borrow().peek().map(|Reverse((at, _))| *at) else {
+            return;
+        };
         if at >= self.set.get() || self.start.get().is_none() {
             return;
         }
-        let instant = self.start.get().map(|start| start + Duration::from_micros(at));
+        let instant = self
+            .start
+            .get()
+            .map(|start| start + Duration::from_micros(at));
         self.alarm.set(Some(instant));
         self.set.set(at);
     }
@@ -196,7 +224,10 @@
             clock.due.borrow_mut().push(Reverse((at, number)));
             number
         });
-        clock.wakers.borrow_mut().insert(number, context.waker().clone());
+        clock
+            .wakers
+            .borrow_mut()
+            .insert(number, context.waker().clone());
         clock.arm();
         Poll::Pending
     }
--- a/crates/lab/src/sockets/config.rs
+++ b/crates/lab/src/sockets/config.rs
@@ -24,7 +24,11 @@
             "late_worth": class.late_worth})
     });
     let (limits, rules, prices) = (settings.limits, settings.rules, settings.prices);
-    let kinds: Vec<&str> = experiment.servers.iter().map(|kind| kind.name.as_str()).collect();
+    let kinds: Vec<&str> = experiment
+        .servers
+        .iter()
+        .map(|kind| kind.name.as_str())
+        .collect();
     json!({
         "group_size": settings.group_size, "my_zone": zone, "period": settings.tick,
         "discovery": if settings.discovery_on_request { "subscribe" } else { "automatic" },
@@ -66,7 +70,13 @@
 }
 
 /// The whole configuration.
-pub fn sidecar(name: &str, discovery: SocketAddr, seed: u64, known: &Value, settings: &Value) -> String {
+pub fn sidecar(
+    name: &str,
+    discovery: SocketAddr,
+    seed: u64,
+    known: &Value,
+    settings: &Value,
+) -> String {
     json!({"name": name, "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": format!("{seed:x}"),
         "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": SOCKETS}, "known": known,
         "settings": settings})
@@ -84,9 +94,22 @@
     fn a_sidecar_is_told_what_an_instance_in_virtual_time_is_told() {
         let mut experiment = Experiment {
             classes: vec![
-                Class { name: "safe".into(), ..Class::default() },
-                Class { name: "keyed".into(), effect: Effect::Keyed, worth: 3.5, ..Class::default() },
-                Class { name: "unsafe".into(), effect: Effect::Unsafe, late_worth: 0.5, ..Class::default() },
+                Class {
+                    name: "safe".into(),
+                    ..Class::default()
+                },
+                Class {
+                    name: "keyed".into(),
+                    effect: Effect::Keyed,
+                    worth: 3.5,
+                    ..Class::default()
+                },
+                Class {
+                    name: "unsafe".into(),
+                    effect: Effect::Unsafe,
+                    late_worth: 0.5,
+                    ..Class::default()
+                },
             ],
             servers: vec![ServerKind {
                 name: "s".into(),
@@ -101,13 +124,20 @@
         for probes in [true, false] {
             experiment.instances.allow.probes = probes;
             experiment.instances.allow.retry_after = if probes { Span::s(2) } else { Span(0) };
-            let site = Site::from_json(&settings(&experiment, 2).to_string()).expect("a sidecar reads it");
+            let site =
+                Site::from_json(&settings(&experiment, 2).to_string()).expect("a sidecar reads it");
             assert_eq!(site.settings, world::settings(&experiment, 2));
             assert_eq!(site.conn_idle, experiment.network.idle.micros());
-            assert_eq!(site.connect_timeout, experiment.network.connect_timeout.micros());
+            assert_eq!(
+                site.connect_timeout,
+                experiment.network.connect_timeout.micros()
+            );
             assert_eq!(
                 (&site.classes[..], &site.kinds[..]),
-                (&["safe", "keyed", "unsafe"].map(String::from)[..], &["s".to_string()][..])
+                (
+                    &["safe", "keyed", "unsafe"].map(String::from)[..],
+                    &["s".to_string()][..]
+                )
             );
         }
     }
--- a/crates/lab/src/sockets/itself.rs
+++ b/crates/lab/src/sockets/itself.rs
@@ -44,7 +44,9 @@
                 }
             });
             let stop = told_to_stop()?;
-            tokio::task::spawn_local(sidecar.serve(stop)).await.map_err(|e| e.to_string())?
+            tokio::task::spawn_local(sidecar.serve(stop))
+                .await
+                .map_err(|e| e.to_string())?
         })
     }
 }
@@ -54,9 +56,14 @@
 /// # Errors
 /// The lab has gone already.
 pub(crate) fn stay_with(parent: i32) -> Result<(), String> {
-    set_parent_process_death_signal(Some(Signal::KILL)).map_err(|e| format!("the end of the lab: {e}"))?;
+    set_parent_process_death_signal(Some(Signal::KILL))
+        .map_err(|e| format!("the end of the lab: {e}"))?;
     // It may have gone before the system was asked.
-    if getppid().map(Pid::as_raw_pid) == Some(parent) { Ok(()) } else { Err("the lab has gone".into()) }
+    if getppid().map(Pid::as_raw_pid) == Some(parent) {
+        Ok(())
+    } else {
+        Err("the lab has gone".into())
+    }
 }
 
 /// Runs all of this on this thread, as the real program does.
@@ -64,7 +71,9 @@
 /// # Errors
 /// Those of the work, or there is no runtime.
 pub fn on_one_thread<T>(work: impl Future<Output = Result<T, String>>) -> Result<T, String> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
     tokio::task::LocalSet::new().block_on(&runtime, work)
 }
--- a/crates/lab/src/sockets/mod.rs
+++ b/crates/lab/src/sockets/mod.rs
@@ -29,10 +29,17 @@
 /// this ends: the calling thread is the one that starts them, and the system ends them with it.
 ///
 /// A run that could not be set up, was broken off or fell behind is void and says so.
-pub fn run(experiment: &Experiment, arm: &Arm, seed: u64, watch: &dyn Fn(Span) -> ControlFlow<()>) -> Run {
+pub fn run(
+    experiment: &Experiment,
+    arm: &Arm,
+    seed: u64,
+    watch: &dyn Fn(Span) -> ControlFlow<()>,
+) -> Run {
     let played = itself::on_one_thread(async {
         let stage = Stage::set(experiment, arm, seed, Purpose::Record).await?;
-        let why = stage.play(&mut |snapshot| watch(Span(snapshot.at)), pending()).await;
+        let why = stage
+            .play(&mut |snapshot| watch(Span(snapshot.at)), pending())
+            .await;
         Ok(stage.end(why).await)
     });
     played.unwrap_or_else(|problem| Run {
