--- a/crates/lab/src/sockets/stage.rs
+++ b/crates/lab/src/sockets/stage.rs
@@ -160,7 +160,10 @@
         let network = Rc::new(RefCell::new(network));
         let told = Rc::new(Notify::new());
         let shares: f64 = experiment.classes.iter().map(|c| c.share).sum();
-        let works = experiment.classes.iter().map(|c| c.share * c.work.micros() as f64);
+        let works = experiment
+            .classes
+            .iter()
+            .map(|c| c.share * c.work.micros() as f64);
         let mean_work = works.sum::<f64>() / if shares > 0.0 { shares } else { 1.0 };
         let around = Rc::new(Around {
             strangers: (purpose == Purpose::Show).then_some(mean_work),
@@ -175,20 +178,37 @@
                 .collect(),
             idle: experiment.network.idle.micros(),
             reports: experiment.instances.allow.probes
-                && experiment.servers.iter().all(|k| k.report_every.micros() > 0),
+                && experiment
+                    .servers
+                    .iter()
+                    .all(|k| k.report_every.micros() > 0),
         });
         let repeats = Repeats::shared();
         let mut servers = Vec::new();
         for (at, place) in (0..).zip(&world.servers) {
             let kind = &experiment.servers[place.kind as usize];
             let spec = Spec::new(kind, place.speed, &experiment.instances.allow, mean_work);
-            let model = Server::new(spec, repeats.clone(), stream(seed, Concern::Server, u64::from(at)));
-            let stand = Stand::open(at, place.clone(), model, Rc::clone(&around), Rc::clone(&told)).await?;
+            let model = Server::new(
+                spec,
+                repeats.clone(),
+                stream(seed, Concern::Server, u64::from(at)),
+            );
+            let stand = Stand::open(
+                at,
+                place.clone(),
+                model,
+                Rc::clone(&around),
+                Rc::clone(&told),
+            )
+            .await?;
             stand.start();
             servers.push(stand);
         }
         let courses: Vec<Course> = servers.iter().map(|_| Course::default()).collect();
-        let list = servers.iter().map(|s| listed(&s.place, None, ServerState::Ready)).collect();
+        let list = servers
+            .iter()
+            .map(|s| listed(&s.place, None, ServerState::Ready))
+            .collect();
         let finds = servers.clone();
         let discovery = discovery::Stand::open(
             Discovery::new(&experiment.discovery, list, world.instances.len()),
@@ -200,7 +220,12 @@
         )
         .await?;
         let clients = Clients::new(&experiment, seed);
-        let crowd = Crowd::new(clients, Rc::clone(&experiment), Rc::clone(&clock), Rc::clone(&books));
+        let crowd = Crowd::new(
+            clients,
+            Rc::clone(&experiment),
+            Rc::clone(&clock),
+            Rc::clone(&books),
+        );
         let host = |(at, zone): (u32, &u32)| Host {
             name: format!("n{at}"),
             zone: *zone,
@@ -234,8 +259,9 @@
             own: Weak::clone(own),
         });
         let asked = Weak::clone(&stage.own);
-        *stage.crowd.ended.borrow_mut() =
-            Some(Box::new(move |at| asked.upgrade().is_some_and(|stage| stage.has_ended(at))));
+        *stage.crowd.ended.borrow_mut() = Some(Box::new(move |at| {
+            asked.upgrade().is_some_and(|stage| stage.has_ended(at))
+        }));
         // All are started before any is waited for.
         for at in 0..stage.hosts.len() as u32 {
             stage.spawn(at)?;
@@ -259,7 +285,9 @@
         stop: impl Future<Output = ()>,
     ) -> Option<String> {
         self.clock.begin();
-        self.hosts.iter().for_each(|host| host.used.set(host.usage()));
+        self.hosts
+            .iter()
+            .for_each(|host| host.used.set(host.usage()));
         let own = Rc::clone(self);
         tokio::task::spawn_local(async move { own.play_faults().await });
         let own = Rc::clone(self);
@@ -288,9 +316,18 @@
         let mut void = void;
         for host in &self.hosts {
             // All are told before any is waited for.
-            host.process.borrow_mut().iter_mut().for_each(|p| p.signal(Signal::TERM));
+            host.process
+                .borrow_mut()
+                .iter_mut()
+                .for_each(|p| p.signal(Signal::TERM));
         }
-        let longest = self.experiment.classes.iter().map(|c| c.deadline.micros()).max().unwrap_or(0);
+        let longest = self
+            .experiment
+            .classes
+            .iter()
+            .map(|c| c.deadline.micros())
+            .max()
+            .unwrap_or(0);
         let patience = STOP + Duration::from_micros(longest);
         for host in &self.hosts {
             let process = host.process.take();
@@ -305,7 +342,10 @@
     }
 
     fn broken_off(&self) -> String {
-        format!("broken off at {}", madderloom_config::Span(self.clock.now()))
+        format!(
+            "broken off at {}",
+            madderloom_config::Span(self.clock.now())
+        )
     }
 
     async fn end_windows(&self, watch: &mut dyn FnMut(&Snapshot<'_>) -> ControlFlow<()>) -> String {
@@ -316,8 +356,14 @@
             for at in 0..self.hosts.len() as u32 {
                 self.has_ended(at);
             }
-            let seen = self.books.end_window(end, &self.world, self.servers.iter().map(|s| s.done()));
-            let states: Vec<String> = self.hosts.iter().map(|h| h.state.borrow().clone()).collect();
+            let seen =
+                self.books
+                    .end_window(end, &self.world, self.servers.iter().map(|s| s.done()));
+            let states: Vec<String> = self
+                .hosts
+                .iter()
+                .map(|h| h.state.borrow().clone())
+                .collect();
             let snapshot = Snapshot {
                 at: end,
                 window,
@@ -359,18 +405,33 @@
         for (_, trouble) in course.troubles.borrow().iter() {
             state = format!("{state}, {trouble}");
         }
-        ServerLine { place: &stand.place, zone: self.zone(stand.place.zone), held, state }
+        ServerLine {
+            place: &stand.place,
+            zone: self.zone(stand.place.zone),
+            held,
+            state,
+        }
     }
 
     fn host_line<'a>(&'a self, host: &'a Host, state: &'a str, window: Micros) -> InstanceLine<'a> {
         let (now, before) = (host.usage(), host.used.get());
         host.used.set(now);
         let cpu = now.cpu.saturating_sub(before.cpu) as f64 / (window * 1_000) as f64;
-        InstanceLine { name: &host.name, zone: self.zone(host.zone), cpu, memory: now.memory, state }
+        InstanceLine {
+            name: &host.name,
+            zone: self.zone(host.zone),
+            cpu,
+            memory: now.memory,
+            state,
+        }
     }
 
     fn zone(&self, at: u32) -> &str {
-        self.experiment.network.zones.get(at as usize).map_or("", String::as_str)
+        self.experiment
+            .network
+            .zones
+            .get(at as usize)
+            .map_or("", String::as_str)
     }
 
     /// Sidecars that wait for a core are measured on a machine that is too small.
@@ -379,8 +440,12 @@
         self.hosts.iter().find_map(|host| {
             let part = (host.usage().waited + host.past.get().1) as f64 / ran.max(1.0);
             let percent = 100.0 * part;
-            (part > WAITED_SHARE)
-                .then(|| format!("{} waited for a core for {percent:.0}% of the run", host.name))
+            (part > WAITED_SHARE).then(|| {
+                format!(
+                    "{} waited for a core for {percent:.0}% of the run",
+                    host.name
+                )
+            })
         })
     }
 
@@ -392,9 +457,19 @@
         let seed = derive(self.seed, Concern::Instance, index);
         let settings = config::settings(&self.experiment, host.zone);
         let known = self.discovery.saved(at);
-        let text = config::sidecar(&host.name, self.discovery.address(at), seed, &known, &settings);
-        let process =
-            Process::start(&host.name, &["sidecar"], self.binary.as_deref(), Some((self.dir.path(), &text)))?;
+        let text = config::sidecar(
+            &host.name,
+            self.discovery.address(at),
+            seed,
+            &known,
+            &settings,
+        );
+        let process = Process::start(
+            &host.name,
+            &["sidecar"],
+            self.binary.as_deref(),
+            Some((self.dir.path(), &text)),
+        )?;
         *host.config.borrow_mut() = text;
         *host.process.borrow_mut() = Some(process);
         Ok(())
@@ -403,10 +478,14 @@
     async fn wait_for(&self, at: u32) -> Result<(), String> {
         let host = &self.hosts[at as usize];
         // Nobody else has it in hand before it listens.
-        let Some(mut process) = host.process.take() else { return Ok(()) };
+        let Some(mut process) = host.process.take() else {
+            return Ok(());
+        };
         let address = process.listens().await?;
         *host.process.borrow_mut() = Some(process);
-        Crowd::until_ready(address, READY).await.map_err(|e| format!("{}: {e}", host.name))?;
+        Crowd::until_ready(address, READY)
+            .await
+            .map_err(|e| format!("{}: {e}", host.name))?;
         host.used.set(host.usage());
         *host.state.borrow_mut() = "up".into();
         self.crowd.instance_is(at, Some(address));
@@ -443,7 +522,9 @@
 
     fn kill(&self, at: u32) {
         let host = &self.hosts[at as usize];
-        let Some(process) = host.process.take() else { return };
+        let Some(process) = host.process.take() else {
+            return;
+        };
         let used = process.usage();
         let (ran, waited) = host.past.get();
         host.past.set((ran + used.cpu, waited + used.waited));
@@ -470,12 +551,16 @@
         self.discovery.move_on().await?;
         for (at, host) in (0..).zip(&self.hosts) {
             let mut text = host.config.borrow_mut();
-            let mut config: serde_json::Value = serde_json::from_str(&text).map_err(|e| e.to_string())?;
+            let mut config: serde_json::Value =
+                serde_json::from_str(&text).map_err(|e| e.to_string())?;
             config["discovery"] = self.discovery.address(at).to_string().into();
             *text = config.to_string();
             let path = self.dir.path().join(format!("{}.json", host.name));
             write(&path, &text)?;
-            host.process.borrow_mut().iter_mut().for_each(|p| p.signal(Signal::HUP));
+            host.process
+                .borrow_mut()
+                .iter_mut()
+                .for_each(|p| p.signal(Signal::HUP));
         }
         Ok(())
     }
@@ -496,20 +581,35 @@
 
     async fn change(self: Rc<Self>, change: Change) {
         match change {
-            Change::Begin { server, number, trouble, scope } => {
+            Change::Begin {
+                server,
+                number,
+                trouble,
+                scope,
+            } => {
                 let name = words(trouble);
                 self.note(format!("{} {name}", self.name(server)));
-                self.courses[server as usize].troubles.borrow_mut().push((number, name));
+                self.courses[server as usize]
+                    .troubles
+                    .borrow_mut()
+                    .push((number, name));
                 self.servers[server as usize]
                     .with(|model, now, out| model.begin(now, number, trouble, scope, out));
             }
             Change::End { server, number } => {
-                self.courses[server as usize].troubles.borrow_mut().retain(|(n, _)| *n != number);
+                self.courses[server as usize]
+                    .troubles
+                    .borrow_mut()
+                    .retain(|(n, _)| *n != number);
                 self.note(format!("{} is well again", self.name(server)));
                 self.servers[server as usize].with(|model, now, out| model.end(now, number, out));
             }
             Change::Stop { server, silent } => {
-                let how = if silent { "has vanished" } else { "has crashed" };
+                let how = if silent {
+                    "has vanished"
+                } else {
+                    "has crashed"
+                };
                 self.note(format!("{} {how}", self.name(server)));
                 self.stop(server, silent).await;
             }
@@ -523,12 +623,23 @@
                     self.announce(server, ServerState::Ready, false);
                 }
             }
-            Change::Cut { number, zone, answers_alone } => {
-                self.note(format!("zone {} is cut off", self.experiment.network.zones[zone as usize]));
+            Change::Cut {
+                number,
+                zone,
+                answers_alone,
+            } => {
+                self.note(format!(
+                    "zone {} is cut off",
+                    self.experiment.network.zones[zone as usize]
+                ));
                 self.network.borrow_mut().cut(number, zone, answers_alone);
                 self.see_to_doors().await;
             }
-            Change::Resets { number, server, share } => {
+            Change::Resets {
+                number,
+                server,
+                share,
+            } => {
                 self.note(format!("connections to {} break", self.name(server)));
                 self.network.borrow_mut().reset(number, server, share);
             }
@@ -556,7 +667,10 @@
                 self.kill(instance);
             }
             Change::Revive { instance } => {
-                self.note(format!("{} starts again", self.hosts[instance as usize].name));
+                self.note(format!(
+                    "{} starts again",
+                    self.hosts[instance as usize].name
+                ));
                 self.revive(instance).await;
             }
         }
@@ -585,7 +699,8 @@
                         News::Fell => {
                             let started = self.courses[at as usize].started.get().unwrap_or(0);
                             self.note(format!("{} fell over", self.name(at)));
-                            self.books.judge(|judge| judge.fell(self.clock.now(), at, started));
+                            self.books
+                                .judge(|judge| judge.fell(self.clock.now(), at, started));
                             self.servers[at as usize].went_down(false).await;
                             self.went_down(at, false).await;
                         }
@@ -620,7 +735,10 @@
     }
 
     async fn start(&self, server: u32) {
-        let (stand, course) = (&self.servers[server as usize], &self.courses[server as usize]);
+        let (stand, course) = (
+            &self.servers[server as usize],
+            &self.courses[server as usize],
+        );
         if stand.look(Server::is_up) {
             course.start_once_stopped.set(course.stops.get().is_some());
             return;
@@ -646,7 +764,9 @@
     /// What drained is stopped once it is done and its grace has passed.
     async fn stop_drained(&self, server: u32) {
         let course = &self.courses[server as usize];
-        let Some(at) = course.stops.get().filter(|_| course.done_draining.get()) else { return };
+        let Some(at) = course.stops.get().filter(|_| course.done_draining.get()) else {
+            return;
+        };
         self.clock.until(at).await;
         if course.stops.get() == Some(at) {
             self.note(format!("{} stops", self.name(server)));
@@ -660,16 +780,24 @@
         let notice = self.discovery.notice(silent);
         let news = course.news.get() + 1;
         course.news.set(news);
-        let entry = listed(&self.servers[server as usize].place, course.started.get(), state);
-        let Some(own) = self.own.upgrade() else { return };
+        let entry = listed(
+            &self.servers[server as usize].place,
+            course.started.get(),
+            state,
+        );
+        let Some(own) = self.own.upgrade() else {
+            return;
+        };
         tokio::task::spawn_local(async move {
             own.clock.sleep(notice).await;
             // A silent end may be found out after the next start is known: it is past then.
-            let overtaken = news < own.courses[server as usize].news.get() && state == ServerState::Gone;
+            let overtaken =
+                news < own.courses[server as usize].news.get() && state == ServerState::Gone;
             if overtaken && own.discovery.listed(server).started > entry.started {
                 return;
             }
-            own.books.judge(|judge| judge.published(own.clock.now(), &entry));
+            own.books
+                .judge(|judge| judge.published(own.clock.now(), &entry));
             own.discovery.change(entry);
         });
     }
@@ -677,7 +805,11 @@
 
 impl Host {
     fn usage(&self) -> Usage {
-        self.process.borrow().as_ref().map(Process::usage).unwrap_or_default()
+        self.process
+            .borrow()
+            .as_ref()
+            .map(Process::usage)
+            .unwrap_or_default()
     }
 }
 
@@ -687,7 +819,9 @@
         Trouble::FastErrors(share) => format!("fails {:.0}% of requests at once", percent(share)),
         Trouble::LostAnswers(share) => format!("loses {:.0}% of its answers", percent(share)),
         Trouble::SpoiltAnswers(share) => format!("spoils {:.0}% of its answers", percent(share)),
-        Trouble::Neighbour(share, _) => format!("has a neighbour that takes {:.0}% of it", percent(share)),
+        Trouble::Neighbour(share, _) => {
+            format!("has a neighbour that takes {:.0}% of it", percent(share))
+        }
         Trouble::Slow(times) => format!("takes {times} times as long"),
         Trouble::Hang => "hangs".into(),
         Trouble::StuckReports => "reports the same load for ever".into(),
@@ -728,7 +862,9 @@
         ));
     }
     if arm.levels.is_some() {
-        return Err("levels play in virtual time alone; on sockets an operator file has them".into());
+        return Err(
+            "levels play in virtual time alone; on sockets an operator file has them".into(),
+        );
     }
     if !experiment.discovery.on_request {
         return Err(
--- a/crates/lab/src/standin/clients.rs
+++ b/crates/lab/src/standin/clients.rs
@@ -83,7 +83,12 @@
 
 impl Crowd {
     /// The clients of an experiment; no instance is up yet.
-    pub fn new(model: Clients, experiment: Rc<Experiment>, clock: Rc<Clock>, books: Rc<Books>) -> Rc<Self> {
+    pub fn new(
+        model: Clients,
+        experiment: Rc<Experiment>,
+        clock: Rc<Clock>,
+        books: Rc<Books>,
+    ) -> Rc<Self> {
         let count = experiment.instances.count;
         Rc::new(Crowd {
             model: RefCell::new(model),
@@ -124,7 +129,9 @@
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         };
-        tokio::time::timeout(patience, asks).await.map_err(|_| format!("{address} is not ready"))
+        tokio::time::timeout(patience, asks)
+            .await
+            .map_err(|_| format!("{address} is not ready"))
     }
 
     /// Plays all arrivals, and ends once the last request is over.
@@ -132,7 +139,9 @@
         let begun = self.model.borrow_mut().begin();
         begun.into_iter().for_each(|ask| self.spawn(ask));
         loop {
-            let Some(ask) = self.model.borrow_mut().arrive() else { break };
+            let Some(ask) = self.model.borrow_mut().arrive() else {
+                break;
+            };
             self.clock.until(ask.due).await;
             if self.stopping.get() {
                 break;
@@ -206,7 +215,9 @@
         let count = self.instances.len() as u32;
         let places = (0..count).map(|step| (ask.instance + step) % count);
         let mut up = places.filter_map(|at| Some((at, self.instances[at as usize].address.get()?)));
-        let Some((at, address)) = up.next() else { return End::Unreachable };
+        let Some((at, address)) = up.next() else {
+            return End::Unreachable;
+        };
         let waits = self.model.borrow().time_left(ask, now);
         let id = self.books.tries(now, ask, at, now + waits);
         let leaves = ask.leaves.unwrap_or(Micros::MAX);
@@ -247,7 +258,11 @@
         let mut request = self.request(id, ask, waits, tries);
         let instance = &self.instances[at as usize];
         loop {
-            let idle = instance.idle.borrow_mut().pop().filter(|(since, _)| since.elapsed() < IDLE);
+            let idle = instance
+                .idle
+                .borrow_mut()
+                .pop()
+                .filter(|(since, _)| since.elapsed() < IDLE);
             let used = idle.is_some();
             let mut connection = match idle {
                 Some((_, connection)) => connection,
@@ -272,25 +287,39 @@
                     None => return Exchange::Broke,
                 },
             };
-            let Ok(body) = Limited::new(body, ANSWER).collect().await else { return Exchange::Broke };
+            let Ok(body) = Limited::new(body, ANSWER).collect().await else {
+                return Exchange::Broke;
+            };
             let closes = head.headers.get(CONNECTION).is_some_and(|v| v == "close");
             if !closes && instance.address.get() == Some(address) {
-                instance.idle.borrow_mut().push((Instant::now(), connection));
+                instance
+                    .idle
+                    .borrow_mut()
+                    .push((Instant::now(), connection));
             }
-            return Exchange::Answered(self.judge(id, head.status, &head.headers, &body.to_bytes()));
+            return Exchange::Answered(self.judge(
+                id,
+                head.status,
+                &head.headers,
+                &body.to_bytes(),
+            ));
         }
     }
 
     fn judge(&self, id: RequestId, status: StatusCode, headers: &HeaderMap, body: &[u8]) -> End {
         match status {
             StatusCode::OK if !body.starts_with(answer_begins(id).as_bytes()) => {
-                self.books.void(format!("request {id} was served with what no server made of it"));
+                self.books.void(format!(
+                    "request {id} was served with what no server made of it"
+                ));
                 End::Failed
             }
             StatusCode::OK => End::Served,
-            StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => {
-                End::Refused(headers.get(RETRY_AFTER).and_then(|v| stay_away(v.to_str().ok()?)))
-            }
+            StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => End::Refused(
+                headers
+                    .get(RETRY_AFTER)
+                    .and_then(|v| stay_away(v.to_str().ok()?)),
+            ),
             _ => End::Failed,
         }
     }
@@ -325,7 +354,9 @@
             clippy::expect_used,
             reason = "names and values are numbers, or were checked with the experiment"
         )]
-        request.body(Full::from(body)).expect("a request that makes sense")
+        request
+            .body(Full::from(body))
+            .expect("a request that makes sense")
     }
 }
 
@@ -338,12 +369,18 @@
         // How it ended is told to the request that used it.
         let _ = connection.await;
     });
-    Some(Connection { sender, task: task.abort_handle() })
+    Some(Connection {
+        sender,
+        task: task.abort_handle(),
+    })
 }
 
 async fn is_ready(address: SocketAddr) -> Option<bool> {
     let mut connection = connect(address).await?;
-    let request = Request::get("/ready").header(HOST, "service.internal").body(Full::default()).ok()?;
+    let request = Request::get("/ready")
+        .header(HOST, "service.internal")
+        .body(Full::default())
+        .ok()?;
     Some(connection.sender.send_request(request).await.ok()?.status() == StatusCode::OK)
 }
 
@@ -359,7 +396,12 @@
 
     #[test]
     fn retry_after_is_read_whole_and_decimal_and_nonsense_is_no_advice() {
-        let cases = [("2", Some(2_000_000)), (" 0.25 ", Some(250_000)), ("-1", None), ("soon", None)];
+        let cases = [
+            ("2", Some(2_000_000)),
+            (" 0.25 ", Some(250_000)),
+            ("-1", None),
+            ("soon", None),
+        ];
         for (text, wanted) in cases {
             assert_eq!(stay_away(text), wanted, "{text}");
         }
--- a/crates/lab/src/standin/discovery.rs
+++ b/crates/lab/src/standin/discovery.rs
@@ -80,7 +80,16 @@
             });
         }
         let (model, watches) = (RefCell::new(model), Cell::new(0));
-        let own = Stand { model, experiment, world, clock, books, address, followers, watches };
+        let own = Stand {
+            model,
+            experiment,
+            world,
+            clock,
+            books,
+            address,
+            followers,
+            watches,
+        };
         let own = Rc::new(own);
         for instance in 0..own.followers.len() as u32 {
             own.accept(instance);
@@ -114,7 +123,9 @@
     pub fn change(&self, listed: Listed) {
         self.model.borrow_mut().change(listed);
         let watchers: Vec<u32> = self.model.borrow().watchers().collect();
-        watchers.into_iter().for_each(|instance| self.tell(instance, News::Changes));
+        watchers
+            .into_iter()
+            .for_each(|instance| self.tell(instance, News::Changes));
     }
 
     /// An instance has ended.
@@ -143,7 +154,10 @@
         for (instance, follower) in (0..).zip(&self.followers) {
             let door = Door::open().await.map_err(|e| format!("discovery: {e}"))?;
             let former = follower.door.replace(door);
-            former.become_state(State::Refused).await.map_err(|e| format!("discovery: {e}"))?;
+            former
+                .become_state(State::Refused)
+                .await
+                .map_err(|e| format!("discovery: {e}"))?;
             follower.index.set(1);
             self.accept(instance);
         }
@@ -154,12 +168,16 @@
     fn end_watches(&self, of: &[u32]) {
         for instance in of {
             self.followers[*instance as usize].watch.take();
-            self.books.judge(|judge| judge.contact(self.clock.now(), *instance, false, true));
+            self.books
+                .judge(|judge| judge.contact(self.clock.now(), *instance, false, true));
         }
     }
 
     fn accept(self: &Rc<Self>, instance: u32) {
-        let (own, door) = (Rc::clone(self), Rc::clone(&self.followers[instance as usize].door.borrow()));
+        let (own, door) = (
+            Rc::clone(self),
+            Rc::clone(&self.followers[instance as usize].door.borrow()),
+        );
         tokio::task::spawn_local(async move {
             loop {
                 let stream = door.accept().await;
@@ -167,31 +185,45 @@
                 tokio::task::spawn_local(async move {
                     let service = service_fn(|request| Rc::clone(&own).answer(instance, request));
                     // How a connection ends is its sidecar's affair.
-                    let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
+                    let _ = http1::Builder::new()
+                        .serve_connection(TokioIo::new(stream), service)
+                        .await;
                 });
             }
         });
     }
 
-    async fn answer(self: Rc<Self>, instance: u32, request: Request<Incoming>) -> Result<Answer, Infallible> {
+    async fn answer(
+        self: Rc<Self>,
+        instance: u32,
+        request: Request<Incoming>,
+    ) -> Result<Answer, Infallible> {
         if request.uri().path() != "/v1/endpoints" {
             return Ok(plain(StatusCode::NOT_FOUND));
         }
         let of = |name: &str| {
-            let pairs = request.uri().query().into_iter().flat_map(|query| query.split('&'));
+            let pairs = request
+                .uri()
+                .query()
+                .into_iter()
+                .flat_map(|query| query.split('&'));
             let mut pairs = pairs.filter_map(|pair| pair.split_once('='));
-            pairs.find(|(key, _)| *key == name).map(|(_, value)| value.to_string())
+            pairs
+                .find(|(key, _)| *key == name)
+                .map(|(_, value)| value.to_string())
         };
         let (watches, after) = (of("watch").is_some_and(|w| w == "1"), of("after"));
         let now = self.clock.now();
         let watched = self.model.borrow().watches(instance);
-        self.books.judge(|judge| judge.contact(now, instance, watched, false));
+        self.books
+            .judge(|judge| judge.contact(now, instance, watched, false));
         let reply = self.model.borrow_mut().call(now, instance);
         let waits = HOP + reply.at.saturating_sub(now);
         tokio::time::sleep(Duration::from_micros(waits)).await;
         let up = reply.news != News::Failed && self.model.borrow_mut().begin_watch(instance);
         if !up {
-            self.books.judge(|judge| judge.contact(self.clock.now(), instance, false, true));
+            self.books
+                .judge(|judge| judge.contact(self.clock.now(), instance, false, true));
             return Ok(plain(StatusCode::SERVICE_UNAVAILABLE));
         }
         let follower = &self.followers[instance as usize];
@@ -207,24 +239,36 @@
         follower.watch.replace(Some(Watch { number, lines }));
         let holds = after.and_then(|after| after.parse().ok()) == Some(follower.index.get());
         self.tell(instance, if holds { reply.news } else { News::Full });
-        self.books.judge(|judge| judge.contact(self.clock.now(), instance, true, false));
+        self.books
+            .judge(|judge| judge.contact(self.clock.now(), instance, true, false));
         tokio::task::spawn_local(async move {
             // Ends with the watch, at either end of it.
             loop {
                 tokio::time::sleep(HEARTBEAT).await;
-                let sent = beats.upgrade().map(|lines| lines.send(Bytes::from_static(b"\n")));
+                let sent = beats
+                    .upgrade()
+                    .map(|lines| lines.send(Bytes::from_static(b"\n")));
                 if sent.is_none_or(|sent| sent.is_err()) {
                     return;
                 }
             }
         });
-        let lines = Lines { coming, stand: Rc::clone(&self), instance, number };
+        let lines = Lines {
+            coming,
+            stand: Rc::clone(&self),
+            instance,
+            number,
+        };
         Ok(Response::new(Reply::Lines(lines)))
     }
 
     /// Tells an instance what it has not been told.
     fn tell(&self, instance: u32, news: News) {
-        let open = self.followers[instance as usize].watch.borrow().as_ref().map(|w| w.lines.clone());
+        let open = self.followers[instance as usize]
+            .watch
+            .borrow()
+            .as_ref()
+            .map(|w| w.lines.clone());
         if let Some(lines) = open {
             // Its end may just be on its way.
             let _ = lines.send(self.news(instance, news));
@@ -249,7 +293,15 @@
         let index = self.followers[instance as usize].index.get();
         let address = |server| (self.address)(instance, server);
         let unix = |at| self.clock.unix(at);
-        config::listing(&self.experiment, &self.world, index, whole, list, address, unix)
+        config::listing(
+            &self.experiment,
+            &self.world,
+            index,
+            whole,
+            list,
+            address,
+            unix,
+        )
     }
 }
 
@@ -288,7 +340,9 @@
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Reply::Whole(whole) => SizeHint::with_exact(whole.as_ref().map_or(0, |w| w.len() as u64)),
+            Reply::Whole(whole) => {
+                SizeHint::with_exact(whole.as_ref().map_or(0, |w| w.len() as u64))
+            }
             Reply::Lines(_) => SizeHint::new(),
         }
     }
@@ -297,11 +351,15 @@
 impl Drop for Lines {
     /// The sidecar has ended its watch, unless another has taken its place or discovery has ended it.
     fn drop(&mut self) {
-        let mut watch = self.stand.followers[self.instance as usize].watch.borrow_mut();
+        let mut watch = self.stand.followers[self.instance as usize]
+            .watch
+            .borrow_mut();
         if watch.as_ref().is_some_and(|w| w.number == self.number) {
             *watch = None;
             let now = self.stand.clock.now();
-            self.stand.books.judge(|judge| judge.contact(now, self.instance, false, false));
+            self.stand
+                .books
+                .judge(|judge| judge.contact(now, self.instance, false, false));
         }
     }
 }
--- a/crates/lab/src/standin/door.rs
+++ b/crates/lab/src/standin/door.rs
@@ -69,7 +69,9 @@
     pub async fn accept(&self) -> TcpStream {
         loop {
             let listener = match &*self.port.borrow() {
-                Port::Listens(listener) if self.state.get() == State::Open => Some(Rc::clone(listener)),
+                Port::Listens(listener) if self.state.get() == State::Open => {
+                    Some(Rc::clone(listener))
+                }
                 _ => None,
             };
             let Some(listener) = listener else {
@@ -198,9 +200,14 @@
                 }
             });
             let mut kinds = Vec::new();
-            for state in
-                [State::Open, State::Refused, State::Open, State::Silent, State::Refused, State::Open]
-            {
+            for state in [
+                State::Open,
+                State::Refused,
+                State::Open,
+                State::Silent,
+                State::Refused,
+                State::Open,
+            ] {
                 door.become_state(state).await.map_err(|e| e.to_string())?;
                 let connects = TcpStream::connect(door.address());
                 let kind = match tokio::time::timeout(Duration::from_millis(300), connects).await {
--- a/crates/lab/src/standin/server.rs
+++ b/crates/lab/src/standin/server.rs
@@ -122,7 +122,11 @@
     ) -> Result<Rc<Self>, String> {
         let mut doors = Vec::new();
         for _ in &around.zones {
-            doors.push(Door::open().await.map_err(|e| format!("{}: {e}", place.name))?);
+            doors.push(
+                Door::open()
+                    .await
+                    .map_err(|e| format!("{}: {e}", place.name))?,
+            );
         }
         Ok(Rc::new(Stand {
             at,
@@ -180,7 +184,11 @@
     /// Does something with the model, and tells whoever waits for what comes of it.
     pub fn with<T>(&self, act: impl FnOnce(&mut Server, Micros, &mut Vec<Output>) -> T) -> T {
         let mut out = Vec::new();
-        let done = act(&mut self.model.borrow_mut(), self.around.clock.now(), &mut out);
+        let done = act(
+            &mut self.model.borrow_mut(),
+            self.around.clock.now(),
+            &mut out,
+        );
         for output in out {
             self.heed(output);
         }
@@ -287,7 +295,12 @@
     }
 
     fn break_lines(&self) {
-        for line in self.lines.borrow().values().filter(|line| line.epoch != self.epoch.get()) {
+        for line in self
+            .lines
+            .borrow()
+            .values()
+            .filter(|line| line.epoch != self.epoch.get())
+        {
             line.broken.set(true);
             line.fate.reset();
             line.end.notify_one();
@@ -309,7 +322,9 @@
                 () => State::Refused,
             };
             if let Err(problem) = door.become_state(state).await {
-                self.around.books.void(format!("{}: its port: {problem}", self.place.name));
+                self.around
+                    .books
+                    .void(format!("{}: its port: {problem}", self.place.name));
             }
         }
     }
@@ -324,7 +339,11 @@
     /// Waits as long as a message takes this way; for ever if it is lost.
     async fn travel(&self, instance: u32, way: Way) {
         let here = self.around.zones[instance as usize];
-        let latency = self.around.network.borrow_mut().latency(here, self.place.zone, way);
+        let latency = self
+            .around
+            .network
+            .borrow_mut()
+            .latency(here, self.place.zone, way);
         match latency {
             Some(latency) => self.around.clock.sleep(latency).await,
             None => pending().await,
@@ -364,8 +383,11 @@
             async move { own.answer(instance, &line, standing, request).await }
         });
         let mut builder = http1::Builder::new();
-        builder.timer(TokioTimer::new()).header_read_timeout(Duration::from_micros(self.around.idle));
-        let connection = builder.serve_connection(Wire::new(stream, Rc::clone(&line.fate)), service);
+        builder
+            .timer(TokioTimer::new())
+            .header_read_timeout(Duration::from_micros(self.around.idle));
+        let connection =
+            builder.serve_connection(Wire::new(stream, Rc::clone(&line.fate)), service);
         tokio::select! {
             // How a connection ends is told to whoever was on it.
             _ = connection => {}
@@ -382,18 +404,25 @@
         request: Request<Incoming>,
     ) -> Result<Response<Full<Bytes>>, Break> {
         let begun = self.around.clock.now();
-        if request.method() == Method::GET && matches!(request.uri().path(), "/status/load" | "/health") {
-            return self.probe(instance, standing, request.uri().path() == "/health").await;
+        if request.method() == Method::GET
+            && matches!(request.uri().path(), "/status/load" | "/health")
+        {
+            return self
+                .probe(instance, standing, request.uri().path() == "/health")
+                .await;
         }
         let (head, body) = request.into_parts();
-        let Some(text) = head.headers.get(TRACE_ID) else { return Ok(plain(StatusCode::NOT_FOUND, "")) };
+        let Some(text) = head.headers.get(TRACE_ID) else {
+            return Ok(plain(StatusCode::NOT_FOUND, ""));
+        };
         let Some(id) = read_trace_id(text).filter(|id| self.around.books.known(*id)) else {
             if let Some(work) = self.around.strangers {
                 return self.serve_stranger(instance, work).await;
             }
-            self.around
-                .books
-                .void(format!("{} got a request that no client sent: {text:?}", self.place.name));
+            self.around.books.void(format!(
+                "{} got a request that no client sent: {text:?}",
+                self.place.name
+            ));
             return Ok(plain(StatusCode::BAD_REQUEST, ""));
         };
         let passage = self.around.network.borrow_mut().passage(self.at);
@@ -401,22 +430,44 @@
             line.fate.reset();
             return Err(Break);
         }
-        let body = Limited::new(body, BODY).collect().await.map_err(|_| Break)?.to_bytes();
+        let body = Limited::new(body, BODY)
+            .collect()
+            .await
+            .map_err(|_| Break)?
+            .to_bytes();
         if let Some(problem) = changed_on_the_way(id, &head.method, head.uri.query(), &body) {
-            self.around.books.void(format!("{}: request {id:016x}: {problem}", self.place.name));
+            self.around
+                .books
+                .void(format!("{}: request {id:016x}: {problem}", self.place.name));
         }
         let waits = expires(&head.headers).unwrap_or(0);
         let zone = self.around.zones[instance as usize];
         let crosses = zone != self.place.zone;
-        let attempt = self.around.books.arrived(begun, id, instance, self.at, crosses, waits);
-        let Some(attempt) = attempt else { return Ok(never_ran()) };
+        let attempt = self
+            .around
+            .books
+            .arrived(begun, id, instance, self.at, crosses, waits);
+        let Some(attempt) = attempt else {
+            return Ok(never_ran());
+        };
         let tag = self.new_tag();
         let gives_up_at = begun + waits;
         let stand = Rc::clone(&self);
-        let mut out = Out { stand, line: Rc::clone(line), instance, attempt, tag, gives_up_at, told: false };
+        let mut out = Out {
+            stand,
+            line: Rc::clone(line),
+            instance,
+            attempt,
+            tag,
+            gives_up_at,
+            told: false,
+        };
 
         // The first request waits for the handshake.
-        let stands = standing.wait_for(Option::is_some).await.is_ok_and(|up| *up == Some(true));
+        let stands = standing
+            .wait_for(Option::is_some)
+            .await
+            .is_ok_and(|up| *up == Some(true));
         if !stands {
             // Too many connections.
             out.close(Outcome::Full);
@@ -440,7 +491,9 @@
             return Err(Break);
         }
         // What the model swallowed is never answered.
-        let Ok(told) = told.await else { pending().await };
+        let Ok(told) = told.await else {
+            pending().await
+        };
         self.travel(instance, Way::Back).await;
         match told {
             Told::Answered(Answer::Ok) => {
@@ -453,7 +506,11 @@
             }
             Told::Answered(Answer::Spoilt) => {
                 out.close(Outcome::Reset);
-                line.fate.spoil(if tag.is_multiple_of(2) { Spoil::Garbled } else { Spoil::CutShort });
+                line.fate.spoil(if tag.is_multiple_of(2) {
+                    Spoil::Garbled
+                } else {
+                    Spoil::CutShort
+                });
                 Ok(served(id, &self.place.name))
             }
             Told::TurnedAway => {
@@ -469,10 +526,23 @@
     }
 
     /// Hands a request to the model, and gives back where its answer will be told.
-    fn hand_in(&self, instance: u32, zone: u32, tag: Tag, attempt: &Attempt) -> oneshot::Receiver<Told> {
+    fn hand_in(
+        &self,
+        instance: u32,
+        zone: u32,
+        tag: Tag,
+        attempt: &Attempt,
+    ) -> oneshot::Receiver<Told> {
         let ask = attempt.ask;
         let once = self.around.once[ask.class as usize].map(|window| (ask.number, window));
-        let job = Job { tag, class: ask.class, zone, work: ask.work, key: ask.key, once };
+        let job = Job {
+            tag,
+            class: ask.class,
+            zone,
+            work: ask.work,
+            key: ask.key,
+            once,
+        };
         let (send, told) = oneshot::channel();
         self.waiting.borrow_mut().insert(tag, send);
         let mut attempts = self.attempts.borrow_mut();
@@ -484,27 +554,43 @@
         drop(attempts);
         if self.look(|model| model.cold_since().is_some()) {
             let now = self.around.clock.now();
-            self.around.books.judge(|judge| judge.reached_cold(now, self.at, instance, ask.work));
+            self.around
+                .books
+                .judge(|judge| judge.reached_cold(now, self.at, instance, ask.work));
         }
         self.with(|model, now, out| model.request(now, job, out));
         told
     }
 
     /// Serves a request of which the books know nothing.
-    async fn serve_stranger(&self, instance: u32, work: f64) -> Result<Response<Full<Bytes>>, Break> {
+    async fn serve_stranger(
+        &self,
+        instance: u32,
+        work: f64,
+    ) -> Result<Response<Full<Bytes>>, Break> {
         self.travel(instance, Way::There).await;
         let tag = self.new_tag();
         let zone = self.around.zones[instance as usize];
         let (send, told) = oneshot::channel();
         self.waiting.borrow_mut().insert(tag, send);
-        let job = Job { tag, class: 0, zone, work, key: None, once: None };
+        let job = Job {
+            tag,
+            class: 0,
+            zone,
+            work,
+            key: None,
+            once: None,
+        };
         self.with(|model, now, out| model.request(now, job, out));
-        let Ok(told) = told.await else { pending().await };
+        let Ok(told) = told.await else {
+            pending().await
+        };
         self.travel(instance, Way::Back).await;
         match told {
-            Told::Answered(Answer::Ok) => {
-                Ok(Response::new(Full::from(format!("served by {}\n", self.place.name))))
-            }
+            Told::Answered(Answer::Ok) => Ok(Response::new(Full::from(format!(
+                "served by {}\n",
+                self.place.name
+            )))),
             Told::TurnedAway => Ok(never_ran()),
             Told::Answered(_) => Ok(plain(StatusCode::INTERNAL_SERVER_ERROR, "failed")),
             Told::Connected | Told::Refused | Told::Broken => Err(Break),
@@ -521,15 +607,23 @@
             return Ok(plain(StatusCode::NOT_FOUND, ""));
         }
         self.around.books.probed(self.around.clock.now());
-        if !standing.wait_for(Option::is_some).await.is_ok_and(|up| *up == Some(true)) {
+        if !standing
+            .wait_for(Option::is_some)
+            .await
+            .is_ok_and(|up| *up == Some(true))
+        {
             return Ok(plain(StatusCode::SERVICE_UNAVAILABLE, ""));
         }
         self.travel(instance, Way::There).await;
-        let Some(report) = self.with(|model, now, out| model.probe(now, out)) else { pending().await };
+        let Some(report) = self.with(|model, now, out| model.probe(now, out)) else {
+            pending().await
+        };
         self.travel(instance, Way::Back).await;
         let text = format!("TEXT inflight={:.3}, eps={:.3}", report.held, report.errors);
         let mut answer = Response::new(Full::from(if health { String::new() } else { text }));
-        answer.headers_mut().insert("content-type", HeaderValue::from_static("text/plain"));
+        answer
+            .headers_mut()
+            .insert("content-type", HeaderValue::from_static("text/plain"));
         Ok(answer)
     }
 }
@@ -565,7 +659,10 @@
     fn close(&mut self, outcome: Outcome) {
         if !std::mem::replace(&mut self.told, true) {
             let now = self.stand.around.clock.now();
-            self.stand.around.books.closed(now, &self.attempt, self.stand.at, outcome);
+            self.stand
+                .around
+                .books
+                .closed(now, &self.attempt, self.stand.at, outcome);
         }
     }
 }
@@ -585,9 +682,16 @@
         });
         // Word of it travels.
         let here = stand.around.zones[self.instance as usize];
-        let latency = stand.around.network.borrow_mut().latency(here, stand.place.zone, Way::There);
+        let latency = stand
+            .around
+            .network
+            .borrow_mut()
+            .latency(here, stand.place.zone, Way::There);
         if let Some(latency) = latency.filter(|_| self.line.epoch == stand.epoch.get()) {
-            stand.given_up.borrow_mut().insert((now + latency, self.tag), self.line.epoch);
+            stand
+                .given_up
+                .borrow_mut()
+                .insert((now + latency, self.tag), self.line.epoch);
             stand.woken.notify_one();
         }
     }
@@ -617,7 +721,12 @@
 }
 
 fn expires(headers: &HeaderMap) -> Option<Micros> {
-    let ms: u64 = headers.get("x-expires-in-ms")?.to_str().ok()?.parse().ok()?;
+    let ms: u64 = headers
+        .get("x-expires-in-ms")?
+        .to_str()
+        .ok()?
+        .parse()
+        .ok()?;
     Some(ms.saturating_mul(1_000))
 }
 
@@ -636,12 +745,26 @@
     format!("request {id:016x} served by ")
 }
 
-fn changed_on_the_way(id: u64, method: &Method, query: Option<&str>, got: &Bytes) -> Option<String> {
-    let wanted = if method == Method::GET { String::new() } else { body(id) };
+fn changed_on_the_way(
+    id: u64,
+    method: &Method,
+    query: Option<&str>,
+    got: &Bytes,
+) -> Option<String> {
+    let wanted = if method == Method::GET {
+        String::new()
+    } else {
+        body(id)
+    };
     if got != wanted.as_bytes() {
-        return Some(format!("its body of {} bytes came as {} others", wanted.len(), got.len()));
+        return Some(format!(
+            "its body of {} bytes came as {} others",
+            wanted.len(),
+            got.len()
+        ));
     }
-    (query != Some(&format!("request={id:016x}"))).then(|| "its path was changed on the way".to_string())
+    (query != Some(&format!("request={id:016x}")))
+        .then(|| "its path was changed on the way".to_string())
 }
 
 fn served(id: u64, name: &str) -> Response<Full<Bytes>> {
@@ -656,6 +779,8 @@
 
 fn never_ran() -> Response<Full<Bytes>> {
     let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE, "turned away");
-    answer.headers_mut().insert("x-never-ran", HeaderValue::from_static("1"));
+    answer
+        .headers_mut()
+        .insert("x-never-ran", HeaderValue::from_static("1"));
     answer
 }
--- a/crates/lab/src/standin/wire.rs
+++ b/crates/lab/src/standin/wire.rs
@@ -51,7 +51,11 @@
     pub fn new(stream: TcpStream, fate: Rc<Fate>) -> Self {
         // Only a delay is lost where this cannot be set.
         let _ = stream.set_nodelay(true);
-        Wire { stream: TokioIo::new(stream), fate, over: false }
+        Wire {
+            stream: TokioIo::new(stream),
+            fate,
+            over: false,
+        }
     }
 }
 
@@ -59,7 +63,8 @@
     fn drop(&mut self) {
         if self.fate.resets.get() {
             // With no time to linger, the system sends a reset. Where that fails it is a close, as real ones may be.
-            let _ = rustix::net::sockopt::set_socket_linger(self.stream.inner(), Some(Duration::ZERO));
+            let _ =
+                rustix::net::sockopt::set_socket_linger(self.stream.inner(), Some(Duration::ZERO));
         }
     }
 }
--- a/crates/lab/src/starts.rs
+++ b/crates/lab/src/starts.rs
@@ -6,7 +6,14 @@
 use std::collections::HashMap;
 
 /// Requests are counted by the age of their process up to these, in microseconds, and beyond.
-pub const AGES: [u64; 6] = [1_000_000, 2_000_000, 4_000_000, 8_000_000, 16_000_000, u64::MAX];
+pub const AGES: [u64; 6] = [
+    1_000_000,
+    2_000_000,
+    4_000_000,
+    8_000_000,
+    16_000_000,
+    u64::MAX,
+];
 
 /// What became of requests that came to processes of one age.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
@@ -68,7 +75,10 @@
         for open in life.open.values() {
             self.ages[open.age].left += 1;
         }
-        for (first, at) in [&mut self.list, &mut self.attempt, &mut self.answer].into_iter().zip(life.first) {
+        for (first, at) in [&mut self.list, &mut self.attempt, &mut self.answer]
+            .into_iter()
+            .zip(life.first)
+        {
             match at {
                 Some(at) => {
                     let place = first.after.partition_point(|other| *other <= at);
@@ -123,7 +133,12 @@
         if heard.what == "start" {
             self.end(told);
             let first = [None; 3];
-            self.now = Some(Life { began: heard.t, ready: HashMap::new(), open: HashMap::new(), first });
+            self.now = Some(Life {
+                began: heard.t,
+                ready: HashMap::new(),
+                open: HashMap::new(),
+                first,
+            });
             self.many += 1;
             return;
         }
@@ -140,9 +155,19 @@
                 };
             }
             "request" => {
-                let place = AGES.iter().position(|most| age < *most).unwrap_or(AGES.len() - 1);
+                let place = AGES
+                    .iter()
+                    .position(|most| age < *most)
+                    .unwrap_or(AGES.len() - 1);
                 ages[place].requests += 1;
-                life.open.insert(heard.request, Open { age: place, came: heard.t, sent: false });
+                life.open.insert(
+                    heard.request,
+                    Open {
+                        age: place,
+                        came: heard.t,
+                        sent: false,
+                    },
+                );
             }
             "send" => {
                 life.first[1].get_or_insert(age);
@@ -155,8 +180,13 @@
                 life.open.remove(&heard.request);
             }
             "refuse" | "fail" => {
-                let Some(open) = life.open.remove(&heard.request) else { return };
-                let warm = life.ready.values().any(|started| heard.t >= started.saturating_add(cold));
+                let Some(open) = life.open.remove(&heard.request) else {
+                    return;
+                };
+                let warm = life
+                    .ready
+                    .values()
+                    .any(|started| heard.t >= started.saturating_add(cold));
                 let at = &mut ages[open.age];
                 let cause = match open {
                     Open { sent: true, .. } => &mut at.tried,
--- a/crates/lab/src/stats.rs
+++ b/crates/lab/src/stats.rs
@@ -51,16 +51,29 @@
     }
     let mean = mean(values);
     if n < FEWEST {
-        return Some(Interval { mean, ends: None, values: n });
+        return Some(Interval {
+            mean,
+            ends: None,
+            values: n,
+        });
     }
     let mut random = Pcg64::seed_from_u64(0x6c6f_6f6d);
     let mut means: Vec<f64> = (0..resamples)
-        .map(|_| (0..n).map(|_| values[random.random_range(0..n)]).sum::<f64>() / n as f64)
+        .map(|_| {
+            (0..n)
+                .map(|_| values[random.random_range(0..n)])
+                .sum::<f64>()
+                / n as f64
+        })
         .collect();
     means.sort_by(f64::total_cmp);
     let tail = expanded_tail(n, confidence);
     let ends = Some((quantile(&means, tail), quantile(&means, 1.0 - tail)));
-    Some(Interval { mean, ends, values: n })
+    Some(Interval {
+        mean,
+        ends,
+        values: n,
+    })
 }
 
 /// The part of the resamples that lies below the interval, and above it.
@@ -69,16 +82,20 @@
     let student = StudentsT::new(0.0, 1.0, (n - 1) as f64);
     let normal = Normal::new(0.0, 1.0);
     match (student, normal) {
-        (Ok(student), Ok(normal)) => {
-            normal.cdf((n as f64 / (n - 1) as f64).sqrt() * student.inverse_cdf(plain)).min(plain)
-        }
+        (Ok(student), Ok(normal)) => normal
+            .cdf((n as f64 / (n - 1) as f64).sqrt() * student.inverse_cdf(plain))
+            .min(plain),
         _ => plain,
     }
 }
 
 /// The arithmetic mean; 0 of nothing.
 pub fn mean(values: &[f64]) -> f64 {
-    if values.is_empty() { 0.0 } else { values.iter().sum::<f64>() / values.len() as f64 }
+    if values.is_empty() {
+        0.0
+    } else {
+        values.iter().sum::<f64>() / values.len() as f64
+    }
 }
 
 /// The value below which this part of the sorted values lies, between neighbours in proportion.
@@ -92,7 +109,9 @@
 impl Latency {
     /// How many there are.
     pub fn count(&self) -> u64 {
-        self.buckets.iter().fold(0, |sum, (_, count)| sum.saturating_add(*count))
+        self.buckets
+            .iter()
+            .fold(0, |sum, (_, count)| sum.saturating_add(*count))
     }
 
     /// The latency in microseconds within which this part (0 to 1) was answered; none where nothing was.
@@ -116,7 +135,10 @@
                 *held = held.saturating_add(*count);
             }
         }
-        Latency { buckets: buckets.into_iter().collect(), sum }
+        Latency {
+            buckets: buckets.into_iter().collect(),
+            sum,
+        }
     }
 }
 
@@ -144,7 +166,10 @@
         let exponential = Exp::new(0.5).expect("an exponential distribution");
         for (n, least) in [(5, 0.90), (10, 0.92), (30, 0.92)] {
             let held = coverage(n, 3.0, |random| gauss.sample(random));
-            assert!((least..=0.985).contains(&held), "normal, {n} values: {held}");
+            assert!(
+                (least..=0.985).contains(&held),
+                "normal, {n} values: {held}"
+            );
         }
         let held = coverage(30, 2.0, |random| exponential.sample(random));
         assert!((0.90..=0.985).contains(&held), "exponential: {held}");
@@ -153,8 +178,11 @@
     #[test]
     fn an_interval_narrows_with_confidence_and_lies_about_the_mean() {
         let values = [1.0, 2.0, 3.0, 4.0, 5.0, 6.0];
-        let [wide, narrow] =
-            [0.99, 0.5].map(|c| bootstrap(&values, c).and_then(|i| i.ends).expect("six values"));
+        let [wide, narrow] = [0.99, 0.5].map(|c| {
+            bootstrap(&values, c)
+                .and_then(|i| i.ends)
+                .expect("six values")
+        });
         assert!(
             wide.0 < narrow.0 && narrow.0 < 3.5 && 3.5 < narrow.1 && narrow.1 < wide.1,
             "{wide:?} {narrow:?}"
@@ -167,17 +195,29 @@
         let few = bootstrap(&[1.0; FEWEST - 1], 0.95).expect("a mean");
         assert_eq!((few.mean, few.excludes_zero()), (1.0, None));
         let equal = bootstrap(&[1.0; FEWEST], 0.95).expect("a mean");
-        assert_eq!((equal.ends, equal.excludes_zero()), (Some((1.0, 1.0)), Some(true)));
-        assert_eq!(bootstrap(&[0.0; FEWEST], 0.95).and_then(|i| i.excludes_zero()), Some(false));
+        assert_eq!(
+            (equal.ends, equal.excludes_zero()),
+            (Some((1.0, 1.0)), Some(true))
+        );
+        assert_eq!(
+            bootstrap(&[0.0; FEWEST], 0.95).and_then(|i| i.excludes_zero()),
+            Some(false)
+        );
     }
 
     #[test]
     fn percentiles_are_those_of_the_counts() {
-        let latency = Latency { buckets: vec![(10, 50), (20, 49), (900, 1)], sum: 2_380 };
+        let latency = Latency {
+            buckets: vec![(10, 50), (20, 49), (900, 1)],
+            sum: 2_380,
+        };
         let told = [0.0, 0.5, 0.51, 0.99, 1.0].map(|part| latency.percentile(part));
         assert_eq!(told, [Some(10), Some(10), Some(20), Some(20), Some(900)]);
         assert_eq!(Latency::default().percentile(0.5), None);
         let twice = Latency::merged([&latency, &latency]);
-        assert_eq!((twice.count(), twice.percentile(0.5), twice.sum), (200, Some(10), 4_760));
+        assert_eq!(
+            (twice.count(), twice.percentile(0.5), twice.sum),
+            (200, Some(10), 4_760)
+        );
     }
 }
--- a/crates/lab/src/up.rs
+++ b/crates/lab/src/up.rs
@@ -96,13 +96,27 @@
         }
         let well = run.breaches.is_empty() && run.void.is_none();
         for breach in &run.broken {
-            let _ = writeln!(text, "{} at {}:\n  {}", breach.rule, breach.at, breach.story.join("\n  "));
+            let _ = writeln!(
+                text,
+                "{} at {}:\n  {}",
+                breach.rule,
+                breach.at,
+                breach.story.join("\n  ")
+            );
         }
         tell(&text);
-        Ok(if well { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+        Ok(if well {
+            ExitCode::SUCCESS
+        } else {
+            ExitCode::FAILURE
+        })
     }
 
-    async fn show(&self, experiment: &Experiment, arm: &Arm) -> Result<(Run, Option<String>), String> {
+    async fn show(
+        &self,
+        experiment: &Experiment,
+        arm: &Arm,
+    ) -> Result<(Run, Option<String>), String> {
         let stop = told_to_stop()?;
         tokio::pin!(stop);
         let stage = tokio::select! {
@@ -141,7 +155,10 @@
 
     fn experiment(&self) -> Result<Experiment, String> {
         if !(self.rate.is_finite() && self.rate > 0.0 && self.rate <= 20_000.0) {
-            return Err(format!("--rate {}: must lie above 0 and at most at 20000", self.rate));
+            return Err(format!(
+                "--rate {}: must lie above 0 and at most at 20000",
+                self.rate
+            ));
         }
         let lasts = self.lasts.unwrap_or(DAY);
         if lasts < Span::s(1) || lasts > DAY {
@@ -167,14 +184,24 @@
             ..ServerKind::default()
         };
         let slow = self.servers / 2;
-        let kinds = [kind("fast", self.servers - slow, 1.3), kind("slow", slow, 0.7)];
+        let kinds = [
+            kind("fast", self.servers - slow, 1.3),
+            kind("slow", slow, 0.7),
+        ];
         let mut experiment = Experiment {
             version: crate::experiment::VERSION,
             name: "up".into(),
             duration: lasts,
             servers: kinds.into_iter().filter(|kind| kind.count > 0).collect(),
-            classes: vec![class("read", Effect::Safe, 3.0, 15), class("submit", Effect::Unsafe, 1.0, 25)],
-            faults: self.fault.iter().flat_map(|fault| self.faults(*fault)).collect(),
+            classes: vec![
+                class("read", Effect::Safe, 3.0, 15),
+                class("submit", Effect::Unsafe, 1.0, 25),
+            ],
+            faults: self
+                .fault
+                .iter()
+                .flat_map(|fault| self.faults(*fault))
+                .collect(),
             ..Experiment::default()
         };
         experiment.instances.count = self.instances;
@@ -200,13 +227,21 @@
             Break::Drain => vec![one(FaultKind::Drain, 0.34, 0.0)],
             Break::Zone => {
                 let zone = vec!["zone:a".to_string()];
-                vec![Fault { servers: zone, ..one(FaultKind::CutZone, 0.0, 0.0) }]
+                vec![Fault {
+                    servers: zone,
+                    ..one(FaultKind::CutZone, 0.0, 0.0)
+                }]
             }
             Break::Discovery => {
                 let server = vec!["fast-0".to_string()];
                 let at = Span(self.break_after.micros() + self.break_for.micros() / 4);
                 let lasts = Span((self.break_for.micros() / 2).max(1));
-                let crash = Fault { servers: server, at, lasts, ..one(FaultKind::Crash, 0.0, 0.0) };
+                let crash = Fault {
+                    servers: server,
+                    at,
+                    lasts,
+                    ..one(FaultKind::Crash, 0.0, 0.0)
+                };
                 vec![one(FaultKind::DiscoveryDown, 0.0, 0.0), crash]
             }
         }
@@ -229,7 +264,13 @@
         if !term.is_term() {
             tell(&hint);
         }
-        Screen { term, hint, rate, lines: 0, changes: VecDeque::new() }
+        Screen {
+            term,
+            hint,
+            rate,
+            lines: 0,
+            changes: VecDeque::new(),
+        }
     }
 
     fn draw(&mut self, now: &Snapshot<'_>) {
@@ -258,7 +299,11 @@
         let width = self.term.size().1.max(1);
         self.lines = text
             .lines()
-            .map(|line| console::measure_text_width(line).div_ceil(usize::from(width)).max(1))
+            .map(|line| {
+                console::measure_text_width(line)
+                    .div_ceil(usize::from(width))
+                    .max(1)
+            })
             .sum();
         tell(&text);
     }
@@ -266,7 +311,11 @@
 
 fn overview(now: &Snapshot<'_>) -> String {
     let seen = now.seen;
-    let goodput = if seen.worth > 0.0 { seen.earned / seen.worth } else { 1.0 };
+    let goodput = if seen.worth > 0.0 {
+        seen.earned / seen.worth
+    } else {
+        1.0
+    };
     let latency = |q| seen.latency.value_at_quantile(q) as f64 / 1e3;
     format!(
         "goodput {goodput:.3}, p50 {:.1} ms, p99 {:.1} ms, {} served, {} refused, {} failed",
@@ -279,7 +328,14 @@
 }
 
 fn servers(now: &Snapshot<'_>) -> comfy_table::Table {
-    let mut table = table(&["server", "zone", "requests/s", "in flight", "errors/s", "state"]);
+    let mut table = table(&[
+        "server",
+        "zone",
+        "requests/s",
+        "in flight",
+        "errors/s",
+        "state",
+    ]);
     let seconds = now.window as f64 / 1e6;
     for (server, (requests, errors)) in now.servers.iter().zip(&now.seen.servers) {
         table.add_row([
@@ -295,7 +351,15 @@
 }
 
 fn instances(now: &Snapshot<'_>) -> comfy_table::Table {
-    let mut table = table(&["sidecar", "zone", "requests/s", "not served/s", "CPU", "memory", "state"]);
+    let mut table = table(&[
+        "sidecar",
+        "zone",
+        "requests/s",
+        "not served/s",
+        "CPU",
+        "memory",
+        "state",
+    ]);
     let seconds = now.window as f64 / 1e6;
     for (instance, (tries, unserved)) in now.instances.iter().zip(&now.seen.instances) {
         table.add_row([
@@ -316,7 +380,12 @@
     let seconds = now.window as f64 / 1e6;
     let mut text = format!("{}: {}; requests/s:", Span(now.at), overview(now));
     for (server, (requests, _)) in now.servers.iter().zip(&now.seen.servers) {
-        let _ = write!(text, " {} {:.0}", server.place.name, *requests as f64 / seconds);
+        let _ = write!(
+            text,
+            " {} {:.0}",
+            server.place.name,
+            *requests as f64 / seconds
+        );
     }
     for change in &now.changes {
         let _ = write!(text, "; {change}");
@@ -334,10 +403,16 @@
         total.late,
         total.refused,
         total.failed + total.left,
-        if total.asked > 0 { total.attempts as f64 / total.asked as f64 } else { 0.0 },
+        if total.asked > 0 {
+            total.attempts as f64 / total.asked as f64
+        } else {
+            0.0
+        },
         total.goodput()
     );
-    let broken: Vec<String> = rules.map(|(rule, count)| format!("{rule} broken {count} times")).collect();
+    let broken: Vec<String> = rules
+        .map(|(rule, count)| format!("{rule} broken {count} times"))
+        .collect();
     text.push_str(if broken.is_empty() { "none broken" } else { "" });
     text.push_str(&broken.join(", "));
     text.push('\n');
--- a/crates/lab/src/virtual_time/mod.rs
+++ b/crates/lab/src/virtual_time/mod.rs
@@ -29,8 +29,8 @@
 use crate::world::{self, GRACE, World};
 use foldhash::fast::FixedState;
 use madderloom_balancer::{
-    Action, Closed, Event, Listed, Members, Micros, NewRequest, Outcome, Report, RequestId, ServerId,
-    ServerState, Timer,
+    Action, Closed, Event, Listed, Members, Micros, NewRequest, Outcome, Report, RequestId,
+    ServerId, ServerState, Timer,
 };
 use madderloom_config::Span;
 use queue::Queue;
@@ -47,7 +47,13 @@
 /// Plays an arm with a seed. A pure function: the same arguments give the same record, byte for byte.
 ///
 /// A run that was broken off, or whose policy could not be made, is void and says so; what it has counted stands.
-pub fn run(experiment: &Experiment, arm: &Arm, seed: u64, make: &dyn Maker, watch: Watch<'_>) -> Run {
+pub fn run(
+    experiment: &Experiment,
+    arm: &Arm,
+    seed: u64,
+    make: &dyn Maker,
+    watch: Watch<'_>,
+) -> Run {
     let mut driver = Driver::new(experiment, arm, seed, make);
     let void = driver.play(watch).err();
     driver.finish(void)
@@ -162,7 +168,11 @@
         let slot = &slots[*self.places.get(&server)? as usize];
         let truth = slot.model.truth(self.now.get());
         let failing = 1.0 - (1.0 - truth.failing) * (1.0 - slot.breaking);
-        slot.model.is_up().then_some(ServerTruth { backlog: truth.backlog + slot.on_way, failing, ..truth })
+        slot.model.is_up().then_some(ServerTruth {
+            backlog: truth.backlog + slot.on_way,
+            failing,
+            ..truth
+        })
     }
 }
 
@@ -275,7 +285,10 @@
         let world = World::of(experiment, seed);
         let repeats = Repeats::shared();
         let shares: f64 = experiment.classes.iter().map(|c| c.share).sum();
-        let works = experiment.classes.iter().map(|c| c.share * c.work.micros() as f64);
+        let works = experiment
+            .classes
+            .iter()
+            .map(|c| c.share * c.work.micros() as f64);
         let mean_work = works.sum::<f64>() / if shares > 0.0 { shares } else { 1.0 };
         let slot = |(at, place): (u64, &world::ServerPlace)| {
             let kind = &experiment.servers[place.kind as usize];
@@ -297,8 +310,14 @@
             }
         };
         let slots: Vec<Slot> = (0..).zip(&world.servers).map(slot).collect();
-        let places = (0..).zip(&slots).map(|(at, slot)| (slot.place.id, at)).collect();
-        let listed = slots.iter().map(|s| listed(s, ServerState::Ready)).collect();
+        let places = (0..)
+            .zip(&slots)
+            .map(|(at, slot)| (slot.place.id, at))
+            .collect();
+        let listed = slots
+            .iter()
+            .map(|s| listed(s, ServerState::Ready))
+            .collect();
         let host = |zone: &u32| Host {
             up: false,
             policy: None,
@@ -335,7 +354,11 @@
             windows: recorder.window_length(),
             recorder,
             problem: None,
-            servers: Rc::new(Servers { now: Cell::new(0), slots: RefCell::new(slots), places }),
+            servers: Rc::new(Servers {
+                now: Cell::new(0),
+                slots: RefCell::new(slots),
+                places,
+            }),
         }
     }
 
@@ -361,7 +384,8 @@
             match what {
                 What::WindowEnds => {
                     let slots = self.servers.slots.borrow();
-                    self.recorder.end_window(slots.iter().map(|s| s.model.done(now)));
+                    self.recorder
+                        .end_window(slots.iter().map(|s| s.model.done(now)));
                     drop(slots);
                     if watch(Span(now)).is_break() {
                         return Err(format!("broken off at {}", Span(now)));
@@ -386,7 +410,9 @@
         let mut judge = self.judge;
         if void.is_some() {
             // Broken off: what is open then is nobody's fault.
-            self.calls.iter().for_each(|(key, _)| judge.void(self.now, id_of(key)));
+            self.calls
+                .iter()
+                .for_each(|(key, _)| judge.void(self.now, id_of(key)));
         }
         let slots = self.servers.slots.borrow();
         let done = slots.iter().map(|s| s.model.done(self.now));
@@ -418,12 +444,16 @@
             }
             What::SynReaches(attempt) => {
                 if let Some(server) = self.attempts.get(attempt).map(|a| a.server) {
-                    self.with_server(server, |model, now, out| model.connect(now, tag_of(attempt), out));
+                    self.with_server(server, |model, now, out| {
+                        model.connect(now, tag_of(attempt), out)
+                    });
                 }
             }
             What::RequestReaches(attempt) => self.request_reaches(attempt),
             What::CloseReaches(server, attempt) => {
-                self.with_server(server, |model, now, out| model.abandon(now, tag_of(attempt), out));
+                self.with_server(server, |model, now, out| {
+                    model.abandon(now, tag_of(attempt), out)
+                });
             }
             What::ProbeReaches(instance, server) => self.probe_reaches(instance, server),
             What::CallReachesDiscovery(instance) => {
@@ -432,13 +462,18 @@
             }
             What::DiscoveryAnswers(instance, news) => {
                 let lives = self.lives(instance);
-                let fails = news == News::Failed || !lives || !self.discovery.begin_watch(instance.at);
+                let fails =
+                    news == News::Failed || !lives || !self.discovery.begin_watch(instance.at);
                 let news = if fails { News::Failed } else { news };
                 self.push(self.now + HOP, What::NewsReaches(instance, news, true));
             }
             What::Connects(attempt, stands) => self.connects(attempt, stands),
             What::ConnectTimesOut(attempt) => {
-                if self.attempts.get(attempt).is_some_and(|a| a.stage == Stage::Connecting) {
+                if self
+                    .attempts
+                    .get(attempt)
+                    .is_some_and(|a| a.stage == Stage::Connecting)
+                {
                     self.close(attempt, Outcome::ConnectFailed);
                 }
             }
@@ -446,7 +481,14 @@
             What::TimesOut(attempt) => {
                 if let Some(stage) = self.attempts.get(attempt).map(|a| a.stage) {
                     let connecting = stage == Stage::Connecting;
-                    self.close(attempt, if connecting { Outcome::ConnectFailed } else { Outcome::Timeout });
+                    self.close(
+                        attempt,
+                        if connecting {
+                            Outcome::ConnectFailed
+                        } else {
+                            Outcome::Timeout
+                        },
+                    );
                 }
             }
             What::ProbeAnswers(instance, place) => {
@@ -457,10 +499,16 @@
                     self.tell(instance, In::Probed(id, report));
                 }
             }
-            What::NewsReaches(instance, news, answers) => self.tell(instance, In::News(news, answers)),
+            What::NewsReaches(instance, news, answers) => {
+                self.tell(instance, In::News(news, answers))
+            }
             What::Sweep(instance) => self.sweep(instance),
             What::Timer(instance, id) => {
-                let timer = if id == DISCOVERY { Timer::Discovery } else { Timer::Request(id) };
+                let timer = if id == DISCOVERY {
+                    Timer::Discovery
+                } else {
+                    Timer::Request(id)
+                };
                 self.tell(instance, In::Timer(timer));
             }
             What::Arrives => {
@@ -493,7 +541,12 @@
 
     fn take_ask(&mut self, ask: Ask) {
         let first = self.now;
-        let key = self.asks.insert(AskState { ask, call: None, tries: 0, first });
+        let key = self.asks.insert(AskState {
+            ask,
+            call: None,
+            tries: 0,
+            first,
+        });
         if ask.due > self.now {
             return self.push(ask.due, What::TriesAgain(key));
         }
@@ -501,7 +554,9 @@
     }
 
     fn try_ask(&mut self, key: AskKey) {
-        let Some(state) = self.asks.get_mut(key) else { return };
+        let Some(state) = self.asks.get_mut(key) else {
+            return;
+        };
         state.tries += 1;
         let (ask, tries) = (state.ask, state.tries);
         if tries == 1 {
@@ -518,7 +573,10 @@
         let Some(at) = places.into_iter().find(|at| self.hosts[*at as usize].up) else {
             return self.after_try(key, End::Unreachable);
         };
-        let instance = Instance { at, life: self.hosts[at as usize].life };
+        let instance = Instance {
+            at,
+            life: self.hosts[at as usize].life,
+        };
         let deadline = self.now + self.clients.time_left(&ask, self.now);
         let call = self.calls.insert(Call {
             ask: key,
@@ -535,7 +593,8 @@
         });
         self.asks[key].call = Some(call);
         let id = id_of(call);
-        self.judge.asked(self.now, id, ask.number, at, ask.class, deadline);
+        self.judge
+            .asked(self.now, id, ask.number, at, ask.class, deadline);
         self.push(deadline + GRACE + 1, What::Overdue(call));
         let new = NewRequest {
             id,
@@ -550,16 +609,22 @@
     }
 
     fn client_leaves(&mut self, key: AskKey) {
-        let Some(state) = self.asks.get(key) else { return };
+        let Some(state) = self.asks.get(key) else {
+            return;
+        };
         match state.call {
-            Some(call) if self.calls.get(call).is_some_and(|c| !c.ended) => self.end_call(call, End::Left),
+            Some(call) if self.calls.get(call).is_some_and(|c| !c.ended) => {
+                self.end_call(call, End::Left)
+            }
             _ => self.after_try(key, End::Left),
         }
     }
 
     /// A request is over as its client sees it. Its attempts may go on.
     fn end_call(&mut self, key: CallKey, how: End) {
-        let Some(call) = self.calls.get_mut(key) else { return };
+        let Some(call) = self.calls.get_mut(key) else {
+            return;
+        };
         call.ended = true;
         let (ask, instance, idle) = (call.ask, call.instance, call.out.is_empty());
         let id = id_of(key);
@@ -581,9 +646,14 @@
     }
 
     fn after_try(&mut self, key: AskKey, how: End) {
-        let Some(state) = self.asks.get_mut(key) else { return };
+        let Some(state) = self.asks.get_mut(key) else {
+            return;
+        };
         state.call = None;
-        match self.clients.after(&state.ask, self.now, how, state.tries, state.first) {
+        match self
+            .clients
+            .after(&state.ask, self.now, how, state.tries, state.first)
+        {
             Next::TryAgain(at) => self.push(at, What::TriesAgain(key)),
             Next::Done => {
                 let ask = state.ask;
@@ -619,10 +689,15 @@
     fn turn(&mut self, at: u32) {
         let host = &mut self.hosts[at as usize];
         host.turn_scheduled = false;
-        let Some(mut policy) = host.policy.take() else { return };
+        let Some(mut policy) = host.policy.take() else {
+            return;
+        };
         host.next_turn = self.now + self.experiment.instances.tick.micros().max(1);
         let mut inbox = std::mem::take(&mut host.inbox);
-        let instance = Instance { at, life: host.life };
+        let instance = Instance {
+            at,
+            life: host.life,
+        };
         let mut actions = std::mem::take(&mut self.actions);
         for what in inbox.drain(..) {
             actions.clear();
@@ -663,7 +738,9 @@
                 self.judge.told_over(now, id);
                 policy.handle(now, Event::ClientGone(id), actions);
             }
-            In::Probed(server, report) => policy.handle(now, Event::Probed(server, report), actions),
+            In::Probed(server, report) => {
+                policy.handle(now, Event::Probed(server, report), actions)
+            }
             In::Timer(timer) => policy.handle(now, Event::Timer(timer), actions),
             In::Saved => {
                 let list = self.discovery.saved(instance.at);
@@ -674,7 +751,10 @@
                 self.judge.contact(now, instance.at, false, true);
                 policy.handle(
                     now,
-                    Event::Members(Members::Failed { since: now, waited: Micros::MAX }),
+                    Event::Members(Members::Failed {
+                        since: now,
+                        waited: Micros::MAX,
+                    }),
                     actions,
                 );
             }
@@ -688,7 +768,11 @@
                 if answers {
                     self.judge.contact(now, instance.at, true, false);
                 }
-                let members = if whole { Members::Full(&list) } else { Members::Changes(&list) };
+                let members = if whole {
+                    Members::Full(&list)
+                } else {
+                    Members::Changes(&list)
+                };
                 policy.handle(now, Event::Members(members), actions);
             }
         }
@@ -696,14 +780,22 @@
 
     fn perform(&mut self, instance: Instance, action: Action) {
         match action {
-            Action::Send { request, server, timeout_at, .. } => {
-                self.send(instance, request, server, timeout_at)
-            }
+            Action::Send {
+                request,
+                server,
+                timeout_at,
+                ..
+            } => self.send(instance, request, server, timeout_at),
             Action::Probe(server) => self.probe(instance, server),
             Action::Cancel { request, attempt } => self.cancel(instance, request, attempt),
-            Action::Refuse { request, retry_after } => {
+            Action::Refuse {
+                request,
+                retry_after,
+            } => {
                 let most = self.experiment.instances.allow.retry_after.micros();
-                let told = retry_after.map(|wait| wait.min(most)).filter(|wait| *wait > 0);
+                let told = retry_after
+                    .map(|wait| wait.min(most))
+                    .filter(|wait| *wait > 0);
                 self.end_by_policy(instance, request, End::Refused(told));
             }
             Action::Fail { request } => self.end_by_policy(instance, request, End::Failed),
@@ -726,11 +818,17 @@
 
     fn call_of(&self, instance: Instance, request: RequestId) -> Option<CallKey> {
         let key = CallKey::from(KeyData::from_ffi(request));
-        self.calls.get(key).filter(|call| call.instance == instance).map(|_| key)
+        self.calls
+            .get(key)
+            .filter(|call| call.instance == instance)
+            .map(|_| key)
     }
 
     fn end_by_policy(&mut self, instance: Instance, request: RequestId, how: End) {
-        if let Some(key) = self.call_of(instance, request).filter(|key| !self.calls[*key].ended) {
+        if let Some(key) = self
+            .call_of(instance, request)
+            .filter(|key| !self.calls[*key].ended)
+        {
             self.end_call(key, how);
         }
     }
@@ -738,7 +836,9 @@
     fn send(&mut self, instance: Instance, request: RequestId, id: ServerId, timeout_at: Micros) {
         let now = self.now;
         let server = self.servers.places.get(&id).copied();
-        let known = self.judge.sent(now, instance.at, request, server, timeout_at);
+        let known = self
+            .judge
+            .sent(now, instance.at, request, server, timeout_at);
         let max_attempts = self.experiment.instances.allow.max_attempts.max(1);
         let call = self.call_of(instance, request);
         let number = call.map_or(known, |key| {
@@ -758,8 +858,14 @@
                 self.recorder.closed(call.due, call.class, Outcome::Moot);
             }
             let ended = call.is_none_or(|key| self.calls[key].ended);
-            let closed =
-                Closed { request, attempt: number, server: id, outcome: Outcome::Moot, elapsed: 0, ended };
+            let closed = Closed {
+                request,
+                attempt: number,
+                server: id,
+                outcome: Outcome::Moot,
+                elapsed: 0,
+                ended,
+            };
             return self.tell(instance, In::Closed(closed));
         };
         let zone = self.hosts[instance.at as usize].zone;
@@ -831,7 +937,9 @@
             }
             // They lie in the order of their last use.
             let past = idle.partition_point(|i| now >= i.since + patience);
-            idle.drain(..past).filter(|i| i.epoch == slot.epoch).for_each(|_| slot.model.disconnect());
+            idle.drain(..past)
+                .filter(|i| i.epoch == slot.epoch)
+                .for_each(|_| slot.model.disconnect());
             any |= !idle.is_empty();
         }
         drop(slots);
@@ -846,8 +954,14 @@
             return;
         }
         self.judge.cancelled(self.now, request, number);
-        let Some(key) = self.call_of(instance, request) else { return };
-        let attempt = self.calls[key].out.iter().find(|(n, _)| *n == number).map(|(_, attempt)| *attempt);
+        let Some(key) = self.call_of(instance, request) else {
+            return;
+        };
+        let attempt = self.calls[key]
+            .out
+            .iter()
+            .find(|(n, _)| *n == number)
+            .map(|(_, attempt)| *attempt);
         if let Some(attempt) = attempt {
             self.close(attempt, Outcome::Cancelled);
         }
@@ -855,26 +969,41 @@
 
     fn kill(&mut self, at: u32) {
         let now = self.now;
-        let Some(host) = self.hosts.get_mut(at as usize).filter(|h| h.up) else { return };
-        let dead = Instance { at, life: host.life };
+        let Some(host) = self.hosts.get_mut(at as usize).filter(|h| h.up) else {
+            return;
+        };
+        let dead = Instance {
+            at,
+            life: host.life,
+        };
         (host.up, host.policy) = (false, None);
         host.life += 1;
         host.inbox.clear();
         host.sweeps = false;
         let mut slots = self.servers.slots.borrow_mut();
         for (idle, slot) in host.idle.iter_mut().zip(slots.iter_mut()) {
-            idle.drain(..).filter(|i| i.epoch == slot.epoch).for_each(|_| slot.model.disconnect());
+            idle.drain(..)
+                .filter(|i| i.epoch == slot.epoch)
+                .for_each(|_| slot.model.disconnect());
         }
         drop(slots);
         self.discovery.leave(at);
         self.judge.killed(now, at);
-        let attempts: Vec<AttemptKey> =
-            self.attempts.iter().filter(|(_, a)| a.instance == dead).map(|(key, _)| key).collect();
+        let attempts: Vec<AttemptKey> = self
+            .attempts
+            .iter()
+            .filter(|(_, a)| a.instance == dead)
+            .map(|(key, _)| key)
+            .collect();
         for key in attempts {
             self.drop_attempt(key);
         }
-        let calls: Vec<CallKey> =
-            self.calls.iter().filter(|(_, c)| c.instance == dead).map(|(key, _)| key).collect();
+        let calls: Vec<CallKey> = self
+            .calls
+            .iter()
+            .filter(|(_, c)| c.instance == dead)
+            .map(|(key, _)| key)
+            .collect();
         for key in calls {
             self.calls[key].out.clear();
             if self.calls[key].ended {
@@ -895,12 +1024,20 @@
         let index = u64::from(at) << 32 | u64::from(host.life);
         let truth: Rc<dyn Truth> = self.servers.clone();
         let seed = derive(self.seed, Concern::Instance, index);
-        let start = Start { settings, seed, instance: at, truth: Some(truth) };
+        let start = Start {
+            settings,
+            seed,
+            instance: at,
+            truth: Some(truth),
+        };
         match self.make.make(start) {
             Ok(policy) => {
                 (host.up, host.policy) = (true, Some(policy));
                 host.turn_scheduled = false;
-                let instance = Instance { at, life: host.life };
+                let instance = Instance {
+                    at,
+                    life: host.life,
+                };
                 self.tell(instance, In::Saved);
             }
             Err(problem) => self.problem = Some(problem),
@@ -910,12 +1047,16 @@
     // ---- Attempts ----
 
     fn zones(&self, attempt: &Attempt) -> (u32, u32) {
-        let there = self.servers.slots.borrow()[attempt.server as usize].place.zone;
+        let there = self.servers.slots.borrow()[attempt.server as usize]
+            .place
+            .zone;
         (self.hosts[attempt.instance.at as usize].zone, there)
     }
 
     fn connects(&mut self, key: AttemptKey, stands: bool) {
-        let Some(attempt) = self.attempts.get(key) else { return };
+        let Some(attempt) = self.attempts.get(key) else {
+            return;
+        };
         if !stands {
             return self.close(key, Outcome::ConnectFailed);
         }
@@ -943,20 +1084,33 @@
     }
 
     fn request_reaches(&mut self, key: AttemptKey) {
-        let Some(attempt) = self.attempts.get_mut(key) else { return };
+        let Some(attempt) = self.attempts.get_mut(key) else {
+            return;
+        };
         attempt.stage = Stage::There;
         let (server, instance, epoch) = (attempt.server, attempt.instance, attempt.epoch);
         let (work, breaks) = (attempt.work, attempt.breaks);
         let call = &self.calls[attempt.call];
         let class = &self.experiment.classes[call.class as usize];
-        let once =
-            (class.effect == crate::experiment::Effect::Keyed).then(|| (call.number, class.window.micros()));
+        let once = (class.effect == crate::experiment::Effect::Keyed)
+            .then(|| (call.number, class.window.micros()));
         let zone = self.hosts[instance.at as usize].zone;
-        let job = Job { tag: tag_of(key), class: call.class, zone, work: call.work, key: call.key, once };
+        let job = Job {
+            tag: tag_of(key),
+            class: call.class,
+            zone,
+            work: call.work,
+            key: call.key,
+            once,
+        };
         let (stands, silent, cold) = {
             let slot = &mut self.servers.slots.borrow_mut()[server as usize];
             slot.on_way = (slot.on_way - work).max(0.0);
-            (slot.epoch == epoch, slot.model.is_silent(), slot.model.cold_since().is_some())
+            (
+                slot.epoch == epoch,
+                slot.model.is_silent(),
+                slot.model.cold_since().is_some(),
+            )
         };
         if !stands {
             // The connection is not known there any more: reset, if anybody is there to say so.
@@ -976,7 +1130,9 @@
 
     /// An outcome sets out for the instance; a cut swallows it.
     fn send_back(&mut self, key: AttemptKey, outcome: Outcome) {
-        let Some(attempt) = self.attempts.get(key) else { return };
+        let Some(attempt) = self.attempts.get(key) else {
+            return;
+        };
         let (here, there) = self.zones(attempt);
         if let Some(way) = self.network.latency(here, there, Way::Back) {
             self.push(self.now + way, What::Answers(key, outcome));
@@ -985,9 +1141,15 @@
 
     /// An attempt is over at the instance: its one outcome.
     fn close(&mut self, key: AttemptKey, outcome: Outcome) {
-        let Some(attempt) = self.attempts.get(key) else { return };
-        let (call, number, instance, server) =
-            (attempt.call, attempt.number, attempt.instance, attempt.server);
+        let Some(attempt) = self.attempts.get(key) else {
+            return;
+        };
+        let (call, number, instance, server) = (
+            attempt.call,
+            attempt.number,
+            attempt.instance,
+            attempt.server,
+        );
         let (elapsed, epoch) = (self.now - attempt.sent, attempt.epoch);
         if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Full) {
             self.attempts.remove(key);
@@ -1001,7 +1163,9 @@
         } else {
             self.drop_attempt(key);
         }
-        let Some(state) = self.calls.get_mut(call) else { return };
+        let Some(state) = self.calls.get_mut(call) else {
+            return;
+        };
         state.out.retain(|(n, _)| *n != number);
         let (due, class, ended_before) = (state.due, state.class, state.ended);
         let id = id_of(call);
@@ -1020,13 +1184,22 @@
             self.calls.remove(call);
         }
         let server = self.servers.slots.borrow()[server as usize].place.id;
-        let closed = Closed { request: id, attempt: number, server, outcome, elapsed, ended };
+        let closed = Closed {
+            request: id,
+            attempt: number,
+            server,
+            outcome,
+            elapsed,
+            ended,
+        };
         self.tell(instance, In::Closed(closed));
     }
 
     /// An attempt's connection is closed with it, and the server hears of that one way later.
     fn drop_attempt(&mut self, key: AttemptKey) {
-        let Some(attempt) = self.attempts.remove(key) else { return };
+        let Some(attempt) = self.attempts.remove(key) else {
+            return;
+        };
         let (here, there) = self.zones(&attempt);
         let stands = {
             let slot = &mut self.servers.slots.borrow_mut()[attempt.server as usize];
@@ -1069,7 +1242,9 @@
         let there = self.servers.slots.borrow()[server as usize].place.zone;
         let here = self.hosts[instance.at as usize].zone;
         match (report, self.network.latency(here, there, Way::Back)) {
-            (Some(report), Some(way)) => self.answer_probe(self.now + way, instance, server, Some(report)),
+            (Some(report), Some(way)) => {
+                self.answer_probe(self.now + way, instance, server, Some(report))
+            }
             _ => self.probe_fails(instance, server),
         }
     }
@@ -1079,7 +1254,13 @@
         self.answer_probe(late, instance, server, None);
     }
 
-    fn answer_probe(&mut self, at: Micros, instance: Instance, server: u32, report: Option<Report>) {
+    fn answer_probe(
+        &mut self,
+        at: Micros,
+        instance: Instance,
+        server: u32,
+        report: Option<Report>,
+    ) {
         let place = self.free_probes.pop().unwrap_or_else(|| {
             self.probes.push(None);
             self.probes.len() as u32 - 1
@@ -1091,7 +1272,11 @@
     // ---- Servers ----
 
     /// Does something with a server, then what it says, and sees to its next wake.
-    fn with_server(&mut self, server: u32, act: impl FnOnce(&mut Server, Micros, &mut Vec<Output>)) {
+    fn with_server(
+        &mut self,
+        server: u32,
+        act: impl FnOnce(&mut Server, Micros, &mut Vec<Output>),
+    ) {
         let mut out = std::mem::take(&mut self.outputs);
         let wakes = {
             let slot = &mut self.servers.slots.borrow_mut()[server as usize];
@@ -1124,14 +1309,20 @@
                     return slot.model.disconnect();
                 };
                 (attempt.epoch, attempt.connected) = (slot.epoch, true);
-                let (here, there) = (self.hosts[attempt.instance.at as usize].zone, slot.place.zone);
+                let (here, there) = (
+                    self.hosts[attempt.instance.at as usize].zone,
+                    slot.place.zone,
+                );
                 if let Some(way) = self.network.latency(here, there, Way::Back) {
-                    self.queue.push(self.now + way, 4, What::Connects(key, true));
+                    self.queue
+                        .push(self.now + way, 4, What::Connects(key, true));
                 }
             }
             Output::Refused(tag) => {
                 let key = AttemptKey::from(KeyData::from_ffi(tag));
-                let Some(attempt) = self.attempts.get(key) else { return };
+                let Some(attempt) = self.attempts.get(key) else {
+                    return;
+                };
                 let (here, there) = self.zones(attempt);
                 if let Some(way) = self.network.latency(here, there, Way::Back) {
                     self.push(self.now + way, What::Connects(key, false));
@@ -1151,11 +1342,14 @@
             Output::Ran { tag, repeated } => {
                 let key = AttemptKey::from(KeyData::from_ffi(tag));
                 if let Some(attempt) = self.attempts.get(key) {
-                    self.judge.ran(self.now, id_of(attempt.call), attempt.number, repeated);
+                    self.judge
+                        .ran(self.now, id_of(attempt.call), attempt.number, repeated);
                 }
             }
             Output::Fell => {
-                let started = self.servers.slots.borrow()[server as usize].started.unwrap_or(0);
+                let started = self.servers.slots.borrow()[server as usize]
+                    .started
+                    .unwrap_or(0);
                 self.judge.fell(self.now, server, started);
                 self.went_down(server, false);
             }
@@ -1177,8 +1371,15 @@
     fn change(&mut self, change: Change) {
         let now = self.now;
         match change {
-            Change::Begin { server, number, trouble, scope } => {
-                self.with_server(server, |model, now, out| model.begin(now, number, trouble, scope, out));
+            Change::Begin {
+                server,
+                number,
+                trouble,
+                scope,
+            } => {
+                self.with_server(server, |model, now, out| {
+                    model.begin(now, number, trouble, scope, out)
+                });
             }
             Change::End { server, number } => {
                 self.with_server(server, |model, now, out| model.end(now, number, out));
@@ -1200,8 +1401,16 @@
                     self.announce(server, ServerState::Ready, false);
                 }
             }
-            Change::Cut { number, zone, answers_alone } => self.network.cut(number, zone, answers_alone),
-            Change::Resets { number, server, share } => {
+            Change::Cut {
+                number,
+                zone,
+                answers_alone,
+            } => self.network.cut(number, zone, answers_alone),
+            Change::Resets {
+                number,
+                server,
+                share,
+            } => {
                 self.network.reset(number, server, share);
                 self.note_breaking();
             }
@@ -1234,7 +1443,10 @@
 
     fn tell_of_discovery(&mut self, whom: Vec<u32>, news: News) {
         for at in whom {
-            let instance = Instance { at, life: self.hosts[at as usize].life };
+            let instance = Instance {
+                at,
+                life: self.hosts[at as usize].life,
+            };
             self.push(self.now + HOP, What::NewsReaches(instance, news, false));
         }
     }
@@ -1257,7 +1469,8 @@
             (slot.stops, slot.done_draining) = (None, false);
         }
         self.announce(server, ServerState::Gone, silent);
-        if std::mem::take(&mut self.servers.slots.borrow_mut()[server as usize].start_once_stopped) {
+        if std::mem::take(&mut self.servers.slots.borrow_mut()[server as usize].start_once_stopped)
+        {
             self.start(server);
         }
     }
@@ -1293,9 +1506,15 @@
             let stale = |a: &Attempt| {
                 a.server == server && a.stage == Stage::There && a.epoch != epoch && a.connected
             };
-            let stale: Vec<AttemptKey> =
-                self.attempts.iter().filter(|(_, a)| stale(a)).map(|(key, _)| key).collect();
-            stale.into_iter().for_each(|key| self.send_back(key, Outcome::Reset));
+            let stale: Vec<AttemptKey> = self
+                .attempts
+                .iter()
+                .filter(|(_, a)| stale(a))
+                .map(|(key, _)| key)
+                .collect();
+            stale
+                .into_iter()
+                .for_each(|key| self.send_back(key, Outcome::Reset));
         }
     }
 
@@ -1306,7 +1525,8 @@
         let notice = self.discovery.notice(silent);
         let slot = &mut self.servers.slots.borrow_mut()[server as usize];
         slot.news += 1;
-        self.publications.push((listed(slot, state), server, slot.news));
+        self.publications
+            .push((listed(slot, state), server, slot.news));
         let place = self.publications.len() as u32 - 1;
         self.queue.push(self.now + notice, 1, What::Publish(place));
     }
--- a/crates/lab/src/virtual_time/queue.rs
+++ b/crates/lab/src/virtual_time/queue.rs
@@ -80,7 +80,11 @@
 
     /// Puts an event in. What is earlier than the last one taken out comes next.
     pub fn push(&mut self, at: Micros, rank: u8, what: T) {
-        let entry = Entry { at, order: u64::from(rank) << 56 | self.next, what };
+        let entry = Entry {
+            at,
+            order: u64::from(rank) << 56 | self.next,
+            what,
+        };
         self.next += 1;
         let day = entry.day();
         if day <= self.today {
@@ -107,7 +111,11 @@
                     continue;
                 }
             };
-            let entry = if from_added { self.added.pop().map(|r| r.0) } else { self.sorted.pop() };
+            let entry = if from_added {
+                self.added.pop().map(|r| r.0)
+            } else {
+                self.sorted.pop()
+            };
             return entry.map(|e| (e.at, e.what));
         }
     }
@@ -115,7 +123,9 @@
     /// Goes on to the next day on which something happens; false where there is none.
     fn turn_day(&mut self) -> bool {
         if self.ahead == 0 {
-            let Some(Reverse(first)) = self.far.peek() else { return false };
+            let Some(Reverse(first)) = self.far.peek() else {
+                return false;
+            };
             // One before it: the loop below enters that day.
             self.today = self.today.max(first.day() - 1);
         }
@@ -124,7 +134,9 @@
             while let Some(Reverse(entry)) = self.far.peek()
                 && entry.day() < self.today + DAYS as u64
             {
-                let Some(Reverse(entry)) = self.far.pop() else { break };
+                let Some(Reverse(entry)) = self.far.pop() else {
+                    break;
+                };
                 self.ahead += 1;
                 self.days[entry.day() as usize % DAYS].push(entry);
             }
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -51,7 +51,11 @@
                     Some(unequal) => unequal.sample(&mut random).clamp(0.05, 20.0),
                     None => 1.0,
                 };
-                let listed = if kind.weight > 0.0 { kind.weight } else { f64::from(kind.cores) * kind.speed };
+                let listed = if kind.weight > 0.0 {
+                    kind.weight
+                } else {
+                    f64::from(kind.cores) * kind.speed
+                };
                 servers.push(ServerPlace {
                     id: ServerId::named(&name),
                     kind: at as u32,
@@ -70,11 +74,21 @@
     pub fn named(&self, experiment: &Experiment, names: &[String]) -> Vec<u32> {
         let holds = |server: &ServerPlace| {
             names.iter().any(|name| match name.strip_prefix("zone:") {
-                Some(zone) => experiment.network.zones.get(server.zone as usize).is_some_and(|z| z == zone),
-                None => *name == server.name || *name == experiment.servers[server.kind as usize].name,
+                Some(zone) => experiment
+                    .network
+                    .zones
+                    .get(server.zone as usize)
+                    .is_some_and(|z| z == zone),
+                None => {
+                    *name == server.name || *name == experiment.servers[server.kind as usize].name
+                }
             })
         };
-        (0..).zip(&self.servers).filter(|(_, server)| holds(server)).map(|(at, _)| at).collect()
+        (0..)
+            .zip(&self.servers)
+            .filter(|(_, server)| holds(server))
+            .map(|(at, _)| at)
+            .collect()
     }
 }
 
@@ -88,16 +102,26 @@
         effect: match class.effect {
             Effect::Safe => balancer::Effect::Safe,
             Effect::Unsafe => balancer::Effect::Unsafe,
-            Effect::Keyed => {
-                balancer::Effect::Keyed { scope: balancer::Scope::All, window: class.window.micros() }
-            }
+            Effect::Keyed => balancer::Effect::Keyed {
+                scope: balancer::Scope::All,
+                window: class.window.micros(),
+            },
         },
         worth: class.worth,
         late_worth: class.late_worth,
     };
     // Told as one figure for all kinds: the coldest start and the longest warming that any of them has.
-    let cold_from = experiment.servers.iter().map(|k| k.cold_from).fold(1.0, f64::min);
-    let cold = experiment.servers.iter().map(|k| k.cold.micros()).max().unwrap_or(0);
+    let cold_from = experiment
+        .servers
+        .iter()
+        .map(|k| k.cold_from)
+        .fold(1.0, f64::min);
+    let cold = experiment
+        .servers
+        .iter()
+        .map(|k| k.cold.micros())
+        .max()
+        .unwrap_or(0);
     Settings {
         group_size: experiment.instances.count.max(1),
         zone,
@@ -107,7 +131,11 @@
         discovery_on_request: experiment.discovery.on_request,
         limits: balancer::Limits {
             cancel: allow.cancel,
-            probes: allow.probes && experiment.servers.iter().all(|k| k.report_every.micros() > 0),
+            probes: allow.probes
+                && experiment
+                    .servers
+                    .iter()
+                    .all(|k| k.report_every.micros() > 0),
             retry_after: allow.retry_after.micros() > 0,
             max_retry_after: allow.retry_after.micros(),
             max_attempts: allow.max_attempts.max(1),
@@ -119,7 +147,10 @@
             ask_within: ASK_WITHIN,
             drain_grace: allow.drain_grace.micros(),
         },
-        prices: balancer::Prices { cross_zone: allow.cross_zone_price, probe: allow.probe_price },
+        prices: balancer::Prices {
+            cross_zone: allow.cross_zone_price,
+            probe: allow.probe_price,
+        },
         worth_by_work: false,
     }
 }
--- a/crates/lab/tests/both_drivers_agree.rs
+++ b/crates/lab/tests/both_drivers_agree.rs
@@ -44,7 +44,10 @@
 
 /// Requests that came, by window and class.
 fn asked(run: &Run) -> Vec<Vec<u64>> {
-    run.windows.iter().map(|w| w.classes.values().map(|class| class.0).collect()).collect()
+    run.windows
+        .iter()
+        .map(|w| w.classes.values().map(|class| class.0).collect())
+        .collect()
 }
 
 /// Plays a day by both drivers until they agree, and gives back the run on sockets.
@@ -57,21 +60,29 @@
     for _ in 0..TRIES {
         let here = sockets::run(day, &Arm::default(), 1, &|_| ControlFlow::Continue(()));
         assert_eq!(here.breaches, Default::default(), "{:#?}", here.broken);
-        assert_eq!(asked(&here), asked(&there), "the same requests are due in the same windows");
+        assert_eq!(
+            asked(&here),
+            asked(&there),
+            "the same requests are due in the same windows"
+        );
         let (on_sockets, in_virtual_time) = (here.total.goodput(), there.total.goodput());
         tries.push((on_sockets, here.void.clone()));
         println!(
             "{}: on sockets {on_sockets:.3}, in virtual time {in_virtual_time:.3}; {:?}",
             day.name, here.void
         );
-        let busy = |why: &String| why.starts_with("fell behind") || why.contains("waited for a core");
+        let busy =
+            |why: &String| why.starts_with("fell behind") || why.contains("waited for a core");
         assert!(here.void.iter().all(busy), "{:?}", here.void);
         // One that was played late and agrees all the same shows as much.
         if (on_sockets - in_virtual_time).abs() <= 0.05 {
             return here;
         }
     }
-    panic!("in virtual time {:.3}, on sockets {tries:?}", there.total.goodput());
+    panic!(
+        "in virtual time {:.3}, on sockets {tries:?}",
+        there.total.goodput()
+    );
 }
 
 #[test]
@@ -110,11 +121,30 @@
     day.faults = vec![
         fault(FaultKind::Crash, &["fast-0"]),
         fault(FaultKind::CutZone, &["zone:b"]),
-        Fault { share: 0.34, lasts: Span::s(1), ..restart },
-        Fault { at: Span::ms(1_200), lasts: Span(0), ..fault(FaultKind::DiscoveryMoves, &[]) },
+        Fault {
+            share: 0.34,
+            lasts: Span::s(1),
+            ..restart
+        },
+        Fault {
+            at: Span::ms(1_200),
+            lasts: Span(0),
+            ..fault(FaultKind::DiscoveryMoves, &[])
+        },
     ];
     let run = agree(&day);
-    let place = run.servers.keys().position(|name| name == "fast-0").expect("it is there");
-    let loads: Vec<f32> = run.windows.iter().map(|w| w.load.get(place).copied().unwrap_or(0.0)).collect();
-    assert!(loads[0] > 0.0 && loads[2] == 0.0 && loads[3] == 0.0, "fast-0 was down for a while: {loads:?}");
+    let place = run
+        .servers
+        .keys()
+        .position(|name| name == "fast-0")
+        .expect("it is there");
+    let loads: Vec<f32> = run
+        .windows
+        .iter()
+        .map(|w| w.load.get(place).copied().unwrap_or(0.0))
+        .collect();
+    assert!(
+        loads[0] > 0.0 && loads[2] == 0.0 && loads[3] == 0.0,
+        "fast-0 was down for a while: {loads:?}"
+    );
 }
--- a/crates/lab/tests/capacity_page.rs
+++ b/crates/lab/tests/capacity_page.rs
@@ -7,7 +7,9 @@
 use std::path::{Path, PathBuf};
 
 fn root(path: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("../..").join(path)
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("../..")
+        .join(path)
 }
 
 fn read(path: &str) -> String {
@@ -21,7 +23,13 @@
     let measured = Measured::read(&root("docs/capacity")).expect("measured files");
     assert!(measured.real.is_some() && measured.series.contains_key("base"));
     let capacity = markdown::capacity(&rows(&size, &measured));
-    assert!(page.contains(capacity.trim_end()), "docs/CAPACITY.md has another table than this:\n{capacity}");
+    assert!(
+        page.contains(capacity.trim_end()),
+        "docs/CAPACITY.md has another table than this:\n{capacity}"
+    );
     let slopes = markdown::slopes(&measured);
-    assert!(page.contains(&slopes), "docs/CAPACITY.md has other slopes than these:\n{slopes}");
+    assert!(
+        page.contains(&slopes),
+        "docs/CAPACITY.md has other slopes than these:\n{slopes}"
+    );
 }
--- a/crates/lab/tests/common/mod.rs
+++ b/crates/lab/tests/common/mod.rs
@@ -12,8 +12,16 @@
 
 /// Four servers of three cores, half loaded by two instances for ten seconds.
 pub fn calm(effect: lab::Effect) -> Experiment {
-    let class = lab::Class { name: "read".into(), effect, ..lab::Class::default() };
-    let kind = ServerKind { name: "s".into(), count: 4, ..ServerKind::default() };
+    let class = lab::Class {
+        name: "read".into(),
+        effect,
+        ..lab::Class::default()
+    };
+    let kind = ServerKind {
+        name: "s".into(),
+        count: 4,
+        ..ServerKind::default()
+    };
     let mut experiment = Experiment {
         name: "calm".into(),
         duration: Span::s(10),
@@ -28,11 +36,19 @@
 
 pub fn fault(kind: FaultKind, at: Span, servers: &[&str], size: f64) -> Fault {
     let servers = servers.iter().map(|s| s.to_string()).collect();
-    Fault { at, kind, servers, size, ..Fault::default() }
+    Fault {
+        at,
+        kind,
+        servers,
+        size,
+        ..Fault::default()
+    }
 }
 
 pub fn play(experiment: &Experiment, seed: u64, make: &dyn Maker) -> Run {
-    virtual_time::run(experiment, &Arm::default(), seed, make, &|_| ControlFlow::Continue(()))
+    virtual_time::run(experiment, &Arm::default(), seed, make, &|_| {
+        ControlFlow::Continue(())
+    })
 }
 
 /// Sends every request once, to the listed servers in turn, and fails what is not served.
@@ -66,13 +82,24 @@
 }
 
 pub fn simple(wrong: Wrong) -> impl Fn(Start) -> Result<Box<dyn Policy>, String> {
-    move |_| Ok(Box::new(Simple { wrong, ..Simple::default() }))
+    move |_| {
+        Ok(Box::new(Simple {
+            wrong,
+            ..Simple::default()
+        }))
+    }
 }
 
 impl Simple {
     fn pick(&mut self) -> Option<ServerId> {
-        let ready = self.servers.values().filter(|l| l.state == ServerState::Ready);
-        let started = ready.clone().filter(|l| l.started.is_some()).max_by_key(|l| l.started);
+        let ready = self
+            .servers
+            .values()
+            .filter(|l| l.state == ServerState::Ready);
+        let started = ready
+            .clone()
+            .filter(|l| l.started.is_some())
+            .max_by_key(|l| l.started);
         if let (Wrong::Rushes, Some(last)) = (self.wrong, started) {
             return Some(last.server);
         }
@@ -111,7 +138,10 @@
                             write_by: Micros::MAX,
                         });
                     }
-                    None => actions.push(Action::Refuse { request: new.id, retry_after: None }),
+                    None => actions.push(Action::Refuse {
+                        request: new.id,
+                        retry_after: None,
+                    }),
                 }
             }
             Event::Closed(closed) if !closed.ended => {
@@ -126,7 +156,10 @@
                             write_by: Micros::MAX,
                         });
                     }
-                    Wrong::Refuses => actions.push(Action::Refuse { request, retry_after: None }),
+                    Wrong::Refuses => actions.push(Action::Refuse {
+                        request,
+                        retry_after: None,
+                    }),
                     wrong => {
                         actions.push(Action::Fail { request });
                         if let (Wrong::Haunts, Some(server)) = (wrong, self.pick()) {
--- a/crates/lab/tests/determinism.rs
+++ b/crates/lab/tests/determinism.rs
@@ -44,10 +44,17 @@
 
 #[test]
 fn arms_with_one_seed_meet_the_same_requests() {
-    let (ours, theirs) = (play(&busy(), 3, &policy::own), play(&busy(), 3, &simple(Wrong::No)));
+    let (ours, theirs) = (
+        play(&busy(), 3, &policy::own),
+        play(&busy(), 3, &simple(Wrong::No)),
+    );
     assert_ne!(ours.total.in_time, theirs.total.in_time);
-    assert_eq!((ours.total.asked, ours.total.worth), (theirs.total.asked, theirs.total.worth));
-    let asked =
-        |run: &madderloom_lab::record::Run| -> Vec<f64> { run.windows.iter().map(|w| w.worth).collect() };
+    assert_eq!(
+        (ours.total.asked, ours.total.worth),
+        (theirs.total.asked, theirs.total.worth)
+    );
+    let asked = |run: &madderloom_lab::record::Run| -> Vec<f64> {
+        run.windows.iter().map(|w| w.worth).collect()
+    };
     assert_eq!(asked(&ours), asked(&theirs));
 }
--- a/crates/lab/tests/every_request_ends_once.rs
+++ b/crates/lab/tests/every_request_ends_once.rs
@@ -30,11 +30,25 @@
         };
         let soon = now + self.random.random_range(0..300_000);
         actions.push(match self.random.random_range(0..12) {
-            0..6 => Action::Send { request, server, timeout_at: soon, write_by: Micros::MAX },
-            6 => Action::Refuse { request, retry_after: Some(soon - now) },
+            0..6 => Action::Send {
+                request,
+                server,
+                timeout_at: soon,
+                write_by: Micros::MAX,
+            },
+            6 => Action::Refuse {
+                request,
+                retry_after: Some(soon - now),
+            },
             7 => Action::Fail { request },
-            8 => Action::Cancel { request, attempt: self.random.random_range(0..3) },
-            9 => Action::SetTimer { at: soon.saturating_sub(100_000), timer: Timer::Request(request) },
+            8 => Action::Cancel {
+                request,
+                attempt: self.random.random_range(0..3),
+            },
+            9 => Action::SetTimer {
+                at: soon.saturating_sub(100_000),
+                timer: Timer::Request(request),
+            },
             10 => Action::Probe(server),
             _ => Action::Subscribe,
         });
@@ -66,7 +80,11 @@
 
 fn chaos(start: Start) -> Result<Box<dyn Policy>, String> {
     let random = stream(start.seed, Concern::Instance, 0);
-    Ok(Box::new(Chaos { random, servers: Vec::new(), requests: Vec::new() }))
+    Ok(Box::new(Chaos {
+        random,
+        servers: Vec::new(),
+        requests: Vec::new(),
+    }))
 }
 
 /// A server that first fails a part of what it is given, and then is slow.
@@ -80,8 +98,17 @@
         refused: 0.0,
         slower,
     };
-    let moments = vec![moment(0, size, 1.0), moment(400 + gap, 0.0, 1.0 + 9.0 * size)];
-    Recording { version: Recording::VERSION, server: "s".into(), began_us: 0, usual_us: 1, moments }
+    let moments = vec![
+        moment(0, size, 1.0),
+        moment(400 + gap, 0.0, 1.0 + 9.0 * size),
+    ];
+    Recording {
+        version: Recording::VERSION,
+        server: "s".into(),
+        began_us: 0,
+        usual_us: 1,
+        moments,
+    }
 }
 
 fn faults() -> impl Strategy<Value = Fault> {
@@ -105,25 +132,38 @@
         FaultKind::InstanceRestart,
         FaultKind::Replay,
     ]);
-    (kinds, 0u64..2_000, 0u64..1_500, 0.0..=1.0f64, 0.0..=1.0f64, 0u64..700, any::<(bool, bool)>()).prop_map(
-        |(kind, at, lasts, share, size, every, (one_class, one_zone))| Fault {
-            at: Span::ms(at),
-            lasts: Span::ms(lasts),
-            kind,
-            servers: if matches!(kind, FaultKind::CutZone | FaultKind::CutAnswers) {
-                vec!["zone:a".into()]
-            } else {
-                Vec::new()
-            },
-            share,
-            size: if kind == FaultKind::Slow { 1.0 + 9.0 * size } else { size },
-            every: Span::ms(every),
-            class: one_class.then(|| "one".into()),
-            seen_from: one_zone.then(|| "b".into()),
-            file: None,
-            recording: (kind == FaultKind::Replay).then(|| recording(size, every).into()),
-        },
+    (
+        kinds,
+        0u64..2_000,
+        0u64..1_500,
+        0.0..=1.0f64,
+        0.0..=1.0f64,
+        0u64..700,
+        any::<(bool, bool)>(),
     )
+        .prop_map(
+            |(kind, at, lasts, share, size, every, (one_class, one_zone))| Fault {
+                at: Span::ms(at),
+                lasts: Span::ms(lasts),
+                kind,
+                servers: if matches!(kind, FaultKind::CutZone | FaultKind::CutAnswers) {
+                    vec!["zone:a".into()]
+                } else {
+                    Vec::new()
+                },
+                share,
+                size: if kind == FaultKind::Slow {
+                    1.0 + 9.0 * size
+                } else {
+                    size
+                },
+                every: Span::ms(every),
+                class: one_class.then(|| "one".into()),
+                seen_from: one_zone.then(|| "b".into()),
+                file: None,
+                recording: (kind == FaultKind::Replay).then(|| recording(size, every).into()),
+            },
+        )
 }
 
 prop_compose! {
@@ -225,7 +265,10 @@
 fn adds_up(experiment: &Experiment, run: &Run) -> Result<(), TestCaseError> {
     // The judge counts ends and outcomes on its own books; a run where they are not one each is void.
     prop_assert_eq!(&run.void, &None);
-    let killed = experiment.faults.iter().any(|f| f.kind == FaultKind::InstanceRestart);
+    let killed = experiment
+        .faults
+        .iter()
+        .any(|f| f.kind == FaultKind::InstanceRestart);
     for tally in run.classes.values().chain([&run.total]) {
         let ended = tally.in_time + tally.late + tally.refused + tally.failed + tally.left;
         prop_assert_eq!(ended, tally.asked);
@@ -236,7 +279,11 @@
         prop_assert_eq!(latencies, tally.in_time + tally.late);
     }
     let loads = run.windows.iter().flat_map(|w| &w.load);
-    prop_assert!(loads.clone().all(|l| (0.0..=1.01).contains(l)), "{:?}", loads.collect::<Vec<_>>());
+    prop_assert!(
+        loads.clone().all(|l| (0.0..=1.01).contains(l)),
+        "{:?}",
+        loads.collect::<Vec<_>>()
+    );
     Ok(())
 }
 
--- a/crates/lab/tests/its_page_is_true.rs
+++ b/crates/lab/tests/its_page_is_true.rs
@@ -15,11 +15,25 @@
         + &page("docs/connections.md")
         + &page("README.md");
     let named = options(&lab);
-    let others = ["release", "bin", "locked", "example", "log-level", "log-format"];
-    let unknown: Vec<_> =
-        named.iter().filter(|name| !known.contains(*name) && !others.contains(&name.as_str())).collect();
-    assert!(unknown.is_empty(), "pages name {unknown:?}, which no command has");
-    let untold: Vec<_> =
-        known.iter().filter(|n| !named.contains(*n) && !["help", "version"].contains(&n.as_str())).collect();
+    let others = [
+        "release",
+        "bin",
+        "locked",
+        "example",
+        "log-level",
+        "log-format",
+    ];
+    let unknown: Vec<_> = named
+        .iter()
+        .filter(|name| !known.contains(*name) && !others.contains(&name.as_str()))
+        .collect();
+    assert!(
+        unknown.is_empty(),
+        "pages name {unknown:?}, which no command has"
+    );
+    let untold: Vec<_> = known
+        .iter()
+        .filter(|n| !named.contains(*n) && !["help", "version"].contains(&n.as_str()))
+        .collect();
     assert!(untold.is_empty(), "no page tells of {untold:?}");
 }
--- a/crates/lab/tests/levels.rs
+++ b/crates/lab/tests/levels.rs
@@ -21,21 +21,42 @@
     let changes = Rc::new(RefCell::new(vec![0; experiment.instances.count as usize]));
     let log = Rc::clone(&changes);
     let told: Told = Rc::new(move |instance, _| log.borrow_mut()[instance as usize] += 1);
-    let arm = Arm { name: "arm".into(), policy: "madderloom".into(), levels, ..Arm::default() };
+    let arm = Arm {
+        name: "arm".into(),
+        policy: "madderloom".into(),
+        levels,
+        ..Arm::default()
+    };
     let make = |start: Start| leveled::make(experiment, &arm, start, Some(Rc::clone(&told)));
-    let run = virtual_time::run(experiment, &arm, seed, &make, &|_| ControlFlow::Continue(()));
+    let run = virtual_time::run(
+        experiment,
+        &arm,
+        seed,
+        &make,
+        &|_| ControlFlow::Continue(()),
+    );
     assert_eq!(run.void, None);
-    assert_eq!(run.breaches.values().sum::<u64>(), 0, "a rule is broken: {:?}", run.breaches);
+    assert_eq!(
+        run.breaches.values().sum::<u64>(),
+        0,
+        "a rule is broken: {:?}",
+        run.breaches
+    );
     let changes = changes.take();
     (run, changes)
 }
 
 fn built_in() -> Section {
-    Section { built_in: true, ..Section::default() }
+    Section {
+        built_in: true,
+        ..Section::default()
+    }
 }
 
 fn bound(experiment: &Experiment) -> u64 {
-    let checked = built_in().resolve(&leveled::facts(&experiment.classes)).expect("they are sound");
+    let checked = built_in()
+        .resolve(&leveled::facts(&experiment.classes))
+        .expect("they are sound");
     checked.changes_in_ten_minutes
 }
 
@@ -110,7 +131,16 @@
     let (without, _) = play(&experiment, None, 1);
     let (with, changes) = play(&experiment, Some(built_in()), 1);
     let (without, with) = (served(&without), served(&with));
-    assert!(without < 0.6, "it is well without: {without} of submissions at the end");
-    assert!(with > 0.85, "it is not back: {with} of submissions at the end");
-    assert!(changes.iter().all(|changes| *changes <= bound(&experiment)), "{changes:?}");
+    assert!(
+        without < 0.6,
+        "it is well without: {without} of submissions at the end"
+    );
+    assert!(
+        with > 0.85,
+        "it is not back: {with} of submissions at the end"
+    );
+    assert!(
+        changes.iter().all(|changes| *changes <= bound(&experiment)),
+        "{changes:?}"
+    );
 }
--- a/crates/lab/tests/no_process_is_left_behind.rs
+++ b/crates/lab/tests/no_process_is_left_behind.rs
@@ -17,7 +17,9 @@
 impl Lab {
     fn up(arguments: &[&str]) -> Self {
         let mut command = Command::new(env!("CARGO_BIN_EXE_madderloom-lab"));
-        command.args(["up", "--rate", "60", "--servers", "2", "--instances", "2"]).args(arguments);
+        command
+            .args(["up", "--rate", "60", "--servers", "2", "--instances", "2"])
+            .args(arguments);
         let mut child = command.stdout(Stdio::piped()).spawn().expect("it starts");
         let lines = BufReader::new(child.stdout.take().expect("piped"));
         Lab { child, lines }
@@ -27,7 +29,11 @@
     fn until(&mut self, text: &str) -> String {
         loop {
             let mut line = String::new();
-            assert_ne!(self.lines.read_line(&mut line).expect("text"), 0, "it ended without {text:?}");
+            assert_ne!(
+                self.lines.read_line(&mut line).expect("text"),
+                0,
+                "it ended without {text:?}"
+            );
             if line.contains(text) {
                 return line;
             }
@@ -37,8 +43,11 @@
     /// The processes that it has started.
     fn children(&self) -> Vec<i32> {
         let id = self.child.id();
-        let text = std::fs::read_to_string(format!("/proc/{id}/task/{id}/children")).expect("it is there");
-        text.split_whitespace().map(|id| id.parse().expect("a number")).collect()
+        let text =
+            std::fs::read_to_string(format!("/proc/{id}/task/{id}/children")).expect("it is there");
+        text.split_whitespace()
+            .map(|id| id.parse().expect("a number"))
+            .collect()
     }
 
     fn signal(&self, signal: Signal) {
@@ -73,7 +82,9 @@
     let until = Instant::now() + PATIENCE;
     let runs = |id: &i32| {
         let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
-        stat.rsplit(") ").next().is_some_and(|rest| !rest.is_empty() && !rest.starts_with('Z'))
+        stat.rsplit(") ")
+            .next()
+            .is_some_and(|rest| !rest.is_empty() && !rest.starts_with('Z'))
     };
     while children.iter().any(runs) {
         assert!(Instant::now() < until, "left behind: {children:?}");
@@ -93,7 +104,10 @@
     hand.write_all(request.as_bytes()).expect("it reads");
     let mut answer = String::new();
     hand.read_to_string(&mut answer).expect("it answers");
-    assert!(answer.starts_with("HTTP/1.1 200") && answer.contains("served by "), "{answer}");
+    assert!(
+        answer.starts_with("HTTP/1.1 200") && answer.contains("served by "),
+        "{answer}"
+    );
     lab.until("1s: goodput");
     let children = lab.children();
     assert_eq!(children.len(), 2);
@@ -130,10 +144,16 @@
 #[test]
 fn another_build_that_does_not_start_is_named() {
     let mut command = Command::new(env!("CARGO_BIN_EXE_madderloom-lab"));
-    let out = command.args(["up", "--for", "2s", "--binary", "/does/not/exist"]).output().expect("it runs");
+    let out = command
+        .args(["up", "--for", "2s", "--binary", "/does/not/exist"])
+        .output()
+        .expect("it runs");
     assert_eq!(out.status.code(), Some(1));
     let said = String::from_utf8_lossy(&out.stderr);
-    assert!(said.contains("/does/not/exist") && said.lines().count() == 1, "{said}");
+    assert!(
+        said.contains("/does/not/exist") && said.lines().count() == 1,
+        "{said}"
+    );
 }
 
 #[test]
@@ -148,22 +168,46 @@
 
 fn hops_are_measured_on_both(depth: &str) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_madderloom-lab"));
-    command.args(["hop", "--clients", "2,4", "--seconds", "0.2", "--rounds", "2", "--output", "json"]);
+    command.args([
+        "hop",
+        "--clients",
+        "2,4",
+        "--seconds",
+        "0.2",
+        "--rounds",
+        "2",
+        "--output",
+        "json",
+    ]);
     command.args(["--depth", depth]);
     let out = command.output().expect("it runs");
-    assert_eq!(out.status.code(), Some(0), "{}", String::from_utf8_lossy(&out.stderr));
-    let rows: serde_json::Value = serde_json::from_slice(&out.stdout).expect("an object for programs");
+    assert_eq!(
+        out.status.code(),
+        Some(0),
+        "{}",
+        String::from_utf8_lossy(&out.stderr)
+    );
+    let rows: serde_json::Value =
+        serde_json::from_slice(&out.stdout).expect("an object for programs");
     assert_eq!(rows.as_array().expect("rows").len(), 2);
     for row in rows.as_array().expect("rows") {
         for which in ["program", "bare"] {
             let figures = &row[which];
             assert_eq!(figures["bad"], 0, "{row}");
-            assert!(figures["cpu"]["least"].as_f64().is_some_and(|cpu| cpu > 0.0), "{row}");
+            assert!(
+                figures["cpu"]["least"]
+                    .as_f64()
+                    .is_some_and(|cpu| cpu > 0.0),
+                "{row}"
+            );
             assert!(figures["p99"].as_u64() >= figures["p50"].as_u64(), "{row}");
         }
         assert_eq!(row["direct"]["bad"], 0, "{row}");
         assert!(row["direct"]["p50"].as_u64() > Some(0), "{row}");
-        let (least, median) = (row["ratio"]["least"].as_f64(), row["ratio"]["median"].as_f64());
+        let (least, median) = (
+            row["ratio"]["least"].as_f64(),
+            row["ratio"]["median"].as_f64(),
+        );
         assert!(least > Some(0.0) && least <= median, "{row}");
     }
 }
--- a/crates/lab/tests/nonsense_is_one_clear_line.rs
+++ b/crates/lab/tests/nonsense_is_one_clear_line.rs
@@ -134,7 +134,12 @@
 ];
 
 fn told(text: &str) -> Vec<String> {
-    Experiment::read(text).err().unwrap_or_default().iter().map(|problem| problem.to_string()).collect()
+    Experiment::read(text)
+        .err()
+        .unwrap_or_default()
+        .iter()
+        .map(|problem| problem.to_string())
+        .collect()
 }
 
 #[test]
@@ -146,7 +151,11 @@
 fn each_piece_of_nonsense_is_one_line_with_its_place() {
     let mut wrong = Vec::new();
     for (from, to, line) in SPOILT {
-        assert_eq!(SOUND.matches(from).count(), 1, "{from:?} must stand once in the sound file");
+        assert_eq!(
+            SOUND.matches(from).count(),
+            1,
+            "{from:?} must stand once in the sound file"
+        );
         let told = told(&SOUND.replace(from, to));
         if told.len() != 1 || !told[0].starts_with(line) {
             wrong.push((to, line, told));
@@ -157,9 +166,24 @@
 
 #[test]
 fn several_pieces_of_nonsense_are_told_at_once_in_the_order_of_the_file() {
-    let told = told(&SOUND.replace("count = 2", "count = 20000").replace("rate = 50.0", "rate = -1.0"));
-    let fields: Vec<_> = told.iter().filter_map(|line| line.split(": ").nth(1)).collect();
-    assert_eq!(fields, ["instances.count", "servers[0].count", "phases[0].rate", "phases[1].rate"]);
+    let told = told(
+        &SOUND
+            .replace("count = 2", "count = 20000")
+            .replace("rate = 50.0", "rate = -1.0"),
+    );
+    let fields: Vec<_> = told
+        .iter()
+        .filter_map(|line| line.split(": ").nth(1))
+        .collect();
+    assert_eq!(
+        fields,
+        [
+            "instances.count",
+            "servers[0].count",
+            "phases[0].rate",
+            "phases[1].rate"
+        ]
+    );
 }
 
 #[test]
@@ -169,7 +193,10 @@
         "count = 10000\n[[servers]]\nname = \"fast\"\ncount = 9000",
     );
     let told = told(&crowd);
-    assert!(told[0].starts_with("8:9: instances.count: times the servers makes 90010000 pairs"), "{told:#?}");
+    assert!(
+        told[0].starts_with("8:9: instances.count: times the servers makes 90010000 pairs"),
+        "{told:#?}"
+    );
 }
 
 proptest! {
--- a/crates/lab/tests/queueing_theory.rs
+++ b/crates/lab/tests/queueing_theory.rs
@@ -16,7 +16,12 @@
 
 fn mean_wait(cores: u32, load: f64, requests: usize, seed: u64) -> f64 {
     const WORK: f64 = 10_000.0;
-    let kind = ServerKind { cores, speed: 2.0, queue: u32::MAX, ..ServerKind::default() };
+    let kind = ServerKind {
+        cores,
+        speed: 2.0,
+        queue: u32::MAX,
+        ..ServerKind::default()
+    };
     let spec = Spec::new(&kind, kind.speed, &Allow::default(), WORK);
     let mut server = Server::new(spec, Repeats::shared(), stream(seed, Concern::Server, 0));
     let mut random = stream(seed, Concern::Works, 0);
@@ -35,7 +40,18 @@
         }
         let work = draw() * WORK;
         let tag = (clock.floor() + work / 2.0) as u64;
-        server.request(clock as u64, Job { tag, class: 0, zone: 0, work, key: None, once: None }, &mut out);
+        server.request(
+            clock as u64,
+            Job {
+                tag,
+                class: 0,
+                zone: 0,
+                work,
+                key: None,
+                once: None,
+            },
+            &mut out,
+        );
     }
     // Half a microsecond, on average, is lost to rounding at each end.
     total / requests as f64 / (WORK / 2.0)
@@ -45,9 +61,15 @@
 fn mean_waits_match_erlang_c_within_three_percent() {
     for (cores, load) in [(1, 0.5), (3, 0.7), (8, 0.8)] {
         let seeds = 4;
-        let mean = (0..seeds).map(|seed| mean_wait(cores, load, 250_000, seed)).sum::<f64>() / seeds as f64;
+        let mean = (0..seeds)
+            .map(|seed| mean_wait(cores, load, 250_000, seed))
+            .sum::<f64>()
+            / seeds as f64;
         let wanted = erlang_c(cores, load);
         println!("{cores} cores at {load}: {mean:.4} of a work, Erlang C says {wanted:.4}");
-        assert!((mean / wanted - 1.0).abs() < 0.03, "{cores} cores at {load}: {mean} instead of {wanted}");
+        assert!(
+            (mean / wanted - 1.0).abs() < 0.03,
+            "{cores} cores at {load}: {mean} instead of {wanted}"
+        );
     }
 }
--- a/crates/lab/tests/recordings_are_played_again.rs
+++ b/crates/lab/tests/recordings_are_played_again.rs
@@ -27,7 +27,8 @@
     Ok(experiment)
 }
 
-const FAULT: &str = "at = \"20s\"\nkind = \"replay\"\nfile = \"night.json\"\nservers = [\"quick\"]\n";
+const FAULT: &str =
+    "at = \"20s\"\nkind = \"replay\"\nfile = \"night.json\"\nservers = [\"quick\"]\n";
 
 #[test]
 fn what_was_recorded_begins_and_ends_when_it_did() {
@@ -38,7 +39,9 @@
     let of_first: Vec<(u64, Option<Trouble>)> = line
         .iter()
         .filter_map(|(at, change)| match change {
-            Change::Begin { server: 0, trouble, .. } => Some((*at / 1_000_000, Some(*trouble))),
+            Change::Begin {
+                server: 0, trouble, ..
+            } => Some((*at / 1_000_000, Some(*trouble))),
             Change::End { server: 0, .. } => Some((*at / 1_000_000, None)),
             _ => None,
         })
@@ -62,16 +65,24 @@
 fn a_recording_that_makes_no_sense_is_one_clear_line() {
     for (from, to, told) in [
         ("\"version\": 1", "\"version\": 2", "version 2 is not known"),
-        ("\"from_ms\": 25000", "\"from_ms\": 15000", "moments[2].from_ms lies before the end"),
+        (
+            "\"from_ms\": 25000",
+            "\"from_ms\": 15000",
+            "moments[2].from_ms lies before the end",
+        ),
         ("\"lost\": 0.4", "\"lost\": 0.9", "moments[1].lost"),
         ("\"slower\": 6.0", "\"slower\": 1e9", "moments[2].slower"),
         ("\"moments\"", "\"moment\"", "unknown field `moment`"),
     ] {
         assert!(RECORDING.contains(from));
         let problem = with(FAULT, &RECORDING.replacen(from, to, 1)).expect_err(to);
-        assert!(problem.contains("night.json") && problem.contains(told), "{problem}");
+        assert!(
+            problem.contains("night.json") && problem.contains(told),
+            "{problem}"
+        );
     }
-    let problem = with(&FAULT.replace("file = \"night.json\"\n", ""), RECORDING).expect_err("no file");
+    let problem =
+        with(&FAULT.replace("file = \"night.json\"\n", ""), RECORDING).expect_err("no file");
     assert!(problem.contains("faults[0].file: is missing"), "{problem}");
     let problem = with(&FAULT.replace("night", "day"), RECORDING).expect_err("no such file");
     assert!(problem.contains("day.json"), "{problem}");
@@ -81,14 +92,25 @@
 #[test]
 fn a_day_with_a_recorded_night_is_worse_than_one_without() {
     let play = |experiment: &Experiment| {
-        let arm = experiment.arms.iter().find(|arm| arm.policy == "round_robin").expect("it is there");
-        play::play(experiment, arm, 1, Driver::Virtual, &|_| ControlFlow::Continue(()))
+        let arm = experiment
+            .arms
+            .iter()
+            .find(|arm| arm.policy == "round_robin")
+            .expect("it is there");
+        play::play(experiment, arm, 1, Driver::Virtual, &|_| {
+            ControlFlow::Continue(())
+        })
     };
     let bad = with(FAULT, RECORDING).expect("it makes sense");
     let mut calm = bad.clone();
     calm.faults.clear();
     let (bad, calm) = (play(&bad), play(&calm));
-    assert!(bad.void.is_none() && calm.void.is_none(), "{:?} {:?}", bad.void, calm.void);
+    assert!(
+        bad.void.is_none() && calm.void.is_none(),
+        "{:?} {:?}",
+        bad.void,
+        calm.void
+    );
     assert!(
         bad.total.attempts > calm.total.attempts,
         "{} attempts against {}",
--- a/crates/lab/tests/records_add_up.rs
+++ b/crates/lab/tests/records_add_up.rs
@@ -26,18 +26,31 @@
     let goodput: Vec<f64> = run.windows.iter().map(|w| w.earned / w.worth).collect();
     assert_eq!(goodput, [1.0, 1.0, 1.0, 0.0, 0.0, 1.0, 1.0, 1.0, 1.0, 1.0]);
     assert_eq!(run.recovery, Some(Span(0)));
-    assert_eq!(run.total.earned, run.windows.iter().map(|w| w.earned).sum::<f64>());
+    assert_eq!(
+        run.total.earned,
+        run.windows.iter().map(|w| w.earned).sum::<f64>()
+    );
     assert_eq!(run.total.failed, run.total.outcomes["error"]);
     // Half loaded, and idle while everything fails at once.
-    assert!(run.windows[1].load.iter().all(|l| (0.3..0.7).contains(l)), "{:?}", run.windows[1].load);
-    assert!(run.windows[4].load.iter().all(|l| *l == 0.0), "{:?}", run.windows[4].load);
+    assert!(
+        run.windows[1].load.iter().all(|l| (0.3..0.7).contains(l)),
+        "{:?}",
+        run.windows[1].load
+    );
+    assert!(
+        run.windows[4].load.iter().all(|l| *l == 0.0),
+        "{:?}",
+        run.windows[4].load
+    );
 }
 
 #[test]
 fn recovery_counts_from_the_end_of_the_last_fault_and_is_none_where_there_was_none() {
     let mut experiment = outage();
     // What waits at a hung server at its end takes a while.
-    experiment.faults.push(fault(FaultKind::Slow, Span::s(3), &["s"], 40.0));
+    experiment
+        .faults
+        .push(fault(FaultKind::Slow, Span::s(3), &["s"], 40.0));
     experiment.faults[1].lasts = Span::ms(2_500);
     experiment.faults[0].kind = FaultKind::Slow;
     experiment.classes[0].aim = Span::ms(100);
@@ -71,7 +84,10 @@
     experiment.classes[0].aim = Span::ms(20);
     experiment.classes[0].late_worth = 0.25;
     let run = honest(&experiment);
-    assert_eq!((run.total.late, run.total.goodput()), (run.total.asked, 0.25));
+    assert_eq!(
+        (run.total.late, run.total.goodput()),
+        (run.total.asked, 0.25)
+    );
     // The way there and back, and for some the opening of a connection, another such.
     let mean = run.total.latency.sum / run.total.asked;
     assert!((30_500..=31_000).contains(&mean), "{mean}");
--- a/crates/lab/tests/report_is_one_file.rs
+++ b/crates/lab/tests/report_is_one_file.rs
@@ -31,14 +31,28 @@
 "#;
 
 fn run(arm: &str, seed: u64) -> Run {
-    let latency = Latency { buckets: vec![(1_000 * seed, 50), (90_000, 49)], sum: 99 };
-    let tally = Tally { asked: 100, worth: 100.0, earned: 90.0, attempts: 110, latency, ..Tally::default() };
+    let latency = Latency {
+        buckets: vec![(1_000 * seed, 50), (90_000, 49)],
+        sum: 99,
+    };
+    let tally = Tally {
+        asked: 100,
+        worth: 100.0,
+        earned: 90.0,
+        attempts: 110,
+        latency,
+        ..Tally::default()
+    };
     let window = |n: u64| Window {
         worth: 10.0,
         earned: if n == 3 { 0.0 } else { 9.0 },
         classes: [("read".to_string(), (10, 9))].into(),
         // In a step nothing was answered.
-        latency: if n == 3 { (0, 0, 0) } else { (10_000, 20_000, 30_000 * seed) },
+        latency: if n == 3 {
+            (0, 0, 0)
+        } else {
+            (10_000, 20_000, 30_000 * seed)
+        },
         attempts: 11,
         load: vec![0.1 * n as f32; 40],
     };
@@ -81,7 +95,11 @@
 }
 
 fn whole() -> String {
-    page((1..=5).flat_map(|seed| [run("ours", seed), run("dice", seed)]).collect())
+    page(
+        (1..=5)
+            .flat_map(|seed| [run("ours", seed), run("dice", seed)])
+            .collect(),
+    )
 }
 
 /// Whether every tag is closed in its turn; else the tag at fault.
@@ -90,7 +108,10 @@
     let mut open: Vec<&str> = Vec::new();
     for part in page.split('<').skip(1) {
         let (tag, _) = part.split_once('>').ok_or(format!("<{part} has no end"))?;
-        let name = tag.split([' ', '\n', '/']).find(|name| !name.is_empty()).unwrap_or_default();
+        let name = tag
+            .split([' ', '\n', '/'])
+            .find(|name| !name.is_empty())
+            .unwrap_or_default();
         if tag.starts_with('/') {
             if open.pop() != Some(name) {
                 return Err(format!("</{name}> closes what is not open"));
@@ -99,7 +120,11 @@
             open.push(name);
         }
     }
-    if open.is_empty() { Ok(()) } else { Err(format!("{open:?} are not closed")) }
+    if open.is_empty() {
+        Ok(())
+    } else {
+        Err(format!("{open:?} are not closed"))
+    }
 }
 
 #[test]
@@ -111,17 +136,27 @@
 #[test]
 fn a_page_takes_nothing_from_elsewhere_and_runs_no_script() {
     let page = whole();
-    let tags: Vec<&str> =
-        page.split('<').skip(1).filter_map(|part| part.split_once('>')).map(|(tag, _)| tag).collect();
+    let tags: Vec<&str> = page
+        .split('<')
+        .skip(1)
+        .filter_map(|part| part.split_once('>'))
+        .map(|(tag, _)| tag)
+        .collect();
     for tag in &tags {
         let plain = !tag.contains("://")
             && !tag.contains("src=")
             && !tag.contains("href=")
             && !tag.starts_with("script");
-        assert!(plain && !tag.starts_with("link") && !tag.contains(" on"), "<{tag}>");
+        assert!(
+            plain && !tag.starts_with("link") && !tag.contains(" on"),
+            "<{tag}>"
+        );
     }
     assert!(!page.contains("@import") && !page.contains("url("));
-    assert!(page.contains("&lt;script src=&quot;http://x/&quot;&gt;") && page.contains("A &lt;b&gt;page"));
+    assert!(
+        page.contains("&lt;script src=&quot;http://x/&quot;&gt;")
+            && page.contains("A &lt;b&gt;page")
+    );
 }
 
 #[test]
@@ -139,7 +174,10 @@
         assert!(page.contains(&format!("aria-label=\"{part}\"")), "{part}");
     }
     assert!(page.contains("hang of 50%, from 2 s until 5 s"));
-    assert!(page.contains("std-00 ... std-01"), "many servers are taken together");
+    assert!(
+        page.contains("std-00 ... std-01"),
+        "many servers are taken together"
+    );
     assert!(
         page.contains("seed 4 is void: it &lt;panicked&gt;")
             && page.contains("dice with seed 5 is not there")
--- a/crates/lab/tests/rivals/chassis.rs
+++ b/crates/lab/tests/rivals/chassis.rs
@@ -17,12 +17,21 @@
     let sent_to: Vec<RequestId> = rig
         .list(&[listed(1)])
         .into_iter()
-        .filter_map(|a| if let Action::Send { request, .. } = a { Some(request) } else { None })
+        .filter_map(|a| {
+            if let Action::Send { request, .. } = a {
+                Some(request)
+            } else {
+                None
+            }
+        })
         .collect();
     assert_eq!(sent_to, held, "in the order in which they came");
     rig.list(&[]);
     assert!(refused(&rig.request(0).1), "no healthy upstream");
-    let draining = Listed { state: ServerState::Draining, ..listed(1) };
+    let draining = Listed {
+        state: ServerState::Draining,
+        ..listed(1)
+    };
     rig.list(&[draining]);
     assert!(refused(&rig.request(0).1));
 }
@@ -40,14 +49,31 @@
 #[test]
 fn the_list_is_asked_for_at_first_and_after_each_failure_and_the_old_one_serves_on() {
     let ask = |actions: &[Action]| {
-        actions.iter().any(|a| matches!(a, Action::SetTimer { timer: Timer::Discovery, .. }))
+        actions.iter().any(|a| {
+            matches!(
+                a,
+                Action::SetTimer {
+                    timer: Timer::Discovery,
+                    ..
+                }
+            )
+        })
     };
     let mut rig = Rig::bare("random", &[], settings(&[Effect::Safe]), 1);
     assert!(ask(&rig.list(&[listed(1)])));
-    assert_eq!(rig.event(Event::Timer(Timer::Discovery)), [Action::Subscribe]);
-    assert!(ask(&rig.event(Event::Members(Members::Failed { since: 0, waited: Micros::MAX }))));
+    assert_eq!(
+        rig.event(Event::Timer(Timer::Discovery)),
+        [Action::Subscribe]
+    );
+    assert!(ask(&rig.event(Event::Members(Members::Failed {
+        since: 0,
+        waited: Micros::MAX
+    }))));
     assert!(
-        !ask(&rig.event(Event::Members(Members::Failed { since: 0, waited: Micros::MAX }))),
+        !ask(&rig.event(Event::Members(Members::Failed {
+            since: 0,
+            waited: Micros::MAX
+        }))),
         "it is about to ask as it is"
     );
     assert!(sent(&rig.request(0).1).is_some());
@@ -61,15 +87,24 @@
             rig.request(0);
             for _ in 0..failures {
                 rig.event(Event::Timer(Timer::Discovery));
-                rig.event(Event::Members(Members::Failed { since: 0, waited: Micros::MAX }));
+                rig.event(Event::Members(Members::Failed {
+                    since: 0,
+                    waited: Micros::MAX,
+                }));
             }
             rig.event(Event::Timer(Timer::Discovery));
             if news {
                 rig.list(&[listed(1)]);
             }
-            let asked = rig.event(Event::Members(Members::Failed { since: 0, waited: Micros::MAX }));
+            let asked = rig.event(Event::Members(Members::Failed {
+                since: 0,
+                waited: Micros::MAX,
+            }));
             let at = asked.iter().find_map(|a| match a {
-                Action::SetTimer { at, timer: Timer::Discovery } => Some(*at - rig.now),
+                Action::SetTimer {
+                    at,
+                    timer: Timer::Discovery,
+                } => Some(*at - rig.now),
                 _ => None,
             });
             at.expect("asked again")
@@ -104,7 +139,10 @@
         tried.sort_unstable();
         assert_eq!(tried, [ServerId(0), ServerId(1), ServerId(2)], "each once");
         let waiting = rig.close(id, 2, sent(&actions).expect("sent"), Outcome::Error);
-        assert!(sent(&rig.wait(id, &waiting)).is_some(), "all were tried, so any will do");
+        assert!(
+            sent(&rig.wait(id, &waiting)).is_some(),
+            "all were tried, so any will do"
+        );
     }
     assert!(longest > 25 * MS, "{longest}");
 }
@@ -119,7 +157,10 @@
         let give_up = rig.now + 1_195 * MS;
         rig.now += 600 * MS;
         let next = rig.close(id, 0, sent(&actions).expect("sent"), Outcome::Error);
-        assert!(refused(&next) || sent(&rig.wait(id, &next)).is_some() && rig.now < give_up, "{next:?}");
+        assert!(
+            refused(&next) || sent(&rig.wait(id, &next)).is_some() && rig.now < give_up,
+            "{next:?}"
+        );
     }
 }
 
@@ -136,19 +177,36 @@
 
 #[test]
 fn what_was_measured_of_a_server_goes_with_its_process() {
-    let mut rig = Rig::new("envoy_outlier", &[("backoff_ms", 0.0)], settings(&[Effect::Unsafe]), 2);
+    let mut rig = Rig::new(
+        "envoy_outlier",
+        &[("backoff_ms", 0.0)],
+        settings(&[Effect::Unsafe]),
+        2,
+    );
     let bad = |rig: &mut Rig| {
         let mut failures = 0;
         for _ in 0..100 {
             let (id, actions) = rig.request(0);
             let server = sent(&actions).expect("sent");
             failures += u32::from(server == ServerId(0));
-            rig.close(id, 0, server, if server == ServerId(0) { Outcome::Error } else { Outcome::Ok });
+            rig.close(
+                id,
+                0,
+                server,
+                if server == ServerId(0) {
+                    Outcome::Error
+                } else {
+                    Outcome::Ok
+                },
+            );
         }
         failures
     };
     assert_eq!(bad(&mut rig), 5);
-    let again = Listed { started: Some(rig.now), ..listed(0) };
+    let again = Listed {
+        started: Some(rig.now),
+        ..listed(0)
+    };
     rig.event(Event::Members(Members::Changes(&[again])));
     assert_eq!(bad(&mut rig), 5, "a clean slate for a new process");
     rig.event(Event::Members(Members::Changes(&[again])));
@@ -158,20 +216,33 @@
 #[test]
 fn a_fifth_of_open_requests_may_be_on_a_retry_but_three_always() {
     for (requests, expected) in [(5, 3), (40, 8)] {
-        let mut rig = Rig::new("random", &[("backoff_ms", 0.0)], settings(&[Effect::Safe]), 8);
+        let mut rig = Rig::new(
+            "random",
+            &[("backoff_ms", 0.0)],
+            settings(&[Effect::Safe]),
+            8,
+        );
         let opened: Vec<(RequestId, Vec<Action>)> = (0..requests).map(|_| rig.request(0)).collect();
         let mut retried = 0;
         for (id, actions) in &opened {
             let next = rig.close(*id, 0, sent(actions).expect("sent"), Outcome::Full);
             retried += u32::from(sent(&next).is_some());
         }
-        assert!(retried >= 3 && retried <= expected, "{retried} of {requests}");
+        assert!(
+            retried >= 3 && retried <= expected,
+            "{retried} of {requests}"
+        );
     }
 }
 
 #[test]
 fn what_is_over_counts_for_no_budget() {
-    let mut rig = Rig::new("random", &[("backoff_ms", 0.0)], settings(&[Effect::Safe]), 8);
+    let mut rig = Rig::new(
+        "random",
+        &[("backoff_ms", 0.0)],
+        settings(&[Effect::Safe]),
+        8,
+    );
     for _ in 0..200 {
         let (id, actions) = rig.request(0);
         rig.close(id, 0, sent(&actions).expect("sent"), Outcome::Ok);
@@ -185,7 +256,11 @@
 
 #[test]
 fn a_retry_that_has_ended_gives_its_place_back() {
-    let with = [("backoff_ms", 0.0), ("retry_floor", 1.0), ("retry_share", 0.0)];
+    let with = [
+        ("backoff_ms", 0.0),
+        ("retry_floor", 1.0),
+        ("retry_share", 0.0),
+    ];
     let mut rig = Rig::new("random", &with, settings(&[Effect::Safe]), 8);
     for _ in 0..50 {
         let (id, actions) = rig.request(0);
@@ -223,30 +298,58 @@
     for _ in 0..20 {
         let (mut rig, id, server) = open(keyed(Scope::Zone, 6 * S), &[("backoff_ms", 0.0)]);
         let next = rig.close(id, 0, server, Outcome::Error);
-        assert_eq!(sent(&next).expect("sent").0 % 2, server.0 % 2, "the repeat left its zone");
+        assert_eq!(
+            sent(&next).expect("sent").0 % 2,
+            server.0 % 2,
+            "the repeat left its zone"
+        );
     }
     let (mut rig, id, server) = open(keyed(Scope::All, 100 * MS), &[("backoff_ms", 0.0)]);
     rig.now += 95 * MS;
-    assert!(failed(&rig.close(id, 0, server, Outcome::Error)), "they will have forgotten it within a tick");
+    assert!(
+        failed(&rig.close(id, 0, server, Outcome::Error)),
+        "they will have forgotten it within a tick"
+    );
     let (mut rig, id, server) = open(keyed(Scope::Cell, 6 * S), &[("backoff_ms", 0.0)]);
     rig.event(Event::Members(Members::Full(&[listed(server.0 + 1)])));
-    assert!(failed(&rig.close(id, 0, server, Outcome::Error)), "its cell has no server left");
+    assert!(
+        failed(&rig.close(id, 0, server, Outcome::Error)),
+        "its cell has no server left"
+    );
 }
 
 #[test]
 fn a_silent_server_costs_one_answer_in_time_and_the_attempt_is_called_off_where_that_is_allowed() {
-    for (effect, cancel) in [(Effect::Safe, true), (Effect::Safe, false), (Effect::Unsafe, true)] {
+    for (effect, cancel) in [
+        (Effect::Safe, true),
+        (Effect::Safe, false),
+        (Effect::Unsafe, true),
+    ] {
         let mut site = settings(&[effect]);
         site.limits.cancel = cancel;
         let mut rig = Rig::new("random", &[], site, 4);
         let start = rig.now;
         let (id, actions) = rig.request(0);
-        let Some(Action::Send { timeout_at, .. }) = actions.first() else { panic!("{actions:?}") };
+        let Some(Action::Send { timeout_at, .. }) = actions.first() else {
+            panic!("{actions:?}")
+        };
         assert_eq!(*timeout_at, start + 1_195 * MS);
         let last = rig.wait(id, &actions);
-        assert_eq!((refused(&last), failed(&last)), (effect == Effect::Safe, effect != Effect::Safe));
-        assert_eq!(last.contains(&Action::Cancel { request: id, attempt: 0 }), cancel);
-        assert!(rig.event(Event::Timer(Timer::Request(id))).is_empty(), "one answer");
+        assert_eq!(
+            (refused(&last), failed(&last)),
+            (effect == Effect::Safe, effect != Effect::Safe)
+        );
+        assert_eq!(
+            last.contains(&Action::Cancel {
+                request: id,
+                attempt: 0
+            }),
+            cancel
+        );
+        assert!(
+            rig.event(Event::Timer(Timer::Request(id))).is_empty(),
+            "one answer"
+        );
     }
 }
 
@@ -255,30 +358,57 @@
     let (mut rig, id, server) = open(Effect::Safe, &[("try_share", 0.5), ("backoff_ms", 0.0)]);
     rig.now += 600 * MS;
     let next = rig.close(id, 0, server, Outcome::Timeout);
-    let Some(Action::Send { timeout_at, .. }) = next.first() else { panic!("{next:?}") };
+    let Some(Action::Send { timeout_at, .. }) = next.first() else {
+        panic!("{next:?}")
+    };
     assert_eq!(*timeout_at, rig.now + 595 * MS / 2);
 }
 
 #[test]
 fn a_client_that_left_and_a_stream_that_flows_are_owed_nothing() {
     let (mut rig, id, server) = open(Effect::Safe, &[]);
-    assert_eq!(rig.event(Event::ClientGone(id)), [Action::Cancel { request: id, attempt: 0 }]);
+    assert_eq!(
+        rig.event(Event::ClientGone(id)),
+        [Action::Cancel {
+            request: id,
+            attempt: 0
+        }]
+    );
     assert!(rig.close(id, 0, server, Outcome::Error).is_empty());
     let (mut rig, id, server) = open(Effect::Safe, &[]);
-    assert!(rig.event(Event::Begun { request: id, attempt: 0 }).is_empty());
+    assert!(
+        rig.event(Event::Begun {
+            request: id,
+            attempt: 0
+        })
+        .is_empty()
+    );
     rig.now += 10 * S;
-    assert!(rig.event(Event::Timer(Timer::Request(id))).is_empty(), "it has no deadline now");
+    assert!(
+        rig.event(Event::Timer(Timer::Request(id))).is_empty(),
+        "it has no deadline now"
+    );
     assert!(rig.close(id, 0, server, Outcome::Reset).is_empty());
 }
 
 #[test]
 fn refusals_say_when_to_come_back_where_the_site_does() {
-    for (allowed, figure, advice) in [(true, 1.0, Some(2 * S)), (true, 0.0, None), (false, 1.0, None)] {
+    for (allowed, figure, advice) in [
+        (true, 1.0, Some(2 * S)),
+        (true, 0.0, None),
+        (false, 1.0, None),
+    ] {
         let mut site = settings(&[Effect::Safe]);
         site.limits.retry_after = allowed;
         let mut rig = Rig::new("random", &[("retry_after", figure)], site, 0);
         let (request, actions) = rig.request(0);
-        assert_eq!(actions, [Action::Refuse { request, retry_after: advice }]);
+        assert_eq!(
+            actions,
+            [Action::Refuse {
+                request,
+                retry_after: advice
+            }]
+        );
     }
 }
 
@@ -296,7 +426,12 @@
     };
     let mut all = std::collections::BTreeSet::new();
     for seed in 0..40 {
-        let mut rig = Rig::bare("random", &[("subset", 4.0)], settings(&[Effect::Safe]), seed);
+        let mut rig = Rig::bare(
+            "random",
+            &[("subset", 4.0)],
+            settings(&[Effect::Safe]),
+            seed,
+        );
         rig.list(&(0..20).map(listed).collect::<Vec<_>>());
         let first = used(&mut rig);
         assert_eq!(first.len(), 4);
--- a/crates/lab/tests/rivals/choices.rs
+++ b/crates/lab/tests/rivals/choices.rs
@@ -29,17 +29,26 @@
 fn random_is_uniform() {
     for seed in 0..5 {
         let counts = counts(&mut Random::new(seed), &loaded(&[0; 10]));
-        assert!(chi_square(&counts, &[DRAWS as f64 / 10.0; 10]) < CHI.0, "seed {seed}: {counts:?}");
+        assert!(
+            chi_square(&counts, &[DRAWS as f64 / 10.0; 10]) < CHI.0,
+            "seed {seed}: {counts:?}"
+        );
     }
 }
 
 #[test]
 fn weighted_random_goes_by_listed_capacity() {
     let fleet = weighted(&[(1.0, 0), (2.0, 0), (3.0, 9), (4.0, 0), (0.5, 0), (0.5, 0)]);
-    let expected: Vec<f64> = [1.0, 2.0, 3.0, 4.0, 0.5, 0.5].iter().map(|w| DRAWS as f64 * w / 11.0).collect();
+    let expected: Vec<f64> = [1.0, 2.0, 3.0, 4.0, 0.5, 0.5]
+        .iter()
+        .map(|w| DRAWS as f64 * w / 11.0)
+        .collect();
     for seed in 0..5 {
         let counts = counts(&mut WeightedRandom::new(seed), &fleet);
-        assert!(chi_square(&counts, &expected) < CHI.1, "seed {seed}: {counts:?}");
+        assert!(
+            chi_square(&counts, &expected) < CHI.1,
+            "seed {seed}: {counts:?}"
+        );
     }
 }
 
@@ -54,7 +63,10 @@
         *pairs.entry((drawn[0].0, drawn[1].0)).or_default() += 1.0;
     }
     let counts: Vec<f64> = pairs.into_values().collect();
-    assert!(chi_square(&counts, &[DRAWS as f64 / 20.0; 20]) < CHI.2, "{counts:?}");
+    assert!(
+        chi_square(&counts, &[DRAWS as f64 / 20.0; 20]) < CHI.2,
+        "{counts:?}"
+    );
     assert!(draw(&mut random, &[], 2).is_empty());
 }
 
@@ -70,7 +82,10 @@
         drawn.dedup();
         assert_eq!(drawn.len(), 12);
     }
-    assert!(chi_square(&firsts, &[DRAWS as f64 / 20.0; 20]) < CHI.2, "{firsts:?}");
+    assert!(
+        chi_square(&firsts, &[DRAWS as f64 / 20.0; 20]) < CHI.2,
+        "{firsts:?}"
+    );
     let mut all = draw(&mut random, &ids, 99);
     all.sort_unstable();
     assert_eq!(all.to_vec(), ids, "more than there are gives all");
@@ -111,11 +126,20 @@
     let fleet = loaded(&loads);
     let with = BTreeMap::new();
     for seed in 0..5 {
-        let counts = counts(&mut LeastOfTwo::new(&mut Figures::new("", &with), seed), &fleet);
-        let expected: Vec<f64> =
-            loads.iter().map(|rank| DRAWS as f64 * 2.0 * (9.0 - f64::from(*rank)) / 90.0).collect();
-        let (busiest, rest): (Vec<_>, Vec<_>) = counts.iter().zip(&expected).partition(|(_, e)| **e == 0.0);
-        assert!(busiest.iter().all(|(c, _)| **c == 0.0), "the busiest of all was taken");
+        let counts = counts(
+            &mut LeastOfTwo::new(&mut Figures::new("", &with), seed),
+            &fleet,
+        );
+        let expected: Vec<f64> = loads
+            .iter()
+            .map(|rank| DRAWS as f64 * 2.0 * (9.0 - f64::from(*rank)) / 90.0)
+            .collect();
+        let (busiest, rest): (Vec<_>, Vec<_>) =
+            counts.iter().zip(&expected).partition(|(_, e)| **e == 0.0);
+        assert!(
+            busiest.iter().all(|(c, _)| **c == 0.0),
+            "the busiest of all was taken"
+        );
         let (c, e): (Vec<f64>, Vec<f64>) = rest.into_iter().unzip();
         assert!(chi_square(&c, &e) < CHI.0, "seed {seed}: {counts:?}");
     }
@@ -144,7 +168,10 @@
     let with = BTreeMap::new();
     let one = fullest(&mut Random::new(5));
     let two = fullest(&mut LeastOfTwo::new(&mut Figures::new("", &with), 5));
-    assert!(one >= 5 && two <= 4, "{one} with one choice, {two} with two");
+    assert!(
+        one >= 5 && two <= 4,
+        "{one} with one choice, {two} with two"
+    );
 }
 
 proptest! {
@@ -217,7 +244,14 @@
     };
     // A second without news: the default of server 0 and the start of server 1 fade alike, then 1 answers fast.
     choice.closed(10 * S, 0, &closed(5 * MS), &fleet);
-    assert_eq!(choice.choose(10 * S, &request(0, 0), fleet.ready(), &fleet), ServerId(0), "both fade to 0");
+    assert_eq!(
+        choice.choose(10 * S, &request(0, 0), fleet.ready(), &fleet),
+        ServerId(0),
+        "both fade to 0"
+    );
     choice.forget(ServerId(0));
-    assert_eq!(choice.choose(10 * S, &request(0, 0), fleet.ready(), &fleet), ServerId(1));
+    assert_eq!(
+        choice.choose(10 * S, &request(0, 0), fleet.ready(), &fleet),
+        ServerId(1)
+    );
 }
--- a/crates/lab/tests/rivals/envoy.rs
+++ b/crates/lab/tests/rivals/envoy.rs
@@ -17,7 +17,8 @@
 fn shares(choice: &mut dyn Choice, now: Micros, fleet: &Fleet, draws: usize) -> Vec<f64> {
     let mut counts = vec![0.0; fleet.ready().len()];
     for _ in 0..draws {
-        counts[choice.choose(now, &request(1, 0), fleet.ready(), fleet).0 as usize] += 1.0 / draws as f64;
+        counts[choice.choose(now, &request(1, 0), fleet.ready(), fleet).0 as usize] +=
+            1.0 / draws as f64;
     }
     counts
 }
@@ -53,8 +54,22 @@
 
 #[test]
 fn slow_start_gives_a_young_server_its_part_and_is_off_unless_asked_for() {
-    let young = Member { listed: Listed { started: Some(100 * S), ..listed(1) }, out: 0 };
-    let fleet: Fleet = [Member { listed: listed(0), out: 0 }, young].into_iter().collect();
+    let young = Member {
+        listed: Listed {
+            started: Some(100 * S),
+            ..listed(1)
+        },
+        out: 0,
+    };
+    let fleet: Fleet = [
+        Member {
+            listed: listed(0),
+            out: 0,
+        },
+        young,
+    ]
+    .into_iter()
+    .collect();
     let on = [("slow_start_ms", 10_000.0)];
     for (with, age, expected) in [
         (&[] as &[(&str, f64)], 0, 1.0),
@@ -66,9 +81,15 @@
     ] {
         let mut choice = least_request(with, &fleet);
         let now = 100 * S + age;
-        assert!((choice.weight(now, ServerId(1), &fleet) - expected).abs() < 1e-9, "{with:?} at {age}");
+        assert!(
+            (choice.weight(now, ServerId(1), &fleet) - expected).abs() < 1e-9,
+            "{with:?} at {age}"
+        );
         let share = shares(&mut choice, now, &fleet, 4_000)[1];
-        assert!((share - expected / (1.0 + expected)).abs() < 0.03, "{with:?} at {age}: {share}");
+        assert!(
+            (share - expected / (1.0 + expected)).abs() < 0.03,
+            "{with:?} at {age}: {share}"
+        );
     }
 }
 
@@ -81,7 +102,10 @@
     fn new(count: usize) -> Self {
         let with = figures(&[]);
         let outliers = Outliers::new(&mut Figures::new("", &with), Box::new(Random::new(1)));
-        let mut hosts = Hosts { outliers, fleet: loaded(&vec![0; count]) };
+        let mut hosts = Hosts {
+            outliers,
+            fleet: loaded(&vec![0; count]),
+        };
         hosts.outliers.listed(0, &hosts.fleet);
         hosts
     }
@@ -89,7 +113,14 @@
     fn close(&mut self, now: Micros, server: u64, outcome: Outcome, times: usize) {
         for _ in 0..times {
             let server = ServerId(server);
-            let closed = Closed { request: 1, attempt: 0, server, outcome, elapsed: MS, ended: false };
+            let closed = Closed {
+                request: 1,
+                attempt: 0,
+                server,
+                outcome,
+                elapsed: MS,
+                ended: false,
+            };
             self.outliers.closed(now, 0, &closed, &self.fleet);
         }
     }
@@ -104,19 +135,32 @@
 #[test]
 fn five_failures_in_a_row_eject_a_host_for_half_a_minute_and_then_for_longer() {
     let mut hosts = Hosts::new(10);
-    for outcome in [Outcome::Error, Outcome::Full, Outcome::Timeout, Outcome::Reset] {
+    for outcome in [
+        Outcome::Error,
+        Outcome::Full,
+        Outcome::Timeout,
+        Outcome::Reset,
+    ] {
         hosts.close(0, 3, outcome, 1);
     }
     assert_eq!(hosts.ejected(0), [0; 0], "four are not enough");
     hosts.close(0, 3, Outcome::Ok, 1);
     hosts.close(0, 3, Outcome::ConnectFailed, 4);
     hosts.close(0, 3, Outcome::Moot, 3);
-    assert_eq!(hosts.ejected(0), [0; 0], "not in a row, and what was never sent does not count");
+    assert_eq!(
+        hosts.ejected(0),
+        [0; 0],
+        "not in a row, and what was never sent does not count"
+    );
     hosts.close(0, 3, Outcome::Error, 1);
     assert_eq!(hosts.ejected(30 * S - 1), [3]);
     assert_eq!(hosts.ejected(30 * S), [0; 0]);
     hosts.close(30 * S, 3, Outcome::Error, 5);
-    assert_eq!(hosts.ejected(90 * S - 1), [3], "twice as long the second time");
+    assert_eq!(
+        hosts.ejected(90 * S - 1),
+        [3],
+        "twice as long the second time"
+    );
     assert_eq!(hosts.ejected(90 * S), [0; 0]);
 }
 
@@ -125,9 +169,15 @@
     let mut hosts = Hosts::new(10);
     for _ in 0..3 {
         hosts.close(0, 3, Outcome::Error, 5);
-        hosts.outliers.choose(0, &request(1, 0), hosts.fleet.ready(), &hosts.fleet);
+        hosts
+            .outliers
+            .choose(0, &request(1, 0), hosts.fleet.ready(), &hosts.fleet);
     }
-    assert_eq!(hosts.ejected(29 * S), [3], "while it is ejected it is not ejected again");
+    assert_eq!(
+        hosts.ejected(29 * S),
+        [3],
+        "while it is ejected it is not ejected again"
+    );
     // It is back at 30 s, which the interval's end at 39 s notes; one more goes by without an ejection.
     for now in [39 * S, 49 * S] {
         assert_eq!(hosts.ejected(now), [0; 0]);
@@ -153,7 +203,10 @@
 fn where_most_hosts_are_ejected_all_are_used() {
     let with = figures(&[("ejected_share", 1.0)]);
     let outliers = Outliers::new(&mut Figures::new("", &with), Box::new(Random::new(1)));
-    let mut hosts = Hosts { outliers, ..Hosts::new(10) };
+    let mut hosts = Hosts {
+        outliers,
+        ..Hosts::new(10)
+    };
     for server in 0..5 {
         hosts.close(0, server, Outcome::Error, 5);
     }
@@ -167,12 +220,24 @@
     let run = |volume: usize, servers: &[u64]| {
         let with = figures(&[("deviations", 1.0)]);
         let outliers = Outliers::new(&mut Figures::new("", &with), Box::new(Random::new(1)));
-        let mut hosts = Hosts { outliers, ..Hosts::new(10) };
+        let mut hosts = Hosts {
+            outliers,
+            ..Hosts::new(10)
+        };
         hosts.close(0, 0, Outcome::Ok, 1);
         for _ in 0..volume / 2 {
             for server in servers {
                 hosts.close(S, *server, Outcome::Ok, 1);
-                hosts.close(S, *server, if *server == 7 { Outcome::Error } else { Outcome::Ok }, 1);
+                hosts.close(
+                    S,
+                    *server,
+                    if *server == 7 {
+                        Outcome::Error
+                    } else {
+                        Outcome::Ok
+                    },
+                    1,
+                );
             }
         }
         let before = hosts.ejected(9 * S);
@@ -180,7 +245,11 @@
         hosts.ejected(10 * S)
     };
     assert_eq!(run(102, &[0, 1, 3, 5, 7]), [7]);
-    assert_eq!(run(98, &[0, 1, 3, 5, 7]), [0; 0], "too few requests to tell");
+    assert_eq!(
+        run(98, &[0, 1, 3, 5, 7]),
+        [0; 0],
+        "too few requests to tell"
+    );
     assert_eq!(run(102, &[1, 3, 5, 7]), [0; 0], "too few hosts to tell");
 }
 
--- a/crates/lab/tests/rivals/figures.rs
+++ b/crates/lab/tests/rivals/figures.rs
@@ -19,14 +19,20 @@
 #[test]
 fn an_unknown_policy_is_told_with_those_that_are_known() {
     let problem = refusal("leest", &[]);
-    assert!(problem.contains("`leest`") && KNOWN.iter().all(|(name, _)| problem.contains(name)), "{problem}");
+    assert!(
+        problem.contains("`leest`") && KNOWN.iter().all(|(name, _)| problem.contains(name)),
+        "{problem}"
+    );
 }
 
 #[test]
 fn an_unknown_figure_is_told_with_those_that_the_policy_takes() {
     for (policy, _) in KNOWN {
         let problem = refusal(policy, &[("quantil", 0.5)]);
-        assert!(problem.contains("quantil") && problem.contains("max_attempts"), "{policy}: {problem}");
+        assert!(
+            problem.contains("quantil") && problem.contains("max_attempts"),
+            "{policy}: {problem}"
+        );
     }
     assert!(refusal("prequal", &[("decay_ms", 5.0)]).contains("quantile"));
     assert!(refusal("madderloom", &[("backoff_ms", 5.0)]).contains("takes no such figure"));
@@ -35,11 +41,23 @@
 #[test]
 fn a_figure_out_of_its_bounds_is_told_with_them() {
     let problem = refusal("prequal", &[("quantile", 1.5)]);
-    assert_eq!(problem, "quantile = 1.5: policy `prequal` takes it from 0 to 1");
+    assert_eq!(
+        problem,
+        "quantile = 1.5: policy `prequal` takes it from 0 to 1"
+    );
     for value in [f64::NAN, f64::INFINITY, -1.0] {
-        assert!(refusal("peak_ewma", &[("decay_ms", value)]).starts_with("decay_ms"), "{value}");
+        assert!(
+            refusal("peak_ewma", &[("decay_ms", value)]).starts_with("decay_ms"),
+            "{value}"
+        );
     }
-    assert_eq!(check("prequal", &figures(&[("quantile", 0.5), ("backoff_ms", 0.0)])), Ok(()));
+    assert_eq!(
+        check(
+            "prequal",
+            &figures(&[("quantile", 0.5), ("backoff_ms", 0.0)])
+        ),
+        Ok(())
+    );
 }
 
 #[test]
@@ -52,7 +70,10 @@
 
 #[test]
 fn settings_that_make_no_sense_are_refused() {
-    let settings = Settings { classes: Vec::new(), ..settings(&[Effect::Safe]) };
+    let settings = Settings {
+        classes: Vec::new(),
+        ..settings(&[Effect::Safe])
+    };
     assert!(make("random", &figures(&[]), settings, 1, None).is_err());
 }
 
--- a/crates/lab/tests/rivals/prequal.rs
+++ b/crates/lab/tests/rivals/prequal.rs
@@ -9,7 +9,13 @@
 use std::collections::BTreeMap;
 
 fn probe(server: u64, in_flight: f64, latency: f64) -> Probe {
-    Probe { server: ServerId(server), at: 0, in_flight, latency, uses: 1 }
+    Probe {
+        server: ServerId(server),
+        at: 0,
+        in_flight,
+        latency,
+        uses: 1,
+    }
 }
 
 fn prequal(with: &[(&str, f64)], servers: usize) -> (Prequal, Fleet) {
@@ -66,8 +72,16 @@
 fn an_answer_is_reused_as_the_paper_says() {
     // With the paper's figures: 16 of 100 servers in the pool, 3 probes, 1 removed.
     assert!((reuses(1.0, 16.0, 100.0, 3.0, 1.0) - 2.0 / 1.52).abs() < 1e-12);
-    assert_eq!(reuses(1.0, 16.0, 1_000.0, 5.0, 1.0), 1.0, "once at the least");
-    assert_eq!(reuses(1.0, 16.0, 10.0, 3.0, 1.0), f64::INFINITY, "no more probes come than go");
+    assert_eq!(
+        reuses(1.0, 16.0, 1_000.0, 5.0, 1.0),
+        1.0,
+        "once at the least"
+    );
+    assert_eq!(
+        reuses(1.0, 16.0, 10.0, 3.0, 1.0),
+        f64::INFINITY,
+        "no more probes come than go"
+    );
 }
 
 #[test]
@@ -83,7 +97,12 @@
     }
     // The 99.9th percentile of chi-square with 19 degrees of freedom; draws without repeats vary less.
     assert!(chi_square(&counts, &[600.0; 20]) < 43.82, "{counts:?}");
-    let mut rig = Rig::new("prequal", &[("probe_rate", 0.25)], settings(&[Effect::Safe]), 20);
+    let mut rig = Rig::new(
+        "prequal",
+        &[("probe_rate", 0.25)],
+        settings(&[Effect::Safe]),
+        20,
+    );
     let asked: usize = (0..400).map(|_| asked(&rig.request(0).1).len()).sum();
     assert_eq!(asked, 100, "a part of a probe is owed to the next request");
 }
@@ -95,15 +114,24 @@
     let only = [ServerId(server)];
     prequal.choose(0, &request(id, 0), &only, &fleet);
     prequal.sent(0, only[0], (id, 0));
-    let closed =
-        Closed { request: id, attempt: 0, server: only[0], outcome: Outcome::Ok, elapsed, ended: true };
+    let closed = Closed {
+        request: id,
+        attempt: 0,
+        server: only[0],
+        outcome: Outcome::Ok,
+        elapsed,
+        ended: true,
+    };
     prequal.closed(0, 0, &closed, &fleet);
 }
 
 #[test]
 fn the_cold_answer_with_the_least_latency_gets_the_request() {
     let (mut prequal, fleet) = prequal(&[("quantile", 0.5), ("remove", 0.0), ("least", 1.0)], 6);
-    for (id, (server, elapsed)) in [(0, 10 * MS), (1, 30 * MS), (2, 20 * MS)].into_iter().enumerate() {
+    for (id, (server, elapsed)) in [(0, 10 * MS), (1, 30 * MS), (2, 20 * MS)]
+        .into_iter()
+        .enumerate()
+    {
         serve(&mut prequal, id as u64, server, 1.0, elapsed);
     }
     for (server, held) in [(0, 9.0), (1, 1.0), (2, 1.0)] {
@@ -130,7 +158,11 @@
         prequal.pool().last().map(|p| p.latency)
     };
     assert_eq!((told(0, 2.0), told(0, 10.0)), (Some(5e3), Some(5e4)));
-    assert_eq!(told(4, 2.0), Some(5e3), "nothing is measured of it: all servers stand for it");
+    assert_eq!(
+        told(4, 2.0),
+        Some(5e3),
+        "nothing is measured of it: all servers stand for it"
+    );
     prequal.forget(ServerId(0));
     assert!(prequal.pool().iter().all(|p| p.server == ServerId(4)));
 }
@@ -145,8 +177,9 @@
     for (server, held) in [(0, 4.0), (1, 2.0), (2, 3.0)] {
         answer(&mut prequal, 0, server, held);
     }
-    let taken: Vec<u64> =
-        (0..6).map(|id| prequal.choose(0, &request(id, 0), fleet.ready(), &fleet).0).collect();
+    let taken: Vec<u64> = (0..6)
+        .map(|id| prequal.choose(0, &request(id, 0), fleet.ready(), &fleet).0)
+        .collect();
     assert_eq!(
         taken,
         [1, 1, 2, 0, 1, 2],
@@ -162,7 +195,11 @@
     }
     assert_eq!(servers(&prequal), [1, 0, 2], "one for each server");
     answer(&mut prequal, 40, 3, 1.0);
-    assert_eq!(servers(&prequal), [0, 2, 3], "the oldest goes where it is full");
+    assert_eq!(
+        servers(&prequal),
+        [0, 2, 3],
+        "the oldest goes where it is full"
+    );
     prequal.choose(S + 25, &request(1, 0), fleet.ready(), &fleet);
     assert_eq!(servers(&prequal), [2, 3], "older than a second");
     prequal.probed(50, ServerId(2), None);
@@ -175,12 +212,21 @@
 fn the_oldest_and_the_worst_are_removed_in_turn() {
     let (mut prequal, fleet) = prequal(&[], 12);
     for server in 0..8 {
-        answer(&mut prequal, 0, server, if server == 5 { 30.0 } else { 1.0 });
+        answer(
+            &mut prequal,
+            0,
+            server,
+            if server == 5 { 30.0 } else { 1.0 },
+        );
     }
     prequal.choose(0, &request(1, 0), fleet.ready(), &fleet);
     assert_eq!(servers(&prequal), [1, 2, 3, 4, 5, 6, 7]);
     prequal.choose(0, &request(2, 0), fleet.ready(), &fleet);
-    assert_eq!(servers(&prequal), [1, 2, 3, 4, 6, 7], "5 has by far the most in flight");
+    assert_eq!(
+        servers(&prequal),
+        [1, 2, 3, 4, 6, 7],
+        "5 has by far the most in flight"
+    );
 }
 
 #[test]
--- a/crates/lab/tests/rivals/rig.rs
+++ b/crates/lab/tests/rivals/rig.rs
@@ -11,7 +11,14 @@
 pub const S: Micros = 1_000_000;
 
 pub fn class(effect: Effect) -> Class {
-    Class { aim: 400 * MS, aim_stretch: 0.0, deadline: 1_200 * MS, effect, worth: 1.0, late_worth: 0.0 }
+    Class {
+        aim: 400 * MS,
+        aim_stretch: 0.0,
+        deadline: 1_200 * MS,
+        effect,
+        worth: 1.0,
+        late_worth: 0.0,
+    }
 }
 
 pub fn settings(effects: &[Effect]) -> Settings {
@@ -29,8 +36,17 @@
             max_retry_after: 2 * S,
             max_attempts: 4,
         },
-        rules: Rules { cold_from: 0.2, cold: 10 * S, fall: S, ask_within: 10 * S, drain_grace: 3 * S },
-        prices: Prices { cross_zone: 0.02, probe: 0.01 },
+        rules: Rules {
+            cold_from: 0.2,
+            cold: 10 * S,
+            fall: S,
+            ask_within: 10 * S,
+            drain_grace: 3 * S,
+        },
+        prices: Prices {
+            cross_zone: 0.02,
+            probe: 0.01,
+        },
         worth_by_work: false,
     }
 }
@@ -38,7 +54,15 @@
 pub fn listed(server: u64) -> Listed {
     let zone = (server % 2) as u32;
     let state = ServerState::Ready;
-    Listed { server: ServerId(server), zone, cell: zone, kind: 0, started: None, capacity: 1.0, state }
+    Listed {
+        server: ServerId(server),
+        zone,
+        cell: zone,
+        kind: 0,
+        started: None,
+        capacity: 1.0,
+        state,
+    }
 }
 
 /// A fleet with so many requests out at each of its servers.
@@ -49,7 +73,10 @@
 /// The same with listed capacities.
 pub fn weighted(servers: &[(f64, u32)]) -> Fleet {
     let member = |(at, (capacity, out)): (usize, &(f64, u32))| Member {
-        listed: Listed { capacity: *capacity, ..listed(at as u64) },
+        listed: Listed {
+            capacity: *capacity,
+            ..listed(at as u64)
+        },
         out: *out,
     };
     servers.iter().enumerate().map(member).collect()
@@ -59,8 +86,13 @@
 #[derive(Default)]
 pub struct Known(pub BTreeMap<ServerId, Option<ServerTruth>>);
 
-pub const IDLE: ServerTruth =
-    ServerTruth { backlog: 0.0, speed: 1.0, free_cores: 1, failing: 0.0, takes_work: true };
+pub const IDLE: ServerTruth = ServerTruth {
+    backlog: 0.0,
+    speed: 1.0,
+    free_cores: 1,
+    failing: 0.0,
+    takes_work: true,
+};
 
 impl Truth for Known {
     fn server(&self, server: ServerId) -> Option<ServerTruth> {
@@ -69,11 +101,21 @@
 }
 
 pub fn request(id: RequestId, class: u32) -> NewRequest {
-    NewRequest { id, class, tenant: 0, key: None, time_left: 1_200 * MS, cost: None, repeat: false }
+    NewRequest {
+        id,
+        class,
+        tenant: 0,
+        key: None,
+        time_left: 1_200 * MS,
+        cost: None,
+        repeat: false,
+    }
 }
 
 pub fn figures(with: &[(&str, f64)]) -> BTreeMap<String, f64> {
-    with.iter().map(|(name, value)| (name.to_string(), *value)).collect()
+    with.iter()
+        .map(|(name, value)| (name.to_string(), *value))
+        .collect()
 }
 
 /// One policy and the time that it is told.
@@ -87,8 +129,13 @@
     /// A policy that knows no list yet.
     pub fn bare(policy: &str, with: &[(&str, f64)], settings: Settings, seed: u64) -> Self {
         let truth: Rc<dyn Truth> = Rc::new(Known::default());
-        let policy = make(policy, &figures(with), settings, seed, Some(truth)).expect("a sound arm");
-        Rig { policy, now: 1_000 * S, next: 0 }
+        let policy =
+            make(policy, &figures(with), settings, seed, Some(truth)).expect("a sound arm");
+        Rig {
+            policy,
+            now: 1_000 * S,
+            next: 0,
+        }
     }
 
     /// One that knows so many servers.
@@ -110,12 +157,28 @@
 
     pub fn request(&mut self, class: u32) -> (RequestId, Vec<Action>) {
         self.next += 1;
-        (self.next, self.event(Event::Request(request(self.next, class))))
+        (
+            self.next,
+            self.event(Event::Request(request(self.next, class))),
+        )
     }
 
-    pub fn close(&mut self, id: RequestId, attempt: u32, server: ServerId, outcome: Outcome) -> Vec<Action> {
+    pub fn close(
+        &mut self,
+        id: RequestId,
+        attempt: u32,
+        server: ServerId,
+        outcome: Outcome,
+    ) -> Vec<Action> {
         let ended = outcome == Outcome::Ok;
-        self.event(Event::Closed(Closed { request: id, attempt, server, outcome, elapsed: MS, ended }))
+        self.event(Event::Closed(Closed {
+            request: id,
+            attempt,
+            server,
+            outcome,
+            elapsed: MS,
+            ended,
+        }))
     }
 
     /// The time goes on to the timer that was set for a request, and it comes due.
@@ -130,11 +193,26 @@
 }
 
 pub fn sent(actions: &[Action]) -> Option<ServerId> {
-    actions.iter().find_map(|a| if let Action::Send { server, .. } = a { Some(*server) } else { None })
+    actions.iter().find_map(|a| {
+        if let Action::Send { server, .. } = a {
+            Some(*server)
+        } else {
+            None
+        }
+    })
 }
 
 pub fn asked(actions: &[Action]) -> Vec<ServerId> {
-    actions.iter().filter_map(|a| if let Action::Probe(server) = a { Some(*server) } else { None }).collect()
+    actions
+        .iter()
+        .filter_map(|a| {
+            if let Action::Probe(server) = a {
+                Some(*server)
+            } else {
+                None
+            }
+        })
+        .collect()
 }
 
 pub fn refused(actions: &[Action]) -> bool {
@@ -147,5 +225,9 @@
 
 /// Pearson's statistic of counts against expected ones.
 pub fn chi_square(counts: &[f64], expected: &[f64]) -> f64 {
-    counts.iter().zip(expected).map(|(c, e)| (c - e).powi(2) / e).sum()
+    counts
+        .iter()
+        .zip(expected)
+        .map(|(c, e)| (c - e).powi(2) / e)
+        .sum()
 }
--- a/crates/lab/tests/rivals/rules.rs
+++ b/crates/lab/tests/rivals/rules.rs
@@ -33,12 +33,17 @@
 
 impl Open {
     fn run(&self) -> Option<&Sent> {
-        self.sends.iter().find(|s| !s.outcome.is_some_and(Outcome::proves_not_run))
+        self.sends
+            .iter()
+            .find(|s| !s.outcome.is_some_and(Outcome::proves_not_run))
     }
 
     /// The final answer.
     fn end(&mut self) {
-        assert!(!std::mem::replace(&mut self.over, true), "two final answers");
+        assert!(
+            !std::mem::replace(&mut self.over, true),
+            "two final answers"
+        );
     }
 }
 
@@ -72,13 +77,27 @@
     fn carry_out(&mut self, action: Action) {
         let now = self.rig.now;
         match action {
-            Action::Send { request, server, timeout_at, .. } => {
-                assert!(self.takes_work(server), "sent to a server that drains or is gone");
+            Action::Send {
+                request,
+                server,
+                timeout_at,
+                ..
+            } => {
+                assert!(
+                    self.takes_work(server),
+                    "sent to a server that drains or is gone"
+                );
                 let most = self.site.limits.max_attempts as usize;
                 let open = self.open.get_mut(&request).expect("known");
                 assert!(!open.over && !open.streams, "sent after the request's end");
-                assert!(open.sends.iter().all(|s| s.outcome.is_some()), "two attempts out");
-                assert!(now < timeout_at && timeout_at <= open.deadline, "out of time");
+                assert!(
+                    open.sends.iter().all(|s| s.outcome.is_some()),
+                    "two attempts out"
+                );
+                assert!(
+                    now < timeout_at && timeout_at <= open.deadline,
+                    "out of time"
+                );
                 if let Some(first) = open.run() {
                     match open.effect {
                         Effect::Safe => {}
@@ -90,15 +109,26 @@
                         }
                     }
                 }
-                open.sends.push(Sent { server, at: now, timeout_at, outcome: None });
+                open.sends.push(Sent {
+                    server,
+                    at: now,
+                    timeout_at,
+                    outcome: None,
+                });
                 assert!(open.sends.len() <= most, "more attempts than allowed");
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Refuse {
+                request,
+                retry_after,
+            } => {
                 assert_eq!(retry_after.is_some(), self.site.limits.retry_after);
                 let open = self.open.get_mut(&request).expect("known");
                 open.end();
                 assert!(now <= open.deadline);
-                assert!(open.effect == Effect::Safe || open.run().is_none(), "refused what may have run");
+                assert!(
+                    open.effect == Effect::Safe || open.run().is_none(),
+                    "refused what may have run"
+                );
             }
             Action::Fail { request } => {
                 let open = self.open.get_mut(&request).expect("known");
@@ -106,7 +136,10 @@
                 assert!(now <= open.deadline);
             }
             Action::Cancel { request, attempt } => {
-                assert!(self.site.limits.cancel, "called off where that is not allowed");
+                assert!(
+                    self.site.limits.cancel,
+                    "called off where that is not allowed"
+                );
                 let open = self.open.get_mut(&request).expect("known");
                 let sent = &mut open.sends[attempt as usize];
                 assert!(sent.outcome.is_none(), "called off what is over");
@@ -117,7 +150,10 @@
                 self.timers.push((at, timer));
             }
             Action::Probe(server) => {
-                assert!(self.site.limits.probes && self.takes_work(server), "probed where it is not allowed");
+                assert!(
+                    self.site.limits.probes && self.takes_work(server),
+                    "probed where it is not allowed"
+                );
                 self.probed.push(server);
             }
             Action::Subscribe | Action::Log(_) => {}
@@ -127,19 +163,35 @@
     fn list(&mut self) {
         let whole = self.chance(2);
         let server = ServerId(self.random.rand_range(0..8));
-        let states = [ServerState::Ready, ServerState::Ready, ServerState::Draining, ServerState::Gone];
+        let states = [
+            ServerState::Ready,
+            ServerState::Ready,
+            ServerState::Draining,
+            ServerState::Gone,
+        ];
         let state = states[self.random.rand_range(0..4) as usize];
         self.servers.insert(server, state);
         let started = self.chance(2).then_some(self.rig.now);
-        let one =
-            |id: ServerId, state| Listed { state, started, capacity: 1.0 + id.0 as f64, ..listed(id.0) };
+        let one = |id: ServerId, state| Listed {
+            state,
+            started,
+            capacity: 1.0 + id.0 as f64,
+            ..listed(id.0)
+        };
         let news: Vec<Listed> = if whole {
-            let there = self.servers.iter().filter(|(_, state)| **state != ServerState::Gone);
+            let there = self
+                .servers
+                .iter()
+                .filter(|(_, state)| **state != ServerState::Gone);
             there.map(|(id, state)| one(*id, *state)).collect()
         } else {
             vec![one(server, state)]
         };
-        self.event(Event::Members(if whole { Members::Full(&news) } else { Members::Changes(&news) }));
+        self.event(Event::Members(if whole {
+            Members::Full(&news)
+        } else {
+            Members::Changes(&news)
+        }));
     }
 
     fn step(&mut self) {
@@ -150,7 +202,10 @@
         for (_, timer) in due {
             self.event(Event::Timer(timer));
             if timer == Timer::Discovery && self.chance(2) {
-                self.event(Event::Members(Members::Failed { since: 0, waited: Micros::MAX }));
+                self.event(Event::Members(Members::Failed {
+                    since: 0,
+                    waited: Micros::MAX,
+                }));
             }
         }
         for server in std::mem::take(&mut self.probed) {
@@ -171,8 +226,20 @@
             let sends = Vec::new();
             self.rig.next += 1;
             let id = self.rig.next;
-            self.open.insert(id, Open { effect, deadline, sends, over: false, streams: false });
-            self.event(Event::Request(NewRequest { time_left, ..request(id, class) }));
+            self.open.insert(
+                id,
+                Open {
+                    effect,
+                    deadline,
+                    sends,
+                    over: false,
+                    streams: false,
+                },
+            );
+            self.event(Event::Request(NewRequest {
+                time_left,
+                ..request(id, class)
+            }));
         }
         let ids: Vec<RequestId> = self.open.keys().copied().collect();
         for id in ids {
@@ -180,9 +247,13 @@
         }
         for (id, open) in &self.open {
             let late = now > open.deadline + 20 * MS;
-            assert!(open.over || open.streams || !late, "request {id} was never answered");
+            assert!(
+                open.over || open.streams || !late,
+                "request {id} was never answered"
+            );
         }
-        self.open.retain(|_, o| !(o.over && o.sends.iter().all(|s| s.outcome.is_some())));
+        self.open
+            .retain(|_, o| !(o.over && o.sends.iter().all(|s| s.outcome.is_some())));
         if self.chance(40) {
             self.list();
         }
@@ -204,7 +275,10 @@
             }
             if !over && !streams && !late && self.chance(100) {
                 self.open.get_mut(&id).expect("known").streams = true;
-                self.event(Event::Begun { request: id, attempt });
+                self.event(Event::Begun {
+                    request: id,
+                    attempt,
+                });
             } else if late || self.chance(20) {
                 let pick = OUTCOMES[self.random.rand_range(0..OUTCOMES.len() as u64) as usize];
                 let outcome = if late { Outcome::Timeout } else { pick };
@@ -214,7 +288,14 @@
                 open.over |= ended;
                 open.sends[at].outcome = Some(outcome);
                 let elapsed = now - sent_at;
-                let closed = Closed { request: id, attempt, server, outcome, elapsed, ended };
+                let closed = Closed {
+                    request: id,
+                    attempt,
+                    server,
+                    outcome,
+                    elapsed,
+                    ended,
+                };
                 self.event(Event::Closed(closed));
             }
         }
@@ -223,17 +304,39 @@
 
 #[test]
 fn the_rules_hold_under_random_events() {
-    let keyed = |scope| Effect::Keyed { scope, window: 300 * MS };
-    let effects = [Effect::Safe, Effect::Unsafe, keyed(Scope::All), keyed(Scope::Zone), keyed(Scope::Cell)];
-    for ((policy, _), seed) in KNOWN.iter().flat_map(|known| (0..8).map(move |seed| (known, seed))) {
+    let keyed = |scope| Effect::Keyed {
+        scope,
+        window: 300 * MS,
+    };
+    let effects = [
+        Effect::Safe,
+        Effect::Unsafe,
+        keyed(Scope::All),
+        keyed(Scope::Zone),
+        keyed(Scope::Cell),
+    ];
+    for ((policy, _), seed) in KNOWN
+        .iter()
+        .flat_map(|known| (0..8).map(move |seed| (known, seed)))
+    {
         let mut site = settings(&effects);
         site.limits.cancel = seed % 3 != 0;
         site.limits.probes = seed % 2 == 0;
         site.limits.retry_after = seed % 5 != 0;
         let random = Rand64::new(u128::from(seed));
         let rig = Rig::bare(policy, &[], site.clone(), seed);
-        let (probed, open, timers, servers) = (Vec::new(), BTreeMap::new(), Vec::new(), BTreeMap::new());
-        let mut world = World { rig, random, site, probed, open, timers, servers, served: 0 };
+        let (probed, open, timers, servers) =
+            (Vec::new(), BTreeMap::new(), Vec::new(), BTreeMap::new());
+        let mut world = World {
+            rig,
+            random,
+            site,
+            probed,
+            open,
+            timers,
+            servers,
+            served: 0,
+        };
         let result = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
             for step in 0..600 {
                 world.step();
--- a/crates/lab/tests/rules_are_judged.rs
+++ b/crates/lab/tests/rules_are_judged.rs
@@ -24,7 +24,9 @@
     let story = breach.story.join("\n");
     let mut rest = story.as_str();
     for word in words {
-        let Some(at) = rest.find(word) else { panic!("{word:?} is missing, or out of order, in\n{story}") };
+        let Some(at) = rest.find(word) else {
+            panic!("{word:?} is missing, or out of order, in\n{story}")
+        };
         rest = &rest[at + word.len()..];
     }
 }
@@ -32,9 +34,16 @@
 #[test]
 fn a_request_that_is_forgotten_was_dropped() {
     let breach = caught(&calm(Effect::Safe), Wrong::Forgets, "dropped-request");
-    tells(&breach, &["came to instance", "over: Overdue", "told that it is over"]);
+    tells(
+        &breach,
+        &["came to instance", "over: Overdue", "told that it is over"],
+    );
     // The first ones come at once; two seconds and the grace later they are missed.
-    assert!(breach.at > Span::ms(2_020) && breach.at < Span::ms(2_200), "{}", breach.at);
+    assert!(
+        breach.at > Span::ms(2_020) && breach.at < Span::ms(2_200),
+        "{}",
+        breach.at
+    );
 }
 
 #[test]
@@ -42,7 +51,15 @@
     let mut experiment = calm(Effect::Safe);
     experiment.faults = vec![fault(FaultKind::FastErrors, Span::s(2), &["s"], 0.1)];
     let breach = caught(&experiment, Wrong::Haunts, "dropped-request");
-    tells(&breach, &["attempt 0 sent", "over: Error", "over: Failed", "sent again"]);
+    tells(
+        &breach,
+        &[
+            "attempt 0 sent",
+            "over: Error",
+            "over: Failed",
+            "sent again",
+        ],
+    );
 }
 
 #[test]
@@ -52,7 +69,12 @@
     let breach = caught(&experiment, Wrong::Repeats, "repeated-effect");
     tells(
         &breach,
-        &["attempt 0 sent to s-1", "attempt 0 run by s-1", "attempt 0 over: Reset", "attempt 1 sent"],
+        &[
+            "attempt 0 sent to s-1",
+            "attempt 0 run by s-1",
+            "attempt 0 over: Reset",
+            "attempt 1 sent",
+        ],
     );
 }
 
@@ -80,8 +102,15 @@
     experiment.faults = vec![fault(FaultKind::Drain, Span::s(1), &["s-2"], 0.0)];
     let breach = caught(&experiment, Wrong::Deaf, "unsafe-drain");
     // Told after the notice of two seconds; three more are allowed.
-    assert!(breach.at > Span::s(6) && breach.at < Span::ms(6_100), "{}", breach.at);
-    tells(&breach, &["told that s-2 drains", "sent to s-2", "over: Full"]);
+    assert!(
+        breach.at > Span::s(6) && breach.at < Span::ms(6_100),
+        "{}",
+        breach.at
+    );
+    tells(
+        &breach,
+        &["told that s-2 drains", "sent to s-2", "over: Full"],
+    );
 }
 
 #[test]
@@ -91,7 +120,11 @@
     experiment.faults = vec![fault(FaultKind::Drain, Span::s(1), &["s-2"], 0.0)];
     let breach = caught(&experiment, Wrong::Hermit, "unsafe-drain");
     // Listed at three seconds, counted as told ten later; three more are allowed.
-    assert!(breach.at > Span::s(16) && breach.at < Span::ms(16_100), "{}", breach.at);
+    assert!(
+        breach.at > Span::s(16) && breach.at < Span::ms(16_100),
+        "{}",
+        breach.at
+    );
 }
 
 #[test]
@@ -102,5 +135,13 @@
     experiment.faults = vec![fault(FaultKind::Crash, Span::s(1), &["s-0"], 0.0)];
     experiment.faults[0].lasts = Span::s(1);
     let breach = caught(&experiment, Wrong::Rushes, "unsafe-fail-back");
-    tells(&breach, &["s-0 started, cold", "s-0 fell over", "from instances that knew", "which knew"]);
+    tells(
+        &breach,
+        &[
+            "s-0 started, cold",
+            "s-0 fell over",
+            "from instances that knew",
+            "which knew",
+        ],
+    );
 }
