--- a/crates/lab/tests/stand_ins_speak_the_protocol.rs
+++ b/crates/lab/tests/stand_ins_speak_the_protocol.rs
@@ -42,10 +42,28 @@
 
 /// One server of one core for one instance.
 fn experiment() -> Experiment {
-    let kind = ServerKind { name: "s".into(), cores: 1, queue: 1, ..ServerKind::default() };
-    let kind = ServerKind { report_every: Span::ms(10), report_delay: Span(0), connections: 3, ..kind };
-    let class = Class { name: "submit".into(), effect: Effect::Unsafe, ..Class::default() };
-    let mut experiment = Experiment { servers: vec![kind], classes: vec![class], ..Experiment::default() };
+    let kind = ServerKind {
+        name: "s".into(),
+        cores: 1,
+        queue: 1,
+        ..ServerKind::default()
+    };
+    let kind = ServerKind {
+        report_every: Span::ms(10),
+        report_delay: Span(0),
+        connections: 3,
+        ..kind
+    };
+    let class = Class {
+        name: "submit".into(),
+        effect: Effect::Unsafe,
+        ..Class::default()
+    };
+    let mut experiment = Experiment {
+        servers: vec![kind],
+        classes: vec![class],
+        ..Experiment::default()
+    };
     experiment.instances.count = 1;
     experiment.instances.allow.probes = true;
     experiment.instances.allow.drain_grace = Span::s(1);
@@ -75,12 +93,24 @@
             reports: true,
             strangers: None,
         };
-        let spec = Spec::new(&experiment.servers[0], 1.0, &experiment.instances.allow, 1_000.0);
+        let spec = Spec::new(
+            &experiment.servers[0],
+            1.0,
+            &experiment.instances.allow,
+            1_000.0,
+        );
         let model = Server::new(spec, Repeats::shared(), stream(1, Concern::Server, 0));
         let place = world.servers[0].clone();
         let stand = Stand::open(0, place, model, Rc::new(around), Rc::new(Notify::new())).await?;
         stand.start();
-        Ok(Rig { stand, books, clock, network, experiment, world })
+        Ok(Rig {
+            stand,
+            books,
+            clock,
+            network,
+            experiment,
+            world,
+        })
     }
 
     /// A request of so much work, as the lab's clients send it.
@@ -97,7 +127,9 @@
             leaves: None,
             honours: true,
         };
-        let id = self.books.tries(self.clock.now(), &ask, 0, self.clock.now() + 1_000_000);
+        let id = self
+            .books
+            .tries(self.clock.now(), &ask, 0, self.clock.now() + 1_000_000);
         let body = body(id);
         let text = format!(
             "POST {} HTTP/1.1\r\nHost: x\r\nX-Trace-Id: {}\r\nX-Expires-In-Ms: 900\r\nContent-Length: {}\r\n\r\n{body}",
@@ -109,7 +141,11 @@
     }
 
     async fn connect(&self) -> Peer {
-        Peer(TcpStream::connect(self.stand.address(0)).await.expect("it accepts"))
+        Peer(
+            TcpStream::connect(self.stand.address(0))
+                .await
+                .expect("it accepts"),
+        )
     }
 
     /// Sends a request of so much work on a connection of its own.
@@ -123,11 +159,14 @@
     /// The record up to now.
     fn finish(&self) -> Run {
         let done = std::iter::once(self.stand.done());
-        self.books.finish(self.clock.now(), done, None).expect("the first record")
+        self.books
+            .finish(self.clock.now(), done, None)
+            .expect("the first record")
     }
 
     fn trouble(&self, trouble: Trouble) {
-        self.stand.with(|model, now, out| model.begin(now, 1, trouble, Scope::default(), out));
+        self.stand
+            .with(|model, now, out| model.begin(now, 1, trouble, Scope::default(), out));
     }
 
     fn well_again(&self) {
@@ -146,7 +185,11 @@
 
 impl Got {
     fn status(&self) -> u16 {
-        if let Got::Answer(status, ..) = self { *status } else { 0 }
+        if let Got::Answer(status, ..) = self {
+            *status
+        } else {
+            0
+        }
     }
 
     fn never_ran(&self) -> bool {
@@ -199,7 +242,11 @@
 }
 
 fn play<T>(test: impl Future<Output = Result<T, String>>) -> T {
-    let bounded = async { tokio::time::timeout(PATIENCE, test).await.map_err(|e| e.to_string())? };
+    let bounded = async {
+        tokio::time::timeout(PATIENCE, test)
+            .await
+            .map_err(|e| e.to_string())?
+    };
     on_one_thread(bounded).expect("it runs to its end")
 }
 
@@ -212,7 +259,9 @@
         // The connection comes up, there and back, and then the request goes there and its answer back.
         let took = rig.clock.now() - begun;
         assert!(took >= 30_000 + 4 * CROSS, "it took {took} us");
-        let Got::Answer(200, _, body) = got else { panic!("{got:?}") };
+        let Got::Answer(200, _, body) = got else {
+            panic!("{got:?}")
+        };
         assert_eq!(body, format!("{}s-0\n", answer_begins(id)));
         assert_eq!((rig.stand.done().executed, rig.books.problem()), (1, None));
         Ok(())
@@ -236,9 +285,18 @@
         }
         assert!(rig.ask(1_000).await.1.never_ran());
         rig.stand.with(|model, now, out| model.drain(now, out));
-        assert_eq!((first.answered().await.status(), second.answered().await.status()), (200, 200));
+        assert_eq!(
+            (
+                first.answered().await.status(),
+                second.answered().await.status()
+            ),
+            (200, 200)
+        );
         assert!(rig.ask(1_000).await.1.never_ran());
-        assert_eq!((rig.stand.done().executed, rig.stand.done().turned_away), (2, 2));
+        assert_eq!(
+            (rig.stand.done().executed, rig.stand.done().turned_away),
+            (2, 2)
+        );
         Ok(())
     });
 }
@@ -275,11 +333,18 @@
         rig.trouble(Trouble::LostAnswers(1.0));
         assert_eq!(rig.ask(1_000).await.1, Got::Broken(Vec::new()));
         rig.well_again();
-        assert_eq!(rig.stand.done().executed, 1, "it ran, and nobody heard of it");
+        assert_eq!(
+            rig.stand.done().executed,
+            1,
+            "it ran, and nobody heard of it"
+        );
         rig.trouble(Trouble::SpoiltAnswers(1.0));
         for _ in 0..4 {
             let (_, got) = rig.ask(1_000).await;
-            assert!(matches!(&got, Got::Broken(bytes) if !bytes.is_empty()), "{got:?}");
+            assert!(
+                matches!(&got, Got::Broken(bytes) if !bytes.is_empty()),
+                "{got:?}"
+            );
         }
         rig.well_again();
         rig.trouble(Trouble::Hang);
@@ -288,7 +353,9 @@
         peer.send(&text).await;
         assert_eq!(peer.read().await, Got::Silence);
         rig.well_again();
-        let Got::Answer(200, _, body) = peer.read().await else { panic!("no answer after the hang") };
+        let Got::Answer(200, _, body) = peer.read().await else {
+            panic!("no answer after the hang")
+        };
         assert!(body.starts_with(&answer_begins(id)));
         Ok(())
     });
@@ -305,7 +372,9 @@
         }
         rig.stand.stop(false).await;
         assert_eq!(peer.read().await, Got::Broken(Vec::new()));
-        let refused = TcpStream::connect(rig.stand.address(0)).await.expect_err("it is down");
+        let refused = TcpStream::connect(rig.stand.address(0))
+            .await
+            .expect_err("it is down");
         assert_eq!(refused.kind(), std::io::ErrorKind::ConnectionRefused);
         rig.stand.come_up().await;
         let mut peer = rig.connect().await;
@@ -316,12 +385,23 @@
         peer.send(&rig.request(1_000).1).await;
         assert_eq!(peer.read().await, Got::Silence);
         let connects = TcpStream::connect(rig.stand.address(0));
-        assert!(tokio::time::timeout(SILENCE, connects).await.is_err(), "a connection came up");
+        assert!(
+            tokio::time::timeout(SILENCE, connects).await.is_err(),
+            "a connection came up"
+        );
         rig.stand.come_up().await;
-        assert_eq!(peer.read().await, Got::Broken(Vec::new()), "it is back and knows nothing of it");
+        assert_eq!(
+            peer.read().await,
+            Got::Broken(Vec::new()),
+            "it is back and knows nothing of it"
+        );
         assert_eq!(rig.ask(1_000).await.1.status(), 200);
         let outcomes = rig.finish().total.outcomes;
-        assert_eq!((outcomes.get("reset"), outcomes.get("ok")), (Some(&2), Some(&2)), "{outcomes:?}");
+        assert_eq!(
+            (outcomes.get("reset"), outcomes.get("ok")),
+            (Some(&2), Some(&2)),
+            "{outcomes:?}"
+        );
         Ok(())
     });
 }
@@ -338,7 +418,10 @@
         peer.send(&rig.request(1_000).1).await;
         assert_eq!(peer.read().await, Got::Silence);
         let connects = TcpStream::connect(rig.stand.address(0));
-        assert!(tokio::time::timeout(SILENCE, connects).await.is_err(), "a connection came up");
+        assert!(
+            tokio::time::timeout(SILENCE, connects).await.is_err(),
+            "a connection came up"
+        );
         assert_eq!(rig.stand.done().executed, 1);
         rig.network.borrow_mut().mend(1);
         rig.stand.see_to_doors().await;
@@ -355,10 +438,17 @@
         busy.send(&rig.request(600_000).1).await;
         let mut peer = rig.connect().await;
         loop {
-            peer.send("GET /status/load HTTP/1.1\r\nHost: x\r\n\r\n").await;
-            let Got::Answer(200, _, text) = peer.read().await else { panic!("no report") };
+            peer.send("GET /status/load HTTP/1.1\r\nHost: x\r\n\r\n")
+                .await;
+            let Got::Answer(200, _, text) = peer.read().await else {
+                panic!("no report")
+            };
             let text = text.strip_prefix("TEXT ").expect("the form of a report");
-            let value = |name| text.split(", ").find_map(|pair| pair.strip_prefix(name)).expect("a value");
+            let value = |name| {
+                text.split(", ")
+                    .find_map(|pair| pair.strip_prefix(name))
+                    .expect("a value")
+            };
             assert_eq!(value("eps=").parse::<f64>(), Ok(0.0));
             if value("inflight=").parse::<f64>() == Ok(1.0) {
                 return Ok(());
@@ -375,9 +465,14 @@
         peer.send("GET /submit HTTP/1.1\r\nHost: x\r\n\r\n").await;
         assert_eq!(peer.read().await.status(), 404);
         assert_eq!(rig.books.problem(), None);
-        peer.send("GET /submit HTTP/1.1\r\nHost: x\r\nX-Trace-Id: lab-9999\r\n\r\n").await;
+        peer.send("GET /submit HTTP/1.1\r\nHost: x\r\nX-Trace-Id: lab-9999\r\n\r\n")
+            .await;
         assert_eq!(peer.read().await.status(), 400);
-        assert!(rig.books.problem().is_some_and(|why| why.contains("no client sent")));
+        assert!(
+            rig.books
+                .problem()
+                .is_some_and(|why| why.contains("no client sent"))
+        );
         Ok(())
     });
 }
@@ -387,9 +482,14 @@
     play(async {
         let rig = Rig::new().await?;
         let mut peer = rig.connect().await;
-        peer.send(&rig.request(1_000).1.replace("paper of", "paper or")).await;
+        peer.send(&rig.request(1_000).1.replace("paper of", "paper or"))
+            .await;
         peer.read().await;
-        assert!(rig.books.problem().is_some_and(|why| why.contains("its body")));
+        assert!(
+            rig.books
+                .problem()
+                .is_some_and(|why| why.contains("its body"))
+        );
         Ok(())
     });
 }
@@ -407,8 +507,18 @@
         }
         rig.books.try_ended(rig.clock.now(), id, End::Failed);
         let run = rig.finish();
-        assert_eq!((run.void, run.breaches.get("repeated-effect")), (None, Some(&1)));
-        assert!(run.broken[0].story.iter().any(|line| line.contains("run by s-0")), "{:?}", run.broken);
+        assert_eq!(
+            (run.void, run.breaches.get("repeated-effect")),
+            (None, Some(&1))
+        );
+        assert!(
+            run.broken[0]
+                .story
+                .iter()
+                .any(|line| line.contains("run by s-0")),
+            "{:?}",
+            run.broken
+        );
         Ok(())
     });
 }
@@ -436,7 +546,8 @@
 fn a_send_after_the_grace_of_a_drain_that_was_told_is_an_unsafe_drain() {
     play(async {
         let rig = Rig::new().await?;
-        rig.books.told(rig.clock.now(), 0, &[listed(ServerState::Draining)], false);
+        rig.books
+            .told(rig.clock.now(), 0, &[listed(ServerState::Draining)], false);
         let (soon, _) = rig.ask(1_000).await;
         // The grace, and what clocks and queues may add to it, both of which the first stayed within.
         rig.clock.sleep(1_060_000).await;
@@ -445,7 +556,10 @@
             rig.books.try_ended(rig.clock.now(), id, End::Served);
         }
         let run = rig.finish();
-        assert_eq!((run.void, run.breaches.get("unsafe-drain")), (None, Some(&1)));
+        assert_eq!(
+            (run.void, run.breaches.get("unsafe-drain")),
+            (None, Some(&1))
+        );
         assert!(run.broken[0].at > Span::s(1), "{:?}", run.broken);
         Ok(())
     });
@@ -455,7 +569,9 @@
 fn a_sidecar_that_lets_go_of_a_request_has_dropped_it() {
     play(async {
         let rig = Rig::new().await?;
-        let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.map_err(|e| e.to_string())?;
+        let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
+            .await
+            .map_err(|e| e.to_string())?;
         let address = listener.local_addr().map_err(|e| e.to_string())?;
         tokio::task::spawn_local(async move {
             while let Ok((mut stream, _)) = listener.accept().await {
@@ -473,7 +589,10 @@
         crowd.play().await;
         let run = rig.finish();
         assert!(run.total.asked > 0);
-        assert_eq!((run.void, run.breaches.get("dropped-request")), (None, Some(&run.total.asked)));
+        assert_eq!(
+            (run.void, run.breaches.get("dropped-request")),
+            (None, Some(&run.total.asked))
+        );
         Ok(())
     });
 }
@@ -481,7 +600,15 @@
 /// One server as it is listed.
 fn listed(state: ServerState) -> Listed {
     let server = ServerId::named("s-0");
-    Listed { server, zone: 0, cell: 0, kind: 0, started: None, capacity: 3.0, state }
+    Listed {
+        server,
+        zone: 0,
+        cell: 0,
+        kind: 0,
+        started: None,
+        capacity: 3.0,
+        state,
+    }
 }
 
 /// Reads lines of a chunked answer until one holds this, and gives back all that came.
@@ -501,7 +628,11 @@
 fn discovery_lists_watches_beats_and_ends_its_watches_when_it_goes_down() {
     play(async {
         let rig = Rig::new().await?;
-        let model = Discovery::new(&rig.experiment.discovery, vec![listed(ServerState::Ready)], 1);
+        let model = Discovery::new(
+            &rig.experiment.discovery,
+            vec![listed(ServerState::Ready)],
+            1,
+        );
         let stand = discovery::Stand::open(
             model,
             Rc::clone(&rig.experiment),
@@ -511,26 +642,48 @@
             Box::new(|_, _| SocketAddr::from(([127, 0, 0, 1], 9))),
         )
         .await?;
-        let connect = || async { Peer(TcpStream::connect(stand.address(0)).await.expect("it accepts")) };
+        let connect = || async {
+            Peer(
+                TcpStream::connect(stand.address(0))
+                    .await
+                    .expect("it accepts"),
+            )
+        };
         let get = |what: &str| format!("GET /v1/endpoints{what} HTTP/1.1\r\nHost: x\r\n\r\n");
         let mut peer = connect().await;
         peer.send(&get("?watch=1&after=0")).await;
         let list = until(&mut peer, "}\n").await;
-        assert!(list.contains("\"snapshot\":true") && list.contains("\"status\":\"in_service\""), "{list}");
+        assert!(
+            list.contains("\"snapshot\":true") && list.contains("\"status\":\"in_service\""),
+            "{list}"
+        );
         let index: u64 = {
             let after = list.split("\"index\":").nth(1).expect("a version");
-            after.chars().take_while(char::is_ascii_digit).collect::<String>().parse().expect("a number")
+            after
+                .chars()
+                .take_while(char::is_ascii_digit)
+                .collect::<String>()
+                .parse()
+                .expect("a number")
         };
         stand.change(listed(ServerState::Draining));
         let change = until(&mut peer, "}\n").await;
-        assert!(change.contains("\"snapshot\":false") && change.contains("\"terminating\""), "{change}");
+        assert!(
+            change.contains("\"snapshot\":false") && change.contains("\"terminating\""),
+            "{change}"
+        );
         until(&mut peer, "\r\n\n\r\n").await;
 
         // Who holds the last version is told what changed since; nobody is told it twice.
         let mut second = connect().await;
-        second.send(&get(&format!("?watch=1&after={}", index + 1))).await;
+        second
+            .send(&get(&format!("?watch=1&after={}", index + 1)))
+            .await;
         let change = until(&mut second, "}\n").await;
-        assert!(change.contains("\"endpoints\":[]") && change.contains("\"snapshot\":false"), "{change}");
+        assert!(
+            change.contains("\"endpoints\":[]") && change.contains("\"snapshot\":false"),
+            "{change}"
+        );
 
         stand.go_down();
         until(&mut second, "0\r\n\r\n").await;
@@ -540,7 +693,10 @@
         stand.come_up();
         third.send(&get("")).await;
         let list = until(&mut third, "}").await;
-        assert!(list.contains("200 OK") && list.contains("\"terminating\""), "{list}");
+        assert!(
+            list.contains("200 OK") && list.contains("\"terminating\""),
+            "{list}"
+        );
         Ok(())
     });
 }
--- a/crates/ledger/src/drains.rs
+++ b/crates/ledger/src/drains.rs
@@ -53,9 +53,16 @@
         let prefix = prefix(service);
         let read = snapshot.scan(&prefix, 0).take(MAX_DRAINS).map(|entry| {
             let (key, value) = entry?;
-            let server = String::from_utf8_lossy(key.get(prefix.len()..).unwrap_or_default()).into_owned();
-            let drain = serde_json::from_slice::<Drain>(&value).ok().filter(|d| d.server == server);
-            Ok(drain.unwrap_or(Drain { server, since: 0, by: String::new() }))
+            let server =
+                String::from_utf8_lossy(key.get(prefix.len()..).unwrap_or_default()).into_owned();
+            let drain = serde_json::from_slice::<Drain>(&value)
+                .ok()
+                .filter(|d| d.server == server);
+            Ok(drain.unwrap_or(Drain {
+                server,
+                since: 0,
+                by: String::new(),
+            }))
         });
         read.collect()
     }
--- a/crates/ledger/src/submissions.rs
+++ b/crates/ledger/src/submissions.rs
@@ -54,7 +54,10 @@
 
 impl std::fmt::Display for LongId {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "an id of more than {MAX_ID} bytes, or a service's name of more than {MAX_SERVICE}")
+        write!(
+            f,
+            "an id of more than {MAX_ID} bytes, or a service's name of more than {MAX_SERVICE}"
+        )
     }
 }
 
@@ -155,20 +158,37 @@
         // The latest was recorded one window before it expires, so the ledger's time had come so far at least.
         let resumed = latest.map_or(0, |latest| latest.saturating_sub(rules.window));
         let count = held.values().sum();
-        Ledger { rules, started: (now, resumed), open: BTreeMap::new(), held, count, unrecorded: 0 }
+        Ledger {
+            rules,
+            started: (now, resumed),
+            open: BTreeMap::new(),
+            held,
+            count,
+            unrecorded: 0,
+        }
     }
 
     /// A ledger without a store.
     pub fn empty(rules: Rules) -> Self {
         let (open, held) = Default::default();
-        Ledger { rules, started: (0, 0), open, held, count: 0, unrecorded: 0 }
+        Ledger {
+            rules,
+            started: (0, 0),
+            open,
+            held,
+            count: 0,
+            unrecorded: 0,
+        }
     }
 
     /// Other rules hold from now on. A shorter window holds for the entries that are there as well: its time goes ahead
     /// by the difference. Else a start would take an old entry's expiry for a later time than it was, and forget those
     /// that came behind it.
     pub fn change(&mut self, rules: Rules) {
-        self.started.1 = self.started.1.saturating_add(self.rules.window.saturating_sub(rules.window));
+        self.started.1 = self
+            .started
+            .1
+            .saturating_add(self.rules.window.saturating_sub(rules.window));
         self.rules = rules;
     }
 
@@ -203,16 +223,37 @@
                 return Begin::Refuse;
             }
             self.unrecorded += 1;
-            self.open.insert(id.clone(), Open { expires, state: State::Unrecorded, mode });
+            self.open.insert(
+                id.clone(),
+                Open {
+                    expires,
+                    state: State::Unrecorded,
+                    mode,
+                },
+            );
             return Begin::Send;
         }
-        self.open.insert(id.clone(), Open { expires, state: State::Recording, mode });
+        self.open.insert(
+            id.clone(),
+            Open {
+                expires,
+                state: State::Recording,
+                mode,
+            },
+        );
         *self.held.entry(expires >> STEP).or_default() += 1;
         self.count += 1;
         let mut batch = Batch::new();
         batch.put_until(id.0.clone(), MAY_RUN, expires);
         let durable = mode == Mode::Durable;
-        Begin::Record(batch, if durable { Durability::Durable } else { Durability::Relaxed })
+        Begin::Record(
+            batch,
+            if durable {
+                Durability::Durable
+            } else {
+                Durability::Relaxed
+            },
+        )
     }
 
     /// What is held of a request that is not open, read from the store's files. An entry that can't be read may have
@@ -230,7 +271,11 @@
     /// Of a refused record nothing reads in this process, so a repeat is served as new. After a restart it may be found
     /// all the same; then a repeat is answered as failed, which is true of what may have run and safe of what has not.
     pub fn recorded(&mut self, id: &Id, done: &Result<u64, Error>) -> Next {
-        let Some(open) = self.open.get_mut(id).filter(|o| o.state == State::Recording) else {
+        let Some(open) = self
+            .open
+            .get_mut(id)
+            .filter(|o| o.state == State::Recording)
+        else {
             return Next::Refuse;
         };
         if done.is_ok() {
@@ -277,7 +322,10 @@
     /// What came of the batch of [`Ledger::never_ran`]. Where the store did not take it, the request is remembered as
     /// one that never ran for as long as its record lasts, but not over a restart.
     pub fn withdrawn(&mut self, id: &Id, done: &Result<u64, Error>) {
-        let open = self.open.get(id).filter(|open| open.state == State::Withdrawn && done.is_ok());
+        let open = self
+            .open
+            .get(id)
+            .filter(|open| open.state == State::Withdrawn && done.is_ok());
         if let Some(expires) = open.map(|open| open.expires) {
             self.open.remove(id);
             self.release(expires);
@@ -322,8 +370,9 @@
             any = true;
         }
         if any {
-            self.open
-                .retain(|_, open| open.state != State::Withdrawn || open.expires >> STEP >= time >> STEP);
+            self.open.retain(|_, open| {
+                open.state != State::Withdrawn || open.expires >> STEP >= time >> STEP
+            });
         }
     }
 }
--- a/crates/ledger/src/warm.rs
+++ b/crates/ledger/src/warm.rs
@@ -104,7 +104,9 @@
     /// `0.5 ^ (age / half)`, and 0 beyond `oldest`. What bears a time ahead of now by more than a second has none: the
     /// clock was set back, so its age is not known.
     pub fn weight(&self, taken: u64, now: u64) -> f64 {
-        let Some(age) = self.age(taken, now) else { return 0.0 };
+        let Some(age) = self.age(taken, now) else {
+            return 0.0;
+        };
         0.5_f64.powf(age as f64 / self.half.max(1) as f64)
     }
 
@@ -154,8 +156,18 @@
         };
         Recalled {
             weight,
-            servers: self.servers.iter().filter(|s| s.is_sound()).map(fade).collect(),
-            classes: self.classes.iter().filter(|c| c.is_sound()).cloned().collect(),
+            servers: self
+                .servers
+                .iter()
+                .filter(|s| s.is_sound())
+                .map(fade)
+                .collect(),
+            classes: self
+                .classes
+                .iter()
+                .filter(|c| c.is_sound())
+                .cloned()
+                .collect(),
             means: self.means,
         }
     }
@@ -167,17 +179,30 @@
     /// Where the store can't be read.
     pub fn load<F: File>(snapshot: &Snapshot<F>, service: &str) -> Result<Option<Warm>> {
         let keys = Keys::of(service);
-        let Some(taken) = snapshot.get(&keys.taken, 0)? else { return Ok(None) };
-        let Ok(Moment { taken, means }) = serde_json::from_slice(&taken) else { return Ok(None) };
-        let mut warm = Warm { taken, means, ..Warm::default() };
+        let Some(taken) = snapshot.get(&keys.taken, 0)? else {
+            return Ok(None);
+        };
+        let Ok(Moment { taken, means }) = serde_json::from_slice(&taken) else {
+            return Ok(None);
+        };
+        let mut warm = Warm {
+            taken,
+            means,
+            ..Warm::default()
+        };
         for entry in snapshot.scan(&keys.servers, 0).take(MAX_SERVERS) {
             warm.servers.extend(
-                serde_json::from_slice::<ServerMemory>(&entry?.1).ok().filter(ServerMemory::is_sound),
+                serde_json::from_slice::<ServerMemory>(&entry?.1)
+                    .ok()
+                    .filter(ServerMemory::is_sound),
             );
         }
         for entry in snapshot.scan(&keys.classes, 0).take(MAX_CLASSES) {
-            warm.classes
-                .extend(serde_json::from_slice::<ClassMemory>(&entry?.1).ok().filter(ClassMemory::is_sound));
+            warm.classes.extend(
+                serde_json::from_slice::<ClassMemory>(&entry?.1)
+                    .ok()
+                    .filter(ClassMemory::is_sound),
+            );
         }
         Ok(Some(warm))
     }
@@ -209,7 +234,11 @@
 /// what is followed by it moves by factors. The guess, where what is remembered makes no sense.
 pub fn blend(guess: f64, remembered: f64, weight: f64) -> f64 {
     let blended = guess * (remembered / guess).powf(weight.clamp(0.0, 1.0));
-    if blended.is_finite() && blended > 0.0 { blended } else { guess }
+    if blended.is_finite() && blended > 0.0 {
+        blended
+    } else {
+        guess
+    }
 }
 
 /// What a store holds of one service.
@@ -227,14 +256,19 @@
 pub fn recollect<F: File>(snapshot: &Snapshot<F>) -> Result<BTreeMap<String, Recollection>> {
     let mut names = Vec::new();
     for (key, ..) in snapshot.keys(PREFIX.as_bytes(), 0) {
-        let name = key.get(PREFIX.len()..).and_then(|rest| rest.split(|b| *b == 0).next());
+        let name = key
+            .get(PREFIX.len()..)
+            .and_then(|rest| rest.split(|b| *b == 0).next());
         let name = String::from_utf8_lossy(name.unwrap_or_default()).into_owned();
         if names.last() != Some(&name) {
             names.push(name);
         }
     }
     let read = names.into_iter().map(|name| {
-        let (warm, writer) = (Warm::load(snapshot, &name)?, WarmWriter::new(snapshot, &name)?);
+        let (warm, writer) = (
+            Warm::load(snapshot, &name)?,
+            WarmWriter::new(snapshot, &name)?,
+        );
         Ok((name, Recollection { warm, writer }))
     });
     read.collect()
@@ -250,7 +284,11 @@
     /// A name has no byte 0, so with one behind it none is the beginning of another.
     fn of(service: &str) -> Self {
         let key = |part: &str| format!("{PREFIX}{service}\0{part}").into_bytes();
-        Keys { taken: key("taken"), servers: key("server/"), classes: key("class/") }
+        Keys {
+            taken: key("taken"),
+            servers: key("server/"),
+            classes: key("class/"),
+        }
     }
 }
 
@@ -263,7 +301,10 @@
 impl WarmWriter {
     /// For a service of which a store holds nothing.
     pub fn empty(service: &str) -> Self {
-        WarmWriter { keys: Keys::of(service), written: BTreeMap::new() }
+        WarmWriter {
+            keys: Keys::of(service),
+            written: BTreeMap::new(),
+        }
     }
 
     /// What is to be written so that the store holds nothing of it any more.
@@ -297,24 +338,47 @@
     pub fn batch(&self, warm: &Warm) -> (Batch, BTreeMap<Vec<u8>, Vec<u8>>) {
         let mut entries = BTreeMap::new();
         let named = |prefix: &[u8], name: &str| [prefix, name.as_bytes()].concat();
-        for server in warm.servers.iter().filter(|s| s.is_sound()).take(MAX_SERVERS) {
+        for server in warm
+            .servers
+            .iter()
+            .filter(|s| s.is_sound())
+            .take(MAX_SERVERS)
+        {
             if let Ok(value) = serde_json::to_vec(server) {
                 entries.insert(named(&self.keys.servers, &server.name), value);
             }
         }
-        for class in warm.classes.iter().filter(|c| c.is_sound()).take(MAX_CLASSES) {
+        for class in warm
+            .classes
+            .iter()
+            .filter(|c| c.is_sound())
+            .take(MAX_CLASSES)
+        {
             if let Ok(value) = serde_json::to_vec(class) {
                 entries.insert(named(&self.keys.classes, &class.name), value);
             }
         }
         let mut batch = Batch::new();
-        let moment = Moment { taken: warm.taken, means: warm.means };
+        let moment = Moment {
+            taken: warm.taken,
+            means: warm.means,
+        };
         // Numbers always have a JSON form.
-        batch.put(self.keys.taken.clone(), serde_json::to_vec(&moment).unwrap_or_default());
-        for (key, value) in entries.iter().filter(|(key, value)| self.written.get(*key) != Some(*value)) {
+        batch.put(
+            self.keys.taken.clone(),
+            serde_json::to_vec(&moment).unwrap_or_default(),
+        );
+        for (key, value) in entries
+            .iter()
+            .filter(|(key, value)| self.written.get(*key) != Some(*value))
+        {
             batch.put(key.clone(), value.clone());
         }
-        for key in self.written.keys().filter(|key| !entries.contains_key(*key)) {
+        for key in self
+            .written
+            .keys()
+            .filter(|key| !entries.contains_key(*key))
+        {
             batch.delete(key.clone());
         }
         (batch, entries)
--- a/crates/ledger/tests/submissions.rs
+++ b/crates/ledger/tests/submissions.rs
@@ -8,10 +8,18 @@
 
 const WINDOW: u64 = 60_000_000;
 
-const RULES: Rules = Rules { window: WINDOW, most: 1_000 };
+const RULES: Rules = Rules {
+    window: WINDOW,
+    most: 1_000,
+};
 
 fn options() -> Options {
-    Options { segment: 1024, slack: 512, reserve: 64, ..Options::default() }
+    Options {
+        segment: 1024,
+        slack: 512,
+        reserve: 64,
+        ..Options::default()
+    }
 }
 
 fn id(name: &str) -> Id {
@@ -37,7 +45,13 @@
         // Each process counts its own time, from anywhere.
         let now = 1 << (20 + 7 * (disk.operations() % 4));
         let ledger = Ledger::open(rules, &store.snapshot(), now);
-        Rig { disk, store, ledger, mode, now }
+        Rig {
+            disk,
+            store,
+            ledger,
+            mode,
+            now,
+        }
     }
 
     fn restart(self, loss: Loss, mode: Mode) -> Self {
@@ -51,7 +65,10 @@
 
     /// All the way to the sending, or why not.
     fn send(&mut self, name: &str) -> Result<(), Begin> {
-        match self.ledger.begin(&self.store.reader(), &id(name), self.mode, self.now) {
+        match self
+            .ledger
+            .begin(&self.store.reader(), &id(name), self.mode, self.now)
+        {
             Begin::Send => Ok(()),
             Begin::Record(batch, durability) => {
                 let done = self.store.write(&batch, durability);
@@ -69,7 +86,9 @@
     }
 
     fn answer(&mut self, name: &str) -> bool {
-        let Some(batch) = self.ledger.answered(&id(name)) else { return false };
+        let Some(batch) = self.ledger.answered(&id(name)) else {
+            return false;
+        };
         self.store.write(&batch, Durability::Relaxed).is_ok()
     }
 }
@@ -87,7 +106,10 @@
     assert_eq!(rig.send("sent"), FAIL);
     // The answer's mark was flushed with the record behind it.
     assert_eq!(rig.send("answered"), FAIL);
-    assert_eq!((rig.was("sent"), rig.was("answered")), (Some(Was::MayHaveRun), Some(Was::Answered)));
+    assert_eq!(
+        (rig.was("sent"), rig.was("answered")),
+        (Some(Was::MayHaveRun), Some(Was::Answered))
+    );
     assert_eq!(rig.send("new"), Ok(()));
 }
 
@@ -149,10 +171,19 @@
 fn a_second_request_with_the_id_of_one_that_is_open_is_not_sent() {
     let mut rig = Rig::new(SimDisk::new(), Mode::Durable);
     let reader = rig.store.reader();
-    assert!(matches!(rig.ledger.begin(&reader, &id("a"), Mode::Durable, 0), Begin::Record(..)));
-    assert_eq!(rig.ledger.begin(&reader, &id("a"), Mode::Durable, 0), Begin::Fail);
+    assert!(matches!(
+        rig.ledger.begin(&reader, &id("a"), Mode::Durable, 0),
+        Begin::Record(..)
+    ));
+    assert_eq!(
+        rig.ledger.begin(&reader, &id("a"), Mode::Durable, 0),
+        Begin::Fail
+    );
     assert_eq!(rig.ledger.recorded(&id("a"), &Ok(1)), Next::Send);
-    assert_eq!(rig.ledger.begin(&reader, &id("a"), Mode::Durable, 0), Begin::Fail);
+    assert_eq!(
+        rig.ledger.begin(&reader, &id("a"), Mode::Durable, 0),
+        Begin::Fail
+    );
 }
 
 #[test]
@@ -181,7 +212,10 @@
     assert_eq!((rig.ledger.len(), rig.ledger.unrecorded()), (0, unrecorded));
     rig.disk.set_room(None);
     // A refused one is as if it had never come; one that was sent is still open, though no record is there.
-    assert_eq!(rig.send("a"), if mode == Mode::Durable { Ok(()) } else { FAIL });
+    assert_eq!(
+        rig.send("a"),
+        if mode == Mode::Durable { Ok(()) } else { FAIL }
+    );
     assert_eq!(rig.answer("a"), mode == Mode::Durable);
 }
 
@@ -215,7 +249,11 @@
     assert_eq!(rig.send("b"), Ok(()));
     let before = rig.time();
     let mut rig = rig.restart(Loss::All, Mode::Durable);
-    assert_eq!(rig.time(), before, "it goes on where the last record left it");
+    assert_eq!(
+        rig.time(),
+        before,
+        "it goes on where the last record left it"
+    );
     let began = rig.now;
     rig.now = began + 39_000_000;
     assert_eq!(rig.send("a"), FAIL);
@@ -226,7 +264,9 @@
     assert_eq!(rig.send("b"), Ok(()));
     // What has expired goes from the disk with the next compaction by the ledger's time.
     rig.now += 2 * WINDOW;
-    rig.store.compact(rig.ledger.time(rig.now)).expect("it compacts");
+    rig.store
+        .compact(rig.ledger.time(rig.now))
+        .expect("it compacts");
     assert_eq!(rig.store.stat(0).keys, 0);
 }
 
@@ -235,12 +275,22 @@
     let mut rig = Rig::new(SimDisk::new(), Mode::Durable);
     assert_eq!(rig.send("a"), Ok(()));
     rig.ledger.given_up(&id("a"));
-    rig.ledger.change(Rules { window: WINDOW / 10, ..RULES });
+    rig.ledger.change(Rules {
+        window: WINDOW / 10,
+        ..RULES
+    });
     rig.now += 1_000_000;
     assert_eq!((rig.send("a"), rig.send("b")), (FAIL, Ok(())));
     let disk = rig.disk.lose_power(Loss::All);
     drop(rig);
-    let mut rig = Rig::with(disk, Mode::Durable, Rules { window: WINDOW / 10, ..RULES });
+    let mut rig = Rig::with(
+        disk,
+        Mode::Durable,
+        Rules {
+            window: WINDOW / 10,
+            ..RULES
+        },
+    );
     assert_eq!((rig.send("a"), rig.send("b")), (FAIL, FAIL));
     rig.now += WINDOW / 10;
     assert_eq!((rig.send("a"), rig.send("b")), (Ok(()), Ok(())));
@@ -272,7 +322,10 @@
                 did.sent.push(name.clone());
             }
             Err(Begin::Fail) => {
-                assert!(did.sent.contains(&name) || did.refused.contains(&name), "{name} never came");
+                assert!(
+                    did.sent.contains(&name) || did.refused.contains(&name),
+                    "{name} never came"
+                );
             }
             // Refused as harmless, so it must not have been sent before.
             Err(_) => {
@@ -338,9 +391,14 @@
             history.push(now);
         }
     }
-    rig.store.commit(Durability::Durable).expect("it is flushed");
+    rig.store
+        .commit(Durability::Durable)
+        .expect("it is flushed");
     let files = rig.disk.files();
-    let (name, bytes) = files.iter().rfind(|(name, _)| name.ends_with(".seg")).expect("a segment");
+    let (name, bytes) = files
+        .iter()
+        .rfind(|(name, _)| name.ends_with(".seg"))
+        .expect("a segment");
     let mut last = 0;
     for cut in 32..=bytes.len() {
         let mut files = files.clone();
@@ -365,6 +423,9 @@
     assert_eq!(rig.send("a"), Ok(()));
     rig.ledger.given_up(&id("a"));
     rig.disk.kill();
-    assert!(matches!(rig.store.get(b"sub/\x03paya", 0), Err(Error::Io { .. })));
+    assert!(matches!(
+        rig.store.get(b"sub/\x03paya", 0),
+        Err(Error::Io { .. })
+    ));
     assert_eq!(rig.send("a"), FAIL);
 }
--- a/crates/levels/src/condition.rs
+++ b/crates/levels/src/condition.rs
@@ -39,11 +39,20 @@
 
 #[derive(Clone, Debug, PartialEq)]
 enum Node {
-    Compare { signal: Signal, above: bool, equal: bool, bound: f64 },
+    Compare {
+        signal: Signal,
+        above: bool,
+        equal: bool,
+        bound: f64,
+    },
     Not(Box<Node>),
     All(Vec<Node>),
     Any(Vec<Node>),
-    For { span: Micros, at: usize, of: Box<Node> },
+    For {
+        span: Micros,
+        at: usize,
+        of: Box<Node>,
+    },
 }
 
 impl Condition {
@@ -52,7 +61,11 @@
         if text.len() > LONGEST {
             return Err(format!("is longer than {LONGEST} bytes"));
         }
-        let mut reader = Reader { depth: 0, spans: 0, problem: None };
+        let mut reader = Reader {
+            depth: 0,
+            spans: 0,
+            problem: None,
+        };
         let mut rest = text;
         let root = reader.any(&mut rest);
         // A problem that was seen names more than where the grammar came to its end.
@@ -62,16 +75,28 @@
         match root {
             Ok(root) if rest.trim().is_empty() => {
                 let held = vec![None; reader.spans];
-                Ok(Condition { text: text.trim().to_string(), root, held })
-            }
-            Ok(_) => {
-                Err(format!("makes no sense from {:?} on; wanted and, or, for or the end", start_of(rest)))
+                Ok(Condition {
+                    text: text.trim().to_string(),
+                    root,
+                    held,
+                })
             }
+            Ok(_) => Err(format!(
+                "makes no sense from {:?} on; wanted and, or, for or the end",
+                start_of(rest)
+            )),
             Err(fault) => {
                 let inner = fault.into_inner().unwrap_or_default();
                 let wanted: Vec<String> = inner.context().map(|c| c.to_string()).collect();
-                let wanted = if wanted.is_empty() { "a condition".into() } else { wanted.join(", ") };
-                Err(format!("makes no sense at {:?}; wanted: {wanted}", start_of(rest)))
+                let wanted = if wanted.is_empty() {
+                    "a condition".into()
+                } else {
+                    wanted.join(", ")
+                };
+                Err(format!(
+                    "makes no sense at {:?}; wanted: {wanted}",
+                    start_of(rest)
+                ))
             }
         }
     }
@@ -95,11 +120,16 @@
 
     /// The values of its signals now, for people.
     pub fn values(&self, signals: &Signals) -> String {
-        let told = self.signals().into_iter().map(|signal| match signals.get(signal) {
-            Some(value) if signal.is_time() => format!("{signal} = {}", Span(value.max(0.0) as u64)),
-            Some(value) => format!("{signal} = {value:.3}"),
-            None => format!("{signal} is not known"),
-        });
+        let told = self
+            .signals()
+            .into_iter()
+            .map(|signal| match signals.get(signal) {
+                Some(value) if signal.is_time() => {
+                    format!("{signal} = {}", Span(value.max(0.0) as u64))
+                }
+                Some(value) => format!("{signal} = {value:.3}"),
+                None => format!("{signal} is not known"),
+            });
         told.collect::<Vec<_>>().join(", ")
     }
 
@@ -121,13 +151,19 @@
             at.extend([least, most]);
             at.sort_by(f64::total_cmp);
             at.dedup();
-            let between = at.windows(2).map(|pair| pair[0] / 2.0 + pair[1] / 2.0).collect::<Vec<_>>();
+            let between = at
+                .windows(2)
+                .map(|pair| pair[0] / 2.0 + pair[1] / 2.0)
+                .collect::<Vec<_>>();
             at.extend(between);
             axes.push((signal, at));
         }
-        let points = axes.iter().try_fold(1usize, |all, (_, at)| all.checked_mul(at.len()));
-        let points =
-            points.filter(|points| *points <= POINTS).ok_or("speaks of too many signals and bounds")?;
+        let points = axes
+            .iter()
+            .try_fold(1usize, |all, (_, at)| all.checked_mul(at.len()));
+        let points = points
+            .filter(|points| *points <= POINTS)
+            .ok_or("speaks of too many signals and bounds")?;
         for point in 0..points {
             let mut signals = Signals::default();
             let mut rest = point;
@@ -141,9 +177,9 @@
                 evaluate(&condition.root, Micros::MAX, &signals, &mut held) == Some(true)
             };
             if met(self) && met(other) {
-                let told = axes
-                    .iter()
-                    .map(|(signal, _)| format!("{signal} = {:.4}", signals.get(signal).unwrap_or(0.0)));
+                let told = axes.iter().map(|(signal, _)| {
+                    format!("{signal} = {:.4}", signals.get(signal).unwrap_or(0.0))
+                });
                 return Ok(Some(told.collect::<Vec<_>>().join(", ")));
             }
         }
@@ -169,15 +205,34 @@
 }
 
 /// Every part is evaluated each time, also where the outcome is clear: a `for` further on counts all the same.
-fn evaluate(node: &Node, now: Micros, signals: &Signals, held: &mut [Option<Micros>]) -> Option<bool> {
+fn evaluate(
+    node: &Node,
+    now: Micros,
+    signals: &Signals,
+    held: &mut [Option<Micros>],
+) -> Option<bool> {
     match node {
-        Node::Compare { signal, above, equal, bound } => {
+        Node::Compare {
+            signal,
+            above,
+            equal,
+            bound,
+        } => {
             let value = signals.get(signal)?;
-            Some(if *above { value > *bound } else { value < *bound } || (*equal && value == *bound))
+            Some(
+                if *above {
+                    value > *bound
+                } else {
+                    value < *bound
+                } || (*equal && value == *bound),
+            )
         }
         Node::Not(of) => evaluate(of, now, signals, held).map(|met| !met),
         Node::All(of) => {
-            let met: Vec<_> = of.iter().map(|node| evaluate(node, now, signals, held)).collect();
+            let met: Vec<_> = of
+                .iter()
+                .map(|node| evaluate(node, now, signals, held))
+                .collect();
             if met.contains(&Some(false)) {
                 Some(false)
             } else {
@@ -185,7 +240,10 @@
             }
         }
         Node::Any(of) => {
-            let met: Vec<_> = of.iter().map(|node| evaluate(node, now, signals, held)).collect();
+            let met: Vec<_> = of
+                .iter()
+                .map(|node| evaluate(node, now, signals, held))
+                .collect();
             if met.contains(&Some(true)) {
                 Some(true)
             } else {
@@ -221,7 +279,11 @@
 
 fn word<'a>(word: &'static str) -> impl Parser<&'a str, (), ErrMode<ContextError>> {
     let letters = take_while(1.., |c: char| c.is_alphanumeric() || c == '_');
-    (multispace0, letters.verify(move |found: &str| found == word)).void()
+    (
+        multispace0,
+        letters.verify(move |found: &str| found == word),
+    )
+        .void()
 }
 
 fn sign<'a>(sign: char) -> impl Parser<&'a str, char, ErrMode<ContextError>> {
@@ -238,7 +300,11 @@
         while opt(word("or")).parse_next(text)?.is_some() {
             of.push(self.all(text)?);
         }
-        Ok(if of.len() == 1 { of.remove(0) } else { Node::Any(of) })
+        Ok(if of.len() == 1 {
+            of.remove(0)
+        } else {
+            Node::Any(of)
+        })
     }
 
     fn all(&mut self, text: &mut &str) -> Read<Node> {
@@ -246,7 +312,11 @@
         while opt(word("and")).parse_next(text)?.is_some() {
             of.push(self.one(text)?);
         }
-        Ok(if of.len() == 1 { of.remove(0) } else { Node::All(of) })
+        Ok(if of.len() == 1 {
+            of.remove(0)
+        } else {
+            Node::All(of)
+        })
     }
 
     fn one(&mut self, text: &mut &str) -> Read<Node> {
@@ -259,7 +329,9 @@
             Node::Not(Box::new(self.one(text)?))
         } else if opt(sign('(')).parse_next(text)?.is_some() {
             let inner = self.any(text)?;
-            cut_err(sign(')')).context(wanted("a closing parenthesis")).parse_next(text)?;
+            cut_err(sign(')'))
+                .context(wanted("a closing parenthesis"))
+                .parse_next(text)?;
             inner
         } else {
             self.compare(text)?
@@ -268,29 +340,45 @@
         if opt(word("for")).parse_next(text)?.is_none() {
             return Ok(node);
         }
-        let span = cut_err(written_span).context(wanted("a span of time, such as 2s")).parse_next(text)?;
+        let span = cut_err(written_span)
+            .context(wanted("a span of time, such as 2s"))
+            .parse_next(text)?;
         match span.parse::<Span>() {
             Ok(span) => {
                 self.spans += 1;
-                Ok(Node::For { span: span.micros(), at: self.spans - 1, of: Box::new(node) })
+                Ok(Node::For {
+                    span: span.micros(),
+                    at: self.spans - 1,
+                    of: Box::new(node),
+                })
             }
             Err(problem) => self.refuse(problem),
         }
     }
 
     fn compare(&mut self, text: &mut &str) -> Read<Node> {
-        let name = preceded(multispace0, take_while(1.., |c: char| c.is_alphanumeric() || c == '_'));
+        let name = preceded(
+            multispace0,
+            take_while(1.., |c: char| c.is_alphanumeric() || c == '_'),
+        );
         let name: &str = name.context(wanted("a signal")).parse_next(text)?;
-        let class = delimited(sign('('), preceded(multispace0, take_while(1.., is_class)), sign(')'));
+        let class = delimited(
+            sign('('),
+            preceded(multispace0, take_while(1.., is_class)),
+            sign(')'),
+        );
         let class: Option<&str> = opt(class).parse_next(text)?;
         let signal = match Signal::named(name, class) {
             Ok(signal) => signal,
             Err(problem) => return self.refuse(problem),
         };
         let than = preceded(multispace0, alt((">=", "<=", ">", "<")));
-        let than: &str = cut_err(than).context(wanted("one of > >= < <=")).parse_next(text)?;
+        let than: &str = cut_err(than)
+            .context(wanted("one of > >= < <="))
+            .parse_next(text)?;
         let (above, equal) = (than.starts_with('>'), than.ends_with('='));
-        let mut bound = cut_err(written_span).context(wanted("a number, a percentage or a span of time"));
+        let mut bound =
+            cut_err(written_span).context(wanted("a number, a percentage or a span of time"));
         let written: &str = bound.parse_next(text)?;
         let bound = match (signal.is_time(), written.strip_suffix('%')) {
             (true, _) => written.parse::<Span>().map(|span| span.micros() as f64),
@@ -302,7 +390,11 @@
             Err(problem) => return self.refuse(format!("{signal} is compared with {problem}")),
         };
         // A share lies between 0 and 1: beyond that a comparison is always met or never.
-        let (least, most) = if signal.is_time() { (0.0, f64::MAX) } else { (0.0, 1.0) };
+        let (least, most) = if signal.is_time() {
+            (0.0, f64::MAX)
+        } else {
+            (0.0, 1.0)
+        };
         let never = if above {
             bound > most || (bound == most && !equal)
         } else {
@@ -315,10 +407,16 @@
         };
         if never || always {
             let when = if never { "never" } else { "always" };
-            return self
-                .refuse(format!("{signal} {than} {written} is {when} met: a share lies between 0 and 100%"));
+            return self.refuse(format!(
+                "{signal} {than} {written} is {when} met: a share lies between 0 and 100%"
+            ));
         }
-        Ok(Node::Compare { signal, above, equal, bound })
+        Ok(Node::Compare {
+            signal,
+            above,
+            equal,
+            bound,
+        })
     }
 
     fn refuse<T>(&mut self, problem: String) -> Read<T> {
--- a/crates/levels/src/effects.rs
+++ b/crates/levels/src/effects.rs
@@ -50,7 +50,10 @@
     /// The same for a decision module whose settings hold these classes in this order.
     pub fn of_classes(&self, classes: &[String]) -> Reduced {
         Reduced {
-            away: classes.iter().map(|class| self.turn_away.get(class).copied().unwrap_or(0.0)).collect(),
+            away: classes
+                .iter()
+                .map(|class| self.turn_away.get(class).copied().unwrap_or(0.0))
+                .collect(),
             spare_worth: self.spare_worth,
             probes: self.probes,
             retries: self.retries,
--- a/crates/levels/src/gauge.rs
+++ b/crates/levels/src/gauge.rs
@@ -38,7 +38,11 @@
 impl End {
     /// How a request ended that was served after this time.
     pub fn served(elapsed: Micros, aim: Micros) -> Self {
-        if elapsed <= aim { End::InTime } else { End::Late }
+        if elapsed <= aim {
+            End::InTime
+        } else {
+            End::Late
+        }
     }
 
     /// How a request ended whose client left: it says nothing where that was before its time was up.
@@ -92,7 +96,10 @@
 impl Gauge {
     /// Counts of nothing, for classes of these names.
     pub fn new(classes: Vec<String>) -> Self {
-        Gauge { classes, steps: VecDeque::new() }
+        Gauge {
+            classes,
+            steps: VecDeque::new(),
+        }
     }
 
     /// The step that holds now.
@@ -100,9 +107,19 @@
         let number = now / STEP;
         if self.steps.back().is_none_or(|last| last.number < number) {
             let ends = vec![[0; 4]; self.classes.len()];
-            self.steps.push_back(Step { number, ends, attempts: 0, retries: 0, unknown: 0 });
+            self.steps.push_back(Step {
+                number,
+                ends,
+                attempts: 0,
+                retries: 0,
+                unknown: 0,
+            });
             let oldest = number.saturating_sub(LONGEST / STEP);
-            while self.steps.front().is_some_and(|first| first.number <= oldest) {
+            while self
+                .steps
+                .front()
+                .is_some_and(|first| first.number <= oldest)
+            {
                 self.steps.pop_front();
             }
         }
@@ -171,11 +188,20 @@
             set(Signal::Lateness(name), lateness);
         };
         ends(None);
-        self.classes.iter().enumerate().for_each(|class| ends(Some(class)));
+        self.classes
+            .iter()
+            .enumerate()
+            .for_each(|class| ends(Some(class)));
         let unknown = self.share(now, |step| (step.unknown, step.attempts));
         set(Signal::Unknown, unknown);
-        set(Signal::Retries, self.share(now, |step| (step.retries, step.attempts)));
-        set(Signal::FailingServers, outside.failing.filter(|_| unknown.is_some()));
+        set(
+            Signal::Retries,
+            self.share(now, |step| (step.retries, step.attempts)),
+        );
+        set(
+            Signal::FailingServers,
+            outside.failing.filter(|_| unknown.is_some()),
+        );
         set(Signal::Open, outside.open.map(|open| open.clamp(0.0, 1.0)));
         set(Signal::Cpu, outside.cpu.map(|cpu| cpu.clamp(0.0, 1.0)));
         set(Signal::ListAge, outside.list_age.map(|age| age as f64));
--- a/crates/levels/src/keeper.rs
+++ b/crates/levels/src/keeper.rs
@@ -23,7 +23,11 @@
 impl Keeper {
     /// Levels for a service of these classes, at full service. `place` is as [`Levels::new`] has it.
     pub fn new(checked: Checked, classes: Vec<String>, place: f64, now: Micros) -> Self {
-        let Checked { levels, damping, changes_in_ten_minutes } = checked;
+        let Checked {
+            levels,
+            damping,
+            changes_in_ten_minutes,
+        } = checked;
         Keeper {
             gauge: Gauge::new(classes.clone()),
             levels: Levels::new(levels, damping, place, now),
--- a/crates/levels/src/machine.rs
+++ b/crates/levels/src/machine.rs
@@ -44,7 +44,13 @@
 
 impl Default for Damping {
     fn default() -> Self {
-        Damping { growth: 1.3, half_life: 600_000_000, longest: 300_000_000, blind: 30_000_000, spread: 0.5 }
+        Damping {
+            growth: 1.3,
+            half_life: 600_000_000,
+            longest: 300_000_000,
+            blind: 30_000_000,
+            spread: 0.5,
+        }
     }
 }
 
@@ -99,8 +105,15 @@
 
 impl fmt::Display for Change {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let named = |level: &Option<String>| level.clone().unwrap_or_else(|| "full service".to_string());
-        write!(f, "service level: from {} to {}: {}", named(&self.from), named(&self.to), self.cause)
+        let named =
+            |level: &Option<String>| level.clone().unwrap_or_else(|| "full service".to_string());
+        write!(
+            f,
+            "service level: from {} to {}: {}",
+            named(&self.from),
+            named(&self.to),
+            self.cause
+        )
     }
 }
 
@@ -200,15 +213,27 @@
         if let Some(name) = &order.level
             && !self.levels.iter().any(|level| level.name == *name)
         {
-            let names: Vec<&str> = self.levels.iter().map(|level| level.name.as_str()).collect();
-            return Err(format!("there is no level {name}; there are {}", names.join(", ")));
+            let names: Vec<&str> = self
+                .levels
+                .iter()
+                .map(|level| level.name.as_str())
+                .collect();
+            return Err(format!(
+                "there is no level {name}; there are {}",
+                names.join(", ")
+            ));
         }
         if order.level.is_none() && !order.pin {
             return Err("full service can't be barred".to_string());
         }
         // One pin holds at a time, and one bar for each level, so that orders stay few.
-        self.orders
-            .retain(|other| if order.pin { !other.pin } else { other.pin || other.level != order.level });
+        self.orders.retain(|other| {
+            if order.pin {
+                !other.pin
+            } else {
+                other.pin || other.level != order.level
+            }
+        });
         self.orders.push(order);
         Ok(())
     }
@@ -230,15 +255,29 @@
         let former = self.current().map(|level| level.name.clone());
         let known = |name: &String| levels.iter().position(|level| level.name == *name);
         let at = former.as_ref().and_then(known).map_or(0, |at| at + 1);
-        self.orders.retain(|order| order.level.as_ref().is_none_or(|name| known(name).is_some()));
+        self.orders.retain(|order| {
+            order
+                .level
+                .as_ref()
+                .is_none_or(|name| known(name).is_some())
+        });
         // What is kept are parts of a spread from 0 to 1; its length is the settings'.
-        let place = if self.damping.spread > 0.0 { (self.stretch - 1.0) / self.damping.spread } else { 0.0 };
+        let place = if self.damping.spread > 0.0 {
+            (self.stretch - 1.0) / self.damping.spread
+        } else {
+            0.0
+        };
         let fresh = Levels::new(levels, damping, place, now);
         (self.levels, self.damping, self.effects) = (fresh.levels, fresh.damping, fresh.effects);
         self.stretch = fresh.stretch;
         if former.is_some() && at == 0 {
             // The levels below it are others: its name stands in the change alone.
-            let change = Change { at: now, from: former, to: None, cause: Cause::Gone };
+            let change = Change {
+                at: now,
+                from: former,
+                to: None,
+                cause: Cause::Gone,
+            };
             return Some(self.note(now, 0, change));
         }
         self.at = at;
@@ -252,16 +291,25 @@
         let met: Vec<(Option<bool>, Option<bool>)> = self
             .levels
             .iter_mut()
-            .map(|level| (level.enter.evaluate(now, signals), level.leave.evaluate(now, signals)))
+            .map(|level| {
+                (
+                    level.enter.evaluate(now, signals),
+                    level.leave.evaluate(now, signals),
+                )
+            })
             .collect();
         let to = self.ordered();
         if let Some((to, by)) = to {
             return (to != self.at).then(|| self.change(now, to, Cause::Ordered { by }));
         }
         let barred = |at: usize| {
-            self.orders.iter().any(|o| !o.pin && o.level.as_ref() == Some(&self.levels[at - 1].name))
+            self.orders
+                .iter()
+                .any(|o| !o.pin && o.level.as_ref() == Some(&self.levels[at - 1].name))
         };
-        let entered = (1..=self.levels.len()).rev().find(|at| met[at - 1].0 == Some(true) && !barred(*at));
+        let entered = (1..=self.levels.len())
+            .rev()
+            .find(|at| met[at - 1].0 == Some(true) && !barred(*at));
         if let Some(to) = entered.filter(|to| *to > self.at) {
             let cause = met_at(&self.levels[to - 1].enter, signals);
             return Some(self.change(now, to, cause));
@@ -269,8 +317,10 @@
         if self.at == 0 {
             return None;
         }
-        if let Some(order) =
-            self.orders.iter().find(|o| !o.pin && o.level.as_ref() == self.current().map(|l| &l.name))
+        if let Some(order) = self
+            .orders
+            .iter()
+            .find(|o| !o.pin && o.level.as_ref() == self.current().map(|l| &l.name))
         {
             let by = order.by.clone();
             return Some(self.change(now, self.at - 1, Cause::Ordered { by }));
@@ -281,17 +331,25 @@
         } else {
             self.blind_since.get_or_insert(now);
         }
-        let blind = self.blind_since.is_some_and(|since| now.saturating_sub(since) >= self.damping.blind);
+        let blind = self
+            .blind_since
+            .is_some_and(|since| now.saturating_sub(since) >= self.damping.blind);
         let stayed = now.saturating_sub(self.since) >= self.stay(now);
         if !stayed || enter == Some(true) || !(leave == Some(true) || blind) {
             return None;
         }
         let leave = &self.levels[self.at - 1].leave;
-        let cause =
-            if blind { Cause::Blind { condition: leave.to_string() } } else { met_at(leave, signals) };
+        let cause = if blind {
+            Cause::Blind {
+                condition: leave.to_string(),
+            }
+        } else {
+            met_at(leave, signals)
+        };
         // Levels below it that would be left now are passed over: each would else cost a stay of its own. Not on trial,
         // where nothing is known.
-        let passed = |at: usize| !blind && met[at - 1].1 == Some(true) && met[at - 1].0 != Some(true);
+        let passed =
+            |at: usize| !blind && met[at - 1].1 == Some(true) && met[at - 1].0 != Some(true);
         let to = (1..self.at).rev().find(|at| !passed(*at)).unwrap_or(0);
         Some(self.change(now, to, cause))
     }
@@ -314,13 +372,19 @@
     }
 
     fn penalty(&self, now: Micros) -> f64 {
-        let halves = now.saturating_sub(self.penalty_at) as f64 / self.damping.half_life.max(1) as f64;
+        let halves =
+            now.saturating_sub(self.penalty_at) as f64 / self.damping.half_life.max(1) as f64;
         self.penalty * (-halves).exp2()
     }
 
     fn change(&mut self, now: Micros, to: usize, cause: Cause) -> Change {
         let named = |at: usize| at.checked_sub(1).map(|at| self.levels[at].name.clone());
-        let change = Change { at: now, from: named(self.at), to: named(to), cause };
+        let change = Change {
+            at: now,
+            from: named(self.at),
+            to: named(to),
+            cause,
+        };
         self.note(now, to, change)
     }
 
@@ -347,11 +411,19 @@
 }
 
 fn met_at(condition: &Condition, signals: &Signals) -> Cause {
-    Cause::Met { condition: condition.to_string(), values: condition.values(signals) }
+    Cause::Met {
+        condition: condition.to_string(),
+        values: condition.values(signals),
+    }
 }
 
 pub(crate) fn changes_at_most(levels: &[Level], damping: &Damping, window: Micros) -> u64 {
-    let least = levels.iter().map(|level| level.least_stay).min().unwrap_or(Micros::MAX).max(1) as f64;
+    let least = levels
+        .iter()
+        .map(|level| level.least_stay)
+        .min()
+        .unwrap_or(Micros::MAX)
+        .max(1) as f64;
     let longest = (damping.longest as f64).max(least);
     let count = levels.len().max(1) as u64;
     let left = (-(window as f64) / damping.half_life.max(1) as f64).exp2();
--- a/crates/levels/src/section.rs
+++ b/crates/levels/src/section.rs
@@ -101,9 +101,18 @@
 
     /// Reads the conditions and checks all, noting each problem with its field under `path`. What is not sound is left
     /// out of what is given back; the document then refuses the file as a whole.
-    pub fn check(&self, document: &mut Document<'_>, path: &str, classes: &[ClassFacts]) -> Checked {
+    pub fn check(
+        &self,
+        document: &mut Document<'_>,
+        path: &str,
+        classes: &[ClassFacts],
+    ) -> Checked {
         let damping = self.damping.check(document, &format!("{path}.damping"));
-        let mut levels = if self.built_in { built_in(classes) } else { Vec::new() };
+        let mut levels = if self.built_in {
+            built_in(classes)
+        } else {
+            Vec::new()
+        };
         document.require(
             self.level.len() <= MOST,
             &format!("{path}.level"),
@@ -122,7 +131,11 @@
             }
         }
         let changes_in_ten_minutes = changes_at_most(&levels, &damping, TOLD_WINDOW);
-        Checked { levels, damping, changes_in_ten_minutes }
+        Checked {
+            levels,
+            damping,
+            changes_in_ten_minutes,
+        }
     }
 }
 
@@ -130,12 +143,24 @@
     fn check(&self, document: &mut Document<'_>, path: &str) -> Damping {
         let usual = Damping::default();
         let growth = self.growth.unwrap_or(usual.growth);
-        document.require((1.0..=10.0).contains(&growth), &format!("{path}.growth"), "must lie in 1..=10");
+        document.require(
+            (1.0..=10.0).contains(&growth),
+            &format!("{path}.growth"),
+            "must lie in 1..=10",
+        );
         let spread = self.spread.unwrap_or(usual.spread);
-        document.require((0.0..=10.0).contains(&spread), &format!("{path}.spread"), "must lie in 0..=10");
+        document.require(
+            (0.0..=10.0).contains(&spread),
+            &format!("{path}.spread"),
+            "must lie in 0..=10",
+        );
         let mut span = |field: &str, span: Option<Span>, usual: Micros| {
             let span = span.map_or(usual, Span::micros);
-            document.require(span >= 1_000_000, &format!("{path}.{field}"), "must be 1s or more");
+            document.require(
+                span >= 1_000_000,
+                &format!("{path}.{field}"),
+                "must be 1s or more",
+            );
             span
         };
         Damping {
@@ -149,10 +174,16 @@
 }
 
 impl LevelSection {
-    fn check(&self, document: &mut Document<'_>, path: &str, classes: &[ClassFacts]) -> Option<Level> {
+    fn check(
+        &self,
+        document: &mut Document<'_>,
+        path: &str,
+        classes: &[ClassFacts],
+    ) -> Option<Level> {
         let field = |name: &str| format!("{path}.{name}");
-        let sound =
-            !self.name.is_empty() && self.name.len() <= 64 && !self.name.chars().any(char::is_control);
+        let sound = !self.name.is_empty()
+            && self.name.len() <= 64
+            && !self.name.chars().any(char::is_control);
         document.require(sound, &field("name"), "must be a name of 1 to 64 bytes");
         let free = self.name != FULL;
         document.require(
@@ -161,7 +192,11 @@
             format!("is the word for full service; take another than {FULL}"),
         );
         let least_stay = self.least_stay.unwrap_or(Span::s(10)).micros();
-        document.require(least_stay >= 1_000_000, &field("least_stay"), "must be 1s or more");
+        document.require(
+            least_stay >= 1_000_000,
+            &field("least_stay"),
+            "must be 1s or more",
+        );
         for (class, share) in &self.turn_away {
             let at = field(&format!("turn_away.{class}"));
             let known = classes.iter().any(|c| c.name == *class);
@@ -172,12 +207,22 @@
         let mut part = |name: &str, value: Option<f64>, usual: f64, least: f64, most: f64| {
             let value = value.unwrap_or(usual);
             let sound = value >= least && value <= most;
-            document.require(value == usual || sound, &field(name), format!("must lie in {least}..={most}"));
+            document.require(
+                value == usual || sound,
+                &field(name),
+                format!("must lie in {least}..={most}"),
+            );
             value
         };
         let effects = Effects {
             turn_away: self.turn_away.clone(),
-            spare_worth: part("spare_worth", self.spare_worth, usual.spare_worth, 0.0, f64::MAX),
+            spare_worth: part(
+                "spare_worth",
+                self.spare_worth,
+                usual.spare_worth,
+                0.0,
+                f64::MAX,
+            ),
             probes: self.probes.unwrap_or(usual.probes),
             retries: part("retries", self.retries, usual.retries, 0.0, 1.0),
             patience: part("patience", self.patience, usual.patience, 0.1, 1.0),
@@ -195,14 +240,23 @@
             Err(problem) => document.problem(&field("leave"), format!("with enter {problem}")),
         }
         // A level that lets nothing of a class through can't see that it is well again.
-        for class in leave.signals().into_iter().filter_map(|signal| signal.class()) {
+        for class in leave
+            .signals()
+            .into_iter()
+            .filter_map(|signal| signal.class())
+        {
             if self.turn_away.get(class).is_some_and(|share| *share > 0.98) {
-                let all =
-                    "turns away all of a class on which its leave hangs: let a part through, such as 0.95";
+                let all = "turns away all of a class on which its leave hangs: let a part through, such as 0.95";
                 document.problem(&field(&format!("turn_away.{class}")), all);
             }
         }
-        Some(Level { name: self.name.clone(), enter, leave, least_stay, effects })
+        Some(Level {
+            name: self.name.clone(),
+            enter,
+            leave,
+            least_stay,
+            effects,
+        })
     }
 }
 
@@ -211,16 +265,25 @@
     format!("there is no class {class}; there are {}", names.join(", "))
 }
 
-fn read(document: &mut Document<'_>, field: &str, text: &str, classes: &[ClassFacts]) -> Option<Condition> {
+fn read(
+    document: &mut Document<'_>,
+    field: &str,
+    text: &str,
+    classes: &[ClassFacts],
+) -> Option<Condition> {
     if text.is_empty() {
         document.problem(field, "is missing");
         return None;
     }
     match Condition::parse(text) {
         Ok(condition) => {
-            let unknown = condition.signals().into_iter().filter_map(|signal| signal.class());
-            let unknown: Vec<&str> =
-                unknown.filter(|class| !classes.iter().any(|c| c.name == *class)).collect();
+            let unknown = condition
+                .signals()
+                .into_iter()
+                .filter_map(|signal| signal.class());
+            let unknown: Vec<&str> = unknown
+                .filter(|class| !classes.iter().any(|c| c.name == *class))
+                .collect();
             for class in unknown {
                 document.problem(field, no_class(class, classes));
             }
@@ -250,24 +313,61 @@
     let alike = repeatable.is_empty() || others.is_empty();
     let away = |share: f64| match alike {
         true => BTreeMap::new(),
-        false => repeatable.iter().map(|class| (class.name.clone(), share)).collect(),
+        false => repeatable
+            .iter()
+            .map(|class| (class.name.clone(), share))
+            .collect(),
     };
     // A condition on each class that is kept; on all together where there is no such, or its text would be too long.
     let each = |text: &str, joined: &str| {
-        let texts: Vec<String> =
-            others.iter().map(|class| text.replace('*', &format!("({})", class.name))).collect();
-        let whole = Condition::parse(&texts.join(joined)).ok().filter(|_| !alike);
+        let texts: Vec<String> = others
+            .iter()
+            .map(|class| text.replace('*', &format!("({})", class.name)))
+            .collect();
+        let whole = Condition::parse(&texts.join(joined))
+            .ok()
+            .filter(|_| !alike);
         whole.or_else(|| Condition::parse(&text.replace('*', "")).ok())
     };
     let level = |name: &str, enter: &str, leave: &str, effects: Effects| {
         let (enter, leave) = (each(enter, " or ")?, each(leave, " and ")?);
-        Some(Level { name: name.to_string(), enter, leave, least_stay: 5_000_000, effects })
+        Some(Level {
+            name: name.to_string(),
+            enter,
+            leave,
+            least_stay: 5_000_000,
+            effects,
+        })
+    };
+    let lean = Effects {
+        retries: 0.5,
+        ..Effects::default()
+    };
+    let reduced = Effects {
+        turn_away: away(0.5),
+        retries: 0.1,
+        ..Effects::default()
+    };
+    let essential = Effects {
+        turn_away: away(0.95),
+        retries: 0.0,
+        probes: false,
+        ..Effects::default()
+    };
+    let all = |class: &ClassFacts| {
+        (
+            class.name.clone(),
+            if class.repeatable && !alike {
+                0.95
+            } else {
+                0.9
+            },
+        )
+    };
+    let recovery = Effects {
+        turn_away: classes.iter().map(all).collect(),
+        ..essential.clone()
     };
-    let lean = Effects { retries: 0.5, ..Effects::default() };
-    let reduced = Effects { turn_away: away(0.5), retries: 0.1, ..Effects::default() };
-    let essential = Effects { turn_away: away(0.95), retries: 0.0, probes: false, ..Effects::default() };
-    let all = |class: &ClassFacts| (class.name.clone(), if class.repeatable && !alike { 0.95 } else { 0.9 });
-    let recovery = Effects { turn_away: classes.iter().map(all).collect(), ..essential.clone() };
     [
         level(
             "lean",
@@ -287,7 +387,12 @@
             "(refused* < 10% and lateness* < 20%) for 2s",
             essential,
         ),
-        level("recovery", "goodput* < 50% for 12s", "goodput* > 85%", recovery),
+        level(
+            "recovery",
+            "goodput* < 50% for 12s",
+            "goodput* > 85%",
+            recovery,
+        ),
     ]
     .into_iter()
     .flatten()
--- a/crates/levels/src/signal.rs
+++ b/crates/levels/src/signal.rs
@@ -27,8 +27,17 @@
 }
 
 /// The names of signals.
-const NAMES: [&str; 9] =
-    ["failing_servers", "goodput", "lateness", "refused", "retries", "open", "unknown", "cpu", "list_age"];
+const NAMES: [&str; 9] = [
+    "failing_servers",
+    "goodput",
+    "lateness",
+    "refused",
+    "retries",
+    "open",
+    "unknown",
+    "cpu",
+    "list_age",
+];
 
 impl Signal {
     /// The signal of this name and class; an error says which there are.
@@ -45,7 +54,10 @@
             "cpu" => Signal::Cpu,
             "list_age" => Signal::ListAge,
             _ => {
-                return Err(format!("there is no signal {name}; there are {}", NAMES.join(", ")));
+                return Err(format!(
+                    "there is no signal {name}; there are {}",
+                    NAMES.join(", ")
+                ));
             }
         };
         if class.is_some() && signal.class().is_none() {
@@ -57,7 +69,9 @@
     /// The class it is of, if it is of one alone.
     pub fn class(&self) -> Option<&str> {
         match self {
-            Signal::Goodput(class) | Signal::Lateness(class) | Signal::Refused(class) => class.as_deref(),
+            Signal::Goodput(class) | Signal::Lateness(class) | Signal::Refused(class) => {
+                class.as_deref()
+            }
             _ => None,
         }
     }
--- a/crates/levels/tests/conditions.rs
+++ b/crates/levels/tests/conditions.rs
@@ -8,7 +8,9 @@
 fn signals(values: &[(&str, f64)]) -> Signals {
     let mut signals = Signals::default();
     for (name, value) in values {
-        let (name, class) = name.split_once('/').map_or((*name, None), |(name, class)| (name, Some(class)));
+        let (name, class) = name
+            .split_once('/')
+            .map_or((*name, None), |(name, class)| (name, Some(class)));
         signals.set(Signal::named(name, class).expect("a signal"), *value);
     }
     signals
@@ -19,24 +21,50 @@
     let text = "failing_servers > 15% for 2s and lateness(submit-check) > 0.3";
     let mut condition = Condition::parse(text).expect("it is sound");
     let bad = signals(&[("failing_servers", 0.2), ("lateness/submit-check", 0.4)]);
-    assert_eq!(condition.evaluate(10 * S, &bad), Some(false), "it has not lasted");
+    assert_eq!(
+        condition.evaluate(10 * S, &bad),
+        Some(false),
+        "it has not lasted"
+    );
     assert_eq!(condition.evaluate(12 * S, &bad), Some(true));
     let well = signals(&[("failing_servers", 0.15), ("lateness/submit-check", 0.4)]);
     assert_eq!(condition.evaluate(13 * S, &well), Some(false));
-    assert_eq!(condition.evaluate(14 * S, &bad), Some(false), "it counts from anew");
-    assert_eq!(condition.values(&bad), "failing_servers = 0.200, lateness(submit-check) = 0.400");
+    assert_eq!(
+        condition.evaluate(14 * S, &bad),
+        Some(false),
+        "it counts from anew"
+    );
+    assert_eq!(
+        condition.values(&bad),
+        "failing_servers = 0.200, lateness(submit-check) = 0.400"
+    );
 }
 
 #[test]
 fn what_was_not_measured_is_neither_met_nor_its_contrary() {
     let nothing = Signals::default();
-    for text in ["cpu > 50%", "not cpu > 50%", "cpu > 50% and open > 50%", "cpu > 50% for 2s"] {
+    for text in [
+        "cpu > 50%",
+        "not cpu > 50%",
+        "cpu > 50% and open > 50%",
+        "cpu > 50% for 2s",
+    ] {
         let mut condition = Condition::parse(text).expect("it is sound");
         assert_eq!(condition.evaluate(S, &nothing), None, "{text}");
     }
     let open = signals(&[("open", 0.9)]);
-    assert_eq!(Condition::parse("cpu > 50% or open > 50%").expect("sound").evaluate(S, &open), Some(true));
-    assert_eq!(Condition::parse("cpu > 50% and open < 50%").expect("sound").evaluate(S, &open), Some(false));
+    assert_eq!(
+        Condition::parse("cpu > 50% or open > 50%")
+            .expect("sound")
+            .evaluate(S, &open),
+        Some(true)
+    );
+    assert_eq!(
+        Condition::parse("cpu > 50% and open < 50%")
+            .expect("sound")
+            .evaluate(S, &open),
+        Some(false)
+    );
     // A gap may hide that it had ceased.
     let mut lasting = Condition::parse("open > 50% for 2s").expect("sound");
     assert_eq!(lasting.evaluate(0, &open), Some(false));
@@ -66,9 +94,21 @@
         let problem = Condition::parse(text).expect_err(text);
         assert!(problem.contains(told), "{text}: {problem}");
     }
-    assert!(Condition::parse(&"(".repeat(1_000)).expect_err("deep").contains("deep"));
-    assert!(Condition::parse(&"not ".repeat(400)).expect_err("deep").contains("deep"));
-    assert!(Condition::parse(&" ".repeat(4_000)).expect_err("long").contains("longer"));
+    assert!(
+        Condition::parse(&"(".repeat(1_000))
+            .expect_err("deep")
+            .contains("deep")
+    );
+    assert!(
+        Condition::parse(&"not ".repeat(400))
+            .expect_err("deep")
+            .contains("deep")
+    );
+    assert!(
+        Condition::parse(&" ".repeat(4_000))
+            .expect_err("long")
+            .contains("longer")
+    );
 }
 
 #[test]
@@ -78,9 +118,15 @@
         a.met_together(&b).expect("few bounds")
     };
     assert_eq!(met("cpu > 50%", "cpu < 40%"), None);
-    assert_eq!(met("cpu >= 50%", "cpu <= 50%").as_deref(), Some("cpu = 0.5000"));
+    assert_eq!(
+        met("cpu >= 50%", "cpu <= 50%").as_deref(),
+        Some("cpu = 0.5000")
+    );
     assert!(met("cpu > 50%", "open < 40%").is_some());
-    assert_eq!(met("cpu > 50% or open > 50%", "cpu < 40% and open < 40%"), None);
+    assert_eq!(
+        met("cpu > 50% or open > 50%", "cpu < 40% and open < 40%"),
+        None
+    );
     assert!(met("list_age > 5s", "not list_age < 9s").is_some());
     assert_eq!(met("list_age > 9s", "list_age < 5s for 3s"), None);
 }
@@ -124,16 +170,31 @@
             Plain::All(of) => {
                 let met: Vec<_> = of.iter().map(|p| p.met(steps)).collect();
                 let known = met.iter().all(Option::is_some);
-                if met.contains(&Some(false)) { Some(false) } else { known.then_some(true) }
+                if met.contains(&Some(false)) {
+                    Some(false)
+                } else {
+                    known.then_some(true)
+                }
             }
             Plain::Any(of) => {
                 let met: Vec<_> = of.iter().map(|p| p.met(steps)).collect();
                 let known = met.iter().all(Option::is_some);
-                if met.contains(&Some(true)) { Some(true) } else { known.then_some(false) }
+                if met.contains(&Some(true)) {
+                    Some(true)
+                } else {
+                    known.then_some(false)
+                }
             }
             Plain::For(span, of) => {
-                let held = (1..=steps.len()).rev().take_while(|n| of.met(&steps[..*n]) == Some(true)).count();
-                if held == 0 { of.met(steps) } else { Some(held as u64 > *span) }
+                let held = (1..=steps.len())
+                    .rev()
+                    .take_while(|n| of.met(&steps[..*n]) == Some(true))
+                    .count();
+                if held == 0 {
+                    of.met(steps)
+                } else {
+                    Some(held as u64 > *span)
+                }
             }
         }
     }
--- a/crates/levels/tests/gauge.rs
+++ b/crates/levels/tests/gauge.rs
@@ -11,11 +11,24 @@
 }
 
 fn signals(gauge: &Gauge, now: u64) -> Signals {
-    gauge.signals(now, &Outside { failing: Some(0.25), ..Outside::default() })
+    gauge.signals(
+        now,
+        &Outside {
+            failing: Some(0.25),
+            ..Outside::default()
+        },
+    )
 }
 
 fn closed(attempt: u32, outcome: Outcome) -> Closed {
-    Closed { request: 1, attempt, server: ServerId(1), outcome, elapsed: 1, ended: true }
+    Closed {
+        request: 1,
+        attempt,
+        server: ServerId(1),
+        outcome,
+        elapsed: 1,
+        ended: true,
+    }
 }
 
 #[test]
@@ -46,7 +59,10 @@
     let all = LONGEST * u64::from(FEWEST) / 20;
     assert_eq!(signals(&gauge, all).get(&Signal::Lateness(None)), Some(1.0));
     // One more of them is too old than may be, so too few are left to tell.
-    assert_eq!(signals(&gauge, LONGEST + LONGEST / 20).get(&Signal::Lateness(None)), None);
+    assert_eq!(
+        signals(&gauge, LONGEST + LONGEST / 20).get(&Signal::Lateness(None)),
+        None
+    );
     assert_eq!(signals(&gauge, 1_000 * S), Signals::default());
 }
 
@@ -61,7 +77,9 @@
         gauge.closed(S, &closed(1, Ok));
         gauge.closed(S, &closed(2, Ok));
     }
-    [Moot, Cancelled].iter().for_each(|outcome| gauge.closed(S, &closed(3, *outcome)));
+    [Moot, Cancelled]
+        .iter()
+        .for_each(|outcome| gauge.closed(S, &closed(3, *outcome)));
     let signals = signals(&gauge, S);
     assert_eq!(signals.get(&Signal::Unknown), Some(0.3));
     assert_eq!(signals.get(&Signal::Retries), Some(0.2));
@@ -71,7 +89,12 @@
 #[test]
 fn servers_that_nobody_has_heard_of_lately_are_not_healthy() {
     let mut gauge = gauge();
-    let silent = Outside { failing: Some(0.0), open: Some(7.0), cpu: Some(f64::NAN), list_age: Some(3) };
+    let silent = Outside {
+        failing: Some(0.0),
+        open: Some(7.0),
+        cpu: Some(f64::NAN),
+        list_age: Some(3),
+    };
     let told = |gauge: &Gauge, now| gauge.signals(now, &silent).get(&Signal::FailingServers);
     assert_eq!(told(&gauge, S), None);
     (0..FEWEST).for_each(|_| gauge.closed(S, &closed(0, Outcome::Ok)));
--- a/crates/operations/src/call.rs
+++ b/crates/operations/src/call.rs
@@ -47,7 +47,10 @@
 
 /// Finds the first line in what has come so far. None while more must come. Behind the line nothing is looked at.
 pub fn read(come: &[u8]) -> Option<Result<Call, Fault>> {
-    let end = come.iter().take(LONGEST + 2).position(|byte| *byte == b'\n');
+    let end = come
+        .iter()
+        .take(LONGEST + 2)
+        .position(|byte| *byte == b'\n');
     match end {
         Some(end) => Some(parse(&come[..end])),
         // One more is room for the carriage return.
--- a/crates/operations/src/duty.rs
+++ b/crates/operations/src/duty.rs
@@ -35,7 +35,9 @@
 
 impl Default for Duty {
     fn default() -> Self {
-        Duty { state: State::Serving }
+        Duty {
+            state: State::Serving,
+        }
     }
 }
 
@@ -106,7 +108,10 @@
         assert!(duty.lame_duck(1_000) && !duty.lame_duck(9_000_000));
         assert_eq!(duty.state(), State::Draining { since: 1_000 });
         assert_eq!(duty.closes_idle_since(1_000 + IDLE_STAYS - 1), None);
-        assert_eq!(duty.closes_idle_since(1_000 + IDLE_STAYS), Some(1_000 + IDLE_STAYS - IDLE_FOR));
+        assert_eq!(
+            duty.closes_idle_since(1_000 + IDLE_STAYS),
+            Some(1_000 + IDLE_STAYS - IDLE_FOR)
+        );
         assert!(duty.rejoin() && !duty.rejoin());
         assert_eq!(duty.closes_idle_since(Micros::MAX), None);
     }
@@ -133,7 +138,10 @@
                     2 => (stopped, drains) = (true, None),
                     _ => {}
                 }
-                assert_eq!((duty.is_stopping(), duty.is_serving()), (stopped, !stopped && drains.is_none()));
+                assert_eq!(
+                    (duty.is_stopping(), duty.is_serving()),
+                    (stopped, !stopped && drains.is_none())
+                );
                 let closes = drains.is_some_and(|since| now >= since + IDLE_STAYS);
                 assert_eq!(duty.closes_idle_since(now), closes.then(|| now - IDLE_FOR));
             }
--- a/crates/operations/src/figures.rs
+++ b/crates/operations/src/figures.rs
@@ -55,9 +55,11 @@
     /// One line each, `app.NAME=NUMBER`, and `eof` behind them.
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (class, ended) in &self.operations {
-            for (name, count) in
-                [("fulfilled", ended.fulfilled), ("throttled", ended.throttled), ("faulted", ended.faulted)]
-            {
+            for (name, count) in [
+                ("fulfilled", ended.fulfilled),
+                ("throttled", ended.throttled),
+                ("faulted", ended.faulted),
+            ] {
                 writeln!(to, "app.operations.{}.{name}={count}", Plain(class))?;
             }
         }
@@ -83,7 +85,11 @@
 impl fmt::Display for Plain<'_> {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.chars().try_for_each(|c| {
-            to.write_char(if c == '=' || c == '.' || c.is_control() || c == ' ' { '_' } else { c })
+            to.write_char(if c == '=' || c == '.' || c.is_control() || c == ' ' {
+                '_'
+            } else {
+                c
+            })
         })
     }
 }
@@ -94,9 +100,16 @@
 
     #[test]
     fn figures_are_lines_that_end_with_eof() {
-        let ended = Ended { fulfilled: 812, throttled: 3, faulted: 1 };
+        let ended = Ended {
+            fulfilled: 812,
+            throttled: 3,
+            faulted: 1,
+        };
         let figures = Figures {
-            operations: vec![("submit-check".to_string(), ended), ("a=b\n.c".to_string(), Ended::default())],
+            operations: vec![
+                ("submit-check".to_string(), ended),
+                ("a=b\n.c".to_string(), Ended::default()),
+            ],
             open_requests: 14,
             busy_turns: 2,
             stalled_turns: 5,
@@ -108,6 +121,9 @@
         assert!(text.contains("\napp.open_requests=14\n"));
         assert!(text.contains("\napp.busy_turns=2\napp.stalled_turns=5\n"));
         assert!(text.ends_with("\neof\n"));
-        assert!(text.lines().all(|line| line == "eof" || line.matches('=').count() == 1));
+        assert!(
+            text.lines()
+                .all(|line| line == "eof" || line.matches('=').count() == 1)
+        );
     }
 }
--- a/crates/operator/src/admin.rs
+++ b/crates/operator/src/admin.rs
@@ -51,7 +51,8 @@
                 return Admin::Socket(path);
             }
             (None, Some(address)) => {
-                let problem = "is not on the loopback interface; write one such as \"127.0.0.1:9901\"";
+                let problem =
+                    "is not on the loopback interface; write one such as \"127.0.0.1:9901\"";
                 document.require(address.ip().is_loopback(), "admin.listen", problem);
                 return Admin::Listen(address);
             }
--- a/crates/operator/src/control.rs
+++ b/crates/operator/src/control.rs
@@ -57,21 +57,57 @@
 }
 
 impl Section {
-    pub(crate) fn check(self, document: &mut Document<'_>, process: &str, pools: &Names) -> Control {
-        let Section { agent, name, zone, labels, state, keys, share_lists, fleet_limits } = self;
+    pub(crate) fn check(
+        self,
+        document: &mut Document<'_>,
+        process: &str,
+        pools: &Names,
+    ) -> Control {
+        let Section {
+            agent,
+            name,
+            zone,
+            labels,
+            state,
+            keys,
+            share_lists,
+            fleet_limits,
+        } = self;
         let fleet_limits = fleet_limits::check(document, fleet_limits, pools);
-        let port = agent.rsplit_once(':').filter(|(host, _)| !host.is_empty()).map(|(_, port)| port);
+        let port = agent
+            .rsplit_once(':')
+            .filter(|(host, _)| !host.is_empty())
+            .map(|(_, port)| port);
         let sound = port.is_some_and(|port| port.parse::<u16>().is_ok());
-        document.require(sound, "control.agent", "is no HOST:PORT; write one such as \"10.0.0.5:7070\"");
-        let name = if name.is_empty() { process.to_string() } else { name };
+        document.require(
+            sound,
+            "control.agent",
+            "is no HOST:PORT; write one such as \"10.0.0.5:7070\"",
+        );
+        let name = if name.is_empty() {
+            process.to_string()
+        } else {
+            name
+        };
         if let Err(problem) = check_name(&name) {
-            document.problem("control.name", format_args!("{problem}; it is what the agent lists"));
+            document.problem(
+                "control.name",
+                format_args!("{problem}; it is what the agent lists"),
+            );
         }
-        let traits = Traits { zone: zone.clone(), labels: labels.clone(), ..Traits::default() };
+        let traits = Traits {
+            zone: zone.clone(),
+            labels: labels.clone(),
+            ..Traits::default()
+        };
         if let Err(problem) = traits.check() {
             document.problem(&format!("control.{}", problem.field), problem.problem);
         }
-        let paths = [("authority", &keys.authority), ("certificate", &keys.certificate), ("key", &keys.key)];
+        let paths = [
+            ("authority", &keys.authority),
+            ("certificate", &keys.certificate),
+            ("key", &keys.key),
+        ];
         for (name, path) in paths {
             let missing = path.as_os_str().is_empty();
             document.require(
@@ -82,11 +118,28 @@
         }
         let share_lists = Some(share_lists).filter(|name| !name.is_empty());
         if let Some(Err(problem)) = share_lists.as_deref().map(check_name) {
-            document
-                .problem("control.share_lists", format_args!("{problem}; it is the same for all that share"));
+            document.problem(
+                "control.share_lists",
+                format_args!("{problem}; it is the same for all that share"),
+            );
+        }
+        let Keys {
+            authority,
+            certificate,
+            key,
+        } = keys;
+        Control {
+            agent,
+            name,
+            zone,
+            labels,
+            state,
+            authority,
+            certificate,
+            key,
+            share_lists,
+            fleet_limits,
         }
-        let Keys { authority, certificate, key } = keys;
-        Control { agent, name, zone, labels, state, authority, certificate, key, share_lists, fleet_limits }
     }
 }
 
--- a/crates/operator/src/fleet_limits.rs
+++ b/crates/operator/src/fleet_limits.rs
@@ -63,8 +63,16 @@
     pub safe: Safe,
 }
 
-pub(crate) fn check(document: &mut Document<'_>, sections: Vec<Section>, pools: &Names) -> Vec<FleetLimit> {
-    document.require(sections.len() <= MOST, "control.fleet_limits", "are too many; there are 128 at most");
+pub(crate) fn check(
+    document: &mut Document<'_>,
+    sections: Vec<Section>,
+    pools: &Names,
+) -> Vec<FleetLimit> {
+    document.require(
+        sections.len() <= MOST,
+        "control.fleet_limits",
+        "are too many; there are 128 at most",
+    );
     let mut names: Vec<String> = Vec::new();
     let mut limits = Vec::new();
     for (at, section) in sections.into_iter().take(MOST).enumerate() {
@@ -72,7 +80,11 @@
         if let Err(problem) = check_name(&section.name) {
             document.problem(&field("name"), problem);
         }
-        document.require(!names.contains(&section.name), &field("name"), "is there twice; names are unique");
+        document.require(
+            !names.contains(&section.name),
+            &field("name"),
+            "is there twice; names are unique",
+        );
         names.push(section.name.clone());
         limits.push(section.check(document, &field, pools));
     }
@@ -80,15 +92,28 @@
 }
 
 impl Section {
-    fn check(self, document: &mut Document<'_>, field: &dyn Fn(&str) -> String, pools: &Names) -> FleetLimit {
-        let pool = Pattern(if self.pool.is_empty() { "*".into() } else { self.pool });
+    fn check(
+        self,
+        document: &mut Document<'_>,
+        field: &dyn Fn(&str) -> String,
+        pools: &Names,
+    ) -> FleetLimit {
+        let pool = Pattern(if self.pool.is_empty() {
+            "*".into()
+        } else {
+            self.pool
+        });
         if !(0..pools.len()).any(|place| pool.fits(pools.name(place))) {
             let known: Vec<&str> = (0..pools.len()).map(|place| pools.name(place)).collect();
-            document.problem(&field("pool"), format_args!("fits no pool; there are {}", known.join(", ")));
+            document.problem(
+                &field("pool"),
+                format_args!("fits no pool; there are {}", known.join(", ")),
+            );
         }
         let class = self.class.map(Pattern);
-        let sound =
-            |class: &Pattern| is_name(class.0.strip_suffix('*').unwrap_or(&class.0)) || class.0 == "*";
+        let sound = |class: &Pattern| {
+            is_name(class.0.strip_suffix('*').unwrap_or(&class.0)) || class.0 == "*"
+        };
         document.require(
             class.as_ref().is_none_or(sound),
             &field("class"),
@@ -109,8 +134,10 @@
                 }
             },
             (Some(_), None) => {
-                document
-                    .problem(&field("value"), "is missing; write the header's value, or its beginning and *");
+                document.problem(
+                    &field("value"),
+                    "is missing; write the header's value, or its beginning and *",
+                );
                 None
             }
             (None, Some(_)) => {
@@ -119,28 +146,57 @@
             }
         };
         let safe = self.safe.check(document, field);
-        FleetLimit { name: self.name, pool, class, header, each_server: self.each_server, safe }
+        FleetLimit {
+            name: self.name,
+            pool,
+            class,
+            header,
+            each_server: self.each_server,
+            safe,
+        }
     }
 }
 
 impl SafePart {
     fn check(self, document: &mut Document<'_>, field: &dyn Fn(&str) -> String) -> Safe {
-        let SafePart { requests_per_second: rate, burst, open, divide_by } = self;
+        let SafePart {
+            requests_per_second: rate,
+            burst,
+            open,
+            divide_by,
+        } = self;
         let sound = rate.is_none_or(|rate| (0.0..=MOST_REQUESTS).contains(&rate));
-        document.require(sound, &field("safe.requests_per_second"), "must lie in 0 to 100000000");
+        document.require(
+            sound,
+            &field("safe.requests_per_second"),
+            "must lie in 0 to 100000000",
+        );
         let open_is_sound = open.is_none_or(|open| open as f64 <= MOST_REQUESTS);
-        document.require(open_is_sound, &field("safe.open"), "must be 100000000 at most");
+        document.require(
+            open_is_sound,
+            &field("safe.open"),
+            "must be 100000000 at most",
+        );
         if let Some(parts) = divide_by {
             let alone = rate.is_none() && burst.is_none() && open.is_none();
-            document.require(alone, &field("safe.divide_by"), "stands alone, without figures");
+            document.require(
+                alone,
+                &field("safe.divide_by"),
+                "stands alone, without figures",
+            );
             document.require(parts > 0, &field("safe.divide_by"), "must be 1 or more");
             return Safe::Part(parts.max(1));
         }
         if rate.is_none() && open.is_none() {
-            document.require(burst.is_none(), &field("safe.burst"), "goes with requests_per_second");
+            document.require(
+                burst.is_none(),
+                &field("safe.burst"),
+                "goes with requests_per_second",
+            );
             return Safe::Nothing;
         }
-        let thousandths = |figure: f64| (figure.clamp(0.0, MOST_REQUESTS) * ONE as f64).round() as u64;
+        let thousandths =
+            |figure: f64| (figure.clamp(0.0, MOST_REQUESTS) * ONE as f64).round() as u64;
         Safe::Fixed(Amount {
             // A safe part that bounds only what is open lets in no more than that at once.
             rate: rate.map_or(UNBOUNDED, thousandths),
--- a/crates/operator/src/levels.rs
+++ b/crates/operator/src/levels.rs
@@ -30,12 +30,24 @@
 impl fmt::Display for PoolLevels {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let most = self.checked.changes_in_ten_minutes;
-        write!(f, "pool {}: at most {most} changes of level in any ten minutes", self.pool)?;
+        write!(
+            f,
+            "pool {}: at most {most} changes of level in any ten minutes",
+            self.pool
+        )?;
         for level in &self.checked.levels {
-            write!(f, "\n  {}\n    enter: {}\n    leave: {}", level.name, level.enter, level.leave)?;
+            write!(
+                f,
+                "\n  {}\n    enter: {}\n    leave: {}",
+                level.name, level.enter, level.leave
+            )?;
             write!(f, "\n    least stay: {}", Span(level.least_stay))?;
             let given_up = given_up(&level.effects);
-            let given_up = if given_up.is_empty() { "nothing".into() } else { given_up.join(", ") };
+            let given_up = if given_up.is_empty() {
+                "nothing".into()
+            } else {
+                given_up.join(", ")
+            };
             write!(f, "\n    gives up: {given_up}")?;
         }
         Ok(())
@@ -46,16 +58,28 @@
 fn given_up(effects: &Effects) -> Vec<String> {
     let usual = Effects::default();
     let percent = |part: f64| format!("{}%", (1e4 * part).round() / 1e2);
-    let mut told: Vec<String> =
-        effects.turn_away.iter().map(|(class, share)| format!("{} of {class}", percent(*share))).collect();
+    let mut told: Vec<String> = effects
+        .turn_away
+        .iter()
+        .map(|(class, share)| format!("{} of {class}", percent(*share)))
+        .collect();
     if effects.spare_worth.is_finite() {
-        told.push(format!("but no class worth {} or more", effects.spare_worth));
+        told.push(format!(
+            "but no class worth {} or more",
+            effects.spare_worth
+        ));
     }
     if effects.retries < usual.retries {
-        told.push(format!("{} of the retry budget", percent(1.0 - effects.retries)));
+        told.push(format!(
+            "{} of the retry budget",
+            percent(1.0 - effects.retries)
+        ));
     }
     if effects.patience < usual.patience {
-        told.push(format!("{} of what is waited for", percent(1.0 - effects.patience)));
+        told.push(format!(
+            "{} of what is waited for",
+            percent(1.0 - effects.patience)
+        ));
     }
     if !effects.probes {
         told.push("probes".into());
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -95,8 +95,11 @@
 impl fmt::Display for Faults {
     /// All in one line, for the log.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let told: Vec<String> =
-            self.problems.iter().map(|p| format!("{}:{p}", self.file.display())).collect();
+        let told: Vec<String> = self
+            .problems
+            .iter()
+            .map(|p| format!("{}:{p}", self.file.display()))
+            .collect();
         f.write_str(&told.join("; "))
     }
 }
@@ -105,7 +108,10 @@
     /// Reads the file and those that it names.
     pub fn load(file: &Path) -> Result<Self, Faults> {
         let read = Operator::parse(&text_of(file)?, &beside(file));
-        let read = read.map_err(|problems| Faults { file: file.to_path_buf(), problems });
+        let read = read.map_err(|problems| Faults {
+            file: file.to_path_buf(),
+            problems,
+        });
         read.map(|operator| operator.beside(file))
     }
 
@@ -119,15 +125,32 @@
     }
 
     /// Reads the file's text. `read` gives the text of a file that it names, by the name that stands there.
-    pub fn parse(text: &str, read: &dyn Fn(&str) -> Result<String, String>) -> Result<Self, Vec<Problem>> {
+    pub fn parse(
+        text: &str,
+        read: &dyn Fn(&str) -> Result<String, String>,
+    ) -> Result<Self, Vec<Problem>> {
         let (mut document, file) = Document::read::<File>(text)?;
         if !document.has("version") {
-            document.problem("version", format_args!("is missing; write version = {VERSION}"));
+            document.problem(
+                "version",
+                format_args!("is missing; write version = {VERSION}"),
+            );
         } else if file.version.is_some_and(|version| version != VERSION) {
-            document.problem("version", format_args!("is not known to this program; it reads {VERSION}"));
+            document.problem(
+                "version",
+                format_args!("is not known to this program; it reads {VERSION}"),
+            );
         }
-        let listeners = Names::of(&mut document, "listeners", file.listeners.iter().map(|l| l.name.as_str()));
-        let pools = Names::of(&mut document, "pools", file.pools.iter().map(|p| p.name.as_str()));
+        let listeners = Names::of(
+            &mut document,
+            "listeners",
+            file.listeners.iter().map(|l| l.name.as_str()),
+        );
+        let pools = Names::of(
+            &mut document,
+            "pools",
+            file.pools.iter().map(|p| p.name.as_str()),
+        );
         let state = file.state.map(|state| state.check(&mut document));
         let checked = pools::check(&mut document, file.pools, state.as_ref(), read);
         let known = |place: usize| checked.get(place.checked_sub(1)?)?.as_ref();
@@ -141,13 +164,20 @@
             admin: file.admin.map(|admin| admin.check(&mut document)),
             limits: file.limits.check(&mut document),
             timeline: None,
-            control: file.control.map(|control| control.check(&mut document, &name, &pools)),
+            control: file
+                .control
+                .map(|control| control.check(&mut document, &name, &pools)),
             state,
         };
         let memory = operator.limits.memory.map(|size| size.0);
         let pools = operator.pools.len();
-        let timeline = file.timeline.map(|section| section.check(&mut document, memory, pools));
-        let operator = Operator { timeline, ..operator };
+        let timeline = file
+            .timeline
+            .map(|section| section.check(&mut document, memory, pools));
+        let operator = Operator {
+            timeline,
+            ..operator
+        };
         if let Some(state) = &operator.state {
             state.check_memory(&mut document, operator.limits.memory.map(|size| size.0));
         }
@@ -168,28 +198,50 @@
 
     /// The name of a listener by the place that routes know it by.
     pub fn listener_name(&self, place: usize) -> &str {
-        place.checked_sub(1).and_then(|at| self.listeners.get(at)).map_or(PLATFORM, |l| &l.name)
+        place
+            .checked_sub(1)
+            .and_then(|at| self.listeners.get(at))
+            .map_or(PLATFORM, |l| &l.name)
     }
 
     /// The name of a pool by the place that routes know it by.
     pub fn pool_name(&self, place: usize) -> &str {
-        place.checked_sub(1).and_then(|at| self.pools.get(at)).map_or(PLATFORM, |p| &p.name)
+        place
+            .checked_sub(1)
+            .and_then(|at| self.pools.get(at))
+            .map_or(PLATFORM, |p| &p.name)
     }
 
     /// What the pools give up when, for people and programs; those without levels are left out.
     pub fn levels(&self) -> Vec<PoolLevels> {
-        let of = |pool: &Pool| Some(PoolLevels { pool: pool.name.clone(), checked: pool.levels.clone()? });
+        let of = |pool: &Pool| {
+            Some(PoolLevels {
+                pool: pool.name.clone(),
+                checked: pool.levels.clone()?,
+            })
+        };
         self.pools.iter().filter_map(of).collect()
     }
 
     /// What it configures, in a few words.
     pub fn summary(&self) -> String {
-        let list =
-            |names: Vec<&str>| if names.is_empty() { "the platform's".to_string() } else { names.join(", ") };
+        let list = |names: Vec<&str>| {
+            if names.is_empty() {
+                "the platform's".to_string()
+            } else {
+                names.join(", ")
+            }
+        };
         let listeners = list(self.listeners.iter().map(|l| l.name.as_str()).collect());
         let pools = list(self.pools.iter().map(|p| p.name.as_str()).collect());
-        let admin = self.admin.as_ref().map_or("off".to_string(), Admin::to_string);
-        let agent = self.control.as_ref().map(|c| format!("; agent {} as {}", c.agent, c.name));
+        let admin = self
+            .admin
+            .as_ref()
+            .map_or("off".to_string(), Admin::to_string);
+        let agent = self
+            .control
+            .as_ref()
+            .map(|c| format!("; agent {} as {}", c.agent, c.name));
         let timeline = if self.timeline.is_some() { "on" } else { "off" };
         let (routes, agent) = (self.routes.len(), agent.unwrap_or_default());
         format!(
@@ -202,7 +254,15 @@
 fn text_of(file: &Path) -> Result<String, Faults> {
     std::fs::read_to_string(file).map_err(|e| {
         let (line, column, field, problem) = (1, 1, String::new(), format!("can't be read: {e}"));
-        Faults { file: file.to_path_buf(), problems: vec![Problem { line, column, field, problem }] }
+        Faults {
+            file: file.to_path_buf(),
+            problems: vec![Problem {
+                line,
+                column,
+                field,
+                problem,
+            }],
+        }
     })
 }
 
--- a/crates/operator/src/limits.rs
+++ b/crates/operator/src/limits.rs
@@ -32,11 +32,28 @@
 
 impl Section {
     pub(crate) fn check(self, document: &mut Document<'_>) -> Limits {
-        let Section { descriptors, memory, open, bodies } = self;
-        document.require(descriptors.is_none_or(|d| d >= 64), "limits.descriptors", "must be at least 64");
-        document.require(memory.is_none_or(|m| m >= Size(8 << 20)), "limits.memory", "must be at least 8MiB");
+        let Section {
+            descriptors,
+            memory,
+            open,
+            bodies,
+        } = self;
+        document.require(
+            descriptors.is_none_or(|d| d >= 64),
+            "limits.descriptors",
+            "must be at least 64",
+        );
+        document.require(
+            memory.is_none_or(|m| m >= Size(8 << 20)),
+            "limits.memory",
+            "must be at least 8MiB",
+        );
         let open = open.unwrap_or(20_000);
-        document.require((1..=1_000_000).contains(&open), "limits.open", "must lie in 1 to 1000000");
+        document.require(
+            (1..=1_000_000).contains(&open),
+            "limits.open",
+            "must lie in 1 to 1000000",
+        );
         if let (Some(bodies), Some(memory)) = (bodies, memory) {
             document.require(
                 bodies.0 <= memory.0 / 2,
@@ -49,7 +66,12 @@
             "limits.bodies",
             "must be at least 64KiB",
         );
-        Limits { descriptors, memory, open, bodies }
+        Limits {
+            descriptors,
+            memory,
+            open,
+            bodies,
+        }
     }
 }
 
@@ -124,7 +146,13 @@
 impl Default for MemberLimits {
     fn default() -> Self {
         let all = Bounds::default();
-        MemberLimits { open: all, bodies: all, connections: all, rate: None, weight: 1 }
+        MemberLimits {
+            open: all,
+            bodies: all,
+            connections: all,
+            rate: None,
+            weight: 1,
+        }
     }
 }
 
@@ -132,48 +160,97 @@
     pub(crate) fn check(&self, document: &mut Document<'_>, at: &str) -> MemberLimits {
         let mut bounds = |name: &str, guaranteed: Option<u64>, most: Option<u64>| {
             let sound = guaranteed.zip(most).is_none_or(|(g, m)| g <= m);
-            document.require(sound, &format!("{at}.{name}.guaranteed"), "is over `most`; write less");
-            document.require(most != Some(0), &format!("{at}.{name}.most"), "must be at least 1");
+            document.require(
+                sound,
+                &format!("{at}.{name}.guaranteed"),
+                "is over `most`; write less",
+            );
+            document.require(
+                most != Some(0),
+                &format!("{at}.{name}.most"),
+                "must be at least 1",
+            );
             Bounds { guaranteed, most }
         };
         let open = bounds("open", self.open.guaranteed, self.open.most);
-        let connections = bounds("connections", self.connections.guaranteed, self.connections.most);
-        let (guaranteed, most) = (self.bodies.guaranteed.map(|s| s.0), self.bodies.most.map(|s| s.0));
+        let connections = bounds(
+            "connections",
+            self.connections.guaranteed,
+            self.connections.most,
+        );
+        let (guaranteed, most) = (
+            self.bodies.guaranteed.map(|s| s.0),
+            self.bodies.most.map(|s| s.0),
+        );
         let bodies = bounds("bodies", guaranteed, most);
         let per_second = self.requests_per_second;
         let sound = per_second.is_none_or(|r| (0.001..=1e6).contains(&r));
-        document.require(sound, &format!("{at}.requests_per_second"), "must lie in 0.001 to 1000000");
+        document.require(
+            sound,
+            &format!("{at}.requests_per_second"),
+            "must lie in 0.001 to 1000000",
+        );
         let (named, burst) = (format!("{at}.burst"), self.burst);
         document.require(
             burst.is_none_or(|b| (1..=1_000_000).contains(&b)),
             &named,
             "must lie in 1 to 1000000",
         );
-        let alone =
-            burst.is_some() && per_second.is_none() && !document.has(&format!("{at}.requests_per_second"));
-        document.require(!alone, &named, "has no effect without requests_per_second; write both");
+        let alone = burst.is_some()
+            && per_second.is_none()
+            && !document.has(&format!("{at}.requests_per_second"));
+        document.require(
+            !alone,
+            &named,
+            "has no effect without requests_per_second; write both",
+        );
         let rate = per_second.map(|per_second| {
             let usual = (per_second / 10.0).ceil().clamp(1.0, 1e6) as u32;
-            RateLimit { per_second, burst: burst.unwrap_or(usual) }
+            RateLimit {
+                per_second,
+                burst: burst.unwrap_or(usual),
+            }
         });
         let weight = self.weight.unwrap_or(1);
-        document.require((1..=1_000).contains(&weight), &format!("{at}.weight"), "must lie in 1 to 1000");
-        MemberLimits { open, bodies, connections, rate, weight }
+        document.require(
+            (1..=1_000).contains(&weight),
+            &format!("{at}.weight"),
+            "must lie in 1 to 1000",
+        );
+        MemberLimits {
+            open,
+            bodies,
+            connections,
+            rate,
+            weight,
+        }
     }
 }
 
 /// The parts of members in so many units. Members whose guaranteed part is not given have an equal part of half of
 /// the units each, or of what the others leave of it. The guaranteed parts never come to more than the units.
 pub fn parts(total: u64, members: &[Bounds]) -> Vec<Part> {
-    let given: u64 = members.iter().filter_map(|b| b.guaranteed).fold(0, u64::saturating_add);
+    let given: u64 = members
+        .iter()
+        .filter_map(|b| b.guaranteed)
+        .fold(0, u64::saturating_add);
     let silent = members.iter().filter(|b| b.guaranteed.is_none()).count() as u64;
     let usual = (total / 2).min(total.saturating_sub(given)) / silent.max(1);
     // More than there is was refused with the file; here it may be that the system gives less than the file says.
-    let scale = if given > total { total as f64 / given as f64 } else { 1.0 };
+    let scale = if given > total {
+        total as f64 / given as f64
+    } else {
+        1.0
+    };
     let part = |bounds: &Bounds| {
         let most = bounds.most.unwrap_or(total).min(total);
-        let own = bounds.guaranteed.map_or(usual, |g| (g as f64 * scale) as u64);
-        Part { guaranteed: own.min(most), most }
+        let own = bounds
+            .guaranteed
+            .map_or(usual, |g| (g as f64 * scale) as u64);
+        Part {
+            guaranteed: own.min(most),
+            most,
+        }
     };
     members.iter().map(part).collect()
 }
@@ -183,7 +260,10 @@
     type Pick = fn(&MemberLimits) -> Bounds;
     let limits = &operator.limits;
     let half = limits.descriptors.map(|d| d / 2);
-    let bodies = limits.bodies.or(limits.memory.map(|m| Size(m.0 / 4))).map(|b| b.0);
+    let bodies = limits
+        .bodies
+        .or(limits.memory.map(|m| Size(m.0 / 4)))
+        .map(|b| b.0);
     let totals: [(&str, Option<u64>, Pick); 3] = [
         ("open", Some(limits.open), |m| m.open),
         ("bodies", bodies, |m| m.bodies),
@@ -194,12 +274,18 @@
     for (section, members) in [("listeners", listeners), ("pools", pools)] {
         for (name, total, pick) in &totals {
             let given = |m: &&MemberLimits| pick(m).guaranteed;
-            let sum = members.iter().filter_map(given).fold(0, u64::saturating_add);
+            let sum = members
+                .iter()
+                .filter_map(given)
+                .fold(0, u64::saturating_add);
             let last = members.iter().rposition(|m| given(m).is_some());
-            if let (Some(total), Some(last)) = (total, last.filter(|_| total.is_some_and(|t| sum > t))) {
+            if let (Some(total), Some(last)) =
+                (total, last.filter(|_| total.is_some_and(|t| sum > t)))
+            {
                 let field = format!("{section}[{last}].limits.{name}.guaranteed");
-                let problem =
-                    format!("the guaranteed parts of all {section} come to {sum}, and there are {total}");
+                let problem = format!(
+                    "the guaranteed parts of all {section} come to {sum}, and there are {total}"
+                );
                 document.problem(&field, problem);
             }
         }
--- a/crates/operator/src/listeners.rs
+++ b/crates/operator/src/listeners.rs
@@ -47,26 +47,49 @@
         let nowhere = SocketAddr::from(([0, 0, 0, 0], 0));
         let address = section.address.unwrap_or(nowhere);
         if section.address.is_none() && !document.has(&own("address")) {
-            document.problem(&own("address"), "is missing; write one such as \"127.0.0.1:5000\"");
+            document.problem(
+                &own("address"),
+                "is missing; write one such as \"127.0.0.1:5000\"",
+            );
         }
         if address.port() != 0 && addresses.contains(&address) {
-            document.problem(&own("address"), format_args!("{address} is another listener's"));
+            document.problem(
+                &own("address"),
+                format_args!("{address} is another listener's"),
+            );
         }
         addresses.push(address);
-        let mut span = |name: &str, given: Option<Span>, usual: Span, (most, text): (Span, &str)| {
-            let span = given.unwrap_or(usual);
-            let sound = (Span::ms(10)..=most).contains(&span);
-            document.require(sound, &own(name), format_args!("must lie in 10ms to {text}"));
-            span
-        };
+        let mut span =
+            |name: &str, given: Option<Span>, usual: Span, (most, text): (Span, &str)| {
+                let span = given.unwrap_or(usual);
+                let sound = (Span::ms(10)..=most).contains(&span);
+                document.require(
+                    sound,
+                    &own(name),
+                    format_args!("must lie in 10ms to {text}"),
+                );
+                span
+            };
         let (minute, day) = ((Span::s(60), "1m"), (Span::s(86_400), "24h"));
         let head_within = span("head_within", section.head_within, Span::s(2), minute);
         let idle_within = span("idle_within", section.idle_within, head_within, day);
         let body_within = span("body_within", section.body_within, Span::ms(900), minute);
         let body_size = section.body_size.unwrap_or(BODY);
-        document.require(body_size <= BODY, &own("body_size"), format_args!("is over {BODY}; write less"));
+        document.require(
+            body_size <= BODY,
+            &own("body_size"),
+            format_args!("is over {BODY}; write less"),
+        );
         let limits = section.limits.check(document, &own("limits"));
-        Listener { name: section.name, address, head_within, idle_within, body_within, body_size, limits }
+        Listener {
+            name: section.name,
+            address,
+            head_within,
+            idle_within,
+            body_within,
+            body_size,
+            limits,
+        }
     };
     sections.into_iter().enumerate().map(listener).collect()
 }
--- a/crates/operator/src/names.rs
+++ b/crates/operator/src/names.rs
@@ -24,13 +24,22 @@
             if !document.has(&field) {
                 document.problem(&field, "is missing; every entry has a name of its own");
             } else if !is_name(name) && !name.is_empty() {
-                document.problem(&field, "is no name; use up to 64 letters, digits, `-`, `_` and `.`");
+                document.problem(
+                    &field,
+                    "is no name; use up to 64 letters, digits, `-`, `_` and `.`",
+                );
             } else if name.is_empty() {
                 document.problem(&field, "is empty; every entry has a name of its own");
             } else if name == PLATFORM {
-                document.problem(&field, "is the name of what RELAY_CONFIG names; choose another");
+                document.problem(
+                    &field,
+                    "is the name of what RELAY_CONFIG names; choose another",
+                );
             } else if all.iter().any(|other| other == name) {
-                document.problem(&field, format_args!("is there twice: {name}; names are unique"));
+                document.problem(
+                    &field,
+                    format_args!("is there twice: {name}; names are unique"),
+                );
             }
             all.push(name.to_string());
         }
@@ -38,7 +47,12 @@
     }
 
     /// The place of a name; a problem of this field where there is none.
-    pub(crate) fn find(&self, document: &mut Document<'_>, field: &str, name: &str) -> Option<usize> {
+    pub(crate) fn find(
+        &self,
+        document: &mut Document<'_>,
+        field: &str,
+        name: &str,
+    ) -> Option<usize> {
         let place = self.0.iter().position(|other| other == name);
         if place.is_none() {
             let known = self.0.join(", ");
--- a/crates/operator/src/pools.rs
+++ b/crates/operator/src/pools.rs
@@ -100,7 +100,9 @@
     read: &dyn Fn(&str) -> Result<String, String>,
 ) -> Vec<Option<Pool>> {
     let pools = sections.into_iter().enumerate();
-    pools.map(|(at, section)| check_one(document, &format!("pools[{at}]"), section, state, read)).collect()
+    pools
+        .map(|(at, section)| check_one(document, &format!("pools[{at}]"), section, state, read))
+        .collect()
 }
 
 fn check_one(
@@ -110,18 +112,24 @@
     state: Option<&State>,
     read: &dyn Fn(&str) -> Result<String, String>,
 ) -> Option<Pool> {
-    let kept = PoolSection { ledger: section.ledger, warm_start: section.warm_start };
+    let kept = PoolSection {
+        ledger: section.ledger,
+        warm_start: section.warm_start,
+    };
     let kept = kept.check(document, at, state);
     let limits = section.limits.check(document, &format!("{at}.limits"));
     if !document.has(&format!("{at}.discovery")) && !document.has(&format!("{at}.servers")) {
-        let problem = "has neither discovery nor servers; write one such as discovery = \"127.0.0.1:8500\"";
+        let problem =
+            "has neither discovery nor servers; write one such as discovery = \"127.0.0.1:8500\"";
         document.problem(at, problem);
     }
     let servers = check_servers(document, at, section.servers);
     let site = site(document, at, section.settings_file, section.settings, read)?;
     for (place, server) in servers.iter().enumerate() {
-        for (name, given, known) in [("zone", &server.zone, &site.zones), ("kind", &server.kind, &site.kinds)]
-        {
+        for (name, given, known) in [
+            ("zone", &server.zone, &site.zones),
+            ("kind", &server.kind, &site.kinds),
+        ] {
             let sound = given.is_empty() || known.contains(given);
             let known = known.join(", ");
             let problem = format!("there is no {given} in the settings; there are {known}");
@@ -129,38 +137,85 @@
         }
     }
     let classes = class_infos(&site);
-    let graphql =
-        section.graphql.and_then(|graphql| graphql.check(document, &format!("{at}.graphql"), &classes));
-    let levels = section.levels.map(|levels| levels.check(document, &format!("{at}.levels"), &facts(&site)));
+    let graphql = section
+        .graphql
+        .and_then(|graphql| graphql.check(document, &format!("{at}.graphql"), &classes));
+    let levels = section
+        .levels
+        .map(|levels| levels.check(document, &format!("{at}.levels"), &facts(&site)));
     let (name, discovery) = (section.name, section.discovery);
-    Some(Pool { name, discovery, servers, site, limits, levels, graphql, kept })
+    Some(Pool {
+        name,
+        discovery,
+        servers,
+        site,
+        limits,
+        levels,
+        graphql,
+        kept,
+    })
 }
 
 /// What levels need to know of the classes.
 fn facts(site: &Site) -> Vec<ClassFacts> {
     let classes = site.classes.iter().zip(&site.settings.classes);
-    let facts = classes
-        .map(|(name, class)| ClassFacts { name: name.clone(), repeatable: class.effect != Effect::Unsafe });
+    let facts = classes.map(|(name, class)| ClassFacts {
+        name: name.clone(),
+        repeatable: class.effect != Effect::Unsafe,
+    });
     facts.collect()
 }
 
-fn check_servers(document: &mut Document<'_>, at: &str, sections: Vec<ServerSection>) -> Vec<Server> {
+fn check_servers(
+    document: &mut Document<'_>,
+    at: &str,
+    sections: Vec<ServerSection>,
+) -> Vec<Server> {
     let mut servers: Vec<Server> = Vec::new();
     for (place, section) in sections.into_iter().enumerate() {
         let own = |name: &str| format!("{at}.servers[{place}].{name}");
         if !is_name(&section.name) && (section.name.is_empty() || document.has(&own("name"))) {
-            document.problem(&own("name"), "is missing or no name; use letters, digits, `-`, `_` and `.`");
+            document.problem(
+                &own("name"),
+                "is missing or no name; use letters, digits, `-`, `_` and `.`",
+            );
         }
         let twice = servers.iter().any(|s| s.name == section.name);
-        document.require(!twice, &own("name"), "is there twice; names are unique in a pool");
+        document.require(
+            !twice,
+            &own("name"),
+            "is there twice; names are unique in a pool",
+        );
         if section.address.is_none() && !document.has(&own("address")) {
-            document.problem(&own("address"), "is missing; write one such as \"127.0.0.1:6001\"");
+            document.problem(
+                &own("address"),
+                "is missing; write one such as \"127.0.0.1:6001\"",
+            );
         }
         let weight = section.weight.unwrap_or(1.0);
-        document.require(weight.is_finite() && weight > 0.0, &own("weight"), "must be above 0");
-        let address = section.address.unwrap_or(SocketAddr::from(([0, 0, 0, 0], 0)));
-        let ServerSection { name, zone, kind, group, .. } = section;
-        servers.push(Server { name, address, zone, kind, group, weight });
+        document.require(
+            weight.is_finite() && weight > 0.0,
+            &own("weight"),
+            "must be above 0",
+        );
+        let address = section
+            .address
+            .unwrap_or(SocketAddr::from(([0, 0, 0, 0], 0)));
+        let ServerSection {
+            name,
+            zone,
+            kind,
+            group,
+            ..
+        } = section;
+        servers.push(Server {
+            name,
+            address,
+            zone,
+            kind,
+            group,
+            weight,
+        });
     }
     servers
 }
@@ -190,14 +245,20 @@
             for name in &settings.unread {
                 // Of a list, the path is written with dots.
                 let name = bracketed(name);
-                document.problem(&format!("{in_place}.{name}"), "is no setting that is read; take it out");
+                document.problem(
+                    &format!("{in_place}.{name}"),
+                    "is no setting that is read; take it out",
+                );
             }
             (in_place, settings.site, String::new())
         }
         (None, None) => {
             // Settings that can't be read have been told of.
             if !document.has(&in_file) && !document.has(&in_place) {
-                document.problem(at, "has no settings; write settings_file = \"...\" or [pools.settings]");
+                document.problem(
+                    at,
+                    "has no settings; write settings_file = \"...\" or [pools.settings]",
+                );
             }
             return None;
         }
@@ -234,9 +295,15 @@
         settings: Option<&'t serde_json::value::RawValue>,
     }
     let text = read(name).map_err(|e| format!("{name}: {e}"))?;
-    let whole: Configuration<'_> = serde_json::from_str(&text).map_err(|e| format!("{name}: {e}"))?;
+    let whole: Configuration<'_> =
+        serde_json::from_str(&text).map_err(|e| format!("{name}: {e}"))?;
     let told = |e: String| format!("{name}: {}", e.replace(['\n', '\r'], " "));
-    Site::from_json(whole.settings.map_or(text.as_str(), |settings| settings.get())).map_err(told)
+    Site::from_json(
+        whole
+            .settings
+            .map_or(text.as_str(), |settings| settings.get()),
+    )
+    .map_err(told)
 }
 
 /// `a.0.b` as `a[0].b`.
--- a/crates/operator/src/process.rs
+++ b/crates/operator/src/process.rs
@@ -31,7 +31,14 @@
 
     pub(crate) fn check(self, document: &mut Document<'_>) -> Process {
         let drain = self.drain.unwrap_or(Span::s(2));
-        document.require(drain <= LONGEST, "process.drain", format_args!("is over {LONGEST}; write less"));
-        Process { name: self.name, drain }
+        document.require(
+            drain <= LONGEST,
+            "process.drain",
+            format_args!("is over {LONGEST}; write less"),
+        );
+        Process {
+            name: self.name,
+            drain,
+        }
     }
 }
--- a/crates/operator/src/routes.rs
+++ b/crates/operator/src/routes.rs
@@ -74,13 +74,25 @@
     pools: &Names,
     known: &dyn Fn(usize) -> Option<&'c Pool>,
 ) -> Vec<Route> {
-    document.require(sections.len() <= MOST, "routes", format_args!("are more than {MOST}"));
+    document.require(
+        sections.len() <= MOST,
+        "routes",
+        format_args!("are more than {MOST}"),
+    );
     // Notes what is wrong with the names; nothing refers to routes.
     let _ = Names::of(document, "routes", sections.iter().map(|r| r.name.as_str()));
     let routes: Vec<Route> = sections
         .iter()
         .enumerate()
-        .map(|(at, section)| check_one(document, &format!("routes[{at}]"), section, listeners, pools))
+        .map(|(at, section)| {
+            check_one(
+                document,
+                &format!("routes[{at}]"),
+                section,
+                listeners,
+                pools,
+            )
+        })
         .collect();
     for (at, route) in routes.iter().enumerate() {
         check_classes(document, &format!("routes[{at}]"), route, pools, known);
@@ -88,7 +100,11 @@
     if let Err(mut clashes) = Table::new(routes.clone(), listeners.len()) {
         // Told once, however many listeners have both.
         clashes.dedup_by_key(|clash| clash.routes);
-        for Clash { routes: (first, second), listener } in clashes {
+        for Clash {
+            routes: (first, second),
+            listener,
+        } in clashes
+        {
             let (line, _) = document.place(&format!("routes[{first}].name"));
             let (other, listener) = (&sections[first].name, listeners.name(listener));
             let problem = format!(
@@ -109,9 +125,16 @@
     pools: &Names,
 ) -> Route {
     let own = |name: &str| format!("{at}.{name}");
-    let mut route = Route { name: section.name.clone(), ..Route::default() };
+    let mut route = Route {
+        name: section.name.clone(),
+        ..Route::default()
+    };
     for (place, name) in section.listeners.iter().enumerate() {
-        route.listeners.extend(listeners.find(document, &own(&format!("listeners[{place}]")), name));
+        route.listeners.extend(listeners.find(
+            document,
+            &own(&format!("listeners[{place}]")),
+            name,
+        ));
     }
     if let Some(host) = &section.host {
         match host.parse() {
@@ -122,9 +145,13 @@
     route.path = path(document, at, section);
     for (place, name) in section.methods.iter().enumerate() {
         match Method::from_bytes(name.as_bytes()) {
-            Ok(method) if name.bytes().all(|b| b.is_ascii_uppercase()) => route.methods.push(method),
-            _ => document
-                .problem(&own(&format!("methods[{place}]")), "is no method; write one such as \"GET\""),
+            Ok(method) if name.bytes().all(|b| b.is_ascii_uppercase()) => {
+                route.methods.push(method)
+            }
+            _ => document.problem(
+                &own(&format!("methods[{place}]")),
+                "is no method; write one such as \"GET\"",
+            ),
         }
     }
     for (name, wanted) in &section.headers {
@@ -141,11 +168,18 @@
         route.headers[..n].iter().any(|h| h.0 == *name)
     };
     let twice = route.headers.iter().enumerate().any(twice);
-    document.require(!twice, &own("headers"), "name one header twice; its case makes no difference");
+    document.require(
+        !twice,
+        &own("headers"),
+        "name one header twice; its case makes no difference",
+    );
     (route.class, route.set_class) = (section.class.clone(), section.set_class.clone());
     route.graphql = section.graphql;
     if section.graphql && section.set_class.is_some() {
-        document.problem(&own("set_class"), "is given beside graphql; the class follows from what is asked");
+        document.problem(
+            &own("set_class"),
+            "is given beside graphql; the class follows from what is asked",
+        );
     }
     route.to = to(document, at, section, pools);
     route
@@ -154,7 +188,10 @@
 fn path(document: &mut Document<'_>, at: &str, section: &Section) -> PathPattern {
     let (whole, prefix) = (format!("{at}.path"), format!("{at}.path_prefix"));
     let (field, read) = match (&section.path, &section.path_prefix) {
-        (Some(_), Some(_)) => (prefix, Err("is given beside path; write one of them".to_string())),
+        (Some(_), Some(_)) => (
+            prefix,
+            Err("is given beside path; write one of them".to_string()),
+        ),
         (Some(path), None) => (whole, PathPattern::whole(path)),
         (None, Some(path)) => (prefix, PathPattern::prefix(path)),
         (None, None) => (whole, Ok(PathPattern::any())),
@@ -162,7 +199,11 @@
     match read {
         Ok(pattern) => {
             let ready = pattern.pieces == [Piece::Literal("ready".to_string())];
-            document.require(!ready, &field, "is answered by the program itself; choose another");
+            document.require(
+                !ready,
+                &field,
+                "is answered by the program itself; choose another",
+            );
             pattern
         }
         Err(problem) => {
@@ -172,23 +213,39 @@
     }
 }
 
-fn to(document: &mut Document<'_>, at: &str, section: &Section, pools: &Names) -> Vec<(usize, u32)> {
+fn to(
+    document: &mut Document<'_>,
+    at: &str,
+    section: &Section,
+    pools: &Names,
+) -> Vec<(usize, u32)> {
     let (one, several) = (format!("{at}.pool"), format!("{at}.split"));
     match &section.pool {
         Some(_) if !section.split.is_empty() => {
             document.problem(&several, "is given beside pool; write one of them")
         }
         Some(name) => {
-            return pools.find(document, &one, name).map(|pool| vec![(pool, 1)]).unwrap_or_default();
+            return pools
+                .find(document, &one, name)
+                .map(|pool| vec![(pool, 1)])
+                .unwrap_or_default();
         }
         None if section.split.is_empty() => {
             if !document.has(&one) && !document.has(&several) {
-                document.problem(&one, "is missing; write the name of a pool, or split between several");
+                document.problem(
+                    &one,
+                    "is missing; write the name of a pool, or split between several",
+                );
             }
         }
         None => {
-            let all: u64 = section.split.iter().map(|part| u64::from(part.weight)).sum();
-            let read = (0..section.split.len()).all(|n| document.has(&format!("{several}[{n}].weight")));
+            let all: u64 = section
+                .split
+                .iter()
+                .map(|part| u64::from(part.weight))
+                .sum();
+            let read =
+                (0..section.split.len()).all(|n| document.has(&format!("{several}[{n}].weight")));
             document.require(
                 all > 0 || !read,
                 &several,
@@ -202,9 +259,15 @@
                     &field,
                     "has no weight; write one such as 5",
                 );
-                let Some(pool) = pools.find(document, &format!("{field}.pool"), &part.pool) else { continue };
+                let Some(pool) = pools.find(document, &format!("{field}.pool"), &part.pool) else {
+                    continue;
+                };
                 let twice = to.iter().any(|other| other.0 == pool);
-                document.require(!twice, &format!("{field}.pool"), "is there twice; add its weights up");
+                document.require(
+                    !twice,
+                    &format!("{field}.pool"),
+                    "is there twice; add its weights up",
+                );
                 to.push((pool, part.weight));
             }
             return to;
@@ -225,28 +288,48 @@
         if route.graphql {
             let classed = known(*pool).map_or(*pool > 0, |pool| pool.graphql.is_some());
             // One whose section can't be read has a problem of its own.
-            let told = pool.checked_sub(1).is_some_and(|at| document.has(&format!("pools[{at}].graphql")));
-            let problem = format!("is set, and pool {} has no [pools.graphql]; add it", pools.name(*pool));
+            let told = pool
+                .checked_sub(1)
+                .is_some_and(|at| document.has(&format!("pools[{at}].graphql")));
+            let problem = format!(
+                "is set, and pool {} has no [pools.graphql]; add it",
+                pools.name(*pool)
+            );
             document.require(classed || told, &format!("{at}.graphql"), problem);
             continue;
         }
         // The platform's classes are not known here.
-        let Some(classes) = known(*pool).map(|pool| pool.site.classes.as_slice()) else { continue };
+        let Some(classes) = known(*pool).map(|pool| pool.site.classes.as_slice()) else {
+            continue;
+        };
         let first = match route.path.pieces.first() {
             Some(Piece::Literal(name)) if route.set_class.is_none() => Some(name),
             _ => None,
         };
-        let wanted =
-            [("set_class", route.set_class.as_ref()), ("class", route.class.as_ref()), ("path", first)];
+        let wanted = [
+            ("set_class", route.set_class.as_ref()),
+            ("class", route.class.as_ref()),
+            ("path", first),
+        ];
         for (field, class) in wanted {
             // A request that is given a class may name any.
-            let Some(class) = class.filter(|c| !classes.contains(c)) else { continue };
+            let Some(class) = class.filter(|c| !classes.contains(c)) else {
+                continue;
+            };
             if field == "class" && route.set_class.is_some() {
                 continue;
             }
             let (pool, known) = (pools.name(*pool), classes.join(", "));
-            let hint = if field == "path" { "; add set_class" } else { "" };
-            let field = if field == "path" && route.path.prefix { "path_prefix" } else { field };
+            let hint = if field == "path" {
+                "; add set_class"
+            } else {
+                ""
+            };
+            let field = if field == "path" && route.path.prefix {
+                "path_prefix"
+            } else {
+                field
+            };
             let problem = format!("pool {pool} has no class {class}, it has {known}{hint}");
             document.problem(&format!("{at}.{field}"), problem);
         }
--- a/crates/operator/src/source.rs
+++ b/crates/operator/src/source.rs
@@ -33,9 +33,19 @@
             text
         };
         let read = Operator::parse(&text, &read);
-        let operator = read.map_err(|problems| Faults { file: file.to_path_buf(), problems })?;
+        let operator = read.map_err(|problems| Faults {
+            file: file.to_path_buf(),
+            problems,
+        })?;
         let named = named.into_inner();
-        Ok((Source { file: file.to_path_buf(), text, named }, operator.beside(file)))
+        Ok((
+            Source {
+                file: file.to_path_buf(),
+                text,
+                named,
+            },
+            operator.beside(file),
+        ))
     }
 
     /// The same for the same texts.
@@ -51,18 +61,28 @@
     /// it is the file that no longer fits.
     pub fn with(&self, overlay: &Overlay) -> Result<Operator, madderloom_fleet::Problem> {
         let (text, places) = self.edited(overlay)?;
-        let read = |name: &str| self.named.get(name).cloned().unwrap_or_else(|| Err("was not read".into()));
+        let read = |name: &str| {
+            self.named
+                .get(name)
+                .cloned()
+                .unwrap_or_else(|| Err("was not read".into()))
+        };
         let read = Operator::parse(&text, &read).map_err(|problems| told(&problems, &places));
         read.map(|operator| operator.beside(&self.file))
     }
 
     fn edited(&self, overlay: &Overlay) -> Result<(String, Places), madderloom_fleet::Problem> {
-        let fault =
-            |key: &Key, problem: String| madderloom_fleet::Problem { field: format!("set.{key}"), problem };
-        let mut file: Table = self.text.parse().map_err(|e: toml::de::Error| madderloom_fleet::Problem {
-            field: "set".into(),
-            problem: format!("the file can't be read: {}", e.message()),
-        })?;
+        let fault = |key: &Key, problem: String| madderloom_fleet::Problem {
+            field: format!("set.{key}"),
+            problem,
+        };
+        let mut file: Table =
+            self.text
+                .parse()
+                .map_err(|e: toml::de::Error| madderloom_fleet::Problem {
+                    field: "set".into(),
+                    problem: format!("the file can't be read: {}", e.message()),
+                })?;
         let mut places = Vec::new();
         for (key, value) in &overlay.0 {
             let place = match (key, value) {
@@ -74,27 +94,39 @@
             };
             places.push((place.map_err(|problem| fault(key, problem))?, key.clone()));
         }
-        let text = if places.is_empty() { self.text.clone() } else { file.to_string() };
+        let text = if places.is_empty() {
+            self.text.clone()
+        } else {
+            file.to_string()
+        };
         Ok((text, places))
     }
 }
 
 fn list<'f>(file: &'f mut Table, name: &str) -> Result<&'f mut Vec<Toml>, String> {
     let list = file.entry(name).or_insert_with(|| Toml::Array(Vec::new()));
-    list.as_array_mut().ok_or_else(|| format!("{name} of the file is no list"))
+    list.as_array_mut()
+        .ok_or_else(|| format!("{name} of the file is no list"))
 }
 
 fn name_of(entry: &Toml) -> Option<&str> {
     entry.get("name")?.as_str()
 }
 
-fn set_limit(file: &mut Table, (service, limit): (&str, &str), number: u64) -> Result<String, String> {
+fn set_limit(
+    file: &mut Table,
+    (service, limit): (&str, &str),
+    number: u64,
+) -> Result<String, String> {
     let number = i64::try_from(number).map_err(|_| format!("{number} is too much"))?;
     let pools = list(file, "pools")?;
-    let at = pools.iter().position(|pool| name_of(pool) == Some(service)).ok_or_else(|| {
-        let known: Vec<&str> = pools.iter().filter_map(name_of).collect();
-        format!("there is no pool {service}; there are {}", known.join(", "))
-    })?;
+    let at = pools
+        .iter()
+        .position(|pool| name_of(pool) == Some(service))
+        .ok_or_else(|| {
+            let known: Vec<&str> = pools.iter().filter_map(name_of).collect();
+            format!("there is no pool {service}; there are {}", known.join(", "))
+        })?;
     // The one figure that a count or a size has where no more is said.
     let limit = match limit {
         "open" | "bodies" | "connections" => &format!("{limit}.most"),
@@ -104,8 +136,12 @@
     let mut steps: Vec<&str> = std::iter::once("limits").chain(limit.split('.')).collect();
     let last = steps.pop().unwrap_or_default();
     for step in steps {
-        let below =
-            table.and_then(|table| table.entry(step).or_insert(Toml::Table(Table::new())).as_table_mut());
+        let below = table.and_then(|table| {
+            table
+                .entry(step)
+                .or_insert(Toml::Table(Table::new()))
+                .as_table_mut()
+        });
         table = Some(below.ok_or_else(|| format!("{step} has nothing below it"))?);
     }
     if let Some(table) = table {
@@ -115,14 +151,21 @@
 }
 
 fn set_route(file: &mut Table, name: &str, text: &str) -> Result<String, String> {
-    let mut route: Table =
-        text.parse().map_err(|e: toml::de::Error| format!("is no TOML: {}", e.message()))?;
-    if route.get("name").is_some_and(|own| own.as_str() != Some(name)) {
+    let mut route: Table = text
+        .parse()
+        .map_err(|e: toml::de::Error| format!("is no TOML: {}", e.message()))?;
+    if route
+        .get("name")
+        .is_some_and(|own| own.as_str() != Some(name))
+    {
         return Err(format!("has another name; leave it out, or write {name}"));
     }
     route.insert("name".to_string(), Toml::String(name.to_string()));
     let routes = list(file, "routes")?;
-    let at = routes.iter().position(|route| name_of(route) == Some(name)).unwrap_or(routes.len());
+    let at = routes
+        .iter()
+        .position(|route| name_of(route) == Some(name))
+        .unwrap_or(routes.len());
     match routes.get_mut(at) {
         Some(former) => *former = Toml::Table(route),
         None => routes.push(Toml::Table(route)),
@@ -143,7 +186,10 @@
         })
     };
     problems.iter().find_map(by_setting).unwrap_or_else(|| {
-        let first = problems.first().map(|p| format!("{}: {}", p.field, p.problem)).unwrap_or_default();
+        let first = problems
+            .first()
+            .map(|p| format!("{}: {}", p.field, p.problem))
+            .unwrap_or_default();
         madderloom_fleet::Problem {
             field: "set".into(),
             problem: format!("with it, the file makes no sense: {first}"),
--- a/crates/operator/src/state.rs
+++ b/crates/operator/src/state.rs
@@ -58,13 +58,27 @@
 
 impl Section {
     pub(crate) fn check(self, document: &mut Document<'_>) -> State {
-        let Section { dir, ledger, warm_start, ids, .. } = self;
+        let Section {
+            dir,
+            ledger,
+            warm_start,
+            ids,
+            ..
+        } = self;
         if !document.has("state.dir") {
-            document.problem("state", "names no directory; write one such as dir = \"/var/lib/madderloom\"");
+            document.problem(
+                "state",
+                "names no directory; write one such as dir = \"/var/lib/madderloom\"",
+            );
         } else if let Some(dir) = &dir {
-            document.require(!dir.as_os_str().is_empty(), "state.dir", "is empty; write a directory");
+            document.require(
+                !dir.as_os_str().is_empty(),
+                "state.dir",
+                "is empty; write a directory",
+            );
         }
-        let ids = ids.unwrap_or_else(|| ["Idempotency-Key", "X-Trace-Id"].map(String::from).to_vec());
+        let ids =
+            ids.unwrap_or_else(|| ["Idempotency-Key", "X-Trace-Id"].map(String::from).to_vec());
         document.require(
             (1..=8).contains(&ids.len()),
             "state.ids",
@@ -77,7 +91,11 @@
         let mut span = |field: &str, given: Option<Span>, usual: Span, least: Span, most: Span| {
             let span = given.unwrap_or(usual);
             let sound = (least..=most).contains(&span);
-            document.require(sound, &format!("state.{field}"), format_args!("must lie in {least} to {most}"));
+            document.require(
+                sound,
+                &format!("state.{field}"),
+                format_args!("must lie in {least} to {most}"),
+            );
             span
         };
         let (s, ms) = (Span::s, Span::ms);
@@ -93,11 +111,20 @@
         );
         State {
             dir: dir.unwrap_or_default(),
-            usual: Kept { ledger: ledger.unwrap_or_default(), warm_start },
+            usual: Kept {
+                ledger: ledger.unwrap_or_default(),
+                warm_start,
+            },
             ids: ids.iter().map(|name| name.to_ascii_lowercase()).collect(),
-            rules: Rules { window: window.micros(), most: entries as usize },
+            rules: Rules {
+                window: window.micros(),
+                most: entries as usize,
+            },
             warm_every,
-            aging: Aging { half: half.micros(), oldest: oldest.micros() },
+            aging: Aging {
+                half: half.micros(),
+                oldest: oldest.micros(),
+            },
         }
     }
 }
@@ -112,22 +139,35 @@
         document.require(
             memory.is_none_or(|memory| bytes <= memory / 2),
             "state.entries",
-            format_args!("may take {} MiB, over half of limits.memory; write less", bytes >> 20),
+            format_args!(
+                "may take {} MiB, over half of limits.memory; write less",
+                bytes >> 20
+            ),
         );
     }
 }
 
 impl PoolSection {
     /// What a pool keeps, where the file has the section `[state]` or not.
-    pub(crate) fn check(self, document: &mut Document<'_>, at: &str, state: Option<&State>) -> Kept {
+    pub(crate) fn check(
+        self,
+        document: &mut Document<'_>,
+        at: &str,
+        state: Option<&State>,
+    ) -> Kept {
         let usual = state.map(|state| state.usual).unwrap_or_default();
         let kept = Kept {
             ledger: self.ledger.unwrap_or(usual.ledger),
             warm_start: self.warm_start.unwrap_or(usual.warm_start),
         };
         let there = |on: bool| !on || state.is_some();
-        let problem = "needs a directory; write one in [state], such as dir = \"/var/lib/madderloom\"";
-        document.require(there(kept.ledger != Mode::Off), &format!("{at}.ledger"), problem);
+        let problem =
+            "needs a directory; write one in [state], such as dir = \"/var/lib/madderloom\"";
+        document.require(
+            there(kept.ledger != Mode::Off),
+            &format!("{at}.ledger"),
+            problem,
+        );
         document.require(there(kept.warm_start), &format!("{at}.warm_start"), problem);
         kept
     }
--- a/crates/operator/src/timeline.rs
+++ b/crates/operator/src/timeline.rs
@@ -18,7 +18,12 @@
 
 impl Section {
     /// With the memory that the file grants, and the pools that share it.
-    pub(crate) fn check(self, document: &mut Document<'_>, memory: Option<u64>, pools: usize) -> Settings {
+    pub(crate) fn check(
+        self,
+        document: &mut Document<'_>,
+        memory: Option<u64>,
+        pools: usize,
+    ) -> Settings {
         let usual = Settings::default();
         let false_alarms_a_day = self.false_alarms_a_day.unwrap_or(usual.false_alarms_a_day);
         document.require(
@@ -27,11 +32,21 @@
             "must lie in 0.001 to 1000",
         );
         let each = Story::bytes_for_each_server() as u64;
-        let granted = memory.map_or(u64::MAX, |memory| memory / 2 / each.saturating_mul(pools.max(1) as u64));
+        let granted = memory.map_or(u64::MAX, |memory| {
+            memory / 2 / each.saturating_mul(pools.max(1) as u64)
+        });
         // Where nothing is said, as many as the memory that the file grants has room for.
-        let servers = self.servers.unwrap_or((usual.servers as u64).min(granted).max(1));
-        document.require((1..=4_096).contains(&servers), "timeline.servers", "must lie in 1 to 4096");
-        let bytes = servers.saturating_mul(pools.max(1) as u64).saturating_mul(each);
+        let servers = self
+            .servers
+            .unwrap_or((usual.servers as u64).min(granted).max(1));
+        document.require(
+            (1..=4_096).contains(&servers),
+            "timeline.servers",
+            "must lie in 1 to 4096",
+        );
+        let bytes = servers
+            .saturating_mul(pools.max(1) as u64)
+            .saturating_mul(each);
         document.require(
             memory.is_none_or(|memory| bytes <= memory / 2),
             "timeline.servers",
@@ -47,6 +62,10 @@
             "timeline.remember_left",
             format_args!("is over {LONGEST}; write less"),
         );
-        Settings { false_alarms_a_day, remember_left, servers: servers as usize }
+        Settings {
+            false_alarms_a_day,
+            remember_left,
+            servers: servers as usize,
+        }
     }
 }
--- a/crates/operator/tests/beside.rs
+++ b/crates/operator/tests/beside.rs
@@ -38,12 +38,15 @@
     let directory = tempfile::TempDir::new().expect("a directory");
     std::fs::write(directory.path().join("site.json"), SITE).expect("written");
     std::fs::write(directory.path().join("operator.toml"), FILE).expect("written");
-    let (source, operator) = Source::load(&directory.path().join("operator.toml")).expect("it makes sense");
+    let (source, operator) =
+        Source::load(&directory.path().join("operator.toml")).expect("it makes sense");
     (directory, source, operator)
 }
 
 fn overlay(settings: &[(&str, Value)]) -> Overlay {
-    let settings = settings.iter().map(|(key, value)| (key.parse::<Key>().expect("a key"), value.clone()));
+    let settings = settings
+        .iter()
+        .map(|(key, value)| (key.parse::<Key>().expect("a key"), value.clone()));
     Overlay(settings.collect::<BTreeMap<_, _>>())
 }
 
@@ -60,20 +63,35 @@
         ("limit/a/open", Value::Limit(7)),
         ("limit/a/requests_per_second", Value::Limit(100)),
         ("limit/a/bodies.most", Value::Limit(1 << 20)),
-        ("route/all", route("path_prefix = \"/view/old\"\npool = \"a\"")),
-        ("route/more", route("path = \"/view/new\"\nmethods = [\"GET\"]\npool = \"a\"")),
+        (
+            "route/all",
+            route("path_prefix = \"/view/old\"\npool = \"a\""),
+        ),
+        (
+            "route/more",
+            route("path = \"/view/new\"\nmethods = [\"GET\"]\npool = \"a\""),
+        ),
         ("weight/s1", Value::Weight(500)),
         ("drain/s1", Value::Drained(true)),
     ]);
     let operator = source.with(&settings).expect("it makes sense");
     let limits = operator.pools[0].limits;
-    assert_eq!((limits.open.most, limits.bodies.most), (Some(7), Some(1 << 20)));
-    assert_eq!(limits.rate.map(|r| (r.per_second, r.burst)), Some((100.0, 10)));
+    assert_eq!(
+        (limits.open.most, limits.bodies.most),
+        (Some(7), Some(1 << 20))
+    );
+    assert_eq!(
+        limits.rate.map(|r| (r.per_second, r.burst)),
+        Some((100.0, 10))
+    );
     let names: Vec<&str> = operator.routes.iter().map(|r| r.name.as_str()).collect();
     assert_eq!(names, ["all", "more"]);
     assert_ne!(operator.routes[0].path, own.routes[0].path);
     // All else is the file's, and without the overlay so is this.
-    assert_eq!((&operator.listeners, &operator.control), (&own.listeners, &own.control));
+    assert_eq!(
+        (&operator.listeners, &operator.control),
+        (&own.listeners, &own.control)
+    );
     assert_eq!(source.with(&overlay(&[])), Ok(own));
 }
 
@@ -81,17 +99,62 @@
 fn what_makes_no_sense_is_refused_by_the_name_of_the_setting() {
     let (_directory, source, _) = source();
     for (key, value, field, words) in [
-        ("limit/b/open.most", Value::Limit(1), "set.limit/b/open.most", "there is no pool b; there are a"),
+        (
+            "limit/b/open.most",
+            Value::Limit(1),
+            "set.limit/b/open.most",
+            "there is no pool b; there are a",
+        ),
         ("limit/a/opne", Value::Limit(1), "set.limit/a/opne", "open"),
-        ("limit/a/open.most", Value::Limit(0), "set.limit/a/open.most", "at least 1"),
-        ("limit/a/weight", Value::Limit(2_000), "set.limit/a/weight", "1 to 1000"),
-        ("limit/a/weight", Value::Limit(u64::MAX), "set.limit/a/weight", "too much"),
-        ("limit/a/open.most.more", Value::Limit(1), "set.limit/a/open.most.more", "nothing below it"),
+        (
+            "limit/a/open.most",
+            Value::Limit(0),
+            "set.limit/a/open.most",
+            "at least 1",
+        ),
+        (
+            "limit/a/weight",
+            Value::Limit(2_000),
+            "set.limit/a/weight",
+            "1 to 1000",
+        ),
+        (
+            "limit/a/weight",
+            Value::Limit(u64::MAX),
+            "set.limit/a/weight",
+            "too much",
+        ),
+        (
+            "limit/a/open.most.more",
+            Value::Limit(1),
+            "set.limit/a/open.most.more",
+            "nothing below it",
+        ),
         ("route/x", route("path = [\n"), "set.route/x", "no TOML"),
-        ("route/x", route("path = \"/view/y\"\npool = \"z\""), "set.route/x.pool", "there is no z"),
-        ("route/x", route("name = \"y\"\npool = \"a\""), "set.route/x", "another name"),
-        ("route/x", route("path_prefix = \"/view\"\npool = \"a\""), "set.route/x.name", "clashes with all"),
-        ("route/x", route("pool = \"a\"\n[[pools]]\nname = \"b\""), "set.route/x.pools", "not known"),
+        (
+            "route/x",
+            route("path = \"/view/y\"\npool = \"z\""),
+            "set.route/x.pool",
+            "there is no z",
+        ),
+        (
+            "route/x",
+            route("name = \"y\"\npool = \"a\""),
+            "set.route/x",
+            "another name",
+        ),
+        (
+            "route/x",
+            route("path_prefix = \"/view\"\npool = \"a\""),
+            "set.route/x.name",
+            "clashes with all",
+        ),
+        (
+            "route/x",
+            route("pool = \"a\"\n[[pools]]\nname = \"b\""),
+            "set.route/x.pools",
+            "not known",
+        ),
     ] {
         let problem = source.with(&overlay(&[(key, value)])).expect_err(key);
         assert_eq!(problem.field, field, "{problem}");
@@ -114,7 +177,10 @@
         ("shop-any.pem", "", "control.keys.certificate"),
     ] {
         let problems = Operator::parse(&FILE.replace(from, to), &read).expect_err(field);
-        assert!(problems.iter().any(|p| p.field == field), "{field}: {problems:?}");
+        assert!(
+            problems.iter().any(|p| p.field == field),
+            "{field}: {problems:?}"
+        );
     }
     // The process's own name will do.
     let named = FILE
--- a/crates/quota/src/bound.rs
+++ b/crates/quota/src/bound.rs
@@ -29,7 +29,13 @@
 
 impl fmt::Display for Bound {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Bound { name, whole: Amount { rate, burst, open }, lease, every, longest } = self;
+        let Bound {
+            name,
+            whole: Amount { rate, burst, open },
+            lease,
+            every,
+            longest,
+        } = self;
         write!(f, "fleet limit {name}:")?;
         if *rate != UNBOUNDED {
             let (rate, burst) = (units(*rate), units(*burst));
@@ -53,7 +59,10 @@
         if *open != UNBOUNDED {
             write!(f, "\n  open at once at all instances with a lease: {open}")?;
         }
-        write!(f, "\n  each instance without a lease: its own safe part more, n instances n times as much")?;
+        write!(
+            f,
+            "\n  each instance without a lease: its own safe part more, n instances n times as much"
+        )?;
         let out = lease + lease / DRIFT;
         write!(
             f,
--- a/crates/quota/src/divide.rs
+++ b/crates/quota/src/divide.rs
@@ -23,7 +23,11 @@
 pub fn divide(total: u64, demands: &[Demand]) -> Vec<u64> {
     let floors: u128 = demands.iter().map(|demand| u128::from(demand.floor)).sum();
     if floors > u128::from(total) {
-        let cut = |demand: &Demand| Demand { wanted: demand.floor, floor: 0, ..*demand };
+        let cut = |demand: &Demand| Demand {
+            wanted: demand.floor,
+            floor: 0,
+            ..*demand
+        };
         return fill(total, &demands.iter().map(cut).collect::<Vec<_>>());
     }
     fill(total, demands)
@@ -39,8 +43,16 @@
         turning_points.push((demand.floor, weight(demand), true));
         turning_points.push((wanted(demand), weight(demand), false));
     }
-    turning_points.sort_by(|a, b| (u128::from(a.0) * b.1).cmp(&(u128::from(b.0) * a.1)).then(b.2.cmp(&a.2)));
-    let mut left = u128::from(total) - demands.iter().map(|demand| u128::from(demand.floor)).sum::<u128>();
+    turning_points.sort_by(|a, b| {
+        (u128::from(a.0) * b.1)
+            .cmp(&(u128::from(b.0) * a.1))
+            .then(b.2.cmp(&a.2))
+    });
+    let mut left = u128::from(total)
+        - demands
+            .iter()
+            .map(|demand| u128::from(demand.floor))
+            .sum::<u128>();
     // The total weight of the shares that grow with the level, and the level as a fraction.
     let mut growing = 0u128;
     let mut level = (0u128, 1u128);
@@ -49,20 +61,30 @@
         let next = (u128::from(at), heavy);
         // growing * (next - level), rounded up, so that no more is given than there is.
         let rise = (next.0 * level.1).saturating_sub(level.0 * next.1);
-        let cost = if growing == 0 { 0 } else { (growing * rise).div_ceil(level.1 * next.1) };
+        let cost = if growing == 0 {
+            0
+        } else {
+            (growing * rise).div_ceil(level.1 * next.1)
+        };
         if cost > left {
             reached = Some((level.0 * growing + left * level.1, level.1 * growing));
             break;
         }
         left -= cost;
         level = next;
-        growing = if begins { growing + heavy } else { growing - heavy };
+        growing = if begins {
+            growing + heavy
+        } else {
+            growing - heavy
+        };
     }
     let share = |demand: &Demand| match reached {
         None => wanted(demand),
         Some((numerator, denominator)) => {
             let by_level = numerator.saturating_mul(weight(demand)) / denominator.max(1);
-            u64::try_from(by_level).unwrap_or(u64::MAX).clamp(demand.floor, wanted(demand))
+            u64::try_from(by_level)
+                .unwrap_or(u64::MAX)
+                .clamp(demand.floor, wanted(demand))
         }
     };
     demands.iter().map(share).collect()
@@ -74,17 +96,33 @@
     use proptest::prelude::*;
 
     fn demand(wanted: u64) -> Demand {
-        Demand { wanted, floor: 0, weight: 1 }
+        Demand {
+            wanted,
+            floor: 0,
+            weight: 1,
+        }
     }
 
     #[test]
     fn who_wants_little_has_it_and_the_rest_is_shared() {
-        assert_eq!(divide(100, &[demand(10), demand(200), demand(300)]), [10, 45, 45]);
+        assert_eq!(
+            divide(100, &[demand(10), demand(200), demand(300)]),
+            [10, 45, 45]
+        );
         assert_eq!(divide(100, &[demand(10), demand(20)]), [10, 20]);
-        let heavy = Demand { weight: 3, ..demand(300) };
+        let heavy = Demand {
+            weight: 3,
+            ..demand(300)
+        };
         assert_eq!(divide(100, &[demand(300), heavy]), [25, 75]);
-        let floor = Demand { floor: 60, ..demand(0) };
-        assert_eq!(divide(100, &[floor, demand(300), demand(300)]), [60, 20, 20]);
+        let floor = Demand {
+            floor: 60,
+            ..demand(0)
+        };
+        assert_eq!(
+            divide(100, &[floor, demand(300), demand(300)]),
+            [60, 20, 20]
+        );
         assert_eq!(divide(50, &[floor, floor]), [25, 25]);
         assert_eq!(divide(0, &[floor, demand(3)]), [0, 0]);
         assert_eq!(divide(7, &[]), [0; 0]);
--- a/crates/quota/src/lease_holder.rs
+++ b/crates/quota/src/lease_holder.rs
@@ -1,8 +1,8 @@
 //! The instance's side of leases: the lease that it holds, and the requests that it admits.
 
 use crate::{
-    Amount, Grant, InjectedBug, LeaseRequest, LeaseRequests, MOST_LIMITS, Micros, ONE, ServerId, UNBOUNDED,
-    is_injected,
+    Amount, Grant, InjectedBug, LeaseRequest, LeaseRequests, MOST_LIMITS, Micros, ONE, ServerId,
+    UNBOUNDED, is_injected,
 };
 use std::collections::{BTreeMap, VecDeque};
 
@@ -115,7 +115,10 @@
 
 impl HeldLimit {
     fn new(now: Micros, safe: Safe, on_demand: bool) -> Self {
-        let bucket = Bucket { tokens: 0, filled_at: now };
+        let bucket = Bucket {
+            tokens: 0,
+            filled_at: now,
+        };
         HeldLimit {
             safe,
             has_lease: false,
@@ -143,7 +146,13 @@
             Safe::Nothing => Amount::NOTHING,
             Safe::Fixed(amount) => amount,
             Safe::Part(divisor) => {
-                let part = |whole: u64| if whole == UNBOUNDED { UNBOUNDED } else { whole / divisor.max(1) };
+                let part = |whole: u64| {
+                    if whole == UNBOUNDED {
+                        UNBOUNDED
+                    } else {
+                        whole / divisor.max(1)
+                    }
+                };
                 self.whole.with(self.whole, |whole, _| part(whole))
             }
         }
@@ -163,12 +172,17 @@
             let (former, present) = (u128::from(former), u128::from(present));
             let weight = u128::from(elapsed.min(AVERAGING_TIME));
             let total = u128::from(AVERAGING_TIME);
-            u64::try_from((former * (total - weight) + present * weight) / total).unwrap_or(u64::MAX)
+            u64::try_from((former * (total - weight) + present * weight) / total)
+                .unwrap_or(u64::MAX)
         };
         // A rate beyond random variation (two standard deviations) counts at once.
-        let certain = self.requested.saturating_sub(2 * (self.requested + 1).isqrt());
+        let certain = self
+            .requested
+            .saturating_sub(2 * (self.requested + 1).isqrt());
         self.wanted = averaged(self.wanted, per_second(self.requested)).max(per_second(certain));
-        self.wanted_open = self.peak_open.max(self.wanted_open / OPEN_DECAY.1 * OPEN_DECAY.0);
+        self.wanted_open = self
+            .peak_open
+            .max(self.wanted_open / OPEN_DECAY.1 * OPEN_DECAY.0);
         self.used = averaged(self.used, per_second(self.admitted));
         self.requested = 0;
         self.admitted = 0;
@@ -228,10 +242,16 @@
         let limits: BTreeMap<String, Safe> = limits.into_iter().take(MOST_LIMITS).collect();
         self.limits.retain(|name, held| {
             limits.contains_key(name.as_str())
-                || held.on_demand && name.split_once('/').is_some_and(|(of, _)| limits.contains_key(of))
+                || held.on_demand
+                    && name
+                        .split_once('/')
+                        .is_some_and(|(of, _)| limits.contains_key(of))
         });
         for (name, safe) in limits {
-            self.limits.entry(name).or_insert_with(|| HeldLimit::new(now, safe, false)).safe = safe;
+            self.limits
+                .entry(name)
+                .or_insert_with(|| HeldLimit::new(now, safe, false))
+                .safe = safe;
         }
     }
 
@@ -285,14 +305,27 @@
     pub fn admit_at(&mut self, now: Micros, limit: &str, server: &str) -> Result<(), Denied> {
         let name = format!("{limit}/{server}");
         if !self.limits.contains_key(&name) {
-            let Some(safe) = self.limits.get(limit).map(|held| held.safe) else { return Ok(()) };
+            let Some(safe) = self.limits.get(limit).map(|held| held.safe) else {
+                return Ok(());
+            };
             if self.limits.len() >= MOST_LIMITS {
-                let idle = self.limits.iter().filter(|(_, held)| held.on_demand && held.open == 0);
-                let oldest = idle.min_by_key(|(_, held)| held.last_request).map(|(name, _)| name.clone());
-                let Some(oldest) = oldest else { return Err(Denied { after: None, unleased: true }) };
+                let idle = self
+                    .limits
+                    .iter()
+                    .filter(|(_, held)| held.on_demand && held.open == 0);
+                let oldest = idle
+                    .min_by_key(|(_, held)| held.last_request)
+                    .map(|(name, _)| name.clone());
+                let Some(oldest) = oldest else {
+                    return Err(Denied {
+                        after: None,
+                        unleased: true,
+                    });
+                };
                 self.limits.remove(&oldest);
             }
-            self.limits.insert(name.clone(), HeldLimit::new(now, safe, true));
+            self.limits
+                .insert(name.clone(), HeldLimit::new(now, safe, true));
         }
         self.admit(now, &name)
     }
@@ -305,20 +338,33 @@
     pub fn admit(&mut self, now: Micros, limit: &str) -> Result<(), Denied> {
         let is_valid = self.is_leased(now);
         let expires = self.expires;
-        let Some(held) = self.limits.get_mut(limit) else { return Ok(()) };
+        let Some(held) = self.limits.get_mut(limit) else {
+            return Ok(());
+        };
         let leased = is_valid && held.has_lease;
         held.last_request = now;
         held.requested += 1;
         held.peak_open = held.peak_open.max(held.open + 1);
-        let may = if leased { held.leased } else { held.safe_amount() };
+        let may = if leased {
+            held.leased
+        } else {
+            held.safe_amount()
+        };
         let done = if held.open >= may.open {
             Err(None)
         } else if leased {
-            held.bucket.take(now, may).map_err(|after| Some(after.unwrap_or(DEFAULT_RETRY)))
+            held.bucket
+                .take(now, may)
+                .map_err(|after| Some(after.unwrap_or(DEFAULT_RETRY)))
         } else {
             // The tokens of a lease are lost when it expires.
-            held.bucket = Bucket { tokens: 0, filled_at: if is_valid { now } else { now.max(expires) } };
-            held.safe_bucket.take(now, may).map_err(|after| Some(after.unwrap_or(DEFAULT_RETRY)))
+            held.bucket = Bucket {
+                tokens: 0,
+                filled_at: if is_valid { now } else { now.max(expires) },
+            };
+            held.safe_bucket
+                .take(now, may)
+                .map_err(|after| Some(after.unwrap_or(DEFAULT_RETRY)))
         };
         match done {
             Ok(()) => {
@@ -328,7 +374,10 @@
             }
             Err(after) => {
                 held.denied += 1;
-                Err(Denied { after, unleased: !leased })
+                Err(Denied {
+                    after,
+                    unleased: !leased,
+                })
             }
         }
     }
@@ -356,14 +405,23 @@
             held.measure(now);
             LeaseRequest {
                 limit: limit.clone(),
-                holds: if leased && held.has_lease { held.leased } else { Amount::NOTHING },
+                holds: if leased && held.has_lease {
+                    held.leased
+                } else {
+                    Amount::NOTHING
+                },
                 wanted: held.wanted,
                 wanted_open: held.wanted_open,
                 open: held.open,
                 used: held.used,
             }
         });
-        LeaseRequests { seq: self.seq, by: self.by, number: self.number, of: requests.collect() }
+        LeaseRequests {
+            seq: self.seq,
+            by: self.by,
+            number: self.number,
+            of: requests.collect(),
+        }
     }
 
     /// Uses a grant from now on, unless it is outdated or comes from a server that was replaced. Returns whether the
@@ -373,7 +431,9 @@
         let fenced = !is_injected(InjectedBug::NoFencing);
         if fenced
             && (grant.by.term < self.term
-                || self.by.is_some_and(|by| by.term == grant.by.term && by != grant.by))
+                || self
+                    .by
+                    .is_some_and(|by| by.term == grant.by.term && by != grant.by))
         {
             self.strange += u64::from(grant.by.term == self.term);
             return false;
@@ -382,11 +442,18 @@
         if fenced && !is_other_server && grant.number <= self.number {
             return false;
         }
-        let report = self.report_times.iter().find(|(seq, _)| *seq == grant.answers);
+        let report = self
+            .report_times
+            .iter()
+            .find(|(seq, _)| *seq == grant.answers);
         let Some((_, reported_at)) = report.copied() else {
             return false;
         };
-        let counts_from = if is_injected(InjectedBug::CountFromArrival) { now } else { reported_at };
+        let counts_from = if is_injected(InjectedBug::CountFromArrival) {
+            now
+        } else {
+            reported_at
+        };
         let expires = counts_from.saturating_add(grant.duration.min(crate::LEASES.1));
         if expires <= now {
             // It arrived too late to be used, so it must not be acknowledged either.
@@ -400,7 +467,10 @@
             if leased && held.has_lease {
                 held.bucket.refill(now, held.leased);
             } else {
-                held.bucket = Bucket { tokens: 0, filled_at: now };
+                held.bucket = Bucket {
+                    tokens: 0,
+                    filled_at: now,
+                };
             }
             let lease = grant.of.iter().find(|lease| lease.limit == *name);
             let amount = lease.map_or(Amount::NOTHING, |lease| lease.amount);
@@ -425,7 +495,11 @@
         let leased = self.is_leased(now);
         self.limits.iter().map(move |(name, held)| {
             let standing = Standing {
-                may: if leased && held.has_lease { held.leased } else { held.safe_amount() },
+                may: if leased && held.has_lease {
+                    held.leased
+                } else {
+                    held.safe_amount()
+                },
                 whole: held.whole,
                 leased: leased && held.has_lease,
                 open: held.open,
@@ -451,12 +525,26 @@
             .map(|(name, held)| {
                 let mut bucket = held.bucket;
                 bucket.refill(now.min(self.expires).max(bucket.filled_at), held.leased);
-                let tokens = if self.is_leased(now) { bucket.tokens } else { 0 };
+                let tokens = if self.is_leased(now) {
+                    bucket.tokens
+                } else {
+                    0
+                };
                 (name.clone(), held.leased, tokens, held.open)
             })
             .collect();
-        let report_times: Vec<_> =
-            self.report_times.iter().map(|(seq, at)| (*seq, now.saturating_sub(*at))).collect();
-        (limits, self.by, self.number, self.expires.saturating_sub(now), self.seq, report_times)
+        let report_times: Vec<_> = self
+            .report_times
+            .iter()
+            .map(|(seq, at)| (*seq, now.saturating_sub(*at)))
+            .collect();
+        (
+            limits,
+            self.by,
+            self.number,
+            self.expires.saturating_sub(now),
+            self.seq,
+            report_times,
+        )
     }
 }
--- a/crates/quota/src/lease_server/allocation.rs
+++ b/crates/quota/src/lease_server/allocation.rs
@@ -31,13 +31,26 @@
     let selected = select(all, participants, duration, now);
     let zones: Vec<&str> = participants
         .iter()
-        .map(|participant| if limit.by_zone { participant.holder.zone.as_str() } else { "" })
+        .map(|participant| {
+            if limit.by_zone {
+                participant.holder.zone.as_str()
+            } else {
+                ""
+            }
+        })
         .collect();
     let demands = |wanted: &dyn Fn(&LeaseRequest) -> u64, floor: u64| -> Vec<Demand> {
         let demand = |(participant, selected): (&Participant<'_>, &bool)| {
-            let (wanted, floor) =
-                if *selected { (with_headroom(wanted(participant.request)), floor) } else { (0, 0) };
-            Demand { wanted, floor, weight: limit.weight(&participant.holder.name) }
+            let (wanted, floor) = if *selected {
+                (with_headroom(wanted(participant.request)), floor)
+            } else {
+                (0, 0)
+            };
+            Demand {
+                wanted,
+                floor,
+                weight: limit.weight(&participant.holder.name),
+            }
         };
         participants.iter().zip(&selected).map(demand).collect()
     };
@@ -47,7 +60,9 @@
     let open = divide_by_zone(all.open, &open, &zones, &selected);
     let bursts = divide_burst(limit, all.burst, participants, &selected);
     let shares = rates.into_iter().zip(bursts).zip(open);
-    shares.map(|((rate, burst), open)| Amount { rate, burst, open }).collect()
+    shares
+        .map(|((rate, burst), open)| Amount { rate, burst, open })
+        .collect()
 }
 
 fn with_headroom(wanted: u64) -> u64 {
@@ -56,8 +71,17 @@
 
 /// Selects the participants that receive a share. No holder can use less than one request of the burst or less than
 /// one open request, so where there are more participants than that, they take turns.
-fn select(all: Amount, participants: &[Participant<'_>], duration: Micros, now: Micros) -> Vec<bool> {
-    let burst = if all.burst == UNBOUNDED { u64::MAX } else { all.burst / ONE };
+fn select(
+    all: Amount,
+    participants: &[Participant<'_>],
+    duration: Micros,
+    now: Micros,
+) -> Vec<bool> {
+    let burst = if all.burst == UNBOUNDED {
+        u64::MAX
+    } else {
+        all.burst / ONE
+    };
     let units = usize::try_from(burst.min(all.open)).unwrap_or(usize::MAX);
     let mut selected = vec![true; participants.len()];
     if units < participants.len() {
@@ -66,22 +90,35 @@
             let is_idle = participant.request.wanted == 0 && participant.request.wanted_open == 0;
             (is_idle, mix(participant.start, turn), at)
         };
-        let mut order: Vec<(bool, u64, usize)> = participants.iter().enumerate().map(rank).collect();
+        let mut order: Vec<(bool, u64, usize)> =
+            participants.iter().enumerate().map(rank).collect();
         order.sort_unstable();
-        order.iter().skip(units).for_each(|(_, _, at)| selected[*at] = false);
+        order
+            .iter()
+            .skip(units)
+            .for_each(|(_, _, at)| selected[*at] = false);
     }
     selected
 }
 
 /// Divides the burst by weight alone: a burst evens out random variation, of which holders with little traffic have
 /// no less than those with much.
-fn divide_burst(limit: &Limit, burst: u64, participants: &[Participant<'_>], selected: &[bool]) -> Vec<u64> {
+fn divide_burst(
+    limit: &Limit,
+    burst: u64,
+    participants: &[Participant<'_>],
+    selected: &[bool],
+) -> Vec<u64> {
     if burst == UNBOUNDED {
         return vec![UNBOUNDED; participants.len()];
     }
     let demand = |(participant, selected): (&Participant<'_>, &bool)| {
         let (wanted, floor) = if *selected { (burst, ONE) } else { (0, 0) };
-        Demand { wanted, floor, weight: limit.weight(&participant.holder.name) }
+        Demand {
+            wanted,
+            floor,
+            weight: limit.weight(&participant.holder.name),
+        }
     };
     let demands: Vec<Demand> = participants.iter().zip(selected).map(demand).collect();
     divide(burst, &demands)
@@ -94,9 +131,15 @@
         return vec![UNBOUNDED; demands.len()];
     }
     let mut members: BTreeMap<&str, Vec<usize>> = BTreeMap::new();
-    zones.iter().enumerate().for_each(|(at, zone)| members.entry(zone).or_default().push(at));
+    zones
+        .iter()
+        .enumerate()
+        .for_each(|(at, zone)| members.entry(zone).or_default().push(at));
     let sum = |members: &[usize], figure: &dyn Fn(&Demand) -> u64| {
-        members.iter().map(|at| figure(&demands[*at])).fold(0, u64::saturating_add)
+        members
+            .iter()
+            .map(|at| figure(&demands[*at]))
+            .fold(0, u64::saturating_add)
     };
     let zone_demands: Vec<Demand> = members
         .values()
@@ -114,7 +157,13 @@
         }
     }
     let surplus = all.saturating_sub(shares.iter().sum()) / 2;
-    let weight = |at: usize| if selected[at] { u128::from(demands[at].weight) } else { 0 };
+    let weight = |at: usize| {
+        if selected[at] {
+            u128::from(demands[at].weight)
+        } else {
+            0
+        }
+    };
     let total_weight: u128 = (0..demands.len()).map(weight).sum();
     for (at, share) in shares.iter_mut().enumerate() {
         let more = u128::from(surplus) * weight(at) / total_weight.max(1);
--- a/crates/quota/src/lease_server/holder_record.rs
+++ b/crates/quota/src/lease_server/holder_record.rs
@@ -40,7 +40,9 @@
         let mut most = Amount::NOTHING;
         let mut last_use = self.last_report;
         for grant in &self.outstanding {
-            let Some(amount) = grant.amounts.get(limit) else { continue };
+            let Some(amount) = grant.amounts.get(limit) else {
+                continue;
+            };
             if grant.expires > now {
                 most = most.greater(*amount);
             } else if open_counts && grant.expires.saturating_add(with_drift(longest)) > now {
@@ -57,13 +59,22 @@
 
     /// The limits that it takes part in or may have a lease of.
     pub(super) fn limits(&self) -> BTreeSet<&String> {
-        self.requests.keys().chain(self.outstanding.iter().flat_map(|grant| grant.amounts.keys())).collect()
+        self.requests
+            .keys()
+            .chain(
+                self.outstanding
+                    .iter()
+                    .flat_map(|grant| grant.amounts.keys()),
+            )
+            .collect()
     }
 
     /// The amount of a limit in the newest grant, while that is valid.
     pub(super) fn granted(&self, limit: &str, now: Micros) -> Amount {
         let last = self.outstanding.last().filter(|grant| grant.expires > now);
-        last.and_then(|grant| grant.amounts.get(limit)).copied().unwrap_or_default()
+        last.and_then(|grant| grant.amounts.get(limit))
+            .copied()
+            .unwrap_or_default()
     }
 
     /// Adds a grant. Beyond [`MAX_OUTSTANDING`] the two oldest are merged into one that covers both.
--- a/crates/quota/src/lease_server/limit.rs
+++ b/crates/quota/src/lease_server/limit.rs
@@ -23,19 +23,35 @@
 
 impl Limit {
     pub(super) fn weight(&self, name: &str) -> u64 {
-        self.weights.iter().find(|(pattern, _)| fits(pattern, name)).map_or(1, |(_, weight)| (*weight).max(1))
+        self.weights
+            .iter()
+            .find(|(pattern, _)| fits(pattern, name))
+            .map_or(1, |(_, weight)| (*weight).max(1))
     }
 
     /// The amount that may be granted in total: the limit less the reserve for clocks that run fast.
     pub(super) fn grantable(&self) -> Amount {
         let Amount { rate, burst, open } = self.whole;
-        Amount { rate: if rate == UNBOUNDED { rate } else { rate - rate.div_ceil(FAST) }, burst, open }
+        Amount {
+            rate: if rate == UNBOUNDED {
+                rate
+            } else {
+                rate - rate.div_ceil(FAST)
+            },
+            burst,
+            open,
+        }
     }
 
     /// The amount that may be granted to one instance while the others may use `others`.
     pub(super) fn available(&self, others: Amount) -> Amount {
-        let remainder =
-            |all: u64, others| if all == UNBOUNDED { UNBOUNDED } else { all.saturating_sub(others) };
+        let remainder = |all: u64, others| {
+            if all == UNBOUNDED {
+                UNBOUNDED
+            } else {
+                all.saturating_sub(others)
+            }
+        };
         self.grantable().with(others, remainder)
     }
 }
