--- a/crates/quota/src/lease_server/mod.rs
+++ b/crates/quota/src/lease_server/mod.rs
@@ -9,8 +9,8 @@
 pub use status::LimitStatus;
 
 use crate::{
-    Amount, DRIFT, Grant, InjectedBug, Lease, LeaseRequest, LeaseRequests, MOST_LIMITS, Micros, ONE,
-    ServerId, is_injected,
+    Amount, DRIFT, Grant, InjectedBug, Lease, LeaseRequest, LeaseRequests, MOST_LIMITS, Micros,
+    ONE, ServerId, is_injected,
 };
 use allocation::{Participant, allocate};
 use holder_record::{HolderRecord, OutstandingGrant};
@@ -45,16 +45,19 @@
 impl fmt::Display for Note {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Note::Recovered => {
-                f.write_str("fleet limits: what a former agent lent is over; all of them can be lent")
-            }
+            Note::Recovered => f.write_str(
+                "fleet limits: what a former agent lent is over; all of them can be lent",
+            ),
             Note::Conflict(term) => write!(
                 f,
                 "fleet limits: another agent of term {term} lends; this one lends nothing any more. End one of them, and \
                  start the other with term_above = {term}"
             ),
             Note::Overcommitted(limit) => {
-                write!(f, "fleet limits: {limit} is lent beyond itself: this is a bug")
+                write!(
+                    f,
+                    "fleet limits: {limit} is lent beyond itself: this is a bug"
+                )
             }
         }
     }
@@ -84,11 +87,24 @@
 impl LeaseServer {
     /// Starts a server at `now` whose leases last for `duration`. `former` is the longest duration of leases that
     /// former servers granted. Instances report once each `report_interval`.
-    pub fn new(now: Micros, id: ServerId, duration: Micros, former: Micros, report_interval: Micros) -> Self {
+    pub fn new(
+        now: Micros,
+        id: ServerId,
+        duration: Micros,
+        former: Micros,
+        report_interval: Micros,
+    ) -> Self {
         let forgets = is_injected(InjectedBug::ForgetFormerDuration);
-        let longest = if forgets { duration } else { former.max(duration) };
-        let recovery_ends =
-            if is_injected(InjectedBug::NoRecovery) { now } else { now.saturating_add(with_drift(longest)) };
+        let longest = if forgets {
+            duration
+        } else {
+            former.max(duration)
+        };
+        let recovery_ends = if is_injected(InjectedBug::NoRecovery) {
+            now
+        } else {
+            now.saturating_add(with_drift(longest))
+        };
         LeaseServer {
             id,
             duration,
@@ -134,7 +150,11 @@
     ) -> Option<Grant> {
         let by_name = is_injected(InjectedBug::IdentifyByName);
         let start = if by_name { hash_name(name) } else { start };
-        if requests.by.is_some_and(|by| by.term >= self.id.term && by != self.id) && !self.in_conflict {
+        if requests
+            .by
+            .is_some_and(|by| by.term >= self.id.term && by != self.id)
+            && !self.in_conflict
+        {
             self.in_conflict = true;
             self.notes.push(Note::Conflict(self.id.term));
         }
@@ -155,15 +175,27 @@
         if requests.by == Some(self.id) {
             // A holder that was forgotten would ignore grants with numbers below the one that it uses.
             holder.number = holder.number.max(requests.number);
-            holder.outstanding.retain(|grant| grant.number >= requests.number);
+            holder
+                .outstanding
+                .retain(|grant| grant.number >= requests.number);
         }
         holder.requests.clear();
         for request in requests.of.iter().take(MOST_LIMITS) {
             let wanted = request.wanted.min(crate::MOST);
-            holder.requests.insert(request.limit.clone(), LeaseRequest { wanted, ..request.clone() });
+            holder.requests.insert(
+                request.limit.clone(),
+                LeaseRequest {
+                    wanted,
+                    ..request.clone()
+                },
+            );
         }
         self.add_to_totals(start, now);
-        let interval = if is_new { self.interval_for_new_holders() } else { self.allocation_interval() };
+        let interval = if is_new {
+            self.interval_for_new_holders()
+        } else {
+            self.allocation_interval()
+        };
         if now.saturating_sub(self.last_allocation) >= interval {
             self.reallocate(now);
         }
@@ -196,8 +228,9 @@
             for (limit, target) in holder.target.iter().filter(|_| self.is_active(holder, now)) {
                 let granted = holder.granted(limit, now);
                 let reachable = target.lesser(self.available(limit, holder, now));
-                shrinks |=
-                    is_notable(granted, *target) && granted.exceeds(*target) && contended.contains(limit);
+                shrinks |= is_notable(granted, *target)
+                    && granted.exceeds(*target)
+                    && contended.contains(limit);
                 grows |= is_notable(granted, reachable) && reachable.exceeds(granted);
             }
             if shrinks || grows {
@@ -210,8 +243,11 @@
 
     /// When [`LeaseServer::tick`] is due next.
     pub fn next(&self, now: Micros) -> Option<Micros> {
-        (!self.holders.is_empty() && !self.in_conflict)
-            .then(|| self.last_allocation.saturating_add(self.allocation_interval()).max(now + 1))
+        (!self.holders.is_empty() && !self.in_conflict).then(|| {
+            self.last_allocation
+                .saturating_add(self.allocation_interval())
+                .max(now + 1)
+        })
     }
 
     fn allocation_interval(&self) -> Micros {
@@ -222,7 +258,9 @@
     /// amount until then.
     fn interval_for_new_holders(&self) -> Micros {
         let for_all = INTERVAL_PER_HOLDER.saturating_mul(self.holders.len() as Micros);
-        for_all.max(SHORTEST_INTERVAL).min(self.allocation_interval().max(SHORTEST_INTERVAL))
+        for_all
+            .max(SHORTEST_INTERVAL)
+            .min(self.allocation_interval().max(SHORTEST_INTERVAL))
     }
 
     /// Whether a holder has reported within the last lease duration.
@@ -236,7 +274,10 @@
         for holder in self.holders.values() {
             for (limit, target) in &holder.target {
                 let granted = holder.granted(limit, now);
-                if target.exceeds(granted) && is_notable(granted, *target) && !contended.contains(limit) {
+                if target.exceeds(granted)
+                    && is_notable(granted, *target)
+                    && !contended.contains(limit)
+                {
                     contended.insert(limit.clone());
                 }
             }
@@ -260,9 +301,13 @@
     }
 
     fn update_totals(&mut self, start: u64, now: Micros, combine: fn(u64, u64) -> u64) {
-        let Some(holder) = self.holders.get(&start) else { return };
+        let Some(holder) = self.holders.get(&start) else {
+            return;
+        };
         for name in holder.limits() {
-            let Some(limit) = limit_for(&self.limits, name) else { continue };
+            let Some(limit) = limit_for(&self.limits, name) else {
+                continue;
+            };
             if self.totals.len() < MAX_TOTALS || self.totals.contains_key(name) {
                 let total = self.totals.entry(name.clone()).or_default();
                 *total = total.with(holder.possibly_used(name, now, limit.longest), combine);
@@ -275,21 +320,31 @@
     }
 
     fn grantable(&self, limit: &str) -> Amount {
-        limit_for(&self.limits, limit).map(Limit::grantable).unwrap_or_default()
+        limit_for(&self.limits, limit)
+            .map(Limit::grantable)
+            .unwrap_or_default()
     }
 
     /// The amount of a limit that can be granted to a holder beside what the others may be using.
     fn available(&self, name: &str, holder: &HolderRecord, now: Micros) -> Amount {
-        let Some(limit) = limit_for(&self.limits, name) else { return Amount::NOTHING };
+        let Some(limit) = limit_for(&self.limits, name) else {
+            return Amount::NOTHING;
+        };
         let own = holder.possibly_used(name, now, limit.longest);
         limit.available(self.total(name).with(own, u64::saturating_sub))
     }
 
     /// Makes the next grant to a start and counts it as outstanding.
     fn issue_grant(&mut self, now: Micros, start: u64) -> Grant {
-        let limits = self.holders.get(&start).map(HolderRecord::limits).unwrap_or_default();
-        let totals_before: BTreeMap<String, Amount> =
-            limits.into_iter().filter_map(|name| Some((name.clone(), *self.totals.get(name)?))).collect();
+        let limits = self
+            .holders
+            .get(&start)
+            .map(HolderRecord::limits)
+            .unwrap_or_default();
+        let totals_before: BTreeMap<String, Amount> = limits
+            .into_iter()
+            .filter_map(|name| Some((name.clone(), *self.totals.get(name)?)))
+            .collect();
         self.subtract_from_totals(start, now);
         let leases = self.leases_for(now, start);
         let (number, answers) = self.record_grant(now, start, &leases);
@@ -299,16 +354,29 @@
         if self.has_learned(now) {
             self.note_overcommitted(&leases, &totals_before);
         }
-        Grant { start, by: self.id, number, answers, duration: self.duration, of: leases }
+        Grant {
+            start,
+            by: self.id,
+            number,
+            answers,
+            duration: self.duration,
+            of: leases,
+        }
     }
 
     /// The leases of a start in its next grant. The totals must not contain the start's own usage.
     fn leases_for(&self, now: Micros, start: u64) -> Vec<Lease> {
-        let Some(holder) = self.holders.get(&start) else { return Vec::new() };
+        let Some(holder) = self.holders.get(&start) else {
+            return Vec::new();
+        };
         let lease = |(name, request): (&String, &LeaseRequest)| {
             let limit = limit_for(&self.limits, name)?;
             let amount = self.next_amount(now, limit, holder, name, request)?;
-            Some(Lease { limit: name.clone(), amount, whole: limit.whole })
+            Some(Lease {
+                limit: name.clone(),
+                amount,
+                whole: limit.whole,
+            })
         };
         holder.requests.iter().filter_map(lease).collect()
     }
@@ -331,11 +399,18 @@
             return None;
         }
         let keeps = !is_notable(granted, target) && !granted.exceeds(available);
-        let mut amount = if keeps { granted } else { target.lesser(available) };
+        let mut amount = if keeps {
+            granted
+        } else {
+            target.lesser(available)
+        };
         if is_recovering {
             // A lease of the former server is renewed with no more than it had.
             let holds = request.holds.greater(granted);
-            amount = amount.lesser(Amount { open: holds.open.max(request.open), ..holds });
+            amount = amount.lesser(Amount {
+                open: holds.open.max(request.open),
+                ..holds
+            });
         }
         if amount.burst < ONE {
             // The holder could not admit one request; others may use the amount.
@@ -347,16 +422,29 @@
     /// Counts a grant as outstanding. Returns its number and the sequence number of the report that it answers.
     fn record_grant(&mut self, now: Micros, start: u64, leases: &[Lease]) -> (u64, u64) {
         let has_drift = !is_injected(InjectedBug::NoDrift);
-        let valid_for = if has_drift { with_drift(self.duration) } else { self.duration };
+        let valid_for = if has_drift {
+            with_drift(self.duration)
+        } else {
+            self.duration
+        };
         let expires = now.saturating_add(valid_for);
-        let Some(holder) = self.holders.get_mut(&start) else { return (0, 0) };
+        let Some(holder) = self.holders.get_mut(&start) else {
+            return (0, 0);
+        };
         holder.number += 1;
         if is_injected(InjectedBug::ReuseBeforeAcknowledgement) {
             holder.outstanding.clear();
         }
         let number = holder.number;
-        let amounts = leases.iter().map(|lease| (lease.limit.clone(), lease.amount)).collect();
-        holder.add_outstanding(OutstandingGrant { number, expires, amounts });
+        let amounts = leases
+            .iter()
+            .map(|lease| (lease.limit.clone(), lease.amount))
+            .collect();
+        holder.add_outstanding(OutstandingGrant {
+            number,
+            expires,
+            amounts,
+        });
         (number, holder.seq)
     }
 
@@ -380,14 +468,23 @@
         }
         self.forget_expired(now);
         let starts = self.recount_totals(now);
-        self.holders.values_mut().for_each(|holder| holder.target.clear());
+        self.holders
+            .values_mut()
+            .for_each(|holder| holder.target.clear());
         for (name, starts) in starts {
-            let Some(limit) = limit_for(&self.limits, &name) else { continue };
+            let Some(limit) = limit_for(&self.limits, &name) else {
+                continue;
+            };
             let participant = |start: &u64| {
                 let holder = self.holders.get(start)?;
-                Some(Participant { start: *start, holder, request: holder.requests.get(&name)? })
+                Some(Participant {
+                    start: *start,
+                    holder,
+                    request: holder.requests.get(&name)?,
+                })
             };
-            let participants: Vec<Participant<'_>> = starts.iter().filter_map(participant).collect();
+            let participants: Vec<Participant<'_>> =
+                starts.iter().filter_map(participant).collect();
             let shares = allocate(limit, &participants, self.duration, now);
             for (start, share) in starts.into_iter().zip(shares) {
                 if let Some(holder) = self.holders.get_mut(&start) {
@@ -398,10 +495,17 @@
     }
 
     fn forget_expired(&mut self, now: Micros) {
-        let longest = self.limits.values().map(|limit| limit.longest).max().unwrap_or(0);
+        let longest = self
+            .limits
+            .values()
+            .map(|limit| limit.longest)
+            .max()
+            .unwrap_or(0);
         let remembered = with_drift(self.duration.saturating_add(longest));
         for holder in self.holders.values_mut() {
-            holder.outstanding.retain(|grant| grant.expires.saturating_add(with_drift(longest)) > now);
+            holder
+                .outstanding
+                .retain(|grant| grant.expires.saturating_add(with_drift(longest)) > now);
         }
         self.holders.retain(|_, holder| {
             !holder.outstanding.is_empty() || holder.last_report.saturating_add(remembered) > now
@@ -414,12 +518,17 @@
         let mut participants: BTreeMap<String, Vec<u64>> = BTreeMap::new();
         for (start, holder) in &self.holders {
             for name in holder.limits() {
-                let Some(limit) = limit_for(&self.limits, name) else { continue };
+                let Some(limit) = limit_for(&self.limits, name) else {
+                    continue;
+                };
                 if self.totals.len() >= MAX_TOTALS && !self.totals.contains_key(name) {
                     continue;
                 }
                 let total = self.totals.entry(name.clone()).or_default();
-                *total = total.with(holder.possibly_used(name, now, limit.longest), u64::saturating_add);
+                *total = total.with(
+                    holder.possibly_used(name, now, limit.longest),
+                    u64::saturating_add,
+                );
                 if self.is_active(holder, now) && holder.requests.contains_key(name) {
                     participants.entry(name.clone()).or_default().push(*start);
                 }
@@ -444,11 +553,25 @@
                 .map(|request| (request.holds, request.wanted, request.open))
                 .collect();
             let silent_for = now.saturating_sub(holder.last_report);
-            (*start, holder.seq, holder.number, outstanding, requests, silent_for, holder.target.clone())
+            (
+                *start,
+                holder.seq,
+                holder.number,
+                outstanding,
+                requests,
+                silent_for,
+                holder.target.clone(),
+            )
         };
         let holders: Vec<_> = self.holders.iter().map(essence).collect();
         let since_allocation = now.saturating_sub(self.last_allocation);
-        (self.id, holders, ahead(self.recovery_ends), since_allocation, self.in_conflict)
+        (
+            self.id,
+            holders,
+            ahead(self.recovery_ends),
+            since_allocation,
+            self.in_conflict,
+        )
     }
 
     /// Moves all times back, for the explorer.
@@ -459,14 +582,19 @@
         earlier(&mut self.last_allocation);
         for holder in self.holders.values_mut() {
             earlier(&mut holder.last_report);
-            holder.outstanding.iter_mut().for_each(|grant| earlier(&mut grant.expires));
+            holder
+                .outstanding
+                .iter_mut()
+                .for_each(|grant| earlier(&mut grant.expires));
         }
     }
 }
 
 /// The injected bug [`InjectedBug::IdentifyByName`] uses this in place of the start.
 fn hash_name(name: &str) -> u64 {
-    name.bytes().fold(7, |hash: u64, byte| hash.wrapping_mul(31).wrapping_add(byte.into()))
+    name.bytes().fold(7, |hash: u64, byte| {
+        hash.wrapping_mul(31).wrapping_add(byte.into())
+    })
 }
 
 /// The longest time that a duration may take by a clock that runs slow.
--- a/crates/quota/src/lease_server/status.rs
+++ b/crates/quota/src/lease_server/status.rs
@@ -30,12 +30,20 @@
     pub fn views(&self, now: Micros) -> BTreeMap<String, LimitStatus> {
         let mut all: BTreeMap<String, LimitStatus> = BTreeMap::new();
         for (name, limit) in self.limits.iter().filter(|(_, limit)| !limit.each_server) {
-            all.insert(name.clone(), LimitStatus { whole: limit.whole, ..LimitStatus::default() });
+            all.insert(
+                name.clone(),
+                LimitStatus {
+                    whole: limit.whole,
+                    ..LimitStatus::default()
+                },
+            );
         }
         for holder in self.holders.values() {
             for (name, share) in self.shares(holder, now) {
-                let sum =
-                    all.entry(name).or_insert(LimitStatus { whole: share.whole, ..LimitStatus::default() });
+                let sum = all.entry(name).or_insert(LimitStatus {
+                    whole: share.whole,
+                    ..LimitStatus::default()
+                });
                 sum.lent = sum.lent.with(share.lent, u64::saturating_add);
                 sum.used = sum.used.saturating_add(share.used);
                 sum.wanted = sum.wanted.saturating_add(share.wanted);
@@ -57,7 +65,12 @@
         let is_active = self.is_active(holder, now);
         let status = |name: &String| {
             let limit = limit_for(&self.limits, name)?;
-            let request = holder.requests.get(name).filter(|_| is_active).cloned().unwrap_or_default();
+            let request = holder
+                .requests
+                .get(name)
+                .filter(|_| is_active)
+                .cloned()
+                .unwrap_or_default();
             let has_lease = holder.granted(name, now) != Amount::NOTHING;
             let status = LimitStatus {
                 whole: limit.whole,
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -71,11 +71,15 @@
 
 /// Whether a pattern matches a name: it equals the name, or is a prefix of it followed by `*`.
 pub fn fits(pattern: &str, name: &str) -> bool {
-    pattern.strip_suffix('*').map_or(pattern == name, |prefix| name.starts_with(prefix))
+    pattern
+        .strip_suffix('*')
+        .map_or(pattern == name, |prefix| name.starts_with(prefix))
 }
 
 /// A share of a limit, or the whole limit. A figure is [`UNBOUNDED`] where the limit does not bound it.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 #[serde(default)]
 pub struct Amount {
     /// Thousandths of a request a second.
@@ -88,9 +92,17 @@
 
 impl Amount {
     /// No bounds.
-    pub const UNBOUNDED: Amount = Amount { rate: UNBOUNDED, burst: UNBOUNDED, open: UNBOUNDED };
+    pub const UNBOUNDED: Amount = Amount {
+        rate: UNBOUNDED,
+        burst: UNBOUNDED,
+        open: UNBOUNDED,
+    };
     /// Nothing.
-    pub const NOTHING: Amount = Amount { rate: 0, burst: 0, open: 0 };
+    pub const NOTHING: Amount = Amount {
+        rate: 0,
+        burst: 0,
+        open: 0,
+    };
 
     /// Combines each figure with that of `other`.
     pub fn with(self, other: Amount, combine: impl Fn(u64, u64) -> u64) -> Amount {
@@ -119,7 +131,9 @@
 
 /// Identifies a start of a lease server: the term of its agent, and a number drawn at random at the start. Two
 /// servers may have the same term where one was started on an old copy of the other's state.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct ServerId {
     /// The term of the agent.
     pub term: u64,
--- a/crates/quota/tests/new_holders_are_allocated_at_a_bounded_cost.rs
+++ b/crates/quota/tests/new_holders_are_allocated_at_a_bounded_cost.rs
@@ -24,16 +24,34 @@
         each_server: false,
         longest: S,
     };
-    let mut server = LeaseServer::new(0, ServerId { term: 1, id: 1 }, LEASE, LEASE, REPORT_INTERVAL);
+    let mut server = LeaseServer::new(
+        0,
+        ServerId { term: 1, id: 1 },
+        LEASE,
+        LEASE,
+        REPORT_INTERVAL,
+    );
     server.set_limits(0, BTreeMap::from([(LIMIT.to_string(), limit)]));
     server
 }
 
 /// The first report of a start, and the grant that answers it.
 fn first_report(server: &mut LeaseServer, now: Micros, start: u64) -> Grant {
-    let request = LeaseRequest { limit: LIMIT.into(), wanted: ONE, wanted_open: 2, ..Default::default() };
-    let requests = LeaseRequests { seq: 1, by: None, number: 0, of: vec![request] };
-    server.handle_report(now, &format!("i{start}"), "", start, &requests).expect("a grant")
+    let request = LeaseRequest {
+        limit: LIMIT.into(),
+        wanted: ONE,
+        wanted_open: 2,
+        ..Default::default()
+    };
+    let requests = LeaseRequests {
+        seq: 1,
+        by: None,
+        number: 0,
+        of: vec![request],
+    };
+    server
+        .handle_report(now, &format!("i{start}"), "", start, &requests)
+        .expect("a grant")
 }
 
 /// A server with so many holders whose last allocation was at [`BEGIN`].
@@ -53,21 +71,44 @@
 #[test]
 fn a_new_holder_among_few_has_its_share_with_its_first_grant() {
     let mut server = server_with(100);
-    assert!(has_share(&first_report(&mut server, BEGIN + 20 * MS, 1_000_000)));
-    assert!(has_share(&first_report(&mut server, BEGIN + 40 * MS, 1_000_001)));
+    assert!(has_share(&first_report(
+        &mut server,
+        BEGIN + 20 * MS,
+        1_000_000
+    )));
+    assert!(has_share(&first_report(
+        &mut server,
+        BEGIN + 40 * MS,
+        1_000_001
+    )));
 }
 
 /// 1,000 holders are looked at ten times a second.
 #[test]
 fn new_holders_among_many_share_an_allocation() {
     let mut server = server_with(1_000);
-    assert!(!has_share(&first_report(&mut server, BEGIN + 50 * MS, 1_000_000)));
-    assert!(has_share(&first_report(&mut server, BEGIN + 101 * MS, 1_000_001)));
-    assert!(!has_share(&first_report(&mut server, BEGIN + 150 * MS, 1_000_002)));
+    assert!(!has_share(&first_report(
+        &mut server,
+        BEGIN + 50 * MS,
+        1_000_000
+    )));
+    assert!(has_share(&first_report(
+        &mut server,
+        BEGIN + 101 * MS,
+        1_000_001
+    )));
+    assert!(!has_share(&first_report(
+        &mut server,
+        BEGIN + 150 * MS,
+        1_000_002
+    )));
     let grants = server.tick(BEGIN + 101 * MS + REPORT_INTERVAL / 4);
     for name in ["i1000000", "i1000002"] {
         let own = grants.iter().find(|(to, _)| to == name);
-        assert!(own.is_some_and(|(_, grant)| has_share(grant)), "{name} was told of no share");
+        assert!(
+            own.is_some_and(|(_, grant)| has_share(grant)),
+            "{name} was told of no share"
+        );
     }
 }
 
@@ -75,6 +116,14 @@
 #[test]
 fn a_new_holder_waits_no_longer_than_for_the_usual_allocation() {
     let mut server = server_with(8_000);
-    assert!(!has_share(&first_report(&mut server, BEGIN + REPORT_INTERVAL / 4 - MS, 1_000_000)));
-    assert!(has_share(&first_report(&mut server, BEGIN + REPORT_INTERVAL / 4, 1_000_001)));
+    assert!(!has_share(&first_report(
+        &mut server,
+        BEGIN + REPORT_INTERVAL / 4 - MS,
+        1_000_000
+    )));
+    assert!(has_share(&first_report(
+        &mut server,
+        BEGIN + REPORT_INTERVAL / 4,
+        1_000_001
+    )));
 }
--- a/crates/quota/tests/no_window_is_over_the_limit.rs
+++ b/crates/quota/tests/no_window_is_over_the_limit.rs
@@ -3,8 +3,8 @@
 //! more requests open.
 
 use madderloom_quota::{
-    Amount, Grant, LeaseHolder, LeaseRequest, LeaseRequests, LeaseServer, Limit, Micros, Note, ONE, Safe,
-    ServerId,
+    Amount, Grant, LeaseHolder, LeaseRequest, LeaseRequests, LeaseServer, Limit, Micros, Note, ONE,
+    Safe, ServerId,
 };
 use madderloom_rig::worst;
 use oorandom::Rand64;
@@ -81,7 +81,10 @@
             order: 0,
             now: 0,
             agent: None,
-            agent_clock: Clock { rate: 1.0, zero: 0.0 },
+            agent_clock: Clock {
+                rate: 1.0,
+                zero: 0.0,
+            },
             agent_frozen: 0,
             term: 0,
             starts: Vec::new(),
@@ -103,30 +106,53 @@
     }
 
     fn clock(&mut self) -> Clock {
-        Clock { rate: 0.98 + 0.04 * self.random.rand_float(), zero: 1e9 * self.random.rand_float() }
+        Clock {
+            rate: 0.98 + 0.04 * self.random.rand_float(),
+            zero: 1e9 * self.random.rand_float(),
+        }
     }
 
     fn begin(&mut self, name: String, load: f64) {
         let (clock, start, at) = (self.clock(), self.random.rand_u64(), self.starts.len());
         let mut holder = LeaseHolder::default();
         holder.follow(clock.at(self.now), [(LIMIT.to_string(), Safe::Nothing)]);
-        self.starts.push(Start { name, start, holder, clock, frozen_until: 0, replaced: false, load });
+        self.starts.push(Start {
+            name,
+            start,
+            holder,
+            clock,
+            frozen_until: 0,
+            replaced: false,
+            load,
+        });
         self.after(1, What::Report(at));
         self.after(2, What::Request(at));
     }
 
     fn start_agent(&mut self, former: Micros) {
         self.term += 1;
-        let (now, who) =
-            (self.agent_clock.at(self.now), ServerId { term: self.term, id: self.random.rand_u64() });
+        let (now, who) = (
+            self.agent_clock.at(self.now),
+            ServerId {
+                term: self.term,
+                id: self.random.rand_u64(),
+            },
+        );
         let mut server = LeaseServer::new(now, who, DURATION, former, EVERY);
-        server.set_limits(now, BTreeMap::from([(LIMIT.to_string(), self.limit.clone())]));
+        server.set_limits(
+            now,
+            BTreeMap::from([(LIMIT.to_string(), self.limit.clone())]),
+        );
         self.agent = Some(server);
     }
 
     fn after(&mut self, wait: Micros, what: What) {
         self.order += 1;
-        self.events.push(std::cmp::Reverse((self.now + wait.max(1), self.order, what)));
+        self.events.push(std::cmp::Reverse((
+            self.now + wait.max(1),
+            self.order,
+            what,
+        )));
     }
 
     /// A message goes on its way: lost, late or doubled.
@@ -135,7 +161,9 @@
             return;
         }
         let late = self.random.rand_float() < self.lossy;
-        let delay = self.random.rand_range(100..if late { 2 * DURATION } else { 20_000 });
+        let delay = self
+            .random
+            .rand_range(100..if late { 2 * DURATION } else { 20_000 });
         if late && self.random.rand_float() < 0.3 {
             let again = self.random.rand_range(100..2 * DURATION);
             self.after(again, what.clone());
@@ -147,7 +175,9 @@
         while let Some(std::cmp::Reverse((at, ..))) = self.events.peek()
             && *at <= until
         {
-            let Some(std::cmp::Reverse((at, _, what))) = self.events.pop() else { return };
+            let Some(std::cmp::Reverse((at, _, what))) = self.events.pop() else {
+                return;
+            };
             self.now = at;
             self.step(what);
         }
@@ -158,7 +188,9 @@
         let now = self.now;
         // Whoever stands still finds what came meanwhile when it goes on, and reads the clock then.
         let waits = match &what {
-            What::Report(at) | What::ToInstance(at, _) | What::Request(at) => self.starts[*at].frozen_until,
+            What::Report(at) | What::ToInstance(at, _) | What::Request(at) => {
+                self.starts[*at].frozen_until
+            }
             What::ToAgent(..) | What::AgentTick => self.agent_frozen,
             _ => 0,
         };
@@ -178,9 +210,13 @@
             What::ToAgent(at, requests) => {
                 let (name, start) = (self.starts[at].name.clone(), self.starts[at].start);
                 let by_agent = self.agent_clock.at(now);
-                let grant =
-                    self.agent.as_mut().and_then(|a| a.handle_report(by_agent, &name, "", start, &requests));
-                grant.into_iter().for_each(|grant| self.send(What::ToInstance(at, grant)));
+                let grant = self
+                    .agent
+                    .as_mut()
+                    .and_then(|a| a.handle_report(by_agent, &name, "", start, &requests));
+                grant
+                    .into_iter()
+                    .for_each(|grant| self.send(What::ToInstance(at, grant)));
             }
             What::ToInstance(at, grant) => {
                 let start = &mut self.starts[at];
@@ -191,10 +227,17 @@
             }
             What::AgentTick => {
                 let by_agent = self.agent_clock.at(now);
-                let grants = self.agent.as_mut().map(|agent| agent.tick(by_agent)).unwrap_or_default();
+                let grants = self
+                    .agent
+                    .as_mut()
+                    .map(|agent| agent.tick(by_agent))
+                    .unwrap_or_default();
                 for (_, grant) in grants {
-                    let at =
-                        self.starts.iter().position(|start| start.start == grant.start).expect("it is known");
+                    let at = self
+                        .starts
+                        .iter()
+                        .position(|start| start.start == grant.start)
+                        .expect("it is known");
                     self.send(What::ToInstance(at, grant));
                 }
                 self.after(EVERY / 4, What::AgentTick);
@@ -250,19 +293,30 @@
 
     /// By how much the worst window was over.
     fn over(&self) -> f64 {
-        let (rate, burst) = (self.limit.whole.rate as f64 / 1e3, self.limit.whole.burst as f64 / 1e3);
+        let (rate, burst) = (
+            self.limit.whole.rate as f64 / 1e3,
+            self.limit.whole.burst as f64 / 1e3,
+        );
         worst(self.admitted.iter().map(|at| *at as f64 / 1e6), rate) - burst
     }
 
     fn used(&self, from: Micros, to: Micros) -> f64 {
-        let there = self.admitted.iter().filter(|at| (from..to).contains(*at)).count();
+        let there = self
+            .admitted
+            .iter()
+            .filter(|at| (from..to).contains(*at))
+            .count();
         there as f64 / ((to - from) as f64 / 1e6)
     }
 }
 
 fn limit(rate: u64, burst: u64, open: u64) -> Limit {
     Limit {
-        whole: Amount { rate: rate * ONE, burst: burst * ONE, open },
+        whole: Amount {
+            rate: rate * ONE,
+            burst: burst * ONE,
+            open,
+        },
         longest: LONGEST,
         ..Limit::default()
     }
@@ -276,8 +330,16 @@
         world.lossy = [0.0, 0.05, 0.3, 0.6][seed as usize % 4];
         world.draw_faults(12, 30_000_000, (seed % 9) as usize);
         world.run(40_000_000);
-        assert!(world.over() <= 1e-9, "seed {seed}: over by {}", world.over());
-        assert!(world.most_open <= 14, "seed {seed}: {} open", world.most_open);
+        assert!(
+            world.over() <= 1e-9,
+            "seed {seed}: over by {}",
+            world.over()
+        );
+        assert!(
+            world.most_open <= 14,
+            "seed {seed}: {} open",
+            world.most_open
+        );
         let notes = world.agent.iter_mut().flat_map(LeaseServer::notes);
         let odd: Vec<Note> = notes.filter(|note| *note != Note::Recovered).collect();
         assert!(odd.is_empty(), "seed {seed}: {odd:?}");
@@ -302,7 +364,10 @@
         }
         world.run(30_000_000);
         let used = world.used(23_000_000, 30_000_000);
-        assert!((0.8 * 50.0..=50.0 + 8.0).contains(&used), "seed {seed}: {used} of 50 a second");
+        assert!(
+            (0.8 * 50.0..=50.0 + 8.0).contains(&used),
+            "seed {seed}: {used} of 50 a second"
+        );
         sum += used;
         assert!(world.over() <= 1e-9, "seed {seed}");
     }
@@ -317,7 +382,11 @@
     let set = |world: &mut World, rate| {
         let now = world.agent_clock.at(world.now);
         let limits = BTreeMap::from([(LIMIT.to_string(), limit(rate, 2 * rate, 1_000))]);
-        world.agent.as_mut().expect("it runs").set_limits(now, limits);
+        world
+            .agent
+            .as_mut()
+            .expect("it runs")
+            .set_limits(now, limits);
     };
     set(&mut world, 0);
     world.run(20_000_000);
@@ -334,8 +403,17 @@
     let now = |report: u64| 10_000_000 + report * EVERY;
     let who = ServerId { term: 1, id: 1 };
     let mut server = LeaseServer::new(0, who, DURATION, 0, EVERY);
-    server.set_limits(0, BTreeMap::from([(LIMIT.to_string(), limit(1_000, 600, 10_000))]));
-    let wanted = |at: u64| if at.is_multiple_of(30) { 150 * ONE } else { ONE };
+    server.set_limits(
+        0,
+        BTreeMap::from([(LIMIT.to_string(), limit(1_000, 600, 10_000))]),
+    );
+    let wanted = |at: u64| {
+        if at.is_multiple_of(30) {
+            150 * ONE
+        } else {
+            ONE
+        }
+    };
     let mut lent: Vec<Vec<u64>> = Vec::new();
     let mut numbers = vec![0; 300];
     let mut grants = 0;
@@ -349,8 +427,12 @@
                 ..Default::default()
             };
             let by = (numbers[at as usize] > 0).then_some(who);
-            let requests =
-                LeaseRequests { seq: report + 1, by, number: numbers[at as usize], of: vec![request] };
+            let requests = LeaseRequests {
+                seq: report + 1,
+                by,
+                number: numbers[at as usize],
+                of: vec![request],
+            };
             let grant = server
                 .handle_report(now(report) + at * 900, &format!("i{at}"), "", at, &requests)
                 .expect("a grant");
@@ -363,8 +445,17 @@
     }
     // Ten that want 150 a second share what the 290 others leave them.
     let heavy: Vec<u64> = (0..300).step_by(30).map(|at| lent[3][at]).collect();
-    assert!(heavy.iter().all(|rate| rate.abs_diff(heavy[0]) <= heavy[0] / 8), "{heavy:?}");
-    assert!(lent[3].iter().sum::<u64>() >= 950_000, "{}", lent[3].iter().sum::<u64>());
+    assert!(
+        heavy
+            .iter()
+            .all(|rate| rate.abs_diff(heavy[0]) <= heavy[0] / 8),
+        "{heavy:?}"
+    );
+    assert!(
+        lent[3].iter().sum::<u64>() >= 950_000,
+        "{}",
+        lent[3].iter().sum::<u64>()
+    );
     for row in &lent[4..] {
         assert_eq!(row, &lent[4], "parts swing under steady demand");
     }
@@ -380,33 +471,56 @@
     for report in 0..1_200u64 {
         let mut have = 0;
         for at in 0..20u64 {
-            let request = LeaseRequest { limit: LIMIT.into(), wanted: ONE, ..Default::default() };
+            let request = LeaseRequest {
+                limit: LIMIT.into(),
+                wanted: ONE,
+                ..Default::default()
+            };
             let by = (numbers[at as usize] > 0).then_some(who);
-            let requests =
-                LeaseRequests { seq: report + 1, by, number: numbers[at as usize], of: vec![request] };
+            let requests = LeaseRequests {
+                seq: report + 1,
+                by,
+                number: numbers[at as usize],
+                of: vec![request],
+            };
             let now = 10_000_000 + report * EVERY + at * 10_000;
-            let grant = server.handle_report(now, &format!("i{at}"), "", at, &requests).expect("a grant");
+            let grant = server
+                .handle_report(now, &format!("i{at}"), "", at, &requests)
+                .expect("a grant");
             numbers[at as usize] = grant.number;
             have += usize::from(grant.of[0].amount.burst >= ONE);
             had[at as usize] |= grant.of[0].amount.burst >= ONE;
         }
         at_once = at_once.max(have);
     }
-    assert!(had.iter().all(|had| *had) && at_once <= 3, "{had:?}, {at_once} at once");
+    assert!(
+        had.iter().all(|had| *had) && at_once <= 3,
+        "{had:?}, {at_once} at once"
+    );
 }
 
 /// More servers than there may be parts: none of them is without a bound, and what was used longest ago makes room.
 #[test]
 fn no_server_is_without_a_bound_however_many_there_are() {
     let mut holder = LeaseHolder::default();
-    let one = Amount { rate: ONE, burst: ONE, open: 1 };
+    let one = Amount {
+        rate: ONE,
+        burst: ONE,
+        open: 1,
+    };
     holder.follow(1, [("node".to_string(), Safe::Fixed(one))]);
     for server in 0..1_000u64 {
         let (now, name) = (2_000_000 + 2_000_000 * server, format!("w{server}"));
-        assert!(holder.admit_at(now, "node", &name).is_err(), "an empty bucket lets nothing in");
+        assert!(
+            holder.admit_at(now, "node", &name).is_err(),
+            "an empty bucket lets nothing in"
+        );
         let later = now + 1_000_000;
         assert!(holder.admit_at(later, "node", &name).is_ok());
-        assert!(holder.admit_at(later, "node", &name).is_err(), "one is open");
+        assert!(
+            holder.admit_at(later, "node", &name).is_err(),
+            "one is open"
+        );
         holder.end(&format!("node/{name}"));
     }
     let known = |holder: &LeaseHolder| holder.standings(0).count();
@@ -417,7 +531,13 @@
         assert!(holder.admit_at(now, "node", &format!("w{server}")).is_ok());
     }
     assert!(holder.admit_at(now, "node", "another").is_err());
-    assert_eq!(holder.standings(now).map(|(_, standing)| standing.open).sum::<u64>(), 255);
+    assert_eq!(
+        holder
+            .standings(now)
+            .map(|(_, standing)| standing.open)
+            .sum::<u64>(),
+        255
+    );
 }
 
 /// One that has three open under a lease of three is told of one less. What it said before it had them open comes
@@ -440,12 +560,19 @@
         }],
     };
     let open = |grant: Option<Grant>| grant.map(|grant| grant.of[0].amount.open);
-    assert_eq!(open(server.handle_report(10_000_000, "a", "", 1, &request(1, 0, 0))), Some(3));
+    assert_eq!(
+        open(server.handle_report(10_000_000, "a", "", 1, &request(1, 0, 0))),
+        Some(3)
+    );
     server.handle_report(10_000_000, "b", "", 2, &request(1, 0, 0));
-    let told = open(server.handle_report(10_400_000, "a", "", 1, &request(3, 1, 3))).expect("a grant");
+    let told =
+        open(server.handle_report(10_400_000, "a", "", 1, &request(3, 1, 3))).expect("a grant");
     assert!(told < 3, "{told}");
     server.handle_report(10_500_000, "a", "", 1, &request(4, 2, 3));
-    assert_eq!(server.handle_report(10_600_000, "a", "", 1, &request(2, 2, 0)), None);
+    assert_eq!(
+        server.handle_report(10_600_000, "a", "", 1, &request(2, 2, 0)),
+        None
+    );
     assert_eq!(
         open(server.handle_report(10_900_000, "b", "", 2, &request(2, 1, 0))),
         Some(0),
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -91,7 +91,10 @@
 fn runtime() -> &'static Handle {
     static RUNTIME: LazyLock<Handle> = LazyLock::new(|| {
         raise_descriptors();
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()
+            .expect("a runtime");
         let handle = runtime.handle().clone();
         std::thread::spawn(move || runtime.block_on(std::future::pending::<()>()));
         handle
@@ -123,5 +126,7 @@
 
 /// What a panic elsewhere left locked is as good as ever: nothing here is changed in several steps.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+    mutex
+        .lock()
+        .unwrap_or_else(|poisoned| poisoned.into_inner())
 }
--- a/crates/rig/src/link.rs
+++ b/crates/rig/src/link.rs
@@ -100,7 +100,11 @@
                 }
             }
         });
-        Link { address, shared, accepting: task.abort_handle() }
+        Link {
+            address,
+            shared,
+            accepting: task.abort_handle(),
+        }
     }
 
     /// Where to connect to.
@@ -157,7 +161,10 @@
     /// So many bytes a second, in each direction of each connection.
     pub fn throttle(&self, bytes_per_second: u64) {
         self.change(|state| {
-            state.ways.iter_mut().for_each(|way| way.rate = Some(bytes_per_second.max(1)));
+            state
+                .ways
+                .iter_mut()
+                .for_each(|way| way.rate = Some(bytes_per_second.max(1)));
         });
     }
 
@@ -218,16 +225,36 @@
     };
     let near_too = near.as_fd().try_clone_to_owned();
     if swallows {
-        let _ = state.wait_for(|state| !state.swallows || state.reset_below > number).await;
+        let _ = state
+            .wait_for(|state| !state.swallows || state.reset_below > number)
+            .await;
         return near_too.into_iter().for_each(|end| abort_on_close(&end));
     }
-    let Ok(far) = TcpStream::connect(to).await else { return };
-    let ends: Vec<OwnedFd> = near_too.into_iter().chain(far.as_fd().try_clone_to_owned()).collect();
+    let Ok(far) = TcpStream::connect(to).await else {
+        return;
+    };
+    let ends: Vec<OwnedFd> = near_too
+        .into_iter()
+        .chain(far.as_fd().try_clone_to_owned())
+        .collect();
     let _ = (near.set_nodelay(true), far.set_nodelay(true));
     // Unlike the stream's own halves, these say nothing to the other end when they are dropped.
-    let ((near_read, near_write), (far_read, far_write)) = (tokio::io::split(near), tokio::io::split(far));
-    let out = way(Arc::clone(&shared), Direction::Out, number, near_read, far_write);
-    let back = way(Arc::clone(&shared), Direction::Back, number, far_read, near_write);
+    let ((near_read, near_write), (far_read, far_write)) =
+        (tokio::io::split(near), tokio::io::split(far));
+    let out = way(
+        Arc::clone(&shared),
+        Direction::Out,
+        number,
+        near_read,
+        far_write,
+    );
+    let back = way(
+        Arc::clone(&shared),
+        Direction::Back,
+        number,
+        far_read,
+        near_write,
+    );
     tokio::select! {
         _ = async { tokio::try_join!(out, back) } => {}
         _ = state.wait_for(|state| state.reset_below > number) => ends.iter().for_each(abort_on_close),
@@ -267,7 +294,9 @@
         let mut read = from.read(&mut buffer).await.unwrap_or(0);
         shared.state.send_if_modified(|state| {
             lost |= state.ways[direction as usize].cut;
-            let Some(left) = &mut state.cut_after[direction as usize] else { return false };
+            let Some(left) = &mut state.cut_after[direction as usize] else {
+                return false;
+            };
             let pass = (*left).min(read as u64);
             *left -= pass;
             if pass < read as u64 {
@@ -303,7 +332,8 @@
 ) -> Result<(), ()> {
     let mut state = shared.state.subscribe();
     while let Some((came, piece)) = pieces.recv().await {
-        let free = |state: &State| !state.ways[direction as usize].held && number >= state.held_below;
+        let free =
+            |state: &State| !state.ways[direction as usize].held && number >= state.held_below;
         let Way { delay, rate, .. } = match state.wait_for(free).await {
             Ok(state) => state.ways[direction as usize],
             Err(_) => return Err(()),
--- a/crates/rig/src/lists.rs
+++ b/crates/rig/src/lists.rs
@@ -72,7 +72,11 @@
 /// A whole list, of this version, in which those of these names drain and all others serve.
 fn listing_but(index: u64, servers: &[&Server], draining: &[&str]) -> String {
     let entry = |server: &&Server| {
-        let status = if draining.contains(&server.name.as_str()) { "terminating" } else { "in_service" };
+        let status = if draining.contains(&server.name.as_str()) {
+            "terminating"
+        } else {
+            "in_service"
+        };
         format!(
             "{{\"name\":\"{}\",\"address\":\"{}\",\"zone\":\"a\",\"type\":\"m1\",\"group\":0,\
              \"status\":\"{status}\",\"weight\":1.0,\"since_ms\":{}}}",
@@ -80,7 +84,10 @@
         )
     };
     let entries: Vec<String> = servers.iter().map(entry).collect();
-    format!("{{\"index\":{index},\"snapshot\":true,\"endpoints\":[{}]}}", entries.join(","))
+    format!(
+        "{{\"index\":{index},\"snapshot\":true,\"endpoints\":[{}]}}",
+        entries.join(",")
+    )
 }
 
 impl Lists {
@@ -88,10 +95,27 @@
     pub fn new(manner: Manner, servers: &[&Server]) -> Self {
         let (listener, address) = listen();
         let (waiting, deaths, calls, told) = Default::default();
-        let state = State { manner, waiting, down_until: None, deaths, calls, told };
-        let (list, died) = (watch::Sender::new(listing(2, servers)), watch::Sender::new(0));
-        let own = Arc::new(Own { list, state: Mutex::new(state), turn: Semaphore::new(1), died });
-        let task = runtime().spawn(accept(listener, Arc::clone(&own))).abort_handle();
+        let state = State {
+            manner,
+            waiting,
+            down_until: None,
+            deaths,
+            calls,
+            told,
+        };
+        let (list, died) = (
+            watch::Sender::new(listing(2, servers)),
+            watch::Sender::new(0),
+        );
+        let own = Arc::new(Own {
+            list,
+            state: Mutex::new(state),
+            turn: Semaphore::new(1),
+            died,
+        });
+        let task = runtime()
+            .spawn(accept(listener, Arc::clone(&own)))
+            .abort_handle();
         Lists { address, own, task }
     }
 
@@ -102,7 +126,9 @@
 
     /// From now on its list is of this version, and those of these names drain in it; open watches hear of it at once.
     pub fn publish(&self, index: u64, servers: &[&Server], draining: &[&str]) {
-        self.own.list.send_replace(listing_but(index, servers, draining));
+        self.own
+            .list
+            .send_replace(listing_but(index, servers, draining));
     }
 
     /// It dies now, and is back after so long.
@@ -145,8 +171,12 @@
     let mut open = JoinSet::new();
     loop {
         while open.try_join_next().is_some() {}
-        let Ok((stream, _)) = listener.accept().await else { continue };
-        let is_down = lock(&own.state).down_until.is_some_and(|until| Instant::now() < until);
+        let Ok((stream, _)) = listener.accept().await else {
+            continue;
+        };
+        let is_down = lock(&own.state)
+            .down_until
+            .is_some_and(|until| Instant::now() < until);
         if is_down {
             continue;
         }
@@ -208,7 +238,10 @@
         call.into_iter().for_each(|(_, end)| *end = Instant::now());
         state.manner.says
     };
-    stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await.ok()?;
+    stream
+        .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        .await
+        .ok()?;
     let mut news = own.list.subscribe();
     let list = news.borrow_and_update().clone();
     let line = match says {
@@ -216,7 +249,10 @@
         Says::Nonsense => "{\"index\":\"so\"}\n".into(),
         Says::Half => list[..list.len() / 2].into(),
     };
-    stream.write_all(format!("{:x}\r\n{line}\r\n", line.len()).as_bytes()).await.ok()?;
+    stream
+        .write_all(format!("{:x}\r\n{line}\r\n", line.len()).as_bytes())
+        .await
+        .ok()?;
     if says == Says::Half {
         return None;
     }
--- a/crates/rig/src/load.rs
+++ b/crates/rig/src/load.rs
@@ -41,7 +41,10 @@
         let ran = seen.get(&got.id).copied().unwrap_or(0);
         match got.status {
             Some(200) => assert_eq!(ran, 1, "{got:?}"),
-            Some(503) => assert!(ran == 0 && got.retry_after.is_some_and(|after| after > 0.0), "{got:?}"),
+            Some(503) => assert!(
+                ran == 0 && got.retry_after.is_some_and(|after| after > 0.0),
+                "{got:?}"
+            ),
             None if killed => assert!(ran <= 1, "{got:?}"),
             _ => panic!("{got:?}, ran {ran} times"),
         }
@@ -62,10 +65,14 @@
     pub fn on(fronts: &[SocketAddr], pause: Duration) -> Self {
         let (over, _) = watch::channel(false);
         let got: Arc<Mutex<Vec<Got>>> = Arc::default();
-        let clients = fronts
-            .iter()
-            .map(|front| runtime().spawn(client(*front, pause, over.subscribe(), Arc::clone(&got))));
-        Load { clients: clients.collect(), over, got }
+        let clients = fronts.iter().map(|front| {
+            runtime().spawn(client(*front, pause, over.subscribe(), Arc::clone(&got)))
+        });
+        Load {
+            clients: clients.collect(),
+            over,
+            got,
+        }
     }
 
     /// What was got so far.
@@ -94,12 +101,21 @@
     while !*over.borrow() {
         let id = format!("r{:08}", NEXT.fetch_add(1, Ordering::Relaxed));
         let at = Instant::now();
-        let asked = tokio::time::timeout(WAIT, ask(front, &id, &mut open)).await.ok().flatten();
+        let asked = tokio::time::timeout(WAIT, ask(front, &id, &mut open))
+            .await
+            .ok()
+            .flatten();
         if asked.is_none() {
             open = None;
         }
-        let (status, retry_after) = asked.map_or((None, None), |(status, after)| (Some(status), after));
-        lock(&got).push(Got { id, at, status, retry_after });
+        let (status, retry_after) =
+            asked.map_or((None, None), |(status, after)| (Some(status), after));
+        lock(&got).push(Got {
+            id,
+            at,
+            status,
+            retry_after,
+        });
         tokio::select! {
             () = tokio::time::sleep(pause) => {}
             _ = over.changed() => {}
@@ -131,7 +147,10 @@
         .ok()?;
     let answer = sender.send_request(request).await.ok()?;
     let status = answer.status().as_u16();
-    let after = answer.headers().get("retry-after").and_then(|after| after.to_str().ok()?.parse().ok());
+    let after = answer
+        .headers()
+        .get("retry-after")
+        .and_then(|after| after.to_str().ok()?.parse().ok());
     answer.into_body().collect().await.ok()?;
     *open = sender.ready().await.ok().map(|()| sender);
     Some((status, after))
--- a/crates/rig/src/peer.rs
+++ b/crates/rig/src/peer.rs
@@ -65,7 +65,8 @@
     pub fn is_tried(&self) -> bool {
         const SYN_SENT: &str = "02";
         let own = as_listed(self.address());
-        let all = std::fs::read_to_string("/proc/net/tcp").expect("the system's table of connections");
+        let all =
+            std::fs::read_to_string("/proc/net/tcp").expect("the system's table of connections");
         all.lines().any(|line| {
             let mut words = line.split_whitespace().skip(2);
             words.next() == Some(own.as_str()) && words.next() == Some(SYN_SENT)
@@ -80,7 +81,9 @@
     pub fn hold_connections(&self) -> HeldConnections {
         rustix::net::listen(&self.0, 0).expect("it listens already");
         let mut filling = Vec::new();
-        while let Ok(stream) = TcpStream::connect_timeout(&self.address(), Duration::from_millis(200)) {
+        while let Ok(stream) =
+            TcpStream::connect_timeout(&self.address(), Duration::from_millis(200))
+        {
             filling.push(stream);
             assert!(filling.len() < 64, "its backlog is never full");
         }
@@ -119,7 +122,11 @@
 pub fn accept_any(nodes: &[&Node]) -> (usize, Conn) {
     let until = Instant::now() + STEP;
     while Instant::now() < until {
-        if let Some(found) = nodes.iter().enumerate().find_map(|(at, node)| Some((at, node.try_accept()?))) {
+        if let Some(found) = nodes
+            .iter()
+            .enumerate()
+            .find_map(|(at, node)| Some((at, node.try_accept()?)))
+        {
             return found;
         }
         std::thread::sleep(Duration::from_millis(1));
@@ -138,7 +145,9 @@
                 continue;
             };
             let each = Arc::clone(&each);
-            std::thread::spawn(move || while conn.read().is_some_and(|message| each(&message, &mut conn)) {});
+            std::thread::spawn(move || {
+                while conn.read().is_some_and(|message| each(&message, &mut conn)) {}
+            });
         }
     });
 }
@@ -167,7 +176,10 @@
 impl Message {
     /// A header's value, whatever the case of its name.
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
+        self.headers
+            .iter()
+            .find(|(n, _)| n.eq_ignore_ascii_case(name))
+            .map(|(_, v)| v.as_str())
     }
 
     /// The status of an answer.
@@ -175,7 +187,11 @@
     /// # Panics
     /// It is none.
     pub fn status(&self) -> u16 {
-        self.start.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status line")
+        self.start
+            .split(' ')
+            .nth(1)
+            .and_then(|s| s.parse().ok())
+            .expect("a status line")
     }
 }
 
@@ -203,7 +219,10 @@
     /// # Panics
     /// The other side has gone.
     pub fn write(&mut self, bytes: impl AsRef<[u8]>) {
-        self.0.get_mut().write_all(bytes.as_ref()).expect("the other side reads");
+        self.0
+            .get_mut()
+            .write_all(bytes.as_ref())
+            .expect("the other side reads");
     }
 
     /// The next message; none where the connection ends first.
@@ -222,8 +241,14 @@
                 }
             }
         }
-        let mut message = Message { start, headers, body: Vec::new() };
-        let length = message.header("content-length").map_or(0, |l| l.parse().expect("a length"));
+        let mut message = Message {
+            start,
+            headers,
+            body: Vec::new(),
+        };
+        let length = message
+            .header("content-length")
+            .map_or(0, |l| l.parse().expect("a length"));
         message.body.resize(length, 0);
         self.0.read_exact(&mut message.body).ok()?;
         Some(message)
@@ -284,7 +309,10 @@
     /// The addresses of both ends, this one's first.
     fn ends(&self) -> (SocketAddr, SocketAddr) {
         let stream = self.0.get_ref();
-        (stream.local_addr().expect("it is bound"), stream.peer_addr().expect("it is connected"))
+        (
+            stream.local_addr().expect("it is bound"),
+            stream.peer_addr().expect("it is connected"),
+        )
     }
 
     /// Waits for one byte and reads it, with nothing behind it.
@@ -318,7 +346,10 @@
     /// # Panics
     /// The connection has gone.
     pub fn end_writing(&mut self) {
-        self.0.get_mut().shutdown(std::net::Shutdown::Write).expect("it stands");
+        self.0
+            .get_mut()
+            .shutdown(std::net::Shutdown::Write)
+            .expect("it stands");
     }
 
     /// Closes with a reset, whatever is still on its way.
@@ -369,7 +400,10 @@
     /// # Panics
     /// The other side has gone.
     pub fn answer(&mut self, status: &str, body: &str) {
-        self.write(format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len()));
+        self.write(format!(
+            "HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        ));
     }
 }
 
@@ -392,14 +426,25 @@
 
 /// An address as the system's table of connections writes it.
 fn as_listed(address: SocketAddr) -> String {
-    let SocketAddr::V4(address) = address else { panic!("{address} is not of IPv4") };
-    format!("{:08X}:{:04X}", u32::from_ne_bytes(address.ip().octets()), address.port())
+    let SocketAddr::V4(address) = address else {
+        panic!("{address} is not of IPv4")
+    };
+    format!(
+        "{:08X}:{:04X}",
+        u32::from_ne_bytes(address.ip().octets()),
+        address.port()
+    )
 }
 
 /// A request as clients send it, with a fresh id; `more` holds further header lines.
 pub fn request(class: &str, left_ms: u64, more: &str) -> String {
     static NEXT: AtomicU32 = AtomicU32::new(0);
-    request_with(&format!("{:016x}", NEXT.fetch_add(1, Ordering::Relaxed)), class, left_ms, more)
+    request_with(
+        &format!("{:016x}", NEXT.fetch_add(1, Ordering::Relaxed)),
+        class,
+        left_ms,
+        more,
+    )
 }
 
 /// The same, with this id.
--- a/crates/rig/src/plan.rs
+++ b/crates/rig/src/plan.rs
@@ -60,7 +60,9 @@
             | Act::Delay(_)
             | Act::Throttle(_)
             | Act::Swallow => Some(Act::Heal),
-            Act::LetGo | Act::Reset | Act::Heal | Act::Start | Act::StartAfresh | Act::Continue => None,
+            Act::LetGo | Act::Reset | Act::Heal | Act::Start | Act::StartAfresh | Act::Continue => {
+                None
+            }
         }
     }
 }
@@ -89,11 +91,15 @@
 impl fmt::Display for Act {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let kind = std::mem::discriminant(self);
-        let word =
-            ACTS.iter().find(|(_, act)| std::mem::discriminant(act) == kind).map_or("?", |(word, _)| word);
+        let word = ACTS
+            .iter()
+            .find(|(_, act)| std::mem::discriminant(act) == kind)
+            .map_or("?", |(word, _)| word);
         f.write_str(word)?;
         match self {
-            Act::CutAfter(number) | Act::Delay(number) | Act::Throttle(number) => write!(f, " {number}"),
+            Act::CutAfter(number) | Act::Delay(number) | Act::Throttle(number) => {
+                write!(f, " {number}")
+            }
             _ => Ok(()),
         }
     }
@@ -123,9 +129,15 @@
         let odd = || format!("{line:?} is no fault; write one as \"1500 ms, north>agent: cut\"");
         let (at, rest) = line.split_once(" ms, ").ok_or_else(odd)?;
         let (on, act) = rest.rsplit_once(": ").ok_or_else(odd)?;
-        let (word, number) = act.split_once(' ').map_or((act, None), |(word, number)| (word, Some(number)));
+        let (word, number) = act
+            .split_once(' ')
+            .map_or((act, None), |(word, number)| (word, Some(number)));
         let number = number.map(str::parse).transpose().map_err(|_| odd())?;
-        let act = ACTS.iter().find(|(known, _)| *known == word).map(|(_, act)| *act).ok_or_else(odd)?;
+        let act = ACTS
+            .iter()
+            .find(|(known, _)| *known == word)
+            .map(|(_, act)| *act)
+            .ok_or_else(odd)?;
         let act = match (act, number) {
             (Act::CutAfter(_), Some(number)) => Act::CutAfter(number),
             (Act::Delay(_), Some(number)) => Act::Delay(number),
@@ -135,7 +147,11 @@
             (_, Some(_)) => return Err(odd()),
         };
         let at = Duration::from_millis(at.trim().parse().map_err(|_| odd())?);
-        Ok(Fault { at, on: on.to_string(), act })
+        Ok(Fault {
+            at,
+            on: on.to_string(),
+            act,
+        })
     }
 }
 
@@ -148,7 +164,9 @@
 
 impl fmt::Display for Plan {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        self.faults.iter().try_for_each(|fault| writeln!(f, "{fault}"))
+        self.faults
+            .iter()
+            .try_for_each(|fault| writeln!(f, "{fault}"))
     }
 }
 
@@ -192,11 +210,18 @@
             let place = random.rand_range(0..self.choices.len() as u32) as usize;
             let (on, acts) = &self.choices[place];
             let act = acts[random.rand_range(0..acts.len() as u32) as usize];
-            if busy.iter().any(|(begun, ended, on)| *on == place && at <= *ended && *begun <= end) {
+            if busy
+                .iter()
+                .any(|(begun, ended, on)| *on == place && at <= *ended && *begun <= end)
+            {
                 continue;
             }
             busy.push((at, end, place));
-            let fault = |at: u32, act| Fault { at: Duration::from_millis(at.into()), on: on.clone(), act };
+            let fault = |at: u32, act| Fault {
+                at: Duration::from_millis(at.into()),
+                on: on.clone(),
+                act,
+            };
             drawn.push(fault(at, act));
             drawn.extend(act.cure().map(|cure| fault(end, cure)));
         }
@@ -219,7 +244,13 @@
             tries += 1;
             let mut fewer = kept.clone();
             fewer.drain(at..(at + size).min(kept.len()));
-            if fails(&Plan { faults: fewer.clone() }) { kept = fewer } else { at += size }
+            if fails(&Plan {
+                faults: fewer.clone(),
+            }) {
+                kept = fewer
+            } else {
+                at += size
+            }
         }
         size = if size == 1 { 0 } else { size.div_ceil(2) };
     }
@@ -233,7 +264,10 @@
     fn menu() -> Menu {
         Menu {
             choices: vec![
-                ("north>agent".into(), vec![Act::Cut, Act::HoldBack, Act::Delay(300), Act::Reset]),
+                (
+                    "north>agent".into(),
+                    vec![Act::Cut, Act::HoldBack, Act::Delay(300), Act::Reset],
+                ),
                 ("agent".into(), vec![Act::Kill, Act::Stop]),
             ],
             over: Duration::from_secs(10),
@@ -248,17 +282,32 @@
             assert_eq!(plan, menu().draw(seed, 6));
             assert_eq!(plan.to_string().parse(), Ok(plan.clone()));
             for (at, fault) in plan.faults.iter().enumerate() {
-                let cured =
-                    plan.faults[at..].iter().any(|f| f.on == fault.on && Some(f.act) == fault.act.cure());
+                let cured = plan.faults[at..]
+                    .iter()
+                    .any(|f| f.on == fault.on && Some(f.act) == fault.act.cure());
                 assert!(cured || fault.act.cure().is_none(), "{plan}");
             }
         }
         for (word, _) in ACTS {
             let text = format!("7 ms, x: {word}");
-            let number = if text.parse::<Fault>().is_ok() { text } else { format!("{text} 12") };
-            assert_eq!(number.parse::<Fault>().expect("a fault").to_string(), number);
+            let number = if text.parse::<Fault>().is_ok() {
+                text
+            } else {
+                format!("{text} 12")
+            };
+            assert_eq!(
+                number.parse::<Fault>().expect("a fault").to_string(),
+                number
+            );
         }
-        for odd in ["", "7, x: cut", "7 ms, x: cut 3", "7 ms, x: delay", "7 ms, x: dig", "x ms, x: cut"] {
+        for odd in [
+            "",
+            "7, x: cut",
+            "7 ms, x: cut 3",
+            "7 ms, x: delay",
+            "7 ms, x: dig",
+            "x ms, x: cut",
+        ] {
             assert!(odd.parse::<Fault>().is_err(), "{odd}");
         }
     }
@@ -268,7 +317,9 @@
         let plan = menu().draw(3, 40);
         assert!(plan.faults.len() > 6, "{plan}");
         let needed = [plan.faults[1].clone(), plan.faults[5].clone()];
-        let least = shrink(&plan, |plan| needed.iter().all(|fault| plan.faults.contains(fault)));
+        let least = shrink(&plan, |plan| {
+            needed.iter().all(|fault| plan.faults.contains(fault))
+        });
         assert_eq!(least.faults, needed);
     }
 }
--- a/crates/rig/src/program.rs
+++ b/crates/rig/src/program.rs
@@ -41,8 +41,11 @@
         let lines = BufReader::new(child.stderr.take().expect("piped")).lines();
         let log: Arc<Mutex<Vec<String>>> = Arc::default();
         let kept = Arc::clone(&log);
-        let reader =
-            std::thread::spawn(move || lines.map_while(Result::ok).for_each(|line| lock(&kept).push(line)));
+        let reader = std::thread::spawn(move || {
+            lines
+                .map_while(Result::ok)
+                .for_each(|line| lock(&kept).push(line))
+        });
         Program { child, log, reader }
     }
 
--- a/crates/rig/src/server.rs
+++ b/crates/rig/src/server.rs
@@ -37,8 +37,10 @@
 impl Arrivals {
     /// All of these together.
     pub fn of<'s>(servers: impl IntoIterator<Item = &'s Server>) -> Self {
-        let mut all: Vec<_> =
-            servers.into_iter().flat_map(|server| lock(&server.seen).open.clone()).collect();
+        let mut all: Vec<_> = servers
+            .into_iter()
+            .flat_map(|server| lock(&server.seen).open.clone())
+            .collect();
         all.sort_unstable();
         Arrivals(all)
     }
@@ -50,7 +52,13 @@
 
     /// Those that arrived from then on.
     pub fn since(&self, from: Instant) -> Self {
-        Arrivals(self.0.iter().filter(|(at, _)| *at >= from).copied().collect())
+        Arrivals(
+            self.0
+                .iter()
+                .filter(|(at, _)| *at >= from)
+                .copied()
+                .collect(),
+        )
     }
 
     /// How many there are.
@@ -67,15 +75,22 @@
     /// arrival, so many arrived more than `rate × length + burst`. At or below 0 where the bound was kept. `jitter` is
     /// how much later one may arrive than it was let in; each window is taken as that much longer.
     pub fn over(&self, rate: f64, burst: f64, jitter: Duration) -> f64 {
-        let Some((first, _)) = self.0.first() else { return f64::NEG_INFINITY };
-        let times = self.0.iter().map(|(at, _)| at.duration_since(*first).as_secs_f64());
+        let Some((first, _)) = self.0.first() else {
+            return f64::NEG_INFINITY;
+        };
+        let times = self
+            .0
+            .iter()
+            .map(|(at, _)| at.duration_since(*first).as_secs_f64());
         worst(times, rate) - burst - rate * jitter.as_secs_f64()
     }
 
     /// The most that were open at once.
     pub fn most_open(&self) -> usize {
         let begun = self.0.iter().map(|(at, _)| (*at, 1i64));
-        let mut steps: Vec<(Instant, i64)> = begun.chain(self.0.iter().map(|(_, end)| (*end, -1))).collect();
+        let mut steps: Vec<(Instant, i64)> = begun
+            .chain(self.0.iter().map(|(_, end)| (*end, -1)))
+            .collect();
         // One that ends as another begins goes first.
         steps.sort_unstable();
         let mut open = 0;
@@ -92,7 +107,11 @@
 
     /// Arrivals a second between two times.
     pub fn rate(&self, from: Instant, to: Instant) -> f64 {
-        let there = self.0.iter().filter(|(at, _)| (from..to).contains(at)).count();
+        let there = self
+            .0
+            .iter()
+            .filter(|(at, _)| (from..to).contains(at))
+            .count();
         there as f64 / to.duration_since(from).as_secs_f64()
     }
 }
@@ -158,9 +177,15 @@
 
     /// Something has come. Gives whether that pushes it over.
     fn is_pushed_over(&self, seen: &mut Seen, now: Instant) -> bool {
-        let Some((cold, warmth)) = self.warmth(now) else { return false };
+        let Some((cold, warmth)) = self.warmth(now) else {
+            return false;
+        };
         seen.cold.push_back(now);
-        while seen.cold.front().is_some_and(|at| now.duration_since(*at) > cold.window) {
+        while seen
+            .cold
+            .front()
+            .is_some_and(|at| now.duration_since(*at) > cold.window)
+        {
             seen.cold.pop_front();
         }
         let can = warmth * cold.window.as_secs_f64() / self.time.as_secs_f64();
@@ -196,7 +221,9 @@
     /// One that starts now, is cold, and takes so long for each request once it is warm: as much longer as it is
     /// colder. Nothing queues there, so that what comes is what its callers sent and not what it let them.
     pub fn cold(name: &str, time: Duration, cold: Cold) -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         let since_ms = u64::try_from(unix.as_millis()).unwrap_or(u64::MAX);
         let mut server = Server::made(name, time, Some((cold, Instant::now())));
         server.since_ms = since_ms;
@@ -207,7 +234,12 @@
         let (listener, address) = listen();
         let seen: Arc<Mutex<Seen>> = Arc::default();
         let (answers, fell) = (Mutex::default(), watch::Sender::new(false));
-        let works = Arc::new(Works { time, answers, cold, fell });
+        let works = Arc::new(Works {
+            time,
+            answers,
+            cold,
+            fell,
+        });
         let (own, doing) = (Arc::clone(&seen), Arc::clone(&works));
         let task = runtime().spawn(async move {
             let listener = taken(listener);
@@ -223,12 +255,20 @@
                 let Ok((stream, _)) = accepted else { continue };
                 let _ = stream.set_nodelay(true);
                 let (seen, works) = (Arc::clone(&own), Arc::clone(&doing));
-                let answer =
-                    service_fn(move |request| answer(Arc::clone(&seen), Arc::clone(&works), request));
+                let answer = service_fn(move |request| {
+                    answer(Arc::clone(&seen), Arc::clone(&works), request)
+                });
                 open.spawn(http1::Builder::new().serve_connection(TokioIo::new(stream), answer));
             }
         });
-        Server { name: name.into(), address, since_ms: 0, seen, works, task: task.abort_handle() }
+        Server {
+            name: name.into(),
+            address,
+            since_ms: 0,
+            seen,
+            works,
+            task: task.abort_handle(),
+        }
     }
 
     /// It answers so from now on.
@@ -252,7 +292,11 @@
 
     /// How often each request was seen, by its `X-Trace-Id`.
     pub fn seen(&self) -> BTreeMap<String, u32> {
-        lock(&self.seen).came.iter().map(|(id, came)| (id.clone(), came.len() as u32)).collect()
+        lock(&self.seen)
+            .came
+            .iter()
+            .map(|(id, came)| (id.clone(), came.len() as u32))
+            .collect()
     }
 
     /// Each time at which this request came, by its `X-Trace-Id`.
@@ -275,7 +319,11 @@
     request: Request<Incoming>,
 ) -> impl Future<Output = Result<Response<Full<Bytes>>, Infallible>> {
     let came = Instant::now();
-    let id = request.headers().get("x-trace-id").and_then(|id| id.to_str().ok()).unwrap_or_default();
+    let id = request
+        .headers()
+        .get("x-trace-id")
+        .and_then(|id| id.to_str().ok())
+        .unwrap_or_default();
     {
         let mut seen = lock(&seen);
         seen.came.entry(id.to_string()).or_default().push(came);
@@ -296,7 +344,9 @@
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     // One that breaks off is answered like any other: it arrived.
     let _ = request.into_body().collect().await;
-    let time = works.warmth(came).map_or(works.time, |(_, warmth)| works.time.div_f64(warmth));
+    let time = works
+        .warmth(came)
+        .map_or(works.time, |(_, warmth)| works.time.div_f64(warmth));
     if !time.is_zero() {
         tokio::time::sleep(time).await;
     }
--- a/crates/rig/src/stage.rs
+++ b/crates/rig/src/stage.rs
@@ -17,7 +17,11 @@
 impl Slot {
     /// A process that runs already, and how it is started again.
     pub fn new(program: Program, make: impl Fn(bool) -> Command + Send + 'static) -> Self {
-        Slot { program: Some(program), make: Box::new(make), stopped: false }
+        Slot {
+            program: Some(program),
+            make: Box::new(make),
+            stopped: false,
+        }
     }
 }
 
@@ -32,7 +36,9 @@
 
 /// Whether a name is meant: it, or the beginning of several with `*` behind it.
 fn meant(pattern: &str, name: &str) -> bool {
-    pattern.strip_suffix('*').map_or(pattern == name, |begin| name.starts_with(begin))
+    pattern
+        .strip_suffix('*')
+        .map_or(pattern == name, |begin| name.starts_with(begin))
 }
 
 impl Stage {
@@ -118,7 +124,12 @@
     /// # Panics
     /// It is down, or there is none.
     pub fn program(&self, name: &str) -> &Program {
-        let slot = self.slots.get(name).unwrap_or_else(|| panic!("there is no {name}"));
-        slot.program.as_ref().unwrap_or_else(|| panic!("{name} is down"))
+        let slot = self
+            .slots
+            .get(name)
+            .unwrap_or_else(|| panic!("there is no {name}"));
+        slot.program
+            .as_ref()
+            .unwrap_or_else(|| panic!("{name} is down"))
     }
 }
--- a/crates/rig/tests/addresses_are_given_once.rs
+++ b/crates/rig/tests/addresses_are_given_once.rs
@@ -11,6 +11,8 @@
 /// Whatever still calls a peer that has gone, another test's process for example, must not reach the next one.
 #[test]
 fn no_peer_listens_where_a_former_one_did() {
-    let given: HashSet<_> = (0..600).map(|_| madderloom_rig::peer::Node::new().address()).collect();
+    let given: HashSet<_> = (0..600)
+        .map(|_| madderloom_rig::peer::Node::new().address())
+        .collect();
     assert_eq!(given.len(), 600);
 }
--- a/crates/rig/tests/links_do_what_they_are_told.rs
+++ b/crates/rig/tests/links_do_what_they_are_told.rs
@@ -18,7 +18,12 @@
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
         let link = Link::new(listener.local_addr().expect("it is bound"));
         let (near, far) = connect(&link, &listener);
-        Pair { link, listener, near, far }
+        Pair {
+            link,
+            listener,
+            near,
+            far,
+        }
     }
 }
 
@@ -26,7 +31,8 @@
     let near = TcpStream::connect(link.address()).expect("it listens");
     let far = listener.accept().expect("it goes on").0;
     for end in [&near, &far] {
-        end.set_read_timeout(Some(Duration::from_millis(150))).expect("it can be");
+        end.set_read_timeout(Some(Duration::from_millis(150)))
+            .expect("it can be");
     }
     (near, far)
 }
@@ -48,7 +54,12 @@
 
 #[test]
 fn one_direction_is_cut_and_the_other_goes_on_and_a_connection_that_lost_bytes_stays_silent() {
-    let Pair { link, listener, mut near, mut far } = Pair::new();
+    let Pair {
+        link,
+        listener,
+        mut near,
+        mut far,
+    } = Pair::new();
     link.cut(Direction::Out);
     near.write_all(b"lost").expect("written");
     far.write_all(b"back").expect("written");
@@ -65,7 +76,12 @@
 
 #[test]
 fn what_is_held_comes_all_at_once_also_when_its_sender_has_gone() {
-    let Pair { link, mut near, mut far, .. } = Pair::new();
+    let Pair {
+        link,
+        mut near,
+        mut far,
+        ..
+    } = Pair::new();
     link.hold(Direction::Out);
     near.write_all(b"a").expect("written");
     near.write_all(b"b").expect("written");
@@ -79,7 +95,12 @@
 
 #[test]
 fn bytes_of_an_old_connection_come_behind_those_of_a_new_one() {
-    let Pair { link, listener, mut near, mut far } = Pair::new();
+    let Pair {
+        link,
+        listener,
+        mut near,
+        mut far,
+    } = Pair::new();
     link.hold_old();
     near.write_all(b"old").expect("written");
     let (mut newer, mut its_far) = connect(&link, &listener);
@@ -91,7 +112,12 @@
 
 #[test]
 fn a_direction_is_cut_behind_so_many_bytes_and_others_are_delayed_and_throttled() {
-    let Pair { link, listener, mut near, mut far } = Pair::new();
+    let Pair {
+        link,
+        listener,
+        mut near,
+        mut far,
+    } = Pair::new();
     link.cut_after(Direction::Back, 3);
     far.write_all(b"abcdef").expect("written");
     assert_eq!((came(&mut near), came(&mut near)), (told("abc"), NOTHING));
@@ -112,15 +138,25 @@
 
 #[test]
 fn connections_are_reset_or_taken_and_never_read() {
-    let Pair { link, listener, mut near, mut far } = Pair::new();
+    let Pair {
+        link,
+        listener,
+        mut near,
+        mut far,
+    } = Pair::new();
     link.reset();
     assert_eq!(
         (came(&mut near), came(&mut far)),
-        (Err(ErrorKind::ConnectionReset), Err(ErrorKind::ConnectionReset))
+        (
+            Err(ErrorKind::ConnectionReset),
+            Err(ErrorKind::ConnectionReset)
+        )
     );
     link.swallow();
     let mut taken = TcpStream::connect(link.address()).expect("it is taken");
-    taken.set_read_timeout(Some(Duration::from_millis(100))).expect("it can be");
+    taken
+        .set_read_timeout(Some(Duration::from_millis(100)))
+        .expect("it can be");
     taken.write_all(b"anyone").expect("written");
     assert_eq!(came(&mut taken), NOTHING);
     link.heal();
@@ -136,13 +172,21 @@
     let server = Server::that_takes("one", Duration::from_millis(40));
     let link = Link::new(server.address);
     let load = Load::on(&[link.address(); 3], Duration::from_millis(1));
-    until("some were served", || (server.seen().len() > 30).then_some(()));
+    until("some were served", || {
+        (server.seen().len() > 30).then_some(())
+    });
     let got = load.stop();
-    assert!(got.iter().all(|got| got.status == Some(200) && server.seen()[&got.id] == 1));
+    assert!(
+        got.iter()
+            .all(|got| got.status == Some(200) && server.seen()[&got.id] == 1)
+    );
     let arrivals = Arrivals::of([&server]);
     assert_eq!((arrivals.len(), arrivals.most_open()), (got.len(), 3));
     // Three clients with 41 ms or more for each request: some 70 a second.
     let none = Duration::ZERO;
     assert!(arrivals.over(80.0, 4.0, none) <= 0.0 && arrivals.over(10.0, 4.0, none) > 10.0);
-    assert!(arrivals.over(75.0, 0.0, none) > 0.0, "three at once are more than none");
+    assert!(
+        arrivals.over(75.0, 0.0, none) > 0.0,
+        "three at once are more than none"
+    );
 }
--- a/crates/rig/tests/servers_count_what_comes.rs
+++ b/crates/rig/tests/servers_count_what_comes.rs
@@ -14,8 +14,11 @@
     let open = |_| TcpStream::connect(server.address).expect("it accepts");
     let clients: Vec<TcpStream> = (0..CLIENTS).map(open).collect();
     for (number, mut client) in clients.into_iter().enumerate() {
-        let request = format!("POST /submit HTTP/1.1\r\nx-trace-id: r{number}\r\ncontent-length: 0\r\n\r\n");
+        let request =
+            format!("POST /submit HTTP/1.1\r\nx-trace-id: r{number}\r\ncontent-length: 0\r\n\r\n");
         client.write_all(request.as_bytes()).expect("it reads");
     }
-    until("all are counted", || (server.seen().len() == CLIENTS).then_some(()));
+    until("all are counted", || {
+        (server.seen().len() == CLIENTS).then_some(())
+    });
 }
--- a/crates/roster/src/lib.rs
+++ b/crates/roster/src/lib.rs
@@ -77,7 +77,9 @@
 }
 
 /// Which list of one name it is.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 #[serde(default)]
 pub struct Version {
     /// Discovery's number of it, which grows with each change.
@@ -89,7 +91,10 @@
 impl Version {
     /// The version of a text.
     pub fn of(index: u64, text: &str) -> Self {
-        Version { index, digest: crc32c::crc32c(text.as_bytes()) }
+        Version {
+            index,
+            digest: crc32c::crc32c(text.as_bytes()),
+        }
     }
 
     /// Whether a list of this version goes before another; `heard` and `other_heard` are when there was evidence for
@@ -98,13 +103,17 @@
         match self.index.cmp(&other.index) {
             std::cmp::Ordering::Greater => true,
             std::cmp::Ordering::Equal => self.digest != other.digest && heard > other_heard,
-            std::cmp::Ordering::Less => heard > other_heard && now.saturating_sub(other_heard) > FORGOTTEN,
+            std::cmp::Ordering::Less => {
+                heard > other_heard && now.saturating_sub(other_heard) > FORGOTTEN
+            }
         }
     }
 }
 
 /// A moment of an agent's clock, of one start of it.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 #[serde(default)]
 pub struct Stamp {
     /// The agent's term.
--- a/crates/roster/src/relay.rs
+++ b/crates/roster/src/relay.rs
@@ -1,8 +1,8 @@
 //! The agent's side: the newest list of each name, and who holds which.
 
 use crate::{
-    Error, LONGEST_NAME, Line, Lists, MOST_LISTS, MOST_TEXT, Micros, Stamp, Tell, Tells, Version, WATCHERS,
-    aged,
+    Error, LONGEST_NAME, Line, Lists, MOST_LISTS, MOST_TEXT, Micros, Stamp, Tell, Tells, Version,
+    WATCHERS, aged,
 };
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -100,7 +100,14 @@
     /// One that knows nothing yet. `id` is drawn at random at each start.
     pub fn new(term: u64, id: u64) -> Self {
         let (lists, asked, calling, instances) = Default::default();
-        Relay { term, id, lists, asked, calling, instances }
+        Relay {
+            term,
+            id,
+            lists,
+            asked,
+            calling,
+            instances,
+        }
     }
 
     /// A report has come from a start of an instance that goes by this name. Gives the answer, and what others are to be
@@ -122,13 +129,29 @@
             }
         }
         let full = self.instances.len() >= MOST_INSTANCES && !self.instances.contains_key(name);
-        let newer = self.instances.get(name).is_none_or(|seen| seen.start != start || seen.seq < tells.seq);
+        let newer = self
+            .instances
+            .get(name)
+            .is_none_or(|seen| seen.start != start || seen.seq < tells.seq);
         if newer && !full {
-            let holds =
-                tells.of.iter().take(MOST_LISTS).map(|tell| (tell.list.clone(), tell.version)).collect();
+            let holds = tells
+                .of
+                .iter()
+                .take(MOST_LISTS)
+                .map(|tell| (tell.list.clone(), tell.version))
+                .collect();
             let watched = tells.of.iter().take(MOST_LISTS).filter(|tell| tell.watches);
             let watches = watched.map(|tell| tell.list.clone()).collect();
-            self.instances.insert(name.into(), Seen { start, seq: tells.seq, came: now, holds, watches });
+            self.instances.insert(
+                name.into(),
+                Seen {
+                    start,
+                    seq: tells.seq,
+                    came: now,
+                    holds,
+                    watches,
+                },
+            );
         }
         let mut of: Vec<Line> = Vec::new();
         for tell in tells.of.iter().take(MOST_LISTS) {
@@ -137,34 +160,79 @@
             let call = !wanted && self.calls_upon(now, tell, tells.stamp.is_some());
             if line.is_some() || wanted || call {
                 let enough = tell.watches && self.has_enough(now, name, tell);
-                of.push(Line { list: tell.list.clone(), wanted, call, enough, ..line.unwrap_or_default() });
+                of.push(Line {
+                    list: tell.list.clone(),
+                    wanted,
+                    call,
+                    enough,
+                    ..line.unwrap_or_default()
+                });
             }
         }
-        let own = Lists { start, stamp: self.stamp(now), answers: tells.seq, room: MOST_TEXT, of };
-        let others = if told.is_empty() { Vec::new() } else { self.pass_on(now, name, &told) };
+        let own = Lists {
+            start,
+            stamp: self.stamp(now),
+            answers: tells.seq,
+            room: MOST_TEXT,
+            of,
+        };
+        let others = if told.is_empty() {
+            Vec::new()
+        } else {
+            self.pass_on(now, name, &told)
+        };
         (own, others, notes)
     }
 
     /// The list of each name that the fleet goes by.
     pub fn views(&self, now: Micros) -> impl Iterator<Item = (String, SharedList)> {
         self.lists.iter().map(move |(name, kept)| {
-            let there = || self.instances.values().filter(|seen| now.saturating_sub(seen.came) <= MISSED);
+            let there = || {
+                self.instances
+                    .values()
+                    .filter(|seen| now.saturating_sub(seen.came) <= MISSED)
+            };
             let watched = there().filter(|seen| seen.watches.contains(name)).count();
-            let behind = |seen: &&Seen| seen.holds.get(name).is_some_and(|held| *held != Some(kept.version));
+            let behind = |seen: &&Seen| {
+                seen.holds
+                    .get(name)
+                    .is_some_and(|held| *held != Some(kept.version))
+            };
             let (version, age_us) = (kept.version.index, now.saturating_sub(kept.heard));
-            let list = SharedList { version, age_us, watched, behind: there().filter(behind).count() };
+            let list = SharedList {
+                version,
+                age_us,
+                watched,
+                behind: there().filter(behind).count(),
+            };
             (name.clone(), list)
         })
     }
 
     fn stamp(&self, at: Micros) -> Stamp {
-        Stamp { term: self.term, id: self.id, at }
+        Stamp {
+            term: self.term,
+            id: self.id,
+            at,
+        }
     }
 
-    fn tell(&mut self, now: Micros, name: &str, tells: &Tells, tell: &Tell, notes: &mut Vec<Note>) -> Said {
-        let Some(version) = tell.version else { return Said::Nothing };
+    fn tell(
+        &mut self,
+        now: Micros,
+        name: &str,
+        tells: &Tells,
+        tell: &Tell,
+        notes: &mut Vec<Note>,
+    ) -> Said {
+        let Some(version) = tell.version else {
+            return Said::Nothing;
+        };
         let mut odd = |problem| {
-            notes.push(Note::Odd { from: name.into(), problem });
+            notes.push(Note::Odd {
+                from: name.into(),
+                problem,
+            });
             Said::Nothing
         };
         if tell.list.is_empty() || tell.list.len() > LONGEST_NAME {
@@ -182,17 +250,26 @@
             return odd(Error::TooManyLists);
         }
         // What this agent said to it, and when, is known; all that came after is counted as its clock says, at worst.
-        let known = tells.stamp.filter(|stamp| (stamp.term, stamp.id) == (self.term, self.id));
+        let known = tells
+            .stamp
+            .filter(|stamp| (stamp.term, stamp.id) == (self.term, self.id));
         let heard = known.map(|stamp| {
-            let reported =
-                stamp.at.saturating_add(tells.since.saturating_sub(tells.since.div_ceil(crate::DRIFT)));
+            let reported = stamp.at.saturating_add(
+                tells
+                    .since
+                    .saturating_sub(tells.since.div_ceil(crate::DRIFT)),
+            );
             reported.min(now).saturating_sub(aged(tell.age))
         });
         match (self.lists.get_mut(&tell.list), heard) {
             (Some(kept), Some(heard)) if kept.version == version => {
                 let missed = now.saturating_sub(kept.heard) > MISSED;
                 kept.heard = kept.heard.max(heard);
-                if missed && now.saturating_sub(heard) <= MISSED { Said::Changed } else { Said::Nothing }
+                if missed && now.saturating_sub(heard) <= MISSED {
+                    Said::Changed
+                } else {
+                    Said::Nothing
+                }
             }
             (Some(kept), _) if kept.version == version => Said::Nothing,
             // Nothing is known of its age before an answer was heard: then it may come with the whole of it.
@@ -204,7 +281,11 @@
             (_, heard) => match (&tell.text, heard) {
                 (Some(text), Some(heard)) => {
                     self.asked.remove(&tell.list);
-                    let kept = Kept { version, text: text.clone(), heard };
+                    let kept = Kept {
+                        version,
+                        text: text.clone(),
+                        heard,
+                    };
                     self.lists.insert(tell.list.clone(), kept);
                     let (list, index, from) = (tell.list.clone(), version.index, name.into());
                     notes.push(Note::Newer { list, index, from });
@@ -215,7 +296,8 @@
                     if self.asked.contains_key(&tell.list) || self.asked.len() >= MOST_LISTS {
                         return Said::Nothing;
                     }
-                    self.asked.insert(tell.list.clone(), now.saturating_add(ASKED));
+                    self.asked
+                        .insert(tell.list.clone(), now.saturating_add(ASKED));
                     Said::Wanted
                 }
             },
@@ -225,7 +307,10 @@
     /// Whether this instance is to call discovery, since nobody has told of that list of late. One that holds a list and
     /// can't say yet how old it is may be about to tell.
     fn calls_upon(&mut self, now: Micros, tell: &Tell, is_dated: bool) -> bool {
-        let is_stale = self.lists.get(&tell.list).is_none_or(|kept| now.saturating_sub(kept.heard) > STALE);
+        let is_stale = self
+            .lists
+            .get(&tell.list)
+            .is_none_or(|kept| now.saturating_sub(kept.heard) > STALE);
         if !is_stale || tell.version.is_some() && !is_dated || tell.list.is_empty() {
             return false;
         }
@@ -233,15 +318,17 @@
         if self.calling.contains_key(&tell.list) || self.calling.len() >= MOST_LISTS {
             return false;
         }
-        self.calling.insert(tell.list.clone(), now.saturating_add(ASKED));
+        self.calling
+            .insert(tell.list.clone(), now.saturating_add(ASKED));
         true
     }
 
     /// Whether so many others watch that this instance need not. Those whose names come first go on, so that all are not
     /// told at once that the others are enough.
     fn has_enough(&self, now: Micros, name: &str, tell: &Tell) -> bool {
-        let is_fresh =
-            |kept: &Kept| Some(kept.version) == tell.version && now.saturating_sub(kept.heard) <= STALE;
+        let is_fresh = |kept: &Kept| {
+            Some(kept.version) == tell.version && now.saturating_sub(kept.heard) <= STALE
+        };
         let watches = |(_, seen): &(&String, &Seen)| {
             now.saturating_sub(seen.came) <= MISSED && seen.watches.contains(&tell.list)
         };
@@ -258,19 +345,38 @@
         let kept = self.lists.get(list)?;
         let text = (holds != Some(kept.version)).then(|| kept.text.clone());
         let ago = from.saturating_sub(kept.heard);
-        Some(Line { list: list.into(), version: kept.version, ago, text, ..Line::default() })
+        Some(Line {
+            list: list.into(),
+            version: kept.version,
+            ago,
+            text,
+            ..Line::default()
+        })
     }
 
     fn pass_on(&mut self, now: Micros, but: &str, told: &[String]) -> Vec<(String, Lists)> {
-        self.instances.retain(|_, seen| now.saturating_sub(seen.came) <= GONE);
+        self.instances
+            .retain(|_, seen| now.saturating_sub(seen.came) <= GONE);
         let to = |(name, seen): (&String, &Seen)| {
-            let lines = told.iter().filter_map(|list| self.line(seen.came, list, *seen.holds.get(list)?));
+            let lines = told
+                .iter()
+                .filter_map(|list| self.line(seen.came, list, *seen.holds.get(list)?));
             let of: Vec<Line> = lines.collect();
             let (stamp, answers) = (self.stamp(now), seen.seq);
-            let lists = Lists { start: seen.start, stamp, answers, room: MOST_TEXT, of };
+            let lists = Lists {
+                start: seen.start,
+                stamp,
+                answers,
+                room: MOST_TEXT,
+                of,
+            };
             (!lists.of.is_empty()).then(|| (name.clone(), lists))
         };
-        self.instances.iter().filter(|(name, _)| *name != but).filter_map(to).collect()
+        self.instances
+            .iter()
+            .filter(|(name, _)| *name != but)
+            .filter_map(to)
+            .collect()
     }
 }
 
--- a/crates/roster/src/share.rs
+++ b/crates/roster/src/share.rs
@@ -1,7 +1,8 @@
 //! The instance's side: what it holds of each list, how old that is, and when it has to call discovery itself.
 
 use crate::{
-    ALWAYS_TAKEN, FORGOTTEN, Lists, MOST_LISTS, MOST_TEXT, Micros, Stamp, Tell, Tells, Version, aged,
+    ALWAYS_TAKEN, FORGOTTEN, Lists, MOST_LISTS, MOST_TEXT, Micros, Stamp, Tell, Tells, Version,
+    aged,
 };
 use std::collections::{BTreeMap, VecDeque};
 
@@ -97,13 +98,22 @@
 
     /// Discovery has told a list: this is all of it now. Gives whether the agent is to hear of it at once.
     pub fn told(&mut self, now: Micros, list: &str, index: u64, text: String) -> bool {
-        let Some(held) = self.lists.get_mut(list) else { return false };
+        let Some(held) = self.lists.get_mut(list) else {
+            return false;
+        };
         let version = Version::of(index, &text);
-        let missed = held
-            .as_ref()
-            .is_none_or(|held| held.version != version || now.saturating_sub(held.heard) > FORGOTTEN);
+        let missed = held.as_ref().is_none_or(|held| {
+            held.version != version || now.saturating_sub(held.heard) > FORGOTTEN
+        });
         let text = (text.len() <= MOST_TEXT).then_some(text);
-        *held = Some(Held { version, text, heard: now, wanted: false, watches: true, asked: None });
+        *held = Some(Held {
+            version,
+            text,
+            heard: now,
+            wanted: false,
+            watches: true,
+            asked: None,
+        });
         missed
     }
 
@@ -126,7 +136,9 @@
     /// counts anew is believed once nobody hears the higher version any more.
     pub fn allows(&self, now: Micros, list: &str, index: u64, within: Micros) -> bool {
         let held = self.lists.get(list).and_then(Option::as_ref);
-        held.is_none_or(|held| held.version.index <= index || now.saturating_sub(held.heard) > within)
+        held.is_none_or(|held| {
+            held.version.index <= index || now.saturating_sub(held.heard) > within
+        })
     }
 
     /// Whether what is held of this list is too long to be shared, or too long for the agent that was heard last.
@@ -147,7 +159,10 @@
         let tell = |(name, held): (&String, &mut Option<Held>)| {
             let list = name.clone();
             let Some(held) = held.as_mut().filter(|held| held.fits(room)) else {
-                return Tell { list, ..Tell::default() };
+                return Tell {
+                    list,
+                    ..Tell::default()
+                };
             };
             let goes = held.wanted && whole;
             if goes {
@@ -155,31 +170,63 @@
             }
             let text = goes.then(|| held.text.clone()).flatten();
             let (version, age) = (Some(held.version), now.saturating_sub(held.heard));
-            Tell { list, version, age, watches: held.watches, text }
+            Tell {
+                list,
+                version,
+                age,
+                watches: held.watches,
+                text,
+            }
         };
         let of = self.lists.iter_mut().map(tell).collect();
         let (stamp, since) = match self.word {
             Some((stamp, came)) => (Some(stamp), now.saturating_sub(came)),
             None => (None, 0),
         };
-        Tells { seq: self.seq, stamp, since, of }
+        Tells {
+            seq: self.seq,
+            stamp,
+            since,
+            of,
+        }
     }
 
     /// The agent's word has come.
     pub fn hear(&mut self, now: Micros, lists: &Lists) -> Heard {
         // Of one agent's words the latest counts; of those of another that which comes.
         let same = |word: Stamp| (word.term, word.id) == (lists.stamp.term, lists.stamp.id);
-        if self.word.is_none_or(|(word, _)| !same(word) || word.at < lists.stamp.at) {
+        if self
+            .word
+            .is_none_or(|(word, _)| !same(word) || word.at < lists.stamp.at)
+        {
             self.word = Some((lists.stamp, now));
         }
-        let (room, former) = (lists.room.clamp(ALWAYS_TAKEN, MOST_TEXT), self.room.unwrap_or(ALWAYS_TAKEN));
+        let (room, former) = (
+            lists.room.clamp(ALWAYS_TAKEN, MOST_TEXT),
+            self.room.unwrap_or(ALWAYS_TAKEN),
+        );
         self.room = Some(room);
-        let made = self.made.iter().find(|(seq, _)| *seq == lists.answers).map(|(_, made)| *made);
-        let Heard { mut offers, mut at_once, mut call, mut enough } = Heard::default();
+        let made = self
+            .made
+            .iter()
+            .find(|(seq, _)| *seq == lists.answers)
+            .map(|(_, made)| *made);
+        let Heard {
+            mut offers,
+            mut at_once,
+            mut call,
+            mut enough,
+        } = Heard::default();
         // What was held back goes now.
-        at_once |= self.lists.values().flatten().any(|held| held.fits(room) && !held.fits(former));
+        at_once |= self
+            .lists
+            .values()
+            .flatten()
+            .any(|held| held.fits(room) && !held.fits(former));
         for line in lists.of.iter().take(MOST_LISTS) {
-            let Some(held) = self.lists.get_mut(&line.list) else { continue };
+            let Some(held) = self.lists.get_mut(&line.list) else {
+                continue;
+            };
             if line.enough && held.as_ref().is_some_and(|held| held.watches) {
                 enough.push(line.list.clone());
             }
@@ -193,26 +240,55 @@
                 at_once = true;
             }
             // Without the time of the report that its age is counted from, its age is not known.
-            let Some(heard) = made.map(|made| made.saturating_sub(aged(line.ago))) else { continue };
+            let Some(heard) = made.map(|made| made.saturating_sub(aged(line.ago))) else {
+                continue;
+            };
             match (held, &line.text) {
-                (Some(held), _) if held.version == line.version => held.heard = held.heard.max(heard),
-                (Some(held), _) if !line.version.goes_before(heard, held.version, held.heard, now) => {}
+                (Some(held), _) if held.version == line.version => {
+                    held.heard = held.heard.max(heard)
+                }
+                (Some(held), _)
+                    if !line
+                        .version
+                        .goes_before(heard, held.version, held.heard, now) => {}
                 (_, Some(text)) if Version::of(line.version.index, text) == line.version => {
                     let (list, version, text) = (line.list.clone(), line.version, text.clone());
-                    offers.push(Offer { list, version, text, heard });
+                    offers.push(Offer {
+                        list,
+                        version,
+                        text,
+                        heard,
+                    });
                 }
                 _ => {}
             }
         }
-        Heard { offers, at_once, call, enough }
+        Heard {
+            offers,
+            at_once,
+            call,
+            enough,
+        }
     }
 
     /// An offer makes sense, and the instance goes by it.
     pub fn taken(&mut self, offer: Offer) {
         if let Some(held) = self.lists.get_mut(&offer.list) {
-            let Offer { version, text, heard, .. } = offer;
+            let Offer {
+                version,
+                text,
+                heard,
+                ..
+            } = offer;
             let watches = held.as_ref().is_some_and(|held| held.watches);
-            *held = Some(Held { version, text: Some(text), heard, wanted: false, watches, asked: None });
+            *held = Some(Held {
+                version,
+                text: Some(text),
+                heard,
+                wanted: false,
+                watches,
+                asked: None,
+            });
         }
     }
 
@@ -225,7 +301,9 @@
 
     /// Whether the agent is to be asked now for later evidence than this, which is `age` old: once for each that is held.
     pub fn asks(&mut self, now: Micros, list: &str, age: Micros) -> bool {
-        let Some(Some(held)) = self.lists.get_mut(list) else { return false };
+        let Some(Some(held)) = self.lists.get_mut(list) else {
+            return false;
+        };
         let due = now >= held.heard.saturating_add(age) && held.asked != Some(held.heard);
         if due {
             held.asked = Some(held.heard);
--- a/crates/roster/tests/long_lists_are_shared_where_the_agent_takes_them.rs
+++ b/crates/roster/tests/long_lists_are_shared_where_the_agent_takes_them.rs
@@ -25,7 +25,12 @@
 }
 
 /// Reports at once for as long as it is asked to, and gives how often it did.
-fn reports(share: &mut Share, relay: &mut Relay, name: &str, answer: impl Fn(Lists) -> Lists) -> usize {
+fn reports(
+    share: &mut Share,
+    relay: &mut Relay,
+    name: &str,
+    answer: impl Fn(Lists) -> Lists,
+) -> usize {
     for reports in 1..20 {
         let now = 1_000_000 + reports as u64 * 1_000;
         let tells = share.tell(now);
@@ -40,7 +45,11 @@
 #[test]
 fn a_list_of_1_024_servers_with_long_names_and_one_of_2_500_reach_the_others() {
     for text in [list(1_024, 150), list(2_500, 10)] {
-        assert!(text.len() > 4 * ALWAYS_TAKEN && text.len() <= MOST_TEXT, "{}", text.len());
+        assert!(
+            text.len() > 4 * ALWAYS_TAKEN && text.len() <= MOST_TEXT,
+            "{}",
+            text.len()
+        );
         let (mut first, mut relay) = (instance(&text), Relay::new(1, 1));
         reports(&mut first, &mut relay, "a", |word| word);
         let mut other = Share::default();
@@ -48,7 +57,9 @@
         let tells = other.tell(2_000_000);
         let (word, ..) = relay.hear(2_000_000, "b", START, &tells);
         let heard = other.hear(2_001_000, &word);
-        let [offer] = &heard.offers[..] else { panic!("{} offers", heard.offers.len()) };
+        let [offer] = &heard.offers[..] else {
+            panic!("{} offers", heard.offers.len())
+        };
         assert!(offer.text == text && offer.version == Version::of(5, &text));
         assert!(!first.is_too_long(LIST));
     }
@@ -60,16 +71,34 @@
     let text = list(1_024, 10);
     let (mut share, mut relay) = (instance(&text), Relay::new(1, 1));
     let asks = |word: Lists| {
-        let of = word.of.into_iter().map(|line| madderloom_roster::Line { wanted: true, ..line }).collect();
-        Lists { room: 0, of, ..word }
+        let of = word
+            .of
+            .into_iter()
+            .map(|line| madderloom_roster::Line {
+                wanted: true,
+                ..line
+            })
+            .collect();
+        Lists {
+            room: 0,
+            of,
+            ..word
+        }
     };
-    assert_eq!(reports(&mut share, &mut relay, "a", asks), 1, "it reported again at once");
+    assert_eq!(
+        reports(&mut share, &mut relay, "a", asks),
+        1,
+        "it reported again at once"
+    );
     let told = share.tell(3_000_000);
     assert_eq!((&told.of[0].version, &told.of[0].text), (&None, &None));
     assert!(share.is_too_long(LIST));
     // One that says so takes its place.
     let taken = reports(&mut share, &mut Relay::new(2, 2), "a", |word| word);
-    assert!(taken > 1 && !share.is_too_long(LIST), "it is told after {taken} reports");
+    assert!(
+        taken > 1 && !share.is_too_long(LIST),
+        "it is told after {taken} reports"
+    );
 }
 
 #[test]
--- a/crates/roster/tests/no_list_is_taken_for_younger_than_it_is.rs
+++ b/crates/roster/tests/no_list_is_taken_for_younger_than_it_is.rs
@@ -22,7 +22,10 @@
 
 impl Clock {
     fn new(rng: &mut Rand64) -> Self {
-        Clock { zero: rng.rand_range(100_000_000..900_000_000), rate: 0.98 + 0.04 * rng.rand_float() }
+        Clock {
+            zero: rng.rand_range(100_000_000..900_000_000),
+            rate: 0.98 + 0.04 * rng.rand_float(),
+        }
     }
 
     fn at(self, time: Micros) -> Micros {
@@ -94,7 +97,13 @@
     fn one(rng: &mut Rand64, now: Micros) -> One {
         let mut share = Share::default();
         share.follow([LIST.to_string()]);
-        One { clock: Clock::new(rng), share, start: rng.rand_u64(), watches: false, next: now }
+        One {
+            clock: Clock::new(rng),
+            share,
+            start: rng.rand_u64(),
+            watches: false,
+            next: now,
+        }
     }
 
     fn send(&mut self, message: impl Fn() -> Sent) {
@@ -105,7 +114,9 @@
         };
         for _ in 0..copies {
             let slow = self.faults && self.rng.rand_range(0..4) == 0;
-            let way = self.rng.rand_range(100..if slow { 8_000_000 } else { 30_000 });
+            let way = self
+                .rng
+                .rand_range(100..if slow { 8_000_000 } else { 30_000 });
             let key = (self.now + way, self.rng.rand_u64());
             self.sent.insert(key, message());
         }
@@ -137,7 +148,12 @@
                 if lists.start != one.start {
                     return;
                 }
-                let Heard { offers, at_once, call, enough } = one.share.hear(one.clock.at(self.now), &lists);
+                let Heard {
+                    offers,
+                    at_once,
+                    call,
+                    enough,
+                } = one.share.hear(one.clock.at(self.now), &lists);
                 self.called += call.len();
                 one.watches = one.watches && enough.is_empty() || !call.is_empty();
                 if !one.watches {
@@ -157,7 +173,10 @@
         for (number, one) in self.instances.iter().enumerate() {
             for (_, index, heard) in one.share.views() {
                 let when = one.clock.when(heard);
-                let behind = self.changes.get(index as usize).is_some_and(|next| *next + 10 < when);
+                let behind = self
+                    .changes
+                    .get(index as usize)
+                    .is_some_and(|next| *next + 10 < when);
                 assert!(
                     !behind,
                     "{number} holds {index} as of {when}, and {} came at {:?}",
@@ -170,7 +189,10 @@
         for (_, list) in self.agent.1.views(now) {
             let (index, age) = (list.version, list.age_us);
             let when = self.agent.0.when(now - age);
-            let behind = self.changes.get(index as usize).is_some_and(|next| *next + 10 < when);
+            let behind = self
+                .changes
+                .get(index as usize)
+                .is_some_and(|next| *next + 10 < when);
             assert!(!behind, "the agent holds {index} as of {when}");
         }
     }
@@ -193,13 +215,19 @@
     fn run(&mut self, until: Micros) {
         while self.now < until {
             self.now += 10_000;
-            while let Some(entry) = self.sent.first_entry().filter(|entry| entry.key().0 <= self.now) {
+            while let Some(entry) = self
+                .sent
+                .first_entry()
+                .filter(|entry| entry.key().0 <= self.now)
+            {
                 let message = entry.remove();
                 self.deliver(message);
             }
             for number in 0..INSTANCES {
                 let one = &mut self.instances[number];
-                let asks = one.share.asks(one.clock.at(self.now), LIST, asks_agent(ASK_WITHIN));
+                let asks = one
+                    .share
+                    .asks(one.clock.at(self.now), LIST, asks_agent(ASK_WITHIN));
                 if one.next <= self.now || asks {
                     self.instances[number].next = self.now + self.every;
                     self.report(number);
@@ -212,7 +240,12 @@
                         let number = self.rng.rand_range(0..INSTANCES as u64) as usize;
                         self.instances[number] = World::one(&mut self.rng, self.now);
                     }
-                    15 => self.agent = (Clock::new(&mut self.rng), Relay::new(1, self.rng.rand_u64())),
+                    15 => {
+                        self.agent = (
+                            Clock::new(&mut self.rng),
+                            Relay::new(1, self.rng.rand_u64()),
+                        )
+                    }
                     16..=30 => {
                         let number = self.rng.rand_range(0..INSTANCES as u64) as usize;
                         self.instances[number].watches ^= true;
@@ -257,7 +290,11 @@
             let now = one.clock.at(world.now);
             let (_, index, heard) = one.share.views().next().expect("a list");
             assert_eq!(index, newest, "seed {seed}");
-            assert!(now - heard < 1_000_000, "seed {seed}: its evidence is {} old", now - heard);
+            assert!(
+                now - heard < 1_000_000,
+                "seed {seed}: its evidence is {} old",
+                now - heard
+            );
         }
         // Whole lists are asked of one at a time.
         assert!(told.1 < told.0 / 4, "seed {seed}: {told:?}");
@@ -277,14 +314,28 @@
         ..Default::default()
     };
     let offers = |share: &mut Share, now, index, said: &str| {
-        let lists = Lists { answers: 1, of: vec![line(index, said)], ..Lists::default() };
+        let lists = Lists {
+            answers: 1,
+            of: vec![line(index, said)],
+            ..Lists::default()
+        };
         share.hear(now, &lists).offers.len()
     };
     assert_eq!(offers(&mut share, 1_100_000, 6, &text(6)), 0, "lower");
-    assert_eq!(offers(&mut share, 1_100_000, 8, "cut"), 0, "not what it says");
+    assert_eq!(
+        offers(&mut share, 1_100_000, 8, "cut"),
+        0,
+        "not what it says"
+    );
     assert_eq!(offers(&mut share, 1_100_000, 8, &text(8)), 1);
-    assert!(!share.allows(1_100_000, LIST, 6, 5_000_000), "discovery lags behind itself");
-    assert!(share.allows(6_100_001, LIST, 6, 5_000_000), "it counts anew");
+    assert!(
+        !share.allows(1_100_000, LIST, 6, 5_000_000),
+        "discovery lags behind itself"
+    );
+    assert!(
+        share.allows(6_100_001, LIST, 6, 5_000_000),
+        "it counts anew"
+    );
 }
 
 /// At the usual pace, reports each 3 s and a word of discovery each 2 s, nobody has to call for itself, and after the first
@@ -302,10 +353,19 @@
         let (after, _) = own_calls(ASK_WITHIN);
         for _ in 0..400 {
             world.run(world.now + 100_000);
-            for (number, one) in world.instances.iter().enumerate().filter(|(_, one)| !one.watches) {
+            for (number, one) in world
+                .instances
+                .iter()
+                .enumerate()
+                .filter(|(_, one)| !one.watches)
+            {
                 let due = one.share.due(LIST, after).expect("a list");
                 let now = one.clock.at(world.now);
-                assert!(due > now, "seed {seed}: {number} has to call, {} late", now - due);
+                assert!(
+                    due > now,
+                    "seed {seed}: {number} has to call, {} late",
+                    now - due
+                );
             }
         }
         let watching = world.instances.iter().filter(|one| one.watches).count();
--- a/crates/services/benches/routes.rs
+++ b/crates/services/benches/routes.rs
@@ -46,12 +46,17 @@
     let headers = headers("Service.internal:5000");
     let uris: Vec<Uri> = (0..size)
         .step_by((size / 10).max(1))
-        .map(|at| format!("/v1/area{}/reports/{at}?q=1", at / 4 * 4).parse().expect("a target"))
+        .map(|at| {
+            format!("/v1/area{}/reports/{at}?q=1", at / 4 * 4)
+                .parse()
+                .expect("a target")
+        })
         .collect();
     let mut at = 0;
     bencher.bench_local(|| {
         at = (at + 1) % uris.len();
-        let asked = Asked::read(&Method::GET, &uris[at], Version::HTTP_11, &headers).expect("it reads");
+        let asked =
+            Asked::read(&Method::GET, &uris[at], Version::HTTP_11, &headers).expect("it reads");
         black_box(table.find(0, &asked)).expect("a route")
     });
 }
@@ -73,5 +78,7 @@
 fn read(bencher: Bencher) {
     let headers = headers("Service.internal:5000");
     let uri: Uri = "/v1/area400/reports/7?q=1".parse().expect("a target");
-    bencher.bench_local(|| black_box(Asked::read(&Method::GET, &uri, Version::HTTP_11, &headers).is_ok()));
+    bencher.bench_local(|| {
+        black_box(Asked::read(&Method::GET, &uri, Version::HTTP_11, &headers).is_ok())
+    });
 }
--- a/crates/services/src/rate.rs
+++ b/crates/services/src/rate.rs
@@ -23,7 +23,12 @@
     pub fn new(per_second: f64, burst: u32) -> Self {
         let interval = (1e9 / per_second.clamp(1e-3, 1e9)).round() as u64;
         let tolerance = interval.saturating_mul(u64::from(burst.max(1) - 1));
-        Rate { interval, tolerance, full_at: 0, now: 0 }
+        Rate {
+            interval,
+            tolerance,
+            full_at: 0,
+            now: 0,
+        }
     }
 
     /// Takes a token, or says how long it is until there is one.
@@ -40,8 +45,10 @@
     /// Takes over another bucket's rate, and keeps what is spent of this one.
     pub fn turn_to(&mut self, other: &Rate) {
         (self.interval, self.tolerance) = (other.interval, other.tolerance);
-        self.full_at =
-            self.full_at.min(self.now.saturating_add(self.tolerance.saturating_add(self.interval)));
+        self.full_at = self.full_at.min(
+            self.now
+                .saturating_add(self.tolerance.saturating_add(self.interval)),
+        );
     }
 }
 
--- a/crates/services/src/request.rs
+++ b/crates/services/src/request.rs
@@ -111,10 +111,14 @@
         if hosts.next().is_some() {
             return Err(Fault::SeveralHosts);
         }
-        let named = named.map(|host| host_of(host).ok_or(Fault::OddHost)).transpose()?;
+        let named = named
+            .map(|host| host_of(host).ok_or(Fault::OddHost))
+            .transpose()?;
         let host = match uri.authority() {
             // Without a scheme it is the target of CONNECT.
-            Some(_) if !matches!(uri.scheme_str(), Some("http" | "https")) => return Err(Fault::OddTarget),
+            Some(_) if !matches!(uri.scheme_str(), Some("http" | "https")) => {
+                return Err(Fault::OddTarget);
+            }
             Some(authority) => {
                 let target = normal_host(authority.as_str()).ok_or(Fault::OddHost)?;
                 if named.is_some_and(|named| named != target) {
@@ -128,7 +132,12 @@
             return Err(Fault::NoHost);
         }
         let segments = segments(uri.path())?;
-        Ok(Asked { host, segments, method, headers })
+        Ok(Asked {
+            host,
+            segments,
+            method,
+            headers,
+        })
     }
 
     /// The class that the path names: its first segment.
@@ -142,14 +151,23 @@
 pub fn split_key(headers: &HeaderMap) -> Option<u64> {
     let text = |value: &'_ HeaderValue| FixedState::with_seed(1).hash_one(value.as_bytes());
     let by_name = |name: &str| headers.get(name).map(text);
-    subject(headers).or_else(|| by_name("idempotency-key")).or_else(|| by_name("x-trace-id"))
+    subject(headers)
+        .or_else(|| by_name("idempotency-key"))
+        .or_else(|| by_name("x-trace-id"))
 }
 
 /// The subject of a request, the cookie `key`: as hex digits a number, or else the hash of what it is.
 pub fn subject(headers: &HeaderMap) -> Option<u64> {
     headers.get_all(COOKIE).iter().find_map(|cookies| {
-        let value = cookies.to_str().ok()?.split(';').find_map(|c| c.trim().strip_prefix("key="))?;
-        Some(u64::from_str_radix(value, 16).unwrap_or_else(|_| FixedState::with_seed(0).hash_one(value)))
+        let value = cookies
+            .to_str()
+            .ok()?
+            .split(';')
+            .find_map(|c| c.trim().strip_prefix("key="))?;
+        Some(
+            u64::from_str_radix(value, 16)
+                .unwrap_or_else(|_| FixedState::with_seed(0).hash_one(value)),
+        )
     })
 }
 
@@ -215,8 +233,16 @@
 
 fn segment_of(text: &str) -> Result<Segment<'_>, Fault> {
     let bytes = text.as_bytes();
-    let escaped = |at: usize| bytes.get(at + 1..at + 3).is_some_and(|d| d.iter().all(u8::is_ascii_hexdigit));
-    if bytes.iter().enumerate().any(|(at, b)| *b == b'%' && !escaped(at)) {
+    let escaped = |at: usize| {
+        bytes
+            .get(at + 1..at + 3)
+            .is_some_and(|d| d.iter().all(u8::is_ascii_hexdigit))
+    };
+    if bytes
+        .iter()
+        .enumerate()
+        .any(|(at, b)| *b == b'%' && !escaped(at))
+    {
         return Err(Fault::OddEscape);
     }
     let segment: Cow<'_, [u8]> = percent_decode(bytes).into();
@@ -236,15 +262,22 @@
     use super::*;
     use rstest::rstest;
 
-    fn read(version: Version, target: &str, hosts: &[&str]) -> Result<(Option<String>, String), Fault> {
+    fn read(
+        version: Version,
+        target: &str,
+        hosts: &[&str],
+    ) -> Result<(Option<String>, String), Fault> {
         let mut headers = HeaderMap::new();
         for host in hosts {
             headers.append(HOST, host.parse().expect("a value"));
         }
         let uri: Uri = target.parse().expect("a target");
         let asked = Asked::read(&Method::GET, &uri, version, &headers)?;
-        let path: Vec<String> =
-            asked.segments.iter().map(|s| String::from_utf8_lossy(s).into_owned()).collect();
+        let path: Vec<String> = asked
+            .segments
+            .iter()
+            .map(|s| String::from_utf8_lossy(s).into_owned())
+            .collect();
         Ok((asked.host.map(Cow::into_owned), path.join("|")))
     }
 
@@ -313,6 +346,9 @@
 
     #[test]
     fn an_old_request_may_name_no_host() {
-        assert_eq!(read(Version::HTTP_10, "/a", &[]), Ok((None, "a".to_string())));
+        assert_eq!(
+            read(Version::HTTP_10, "/a", &[]),
+            Ok((None, "a".to_string()))
+        );
     }
 }
--- a/crates/services/src/routes.rs
+++ b/crates/services/src/routes.rs
@@ -50,10 +50,10 @@
             Some(rest) => (true, rest),
             None => (false, text),
         };
-        let wanted =
-            "is no host; write one such as \"reports.example.org\" or \"*.example.org\", without a port";
-        let host =
-            normal_host(name).filter(|_| name.starts_with('[') || !name.contains(':')).ok_or(wanted)?;
+        let wanted = "is no host; write one such as \"reports.example.org\" or \"*.example.org\", without a port";
+        let host = normal_host(name)
+            .filter(|_| name.starts_with('[') || !name.contains(':'))
+            .ok_or(wanted)?;
         if suffix && host.starts_with('[') {
             return Err(wanted.into());
         }
@@ -96,12 +96,18 @@
 impl PathPattern {
     /// Any path.
     pub fn any() -> Self {
-        PathPattern { pieces: Vec::new(), prefix: true }
+        PathPattern {
+            pieces: Vec::new(),
+            prefix: true,
+        }
     }
 
     /// The path of exactly these segments: `/reports/{id}`.
     pub fn whole(text: &str) -> Result<Self, String> {
-        Ok(PathPattern { pieces: pieces(text)?, prefix: false })
+        Ok(PathPattern {
+            pieces: pieces(text)?,
+            prefix: false,
+        })
     }
 
     /// Every path that begins with these segments, and the path of them alone: `/reports` has `/reports/7` and
@@ -111,9 +117,15 @@
             return Ok(PathPattern::any());
         }
         if text.ends_with('/') {
-            return Err(format!("ends with a slash; write {:?}", text.trim_end_matches('/')));
+            return Err(format!(
+                "ends with a slash; write {:?}",
+                text.trim_end_matches('/')
+            ));
         }
-        Ok(PathPattern { pieces: pieces(text)?, prefix: true })
+        Ok(PathPattern {
+            pieces: pieces(text)?,
+            prefix: true,
+        })
     }
 }
 
@@ -138,7 +150,9 @@
                 Ok(Piece::Named(name.to_string()))
             }
             None if !text.contains(['{', '}']) => Ok(Piece::Literal(text)),
-            _ => Err(format!("has {text:?}; a template stands for a whole segment, such as \"{{id}}\"")),
+            _ => Err(format!(
+                "has {text:?}; a template stands for a whole segment, such as \"{{id}}\""
+            )),
         }
     };
     segments.iter().map(piece).collect()
@@ -195,8 +209,17 @@
 
 impl Route {
     fn rank(&self) -> Rank {
-        let values = self.headers.iter().filter(|h| matches!(h.1, HeaderPattern::Is(_))).count();
-        Reverse((!self.methods.is_empty(), self.headers.len(), values, self.class.is_some()))
+        let values = self
+            .headers
+            .iter()
+            .filter(|h| matches!(h.1, HeaderPattern::Is(_)))
+            .count();
+        Reverse((
+            !self.methods.is_empty(),
+            self.headers.len(),
+            values,
+            self.class.is_some(),
+        ))
     }
 
     fn wants_method(&self, asked: &Asked<'_>) -> bool {
@@ -212,11 +235,16 @@
                 _ => false,
             }
         };
-        self.headers.iter().find(|header| !has(header)).map(|(name, _)| name)
+        self.headers
+            .iter()
+            .find(|header| !has(header))
+            .map(|(name, _)| name)
     }
 
     fn wants_class(&self, asked: &Asked<'_>) -> bool {
-        self.class.as_ref().is_none_or(|class| class.as_bytes() == asked.class())
+        self.class
+            .as_ref()
+            .is_none_or(|class| class.as_bytes() == asked.class())
     }
 
     fn wants(&self, asked: &Asked<'_>) -> bool {
@@ -225,12 +253,21 @@
 
     /// Whether some request could match both routes, which are alike in host and path.
     fn overlaps(&self, other: &Route) -> bool {
-        let methods =
-            |a: &Route, b: &Route| a.methods.is_empty() || a.methods.iter().any(|m| b.methods.contains(m));
-        let of = |name: &HeaderName| other.headers.iter().find(|(n, _)| n == name).map(|(_, p)| p);
+        let methods = |a: &Route, b: &Route| {
+            a.methods.is_empty() || a.methods.iter().any(|m| b.methods.contains(m))
+        };
+        let of = |name: &HeaderName| {
+            other
+                .headers
+                .iter()
+                .find(|(n, _)| n == name)
+                .map(|(_, p)| p)
+        };
         let apart = |(name, mine): &(HeaderName, HeaderPattern)| matches!((mine, of(name)), (HeaderPattern::Is(a), Some(HeaderPattern::Is(b))) if a != b);
         let classes = self.class.is_none() || other.class.is_none() || self.class == other.class;
-        (other.methods.is_empty() || methods(self, other)) && classes && !self.headers.iter().any(apart)
+        (other.methods.is_empty() || methods(self, other))
+            && classes
+            && !self.headers.iter().any(apart)
     }
 
     /// Which of its pools a request of this key goes to: always the same while the weights are, and for another
@@ -312,7 +349,11 @@
             }
         }
         let node = &mut self.0[at];
-        if pattern.prefix { &mut node.rest } else { &mut node.end }
+        if pattern.prefix {
+            &mut node.rest
+        } else {
+            &mut node.end
+        }
     }
 
     /// The first that is wanted, the most specific paths first.
@@ -324,13 +365,25 @@
     ) -> Option<usize> {
         let node = self.0.get(at)?;
         let deeper = segments.split_first().and_then(|(first, rest)| {
-            let literal = node.literal.get(first.as_ref()).and_then(|next| self.find(*next, rest, wanted));
-            literal
-                .or_else(|| node.named.filter(|_| !first.is_empty()).and_then(|n| self.find(n, rest, wanted)))
+            let literal = node
+                .literal
+                .get(first.as_ref())
+                .and_then(|next| self.find(*next, rest, wanted));
+            literal.or_else(|| {
+                node.named
+                    .filter(|_| !first.is_empty())
+                    .and_then(|n| self.find(n, rest, wanted))
+            })
         });
         let first = |routes: &[usize]| routes.iter().copied().find(|route| wanted(*route));
         deeper
-            .or_else(|| if segments.is_empty() { first(&node.end) } else { None })
+            .or_else(|| {
+                if segments.is_empty() {
+                    first(&node.end)
+                } else {
+                    None
+                }
+            })
             .or_else(|| first(&node.rest))
     }
 }
@@ -347,15 +400,24 @@
     fn find(&self, asked: &Asked<'_>, wanted: &dyn Fn(usize) -> bool) -> Option<usize> {
         let host = asked.host.as_deref().unwrap_or_default();
         let suffixes = host.match_indices('.').map(|(dot, _)| &host[dot..]);
-        let named = self.exact.get(host).into_iter().chain(suffixes.filter_map(|s| self.suffix.get(s)));
-        named.chain([&self.any]).find_map(|paths| paths.find(0, &asked.segments, wanted))
+        let named = self
+            .exact
+            .get(host)
+            .into_iter()
+            .chain(suffixes.filter_map(|s| self.suffix.get(s)));
+        named
+            .chain([&self.any])
+            .find_map(|paths| paths.find(0, &asked.segments, wanted))
     }
 }
 
 impl Table {
     /// Takes in routes for so many listeners, or names those that clash.
     pub fn new(routes: Vec<Route>, listeners: usize) -> Result<Self, Vec<Clash>> {
-        let mut table = Table { routes, listeners: Vec::new() };
+        let mut table = Table {
+            routes,
+            listeners: Vec::new(),
+        };
         table.listeners.resize_with(listeners, Default::default);
         let mut clashes = Vec::new();
         for (at, route) in table.routes.iter().enumerate() {
@@ -364,16 +426,29 @@
                 if !named && !route.listeners.is_empty() {
                     continue;
                 }
-                let place = hosts[usize::from(!named)].place(&route.host).place(&route.path);
+                let place = hosts[usize::from(!named)]
+                    .place(&route.host)
+                    .place(&route.path);
                 let rank = route.rank();
-                let alike = place.iter().filter(|other| table.routes[**other].rank() == rank);
-                let clash = alike.copied().find(|other| table.routes[*other].overlaps(route));
-                clashes.extend(clash.map(|other| Clash { routes: (other, at), listener }));
+                let alike = place
+                    .iter()
+                    .filter(|other| table.routes[**other].rank() == rank);
+                let clash = alike
+                    .copied()
+                    .find(|other| table.routes[*other].overlaps(route));
+                clashes.extend(clash.map(|other| Clash {
+                    routes: (other, at),
+                    listener,
+                }));
                 let behind = place.partition_point(|other| table.routes[*other].rank() <= rank);
                 place.insert(behind, at);
             }
         }
-        if clashes.is_empty() { Ok(table) } else { Err(clashes) }
+        if clashes.is_empty() {
+            Ok(table)
+        } else {
+            Err(clashes)
+        }
     }
 
     /// The routes, by their places.
@@ -384,7 +459,10 @@
     /// The route that a request takes which came to this listener.
     pub fn find(&self, listener: usize, asked: &Asked<'_>) -> Option<usize> {
         let wanted = |at: usize| self.routes.get(at).is_some_and(|route| route.wants(asked));
-        self.listeners.get(listener)?.iter().find_map(|hosts| hosts.find(asked, &wanted))
+        self.listeners
+            .get(listener)?
+            .iter()
+            .find_map(|hosts| hosts.find(asked, &wanted))
     }
 
     /// Why each route does or does not take a request, in their order.
@@ -407,8 +485,9 @@
             } else if !route.wants_class(asked) {
                 Verdict::OtherClass
             } else {
-                let why =
-                    winner.and_then(|w| self.routes.get(w)).map_or("nothing", |w| less_specific(route, w));
+                let why = winner
+                    .and_then(|w| self.routes.get(w))
+                    .map_or("nothing", |w| less_specific(route, w));
                 Verdict::LessSpecific(why)
             }
         };
--- a/crates/services/src/shares.rs
+++ b/crates/services/src/shares.rs
@@ -58,7 +58,12 @@
 impl Shares {
     /// So many units, held by nobody.
     pub fn new(total: u64) -> Self {
-        Shares { total, used: 0, reserved: 0, members: Vec::new() }
+        Shares {
+            total,
+            used: 0,
+            reserved: 0,
+            members: Vec::new(),
+        }
     }
 
     /// Units in all.
@@ -108,7 +113,9 @@
     /// Takes units for a member, all or none of them.
     pub fn take(&mut self, id: MemberId, units: u64) -> Result<(), Denied> {
         let (total, used, reserved) = (self.total, self.used, self.reserved);
-        let Some(member) = self.members.get_mut(id.0).filter(|m| !m.left) else { return Err(Denied::Own) };
+        let Some(member) = self.members.get_mut(id.0).filter(|m| !m.left) else {
+            return Err(Denied::Own);
+        };
         let now = member.used.saturating_add(units);
         let others = reserved - member.reserved();
         let denied = if now > member.part.most.max(member.part.guaranteed) {
@@ -144,17 +151,30 @@
 
     /// How many units a member could take now.
     pub fn room(&self, id: MemberId) -> u64 {
-        let Some(member) = self.members.get(id.0).filter(|m| !m.left) else { return 0 };
+        let Some(member) = self.members.get(id.0).filter(|m| !m.left) else {
+            return 0;
+        };
         let own = member.part.guaranteed.saturating_sub(member.used);
         let common = self.total.saturating_sub(self.reserved);
-        let bound = member.part.most.max(member.part.guaranteed).saturating_sub(member.used);
-        (own + common).min(bound).min(self.total.saturating_sub(self.used))
+        let bound = member
+            .part
+            .most
+            .max(member.part.guaranteed)
+            .saturating_sub(member.used);
+        (own + common)
+            .min(bound)
+            .min(self.total.saturating_sub(self.used))
     }
 
     /// What a member holds and was denied.
     pub fn held(&self, id: MemberId) -> Held {
         let member = self.members.get(id.0).cloned().unwrap_or_default();
-        Held { part: member.part, used: member.used, peak: member.peak, denied: member.denied }
+        Held {
+            part: member.part,
+            used: member.used,
+            peak: member.peak,
+            denied: member.denied,
+        }
     }
 }
 
--- a/crates/services/src/turns.rs
+++ b/crates/services/src/turns.rs
@@ -54,12 +54,21 @@
     /// The account of the most weight may spend this much in a round, others in proportion.
     pub fn new(slice: Nanos) -> Self {
         let slice = slice.clamp(1_000, 1_000_000_000);
-        Turns { slice, accounts: Vec::new(), heaviest: 1, waiting: 0, rounds: 0 }
+        Turns {
+            slice,
+            accounts: Vec::new(),
+            heaviest: 1,
+            waiting: 0,
+            rounds: 0,
+        }
     }
 
     /// Opens an account. A weight of 0 counts as 1.
     pub fn join(&mut self, weight: u32) -> AccountId {
-        let free = self.accounts.iter().position(|a| a.weight == 0 && a.waiting.is_empty());
+        let free = self
+            .accounts
+            .iter()
+            .position(|a| a.weight == 0 && a.waiting.is_empty());
         let id = AccountId(free.unwrap_or(self.accounts.len()));
         let account = Account {
             weight: weight.max(1),
@@ -98,13 +107,17 @@
 
     /// Whether a piece of this account's work may be done now. Where not, it is to be handed to [`Turns::wait`].
     pub fn may(&self, id: AccountId) -> bool {
-        self.accounts.get(id.0).is_none_or(|a| a.left > 0 && a.waiting.is_empty())
+        self.accounts
+            .get(id.0)
+            .is_none_or(|a| a.left > 0 && a.waiting.is_empty())
     }
 
     /// Sets a piece aside until its account's turn. True where nothing waited before: somebody is then to begin
     /// rounds, behind all that can be done now, for as long as anything waits.
     pub fn wait(&mut self, id: AccountId, piece: W) -> bool {
-        let Some(account) = self.accounts.get_mut(id.0) else { return false };
+        let Some(account) = self.accounts.get_mut(id.0) else {
+            return false;
+        };
         account.waiting.push_back(piece);
         account.waits += 1;
         self.waiting += 1;
@@ -134,20 +147,38 @@
         // Where those that wait are the only ones with work, their debts would but idle the thread.
         let others = self.accounts.iter().any(|a| a.ran && a.waiting.is_empty());
         let needed = |(at, a): (usize, &Account<W>)| 1 - a.left.min(0) / self.slice_of(at);
-        let waiting = self.accounts.iter().enumerate().filter(|(_, a)| !a.waiting.is_empty());
-        let rounds = if others { 1 } else { waiting.map(needed).min().unwrap_or(1) };
+        let waiting = self
+            .accounts
+            .iter()
+            .enumerate()
+            .filter(|(_, a)| !a.waiting.is_empty());
+        let rounds = if others {
+            1
+        } else {
+            waiting.map(needed).min().unwrap_or(1)
+        };
         for at in 0..self.accounts.len() {
             let slice = self.slice_of(at);
             let account = &mut self.accounts[at];
             account.ran = false;
             // What is left of a slice is too little for a piece; where more wait, it is not lost to them.
-            let most = if account.waiting.is_empty() { slice } else { slice.saturating_add(account.piece) };
-            account.left = account.left.saturating_add(slice.saturating_mul(rounds)).min(most);
+            let most = if account.waiting.is_empty() {
+                slice
+            } else {
+                slice.saturating_add(account.piece)
+            };
+            account.left = account
+                .left
+                .saturating_add(slice.saturating_mul(rounds))
+                .min(most);
             if account.left <= 0 {
                 continue;
             }
             let pieces = (account.left / account.piece.max(1)).max(1);
-            let pieces = account.waiting.len().min(usize::try_from(pieces).unwrap_or(usize::MAX));
+            let pieces = account
+                .waiting
+                .len()
+                .min(usize::try_from(pieces).unwrap_or(usize::MAX));
             out.extend(account.waiting.drain(..pieces));
             self.waiting -= pieces;
         }
@@ -155,7 +186,12 @@
 
     /// What an account has spent so far.
     pub fn account(&self, id: AccountId) -> Spent {
-        self.accounts.get(id.0).map_or_else(Spent::default, |a| Spent { nanos: a.spent, waits: a.waits })
+        self.accounts
+            .get(id.0)
+            .map_or_else(Spent::default, |a| Spent {
+                nanos: a.spent,
+                waits: a.waits,
+            })
     }
 
     /// Rounds so far.
@@ -169,6 +205,12 @@
     }
 
     fn weigh(&mut self) {
-        self.heaviest = self.accounts.iter().map(|a| a.weight).max().unwrap_or(1).max(1);
+        self.heaviest = self
+            .accounts
+            .iter()
+            .map(|a| a.weight)
+            .max()
+            .unwrap_or(1)
+            .max(1);
     }
 }
--- a/crates/services/tests/routes.rs
+++ b/crates/services/tests/routes.rs
@@ -61,32 +61,63 @@
         None => 0,
     };
     let longest = a.path.pieces.len().max(b.path.pieces.len()) + 1;
-    let path: Vec<_> = (0..longest).map(|at| piece(a, at).cmp(&piece(b, at))).collect();
-    let values = |route: &Route| route.headers.iter().filter(|h| h.1 != HeaderPattern::Present).count();
+    let path: Vec<_> = (0..longest)
+        .map(|at| piece(a, at).cmp(&piece(b, at)))
+        .collect();
+    let values = |route: &Route| {
+        route
+            .headers
+            .iter()
+            .filter(|h| h.1 != HeaderPattern::Present)
+            .count()
+    };
     let lines = [
         (!a.listeners.is_empty()).cmp(&!b.listeners.is_empty()),
         host(a).cmp(&host(b)),
-        path.into_iter().find(|o| o.is_ne()).unwrap_or(Ordering::Equal),
+        path.into_iter()
+            .find(|o| o.is_ne())
+            .unwrap_or(Ordering::Equal),
         (!a.methods.is_empty()).cmp(&!b.methods.is_empty()),
         a.headers.len().cmp(&b.headers.len()),
         values(a).cmp(&values(b)),
         a.class.is_some().cmp(&b.class.is_some()),
     ];
-    lines.into_iter().find(|o| o.is_ne()).unwrap_or(Ordering::Equal)
+    lines
+        .into_iter()
+        .find(|o| o.is_ne())
+        .unwrap_or(Ordering::Equal)
 }
 
 fn path() -> impl Strategy<Value = PathPattern> {
-    let piece =
-        prop_oneof![3 => select(vec!["a", "b", "submit"]).prop_map(str::to_string), 1 => Just("{x}".into())];
+    let piece = prop_oneof![3 => select(vec!["a", "b", "submit"]).prop_map(str::to_string), 1 => Just("{x}".into())];
     (prop::collection::vec(piece, 0..4), any::<bool>()).prop_map(|(pieces, prefix)| {
         let text = format!("/{}", pieces.join("/"));
-        if prefix { PathPattern::prefix(&text) } else { PathPattern::whole(&text) }.expect("a path")
+        if prefix {
+            PathPattern::prefix(&text)
+        } else {
+            PathPattern::whole(&text)
+        }
+        .expect("a path")
     })
 }
 
 fn route() -> impl Strategy<Value = Route> {
-    let host = select(vec!["", "", "a.org", "x.a.org", "*.a.org", "*.x.a.org", "*.org"])
-        .prop_map(|host| if host.is_empty() { HostPattern::Any } else { host.parse().expect("a host") });
+    let host = select(vec![
+        "",
+        "",
+        "a.org",
+        "x.a.org",
+        "*.a.org",
+        "*.x.a.org",
+        "*.org",
+    ])
+    .prop_map(|host| {
+        if host.is_empty() {
+            HostPattern::Any
+        } else {
+            host.parse().expect("a host")
+        }
+    });
     let pattern = prop_oneof![
         Just(HeaderPattern::Present),
         select(vec!["1", "2"]).prop_map(|v| HeaderPattern::Is(v.parse().expect("a value")))
@@ -95,8 +126,7 @@
     let headers = (header("x-a"), header("x-b")).prop_map(|(a, b)| vec![a, b]);
     let headers = prop_oneof![2 => Just(Vec::new()), 1 => headers.clone(), 1 => headers.prop_map(|mut h| h.split_off(1))];
     let methods = subsequence(vec![Method::GET, Method::POST, Method::PUT], 0..3);
-    let class =
-        prop_oneof![3 => Just(None), 1 => select(vec!["a", "submit"]).prop_map(|c| Some(c.to_string()))];
+    let class = prop_oneof![3 => Just(None), 1 => select(vec!["a", "submit"]).prop_map(|c| Some(c.to_string()))];
     let listeners = subsequence(vec![0, 1], 0..=2);
     (listeners, host, path(), methods, headers, class).prop_map(
         |(listeners, host, path, methods, headers, class)| Route {
@@ -112,8 +142,15 @@
     )
 }
 
-fn request() -> impl Strategy<Value = (usize, &'static str, String, Method, Vec<(&'static str, &'static str)>)>
-{
+fn request() -> impl Strategy<
+    Value = (
+        usize,
+        &'static str,
+        String,
+        Method,
+        Vec<(&'static str, &'static str)>,
+    ),
+> {
     let hosts = select(vec!["a.org", "x.a.org", "y.x.a.org", "b.org", "org"]);
     let segments = prop::collection::vec(select(vec!["a", "b", "submit", "z"]), 0..5);
     let path = (segments, any::<bool>()).prop_map(|(s, slash)| {
@@ -121,7 +158,10 @@
         format!("/{}{end}", s.join("/"))
     });
     let method = select(vec![Method::GET, Method::POST, Method::PUT, Method::DELETE]);
-    let headers = subsequence(vec![("x-a", "1"), ("x-a", "2"), ("x-b", "1"), ("x-c", "1")], 0..4);
+    let headers = subsequence(
+        vec![("x-a", "1"), ("x-a", "2"), ("x-b", "1"), ("x-c", "1")],
+        0..4,
+    );
     (0..LISTENERS, hosts, path, method, headers)
 }
 
@@ -199,32 +239,51 @@
 /// A canary that grows takes keys from the others, and gives none back.
 #[test]
 fn a_weight_that_changes_moves_no_more_keys_than_it_must() {
-    let of =
-        |stable, canary| Route { name: "r".into(), to: vec![(0, stable), (1, canary)], ..Route::default() };
+    let of = |stable, canary| Route {
+        name: "r".into(),
+        to: vec![(0, stable), (1, canary)],
+        ..Route::default()
+    };
     let (before, after) = (of(95, 5), of(90, 10));
-    let moved = (0..10_000).filter(|key| before.choose(*key) != after.choose(*key)).count();
+    let moved = (0..10_000)
+        .filter(|key| before.choose(*key) != after.choose(*key))
+        .count();
     assert!((0..10_000).all(|key| before.choose(key) == 0 || after.choose(key) == 1));
     assert!((350..650).contains(&moved), "{moved}");
 }
 
 #[test]
 fn routes_of_one_rank_that_a_request_could_match_both_are_refused() {
-    let route = |path: &str| Route { path: PathPattern::whole(path).expect("a path"), ..Route::default() };
+    let route = |path: &str| Route {
+        path: PathPattern::whole(path).expect("a path"),
+        ..Route::default()
+    };
     let clash = |a: Route, b: Route| Table::new(vec![a, b], 1).is_err();
     assert!(clash(route("/reports/{id}"), route("/reports/{name}")));
     assert!(!clash(route("/reports/{id}"), route("/reports/latest")));
-    let of = |methods: &[Method]| Route { methods: methods.to_vec(), ..route("/a") };
+    let of = |methods: &[Method]| Route {
+        methods: methods.to_vec(),
+        ..route("/a")
+    };
     assert!(clash(of(&[Method::GET, Method::POST]), of(&[Method::POST])));
-    assert!(!clash(of(&[Method::GET]), of(&[Method::POST])) && !clash(of(&[]), of(&[Method::POST])));
+    assert!(
+        !clash(of(&[Method::GET]), of(&[Method::POST])) && !clash(of(&[]), of(&[Method::POST]))
+    );
     let with = |name: &'static str, value: &'static str| Route {
-        headers: vec![(HeaderName::from_static(name), HeaderPattern::Is(value.parse().expect("a value")))],
+        headers: vec![(
+            HeaderName::from_static(name),
+            HeaderPattern::Is(value.parse().expect("a value")),
+        )],
         ..route("/a")
     };
     assert!(clash(with("x-a", "1"), with("x-b", "1")));
     assert!(!clash(with("x-a", "1"), with("x-a", "2")));
     let classed = |class: &str| Route {
         class: Some(class.into()),
-        ..Route { path: PathPattern::any(), ..Route::default() }
+        ..Route {
+            path: PathPattern::any(),
+            ..Route::default()
+        }
     };
     assert!(clash(classed("a"), classed("a")) && !clash(classed("a"), classed("b")));
 }
--- a/crates/sidecar/src/admin.rs
+++ b/crates/sidecar/src/admin.rs
@@ -57,7 +57,10 @@
 }
 
 enum Listening {
-    Unix { listener: UnixListener, _file: SocketFile },
+    Unix {
+        listener: UnixListener,
+        _file: SocketFile,
+    },
     Tcp(TcpListener),
 }
 
@@ -85,19 +88,28 @@
     pub(super) fn bind(at: &Admin) -> Result<Self, String> {
         let told = |e: std::io::Error| format!("admin: {at}: {e}");
         let listener = match at {
-            Admin::Listen(address) => Listening::Tcp(super::listener::bind(*address).map_err(told)?),
+            Admin::Listen(address) => {
+                Listening::Tcp(super::listener::bind(*address).map_err(told)?)
+            }
             Admin::Socket(path) => {
-                let is_socket = std::fs::symlink_metadata(path).is_ok_and(|m| m.file_type().is_socket());
+                let is_socket =
+                    std::fs::symlink_metadata(path).is_ok_and(|m| m.file_type().is_socket());
                 if is_socket && std::os::unix::net::UnixStream::connect(path).is_err() {
                     std::fs::remove_file(path).map_err(told)?;
                 }
                 let listener = UnixListener::bind(path).map_err(told)?;
-                let _file = SocketFile { path: path.clone(), inode: inode(path) };
+                let _file = SocketFile {
+                    path: path.clone(),
+                    inode: inode(path),
+                };
                 std::fs::set_permissions(path, Permissions::from_mode(0o600)).map_err(told)?;
                 Listening::Unix { listener, _file }
             }
         };
-        Ok(Socket { at: at.clone(), listener })
+        Ok(Socket {
+            at: at.clone(),
+            listener,
+        })
     }
 }
 
@@ -118,7 +130,9 @@
         let Socket { at, listener } = socket;
         let viewer = viewer.clone();
         let place = match &listener {
-            Listening::Tcp(tcp) => tcp.local_addr().map_or_else(|_| at.to_string(), |at| at.to_string()),
+            Listening::Tcp(tcp) => tcp
+                .local_addr()
+                .map_or_else(|_| at.to_string(), |at| at.to_string()),
             Listening::Unix { .. } => at.to_string(),
         };
         tracing::info!(at = %place, "admin view on {place}");
@@ -126,15 +140,20 @@
             let room = Arc::new(Semaphore::new(READERS));
             loop {
                 // The semaphore is never closed.
-                let Ok(place) = Arc::clone(&room).acquire_owned().await else { return };
+                let Ok(place) = Arc::clone(&room).acquire_owned().await else {
+                    return;
+                };
                 let taken: std::io::Result<(Box<dyn Stream>, Caller)> = match &listener {
-                    Listening::Unix { listener, .. } => listener.accept().await.map(|(stream, _)| {
-                        let user = stream.peer_cred().map(|peer| peer.uid()).ok();
-                        (Box::new(stream) as Box<dyn Stream>, Caller::Owner(user))
-                    }),
-                    Listening::Tcp(tcp) => {
-                        tcp.accept().await.map(|(s, _)| (Box::new(s) as Box<dyn Stream>, Caller::Anybody))
+                    Listening::Unix { listener, .. } => {
+                        listener.accept().await.map(|(stream, _)| {
+                            let user = stream.peer_cred().map(|peer| peer.uid()).ok();
+                            (Box::new(stream) as Box<dyn Stream>, Caller::Owner(user))
+                        })
                     }
+                    Listening::Tcp(tcp) => tcp
+                        .accept()
+                        .await
+                        .map(|(s, _)| (Box::new(s) as Box<dyn Stream>, Caller::Anybody)),
                 };
                 let Ok((stream, caller)) = taken else {
                     // Out of descriptors, most likely: those who serve have them.
@@ -147,7 +166,10 @@
                 });
             }
         });
-        AdminServer { at, task: task.abort_handle() }
+        AdminServer {
+            at,
+            task: task.abort_handle(),
+        }
     }
 
     pub(super) fn at(&self) -> &Admin {
@@ -201,17 +223,30 @@
         written
     }
 
-    fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<std::io::Result<()>> {
+    fn poll_flush(
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+    ) -> Poll<std::io::Result<()>> {
         Pin::new(&mut self.stream).poll_flush(context)
     }
 
-    fn poll_shutdown(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<std::io::Result<()>> {
+    fn poll_shutdown(
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+    ) -> Poll<std::io::Result<()>> {
         Pin::new(&mut self.stream).poll_shutdown(context)
     }
 }
 
-async fn serve(stream: Box<dyn Stream>, viewer: Viewer, (place, caller): (OwnedSemaphorePermit, Caller)) {
-    let reader = Rc::new(Reader { place: RefCell::new(Some(place)), follows: Cell::new(false) });
+async fn serve(
+    stream: Box<dyn Stream>,
+    viewer: Viewer,
+    (place, caller): (OwnedSemaphorePermit, Caller),
+) {
+    let reader = Rc::new(Reader {
+        place: RefCell::new(Some(place)),
+        follows: Cell::new(false),
+    });
     let own = Rc::clone(&reader);
     let service = service_fn(move |request: Request<Incoming>| {
         let (viewer, own) = (viewer.clone(), Rc::clone(&own));
@@ -224,13 +259,22 @@
         }
     });
     let mut builder = server::Builder::new();
-    builder.timer(TokioTimer::new()).keep_alive(false).max_buf_size(16 << 10);
+    builder
+        .timer(TokioTimer::new())
+        .keep_alive(false)
+        .max_buf_size(16 << 10);
     let blocked = Rc::default();
-    let watched = Watched { stream, blocked: Rc::clone(&blocked) };
+    let watched = Watched {
+        stream,
+        blocked: Rc::clone(&blocked),
+    };
     let connection = builder.serve_connection(TokioIo::new(watched), service);
     tokio::pin!(connection);
     // Who follows stays for as long as it reads; all others have but so long.
-    while tokio::time::timeout(WITHIN, connection.as_mut()).await.is_err() {
+    while tokio::time::timeout(WITHIN, connection.as_mut())
+        .await
+        .is_err()
+    {
         let is_stuck = blocked.get().is_some_and(|since| since.elapsed() > STUCK);
         if !reader.follows.get() || is_stuck {
             return;
@@ -241,7 +285,9 @@
 /// Takes what is posted: an order, or nothing that is known.
 async fn ordered(viewer: &Viewer, request: Request<Incoming>, caller: Caller) -> Answer {
     let path = request.uri().path();
-    let pool = path.strip_prefix("/v1/pools/").and_then(|rest| rest.strip_suffix("/level"));
+    let pool = path
+        .strip_prefix("/v1/pools/")
+        .and_then(|rest| rest.strip_suffix("/level"));
     let Some(pool) = pool.map(str::to_string) else {
         return whole(StatusCode::METHOD_NOT_ALLOWED, JSON, "{}");
     };
@@ -253,7 +299,10 @@
 
 /// A query's value of this name, its escapes undone.
 fn value(query: Option<&str>, name: &str) -> Option<String> {
-    let mut pairs = query.unwrap_or_default().split('&').filter_map(|pair| pair.split_once('='));
+    let mut pairs = query
+        .unwrap_or_default()
+        .split('&')
+        .filter_map(|pair| pair.split_once('='));
     let (_, value) = pairs.find(|(key, _)| *key == name)?;
     Some(percent_decode_str(value).decode_utf8_lossy().into_owned())
 }
@@ -272,9 +321,15 @@
         };
         let name = percent_decode_str(name).decode_utf8_lossy();
         let stories = viewer.stories(&name, pool.as_deref());
-        let Some(first) = stories.first() else { return whole(StatusCode::NOT_FOUND, JSON, "{}") };
+        let Some(first) = stories.first() else {
+            return whole(StatusCode::NOT_FOUND, JSON, "{}");
+        };
         if is_plot {
-            return whole(StatusCode::OK, SVG, plot::file(first, page::span(value("span").as_deref())));
+            return whole(
+                StatusCode::OK,
+                SVG,
+                plot::file(first, page::span(value("span").as_deref())),
+            );
         }
         let told = serde_json::json!({"version": 1, "stories": stories});
         return whole(StatusCode::OK, JSON, told.to_string());
@@ -282,9 +337,11 @@
     if let Some(name) = path.strip_prefix("/servers/") {
         let name = percent_decode_str(name).decode_utf8_lossy();
         return match viewer.stories(&name, pool.as_deref()).first() {
-            Some(story) => {
-                whole(StatusCode::OK, HTML, page::server(story, page::span(value("span").as_deref())))
-            }
+            Some(story) => whole(
+                StatusCode::OK,
+                HTML,
+                page::server(story, page::span(value("span").as_deref())),
+            ),
             None => {
                 let none = format!("No story is kept of a server {name}.");
                 whole(StatusCode::NOT_FOUND, HTML, page::none(&none))
@@ -305,15 +362,27 @@
             }
             let feed = &viewer.common.feed;
             let Some(follow) = feed.follow(after.unwrap_or(feed.next())) else {
-                return whole(StatusCode::SERVICE_UNAVAILABLE, JSON, r#"{"problem":"too many follow"}"#);
+                return whole(
+                    StatusCode::SERVICE_UNAVAILABLE,
+                    JSON,
+                    r#"{"problem":"too many follow"}"#,
+                );
             };
             reader.place.take();
             reader.follows.set(true);
-            headed(StatusCode::OK, "application/x-ndjson", Either::Right(follow))
+            headed(
+                StatusCode::OK,
+                "application/x-ndjson",
+                Either::Right(follow),
+            )
         }
         "/" => {
             let events = serde_json::from_slice(&viewer.events(0)).unwrap_or_default();
-            whole(StatusCode::OK, HTML, page::servers(&viewer.servers(), &events))
+            whole(
+                StatusCode::OK,
+                HTML,
+                page::servers(&viewer.servers(), &events),
+            )
         }
         _ => whole(StatusCode::NOT_FOUND, JSON, "{}"),
     }
@@ -334,7 +403,10 @@
     for (name, value) in [
         (header::CONTENT_TYPE, kind),
         // A page holds all that it needs, and nothing of what it shows is to be run.
-        (header::CONTENT_SECURITY_POLICY, "default-src 'none'; style-src 'unsafe-inline'"),
+        (
+            header::CONTENT_SECURITY_POLICY,
+            "default-src 'none'; style-src 'unsafe-inline'",
+        ),
         (header::X_CONTENT_TYPE_OPTIONS, "nosniff"),
         (header::CACHE_CONTROL, "no-store"),
     ] {
@@ -360,7 +432,8 @@
     };
     let read = Limited::new(request.into_body(), ORDER).collect().await;
     let asked = read.map_err(|e| e.to_string()).and_then(|body| {
-        serde_json::from_slice::<levels::Asked>(&body.to_bytes()).map_err(|e| format!("makes no sense: {e}"))
+        serde_json::from_slice::<levels::Asked>(&body.to_bytes())
+            .map_err(|e| format!("makes no sense: {e}"))
     });
     if let Err(problem) = asked.and_then(|asked| levels::order(&service, asked, user)) {
         return refused(StatusCode::BAD_REQUEST, problem);
@@ -373,27 +446,39 @@
 
 /// Gives an order on the level of a pool to a process where its admin view is.
 pub async fn order(at: &Admin, pool: &str, asked: &Value) -> Result<(), String> {
-    let request = Request::post(format!("/v1/pools/{pool}/level")).header(header::HOST, "madderloom");
-    let request = request.body(Full::from(asked.to_string())).map_err(|e| format!("pool {pool}: {e}"))?;
+    let request =
+        Request::post(format!("/v1/pools/{pool}/level")).header(header::HOST, "madderloom");
+    let request = request
+        .body(Full::from(asked.to_string()))
+        .map_err(|e| format!("pool {pool}: {e}"))?;
     ask(at, request).await.map(drop)
 }
 
 async fn ask(at: &Admin, request: Request<Full<Bytes>>) -> Result<Value, String> {
     let stream = connect(at).await?;
     let read = async {
-        let (mut sender, connection) =
-            client::handshake(TokioIo::new(stream)).await.map_err(|e| e.to_string())?;
+        let (mut sender, connection) = client::handshake(TokioIo::new(stream))
+            .await
+            .map_err(|e| e.to_string())?;
         let answer = async {
-            let answer = sender.send_request(request).await.map_err(|e| e.to_string())?;
+            let answer = sender
+                .send_request(request)
+                .await
+                .map_err(|e| e.to_string())?;
             let status = answer.status();
-            let body = Limited::new(answer.into_body(), ANSWER).collect().await.map_err(|e| e.to_string())?;
+            let body = Limited::new(answer.into_body(), ANSWER)
+                .collect()
+                .await
+                .map_err(|e| e.to_string())?;
             let body: Result<Value, _> = serde_json::from_slice(&body.to_bytes());
             match body {
                 Ok(body) if status == StatusCode::OK => Ok(body),
                 Err(e) if status == StatusCode::OK => Err(format!("answered no JSON: {e}")),
                 Ok(Value::Object(mut body)) if body.contains_key("problem") => {
                     let problem = body.remove("problem").unwrap_or_default();
-                    Err(problem.as_str().map_or_else(|| problem.to_string(), str::to_string))
+                    Err(problem
+                        .as_str()
+                        .map_or_else(|| problem.to_string(), str::to_string))
                 }
                 _ => Err(format!("answered {status}; this is no admin view")),
             }
@@ -405,8 +490,9 @@
             _ = connection.as_mut() => answer.await,
         }
     };
-    let read =
-        tokio::time::timeout(WITHIN, read).await.unwrap_or_else(|_| Err("does not answer".to_string()));
+    let read = tokio::time::timeout(WITHIN, read)
+        .await
+        .unwrap_or_else(|_| Err("does not answer".to_string()));
     read.map_err(|problem| format!("{at}: {problem}"))
 }
 
@@ -434,7 +520,8 @@
 }
 
 async fn connect(at: &Admin) -> Result<Box<dyn Stream>, String> {
-    let told = |e: std::io::Error| format!("{at}: {e}; is the process there, and its admin view on?");
+    let told =
+        |e: std::io::Error| format!("{at}: {e}; is the process there, and its admin view on?");
     Ok(match at {
         Admin::Socket(path) => Box::new(UnixStream::connect(path).await.map_err(told)?),
         Admin::Listen(address) => Box::new(TcpStream::connect(address).await.map_err(told)?),
@@ -446,7 +533,11 @@
     let mut said = bytes::BytesMut::new();
     let reading = read(at, path, |part| {
         said.extend_from_slice(part);
-        if said.len() > ANSWER { ControlFlow::Break(()) } else { ControlFlow::Continue(()) }
+        if said.len() > ANSWER {
+            ControlFlow::Break(())
+        } else {
+            ControlFlow::Continue(())
+        }
     });
     let read = tokio::time::timeout(WITHIN, reading).await;
     read.unwrap_or_else(|_| Err(Fault::Problem(format!("{at}: does not answer"))))?;
@@ -469,24 +560,39 @@
                 line(text.trim())?;
             }
         }
-        if unread.len() > ANSWER { ControlFlow::Break(()) } else { ControlFlow::Continue(()) }
+        if unread.len() > ANSWER {
+            ControlFlow::Break(())
+        } else {
+            ControlFlow::Continue(())
+        }
     });
     reading.await
 }
 
-async fn read(at: &Admin, path: &str, mut part: impl FnMut(&[u8]) -> ControlFlow<()>) -> Result<(), Fault> {
+async fn read(
+    at: &Admin,
+    path: &str,
+    mut part: impl FnMut(&[u8]) -> ControlFlow<()>,
+) -> Result<(), Fault> {
     let problem = |text: String| Fault::Problem(format!("{at}: {text}"));
     let stream = connect(at).await.map_err(Fault::Problem)?;
     let made = client::handshake(TokioIo::new(stream)).await;
     let (mut sender, connection) = made.map_err(|e| problem(e.to_string()))?;
-    let request = Request::get(path).header(header::HOST, "madderloom").body(Empty::<Bytes>::new());
+    let request = Request::get(path)
+        .header(header::HOST, "madderloom")
+        .body(Empty::<Bytes>::new());
     let request = request.map_err(|e| problem(e.to_string()))?;
     let answer = async {
-        let answer = sender.send_request(request).await.map_err(|e| problem(e.to_string()))?;
+        let answer = sender
+            .send_request(request)
+            .await
+            .map_err(|e| problem(e.to_string()))?;
         match answer.status() {
             StatusCode::OK => {}
             StatusCode::NOT_FOUND => return Err(Fault::NotFound),
-            StatusCode::SERVICE_UNAVAILABLE => return Err(problem("too many follow it already".to_string())),
+            StatusCode::SERVICE_UNAVAILABLE => {
+                return Err(problem("too many follow it already".to_string()));
+            }
             status => return Err(problem(format!("answered {status}; this is no admin view"))),
         }
         let mut body = answer.into_body();
@@ -510,13 +616,16 @@
 /// Reads what the admin view of a process says at a path, as JSON.
 pub async fn fetch_at(at: &Admin, path: &str) -> Result<serde_json::Value, Fault> {
     let said = get(at, path).await?;
-    serde_json::from_slice(&said).map_err(|e| Fault::Problem(format!("{at}: answered no JSON: {e}")))
+    serde_json::from_slice(&said)
+        .map_err(|e| Fault::Problem(format!("{at}: answered no JSON: {e}")))
 }
 
 /// Reads the status of a process where its admin view is.
 pub async fn fetch(at: &Admin) -> Result<serde_json::Value, String> {
-    fetch_at(at, "/v1/status").await.map_err(|fault| match fault {
-        Fault::NotFound => format!("{at}: {}", String::from(fault)),
-        Fault::Problem(problem) => problem,
-    })
+    fetch_at(at, "/v1/status")
+        .await
+        .map_err(|fault| match fault {
+            Fault::NotFound => format!("{at}: {}", String::from(fault)),
+            Fault::Problem(problem) => problem,
+        })
 }
--- a/crates/sidecar/src/agent_link/apply.rs
+++ b/crates/sidecar/src/agent_link/apply.rs
@@ -15,18 +15,31 @@
     pub(super) async fn apply_overlay(self: Rc<Self>, overlay: Overlay) -> Outcome {
         let _turn = self.agent_link.turn.lock().await;
         let refused = |field: &str, problem: &str| {
-            Outcome::Refused(Problem { field: field.to_string(), problem: problem.to_string() })
+            Outcome::Refused(Problem {
+                field: field.to_string(),
+                problem: problem.to_string(),
+            })
         };
         if overlay.0.len() > MOST_SETTINGS {
             return refused("set", &format!("holds more than {MOST_SETTINGS} settings"));
         }
-        let fault = overlay.0.iter().find_map(|(key, value)| Some((key, value.validate(key).err()?)));
+        let fault = overlay
+            .0
+            .iter()
+            .find_map(|(key, value)| Some((key, value.validate(key).err()?)));
         if let Some((key, error)) = fault {
             return refused(&format!("set.{key}"), &error.to_string());
         }
         let former = self.agent_link.memory.borrow().overlay.clone();
-        let source = self.agent_link.file.borrow().as_ref().map(|file| Arc::clone(&file.source));
-        let Some(source) = source else { return refused("set", "the instance follows no agent any more") };
+        let source = self
+            .agent_link
+            .file
+            .borrow()
+            .as_ref()
+            .map(|file| Arc::clone(&file.source));
+        let Some(source) = source else {
+            return refused("set", "the instance follows no agent any more");
+        };
         let edited = overlay.clone();
         let operator = if same_in_file(&former, &overlay) {
             None
--- a/crates/sidecar/src/agent_link/connection.rs
+++ b/crates/sidecar/src/agent_link/connection.rs
@@ -48,7 +48,9 @@
             Ok(made) => break made,
             Err(problem) if last.as_ref() == Some(&problem) => {}
             Err(problem) => {
-                tracing::warn!("control: no agent is asked until its keys can be read and used: {problem}");
+                tracing::warn!(
+                    "control: no agent is asked until its keys can be read and used: {problem}"
+                );
                 last = Some(problem);
             }
         }
@@ -61,7 +63,9 @@
         );
     }
     let Some(own) = sidecar.upgrade() else { return };
-    let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+    let unix = SystemTime::now()
+        .duration_since(SystemTime::UNIX_EPOCH)
+        .unwrap_or_default();
     let who = Who {
         name: control.name.clone(),
         start: RandomState::new().hash_one(&control.name),
@@ -70,13 +74,25 @@
     let memory = own.agent_link.memory.borrow().clone();
     let machine = Instance::new(0, who, traits.borrow().clone(), memory.clone());
     // Persisted before it is used, so that no two starts have the same incarnation.
-    own.agent_link.persist(&Memory { incarnation: machine.who().incarnation, ..memory });
-    tracing::info!("control: {} registers with the agent at {}", control.name, control.agent);
+    own.agent_link.persist(&Memory {
+        incarnation: machine.who().incarnation,
+        ..memory
+    });
+    tracing::info!(
+        "control: {} registers with the agent at {}",
+        control.name,
+        control.agent
+    );
     let seed = u128::from(RandomState::new().hash_one(0));
     let report_now = own.common.shared_lists.news();
     drop(own);
-    let settings = LinkHost { sidecar, window: Window::default() };
-    let link = Link::new(machine, settings, reports, watch, seed).following(traits).told_by(report_now);
+    let settings = LinkHost {
+        sidecar,
+        window: Window::default(),
+    };
+    let link = Link::new(machine, settings, reports, watch, seed)
+        .following(traits)
+        .told_by(report_now);
     tokio::select! {
         () = link.run() => {}
         () = follow_files(&keyring, &files) => {}
@@ -87,7 +103,11 @@
 async fn follow_files(keyring: &Keyring, files: &Files) {
     let stamp = || {
         let all = [&files.authority, &files.certificate, &files.key];
-        all.map(|file| std::fs::metadata(file).and_then(|about| about.modified()).ok())
+        all.map(|file| {
+            std::fs::metadata(file)
+                .and_then(|about| about.modified())
+                .ok()
+        })
     };
     let mut former = stamp();
     loop {
@@ -123,7 +143,9 @@
     }
 
     fn counts(&mut self) -> Counts {
-        let Some(sidecar) = self.sidecar.upgrade() else { return Counts::default() };
+        let Some(sidecar) = self.sidecar.upgrade() else {
+            return Counts::default();
+        };
         self.window.sample(Instant::now(), &sidecar.common)
     }
 
@@ -132,7 +154,9 @@
     }
 
     fn lent(&mut self, grant: &Grant) -> bool {
-        self.sidecar.upgrade().is_some_and(|sidecar| sidecar.common.fleet_limits.take(grant))
+        self.sidecar
+            .upgrade()
+            .is_some_and(|sidecar| sidecar.common.fleet_limits.take(grant))
     }
 
     fn tells(&mut self) -> Option<Tells> {
@@ -140,11 +164,16 @@
     }
 
     fn lists(&mut self, lists: &Lists) -> bool {
-        let Some(sidecar) = self.sidecar.upgrade() else { return false };
+        let Some(sidecar) = self.sidecar.upgrade() else {
+            return false;
+        };
         let common = &sidecar.common;
         let service = |pool: &str| {
             let services = common.services.borrow();
-            services.iter().find(|service| service.name == pool).cloned()
+            services
+                .iter()
+                .find(|service| service.name == pool)
+                .cloned()
         };
         let apply = |pool: &str, offer: &Offer, age| {
             let service = service(pool).ok_or("no such pool is there any more")?;
--- a/crates/sidecar/src/agent_link/mod.rs
+++ b/crates/sidecar/src/agent_link/mod.rs
@@ -77,7 +77,9 @@
     /// The link as the admin endpoint shows it; null where no agent is named.
     pub(super) fn view(&self) -> serde_json::Value {
         let file = self.file.borrow();
-        let Some(ConfiguredAgent { control, .. }) = file.as_ref() else { return serde_json::Value::Null };
+        let Some(ConfiguredAgent { control, .. }) = file.as_ref() else {
+            return serde_json::Value::Null;
+        };
         let memory = self.memory.borrow();
         json!({
             "agent": control.agent,
@@ -96,14 +98,22 @@
         aside(move || {
             let (source, operator) = Source::load(&file).map_err(|faults| faults.to_string())?;
             if operator.control.is_none() {
-                return Ok(Read { operator, source: None });
+                return Ok(Read {
+                    operator,
+                    source: None,
+                });
             }
             let operator = if changes_file(&overlay) {
-                source.with(&overlay).map_err(|e| format!("{}: beside it is set: {e}", file.display()))?
+                source
+                    .with(&overlay)
+                    .map_err(|e| format!("{}: beside it is set: {e}", file.display()))?
             } else {
                 operator
             };
-            Ok(Read { operator, source: Some(Arc::new(source)) })
+            Ok(Read {
+                operator,
+                source: Some(Arc::new(source)),
+            })
         })
         .await?
     }
@@ -120,10 +130,13 @@
     }
 
     fn set_log_level(&self, overlay: &Overlay) {
-        let level = overlay.0.iter().find_map(|(key, value)| match (key, value) {
-            (Key::LogLevel, Value::Level(level)) => Some(*level),
-            _ => None,
-        });
+        let level = overlay
+            .0
+            .iter()
+            .find_map(|(key, value)| match (key, value) {
+                (Key::LogLevel, Value::Level(level)) => Some(*level),
+                _ => None,
+            });
         if let Some(log) = self.log.borrow().as_ref() {
             log(level);
         }
@@ -134,11 +147,16 @@
     fn persist(&self, memory: &Memory) {
         self.memory.replace(memory.clone());
         let file = self.file.borrow();
-        let Some(directory) = file.as_ref().and_then(|file| file.control.state.as_ref()) else { return };
+        let Some(directory) = file.as_ref().and_then(|file| file.control.state.as_ref()) else {
+            return;
+        };
         match write(directory, memory) {
             Ok(()) => self.warned.set(false),
             Err(problem) if !self.warned.replace(true) => {
-                tracing::warn!("control: not kept for the next start: {}: {problem}", directory.display());
+                tracing::warn!(
+                    "control: not kept for the next start: {}: {problem}",
+                    directory.display()
+                );
             }
             Err(_) => {}
         }
@@ -149,12 +167,15 @@
     /// Sets the hook that receives the log level of the overlay; `None` stands for the program's own level.
     pub fn set_log(&self, hook: impl Fn(Option<LogLevel>) + 'static) {
         self.agent_link.log.replace(Some(Box::new(hook)));
-        self.agent_link.set_log_level(&self.agent_link.memory.borrow().overlay);
+        self.agent_link
+            .set_log_level(&self.agent_link.memory.borrow().overlay);
     }
 
     /// Restores the overlay of the last start, where it is still valid for the file.
     pub(super) fn begin_control(&self, file: &Path, operator: Operator) -> Operator {
-        let Some(control) = operator.control.clone() else { return operator };
+        let Some(control) = operator.control.clone() else {
+            return operator;
+        };
         let source = match Source::load(file) {
             Ok((source, _)) => source,
             Err(faults) => {
@@ -174,7 +195,10 @@
         };
         self.common.steering.replace(steering(&memory.overlay));
         self.agent_link.memory.replace(memory);
-        self.agent_link.file.replace(Some(ConfiguredAgent { control, source: Arc::new(source) }));
+        self.agent_link.file.replace(Some(ConfiguredAgent {
+            control,
+            source: Arc::new(source),
+        }));
         operator
     }
 
@@ -196,17 +220,30 @@
             }
         } else if former.is_none() {
             // The agent orders again what an earlier start had in effect.
-            let directory =
-                self.agent_link.file.borrow().as_ref().and_then(|file| file.control.state.clone());
+            let directory = self
+                .agent_link
+                .file
+                .borrow()
+                .as_ref()
+                .and_then(|file| file.control.state.clone());
             let memory = load(directory.as_deref());
-            self.agent_link.memory.replace(Memory { overlay: Overlay::default(), revision: 0, ..memory });
+            self.agent_link.memory.replace(Memory {
+                overlay: Overlay::default(),
+                revision: 0,
+                ..memory
+            });
         }
         self.follow_agent();
     }
 
     /// Keeps a link to the agent that the file names, and ends every other one.
     pub(super) fn follow_agent(self: &Rc<Self>) {
-        let control = self.agent_link.file.borrow().as_ref().map(|file| file.control.clone());
+        let control = self
+            .agent_link
+            .file
+            .borrow()
+            .as_ref()
+            .map(|file| file.control.clone());
         let (Some(control), Some(traits)) = (control, self.agent_link.traits()) else {
             self.agent_link.link.take();
             return;
@@ -214,22 +251,38 @@
         let mut link = self.agent_link.link.borrow_mut();
         if let Some(running) = link.as_mut().filter(|running| {
             let (zone, labels) = (control.zone.clone(), control.labels.clone());
-            let (fleet_limits, share_lists) = (control.fleet_limits.clone(), control.share_lists.clone());
+            let (fleet_limits, share_lists) =
+                (control.fleet_limits.clone(), control.share_lists.clone());
             let former = running.control.clone();
-            madderloom_operator::Control { zone, labels, fleet_limits, share_lists, ..former } == control
+            madderloom_operator::Control {
+                zone,
+                labels,
+                fleet_limits,
+                share_lists,
+                ..former
+            } == control
         }) {
             running.control = control;
-            running.traits.send_if_modified(|former| std::mem::replace(former, traits.clone()) != traits);
+            running
+                .traits
+                .send_if_modified(|former| std::mem::replace(former, traits.clone()) != traits);
             return;
         }
         let (sender, receiver) = watch::channel(traits);
         let (sidecar, own) = (Rc::downgrade(self), control.clone());
         let task = watchdog::spawn(TaskKind::AgentLink, async move {
-            let begin =
-                || sidecar.upgrade().map(|_| keep_link(sidecar.clone(), own.clone(), receiver.clone()));
+            let begin = || {
+                sidecar
+                    .upgrade()
+                    .map(|_| keep_link(sidecar.clone(), own.clone(), receiver.clone()))
+            };
             keep_going(TaskKind::AgentLink, "the agent's link", begin).await;
         });
-        *link = Some(ActiveLink { control, traits: sender, task: task.abort_handle() });
+        *link = Some(ActiveLink {
+            control,
+            traits: sender,
+            task: task.abort_handle(),
+        });
     }
 
     pub(super) fn end_control(&self) {
--- a/crates/sidecar/src/agent_link/overlay.rs
+++ b/crates/sidecar/src/agent_link/overlay.rs
@@ -23,7 +23,9 @@
     let mut steering = Steering::default();
     for (key, value) in &overlay.0 {
         match (key, value) {
-            (Key::Weight(server), Value::Weight(thousandths)) => steering.weigh(server, *thousandths),
+            (Key::Weight(server), Value::Weight(thousandths)) => {
+                steering.weigh(server, *thousandths)
+            }
             (Key::Drain(server), Value::Drained(drained)) => steering.drain(server, *drained),
             _ => {}
         }
--- a/crates/sidecar/src/agent_link/persisted.rs
+++ b/crates/sidecar/src/agent_link/persisted.rs
@@ -15,7 +15,9 @@
 
 /// Loads the state that the last start persisted; the default where there is none that can be read.
 pub(super) fn load(directory: Option<&Path>) -> Memory {
-    let Some(file) = directory.map(|directory| directory.join(KEPT)) else { return Memory::default() };
+    let Some(file) = directory.map(|directory| directory.join(KEPT)) else {
+        return Memory::default();
+    };
     let read = match std::fs::read(&file) {
         Ok(text) => serde_json::from_slice(&text).map_err(|e| e.to_string()),
         Err(e) if e.kind() == std::io::ErrorKind::NotFound => return Memory::default(),
--- a/crates/sidecar/src/agent_link/window.rs
+++ b/crates/sidecar/src/agent_link/window.rs
@@ -23,12 +23,19 @@
 
 impl Window {
     pub(super) fn sample(&mut self, now: Instant, common: &Common) -> Counts {
-        self.services.retain(|(service, _)| service.strong_count() > 0);
+        self.services
+            .retain(|(service, _)| service.strong_count() > 0);
         for service in common.services.borrow().iter() {
             let counts = service.counts.sum();
             let away = counts.refused.get() + counts.failed.get() + counts.turned_away.get();
-            let present = Counts { ended: counts.served.get() + away, bad: counts.late.get() + away };
-            let known = self.services.iter_mut().find(|(known, _)| known.as_ptr() == Rc::as_ptr(service));
+            let present = Counts {
+                ended: counts.served.get() + away,
+                bad: counts.late.get() + away,
+            };
+            let known = self
+                .services
+                .iter_mut()
+                .find(|(known, _)| known.as_ptr() == Rc::as_ptr(service));
             let former = match known {
                 Some((_, former)) => std::mem::replace(former, present),
                 None => {
@@ -44,14 +51,28 @@
 
     fn since(&mut self, now: Instant) -> Counts {
         // The last sample before the window stands for its beginning.
-        while self.samples.get(1).is_some_and(|(at, _)| now.duration_since(*at) >= WINDOW) {
+        while self
+            .samples
+            .get(1)
+            .is_some_and(|(at, _)| now.duration_since(*at) >= WINDOW)
+        {
             self.samples.pop_front();
         }
-        let first = self.samples.front().map_or(Counts::default(), |(_, counts)| *counts);
-        if self.samples.back().is_none_or(|(at, _)| now.duration_since(*at) >= SHORTEST_INTERVAL) {
+        let first = self
+            .samples
+            .front()
+            .map_or(Counts::default(), |(_, counts)| *counts);
+        if self
+            .samples
+            .back()
+            .is_none_or(|(at, _)| now.duration_since(*at) >= SHORTEST_INTERVAL)
+        {
             self.samples.push_back((now, self.all));
         }
-        Counts { ended: self.all.ended - first.ended, bad: self.all.bad - first.bad }
+        Counts {
+            ended: self.all.ended - first.ended,
+            bad: self.all.bad - first.bad,
+        }
     }
 }
 
@@ -67,7 +88,10 @@
             window.all.ended += 1;
             window.all.bad += u64::from(tenth < 300);
             let counts = window.since(begin + Duration::from_millis(100 * tenth));
-            assert!(counts.ended <= 106 && (tenth < 106 || counts.ended >= 100), "{tenth}: {counts:?}");
+            assert!(
+                counts.ended <= 106 && (tenth < 106 || counts.ended >= 100),
+                "{tenth}: {counts:?}"
+            );
             assert!(window.samples.len() <= 22, "{}", window.samples.len());
             if tenth >= 410 {
                 assert_eq!(counts.bad, 0);
--- a/crates/sidecar/src/alarms.rs
+++ b/crates/sidecar/src/alarms.rs
@@ -65,7 +65,10 @@
 
     /// Sets a module's timer.
     pub(super) fn set_for(&self, service: &Rc<Service>, at: Micros, timer: Timer) -> TimerKey {
-        self.set(at.saturating_add(AFTER), Bell::Module(Rc::downgrade(service), timer))
+        self.set(
+            at.saturating_add(AFTER),
+            Bell::Module(Rc::downgrade(service), timer),
+        )
     }
 
     pub(super) fn cancel(&self, key: TimerKey) {
@@ -78,7 +81,11 @@
     }
 
     pub(super) fn counted(&self) -> Counted {
-        Counted { set: self.wheel.borrow().len(), rung: self.rung.get(), full_turns: self.full_turns.get() }
+        Counted {
+            set: self.wheel.borrow().len(),
+            rung: self.rung.get(),
+            full_turns: self.full_turns.get(),
+        }
     }
 }
 
@@ -172,7 +179,11 @@
 impl Common {
     /// Ends at this time.
     pub(super) fn alarm(&self, at: Micros) -> Alarm<'_> {
-        Alarm { common: self, at, key: None }
+        Alarm {
+            common: self,
+            at,
+            key: None,
+        }
     }
 
     /// Ends this long from now.
@@ -210,7 +221,8 @@
 
     /// As [`Common::until`], this long from now.
     pub(super) async fn within<T>(&self, span: Micros, work: impl Future<Output = T>) -> Option<T> {
-        self.until(self.clock.now().saturating_add(span), work).await
+        self.until(self.clock.now().saturating_add(span), work)
+            .await
     }
 }
 
@@ -227,7 +239,10 @@
         let mut now = clock.now();
         for _ in 0..1_000 {
             steps.add_timer(&alarms, alarms.set(now, Bell::Task(Waker::noop().clone())));
-            steps.add_timer(&alarms, alarms.set(now + 1_000, Bell::Task(Waker::noop().clone())));
+            steps.add_timer(
+                &alarms,
+                alarms.set(now + 1_000, Bell::Task(Waker::noop().clone())),
+            );
             now += 25_000;
             while let Found::Due(_) = alarms.wheel.borrow_mut().poll(now, &mut u32::MAX.clone()) {}
             assert!(steps.timers() <= 2, "{} are kept", steps.timers());
--- a/crates/sidecar/src/client.rs
+++ b/crates/sidecar/src/client.rs
@@ -92,7 +92,10 @@
 
     fn is_told(&self, context: &Context<'_>) -> bool {
         let mut waiting = self.waiting.borrow_mut();
-        if waiting.as_ref().is_none_or(|waker| !waker.will_wake(context.waker())) {
+        if waiting
+            .as_ref()
+            .is_none_or(|waker| !waker.will_wake(context.waker()))
+        {
             *waiting = Some(context.waker().clone());
         }
         self.closing.get()
@@ -113,7 +116,10 @@
     fn has_ended_behind_what_is_unread(&self) -> bool {
         let ended = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
         let mut asked = [PollFd::new(&self.stream, PollFlags::RDHUP)];
-        let at_once = Timespec { tv_sec: 0, tv_nsec: 0 };
+        let at_once = Timespec {
+            tv_sec: 0,
+            tv_nsec: 0,
+        };
         poll(&mut asked, Some(&at_once)).is_ok_and(|_| asked[0].revents().intersects(ended))
     }
 
@@ -148,7 +154,10 @@
     }
 
     fn may_be_parked(&self) -> bool {
-        self.idle_since.get().is_some() && self.body_read.get() && self.flushed.get() && !self.read.get()
+        self.idle_since.get().is_some()
+            && self.body_read.get()
+            && self.flushed.get()
+            && !self.read.get()
     }
 }
 
@@ -191,8 +200,11 @@
     /// young that its request may be on the way: what was never read would have failed by that. False where none goes.
     pub(super) fn make_room(&self, now: Micros) -> bool {
         let old = |since: Micros| now.saturating_sub(since) >= YOUNG;
-        let parked =
-            self.parked.borrow().first_key_value().map(|((since, _), client)| (*since, Rc::clone(client)));
+        let parked = self
+            .parked
+            .borrow()
+            .first_key_value()
+            .map(|((since, _), client)| (*since, Rc::clone(client)));
         // Those that are served and idle have sent a part of a request, or are about to be parked.
         let served = self.served.borrow();
         let staying = served.values().filter(|client| !client.closing.get());
@@ -200,8 +212,11 @@
         let idle = idle.min_by_key(|(since, client)| (*since, client.number));
         let idle = idle.map(|(since, client)| (since, Rc::clone(client)));
         drop(served);
-        let oldest =
-            parked.into_iter().chain(idle).filter(|(since, _)| old(*since)).min_by_key(|(since, _)| *since);
+        let oldest = parked
+            .into_iter()
+            .chain(idle)
+            .filter(|(since, _)| old(*since))
+            .min_by_key(|(since, _)| *since);
         if let Some((_, client)) = &oldest {
             // It goes once, also where that takes a moment.
             self.wake(client);
@@ -212,13 +227,18 @@
 
     /// Since when the one has been parked that has been idle for longest.
     pub(super) fn oldest_parked(&self) -> Option<Micros> {
-        self.parked.borrow().first_key_value().map(|((since, _), _)| *since)
+        self.parked
+            .borrow()
+            .first_key_value()
+            .map(|((since, _), _)| *since)
     }
 
     /// Has those connections closed that have been idle since this time or before, with nothing of a request on them.
     pub(super) fn close_idle(&self, since: Micros) {
         let parked = self.parked.borrow();
-        let old = parked.range(..=(since, u64::MAX)).map(|(_, client)| Rc::clone(client));
+        let old = parked
+            .range(..=(since, u64::MAX))
+            .map(|(_, client)| Rc::clone(client));
         let mut old: Vec<Rc<Client>> = old.collect();
         drop(parked);
         let served = self.served.borrow();
@@ -233,19 +253,26 @@
     pub(super) fn close_all(&self) {
         let parked: Vec<Rc<Client>> = self.parked.borrow().values().cloned().collect();
         parked.iter().for_each(|client| client.tell_to_close());
-        self.served.borrow().values().for_each(|client| client.tell_to_close());
+        self.served
+            .borrow()
+            .values()
+            .for_each(|client| client.tell_to_close());
     }
 
     fn park(&self, client: &Rc<Client>, since: Micros) {
         self.served.borrow_mut().remove(&client.number);
-        self.parked.borrow_mut().insert((since, client.number), Rc::clone(client));
+        self.parked
+            .borrow_mut()
+            .insert((since, client.number), Rc::clone(client));
     }
 
     fn wake(&self, client: &Rc<Client>) {
         if let Some(since) = client.idle_since.get() {
             self.parked.borrow_mut().remove(&(since, client.number));
         }
-        self.served.borrow_mut().insert(client.number, Rc::clone(client));
+        self.served
+            .borrow_mut()
+            .insert(client.number, Rc::clone(client));
     }
 }
 
@@ -285,7 +312,10 @@
     fn drop(&mut self) {
         let clients = &self.of.clients;
         if let Some(since) = self.client.idle_since.get() {
-            clients.parked.borrow_mut().remove(&(since, self.client.number));
+            clients
+                .parked
+                .borrow_mut()
+                .remove(&(since, self.client.number));
         }
         clients.served.borrow_mut().remove(&self.client.number);
         self.of.common.clients.set(self.of.common.clients.get() - 1);
@@ -351,7 +381,8 @@
     let to_its_end = async {
         let mut left = LINGERS_OVER;
         while left > 0 {
-            let read = |stream: &TcpStream| SCRATCH.with_borrow_mut(|scratch| stream.try_read(scratch));
+            let read =
+                |stream: &TcpStream| SCRATCH.with_borrow_mut(|scratch| stream.try_read(scratch));
             match poll_fn(|context| readiness::poll_read(&client.stream, context, read)).await {
                 Ok(0) | Err(_) => return,
                 Ok(count) => left = left.saturating_sub(count),
@@ -364,7 +395,11 @@
 /// Waits for a first byte. False where the connection is to end.
 async fn parked(listener: &Listener, client: &Client) -> bool {
     let since = client.idle_since.get().unwrap_or_default();
-    let mut alarm = pin!(listener.common.alarm(since + listener.manner.get().idle_within));
+    let mut alarm = pin!(
+        listener
+            .common
+            .alarm(since + listener.manner.get().idle_within)
+    );
     poll_fn(|context| {
         // What has come before the close is served.
         if client.is_told(context) {
@@ -392,30 +427,42 @@
     common.keep_to_memory(2);
     listener.clients.woken.set(listener.clients.woken.get() + 1);
     let woken = common.clock.now();
-    let service = hyper::service::service_fn(|request: hyper::Request<hyper::body::Incoming>| async {
-        client.idle_since.set(None);
-        client.body_read.set(request.body().is_end_stream());
-        let mut response = virtual_server::answer(listener, client, request).await;
-        client.charged.set(listener.account());
-        // One that is passed on is idle when it has gone, and not when it begins.
-        let (now, passing) = (common.clock.now(), response.body().is_passing());
-        client.passing.set(passing);
-        client.wrote.set(now);
-        client.idle_since.set((!passing).then_some(now));
-        client.read.set(false);
-        if common.duty.borrow().ends_connections() || listener.is_leaving() || listener.is_crowded() {
-            response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
-        }
-        Ok::<_, Infallible>(response)
-    });
-    let mut connection = http1::Builder::new().max_buf_size(HEAD).serve_connection(io, service);
+    let service =
+        hyper::service::service_fn(|request: hyper::Request<hyper::body::Incoming>| async {
+            client.idle_since.set(None);
+            client.body_read.set(request.body().is_end_stream());
+            let mut response = virtual_server::answer(listener, client, request).await;
+            client.charged.set(listener.account());
+            // One that is passed on is idle when it has gone, and not when it begins.
+            let (now, passing) = (common.clock.now(), response.body().is_passing());
+            client.passing.set(passing);
+            client.wrote.set(now);
+            client.idle_since.set((!passing).then_some(now));
+            client.read.set(false);
+            if common.duty.borrow().ends_connections()
+                || listener.is_leaving()
+                || listener.is_crowded()
+            {
+                response
+                    .headers_mut()
+                    .insert(header::CONNECTION, HeaderValue::from_static("close"));
+            }
+            Ok::<_, Infallible>(response)
+        });
+    let mut connection = http1::Builder::new()
+        .max_buf_size(HEAD)
+        .serve_connection(io, service);
     let mut alarm = common.alarm(woken + PARKED_AFTER);
     // When it was told to close.
     let mut told: Option<Micros> = None;
     let end = poll_fn(|context| {
         // How a connection ends is the client's affair: a transaction that was on it is dropped with it.
         if Pin::new(&mut connection).poll(context).is_ready() {
-            return Poll::Ready(if client.gone.get() { End::Lost } else { End::Over });
+            return Poll::Ready(if client.gone.get() {
+                End::Lost
+            } else {
+                End::Over
+            });
         }
         if client.gone.get() {
             return Poll::Ready(End::Lost);
@@ -443,7 +490,12 @@
                 (_, Some(at)) => {
                     // A head that is half here has a moment; nothing of it has gone on.
                     let moment = idle.is_some() && client.flushed.get();
-                    let ends = at + if moment { YOUNG } else { longest_answer(listener) };
+                    let ends = at
+                        + if moment {
+                            YOUNG
+                        } else {
+                            longest_answer(listener)
+                        };
                     if now >= ends {
                         return Poll::Ready(End::Over);
                     }
@@ -474,9 +526,14 @@
         End::Lost => Served::Lost,
         End::Idle => {
             let parts = connection.into_parts();
-            let Some(since) = client.idle_since.get() else { return Served::Over };
+            let Some(since) = client.idle_since.get() else {
+                return Served::Over;
+            };
             listener.clients.park(client, since);
-            Served::Idle(ClientIo { before: parts.read_buf, ..parts.io })
+            Served::Idle(ClientIo {
+                before: parts.read_buf,
+                ..parts.io
+            })
         }
     }
 }
@@ -484,7 +541,11 @@
 /// How long an answer that was begun may take, and be read for.
 fn longest_answer(listener: &Listener) -> Micros {
     let services = listener.common.services.borrow();
-    let longest = services.iter().map(|service| service.tuned().longest).max().unwrap_or_default();
+    let longest = services
+        .iter()
+        .map(|service| service.tuned().longest)
+        .max()
+        .unwrap_or_default();
     (longest + LAME_DUCK).as_micros() as Micros
 }
 
@@ -548,9 +609,15 @@
 }
 
 impl Write for ClientIo {
-    fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         self.client.flushed.set(false);
-        let written = self.client.poll_write(context, |stream| stream.try_write(bytes));
+        let written = self
+            .client
+            .poll_write(context, |stream| stream.try_write(bytes));
         self.note(&written);
         written
     }
@@ -565,7 +632,9 @@
         bytes: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         self.client.flushed.set(false);
-        let written = self.client.poll_write(context, |stream| stream.try_write_vectored(bytes));
+        let written = self
+            .client
+            .poll_write(context, |stream| stream.try_write_vectored(bytes));
         self.note(&written);
         written
     }
--- a/crates/sidecar/src/clock.rs
+++ b/crates/sidecar/src/clock.rs
@@ -12,7 +12,9 @@
 pub(super) fn boottime() -> Micros {
     let time = clock_gettime(ClockId::Boottime);
     let seconds = Micros::try_from(time.tv_sec).unwrap_or(0);
-    seconds.saturating_mul(1_000_000).saturating_add(Micros::try_from(time.tv_nsec / 1_000).unwrap_or(0))
+    seconds
+        .saturating_mul(1_000_000)
+        .saturating_add(Micros::try_from(time.tv_nsec / 1_000).unwrap_or(0))
 }
 
 /// The monotonic clock, its zero put so that at the start it reads as Unix time does. Unix times that
@@ -34,7 +36,11 @@
 
 impl Clock {
     pub(super) fn start() -> Self {
-        Clock { start: Instant::now(), unix: micros(unix()), turn: Cell::new(Turn::Outside) }
+        Clock {
+            start: Instant::now(),
+            unix: micros(unix()),
+            turn: Cell::new(Turn::Outside),
+        }
     }
 
     /// The time. Within a turn the clock is read once, so what is given there is as old as the turn at most: the time
@@ -62,7 +68,9 @@
     /// this machine was suspended. Below 0 where it was put back.
     pub(super) fn behind(&self) -> i64 {
         let (wall, own) = (micros(unix()), self.now());
-        i64::try_from(wall).unwrap_or(i64::MAX).saturating_sub(i64::try_from(own).unwrap_or(i64::MAX))
+        i64::try_from(wall)
+            .unwrap_or(i64::MAX)
+            .saturating_sub(i64::try_from(own).unwrap_or(i64::MAX))
     }
 
     /// Since the start.
@@ -80,7 +88,9 @@
 
 /// Since 1970, by the wall clock.
 fn unix() -> Duration {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
 }
 
 fn micros(span: Duration) -> Micros {
@@ -102,7 +112,10 @@
     }
 
     fn minute_at(&self, unix: i64) -> u16 {
-        let offset = self.0.find_local_time_type(unix).map_or(0, |kind| kind.ut_offset());
+        let offset = self
+            .0
+            .find_local_time_type(unix)
+            .map_or(0, |kind| kind.ut_offset());
         // Below 1,440 by the remainder.
         (unix.saturating_add(i64::from(offset)).rem_euclid(86_400) / 60) as u16
     }
@@ -118,7 +131,9 @@
         let rule = TimeZone::from_posix_tz("CET-1CEST,M3.5.0,M10.5.0/3").expect("a rule");
         let day = LocalDay(rule);
         let seen = |midnight: i64, hours: i64| -> Vec<u16> {
-            (0..hours).map(|hour| day.minute_at(midnight + hour * 3_600) / 60).collect()
+            (0..hours)
+                .map(|hour| day.minute_at(midnight + hour * 3_600) / 60)
+                .collect()
         };
         let spring = seen(1_774_738_800, 23);
         assert_eq!((&spring[..4], spring[22]), (&[0, 1, 3, 4][..], 23));
