--- a/crates/sidecar/src/common.rs
+++ b/crates/sidecar/src/common.rs
@@ -118,8 +118,15 @@
 
 impl Totals {
     /// By what the platform gives. `more` descriptors are taken up by further listeners and watches.
-    pub(super) fn new(descriptors: usize, more: usize, memory: u64, open: u64, bodies: Option<u64>) -> Self {
-        let share = (descriptors.saturating_sub(OWN_DESCRIPTORS + more) / 2).clamp(1, MOST_CONNECTIONS);
+    pub(super) fn new(
+        descriptors: usize,
+        more: usize,
+        memory: u64,
+        open: u64,
+        bodies: Option<u64>,
+    ) -> Self {
+        let share =
+            (descriptors.saturating_sub(OWN_DESCRIPTORS + more) / 2).clamp(1, MOST_CONNECTIONS);
         Totals {
             descriptors,
             connections: share as u64,
@@ -177,7 +184,10 @@
 
     /// Whether there is a service that could serve a request.
     pub(super) fn can_serve(&self) -> bool {
-        self.services.borrow().iter().any(|service| service.pool.is_known())
+        self.services
+            .borrow()
+            .iter()
+            .any(|service| service.pool.is_known())
     }
 
     /// The process stops now, under the platform's rules, where clients wait no longer than this.
@@ -189,7 +199,9 @@
     /// What is left for a request that comes now and whose client waits for so long: no more than the process has itself.
     /// Else it would be killed with the request unanswered.
     pub(super) fn time_left(&self, now: Micros, left: Micros) -> Micros {
-        self.answers_by.get().map_or(left, |by| left.min(by.saturating_sub(now)))
+        self.answers_by
+            .get()
+            .map_or(left, |by| left.min(by.saturating_sub(now)))
     }
 
     pub(super) fn is_stopping(&self) -> bool {
@@ -219,13 +231,20 @@
 
     /// An account of this weight, where work is taken in turn.
     pub(super) fn account(&self, weight: u32) -> Option<Rc<Account>> {
-        self.scheduler.as_ref().map(|scheduler| Rc::new(scheduler.open(weight)))
+        self.scheduler
+            .as_ref()
+            .map(|scheduler| Rc::new(scheduler.open(weight)))
     }
 
     /// What connections hold, by what each is counted as: parked, served, and to servers.
     pub(super) fn held(&self) -> [u64; 3] {
         // One that has been told to go is not parked any more.
-        let parked: usize = self.listeners.borrow().iter().map(|listener| listener.clients.parked()).sum();
+        let parked: usize = self
+            .listeners
+            .borrow()
+            .iter()
+            .map(|listener| listener.clients.parked())
+            .sum();
         let served = self.served_clients.get();
         [
             parked as u64 * PARKED_BYTES,
@@ -237,7 +256,11 @@
     /// Has those parked connections closed that have been idle for longest, so many at most, where connections hold
     /// too much.
     pub(super) fn keep_to_memory(&self, at_once: u64) {
-        let excess = self.held().iter().sum::<u64>().saturating_sub(self.most_held.get());
+        let excess = self
+            .held()
+            .iter()
+            .sum::<u64>()
+            .saturating_sub(self.most_held.get());
         for _ in 0..excess.div_ceil(PARKED_BYTES).min(at_once) {
             self.drop_oldest_parked();
         }
@@ -245,8 +268,9 @@
 
     fn drop_oldest_parked(&self) {
         let listeners = self.listeners.borrow();
-        let oldest =
-            listeners.iter().filter_map(|listener| Some((listener.clients.oldest_parked()?, listener)));
+        let oldest = listeners
+            .iter()
+            .filter_map(|listener| Some((listener.clients.oldest_parked()?, listener)));
         if let Some((_, listener)) = oldest.min_by_key(|(since, _)| *since) {
             listener.clients.make_room(self.clock.now());
         }
@@ -258,7 +282,11 @@
     pub(super) async fn no_descriptor(&self) {
         self.exhausted.set(Some(self.clock.now()));
         let now = self.clock.now();
-        let made = self.listeners.borrow().iter().any(|listener| listener.clients.make_room(now));
+        let made = self
+            .listeners
+            .borrow()
+            .iter()
+            .any(|listener| listener.clients.make_room(now));
         if !made {
             self.drop_oldest();
         }
@@ -278,13 +306,17 @@
 
     /// Whether there was no descriptor for something of late.
     pub(super) fn is_exhausted(&self) -> bool {
-        self.exhausted.get().is_some_and(|at| self.clock.now().saturating_sub(at) < EXHAUSTED)
+        self.exhausted
+            .get()
+            .is_some_and(|at| self.clock.now().saturating_sub(at) < EXHAUSTED)
     }
 
     /// Closes the connection to a server that has been idle for longest.
     pub(super) fn drop_oldest(&self) {
         let services = self.services.borrow();
-        let oldest = services.iter().filter_map(|s| Some((s.connections.oldest()?, s)));
+        let oldest = services
+            .iter()
+            .filter_map(|s| Some((s.connections.oldest()?, s)));
         if let Some((_, service)) = oldest.min_by_key(|(since, _)| *since) {
             service.connections.drop_oldest();
         }
--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -72,7 +72,11 @@
             if MAY_BE_ABSENT.contains(&key.as_str()) {
                 return None;
             }
-            let field = if at.is_empty() { key.clone() } else { format!("{at}.{key}") };
+            let field = if at.is_empty() {
+                key.clone()
+            } else {
+                format!("{at}.{key}")
+            };
             match present.get(key) {
                 Some(present) => lacks(present, value, &field),
                 None => Some(field),
@@ -83,7 +87,9 @@
             let (first, rest) = former.split_first()?;
             let mut common = first.as_object()?.clone();
             common.retain(|key, _| rest.iter().all(|other| other.get(key).is_some()));
-            common.values_mut().for_each(|value| *value = serde_json::Value::Null);
+            common
+                .values_mut()
+                .for_each(|value| *value = serde_json::Value::Null);
             let common = Object(common);
             present
                 .iter()
@@ -109,8 +115,11 @@
 /// What the system lets this process have: it may be less than the platform says.
 pub(super) fn allowed_descriptors() -> usize {
     let limits = std::fs::read_to_string("/proc/self/limits").unwrap_or_default();
-    let line = limits.lines().find_map(|l| l.strip_prefix("Max open files"));
-    line.and_then(|l| l.split_whitespace().next()?.parse().ok()).unwrap_or(usize::MAX)
+    let line = limits
+        .lines()
+        .find_map(|l| l.strip_prefix("Max open files"));
+    line.and_then(|l| l.split_whitespace().next()?.parse().ok())
+        .unwrap_or(usize::MAX)
 }
 
 fn usual_sockets() -> usize {
@@ -123,7 +132,10 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { sockets: usual_sockets(), memory_mb: usual_memory() }
+        Limits {
+            sockets: usual_sockets(),
+            memory_mb: usual_memory(),
+        }
     }
 }
 
@@ -132,15 +144,20 @@
     /// the process listens anywhere: `RELAY_ACCEPT_FD` names a socket that was left open for it by its number.
     pub fn load() -> Result<Self, String> {
         let mut config = Config::read()?;
-        for (variable, address) in
-            [("RELAY_LISTEN", &mut config.listen), ("RELAY_DISCOVERY", &mut config.discovery)]
-        {
+        for (variable, address) in [
+            ("RELAY_LISTEN", &mut config.listen),
+            ("RELAY_DISCOVERY", &mut config.discovery),
+        ] {
             if let Some(value) = variable_set(variable)? {
-                *address = value.parse().map_err(|e| format!("{variable}: {e}: {value}"))?;
+                *address = value
+                    .parse()
+                    .map_err(|e| format!("{variable}: {e}: {value}"))?;
             }
         }
         if let Some(value) = variable_set("RELAY_CONTROL")? {
-            let address = value.parse().map_err(|e| format!("RELAY_CONTROL: {e}: {value}"))?;
+            let address = value
+                .parse()
+                .map_err(|e| format!("RELAY_CONTROL: {e}: {value}"))?;
             config.control = Some(address);
         }
         if let Some(number) = variable_set("RELAY_ACCEPT_FD")? {
@@ -154,7 +171,8 @@
 
     fn read() -> Result<Self, String> {
         let path = std::env::var("RELAY_CONFIG").map_err(|e| format!("RELAY_CONFIG: {e}"))?;
-        let text = std::fs::read_to_string(&path).map_err(|e| format!("RELAY_CONFIG: {path}: {e}"))?;
+        let text =
+            std::fs::read_to_string(&path).map_err(|e| format!("RELAY_CONFIG: {path}: {e}"))?;
         let mut config = Config::from_json(&text).map_err(|e| e.to_string())?;
         config.keys = Keys::of(&text);
         Ok(config)
@@ -165,7 +183,9 @@
     pub(super) fn read_again(former: &Keys) -> Result<Self, String> {
         let config = Config::read()?;
         match config.keys.lacks(former) {
-            Some(field) => Err(format!("configuration: {field}: is missing, and was there before")),
+            Some(field) => Err(format!(
+                "configuration: {field}: is missing, and was there before"
+            )),
             None => Ok(config),
         }
     }
@@ -177,18 +197,35 @@
             let (line, column) = (e.inner().line(), e.inner().column());
             Problem::at(e.path().to_string(), line, column, e.inner())
         })?;
-        reader.end().map_err(|e| Problem::at(".".into(), e.line(), e.column(), &e))?;
+        reader
+            .end()
+            .map_err(|e| Problem::at(".".into(), e.line(), e.column(), &e))?;
         let mut names = std::collections::BTreeSet::new();
-        if let Some(at) = config.settings.classes.iter().position(|name| !names.insert(name)) {
+        if let Some(at) = config
+            .settings
+            .classes
+            .iter()
+            .position(|name| !names.insert(name))
+        {
             let field = format!("settings.services[{at}].name");
             let (line, column) = place(text, &field);
             let problem = "another class has this name".to_string();
-            return Err(Problem { field, line, column, problem });
+            return Err(Problem {
+                field,
+                line,
+                column,
+                problem,
+            });
         }
         config.settings.settings.validate().map_err(|e| {
             let field = format!("settings.{}", written_name(&e.field));
             let (line, column) = place(text, &field);
-            Problem { field, line, column, problem: e.problem }
+            Problem {
+                field,
+                line,
+                column,
+                problem: e.problem,
+            }
         })?;
         Ok(config)
     }
@@ -197,7 +234,10 @@
     pub fn summary(&self) -> String {
         let site = &self.settings;
         let (classes, zones) = (site.classes.join(", "), site.zones.join(", "));
-        format!("classes {classes}; zones {zones}; {} servers known", self.known.len())
+        format!(
+            "classes {classes}; zones {zones}; {} servers known",
+            self.known.len()
+        )
     }
 }
 
@@ -227,15 +267,32 @@
     fn at(field: String, line: usize, column: usize, problem: &serde_json::Error) -> Self {
         let problem = problem.to_string().replace(['\n', '\r'], " ");
         // The place is told apart from the words.
-        let problem = problem.split(" at line ").next().unwrap_or_default().to_string();
-        Problem { field, line, column, problem }
+        let problem = problem
+            .split(" at line ")
+            .next()
+            .unwrap_or_default()
+            .to_string();
+        Problem {
+            field,
+            line,
+            column,
+            problem,
+        }
     }
 }
 
 impl fmt::Display for Problem {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Problem { field, line, column, problem } = self;
-        write!(f, "configuration: {field}: {problem} at line {line} column {column}")
+        let Problem {
+            field,
+            line,
+            column,
+            problem,
+        } = self;
+        write!(
+            f,
+            "configuration: {field}: {problem} at line {line} column {column}"
+        )
     }
 }
 
@@ -243,11 +300,14 @@
 /// it that is there.
 fn place(text: &str, field: &str) -> (usize, usize) {
     let mut at = text;
-    for step in field.split(['.', '[']).map(|step| step.trim_end_matches(']')) {
+    for step in field
+        .split(['.', '['])
+        .map(|step| step.trim_end_matches(']'))
+    {
         let inner = match step.parse::<usize>() {
-            Ok(number) => {
-                serde_json::from_str::<Vec<&RawValue>>(at).ok().and_then(|list| Some(list.get(number)?.get()))
-            }
+            Ok(number) => serde_json::from_str::<Vec<&RawValue>>(at)
+                .ok()
+                .and_then(|list| Some(list.get(number)?.get())),
             Err(_) => serde_json::from_str::<BTreeMap<Cow<'_, str>, &RawValue>>(at)
                 .ok()
                 .and_then(|object| Some(object.get(step)?.get())),
@@ -259,7 +319,10 @@
     let offset = at.as_ptr() as usize - text.as_ptr() as usize;
     let before = &text[..offset.min(text.len())];
     let line_start = before.rfind('\n').map_or(0, |end| end + 1);
-    (before.matches('\n').count() + 1, before.len() - line_start + 1)
+    (
+        before.matches('\n').count() + 1,
+        before.len() - line_start + 1,
+    )
 }
 
 /// A number that is written as hex digits.
@@ -300,15 +363,22 @@
             assert_eq!(Keys::of(&present).lacks(&former).as_deref(), Some(field));
         }
         // What only some of the former had, and what need not be told.
-        let present = SOUND.replacen("\"key_scope\"", "\"other\"", 1).replacen("\"known\"", "\"other\"", 1);
+        let present =
+            SOUND
+                .replacen("\"key_scope\"", "\"other\"", 1)
+                .replacen("\"known\"", "\"other\"", 1);
         assert_eq!(Keys::of(&present).lacks(&former), None);
     }
 
     #[test]
     fn the_place_of_a_field_is_where_its_value_begins() {
         let text = "{\"a\": 1,\n \"b\": [{\"c\": 2},\n  {\"c\": 3, \"\\u0064\": 4}]}";
-        for (field, expected) in [("a", (1, 7)), ("b[0].c", (2, 14)), ("b[1].c", (3, 9)), ("b[1].d", (3, 22))]
-        {
+        for (field, expected) in [
+            ("a", (1, 7)),
+            ("b[0].c", (2, 14)),
+            ("b[1].c", (3, 9)),
+            ("b[1].d", (3, 22)),
+        ] {
             assert_eq!(place(text, field), expected, "{field}");
         }
         // Of what is not there, the innermost that is.
--- a/crates/sidecar/src/connections.rs
+++ b/crates/sidecar/src/connections.rs
@@ -80,17 +80,25 @@
     fn put(&mut self, lease: Lease, since: Micros) {
         self.numbered += 1;
         let (number, server) = (self.numbered, lease.server);
-        self.by_server.entry(server).or_default().push_back(Idle { lease, since, number });
+        self.by_server.entry(server).or_default().push_back(Idle {
+            lease,
+            since,
+            number,
+        });
         self.order.push_back((number, server));
         self.count += 1;
         if self.order.len() > 2 * self.count + 64 {
             let by_server = &self.by_server;
-            self.order.retain(|(number, server)| place(by_server, *server, *number).is_some());
+            self.order
+                .retain(|(number, server)| place(by_server, *server, *number).is_some());
         }
     }
 
     fn remove_server(&mut self, server: ServerId) {
-        self.count -= self.by_server.remove(&server).map_or(0, |waiting| waiting.len());
+        self.count -= self
+            .by_server
+            .remove(&server)
+            .map_or(0, |waiting| waiting.len());
     }
 
     fn remove(&mut self, server: ServerId, at: usize) -> Option<Idle> {
@@ -120,12 +128,22 @@
 
     /// Drops those that have broken among the next few.
     fn look(&mut self) {
-        let from = self.order.partition_point(|(number, _)| *number <= self.looked_at);
+        let from = self
+            .order
+            .partition_point(|(number, _)| *number <= self.looked_at);
         let next: Vec<(u64, ServerId)> = self.order.range(from..).take(AT_ONCE).copied().collect();
-        self.looked_at = next.last().filter(|_| next.len() == AT_ONCE).map_or(0, |(number, _)| *number);
+        self.looked_at = next
+            .last()
+            .filter(|_| next.len() == AT_ONCE)
+            .map_or(0, |(number, _)| *number);
         for (number, server) in next {
-            let Some(at) = place(&self.by_server, server, number) else { continue };
-            let idle = self.by_server.get(&server).and_then(|waiting| waiting.get(at));
+            let Some(at) = place(&self.by_server, server, number) else {
+                continue;
+            };
+            let idle = self
+                .by_server
+                .get(&server)
+                .and_then(|waiting| waiting.get(at));
             if idle.is_some_and(|idle| !is_quiet(&idle.lease.stream)) {
                 self.remove(server, at);
             }
@@ -143,7 +161,9 @@
     if waiting.front()?.number > number {
         return None;
     }
-    waiting.binary_search_by_key(&number, |idle| idle.number).ok()
+    waiting
+        .binary_search_by_key(&number, |idle| idle.number)
+        .ok()
 }
 
 /// Why there is no connection.
@@ -172,7 +192,12 @@
 }
 
 impl Connections {
-    pub(super) fn new(common: &Rc<Common>, seats: Member, idle: Micros, connect_timeout: Micros) -> Self {
+    pub(super) fn new(
+        common: &Rc<Common>,
+        seats: Member,
+        idle: Micros,
+        connect_timeout: Micros,
+    ) -> Self {
         Connections {
             waiting: RefCell::default(),
             servers: RefCell::default(),
@@ -194,7 +219,11 @@
 
     /// A connection to this server: of those seen quiet the one used last, since the others may then grow old,
     /// or a new one.
-    pub(super) async fn take(&self, server: ServerId, address: SocketAddr) -> Result<Lease, NoConnection> {
+    pub(super) async fn take(
+        &self,
+        server: ServerId,
+        address: SocketAddr,
+    ) -> Result<Lease, NoConnection> {
         match self.take_idle(server) {
             Some(lease) => Ok(lease),
             None => self.open(server, address).await,
@@ -226,9 +255,16 @@
     async fn open(&self, server: ServerId, address: SocketAddr) -> Result<Lease, NoConnection> {
         let of_server = self.server(server);
         // Not to fail: nobody closes it.
-        let opening = of_server.opening.acquire().await.map_err(|_| NoConnection::Failed)?;
+        let opening = of_server
+            .opening
+            .acquire()
+            .await
+            .map_err(|_| NoConnection::Failed)?;
         let (seat, place) = self.seat(&of_server).ok_or(NoConnection::Exhausted)?;
-        let came = self.common.within(self.connect_timeout.get(), self.common.connect(address)).await;
+        let came = self
+            .common
+            .within(self.connect_timeout.get(), self.common.connect(address))
+            .await;
         super::trail::opened(self.common.clock.now(), server, matches!(came, Some(Ok(_))));
         let stream = match came {
             Some(Ok(stream)) => stream,
@@ -242,12 +278,23 @@
         let _ = stream.set_nodelay(true);
         self.opened.set(self.opened.get() + 1);
         drop(opening);
-        Ok(Lease { stream, used: false, server, _seat: seat, _place: place })
+        Ok(Lease {
+            stream,
+            used: false,
+            server,
+            _seat: seat,
+            _place: place,
+        })
     }
 
     fn server(&self, server: ServerId) -> Rc<Server> {
         let mut servers = self.servers.borrow_mut();
-        let new = || Rc::new(Server { open: Cell::new(0), opening: Semaphore::new(OPENING) });
+        let new = || {
+            Rc::new(Server {
+                open: Cell::new(0),
+                opening: Semaphore::new(OPENING),
+            })
+        };
         Rc::clone(servers.entry(server).or_insert_with(new))
     }
 
@@ -271,19 +318,28 @@
     /// Puts a connection by for the next flow. Its answer must have been read whole, and nothing behind it.
     pub(super) fn keep(&self, mut lease: Lease) {
         lease.used = true;
-        self.waiting.borrow_mut().put(lease, self.common.clock.now());
+        self.waiting
+            .borrow_mut()
+            .put(lease, self.common.clock.now());
     }
 
     /// An answer has come from there.
     pub(super) fn heard(&self, server: ServerId) {
-        self.heard.borrow_mut().insert(server, self.common.clock.now());
+        self.heard
+            .borrow_mut()
+            .insert(server, self.common.clock.now());
     }
 
     /// Nothing came for a flow that was sent then. If nothing has come from there at all since, the machine may
     /// be cut off: open connections stay open and silent then, and each would cost a request its whole time.
     /// A new one that does not come up proves at once that nothing ran.
     pub(super) fn suspect(&self, server: ServerId, sent: Micros) {
-        if self.heard.borrow().get(&server).is_none_or(|heard| *heard < sent) {
+        if self
+            .heard
+            .borrow()
+            .get(&server)
+            .is_none_or(|heard| *heard < sent)
+        {
             self.waiting.borrow_mut().remove_server(server);
         }
     }
@@ -294,7 +350,9 @@
     }
 
     pub(super) fn are_breaking(&self) -> bool {
-        self.broke.get().is_some_and(|at| self.common.clock.now().saturating_sub(at) < BREAKING)
+        self.broke
+            .get()
+            .is_some_and(|at| self.common.clock.now().saturating_sub(at) < BREAKING)
     }
 
     /// Drops what lies idle for a server that gets nothing new any more.
@@ -324,10 +382,14 @@
         let old = |since: Micros| now.saturating_sub(since) >= self.idle_for.get();
         let mut waiting = self.waiting.borrow_mut();
         waiting.look();
-        waiting.by_server.retain(|_, of_server| !of_server.is_empty());
+        waiting
+            .by_server
+            .retain(|_, of_server| !of_server.is_empty());
         self.heard.borrow_mut().retain(|_, at| !old(*at));
         // Those that nobody has a connection to, or waits for.
-        self.servers.borrow_mut().retain(|_, server| Rc::strong_count(server) > 1);
+        self.servers
+            .borrow_mut()
+            .retain(|_, server| Rc::strong_count(server) > 1);
     }
 
     /// Makes room for a new connection. False where none is idle.
@@ -368,7 +430,10 @@
     const ENFILE: i32 = 23;
     const EMFILE: i32 = 24;
     const ENOBUFS: i32 = 105;
-    matches!(problem.raw_os_error(), Some(ENOMEM | ENFILE | EMFILE | ENOBUFS))
+    matches!(
+        problem.raw_os_error(),
+        Some(ENOMEM | ENFILE | EMFILE | ENOBUFS)
+    )
 }
 
 #[cfg(test)]
@@ -379,10 +444,20 @@
     /// A want of one's own says nothing of whoever is at the other end.
     #[test]
     fn an_own_want_is_told_from_a_server_that_fails() {
-        for (number, own) in
-            [(12, true), (23, true), (24, true), (105, true), (104, false), (110, false), (111, false)]
-        {
-            assert_eq!(is_exhausted(&Error::from_raw_os_error(number)), own, "{number}");
+        for (number, own) in [
+            (12, true),
+            (23, true),
+            (24, true),
+            (105, true),
+            (104, false),
+            (110, false),
+            (111, false),
+        ] {
+            assert_eq!(
+                is_exhausted(&Error::from_raw_os_error(number)),
+                own,
+                "{number}"
+            );
         }
     }
 }
--- a/crates/sidecar/src/counts.rs
+++ b/crates/sidecar/src/counts.rs
@@ -93,7 +93,9 @@
 
     /// A request has been taken.
     pub(super) fn open(&self) -> Open {
-        Open { _place: Rc::clone(&self.open) }
+        Open {
+            _place: Rc::clone(&self.open),
+        }
     }
 
     /// How many are open: by those that are, not by a difference.
@@ -105,13 +107,20 @@
     pub(super) fn sum(&self) -> Counts {
         let sum = Counts::default();
         sum.add(&self.unclassed);
-        self.by_class.borrow().values().for_each(|counts| sum.add(counts));
+        self.by_class
+            .borrow()
+            .values()
+            .for_each(|counts| sum.add(counts));
         sum
     }
 
     /// By class.
     pub(super) fn operations(&self) -> Vec<(String, Ended)> {
-        self.by_class.borrow().iter().map(|(name, counts)| (name.clone(), counts.ended())).collect()
+        self.by_class
+            .borrow()
+            .iter()
+            .map(|(name, counts)| (name.clone(), counts.ended()))
+            .collect()
     }
 }
 
--- a/crates/sidecar/src/drain.rs
+++ b/crates/sidecar/src/drain.rs
@@ -24,7 +24,11 @@
                 return;
             }
             if let Some(since) = duty.closes_idle_since(common.clock.now()) {
-                common.listeners.borrow().iter().for_each(|listener| listener.clients.close_idle(since));
+                common
+                    .listeners
+                    .borrow()
+                    .iter()
+                    .for_each(|listener| listener.clients.close_idle(since));
             }
         }
     });
--- a/crates/sidecar/src/exchange.rs
+++ b/crates/sidecar/src/exchange.rs
@@ -63,7 +63,10 @@
         for part in [method.as_str(), " ", target, " HTTP/1.1\r\n"] {
             head.extend_from_slice(part.as_bytes());
         }
-        Message { head, body: Bytes::new() }
+        Message {
+            head,
+            body: Bytes::new(),
+        }
     }
 
     /// Adds a header. The types see to it that neither holds the end of a line.
@@ -111,7 +114,10 @@
         if end <= head {
             return stream.try_write(&self.head[from..end]);
         }
-        let slices = [IoSlice::new(&self.head[from..]), IoSlice::new(&self.body[..end - head])];
+        let slices = [
+            IoSlice::new(&self.head[from..]),
+            IoSlice::new(&self.body[..end - head]),
+        ];
         stream.try_write_vectored(&slices)
     }
 }
@@ -144,13 +150,18 @@
             return Ok(());
         }
     }
-    progress.whole.set(write_up_to(stream, message, &mut sent, length, progress).await?);
+    progress
+        .whole
+        .set(write_up_to(stream, message, &mut sent, length, progress).await?);
     Ok(())
 }
 
 /// Writes bytes behind what has gone out already. False where the server has answered or closed before that.
 pub(super) async fn write_on(stream: &TcpStream, bytes: &[u8]) -> Result<bool, Broken> {
-    write_all(stream, &mut 0, bytes.len(), |from| stream.try_write(&bytes[from..])).await
+    write_all(stream, &mut 0, bytes.len(), |from| {
+        stream.try_write(&bytes[from..])
+    })
+    .await
 }
 
 /// False where the server has answered or closed before that.
@@ -263,7 +274,9 @@
                 Unwrapper::Over => return Ok(None),
                 Unwrapper::Close => return Ok(Some(unread.split().freeze())),
                 Unwrapper::Length(left) | Unwrapper::Chunk(left) => {
-                    let size = unread.len().min(usize::try_from(left).unwrap_or(usize::MAX));
+                    let size = unread
+                        .len()
+                        .min(usize::try_from(left).unwrap_or(usize::MAX));
                     let left = left - size as u64;
                     *self = match *self {
                         Unwrapper::Chunk(_) if left == 0 => Unwrapper::ChunkEnd,
@@ -286,7 +299,11 @@
                 Unwrapper::ChunkLine => match httparse::parse_chunk_size(unread) {
                     Ok(httparse::Status::Complete((line, size))) => {
                         unread.advance(line);
-                        *self = if size == 0 { Unwrapper::Trailers } else { Unwrapper::Chunk(size) };
+                        *self = if size == 0 {
+                            Unwrapper::Trailers
+                        } else {
+                            Unwrapper::Chunk(size)
+                        };
                     }
                     Ok(httparse::Status::Partial) if unread.len() < HEAD => return Ok(None),
                     _ => return Err(Broken::Senseless),
@@ -375,7 +392,11 @@
     }
 
     /// Reads the body, as much of it as is taken whole.
-    pub(super) async fn body(&mut self, head: &Head, stream: &mut TcpStream) -> Result<Whole, Broken> {
+    pub(super) async fn body(
+        &mut self,
+        head: &Head,
+        stream: &mut TcpStream,
+    ) -> Result<Whole, Broken> {
         let never = std::future::pending::<()>;
         match self.beginning(head, stream, never(), never).await? {
             Taken::Whole(whole) => Ok(whole),
@@ -397,7 +418,10 @@
         let mut unwrapper = Unwrapper::new(head.framing);
         let mut body = BytesMut::new();
         if matches!(head.framing, Framing::Length(length) if length > BODY) {
-            return Ok(Taken::Long { first: Bytes::new(), unwrapper });
+            return Ok(Taken::Long {
+                first: Bytes::new(),
+                unwrapper,
+            });
         }
         let mut impatient = false;
         loop {
@@ -408,7 +432,10 @@
                 return Ok(Taken::Whole(self.end(head, body.freeze())));
             }
             if body.len() > BODY || (impatient && !body.is_empty()) {
-                return Ok(Taken::Long { first: body.freeze(), unwrapper });
+                return Ok(Taken::Long {
+                    first: body.freeze(),
+                    unwrapper,
+                });
             }
             let wanted = unwrapper.left().map_or(READ, |left| left as usize);
             let mut at_end = true;
@@ -437,7 +464,9 @@
                     if !more? {
                         // Where nothing but the end of the connection tells, a stall is no end.
                         return match unwrapper {
-                            Unwrapper::Close if at_end => Ok(Taken::Whole(self.end(head, body.freeze()))),
+                            Unwrapper::Close if at_end => {
+                                Ok(Taken::Whole(self.end(head, body.freeze())))
+                            }
                             _ => Err(Broken::Connection),
                         };
                     }
@@ -448,7 +477,10 @@
 
     fn end(&self, head: &Head, body: Bytes) -> Whole {
         // What comes behind an answer would be taken for the next one.
-        Whole { body, reusable: head.stays && self.unread.is_empty() }
+        Whole {
+            body,
+            reusable: head.stays && self.unread.is_empty(),
+        }
     }
 
     /// What was read and not looked at, for whoever reads on.
@@ -490,8 +522,14 @@
         if *name == header::CONTENT_LENGTH {
             let digits = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
             let text = std::str::from_utf8(value).ok().filter(|_| digits);
-            let length = text.and_then(|text| text.parse().ok()).ok_or(Broken::Senseless)?;
-            if self.length.replace(length).is_some_and(|other| other != length) {
+            let length = text
+                .and_then(|text| text.parse().ok())
+                .ok_or(Broken::Senseless)?;
+            if self
+                .length
+                .replace(length)
+                .is_some_and(|other| other != length)
+            {
                 return Err(Broken::Senseless);
             }
         } else if *name == header::TRANSFER_ENCODING {
@@ -507,8 +545,8 @@
     }
 
     fn framing(&self, status: StatusCode) -> Framing {
-        let bare =
-            status.is_informational() || matches!(status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
+        let bare = status.is_informational()
+            || matches!(status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
         match self.length {
             _ if bare => Framing::Length(0),
             _ if self.chunked => Framing::Chunked,
@@ -532,7 +570,10 @@
         Ok(httparse::Status::Partial) => return Ok(None),
         Err(_) => return Err(Broken::Senseless),
     };
-    let status = response.code.and_then(|code| StatusCode::from_u16(code).ok()).ok_or(Broken::Senseless)?;
+    let status = response
+        .code
+        .and_then(|code| StatusCode::from_u16(code).ok())
+        .ok_or(Broken::Senseless)?;
     let newer = response.version == Some(1);
     let start = unread.as_ptr() as usize;
     let mut frame = Frame::default();
@@ -542,7 +583,11 @@
         let name = HeaderName::from_bytes(one.name.as_bytes()).map_err(|_| Broken::Senseless)?;
         if !frame.take_in(&name, one.value)? {
             // That of an empty value need not lie here at all.
-            let at = if one.value.is_empty() { 0 } else { one.value.as_ptr() as usize - start };
+            let at = if one.value.is_empty() {
+                0
+            } else {
+                one.value.as_ptr() as usize - start
+            };
             found.push((name, at, one.value.len()));
         }
     }
@@ -554,5 +599,10 @@
     }
     let framing = frame.framing(status);
     let stays = newer && framing != Framing::Close && !frame.close;
-    Ok(Some(Head { status, headers, framing, stays }))
+    Ok(Some(Head {
+        status,
+        headers,
+        framing,
+        stays,
+    }))
 }
--- a/crates/sidecar/src/feed.rs
+++ b/crates/sidecar/src/feed.rs
@@ -47,7 +47,10 @@
 }
 
 fn cut(text: &str) -> &str {
-    text.char_indices().nth(TEXT).and_then(|(end, _)| text.get(..end)).unwrap_or(text)
+    text.char_indices()
+        .nth(TEXT)
+        .and_then(|(end, _)| text.get(..end))
+        .unwrap_or(text)
 }
 
 impl Feed {
@@ -70,7 +73,10 @@
         }
         self.next.set(number + 1);
         drop(lines);
-        self.followers.borrow().values().for_each(Waker::wake_by_ref);
+        self.followers
+            .borrow()
+            .values()
+            .for_each(Waker::wake_by_ref);
     }
 
     /// The number that the next line will have.
@@ -95,7 +101,12 @@
         let id = self.last_follower.get() + 1;
         self.last_follower.set(id);
         let beat = Box::pin(tokio::time::sleep(BEAT));
-        Some(Follow { feed: Rc::clone(self), id, next: from, beat })
+        Some(Follow {
+            feed: Rc::clone(self),
+            id,
+            next: from,
+            beat,
+        })
     }
 }
 
@@ -112,7 +123,9 @@
         let (oldest, lines) = self.feed.from(self.next);
         let mut frame = BytesMut::new();
         if self.next < oldest {
-            frame.extend_from_slice(format!("{}\n", json!({"missed": oldest - self.next})).as_bytes());
+            frame.extend_from_slice(
+                format!("{}\n", json!({"missed": oldest - self.next})).as_bytes(),
+            );
             self.next = oldest;
         }
         for line in lines {
@@ -139,7 +152,10 @@
             Some(frame) => frame,
             None if own.beat.as_mut().poll(context).is_ready() => Bytes::from_static(b"\n"),
             None => {
-                own.feed.followers.borrow_mut().insert(own.id, context.waker().clone());
+                own.feed
+                    .followers
+                    .borrow_mut()
+                    .insert(own.id, context.waker().clone());
                 return Poll::Pending;
             }
         };
@@ -161,7 +177,16 @@
     use http_body_util::BodyExt;
 
     fn push(feed: &Feed, text: &str) {
-        feed.push_with(Said { at: 1, pool: "a", server: None, event: "joined", text }, &json!({}));
+        feed.push_with(
+            Said {
+                at: 1,
+                pool: "a",
+                server: None,
+                event: "joined",
+                text,
+            },
+            &json!({}),
+        );
     }
 
     #[tokio::test]
@@ -173,14 +198,24 @@
         }
         let mut told = String::new();
         while told.lines().count() < LINES + 1 {
-            let frame = follow.frame().await.expect("it goes on").expect("it can't fail");
+            let frame = follow
+                .frame()
+                .await
+                .expect("it goes on")
+                .expect("it can't fail");
             let data = frame.into_data().expect("data");
             assert!(data.len() <= FRAME);
             told += std::str::from_utf8(&data).expect("text");
         }
-        let lines: Vec<Value> = told.lines().map(|l| serde_json::from_str(l).expect("an object")).collect();
+        let lines: Vec<Value> = told
+            .lines()
+            .map(|l| serde_json::from_str(l).expect("an object"))
+            .collect();
         assert_eq!(lines[0], json!({"missed": 10}));
-        assert_eq!((&lines[1]["number"], &lines[LINES]["number"]), (&json!(10), &json!(LINES + 9)));
+        assert_eq!(
+            (&lines[1]["number"], &lines[LINES]["number"]),
+            (&json!(10), &json!(LINES + 9))
+        );
     }
 
     #[test]
@@ -198,7 +233,9 @@
     #[tokio::test]
     async fn no_more_than_a_few_follow_at_once() {
         let feed = Rc::new(Feed::default());
-        let mut all: Vec<_> = (0..FOLLOWERS).map(|_| feed.follow(0).expect("there is room")).collect();
+        let mut all: Vec<_> = (0..FOLLOWERS)
+            .map(|_| feed.follow(0).expect("there is room"))
+            .collect();
         assert!(feed.follow(0).is_none());
         all.pop();
         assert!(feed.follow(0).is_some());
--- a/crates/sidecar/src/fleet_limits.rs
+++ b/crates/sidecar/src/fleet_limits.rs
@@ -57,7 +57,10 @@
         let is_for = |limit: &&FleetLimit| {
             !limit.each_server
                 && limit.pool.fits(pool)
-                && limit.class.as_ref().is_none_or(|of| class.is_some_and(|class| of.fits(class)))
+                && limit
+                    .class
+                    .as_ref()
+                    .is_none_or(|of| class.is_some_and(|class| of.fits(class)))
                 && limit.header.as_ref().is_none_or(|(name, of)| {
                     headers
                         .get(name)
@@ -67,7 +70,10 @@
         };
         let mut let_in: Option<LetIn> = None;
         for limit in limits.iter().filter(is_for) {
-            let all = let_in.get_or_insert_with(|| LetIn { by: Rc::clone(self), limits: SmallVec::new() });
+            let all = let_in.get_or_insert_with(|| LetIn {
+                by: Rc::clone(self),
+                limits: SmallVec::new(),
+            });
             self.holder.borrow_mut().admit(now(), &limit.name)?;
             all.limits.push(limit.name.as_str().into());
         }
@@ -85,10 +91,18 @@
     ) -> Result<Option<LetIn>, Denied> {
         let limits = Rc::clone(&self.limits.borrow());
         let mut let_in: Option<LetIn> = None;
-        for limit in limits.iter().filter(|limit| limit.each_server && limit.pool.fits(pool)) {
-            let all = let_in.get_or_insert_with(|| LetIn { by: Rc::clone(self), limits: SmallVec::new() });
+        for limit in limits
+            .iter()
+            .filter(|limit| limit.each_server && limit.pool.fits(pool))
+        {
+            let all = let_in.get_or_insert_with(|| LetIn {
+                by: Rc::clone(self),
+                limits: SmallVec::new(),
+            });
             let server = server();
-            self.holder.borrow_mut().admit_at(now(), &limit.name, &server)?;
+            self.holder
+                .borrow_mut()
+                .admit_at(now(), &limit.name, &server)?;
             all.limits.push(format!("{}/{server}", limit.name).into());
         }
         Ok(let_in)
--- a/crates/sidecar/src/flow.rs
+++ b/crates/sidecar/src/flow.rs
@@ -136,7 +136,12 @@
             elapsed: now.saturating_sub(self.sent.get()),
             ended: self.over.get(),
         };
-        let ended = EndedAttempt { closed, class: self.class, cost: self.cost, sent: self.sent.get() };
+        let ended = EndedAttempt {
+            closed,
+            class: self.class,
+            cost: self.cost,
+            sent: self.sent.get(),
+        };
         self.service.attempt_ended(now, &ended);
         self.service.handle(now, Event::Closed(closed));
     }
@@ -159,7 +164,9 @@
             attempt.close(Outcome::Moot);
             return Some(match gate {
                 Gate::MayHaveRun => Answer::Failed,
-                _ => Answer::Refused { retry_after: attempt.service.retry_after() },
+                _ => Answer::Refused {
+                    retry_after: attempt.service.retry_after(),
+                },
             });
         }
         // What the disk took is no server's time.
@@ -172,7 +179,9 @@
         match limited(&attempt, &onward, exchange).await {
             Some(done) => done,
             None if progress.whole.get() => {
-                service.connections.suspect(attempt.server, attempt.sent.get());
+                service
+                    .connections
+                    .suspect(attempt.server, attempt.sent.get());
                 (Outcome::Timeout, None)
             }
             // It has not been written whole, and never will be: nothing can have run.
@@ -184,7 +193,11 @@
 }
 
 /// The time of a request whose body is passed on runs from its last byte on.
-async fn limited<T>(attempt: &Attempt, onward: &Onward, exchange: impl Future<Output = T>) -> Option<T> {
+async fn limited<T>(
+    attempt: &Attempt,
+    onward: &Onward,
+    exchange: impl Future<Output = T>,
+) -> Option<T> {
     let common = &attempt.service.common;
     let Some(passing) = onward.body.passing() else {
         return common.until(attempt.timeout_at, exchange).await;
@@ -196,7 +209,9 @@
         if let Poll::Ready(done) = exchange.as_mut().poll(context) {
             return Poll::Ready(Some(done));
         }
-        let Some(whole) = passing.whole.get() else { return Poll::Pending };
+        let Some(whole) = passing.whole.get() else {
+            return Poll::Pending;
+        };
         let alarm = alarm.get_or_insert_with(|| common.alarm(whole.saturating_add(wait)));
         Pin::new(alarm).poll(context).map(|()| None)
     })
@@ -207,8 +222,14 @@
 
 async fn exchange(attempt: &Attempt, onward: &Onward, progress: &Progress) -> Ended {
     let service = &attempt.service;
-    let Some(address) = service.pool.address(attempt.server) else { return (Outcome::Moot, None) };
-    if onward.body.passing().is_some_and(|passing| !passing.can_be_sent()) {
+    let Some(address) = service.pool.address(attempt.server) else {
+        return (Outcome::Moot, None);
+    };
+    if onward
+        .body
+        .passing()
+        .is_some_and(|passing| !passing.can_be_sent())
+    {
         return (Outcome::Moot, None);
     }
     // What this fleet may send to the server is spent: nothing was sent, and the module may choose another.
@@ -216,10 +237,14 @@
     let Ok(_open) = limits.admit_at(&service.name, || service.pool.name(attempt.server)) else {
         return (Outcome::Moot, None);
     };
-    let left = attempt.timeout_at.saturating_sub(attempt.sent.get()).div_ceil(1_000);
+    let left = attempt
+        .timeout_at
+        .saturating_sub(attempt.sent.get())
+        .div_ceil(1_000);
     // What may have run must not run twice: a break that comes before the last byte proves that it has not.
-    let held =
-        onward.unsafe_to_repeat && service.connections.are_breaking() && !onward.body.at_hand().is_empty();
+    let held = onward.unsafe_to_repeat
+        && service.connections.are_breaking()
+        && !onward.body.at_hand().is_empty();
     let held = held && onward.body.passing().is_none();
     let message = message(onward, address, left);
     let (mut lease, mut answer, head) = loop {
@@ -230,7 +255,10 @@
             // Or its idempotency window ends: servers that have forgotten the first attempt would run this one.
             Some(Err(NoConnection::Exhausted)) | None => return (Outcome::Moot, None),
         };
-        if !service.pool.takes_new(attempt.server, address, &service.common.steering.borrow()) {
+        if !service
+            .pool
+            .takes_new(attempt.server, address, &service.common.steering.borrow())
+        {
             return (Outcome::Moot, None);
         }
         onward.while_asked_for().await;
@@ -271,7 +299,14 @@
                 }
                 // With the last byte on its way it may have run: an unsafe request must not go out again.
                 let whole = progress.whole.get();
-                return (if whole { Outcome::Reset } else { Outcome::ConnectFailed }, None);
+                return (
+                    if whole {
+                        Outcome::Reset
+                    } else {
+                        Outcome::ConnectFailed
+                    },
+                    None,
+                );
             }
         }
     };
@@ -299,13 +334,24 @@
             judge(head.status, head.headers, body, onward.reading)
         }
         // Read to its end by whoever is the client; of one that is no answer nothing is wanted.
-        Taken::Long { first, unwrapper } if head.status == StatusCode::OK && onward.reading.passes_on() => {
+        Taken::Long { first, unwrapper }
+            if head.status == StatusCode::OK && onward.reading.passes_on() =>
+        {
             let reusable = head.stays && whole;
             let unread = answer.into_unread();
             let (service, server) = (Rc::clone(service), attempt.server);
             let lease = Some(lease);
-            let passing =
-                Passing { service, server, address, lease, reusable, unread, unwrapper, first, held: None };
+            let passing = Passing {
+                service,
+                server,
+                address,
+                lease,
+                reusable,
+                unread,
+                unwrapper,
+                first,
+                held: None,
+            };
             let mut response = Response::new(Reply::Passing(Box::new(passing)));
             *response.headers_mut() = head.headers;
             (Outcome::Ok, Some(response))
@@ -327,13 +373,17 @@
     progress: &Progress,
 ) -> Result<(), Broken> {
     let service = &attempt.service;
-    let Some(mut reader) = passing.take() else { return Ok(()) };
+    let Some(mut reader) = passing.take() else {
+        return Ok(());
+    };
     let chunked = passing.length == Length::Chunked;
     let mut result = Ok(());
     let whole = loop {
         let piece = {
-            let (mut next, mut speaks) =
-                (pin!(reader.next(&service.common)), pin!(readiness::peer_spoke(stream)));
+            let (mut next, mut speaks) = (
+                pin!(reader.next(&service.common)),
+                pin!(readiness::peer_spoke(stream)),
+            );
             poll_fn(|context| match next.as_mut().poll(context) {
                 Poll::Ready(piece) => Poll::Ready(Some(piece)),
                 Poll::Pending => speaks.as_mut().poll(context).map(|()| None),
@@ -349,7 +399,10 @@
                 }
                 (if chunked { chunk(&data) } else { data }, false)
             }
-            Ok(None) => (Bytes::from_static(if chunked { b"0\r\n\r\n" } else { b"" }), true),
+            Ok(None) => (
+                Bytes::from_static(if chunked { b"0\r\n\r\n" } else { b"" }),
+                true,
+            ),
             Err(reject) => {
                 passing.broken.replace(Some(reject));
                 // With its client's part missing there is nothing to wait for.
@@ -357,7 +410,10 @@
                 break false;
             }
         };
-        let written = service.common.within(TAKES_WITHIN, exchange::write_on(stream, &bytes)).await;
+        let written = service
+            .common
+            .within(TAKES_WITHIN, exchange::write_on(stream, &bytes))
+            .await;
         match written.unwrap_or(Err(Broken::Connection)) {
             Ok(true) if last => break true,
             Ok(true) => {}
@@ -389,7 +445,10 @@
 }
 
 fn message(onward: &Onward, address: SocketAddr, left_ms: u64) -> Message {
-    let target = onward.uri.path_and_query().map_or("/", PathAndQuery::as_str);
+    let target = onward
+        .uri
+        .path_and_query()
+        .map_or("/", PathAndQuery::as_str);
     let mut message = Message::new(&onward.method, target);
     for (name, value) in &onward.headers {
         if *name != EXPIRES && !HOP.contains(name) {
@@ -406,7 +465,10 @@
     match onward.body.passing().map(|passing| passing.length) {
         Some(Length::Known(length)) => message.number(&header::CONTENT_LENGTH, length),
         Some(Length::Chunked) => {
-            message.header(&header::TRANSFER_ENCODING, &HeaderValue::from_static("chunked"));
+            message.header(
+                &header::TRANSFER_ENCODING,
+                &HeaderValue::from_static("chunked"),
+            );
             message.end(chunk(&body));
             return message;
         }
@@ -424,13 +486,17 @@
     let is_answer = match reading {
         Reading::Plain => status == StatusCode::OK,
         Reading::Graphql { hash_only } => {
-            let media = headers.get(header::CONTENT_TYPE).and_then(|media| media.to_str().ok());
+            let media = headers
+                .get(header::CONTENT_TYPE)
+                .and_then(|media| media.to_str().ok());
             // A server's "not found" is an answer too: nothing ran, and the client knows what to send.
             madderloom_graphql::judge(status.as_u16(), media, &body, hash_only) != Verdict::Failure
         }
     };
     match status {
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if never_ran => (Outcome::Full, None),
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if never_ran => {
+            (Outcome::Full, None)
+        }
         _ if is_answer => {
             let mut answer = Response::new(Reply::Whole(Full::new(body)));
             *answer.status_mut() = status;
--- a/crates/sidecar/src/graphql.rs
+++ b/crates/sidecar/src/graphql.rs
@@ -11,8 +11,8 @@
 use super::transaction::{self, Answer};
 use super::upload::Upload;
 use super::virtual_server::{
-    MARGIN, OpenId, Reject, TRACE_ID, admit, length, let_in, next_request, note, seconds, senseless,
-    time_left, whole,
+    MARGIN, OpenId, Reject, TRACE_ID, admit, length, let_in, next_request, note, seconds,
+    senseless, time_left, whole,
 };
 use bytes::Bytes;
 use http_body_util::Full;
@@ -55,8 +55,13 @@
         let left = time_left(&head.headers)?;
         let size = length(body.as_ref(), &head.headers, manner.message_size)?;
         // Its operations have their classes only once it is read: limits of classes are not for it.
-        let held = (admit(listener, service, came, size as u64)?, let_in(service, None, &head.headers)?);
-        let id = id(&head.headers)?.map(|id| OpenId::new(service, id)).transpose()?;
+        let held = (
+            admit(listener, service, came, size as u64)?,
+            let_in(service, None, &head.headers)?,
+        );
+        let id = id(&head.headers)?
+            .map(|id| OpenId::new(service, id))
+            .transpose()?;
         let body = if size > 0 {
             whole(&listener.common, body.take(), manner.body_within).await?
         } else {
@@ -83,7 +88,14 @@
     // An absolute target names this sidecar; the node is to see the path alone.
     let path = std::mem::take(&mut head.uri).into_parts().path_and_query;
     head.uri = path.map_or_else(|| Uri::from_static("/"), Uri::from);
-    let asked = Asked { client, service, head, came, left, media };
+    let asked = Asked {
+        client,
+        service,
+        head,
+        came,
+        left,
+        media,
+    };
     match to_send {
         ToSend::Whole(message, operations) => {
             match asked.run(&message, asked.head.headers.clone(), None).await {
@@ -113,21 +125,37 @@
 
 /// What to send for a message; an error without a rejection where nothing knows GraphQL any more.
 fn plan(service: &Service, head: &Parts, body: &Bytes) -> Result<ToSend, Option<Rejection>> {
-    let message = Message { method: &head.method, query: head.uri.query(), headers: &head.headers, body };
+    let message = Message {
+        method: &head.method,
+        query: head.uri.query(),
+        headers: &head.headers,
+        body,
+    };
     let mut front = service.graphql.borrow_mut();
-    Ok(match front.as_mut().ok_or(None)?.take(&message).map_err(Some)? {
-        Plan::Whole { classed, operations, hash_only } => {
-            ToSend::Whole(ToServer { classed, body: body.clone(), hash_only }, operations)
-        }
-        Plan::Split(parts) => {
-            let own = |part: Part<'_>| ToServer {
-                classed: part.classed,
-                body: body.slice_ref(part.body),
-                hash_only: part.hash_only,
-            };
-            ToSend::Parts(parts.into_iter().map(|part| part.map(own)).collect())
-        }
-    })
+    Ok(
+        match front.as_mut().ok_or(None)?.take(&message).map_err(Some)? {
+            Plan::Whole {
+                classed,
+                operations,
+                hash_only,
+            } => ToSend::Whole(
+                ToServer {
+                    classed,
+                    body: body.clone(),
+                    hash_only,
+                },
+                operations,
+            ),
+            Plan::Split(parts) => {
+                let own = |part: Part<'_>| ToServer {
+                    classed: part.classed,
+                    body: body.slice_ref(part.body),
+                    hash_only: part.hash_only,
+                };
+                ToSend::Parts(parts.into_iter().map(|part| part.map(own)).collect())
+            }
+        },
+    )
 }
 
 impl Asked<'_> {
@@ -145,21 +173,34 @@
         }
         let _open = service.counts.open();
         let now = service.common.clock.now();
-        let usual = service.tuned().at(classed.class).map_or(0, |entry| entry.class.deadline);
+        let usual = service
+            .tuned()
+            .at(classed.class)
+            .map_or(0, |entry| entry.class.deadline);
         let new = NewRequest {
             id: next_request(service),
             class: classed.class,
             tenant: 0,
             key: classed.key.or_else(|| subject(&headers)),
-            time_left: service
-                .common
-                .time_left(now, self.left.unwrap_or(usual).saturating_sub(MARGIN + (now - self.came))),
+            time_left: service.common.time_left(
+                now,
+                self.left
+                    .unwrap_or(usual)
+                    .saturating_sub(MARGIN + (now - self.came)),
+            ),
             cost: classed.cost,
-            repeat: headers.get("x-second-try").is_some_and(|second| second == "1"),
+            repeat: headers
+                .get("x-second-try")
+                .is_some_and(|second| second == "1"),
         };
         let is_unsafe = classed.effect == Effect::Unsafe;
-        let entry = if is_unsafe { Entry::of(service, &headers, part) } else { Ok(None) };
-        let entry = entry.map_err(|_| Fault::bad("the id of what must not run twice is over 1,024 bytes"))?;
+        let entry = if is_unsafe {
+            Entry::of(service, &headers, part)
+        } else {
+            Ok(None)
+        };
+        let entry = entry
+            .map_err(|_| Fault::bad("the id of what must not run twice is over 1,024 bytes"))?;
         let onward = Onward {
             client: Rc::clone(self.client),
             method: self.head.method.clone(),
@@ -167,7 +208,9 @@
             headers,
             body: Upload::Kept(message.body.clone()),
             unsafe_to_repeat: is_unsafe,
-            reading: Reading::Graphql { hash_only: message.hash_only },
+            reading: Reading::Graphql {
+                hash_only: message.hash_only,
+            },
             entry,
         };
         match transaction::run(service, now, new, Rc::new(onward)).await {
@@ -188,15 +231,26 @@
 
     /// A transaction for each operation of a batch, and one answer of all of theirs.
     async fn run_apart(&self, parts: Vec<Result<ToServer, Fault>>) -> Response<Body> {
-        let effects: Vec<Effect> =
-            parts.iter().map(|part| part.as_ref().map_or(Effect::Safe, |part| part.classed.effect)).collect();
+        let effects: Vec<Effect> = parts
+            .iter()
+            .map(|part| {
+                part.as_ref()
+                    .map_or(Effect::Safe, |part| part.classed.effect)
+            })
+            .collect();
         let mut answers = Vec::with_capacity(parts.len());
         for stage in stages(&effects) {
-            let running = parts.get(stage.clone()).unwrap_or_default().iter().zip(stage);
+            let running = parts
+                .get(stage.clone())
+                .unwrap_or_default()
+                .iter()
+                .zip(stage);
             let running = running.map(|(part, number)| -> Pin<Box<dyn Future<Output = _> + '_>> {
                 Box::pin(async move {
                     let message = part.as_ref().map_err(Fault::clone)?;
-                    let served = self.run(message, self.headers_of(number), Some(number)).await?;
+                    let served = self
+                        .run(message, self.headers_of(number), Some(number))
+                        .await?;
                     let (head, body) = served.into_parts();
                     Ok((head.status.as_u16(), collected(body).await))
                 })
@@ -206,7 +260,10 @@
         let told: Vec<PartAnswer<'_>> = answers
             .iter()
             .map(|answer| match answer {
-                Ok((status, body)) => PartAnswer::Served { status: *status, body },
+                Ok((status, body)) => PartAnswer::Served {
+                    status: *status,
+                    body,
+                },
                 Err(fault) => PartAnswer::Fault(Fault::clone(fault)),
             })
             .collect();
@@ -250,12 +307,20 @@
 async fn all<T>(mut futures: Vec<Pin<Box<dyn Future<Output = T> + '_>>>) -> Vec<T> {
     let mut done: Vec<Option<T>> = futures.iter().map(|_| None).collect();
     std::future::poll_fn(|context| {
-        for (future, done) in futures.iter_mut().zip(&mut done).filter(|(_, done)| done.is_none()) {
+        for (future, done) in futures
+            .iter_mut()
+            .zip(&mut done)
+            .filter(|(_, done)| done.is_none())
+        {
             if let Poll::Ready(output) = future.as_mut().poll(context) {
                 *done = Some(output);
             }
         }
-        if done.iter().all(Option::is_some) { Poll::Ready(()) } else { Poll::Pending }
+        if done.iter().all(Option::is_some) {
+            Poll::Ready(())
+        } else {
+            Poll::Pending
+        }
     })
     .await;
     done.into_iter().flatten().collect()
@@ -263,12 +328,19 @@
 
 fn rejected(reject: Reject, media: Media) -> Response<Body> {
     match reject {
-        Reject::Refused(_, retry_after) => response(Reply::of(&Fault::refused(retry_after), None, media)),
+        Reject::Refused(_, retry_after) => {
+            response(Reply::of(&Fault::refused(retry_after), None, media))
+        }
         Reject::Senseless(status, problem) => {
-            let reply = Reply { status: status.as_u16(), ..Reply::of(&Fault::bad(problem), None, media) };
+            let reply = Reply {
+                status: status.as_u16(),
+                ..Reply::of(&Fault::bad(problem), None, media)
+            };
             let mut response = response(reply);
             // What else comes on the connection may be a part of the message.
-            response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
+            response
+                .headers_mut()
+                .insert(header::CONNECTION, HeaderValue::from_static("close"));
             response
         }
     }
@@ -276,9 +348,13 @@
 
 fn response(reply: Reply) -> Response<Body> {
     let mut response = Response::new(Body::Whole(Full::new(Bytes::from(reply.body))));
-    *response.status_mut() = StatusCode::from_u16(reply.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
+    *response.status_mut() =
+        StatusCode::from_u16(reply.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let headers = response.headers_mut();
-    headers.insert(header::CONTENT_TYPE, HeaderValue::from_static(reply.media.content_type()));
+    headers.insert(
+        header::CONTENT_TYPE,
+        HeaderValue::from_static(reply.media.content_type()),
+    );
     if let Some(allow) = reply.allow {
         headers.insert(header::ALLOW, HeaderValue::from_static(allow));
     }
--- a/crates/sidecar/src/heads.rs
+++ b/crates/sidecar/src/heads.rs
@@ -30,7 +30,10 @@
 
 impl Default for Heads {
     fn default() -> Self {
-        Heads { at: At::Head, unread: BytesMut::new() }
+        Heads {
+            at: At::Head,
+            unread: BytesMut::new(),
+        }
     }
 }
 
@@ -41,7 +44,9 @@
             match &mut self.at {
                 At::Lost => return false,
                 At::Length(left) => {
-                    let part = bytes.len().min(usize::try_from(*left).unwrap_or(usize::MAX));
+                    let part = bytes
+                        .len()
+                        .min(usize::try_from(*left).unwrap_or(usize::MAX));
                     *left -= part as u64;
                     bytes = &bytes[part..];
                     if *left > 0 {
@@ -115,8 +120,12 @@
         _ => return Err(()),
     };
     let values = |wanted: &str| {
-        let of = request.headers.iter().filter(|header| header.name.eq_ignore_ascii_case(wanted));
-        of.map(|header| header.value.trim_ascii()).collect::<smallvec::SmallVec<[&[u8]; 2]>>()
+        let of = request
+            .headers
+            .iter()
+            .filter(|header| header.name.eq_ignore_ascii_case(wanted));
+        of.map(|header| header.value.trim_ascii())
+            .collect::<smallvec::SmallVec<[&[u8]; 2]>>()
     };
     let (lengths, codings) = (values("content-length"), values("transfer-encoding"));
     match (&lengths[..], &codings[..]) {
@@ -125,7 +134,10 @@
             Ok(Some((length, At::Chunks(Unwrapper::ChunkLine))))
         }
         ([one], []) if !one.is_empty() && one.iter().all(u8::is_ascii_digit) => {
-            let left = std::str::from_utf8(one).ok().and_then(|digits| digits.parse().ok()).ok_or(())?;
+            let left = std::str::from_utf8(one)
+                .ok()
+                .and_then(|digits| digits.parse().ok())
+                .ok_or(())?;
             Ok(Some((length, At::Length(left))))
         }
         _ => Err(()),
@@ -150,8 +162,17 @@
         let hidden = all.clone() + &both("Transfer-Encoding: chunked", "Content-Length: 5");
         for size in 1..hidden.len() {
             let (mut sound, mut odd) = (Heads::default(), Heads::default());
-            assert!(all.as_bytes().chunks(size).all(|piece| sound.follow(piece)), "in {size}s");
-            assert!(!hidden.as_bytes().chunks(size).all(|piece| odd.follow(piece)), "in {size}s");
+            assert!(
+                all.as_bytes().chunks(size).all(|piece| sound.follow(piece)),
+                "in {size}s"
+            );
+            assert!(
+                !hidden
+                    .as_bytes()
+                    .chunks(size)
+                    .all(|piece| odd.follow(piece)),
+                "in {size}s"
+            );
         }
     }
 
@@ -167,7 +188,10 @@
             ("Content-Length: +5", "X-B: 1"),
         ] {
             let mut heads = Heads::default();
-            assert!(!heads.follow(both(first, second).as_bytes()), "{first}, {second}");
+            assert!(
+                !heads.follow(both(first, second).as_bytes()),
+                "{first}, {second}"
+            );
             assert!(!heads.follow(PLAIN.as_bytes()), "it was forgotten");
         }
         let mut heads = Heads::default();
--- a/crates/sidecar/src/kept.rs
+++ b/crates/sidecar/src/kept.rs
@@ -50,7 +50,10 @@
 
     #[test]
     fn a_task_that_ends_or_panics_begins_again_and_ends_with_its_keeper() {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build().expect("a runtime");
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_time()
+            .build()
+            .expect("a runtime");
         let (begun, dropped) = (Rc::new(Cell::new(0)), Rc::new(()));
         tokio::task::LocalSet::new().block_on(&runtime, async {
             let (own, held) = (Rc::clone(&begun), Rc::clone(&dropped));
--- a/crates/sidecar/src/ledger.rs
+++ b/crates/sidecar/src/ledger.rs
@@ -10,7 +10,9 @@
 use hyper::header::HeaderName;
 use madderloom_ledger::{Begin, Id, Ledger, LongId, Mode, Next, Recollection, recollect};
 use madderloom_operator::State;
-use madderloom_store::{Batch, Disk, Durability, Error, GroupCommit, Options, RealDisk, Status, Store};
+use madderloom_store::{
+    Batch, Disk, Durability, Error, GroupCommit, Options, RealDisk, Status, Store,
+};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::io::ErrorKind;
@@ -85,16 +87,23 @@
     /// Opens the store, and writes to it once: a directory that can't be written is told of at the start. Blocks.
     pub(super) fn open(state: State) -> Result<Rc<Self>, String> {
         let keeper = Keeper::without_store(state);
-        let Err(error) = open_store(&keeper.state.borrow().dir).and_then(|store| keeper.begin_with(store))
+        let Err(error) =
+            open_store(&keeper.state.borrow().dir).and_then(|store| keeper.begin_with(store))
         else {
             return Ok(Rc::new(keeper));
         };
         let next = match error {
             Error::Damaged(_) => "; see `madderloom store verify` and `salvage`",
-            Error::Io { kind: ErrorKind::NotFound, .. } => "; make the directory first",
+            Error::Io {
+                kind: ErrorKind::NotFound,
+                ..
+            } => "; make the directory first",
             _ => "",
         };
-        let told = format!("state.dir: {}: {error}{next}", keeper.state.borrow().dir.display());
+        let told = format!(
+            "state.dir: {}: {error}{next}",
+            keeper.state.borrow().dir.display()
+        );
         if is_lasting(&error) {
             return Err(told);
         }
@@ -125,11 +134,15 @@
         let base = ledger.time(0);
         self.ledger.replace(ledger);
         // What can't be read is not remembered.
-        self.recollections.replace(recollect(&snapshot).unwrap_or_default());
-        let orders = snapshot.scan(ORDERS.as_bytes(), 0).flatten().map(|(key, orders)| {
-            let name = key.get(ORDERS.len()..).unwrap_or_default();
-            (String::from_utf8_lossy(name).into_owned(), orders)
-        });
+        self.recollections
+            .replace(recollect(&snapshot).unwrap_or_default());
+        let orders = snapshot
+            .scan(ORDERS.as_bytes(), 0)
+            .flatten()
+            .map(|(key, orders)| {
+                let name = key.get(ORDERS.len()..).unwrap_or_default();
+                (String::from_utf8_lossy(name).into_owned(), orders)
+            });
         self.orders.replace(orders.collect());
         let store = GroupCommit::start(store, WAITING, move || base.saturating_add(micros(began)))?;
         self.store.replace(Some(Box::new(store)));
@@ -156,7 +169,9 @@
 
     /// Hears which records were taken away. To be run for as long as the process serves.
     pub(super) async fn run(self: Rc<Self>) {
-        let Some(mut told) = self.to_withdraw.take() else { return };
+        let Some(mut told) = self.to_withdraw.take() else {
+            return;
+        };
         while let Some((id, done)) = told.recv().await {
             self.ledger.borrow_mut().withdrawn(&id, &done);
         }
@@ -170,7 +185,10 @@
         done: impl FnOnce(Done) + Send + 'static,
     ) -> Result<(), Error> {
         let store = self.store.borrow();
-        store.as_ref().ok_or(Error::Closed)?.submit(batch, durability, Box::new(done))
+        store
+            .as_ref()
+            .ok_or(Error::Closed)?
+            .submit(batch, durability, Box::new(done))
     }
 
     /// Writes a batch. What is not written within a while is as good as refused, though it may be written yet.
@@ -211,7 +229,10 @@
     /// What the admin view shows of it.
     pub(super) fn view(&self) -> serde_json::Value {
         let (ledger, store) = (self.ledger.borrow(), self.store.borrow());
-        let status = store.as_ref().map(|store| store.status()).unwrap_or_default();
+        let status = store
+            .as_ref()
+            .map(|store| store.status())
+            .unwrap_or_default();
         let told = |error: Option<Error>| error.map(|e| e.to_string());
         serde_json::json!({
             "directory": self.state.borrow().dir.display().to_string(),
@@ -225,20 +246,30 @@
 
     /// Flushes and closes the store, unless its disk hangs: then the process ends without.
     pub(super) fn close(&self) {
-        let Some(store) = self.store.take() else { return };
+        let Some(store) = self.store.take() else {
+            return;
+        };
         let (told, closed) = std::sync::mpsc::channel();
         let close = move || {
             drop(store);
             let _ = told.send(());
         };
-        if std::thread::Builder::new().name("store-end".to_string()).spawn(close).is_ok() {
+        if std::thread::Builder::new()
+            .name("store-end".to_string())
+            .spawn(close)
+            .is_ok()
+        {
             let _ = closed.recv_timeout(CLOSED_WITHIN);
         }
     }
 }
 
 fn headers(state: &State) -> Vec<HeaderName> {
-    state.ids.iter().filter_map(|name| HeaderName::try_from(name.as_str()).ok()).collect()
+    state
+        .ids
+        .iter()
+        .filter_map(|name| HeaderName::try_from(name.as_str()).ok())
+        .collect()
 }
 
 fn micros(since: Instant) -> u64 {
@@ -249,11 +280,22 @@
 fn open_store(dir: &Path) -> Result<Store<RealDisk>, Error> {
     let disk = RealDisk::open(dir).map_err(|e| {
         let (file, problem) = ("directory".to_string(), e.to_string());
-        Error::Io { file, kind: e.kind(), problem }
+        Error::Io {
+            file,
+            kind: e.kind(),
+            problem,
+        }
     })?;
     let mut store = Store::open(disk, Options::default())?;
     let mut start = Batch::new();
-    start.put("start", std::time::UNIX_EPOCH.elapsed().unwrap_or_default().as_secs().to_string());
+    start.put(
+        "start",
+        std::time::UNIX_EPOCH
+            .elapsed()
+            .unwrap_or_default()
+            .as_secs()
+            .to_string(),
+    );
     match store.write(&start, Durability::Durable) {
         Err(error) if is_lasting(&error) => Err(error),
         // Full, or failing: what is there can be read, and the rest may get better.
@@ -267,7 +309,10 @@
     use ErrorKind::{NotADirectory, NotFound, PermissionDenied, ReadOnlyFilesystem};
     match error {
         Error::Io { kind, .. } => {
-            matches!(kind, NotADirectory | NotFound | PermissionDenied | ReadOnlyFilesystem)
+            matches!(
+                kind,
+                NotADirectory | NotFound | PermissionDenied | ReadOnlyFilesystem
+            )
         }
         Error::Damaged(_) | Error::Newer { .. } | Error::Locked => true,
         _ => false,
@@ -311,17 +356,28 @@
         part: Option<usize>,
     ) -> Result<Option<Self>, LongId> {
         let mode = service.kept.get().ledger;
-        let Some(keeper) = service.common.keeper.get().filter(|_| mode != Mode::Off) else { return Ok(None) };
+        let Some(keeper) = service.common.keeper.get().filter(|_| mode != Mode::Off) else {
+            return Ok(None);
+        };
         let ids = keeper.ids.borrow();
-        let mut given = ids.iter().filter_map(|name| Some((name, headers.get(name)?)));
-        let Some((name, value)) = given.find(|(_, value)| !value.is_empty()) else { return Ok(None) };
+        let mut given = ids
+            .iter()
+            .filter_map(|name| Some((name, headers.get(name)?)));
+        let Some((name, value)) = given.find(|(_, value)| !value.is_empty()) else {
+            return Ok(None);
+        };
         // With its header before it, no id of one sort is taken for one of another.
         let mut id = [name.as_str().as_bytes(), b"\0", value.as_bytes()].concat();
         if let Some(part) = part {
             id.extend_from_slice(format!("\0{part}").as_bytes());
         }
         let id = Id::new(&service.name, &id)?;
-        Ok(Some(Entry { keeper: Rc::clone(keeper), id, mode, stand: Cell::new(Stand::New) }))
+        Ok(Some(Entry {
+            keeper: Rc::clone(keeper),
+            id,
+            mode,
+            stand: Cell::new(Stand::New),
+        }))
     }
 
     /// To be passed before anything is sent. Later attempts of the same request pass at once.
@@ -393,7 +449,9 @@
     /// It never ran: its record is to go, also where it is still on its way.
     fn withdraw(&self) {
         self.stand.set(Stand::Ended);
-        let Some(batch) = self.keeper.ledger.borrow_mut().never_ran(&self.id) else { return };
+        let Some(batch) = self.keeper.ledger.borrow_mut().never_ran(&self.id) else {
+            return;
+        };
         let (told, id) = (self.keeper.withdrawn.clone(), self.id.clone());
         // Nobody hears it once the process stops; refused at once, it stays remembered as one that never ran.
         let _ = self.keeper.submit(batch, Durability::Relaxed, move |done| {
@@ -424,7 +482,10 @@
             dir: "state".into(),
             usual: madderloom_operator::Kept::default(),
             ids: Vec::new(),
-            rules: Rules { window: 60_000_000, most: 1_000 },
+            rules: Rules {
+                window: 60_000_000,
+                most: 1_000,
+            },
             warm_every: madderloom_config::Span::s(5),
             aging: Aging { half: 1, oldest: 1 },
         })
@@ -433,7 +494,11 @@
     fn over(disk: &SimDisk) -> Rc<Keeper> {
         let keeper = keeper();
         // So little is reserved ahead that a full disk is met at once.
-        let options = Options { segment: 1 << 20, reserve: 64, ..Options::default() };
+        let options = Options {
+            segment: 1 << 20,
+            reserve: 64,
+            ..Options::default()
+        };
         let store = Store::open(disk.clone(), options).expect("it opens");
         keeper.begin_with(store).expect("its thread starts");
         Rc::new(keeper)
@@ -441,11 +506,19 @@
 
     fn entry(keeper: &Rc<Keeper>, mode: Mode, name: &str) -> Entry {
         let id = Id::new("pay", name.as_bytes()).expect("it is short");
-        Entry { keeper: Rc::clone(keeper), id, mode, stand: Cell::new(Stand::New) }
+        Entry {
+            keeper: Rc::clone(keeper),
+            id,
+            mode,
+            stand: Cell::new(Stand::New),
+        }
     }
 
     fn run<T>(task: impl Future<Output = T>) -> T {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()
+            .expect("a runtime");
         runtime.block_on(task)
     }
 
@@ -457,7 +530,12 @@
             Records::begin(&self.0, ledger, id, mode, now)
         }
 
-        fn submit(&self, _: Batch, _: Durability, done: Box<dyn FnOnce(Done) + Send>) -> Result<(), Error> {
+        fn submit(
+            &self,
+            _: Batch,
+            _: Durability,
+            done: Box<dyn FnOnce(Done) + Send>,
+        ) -> Result<(), Error> {
             std::mem::forget(done);
             Ok(())
         }
@@ -471,8 +549,9 @@
     fn many_requests_wait_for_one_flush() {
         let keeper = over(&SimDisk::new());
         run(async {
-            let entries: Vec<Entry> =
-                (0..200).map(|n| entry(&keeper, Mode::Durable, &n.to_string())).collect();
+            let entries: Vec<Entry> = (0..200)
+                .map(|n| entry(&keeper, Mode::Durable, &n.to_string()))
+                .collect();
             let mut passing: Vec<_> = entries.iter().map(|entry| Box::pin(entry.pass())).collect();
             // All have handed their records over before the first hears.
             let waker = std::task::Waker::noop();
@@ -482,9 +561,18 @@
             for passing in passing {
                 let _ = passing.await;
             }
-            assert!(entries.iter().all(|entry| entry.stand.get() == Stand::MaySend));
+            assert!(
+                entries
+                    .iter()
+                    .all(|entry| entry.stand.get() == Stand::MaySend)
+            );
         });
-        let status = keeper.store.borrow().as_ref().map(|store| store.status()).expect("it is open");
+        let status = keeper
+            .store
+            .borrow()
+            .as_ref()
+            .map(|store| store.status())
+            .expect("it is open");
         assert!(status.batches == 200 && status.groups < 200, "{status:?}");
     }
 
@@ -495,14 +583,20 @@
         let disk = SimDisk::new();
         let keeper = over(&disk);
         run(async {
-            assert_eq!(entry(&keeper, Mode::Durable, "before").pass().await, Gate::Open);
+            assert_eq!(
+                entry(&keeper, Mode::Durable, "before").pass().await,
+                Gate::Open
+            );
             if full {
                 disk.set_room(Some(0));
             } else {
                 // The write itself succeeds, its flush does not.
                 disk.fail_in(2, ErrorKind::Other);
             }
-            assert_eq!(entry(&keeper, Mode::Durable, "a").pass().await, Gate::Refused);
+            assert_eq!(
+                entry(&keeper, Mode::Durable, "a").pass().await,
+                Gate::Refused
+            );
             assert!(keeper.refusing.get());
             if full {
                 assert_eq!(entry(&keeper, Mode::Relaxed, "b").pass().await, Gate::Open);
@@ -522,11 +616,23 @@
         keeper.store.replace(Some(Box::new(hung)));
         let keeper = Rc::new(keeper);
         run(async {
-            let (durable, relaxed) = (entry(&keeper, Mode::Durable, "a"), entry(&keeper, Mode::Relaxed, "b"));
-            assert_eq!(tokio::join!(durable.pass(), relaxed.pass()), (Gate::Refused, Gate::Open));
+            let (durable, relaxed) = (
+                entry(&keeper, Mode::Durable, "a"),
+                entry(&keeper, Mode::Relaxed, "b"),
+            );
+            assert_eq!(
+                tokio::join!(durable.pass(), relaxed.pass()),
+                (Gate::Refused, Gate::Open)
+            );
             // One that was refused was not sent: it may come again.
-            assert_eq!(entry(&keeper, Mode::Durable, "b").pass().await, Gate::MayHaveRun);
-            assert_eq!(entry(&keeper, Mode::Durable, "a").pass().await, Gate::Refused);
+            assert_eq!(
+                entry(&keeper, Mode::Durable, "b").pass().await,
+                Gate::MayHaveRun
+            );
+            assert_eq!(
+                entry(&keeper, Mode::Durable, "a").pass().await,
+                Gate::Refused
+            );
         });
     }
 
--- a/crates/sidecar/src/levels.rs
+++ b/crates/sidecar/src/levels.rs
@@ -40,7 +40,8 @@
             let time = clock_gettime(ClockId::ThreadCPUTime);
             let used = (time.tv_sec as u64).saturating_mul(1_000_000) + time.tv_nsec as u64 / 1_000;
             if let Some((at, before)) = self.seen.replace(Some((now, used))) {
-                self.share.set(Some(used.saturating_sub(before) as f64 / (now - at) as f64));
+                self.share
+                    .set(Some(used.saturating_sub(before) as f64 / (now - at) as f64));
             }
         }
         self.share.get()
@@ -89,14 +90,21 @@
     let now = service.common.clock.now();
     let numbers = service.allowance.open();
     let part = |used: f64, most: f64| if most > 0.0 { used / most } else { 1.0 };
-    let own = part(service.transactions.borrow().len() as f64, service.tuned().site.max_open as f64);
+    let own = part(
+        service.transactions.borrow().len() as f64,
+        service.tuned().site.max_open as f64,
+    );
     let outside = Outside {
         failing: service.failing(now),
         open: Some(part(numbers.used as f64, numbers.part.most as f64).max(own)),
         cpu: service.common.processor.share(now),
         list_age: service.list_age(now),
     };
-    let change = service.keeper.borrow_mut().as_mut().and_then(|keeper| keeper.look(now, &outside));
+    let change = service
+        .keeper
+        .borrow_mut()
+        .as_mut()
+        .and_then(|keeper| keeper.look(now, &outside));
     if change.is_some() {
         tell(service, change.as_ref());
     }
@@ -104,7 +112,11 @@
 
 /// Tells the module what to give up from now on, and the log why.
 fn tell(service: &Rc<Service>, change: Option<&Change>) {
-    let reduced = service.keeper.borrow().as_ref().map_or_else(Reduced::default, |k| k.reduced().clone());
+    let reduced = service
+        .keeper
+        .borrow()
+        .as_ref()
+        .map_or_else(Reduced::default, |k| k.reduced().clone());
     service.handle(service.common.clock.now(), Event::Level(&reduced));
     if let Some(change) = change {
         let (of, pool) = (&service.label, &service.name);
@@ -142,26 +154,48 @@
 pub(super) fn order(service: &Service, asked: Asked, user: Option<u32>) -> Result<(), String> {
     let now = service.common.clock.now();
     let mut keeper = service.keeper.borrow_mut();
-    let keeper = keeper.as_mut().ok_or_else(|| format!("the file has no levels for {}", service.name))?;
-    let Asked { order, level, for_us, by } = asked;
+    let keeper = keeper
+        .as_mut()
+        .ok_or_else(|| format!("the file has no levels for {}", service.name))?;
+    let Asked {
+        order,
+        level,
+        for_us,
+        by,
+    } = asked;
     let by: String = by.chars().filter(|c| !c.is_control()).take(NAME).collect();
     let by = user.map_or_else(|| by.clone(), |user| format!("{by} (user {user})"));
     let (of, pool) = (&service.label, &service.name);
     if order == Kind::Clear {
-        let what =
-            level.as_ref().map_or_else(|| "the pin".to_string(), |level| format!("the bar of {level}"));
+        let what = level.as_ref().map_or_else(
+            || "the pin".to_string(),
+            |level| format!("the bar of {level}"),
+        );
         if !keeper.withdraw(level.as_deref()) {
-            return Err(format!("there is nothing to take back: {what} does not hold"));
+            return Err(format!(
+                "there is nothing to take back: {what} does not hold"
+            ));
         }
         tracing::warn!(%pool, %by, "{of}service level: {what} is taken back by {by}");
         return Ok(());
     }
     if for_us == 0 || for_us > LONGEST {
-        return Err(format!("an order holds for some time, {} at most", Span(LONGEST)));
+        return Err(format!(
+            "an order holds for some time, {} at most",
+            Span(LONGEST)
+        ));
     }
     let name = level.ok_or("names no level")?;
-    let (level, pin) = (Some(name.clone()).filter(|name| name != FULL), order == Kind::Pin);
-    keeper.order(Order { by: by.clone(), level, pin, until: now + for_us })?;
+    let (level, pin) = (
+        Some(name.clone()).filter(|name| name != FULL),
+        order == Kind::Pin,
+    );
+    keeper.order(Order {
+        by: by.clone(),
+        level,
+        pin,
+        until: now + for_us,
+    })?;
     let (what, span) = (if pin { "pinned" } else { "barred" }, Span(for_us));
     tracing::warn!(%pool, %by, "{of}service level: {name} is {what} for {span} by {by}");
     Ok(())
@@ -169,12 +203,21 @@
 
 /// The orders on a service's level that were written down and have not ended. What can't be read is told and left.
 fn kept_orders(service: &Service, now: Micros) -> Vec<Order> {
-    let Some(state) = service.common.keeper.get() else { return Vec::new() };
-    let read = state.orders.borrow().get(&service.name).map(|kept| serde_json::from_slice(kept));
+    let Some(state) = service.common.keeper.get() else {
+        return Vec::new();
+    };
+    let read = state
+        .orders
+        .borrow()
+        .get(&service.name)
+        .map(|kept| serde_json::from_slice(kept));
     let mut orders: Vec<Order> = read
         .transpose()
         .unwrap_or_else(|problem| {
-            tracing::warn!("{}orders from before the restart can't be read: {problem}", service.label);
+            tracing::warn!(
+                "{}orders from before the restart can't be read: {problem}",
+                service.label
+            );
             None
         })
         .unwrap_or_default();
@@ -185,25 +228,37 @@
 
 /// Writes a pool's orders down, where the file has a `[state]`.
 pub(super) async fn keep_orders(service: &Service) -> Result<(), String> {
-    let Some(state) = service.common.keeper.get() else { return Ok(()) };
-    let orders = service.keeper.borrow().as_ref().map_or_else(Vec::new, |k| k.levels().orders().to_vec());
+    let Some(state) = service.common.keeper.get() else {
+        return Ok(());
+    };
+    let orders = service
+        .keeper
+        .borrow()
+        .as_ref()
+        .map_or_else(Vec::new, |k| k.levels().orders().to_vec());
     let (key, mut batch) = (format!("{ORDERS}{}", service.name), Batch::new());
     if orders.is_empty() {
         batch.delete(key);
         state.orders.borrow_mut().remove(&service.name);
     } else {
         let value = serde_json::to_vec(&orders).map_err(|e| e.to_string())?;
-        state.orders.borrow_mut().insert(service.name.clone(), value.clone());
+        state
+            .orders
+            .borrow_mut()
+            .insert(service.name.clone(), value.clone());
         batch.put(key, value);
     }
     let kept = state.write(batch, Durability::Durable).await;
-    kept.map(drop).map_err(|problem| format!("it is taken, but may not survive a restart: {problem}"))
+    kept.map(drop)
+        .map_err(|problem| format!("it is taken, but may not survive a restart: {problem}"))
 }
 
 /// What there is to see of a pool's levels; null where it has none.
 pub(super) fn view(service: &Service, now: Micros) -> Value {
     let keeper = service.keeper.borrow();
-    let Some(keeper) = keeper.as_ref() else { return Value::Null };
+    let Some(keeper) = keeper.as_ref() else {
+        return Value::Null;
+    };
     let levels = keeper.levels();
     let ago = |at: Micros| now.saturating_sub(at);
     let history = levels.history().map(|change| {
@@ -213,7 +268,10 @@
         let level = order.level.as_deref().unwrap_or(FULL);
         json!({"level": level, "pin": order.pin, "by": order.by, "for_us": order.until.saturating_sub(now)})
     });
-    let signals = keeper.signals().iter().map(|(signal, value)| (signal.to_string(), json!(value)));
+    let signals = keeper
+        .signals()
+        .iter()
+        .map(|(signal, value)| (signal.to_string(), json!(value)));
     json!({
         "level": levels.current().map_or(FULL, |level| &level.name),
         "since_us": ago(levels.since()),
--- a/crates/sidecar/src/limits.rs
+++ b/crates/sidecar/src/limits.rs
@@ -41,7 +41,10 @@
     }
 
     pub(super) fn join(self: &Rc<Self>, part: Part) -> Member {
-        Member { bound: Rc::clone(self), id: self.0.borrow_mut().join(part) }
+        Member {
+            bound: Rc::clone(self),
+            id: self.0.borrow_mut().join(part),
+        }
     }
 }
 
@@ -52,7 +55,11 @@
 
     pub(super) fn take(&self, units: u64) -> Result<Held, Denied> {
         self.bound.0.borrow_mut().take(self.id, units)?;
-        Ok(Held { bound: Rc::clone(&self.bound), id: self.id, units })
+        Ok(Held {
+            bound: Rc::clone(&self.bound),
+            id: self.id,
+            units,
+        })
     }
 
     pub(super) fn room(&self) -> u64 {
@@ -102,7 +109,11 @@
 
 impl Allowance {
     pub(super) fn new(open: Member, bodies: Member, rate: Option<RateLimit>) -> Self {
-        Allowance { open, bodies, rate: RefCell::new(rate.map(|rate| rate.bucket())) }
+        Allowance {
+            open,
+            bodies,
+            rate: RefCell::new(rate.map(|rate| rate.bucket())),
+        }
     }
 
     /// Takes over other limits; what is held stays held.
@@ -119,8 +130,10 @@
 
     /// Makes room for a request with a body of this size, or says why there is none.
     pub(super) fn admit(&self, now: Micros, size: u64) -> Result<[Held; 2], Full> {
-        let held =
-            [self.open.take(1).map_err(|_| Full::Open)?, self.bodies.take(size).map_err(|_| Full::Bodies)?];
+        let held = [
+            self.open.take(1).map_err(|_| Full::Open)?,
+            self.bodies.take(size).map_err(|_| Full::Bodies)?,
+        ];
         if let Some(rate) = self.rate.borrow_mut().as_mut() {
             rate.take(now).map_err(Full::Rate)?;
         }
--- a/crates/sidecar/src/list_reader.rs
+++ b/crates/sidecar/src/list_reader.rs
@@ -55,7 +55,11 @@
     /// Drops the white space before an object. A blank line there only says that discovery is there.
     fn skip_between(&mut self) {
         if self.seen == 0 {
-            let space = self.unread.iter().take_while(|byte| byte.is_ascii_whitespace()).count();
+            let space = self
+                .unread
+                .iter()
+                .take_while(|byte| byte.is_ascii_whitespace())
+                .count();
             let _ = self.unread.split_to(space);
         }
     }
@@ -113,7 +117,10 @@
         const TEXT: &str = "\n\n  {\"a\": \"}{\\\"\", \"b\": [{}, [1]]}\n\t{\n  \"c\": {\n    \"d\": \"\\\\\"\n  }\n}\n\n{}\r\n";
         let whole = read(&[TEXT.as_bytes()]).expect("it is sound");
         assert_eq!(whole.len(), 3);
-        assert!(whole[1].starts_with("{\n  \"c\"") && whole[1].ends_with("}\n}"), "{whole:?}");
+        assert!(
+            whole[1].starts_with("{\n  \"c\"") && whole[1].ends_with("}\n}"),
+            "{whole:?}"
+        );
         for cut in 0..TEXT.len() {
             let (front, back) = TEXT.as_bytes().split_at(cut);
             assert_eq!(read(&[front, back]), Ok(whole.clone()), "cut at {cut}");
@@ -137,7 +144,10 @@
     fn an_object_that_goes_on_for_too_long_is_an_error_and_one_of_8_000_servers_is_not() {
         let server = r#"{"name":"s-5be2a07c","address":"10.1.0.18:5000","zone":"a","type":"m2","group":3,"status":"ready"},"#;
         let list = |servers: usize| format!("{{\"endpoints\":[{}0]}}", server.repeat(servers));
-        assert_eq!(read(&[list(8_000).as_bytes()]).map(|found| found.len()), Ok(1));
+        assert_eq!(
+            read(&[list(8_000).as_bytes()]).map(|found| found.len()),
+            Ok(1)
+        );
         assert!(read(&[list(12_000).as_bytes()]).is_err());
     }
 }
--- a/crates/sidecar/src/listener.rs
+++ b/crates/sidecar/src/listener.rs
@@ -98,7 +98,11 @@
 
 /// A bound socket that nobody is taken from yet.
 pub(super) fn bind(at: SocketAddr) -> std::io::Result<TcpListener> {
-    let socket = if at.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
+    let socket = if at.is_ipv4() {
+        TcpSocket::new_v4()
+    } else {
+        TcpSocket::new_v6()
+    }?;
     socket.set_reuseaddr(true)?;
     socket.bind(at)?;
     socket.listen(BACKLOG)
@@ -115,7 +119,11 @@
     pub(super) fn start(
         common: &Rc<Common>,
         name: &str,
-        Socket { wanted, socket, shared }: Socket,
+        Socket {
+            wanted,
+            socket,
+            shared,
+        }: Socket,
         (manner, routing): (Manner, Routing),
         (limits, parts): (Option<MemberLimits>, Parts),
     ) -> Rc<Self> {
@@ -154,7 +162,13 @@
 
     /// Takes over another manner, other limits and other routes; what is open goes on as it began. One that was
     /// about to leave stays.
-    pub(super) fn change(&self, manner: Manner, routing: Routing, limits: MemberLimits, parts: Parts) {
+    pub(super) fn change(
+        &self,
+        manner: Manner,
+        routing: Routing,
+        limits: MemberLimits,
+        parts: Parts,
+    ) {
         self.leaving.send_replace(false);
         self.manner.set(manner);
         self.set_routing(routing);
@@ -173,7 +187,11 @@
     /// Goes before what it logs; empty where it is the only one.
     fn label(&self) -> String {
         let name = self.name.borrow();
-        if name.is_empty() { String::new() } else { format!("{name}: ") }
+        if name.is_empty() {
+            String::new()
+        } else {
+            format!("{name}: ")
+        }
     }
 
     pub(super) fn set_routing(&self, routing: Routing) {
@@ -196,7 +214,9 @@
 
     /// What it spent of the thread's time: on taking connections, reading heads, and what it turned away.
     pub(super) fn spent(&self) -> madderloom_services::turns::Spent {
-        self.account.as_ref().map_or_else(Default::default, |account| account.spent())
+        self.account
+            .as_ref()
+            .map_or_else(Default::default, |account| account.spent())
     }
 
     /// Serves clients until it is told to leave and what was taken is answered.
@@ -236,7 +256,10 @@
         while self.seats.numbers().used > 0 {
             self.freed.notified().await;
         }
-        self.common.listeners.borrow_mut().retain(|other| !Rc::ptr_eq(other, &self));
+        self.common
+            .listeners
+            .borrow_mut()
+            .retain(|other| !Rc::ptr_eq(other, &self));
         self.common.ended.notify_one();
     }
 
@@ -300,7 +323,8 @@
     /// they are near that, what some keep idle is what others lack: answers then end their connections. Those of
     /// a listener that keeps to what is guaranteed to it lack nothing to others.
     pub(super) fn is_crowded(&self) -> bool {
-        let all = self.common.clients.get() > self.common.many_clients.get() && self.seats.borrows();
+        let all =
+            self.common.clients.get() > self.common.many_clients.get() && self.seats.borrows();
         all || self.clients.count() > self.many.get()
     }
 
--- a/crates/sidecar/src/moves.rs
+++ b/crates/sidecar/src/moves.rs
@@ -43,7 +43,13 @@
             let (less, more) = (from.min(to), from.max(to));
             let noticed = more - less >= LEAST && more >= FACTOR * less;
             if noticed {
-                moved.push(Move { server, from, to, measured: view.measured, answers: view.answers });
+                moved.push(Move {
+                    server,
+                    from,
+                    to,
+                    measured: view.measured,
+                    answers: view.answers,
+                });
             }
             told.insert(server, if noticed { to } else { from });
         }
@@ -57,12 +63,29 @@
     /// In words, with the names that servers have.
     pub(super) fn told(&self, name: impl Fn(ServerId) -> Box<str>) -> String {
         let mut text = String::new();
-        for Move { server, from, to, measured: (work, time), answers } in self.0.iter().take(NAMED) {
+        for Move {
+            server,
+            from,
+            to,
+            measured: (work, time),
+            answers,
+        } in self.0.iter().take(NAMED)
+        {
             let name = name(*server);
             let separator = if text.is_empty() { "" } else { "; " };
             // A String takes whatever is written to it.
-            let _ = write!(text, "{separator}{name} from {:.1}% to {:.1}%", 100.0 * from, 100.0 * to);
-            let _ = write!(text, " (work {:.3} s over time {:.3} s, ", work / 1e6, time / 1e6);
+            let _ = write!(
+                text,
+                "{separator}{name} from {:.1}% to {:.1}%",
+                100.0 * from,
+                100.0 * to
+            );
+            let _ = write!(
+                text,
+                " (work {:.3} s over time {:.3} s, ",
+                work / 1e6,
+                time / 1e6
+            );
             let _ = if *answers < FEW {
                 write!(text, "kept for want of answers)")
             } else {
@@ -110,15 +133,32 @@
     fn what_moved_noticeably_is_told_once_with_its_figures_and_the_rest_is_not() {
         let mut moves = Moves::default();
         let name = |server: ServerId| format!("n{}", server.0).into();
-        assert!(moves.look(&[view(1, 0.5, 9.0), view(2, 0.5, 9.0)]).is_none(), "they are new");
-        assert!(moves.look(&[view(1, 0.55, 9.0), view(2, 0.45, 9.0)]).is_none(), "a little");
-        let moved = moves.look(&[view(1, 0.8, 9.0), view(2, 0.2, 0.1)]).expect("they moved");
+        assert!(
+            moves
+                .look(&[view(1, 0.5, 9.0), view(2, 0.5, 9.0)])
+                .is_none(),
+            "they are new"
+        );
+        assert!(
+            moves
+                .look(&[view(1, 0.55, 9.0), view(2, 0.45, 9.0)])
+                .is_none(),
+            "a little"
+        );
+        let moved = moves
+            .look(&[view(1, 0.8, 9.0), view(2, 0.2, 0.1)])
+            .expect("they moved");
         assert_eq!(
             moved.told(name),
             "n1 from 50.0% to 80.0% (work 2.000 s over time 4.000 s, 9 answers of late); \
              n2 from 50.0% to 20.0% (work 2.000 s over time 4.000 s, kept for want of answers)"
         );
-        assert!(moves.look(&[view(1, 0.8, 9.0), view(2, 0.2, 9.0)]).is_none(), "it was told");
+        assert!(
+            moves
+                .look(&[view(1, 0.8, 9.0), view(2, 0.2, 9.0)])
+                .is_none(),
+            "it was told"
+        );
         // Slow moves add up, and what left is forgotten.
         assert!(moves.look(&[view(1, 0.65, 9.0)]).is_none());
         assert!(moves.look(&[view(1, 0.5, 9.0)]).is_some());
@@ -130,7 +170,10 @@
         let mut moves = Moves::default();
         let all = |share: f64| (0..10).map(|at| view(at, share, 9.0)).collect::<Vec<_>>();
         assert!(moves.look(&all(0.1)).is_none());
-        let text = moves.look(&all(0.0)).expect("all moved").told(|server| server.to_string().into());
+        let text = moves
+            .look(&all(0.0))
+            .expect("all moved")
+            .told(|server| server.to_string().into());
         assert!(text.ends_with("; and 7 more") && text.len() < 400, "{text}");
     }
 }
--- a/crates/sidecar/src/page.rs
+++ b/crates/sidecar/src/page.rs
@@ -6,9 +6,18 @@
 use serde_json::Value;
 
 /// What may stand in a path or a query as it is.
-const PLAIN: &AsciiSet = &NON_ALPHANUMERIC.remove(b'-').remove(b'_').remove(b'.').remove(b'~');
+const PLAIN: &AsciiSet = &NON_ALPHANUMERIC
+    .remove(b'-')
+    .remove(b'_')
+    .remove(b'.')
+    .remove(b'~');
 /// Spans of time that a page offers, in seconds.
-const SPANS: [(&str, f64); 4] = [("2min", 120.0), ("15min", 900.0), ("2h", 7_200.0), ("2d", 172_800.0)];
+const SPANS: [(&str, f64); 4] = [
+    ("2min", 120.0),
+    ("15min", 900.0),
+    ("2h", 7_200.0),
+    ("2d", 172_800.0),
+];
 /// Events that a page shows.
 const EVENTS: usize = 50;
 
@@ -52,7 +61,11 @@
 /// The path of a server's page.
 fn path(server: &Value, span: &str) -> String {
     let part = |value: &Value| escaped(text(value));
-    format!("/servers/{}?pool={}&span={span}", part(&server["name"]), part(&server["pool"]))
+    format!(
+        "/servers/{}?pool={}&span={span}",
+        part(&server["name"]),
+        part(&server["pool"])
+    )
 }
 
 /// How long the plots of a page go back, in seconds, by the name that stands in its address.
@@ -69,7 +82,10 @@
 /// All servers, and what happened of late.
 pub(super) fn servers(told: &Value, events: &Value) -> String {
     let now = number(&told["now_us"]);
-    let name = told["name"].as_str().filter(|name| !name.is_empty()).unwrap_or("madderloom");
+    let name = told["name"]
+        .as_str()
+        .filter(|name| !name.is_empty())
+        .unwrap_or("madderloom");
     let shown = list(&events["events"]);
     let shown = shown.iter().rev().take(EVENTS);
     document(
@@ -156,7 +172,10 @@
 
 /// That there is nothing here.
 pub(super) fn none(what: &str) -> String {
-    document("not found", html! { p { (what) } p { a href="/" { "all servers" } } })
+    document(
+        "not found",
+        html! { p { (what) } p { a href="/" { "all servers" } } },
+    )
 }
 
 #[cfg(test)]
@@ -176,13 +195,19 @@
         let all = json!({"name": name, "timelines": true, "servers": [story], "shared": [{"pool": name, "text": name}]});
         let events = json!({"events": [{"pool": name, "event": name, "text": name}]});
         for page in [server(&story, 900.0), servers(&all, &events), none(name)] {
-            assert!(!page.contains("<script") && page.contains("&lt;script&gt;"), "{page}");
+            assert!(
+                !page.contains("<script") && page.contains("&lt;script&gt;"),
+                "{page}"
+            );
         }
         let page = servers(&all, &events);
-        let address =
-            page.split("href=\"").nth(1).and_then(|rest| rest.split('"').next()).expect("an address");
-        assert!(
-            address.starts_with("/servers/%3Cscript%3Ealert%281%29%3C%2Fscript%3E%22%27%26%3F%23%2F..?pool=")
-        );
+        let address = page
+            .split("href=\"")
+            .nth(1)
+            .and_then(|rest| rest.split('"').next())
+            .expect("an address");
+        assert!(address.starts_with(
+            "/servers/%3Cscript%3Ealert%281%29%3C%2Fscript%3E%22%27%26%3F%23%2F..?pool="
+        ));
     }
 }
--- a/crates/sidecar/src/passing.rs
+++ b/crates/sidecar/src/passing.rs
@@ -73,7 +73,9 @@
                 Ok(None) if self.unwrapper.is_over() => return Poll::Ready(None),
                 Ok(None) => {}
             }
-            let Some(lease) = self.lease.as_mut() else { return Poll::Ready(Some(Err(Broken::Connection))) };
+            let Some(lease) = self.lease.as_mut() else {
+                return Poll::Ready(Some(Err(Broken::Connection)));
+            };
             let unread = &mut self.unread;
             let read = readiness::poll_read(&lease.stream, context, |stream| {
                 unread.reserve(READ);
@@ -93,12 +95,17 @@
         if whole {
             self.service.connections.heard(self.server);
             let there = self.service.pool.address(self.server) == Some(self.address);
-            if let Some(lease) = lease.filter(|_| self.reusable && there && self.unread.is_empty()) {
+            if let Some(lease) = lease.filter(|_| self.reusable && there && self.unread.is_empty())
+            {
                 self.service.connections.keep(lease);
             }
         }
         if let Some(held) = &self.held {
-            count(if whole { &held.counts.served } else { &held.counts.failed });
+            count(if whole {
+                &held.counts.served
+            } else {
+                &held.counts.failed
+            });
         }
         // What it holds goes with the answer's last byte, and not with the connection.
         self.held = None;
@@ -133,7 +140,8 @@
                     Some(Ok(Frame::data(data)))
                 }
                 Some(Err(broken)) => {
-                    let (left, server) = (passing.unwrapper, passing.service.pool.name(passing.server));
+                    let (left, server) =
+                        (passing.unwrapper, passing.service.pool.name(passing.server));
                     tracing::warn!(%server, "a long answer of {server} broke off: {broken:?}, {left:?} to come");
                     passing.end(false);
                     Some(Err(io::Error::other("the server has broken off")))
--- a/crates/sidecar/src/plot.rs
+++ b/crates/sidecar/src/plot.rs
@@ -39,8 +39,12 @@
 fn points(story: &Value, from: f64) -> Vec<Point> {
     let steps = story["steps"].as_array().map_or(&[][..], Vec::as_slice);
     let point = |step: &Value| {
-        let (at, width) = (number(&step["from_us"]) / 1e6, number(&step["width_us"]) / 1e6);
-        let rate = |names: &[&str]| names.iter().map(|n| number(&step[n])).sum::<f64>() / width.max(1e-6);
+        let (at, width) = (
+            number(&step["from_us"]) / 1e6,
+            number(&step["width_us"]) / 1e6,
+        );
+        let rate =
+            |names: &[&str]| names.iter().map(|n| number(&step[n])).sum::<f64>() / width.max(1e-6);
         let mean = step["mean_us"].as_f64().map(|us| us / 1e3);
         Point {
             from: at,
@@ -57,7 +61,11 @@
             turned_away: rate(&["turned_away"]),
         }
     };
-    steps.iter().map(point).filter(|point| point.to > from).collect()
+    steps
+        .iter()
+        .map(point)
+        .filter(|point| point.to > from)
+        .collect()
 }
 
 /// A field with its axes: from a time to a time, from a value to a value.
@@ -76,14 +84,25 @@
     }
 
     fn y(&self, value: f64) -> f64 {
-        let scale = |value: f64| if self.by_logarithm { value.max(1e-6).ln() } else { value };
+        let scale = |value: f64| {
+            if self.by_logarithm {
+                value.max(1e-6).ln()
+            } else {
+                value
+            }
+        };
         let (from, to) = (scale(self.values.0), scale(self.values.1));
         let part = ((scale(value) - from) / (to - from).max(1e-9)).clamp(0.0, 1.0);
         self.top + HEIGHT * (1.0 - part)
     }
 
     /// A line through the middles of steps; broken where nothing is known.
-    fn line(&self, points: &[Point], value: impl Fn(&Point) -> Option<f64>, colour: &str) -> Markup {
+    fn line(
+        &self,
+        points: &[Point],
+        value: impl Fn(&Point) -> Option<f64>,
+        colour: &str,
+    ) -> Markup {
         let mut path = String::new();
         let mut last: Option<f64> = None;
         for point in points {
@@ -110,8 +129,15 @@
         for point in points {
             let (low, high) = span(point);
             if high > low {
-                let (left, right) = (self.x(point.from), self.x(point.to).max(self.x(point.from) + 0.7));
-                path += &format!("M{left:.1} {:.1}H{right:.1}V{:.1}H{left:.1}Z", self.y(low), self.y(high));
+                let (left, right) = (
+                    self.x(point.from),
+                    self.x(point.to).max(self.x(point.from) + 0.7),
+                );
+                path += &format!(
+                    "M{left:.1} {:.1}H{right:.1}V{:.1}H{left:.1}Z",
+                    self.y(low),
+                    self.y(high)
+                );
             }
         }
         html! { path d=(path) fill=(colour) {} }
@@ -121,7 +147,10 @@
         let (low, high) = self.values;
         let ticks: Vec<f64> = if self.by_logarithm {
             let decades = (low.log10().floor() as i32)..=(high.log10().ceil() as i32);
-            decades.map(|power| 10f64.powi(power)).filter(|tick| (low..=high).contains(tick)).collect()
+            decades
+                .map(|power| 10f64.powi(power))
+                .filter(|tick| (low..=high).contains(tick))
+                .collect()
         } else {
             [low, (low + high) / 2.0, high].to_vec()
         };
@@ -175,11 +204,26 @@
         values,
         by_logarithm,
     };
-    let rates = field(0, (0.0, most(&|p| p.served + p.lost + p.refused).max(0.1)), false);
+    let rates = field(
+        0,
+        (0.0, most(&|p| p.served + p.lost + p.refused).max(0.1)),
+        false,
+    );
     let longest = most(&|p| p.high.or(p.middle).unwrap_or(0.0)).max(1.0);
-    let shortest = points.iter().filter_map(|p| p.middle).fold(longest, f64::min).max(0.05);
+    let shortest = points
+        .iter()
+        .filter_map(|p| p.middle)
+        .fold(longest, f64::min)
+        .max(0.05);
     let latency = field(1, (shortest / 2.0, longest * 1.2), true);
-    let held = field(2, (0.0, most(&|p| p.out.max(p.reported.unwrap_or(0.0))).max(1.0)), false);
+    let held = field(
+        2,
+        (
+            0.0,
+            most(&|p| p.out.max(p.reported.unwrap_or(0.0))).max(1.0),
+        ),
+        false,
+    );
     let region = field(3, (0.0, most(&|p| p.region).max(1.0)), false);
     let fields = [&rates, &latency, &held, &region];
     let bottom = region.top + HEIGHT;
@@ -254,20 +298,31 @@
     let notes = list(&story["notes"]);
     let notes = notes.iter().map(|note| {
         let at = number(&note["at_us"]) / 1e6;
-        (at, text(&note["event"]).to_string(), text(&note["text"]).to_string())
+        (
+            at,
+            text(&note["event"]).to_string(),
+            text(&note["text"]).to_string(),
+        )
     });
-    let notes: Vec<_> = notes.filter(|(at, ..)| (from..=to).contains(at)).take(MARKS).collect();
+    let notes: Vec<_> = notes
+        .filter(|(at, ..)| (from..=to).contains(at))
+        .take(MARKS)
+        .collect();
     let departures = list(&story["departures"]);
     let departures = departures.iter().map(|told| {
         let began = number(&told["departure"]["began"]) / 1e6;
         (began.clamp(from, to), to, text(&told["text"]).to_string())
     });
-    Marks { departures: departures.collect(), notes }
+    Marks {
+        departures: departures.collect(),
+        notes,
+    }
 }
 
 /// A plot as a file of its own.
 pub(super) fn file(story: &Value, span: f64) -> String {
-    html! { (PreEscaped("<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n")) (svg(story, span)) }.into_string()
+    html! { (PreEscaped("<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n")) (svg(story, span)) }
+        .into_string()
 }
 
 #[cfg(test)]
@@ -288,7 +343,11 @@
         });
         let drawn = file(&story, 900.0);
         let parsed = roxmltree::Document::parse(&drawn).expect("it is XML");
-        let all = parsed.root_element().children().filter(|node| node.is_element()).count();
+        let all = parsed
+            .root_element()
+            .children()
+            .filter(|node| node.is_element())
+            .count();
         assert!(all > 40, "{all} elements beside each other");
         for drawn in [file(&story, 900.0), file(&json!({}), 900.0)] {
             assert!(
--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -59,7 +59,11 @@
             weight: s.weight,
             since_ms: 0,
         };
-        Listing { index: 0, snapshot: true, endpoints: servers.iter().map(endpoint).collect() }
+        Listing {
+            index: 0,
+            snapshot: true,
+            endpoints: servers.iter().map(endpoint).collect(),
+        }
     }
 
     /// Servers as an earlier process knew them. Their list is of no version, so discovery is asked for all of it.
@@ -77,8 +81,16 @@
                 since_ms: server.started.map_or(0, |started| started / 1_000),
             })
         };
-        let endpoints = servers.into_iter().filter_map(endpoint).take(SERVERS).collect();
-        Listing { index: 0, snapshot: true, endpoints }
+        let endpoints = servers
+            .into_iter()
+            .filter_map(endpoint)
+            .take(SERVERS)
+            .collect();
+        Listing {
+            index: 0,
+            snapshot: true,
+            endpoints,
+        }
     }
 
     pub(super) fn len(&self) -> usize {
@@ -151,10 +163,20 @@
         return known.listed.started;
     }
     let parted = behind.unsigned_abs() >= PARTED;
-    let since = if parted { since.saturating_add_signed(behind.saturating_neg()) } else { since };
+    let since = if parted {
+        since.saturating_add_signed(behind.saturating_neg())
+    } else {
+        since
+    };
     // A later life starts later, whatever became of the clocks meanwhile.
-    let after = former.filter(|former| former.since_ms < since_ms).and_then(|former| former.listed.started);
-    Some(since.max(after.map_or(1, |after| after.saturating_add(1))).min(now))
+    let after = former
+        .filter(|former| former.since_ms < since_ms)
+        .and_then(|former| former.listed.started);
+    Some(
+        since
+            .max(after.map_or(1, |after| after.saturating_add(1)))
+            .min(now),
+    )
 }
 
 /// What is set of servers beside their lists. Empty, it costs a look into an empty map for each server of a list.
@@ -180,10 +202,21 @@
     fn of(&self, listed: Listed) -> Listed {
         let weight = self.weights.get(&listed.server).copied().unwrap_or(1_000);
         let drains = weight == 0 || self.drained.contains(&listed.server);
-        let state =
-            if drains && listed.state == ServerState::Ready { ServerState::Draining } else { listed.state };
-        let capacity = if weight == 0 { listed.capacity } else { listed.capacity * f64::from(weight) / 1e3 };
-        Listed { state, capacity, ..listed }
+        let state = if drains && listed.state == ServerState::Ready {
+            ServerState::Draining
+        } else {
+            listed.state
+        };
+        let capacity = if weight == 0 {
+            listed.capacity
+        } else {
+            listed.capacity * f64::from(weight) / 1e3
+        };
+        Listed {
+            state,
+            capacity,
+            ..listed
+        }
     }
 }
 
@@ -211,7 +244,15 @@
     ) -> Self {
         let (index, members, watch, called) = Default::default();
         let (discovery, heard) = (Cell::new(discovery), Cell::new(now));
-        Pool { discovery, names: RefCell::new((zones, kinds)), index, members, watch, called, heard }
+        Pool {
+            discovery,
+            names: RefCell::new((zones, kinds)),
+            index,
+            members,
+            watch,
+            called,
+            heard,
+        }
     }
 
     /// Where a server is to be found.
@@ -221,15 +262,24 @@
 
     /// Whether new attempts may still begin at this server and this address of it. Asked once more when a connection has come
     /// up: what was chosen before that may have begun to drain, left or moved meanwhile.
-    pub(super) fn takes_new(&self, server: ServerId, address: SocketAddr, steering: &Steering) -> bool {
+    pub(super) fn takes_new(
+        &self,
+        server: ServerId,
+        address: SocketAddr,
+        steering: &Steering,
+    ) -> bool {
         let members = self.members.borrow();
         let ready = |listed| steering.of(listed).state == ServerState::Ready;
-        members.get(&server).is_some_and(|m| m.address == address && ready(m.listed))
+        members
+            .get(&server)
+            .is_some_and(|m| m.address == address && ready(m.listed))
     }
 
     pub(super) fn name(&self, server: ServerId) -> Box<str> {
         let members = self.members.borrow();
-        members.get(&server).map_or_else(|| server.to_string().into(), |m| m.name.clone())
+        members
+            .get(&server)
+            .map_or_else(|| server.to_string().into(), |m| m.name.clone())
     }
 
     /// Whether its list comes from there.
@@ -243,7 +293,9 @@
 
     /// How old the list may be; none where it is fixed.
     pub(super) fn age(&self, now: Micros) -> Option<Micros> {
-        self.discovery.get().map(|_| now.saturating_sub(self.heard.get()))
+        self.discovery
+            .get()
+            .map(|_| now.saturating_sub(self.heard.get()))
     }
 
     pub(super) fn version(&self) -> u64 {
@@ -263,13 +315,29 @@
     /// The servers that take new work, as the next process is to know them until its list has come.
     pub(super) fn listed_memories(&self) -> BTreeMap<ServerId, ServerMemory> {
         let (members, names) = (self.members.borrow(), self.names.borrow());
-        let ready = members.iter().filter(|(_, m)| m.listed.state == ServerState::Ready);
+        let ready = members
+            .iter()
+            .filter(|(_, m)| m.listed.state == ServerState::Ready);
         let memory = |(id, m): (&ServerId, &Member)| {
             let (listed, address) = (&m.listed, m.address);
             let (zone, kind) = places(&names, listed);
-            let as_listed = ListedMemory { address, zone, kind, group: listed.cell, weight: listed.capacity };
+            let as_listed = ListedMemory {
+                address,
+                zone,
+                kind,
+                group: listed.cell,
+                weight: listed.capacity,
+            };
             let (name, started) = (m.name.to_string(), unix(m.since_ms));
-            (*id, ServerMemory { name, listed: Some(as_listed), started, ..ServerMemory::default() })
+            (
+                *id,
+                ServerMemory {
+                    name,
+                    listed: Some(as_listed),
+                    started,
+                    ..ServerMemory::default()
+                },
+            )
         };
         ready.map(memory).collect()
     }
@@ -284,9 +352,22 @@
                 ServerState::Draining => Status::Terminating,
                 ServerState::Gone => Status::Terminated,
             };
-            let (zone, kind) = member.foreign.as_deref().cloned().unwrap_or_else(|| places(&names, listed));
+            let (zone, kind) = member
+                .foreign
+                .as_deref()
+                .cloned()
+                .unwrap_or_else(|| places(&names, listed));
             let weight = listed.capacity;
-            Row(member.name.clone(), member.address, zone, kind, listed.cell, status, weight, member.since_ms)
+            Row(
+                member.name.clone(),
+                member.address,
+                zone,
+                kind,
+                listed.cell,
+                status,
+                weight,
+                member.since_ms,
+            )
         };
         let mut rows: Vec<Row> = members.values().map(row).collect();
         rows.sort_unstable_by(|one, other| one.0.cmp(&other.0));
@@ -295,8 +376,9 @@
 
     fn listed(&self, endpoint: &Endpoint, started: Option<Micros>) -> Listed {
         // A name that the settings do not hold stands for one place of its own.
-        let place =
-            |names: &[String], name: &str| names.iter().position(|n| n == name).unwrap_or(names.len());
+        let place = |names: &[String], name: &str| {
+            names.iter().position(|n| n == name).unwrap_or(names.len())
+        };
         let (zones, kinds) = &*self.names.borrow();
         let sound = WEIGHTS.contains(&endpoint.weight);
         Listed {
@@ -336,19 +418,45 @@
             if listed.state == ServerState::Gone {
                 members.remove(&listed.server);
             } else if members.len() < SERVERS || members.contains_key(&listed.server) {
-                let Endpoint { name, address, since_ms, zone, kind, .. } = endpoint;
+                let Endpoint {
+                    name,
+                    address,
+                    since_ms,
+                    zone,
+                    kind,
+                    ..
+                } = endpoint;
                 let (zones, kinds) = &*self.names.borrow();
-                let known = (listed.zone as usize) < zones.len() && (listed.kind as usize) < kinds.len();
+                let known =
+                    (listed.zone as usize) < zones.len() && (listed.kind as usize) < kinds.len();
                 let foreign = (!known).then(|| Box::new((zone, kind)));
-                let member = Member { name, address, since_ms, listed: *listed, foreign };
+                let member = Member {
+                    name,
+                    address,
+                    since_ms,
+                    listed: *listed,
+                    foreign,
+                };
                 members.insert(listed.server, member);
             }
         }
         self.index.set(listing.index);
-        let listed: Vec<Listed> = listed.into_iter().map(|listed| steering.of(listed)).collect();
-        let draining = |id| listed.iter().any(|l| l.server == id && l.state == ServerState::Draining);
-        let moved = |(id, at): &(ServerId, SocketAddr)| members.get(id).is_none_or(|m| m.address != *at);
-        let left = former.into_iter().filter(|m| moved(m) || draining(m.0)).map(|m| m.0).collect();
+        let listed: Vec<Listed> = listed
+            .into_iter()
+            .map(|listed| steering.of(listed))
+            .collect();
+        let draining = |id| {
+            listed
+                .iter()
+                .any(|l| l.server == id && l.state == ServerState::Draining)
+        };
+        let moved =
+            |(id, at): &(ServerId, SocketAddr)| members.get(id).is_none_or(|m| m.address != *at);
+        let left = former
+            .into_iter()
+            .filter(|m| moved(m) || draining(m.0))
+            .map(|m| m.0)
+            .collect();
         (listed, left)
     }
 }
@@ -356,14 +464,27 @@
 /// Tells the module of the servers that are known at its start. The list of the configuration goes before what an
 /// earlier process left, and discovery's before both.
 pub(super) fn begin(service: &Rc<Service>, listing: Listing) {
-    let remembered = service.pool.discovery.get().filter(|_| listing.endpoints.is_empty());
-    let listing = remembered.map_or(listing, |_| Listing::remembered(service.remembered_servers()));
+    let remembered = service
+        .pool
+        .discovery
+        .get()
+        .filter(|_| listing.endpoints.is_empty());
+    let listing = remembered.map_or(listing, |_| {
+        Listing::remembered(service.remembered_servers())
+    });
     known(service, listing);
 }
 
 /// Tells the module of the list that the configuration holds.
 pub(super) fn known(service: &Rc<Service>, listing: Listing) {
-    apply_update(service, service.common.clock.now(), Listing { snapshot: true, ..listing });
+    apply_update(
+        service,
+        service.common.clock.now(),
+        Listing {
+            snapshot: true,
+            ..listing
+        },
+    );
 }
 
 /// Its list is this one from now on, whatever discovery it followed.
@@ -381,10 +502,22 @@
         watch.abort();
     }
     service.pool.discovery.set(None);
-    let draining = |member: &Member| Listed { state: ServerState::Draining, ..member.listed };
-    let listed: Vec<Listed> = service.pool.members.borrow().values().map(draining).collect();
+    let draining = |member: &Member| Listed {
+        state: ServerState::Draining,
+        ..member.listed
+    };
+    let listed: Vec<Listed> = service
+        .pool
+        .members
+        .borrow()
+        .values()
+        .map(draining)
+        .collect();
     service.connections.clear();
-    service.handle(service.common.clock.now(), Event::Members(Members::Full(&listed)));
+    service.handle(
+        service.common.clock.now(),
+        Event::Members(Members::Full(&listed)),
+    );
 }
 
 /// The settings name zones and kinds otherwise from now on. Servers are told of anew where their places have changed.
@@ -398,17 +531,23 @@
     }
     let moved = |former: &[String], present: &[String], at: u32| {
         let name = former.get(at as usize);
-        name.and_then(|name| present.iter().position(|n| n == name)).unwrap_or(present.len()) as u32
+        name.and_then(|name| present.iter().position(|n| n == name))
+            .unwrap_or(present.len()) as u32
     };
     let mut changes = Vec::new();
     for member in pool.members.borrow_mut().values_mut() {
         let listed = &mut member.listed;
-        (listed.zone, listed.kind) =
-            (moved(&former.0, zones, listed.zone), moved(&former.1, kinds, listed.kind));
+        (listed.zone, listed.kind) = (
+            moved(&former.0, zones, listed.zone),
+            moved(&former.1, kinds, listed.kind),
+        );
         changes.push(service.common.steering.borrow().of(*listed));
     }
     changes.sort_unstable_by_key(|listed| listed.server);
-    service.handle(service.common.clock.now(), Event::Members(Members::Changes(&changes)));
+    service.handle(
+        service.common.clock.now(),
+        Event::Members(Members::Changes(&changes)),
+    );
 }
 
 /// Tells the module of the servers that are now set otherwise beside their list.
@@ -425,13 +564,23 @@
         return;
     }
     changes.sort_unstable_by_key(|listed| listed.server);
-    let drained = changes.iter().filter(|listed| listed.state == ServerState::Draining);
+    let drained = changes
+        .iter()
+        .filter(|listed| listed.state == ServerState::Draining);
     drained.for_each(|listed| service.connections.forget(listed.server));
-    service.handle(service.common.clock.now(), Event::Members(Members::Changes(&changes)));
+    service.handle(
+        service.common.clock.now(),
+        Event::Members(Members::Changes(&changes)),
+    );
 }
 
 /// The fleet goes by this list, which is so old: as if discovery had told it then.
-pub(super) fn passed_on(service: &Rc<Service>, index: u64, text: &str, age: Micros) -> Result<(), String> {
+pub(super) fn passed_on(
+    service: &Rc<Service>,
+    index: u64,
+    text: &str,
+    age: Micros,
+) -> Result<(), String> {
     let rows: Vec<Row> = serde_json::from_str(text).map_err(|e| format!("makes no sense: {e}"))?;
     if rows.len() > SERVERS {
         return Err(format!("holds {} servers", rows.len()));
@@ -451,8 +600,19 @@
     };
     let endpoints = rows.into_iter().map(endpoint).collect();
     let now = service.common.clock.now();
-    apply_update(service, now, Listing { index, snapshot: true, endpoints });
-    service.pool.heard.set(service.pool.heard.get().max(now.saturating_sub(age)));
+    apply_update(
+        service,
+        now,
+        Listing {
+            index,
+            snapshot: true,
+            endpoints,
+        },
+    );
+    service
+        .pool
+        .heard
+        .set(service.pool.heard.get().max(now.saturating_sub(age)));
     Ok(())
 }
 
@@ -463,9 +623,16 @@
         return;
     }
     let times = (now, service.common.clock.behind());
-    let (listed, left) = service.pool.take_in(listing, &service.common.steering.borrow(), times);
-    left.into_iter().for_each(|server| service.connections.forget(server));
-    let members = if full { Members::Full(&listed) } else { Members::Changes(&listed) };
+    let (listed, left) = service
+        .pool
+        .take_in(listing, &service.common.steering.borrow(), times);
+    left.into_iter()
+        .for_each(|server| service.connections.forget(server));
+    let members = if full {
+        Members::Full(&listed)
+    } else {
+        Members::Changes(&listed)
+    };
     service.handle(now, Event::Members(members));
     service.recall_servers(now);
 }
@@ -506,18 +673,30 @@
 
 fn open_watch(service: &Rc<Service>, waits: bool) {
     // A fixed list has nothing to follow, and all that it holds is known.
-    let Some(discovery) = service.pool.discovery.get() else { return };
+    let Some(discovery) = service.pool.discovery.get() else {
+        return;
+    };
     let own = Rc::clone(service);
     let watch = watchdog::spawn(TaskKind::DiscoveryWatch, async move {
         if waits {
             // Whoever is told by its fleet spares discovery the call.
             let ask_within = own.tuned().site.settings.rules.ask_within;
             // Without any server a request may be waiting for the list.
-            let first = if own.pool.is_known() { first_wait(own.common.clock.up(), ask_within) } else { 0 };
-            own.common.shared_lists.wait_to_call(&own.name, ask_within, first).await;
+            let first = if own.pool.is_known() {
+                first_wait(own.common.clock.up(), ask_within)
+            } else {
+                0
+            };
+            own.common
+                .shared_lists
+                .wait_to_call(&own.name, ask_within, first)
+                .await;
         }
         own.pool.called.set(true);
-        let mut call = Call { since: own.common.clock.now(), asked: None };
+        let mut call = Call {
+            since: own.common.clock.now(),
+            asked: None,
+        };
         let Err(problem) = follow(&own, discovery, &mut call).await;
         own.pool.called.set(false);
         own.common.shared_lists.ended(&own.name);
@@ -525,7 +704,13 @@
         tracing::warn!(%discovery, "{of}discovery at {discovery}: {problem}");
         let now = own.common.clock.now();
         let waited = call.asked.map_or(0, |asked| now.saturating_sub(asked));
-        own.handle(now, Event::Members(Members::Failed { since: call.since, waited }));
+        own.handle(
+            now,
+            Event::Members(Members::Failed {
+                since: call.since,
+                waited,
+            }),
+        );
     });
     service.pool.called.set(false);
     service.common.shared_lists.ended(&service.name);
@@ -544,10 +729,16 @@
 }
 
 /// Follows the watch for as long as it holds.
-async fn follow(service: &Rc<Service>, discovery: SocketAddr, call: &mut Call) -> Result<Infallible, String> {
+async fn follow(
+    service: &Rc<Service>,
+    discovery: SocketAddr,
+    call: &mut Call,
+) -> Result<Infallible, String> {
     let pool = &service.pool;
     let silent = |_| "no word for too long".to_string();
-    let stream = timeout(CONNECTS, service.common.connect(discovery)).await.map_err(silent)?;
+    let stream = timeout(CONNECTS, service.common.connect(discovery))
+        .await
+        .map_err(silent)?;
     let stream = stream.map_err(|e| e.to_string())?;
     call.asked = Some(service.common.clock.now());
     let made = http1::handshake(TokioIo::new(stream)).await;
@@ -560,10 +751,12 @@
         .header(header::HOST, discovery.to_string())
         .body(Empty::<Bytes>::new())
         .map_err(|e| e.to_string())?;
-    let answer = timeout(ANSWERS, sender.send_request(request)).await.map_err(|late| {
-        call.asked = None;
-        silent(late)
-    })?;
+    let answer = timeout(ANSWERS, sender.send_request(request))
+        .await
+        .map_err(|late| {
+            call.asked = None;
+            silent(late)
+        })?;
     let answer = answer.map_err(|e| e.to_string())?;
     if answer.status() != StatusCode::OK {
         return Err(format!("answered {}", answer.status()));
@@ -579,8 +772,12 @@
 ) -> Result<Infallible, String> {
     let mut reader = ListReader::default();
     loop {
-        let frame = timeout(STALLED, body.frame()).await.map_err(|_| "no word for too long".to_string())?;
-        let frame = frame.ok_or("the watch has ended")?.map_err(|e| e.to_string())?;
+        let frame = timeout(STALLED, body.frame())
+            .await
+            .map_err(|_| "no word for too long".to_string())?;
+        let frame = frame
+            .ok_or("the watch has ended")?
+            .map_err(|e| e.to_string())?;
         let now = service.common.clock.now();
         let was_within = reader.is_within();
         reader.push(frame.data_ref().map_or(&[], |d| d.as_ref()));
@@ -603,17 +800,23 @@
 
 /// Takes in one object of a watch, and tells the fleet of it.
 fn apply_line(service: &Rc<Service>, now: Micros, object: &[u8]) -> Result<(), String> {
-    let listing: Listing = serde_json::from_slice(object).map_err(|e| format!("makes no sense: {e}"))?;
+    let listing: Listing =
+        serde_json::from_slice(object).map_err(|e| format!("makes no sense: {e}"))?;
     if listing.endpoints.len() > SERVERS {
         return Err(format!("lists {} servers", listing.endpoints.len()));
     }
     let ask_within = service.tuned().site.settings.rules.ask_within;
     let shared = &service.common.shared_lists;
     if listing.snapshot && !shared.allows(&service.name, listing.index, ask_within) {
-        return Err(format!("lists version {}, which is older than the fleet's", listing.index));
+        return Err(format!(
+            "lists version {}, which is older than the fleet's",
+            listing.index
+        ));
     }
     apply_update(service, now, listing);
-    shared.told(&service.name, service.pool.version(), || service.pool.shared());
+    shared.told(&service.name, service.pool.version(), || {
+        service.pool.shared()
+    });
     Ok(())
 }
 
@@ -646,12 +849,31 @@
         let now: Micros = 1_700_000_000_000_000;
         let wall = now.saturating_add_signed(behind);
         let started = told(&pool, (wall - 2_000_000) / 1_000, now, behind);
-        assert!(started.abs_diff(now - 2_000_000) <= PARTED, "{started} at {now}");
+        assert!(
+            started.abs_diff(now - 2_000_000) <= PARTED,
+            "{started} at {now}"
+        );
         // Told again, later and by clocks that have parted by more, it is the same start.
-        assert_eq!(told(&pool, (wall - 2_000_000) / 1_000, now + COLD, behind + HOUR as i64), started);
+        assert_eq!(
+            told(
+                &pool,
+                (wall - 2_000_000) / 1_000,
+                now + COLD,
+                behind + HOUR as i64
+            ),
+            started
+        );
         // A later start is a later one, even by a clock that has lost an hour meanwhile.
-        let again = told(&pool, (wall + COLD) / 1_000, now + COLD, behind + HOUR as i64);
-        assert!(again > started && again <= now + COLD, "{again} after {started}");
+        let again = told(
+            &pool,
+            (wall + COLD) / 1_000,
+            now + COLD,
+            behind + HOUR as i64,
+        );
+        assert!(
+            again > started && again <= now + COLD,
+            "{again} after {started}"
+        );
     }
 
     #[test]
@@ -674,14 +896,21 @@
             pool.shared()
         };
         assert_eq!(shared(&["a"]), shared(&["a", "b"]));
-        assert_eq!(shared(&["a"]), r#"[["s","127.0.0.1:1","b","m2",0,"terminating",2.5,7]]"#);
+        assert_eq!(
+            shared(&["a"]),
+            r#"[["s","127.0.0.1:1","b","m2",0,"terminating",2.5,7]]"#
+        );
     }
 
     #[test]
     fn a_weight_beyond_all_comparison_is_the_usual_one() {
-        for (weight, capacity) in
-            [(2.5, 2.5), (1e308, 1.0), (f64::MIN_POSITIVE, 1.0), (-1.0, 1.0), (0.0, 1.0)]
-        {
+        for (weight, capacity) in [
+            (2.5, 2.5),
+            (1e308, 1.0),
+            (f64::MIN_POSITIVE, 1.0),
+            (-1.0, 1.0),
+            (0.0, 1.0),
+        ] {
             let text = format!(
                 r#"{{"name":"s","address":"127.0.0.1:1","status":"in_service","weight":{weight:e}}}"#
             );
--- a/crates/sidecar/src/probe.rs
+++ b/crates/sidecar/src/probe.rs
@@ -26,11 +26,16 @@
 async fn ask(service: &Rc<Service>, server: ServerId) -> Option<Report> {
     let address = service.pool.address(server)?;
     let mut message = Message::new(&Method::GET, "/status/load");
-    message.header(&header::HOST, &HeaderValue::from_maybe_shared(Bytes::from(address.to_string())).ok()?);
+    message.header(
+        &header::HOST,
+        &HeaderValue::from_maybe_shared(Bytes::from(address.to_string())).ok()?,
+    );
     message.end(Bytes::new());
     let mut lease = service.connections.take(server, address).await.ok()?;
     let progress = Progress::default();
-    exchange::send(&lease.stream, &message, None::<Ready<()>>, &progress).await.ok()?;
+    exchange::send(&lease.stream, &message, None::<Ready<()>>, &progress)
+        .await
+        .ok()?;
     let mut answer = Answer::default();
     let head = answer.head(&mut lease.stream).await.ok()?;
     let Whole { body, reusable } = answer.body(&head, &mut lease.stream).await.ok()?;
@@ -38,19 +43,30 @@
     if reusable && progress.whole.get() {
         service.connections.keep(lease);
     }
-    std::str::from_utf8(&body).ok().filter(|_| head.status == StatusCode::OK).and_then(report)
+    std::str::from_utf8(&body)
+        .ok()
+        .filter(|_| head.status == StatusCode::OK)
+        .and_then(report)
 }
 
 /// Reads `TEXT inflight=7, queue=2, util=0.61`; names that are not known are passed over.
 fn report(text: &str) -> Option<Report> {
     let text = text.trim().strip_prefix("TEXT ")?;
     let value = |wanted: &str| {
-        let mut pairs = text.split(',').filter_map(|pair| pair.trim().split_once('='));
+        let mut pairs = text
+            .split(',')
+            .filter_map(|pair| pair.trim().split_once('='));
         let (_, value) = pairs.find(|(name, _)| *name == wanted)?;
-        value.parse().ok().filter(|v: &f64| v.is_finite() && *v >= 0.0)
+        value
+            .parse()
+            .ok()
+            .filter(|v: &f64| v.is_finite() && *v >= 0.0)
     };
     // The protocol's words, or those of the settings: nodes have been seen to use the latter.
     let either = |one, other| value(one).or_else(|| value(other));
     let held = either("inflight", "rif").or_else(|| either("queue", "q"))?;
-    Some(Report { held, errors: either("eps", "fail_rate").unwrap_or(0.0) })
+    Some(Report {
+        held,
+        errors: either("eps", "fail_rate").unwrap_or(0.0),
+    })
 }
--- a/crates/sidecar/src/process.rs
+++ b/crates/sidecar/src/process.rs
@@ -73,14 +73,17 @@
         let usual = super::Limits::default();
         let limits = config.as_ref().map_or(&usual, |c| &c.limits);
         let memory = (limits.memory_mb as u64).saturating_mul(1 << 20);
-        let seed = config.as_ref().map_or_else(|| RandomState::new().hash_one(0), |c| c.seed);
+        let seed = config
+            .as_ref()
+            .map_or_else(|| RandomState::new().hash_one(0), |c| c.seed);
         let own = operator.as_ref().map(|(_, operator)| operator);
         // Without the platform's word, the file's holds.
         let by_file = config.is_none() && own.is_some_and(|own| own.limits.descriptors.is_some());
         let sockets = if by_file { usize::MAX } else { limits.sockets };
         let descriptors = sockets.min(allowed_descriptors());
-        let (descriptors, memory) =
-            config.as_ref().map_or((descriptors, memory), |c| own_part(c, descriptors, memory));
+        let (descriptors, memory) = config
+            .as_ref()
+            .map_or((descriptors, memory), |c| own_part(c, descriptors, memory));
         let totals = totals(descriptors, memory, own, config.is_some());
         let common = Common::new(totals, operator.is_some());
         // Before anything is served: where it cannot be asked, the start fails.
@@ -93,22 +96,33 @@
         }
         let alarmed = Rc::clone(&common);
         watchdog::spawn(TaskKind::Timers, async move {
-            keep_going(TaskKind::Timers, "timers", || Some(alarms::run(Rc::clone(&alarmed)))).await;
+            keep_going(TaskKind::Timers, "timers", || {
+                Some(alarms::run(Rc::clone(&alarmed)))
+            })
+            .await;
         });
         let state = own.and_then(|operator| operator.state.clone());
         let kept = state.as_ref().map(|state| state.usual).unwrap_or_default();
         if let Some((state, (file, _))) = state.zip(operator.as_ref()) {
-            let keeper = Keeper::open(state).map_err(|problem| format!("{}: {problem}", file.display()))?;
+            let keeper =
+                Keeper::open(state).map_err(|problem| format!("{}: {problem}", file.display()))?;
             watchdog::spawn(TaskKind::State, Rc::clone(&keeper).run());
             common.keeper.get_or_init(|| keeper);
         }
         let name = match (&config, own) {
-            (_, Some(operator)) if !operator.process.name.is_empty() => operator.process.name.clone(),
+            (_, Some(operator)) if !operator.process.name.is_empty() => {
+                operator.process.name.clone()
+            }
             (Some(config), _) => config.name.clone(),
             _ => String::new(),
         };
-        let keys = config.as_mut().map(|config| std::mem::take(&mut config.keys)).unwrap_or_default();
-        let platform = config.map(|config| platform(&common, config, own.is_some(), kept)).transpose()?;
+        let keys = config
+            .as_mut()
+            .map(|config| std::mem::take(&mut config.keys))
+            .unwrap_or_default();
+        let platform = config
+            .map(|config| platform(&common, config, own.is_some(), kept))
+            .transpose()?;
         let sidecar = Rc::new(Sidecar {
             common,
             descriptors,
@@ -125,7 +139,9 @@
         });
         if let Some((file, operator)) = operator {
             let operator = sidecar.begin_control(&file, operator);
-            sidecar.apply(operator).map_err(|problem| format!("{}: {problem}", file.display()))?;
+            sidecar
+                .apply(operator)
+                .map_err(|problem| format!("{}: {problem}", file.display()))?;
         }
         Ok(sidecar)
     }
@@ -135,7 +151,10 @@
         self.follow_agent();
         let common = Rc::clone(&self.common);
         watchdog::spawn(TaskKind::Upkeep, async move {
-            keep_going(TaskKind::Upkeep, "upkeep", || Some(look_after(Rc::clone(&common)))).await
+            keep_going(TaskKind::Upkeep, "upkeep", || {
+                Some(look_after(Rc::clone(&common)))
+            })
+            .await
         });
         if let Some(scheduler) = &self.common.scheduler {
             watchdog::spawn(TaskKind::FairQueue, Rc::clone(scheduler).run());
@@ -148,10 +167,15 @@
         tracing::info!("stopping");
         self.common.duty.borrow_mut().stop();
         if let Some((service, _)) = &self.platform {
-            self.common.stops_on_the_platform(service.tuned().longest.as_micros() as Micros);
+            self.common
+                .stops_on_the_platform(service.tuned().longest.as_micros() as Micros);
         }
         self.end_control();
-        self.common.listeners.borrow().iter().for_each(|listener| listener.leave());
+        self.common
+            .listeners
+            .borrow()
+            .iter()
+            .for_each(|listener| listener.leave());
         while !self.common.listeners.borrow().is_empty() {
             self.common.ended.notified().await;
         }
@@ -169,13 +193,27 @@
 /// or that replaces it has the other half; callers at the second address have theirs besides.
 fn own_part(config: &Config, descriptors: usize, memory: u64) -> (usize, u64) {
     let parts = if config.inherited.is_some() { 2 } else { 1 };
-    let asked = if config.control.is_some() { second_address::DESCRIPTORS } else { 0 };
-    ((descriptors / parts).saturating_sub(asked), memory / parts as u64)
+    let asked = if config.control.is_some() {
+        second_address::DESCRIPTORS
+    } else {
+        0
+    };
+    (
+        (descriptors / parts).saturating_sub(asked),
+        memory / parts as u64,
+    )
 }
 
 /// How much there is to share.
-pub(super) fn totals(descriptors: usize, memory: u64, operator: Option<&Operator>, platform: bool) -> Totals {
-    let Some(operator) = operator else { return Totals::new(descriptors, 0, memory, UNBOUNDED, None) };
+pub(super) fn totals(
+    descriptors: usize,
+    memory: u64,
+    operator: Option<&Operator>,
+    platform: bool,
+) -> Totals {
+    let Some(operator) = operator else {
+        return Totals::new(descriptors, 0, memory, UNBOUNDED, None);
+    };
     let limits = &operator.limits;
     let given = |given: Option<u64>, there: u64| given.map_or(there, |given| given.min(there));
     let descriptors = given(limits.descriptors, descriptors as u64) as usize;
@@ -184,11 +222,31 @@
         Some(size) if !platform => size.0,
         size => given(size.map(|s| s.0), memory),
     };
-    let watches = operator.pools.iter().filter(|pool| pool.discovery.is_some()).count();
-    let followers = if operator.timeline.is_some() { FOLLOWERS } else { 0 };
-    let admin = if operator.admin.is_some() { ADMIN_DESCRIPTORS + followers } else { 0 };
-    let control = if operator.control.is_some() { AGENT_DESCRIPTORS } else { 0 };
-    let state = if operator.state.is_some() { STATE_DESCRIPTORS } else { 0 };
+    let watches = operator
+        .pools
+        .iter()
+        .filter(|pool| pool.discovery.is_some())
+        .count();
+    let followers = if operator.timeline.is_some() {
+        FOLLOWERS
+    } else {
+        0
+    };
+    let admin = if operator.admin.is_some() {
+        ADMIN_DESCRIPTORS + followers
+    } else {
+        0
+    };
+    let control = if operator.control.is_some() {
+        AGENT_DESCRIPTORS
+    } else {
+        0
+    };
+    let state = if operator.state.is_some() {
+        STATE_DESCRIPTORS
+    } else {
+        0
+    };
     let more = operator.listeners.len() + watches + admin + control + state;
     let bodies = limits.bodies.map(|size| size.0.min(memory / 2));
     Totals::new(descriptors, more, memory, limits.open, bodies)
@@ -201,8 +259,15 @@
     named: bool,
     kept: Kept,
 ) -> Result<(Rc<Service>, Rc<Listener>), String> {
-    let label = if named { format!("{PLATFORM}: ") } else { String::new() };
-    let all = |total: u64| Part { guaranteed: 0, most: total };
+    let label = if named {
+        format!("{PLATFORM}: ")
+    } else {
+        String::new()
+    };
+    let all = |total: u64| Part {
+        guaranteed: 0,
+        most: total,
+    };
     let bounds = &common.bounds;
     let parts = |connections: u64| Parts {
         connections: all(connections),
@@ -225,12 +290,18 @@
     let listen: SocketAddr = config.listen;
     let shared = config.inherited.is_some();
     let socket = match config.inherited {
-        Some(socket) => TcpListener::from_std(socket).map_err(|e| format!("RELAY_ACCEPT_FD: {e}"))?,
+        Some(socket) => {
+            TcpListener::from_std(socket).map_err(|e| format!("RELAY_ACCEPT_FD: {e}"))?
+        }
         None => bind(listen).map_err(|e| format!("RELAY_LISTEN: {listen}: {e}"))?,
     };
     let routing = Routing::One(Rc::clone(&service));
     let limits = (None, parts(bounds.clients.total()));
-    let place = Socket { wanted: listen, socket, shared };
+    let place = Socket {
+        wanted: listen,
+        socket,
+        shared,
+    };
     let name = if named { PLATFORM } else { "" };
     let listener = Listener::start(common, name, place, (Manner::usual(), routing), limits);
     Ok((service, listener))
--- a/crates/sidecar/src/promises.rs
+++ b/crates/sidecar/src/promises.rs
@@ -1,7 +1,9 @@
 //! The figures that the pages name, against the constants of the code.
 
 use super::listener::{LAME_DUCK, Manner};
-use super::{client, common, connections, counts, feed, list_reader, listener, pool, second_address, upload};
+use super::{
+    client, common, connections, counts, feed, list_reader, listener, pool, second_address, upload,
+};
 use madderloom_fleet::{change, protocol, settings};
 
 /// So many seconds, as pages write them.
@@ -19,25 +21,94 @@
     let kib = |bytes: u64| format!("{} KiB", bytes >> 10);
     let lame_duck = LAME_DUCK.as_micros() as u64;
     for (page, told) in [
-        (on_call, format!("{} callers are answered at once", second_address::CALLERS)),
-        (on_call, format!("each is after {}", seconds(second_address::CALL_WITHIN))),
-        (on_call, format!("{} classes are counted apart at most", counts::CLASSES)),
-        (on_call, format!("from {} on, connections idle", seconds(madderloom_operations::duty::IDLE_STAYS))),
-        (on_call, format!("idle for {} are closed", seconds(madderloom_operations::duty::IDLE_FOR))),
-        (on_call, format!("after {} it closes idle ones", seconds(lame_duck))),
-        (on_call, format!("Bodies up to {} are kept", mib(upload::KEPT as u64))),
-        (on_call, format!("A client has {} for a head", seconds(manner.head_within))),
-        (on_call, format!("must write {} kB of body a second", upload::SLOWEST / 1_000)),
+        (
+            on_call,
+            format!("{} callers are answered at once", second_address::CALLERS),
+        ),
+        (
+            on_call,
+            format!("each is after {}", seconds(second_address::CALL_WITHIN)),
+        ),
+        (
+            on_call,
+            format!("{} classes are counted apart at most", counts::CLASSES),
+        ),
+        (
+            on_call,
+            format!(
+                "from {} on, connections idle",
+                seconds(madderloom_operations::duty::IDLE_STAYS)
+            ),
+        ),
+        (
+            on_call,
+            format!(
+                "idle for {} are closed",
+                seconds(madderloom_operations::duty::IDLE_FOR)
+            ),
+        ),
+        (
+            on_call,
+            format!("after {} it closes idle ones", seconds(lame_duck)),
+        ),
+        (
+            on_call,
+            format!("Bodies up to {} are kept", mib(upload::KEPT as u64)),
+        ),
+        (
+            on_call,
+            format!("A client has {} for a head", seconds(manner.head_within)),
+        ),
+        (
+            on_call,
+            format!("must write {} kB of body a second", upload::SLOWEST / 1_000),
+        ),
         (on_call, format!("with {} to spare", seconds(upload::LAG))),
-        (on_call, format!("Answers over {} go on", kib(super::BODY as u64))),
-        (on_call, format!("takes nothing of one for {} is closed", seconds(client::STOPPED))),
-        (on_call, format!("A turn of {} ms or more", madderloom_watchdog::LONG_TURN.as_millis())),
-        (readme, format!("for {} it still takes what comes", seconds(LAME_DUCK.as_micros() as u64))),
-        (readme, format!("or is over {}", mib(manner.body_size as u64))),
-        (readme, format!("as it is {} after an answer", seconds(manner.idle_within))),
-        (architecture, format!("A client has {} for a head", seconds(manner.head_within))),
-        (architecture, format!("silent or idle for {}", seconds(manner.idle_within))),
-        (architecture, format!("the second address has {} of", second_address::DESCRIPTORS)),
+        (
+            on_call,
+            format!("Answers over {} go on", kib(super::BODY as u64)),
+        ),
+        (
+            on_call,
+            format!(
+                "takes nothing of one for {} is closed",
+                seconds(client::STOPPED)
+            ),
+        ),
+        (
+            on_call,
+            format!(
+                "A turn of {} ms or more",
+                madderloom_watchdog::LONG_TURN.as_millis()
+            ),
+        ),
+        (
+            readme,
+            format!(
+                "for {} it still takes what comes",
+                seconds(LAME_DUCK.as_micros() as u64)
+            ),
+        ),
+        (
+            readme,
+            format!("or is over {}", mib(manner.body_size as u64)),
+        ),
+        (
+            readme,
+            format!("as it is {} after an answer", seconds(manner.idle_within)),
+        ),
+        (
+            architecture,
+            format!("A client has {} for a head", seconds(manner.head_within)),
+        ),
+        (
+            architecture,
+            format!("silent or idle for {}", seconds(manner.idle_within)),
+        ),
+        (
+            architecture,
+            format!("the second address has {} of", second_address::DESCRIPTORS),
+        ),
     ] {
         let words = |text: &str| text.split_whitespace().collect::<Vec<_>>().join(" ");
         assert!(words(page).contains(&told), "no page says: {told}");
@@ -47,8 +118,12 @@
 /// A figure as tables write it: 16,384.
 fn grouped(number: usize) -> String {
     let digits = number.to_string();
-    let groups: Vec<&str> =
-        digits.as_bytes().rchunks(3).rev().filter_map(|group| str::from_utf8(group).ok()).collect();
+    let groups: Vec<&str> = digits
+        .as_bytes()
+        .rchunks(3)
+        .rev()
+        .filter_map(|group| str::from_utf8(group).ok())
+        .collect();
     groups.join(",")
 }
 
@@ -59,37 +134,93 @@
     let page = include_str!("../../../docs/acceptance.md");
     let count = |place: &str, name: &str, of: usize| (format!("`{place}` `{name}`"), grouped(of));
     let bytes = |place: &str, name: &str, of: usize| {
-        let size = if of >= 1 << 20 { format!("{} MiB", of >> 20) } else { format!("{} KiB", of >> 10) };
+        let size = if of >= 1 << 20 {
+            format!("{} MiB", of >> 20)
+        } else {
+            format!("{} KiB", of >> 10)
+        };
         (format!("`{place}` `{name}`"), size)
     };
     let lists = [
         ("sidecar/src/pool.rs", "SERVERS", pool::SERVERS),
         ("fleet/src/change.rs", "MOST_NAMES", change::MOST_NAMES),
-        ("fleet/src/settings.rs", "MOST_SETTINGS", settings::MOST_SETTINGS),
-        ("ledger/src/warm.rs", "MAX_SERVERS", madderloom_ledger::MAX_SERVERS),
+        (
+            "fleet/src/settings.rs",
+            "MOST_SETTINGS",
+            settings::MOST_SETTINGS,
+        ),
+        (
+            "ledger/src/warm.rs",
+            "MAX_SERVERS",
+            madderloom_ledger::MAX_SERVERS,
+        ),
     ];
     assert!(lists.iter().all(|(.., of)| *of >= 1_024));
     assert!(madderloom_timeline::Settings::default().servers >= 1_024);
-    let mut bounds: Vec<_> = lists.iter().map(|(place, name, of)| count(place, name, *of)).collect();
+    let mut bounds: Vec<_> = lists
+        .iter()
+        .map(|(place, name, of)| count(place, name, *of))
+        .collect();
     bounds.extend([
-        bytes("sidecar/src/list_reader.rs", "LONGEST", list_reader::LONGEST),
-        bytes("roster/src/lib.rs", "MOST_TEXT", madderloom_roster::MOST_TEXT),
-        bytes("roster/src/lib.rs", "ALWAYS_TAKEN", madderloom_roster::ALWAYS_TAKEN),
-        count("roster/src/lib.rs", "MOST_LISTS", madderloom_roster::MOST_LISTS),
-        bytes("fleet/src/protocol.rs", "LARGEST_FROM_INSTANCE", protocol::LARGEST_FROM_INSTANCE),
-        bytes("fleet/src/protocol.rs", "LARGEST_ORDER", protocol::LARGEST_ORDER),
+        bytes(
+            "sidecar/src/list_reader.rs",
+            "LONGEST",
+            list_reader::LONGEST,
+        ),
+        bytes(
+            "roster/src/lib.rs",
+            "MOST_TEXT",
+            madderloom_roster::MOST_TEXT,
+        ),
+        bytes(
+            "roster/src/lib.rs",
+            "ALWAYS_TAKEN",
+            madderloom_roster::ALWAYS_TAKEN,
+        ),
+        count(
+            "roster/src/lib.rs",
+            "MOST_LISTS",
+            madderloom_roster::MOST_LISTS,
+        ),
+        bytes(
+            "fleet/src/protocol.rs",
+            "LARGEST_FROM_INSTANCE",
+            protocol::LARGEST_FROM_INSTANCE,
+        ),
+        bytes(
+            "fleet/src/protocol.rs",
+            "LARGEST_ORDER",
+            protocol::LARGEST_ORDER,
+        ),
         count("sidecar/src/common.rs", "Totals", common::MOST_CONNECTIONS),
         bytes("sidecar/src/upload.rs", "KEPT", upload::KEPT),
         bytes("sidecar/src/lib.rs", "LONGEST_BODY", super::LONGEST_BODY),
         bytes("sidecar/src/lib.rs", "BODY", super::BODY),
-        count("sidecar/src/listener.rs", "BACKLOG", listener::BACKLOG as usize),
-        count("sidecar/src/connections.rs", "OPENING", connections::OPENING),
+        count(
+            "sidecar/src/listener.rs",
+            "BACKLOG",
+            listener::BACKLOG as usize,
+        ),
+        count(
+            "sidecar/src/connections.rs",
+            "OPENING",
+            connections::OPENING,
+        ),
         count("sidecar/src/counts.rs", "CLASSES", counts::CLASSES),
     ]);
     for (place, value) in bounds {
         let row = page.lines().find(|line| line.contains(&place));
-        let cell = row.and_then(|row| row.split('|').nth(3)).unwrap_or_default();
-        assert!(cell.contains(&value), "{place} is {value}, and the page says {cell:?}");
+        let cell = row
+            .and_then(|row| row.split('|').nth(3))
+            .unwrap_or_default();
+        assert!(
+            cell.contains(&value),
+            "{place} is {value}, and the page says {cell:?}"
+        );
     }
-    assert!(page.contains(&format!("{} lines, {} KiB", grouped(feed::LINES), feed::BYTES >> 10)));
+    assert!(page.contains(&format!(
+        "{} lines, {} KiB",
+        grouped(feed::LINES),
+        feed::BYTES >> 10
+    )));
 }
--- a/crates/sidecar/src/readiness.rs
+++ b/crates/sidecar/src/readiness.rs
@@ -26,7 +26,12 @@
 /// what the runtime remembers. Reads nothing and does not wait. Not to be called in a loop that awaits readiness: what
 /// the runtime remembers stays as it is.
 pub(super) fn peek_now(stream: &TcpStream) -> Result<usize, Errno> {
-    rustix::net::recv(stream, &mut [0_u8; 1], RecvFlags::PEEK | RecvFlags::DONTWAIT).map(|(count, _)| count)
+    rustix::net::recv(
+        stream,
+        &mut [0_u8; 1],
+        RecvFlags::PEEK | RecvFlags::DONTWAIT,
+    )
+    .map(|(count, _)| count)
 }
 
 /// Whether nothing has come and the connection stands, by the system's word of this moment: what came while the process
@@ -52,7 +57,9 @@
     loop {
         // `ready` takes nothing of the budget.
         consume_budget().await;
-        let ready = stream.ready(Interest::READABLE | Interest::WRITABLE).await?;
+        let ready = stream
+            .ready(Interest::READABLE | Interest::WRITABLE)
+            .await?;
         if ready.is_readable() && has_spoken(stream) {
             return Ok(Unblocked::PeerSpoke);
         }
@@ -64,7 +71,9 @@
 
 /// Whether a socket that is remembered as readable really is. Where it is not, that is forgotten.
 fn has_spoken(stream: &TcpStream) -> bool {
-    let looked = stream.try_io(Interest::READABLE, || peek_now(stream).map_err(io::Error::from));
+    let looked = stream.try_io(Interest::READABLE, || {
+        peek_now(stream).map_err(io::Error::from)
+    });
     !matches!(looked, Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted))
 }
 
--- a/crates/sidecar/src/readiness_tests.rs
+++ b/crates/sidecar/src/readiness_tests.rs
@@ -19,17 +19,26 @@
 fn run(test: impl Future<Output = ()> + Send + 'static) {
     let (sender, ended) = mpsc::channel();
     std::thread::spawn(move || {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()
+            .expect("a runtime");
         runtime.block_on(test);
         let _ = sender.send(());
     });
-    ended.recv_timeout(PATIENCE).expect("it ends without a panic and gives way");
+    ended
+        .recv_timeout(PATIENCE)
+        .expect("it ends without a panic and gives way");
 }
 
 /// Both ends of a connection.
 async fn connection() -> (TcpStream, TcpStream) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
-    let own = TcpStream::connect(listener.local_addr().expect("it is bound")).await.expect("it accepts");
+    let listener = TcpListener::bind("127.0.0.1:0")
+        .await
+        .expect("a port is free");
+    let own = TcpStream::connect(listener.local_addr().expect("it is bound"))
+        .await
+        .expect("it accepts");
     let (peer, _) = listener.accept().await.expect("it comes");
     (own, peer)
 }
@@ -81,7 +90,9 @@
         let mut taken = vec![0; 64 << 20];
         let mut waits = pin!(unblocked(&own));
         let unblocked_by = loop {
-            if let Poll::Ready(by) = poll_fn(|context| Poll::Ready(waits.as_mut().poll(context))).await {
+            if let Poll::Ready(by) =
+                poll_fn(|context| Poll::Ready(waits.as_mut().poll(context))).await
+            {
                 break by.expect("it stands");
             }
             let _ = peer.try_read(&mut taken);
@@ -99,7 +110,9 @@
 fn a_reader_gives_way_after_its_budget_whatever_is_there_to_read() {
     run(async {
         let (own, mut peer) = connection().await;
-        peer.write_all(&[0; 10 * BUDGET]).await.expect("there is room");
+        peer.write_all(&[0; 10 * BUDGET])
+            .await
+            .expect("there is room");
         own.readable().await.expect("it stands");
         tokio::task::yield_now().await;
         let mut in_a_turn = 0;
@@ -110,6 +123,9 @@
             Poll::Ready(())
         })
         .await;
-        assert!((1..=BUDGET).contains(&in_a_turn), "{in_a_turn} reads in one turn");
+        assert!(
+            (1..=BUDGET).contains(&in_a_turn),
+            "{in_a_turn} reads in one turn"
+        );
     });
 }
--- a/crates/sidecar/src/reload.rs
+++ b/crates/sidecar/src/reload.rs
@@ -75,19 +75,26 @@
         match (self.common.keeper.get(), &operator.state) {
             (None, None) => {}
             (None, Some(_)) => {
-                return Err("state: takes effect with a restart; take it out or restart".to_string());
+                return Err(
+                    "state: takes effect with a restart; take it out or restart".to_string()
+                );
             }
             (Some(keeper), state) => keeper.may_change(state.as_ref())?,
         }
         let prepared = self.prepare(&operator)?;
         let mut made = Vec::new();
         let pool_parts = self.parts(&operator, true);
-        for (pool, parts) in operator.pools.iter().zip(pool_parts.iter().skip(self.first_place())) {
+        for (pool, parts) in operator
+            .pools
+            .iter()
+            .zip(pool_parts.iter().skip(self.first_place()))
+        {
             if self.kept(pool).is_none() {
                 match Service::new(&self.common, self.spec(pool), *parts) {
                     Ok(service) => made.push(service),
                     Err(problem) => {
-                        made.into_iter().for_each(|service| self.retire(service, Duration::ZERO));
+                        made.into_iter()
+                            .for_each(|service| self.retire(service, Duration::ZERO));
                         return Err(problem);
                     }
                 }
@@ -100,16 +107,32 @@
     fn prepare(&self, operator: &Operator) -> Result<Prepared, String> {
         let mut sockets = Vec::new();
         let kept = self.kept_listeners(operator);
-        for (at, listener) in operator.listeners.iter().enumerate().filter(|(at, _)| kept[*at].is_none()) {
+        for (at, listener) in operator
+            .listeners
+            .iter()
+            .enumerate()
+            .filter(|(at, _)| kept[*at].is_none())
+        {
             let address = listener.address;
-            let socket = bind(address).map_err(|e| format!("listeners[{at}].address: {address}: {e}"))?;
+            let socket =
+                bind(address).map_err(|e| format!("listeners[{at}].address: {address}: {e}"))?;
             sockets.push((at, socket));
         }
-        let former = self.admin.borrow().as_ref().map(|server| server.at().clone());
+        let former = self
+            .admin
+            .borrow()
+            .as_ref()
+            .map(|server| server.at().clone());
         let admin = if former == operator.admin {
             None
         } else {
-            Some(operator.admin.as_ref().map(admin::Socket::bind).transpose()?)
+            Some(
+                operator
+                    .admin
+                    .as_ref()
+                    .map(admin::Socket::bind)
+                    .transpose()?,
+            )
         };
         Ok(Prepared { sockets, admin })
     }
@@ -122,11 +145,22 @@
         pool_parts: &[Parts],
     ) -> String {
         let first = self.first_place();
-        let limits = operator.control.as_ref().map(|control| control.fleet_limits.as_slice());
+        let limits = operator
+            .control
+            .as_ref()
+            .map(|control| control.fleet_limits.as_slice());
         self.common.fleet_limits.follow(limits.unwrap_or_default());
-        let shared = operator.control.as_ref().and_then(|control| control.share_lists.as_deref());
-        let followed = operator.pools.iter().filter(|pool| pool.discovery.is_some());
-        self.common.shared_lists.follow(shared, followed.map(|pool| pool.name.clone()));
+        let shared = operator
+            .control
+            .as_ref()
+            .and_then(|control| control.share_lists.as_deref());
+        let followed = operator
+            .pools
+            .iter()
+            .filter(|pool| pool.discovery.is_some());
+        self.common
+            .shared_lists
+            .follow(shared, followed.map(|pool| pool.name.clone()));
         self.common.set_totals(totals(
             self.descriptors,
             self.memory,
@@ -153,14 +187,28 @@
         }
         let listener_parts = self.parts(&operator, false);
         let table = Rc::new(operator.table());
-        let platform = self.platform.as_ref().map(|(service, _)| Rc::clone(service));
-        let by_place = std::iter::once(platform).chain(services.iter().cloned().map(Some)).collect();
+        let platform = self
+            .platform
+            .as_ref()
+            .map(|(service, _)| Rc::clone(service));
+        let by_place = std::iter::once(platform)
+            .chain(services.iter().cloned().map(Some))
+            .collect();
         if let Some((service, listener)) = &self.platform {
             let (all, limits) = (MemberLimits::default(), listener_parts[0]);
             service.change_limits(all, pool_parts[0]);
-            service.kept.set(operator.state.as_ref().map(|state| state.usual).unwrap_or_default());
+            service.kept.set(
+                operator
+                    .state
+                    .as_ref()
+                    .map(|state| state.usual)
+                    .unwrap_or_default(),
+            );
             listener.change(
-                Manner { drains: true, ..Manner::usual() },
+                Manner {
+                    drains: true,
+                    ..Manner::usual()
+                },
                 self.routing(&table, 0, &by_place),
                 all,
                 limits,
@@ -178,7 +226,10 @@
                 message_size: spec.body_size.0 as usize,
                 drains: true,
             };
-            let (routing, parts) = (self.routing(&table, at + 1, &by_place), listener_parts[first + at]);
+            let (routing, parts) = (
+                self.routing(&table, at + 1, &by_place),
+                listener_parts[first + at],
+            );
             let listener = match &kept[at] {
                 Some(listener) => {
                     listener.rename(&spec.name);
@@ -186,9 +237,15 @@
                     Rc::clone(listener)
                 }
                 None => {
-                    let Some((_, socket)) = sockets.next() else { continue };
+                    let Some((_, socket)) = sockets.next() else {
+                        continue;
+                    };
                     let limits = (Some(spec.limits), parts);
-                    let place = Socket { wanted: spec.address, socket, shared: false };
+                    let place = Socket {
+                        wanted: spec.address,
+                        socket,
+                        shared: false,
+                    };
                     Listener::start(&self.common, &spec.name, place, (manner, routing), limits)
                 }
             };
@@ -206,9 +263,13 @@
         );
         closed.iter().for_each(|listener| listener.leave());
         let drain = Duration::from_micros(operator.process.drain.micros());
-        gone.into_iter().for_each(|service| self.retire(service, drain));
+        gone.into_iter()
+            .for_each(|service| self.retire(service, drain));
         let platform = self.platform.iter().map(|(service, _)| service);
-        services.iter().chain(platform).for_each(|service| service.keep_story(operator.timeline));
+        services
+            .iter()
+            .chain(platform)
+            .for_each(|service| service.keep_story(operator.timeline));
         self.services.replace(services);
         self.listeners.replace(listeners);
         self.common.routes.set(operator.routes.len());
@@ -216,7 +277,8 @@
         if let Some(socket) = prepared.admin {
             // The former one goes first, which takes its socket's file with it only where that is still its own.
             self.admin.replace(None);
-            self.admin.replace(socket.map(|socket| AdminServer::start(socket, &self.viewer())));
+            self.admin
+                .replace(socket.map(|socket| AdminServer::start(socket, &self.viewer())));
         }
         told
     }
@@ -233,7 +295,11 @@
     /// The service that a pool of a new file goes on with: of the same name and settings.
     fn kept(&self, pool: &Pool) -> Option<Rc<Service>> {
         let site = site_of(pool);
-        self.services.borrow().iter().find(|s| s.name == pool.name && s.tuned().file == site).cloned()
+        self.services
+            .borrow()
+            .iter()
+            .find(|s| s.name == pool.name && s.tuned().file == site)
+            .cloned()
     }
 
     /// The listeners that those of a new file go on with: of the same address, and the same name where there are
@@ -241,10 +307,20 @@
     fn kept_listeners(&self, operator: &Operator) -> Vec<Option<Rc<Listener>>> {
         let mut free = self.listeners.borrow().clone();
         // Those that an earlier file has told to leave still hold their addresses for a moment.
-        free.extend(self.common.listeners.borrow().iter().filter(|listener| listener.may_stay()).cloned());
+        free.extend(
+            self.common
+                .listeners
+                .borrow()
+                .iter()
+                .filter(|listener| listener.may_stay())
+                .cloned(),
+        );
         let mut kept = vec![None; operator.listeners.len()];
         for by_name in [true, false] {
-            for (place, spec) in kept.iter_mut().zip(&operator.listeners).filter(|(place, _)| place.is_none())
+            for (place, spec) in kept
+                .iter_mut()
+                .zip(&operator.listeners)
+                .filter(|(place, _)| place.is_none())
             {
                 let alike = |l: &Rc<Listener>| {
                     l.wanted == spec.address && (!by_name || *l.name.borrow() == spec.name)
@@ -279,20 +355,39 @@
         } else {
             members.extend(operator.listeners.iter().map(|listener| listener.limits));
         }
-        let totals = totals(self.descriptors, self.memory, Some(operator), self.platform.is_some());
+        let totals = totals(
+            self.descriptors,
+            self.memory,
+            Some(operator),
+            self.platform.is_some(),
+        );
         let of = |total: u64, pick: fn(&MemberLimits) -> Bounds| {
             parts(total, &members.iter().map(pick).collect::<Vec<Bounds>>())
         };
         let connections = of(totals.connections, |m| m.connections);
         let (open, bodies) = (of(totals.open, |m| m.open), of(totals.bodies, |m| m.bodies));
         let all = connections.into_iter().zip(open).zip(bodies);
-        all.map(|((connections, open), bodies)| Parts { connections, open, bodies }).collect()
+        all.map(|((connections, open), bodies)| Parts {
+            connections,
+            open,
+            bodies,
+        })
+        .collect()
     }
 
-    fn routing(&self, table: &Rc<Table>, place: usize, services: &Rc<[Option<Rc<Service>>]>) -> Routing {
+    fn routing(
+        &self,
+        table: &Rc<Table>,
+        place: usize,
+        services: &Rc<[Option<Rc<Service>>]>,
+    ) -> Routing {
         let here = |route: &Route| route.listeners.is_empty() || route.listeners.contains(&place);
         // On the platform's own listener, what no route takes goes on as it does without a file.
-        let otherwise = self.platform.as_ref().filter(|_| place == 0).map(|(service, _)| Rc::clone(service));
+        let otherwise = self
+            .platform
+            .as_ref()
+            .filter(|_| place == 0)
+            .map(|(service, _)| Rc::clone(service));
         match otherwise {
             Some(service) if !table.routes().iter().any(here) => Routing::One(service),
             otherwise => Routing::Table(Routed::new(table, place, services, otherwise)),
@@ -301,38 +396,54 @@
 
     fn viewer(&self) -> super::view::Viewer {
         let (common, agent_link) = (Rc::clone(&self.common), Rc::clone(&self.agent_link));
-        super::view::Viewer { common, agent_link, name: self.name.clone() }
+        super::view::Viewer {
+            common,
+            agent_link,
+            name: self.name.clone(),
+        }
     }
 }
 
 /// Reads on a thread of its own: a long file takes a good part of a second, in which requests go on.
-pub(super) async fn aside<T: Send + 'static>(read: impl FnOnce() -> T + Send + 'static) -> Result<T, String> {
+pub(super) async fn aside<T: Send + 'static>(
+    read: impl FnOnce() -> T + Send + 'static,
+) -> Result<T, String> {
     let (done, end) = oneshot::channel();
     let work = move || {
         // Nobody waits for it where the program has ended meanwhile.
         let _ = done.send(read());
     };
-    std::thread::Builder::new().name("operator file".to_string()).spawn(work).map_err(|e| e.to_string())?;
+    std::thread::Builder::new()
+        .name("operator file".to_string())
+        .spawn(work)
+        .map_err(|e| e.to_string())?;
     end.await.map_err(|e| e.to_string())
 }
 
 /// Whether a file needs nothing that the platform configures.
 fn stands_alone(operator: &Operator) -> Result<(), String> {
     if operator.needs_platform() {
-        return Err("names no listener or no pool, and RELAY_CONFIG is not set; name both".to_string());
+        return Err(
+            "names no listener or no pool, and RELAY_CONFIG is not set; name both".to_string(),
+        );
     }
-    let of_platform = |route: &&Route| route.listeners.contains(&0) || route.to.iter().any(|to| to.0 == 0);
+    let of_platform =
+        |route: &&Route| route.listeners.contains(&0) || route.to.iter().any(|to| to.0 == 0);
     match operator.routes.iter().find(of_platform) {
-        Some(Route { name, .. }) => {
-            Err(format!("route {name} names {PLATFORM}, and RELAY_CONFIG is not set"))
-        }
+        Some(Route { name, .. }) => Err(format!(
+            "route {name} names {PLATFORM}, and RELAY_CONFIG is not set"
+        )),
         None => Ok(()),
     }
 }
 
 /// Those of the former that are not among the present.
 fn left<T>(former: &[Rc<T>], present: &[Rc<T>]) -> Vec<Rc<T>> {
-    former.iter().filter(|one| !present.iter().any(|other| Rc::ptr_eq(one, other))).cloned().collect()
+    former
+        .iter()
+        .filter(|one| !present.iter().any(|other| Rc::ptr_eq(one, other)))
+        .cloned()
+        .collect()
 }
 
 /// The settings of a pool as its module gets them: where there is a discovery to ask, it asks.
--- a/crates/sidecar/src/routing.rs
+++ b/crates/sidecar/src/routing.rs
@@ -43,20 +43,39 @@
         services: &Rc<[Option<Rc<Service>>]>,
         otherwise: Option<Rc<Service>>,
     ) -> Self {
-        let here = table.routes().iter().filter(|r| r.listeners.is_empty() || r.listeners.contains(&place));
-        let mut places: Vec<usize> = here.flat_map(|route| route.to.iter().map(|(pool, _)| *pool)).collect();
+        let here = table
+            .routes()
+            .iter()
+            .filter(|r| r.listeners.is_empty() || r.listeners.contains(&place));
+        let mut places: Vec<usize> = here
+            .flat_map(|route| route.to.iter().map(|(pool, _)| *pool))
+            .collect();
         places.sort_unstable();
         places.dedup();
-        let reached = places.into_iter().filter_map(|at| services.get(at).cloned().flatten());
+        let reached = places
+            .into_iter()
+            .filter_map(|at| services.get(at).cloned().flatten());
         let reached = reached.chain(otherwise.clone()).collect();
-        Routed { table: Rc::clone(table), place, services: Rc::clone(services), otherwise, reached }
+        Routed {
+            table: Rc::clone(table),
+            place,
+            services: Rc::clone(services),
+            otherwise,
+            reached,
+        }
     }
 
     /// The service that a route gives a request, and what its class follows from; none where no route takes it.
     pub(super) fn find(&self, asked: &Asked<'_>, key: u64) -> Option<(Rc<Service>, ClassFrom)> {
-        let Some(route) = self.table.find(self.place, asked).and_then(|at| self.table.routes().get(at))
+        let Some(route) = self
+            .table
+            .find(self.place, asked)
+            .and_then(|at| self.table.routes().get(at))
         else {
-            return self.otherwise.clone().map(|service| (service, ClassFrom::Path));
+            return self
+                .otherwise
+                .clone()
+                .map(|service| (service, ClassFrom::Path));
         };
         let service = self.services.get(route.choose(key)).cloned().flatten()?;
         let class = match &route.set_class {
--- a/crates/sidecar/src/second_address.rs
+++ b/crates/sidecar/src/second_address.rs
@@ -54,15 +54,19 @@
             oldest.abort();
         }
         let common = Rc::clone(&common);
-        let caller =
-            watchdog::spawn(TaskKind::ControlConnection, async move { answer(&common, stream).await });
+        let caller = watchdog::spawn(TaskKind::ControlConnection, async move {
+            answer(&common, stream).await
+        });
         callers.push_back(caller.abort_handle());
     }
 }
 
 /// One caller, from its line to its end. It may have gone at any time, and that is its own affair.
 async fn answer(common: &Rc<Common>, mut stream: TcpStream) {
-    let asked = common.within(CALL_WITHIN, line(&mut stream)).await.unwrap_or(Err(Fault::Cut));
+    let asked = common
+        .within(CALL_WITHIN, line(&mut stream))
+        .await
+        .unwrap_or(Err(Fault::Cut));
     let text = match asked {
         Ok(call) => carry_out(common, call),
         Err(fault) => format!("fail {fault}\n"),
@@ -103,7 +107,9 @@
         Call::Ping if common.can_serve() => "ok\n".to_string(),
         Call::Ping => "fail no server is known yet\n".to_string(),
         Call::Info => figures(common).to_string(),
-        Call::LameDuck | Call::Rejoin if common.is_stopping() => "fail the process is stopping\n".to_string(),
+        Call::LameDuck | Call::Rejoin if common.is_stopping() => {
+            "fail the process is stopping\n".to_string()
+        }
         Call::LameDuck => {
             drain::begin(common);
             "ok\n".to_string()
@@ -133,10 +139,14 @@
         all.relayed += service.counts.relayed.get();
         all.open_requests += service.counts.opened();
         let servers = service.snapshot().servers;
-        let listed = servers.iter().filter(|server| server.listed.state != ServerState::Gone);
+        let listed = servers
+            .iter()
+            .filter(|server| server.listed.state != ServerState::Gone);
         all.registry_entries += service.pool.count() as u64;
         all.out_of_rotation += listed
-            .filter(|server| server.listed.state != ServerState::Ready || server.ejected_until.is_some())
+            .filter(|server| {
+                server.listed.state != ServerState::Ready || server.ejected_until.is_some()
+            })
             .count() as u64;
     }
     all.operations = operations.into_iter().collect();
--- a/crates/sidecar/src/service.rs
+++ b/crates/sidecar/src/service.rs
@@ -19,7 +19,8 @@
 use hyper::header::HeaderValue;
 use madderloom_balancer::settings::Site;
 use madderloom_balancer::{
-    Action, Balancer, Event, Members, Memory, Micros, NewRequest, Note, RequestId, ServerId, Snapshot, Timer,
+    Action, Balancer, Event, Members, Memory, Micros, NewRequest, Note, RequestId, ServerId,
+    Snapshot, Timer,
 };
 use madderloom_graphql::{Front, Policy};
 use madderloom_levels::keeper::Keeper;
@@ -107,10 +108,21 @@
 impl Service {
     /// A service at work. To be called in a local set.
     pub(super) fn new(common: &Rc<Common>, spec: Spec, parts: Parts) -> Result<Rc<Self>, String> {
-        let Spec { name, label, site, discovery, known, limits, levels, graphql, kept, seed } = spec;
+        let Spec {
+            name,
+            label,
+            site,
+            discovery,
+            known,
+            limits,
+            levels,
+            graphql,
+            kept,
+            seed,
+        } = spec;
         let counts = Registry::default();
-        let balancer =
-            Balancer::new(site.settings.clone(), seed).map_err(|e| format!("{label}configuration: {e}"))?;
+        let balancer = Balancer::new(site.settings.clone(), seed)
+            .map_err(|e| format!("{label}configuration: {e}"))?;
         let charged = Rc::new(Charged::new(common.account(limits.weight)));
         let bounds = &common.bounds;
         let seats = bounds.servers.join(parts.connections);
@@ -118,7 +130,12 @@
             balancer: RefCell::new(balancer),
             keeper: RefCell::default(),
             place: madderloom_levels::place(seed),
-            pool: Pool::new(discovery, site.zones.clone(), site.kinds.clone(), common.clock.now()),
+            pool: Pool::new(
+                discovery,
+                site.zones.clone(),
+                site.kinds.clone(),
+                common.clock.now(),
+            ),
             connections: Connections::new(common, seats, site.conn_idle, site.connect_timeout),
             tuned: RefCell::new(Rc::new(Tuned::new(site, &counts))),
             graphql: RefCell::new(graphql.map(Front::new)),
@@ -174,7 +191,9 @@
     /// How old its list may be, by discovery's word or the fleet's; none where it is fixed.
     pub(super) fn list_age(&self, now: Micros) -> Option<Micros> {
         let shared = self.common.shared_lists.age(&self.name);
-        self.pool.age(now).map(|age| shared.map_or(age, |shared| shared.min(age)))
+        self.pool
+            .age(now)
+            .map(|age| shared.map_or(age, |shared| shared.min(age)))
     }
 
     pub(super) fn change_limits(&self, limits: MemberLimits, parts: Parts) {
@@ -202,8 +221,14 @@
         if drained.is_err() {
             idle.await;
         }
-        self.tasks.borrow_mut().drain(..).for_each(|task| task.abort());
-        self.common.services.borrow_mut().retain(|other| !Rc::ptr_eq(other, &self));
+        self.tasks
+            .borrow_mut()
+            .drain(..)
+            .for_each(|task| task.abort());
+        self.common
+            .services
+            .borrow_mut()
+            .retain(|other| !Rc::ptr_eq(other, &self));
         tracing::info!(pool = %of, "{of}: gone");
     }
 
@@ -220,7 +245,9 @@
     /// The counts of a class by its place in the settings.
     pub(super) fn class_counts(&self, class: u32) -> Rc<Counts> {
         let tuned = self.tuned();
-        tuned.at(class).map_or_else(|| self.counts.unclassed(), |class| Rc::clone(&class.counts))
+        tuned
+            .at(class)
+            .map_or_else(|| self.counts.unclassed(), |class| Rc::clone(&class.counts))
     }
 
     /// The settings that hold now.
@@ -232,7 +259,8 @@
     pub(super) fn retune(self: &Rc<Self>, site: Site) {
         let former = self.tuned();
         let (tuned, retuned) = former.turn_to(site, &self.counts);
-        self.connections.change(tuned.site.conn_idle, tuned.site.connect_timeout);
+        self.connections
+            .change(tuned.site.conn_idle, tuned.site.connect_timeout);
         pool::rename(self, &tuned.site);
         self.tuned.replace(Rc::new(tuned));
         self.handle(self.common.clock.now(), Event::Settings(&retuned));
@@ -275,7 +303,14 @@
 
     /// Begins with what an earlier process measured of classes, and keeps the rest until servers are listed.
     fn recall_classes(&self) {
-        let Some(keeper) = self.common.keeper.get().filter(|_| self.kept.get().warm_start) else { return };
+        let Some(keeper) = self
+            .common
+            .keeper
+            .get()
+            .filter(|_| self.kept.get().warm_start)
+        else {
+            return;
+        };
         let remembered = Remembered::of(keeper, &self.name);
         let begun = self.memory(self.common.clock.now());
         if let Some(memory) = remembered.classes(keeper, self, &begun) {
@@ -295,7 +330,9 @@
     /// The servers as an earlier process knew them.
     pub(super) fn remembered_servers(&self) -> Vec<madderloom_ledger::ServerMemory> {
         let keeper = self.common.keeper.get();
-        keeper.map(|keeper| self.remembered.borrow().listed(keeper)).unwrap_or_default()
+        keeper
+            .map(|keeper| self.remembered.borrow().listed(keeper))
+            .unwrap_or_default()
     }
 
     /// A request has its answer, or its client has gone.
@@ -322,7 +359,10 @@
         }
         trail::event(self, now, &event);
         let within = self.handling.replace(true);
-        debug_assert!(!within, "the module is told of something while what it said is carried out");
+        debug_assert!(
+            !within,
+            "the module is told of something while what it said is carried out"
+        );
         let mut actions = self.actions.take();
         self.balancer.borrow_mut().handle(now, event, &mut actions);
         for action in actions.drain(..) {
@@ -343,12 +383,19 @@
     /// Keeps the story of its servers by these settings from now on, or no more.
     pub(super) fn keep_story(&self, settings: Option<madderloom_timeline::Settings>) {
         let now = self.common.clock.now();
-        let Some(settings) = settings else { return drop(self.teller.take()) };
+        let Some(settings) = settings else {
+            return drop(self.teller.take());
+        };
         let mut teller = self.teller.borrow_mut();
         match teller.as_mut() {
             Some(teller) => teller.change(now, settings),
             None => {
-                let listed: Vec<_> = self.snapshot().servers.iter().map(|server| server.listed).collect();
+                let listed: Vec<_> = self
+                    .snapshot()
+                    .servers
+                    .iter()
+                    .map(|server| server.listed)
+                    .collect();
                 let cold = self.tuned().site.settings.rules.cold;
                 let new = teller.insert(Box::new(Teller::new(&self.name, settings, cold)));
                 new.listed(self, now, &Members::Full(&listed));
@@ -363,10 +410,17 @@
             return;
         }
         let snapshot = self.snapshot();
-        let moved = if logged { self.moves.borrow_mut().look(&snapshot.servers) } else { None };
+        let moved = if logged {
+            self.moves.borrow_mut().look(&snapshot.servers)
+        } else {
+            None
+        };
         if let Some(moved) = moved {
             let of = &self.label;
-            tracing::info!("{of}regions moved: {}", moved.told(|server| self.pool.name(server)));
+            tracing::info!(
+                "{of}regions moved: {}",
+                moved.told(|server| self.pool.name(server))
+            );
         }
         // The local day is looked up where a story wants it alone.
         self.tell(|teller| {
@@ -375,7 +429,13 @@
         });
     }
 
-    pub(super) fn attempt_begun(&self, now: Micros, server: ServerId, begun: (RequestId, u32), class: u32) {
+    pub(super) fn attempt_begun(
+        &self,
+        now: Micros,
+        server: ServerId,
+        begun: (RequestId, u32),
+        class: u32,
+    ) {
         self.tell(|teller| teller.begun(self, now, server, begun, class));
     }
 
@@ -385,15 +445,33 @@
 
     fn dispatch(self: &Rc<Self>, now: Micros, action: Action) {
         match action {
-            Action::Send { request, server, timeout_at, write_by } => {
-                let told = self.instruct(request, Step::Send { server, timeout_at, write_by });
+            Action::Send {
+                request,
+                server,
+                timeout_at,
+                write_by,
+            } => {
+                let told = self.instruct(
+                    request,
+                    Step::Send {
+                        server,
+                        timeout_at,
+                        write_by,
+                    },
+                );
                 // However a transaction ends, its request is settled in the module before it is gone from here.
-                debug_assert!(told, "request {request} is sent on, and its transaction is over");
+                debug_assert!(
+                    told,
+                    "request {request} is sent on, and its transaction is over"
+                );
             }
             Action::Cancel { request, attempt } => {
                 self.instruct(request, Step::Cancel { attempt });
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Refuse {
+                request,
+                retry_after,
+            } => {
                 self.instruct(request, Step::Refuse { retry_after });
             }
             Action::Fail { request } => {
@@ -407,7 +485,11 @@
     }
 
     fn instruct(&self, request: RequestId, step: Step) -> bool {
-        self.transactions.borrow().get(&request).map(|steps| steps.push(step)).is_some()
+        self.transactions
+            .borrow()
+            .get(&request)
+            .map(|steps| steps.push(step))
+            .is_some()
     }
 
     /// A request's timers end with it.
--- a/crates/sidecar/src/shared_lists.rs
+++ b/crates/sidecar/src/shared_lists.rs
@@ -95,7 +95,11 @@
 
     /// Whether a whole list of this version from discovery may be taken; see [`Share::allows`].
     pub(super) fn allows(&self, pool: &str, index: u64, ask_within: Micros) -> bool {
-        self.list(pool).is_none_or(|list| self.share.borrow().allows(boottime(), &list, index, ask_within))
+        self.list(pool).is_none_or(|list| {
+            self.share
+                .borrow()
+                .allows(boottime(), &list, index, ask_within)
+        })
     }
 
     /// How old the evidence for this pool's list is; none where it is not shared, or nobody has told of it.
@@ -111,9 +115,18 @@
         let first = boottime().saturating_add(first);
         let (after, spread) = own_calls(ask_within);
         let own = RandomState::new().hash_one(0) % spread.max(1);
-        let due = || self.share.borrow().due(&list, after.saturating_add(own)).unwrap_or(first);
+        let due = || {
+            self.share
+                .borrow()
+                .due(&list, after.saturating_add(own))
+                .unwrap_or(first)
+        };
         while let Some(left) = due().checked_sub(boottime()).filter(|left| *left > 0) {
-            if self.share.borrow_mut().asks(boottime(), &list, asks_agent(ask_within)) {
+            if self
+                .share
+                .borrow_mut()
+                .asks(boottime(), &list, asks_agent(ask_within))
+            {
                 self.news.notify_one();
             }
             tokio::time::sleep(LOOK.min(Duration::from_micros(left))).await;
@@ -137,8 +150,16 @@
         rest: impl Fn(&str),
     ) -> bool {
         let now = boottime();
-        let Heard { offers, at_once, call: called_for, enough } = self.share.borrow_mut().hear(now, lists);
-        let pool = |list: &str| list.rsplit_once('/').map_or(String::new(), |(_, pool)| pool.to_string());
+        let Heard {
+            offers,
+            at_once,
+            call: called_for,
+            enough,
+        } = self.share.borrow_mut().hear(now, lists);
+        let pool = |list: &str| {
+            list.rsplit_once('/')
+                .map_or(String::new(), |(_, pool)| pool.to_string())
+        };
         called_for.iter().for_each(|list| call(&pool(list)));
         enough.iter().for_each(|list| rest(&pool(list)));
         for offer in offers {
@@ -150,7 +171,9 @@
                     tracing::info!(%pool, index, "{pool}: version {index} of its list, {age} ms old, by way of the agent");
                     self.share.borrow_mut().taken(offer);
                 }
-                Err(problem) => tracing::warn!(%pool, "{pool}: a list by way of the agent: {problem}"),
+                Err(problem) => {
+                    tracing::warn!(%pool, "{pool}: a list by way of the agent: {problem}")
+                }
             }
         }
         at_once
@@ -163,7 +186,10 @@
             return Value::Null;
         }
         let list = |(name, index, heard): (&str, u64, Micros)| {
-            (name.to_string(), json!({"version": index, "age_us": now.saturating_sub(heard)}))
+            (
+                name.to_string(),
+                json!({"version": index, "age_us": now.saturating_sub(heard)}),
+            )
         };
         Value::Object(share.views().map(list).collect())
     }
