--- a/crates/sidecar/src/teller.rs
+++ b/crates/sidecar/src/teller.rs
@@ -6,7 +6,9 @@
 use madderloom_balancer::{
     Closed, Listed, Members, Micros, Note, Outcome, RequestId, ServerId, ServerState, Snapshot,
 };
-use madderloom_timeline::{Arrival, Departure, Gauge, Happening, Observed, Phase, Settings, Story, Subject};
+use madderloom_timeline::{
+    Arrival, Departure, Gauge, Happening, Observed, Phase, Settings, Story, Subject,
+};
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -71,17 +73,24 @@
 
     /// The name of a server that is listed or remembered.
     pub(super) fn name(&self, id: ServerId) -> Box<str> {
-        self.servers.get(&id).map_or_else(|| id.to_string().into(), |known| known.name.clone())
+        self.servers
+            .get(&id)
+            .map_or_else(|| id.to_string().into(), |known| known.name.clone())
     }
 
     /// Where a server is, or was last, and how it was listed.
     pub(super) fn known(&self, id: ServerId) -> Option<(&Listed, Option<SocketAddr>)> {
-        self.servers.get(&id).map(|known| (&known.listed, known.address))
+        self.servers
+            .get(&id)
+            .map(|known| (&known.listed, known.address))
     }
 
     /// The server of a name, if it is listed or remembered.
     pub(super) fn find(&self, name: &str) -> Option<ServerId> {
-        self.servers.iter().find(|(_, known)| *known.name == *name).map(|(id, _)| *id)
+        self.servers
+            .iter()
+            .find(|(_, known)| *known.name == *name)
+            .map(|(id, _)| *id)
     }
 
     /// The list of servers, or changes of it.
@@ -95,7 +104,12 @@
         let is_first = self.servers.is_empty();
         if full {
             let there: BTreeSet<ServerId> = listed.iter().map(|server| server.server).collect();
-            let gone: Vec<ServerId> = self.servers.keys().filter(|id| !there.contains(id)).copied().collect();
+            let gone: Vec<ServerId> = self
+                .servers
+                .keys()
+                .filter(|id| !there.contains(id))
+                .copied()
+                .collect();
             gone.into_iter().for_each(|id| self.left(service, now, id));
         }
         for server in listed {
@@ -109,11 +123,19 @@
     fn arrived(&mut self, service: &Service, now: Micros, listed: &Listed, is_first: bool) {
         let id = listed.server;
         let address = service.pool.address(id);
-        let former = self.servers.get(&id).map(|known| (known.listed, known.address));
+        let former = self
+            .servers
+            .get(&id)
+            .map(|known| (known.listed, known.address));
         let is_back = former.is_some_and(|(former, _)| former.state == ServerState::Gone);
         let restarted = former.is_some_and(|(former, _)| listed.started > former.started);
         let cold_until = listed.started.map_or(0, |at| at.saturating_add(self.cold));
-        let arrival = Arrival { zone: listed.zone, kind: listed.kind, restarted, cold_until };
+        let arrival = Arrival {
+            zone: listed.zone,
+            kind: listed.kind,
+            restarted,
+            cold_until,
+        };
         self.story.listed(now, id, arrival);
         let known = self.servers.entry(id).or_insert_with(|| Known {
             name: service.pool.name(id),
@@ -138,8 +160,10 @@
         // Whoever was found there before is not any more.
         let moved = former.is_none_or(|(_, at)| at != address);
         if moved && let Some(address) = address {
-            let former =
-                self.servers.iter().find(|(other, known)| **other != id && known.address == Some(address));
+            let former = self
+                .servers
+                .iter()
+                .find(|(other, known)| **other != id && known.address == Some(address));
             if let Some(former) = former.map(|(other, _)| *other) {
                 self.happened(service, now, former, Happening::AddressTaken);
                 if let Some(known) = self.servers.get_mut(&former) {
@@ -150,7 +174,10 @@
     }
 
     fn left(&mut self, service: &Service, now: Micros, id: ServerId) {
-        let Some(known) = self.servers.get_mut(&id).filter(|known| known.listed.state != ServerState::Gone)
+        let Some(known) = self
+            .servers
+            .get_mut(&id)
+            .filter(|known| known.listed.state != ServerState::Gone)
         else {
             return;
         };
@@ -200,7 +227,9 @@
         (request, attempt): (RequestId, u32),
         class: u32,
     ) {
-        let Some(known) = self.servers.get_mut(&id) else { return };
+        let Some(known) = self.servers.get_mut(&id) else {
+            return;
+        };
         known.out.insert((now, request, attempt), class);
         // It gets nothing while it is ejected but on trial.
         if known.is_ejected {
@@ -210,12 +239,25 @@
 
     /// An attempt ended.
     pub(super) fn ended(&mut self, now: Micros, ended: &EndedAttempt) {
-        let Closed { request, attempt, server, outcome, elapsed, .. } = ended.closed;
+        let Closed {
+            request,
+            attempt,
+            server,
+            outcome,
+            elapsed,
+            ..
+        } = ended.closed;
         if let Some(known) = self.servers.get_mut(&server) {
             known.out.remove(&(ended.sent, request, attempt));
         }
         let size = self.size(ended.class, ended.cost);
-        let seen = Observed { server, class: ended.class, outcome, elapsed, size };
+        let seen = Observed {
+            server,
+            class: ended.class,
+            outcome,
+            elapsed,
+            size,
+        };
         self.story.attempt(now, self.minute, &seen);
     }
 
@@ -227,7 +269,11 @@
             self.guesses.resize(place + 1, (0.0, 0.0));
         }
         let (mean, weight) = &mut self.guesses[place];
-        let size = if *weight > 0.0 && *mean > 0.0 { guess as f64 / *mean } else { 1.0 };
+        let size = if *weight > 0.0 && *mean > 0.0 {
+            guess as f64 / *mean
+        } else {
+            1.0
+        };
         *weight = (*weight + 1.0).min(GUESSES);
         *mean += (guess as f64 - *mean) / *weight;
         size
@@ -236,7 +282,8 @@
     /// A server has told how much it holds.
     pub(super) fn reported(&mut self, now: Micros, id: ServerId, held: f64) {
         let out = self.servers.get(&id).map_or(0, |known| known.out.len());
-        self.story.reported(now, id, held, u32::try_from(out).unwrap_or(u32::MAX));
+        self.story
+            .reported(now, id, held, u32::try_from(out).unwrap_or(u32::MAX));
     }
 
     /// A request ended unserved, and this server had it last.
@@ -245,13 +292,29 @@
     }
 
     /// Looks at how all stand, and says what departs from its usual. To be called once a second.
-    pub(super) fn second(&mut self, service: &Service, now: Micros, minute: u16, snapshot: &Snapshot) {
+    pub(super) fn second(
+        &mut self,
+        service: &Service,
+        now: Micros,
+        minute: u16,
+        snapshot: &Snapshot,
+    ) {
         self.minute = minute;
         for view in &snapshot.servers {
             let id = view.listed.server;
-            let reported = view.report.and_then(|(at, report)| Some((report?.held, now.saturating_sub(at))));
+            let reported = view
+                .report
+                .and_then(|(at, report)| Some((report?.held, now.saturating_sub(at))));
             let out = u32::try_from(view.out).unwrap_or(u32::MAX);
-            self.story.gauge(now, id, Gauge { out, region: view.share, reported });
+            self.story.gauge(
+                now,
+                id,
+                Gauge {
+                    out,
+                    region: view.share,
+                    reported,
+                },
+            );
             if let Some(known) = self.servers.get(&id) {
                 let oldest = known.out.iter().take(LOOKED_AT);
                 let ages = oldest.map(|((sent, ..), class)| (*class, now.saturating_sub(*sent)));
@@ -262,16 +325,21 @@
             self.departed(service, &departure);
         }
         let remembered: BTreeSet<ServerId> = self.story.servers().map(|(id, _)| id).collect();
-        self.servers.retain(|id, known| known.listed.state != ServerState::Gone || remembered.contains(id));
+        self.servers
+            .retain(|id, known| known.listed.state != ServerState::Gone || remembered.contains(id));
     }
 
     /// A departure in a line: whom it is about by name, and for which class.
     pub(super) fn told(&self, service: &Service, departure: &Departure) -> String {
         let name = match departure.subject {
             Subject::Server(id) => self.name(id).into_string(),
-            Subject::Zone(zone) => {
-                service.tuned().site.zones.get(zone as usize).cloned().unwrap_or_else(|| zone.to_string())
-            }
+            Subject::Zone(zone) => service
+                .tuned()
+                .site
+                .zones
+                .get(zone as usize)
+                .cloned()
+                .unwrap_or_else(|| zone.to_string()),
             Subject::Fleet => String::new(),
         };
         let tuned = service.tuned();
@@ -296,8 +364,17 @@
             Subject::Server(id) => Some(self.name(id)),
             Subject::Zone(_) | Subject::Fleet => None,
         };
-        let said = Said { at: departure.at, pool: &self.pool, server: server.as_deref(), event, text: &text };
-        service.common.feed.push_with(said, &json!({"departure": departure}));
+        let said = Said {
+            at: departure.at,
+            pool: &self.pool,
+            server: server.as_deref(),
+            event,
+            text: &text,
+        };
+        service
+            .common
+            .feed
+            .push_with(said, &json!({"departure": departure}));
     }
 }
 
@@ -306,16 +383,23 @@
     match what {
         Happening::Joined => ("joined", "is listed".to_string()),
         Happening::Restarted => ("restarted", "has started anew".to_string()),
-        Happening::AddressTaken => ("address_taken", "has lost its address to another server".to_string()),
+        Happening::AddressTaken => (
+            "address_taken",
+            "has lost its address to another server".to_string(),
+        ),
         Happening::Draining => ("draining", "drains".to_string()),
         Happening::Ready => ("ready", "takes new work again".to_string()),
         Happening::Left => ("left", "is gone from the list".to_string()),
-        Happening::Ejected(outcome) => {
-            ("ejected", format!("is ejected, since attempts there {}", ended(*outcome)))
-        }
+        Happening::Ejected(outcome) => (
+            "ejected",
+            format!("is ejected, since attempts there {}", ended(*outcome)),
+        ),
         Happening::Trial => ("trial", "is sent a request on trial".to_string()),
         Happening::Restored => ("restored", "is trusted again after its trial".to_string()),
-        Happening::Departed(number) => ("raised", format!("departs from its usual (number {number})")),
+        Happening::Departed(number) => (
+            "raised",
+            format!("departs from its usual (number {number})"),
+        ),
         Happening::Cleared(number) => ("cleared", format!("is as usual again (number {number})")),
     }
 }
--- a/crates/sidecar/src/trail.rs
+++ b/crates/sidecar/src/trail.rs
@@ -31,16 +31,35 @@
     match event {
         // Names are looked up where they are written alone.
         Event::Members(Members::Full(list) | Members::Changes(list)) if enabled!(Level::DEBUG) => {
-            for Listed { server, state, kind, started, .. } in *list {
+            for Listed {
+                server,
+                state,
+                kind,
+                started,
+                ..
+            } in *list
+            {
                 let (name, started) = (service.pool.name(*server), started.unwrap_or(0));
                 debug!(t = now, what = "listed", %server, %name, ?state, kind, started, "listed {name}: {state:?}");
             }
         }
         Event::Request(new) => {
             let (request, class) = (new.id, new.class);
-            debug!(t = now, what = "request", request, class, "request {request}");
+            debug!(
+                t = now,
+                what = "request",
+                request,
+                class,
+                "request {request}"
+            );
         }
-        Event::Closed(Closed { request, server, outcome, elapsed: us, .. }) => {
+        Event::Closed(Closed {
+            request,
+            server,
+            outcome,
+            elapsed: us,
+            ..
+        }) => {
             debug!(t = now, what = "ended", request, %server, ?outcome, us, "ended {request}: {outcome:?} after {us} us");
         }
         _ => {}
@@ -50,11 +69,15 @@
 /// What the module has done.
 pub(super) fn action(now: Micros, action: &Action) {
     match action {
-        Action::Send { request, server, .. } => {
+        Action::Send {
+            request, server, ..
+        } => {
             debug!(t = now, what = "send", request, %server, "send {request}")
         }
         Action::Probe(server) => debug!(t = now, what = "probe", %server, "probe"),
-        Action::Refuse { request, .. } => debug!(t = now, what = "refuse", request, "refuse {request}"),
+        Action::Refuse { request, .. } => {
+            debug!(t = now, what = "refuse", request, "refuse {request}")
+        }
         Action::Fail { request } => debug!(t = now, what = "fail", request, "fail {request}"),
         Action::Subscribe => debug!(t = now, what = "ask", "ask discovery"),
         _ => {}
--- a/crates/sidecar/src/transaction.rs
+++ b/crates/sidecar/src/transaction.rs
@@ -18,7 +18,11 @@
 /// What the module tells a transaction to do next.
 pub(super) enum Step {
     /// Start a flow.
-    Send { server: ServerId, timeout_at: Micros, write_by: Micros },
+    Send {
+        server: ServerId,
+        timeout_at: Micros,
+        write_by: Micros,
+    },
     /// End a flow.
     Cancel { attempt: u32 },
     /// Answer that the request is refused.
@@ -59,12 +63,19 @@
 
     fn pop(&self) -> Option<Step> {
         let mut queue = self.queue.borrow_mut();
-        if queue.is_empty() { None } else { Some(queue.remove(0)) }
+        if queue.is_empty() {
+            None
+        } else {
+            Some(queue.remove(0))
+        }
     }
 
     fn wait(&self, context: &Context<'_>) {
         let mut waiting = self.waiting.borrow_mut();
-        if waiting.as_ref().is_none_or(|waker| !waker.will_wake(context.waker())) {
+        if waiting
+            .as_ref()
+            .is_none_or(|waker| !waker.will_wake(context.waker()))
+        {
             *waiting = Some(context.waker().clone());
         }
     }
@@ -108,7 +119,12 @@
 }
 
 /// Serves one request: the module's words go in from the top, and the final answer comes out.
-pub(super) async fn run(service: &Rc<Service>, now: Micros, new: NewRequest, onward: Rc<Onward>) -> Answer {
+pub(super) async fn run(
+    service: &Rc<Service>,
+    now: Micros,
+    new: NewRequest,
+    onward: Rc<Onward>,
+) -> Answer {
     let mut transaction = Transaction::begin(service, now, &new);
 
     // The module takes it in, and says what to do first: send it, refuse it, or nothing yet.
@@ -121,7 +137,11 @@
 
     loop {
         match transaction.next().await {
-            Next::Step(Step::Send { server, timeout_at, write_by }) => {
+            Next::Step(Step::Send {
+                server,
+                timeout_at,
+                write_by,
+            }) => {
                 onward.while_asked_for().await;
                 transaction.send(&onward, server, (timeout_at, write_by));
             }
@@ -140,7 +160,10 @@
 impl Transaction {
     fn begin(service: &Rc<Service>, now: Micros, new: &NewRequest) -> Self {
         let steps = Rc::<Steps>::default();
-        service.transactions.borrow_mut().insert(new.id, Rc::clone(&steps));
+        service
+            .transactions
+            .borrow_mut()
+            .insert(new.id, Rc::clone(&steps));
         Transaction {
             service: Rc::clone(service),
             id: new.id,
@@ -156,10 +179,16 @@
         }
     }
 
-    fn send(&mut self, onward: &Rc<Onward>, server: ServerId, (timeout_at, write_by): (Micros, Micros)) {
+    fn send(
+        &mut self,
+        onward: &Rc<Onward>,
+        server: ServerId,
+        (timeout_at, write_by): (Micros, Micros),
+    ) {
         let (sent, number) = (self.service.common.clock.now(), self.flows.len() as u32);
         self.last = Some(server);
-        self.service.attempt_begun(sent, server, (self.id, number), self.class as u32);
+        self.service
+            .attempt_begun(sent, server, (self.id, number), self.class as u32);
         let attempt = Attempt {
             service: Rc::clone(&self.service),
             request: self.id,
@@ -173,7 +202,8 @@
             over: Rc::clone(&self.over),
             closed: false,
         };
-        self.flows.push(Some(Box::pin(flow::run(attempt, Rc::clone(onward)))));
+        self.flows
+            .push(Some(Box::pin(flow::run(attempt, Rc::clone(onward)))));
     }
 
     /// A flow that is dropped closes its connection and tells the module that it was called off.
@@ -192,7 +222,9 @@
             // Before the flows are polled: what one of them brings about may be a step.
             self.steps.wait(context);
             for place in &mut self.flows {
-                if let Some(Poll::Ready(answered)) = place.as_mut().map(|flow| flow.as_mut().poll(context)) {
+                if let Some(Poll::Ready(answered)) =
+                    place.as_mut().map(|flow| flow.as_mut().poll(context))
+                {
                     *place = None;
                     return Poll::Ready(Next::Ended(answered));
                 }
@@ -206,7 +238,8 @@
         self.over.set(true);
         // What ends unserved behind an attempt does so because of the server that had it last.
         if let Some(server) = self.last.filter(|_| !matches!(answer, Answer::Served(_))) {
-            self.service.tell(|teller| teller.turned_away(self.service.common.clock.now(), server));
+            self.service
+                .tell(|teller| teller.turned_away(self.service.common.clock.now(), server));
         }
         if let Some(entry) = &onward.entry {
             entry.end(&answer);
--- a/crates/sidecar/src/tuned.rs
+++ b/crates/sidecar/src/tuned.rs
@@ -65,7 +65,13 @@
 
     fn of(file: Site, site: Site, places: Vec<Place>) -> Self {
         let limits = &site.settings.limits;
-        let longest = site.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
+        let longest = site
+            .settings
+            .classes
+            .iter()
+            .map(|c| c.deadline)
+            .max()
+            .unwrap_or(0);
         Tuned {
             retry_after: limits.retry_after.then_some(limits.max_retry_after),
             longest: Duration::from_micros(longest),
@@ -80,26 +86,51 @@
         let file = site.clone();
         let mut places: Vec<Place> = Vec::with_capacity(self.places.len());
         let mut learned: Vec<Option<u32>> = Vec::new();
-        let asked: Vec<(String, Class)> =
-            site.classes.iter().cloned().zip(site.settings.classes.iter().cloned()).collect();
+        let asked: Vec<(String, Class)> = site
+            .classes
+            .iter()
+            .cloned()
+            .zip(site.settings.classes.iter().cloned())
+            .collect();
         // What stays as it is keeps its place; all else is on its way out.
         for place in &self.places {
             let entry = &place.entry;
-            let stays = asked.iter().any(|(name, class)| *name == entry.name && *class == entry.class);
+            let stays = asked
+                .iter()
+                .any(|(name, class)| *name == entry.name && *class == entry.class);
             learned.push(Some(entry.place));
-            places.push(Place { entry: Rc::clone(entry), retired: place.retired || !stays });
+            places.push(Place {
+                entry: Rc::clone(entry),
+                retired: place.retired || !stays,
+            });
         }
         for (name, class) in asked {
-            if places.iter().any(|place| !place.retired && place.entry.name == name) {
+            if places
+                .iter()
+                .any(|place| !place.retired && place.entry.name == name)
+            {
                 continue;
             }
-            let former = self.places.iter().find(|place| !place.retired && place.entry.name == name);
+            let former = self
+                .places
+                .iter()
+                .find(|place| !place.retired && place.entry.name == name);
             let from = former.map(|place| place.entry.place);
             // One here and one in the settings that hold: nobody else has it.
-            let free = places.iter().position(|place| place.retired && Rc::strong_count(&place.entry) == 2);
+            let free = places
+                .iter()
+                .position(|place| place.retired && Rc::strong_count(&place.entry) == 2);
             let at = free.unwrap_or(places.len());
-            let entry = ClassEntry { place: at as u32, class, counts: counts.class(&name), name };
-            let place = Place { entry: Rc::new(entry), retired: false };
+            let entry = ClassEntry {
+                place: at as u32,
+                class,
+                counts: counts.class(&name),
+                name,
+            };
+            let place = Place {
+                entry: Rc::new(entry),
+                retired: false,
+            };
             if at < places.len() {
                 (places[at], learned[at]) = (place, from);
             } else {
@@ -107,16 +138,29 @@
                 learned.push(from);
             }
         }
-        site.classes = places.iter().map(|place| place.entry.name.clone()).collect();
-        site.settings.classes = places.iter().map(|place| place.entry.class.clone()).collect();
+        site.classes = places
+            .iter()
+            .map(|place| place.entry.name.clone())
+            .collect();
+        site.settings.classes = places
+            .iter()
+            .map(|place| place.entry.class.clone())
+            .collect();
         let retired = places.iter().map(|place| place.retired).collect();
-        let retuned = Retuned { settings: site.settings.clone(), learned, retired };
+        let retuned = Retuned {
+            settings: site.settings.clone(),
+            learned,
+            retired,
+        };
         (Tuned::of(file, site, places), retuned)
     }
 
     /// The class that new requests name so.
     pub(super) fn named(&self, name: &str) -> Option<Rc<ClassEntry>> {
-        let place = self.places.iter().find(|place| !place.retired && place.entry.name == name);
+        let place = self
+            .places
+            .iter()
+            .find(|place| !place.retired && place.entry.name == name);
         place.map(|place| Rc::clone(&place.entry))
     }
 
@@ -148,11 +192,18 @@
     #[test]
     fn a_class_keeps_its_place_while_a_request_of_it_is_open() {
         let counts = Registry::default();
-        let first = Tuned::new(site(&[("read", "safe", 900_000), ("file", "unsafe", 900_000)]), &counts);
+        let first = Tuned::new(
+            site(&[("read", "safe", 900_000), ("file", "unsafe", 900_000)]),
+            &counts,
+        );
         let open = first.named("file").expect("it is there");
         // "file" changes its effect, "read" stays, "late" is new.
         let (second, told) = first.turn_to(
-            site(&[("late", "safe", 500_000), ("read", "safe", 900_000), ("file", "keyed", 900_000)]),
+            site(&[
+                ("late", "safe", 500_000),
+                ("read", "safe", 900_000),
+                ("file", "keyed", 900_000),
+            ]),
             &counts,
         );
         assert_eq!((open.place, open.effect()), (1, Effect::Unsafe));
@@ -163,7 +214,10 @@
         drop(first);
         // Nobody asks for "late" any more; its place, and that of the request that has ended, are free again.
         drop(open);
-        let (third, told) = second.turn_to(site(&[("read", "safe", 900_000), ("new", "safe", 1)]), &counts);
+        let (third, told) = second.turn_to(
+            site(&[("read", "safe", 900_000), ("new", "safe", 1)]),
+            &counts,
+        );
         assert_eq!(third.named("new").map(|c| c.place), Some(1));
         assert_eq!(told.retired, [false, false, true, true]);
         assert_eq!(told.learned[1], None);
--- a/crates/sidecar/src/turns.rs
+++ b/crates/sidecar/src/turns.rs
@@ -33,11 +33,17 @@
 impl Scheduler {
     pub(super) fn new() -> Rc<Self> {
         let slice = u64::try_from(SLICE.as_nanos()).unwrap_or(u64::MAX);
-        Rc::new(Scheduler { turns: RefCell::new(Turns::new(slice)), waiting: Notify::new() })
+        Rc::new(Scheduler {
+            turns: RefCell::new(Turns::new(slice)),
+            waiting: Notify::new(),
+        })
     }
 
     pub(super) fn open(self: &Rc<Self>, weight: u32) -> Account {
-        Account { of: Rc::clone(self), id: self.turns.borrow_mut().join(weight) }
+        Account {
+            of: Rc::clone(self),
+            id: self.turns.borrow_mut().join(weight),
+        }
     }
 
     /// Begins rounds for as long as anything waits, each behind all that could be done before it.
@@ -92,7 +98,12 @@
 
 impl<F: Future> InTurn<F> {
     pub(super) fn new(common: &Rc<Common>, charged: Rc<Charged>, task: F) -> Self {
-        InTurn { task: Box::pin(task), common: Rc::clone(common), charged, waiter: None }
+        InTurn {
+            task: Box::pin(task),
+            common: Rc::clone(common),
+            charged,
+            waiter: None,
+        }
     }
 
     fn step(&mut self, context: &mut Context<'_>) -> Poll<F::Output> {
@@ -105,16 +116,25 @@
     type Output = F::Output;
 
     fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<F::Output> {
-        let Some(account) = charged_to(&self.charged) else { return self.step(context) };
+        let Some(account) = charged_to(&self.charged) else {
+            return self.step(context);
+        };
         if let Some(waiter) = self.waiter.take_if(|waiter| waiter.released.get()) {
             drop(waiter);
         } else if let Some(waiter) = &self.waiter {
             waiter.waker.borrow_mut().clone_from(context.waker());
             return Poll::Pending;
         } else if !account.of.turns.borrow().may(account.id) {
-            let waiter =
-                Rc::new(Waiter { waker: RefCell::new(context.waker().clone()), released: Cell::new(false) });
-            if account.of.turns.borrow_mut().wait(account.id, Rc::clone(&waiter)) {
+            let waiter = Rc::new(Waiter {
+                waker: RefCell::new(context.waker().clone()),
+                released: Cell::new(false),
+            });
+            if account
+                .of
+                .turns
+                .borrow_mut()
+                .wait(account.id, Rc::clone(&waiter))
+            {
                 account.of.waiting.notify_one();
             }
             self.waiter = Some(waiter);
@@ -151,7 +171,10 @@
     #[test]
     fn a_flood_of_tasks_of_one_account_does_not_hold_up_the_tasks_of_another() {
         const FLOOD: usize = 100;
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()
+            .expect("a runtime");
         tokio::task::LocalSet::new().block_on(&runtime, async {
             let common = Common::new(Totals::new(64, 0, 1 << 20, 8, None), true);
             let scheduler = Scheduler::new();
@@ -168,8 +191,16 @@
             let task = InTurn::new(&common, charged, work(100, Duration::ZERO, Rc::default()));
             tokio::task::spawn_local(task).await.expect("it ends");
             // Taken in the order of coming, each of its steps would wait for one of each of the others.
-            assert!(steps.get() < 100 * FLOOD / 5, "{} steps went before 100", steps.get());
-            assert!(loud.spent().waits > 0 && quiet.spent().waits == 0, "{:?}", quiet.spent());
+            assert!(
+                steps.get() < 100 * FLOOD / 5,
+                "{} steps went before 100",
+                steps.get()
+            );
+            assert!(
+                loud.spent().waits > 0 && quiet.spent().waits == 0,
+                "{:?}",
+                quiet.spent()
+            );
             flood.iter().for_each(tokio::task::AbortHandle::abort);
         });
     }
--- a/crates/sidecar/src/upload.rs
+++ b/crates/sidecar/src/upload.rs
@@ -25,8 +25,10 @@
 pub(super) const SLOWEST: u64 = 32_000;
 pub(super) const LAG: Micros = 3_000_000;
 
-const TOO_LONG: Reject =
-    Reject::Senseless(StatusCode::PAYLOAD_TOO_LARGE, "the body is longer than this listener takes");
+const TOO_LONG: Reject = Reject::Senseless(
+    StatusCode::PAYLOAD_TOO_LARGE,
+    "the body is longer than this listener takes",
+);
 
 /// How long a body is, as its head tells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -39,19 +41,32 @@
 impl Length {
     /// By the head of a request. Where it has both a length and chunks, one reader sees a request where another sees
     /// a body, so it is refused; hyper has refused several lengths that differ.
-    pub(super) fn of(body: Option<&Incoming>, headers: &HeaderMap, most: usize) -> Result<Self, Reject> {
+    pub(super) fn of(
+        body: Option<&Incoming>,
+        headers: &HeaderMap,
+        most: usize,
+    ) -> Result<Self, Reject> {
         let mut codings = headers.get_all(header::TRANSFER_ENCODING).iter();
         if let Some(coding) = codings.next() {
             if headers.contains_key(header::CONTENT_LENGTH) {
-                return Err(senseless("there are both a Content-Length and a Transfer-Encoding"));
+                return Err(senseless(
+                    "there are both a Content-Length and a Transfer-Encoding",
+                ));
             }
-            if codings.next().is_some() || !coding.as_bytes().trim_ascii().eq_ignore_ascii_case(b"chunked") {
+            if codings.next().is_some()
+                || !coding
+                    .as_bytes()
+                    .trim_ascii()
+                    .eq_ignore_ascii_case(b"chunked")
+            {
                 return Err(senseless("the Transfer-Encoding is not just chunked"));
             }
             return Ok(Length::Chunked);
         }
         let size = body.and_then(|body| body.size_hint().exact());
-        size.filter(|size| *size <= most as u64).map(Length::Known).ok_or(TOO_LONG)
+        size.filter(|size| *size <= most as u64)
+            .map(Length::Known)
+            .ok_or(TOO_LONG)
     }
 }
 
@@ -65,7 +80,12 @@
 
 impl Reader {
     pub(super) fn new(common: &Common, body: Incoming, most: usize) -> Self {
-        Reader { body, begun: common.clock.now(), read: 0, most: most as u64 }
+        Reader {
+            body,
+            begun: common.clock.now(),
+            read: 0,
+            most: most as u64,
+        }
     }
 
     /// The next piece; none at the end. A client has its time by what it has sent.
@@ -73,13 +93,20 @@
         loop {
             let until = self.begun + LAG + self.read.saturating_mul(1_000_000) / SLOWEST;
             let frame = match common.until(until, self.body.frame()).await {
-                None => return Err(Reject::Senseless(StatusCode::REQUEST_TIMEOUT, "the body has not come")),
+                None => {
+                    return Err(Reject::Senseless(
+                        StatusCode::REQUEST_TIMEOUT,
+                        "the body has not come",
+                    ));
+                }
                 Some(None) => return Ok(None),
                 Some(Some(Err(_))) => return Err(senseless("the body has broken off")),
                 Some(Some(Ok(frame))) => frame,
             };
             // Trailers are about the message itself and go no further.
-            let Ok(data) = frame.into_data() else { continue };
+            let Ok(data) = frame.into_data() else {
+                continue;
+            };
             self.read += data.len() as u64;
             if self.read > self.most {
                 return Err(TOO_LONG);
@@ -138,7 +165,11 @@
 impl Passing {
     /// The rest, for an attempt, where it can still be sent.
     pub(super) fn take(&self) -> Option<Reader> {
-        if self.spent.get() { None } else { self.rest.take() }
+        if self.spent.get() {
+            None
+        } else {
+            self.rest.take()
+        }
     }
 
     /// Whether an attempt could send it.
@@ -187,7 +218,9 @@
         Length::Known(_) => (false, 0),
         Length::Chunked => (true, 0),
     };
-    let Some(body) = body.take() else { return Ok(Upload::Kept(Bytes::new())) };
+    let Some(body) = body.take() else {
+        return Ok(Upload::Kept(Bytes::new()));
+    };
     let mut reader = Reader::new(common, body, most);
     loop {
         let Some(piece) = reader.next(common).await? else {
@@ -206,7 +239,11 @@
         } else {
             kept.extend_from_slice(&piece);
         }
-        let enough = if fits { kept.len() > held } else { kept.len() >= BEGINNING };
+        let enough = if fits {
+            kept.len() > held
+        } else {
+            kept.len() >= BEGINNING
+        };
         if enough && !matches!(length, Length::Known(size) if size == kept.len() as u64) {
             let passing = Passing {
                 length,
@@ -222,7 +259,9 @@
 }
 
 fn hold(listener: &Listener, service: &Service, size: u64, room: &mut Room) -> bool {
-    let held =
-        service.allowance.room_for(size).and_then(|own| Some([own, listener.allowance.room_for(size)?]));
+    let held = service
+        .allowance
+        .room_for(size)
+        .and_then(|own| Some([own, listener.allowance.room_for(size)?]));
     held.map(|held| room.push(held)).is_some()
 }
--- a/crates/sidecar/src/view.rs
+++ b/crates/sidecar/src/view.rs
@@ -31,7 +31,10 @@
     /// The pool of this name that serves.
     pub(super) fn pool(&self, name: &str) -> Option<Rc<Service>> {
         let services = self.common.services.borrow();
-        services.iter().find(|service| service.name == name && !service.is_leaving()).cloned()
+        services
+            .iter()
+            .find(|service| service.name == name && !service.is_leaving())
+            .cloned()
     }
 
     /// Everything there is to see.
@@ -116,7 +119,11 @@
     let snapshot = service.snapshot();
     let ago = |at: Micros| now.saturating_sub(at);
     let tuned = service.tuned();
-    let classes = tuned.places.iter().zip(&snapshot.classes).filter(|(place, _)| !place.retired);
+    let classes = tuned
+        .places
+        .iter()
+        .zip(&snapshot.classes)
+        .filter(|(place, _)| !place.retired);
     let classes = classes.map(|(place, seen)| {
         let class = &place.entry;
         json!({
@@ -130,7 +137,8 @@
             "served_per_s": seen.served, "refused_ago_us": seen.refused.map(ago),
         })
     });
-    let account = charged_to(&service.charged).map_or_else(Spent::default, |account| account.spent());
+    let account =
+        charged_to(&service.charged).map_or_else(Spent::default, |account| account.spent());
     json!({
         "name": service.name,
         "state": if service.is_leaving() { "leaving" } else { "serving" },
@@ -188,11 +196,19 @@
             let snapshot = service.snapshot();
             let teller = service.teller.borrow();
             let story = teller.as_deref();
-            let mut rows: Vec<Value> =
-                snapshot.servers.iter().map(|seen| row(service, seen, story, now)).collect();
+            let mut rows: Vec<Value> = snapshot
+                .servers
+                .iter()
+                .map(|seen| row(service, seen, story, now))
+                .collect();
             if let Some(teller) = story {
-                let left = teller.story.servers().filter_map(|(id, left)| Some((id, left?)));
-                rows.extend(left.map(|(id, at)| left_row(service, teller, id, now.saturating_sub(at))));
+                let left = teller
+                    .story
+                    .servers()
+                    .filter_map(|(id, left)| Some((id, left?)));
+                rows.extend(
+                    left.map(|(id, at)| left_row(service, teller, id, now.saturating_sub(at))),
+                );
             }
             rows
         });
@@ -215,14 +231,20 @@
 
     /// Whether the story of any servers is kept.
     pub(super) fn keeps_stories(&self) -> bool {
-        self.common.services.borrow().iter().any(|service| service.teller.borrow().is_some())
+        self.common
+            .services
+            .borrow()
+            .iter()
+            .any(|service| service.teller.borrow().is_some())
     }
 
     /// The stories of the servers of this name, one for each pool that has one; of one pool alone where it is named.
     pub(super) fn stories(&self, name: &str, pool: Option<&str>) -> Vec<Value> {
         let now = self.common.clock.now();
         let services = self.common.services.borrow();
-        let found = services.iter().filter(|service| pool.is_none_or(|pool| service.name == pool));
+        let found = services
+            .iter()
+            .filter(|service| pool.is_none_or(|pool| service.name == pool));
         let found = found.filter_map(|service| {
             let teller = service.teller.borrow();
             let teller = teller.as_deref()?;
@@ -257,10 +279,15 @@
     pub(super) fn events(&self, after: u64) -> Vec<u8> {
         let feed = &self.common.feed;
         let (oldest, lines) = feed.from(after);
-        let mut told =
-            format!("{{\"version\":{VERSION},\"oldest\":{oldest},\"next\":{},\"events\":[", feed.next());
-        let lines: Vec<&str> =
-            lines.iter().filter_map(|l| std::str::from_utf8(l).ok()).map(str::trim_end).collect();
+        let mut told = format!(
+            "{{\"version\":{VERSION},\"oldest\":{oldest},\"next\":{},\"events\":[",
+            feed.next()
+        );
+        let lines: Vec<&str> = lines
+            .iter()
+            .filter_map(|l| std::str::from_utf8(l).ok())
+            .map(str::trim_end)
+            .collect();
         told += &lines.join(",");
         told += "]}";
         told.into_bytes()
@@ -293,9 +320,14 @@
     if let Some(line) = teller.story.line(id) {
         told["lately"] = lately(line);
     }
-    let own = teller.story.departures().filter(|d| d.subject == Subject::Server(id));
-    told["departures"] =
-        own.map(|d| json!({"departure": d, "text": teller.told(service, d)})).collect::<Vec<Value>>().into();
+    let own = teller
+        .story
+        .departures()
+        .filter(|d| d.subject == Subject::Server(id));
+    told["departures"] = own
+        .map(|d| json!({"departure": d, "text": teller.told(service, d)}))
+        .collect::<Vec<Value>>()
+        .into();
 }
 
 /// The outcomes of steps, summed up, and the latencies of what was served.
@@ -303,10 +335,16 @@
     let mut steps: Vec<&Step> = line.steps(LATELY).collect();
     let steps = steps.split_off(steps.len().saturating_sub(2));
     let sum = |outcomes: &[Outcome]| -> u64 {
-        steps.iter().flat_map(|step| outcomes.iter().map(|o| u64::from(step.ended(*o)))).sum()
+        steps
+            .iter()
+            .flat_map(|step| outcomes.iter().map(|o| u64::from(step.ended(*o))))
+            .sum()
     };
     let mut latency = Sketch::default();
-    steps.iter().filter_map(|step| step.latency.as_ref()).for_each(|part| latency.merge(part));
+    steps
+        .iter()
+        .filter_map(|step| step.latency.as_ref())
+        .for_each(|part| latency.merge(part));
     json!({
         "from_us": steps.first().map(|step| step.from),
         "served": sum(&[Outcome::Ok]),
@@ -319,7 +357,11 @@
 
 fn step(width: Micros, step: &Step) -> Value {
     let served = step.ended(Outcome::Ok);
-    let quantile = |part: f64| step.latency.as_ref().and_then(|latency| latency.quantile(part));
+    let quantile = |part: f64| {
+        step.latency
+            .as_ref()
+            .and_then(|latency| latency.quantile(part))
+    };
     json!({
         "from_us": step.from, "width_us": width,
         "served": served, "error": step.ended(Outcome::Error), "full": step.ended(Outcome::Full),
--- a/crates/sidecar/src/virtual_server.rs
+++ b/crates/sidecar/src/virtual_server.rs
@@ -44,7 +44,10 @@
 impl<'a> OpenId<'a> {
     pub(super) fn new(of: &'a Service, id: &HeaderValue) -> Result<Self, Reject> {
         if !of.ids.borrow_mut().insert(id.clone()) {
-            return Err(Reject::Senseless(StatusCode::CONFLICT, "a request with this X-Trace-Id is open"));
+            return Err(Reject::Senseless(
+                StatusCode::CONFLICT,
+                "a request with this X-Trace-Id is open",
+            ));
         }
         Ok(OpenId { of, id: id.clone() })
     }
@@ -65,8 +68,9 @@
 }
 
 /// Too long to be recorded, so that it could never be sent.
-const LONG_ID: Reject =
-    senseless("the id of a request that must not run twice is over 1,024 bytes with its header's name");
+const LONG_ID: Reject = senseless(
+    "the id of a request that must not run twice is over 1,024 bytes with its header's name",
+);
 
 pub(super) const fn senseless(problem: &'static str) -> Reject {
     Reject::Senseless(StatusCode::BAD_REQUEST, problem)
@@ -96,7 +100,9 @@
     };
     listener.charge(&client.charged, &service);
     let class = match class {
-        ClassFrom::Graphql => return graphql::answer(listener, client, &service, came, head, body).await,
+        ClassFrom::Graphql => {
+            return graphql::answer(listener, client, &service, came, head, body).await;
+        }
         ClassFrom::Route(class) => Some(class),
         ClassFrom::Path => None,
     };
@@ -108,12 +114,29 @@
     let taken = async {
         let new = read(&service, entry.as_deref(), &head)?;
         let length = Length::of(body.as_ref(), &head.headers, manner.body_size)?;
-        let id = head.headers.get(TRACE_ID).ok_or(senseless("X-Trace-Id is missing"))?;
-        let held = (admit(listener, &service, came, 0)?, let_in(&service, entry.as_deref(), &head.headers)?);
+        let id = head
+            .headers
+            .get(TRACE_ID)
+            .ok_or(senseless("X-Trace-Id is missing"))?;
+        let held = (
+            admit(listener, &service, came, 0)?,
+            let_in(&service, entry.as_deref(), &head.headers)?,
+        );
         let id = OpenId::new(&service, id)?;
-        let upload = upload::take(listener, &service, &mut body, length, manner.body_size, &mut room).await?;
+        let upload = upload::take(
+            listener,
+            &service,
+            &mut body,
+            length,
+            manner.body_size,
+            &mut room,
+        )
+        .await?;
         if service.transactions.borrow().len() >= service.tuned().site.max_open {
-            return Err(Reject::Refused("too many requests are open", service.retry_after()));
+            return Err(Reject::Refused(
+                "too many requests are open",
+                service.retry_after(),
+            ));
         }
         Ok((new, upload, (held, id)))
     };
@@ -129,28 +152,50 @@
     let counts = service.class_counts(new.class);
     let now = listener.common.clock.now();
     // Its time counts from its last byte, and what its client took to write it is not the answer's.
-    new.time_left = listener.common.time_left(now, new.time_left.saturating_sub(MARGIN));
+    new.time_left = listener
+        .common
+        .time_left(now, new.time_left.saturating_sub(MARGIN));
     // An absolute target names this sidecar; the node is to see the path alone.
     let path = head.uri.into_parts().path_and_query;
     let uri = path.map_or_else(|| Uri::from_static("/"), Uri::from);
-    let unsafe_to_repeat = entry.as_ref().is_none_or(|class| class.effect() == Effect::Unsafe);
+    let unsafe_to_repeat = entry
+        .as_ref()
+        .is_none_or(|class| class.effect() == Effect::Unsafe);
     let aim = service.aim(&new);
     let reading = Reading::Plain;
-    let ledgered = if unsafe_to_repeat { Entry::of(&service, &head.headers, None) } else { Ok(None) };
+    let ledgered = if unsafe_to_repeat {
+        Entry::of(&service, &head.headers, None)
+    } else {
+        Ok(None)
+    };
     let Ok(ledgered) = ledgered else {
         count(&counts.senseless);
         return rejected(LONG_ID);
     };
     let (method, headers) = (head.method, head.headers);
     let client = Rc::clone(client);
-    let onward = Onward { client, method, uri, headers, body, unsafe_to_repeat, reading, entry: ledgered };
+    let onward = Onward {
+        client,
+        method,
+        uri,
+        headers,
+        body,
+        unsafe_to_repeat,
+        reading,
+        entry: ledgered,
+    };
     let onward = Rc::new(onward);
     let answer = transaction::run(&service, now, new, Rc::clone(&onward)).await;
-    let came = onward.body.passing().map_or(now, |passing| passing.whole.get().unwrap_or(came));
+    let came = onward
+        .body
+        .passing()
+        .map_or(now, |passing| passing.whole.get().unwrap_or(came));
     if let Some(passing) = onward.body.passing() {
         // What is left of it is read and dropped behind the answer, so that the answer arrives.
         match passing.unread() {
-            Some(unread) if passing.whole.get().is_none() => drain(&service.common, unread, DRAINED_FOR),
+            Some(unread) if passing.whole.get().is_none() => {
+                drain(&service.common, unread, DRAINED_FOR)
+            }
             _ => onward.client.body_read.set(passing.whole.get().is_some()),
         }
         if let Some(reject) = passing.broken.take() {
@@ -202,8 +247,15 @@
     manner: Manner,
 ) {
     let turned_away = matches!(reject, Reject::Refused(..));
-    let counts = class.map_or_else(|| service.counts.unclassed(), |class| Rc::clone(&class.counts));
-    count(if turned_away { &counts.turned_away } else { &counts.senseless });
+    let counts = class.map_or_else(
+        || service.counts.unclassed(),
+        |class| Rc::clone(&class.counts),
+    );
+    count(if turned_away {
+        &counts.turned_away
+    } else {
+        &counts.senseless
+    });
     if let Some(unread) = unread.filter(|_| turned_away && manner.drains) {
         drain(&service.common, unread, manner.body_within);
     }
@@ -212,11 +264,22 @@
 /// Whether the listener leads to a service that knows a server, or, where one is named, whether that one does.
 fn ready(listener: &Listener, query: Option<&str>) -> Response<Reply> {
     let routing = Rc::clone(&listener.routing.borrow());
-    let named = query.and_then(|query| query.split('&').find_map(|pair| pair.strip_prefix("pool=")));
-    let mut wanted = routing.reached().iter().filter(|service| named.is_none_or(|name| service.name == name));
+    let named =
+        query.and_then(|query| query.split('&').find_map(|pair| pair.strip_prefix("pool=")));
+    let mut wanted = routing
+        .reached()
+        .iter()
+        .filter(|service| named.is_none_or(|name| service.name == name));
     let ready = wanted.any(|service| service.pool.is_known());
     let wanted = listener.common.duty.borrow().is_serving() && !listener.is_leaving();
-    plain(if ready && wanted { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, "")
+    plain(
+        if ready && wanted {
+            StatusCode::OK
+        } else {
+            StatusCode::SERVICE_UNAVAILABLE
+        },
+        "",
+    )
 }
 
 /// The service that a request is for, and what its class follows from.
@@ -241,8 +304,10 @@
     now: Micros,
     size: u64,
 ) -> Result<[[super::limits::Held; 2]; 2], Reject> {
-    let held =
-        service.allowance.admit(now, size).and_then(|held| Ok([held, listener.allowance.admit(now, size)?]));
+    let held = service
+        .allowance
+        .admit(now, size)
+        .and_then(|held| Ok([held, listener.allowance.admit(now, size)?]));
     held.map_err(|full| {
         let usual = service.retry_after();
         match full {
@@ -251,7 +316,10 @@
             Full::Rate(wait) => {
                 count(&service.counts.unclassed().over_rate);
                 // Clients honour no longer advice than the settings say.
-                Reject::Refused("too many requests have come", usual.map(|most| wait.min(most)))
+                Reject::Refused(
+                    "too many requests have come",
+                    usual.map(|most| wait.min(most)),
+                )
             }
         }
     })
@@ -264,17 +332,24 @@
     headers: &HeaderMap,
 ) -> Result<Option<LetIn>, Reject> {
     let class = class.map(|class| &*class.name);
-    service.common.fleet_limits.admit(&service.name, class, headers).map_err(|denied| {
-        count(&service.counts.unclassed().over_rate);
-        let problem = if denied.unleased {
-            "a fleet limit lets no more in, and no lease of it holds"
-        } else {
-            "a fleet limit lets no more in"
-        };
-        // Clients honour no longer advice than the settings say.
-        let usual = service.retry_after();
-        Reject::Refused(problem, usual.map(|most| denied.after.map_or(most, |after| after.min(most))))
-    })
+    service
+        .common
+        .fleet_limits
+        .admit(&service.name, class, headers)
+        .map_err(|denied| {
+            count(&service.counts.unclassed().over_rate);
+            let problem = if denied.unleased {
+                "a fleet limit lets no more in, and no lease of it holds"
+            } else {
+                "a fleet limit lets no more in"
+            };
+            // Clients honour no longer advice than the settings say.
+            let usual = service.retry_after();
+            Reject::Refused(
+                problem,
+                usual.map(|most| denied.after.map_or(most, |after| after.min(most))),
+            )
+        })
 }
 
 /// Reads the body of a request that is answered already. Left unread, it would have the connection reset, and the
@@ -293,7 +368,9 @@
         Reject::Refused(problem, retry_after) => refusal(problem, retry_after),
         Reject::Senseless(status, problem) => {
             let mut response = plain(status, problem);
-            response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
+            response
+                .headers_mut()
+                .insert(header::CONNECTION, HeaderValue::from_static("close"));
             response
         }
     }
@@ -319,24 +396,43 @@
 
 /// How long the body is, known before any of it is read. Where a request has both a length and chunks, hyper
 /// shows the chunks alone, while to another reader the rest may hide a request: so a length must be given.
-pub(super) fn length(body: Option<&Incoming>, headers: &HeaderMap, most: usize) -> Result<usize, Reject> {
+pub(super) fn length(
+    body: Option<&Incoming>,
+    headers: &HeaderMap,
+    most: usize,
+) -> Result<usize, Reject> {
     if headers.contains_key(header::TRANSFER_ENCODING) {
-        return Err(Reject::Senseless(StatusCode::LENGTH_REQUIRED, "Content-Length is missing"));
+        return Err(Reject::Senseless(
+            StatusCode::LENGTH_REQUIRED,
+            "Content-Length is missing",
+        ));
     }
-    let size = body.and_then(|body| body.size_hint().exact()).and_then(|size| usize::try_from(size).ok());
+    let size = body
+        .and_then(|body| body.size_hint().exact())
+        .and_then(|size| usize::try_from(size).ok());
     let problem = match most {
         super::BODY => "the body holds more than 64 KiB",
         _ => "the body is longer than this listener takes",
     };
-    size.filter(|size| *size <= most).ok_or(Reject::Senseless(StatusCode::PAYLOAD_TOO_LARGE, problem))
+    size.filter(|size| *size <= most)
+        .ok_or(Reject::Senseless(StatusCode::PAYLOAD_TOO_LARGE, problem))
 }
 
-pub(super) async fn whole(common: &Common, body: Option<Incoming>, within: Micros) -> Result<Bytes, Reject> {
-    let Some(body) = body else { return Ok(Bytes::new()) };
+pub(super) async fn whole(
+    common: &Common,
+    body: Option<Incoming>,
+    within: Micros,
+) -> Result<Bytes, Reject> {
+    let Some(body) = body else {
+        return Ok(Bytes::new());
+    };
     match common.within(within, body.collect()).await {
         Some(Ok(body)) => Ok(body.to_bytes()),
         Some(Err(_)) => Err(senseless("the body has broken off")),
-        None => Err(Reject::Senseless(StatusCode::REQUEST_TIMEOUT, "the body has not come")),
+        None => Err(Reject::Senseless(
+            StatusCode::REQUEST_TIMEOUT,
+            "the body has not come",
+        )),
     }
 }
 
@@ -349,12 +445,29 @@
 /// Takes out of a request what the module needs of it.
 fn read(service: &Service, class: Option<&ClassEntry>, head: &Parts) -> Result<NewRequest, Reject> {
     let headers = &head.headers;
-    let text = |name: &HeaderName| headers.get(name).and_then(|v| v.to_str().ok()).map(str::trim);
+    let text = |name: &HeaderName| {
+        headers
+            .get(name)
+            .and_then(|v| v.to_str().ok())
+            .map(str::trim)
+    };
     let several = |name: &HeaderName| headers.get_all(name).iter().nth(1).is_some();
-    let class = class.ok_or(Reject::Senseless(StatusCode::NOT_FOUND, "there is no such class"))?;
+    let class = class.ok_or(Reject::Senseless(
+        StatusCode::NOT_FOUND,
+        "there is no such class",
+    ))?;
     let effect = class.effect();
-    if head.method != if effect == Effect::Safe { Method::GET } else { Method::POST } {
-        return Err(Reject::Senseless(StatusCode::METHOD_NOT_ALLOWED, "the class wants another method"));
+    if head.method
+        != if effect == Effect::Safe {
+            Method::GET
+        } else {
+            Method::POST
+        }
+    {
+        return Err(Reject::Senseless(
+            StatusCode::METHOD_NOT_ALLOWED,
+            "the class wants another method",
+        ));
     }
     if text(&TRACE_ID).is_none_or(str::is_empty) || several(&TRACE_ID) {
         return Err(senseless("X-Trace-Id is missing, or there are several"));
@@ -362,9 +475,13 @@
     // Without one key that all servers read alike, they could not tell a repeat from another request.
     let keyed = matches!(effect, Effect::Keyed { .. });
     if keyed && (text(&IDEMPOTENCY_KEY).is_none_or(str::is_empty) || several(&IDEMPOTENCY_KEY)) {
-        return Err(senseless("Idempotency-Key is missing, or there are several"));
+        return Err(senseless(
+            "Idempotency-Key is missing, or there are several",
+        ));
     }
-    let left = time_left(headers)?.ok_or(senseless("X-Expires-In-Ms is missing, or there are several"))?;
+    let left = time_left(headers)?.ok_or(senseless(
+        "X-Expires-In-Ms is missing, or there are several",
+    ))?;
     Ok(NewRequest {
         id: next_request(service),
         class: class.place,
@@ -379,11 +496,19 @@
 /// How long the client waits, if it says so.
 pub(super) fn time_left(headers: &HeaderMap) -> Result<Option<Micros>, Reject> {
     let mut given = headers.get_all(&EXPIRES).iter();
-    let Some(left) = given.next() else { return Ok(None) };
+    let Some(left) = given.next() else {
+        return Ok(None);
+    };
     if given.next().is_some() {
-        return Err(senseless("X-Expires-In-Ms is missing, or there are several"));
+        return Err(senseless(
+            "X-Expires-In-Ms is missing, or there are several",
+        ));
     }
-    let left = left.to_str().ok().map(str::trim).filter(|left| left.bytes().all(|b| b.is_ascii_digit()));
+    let left = left
+        .to_str()
+        .ok()
+        .map(str::trim)
+        .filter(|left| left.bytes().all(|b| b.is_ascii_digit()));
     let left: Option<Micros> = left.and_then(|left| left.parse().ok());
     let left = left.ok_or(senseless("X-Expires-In-Ms is not a whole number"))?;
     Ok(Some(left.min(DAY_MS) * 1_000))
--- a/crates/sidecar/src/warm.rs
+++ b/crates/sidecar/src/warm.rs
@@ -22,22 +22,44 @@
 
 /// By the machine's clock, which alone goes on while the program is down.
 fn unix_now() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let since = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
     u64::try_from(since.as_micros()).unwrap_or(u64::MAX)
 }
 
 fn memory_of(server: ServerId, kept: &KeptServer) -> ServerMemory {
-    let KeptServer { started, work, time, failures, ejected, ejection, .. } = *kept;
-    ServerMemory { server, started, work, time, failures, ejected, ejection }
+    let KeptServer {
+        started,
+        work,
+        time,
+        failures,
+        ejected,
+        ejection,
+        ..
+    } = *kept;
+    ServerMemory {
+        server,
+        started,
+        work,
+        time,
+        failures,
+        ejected,
+        ejection,
+    }
 }
 
 impl Remembered {
     /// What an earlier process left of a pool that keeps a warm start; it is given out once.
     pub(super) fn of(keeper: &Keeper, pool: &str) -> Self {
         let mut recollections = keeper.recollections.borrow_mut();
-        let warm = recollections.get_mut(pool).and_then(|found| found.warm.take());
+        let warm = recollections
+            .get_mut(pool)
+            .and_then(|found| found.warm.take());
         let servers = warm.iter().flat_map(|warm| &warm.servers);
-        let left = servers.map(|server| (ServerId::named(&server.name), server.clone())).collect();
+        let left = servers
+            .map(|server| (ServerId::named(&server.name), server.clone()))
+            .collect();
         Remembered { warm, left }
     }
 
@@ -48,17 +70,30 @@
 
     /// The servers as they were listed, where that is not too long ago.
     pub(super) fn listed(&self, keeper: &Keeper) -> Vec<KeptServer> {
-        self.recalled(keeper).map(|recalled| recalled.servers).unwrap_or_default()
+        self.recalled(keeper)
+            .map(|recalled| recalled.servers)
+            .unwrap_or_default()
     }
 
     /// What was measured of classes and on the whole, mixed by its age into what the module would begin with.
-    pub(super) fn classes(&self, keeper: &Keeper, service: &Service, begun: &Memory) -> Option<Memory> {
-        let Recalled { weight, classes, means, .. } = self.recalled(keeper)?;
+    pub(super) fn classes(
+        &self,
+        keeper: &Keeper,
+        service: &Service,
+        begun: &Memory,
+    ) -> Option<Memory> {
+        let Recalled {
+            weight,
+            classes,
+            means,
+            ..
+        } = self.recalled(keeper)?;
         let mixed = |guess: f64, kept: f64| blend(guess, kept, weight);
         let mut memory = begun.clone();
         for (class, name) in memory.classes.iter_mut().zip(&service.tuned().site.classes) {
             if let Some(kept) = classes.iter().find(|kept| kept.name == *name) {
-                (class.usual, class.slow) = (mixed(class.usual, kept.cost), mixed(class.slow, kept.slow));
+                (class.usual, class.slow) =
+                    (mixed(class.usual, kept.cost), mixed(class.slow, kept.slow));
             }
         }
         memory.means = (mixed(begun.means.0, means.0), mixed(begun.means.1, means.1));
@@ -96,7 +131,11 @@
 async fn forget_others(common: &Common, keeper: &Keeper) {
     let mut forgotten = Vec::new();
     keeper.recollections.borrow_mut().retain(|name, found| {
-        let kept = common.services.borrow().iter().any(|s| s.name == *name && s.kept.get().warm_start);
+        let kept = common
+            .services
+            .borrow()
+            .iter()
+            .any(|s| s.name == *name && s.kept.get().warm_start);
         if !kept {
             forgotten.push(found.writer.forget());
         }
@@ -111,12 +150,17 @@
 /// One snapshot of each pool that keeps them.
 pub(super) async fn write(common: &Common, keeper: &Keeper) {
     let services = common.services.borrow().clone();
-    for service in services.iter().filter(|s| s.kept.get().warm_start && !s.is_leaving()) {
+    for service in services
+        .iter()
+        .filter(|s| s.kept.get().warm_start && !s.is_leaving())
+    {
         let (batch, entries): (Batch, _) = {
             let mut recollections = keeper.recollections.borrow_mut();
             let found = recollections.entry(service.name.clone());
-            let found = found
-                .or_insert_with(|| Recollection { warm: None, writer: WarmWriter::empty(&service.name) });
+            let found = found.or_insert_with(|| Recollection {
+                warm: None,
+                writer: WarmWriter::empty(&service.name),
+            });
             found.writer.batch(&taken(service))
         };
         // Where it is not written, the next one writes all that changed since the last that was.
@@ -131,7 +175,8 @@
 fn taken(service: &Service) -> Warm {
     let now: Micros = service.common.clock.now();
     let memory = service.memory(now);
-    let measured: BTreeMap<ServerId, &ServerMemory> = memory.servers.iter().map(|s| (s.server, s)).collect();
+    let measured: BTreeMap<ServerId, &ServerMemory> =
+        memory.servers.iter().map(|s| (s.server, s)).collect();
     let mut servers = service.pool.listed_memories();
     for (id, server) in &mut servers {
         if let Some(measured) = measured.get(id) {
@@ -142,11 +187,12 @@
         }
     }
     let tuned = service.tuned();
-    let class = |(place, seen): (&super::tuned::Place, &madderloom_balancer::ClassMemory)| ClassMemory {
-        name: place.entry.name.clone(),
-        cost: seen.usual,
-        slow: seen.slow,
-    };
+    let class =
+        |(place, seen): (&super::tuned::Place, &madderloom_balancer::ClassMemory)| ClassMemory {
+            name: place.entry.name.clone(),
+            cost: seen.usual,
+            slow: seen.slow,
+        };
     Warm {
         taken: unix_now(),
         means: memory.means,
--- a/crates/simhost/src/lib.rs
+++ b/crates/simhost/src/lib.rs
@@ -62,12 +62,16 @@
 
 impl<'a> Fields<'a> {
     fn text(&mut self, name: &str) -> Result<&'a str, String> {
-        self.0.next().filter(|t| !t.is_empty()).ok_or_else(|| format!("{name} is missing"))
+        self.0
+            .next()
+            .filter(|t| !t.is_empty())
+            .ok_or_else(|| format!("{name} is missing"))
     }
 
     fn get<T: std::str::FromStr>(&mut self, name: &str) -> Result<T, String> {
         let text = self.text(name)?;
-        text.parse().map_err(|_| format!("{name} makes no sense: {text}"))
+        text.parse()
+            .map_err(|_| format!("{name} makes no sense: {text}"))
     }
 
     fn optional<T: std::str::FromStr>(&mut self, name: &str) -> Result<Option<T>, String> {
@@ -84,7 +88,9 @@
     if text == "-" {
         return Ok(None);
     }
-    text.parse().map(Some).map_err(|_| format!("{name} makes no sense: {text}"))
+    text.parse()
+        .map(Some)
+        .map_err(|_| format!("{name} makes no sense: {text}"))
 }
 
 fn outcome(name: &str) -> Result<Outcome, String> {
@@ -104,7 +110,10 @@
 fn timer(handle: &str) -> Result<Timer, String> {
     match handle {
         "ask" => Ok(Timer::Discovery),
-        _ => handle.parse().map(Timer::Request).map_err(|_| format!("handle is unknown: {handle}")),
+        _ => handle
+            .parse()
+            .map(Timer::Request)
+            .map_err(|_| format!("handle is unknown: {handle}")),
     }
 }
 
@@ -146,16 +155,30 @@
         let seed = fields.get("salt")?;
         let made = Site::from_json(&fields.rest()).and_then(|site| {
             let layout = site.layout;
-            Balancer::new(site.settings, seed).map(|made| (made, layout)).map_err(|e| e.to_string())
+            Balancer::new(site.settings, seed)
+                .map(|made| (made, layout))
+                .map_err(|e| e.to_string())
         });
         match made {
             Ok((balancer, layout)) => {
                 let (ids, names) = Default::default();
-                self.instances.insert(id, Instance { balancer, layout, ids, names });
+                self.instances.insert(
+                    id,
+                    Instance {
+                        balancer,
+                        layout,
+                        ids,
+                        names,
+                    },
+                );
                 Ok(())
             }
             Err(problem) => {
-                let _ = writeln!(reply, "exception {id} {}", problem.replace(['\n', '\r'], " "));
+                let _ = writeln!(
+                    reply,
+                    "exception {id} {}",
+                    problem.replace(['\n', '\r'], " ")
+                );
                 Err(problem)
             }
         }
@@ -164,7 +187,10 @@
     fn directory(&mut self, fields: &mut Fields<'_>) -> Result<(), String> {
         let table: usize = fields.get("table")?;
         let rows: usize = fields.get("rows")?;
-        let list = self.tables.get_mut(table).ok_or_else(|| format!("table makes no sense: {table}"))?;
+        let list = self
+            .tables
+            .get_mut(table)
+            .ok_or_else(|| format!("table makes no sense: {table}"))?;
         list.clear();
         self.reading = (table, rows);
         Ok(())
@@ -185,12 +211,29 @@
             other => return Err(format!("availability is unknown: {other}")),
         };
         let cell = fields.optional("cohort")?.unwrap_or(0);
-        let capacity = if capacity.is_finite() && capacity > 0.0 { capacity } else { 1.0 };
-        self.tables[table].push(Row { name, zone, cell, kind, started, capacity, state });
+        let capacity = if capacity.is_finite() && capacity > 0.0 {
+            capacity
+        } else {
+            1.0
+        };
+        self.tables[table].push(Row {
+            name,
+            zone,
+            cell,
+            kind,
+            started,
+            capacity,
+            state,
+        });
         Ok(())
     }
 
-    fn event(&mut self, tag: &str, fields: &mut Fields<'_>, reply: &mut Vec<u8>) -> Result<(), String> {
+    fn event(
+        &mut self,
+        tag: &str,
+        fields: &mut Fields<'_>,
+        reply: &mut Vec<u8>,
+    ) -> Result<(), String> {
         let sidecar: u32 = fields.get("sidecar_id")?;
         let now = self.now;
         let Some(instance) = self.instances.get_mut(&sidecar) else {
@@ -203,16 +246,25 @@
                 let tenant = fields.optional("client_group")?.unwrap_or(0);
                 let key = match fields.text("key")? {
                     "-" => None,
-                    hex => {
-                        Some(u64::from_str_radix(hex, 16).map_err(|_| format!("key makes no sense: {hex}"))?)
-                    }
+                    hex => Some(
+                        u64::from_str_radix(hex, 16)
+                            .map_err(|_| format!("key makes no sense: {hex}"))?,
+                    ),
                 };
                 let time_left = fields.get("time_left")?;
                 let cost: Option<Micros> = fields.optional("effort")?;
                 let marks: u32 = fields.optional("marks")?.unwrap_or(0);
                 let cost = cost.filter(|_| marks & 1 != 0);
                 let repeat = marks & 2 != 0;
-                Event::Request(NewRequest { id, class, tenant, key, time_left, cost, repeat })
+                Event::Request(NewRequest {
+                    id,
+                    class,
+                    tenant,
+                    key,
+                    time_left,
+                    cost,
+                    repeat,
+                })
             }
             "closed_attempt" => {
                 let request = fields.get("call")?;
@@ -221,10 +273,20 @@
                 let outcome = outcome(fields.text("code")?)?;
                 let elapsed = fields.get("time_taken")?;
                 let ended = fields.get::<u8>("ended")? != 0;
-                Event::Closed(Closed { request, attempt, server, outcome, elapsed, ended })
+                Event::Closed(Closed {
+                    request,
+                    attempt,
+                    server,
+                    outcome,
+                    elapsed,
+                    ended,
+                })
             }
             "elapsed" => Event::Timer(timer(fields.text("handle")?)?),
-            "begun" => Event::Begun { request: fields.get("call")?, attempt: fields.get("send_no")? },
+            "begun" => Event::Begun {
+                request: fields.get("call")?,
+                attempt: fields.get("send_no")?,
+            },
             "timed_out_client" => Event::ClientGone(fields.get("call")?),
             "probed" => {
                 let server = instance.intern(fields.text("upstream")?);
@@ -236,11 +298,16 @@
             "backends_changed" => {
                 let scope = fields.text("scope")?;
                 if scope == "FAILED" {
-                    Event::Members(Members::Failed { since: now, waited: Micros::MAX })
+                    Event::Members(Members::Failed {
+                        since: now,
+                        waited: Micros::MAX,
+                    })
                 } else {
                     let table: usize = fields.get("table")?;
-                    let rows =
-                        self.tables.get(table).ok_or_else(|| format!("table makes no sense: {table}"))?;
+                    let rows = self
+                        .tables
+                        .get(table)
+                        .ok_or_else(|| format!("table makes no sense: {table}"))?;
                     self.listed.clear();
                     for row in rows {
                         self.listed.push(Listed {
@@ -274,18 +341,36 @@
 
 type Names = HashMap<ServerId, Box<str>, FixedState>;
 
-fn write_action(to: &mut Vec<u8>, sidecar: u32, action: &Action, names: &Names) -> std::io::Result<()> {
+fn write_action(
+    to: &mut Vec<u8>,
+    sidecar: u32,
+    action: &Action,
+    names: &Names,
+) -> std::io::Result<()> {
     let name = |server: &ServerId| names.get(server).map_or("-", |n| n);
     match action {
-        Action::Send { request, server, timeout_at, .. } => {
+        Action::Send {
+            request,
+            server,
+            timeout_at,
+            ..
+        } => {
             writeln!(to, "send {sidecar} {request} {} {timeout_at}", name(server))
         }
         Action::Probe(server) => writeln!(to, "ask_load {sidecar} {}", name(server)),
-        Action::Cancel { request, attempt } => writeln!(to, "drop_attempt {sidecar} {request} {attempt}"),
-        Action::Refuse { request, retry_after: Some(wait) } => {
+        Action::Cancel { request, attempt } => {
+            writeln!(to, "drop_attempt {sidecar} {request} {attempt}")
+        }
+        Action::Refuse {
+            request,
+            retry_after: Some(wait),
+        } => {
             writeln!(to, "shed {sidecar} {request} {wait}")
         }
-        Action::Refuse { request, retry_after: None } => writeln!(to, "shed {sidecar} {request} -"),
+        Action::Refuse {
+            request,
+            retry_after: None,
+        } => writeln!(to, "shed {sidecar} {request} -"),
         Action::Fail { request } => writeln!(to, "report_failure {sidecar} {request}"),
         Action::SetTimer { at, timer } => match timer {
             Timer::Discovery => writeln!(to, "sleep {sidecar} {at} ask"),
@@ -297,7 +382,10 @@
                 writeln!(to, "remark {sidecar} ejected {} {outcome:?}", name(server))
             }
             Note::Restored(server) => writeln!(to, "remark {sidecar} restored {}", name(server)),
-            Note::Overload(class) => writeln!(to, "remark {sidecar} overload: refusing class {class} early"),
+            Note::Overload(class) => writeln!(
+                to,
+                "remark {sidecar} overload: refusing class {class} early"
+            ),
             Note::DiscoveryFailed => writeln!(to, "remark {sidecar} server list out of reach"),
         },
     }
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -42,7 +42,10 @@
         }
     }
     if adapter.in_batch() {
-        return Err(io::Error::new(io::ErrorKind::UnexpectedEof, "input ends inside a batch"));
+        return Err(io::Error::new(
+            io::ErrorKind::UnexpectedEof,
+            "input ends inside a batch",
+        ));
     }
     Ok(())
 }
--- a/crates/simhost/tests/wire.rs
+++ b/crates/simhost/tests/wire.rs
@@ -13,7 +13,12 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the drill starts");
-    child.stdin.take().expect("piped").write_all(input.as_bytes()).expect("the drill reads");
+    child
+        .stdin
+        .take()
+        .expect("piped")
+        .write_all(input.as_bytes())
+        .expect("the drill reads");
     let done = child.wait_with_output().expect("the drill ends");
     let text = |bytes| String::from_utf8(bytes).expect("text");
     (done.status.code(), text(done.stdout), text(done.stderr))
@@ -76,14 +81,21 @@
         ("\"group_size\":1,", "", "group_size"),
         ("\"group_size\":1,", "\"group_size\":0,", "group_size"),
         ("\"on_time\":400000,", "\"on_time\":0,", "classes[0].aim"),
-        ("\"effect\":\"safe\"", "\"effect\":\"odd\"", "services[0].effect"),
+        (
+            "\"effect\":\"safe\"",
+            "\"effect\":\"odd\"",
+            "services[0].effect",
+        ),
         ("\"cold_from\":0.3", "\"cold_from\":-1", "rules.cold_from"),
     ] {
         let profile = PROFILE.replace(from, to);
         assert_ne!(profile, PROFILE);
         let (code, out, err) = drill(&format!("tick 1\nopen_instance 0 7 {profile}\neob\n"));
         assert_eq!(code, Some(0));
-        assert!(out.starts_with("exception 0 ") && out.contains(key), "{key}: {out}");
+        assert!(
+            out.starts_with("exception 0 ") && out.contains(key),
+            "{key}: {out}"
+        );
         assert!(err.starts_with("line 2: "), "{err}");
     }
 }
@@ -101,7 +113,10 @@
     let (_, out, _) = drill(&opened(&format!(
         "tick 2000000\nexit 0\nopen_instance 0 8 {PROFILE}\ncall 0 6 0 0 - 400000 - 0\neob\n"
     )));
-    assert!(!out.contains("send 0 6"), "the old life's servers were used: {out}");
+    assert!(
+        !out.contains("send 0 6"),
+        "the old life's servers were used: {out}"
+    );
 }
 
 #[test]
--- a/crates/store/bench/src/crashes.rs
+++ b/crates/store/bench/src/crashes.rs
@@ -5,7 +5,8 @@
 use madderloom_store::sim::{Loss, SimDisk, SimFile};
 use madderloom_store::{Disk, File};
 use redb::{
-    BackendError, Database, ReadableDatabase, ReadableTableMetadata, StorageBackend, TableDefinition,
+    BackendError, Database, ReadableDatabase, ReadableTableMetadata, StorageBackend,
+    TableDefinition,
 };
 use std::io;
 
@@ -40,7 +41,11 @@
 
     fn read(&self, offset: u64, out: &mut [u8]) -> io::Result<()> {
         let read = self.0.read_at(out, offset)?;
-        if read == out.len() { Ok(()) } else { Err(io::ErrorKind::UnexpectedEof.into()) }
+        if read == out.len() {
+            Ok(())
+        } else {
+            Err(io::ErrorKind::UnexpectedEof.into())
+        }
     }
 
     fn set_len(&self, length: u64) -> io::Result<()> {
@@ -60,7 +65,11 @@
         self.0.write_at(bytes, offset)
     }
 
-    fn try_lock_range(&self, _: std::ops::Bound<u64>, _: std::ops::Bound<u64>) -> Result<bool, BackendError> {
+    fn try_lock_range(
+        &self,
+        _: std::ops::Bound<u64>,
+        _: std::ops::Bound<u64>,
+    ) -> Result<bool, BackendError> {
         Ok(true)
     }
 }
@@ -69,7 +78,9 @@
 
 /// Writes batches of three keys until the end or the first error; says how many were acknowledged.
 fn write(disk: &SimDisk) -> u64 {
-    let all = || -> Outcome<Database> { Ok(Database::builder().create_with_backend(Backend::new(disk)?)?) };
+    let all = || -> Outcome<Database> {
+        Ok(Database::builder().create_with_backend(Backend::new(disk)?)?)
+    };
     let Ok(database) = all() else { return 0 };
     for i in 0..BATCHES {
         let one = || -> Outcome<()> {
@@ -113,14 +124,17 @@
             let disk = disk.lose_power(loss);
             let found = std::panic::catch_unwind(|| read(&disk).map_err(|e| e.to_string()));
             match found {
-                Ok(Ok(keys)) if acknowledged <= BATCHES && keys % 3 == 0 && keys / 3 >= acknowledged => {
+                Ok(Ok(keys))
+                    if acknowledged <= BATCHES && keys % 3 == 0 && keys / 3 >= acknowledged =>
+                {
                     sound += 1
                 }
-                Ok(other) => bad
-                    .push(format!("operation {at}, {loss:?}: {acknowledged} acknowledged, found {other:?}")),
-                Err(_) => {
-                    bad.push(format!("operation {at}, {loss:?}: {acknowledged} acknowledged, panicked"))
-                }
+                Ok(other) => bad.push(format!(
+                    "operation {at}, {loss:?}: {acknowledged} acknowledged, found {other:?}"
+                )),
+                Err(_) => bad.push(format!(
+                    "operation {at}, {loss:?}: {acknowledged} acknowledged, panicked"
+                )),
             }
         }
     }
@@ -141,13 +155,19 @@
     disk.set_room(Some(disk.used() + (1 << 20)));
     let write = |i: u64| -> Outcome<()> {
         let transaction = database.begin_write()?;
-        transaction.open_table(TABLE)?.insert(&key(i)[..], &[7; 5_000][..])?;
+        transaction
+            .open_table(TABLE)?
+            .insert(&key(i)[..], &[7; 5_000][..])?;
         Ok(transaction.commit()?)
     };
-    let (count, refused) =
-        (0..).find_map(|i| write(i).err().map(|e| (i, e.to_string()))).expect("it is full once");
+    let (count, refused) = (0..)
+        .find_map(|i| write(i).err().map(|e| (i, e.to_string())))
+        .expect("it is full once");
     disk.set_room(None);
     println!("redb on a full disk, after {count} writes: {refused}");
-    println!("  with room again: {}", write(count).map_or_else(|e| e.to_string(), |()| "written".into()));
+    println!(
+        "  with room again: {}",
+        write(count).map_or_else(|e| e.to_string(), |()| "written".into())
+    );
     Ok(())
 }
--- a/crates/store/bench/src/main.rs
+++ b/crates/store/bench/src/main.rs
@@ -59,17 +59,31 @@
     /// redb on the disk in memory, through a crash at every operation
     Crashes,
     /// Makes a store of so many keys, and leaves it
-    Fill { kind: Kind, path: PathBuf, keys: u64 },
+    Fill {
+        kind: Kind,
+        path: PathBuf,
+        keys: u64,
+    },
     /// Opens a store and says how long it took and what memory it takes; runs on its own, for `recovery`
     #[command(hide = true)]
-    Open { kind: Kind, path: PathBuf, keys: u64 },
+    Open {
+        kind: Kind,
+        path: PathBuf,
+        keys: u64,
+    },
 }
 
 fn main() -> Outcome<()> {
     let arguments = Arguments::parse();
-    let dir = tempfile::Builder::new().prefix("store-bench").tempdir_in(&arguments.dir)?;
+    let dir = tempfile::Builder::new()
+        .prefix("store-bench")
+        .tempdir_in(&arguments.dir)?;
     match arguments.what {
-        What::Writes { writers, rounds, seconds } => writes(dir.path(), &writers, rounds, seconds),
+        What::Writes {
+            writers,
+            rounds,
+            seconds,
+        } => writes(dir.path(), &writers, rounds, seconds),
         What::Recovery { keys } => recovery(dir.path(), &keys),
         What::Space { keys, writes } => space(dir.path(), keys, writes),
         What::Damage => damage(dir.path()),
@@ -97,7 +111,11 @@
 
 fn median(values: &mut [f64]) -> (f64, f64, f64) {
     values.sort_by(f64::total_cmp);
-    (values[values.len() / 2], values[0], values[values.len() - 1])
+    (
+        values[values.len() / 2],
+        values[0],
+        values[values.len() - 1],
+    )
 }
 
 /// One fdatasync for each write of one record, behind it at the end of a file: growing, and reserved with zeros.
@@ -138,7 +156,9 @@
             }
             Outcome::Ok(times)
         };
-        let threads: Vec<_> = (0..writers).map(|w| scope.spawn(move || write(w))).collect();
+        let threads: Vec<_> = (0..writers)
+            .map(|w| scope.spawn(move || write(w)))
+            .collect();
         ready.wait();
         let began = Instant::now();
         std::thread::sleep(span);
@@ -177,10 +197,10 @@
             }
         }
         println!("\n{count} writers");
-        let names = KINDS
-            .iter()
-            .map(|k| k.name())
-            .chain(["one fdatasync, growing file", "one fdatasync, reserved file"]);
+        let names = KINDS.iter().map(|k| k.name()).chain([
+            "one fdatasync, growing file",
+            "one fdatasync, reserved file",
+        ]);
         for ((name, rates), times) in names.zip(&mut rates).zip(&mut times) {
             times.sort_unstable();
             let (middle, least, most) = median(rates);
@@ -196,7 +216,9 @@
 
 fn size(path: &Path) -> u64 {
     use std::os::unix::fs::MetadataExt;
-    let Ok(entries) = std::fs::read_dir(path) else { return 0 };
+    let Ok(entries) = std::fs::read_dir(path) else {
+        return 0;
+    };
     let of = |e: std::fs::DirEntry| match e.metadata() {
         Ok(m) if m.is_dir() => size(&e.path()),
         Ok(m) => m.blocks() * 512,
@@ -232,7 +254,9 @@
 fn fill(kind: Kind, path: &Path, keys: u64) -> Outcome<()> {
     let mut rival = open(kind, path)?;
     for from in (0..keys).step_by(1000) {
-        let puts: Vec<_> = (from..(from + 1000).min(keys)).map(|i| (key(i), VALUE)).collect();
+        let puts: Vec<_> = (from..(from + 1000).min(keys))
+            .map(|i| (key(i), VALUE))
+            .collect();
         rival.put_all(&puts)?;
     }
     rival.settle()
@@ -240,13 +264,19 @@
 
 fn recovery(dir: &Path, keys: &[u64]) -> Outcome<()> {
     let this = std::env::current_exe()?;
-    println!("to open a store and find one key; keys of 16 bytes, values of 100; files in the page cache");
+    println!(
+        "to open a store and find one key; keys of 16 bytes, values of 100; files in the page cache"
+    );
     for &count in keys {
         for kind in [Kind::Store, Kind::Redb, Kind::Fjall] {
             let path = dir.join(format!("{kind:?}-{count}"));
             fill(kind, &path, count)?;
             let arguments = ["open", kind.code()];
-            let told = Command::new(&this).args(arguments).arg(&path).arg(count.to_string()).output()?;
+            let told = Command::new(&this)
+                .args(arguments)
+                .arg(&path)
+                .arg(count.to_string())
+                .output()?;
             let text = String::from_utf8_lossy(&told.stdout);
             let problem = String::from_utf8_lossy(&told.stderr);
             println!(
@@ -274,8 +304,9 @@
         for i in 0..writes / 100 {
             let puts: Vec<_> = (0..100)
                 .map(|_| {
-                    seed =
-                        seed.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+                    seed = seed
+                        .wrapping_mul(6_364_136_223_846_793_005)
+                        .wrapping_add(1_442_695_040_888_963_407);
                     (key((seed >> 33) % keys), VALUE)
                 })
                 .collect();
@@ -375,9 +406,14 @@
             continue;
         }
         let mut bytes = std::fs::read(&path)?;
-        let found = bytes.windows(value.len()).enumerate().filter(|(_, w)| *w == value);
+        let found = bytes
+            .windows(value.len())
+            .enumerate()
+            .filter(|(_, w)| *w == value);
         let places: Vec<usize> = found.map(|(i, _)| i).collect();
-        places.iter().for_each(|place| change(&mut bytes[*place..place + value.len()]));
+        places
+            .iter()
+            .for_each(|place| change(&mut bytes[*place..place + value.len()]));
         hit += places.len();
         std::fs::write(&path, bytes)?;
     }
--- a/crates/store/bench/src/rivals.rs
+++ b/crates/store/bench/src/rivals.rs
@@ -17,7 +17,13 @@
     FjallGrouped,
 }
 
-pub const KINDS: [Kind; 5] = [Kind::Store, Kind::Redb, Kind::RedbGrouped, Kind::Fjall, Kind::FjallGrouped];
+pub const KINDS: [Kind; 5] = [
+    Kind::Store,
+    Kind::Redb,
+    Kind::RedbGrouped,
+    Kind::Fjall,
+    Kind::FjallGrouped,
+];
 
 impl Kind {
     pub fn name(self) -> &'static str {
@@ -91,7 +97,10 @@
     }
 
     fn settle(&mut self) -> Outcome<()> {
-        Ok(self.0.write(Batch::new(), Durability::Durable).map(|_| ())?)
+        Ok(self
+            .0
+            .write(Batch::new(), Durability::Durable)
+            .map(|_| ())?)
     }
 }
 
@@ -174,7 +183,9 @@
 }
 
 fn owned(puts: &[Put]) -> Vec<(Vec<u8>, Vec<u8>)> {
-    puts.iter().map(|(key, value)| (key.to_vec(), value.to_vec())).collect()
+    puts.iter()
+        .map(|(key, value)| (key.to_vec(), value.to_vec()))
+        .collect()
 }
 
 impl<T: Transactions> Rival for T {
@@ -229,20 +240,35 @@
                     }
                     std::mem::take(&mut held.waiting)
                 };
-                let (puts, tell): (Vec<_>, Vec<_>) = waiting.into_iter().map(|w| (w.put, w.done)).unzip();
+                let (puts, tell): (Vec<_>, Vec<_>) =
+                    waiting.into_iter().map(|w| (w.put, w.done)).unzip();
                 let done = own.put_group(&puts, true).map_err(|e| e.to_string());
                 tell.into_iter().for_each(|t| drop(t.send(done.clone())));
             }
         });
-        Grouped { store, shared, worker: Some(worker) }
+        Grouped {
+            store,
+            shared,
+            worker: Some(worker),
+        }
     }
 }
 
 impl<T: Transactions> Transactions for Grouped<T> {
     fn put_group(&self, puts: &[(Vec<u8>, Vec<u8>)], durable: bool) -> Outcome<()> {
-        let [put] = puts else { return self.store.put_group(puts, durable) };
+        let [put] = puts else {
+            return self.store.put_group(puts, durable);
+        };
         let (done, told) = std::sync::mpsc::sync_channel(1);
-        self.shared.0.lock().expect("not poisoned").waiting.push(Waiting { put: put.clone(), done });
+        self.shared
+            .0
+            .lock()
+            .expect("not poisoned")
+            .waiting
+            .push(Waiting {
+                put: put.clone(),
+                done,
+            });
         self.shared.1.notify_one();
         Ok(told.recv()??)
     }
--- a/crates/store/fuzz/fuzz_targets/recovery.rs
+++ b/crates/store/fuzz/fuzz_targets/recovery.rs
@@ -17,7 +17,11 @@
     while let Some(([name, low, high], rest)) = data.split_first_chunk::<3>() {
         let length = usize::from(u16::from_le_bytes([*low, *high])).min(rest.len());
         let (content, behind) = rest.split_at(length);
-        let name = if *name == 0 { "MANIFEST".to_owned() } else { format!("{name:08x}.seg") };
+        let name = if *name == 0 {
+            "MANIFEST".to_owned()
+        } else {
+            format!("{name:08x}.seg")
+        };
         files.insert(name, content.to_vec());
         data = behind;
     }
@@ -32,13 +36,17 @@
         }
         return;
     }
-    let Some((header, mut rest)) = bytes.split_first_chunk_mut::<32>() else { return };
+    let Some((header, mut rest)) = bytes.split_first_chunk_mut::<32>() else {
+        return;
+    };
     let crc = crc32c(&[&header[..28]]).to_le_bytes();
     header[28..].copy_from_slice(&crc);
     let id = header[16..20].to_vec();
     while let Some((header, behind)) = rest.split_first_chunk_mut::<32>() {
         let length = u32::from_le_bytes([header[4], header[5], header[6], header[7]]) as usize;
-        let Some((body, behind)) = behind.split_at_mut_checked(length) else { return };
+        let Some((body, behind)) = behind.split_at_mut_checked(length) else {
+            return;
+        };
         header[8..12].copy_from_slice(&crc32c(&[body]).to_le_bytes());
         let crc = crc32c(&[&id, &header[4..]]).to_le_bytes();
         header[..4].copy_from_slice(&crc);
@@ -59,7 +67,9 @@
 }
 
 fuzz_target!(|data: &[u8]| {
-    let Some((mends, data)) = data.split_first() else { return };
+    let Some((mends, data)) = data.split_first() else {
+        return;
+    };
     let mut files = files(data);
     if mends % 2 == 1 {
         files.iter_mut().for_each(|(name, bytes)| mend(name, bytes));
@@ -67,15 +77,27 @@
     let disk = SimDisk::of(&files);
     let _ = verify(&disk);
     let _ = salvage(&disk, SimDisk::new());
-    if let Ok(mut store) = Store::open(disk.clone(), Options { reserve: 0, ..Options::default() }) {
+    if let Ok(mut store) = Store::open(
+        disk.clone(),
+        Options {
+            reserve: 0,
+            ..Options::default()
+        },
+    ) {
         let snapshot = store.snapshot();
-        let before: Vec<_> = snapshot.scan(b"", 0).map(|e| e.map(|(k, v)| (k.to_vec(), v))).collect();
+        let before: Vec<_> = snapshot
+            .scan(b"", 0)
+            .map(|e| e.map(|(k, v)| (k.to_vec(), v)))
+            .collect();
         let _ = store.put(b"a", b"1");
         let _ = store.compact(0);
         drop(store);
         // What was opened once opens again, and holds what it held.
         let store = Store::open(disk, Options::default()).expect("it opens again");
-        for (key, value) in before.into_iter().map(|e| e.expect("it was read to be opened")) {
+        for (key, value) in before
+            .into_iter()
+            .map(|e| e.expect("it was read to be opened"))
+        {
             assert!(key == b"a" || store.get(&key, 0) == Ok(Some(value)));
         }
     }
--- a/crates/store/src/batch.rs
+++ b/crates/store/src/batch.rs
@@ -6,8 +6,14 @@
 /// One operation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Op {
-    Put { key: Vec<u8>, value: Vec<u8>, expires: Option<u64> },
-    Delete { key: Vec<u8> },
+    Put {
+        key: Vec<u8>,
+        value: Vec<u8>,
+        expires: Option<u64>,
+    },
+    Delete {
+        key: Vec<u8>,
+    },
 }
 
 impl Op {
@@ -35,7 +41,11 @@
 
     /// Sets a key to a value, for good. A key has at most 65,535 bytes and may have none.
     pub fn put(&mut self, key: impl Into<Vec<u8>>, value: impl Into<Vec<u8>>) -> &mut Self {
-        self.push(Op::Put { key: key.into(), value: value.into(), expires: None })
+        self.push(Op::Put {
+            key: key.into(),
+            value: value.into(),
+            expires: None,
+        })
     }
 
     /// Sets a key to a value until a time, on the clock of whoever reads: from then on it reads as absent.
@@ -45,7 +55,11 @@
         value: impl Into<Vec<u8>>,
         expires: u64,
     ) -> &mut Self {
-        self.push(Op::Put { key: key.into(), value: value.into(), expires: Some(expires) })
+        self.push(Op::Put {
+            key: key.into(),
+            value: value.into(),
+            expires: Some(expires),
+        })
     }
 
     /// Takes a key away, if it is there.
@@ -77,11 +91,19 @@
         for op in &self.ops {
             let (Op::Put { key, .. } | Op::Delete { key }) = op;
             if key.len() > MAX_KEY {
-                return Err(Error::TooLarge { what: "a key", size: key.len(), most: MAX_KEY });
+                return Err(Error::TooLarge {
+                    what: "a key",
+                    size: key.len(),
+                    most: MAX_KEY,
+                });
             }
         }
         if self.size > MAX_BATCH {
-            return Err(Error::TooLarge { what: "a batch", size: self.size, most: MAX_BATCH });
+            return Err(Error::TooLarge {
+                what: "a batch",
+                size: self.size,
+                most: MAX_BATCH,
+            });
         }
         Ok(())
     }
--- a/crates/store/src/compact.rs
+++ b/crates/store/src/compact.rs
@@ -3,7 +3,8 @@
 use crate::disk::{Disk, File};
 use crate::error::{Error, Result};
 use crate::format::{
-    FRAME_HEADER, FrameHeader, Kind, Listed, SEGMENT_HEADER, encode_put, encode_segment_header, segment_name,
+    FRAME_HEADER, FrameHeader, Kind, Listed, SEGMENT_HEADER, encode_put, encode_segment_header,
+    segment_name,
 };
 use crate::index::{Index, Key, Place, Snapshot, read};
 use crate::store::take_id;
@@ -103,12 +104,26 @@
             let name = segment_name(id);
             let failed = |e: std::io::Error| Error::io(&name, &e);
             let file = Arc::new(self.disk.create(&name).map_err(failed)?);
-            let listed = Listed { id, kind: Kind::Compacted, first: self.first, sealed: None };
+            let listed = Listed {
+                id,
+                kind: Kind::Compacted,
+                first: self.first,
+                sealed: None,
+            };
             let (length, next) = (SEGMENT_HEADER as u64, self.first);
-            self.open = Some(Output { file: Arc::clone(&file), listed, length, next, body: Vec::new() });
-            file.write_at(&encode_segment_header(Kind::Compacted, id, self.first), 0).map_err(failed)?;
+            self.open = Some(Output {
+                file: Arc::clone(&file),
+                listed,
+                length,
+                next,
+                body: Vec::new(),
+            });
+            file.write_at(&encode_segment_header(Kind::Compacted, id, self.first), 0)
+                .map_err(failed)?;
         }
-        let Some(output) = &mut self.open else { return Err(Error::Closed) };
+        let Some(output) = &mut self.open else {
+            return Err(Error::Closed);
+        };
         if output.body.len() + key.len() + value.len() >= FRAME {
             output.close_frame()?;
         }
@@ -116,16 +131,38 @@
         let offset = output.length as usize + FRAME_HEADER + output.body.len() - value.len();
         // A segment ends at a GiB and a few MiB at the most.
         self.places.push(Some((output.listed.id, offset as u32)));
-        if output.length + output.body.len() as u64 >= self.segment { self.close() } else { Ok(()) }
+        if output.length + output.body.len() as u64 >= self.segment {
+            self.close()
+        } else {
+            Ok(())
+        }
     }
 
     /// Flushes the segment that is written.
     fn close(&mut self) -> Result<()> {
-        let Some(output) = &mut self.open else { return Ok(()) };
+        let Some(output) = &mut self.open else {
+            return Ok(());
+        };
         output.close_frame()?;
-        output.file.sync().map_err(|e| Error::io(&segment_name(output.listed.id), &e))?;
-        if let Some(Output { file, listed, length, next, .. }) = self.open.take() {
-            self.done.push((Listed { sealed: Some((length, next)), ..listed }, file));
+        output
+            .file
+            .sync()
+            .map_err(|e| Error::io(&segment_name(output.listed.id), &e))?;
+        if let Some(Output {
+            file,
+            listed,
+            length,
+            next,
+            ..
+        }) = self.open.take()
+        {
+            self.done.push((
+                Listed {
+                    sealed: Some((length, next)),
+                    ..listed
+                },
+                file,
+            ));
         }
         Ok(())
     }
@@ -135,7 +172,10 @@
         if !self.finished {
             return Err(Error::Closed);
         }
-        Ok((self.done.iter().map(|(listed, _)| *listed).collect(), self.inputs.clone()))
+        Ok((
+            self.done.iter().map(|(listed, _)| *listed).collect(),
+            self.inputs.clone(),
+        ))
     }
 
     pub(crate) fn inputs(&self) -> &[u32] {
@@ -143,7 +183,9 @@
     }
 
     pub(crate) fn files(&self) -> impl Iterator<Item = (u32, Arc<D::File>)> + '_ {
-        self.done.iter().map(|(listed, file)| (listed.id, Arc::clone(file)))
+        self.done
+            .iter()
+            .map(|(listed, file)| (listed.id, Arc::clone(file)))
     }
 
     pub(crate) fn keep_outputs(&mut self) {
@@ -162,7 +204,11 @@
         let (mut done, mut key) = (0, last.map(Key::from));
         let places = self.places.iter().skip(at).take(most);
         for ((entry, from), to) in self.snapshot.entries_after(last).zip(places) {
-            let to = to.map(|(segment, offset)| Place { segment, offset, ..from });
+            let to = to.map(|(segment, offset)| Place {
+                segment,
+                offset,
+                ..from
+            });
             index.relocate(entry, from, to);
             done += 1;
             key = Some(Arc::clone(entry));
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -76,7 +76,10 @@
         if !path.is_dir() {
             fs::create_dir_all(&path)?;
             // The name of the directory is to last too, or all in it would be lost with it.
-            let parent = path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
+            let parent = path
+                .parent()
+                .filter(|p| !p.as_os_str().is_empty())
+                .unwrap_or(Path::new("."));
             StdFile::open(parent)?.sync_all()?;
         }
         Self::open(path)
@@ -103,7 +106,11 @@
     }
 
     fn create(&self, name: &str) -> io::Result<StdFile> {
-        OpenOptions::new().read(true).write(true).create_new(true).open(self.path.join(name))
+        OpenOptions::new()
+            .read(true)
+            .write(true)
+            .create_new(true)
+            .open(self.path.join(name))
     }
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -72,13 +72,23 @@
 impl Error {
     pub(crate) fn io(file: &str, error: &io::Error) -> Self {
         match error.kind() {
-            io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded => Error::Full { file: file.into() },
-            kind => Error::Io { file: file.into(), kind, problem: error.to_string() },
+            io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded => {
+                Error::Full { file: file.into() }
+            }
+            kind => Error::Io {
+                file: file.into(),
+                kind,
+                problem: error.to_string(),
+            },
         }
     }
 
     pub(crate) fn damage(file: &str, offset: u64, problem: impl Into<String>) -> Self {
-        Error::Damaged(Damage { file: file.into(), offset, problem: problem.into() })
+        Error::Damaged(Damage {
+            file: file.into(),
+            offset,
+            problem: problem.into(),
+        })
     }
 }
 
@@ -86,7 +96,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Error::Io { file, problem, .. } => write!(f, "{file}: {problem}"),
-            Error::Full { file } => write!(f, "{file}: no room on the disk; the store goes on once there is"),
+            Error::Full { file } => write!(
+                f,
+                "{file}: no room on the disk; the store goes on once there is"
+            ),
             Error::Damaged(damage) => write!(f, "damaged: {damage}"),
             Error::Newer { file, version } => write!(
                 f,
@@ -95,7 +108,10 @@
             ),
             Error::Locked => f.write_str("another process has the store open"),
             Error::Missing => f.write_str("there is no store in this directory"),
-            Error::Poisoned(why) => write!(f, "no more is written until the store is opened again: {why}"),
+            Error::Poisoned(why) => write!(
+                f,
+                "no more is written until the store is opened again: {why}"
+            ),
             Error::ReadOnly => f.write_str("the store was opened for reading alone"),
             Error::TooLarge { what, size, most } => {
                 write!(f, "{what} of {size} bytes is too large: at most {most}")
--- a/crates/store/src/format.rs
+++ b/crates/store/src/format.rs
@@ -33,8 +33,13 @@
 
 pub(crate) fn segment_id(name: &str) -> Option<u32> {
     let digits = name.strip_suffix(SEGMENT_SUFFIX)?;
-    let plain = digits.len() == 8 && digits.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
-    plain.then(|| u32::from_str_radix(digits, 16).ok()).flatten()
+    let plain = digits.len() == 8
+        && digits
+            .bytes()
+            .all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
+    plain
+        .then(|| u32::from_str_radix(digits, 16).ok())
+        .flatten()
 }
 
 fn u16_at(bytes: &[u8], at: usize) -> Option<u16> {
@@ -110,10 +115,15 @@
     }
     let covered = bytes.get(..28).ok_or(short.clone())?;
     if u32_at(bytes, 28).ok_or(short)? != crc32c::crc32c(covered) {
-        return Err(Refusal::Damaged(0, "the segment's header does not match its checksum"));
+        return Err(Refusal::Damaged(
+            0,
+            "the segment's header does not match its checksum",
+        ));
     }
     let strange = Refusal::Damaged(12, "the segment's header makes no sense");
-    let kind = u32_at(bytes, 12).and_then(Kind::of).ok_or(strange.clone())?;
+    let kind = u32_at(bytes, 12)
+        .and_then(Kind::of)
+        .ok_or(strange.clone())?;
     let id = u32_at(bytes, 16).ok_or(strange.clone())?;
     let first = u64_at(bytes, 20).ok_or(strange)?;
     Ok((kind, id, first))
@@ -140,7 +150,12 @@
     }
 
     pub fn of(body: &[u8], sequence: u64, flushed: u64) -> Self {
-        FrameHeader { length: body.len() as u32, body_crc: crc32c::crc32c(body), sequence, flushed }
+        FrameHeader {
+            length: body.len() as u32,
+            body_crc: crc32c::crc32c(body),
+            sequence,
+            flushed,
+        }
     }
 
     pub fn encode(&self, id: u32, to: &mut Vec<u8>) {
@@ -160,11 +175,18 @@
         let length = u32_at(bytes, 4)?;
         let (sequence, flushed) = (u64_at(bytes, 16)?, u64_at(bytes, 24)?);
         // The cheap questions first: the search for a frame behind damage asks this at every byte.
-        let sound = (1..=MAX_BATCH as u32).contains(&length) && flushed <= sequence && sequence < u64::MAX;
-        if !sound || u32_at(bytes, 12)? != 0 || u32_at(bytes, 0)? != Self::crc(id, bytes.get(4..)?) {
+        let sound =
+            (1..=MAX_BATCH as u32).contains(&length) && flushed <= sequence && sequence < u64::MAX;
+        if !sound || u32_at(bytes, 12)? != 0 || u32_at(bytes, 0)? != Self::crc(id, bytes.get(4..)?)
+        {
             return None;
         }
-        Some(FrameHeader { length, body_crc: u32_at(bytes, 8)?, sequence, flushed })
+        Some(FrameHeader {
+            length,
+            body_crc: u32_at(bytes, 8)?,
+            sequence,
+            flushed,
+        })
     }
 }
 
@@ -176,7 +198,11 @@
     let mut body = Vec::with_capacity(batch.size());
     for op in batch.ops() {
         match op {
-            Op::Put { key, value, expires } => encode_put(key, value, expires.unwrap_or(NEVER), &mut body),
+            Op::Put {
+                key,
+                value,
+                expires,
+            } => encode_put(key, value, expires.unwrap_or(NEVER), &mut body),
             Op::Delete { key } => encode_op(DELETE, key, &[], NEVER, &mut body),
         }
     }
@@ -221,10 +247,16 @@
         let value_at = key_at + usize::from(u16_at(self.body, self.at + 1)?);
         let end = value_at.checked_add(u32_at(self.body, self.at + 3)? as usize)?;
         let expires = u64_at(self.body, self.at + 7)?;
-        let (key, value) = (self.body.get(key_at..value_at)?, self.body.get(value_at..end)?);
+        let (key, value) = (
+            self.body.get(key_at..value_at)?,
+            self.body.get(value_at..end)?,
+        );
         self.at = end;
         match kind {
-            PUT => Some(Read { key, put: Some((value, value_at, expires)) }),
+            PUT => Some(Read {
+                key,
+                put: Some((value, value_at, expires)),
+            }),
             DELETE if value.is_empty() => Some(Read { key, put: None }),
             _ => None,
         }
@@ -303,24 +335,37 @@
         }
         let (covered, crc) = bytes.split_last_chunk::<4>().ok_or(short.clone())?;
         if u32::from_le_bytes(*crc) != crc32c::crc32c(covered) {
-            return Err(Refusal::Damaged(0, "the manifest does not match its checksum"));
+            return Err(Refusal::Damaged(
+                0,
+                "the manifest does not match its checksum",
+            ));
         }
         let count = u32_at(covered, 12).ok_or(short.clone())? as usize;
         let generation = u64_at(covered, 16).ok_or(short.clone())?;
         let listed = covered.get(24..).ok_or(short)?;
         if Some(listed.len()) != count.checked_mul(LISTED) {
-            return Err(Refusal::Damaged(12, "the manifest lists another number of segments than it says"));
+            return Err(Refusal::Damaged(
+                12,
+                "the manifest lists another number of segments than it says",
+            ));
         }
         let mut segments = Vec::with_capacity(count);
         for (i, entry) in listed.chunks_exact(LISTED).enumerate() {
             let at = (24 + i * LISTED) as u64;
-            let segment = decode_listed(entry).ok_or(Refusal::Damaged(at, "an entry makes no sense"))?;
+            let segment =
+                decode_listed(entry).ok_or(Refusal::Damaged(at, "an entry makes no sense"))?;
             if segment.sealed.is_none() && i + 1 != count {
-                return Err(Refusal::Damaged(at, "a segment that is not the last is still open"));
+                return Err(Refusal::Damaged(
+                    at,
+                    "a segment that is not the last is still open",
+                ));
             }
             segments.push(segment);
         }
-        Ok(Manifest { generation, segments })
+        Ok(Manifest {
+            generation,
+            segments,
+        })
     }
 }
 
@@ -333,7 +378,12 @@
         _ if length >= SEGMENT_HEADER as u64 && end >= first => Some((length, end)),
         _ => return None,
     };
-    Some(Listed { id, kind, first, sealed })
+    Some(Listed {
+        id,
+        kind,
+        first,
+        sealed,
+    })
 }
 
 #[cfg(test)]
--- a/crates/store/src/group.rs
+++ b/crates/store/src/group.rs
@@ -90,7 +90,10 @@
             && !queue.closed
             && !queue.relocating
         {
-            queue = self.wake.wait(queue).unwrap_or_else(PoisonError::into_inner);
+            queue = self
+                .wake
+                .wait(queue)
+                .unwrap_or_else(PoisonError::into_inner);
         }
     }
 }
@@ -137,9 +140,15 @@
             clock: Arc::new(clock),
         });
         let own = Arc::clone(&shared);
-        let worker = thread::Builder::new().name("store".into()).spawn(move || own.run());
+        let worker = thread::Builder::new()
+            .name("store".into())
+            .spawn(move || own.run());
         let worker = worker.map_err(|e| Error::io("thread", &e))?;
-        Ok(GroupCommit { shared, reader, worker: Some(worker) })
+        Ok(GroupCommit {
+            shared,
+            reader,
+            worker: Some(worker),
+        })
     }
 
     /// Hands over a batch and returns at once. `done` is called on the store's thread, once the batch is
@@ -162,7 +171,11 @@
             return Err(Error::Busy);
         }
         queue.bytes += batch.size();
-        queue.waiting.push_back(Waiting { batch, durability, done: Box::new(done) });
+        queue.waiting.push_back(Waiting {
+            batch,
+            durability,
+            done: Box::new(done),
+        });
         drop(queue);
         self.shared.wake.notify_one();
         Ok(())
@@ -242,7 +255,13 @@
 
 impl<D: Disk> Writer<D> {
     fn new(store: Store<D>) -> Self {
-        Writer { store, compaction: None, compact_from: None, relocating: false, last: (0, Duration::ZERO) }
+        Writer {
+            store,
+            compaction: None,
+            compact_from: None,
+            relocating: false,
+            last: (0, Duration::ZERO),
+        }
     }
 
     /// Does what there is to do. Says whether it was closed and there is nothing more.
@@ -294,7 +313,11 @@
             if left.is_zero() {
                 break;
             }
-            queue = shared.wake.wait_timeout(queue, left).unwrap_or_else(PoisonError::into_inner).0;
+            queue = shared
+                .wake
+                .wait_timeout(queue, left)
+                .unwrap_or_else(PoisonError::into_inner)
+                .0;
         }
         let compacted = queue.compacted.take();
         // Held up, what waits stays where its bytes count.
@@ -364,23 +387,28 @@
         if self.compaction.is_some() || waits || !self.store.is_compaction_due((shared.clock)()) {
             return;
         }
-        let begun = self.store.begin_compaction((shared.clock)()).and_then(|mut compaction| {
-            let shared = Arc::clone(shared);
-            let run = move || {
-                let stepped = loop {
-                    match compaction.step(1 << 20) {
-                        Ok(true) => break Ok(compaction),
-                        Ok(false) if shared.lock().closed => break Err(Error::Closed),
-                        Ok(false) => {}
-                        Err(error) => break Err(error),
-                    }
+        let begun = self
+            .store
+            .begin_compaction((shared.clock)())
+            .and_then(|mut compaction| {
+                let shared = Arc::clone(shared);
+                let run = move || {
+                    let stepped = loop {
+                        match compaction.step(1 << 20) {
+                            Ok(true) => break Ok(compaction),
+                            Ok(false) if shared.lock().closed => break Err(Error::Closed),
+                            Ok(false) => {}
+                            Err(error) => break Err(error),
+                        }
+                    };
+                    shared.lock().compacted = Some(stepped);
+                    shared.wake.notify_one();
                 };
-                shared.lock().compacted = Some(stepped);
-                shared.wake.notify_one();
-            };
-            let spawned = thread::Builder::new().name("store-compaction".into()).spawn(run);
-            spawned.map_err(|e| Error::io("thread", &e))
-        });
+                let spawned = thread::Builder::new()
+                    .name("store-compaction".into())
+                    .spawn(run);
+                spawned.map_err(|e| Error::io("thread", &e))
+            });
         match begun {
             Ok(running) => self.compaction = Some(running),
             Err(error) => self.compaction_failed(shared, error),
--- a/crates/store/src/index.rs
+++ b/crates/store/src/index.rs
@@ -74,12 +74,22 @@
 
 impl<F: File> Index<F> {
     pub fn new() -> Self {
-        Index { map: OrdMap::new(), files: Arc::default(), live: 0, expiring: BTreeMap::new() }
+        Index {
+            map: OrdMap::new(),
+            files: Arc::default(),
+            live: 0,
+            expiring: BTreeMap::new(),
+        }
     }
 
     /// Applies a frame's body that lies at this place. An error is the place in the body that makes no sense;
     /// nothing is applied then.
-    pub fn apply(&mut self, body: &[u8], segment: u32, offset: u64) -> std::result::Result<(), Senseless> {
+    pub fn apply(
+        &mut self,
+        body: &[u8],
+        segment: u32,
+        offset: u64,
+    ) -> std::result::Result<(), Senseless> {
         read_ops(body, segment, offset, |key, place| match place {
             Some(place) => self.put(key, place),
             None => self.remove(key),
@@ -112,13 +122,21 @@
 
     fn count(&mut self, key: &[u8], place: &Place, more: bool) {
         let size = place.size(key);
-        self.live = if more { self.live + size } else { self.live.saturating_sub(size) };
+        self.live = if more {
+            self.live + size
+        } else {
+            self.live.saturating_sub(size)
+        };
         if place.expires == NEVER {
             return;
         }
         let step = place.expires >> EXPIRY_STEP;
         let bytes = self.expiring.entry(step).or_default();
-        *bytes = if more { *bytes + size } else { bytes.saturating_sub(size) };
+        *bytes = if more {
+            *bytes + size
+        } else {
+            bytes.saturating_sub(size)
+        };
         if *bytes == 0 {
             self.expiring.remove(&step);
         }
@@ -137,7 +155,11 @@
     /// Bytes in the log of what is live and has not expired by `now`, to within one step of expiries (4.2 s where
     /// times are in microseconds).
     pub fn live(&self, now: u64) -> u64 {
-        let expired: u64 = self.expiring.range(..now >> EXPIRY_STEP).map(|(_, bytes)| bytes).sum();
+        let expired: u64 = self
+            .expiring
+            .range(..now >> EXPIRY_STEP)
+            .map(|(_, bytes)| bytes)
+            .sum();
         self.live.saturating_sub(expired)
     }
 
@@ -150,7 +172,10 @@
     }
 
     pub fn snapshot(&self) -> Snapshot<F> {
-        Snapshot { map: self.map.clone(), files: Arc::clone(&self.files) }
+        Snapshot {
+            map: self.map.clone(),
+            files: Arc::clone(&self.files),
+        }
     }
 
     /// Where a value lies, if it is there, with its file: so that it can be read without the index.
@@ -172,12 +197,22 @@
 
 impl<F: File> Loader<F> {
     pub fn new() -> Self {
-        Loader { index: Index::new(), ops: Vec::new() }
+        Loader {
+            index: Index::new(),
+            ops: Vec::new(),
+        }
     }
 
     /// See [`Index::apply`].
-    pub fn apply(&mut self, body: &[u8], segment: u32, offset: u64) -> std::result::Result<(), Senseless> {
-        read_ops(body, segment, offset, |key, place| self.ops.push((key.into(), place)))?;
+    pub fn apply(
+        &mut self,
+        body: &[u8],
+        segment: u32,
+        offset: u64,
+    ) -> std::result::Result<(), Senseless> {
+        read_ops(body, segment, offset, |key, place| {
+            self.ops.push((key.into(), place))
+        })?;
         if self.ops.len() >= SORTED {
             self.settle();
         }
@@ -210,9 +245,15 @@
     let offset = u64::from(place.offset);
     let file = file.ok_or_else(|| Error::damage(&name, offset, "the segment is not open"))?;
     let mut value = vec![0; place.length as usize];
-    let read = file.read_at(&mut value, offset).map_err(|e| Error::io(&name, &e))?;
+    let read = file
+        .read_at(&mut value, offset)
+        .map_err(|e| Error::io(&name, &e))?;
     if read < value.len() || crc32c::crc32c(&value) != place.crc {
-        return Err(Error::damage(&name, offset, "a value is not what was written"));
+        return Err(Error::damage(
+            &name,
+            offset,
+            "a value is not what was written",
+        ));
     }
     Ok(value)
 }
@@ -226,7 +267,10 @@
 
 impl<F> Clone for Snapshot<F> {
     fn clone(&self) -> Self {
-        Snapshot { map: self.map.clone(), files: Arc::clone(&self.files) }
+        Snapshot {
+            map: self.map.clone(),
+            files: Arc::clone(&self.files),
+        }
     }
 }
 
@@ -236,7 +280,9 @@
     /// # Errors
     /// Where the value can't be read, or is not what was written.
     pub fn get(&self, key: &[u8], now: u64) -> Result<Option<Vec<u8>>> {
-        let Some(place) = self.map.get(key).filter(|p| p.expires > now) else { return Ok(None) };
+        let Some(place) = self.map.get(key).filter(|p| p.expires > now) else {
+            return Ok(None);
+        };
         read(*place, self.files.get(&place.segment)).map(Some)
     }
 
@@ -250,7 +296,8 @@
         prefix: &'a [u8],
         now: u64,
     ) -> impl Iterator<Item = Result<(&'a [u8], Vec<u8>)>> + 'a {
-        self.places(prefix, now).map(|(key, place)| Ok((key, read(place, self.files.get(&place.segment))?)))
+        self.places(prefix, now)
+            .map(|(key, place)| Ok((key, read(place, self.files.get(&place.segment))?)))
     }
 
     /// The same keys without reading any value, each with its value's length in bytes and the time it expires.
@@ -266,10 +313,18 @@
         })
     }
 
-    fn places<'a>(&'a self, prefix: &'a [u8], now: u64) -> impl Iterator<Item = (&'a [u8], Place)> + 'a {
+    fn places<'a>(
+        &'a self,
+        prefix: &'a [u8],
+        now: u64,
+    ) -> impl Iterator<Item = (&'a [u8], Place)> + 'a {
         let from: (Bound<&[u8]>, Bound<&[u8]>) = (Bound::Included(prefix), Bound::Unbounded);
-        let all = self.map.range::<_, [u8]>(from).map(|(key, place)| (&**key, *place));
-        all.take_while(move |(key, _)| key.starts_with(prefix)).filter(move |(_, p)| p.expires > now)
+        let all = self
+            .map
+            .range::<_, [u8]>(from)
+            .map(|(key, place)| (&**key, *place));
+        all.take_while(move |(key, _)| key.starts_with(prefix))
+            .filter(move |(_, p)| p.expires > now)
     }
 
     /// The entries behind a key, or from the first, those that have expired included.
@@ -278,7 +333,9 @@
         key: Option<&'a [u8]>,
     ) -> impl Iterator<Item = (&'a Key, Place)> + 'a {
         let from: Bound<&[u8]> = key.map_or(Bound::Unbounded, Bound::Excluded);
-        self.map.range::<_, [u8]>((from, Bound::Unbounded)).map(|(key, place)| (key, *place))
+        self.map
+            .range::<_, [u8]>((from, Bound::Unbounded))
+            .map(|(key, place)| (key, *place))
     }
 
     pub(crate) fn file(&self, segment: u32) -> Option<&Arc<F>> {
--- a/crates/store/src/inspect.rs
+++ b/crates/store/src/inspect.rs
@@ -43,7 +43,9 @@
             let ids: Vec<u32> = names.iter().filter_map(|n| segment_id(n)).collect();
             let listed = |id: &&u32| manifest.iter().any(|s| s.id == **id);
             verified.strays = ids.iter().filter(|id| !listed(id)).count() as u64;
-            manifest.iter().try_for_each(|segment| verify_segment(disk, segment, &mut verified))
+            manifest
+                .iter()
+                .try_for_each(|segment| verify_segment(disk, segment, &mut verified))
         }
         Err(error) => Err(error),
     };
@@ -69,7 +71,9 @@
 fn open_segment<D: Disk>(disk: &D, listed: &Listed) -> Result<D::File> {
     let name = segment_name(listed.id);
     disk.open(&name).map_err(|e| match e.kind() {
-        std::io::ErrorKind::NotFound => Error::damage(&name, 0, "the manifest lists it, but it is gone"),
+        std::io::ErrorKind::NotFound => {
+            Error::damage(&name, 0, "the manifest lists it, but it is gone")
+        }
         _ => Error::io(&name, &e),
     })
 }
@@ -117,7 +121,11 @@
         Ok(Some(manifest)) => manifest.segments,
         Ok(None) => by_headers(from, &mut salvaged)?,
         Err(Error::Damaged(damage)) => {
-            salvaged.lost.push(Lost { damage, bytes: 0, sequences: None });
+            salvaged.lost.push(Lost {
+                damage,
+                bytes: 0,
+                sequences: None,
+            });
             by_headers(from, &mut salvaged)?
         }
         Err(error) => return Err(error),
@@ -135,7 +143,11 @@
             Err(Error::Damaged(damage)) => {
                 let sequences = listed.sealed.map(|(_, next)| listed.first..next);
                 let bytes = listed.sealed.map_or(0, |(length, _)| length);
-                salvaged.lost.push(Lost { damage, bytes, sequences });
+                salvaged.lost.push(Lost {
+                    damage,
+                    bytes,
+                    sequences,
+                });
                 continue;
             }
             file => file?,
@@ -173,19 +185,39 @@
         let name = segment_name(id);
         let file = disk.open(&name).map_err(|e| Error::io(&name, &e))?;
         let mut bytes = vec![0; crate::format::SEGMENT_HEADER];
-        let read = file.read_at(&mut bytes, 0).map_err(|e| Error::io(&name, &e))?;
+        let read = file
+            .read_at(&mut bytes, 0)
+            .map_err(|e| Error::io(&name, &e))?;
         bytes.truncate(read);
         match decode_segment_header(&bytes) {
-            Ok((kind, told, first)) if told == id => segments.push(Listed { id, kind, first, sealed: None }),
-            Err(Refusal::Newer(version)) => return Err(Error::Newer { file: name, version }),
+            Ok((kind, told, first)) if told == id => segments.push(Listed {
+                id,
+                kind,
+                first,
+                sealed: None,
+            }),
+            Err(Refusal::Newer(version)) => {
+                return Err(Error::Newer {
+                    file: name,
+                    version,
+                });
+            }
             other => {
                 let problem = match other {
                     Err(Refusal::Damaged(_, problem)) => problem,
                     _ => "the header is that of another segment",
                 };
                 let bytes = file.size().map_err(|e| Error::io(&name, &e))?;
-                let damage = Damage { file: name, offset: 0, problem: problem.into() };
-                salvaged.lost.push(Lost { damage, bytes, sequences: None });
+                let damage = Damage {
+                    file: name,
+                    offset: 0,
+                    problem: problem.into(),
+                };
+                salvaged.lost.push(Lost {
+                    damage,
+                    bytes,
+                    sequences: None,
+                });
             }
         }
     }
--- a/crates/store/src/manifest.rs
+++ b/crates/store/src/manifest.rs
@@ -14,14 +14,23 @@
     };
     let size = file.size().map_err(|e| Error::io(MANIFEST, &e))?;
     if size > MAX_MANIFEST {
-        return Err(Error::damage(MANIFEST, MAX_MANIFEST, "the manifest is longer than any can be"));
+        return Err(Error::damage(
+            MANIFEST,
+            MAX_MANIFEST,
+            "the manifest is longer than any can be",
+        ));
     }
     let mut bytes = vec![0; size as usize];
-    let read = file.read_at(&mut bytes, 0).map_err(|e| Error::io(MANIFEST, &e))?;
+    let read = file
+        .read_at(&mut bytes, 0)
+        .map_err(|e| Error::io(MANIFEST, &e))?;
     bytes.truncate(read);
     match Manifest::decode(&bytes) {
         Ok(manifest) => Ok(Some(manifest)),
-        Err(Refusal::Newer(version)) => Err(Error::Newer { file: MANIFEST.into(), version }),
+        Err(Refusal::Newer(version)) => Err(Error::Newer {
+            file: MANIFEST.into(),
+            version,
+        }),
         Err(Refusal::Damaged(offset, problem)) => Err(Error::damage(MANIFEST, offset, problem)),
     }
 }
@@ -38,7 +47,10 @@
 /// that it lists must have been flushed before.
 ///
 /// Survives a crash of the process and a loss of power at any point: one of the two manifests is found whole.
-pub(crate) fn switch<D: Disk>(disk: &D, manifest: &Manifest) -> std::result::Result<(), NotSwitched> {
+pub(crate) fn switch<D: Disk>(
+    disk: &D,
+    manifest: &Manifest,
+) -> std::result::Result<(), NotSwitched> {
     let write = || {
         // It is there where an earlier try ended in the middle.
         match disk.remove(MANIFEST_NEW) {
@@ -54,6 +66,8 @@
         let _ = disk.remove(MANIFEST_NEW);
         return Err(NotSwitched::Refused(Error::io(MANIFEST_NEW, &error)));
     }
-    disk.rename(MANIFEST_NEW, MANIFEST).map_err(|e| NotSwitched::Unknown(Error::io(MANIFEST, &e)))?;
-    disk.sync().map_err(|e| NotSwitched::Unknown(Error::io("directory", &e)))
+    disk.rename(MANIFEST_NEW, MANIFEST)
+        .map_err(|e| NotSwitched::Unknown(Error::io(MANIFEST, &e)))?;
+    disk.sync()
+        .map_err(|e| NotSwitched::Unknown(Error::io("directory", &e)))
 }
--- a/crates/store/src/scan.rs
+++ b/crates/store/src/scan.rs
@@ -25,7 +25,13 @@
 
 impl<'a, F: File> Window<'a, F> {
     fn new(file: &'a F, name: &'a str, end: u64) -> Self {
-        Window { file, name, end, from: 0, bytes: Vec::new() }
+        Window {
+            file,
+            name,
+            end,
+            from: 0,
+            bytes: Vec::new(),
+        }
     }
 
     /// So many bytes from this place, or as many as there are.
@@ -36,7 +42,10 @@
             let rest = usize::try_from(self.end.saturating_sub(at)).unwrap_or(usize::MAX);
             self.bytes.resize(length.max(CHUNK).min(rest), 0);
             self.from = at;
-            let read = self.file.read_at(&mut self.bytes, at).map_err(|e| Error::io(self.name, &e))?;
+            let read = self
+                .file
+                .read_at(&mut self.bytes, at)
+                .map_err(|e| Error::io(self.name, &e))?;
             self.bytes.truncate(read);
         }
         let from = (at - self.from) as usize;
@@ -101,21 +110,42 @@
     let size = file.size().map_err(|e| Error::io(&name, &e))?;
     let end = listed.sealed.map_or(size, |(length, _)| length.min(size));
     let mut window = Window::new(file, &name, end);
-    let mut scanned = Scanned { next: listed.first, ..Scanned::default() };
+    let mut scanned = Scanned {
+        next: listed.first,
+        ..Scanned::default()
+    };
     let mut lose = |offset: u64, problem: String, bytes: u64, sequences: Option<Range<u64>>| {
-        let damage = Damage { file: name.clone(), offset, problem };
+        let damage = Damage {
+            file: name.clone(),
+            offset,
+            problem,
+        };
         if mode == Mode::Refuse {
             return Err(Error::Damaged(damage));
         }
         let sequences = sequences.filter(|_| listed.kind == Kind::Log);
-        scanned.lost.push(Lost { damage, bytes, sequences });
+        scanned.lost.push(Lost {
+            damage,
+            bytes,
+            sequences,
+        });
         Ok(())
     };
 
     match decode_segment_header(window.get(0, SEGMENT_HEADER)?) {
         Ok(told) if told == (listed.kind, listed.id, listed.first) => {}
-        Ok(_) => lose(12, "the header is not that of the segment listed".into(), 0, None)?,
-        Err(Refusal::Newer(version)) => return Err(Error::Newer { file: name, version }),
+        Ok(_) => lose(
+            12,
+            "the header is not that of the segment listed".into(),
+            0,
+            None,
+        )?,
+        Err(Refusal::Newer(version)) => {
+            return Err(Error::Newer {
+                file: name,
+                version,
+            });
+        }
         Err(Refusal::Damaged(offset, problem)) => lose(offset, problem.into(), 0, None)?,
     }
 
@@ -128,7 +158,11 @@
             Ok(header) if header.sequence == next => {
                 let body_at = at + FRAME_HEADER as u64;
                 let body = window.get(body_at, header.length as usize)?;
-                visit(Frame { header, body_at, body })?;
+                visit(Frame {
+                    header,
+                    body_at,
+                    body,
+                })?;
                 // The first frame behind a flush says just that: all before itself.
                 if header.flushed == next {
                     proven = (at, next);
@@ -164,12 +198,28 @@
     if let Some((length, due)) = listed.sealed {
         if length > size {
             let missing = length - size;
-            lose(size, format!("the file ends {missing} bytes early"), missing, Some(next..due.max(next)))?;
+            lose(
+                size,
+                format!("the file ends {missing} bytes early"),
+                missing,
+                Some(next..due.max(next)),
+            )?;
         } else if next != due {
-            lose(at, format!("frame {next} is missing"), 0, Some(next..due.max(next)))?;
+            lose(
+                at,
+                format!("frame {next} is missing"),
+                0,
+                Some(next..due.max(next)),
+            )?;
         }
     }
-    Ok(Scanned { end: at, next, torn, proven, ..scanned })
+    Ok(Scanned {
+        end: at,
+        next,
+        torn,
+        proven,
+        ..scanned
+    })
 }
 
 /// The header of a whole frame at this place, or what is wrong there.
@@ -220,7 +270,9 @@
             break;
         }
         for (i, head) in bytes.windows(FRAME_HEADER).enumerate() {
-            let Some(header) = FrameHeader::decode(listed.id, head) else { continue };
+            let Some(header) = FrameHeader::decode(listed.id, head) else {
+                continue;
+            };
             let here = place + i as u64;
             if header.sequence < due || (here == at && header.sequence == due) {
                 continue;
@@ -245,7 +297,8 @@
             break;
         }
         let heads = bytes.windows(FRAME_HEADER).enumerate();
-        let headers = heads.filter_map(|(i, head)| Some((i, FrameHeader::decode(listed.id, head)?)));
+        let headers =
+            heads.filter_map(|(i, head)| Some((i, FrameHeader::decode(listed.id, head)?)));
         let (heads, step): (Vec<_>, _) = (headers.collect(), bytes.len() - FRAME_HEADER + 1);
         for (i, header) in heads {
             let here = place + i as u64;
--- a/crates/store/src/sim.rs
+++ b/crates/store/src/sim.rs
@@ -21,11 +21,27 @@
 }
 
 enum Change {
-    Write { inode: u64, offset: u64, bytes: Vec<u8> },
-    Truncate { inode: u64, length: u64 },
-    Create { name: String, inode: u64 },
-    Rename { from: String, to: String, inode: u64 },
-    Remove { name: String },
+    Write {
+        inode: u64,
+        offset: u64,
+        bytes: Vec<u8>,
+    },
+    Truncate {
+        inode: u64,
+        length: u64,
+    },
+    Create {
+        name: String,
+        inode: u64,
+    },
+    Rename {
+        from: String,
+        to: String,
+        inode: u64,
+    },
+    Remove {
+        name: String,
+    },
 }
 
 #[derive(Default)]
@@ -101,7 +117,10 @@
     }
 
     fn used(&self) -> usize {
-        self.names.values().filter_map(|inode| Some(self.inodes.get(inode)?.seen.len())).sum()
+        self.names
+            .values()
+            .filter_map(|inode| Some(self.inodes.get(inode)?.seen.len()))
+            .sum()
     }
 
     fn inode(&mut self, inode: u64) -> &mut Inode {
@@ -138,7 +157,11 @@
 
     fn alive(&self) -> io::Result<MutexGuard<'_, State>> {
         let state = self.state();
-        if state.life == self.life { Ok(state) } else { Err(dead()) }
+        if state.life == self.life {
+            Ok(state)
+        } else {
+            Err(dead())
+        }
     }
 
     /// The directory as another process finds it after the one before was killed: nothing is lost.
@@ -148,7 +171,10 @@
         state.crash_at = None;
         state.failures.clear();
         (state.readers, state.writer) = (0, false);
-        SimDisk { state: Arc::clone(&self.state), life: state.life }
+        SimDisk {
+            state: Arc::clone(&self.state),
+            life: state.life,
+        }
     }
 
     /// The directory as it is found after a loss of power.
@@ -171,9 +197,18 @@
                 Loss::Any(_) => splitmix(&mut seed).is_multiple_of(2),
             };
             match change {
-                Change::Write { inode, offset, mut bytes } if keeps => {
-                    let torn = matches!(loss, Loss::Any(_)) && splitmix(&mut seed).is_multiple_of(4);
-                    let most = if torn { splitmix(&mut seed) % (bytes.len() as u64 + 1) } else { left };
+                Change::Write {
+                    inode,
+                    offset,
+                    mut bytes,
+                } if keeps => {
+                    let torn =
+                        matches!(loss, Loss::Any(_)) && splitmix(&mut seed).is_multiple_of(4);
+                    let most = if torn {
+                        splitmix(&mut seed) % (bytes.len() as u64 + 1)
+                    } else {
+                        left
+                    };
                     bytes.truncate(usize::try_from(most).unwrap_or(usize::MAX));
                     left = left.saturating_sub(bytes.len() as u64);
                     write(&mut state.inode(inode).flushed, offset, &bytes);
@@ -195,7 +230,10 @@
             }
         }
         state.names = state.flushed_names.clone();
-        state.inodes.values_mut().for_each(|i| i.seen.clone_from(&i.flushed));
+        state
+            .inodes
+            .values_mut()
+            .for_each(|i| i.seen.clone_from(&i.flushed));
         drop(state);
         disk
     }
@@ -256,15 +294,31 @@
 
     /// Bytes that were written and not flushed.
     pub fn unflushed(&self) -> u64 {
-        let bytes = |c: &Change| if let Change::Write { bytes, .. } = c { bytes.len() as u64 } else { 0 };
+        let bytes = |c: &Change| {
+            if let Change::Write { bytes, .. } = c {
+                bytes.len() as u64
+            } else {
+                0
+            }
+        };
         self.state().unflushed.iter().map(bytes).sum()
     }
 
     /// All files with what a process reads in them.
     pub fn files(&self) -> BTreeMap<String, Vec<u8>> {
         let state = self.state();
-        let content = |inode| state.inodes.get(inode).map(|i| i.seen.clone()).unwrap_or_default();
-        state.names.iter().map(|(name, inode)| (name.clone(), content(inode))).collect()
+        let content = |inode| {
+            state
+                .inodes
+                .get(inode)
+                .map(|i| i.seen.clone())
+                .unwrap_or_default()
+        };
+        state
+            .names
+            .iter()
+            .map(|(name, inode)| (name.clone(), content(inode)))
+            .collect()
     }
 
     /// A directory of these files, all flushed.
@@ -272,7 +326,13 @@
         let disk = SimDisk::new();
         let mut state = disk.state();
         for (inode, (name, bytes)) in (0..).zip(files) {
-            state.inodes.insert(inode, Inode { seen: bytes.clone(), flushed: bytes.clone() });
+            state.inodes.insert(
+                inode,
+                Inode {
+                    seen: bytes.clone(),
+                    flushed: bytes.clone(),
+                },
+            );
             state.names.insert(name.clone(), inode);
         }
         state.flushed_names = state.names.clone();
@@ -291,7 +351,10 @@
 
     fn open(&self, name: &str) -> io::Result<SimFile> {
         let inode = *self.alive()?.names.get(name).ok_or(ErrorKind::NotFound)?;
-        Ok(SimFile { disk: self.clone(), inode })
+        Ok(SimFile {
+            disk: self.clone(),
+            inode,
+        })
     }
 
     fn create(&self, name: &str) -> io::Result<SimFile> {
@@ -300,12 +363,21 @@
         if state.names.contains_key(name) {
             return Err(ErrorKind::AlreadyExists.into());
         }
-        let inode = state.inodes.last_key_value().map_or(0, |(last, _)| last + 1);
+        let inode = state
+            .inodes
+            .last_key_value()
+            .map_or(0, |(last, _)| last + 1);
         state.inodes.insert(inode, Inode::default());
         state.names.insert(name.to_owned(), inode);
-        state.unflushed.push(Change::Create { name: name.to_owned(), inode });
+        state.unflushed.push(Change::Create {
+            name: name.to_owned(),
+            inode,
+        });
         state.ends()?;
-        Ok(SimFile { disk: self.clone(), inode })
+        Ok(SimFile {
+            disk: self.clone(),
+            inode,
+        })
     }
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
@@ -313,7 +385,11 @@
         state.operate()?;
         let inode = state.names.remove(from).ok_or(ErrorKind::NotFound)?;
         state.names.insert(to.to_owned(), inode);
-        state.unflushed.push(Change::Rename { from: from.to_owned(), to: to.to_owned(), inode });
+        state.unflushed.push(Change::Rename {
+            from: from.to_owned(),
+            to: to.to_owned(),
+            inode,
+        });
         state.ends()
     }
 
@@ -324,7 +400,9 @@
         }
         state.operate()?;
         state.names.remove(name);
-        state.unflushed.push(Change::Remove { name: name.to_owned() });
+        state.unflushed.push(Change::Remove {
+            name: name.to_owned(),
+        });
         state.ends()
     }
 
@@ -332,7 +410,9 @@
         let mut state = self.alive()?;
         let failed = state.operate();
         state.ends()?;
-        state.unflushed.retain(|c| matches!(c, Change::Write { .. } | Change::Truncate { .. }));
+        state
+            .unflushed
+            .retain(|c| matches!(c, Change::Write { .. } | Change::Truncate { .. }));
         if failed.is_ok() {
             state.flushed_names = state.names.clone();
         }
@@ -349,7 +429,10 @@
         } else {
             state.readers += 1;
         }
-        Ok(Some(SimLock { disk: self.clone(), alone }))
+        Ok(Some(SimLock {
+            disk: self.clone(),
+            alone,
+        }))
     }
 }
 
@@ -372,7 +455,11 @@
 
     fn read_at(&self, buffer: &mut [u8], offset: u64) -> io::Result<usize> {
         let mut state = self.disk.alive()?;
-        let rest = state.inode(self.inode).seen.get(offset as usize..).unwrap_or_default();
+        let rest = state
+            .inode(self.inode)
+            .seen
+            .get(offset as usize..)
+            .unwrap_or_default();
         let read = rest.len().min(buffer.len());
         buffer[..read].copy_from_slice(&rest[..read]);
         Ok(read)
@@ -382,23 +469,40 @@
         let mut state = self.disk.alive()?;
         let failed = state.operate();
         // A failing write has written half; one that finds no room, what there was room for.
-        let mut fits = if failed.is_ok() { bytes.len() } else { bytes.len() / 2 };
+        let mut fits = if failed.is_ok() {
+            bytes.len()
+        } else {
+            bytes.len() / 2
+        };
         let grows = (offset as usize + fits).saturating_sub(state.inode(self.inode).seen.len());
-        let room = state.room.map_or(usize::MAX, |room| room.saturating_sub(state.used()));
+        let room = state
+            .room
+            .map_or(usize::MAX, |room| room.saturating_sub(state.used()));
         fits -= grows.saturating_sub(room).min(fits);
         let part = &bytes[..fits];
         write(&mut state.inode(self.inode).seen, offset, part);
-        state.unflushed.push(Change::Write { inode: self.inode, offset, bytes: part.to_vec() });
+        state.unflushed.push(Change::Write {
+            inode: self.inode,
+            offset,
+            bytes: part.to_vec(),
+        });
         state.ends()?;
         failed?;
-        if fits < bytes.len() { Err(ErrorKind::StorageFull.into()) } else { Ok(()) }
+        if fits < bytes.len() {
+            Err(ErrorKind::StorageFull.into())
+        } else {
+            Ok(())
+        }
     }
 
     fn truncate(&self, length: u64) -> io::Result<()> {
         let mut state = self.disk.alive()?;
         state.operate()?;
         state.inode(self.inode).seen.truncate(length as usize);
-        state.unflushed.push(Change::Truncate { inode: self.inode, length });
+        state.unflushed.push(Change::Truncate {
+            inode: self.inode,
+            length,
+        });
         state.ends()
     }
 
@@ -414,7 +518,11 @@
         failed?;
         for change in changes {
             match change {
-                Change::Write { inode, offset, bytes } => {
+                Change::Write {
+                    inode,
+                    offset,
+                    bytes,
+                } => {
                     write(&mut state.inode(inode).flushed, offset, &bytes);
                 }
                 Change::Truncate { inode, length } => {
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -127,7 +127,9 @@
 
 impl<D: Disk> Clone for Reader<D> {
     fn clone(&self) -> Self {
-        Reader { index: Arc::clone(&self.index) }
+        Reader {
+            index: Arc::clone(&self.index),
+        }
     }
 }
 
@@ -146,7 +148,9 @@
     /// Where the value can't be read, or is not what was written.
     pub fn get(&self, key: &[u8], now: u64) -> Result<Option<Vec<u8>>> {
         let found = read_lock(&self.index).find(key, now);
-        found.map(|(place, file)| index::read(place, file.as_ref())).transpose()
+        found
+            .map(|(place, file)| index::read(place, file.as_ref()))
+            .transpose()
     }
 
     /// Whether a key is there and does not expire by `now`. Reads no file.
@@ -190,7 +194,10 @@
     /// be read; [`Error::Io`].
     pub fn open(disk: D, options: Options) -> Result<Self> {
         let directory = |e: std::io::Error| Error::io("directory", &e);
-        let lock = disk.lock(!options.read_only).map_err(directory)?.ok_or(Error::Locked)?;
+        let lock = disk
+            .lock(!options.read_only)
+            .map_err(directory)?
+            .ok_or(Error::Locked)?;
         let names = disk.list().map_err(directory)?;
         let ids = names.iter().filter_map(|n| segment_id(n));
         let manifest = manifest::load(&disk)?;
@@ -207,19 +214,25 @@
         for listed in &manifest.segments {
             let name = segment_name(listed.id);
             let file = disk.open(&name).map_err(|e| match e.kind() {
-                ErrorKind::NotFound => Error::damage(&name, 0, "the manifest lists it, but it is gone"),
+                ErrorKind::NotFound => {
+                    Error::damage(&name, 0, "the manifest lists it, but it is gone")
+                }
                 _ => Error::io(&name, &e),
             })?;
             let mut kept = Vec::new();
             let scanned = scan(&file, listed, Mode::Refuse, |frame| {
                 let applied = loader.apply(frame.body, listed.id, frame.body_at);
-                applied.map_err(|(at, why)| Error::damage(&name, frame.body_at + at as u64, why))?;
+                applied
+                    .map_err(|(at, why)| Error::damage(&name, frame.body_at + at as u64, why))?;
                 if listed.sealed.is_none() {
                     // Only what stands behind the last flush is kept.
                     if frame.header.flushed == frame.header.sequence {
                         kept.clear();
                     }
-                    kept.push(Kept { sequence: frame.header.sequence, body: frame.body.to_vec() });
+                    kept.push(Kept {
+                        sequence: frame.header.sequence,
+                        body: frame.body.to_vec(),
+                    });
                 }
                 Ok(())
             })?;
@@ -245,10 +258,16 @@
         if !options.read_only && !names.is_empty() {
             remove_strays(&disk, &names, &manifest);
         }
-        let last_id = ids.chain(manifest.segments.iter().map(|s| s.id)).max().unwrap_or(0);
+        let last_id = ids
+            .chain(manifest.segments.iter().map(|s| s.id))
+            .max()
+            .unwrap_or(0);
         Ok(Store {
             disk,
-            options: Options { segment: options.segment.clamp(1 << 10, LONGEST_SEGMENT), ..options },
+            options: Options {
+                segment: options.segment.clamp(1 << 10, LONGEST_SEGMENT),
+                ..options
+            },
             index: Arc::new(RwLock::new(index)),
             manifest,
             tail,
@@ -265,7 +284,9 @@
 
     /// A handle to read by, for other threads.
     pub fn reader(&self) -> Reader<D> {
-        Reader { index: Arc::clone(&self.index) }
+        Reader {
+            index: Arc::clone(&self.index),
+        }
     }
 
     /// See [`Reader::get`].
@@ -349,12 +370,17 @@
     }
 
     fn write_group(&mut self, group: Vec<Vec<u8>>, durability: Durability) -> Result<()> {
-        let full = |tail: &Tail<D::File>| tail.file.is_none() || tail.length >= self.options.segment;
+        let full =
+            |tail: &Tail<D::File>| tail.file.is_none() || tail.length >= self.options.segment;
         if self.tail.as_ref().is_none_or(full) {
             self.begin_segment()?;
         }
-        let Some(tail) = self.tail.as_mut() else { return Err(Error::Closed) };
-        let Some(file) = tail.file.clone() else { return Err(Error::Closed) };
+        let Some(tail) = self.tail.as_mut() else {
+            return Err(Error::Closed);
+        };
+        let Some(file) = tail.file.clone() else {
+            return Err(Error::Closed);
+        };
         let name = segment_name(tail.id);
 
         let mut bytes = Vec::with_capacity(group.iter().map(|b| b.len() + FRAME_HEADER).sum());
@@ -363,7 +389,8 @@
             bytes.extend_from_slice(body);
         }
         // Refused here, nothing of the group is on the disk, and the segment is as it was.
-        reserve(&*file, tail, bytes.len() as u64, self.options.reserve).map_err(|e| Error::io(&name, &e))?;
+        reserve(&*file, tail, bytes.len() as u64, self.options.reserve)
+            .map_err(|e| Error::io(&name, &e))?;
         let kept_bytes: usize = tail.kept.iter().map(|k| k.body.len()).sum();
         let flush = durability == Durability::Durable || kept_bytes + bytes.len() > UNFLUSHED;
         let written = file.write_at(&bytes, tail.length);
@@ -381,7 +408,10 @@
             let _ = index.apply(&body, tail.id, at + FRAME_HEADER as u64);
             at += (FRAME_HEADER + body.len()) as u64;
             if !flush {
-                tail.kept.push(Kept { sequence: self.next, body });
+                tail.kept.push(Kept {
+                    sequence: self.next,
+                    body,
+                });
             }
             self.next += 1;
         }
@@ -395,8 +425,12 @@
 
     /// Makes the relaxed writes durable that are not.
     fn flush_kept(&mut self) -> Result<()> {
-        let Some(tail) = self.tail.as_mut().filter(|t| !t.kept.is_empty()) else { return Ok(()) };
-        let Some(file) = &tail.file else { return self.begin_segment() };
+        let Some(tail) = self.tail.as_mut().filter(|t| !t.kept.is_empty()) else {
+            return Ok(());
+        };
+        let Some(file) = &tail.file else {
+            return self.begin_segment();
+        };
         match file.sync() {
             Ok(()) => {
                 tail.flushed = (tail.length, self.next);
@@ -416,7 +450,11 @@
         let id = self.new_id()?;
         let name = segment_name(id);
         let first = self.tail.as_ref().map_or(0, |t| t.flushed.1);
-        let kept = self.tail.as_mut().map(|t| std::mem::take(&mut t.kept)).unwrap_or_default();
+        let kept = self
+            .tail
+            .as_mut()
+            .map(|t| std::mem::take(&mut t.kept))
+            .unwrap_or_default();
         let mut tail = Tail {
             file: None,
             id,
@@ -434,12 +472,22 @@
             segments.pop();
             if old.flushed.1 > old.first {
                 let (first, sealed) = (old.first, Some(old.flushed));
-                segments.push(Listed { id: old.id, kind: Kind::Log, first, sealed });
+                segments.push(Listed {
+                    id: old.id,
+                    kind: Kind::Log,
+                    first,
+                    sealed,
+                });
             } else {
                 emptied = Some(old.id);
             }
         }
-        segments.push(Listed { id, kind: Kind::Log, first, sealed: None });
+        segments.push(Listed {
+            id,
+            kind: Kind::Log,
+            first,
+            sealed: None,
+        });
         match made.and_then(|file| self.switch(segments).map(|()| file)) {
             Ok(file) => {
                 let mut index = write_lock(&self.index);
@@ -477,7 +525,10 @@
 
     /// Switches to a manifest of these segments.
     fn switch(&mut self, segments: Vec<Listed>) -> Result<()> {
-        let manifest = Manifest { generation: self.manifest.generation + 1, segments };
+        let manifest = Manifest {
+            generation: self.manifest.generation + 1,
+            segments,
+        };
         match manifest::switch(&self.disk, &manifest) {
             Ok(()) => {
                 self.manifest = manifest;
@@ -502,7 +553,8 @@
         let log = self.log_bytes();
         let live = read_lock(&self.index).live(now);
         let most = live.saturating_mul(2).saturating_add(self.options.slack);
-        log > most || self.manifest.segments.len() as u64 > SEGMENTS + 2 * log / self.options.segment
+        log > most
+            || self.manifest.segments.len() as u64 > SEGMENTS + 2 * log / self.options.segment
     }
 
     /// Whether writes outrun a compaction: the log is longer than three times the live bytes and twice
@@ -514,7 +566,12 @@
     }
 
     fn log_bytes(&self) -> u64 {
-        let sealed: u64 = self.manifest.segments.iter().filter_map(|s| Some(s.sealed?.0)).sum();
+        let sealed: u64 = self
+            .manifest
+            .segments
+            .iter()
+            .filter_map(|s| Some(s.sealed?.0))
+            .sum();
         sealed + self.tail.as_ref().map_or(0, |t| t.length)
     }
 
@@ -531,7 +588,13 @@
         }
         self.relocate(usize::MAX);
         self.begin_segment()?;
-        let inputs = self.manifest.segments.iter().filter(|s| s.sealed.is_some()).map(|s| s.id).collect();
+        let inputs = self
+            .manifest
+            .segments
+            .iter()
+            .filter(|s| s.sealed.is_some())
+            .map(|s| s.id)
+            .collect();
         Ok(Compaction::begin(
             self.disk.clone(),
             self.snapshot(),
@@ -556,7 +619,12 @@
         // The names are to be there before a manifest lists them.
         self.disk.sync().map_err(|e| Error::io("directory", &e))?;
         let mut segments = outputs;
-        segments.extend(self.manifest.segments.iter().filter(|s| !inputs.contains(&s.id)));
+        segments.extend(
+            self.manifest
+                .segments
+                .iter()
+                .filter(|s| !inputs.contains(&s.id)),
+        );
         let switched = self.switch(segments);
         if switched.is_ok() || self.poisoned.is_some() {
             compaction.keep_outputs();
@@ -567,7 +635,11 @@
             // Files that are open stay readable; what can't be removed now is at the next opening.
             let _ = self.disk.remove(&segment_name(*id));
         }
-        self.relocation = Some(Relocation { compaction, at: 0, last: None });
+        self.relocation = Some(Relocation {
+            compaction,
+            at: 0,
+            last: None,
+        });
         Ok(())
     }
 
@@ -583,7 +655,9 @@
             left -= step;
             let mut index = write_lock(&self.index);
             let (done, last) =
-                moving.compaction.relocate(&mut index, moving.last.as_deref(), moving.at, step);
+                moving
+                    .compaction
+                    .relocate(&mut index, moving.last.as_deref(), moving.at, step);
             moving.at += done;
             moving.last = last;
             if done < step {
@@ -641,10 +715,11 @@
     let from = tail.reserved.max(tail.length);
     let ahead = tail.length.max(LEAST_RESERVE).min(most);
     let zeros = |to: u64| {
-        file.write_at(&vec![0; (to - from) as usize], from).inspect_err(|_| {
-            // A part of them may have taken the last room there was; the manifest, for one, needs some.
-            let _ = file.truncate(from);
-        })
+        file.write_at(&vec![0; (to - from) as usize], from)
+            .inspect_err(|_| {
+                // A part of them may have taken the last room there was; the manifest, for one, needs some.
+                let _ = file.truncate(from);
+            })
     };
     // Where there is no room for more, there may be for this.
     let to = match zeros(need + ahead) {
@@ -688,7 +763,9 @@
     let file = disk.open(&name).map_err(|e| Error::io(&name, &e))?;
     let size = file.size().map_err(|e| Error::io(&name, &e))?;
     let mut bytes = vec![0; FRAME_HEADER + SEGMENT_HEADER];
-    let read = file.read_at(&mut bytes, 0).map_err(|e| Error::io(&name, &e))?;
+    let read = file
+        .read_at(&mut bytes, 0)
+        .map_err(|e| Error::io(&name, &e))?;
     bytes.truncate(read);
     let behind = bytes.get(SEGMENT_HEADER..).unwrap_or_default();
     if size > SEGMENT_HEADER as u64 && behind.iter().any(|b| *b != 0) {
@@ -704,7 +781,8 @@
 /// Removes what a crash left in the middle of a switch or of a compaction.
 fn remove_strays<D: Disk>(disk: &D, names: &[String], manifest: &Manifest) {
     let listed = |id| manifest.segments.iter().any(|s| s.id == id);
-    let stray = |name: &&String| **name == MANIFEST_NEW || segment_id(name).is_some_and(|id| !listed(id));
+    let stray =
+        |name: &&String| **name == MANIFEST_NEW || segment_id(name).is_some_and(|id| !listed(id));
     let mut strays = names.iter().filter(stray).peekable();
     // The manifest may have been renamed and its name not be flushed: with what it replaced removed and the rename
     // lost, nothing would be left.
--- a/crates/store/tests/any_bytes.rs
+++ b/crates/store/tests/any_bytes.rs
@@ -10,12 +10,22 @@
 
 fn sound() -> Files {
     let disk = SimDisk::new();
-    let options = Options { segment: 1024, slack: 256, reserve: 64, ..Options::default() };
+    let options = Options {
+        segment: 1024,
+        slack: 256,
+        reserve: 64,
+        ..Options::default()
+    };
     let mut store = Store::open(disk.clone(), options).expect("it opens");
     for i in 0..30_u8 {
         let mut batch = Batch::new();
-        batch.put([i % 7], vec![i; usize::from(i)]).put_until([9, i], "x", u64::from(i)).delete([i % 3]);
-        store.write(&batch, Durability::Durable).expect("it is written");
+        batch
+            .put([i % 7], vec![i; usize::from(i)])
+            .put_until([9, i], "x", u64::from(i))
+            .delete([i % 3]);
+        store
+            .write(&batch, Durability::Durable)
+            .expect("it is written");
         if i == 15 {
             store.compact(0).expect("it compacts");
         }
@@ -84,13 +94,17 @@
         }
         return;
     }
-    let Some((header, mut rest)) = bytes.split_first_chunk_mut::<32>() else { return };
+    let Some((header, mut rest)) = bytes.split_first_chunk_mut::<32>() else {
+        return;
+    };
     let crc = crc32c::crc32c(&header[..28]).to_le_bytes();
     header[28..].copy_from_slice(&crc);
     let id = header[16..20].to_vec();
     while let Some((header, behind)) = rest.split_first_chunk_mut::<32>() {
         let length = u32::from_le_bytes(header[4..8].try_into().expect("four bytes")) as usize;
-        let Some((body, behind)) = behind.split_at_mut_checked(length) else { return };
+        let Some((body, behind)) = behind.split_at_mut_checked(length) else {
+            return;
+        };
         header[8..12].copy_from_slice(&crc32c::crc32c(body).to_le_bytes());
         let crc = crc32c::crc32c_append(crc32c::crc32c(&id), &header[4..]).to_le_bytes();
         header[..4].copy_from_slice(&crc);
--- a/crates/store/tests/backward_compatibility.rs
+++ b/crates/store/tests/backward_compatibility.rs
@@ -18,17 +18,27 @@
 /// and one with, deletions, relaxed batches, an empty key.
 fn version_1() -> Files {
     let disk = SimDisk::new();
-    let mut store =
-        Store::open(disk.clone(), madderloom_store::Options { reserve: 0, ..SMALL }).expect("it opens");
+    let mut store = Store::open(
+        disk.clone(),
+        madderloom_store::Options {
+            reserve: 0,
+            ..SMALL
+        },
+    )
+    .expect("it opens");
     for i in 0..40_u8 {
         let mut batch = Batch::new();
-        batch.put(format!("key {}", i % 9), format!("value {i}")).put_until(
-            vec![b'u', i],
-            "until",
-            1_000 + u64::from(i),
-        );
-        batch.delete(format!("key {}", (i + 4) % 9)).put("", vec![i]);
-        let durability = if i % 4 == 3 { Durability::Relaxed } else { Durability::Durable };
+        batch
+            .put(format!("key {}", i % 9), format!("value {i}"))
+            .put_until(vec![b'u', i], "until", 1_000 + u64::from(i));
+        batch
+            .delete(format!("key {}", (i + 4) % 9))
+            .put("", vec![i]);
+        let durability = if i % 4 == 3 {
+            Durability::Relaxed
+        } else {
+            Durability::Durable
+        };
         store.write(&batch, durability).expect("it is written");
         if i == 20 {
             store.compact(1_010).expect("it compacts");
@@ -39,17 +49,29 @@
 }
 
 fn expected() -> Map {
-    let mut map: Map = (11..40_u8).map(|i| (vec![b'u', i], b"until".to_vec())).collect();
+    let mut map: Map = (11..40_u8)
+        .map(|i| (vec![b'u', i], b"until".to_vec()))
+        .collect();
     // Of nine keys in turn, each batch sets one and deletes the one that was set five batches before.
-    map.extend((35..40).map(|i| (format!("key {}", i % 9).into_bytes(), format!("value {i}").into_bytes())));
+    map.extend((35..40).map(|i| {
+        (
+            format!("key {}", i % 9).into_bytes(),
+            format!("value {i}").into_bytes(),
+        )
+    }));
     map.insert(Vec::new(), vec![39]);
     map
 }
 
 fn read(path: &Path) -> Files {
-    let entries = std::fs::read_dir(path).expect("the fixture is there").map(|e| e.expect("it reads"));
+    let entries = std::fs::read_dir(path)
+        .expect("the fixture is there")
+        .map(|e| e.expect("it reads"));
     let file = |e: std::fs::DirEntry| {
-        (e.file_name().into_string().expect("a name"), std::fs::read(e.path()).expect("it reads"))
+        (
+            e.file_name().into_string().expect("a name"),
+            std::fs::read(e.path()).expect("it reads"),
+        )
     };
     entries.map(file).collect()
 }
@@ -98,8 +120,16 @@
         files.insert(name.clone(), newer);
         let disk = SimDisk::of(&files);
         let refused = open(&disk).err().expect("it is refused");
-        assert_eq!(refused, Error::Newer { file: name.clone(), version: VERSION + 1 });
-        let line = format!("{name}: written in format 2 by a newer program; this one reads up to format 1");
+        assert_eq!(
+            refused,
+            Error::Newer {
+                file: name.clone(),
+                version: VERSION + 1
+            }
+        );
+        let line = format!(
+            "{name}: written in format 2 by a newer program; this one reads up to format 1"
+        );
         assert_eq!(refused.to_string(), line);
         assert_eq!(verify(&disk), Err(refused));
         assert_eq!(disk.files(), files, "a refused store was changed");
--- a/crates/store/tests/common/mod.rs
+++ b/crates/store/tests/common/mod.rs
@@ -8,8 +8,14 @@
 pub type Map = BTreeMap<Vec<u8>, Vec<u8>>;
 
 /// Segments of a few batches, so that a short run meets every kind of file.
-pub const SMALL: Options =
-    Options { create: true, read_only: false, segment: 1024, slack: 512, pending: 1 << 20, reserve: 100 };
+pub const SMALL: Options = Options {
+    create: true,
+    read_only: false,
+    segment: 1024,
+    slack: 512,
+    pending: 1 << 20,
+    reserve: 100,
+};
 
 pub fn open(disk: &SimDisk) -> Result<Store<SimDisk>, Error> {
     Store::open(disk.clone(), SMALL)
@@ -35,12 +41,21 @@
     for i in 0..batches {
         let mut batch = Batch::new();
         let value = format!("{i:04}-{}", "v".repeat(17 * (i % 5)));
-        batch.put(format!("a{}", i % 7), value.clone()).put(format!("b{}", i % 5), value.clone());
+        batch
+            .put(format!("a{}", i % 7), value.clone())
+            .put(format!("b{}", i % 5), value.clone());
         batch.put("last", value);
         if i % 3 == 2 {
             batch.delete(format!("a{}", (i + 3) % 7));
         }
-        steps.push(Step::Write(batch, if i % 5 == 4 { Durability::Relaxed } else { Durability::Durable }));
+        steps.push(Step::Write(
+            batch,
+            if i % 5 == 4 {
+                Durability::Relaxed
+            } else {
+                Durability::Durable
+            },
+        ));
         if i % 11 == 10 {
             steps.push(Step::Compact);
         }
@@ -84,7 +99,9 @@
 /// Runs the script until its end or the first error.
 pub fn run(disk: &SimDisk, steps: &[Step]) -> Ran {
     let mut ran = Ran::default();
-    let Ok(mut store) = open(disk) else { return ran };
+    let Ok(mut store) = open(disk) else {
+        return ran;
+    };
     for step in steps {
         let done = match step {
             Step::Write(batch, durability) => {
--- a/crates/store/tests/crash_consistency.rs
+++ b/crates/store/tests/crash_consistency.rs
@@ -13,15 +13,24 @@
     let mut store = open(&disk).unwrap_or_else(|e| panic!("{told}: {ran:?}: {e}"));
     let found = contents(&store);
     let at = find(states, &found, least, ran.tried);
-    assert!(at.is_some(), "{told}: {ran:?}: no state from {least} on looks like {found:?}");
+    assert!(
+        at.is_some(),
+        "{told}: {ran:?}: no state from {least} on looks like {found:?}"
+    );
 
-    store.write(Batch::new().put("after", "1"), Durability::Durable).expect("there is room");
+    store
+        .write(Batch::new().put("after", "1"), Durability::Durable)
+        .expect("there is room");
     store.compact(0).expect("it compacts");
     drop(store);
     let disk = disk.lose_power(Loss::All);
     let mut expected = found;
     expected.insert(b"after".to_vec(), b"1".to_vec());
-    assert_eq!(contents(&open(&disk).expect("it opens again")), expected, "{told}: {ran:?}");
+    assert_eq!(
+        contents(&open(&disk).expect("it opens again")),
+        expected,
+        "{told}: {ran:?}"
+    );
 }
 
 #[test]
@@ -30,16 +39,35 @@
     let whole = SimDisk::new();
     assert_eq!(run(&whole, &steps).acknowledged, BATCHES);
     let operations = whole.operations();
-    assert!(operations > 200, "the script meets few operations: {operations}");
+    assert!(
+        operations > 200,
+        "the script meets few operations: {operations}"
+    );
     for at in 1..=operations {
-        for loss in [Loss::All, Loss::Nothing, Loss::Any(at), Loss::Any(at << 32), Loss::Any(at << 48)] {
+        for loss in [
+            Loss::All,
+            Loss::Nothing,
+            Loss::Any(at),
+            Loss::Any(at << 32),
+            Loss::Any(at << 48),
+        ] {
             let disk = SimDisk::new();
             disk.crash_in(at);
             let ran = run(&disk, &steps);
             assert!(disk.is_dead(), "operation {at} was not reached");
             // Where only the process ends, relaxed writes last, too.
-            let least = if loss == Loss::Nothing { ran.acknowledged } else { ran.durable };
-            survives(disk.lose_power(loss), &states, ran, least, &format!("operation {at}, {loss:?}"));
+            let least = if loss == Loss::Nothing {
+                ran.acknowledged
+            } else {
+                ran.durable
+            };
+            survives(
+                disk.lose_power(loss),
+                &states,
+                ran,
+                least,
+                &format!("operation {at}, {loss:?}"),
+            );
         }
     }
 }
@@ -61,7 +89,13 @@
         for kept in 0..=crashed().0.unflushed() {
             let (disk, ran) = crashed();
             let told = format!("operation {at}, {kept} bytes");
-            survives(disk.lose_power(Loss::Behind(kept)), &states, ran, ran.durable, &told);
+            survives(
+                disk.lose_power(Loss::Behind(kept)),
+                &states,
+                ran,
+                ran.durable,
+                &told,
+            );
             tried += 1;
         }
     }
@@ -75,8 +109,15 @@
     let disk = SimDisk::new();
     run(&disk, &steps);
     let files = disk.files();
-    let (name, bytes) = files.iter().rfind(|(name, _)| name.ends_with(".seg")).expect("there is a segment");
-    let end = bytes.iter().rposition(|b| *b != 0).expect("it holds records") + 1;
+    let (name, bytes) = files
+        .iter()
+        .rfind(|(name, _)| name.ends_with(".seg"))
+        .expect("there is a segment");
+    let end = bytes
+        .iter()
+        .rposition(|b| *b != 0)
+        .expect("it holds records")
+        + 1;
     let mut last = 0;
     for cut in 32..=end {
         let mut files = files.clone();
@@ -85,7 +126,10 @@
         let at = find(&states, &contents(&store), last, 9);
         last = at.unwrap_or_else(|| panic!("cut at {cut}: {:?}", contents(&store)));
         let torn = store.stat(0).cut;
-        let reserved = bytes[..cut].iter().rposition(|b| *b != 0).map_or(0, |last| last + 1);
+        let reserved = bytes[..cut]
+            .iter()
+            .rposition(|b| *b != 0)
+            .map_or(0, |last| last + 1);
         assert!(torn <= reserved as u64, "cut at {cut}: {torn}");
     }
     assert_eq!(last, 9);
@@ -126,11 +170,17 @@
             }
             assert_eq!(contents(&store), map, "operation {at}");
         }
-        assert_eq!(map, states[BATCHES], "operation {at}: a write was never taken");
+        assert_eq!(
+            map, states[BATCHES],
+            "operation {at}: a write was never taken"
+        );
         drop(store);
         let disk = disk.lose_power(Loss::All);
         let found = contents(&open(&disk).unwrap_or_else(|e| panic!("operation {at}: {e}")));
-        assert!(find(&states, &found, ran.durable, BATCHES).is_some(), "operation {at}: {ran:?}: {found:?}");
+        assert!(
+            find(&states, &found, ran.durable, BATCHES).is_some(),
+            "operation {at}: {ran:?}: {found:?}"
+        );
     }
 }
 
@@ -185,10 +235,15 @@
                 let told = format!("operation {at}, {fails}, {seed}: {ran:?}");
                 let mut store = open(&disk).unwrap_or_else(|e| panic!("{told}: {e}"));
                 let mut found = contents(&store);
-                assert!(find(&states, &found, ran.acknowledged, ran.tried).is_some(), "{told}: {found:?}");
+                assert!(
+                    find(&states, &found, ran.acknowledged, ran.tried).is_some(),
+                    "{told}: {found:?}"
+                );
                 let written = seed % 2 == 0;
                 if written {
-                    store.put(b"after", b"1").unwrap_or_else(|e| panic!("{told}: {e}"));
+                    store
+                        .put(b"after", b"1")
+                        .unwrap_or_else(|e| panic!("{told}: {e}"));
                     found.insert(b"after".to_vec(), b"1".to_vec());
                 }
                 drop(store);
@@ -197,7 +252,10 @@
                 if written {
                     assert_eq!(left, found, "{told}");
                 } else {
-                    assert!(find(&states, &left, ran.durable, ran.tried).is_some(), "{told}: {left:?}");
+                    assert!(
+                        find(&states, &left, ran.durable, ran.tried).is_some(),
+                        "{told}: {left:?}"
+                    );
                 }
             }
         }
@@ -209,6 +267,13 @@
     let disk = SimDisk::new();
     drop(open(&disk).expect("it opens"));
     assert!(disk.files().is_empty());
-    let refused = Store::open(disk, madderloom_store::Options { create: false, ..SMALL }).err();
+    let refused = Store::open(
+        disk,
+        madderloom_store::Options {
+            create: false,
+            ..SMALL
+        },
+    )
+    .err();
     assert_eq!(refused, Some(madderloom_store::Error::Missing));
 }
--- a/crates/store/tests/damage.rs
+++ b/crates/store/tests/damage.rs
@@ -20,7 +20,10 @@
 fn last_segment(files: &Files) -> String {
     let holds = |bytes: &Vec<u8>| bytes.windows(5).any(|w| w == b"0033-");
     let mut segments = files.iter().filter(|(name, _)| name.ends_with(".seg"));
-    let last = segments.clone().find(|(_, bytes)| holds(bytes)).or(segments.next_back());
+    let last = segments
+        .clone()
+        .find(|(_, bytes)| holds(bytes))
+        .or(segments.next_back());
     last.expect("there is a segment").0.clone()
 }
 
@@ -41,7 +44,11 @@
                     assert!(*name == last, "{name}, byte {at} was taken");
                     let found = find(&states, &contents(&store), 33, 34);
                     assert!(found.is_some(), "{name}, byte {at}: {:?}", contents(&store));
-                    assert_eq!(verified.expect("it reads").damage, None, "{name}, byte {at}");
+                    assert_eq!(
+                        verified.expect("it reads").damage,
+                        None,
+                        "{name}, byte {at}"
+                    );
                     cut += 1;
                 }
                 Err(Error::Damaged(damage)) => {
@@ -49,7 +56,11 @@
                         damage.file == *name && damage.offset <= at as u64,
                         "{name}, byte {at}: {damage}"
                     );
-                    assert_eq!(verified.expect("it reads").damage, Some(damage), "{name}, byte {at}");
+                    assert_eq!(
+                        verified.expect("it reads").damage,
+                        Some(damage),
+                        "{name}, byte {at}"
+                    );
                     refused += 1;
                 }
                 // The version itself may be what is flipped.
@@ -68,12 +79,20 @@
     let (files, _) = sound();
     let last = last_segment(&files);
     for (name, bytes) in files.iter().filter(|(name, _)| **name != last) {
-        let records = bytes.iter().rposition(|b| *b != 0).expect("it holds something") + 1;
+        let records = bytes
+            .iter()
+            .rposition(|b| *b != 0)
+            .expect("it holds something")
+            + 1;
         for cut in 0..records {
             let mut files = files.clone();
             files.insert(name.clone(), bytes[..cut].to_vec());
             let opened = open(&SimDisk::of(&files));
-            assert!(matches!(opened, Err(Error::Damaged(_))), "{name} cut at {cut}: {:?}", opened.err());
+            assert!(
+                matches!(opened, Err(Error::Damaged(_))),
+                "{name} cut at {cut}: {:?}",
+                opened.err()
+            );
         }
     }
 }
@@ -97,41 +116,74 @@
     let names: Vec<&String> = files.keys().filter(|n| n.ends_with(".seg")).collect();
     let mut swapped = files.clone();
     swapped.insert(names[0].clone(), files[names[1]].clone());
-    assert!(matches!(open(&SimDisk::of(&swapped)), Err(Error::Damaged(damage)) if damage.file == *names[0]));
+    assert!(
+        matches!(open(&SimDisk::of(&swapped)), Err(Error::Damaged(damage)) if damage.file == *names[0])
+    );
 }
 
 /// What is refused can be salvaged: all batches before and behind the damage are there, and what is not is told.
 #[test]
 fn salvage_copies_all_but_what_is_damaged_and_says_what_that_was() {
     let disk = SimDisk::new();
-    let mut store =
-        Store::open(disk.clone(), Options { reserve: 0, ..Options::default() }).expect("it opens");
+    let mut store = Store::open(
+        disk.clone(),
+        Options {
+            reserve: 0,
+            ..Options::default()
+        },
+    )
+    .expect("it opens");
     for i in 0..20 {
         let mut batch = Batch::new();
-        batch.put(format!("k{i:02}"), format!("value {i}")).put_until("until", "x", 1_000 + i);
-        store.write(&batch, Durability::Durable).expect("it is written");
+        batch
+            .put(format!("k{i:02}"), format!("value {i}"))
+            .put_until("until", "x", 1_000 + i);
+        store
+            .write(&batch, Durability::Durable)
+            .expect("it is written");
     }
     drop(store);
     let mut files = disk.files();
     let name = last_segment(&files);
     let bytes = files.get_mut(&name).expect("it is there");
-    let place = bytes.windows(7).position(|w| w == b"value 7").expect("it is written");
+    let place = bytes
+        .windows(7)
+        .position(|w| w == b"value 7")
+        .expect("it is written");
     bytes[place] ^= 1;
     let damaged = SimDisk::of(&files);
     let refused = Store::open(damaged.clone(), SMALL).err();
-    let Some(Error::Damaged(damage)) = refused else { panic!("{refused:?}") };
+    let Some(Error::Damaged(damage)) = refused else {
+        panic!("{refused:?}")
+    };
 
     let to = SimDisk::new();
     let salvaged = salvage(&damaged, to.clone()).expect("it salvages");
-    assert_eq!((salvaged.frames, salvaged.records, salvaged.torn), (19, 38, 0));
-    let [lost] = &salvaged.lost[..] else { panic!("{salvaged:?}") };
-    assert_eq!((&lost.damage, lost.sequences.clone()), (&damage, Some(7..8)));
+    assert_eq!(
+        (salvaged.frames, salvaged.records, salvaged.torn),
+        (19, 38, 0)
+    );
+    let [lost] = &salvaged.lost[..] else {
+        panic!("{salvaged:?}")
+    };
+    assert_eq!(
+        (&lost.damage, lost.sequences.clone()),
+        (&damage, Some(7..8))
+    );
     assert!((damage.offset..damage.offset + lost.bytes).contains(&(place as u64)));
     assert_eq!(damaged.files(), files, "the damaged store was changed");
     let store = open(&to).expect("what was salvaged opens");
     let keys: Vec<Vec<u8>> = contents(&store).into_keys().collect();
-    let kept: Vec<String> = (0..20).filter(|i| *i != 7).map(|i| format!("k{i:02}")).collect();
-    assert_eq!(keys[..19], kept.iter().map(|k| k.as_bytes().to_vec()).collect::<Vec<_>>());
+    let kept: Vec<String> = (0..20)
+        .filter(|i| *i != 7)
+        .map(|i| format!("k{i:02}"))
+        .collect();
+    assert_eq!(
+        keys[..19],
+        kept.iter()
+            .map(|k| k.as_bytes().to_vec())
+            .collect::<Vec<_>>()
+    );
     let until = |now| store.get(b"until", now).expect("it reads");
     assert_eq!((until(1_018), until(1_019)), (Some(b"x".to_vec()), None));
 }
@@ -144,7 +196,10 @@
     salvage(&SimDisk::of(&files), to.clone()).expect("it salvages");
     assert_eq!(contents(&open(&to).expect("it opens")), states[34]);
     // And it writes into nothing that is not empty.
-    assert!(matches!(salvage(&SimDisk::of(&files), to), Err(Error::Io { .. })));
+    assert!(matches!(
+        salvage(&SimDisk::of(&files), to),
+        Err(Error::Io { .. })
+    ));
 }
 
 #[test]
@@ -157,7 +212,10 @@
             file.drain(at..(at + 40).min(bytes.len()));
             let disk = SimDisk::of(&files);
             let told = (salvage(&disk, SimDisk::new()), verify(&disk));
-            assert!(told.0.is_ok() && told.1.is_ok(), "{name}, byte {at}: {told:?}");
+            assert!(
+                told.0.is_ok() && told.1.is_ok(),
+                "{name}, byte {at}: {told:?}"
+            );
         }
     }
 }
@@ -170,14 +228,19 @@
     let mut store = open(&disk).expect("it opens");
     store.put(b"a", b"first").expect("it is written");
     for value in ["second", "third"] {
-        store.append(Batch::new().put("a", value)).expect("it is taken");
+        store
+            .append(Batch::new().put("a", value))
+            .expect("it is taken");
     }
     store.commit(Durability::Durable).expect("it is written");
     let mut files = disk.files();
     let name = last_segment(&files);
     let damage = |files: &mut Files| {
         let bytes = files.get_mut(&name).expect("it is there");
-        let place = bytes.windows(6).position(|w| w == b"second").expect("it is written");
+        let place = bytes
+            .windows(6)
+            .position(|w| w == b"second")
+            .expect("it is written");
         bytes[place] ^= 1;
     };
     damage(&mut files);
@@ -198,18 +261,27 @@
     let disk = SimDisk::new();
     let mut store = open(&disk).expect("it opens");
     for key in ["a", "b", "c"] {
-        store.put(key.as_bytes(), format!("value of {key}").as_bytes()).expect("it is written");
+        store
+            .put(key.as_bytes(), format!("value of {key}").as_bytes())
+            .expect("it is written");
     }
     let files = disk.files();
     let name = last_segment(&files);
-    let place = files[&name].windows(10).position(|w| w == b"value of b").expect("it is written");
+    let place = files[&name]
+        .windows(10)
+        .position(|w| w == b"value of b")
+        .expect("it is written");
     disk.flip(&name, place + 3);
-    assert!(matches!(store.get(b"b", 0), Err(Error::Damaged(damage)) if damage.offset == place as u64));
+    assert!(
+        matches!(store.get(b"b", 0), Err(Error::Damaged(damage)) if damage.offset == place as u64)
+    );
     assert_eq!(store.get(b"c", 0), Ok(Some(b"value of c".to_vec())));
     assert!(matches!(store.compact(0), Err(Error::Damaged(_))));
     assert!(matches!(store.get(b"b", 0), Err(Error::Damaged(_))));
     store.put(b"b", b"anew").expect("it is written");
-    store.compact(0).expect("what was damaged is not live any more");
+    store
+        .compact(0)
+        .expect("what was damaged is not live any more");
     assert_eq!(store.get(b"b", 0), Ok(Some(b"anew".to_vec())));
 }
 
@@ -224,5 +296,8 @@
     let (covered, crc) = manifest.split_last_chunk_mut::<4>().expect("it is long");
     *crc = crc32c::crc32c(covered).to_le_bytes();
     let refused = open(&SimDisk::of(&files)).err();
-    assert!(matches!(&refused, Some(Error::Damaged(d)) if d.problem.contains("is missing")), "{refused:?}");
+    assert!(
+        matches!(&refused, Some(Error::Damaged(d)) if d.problem.contains("is missing")),
+        "{refused:?}"
+    );
 }
--- a/crates/store/tests/faults.rs
+++ b/crates/store/tests/faults.rs
@@ -4,7 +4,9 @@
 
 use common::*;
 use madderloom_store::sim::{Loss, SimDisk};
-use madderloom_store::{Batch, Durability, Error, MAX_BATCH, MAX_KEY, Options, RealDisk, Store, verify};
+use madderloom_store::{
+    Batch, Durability, Error, MAX_BATCH, MAX_KEY, Options, RealDisk, Store, verify,
+};
 use rstest::rstest;
 use std::io::ErrorKind;
 
@@ -21,7 +23,11 @@
         disk.set_room(Some(room));
         let mut store = open(&disk).expect("opening takes no room");
         let mut map = Map::new();
-        for (i, step) in steps.iter().filter(|s| !matches!(s, Step::Reopen)).enumerate() {
+        for (i, step) in steps
+            .iter()
+            .filter(|s| !matches!(s, Step::Reopen))
+            .enumerate()
+        {
             let Step::Write(batch, durability) = step else {
                 let _ = store.compact(0);
                 assert_eq!(contents(&store), map, "room {room}, step {i}");
@@ -37,16 +43,24 @@
                 // Neither half of it nor anything else has changed; with room again it is taken.
                 assert_eq!(contents(&store), map, "room {room}, step {i}");
                 disk.set_room(None);
-                store.write(batch, *durability).expect("there is room again");
+                store
+                    .write(batch, *durability)
+                    .expect("there is room again");
                 disk.set_room(Some(disk.used() + 100));
             }
             map = contents(&store);
         }
         assert_eq!(map, states[30], "room {room}");
         disk.set_room(None);
-        store.commit(Durability::Durable).expect("there is room again");
+        store
+            .commit(Durability::Durable)
+            .expect("there is room again");
         drop(store);
-        assert_eq!(contents(&open(&disk.lose_power(Loss::All)).expect("it opens")), map, "room {room}");
+        assert_eq!(
+            contents(&open(&disk.lose_power(Loss::All)).expect("it opens")),
+            map,
+            "room {room}"
+        );
     }
     assert!(refusals > 100, "{refusals}");
 }
@@ -62,7 +76,10 @@
         written += 1;
     }
     assert!(written >= 38, "{written} of 247 bytes in 10,000");
-    assert!(matches!(store.put(b"more", &[0; 200]), Err(Error::Full { .. })));
+    assert!(matches!(
+        store.put(b"more", &[0; 200]),
+        Err(Error::Full { .. })
+    ));
     assert_eq!(store.snapshot().len(), usize::from(written));
 }
 
@@ -71,7 +88,9 @@
     let disk = SimDisk::new();
     let mut store = open(&disk).expect("it opens");
     store.put(b"a", b"1").expect("it is written");
-    store.write(Batch::new().put("relaxed", "1"), Durability::Relaxed).expect("it is written");
+    store
+        .write(Batch::new().put("relaxed", "1"), Durability::Relaxed)
+        .expect("it is written");
     let segments = store.stat(0).segments;
     // The write, then its flush.
     disk.fail_in(2, ErrorKind::Other);
@@ -83,11 +102,15 @@
     drop(store);
     // What was acknowledged behind the failed flush does not lean on what that lost.
     let store = open(&disk.lose_power(Loss::All)).expect("it opens");
-    assert_eq!(contents(&store).into_keys().collect::<Vec<_>>(), [&b"a"[..], b"c", b"relaxed"]);
+    assert_eq!(
+        contents(&store).into_keys().collect::<Vec<_>>(),
+        [&b"a"[..], b"c", b"relaxed"]
+    );
 }
 
 #[test]
-fn with_the_directorys_flush_failed_behind_a_rename_nothing_more_is_written_before_it_is_opened_again() {
+fn with_the_directorys_flush_failed_behind_a_rename_nothing_more_is_written_before_it_is_opened_again()
+ {
     let disk = SimDisk::new();
     let mut store = open(&disk).expect("it opens");
     store.put(b"a", b"1").expect("it is written");
@@ -95,16 +118,33 @@
     while !compaction.step(10).expect("it goes on") {}
     // The directory; making, writing, flushing and renaming the manifest; the directory.
     disk.fail_in(6, ErrorKind::Other);
-    assert!(matches!(store.finish_compaction(compaction), Err(Error::Poisoned(_))));
+    assert!(matches!(
+        store.finish_compaction(compaction),
+        Err(Error::Poisoned(_))
+    ));
     assert!(matches!(store.put(b"b", b"1"), Err(Error::Poisoned(_))));
     assert_eq!(store.get(b"a", 0), Ok(Some(b"1".to_vec())));
     drop(store);
-    for loss in [Loss::All, Loss::Nothing, Loss::Any(1), Loss::Any(2), Loss::Any(3)] {
+    for loss in [
+        Loss::All,
+        Loss::Nothing,
+        Loss::Any(1),
+        Loss::Any(2),
+        Loss::Any(3),
+    ] {
         let files = disk.files();
-        let mut store = open(&disk.lose_power(loss)).expect("either manifest finds all that it lists");
-        assert_eq!(store.get(b"a", 0), Ok(Some(b"1".to_vec())), "{loss:?}: {:?}", files.keys());
+        let mut store =
+            open(&disk.lose_power(loss)).expect("either manifest finds all that it lists");
+        assert_eq!(
+            store.get(b"a", 0),
+            Ok(Some(b"1".to_vec())),
+            "{loss:?}: {:?}",
+            files.keys()
+        );
         if loss == Loss::Nothing {
-            store.put(b"b", b"1").expect("opened again, it takes writes");
+            store
+                .put(b"b", b"1")
+                .expect("opened again, it takes writes");
         }
     }
 }
@@ -117,13 +157,28 @@
     let disk = RealDisk::open(directory.path()).expect("it is there");
     let mut store = Store::open(disk.clone(), Options::default()).expect("it opens");
     store.put(b"a", b"1").expect("it is written");
-    let options = Options { read_only, ..Options::default() };
-    assert_eq!(Store::open(disk.clone(), options).err(), Some(Error::Locked));
+    let options = Options {
+        read_only,
+        ..Options::default()
+    };
+    assert_eq!(
+        Store::open(disk.clone(), options).err(),
+        Some(Error::Locked)
+    );
     assert_eq!(verify(&disk).err(), Some(Error::Locked));
     drop(store);
     let reader = Store::open(disk.clone(), options).expect("it opens");
-    let beside = Store::open(disk, Options { read_only: true, ..Options::default() });
-    assert_eq!(beside.err(), if read_only { None } else { Some(Error::Locked) });
+    let beside = Store::open(
+        disk,
+        Options {
+            read_only: true,
+            ..Options::default()
+        },
+    );
+    assert_eq!(
+        beside.err(),
+        if read_only { None } else { Some(Error::Locked) }
+    );
     assert_eq!(reader.get(b"a", 0), Ok(Some(b"1".to_vec())));
 }
 
@@ -136,8 +191,14 @@
     files.insert("0000ffff.seg".into(), Vec::new());
     let disk = SimDisk::of(&files);
     disk.set_read_only(true);
-    let mut store =
-        Store::open(disk.clone(), Options { read_only: true, ..SMALL }).expect("reading takes no write");
+    let mut store = Store::open(
+        disk.clone(),
+        Options {
+            read_only: true,
+            ..SMALL
+        },
+    )
+    .expect("reading takes no write");
     assert_eq!(contents(&store), states(30)[30]);
     assert_eq!(store.put(b"a", b"1"), Err(Error::ReadOnly));
     assert_eq!(store.commit(Durability::Durable), Ok(30));
@@ -157,16 +218,27 @@
 fn a_clock_that_goes_back_brings_back_what_had_expired_and_loses_nothing() {
     let disk = SimDisk::new();
     let mut store = open(&disk).expect("it opens");
-    store.write(Batch::new().put_until("a", "1", 1_000).put("b", "1"), Durability::Durable).expect("written");
+    store
+        .write(
+            Batch::new().put_until("a", "1", 1_000).put("b", "1"),
+            Durability::Durable,
+        )
+        .expect("written");
     let has = |store: &Store<SimDisk>, now| store.get(b"a", now).expect("it reads").is_some();
     assert_eq!((has(&store, 999), has(&store, 1_000)), (true, false));
     drop(store);
     let mut store = open(&disk).expect("it opens");
-    assert!(has(&store, 10), "an earlier time reads what has not expired by it");
+    assert!(
+        has(&store, 10),
+        "an earlier time reads what has not expired by it"
+    );
     store.compact(500).expect("it compacts");
     assert!(has(&store, 10));
     store.compact(1_000).expect("it compacts");
-    assert!(!has(&store, 10), "a compaction drops what has expired by its time");
+    assert!(
+        !has(&store, 10),
+        "a compaction drops what has expired by its time"
+    );
     assert_eq!(store.stat(0).keys, 1);
     drop(store);
     assert!(!has(&open(&disk).expect("it opens"), 10));
@@ -178,7 +250,9 @@
     let disk = SimDisk::new();
     let mut store = open(&disk).expect("it opens");
     store.put(b"a", b"old").expect("it is written");
-    store.write(Batch::new().put_until("a", "new", 10), Durability::Durable).expect("it is written");
+    store
+        .write(Batch::new().put_until("a", "new", 10), Durability::Durable)
+        .expect("it is written");
     for _ in 0..3 {
         store.compact(10).expect("it compacts");
         drop(store);
@@ -195,16 +269,34 @@
     let largest = vec![7; MAX_BATCH - MAX_KEY - 15];
     store.put(b"", &large).expect("a key of nothing");
     store.put(b"empty", b"").expect("a value of nothing");
-    store.put(b"\0", b"small").expect("small, before what is large");
-    store.put(&vec![1; MAX_KEY], &largest).expect("the largest that may be");
-    assert!(matches!(store.put(&vec![1; MAX_KEY + 1], b""), Err(Error::TooLarge { .. })));
-    assert!(matches!(store.put(b"a", &vec![0; MAX_BATCH]), Err(Error::TooLarge { .. })));
+    store
+        .put(b"\0", b"small")
+        .expect("small, before what is large");
+    store
+        .put(&vec![1; MAX_KEY], &largest)
+        .expect("the largest that may be");
+    assert!(matches!(
+        store.put(&vec![1; MAX_KEY + 1], b""),
+        Err(Error::TooLarge { .. })
+    ));
+    assert!(matches!(
+        store.put(b"a", &vec![0; MAX_BATCH]),
+        Err(Error::TooLarge { .. })
+    ));
     assert_eq!(store.write(&Batch::new(), Durability::Durable), Ok(4));
     for _ in 0..2 {
         assert_eq!(store.get(b"", 0), Ok(Some(large.clone())));
         assert_eq!(store.get(b"empty", 0), Ok(Some(Vec::new())));
-        assert_eq!(store.get(&vec![1; MAX_KEY], 0).map(|v| v == Some(largest.clone())), Ok(true));
-        assert_eq!(store.snapshot().scan(b"", 0).filter(Result::is_ok).count(), 4);
+        assert_eq!(
+            store
+                .get(&vec![1; MAX_KEY], 0)
+                .map(|v| v == Some(largest.clone())),
+            Ok(true)
+        );
+        assert_eq!(
+            store.snapshot().scan(b"", 0).filter(Result::is_ok).count(),
+            4
+        );
         store.compact(0).expect("it compacts");
         drop(store);
         store = Store::open(disk.clone(), Options::default()).expect("it opens");
@@ -214,13 +306,30 @@
 #[test]
 fn more_than_may_wait_is_refused_and_what_waits_is_written() {
     let disk = SimDisk::new();
-    let mut store = Store::open(disk, Options { pending: 1_000, ..SMALL }).expect("it opens");
+    let mut store = Store::open(
+        disk,
+        Options {
+            pending: 1_000,
+            ..SMALL
+        },
+    )
+    .expect("it opens");
     let large = Batch::new().put("large", vec![0; 5_000]).clone();
     store.append(&large).expect("alone, any batch is taken");
-    assert_eq!(store.append(Batch::new().put("small", "1")), Err(Error::Busy));
-    assert_eq!(store.get(b"large", 0), Ok(None), "nothing can be read before it is written");
+    assert_eq!(
+        store.append(Batch::new().put("small", "1")),
+        Err(Error::Busy)
+    );
+    assert_eq!(
+        store.get(b"large", 0),
+        Ok(None),
+        "nothing can be read before it is written"
+    );
     store.commit(Durability::Durable).expect("it is written");
-    assert_eq!(store.get(b"large", 0).map(|v| v.map(|v| v.len())), Ok(Some(5_000)));
+    assert_eq!(
+        store.get(b"large", 0).map(|v| v.map(|v| v.len())),
+        Ok(Some(5_000))
+    );
 }
 
 /// What compaction goes by is the same whether it was counted as it was written or as it was read.
@@ -230,7 +339,12 @@
     run(&disk, &script(40));
     let mut store = open(&disk).expect("it opens");
     for i in 0..50_u64 {
-        store.write(Batch::new().put_until([7], "x", i << 24), Durability::Durable).expect("it is written");
+        store
+            .write(
+                Batch::new().put_until([7], "x", i << 24),
+                Durability::Durable,
+            )
+            .expect("it is written");
     }
     let told = |store: &Store<SimDisk>| {
         [0, 49 << 24, 60 << 24].map(|now| (store.stat(now).live, store.stat(now).keys))
@@ -253,7 +367,9 @@
     for i in 0..keys {
         // Out of order, each once.
         let key = u64::from(i).wrapping_mul(2_654_435_761) % (1 << 32);
-        store.append(Batch::new().put((key as u32).to_be_bytes(), i.to_le_bytes())).expect("it is taken");
+        store
+            .append(Batch::new().put((key as u32).to_be_bytes(), i.to_le_bytes()))
+            .expect("it is taken");
         if i % 1_000 == 999 {
             store.commit(Durability::Relaxed).expect("it is written");
         }
@@ -268,5 +384,8 @@
         .map(|(key, ..)| u32::from_be_bytes(key.try_into().expect("four bytes")))
         .collect();
     assert!(found.is_sorted_by(|a, b| a < b) && found.len() == keys as usize);
-    assert_eq!(store.get(&0_u32.to_be_bytes(), 0), Ok(Some(0_u32.to_le_bytes().to_vec())));
+    assert_eq!(
+        store.get(&0_u32.to_be_bytes(), 0),
+        Ok(Some(0_u32.to_le_bytes().to_vec()))
+    );
 }
