--- a/crates/store/tests/group_commit.rs
+++ b/crates/store/tests/group_commit.rs
@@ -4,7 +4,9 @@
 
 use common::*;
 use madderloom_store::sim::{Loss, SimDisk, SimFile, SimLock};
-use madderloom_store::{Batch, Disk, Durability, Error, File, GroupCommit, Options, RealDisk, Store};
+use madderloom_store::{
+    Batch, Disk, Durability, Error, File, GroupCommit, Options, RealDisk, Store,
+};
 use std::io::{self, ErrorKind};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Barrier, mpsc};
@@ -36,9 +38,15 @@
                 for round in 0..rounds {
                     let key = format!("{writer}/{round}");
                     group
-                        .write(Batch::new().put(key.clone(), "1").clone(), Durability::Durable)
+                        .write(
+                            Batch::new().put(key.clone(), "1").clone(),
+                            Durability::Durable,
+                        )
                         .expect("written");
-                    assert_eq!(group.reader().get(key.as_bytes(), 0), Ok(Some(b"1".to_vec())));
+                    assert_eq!(
+                        group.reader().get(key.as_bytes(), 0),
+                        Ok(Some(b"1".to_vec()))
+                    );
                 }
             });
         }
@@ -48,7 +56,10 @@
     assert!(status.groups < status.batches, "{} groups", status.groups);
     // The process ends with nothing more flushed: all that was acknowledged is there.
     let left = disk.lose_power(Loss::All);
-    assert_eq!(contents(&open(&left).expect("it opens")).len(), writers * rounds);
+    assert_eq!(
+        contents(&open(&left).expect("it opens")).len(),
+        writers * rounds
+    );
 }
 
 #[test]
@@ -59,13 +70,24 @@
     for i in 0..301_u32 {
         let sender = sender.clone();
         // Relaxed and durable writes of one key: the last holds.
-        let durability = if i % 3 == 0 { Durability::Relaxed } else { Durability::Durable };
+        let durability = if i % 3 == 0 {
+            Durability::Relaxed
+        } else {
+            Durability::Durable
+        };
         let mut batch = Batch::new();
         batch.put("key", i.to_string());
-        group.submit(batch, durability, move |done| sender.send((i, done)).expect("heard")).expect("room");
+        group
+            .submit(batch, durability, move |done| {
+                sender.send((i, done)).expect("heard")
+            })
+            .expect("room");
     }
     drop(sender);
-    let told: Vec<(u32, u64)> = told.iter().map(|(i, done)| (i, done.expect("it is written"))).collect();
+    let told: Vec<(u32, u64)> = told
+        .iter()
+        .map(|(i, done)| (i, done.expect("it is written")))
+        .collect();
     assert!(told.iter().map(|(i, _)| *i).eq(0..301));
     assert!(told.is_sorted_by_key(|(_, count)| *count));
     assert_eq!(group.reader().get(b"key", 0), Ok(Some(b"300".to_vec())));
@@ -83,7 +105,12 @@
 fn refusals_reach_the_writers_and_end_with_their_cause() {
     let disk = SimDisk::new();
     let group = start(&disk);
-    let write = |key: &str| group.write(Batch::new().put(key, vec![0; 500]).clone(), Durability::Durable);
+    let write = |key: &str| {
+        group.write(
+            Batch::new().put(key, vec![0; 500]).clone(),
+            Durability::Durable,
+        )
+    };
     write("a").expect("it is written");
     disk.set_room(Some(disk.used() + 100));
     assert!(matches!(write("b"), Err(Error::Full { .. })));
@@ -102,7 +129,8 @@
 
 #[test]
 fn no_more_than_may_wait_is_taken() {
-    let group = GroupCommit::start(open(&SimDisk::new()).expect("it opens"), 1_000, || 0).expect("it starts");
+    let group = GroupCommit::start(open(&SimDisk::new()).expect("it opens"), 1_000, || 0)
+        .expect("it starts");
     let (hold, held) = mpsc::channel::<()>();
     let (begun, begins) = mpsc::channel();
     // The store's thread is held up in telling, so that the rest waits.
@@ -111,11 +139,18 @@
         begun.send(()).expect("heard");
         let _ = held.recv();
     };
-    group.submit(first, Durability::Durable, wait).expect("there is room");
+    group
+        .submit(first, Durability::Durable, wait)
+        .expect("there is room");
     begins.recv().expect("it begins");
     let large = Batch::new().put("large", vec![0; 5_000]).clone();
-    group.submit(large.clone(), Durability::Durable, |_| {}).expect("alone, any batch is taken");
-    assert_eq!(group.submit(large, Durability::Durable, |_| {}).err(), Some(Error::Busy));
+    group
+        .submit(large.clone(), Durability::Durable, |_| {})
+        .expect("alone, any batch is taken");
+    assert_eq!(
+        group.submit(large, Durability::Durable, |_| {}).err(),
+        Some(Error::Busy)
+    );
     drop(hold);
     eventually(|| group.reader().contains(b"large", 0));
 }
@@ -125,11 +160,17 @@
 fn compaction_runs_beside_the_writes_and_bounds_the_log() {
     let directory = tempfile::tempdir().expect("a directory");
     let disk = RealDisk::open(directory.path()).expect("it is there");
-    let options = Options { segment: 16 << 10, slack: 16 << 10, reserve: 4 << 10, ..Options::default() };
+    let options = Options {
+        segment: 16 << 10,
+        slack: 16 << 10,
+        reserve: 4 << 10,
+        ..Options::default()
+    };
     let clock = Arc::new(AtomicU64::new(0));
     let own = Arc::clone(&clock);
     let store = Store::open(disk.clone(), options).expect("it opens");
-    let group = GroupCommit::start(store, 1 << 20, move || own.load(Ordering::Relaxed)).expect("it starts");
+    let group =
+        GroupCommit::start(store, 1 << 20, move || own.load(Ordering::Relaxed)).expect("it starts");
     let value = |i: u32| i.to_string().repeat(20);
     let (mut written, mut worst) = (0_u32, 0);
     while group.status().compactions < 5 {
@@ -137,9 +178,16 @@
         batch.put(format!("k{}", written % 100), value(written));
         batch.put_until(format!("e{written}"), value(written), u64::from(written));
         clock.store(u64::from(written) << 23, Ordering::Relaxed);
-        group.write(batch, Durability::Relaxed).expect("it is written");
+        group
+            .write(batch, Durability::Relaxed)
+            .expect("it is written");
         written += 1;
-        worst = worst.max(group.status().stat.map_or(0, |s| s.log.saturating_sub(3 * s.live)));
+        worst = worst.max(
+            group
+                .status()
+                .stat
+                .map_or(0, |s| s.log.saturating_sub(3 * s.live)),
+        );
         assert!(written < 1_000_000, "it is never compacted");
     }
     // However slow the compaction's thread is, by no more than a write beyond what is allowed.
@@ -147,7 +195,12 @@
     assert_eq!(group.status().compaction, None);
     drop(group);
     let mut store = Store::open(disk, options).expect("it opens");
-    let latest = |k: u32| (0..written).rev().find(|i| i % 100 == k).expect("each was written");
+    let latest = |k: u32| {
+        (0..written)
+            .rev()
+            .find(|i| i % 100 == k)
+            .expect("each was written")
+    };
     for k in 0..100 {
         let found = store.get(format!("k{k}").as_bytes(), 0).expect("it reads");
         assert_eq!(found, Some(value(latest(k)).into_bytes()));
@@ -222,19 +275,29 @@
 
 #[test]
 fn writes_that_outrun_a_compaction_wait_for_it() {
-    let options = Options { segment: 8 << 10, slack: 8 << 10, reserve: 1 << 10, ..Options::default() };
+    let options = Options {
+        segment: 8 << 10,
+        slack: 8 << 10,
+        reserve: 1 << 10,
+        ..Options::default()
+    };
     let store = Store::open(Slow(SimDisk::new()), options).expect("it opens");
     let group = GroupCommit::start(store, 1 << 20, || 0).expect("it starts");
     let (mut worst, mut written) = (0, 0_u64);
     while group.status().compactions < 4 {
         let mut batch = Batch::new();
         batch.put(format!("k{}", written % 20), vec![7; 200]);
-        group.write(batch, Durability::Relaxed).expect("it is written");
+        group
+            .write(batch, Durability::Relaxed)
+            .expect("it is written");
         written += 1;
         let stat = group.status().stat.expect("there was a write");
         worst = worst.max(stat.log.saturating_sub(3 * stat.live));
     }
-    assert!((options.slack..2 * options.slack + 1_000).contains(&worst), "{worst}");
+    assert!(
+        (options.slack..2 * options.slack + 1_000).contains(&worst),
+        "{worst}"
+    );
 }
 
 #[test]
@@ -243,13 +306,23 @@
         let disk = SimDisk::new();
         let store = Store::open(disk.clone(), Options::default()).expect("it opens");
         let group = GroupCommit::start(store, 1 << 20, || 0).expect("it starts");
-        group.write(Batch::new().put("first", "1").clone(), Durability::Durable).expect("it is written");
-        group.write(Batch::new().put("relaxed", "1").clone(), Durability::Relaxed).expect("it is written");
+        group
+            .write(Batch::new().put("first", "1").clone(), Durability::Durable)
+            .expect("it is written");
+        group
+            .write(
+                Batch::new().put("relaxed", "1").clone(),
+                Durability::Relaxed,
+            )
+            .expect("it is written");
         if planned {
             drop(group);
         }
         let left = disk.lose_power(Loss::All);
-        let found = open(&left).expect("it opens").get(b"relaxed", 0).expect("it reads");
+        let found = open(&left)
+            .expect("it opens")
+            .get(b"relaxed", 0)
+            .expect("it reads");
         assert_eq!(found.is_some(), planned);
     }
 }
--- a/crates/store/tests/model.rs
+++ b/crates/store/tests/model.rs
@@ -43,7 +43,8 @@
 fn change() -> impl Strategy<Value = Change> {
     // Few keys, so that they meet; one of them is empty.
     let key = || prop::collection::vec(0_u8..3, 0..3);
-    let value = prop_oneof![9 => prop::collection::vec(any::<u8>(), 0..40), 1 => Just(vec![5; 1500])];
+    let value =
+        prop_oneof![9 => prop::collection::vec(any::<u8>(), 0..40), 1 => Just(vec![5; 1500])];
     prop_oneof![
         3 => (key(), value, prop::option::of(0_u64..40)).prop_map(|(k, v, e)| Change::Put(k, v, e)),
         1 => key().prop_map(Change::Delete),
@@ -116,11 +117,18 @@
 
 fn live(model: &Model, now: u64) -> BTreeMap<Vec<u8>, Vec<u8>> {
     let lives = |e: &Option<u64>| e.is_none_or(|e| e > now);
-    model.iter().filter(|(_, (_, e))| lives(e)).map(|(k, (v, _))| (k.clone(), v.clone())).collect()
+    model
+        .iter()
+        .filter(|(_, (_, e))| lives(e))
+        .map(|(k, (v, _))| (k.clone(), v.clone()))
+        .collect()
 }
 
 fn read(snapshot: &Snapshot<SimFile>, now: u64) -> BTreeMap<Vec<u8>, Vec<u8>> {
-    snapshot.scan(b"", now).map(|e| e.map(|(k, v)| (k.to_vec(), v)).expect("it reads")).collect()
+    snapshot
+        .scan(b"", now)
+        .map(|e| e.map(|(k, v)| (k.to_vec(), v)).expect("it reads"))
+        .collect()
 }
 
 impl Run {
@@ -132,7 +140,11 @@
         let Some(store) = &mut self.store else { return };
         for changes in &mut batches {
             self.count += 1;
-            changes.push(Change::Put(b"count".to_vec(), self.count.to_be_bytes().to_vec(), None));
+            changes.push(Change::Put(
+                b"count".to_vec(),
+                self.count.to_be_bytes().to_vec(),
+                None,
+            ));
             let mut batch = Batch::new();
             for change in changes.clone() {
                 match change {
@@ -143,7 +155,11 @@
             }
             store.append(&batch).expect("it fits");
         }
-        match store.commit(if durable { Durability::Durable } else { Durability::Relaxed }) {
+        match store.commit(if durable {
+            Durability::Durable
+        } else {
+            Durability::Relaxed
+        }) {
             Ok(_) => {
                 for batch in &batches {
                     let mut model = self.model().clone();
@@ -156,7 +172,10 @@
                 self.maybe.clear();
             }
             Err(error) => {
-                let expected = matches!(error, Error::Full { .. } | Error::Io { .. } | Error::Poisoned(_));
+                let expected = matches!(
+                    error,
+                    Error::Full { .. } | Error::Io { .. } | Error::Poisoned(_)
+                );
                 assert!(expected, "{error}");
                 self.maybe.push(batches);
                 if matches!(error, Error::Poisoned(_)) {
@@ -179,7 +198,11 @@
         let found = read(&store.snapshot(), self.compacted);
         let same = |m: &Model| live(m, self.compacted) == found;
         // Where only the process ended, all that was acknowledged is there.
-        let least = if loss == Loss::Nothing { self.states.len() - 1 } else { 0 };
+        let least = if loss == Loss::Nothing {
+            self.states.len() - 1
+        } else {
+            0
+        };
         if let Some(at) = self.states.iter().rposition(same).filter(|at| *at >= least) {
             // A later loss may still undo what was never acknowledged as durable, so the ones before are kept.
             self.states.truncate(at + 1);
@@ -196,8 +219,12 @@
                 }
                 None
             });
-            let none =
-                || panic!("{loss:?}: {found:?} is none of {:?} nor behind by {:?}", self.states, self.maybe);
+            let none = || {
+                panic!(
+                    "{loss:?}: {found:?} is none of {:?} nor behind by {:?}",
+                    self.states, self.maybe
+                )
+            };
             let behind = behind.unwrap_or_else(none);
             self.states.extend(behind);
         }
@@ -214,7 +241,16 @@
         let disk = SimDisk::new();
         let store = Some(Store::open(disk.clone(), SMALL).expect("it opens"));
         let (states, snapshots) = (vec![Model::new()], Vec::new());
-        Run { disk, store, now: 0, states, maybe: Vec::new(), count: 0, compacted: 0, snapshots }
+        Run {
+            disk,
+            store,
+            now: 0,
+            states,
+            maybe: Vec::new(),
+            count: 0,
+            compacted: 0,
+            snapshots,
+        }
     }
 
     fn apply(mut run: Run, (): &(), does: Does) -> Run {
@@ -257,7 +293,10 @@
         let now = run.now.max(run.compacted);
         assert_eq!(read(&store.snapshot(), now), live(run.model(), now));
         for key in run.model().keys() {
-            assert_eq!(store.get(key, now), Ok(live(run.model(), now).get(key).cloned()));
+            assert_eq!(
+                store.get(key, now),
+                Ok(live(run.model(), now).get(key).cloned())
+            );
         }
         for (snapshot, model) in &run.snapshots {
             assert_eq!(read(snapshot, now), live(model, now));
--- a/crates/timeline/examples/detect.rs
+++ b/crates/timeline/examples/detect.rs
@@ -38,7 +38,8 @@
 
 impl Way for Ours {
     fn attempt(&mut self, now: u64, seen: &Observed) {
-        self.story.attempt(now, (now / (60 * S) % 1_440) as u16, seen);
+        self.story
+            .attempt(now, (now / (60 * S) % 1_440) as u16, seen);
     }
 
     fn bad(&mut self, now: u64) -> Vec<u64> {
@@ -53,7 +54,11 @@
                 Phase::Updated => {}
             }
         }
-        let mut bad: Vec<u64> = self.open.iter().flat_map(|(_, whom)| whom.clone()).collect();
+        let mut bad: Vec<u64> = self
+            .open
+            .iter()
+            .flat_map(|(_, whom)| whom.clone())
+            .collect();
         bad.sort_unstable();
         bad.dedup();
         bad
@@ -139,13 +144,23 @@
             let enough = |host: &Host| host.requests >= 100 && host.until <= now;
             let rate = |host: &Host| f64::from(host.served) / f64::from(host.requests);
             let hosts = self.hosts.iter().enumerate();
-            let rates: Vec<_> = hosts.filter(|(_, h)| enough(h)).map(|(id, h)| (id, rate(h))).collect();
+            let rates: Vec<_> = hosts
+                .filter(|(_, h)| enough(h))
+                .map(|(id, h)| (id, rate(h)))
+                .collect();
             if rates.len() >= 5 {
                 let count = rates.len() as f64;
                 let mean = rates.iter().map(|(_, rate)| rate).sum::<f64>() / count;
-                let variance = rates.iter().map(|(_, rate)| (rate - mean).powi(2)).sum::<f64>() / count;
+                let variance = rates
+                    .iter()
+                    .map(|(_, rate)| (rate - mean).powi(2))
+                    .sum::<f64>()
+                    / count;
                 let least = mean - 1.9 * variance.sqrt();
-                rates.iter().filter(|(_, rate)| *rate < least).for_each(|(id, _)| self.eject(now, *id));
+                rates
+                    .iter()
+                    .filter(|(_, rate)| *rate < least)
+                    .for_each(|(id, _)| self.eject(now, *id));
             }
             for host in &mut self.hosts {
                 (host.requests, host.served) = (0, 0);
@@ -154,7 +169,11 @@
                 }
             }
         }
-        (0..).zip(&self.hosts).filter(|(_, host)| host.until > now).map(|(id, _)| id).collect()
+        (0..)
+            .zip(&self.hosts)
+            .filter(|(_, host)| host.until > now)
+            .map(|(id, _)| id)
+            .collect()
     }
 }
 
@@ -192,7 +211,14 @@
     days: f64,
 }
 
-fn play(way: &mut dyn Way, fault: Fault, rate: f64, (calm, lasts): (u64, u64), seed: u128, made: &mut Made) {
+fn play(
+    way: &mut dyn Way,
+    fault: Fault,
+    rate: f64,
+    (calm, lasts): (u64, u64),
+    seed: u128,
+    made: &mut Made,
+) {
     let mut random = Rand64::new(seed);
     let is_calm = fault == Fault::Calm;
     let (began, over) = (calm, calm + if is_calm { 0 } else { lasts });
@@ -206,8 +232,10 @@
         while second <= now.min(end) {
             let bad = way.bad(second);
             let is_right = |id: &u64| *id == BAD && !is_calm && (began..over).contains(&second);
-            made.false_alarms +=
-                bad.iter().filter(|id| !before.contains(*id) && !is_right(id)).count() as f64;
+            made.false_alarms += bad
+                .iter()
+                .filter(|id| !before.contains(*id) && !is_right(id))
+                .count() as f64;
             if bad.contains(&BAD) && !is_calm && second >= began {
                 last = Some(second);
                 found = found.or(Some(second - began).filter(|_| second < over));
@@ -237,14 +265,24 @@
         let chance: f64 = random.rand_float();
         let elapsed = (size * slower * 50_000.0 * (1.0 - 0.5 * chance.max(1e-9).ln())) as u64;
         let outcome = if failed { Outcome::Error } else { Outcome::Ok };
-        way.attempt(now, &Observed { server: ServerId(id), class, outcome, elapsed, size });
+        way.attempt(
+            now,
+            &Observed {
+                server: ServerId(id),
+                class,
+                outcome,
+                elapsed,
+                size,
+            },
+        );
     }
     made.days += calm as f64 / (86_400 * S) as f64;
     if let Some(found) = found {
         made.found.push(found as f64 / 1e6);
         // What is held bad at the end of the run was not trusted again, as far as it tells.
         let trusted = last.map_or(0, |at| (at + S).saturating_sub(over));
-        made.trusted.extend(Some(trusted as f64 / 1e6).filter(|_| trusted + S < lasts));
+        made.trusted
+            .extend(Some(trusted as f64 / 1e6).filter(|_| trusted + S < lasts));
     }
 }
 
@@ -254,18 +292,36 @@
     ("madderloom", || {
         let mut story = Story::new(Settings::default());
         (0..SERVERS).for_each(|id| story.listed(0, ServerId(id), Arrival::default()));
-        Box::new(Ours { story, open: Vec::new() })
+        Box::new(Ours {
+            story,
+            open: Vec::new(),
+        })
+    }),
+    ("envoy", || {
+        Box::new(Envoy {
+            hosts: vec![Host::default(); SERVERS as usize],
+            interval: 10 * S,
+        })
+    }),
+    ("threshold", || {
+        Box::new(Threshold {
+            seen: vec![VecDeque::new(); SERVERS as usize],
+        })
     }),
-    ("envoy", || Box::new(Envoy { hosts: vec![Host::default(); SERVERS as usize], interval: 10 * S })),
-    ("threshold", || Box::new(Threshold { seen: vec![VecDeque::new(); SERVERS as usize] })),
 ];
 
 /// The median, the least and the most in brackets, and of how many runs where it was not all.
 fn told(values: &mut [f64], runs: usize) -> String {
     values.sort_by(f64::total_cmp);
-    let Some((least, most)) = values.first().zip(values.last()) else { return "never".into() };
+    let Some((least, most)) = values.first().zip(values.last()) else {
+        return "never".into();
+    };
     let middle = values[values.len() / 2];
-    let some = if values.len() < runs { format!(" in {} of {runs}", values.len()) } else { String::new() };
+    let some = if values.len() < runs {
+        format!(" in {} of {runs}", values.len())
+    } else {
+        String::new()
+    };
     if least == most {
         format!("{middle:.0}{some}")
     } else {
@@ -289,10 +345,14 @@
         for (fault_name, fault) in FAULTS {
             for (name, way) in WAYS {
                 let mut made = Made::default();
-                (1..=SEEDS).for_each(|seed| play(&mut *way(), fault, rate, (calm, lasts), seed, &mut made));
+                (1..=SEEDS).for_each(|seed| {
+                    play(&mut *way(), fault, rate, (calm, lasts), seed, &mut made)
+                });
                 let count = made.found.len();
-                let (found, trusted) =
-                    (told(&mut made.found, SEEDS as usize), told(&mut made.trusted, count));
+                let (found, trusted) = (
+                    told(&mut made.found, SEEDS as usize),
+                    told(&mut made.trusted, count),
+                );
                 let trusted = if count == 0 { "-" } else { &trusted };
                 println!("| {rate_name} | {fault_name} | {name} | {found} | {trusted} |");
             }
@@ -302,10 +362,23 @@
     for (rate_name, rate, _, _, calm) in rates {
         for (name, way) in WAYS {
             let mut made = Made::default();
-            (1..=SEEDS)
-                .for_each(|seed| play(&mut *way(), Fault::Calm, rate, (calm, 0), 100 + seed, &mut made));
-            let Made { false_alarms, days, .. } = made;
-            println!("| {rate_name} | {name} | {false_alarms} | {days:.1} | {:.2} |", false_alarms / days);
+            (1..=SEEDS).for_each(|seed| {
+                play(
+                    &mut *way(),
+                    Fault::Calm,
+                    rate,
+                    (calm, 0),
+                    100 + seed,
+                    &mut made,
+                )
+            });
+            let Made {
+                false_alarms, days, ..
+            } = made;
+            println!(
+                "| {rate_name} | {name} | {false_alarms} | {days:.1} | {:.2} |",
+                false_alarms / days
+            );
         }
     }
 }
--- a/crates/timeline/examples/story_cost.rs
+++ b/crates/timeline/examples/story_cost.rs
@@ -18,20 +18,36 @@
 const TIMED: u64 = 1_000_000;
 
 fn story(servers: u64) -> Story {
-    let mut story = Story::new(Settings { servers: servers as usize, ..Settings::default() });
+    let mut story = Story::new(Settings {
+        servers: servers as usize,
+        ..Settings::default()
+    });
     (0..servers).for_each(|id| story.listed(0, ServerId(id), Arrival::default()));
     story
 }
 
 fn attempt(random: &mut Rand64, servers: u64) -> Observed {
     let elapsed = (50_000.0 * (1.0 - random.rand_float().max(1e-9).ln())) as u64;
-    let outcome = if random.rand_float() < 0.001 { Outcome::Error } else { Outcome::Ok };
-    Observed { server: ServerId(random.rand_u64() % servers), class: 0, outcome, elapsed, size: 1.0 }
+    let outcome = if random.rand_float() < 0.001 {
+        Outcome::Error
+    } else {
+        Outcome::Ok
+    };
+    Observed {
+        server: ServerId(random.rand_u64() % servers),
+        class: 0,
+        outcome,
+        elapsed,
+        size: 1.0,
+    }
 }
 
 fn main() {
     let mut random = Rand64::new(1);
-    println!("bytes for each server, at most, as stated: {}", Story::bytes_for_each_server());
+    println!(
+        "bytes for each server, at most, as stated: {}",
+        Story::bytes_for_each_server()
+    );
     for servers in [10, 100] {
         let before = ALLOCATED.current_usage();
         let mut full = story(servers);
@@ -39,14 +55,28 @@
         for second in 0..3 * 86_400 {
             let now = second * S;
             for id in 0..servers {
-                full.gauge(now, ServerId(id), Gauge { out: 1, region: 0.1, reported: Some((1.0, 0)) });
-                let seen = Observed { server: ServerId(id), ..attempt(&mut random, servers) };
+                full.gauge(
+                    now,
+                    ServerId(id),
+                    Gauge {
+                        out: 1,
+                        region: 0.1,
+                        reported: Some((1.0, 0)),
+                    },
+                );
+                let seen = Observed {
+                    server: ServerId(id),
+                    ..attempt(&mut random, servers)
+                };
                 full.attempt(now, (second / 60 % 1_440) as u16, &seen);
             }
             full.step(now);
         }
         let used = ALLOCATED.current_usage() - before;
-        println!("bytes for each of {servers} servers, three days on: {}", used / servers as usize);
+        println!(
+            "bytes for each of {servers} servers, three days on: {}",
+            used / servers as usize
+        );
     }
     for servers in [10, 100, 1_000] {
         let mut story = story(servers);
--- a/crates/timeline/src/departure.rs
+++ b/crates/timeline/src/departure.rs
@@ -104,7 +104,9 @@
             Subject::Zone(_) => format!("zone {name}"),
             Subject::Fleet => "the fleet".to_string(),
         };
-        let of_class = class.map(|class| format!(" for {class}")).unwrap_or_default();
+        let of_class = class
+            .map(|class| format!(" for {class}"))
+            .unwrap_or_default();
         let (share, usual) = (100.0 * self.share, 100.0 * self.usual);
         let (fault, all) = (self.fault.words(), self.observations);
         format!("{subject} {said}: {fault}{of_class} ({share:.1}% of {all}, usually {usual:.1}%)")
--- a/crates/timeline/src/detector.rs
+++ b/crates/timeline/src/detector.rs
@@ -27,7 +27,11 @@
         if yes {
             self.last = now;
         }
-        let ratio = if yes { raised / usual } else { (1.0 - raised) / (1.0 - usual) };
+        let ratio = if yes {
+            raised / usual
+        } else {
+            (1.0 - raised) / (1.0 - usual)
+        };
         self.sum += ratio.ln();
         self.yes = self.yes.saturating_add(u32::from(yes));
         self.all = self.all.saturating_add(1);
@@ -63,7 +67,13 @@
 
     /// A test that was not by sums: so many of as many.
     pub fn all_of(count: u32, since: Micros) -> Self {
-        Test { yes: count, all: count, sum: 0.0, since, last: since }
+        Test {
+            yes: count,
+            all: count,
+            sum: 0.0,
+            since,
+            last: since,
+        }
     }
 
     pub fn reset(&mut self) {
--- a/crates/timeline/src/line.rs
+++ b/crates/timeline/src/line.rs
@@ -39,7 +39,9 @@
 
     /// All attempts.
     pub fn attempts(&self) -> u32 {
-        self.outcomes.iter().fold(0, |all, n| all.saturating_add(*n))
+        self.outcomes
+            .iter()
+            .fold(0, |all, n| all.saturating_add(*n))
     }
 
     /// Takes in a step that is a part of this one, and later than what it holds.
@@ -146,16 +148,30 @@
     };
 
     pub(crate) fn new(now: Micros) -> Self {
-        let open = |width: Micros| Step { from: now - now % width, ..Step::default() };
-        let rows = WIDTHS.map(|(width, _)| Row { over: VecDeque::new(), open: open(width) });
-        Line { open: open(WIDTHS[0].0), rows, notes: VecDeque::new() }
+        let open = |width: Micros| Step {
+            from: now - now % width,
+            ..Step::default()
+        };
+        let rows = WIDTHS.map(|(width, _)| Row {
+            over: VecDeque::new(),
+            open: open(width),
+        });
+        Line {
+            open: open(WIDTHS[0].0),
+            rows,
+            notes: VecDeque::new(),
+        }
     }
 
     /// The step that goes on at this time. Time that has passed is closed first.
     pub(crate) fn at(&mut self, now: Micros) -> &mut Step {
         let from = now - now % WIDTHS[0].0;
         if from > self.open.from {
-            let next = Step { from, region: self.open.region, ..Step::default() };
+            let next = Step {
+                from,
+                region: self.open.region,
+                ..Step::default()
+            };
             let over = std::mem::replace(&mut self.open, next);
             self.close(over, from);
         }
@@ -164,13 +180,18 @@
 
     /// Puts a second that is over into the rows, and what it ends there likewise.
     fn close(&mut self, over: Step, now: Micros) {
-        let is_silent =
-            |step: &Step| step.outcomes == [0; 8] && step.turned_away == 0 && step.reported.is_none();
+        let is_silent = |step: &Step| {
+            step.outcomes == [0; 8] && step.turned_away == 0 && step.reported.is_none()
+        };
         for (row, (width, _)) in self.rows.iter_mut().zip(WIDTHS).skip(1) {
             row.open.merge(&over);
             let from = now - now % width;
             if from > row.open.from {
-                let next = Step { from, region: row.open.region, ..Step::default() };
+                let next = Step {
+                    from,
+                    region: row.open.region,
+                    ..Step::default()
+                };
                 let done = std::mem::replace(&mut row.open, next);
                 if !is_silent(&done) {
                     row.over.push_back(done);
@@ -178,7 +199,10 @@
             }
         }
         // Of a single second the mean is enough.
-        let over = Step { latency: None, ..over };
+        let over = Step {
+            latency: None,
+            ..over
+        };
         if !is_silent(&over) {
             self.rows[0].over.push_back(over);
         }
@@ -193,8 +217,15 @@
     /// The steps of a width that is at least this, the oldest first, with the one that goes on. Steps in which nothing
     /// happened are left out.
     pub fn steps(&self, width: Micros) -> impl Iterator<Item = &Step> {
-        let at = WIDTHS.iter().position(|(w, _)| *w >= width).unwrap_or(WIDTHS.len() - 1);
-        let open = if at == 0 { &self.open } else { &self.rows[at].open };
+        let at = WIDTHS
+            .iter()
+            .position(|(w, _)| *w >= width)
+            .unwrap_or(WIDTHS.len() - 1);
+        let open = if at == 0 {
+            &self.open
+        } else {
+            &self.rows[at].open
+        };
         self.rows[at].over.iter().chain(std::iter::once(open))
     }
 
@@ -207,9 +238,12 @@
         for (at, (row, (width, most))) in self.rows.iter().zip(WIDTHS).enumerate() {
             // Back to where a step of the next row ends.
             let back = self.open.from.saturating_sub(width * most as Micros);
-            let from = WIDTHS.get(at + 1).map_or(0, |(next, _)| back.div_ceil(*next) * next);
+            let from = WIDTHS
+                .get(at + 1)
+                .map_or(0, |(next, _)| back.div_ceil(*next) * next);
             let here = row.over.iter().rev();
-            let here = here.filter(|step| step.from >= from && step.from.saturating_add(width) <= reached);
+            let here =
+                here.filter(|step| step.from >= from && step.from.saturating_add(width) <= reached);
             told.extend(here.map(|step| (width, step.clone())));
             reached = reached.min(from);
         }
@@ -233,7 +267,12 @@
         if self.notes.len() == NOTES {
             self.notes.pop_front();
         }
-        self.notes.push_back(Noted { at: now, what, last: now, times: 1 });
+        self.notes.push_back(Noted {
+            at: now,
+            what,
+            last: now,
+            times: 1,
+        });
     }
 
     pub(crate) fn attempt(&mut self, now: Micros, outcome: Outcome, elapsed: Micros) {
--- a/crates/timeline/src/recording.rs
+++ b/crates/timeline/src/recording.rs
@@ -56,7 +56,12 @@
         let mut means: Vec<(u64, Micros)> = story
             .iter()
             .filter(|(_, step)| step.ended(Outcome::Ok) > 0)
-            .map(|(width, step)| (step.latency_sum / u64::from(step.ended(Outcome::Ok)), *width))
+            .map(|(width, step)| {
+                (
+                    step.latency_sum / u64::from(step.ended(Outcome::Ok)),
+                    *width,
+                )
+            })
             .collect();
         means.sort_unstable();
         let half = means.iter().map(|(_, width)| width).sum::<Micros>() / 2;
@@ -67,8 +72,12 @@
         });
         let usual_us = usual.map_or(1, |(mean, _)| *mean).max(1);
         let moment = |(width, step): &(Micros, crate::Step)| {
-            let count =
-                |outcomes: &[Outcome]| outcomes.iter().map(|o| u64::from(step.ended(*o))).sum::<u64>();
+            let count = |outcomes: &[Outcome]| {
+                outcomes
+                    .iter()
+                    .map(|o| u64::from(step.ended(*o)))
+                    .sum::<u64>()
+            };
             let served = count(&[Outcome::Ok]);
             let errors = count(&[Outcome::Error]);
             let lost = count(&[Outcome::Timeout, Outcome::Reset]);
@@ -76,17 +85,36 @@
             let attempts = served + errors + lost + refused;
             let share = |of: u64| of as f64 / attempts.max(1) as f64;
             let slower = if served > 0 {
-                (step.latency_sum as f64 / served as f64 / usual_us as f64).clamp(SLOWNESS.0, SLOWNESS.1)
+                (step.latency_sum as f64 / served as f64 / usual_us as f64)
+                    .clamp(SLOWNESS.0, SLOWNESS.1)
             } else {
                 1.0
             };
             let from_ms = step.from.saturating_sub(began_us) / 1_000;
             let lasts_ms = width / 1_000;
             let (errors, lost, refused) = (share(errors), share(lost), share(refused));
-            Moment { from_ms, lasts_ms, attempts, errors, lost, refused, slower }
+            Moment {
+                from_ms,
+                lasts_ms,
+                attempts,
+                errors,
+                lost,
+                refused,
+                slower,
+            }
         };
-        let moments = story.iter().map(moment).filter(|moment| moment.attempts > 0).collect();
-        Recording { version: Self::VERSION, server: server.to_string(), began_us, usual_us, moments }
+        let moments = story
+            .iter()
+            .map(moment)
+            .filter(|moment| moment.attempts > 0)
+            .collect();
+        Recording {
+            version: Self::VERSION,
+            server: server.to_string(),
+            began_us,
+            usual_us,
+            moments,
+        }
     }
 
     /// Says what makes no sense in one that was read, and where; nothing where all does.
@@ -99,11 +127,15 @@
             ));
         }
         if self.moments.is_empty() || self.moments.len() > MOMENTS {
-            return Some(format!("holds {} moments; 1 to {MOMENTS} make sense", self.moments.len()));
+            return Some(format!(
+                "holds {} moments; 1 to {MOMENTS} make sense",
+                self.moments.len()
+            ));
         }
         let mut end = 0;
         for (at, moment) in self.moments.iter().enumerate() {
-            let told = |field: &str, problem: &str| Some(format!("moments[{at}].{field} {problem}"));
+            let told =
+                |field: &str, problem: &str| Some(format!("moments[{at}].{field} {problem}"));
             let is_share = |share: f64| (0.0..=1.0).contains(&share);
             if moment.from_ms < end {
                 return told("from_ms", "lies before the end of the one before");
@@ -114,12 +146,19 @@
             let shares = [moment.errors, moment.lost, moment.refused];
             // Sums of shares that were rounded may be over 1 by as little.
             if !shares.into_iter().all(is_share) || shares.iter().sum::<f64>() > 1.0 + 1e-9 {
-                return told("lost", "and errors and refused must each lie in 0 to 1, and so must their sum");
+                return told(
+                    "lost",
+                    "and errors and refused must each lie in 0 to 1, and so must their sum",
+                );
             }
             if !(SLOWNESS.0..=SLOWNESS.1).contains(&moment.slower) {
                 return told("slower", "must lie in 0.01 to 1000");
             }
-            match moment.from_ms.checked_add(moment.lasts_ms).filter(|end| *end < 1 << 40) {
+            match moment
+                .from_ms
+                .checked_add(moment.lasts_ms)
+                .filter(|end| *end < 1 << 40)
+            {
                 Some(over) => end = over,
                 None => return told("lasts_ms", "is longer than any day"),
             }
--- a/crates/timeline/src/sketch.rs
+++ b/crates/timeline/src/sketch.rs
@@ -22,7 +22,9 @@
 
 impl Default for Sketch {
     fn default() -> Self {
-        Sketch { counts: vec![0; BUCKETS] }
+        Sketch {
+            counts: vec![0; BUCKETS],
+        }
     }
 }
 
@@ -32,7 +34,9 @@
 
     /// Takes in one latency.
     pub fn add(&mut self, latency: Micros) {
-        let at = ((latency as f64 / FIRST).ln() / GAMMA.ln()).ceil().clamp(0.0, (BUCKETS - 1) as f64);
+        let at = ((latency as f64 / FIRST).ln() / GAMMA.ln())
+            .ceil()
+            .clamp(0.0, (BUCKETS - 1) as f64);
         let count = &mut self.counts[at as usize];
         *count = count.saturating_add(1);
     }
--- a/crates/timeline/src/story.rs
+++ b/crates/timeline/src/story.rs
@@ -57,7 +57,11 @@
 
 impl Default for Settings {
     fn default() -> Self {
-        Settings { false_alarms_a_day: 0.1, remember_left: 3_600 * S, servers: 1_024 }
+        Settings {
+            false_alarms_a_day: 0.1,
+            remember_left: 3_600 * S,
+            servers: 1_024,
+        }
     }
 }
 
@@ -162,8 +166,12 @@
             return;
         }
         let known = self.servers.contains_key(&id);
-        let server = self.servers.entry(id).or_insert_with(|| Server::new(now, arrival));
-        (server.zone, server.kind, server.cold_until) = (arrival.zone, arrival.kind, arrival.cold_until);
+        let server = self
+            .servers
+            .entry(id)
+            .or_insert_with(|| Server::new(now, arrival));
+        (server.zone, server.kind, server.cold_until) =
+            (arrival.zone, arrival.kind, arrival.cold_until);
         if server.left.take().is_some() || !known {
             server.line.note(now, Happening::Joined);
         }
@@ -176,13 +184,22 @@
                 limit: usual.limit().or(server.before.limit),
             };
             let raised = std::mem::take(&mut server.raised);
-            *server = Server { line, raised, before, ..Server::new(now, arrival) };
+            *server = Server {
+                line,
+                raised,
+                before,
+                ..Server::new(now, arrival)
+            };
         }
     }
 
     /// A server is gone from the list. It is remembered for a while.
     pub fn left(&mut self, now: Micros, id: ServerId) {
-        if let Some(server) = self.servers.get_mut(&id).filter(|server| server.left.is_none()) {
+        if let Some(server) = self
+            .servers
+            .get_mut(&id)
+            .filter(|server| server.left.is_none())
+        {
             server.left = Some(now);
             server.line.note(now, Happening::Left);
         }
@@ -201,8 +218,9 @@
         if let Some(server) = self.servers.get_mut(&id) {
             let step = server.line.at(now);
             (step.most_out, step.region) = (step.most_out.max(gauge.out), gauge.region as f32);
-            let reported =
-                gauge.reported.map(|(held, age)| (held as f32, u32::try_from(age).unwrap_or(u32::MAX)));
+            let reported = gauge
+                .reported
+                .map(|(held, age)| (held as f32, u32::try_from(age).unwrap_or(u32::MAX)));
             step.reported = reported.or(step.reported);
         }
     }
@@ -217,11 +235,16 @@
 
     /// A server has just reported to hold so many requests, while this instance had so many out there.
     pub fn reported(&mut self, now: Micros, id: ServerId, held: f64, out: u32) {
-        let Some(server) = self.servers.get_mut(&id) else { return };
+        let Some(server) = self.servers.get_mut(&id) else {
+            return;
+        };
         server.line.at(now).reported = Some((held as f32, 0));
         let doubted = out >= REPORTS.1 && held < DISAGREES * f64::from(out);
         server.doubted = if doubted { server.doubted + 1 } else { 0 };
-        let kind = Kind { fault: Fault::Disagrees, class: None };
+        let kind = Kind {
+            fault: Fault::Disagrees,
+            class: None,
+        };
         if server.doubted >= REPORTS.0 {
             let test = Test::all_of(server.doubted, now);
             server.raise(now, id, kind, test, 0.0);
@@ -234,8 +257,15 @@
     pub fn attempt(&mut self, now: Micros, minute_of_day: u16, seen: &Observed) {
         let (bound, late_bound) = (self.bound, self.late_bound);
         self.counted.1 = self.counted.1.saturating_add(1);
-        let Story { servers, classes, kinds, .. } = self;
-        let Some(server) = servers.get_mut(&seen.server) else { return };
+        let Story {
+            servers,
+            classes,
+            kinds,
+            ..
+        } = self;
+        let Some(server) = servers.get_mut(&seen.server) else {
+            return;
+        };
         server.line.attempt(now, seen.outcome, seen.elapsed);
         let began = now.saturating_sub(seen.elapsed);
         let (lost, refused) = match seen.outcome {
@@ -254,15 +284,22 @@
             classes.resize(place + 1, ClassMean::default());
         }
         let mut latency = None;
-        if let Some(class) = classes.get_mut(place).filter(|_| seen.outcome == Outcome::Ok) {
+        if let Some(class) = classes
+            .get_mut(place)
+            .filter(|_| seen.outcome == Outcome::Ok)
+        {
             latency = class.ratio(seen.elapsed).map(|ratio| ratio * UNIT);
             if !wrong && now >= server.cold_until {
                 class.add(seen.elapsed);
             }
         }
         // What is usual is that of light requests; a heavy one is allowed as many times that as its size is.
-        let learned = latency.filter(|_| seen.size < HEAVY).map(|latency| latency as Micros);
-        server.usual.learn(now, minute_of_day, lost || refused, learned, wrong);
+        let learned = latency
+            .filter(|_| seen.size < HEAVY)
+            .map(|latency| latency as Micros);
+        server
+            .usual
+            .learn(now, minute_of_day, lost || refused, learned, wrong);
         let usual = server.usual(kinds);
         let Some(share) = usual.failures else { return };
         let (limit, usual) = (usual.limit, share);
@@ -270,9 +307,15 @@
         let all = |fault| Kind { fault, class: None };
         let refuses = all(Fault::RefusesWork);
         if server.open.contains_key(&refuses) {
-            over.extend(server.follow(now, refuses, refused, usual).then_some(refuses));
+            over.extend(
+                server
+                    .follow(now, refuses, refused, usual)
+                    .then_some(refuses),
+            );
         } else {
-            server.refused.observe(now, refused, usual, raised(usual, true));
+            server
+                .refused
+                .observe(now, refused, usual, raised(usual, true));
             if server.refused.exceeds(bound) {
                 let test = server.refused;
                 server.raise(now, seen.server, refuses, test, usual);
@@ -281,7 +324,10 @@
         }
         if !refused {
             let loses = all(Fault::LosesAnswers);
-            let of_class = Kind { class: Some(seen.class), ..loses };
+            let of_class = Kind {
+                class: Some(seen.class),
+                ..loses
+            };
             if let Some(count) = server.seen_by_class.get_mut(place) {
                 *count = count.saturating_add(1);
             }
@@ -302,7 +348,10 @@
                 }
             }
             if let Some(test) = server.lost_by_class.get_mut(seen.class as usize) {
-                let kind = Kind { class: Some(seen.class), ..loses };
+                let kind = Kind {
+                    class: Some(seen.class),
+                    ..loses
+                };
                 if server.open.contains_key(&kind) {
                     over.extend(server.follow(now, kind, lost, usual).then_some(kind));
                 } else {
@@ -323,7 +372,13 @@
             let second = now / S;
             let block = &mut server.blocks[heavy];
             if block.second != second {
-                let done = std::mem::replace(block, Block { second, ..Block::default() });
+                let done = std::mem::replace(
+                    block,
+                    Block {
+                        second,
+                        ..Block::default()
+                    },
+                );
                 over.extend(server.end_block(now, seen.server, heavy, done, late_bound));
             }
             let block = &mut server.blocks[heavy];
@@ -348,13 +403,28 @@
         if now.saturating_sub(self.stepped) > STOOD_STILL {
             return;
         }
-        let Story { servers, classes, kinds, .. } = self;
-        let Some(server) = servers.get_mut(&id).filter(|server| now >= server.cold_until) else { return };
-        let Some(limit) = server.usual(kinds).limit else { return };
+        let Story {
+            servers,
+            classes,
+            kinds,
+            ..
+        } = self;
+        let Some(server) = servers
+            .get_mut(&id)
+            .filter(|server| now >= server.cold_until)
+        else {
+            return;
+        };
+        let Some(limit) = server.usual(kinds).limit else {
+            return;
+        };
         let mut longest = 0;
         let ages = out.filter_map(|(class, age)| {
             longest = longest.max(age);
-            classes.get(class as usize)?.ratio(age).map(|ratio| ratio * UNIT)
+            classes
+                .get(class as usize)?
+                .ratio(age)
+                .map(|ratio| ratio * UNIT)
         });
         // Fewer than one in ten wait longer than the limit, fewer than one in a hundred than twice that, and so on.
         let waits = ages.map(|age| (age / limit).floor().min(AWAITED) * std::f64::consts::LN_10);
@@ -363,7 +433,16 @@
         let silent = longest >= S && now.saturating_sub(server.last) >= longest;
         if unlikely > bound && silent {
             let test = Test::all_of(count, server.last);
-            server.raise(now, id, Kind { fault: Fault::Silent, class: None }, test, LATE.0);
+            server.raise(
+                now,
+                id,
+                Kind {
+                    fault: Fault::Silent,
+                    class: None,
+                },
+                test,
+                LATE.0,
+            );
         }
     }
 
@@ -387,13 +466,21 @@
                     said.push(open.told.clone());
                 }
                 let (last, share, _) = open.updated;
-                let changed = open.told.share > UPDATE.1 * share || open.told.share < share / UPDATE.1;
+                let changed =
+                    open.told.share > UPDATE.1 * share || open.told.share < share / UPDATE.1;
                 if open.said && changed && now.saturating_sub(last) >= UPDATE.0 {
                     open.updated = (now, open.told.share, open.told.observations);
-                    said.push(Departure { at: now, phase: Phase::Updated, ..open.told.clone() });
+                    said.push(Departure {
+                        at: now,
+                        phase: Phase::Updated,
+                        ..open.told.clone()
+                    });
                 }
             }
-            debug_assert!(server.open.len() <= 6 + CLASSES, "{id:?} has too many departures");
+            debug_assert!(
+                server.open.len() <= 6 + CLASSES,
+                "{id:?} has too many departures"
+            );
         }
         self.remember(&said);
         said
@@ -401,7 +488,10 @@
 
     /// Departures that go on.
     pub fn departures(&self) -> impl Iterator<Item = &Departure> {
-        let open = self.servers.values().flat_map(|server| server.open.values());
+        let open = self
+            .servers
+            .values()
+            .flat_map(|server| server.open.values());
         let open = open.filter(|open| open.said).map(|open| &open.told);
         open.chain(self.shared.iter().map(|(departure, _)| departure))
     }
@@ -423,39 +513,50 @@
 
     /// What the decision module may want to know: of each server that is likely half well.
     pub fn evidence(&self) -> impl Iterator<Item = Evidence> {
-        self.servers.iter().filter(|(_, server)| server.left.is_none()).filter_map(|(id, server)| {
-            let usual = server.usual(&self.kinds).failures?;
-            let part = |fault: Fault, test: &Test, bound: f64| {
-                let open = server.open.iter().find(|(kind, _)| kind.fault == fault);
-                match open {
-                    Some((_, open)) => (open.told.share, 1.0),
-                    None => (test.share(), test.confidence(bound)),
-                }
-            };
-            // Told of a class alone, or of all: the latter first.
-            let class =
-                server.open.keys().find(|kind| kind.fault == Fault::LosesAnswers).and_then(|k| k.class);
-            let (loses, loses_by) = part(Fault::LosesAnswers, &server.lost[0], self.bound);
-            let (refuses, refuses_by) = part(Fault::RefusesWork, &server.refused, self.bound);
-            let slow =
-                server.open.keys().any(|kind| matches!(kind.fault, Fault::Slow | Fault::SlowWhenHeavy));
-            let confidence = loses_by.max(refuses_by).max(f64::from(u8::from(slow)));
-            let shared = self.shared.iter().any(|(departure, _)| match departure.subject {
-                Subject::Fleet => true,
-                Subject::Zone(zone) => zone == server.zone,
-                Subject::Server(_) => false,
-            });
-            (confidence > 0.25).then_some(Evidence {
-                server: *id,
-                class,
-                loses: if loses > usual { loses } else { 0.0 },
-                refuses: if refuses > usual { refuses } else { 0.0 },
-                slow,
-                confidence,
-                at: server.last,
-                shared,
+        self.servers
+            .iter()
+            .filter(|(_, server)| server.left.is_none())
+            .filter_map(|(id, server)| {
+                let usual = server.usual(&self.kinds).failures?;
+                let part = |fault: Fault, test: &Test, bound: f64| {
+                    let open = server.open.iter().find(|(kind, _)| kind.fault == fault);
+                    match open {
+                        Some((_, open)) => (open.told.share, 1.0),
+                        None => (test.share(), test.confidence(bound)),
+                    }
+                };
+                // Told of a class alone, or of all: the latter first.
+                let class = server
+                    .open
+                    .keys()
+                    .find(|kind| kind.fault == Fault::LosesAnswers)
+                    .and_then(|k| k.class);
+                let (loses, loses_by) = part(Fault::LosesAnswers, &server.lost[0], self.bound);
+                let (refuses, refuses_by) = part(Fault::RefusesWork, &server.refused, self.bound);
+                let slow = server
+                    .open
+                    .keys()
+                    .any(|kind| matches!(kind.fault, Fault::Slow | Fault::SlowWhenHeavy));
+                let confidence = loses_by.max(refuses_by).max(f64::from(u8::from(slow)));
+                let shared = self
+                    .shared
+                    .iter()
+                    .any(|(departure, _)| match departure.subject {
+                        Subject::Fleet => true,
+                        Subject::Zone(zone) => zone == server.zone,
+                        Subject::Server(_) => false,
+                    });
+                (confidence > 0.25).then_some(Evidence {
+                    server: *id,
+                    class,
+                    loses: if loses > usual { loses } else { 0.0 },
+                    refuses: if refuses > usual { refuses } else { 0.0 },
+                    slow,
+                    confidence,
+                    at: server.last,
+                    shared,
+                })
             })
-        })
     }
 
     fn remember(&mut self, said: &[Departure]) {
@@ -465,8 +566,12 @@
     }
 
     fn clear(&mut self, now: Micros, id: ServerId, kind: Kind) {
-        let Some(server) = self.servers.get_mut(&id) else { return };
-        let Some(open) = server.open.remove(&kind) else { return };
+        let Some(server) = self.servers.get_mut(&id) else {
+            return;
+        };
+        let Some(open) = server.open.remove(&kind) else {
+            return;
+        };
         // What is over is evidence of nothing new.
         if matches!(kind.fault, Fault::LosesAnswers | Fault::Silent) {
             (server.lost, server.lost_by_class) = (Default::default(), Default::default());
@@ -477,7 +582,11 @@
         // What was never said is taken back in silence.
         if open.said {
             server.line.note(now, Happening::Cleared(open.told.number));
-            self.cleared.push(Departure { at: now, phase: Phase::Cleared, ..open.told });
+            self.cleared.push(Departure {
+                at: now,
+                phase: Phase::Cleared,
+                ..open.told
+            });
         }
     }
 
@@ -490,8 +599,11 @@
         }
         let rate = f64::from(attempts) * (86_400 * S) as f64 / passed as f64;
         // The first look has no beginning to count from.
-        self.rate =
-            if since == 0 { self.rate.max(f64::from(attempts)) } else { 0.9 * self.rate + 0.1 * rate };
+        self.rate = if since == 0 {
+            self.rate.max(f64::from(attempts))
+        } else {
+            0.9 * self.rate + 0.1 * rate
+        };
         self.counted = (now, 0);
         self.set_bounds();
         self.classes.iter_mut().for_each(ClassMean::fade);
@@ -515,9 +627,16 @@
                 values.get(values.len() / 2).copied()
             };
             let limit = median(&mut limits).map(|limit| ALIKE * limit);
-            self.kinds.insert(kind, FallbackBaseline { failures: median(&mut failures), limit });
+            self.kinds.insert(
+                kind,
+                FallbackBaseline {
+                    failures: median(&mut failures),
+                    limit,
+                },
+            );
         }
-        let there: std::collections::BTreeSet<u32> = self.servers.values().map(|s| s.kind).collect();
+        let there: std::collections::BTreeSet<u32> =
+            self.servers.values().map(|s| s.kind).collect();
         self.kinds.retain(|kind, _| there.contains(kind));
     }
 
@@ -534,8 +653,13 @@
     fn make_room(&mut self, now: Micros) -> bool {
         self.forget(now);
         if self.servers.len() >= self.settings.servers {
-            let left = self.servers.iter().filter_map(|(id, server)| Some((server.left?, *id)));
-            let Some((_, oldest)) = left.min() else { return false };
+            let left = self
+                .servers
+                .iter()
+                .filter_map(|(id, server)| Some((server.left?, *id)));
+            let Some((_, oldest)) = left.min() else {
+                return false;
+            };
             self.servers.remove(&oldest);
         }
         true
@@ -543,20 +667,31 @@
 
     fn forget(&mut self, now: Micros) {
         let keep = self.settings.remember_left;
-        self.servers.retain(|_, server| server.left.is_none_or(|at| now.saturating_sub(at) < keep));
+        self.servers
+            .retain(|_, server| server.left.is_none_or(|at| now.saturating_sub(at) < keep));
     }
 
     /// What befalls a whole zone or half of the fleet is one departure, not one of each server.
     fn gather(&mut self, now: Micros, said: &mut Vec<Departure>) {
         let here = |server: &&Server| server.left.is_none();
         let there = self.servers.values().filter(here).count();
-        for fault in [Fault::LosesAnswers, Fault::RefusesWork, Fault::Slow, Fault::Silent] {
+        for fault in [
+            Fault::LosesAnswers,
+            Fault::RefusesWork,
+            Fault::Slow,
+            Fault::Silent,
+        ] {
             let kind = Kind { fault, class: None };
-            let bound = if fault == Fault::Slow { self.late_bound } else { self.bound };
+            let bound = if fault == Fault::Slow {
+                self.late_bound
+            } else {
+                self.bound
+            };
             // What points the same way in several servers at once needs less of it in each.
             let has = |server: &&Server| {
                 let shows = || now.saturating_sub(server.last_sign(fault)) < LATELY;
-                server.open.contains_key(&kind) || server.weight(fault) > bound / TOGETHER && shows()
+                server.open.contains_key(&kind)
+                    || server.weight(fault) > bound / TOGETHER && shows()
             };
             let bad = self.servers.values().filter(here).filter(has).count();
             let ripe = self.servers.values().filter(here).any(|server| {
@@ -565,22 +700,42 @@
                     .get(&kind)
                     .is_some_and(|open| !open.said && now.saturating_sub(open.since) >= GATHER)
             });
-            let weights = self.servers.values().filter(here).filter(has).map(|s| s.weight(fault));
+            let weights = self
+                .servers
+                .values()
+                .filter(here)
+                .filter(has)
+                .map(|s| s.weight(fault));
             // The sum of as many tests is over this by chance about as rarely as one of them is over its bound.
-            let ripe = ripe || weights.sum::<f64>() > bound + bad.saturating_sub(1) as f64 * bound.ln();
+            let ripe =
+                ripe || weights.sum::<f64>() > bound + bad.saturating_sub(1) as f64 * bound.ln();
             let known = self.shared.iter().position(|(_, other)| *other == fault);
             if let Some(at) = known {
                 // It goes on while a third of them is still bad.
                 let subject = self.shared[at].0.subject;
-                let inside =
-                    |server: &&Server| subject == Subject::Fleet || subject == Subject::Zone(server.zone);
+                let inside = |server: &&Server| {
+                    subject == Subject::Fleet || subject == Subject::Zone(server.zone)
+                };
                 let all = self.servers.values().filter(here).filter(inside).count();
-                let still = self.servers.values().filter(here).filter(inside).filter(has).count();
+                let still = self
+                    .servers
+                    .values()
+                    .filter(here)
+                    .filter(inside)
+                    .filter(has)
+                    .count();
                 if 3 * still < all {
                     let (departure, _) = self.shared.remove(at);
-                    said.push(Departure { at: now, phase: Phase::Cleared, ..departure });
+                    said.push(Departure {
+                        at: now,
+                        phase: Phase::Cleared,
+                        ..departure
+                    });
                     // Those that are still bad are so by themselves.
-                    let held = self.servers.values_mut().flat_map(|server| server.open.iter_mut());
+                    let held = self
+                        .servers
+                        .values_mut()
+                        .flat_map(|server| server.open.iter_mut());
                     let held = held.filter(|(kind, open)| kind.fault == fault && !open.said);
                     held.for_each(|(_, open)| open.since = now + AFTER_ALL);
                     continue;
@@ -591,10 +746,20 @@
             if !ripe || bad < 2 {
                 continue;
             }
-            let zones: Vec<u32> =
-                self.servers.values().filter(here).filter(has).map(|server| server.zone).collect();
+            let zones: Vec<u32> = self
+                .servers
+                .values()
+                .filter(here)
+                .filter(has)
+                .map(|server| server.zone)
+                .collect();
             let one_zone = zones.iter().all(|zone| *zone == zones[0]);
-            let in_zone = self.servers.values().filter(here).filter(|server| server.zone == zones[0]).count();
+            let in_zone = self
+                .servers
+                .values()
+                .filter(here)
+                .filter(|server| server.zone == zones[0])
+                .count();
             let subject = if one_zone && 4 * bad >= 3 * in_zone && in_zone < there && bad >= 2 {
                 Subject::Zone(zones[0])
             } else if bad >= 3 && 2 * bad >= there {
@@ -602,7 +767,8 @@
             } else {
                 continue;
             };
-            let (mut share, mut usual, mut observations, mut began, mut count) = (0.0, 0.0, 0u32, now, 0.0);
+            let (mut share, mut usual, mut observations, mut began, mut count) =
+                (0.0, 0.0, 0u32, now, 0.0);
             for server in self.servers.values().filter(here).filter(has) {
                 let test = match fault {
                     Fault::LosesAnswers => server.lost[0],
@@ -620,7 +786,12 @@
                     Some(LATE.0)
                 };
                 share += part;
-                usual += if fault == Fault::Slow { of_late } else { server.usual.failures() }.unwrap_or(0.0);
+                usual += if fault == Fault::Slow {
+                    of_late
+                } else {
+                    server.usual.failures()
+                }
+                .unwrap_or(0.0);
                 observations = observations.saturating_add(all);
                 began = began.min(since);
                 count += 1.0;
@@ -648,8 +819,12 @@
     fn absorb(&mut self, kind: Kind, subject: Subject) {
         for server in self.servers.values_mut() {
             let inside = subject == Subject::Fleet || subject == Subject::Zone(server.zone);
-            let same = server.open.iter_mut().filter(|(other, open)| other.fault == kind.fault && !open.said);
-            same.filter(|_| inside).for_each(|(_, open)| open.since = Micros::MAX);
+            let same = server
+                .open
+                .iter_mut()
+                .filter(|(other, open)| other.fault == kind.fault && !open.said);
+            same.filter(|_| inside)
+                .for_each(|(_, open)| open.since = Micros::MAX);
         }
     }
 }
--- a/crates/timeline/src/story/server.rs
+++ b/crates/timeline/src/story/server.rs
@@ -117,25 +117,49 @@
 
     pub(super) fn is_wrong(&self, bound: f64) -> bool {
         !self.open.is_empty()
-            || self.lost.iter().chain([&self.refused, &self.over]).any(|test| test.is_suspicious(bound))
+            || self
+                .lost
+                .iter()
+                .chain([&self.refused, &self.over])
+                .any(|test| test.is_suspicious(bound))
             || self.late.iter().any(|test| test.is_suspicious(bound))
     }
 
     /// Notes that a kind of fault was found, unless it is known or too many were of late.
-    pub(super) fn raise(&mut self, now: Micros, server: ServerId, kind: Kind, test: Test, usual: f64) {
-        while self.raised.front().is_some_and(|at| now.saturating_sub(*at) > AN_HOUR.0) {
+    pub(super) fn raise(
+        &mut self,
+        now: Micros,
+        server: ServerId,
+        kind: Kind,
+        test: Test,
+        usual: f64,
+    ) {
+        while self
+            .raised
+            .front()
+            .is_some_and(|at| now.saturating_sub(*at) > AN_HOUR.0)
+        {
             self.raised.pop_front();
         }
         // What befalls one class alone is told as such only where the whole is not known to be bad.
-        let mut covered = kind.class.is_some() && self.open.contains_key(&Kind { class: None, ..kind });
+        let mut covered = kind.class.is_some()
+            && self.open.contains_key(&Kind {
+                class: None,
+                ..kind
+            });
         // What is silent loses answers too.
-        let silent = Kind { fault: Fault::Silent, class: None };
+        let silent = Kind {
+            fault: Fault::Silent,
+            class: None,
+        };
         covered |= kind.fault == Fault::LosesAnswers && self.open.contains_key(&silent);
         if covered || self.open.contains_key(&kind) || self.raised.len() >= AN_HOUR.1 {
             return;
         }
         if kind.class.is_none() {
-            self.open.retain(|other, open| other.fault != kind.fault || other.class.is_none() || open.said);
+            self.open.retain(|other, open| {
+                other.fault != kind.fault || other.class.is_none() || open.said
+            });
         }
         let told = Departure {
             number: 0,
@@ -152,24 +176,35 @@
         let updated = (now, told.share, told.observations);
         self.open.insert(
             kind,
-            Open { told, since: now, said: false, by_spans: false, well: Test::default(), updated },
+            Open {
+                told,
+                since: now,
+                said: false,
+                by_spans: false,
+                well: Test::default(),
+                updated,
+            },
         );
     }
 
     /// Lets a departure that goes on see one more observation, and says whether it is over.
     pub(super) fn follow(&mut self, now: Micros, kind: Kind, bad: bool, usual: f64) -> bool {
         let returns = self.raised.len().saturating_sub(1) as f64;
-        let Some(open) = self.open.get_mut(&kind) else { return false };
+        let Some(open) = self.open.get_mut(&kind) else {
+            return false;
+        };
         let told = &mut open.told;
         told.observations = told.observations.saturating_add(1);
-        told.share += (f64::from(u8::from(bad)) - told.share) / f64::from(told.observations.min(200));
+        told.share +=
+            (f64::from(u8::from(bad)) - told.share) / f64::from(told.observations.min(200));
         // The share that it had when it was last told of: the present one follows every stretch of luck, and falls while
         // all is well.
         // From few of them it may be far too high, and a few good answers would then end it.
         let (_, share, count) = open.updated;
         let known = f64::from(count) / (f64::from(count) + FEW);
         let worse = (share * known).clamp(raised(usual, false), 0.95);
-        open.well.observe(now, !bad, 1.0 - worse, 1.0 - usual.min(worse / 2.0));
+        open.well
+            .observe(now, !bad, 1.0 - worse, 1.0 - usual.min(worse / 2.0));
         open.well.exceeds(WELL * (1.0 + returns))
     }
 }
@@ -178,18 +213,29 @@
     /// What is usual: its own, else what was so before it started anew, else its kind's.
     pub(super) fn usual(&self, kinds: &BTreeMap<u32, FallbackBaseline>) -> FallbackBaseline {
         if self.usual.is_learned() {
-            return FallbackBaseline { failures: self.usual.failures(), limit: self.usual.limit() };
+            return FallbackBaseline {
+                failures: self.usual.failures(),
+                limit: self.usual.limit(),
+            };
         }
         let kind = kinds.get(&self.kind).copied().unwrap_or_default();
         let FallbackBaseline { failures, limit } = self.before;
-        FallbackBaseline { failures: failures.or(kind.failures), limit: limit.or(kind.limit) }
+        FallbackBaseline {
+            failures: failures.or(kind.failures),
+            limit: limit.or(kind.limit),
+        }
     }
 
     /// The class that alone fails here: that all failures are its own would be unlikely otherwise.
     pub(super) fn one_class(&self) -> Option<u32> {
-        let mut failing = (0..).zip(&self.lost_by_class).filter(|(_, test)| test.yes > 0);
+        let mut failing = (0..)
+            .zip(&self.lost_by_class)
+            .filter(|(_, test)| test.yes > 0);
         let (class, test) = failing.next()?;
-        let (own, all) = (self.seen_by_class[class as usize], self.seen_by_class.iter().sum::<u32>());
+        let (own, all) = (
+            self.seen_by_class[class as usize],
+            self.seen_by_class.iter().sum::<u32>(),
+        );
         let by_chance = (f64::from(own) / f64::from(all.max(1))).powf(f64::from(test.yes));
         (failing.next().is_none() && by_chance < BY_CHANCE).then_some(class)
     }
@@ -227,15 +273,22 @@
         }
         let late = 2 * block.late > block.all;
         let usual = if block.all >= MANY { LATE.1 } else { LATE.0 };
-        let fault = if heavy == 1 { Fault::SlowWhenHeavy } else { Fault::Slow };
+        let fault = if heavy == 1 {
+            Fault::SlowWhenHeavy
+        } else {
+            Fault::Slow
+        };
         let kind = Kind { fault, class: None };
         if let Some(open) = self.open.get(&kind) {
             return (!open.by_spans && self.follow(now, kind, late, usual)).then_some(kind);
         }
         self.late[heavy].observe(now, late, usual, LATE.2);
         // Where all requests are slow, the heavy ones are too.
-        let all_slow =
-            self.late[0].is_suspicious(bound) || self.open.contains_key(&Kind { fault: Fault::Slow, ..kind });
+        let all_slow = self.late[0].is_suspicious(bound)
+            || self.open.contains_key(&Kind {
+                fault: Fault::Slow,
+                ..kind
+            });
         if self.late[heavy].exceeds(bound) && !(heavy == 1 && all_slow) {
             let test = self.late[heavy];
             self.late[heavy].reset();
@@ -270,7 +323,10 @@
             self.usual.learn_span(over);
         }
         let usual = usual?;
-        let kind = Kind { fault: Fault::Slow, class: None };
+        let kind = Kind {
+            fault: Fault::Slow,
+            class: None,
+        };
         if let Some(open) = self.open.get(&kind) {
             return (open.by_spans && self.follow(now, kind, over, usual)).then_some(kind);
         }
--- a/crates/timeline/src/usual.rs
+++ b/crates/timeline/src/usual.rs
@@ -35,7 +35,10 @@
 
 impl Daily {
     fn new() -> Self {
-        Daily { days: vec![[0.0; DAYS]; PARTS], last: vec![0; PARTS] }
+        Daily {
+            days: vec![[0.0; DAYS]; PARTS],
+            last: vec![0; PARTS],
+        }
     }
 
     fn put(&mut self, now: Micros, part: usize, value: f64) {
@@ -118,13 +121,16 @@
         }
         self.part_failures.0 += u32::from(failed);
         self.part_failures.1 += 1;
-        latency.iter().for_each(|latency| self.part_latency.add(*latency));
+        latency
+            .iter()
+            .for_each(|latency| self.part_latency.add(*latency));
         if wrong {
             return;
         }
         self.seen = self.seen.saturating_add(1);
         // A plain mean at first, then one in which what is new weighs as in a mean of so many.
-        self.failures += (f64::from(u8::from(failed)) - self.failures) / f64::from(self.seen).min(MEAN_OF.0);
+        self.failures +=
+            (f64::from(u8::from(failed)) - self.failures) / f64::from(self.seen).min(MEAN_OF.0);
         if let Some(latency) = latency {
             self.latency.add(latency);
             self.faded += 1;
@@ -134,8 +140,14 @@
             }
             // The limit is looked up anew now and then alone: a quantile costs more than all else here.
             if self.limit.is_none() && self.seen >= ENOUGH || self.faded.is_multiple_of(64) {
-                self.limit = self.latency.quantile_between(LIMIT.0).map(|limit| limit * LIMIT.1);
-                self.middle = self.latency.quantile_between(MIDDLE.0).map(|middle| middle * MIDDLE.1);
+                self.limit = self
+                    .latency
+                    .quantile_between(LIMIT.0)
+                    .map(|limit| limit * LIMIT.1);
+                self.middle = self
+                    .latency
+                    .quantile_between(MIDDLE.0)
+                    .map(|middle| middle * MIDDLE.1);
             }
         }
     }
@@ -163,20 +175,33 @@
 
     /// The usual share of failures now, never 0; none while too little was seen.
     pub fn failures(&self) -> Option<f64> {
-        let daily = if self.part < PARTS { self.daily_failures.get(self.part) } else { 0.0 };
-        self.is_learned().then(|| self.failures.max(daily).clamp(LEAST, 0.8))
+        let daily = if self.part < PARTS {
+            self.daily_failures.get(self.part)
+        } else {
+            0.0
+        };
+        self.is_learned()
+            .then(|| self.failures.max(daily).clamp(LEAST, 0.8))
     }
 
     /// A latency beyond which fewer than one in ten lie; none while too little was seen.
     pub fn limit(&self) -> Option<f64> {
-        let daily = if self.part < PARTS { self.daily_limit.get(self.part) } else { 0.0 };
+        let daily = if self.part < PARTS {
+            self.daily_limit.get(self.part)
+        } else {
+            0.0
+        };
         // What is slow every night is no departure at night, and its absence is none either: only what is over both.
         self.limit.map(|limit| limit.max(daily))
     }
 
     /// A latency that most answers keep below, in the same measure; none while too little was seen.
     pub fn middle(&self) -> Option<f64> {
-        let daily = if self.part < PARTS { self.daily_middle.get(self.part) } else { 0.0 };
+        let daily = if self.part < PARTS {
+            self.daily_middle.get(self.part)
+        } else {
+            0.0
+        };
         self.middle.map(|middle| middle.max(daily))
     }
 
--- a/crates/timeline/tests/departures.rs
+++ b/crates/timeline/tests/departures.rs
@@ -23,15 +23,31 @@
     slower: f64,
 }
 
-const WELL: Answer = Answer { outcome: Outcome::Ok, slower: 1.0 };
+const WELL: Answer = Answer {
+    outcome: Outcome::Ok,
+    slower: 1.0,
+};
 
 impl Pool {
     fn new(servers: u64, seed: u128) -> Self {
         let mut story = Story::new(Settings::default());
         (0..servers).for_each(|id| {
-            story.listed(0, ServerId(id), Arrival { zone: (id % 2) as u32, ..Arrival::default() })
+            story.listed(
+                0,
+                ServerId(id),
+                Arrival {
+                    zone: (id % 2) as u32,
+                    ..Arrival::default()
+                },
+            )
         });
-        Pool { story, random: Rand64::new(seed), now: S, servers, said: Vec::new() }
+        Pool {
+            story,
+            random: Rand64::new(seed),
+            now: S,
+            servers,
+            said: Vec::new(),
+        }
     }
 
     /// Goes on until a time, with so many requests a second at each server.
@@ -41,19 +57,29 @@
         while self.now < until {
             self.now += gap;
             let id = (self.random.rand_u64() >> 33) % self.servers;
-            let (class, size) =
-                ((self.random.rand_u64() >> 40) as u32 % 2, 0.2 + 2.8 * self.random.rand_float());
+            let (class, size) = (
+                (self.random.rand_u64() >> 40) as u32 % 2,
+                0.2 + 2.8 * self.random.rand_float(),
+            );
             let chance = self.random.rand_float();
             let got = answer(self.now, id, class, size, chance);
             // An exponential part above a fixed one, as queues make it.
-            let latency =
-                size * got.slower * 50_000.0 * (1.0 - 0.5 * self.random.rand_float().max(1e-9).ln());
+            let latency = size
+                * got.slower
+                * 50_000.0
+                * (1.0 - 0.5 * self.random.rand_float().max(1e-9).ln());
             let outcome = match got.outcome {
                 Outcome::Ok if self.random.rand_float() < 0.001 => Outcome::Error,
                 outcome => outcome,
             };
             let minute = (self.now / (60 * S) % 1_440) as u16;
-            let seen = Observed { server: ServerId(id), class, outcome, elapsed: latency as u64, size };
+            let seen = Observed {
+                server: ServerId(id),
+                class,
+                outcome,
+                elapsed: latency as u64,
+                size,
+            };
             self.story.attempt(self.now, minute, &seen);
             while next_step <= self.now {
                 self.said.extend(self.story.step(next_step));
@@ -63,16 +89,29 @@
     }
 
     fn raised(&self) -> Vec<&Departure> {
-        self.said.iter().filter(|d| d.phase == Phase::Raised).collect()
+        self.said
+            .iter()
+            .filter(|d| d.phase == Phase::Raised)
+            .collect()
     }
 
     fn cleared_after(&self, from: u64) -> Option<u64> {
-        self.said.iter().find(|d| d.phase == Phase::Cleared && d.at >= from).map(|d| d.at - from)
+        self.said
+            .iter()
+            .find(|d| d.phase == Phase::Cleared && d.at >= from)
+            .map(|d| d.at - from)
     }
 }
 
 fn failing(share: f64, chance: f64, how: Outcome) -> Answer {
-    if chance < share { Answer { outcome: how, slower: 1.0 } } else { WELL }
+    if chance < share {
+        Answer {
+            outcome: how,
+            slower: 1.0,
+        }
+    } else {
+        WELL
+    }
 }
 
 /// Each of the faults that a server can have alone: one event within seconds, about it, and its end is seen.
@@ -94,7 +133,13 @@
             None,
             120,
         ),
-        ("hangs", |_, _, _, _| failing(1.0, 0.0, Outcome::Timeout), Fault::LosesAnswers, None, 3),
+        (
+            "hangs",
+            |_, _, _, _| failing(1.0, 0.0, Outcome::Timeout),
+            Fault::LosesAnswers,
+            None,
+            3,
+        ),
         (
             "refuses connections",
             |_, _, _, c| failing(0.5, c, Outcome::ConnectFailed),
@@ -102,10 +147,22 @@
             None,
             4,
         ),
-        ("is slow and never fails", |_, _, _, _| Answer { slower: 4.0, ..WELL }, Fault::Slow, None, 15),
+        (
+            "is slow and never fails",
+            |_, _, _, _| Answer {
+                slower: 4.0,
+                ..WELL
+            },
+            Fault::Slow,
+            None,
+            15,
+        ),
         (
             "is slow for heavy requests",
-            |_, _, size, _| Answer { slower: if size >= 2.0 { 6.0 } else { 1.0 }, ..WELL },
+            |_, _, size, _| Answer {
+                slower: if size >= 2.0 { 6.0 } else { 1.0 },
+                ..WELL
+            },
             Fault::SlowWhenHeavy,
             None,
             25,
@@ -121,25 +178,49 @@
     for (name, fault, expected, class, within) in faults {
         let mut pool = Pool::new(8, 7);
         pool.play(300 * S, 20.0, |_, _, _, _, _| WELL);
-        assert_eq!(pool.raised().len(), 0, "{name}: before anything was wrong: {:?}", pool.said);
-        let began = pool.now;
-        pool.play(
-            began + 200 * S,
-            20.0,
-            |_, id, class, size, c| if id == 3 { fault(0, class, size, c) } else { WELL },
+        assert_eq!(
+            pool.raised().len(),
+            0,
+            "{name}: before anything was wrong: {:?}",
+            pool.said
         );
+        let began = pool.now;
+        pool.play(began + 200 * S, 20.0, |_, id, class, size, c| {
+            if id == 3 {
+                fault(0, class, size, c)
+            } else {
+                WELL
+            }
+        });
         let raised = pool.raised();
         assert!(!raised.is_empty(), "{name}: not found");
         let first = raised[0];
-        assert_eq!((first.subject, first.fault), (Subject::Server(ServerId(3)), expected), "{name}: {first}");
+        assert_eq!(
+            (first.subject, first.fault),
+            (Subject::Server(ServerId(3)), expected),
+            "{name}: {first}"
+        );
         assert_eq!(first.class, class, "{name}: {first:?}");
-        assert!(first.at - began <= within * S, "{name}: only after {} s", (first.at - began) / S);
-        assert!(raised.iter().all(|d| d.subject == first.subject), "{name}: {raised:?}");
+        assert!(
+            first.at - began <= within * S,
+            "{name}: only after {} s",
+            (first.at - began) / S
+        );
+        assert!(
+            raised.iter().all(|d| d.subject == first.subject),
+            "{name}: {raised:?}"
+        );
         assert!(raised.len() <= 2, "{name}: told more than once: {raised:?}");
         let well = pool.now;
         pool.play(well + 200 * S, 20.0, |_, _, _, _, _| WELL);
-        let cleared = pool.cleared_after(well).unwrap_or_else(|| panic!("{name}: never cleared"));
-        assert!(cleared <= 90 * S, "{name}: cleared only after {} s", cleared / S);
+        let cleared = pool
+            .cleared_after(well)
+            .unwrap_or_else(|| panic!("{name}: never cleared"));
+        assert!(
+            cleared <= 90 * S,
+            "{name}: cleared only after {} s",
+            cleared / S
+        );
         assert_eq!(pool.story.departures().count(), 0, "{name}");
     }
 }
@@ -153,19 +234,30 @@
         let mut pool = Pool::new(8, 11);
         pool.play(300 * S, 20.0, |_, _, _, _, _| WELL);
         let began = pool.now;
-        pool.play(
-            began + 60 * S,
-            20.0,
-            |_, id, _, _, c| if bad(id) { failing(0.4, c, Outcome::Reset) } else { WELL },
-        );
+        pool.play(began + 60 * S, 20.0, |_, id, _, _, c| {
+            if bad(id) {
+                failing(0.4, c, Outcome::Reset)
+            } else {
+                WELL
+            }
+        });
         let raised = pool.raised();
-        assert_eq!(raised.iter().filter(|d| d.subject == subject).count(), 1, "{raised:?}");
+        assert_eq!(
+            raised.iter().filter(|d| d.subject == subject).count(),
+            1,
+            "{raised:?}"
+        );
         // One or two may have been said before the others showed.
         assert!(raised.len() <= 2, "{raised:?}");
         assert!(pool.story.evidence().filter(|e| e.shared).count() >= 4);
         let well = pool.now;
         pool.play(well + 120 * S, 20.0, |_, _, _, _, _| WELL);
-        assert_eq!(pool.story.departures().count(), 0, "{:?}", pool.story.departures().collect::<Vec<_>>());
+        assert_eq!(
+            pool.story.departures().count(),
+            0,
+            "{:?}",
+            pool.story.departures().collect::<Vec<_>>()
+        );
     }
 }
 
@@ -182,7 +274,10 @@
         let comes = day != 5;
         pool.play((day + 1) * DAY, 0.1, |now, id, _, _, _| {
             let slow = comes && id == 0 && nightly(now);
-            Answer { slower: if slow { 4.0 } else { 1.0 }, ..WELL }
+            Answer {
+                slower: if slow { 4.0 } else { 1.0 },
+                ..WELL
+            }
         });
         nights.push(pool.raised().len() - before);
     }
@@ -209,7 +304,11 @@
     pool.play(300 * S, 20.0, |_, _, _, _, _| WELL);
     let began = pool.now;
     pool.play(began + 1_800 * S, 20.0, |now, id, _, _, c| {
-        if id == 2 && (now / (8 * S)).is_multiple_of(2) { failing(0.5, c, Outcome::Error) } else { WELL }
+        if id == 2 && (now / (8 * S)).is_multiple_of(2) {
+            failing(0.5, c, Outcome::Error)
+        } else {
+            WELL
+        }
     });
     let raised = pool.raised().len();
     assert!((1..=8).contains(&raised), "{raised} departures");
@@ -224,7 +323,9 @@
     let mut found = None;
     for second in 1..30 {
         let now = began + second * S;
-        let ages = (0..10).map(|n| (0, second * S - n * 50_000)).take(if second == 1 { 10 } else { 20 });
+        let ages = (0..10)
+            .map(|n| (0, second * S - n * 50_000))
+            .take(if second == 1 { 10 } else { 20 });
         pool.story.waiting(now, ServerId(1), ages);
         found = found.or(pool
             .story
@@ -238,13 +339,16 @@
     let mut stalled = Pool::new(3, 9);
     stalled.play(300 * S, 20.0, |_, _, _, _, _| WELL);
     let now = stalled.now + 30 * S;
-    stalled.story.waiting(now, ServerId(1), (0..20).map(|_| (0, 30 * S)));
+    stalled
+        .story
+        .waiting(now, ServerId(1), (0..20).map(|_| (0, 30 * S)));
     assert_eq!(stalled.story.step(now), []);
     // One that merely has little to do is not silent.
     let mut idle = Pool::new(3, 9);
     idle.play(300 * S, 20.0, |_, _, _, _, _| WELL);
     for second in 1..600 {
-        idle.story.waiting(idle.now + second * S, ServerId(1), std::iter::empty());
+        idle.story
+            .waiting(idle.now + second * S, ServerId(1), std::iter::empty());
         assert_eq!(idle.story.step(idle.now + second * S), []);
     }
 }
@@ -258,25 +362,42 @@
     let began = pool.now;
     for second in 1..8 {
         let now = began + second * S;
-        pool.story.waiting(now, ServerId(1), (0..ATTEMPTS).map(|_| (0, second * S)));
+        pool.story
+            .waiting(now, ServerId(1), (0..ATTEMPTS).map(|_| (0, second * S)));
         pool.said.extend(pool.story.step(now));
     }
-    let ended = |outcome, elapsed| Observed { server: ServerId(1), class: 0, outcome, elapsed, size: 1.0 };
+    let ended = |outcome, elapsed| Observed {
+        server: ServerId(1),
+        class: 0,
+        outcome,
+        elapsed,
+        size: 1.0,
+    };
     let end = began + 8 * S;
     pool.story.attempt(end, 0, &ended(Outcome::Ok, S / 20));
     for at in 1..ATTEMPTS {
-        pool.story.attempt(end + at, 0, &ended(Outcome::Timeout, 8 * S));
+        pool.story
+            .attempt(end + at, 0, &ended(Outcome::Timeout, 8 * S));
     }
     // What begins behind it counts as ever.
     (1..4).for_each(|second| pool.said.extend(pool.story.step(end + second * S)));
-    let raised: Vec<Fault> = pool.raised().iter().map(|departure| departure.fault).collect();
+    let raised: Vec<Fault> = pool
+        .raised()
+        .iter()
+        .map(|departure| departure.fault)
+        .collect();
     assert_eq!(raised, [Fault::Silent]);
     for at in 0..ATTEMPTS {
-        pool.story.attempt(end + (10 + at) * S, 0, &ended(Outcome::Timeout, 2 * S));
+        pool.story
+            .attempt(end + (10 + at) * S, 0, &ended(Outcome::Timeout, 2 * S));
         pool.said.extend(pool.story.step(end + (10 + at) * S));
     }
     (18..22).for_each(|second| pool.said.extend(pool.story.step(end + second * S)));
-    let raised: Vec<Fault> = pool.raised().iter().map(|departure| departure.fault).collect();
+    let raised: Vec<Fault> = pool
+        .raised()
+        .iter()
+        .map(|departure| departure.fault)
+        .collect();
     assert_eq!(raised, [Fault::Silent, Fault::LosesAnswers]);
 }
 
@@ -290,24 +411,39 @@
     }
     let raised = pool.raised();
     assert_eq!(raised.len(), 1, "{raised:?}");
-    assert_eq!((raised[0].subject, raised[0].fault), (Subject::Server(ServerId(0)), Fault::Disagrees));
+    assert_eq!(
+        (raised[0].subject, raised[0].fault),
+        (Subject::Server(ServerId(0)), Fault::Disagrees)
+    );
 }
 
 #[test]
 fn evidence_names_the_server_that_is_half_well_and_how_much_it_loses() {
     let mut pool = Pool::new(8, 21);
     pool.play(300 * S, 20.0, |_, _, _, _, _| WELL);
-    assert_eq!(pool.story.evidence().filter(|e| e.confidence > 0.5).count(), 0);
-    let began = pool.now;
-    pool.play(
-        began + 30 * S,
-        20.0,
-        |_, id, _, _, c| if id == 5 { failing(0.3, c, Outcome::Reset) } else { WELL },
+    assert_eq!(
+        pool.story.evidence().filter(|e| e.confidence > 0.5).count(),
+        0
     );
-    let evidence: Vec<_> = pool.story.evidence().filter(|e| e.confidence > 0.5).collect();
+    let began = pool.now;
+    pool.play(began + 30 * S, 20.0, |_, id, _, _, c| {
+        if id == 5 {
+            failing(0.3, c, Outcome::Reset)
+        } else {
+            WELL
+        }
+    });
+    let evidence: Vec<_> = pool
+        .story
+        .evidence()
+        .filter(|e| e.confidence > 0.5)
+        .collect();
     assert_eq!(evidence.len(), 1, "{evidence:?}");
     assert_eq!(evidence[0].server, ServerId(5));
-    assert!((0.2..0.4).contains(&evidence[0].loses) && evidence[0].refuses == 0.0, "{evidence:?}");
+    assert!(
+        (0.2..0.4).contains(&evidence[0].loses) && evidence[0].refuses == 0.0,
+        "{evidence:?}"
+    );
     assert!(!evidence[0].shared && pool.now - evidence[0].at < S);
 }
 
@@ -324,7 +460,13 @@
         let usual = if heavy { 500_000.0 } else { 50_000.0 };
         let elapsed = (usual * (1.0 - 0.5 * random.rand_float().max(1e-9).ln())) as u64;
         let class = u32::from(heavy);
-        let seen = Observed { server: ServerId(tick % 4), class, outcome: Outcome::Ok, elapsed, size: 1.0 };
+        let seen = Observed {
+            server: ServerId(tick % 4),
+            class,
+            outcome: Outcome::Ok,
+            elapsed,
+            size: 1.0,
+        };
         story.attempt(now, 0, &seen);
         if now % S == 0 {
             said.extend(story.step(now));
@@ -340,9 +482,22 @@
         let mut pool = Pool::new(6, 31);
         pool.play(300 * S, 20.0, |_, _, _, _, _| WELL);
         let began = pool.now;
-        pool.story.listed(began, ServerId(id), Arrival { restarted, ..Arrival::default() });
+        pool.story.listed(
+            began,
+            ServerId(id),
+            Arrival {
+                restarted,
+                ..Arrival::default()
+            },
+        );
         pool.servers = pool.servers.max(id + 1);
-        let bad = |_, at, _, _, c| if at == id { failing(0.3, c, Outcome::Error) } else { WELL };
+        let bad = |_, at, _, _, c| {
+            if at == id {
+                failing(0.3, c, Outcome::Error)
+            } else {
+                WELL
+            }
+        };
         pool.play(began + 20 * S, 20.0, bad);
         let raised = pool.raised();
         assert_eq!(raised.len(), 1, "{id}: {raised:?}");
@@ -350,7 +505,10 @@
             (raised[0].subject, raised[0].fault),
             (Subject::Server(ServerId(id)), Fault::LosesAnswers)
         );
-        assert!(raised[0].began >= began && raised[0].at - began <= 6 * S, "{raised:?}");
+        assert!(
+            raised[0].began >= began && raised[0].at - began <= 6 * S,
+            "{raised:?}"
+        );
     }
 }
 
@@ -359,11 +517,18 @@
     let mut pool = Pool::new(6, 33);
     pool.play(300 * S, 20.0, |_, _, _, _, _| WELL);
     let began = pool.now;
-    let arrival = Arrival { restarted: true, cold_until: began + 30 * S, ..Arrival::default() };
+    let arrival = Arrival {
+        restarted: true,
+        cold_until: began + 30 * S,
+        ..Arrival::default()
+    };
     pool.story.listed(began, ServerId(1), arrival);
     pool.play(began + 100 * S, 20.0, |now, id, _, _, _| {
         let cold = id == 1 && now < began + 30 * S;
-        Answer { slower: if cold { 5.0 } else { 1.0 }, ..WELL }
+        Answer {
+            slower: if cold { 5.0 } else { 1.0 },
+            ..WELL
+        }
     });
     assert_eq!(pool.raised().len(), 0, "{:?}", pool.said);
 }
@@ -378,7 +543,11 @@
         let began = pool.now;
         pool.play(began + 60 * S, 20.0, |now, id, _, _, c| {
             let share = if now < began + S / 2 { 1.0 } else { 0.3 };
-            if id == 3 { failing(share, c, Outcome::Reset) } else { WELL }
+            if id == 3 {
+                failing(share, c, Outcome::Reset)
+            } else {
+                WELL
+            }
         });
         assert!(!pool.raised().is_empty());
         pool.said.iter().any(|said| said.phase == Phase::Cleared)
--- a/crates/timeline/tests/lines.rs
+++ b/crates/timeline/tests/lines.rs
@@ -82,8 +82,18 @@
     let mut story = Story::new(Settings::default());
     story.listed(0, ServerId(1), Arrival::default());
     for n in 0..6_000u64 {
-        let outcome = if n % 10 == 0 { Outcome::Reset } else { Outcome::Ok };
-        let seen = Observed { server: ServerId(1), class: 0, outcome, elapsed: 1_000 + n, size: 1.0 };
+        let outcome = if n % 10 == 0 {
+            Outcome::Reset
+        } else {
+            Outcome::Ok
+        };
+        let seen = Observed {
+            server: ServerId(1),
+            class: 0,
+            outcome,
+            elapsed: 1_000 + n,
+            size: 1.0,
+        };
         story.attempt(n * 20_000, 0, &seen);
     }
     // 120 s in all: each width reaches back that far. What goes on now is not yet in the wider ones.
@@ -101,7 +111,11 @@
         );
     }
     let minute = line.steps(60 * S).next().expect("the first minute");
-    let median = minute.latency.as_ref().and_then(|latency| latency.quantile(0.5)).expect("it has latencies");
+    let median = minute
+        .latency
+        .as_ref()
+        .and_then(|latency| latency.quantile(0.5))
+        .expect("it has latencies");
     assert!((2_000..3_200).contains(&median), "{median}");
 }
 
@@ -116,11 +130,22 @@
     let mut story = Story::new(Settings::default());
     story.listed(0, ServerId(1), Arrival::default());
     for second in 1..=1_000 {
-        let what = if second % 2 == 0 { Happening::Ready } else { Happening::Draining };
+        let what = if second % 2 == 0 {
+            Happening::Ready
+        } else {
+            Happening::Draining
+        };
         story.note(second * S, ServerId(1), what);
     }
-    let notes: Vec<_> = story.line(ServerId(1)).expect("it is there").notes().collect();
-    assert_eq!((notes.len(), notes[63].at, notes[0].at), (64, 1_000 * S, 937 * S));
+    let notes: Vec<_> = story
+        .line(ServerId(1))
+        .expect("it is there")
+        .notes()
+        .collect();
+    assert_eq!(
+        (notes.len(), notes[63].at, notes[0].at),
+        (64, 1_000 * S, 937 * S)
+    );
 }
 
 /// A story has each attempt once, however old it is, and its recording is read back as it was written.
@@ -130,23 +155,58 @@
     story.listed(0, ServerId(1), Arrival::default());
     // An attempt a second for three hours, so that every width is in use.
     for n in 0..10_800u64 {
-        let outcome = if n % 4 == 0 { Outcome::Reset } else { Outcome::Ok };
-        let seen = Observed { server: ServerId(1), class: 0, outcome, elapsed: 20_000, size: 1.0 };
+        let outcome = if n % 4 == 0 {
+            Outcome::Reset
+        } else {
+            Outcome::Ok
+        };
+        let seen = Observed {
+            server: ServerId(1),
+            class: 0,
+            outcome,
+            elapsed: 20_000,
+            size: 1.0,
+        };
         story.attempt(n * S, 0, &seen);
     }
     let line = story.line(ServerId(1)).expect("it is there");
     let told = line.story();
     let ends = |(width, step): &(u64, madderloom_timeline::Step)| (step.from, step.from + width);
-    assert!(told.windows(2).all(|pair| ends(&pair[0]).1 <= ends(&pair[1]).0), "one lies over another");
-    assert_eq!(told.iter().map(|(_, step)| step.attempts()).sum::<u32>(), 10_800);
+    assert!(
+        told.windows(2)
+            .all(|pair| ends(&pair[0]).1 <= ends(&pair[1]).0),
+        "one lies over another"
+    );
+    assert_eq!(
+        told.iter().map(|(_, step)| step.attempts()).sum::<u32>(),
+        10_800
+    );
     let recording = madderloom_timeline::Recording::of("s-one", line);
     assert_eq!(recording.problem(), None);
-    assert_eq!(recording.moments.iter().map(|m| m.attempts).sum::<u64>(), 10_800);
-    assert!(recording.moments.iter().all(|m| (0.2..=0.3).contains(&m.lost) || m.lasts_ms == 1_000));
+    assert_eq!(
+        recording.moments.iter().map(|m| m.attempts).sum::<u64>(),
+        10_800
+    );
+    assert!(
+        recording
+            .moments
+            .iter()
+            .all(|m| (0.2..=0.3).contains(&m.lost) || m.lasts_ms == 1_000)
+    );
     let mut spoilt = recording.clone();
     spoilt.moments[1].from_ms = 0;
-    assert!(spoilt.problem().is_some_and(|p| p.contains("moments[1].from_ms")), "{:?}", spoilt.problem());
+    assert!(
+        spoilt
+            .problem()
+            .is_some_and(|p| p.contains("moments[1].from_ms")),
+        "{:?}",
+        spoilt.problem()
+    );
     spoilt = recording.clone();
     spoilt.moments[0].lost = f64::NAN;
-    assert!(spoilt.problem().is_some_and(|p| p.contains("moments[0].lost")));
+    assert!(
+        spoilt
+            .problem()
+            .is_some_and(|p| p.contains("moments[0].lost"))
+    );
 }
--- a/crates/timers/examples/hundred_thousand.rs
+++ b/crates/timers/examples/hundred_thousand.rs
@@ -12,7 +12,11 @@
 
 fn resident() -> u64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
-    text.split(' ').nth(1).and_then(|pages| pages.parse::<u64>().ok()).unwrap_or(0) * 4_096
+    text.split(' ')
+        .nth(1)
+        .and_then(|pages| pages.parse::<u64>().ok())
+        .unwrap_or(0)
+        * 4_096
 }
 
 fn main() {
--- a/crates/timers/src/lib.rs
+++ b/crates/timers/src/lib.rs
@@ -92,7 +92,13 @@
     pub fn set(&mut self, at: u64, value: T) -> TimerKey {
         // The first tick that is not before its time.
         let tick = (at >> TICK_BITS) + u64::from(at & ((1 << TICK_BITS) - 1) != 0);
-        let key = self.entries.insert(Entry { value, tick, place: 0, before: None, behind: None });
+        let key = self.entries.insert(Entry {
+            value,
+            tick,
+            place: 0,
+            before: None,
+            behind: None,
+        });
         self.put(key, tick);
         key
     }
--- a/crates/timers/tests/like_a_heap.rs
+++ b/crates/timers/tests/like_a_heap.rs
@@ -17,7 +17,12 @@
 }
 
 fn op() -> impl Strategy<Value = Op> {
-    let ahead = prop_oneof![-5_000..5_000i64, 0..3_000_000i64, 0..100_000_000_000i64, Just(1i64 << 60)];
+    let ahead = prop_oneof![
+        -5_000..5_000i64,
+        0..3_000_000i64,
+        0..100_000_000_000i64,
+        Just(1i64 << 60)
+    ];
     let passing = prop_oneof![0..3_000u64, 0..2_000_000u64, 0..200_000_000_000u64];
     let budget = prop_oneof![1..4u32, Just(1_000_000u32)];
     prop_oneof![
--- a/crates/watchdog/examples/turn_cost.rs
+++ b/crates/watchdog/examples/turn_cost.rs
@@ -12,7 +12,9 @@
 
 /// Nanoseconds a turn.
 fn measured(watched: bool) -> f64 {
-    let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .build()
+        .expect("a runtime");
     let _watchdog = watched.then(watchdog::start);
     LocalSet::new().block_on(&runtime, async {
         let task = watchdog::spawn(TaskKind::Upkeep, async {
@@ -34,5 +36,8 @@
         }
     }
     let [without, with] = least;
-    println!("{without:.1} ns a turn without, {with:.1} ns with: {:.1} ns more", with - without);
+    println!(
+        "{without:.1} ns a turn without, {with:.1} ns with: {:.1} ns more",
+        with - without
+    );
 }
--- a/crates/watchdog/src/lib.rs
+++ b/crates/watchdog/src/lib.rs
@@ -61,9 +61,13 @@
     MONITOR.set(Some(Arc::clone(&monitor)));
     let watcher = watcher::Watcher::start(monitor);
     if let Err(problem) = &watcher {
-        tracing::warn!("watchdog: its thread cannot be started, turns that never end go unseen: {problem}");
+        tracing::warn!(
+            "watchdog: its thread cannot be started, turns that never end go unseen: {problem}"
+        );
+    }
+    Watchdog {
+        _watcher: watcher.ok(),
     }
-    Watchdog { _watcher: watcher.ok() }
 }
 
 impl Drop for Watchdog {
@@ -104,5 +108,10 @@
 
 /// What this thread's watchdog has counted; zeros where there is none.
 pub fn counts() -> Counts {
-    MONITOR.with_borrow(|monitor| monitor.as_ref().map(|monitor| monitor.counts()).unwrap_or_default())
+    MONITOR.with_borrow(|monitor| {
+        monitor
+            .as_ref()
+            .map(|monitor| monitor.counts())
+            .unwrap_or_default()
+    })
 }
--- a/crates/watchdog/src/monitor.rs
+++ b/crates/watchdog/src/monitor.rs
@@ -67,7 +67,12 @@
         }
         let mark = Mark::new(task, began_ms);
         self.running.store(mark.word(), Relaxed);
-        Turn { monitor: self, task, mark, began }
+        Turn {
+            monitor: self,
+            task,
+            mark,
+            began,
+        }
     }
 
     #[cold]
@@ -85,8 +90,14 @@
     pub(crate) fn long_turn(&self) -> Option<(Mark, Task, Spent)> {
         let mark = Mark::from_word(self.running.load(Relaxed));
         let (task, began_ms) = mark.turn()?;
-        let elapsed = self.start.elapsed().saturating_sub(Duration::from_millis(began_ms));
-        let spent = Spent { elapsed, processor: self.processor() };
+        let elapsed = self
+            .start
+            .elapsed()
+            .saturating_sub(Duration::from_millis(began_ms));
+        let spent = Spent {
+            elapsed,
+            processor: self.processor(),
+        };
         // It may have ended meanwhile, and the processor time be that of another.
         let goes_on = self.running.load(Relaxed) == mark.word();
         (elapsed >= LONG_TURN && goes_on).then_some((mark, task, spent))
@@ -105,12 +116,18 @@
     }
 
     pub(crate) fn counts(&self) -> Counts {
-        Counts { busy: self.busy.load(Relaxed), stalled: self.stalled.load(Relaxed) }
+        Counts {
+            busy: self.busy.load(Relaxed),
+            stalled: self.stalled.load(Relaxed),
+        }
     }
 
     #[cold]
     fn long_turn_ended(&self, turn: &Turn<'_>, elapsed: Duration) {
-        let spent = Spent { elapsed, processor: self.processor() };
+        let spent = Spent {
+            elapsed,
+            processor: self.processor(),
+        };
         self.count(turn.mark, spent);
         report::ended(turn.task, spent);
     }
--- a/crates/watchdog/src/report.rs
+++ b/crates/watchdog/src/report.rs
@@ -35,7 +35,11 @@
 impl Cause {
     /// By the processor time that the process used in a long turn.
     pub fn of(processor: Duration) -> Self {
-        if processor >= BUSY { Cause::Busy } else { Cause::Stalled }
+        if processor >= BUSY {
+            Cause::Busy
+        } else {
+            Cause::Stalled
+        }
     }
 
     fn explained(self) -> &'static str {
@@ -50,7 +54,11 @@
 #[cold]
 pub(crate) fn ended(task: Task, spent: Spent) {
     let (seconds, used) = spent.seconds();
-    warn(task, spent, format_args!("a turn of {task} took {seconds:.3} s (processor time {used:.3} s)"));
+    warn(
+        task,
+        spent,
+        format_args!("a turn of {task} took {seconds:.3} s (processor time {used:.3} s)"),
+    );
 }
 
 /// Warns of a turn that goes on.
--- a/crates/watchdog/src/task.rs
+++ b/crates/watchdog/src/task.rs
@@ -91,20 +91,27 @@
 impl TaskKind {
     /// The task of this kind that serves this peer.
     pub fn of_peer(self, peer: SocketAddr) -> Task {
-        Task { kind: self, peer_port: Some(peer.port()) }
+        Task {
+            kind: self,
+            peer_port: Some(peer.port()),
+        }
     }
 }
 
 impl From<TaskKind> for Task {
     fn from(kind: TaskKind) -> Self {
-        Task { kind, peer_port: None }
+        Task {
+            kind,
+            peer_port: None,
+        }
     }
 }
 
 impl fmt::Display for Task {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
         to.write_str(self.kind.name())?;
-        self.peer_port.map_or(Ok(()), |port| write!(to, " (peer port {port})"))
+        self.peer_port
+            .map_or(Ok(()), |port| write!(to, " (peer port {port})"))
     }
 }
 
@@ -134,7 +141,13 @@
         let place = usize::try_from(self.0 & 0xff).ok()?.checked_sub(1)?;
         let kind = *TaskKind::ALL.get(place)?;
         let port = (self.0 >> 8 & 0xffff) as u16;
-        Some((Task { kind, peer_port: (port > 0).then_some(port) }, self.0 >> 24))
+        Some((
+            Task {
+                kind,
+                peer_port: (port > 0).then_some(port),
+            },
+            self.0 >> 24,
+        ))
     }
 }
 
@@ -147,7 +160,10 @@
         for kind in TaskKind::ALL {
             for peer_port in [None, Some(1), Some(u16::MAX)] {
                 for began in [0, 1, 1 << 39] {
-                    let task = Task { kind: *kind, peer_port };
+                    let task = Task {
+                        kind: *kind,
+                        peer_port,
+                    };
                     assert_eq!(Mark::new(task, began).turn(), Some((task, began)));
                     assert_ne!(Mark::new(task, began), Mark::IDLE);
                 }
--- a/crates/watchdog/src/watcher.rs
+++ b/crates/watchdog/src/watcher.rs
@@ -25,12 +25,17 @@
     pub(crate) fn start(monitor: Arc<Monitor>) -> io::Result<Self> {
         let (alive, ended) = channel::<()>();
         let look_on = move || {
-            let mut reported = Reported { mark: Mark::IDLE, again_at: Duration::ZERO };
+            let mut reported = Reported {
+                mark: Mark::IDLE,
+                again_at: Duration::ZERO,
+            };
             while let Err(RecvTimeoutError::Timeout) = ended.recv_timeout(LOOK_EVERY) {
                 reported.look(&monitor);
             }
         };
-        std::thread::Builder::new().name("watchdog".to_string()).spawn(look_on)?;
+        std::thread::Builder::new()
+            .name("watchdog".to_string())
+            .spawn(look_on)?;
         Ok(Watcher { _alive: alive })
     }
 }
@@ -38,11 +43,16 @@
 impl Reported {
     /// Reports a turn that goes on: when it is first seen, and each time that it has lasted twice as long.
     fn look(&mut self, monitor: &Monitor) {
-        let Some((mark, task, spent)) = monitor.long_turn() else { return };
+        let Some((mark, task, spent)) = monitor.long_turn() else {
+            return;
+        };
         if self.mark == mark && spent.elapsed < self.again_at {
             return;
         }
-        *self = Reported { mark, again_at: 2 * spent.elapsed };
+        *self = Reported {
+            mark,
+            again_at: 2 * spent.elapsed,
+        };
         monitor.count(mark, spent);
         report::running(task, spent);
     }
--- a/crates/watchdog/tests/long_turns_are_reported.rs
+++ b/crates/watchdog/tests/long_turns_are_reported.rs
@@ -24,7 +24,9 @@
 
 impl Write for Log {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
-        LOG.lock().unwrap_or_else(PoisonError::into_inner).extend_from_slice(bytes);
+        LOG.lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .extend_from_slice(bytes);
         Ok(bytes.len())
     }
 
@@ -36,21 +38,38 @@
 /// The lines that hold this text.
 fn logged(text: &str) -> Vec<String> {
     let log = LOG.lock().unwrap_or_else(PoisonError::into_inner);
-    String::from_utf8_lossy(&log).lines().filter(|line| line.contains(text)).map(str::to_string).collect()
+    String::from_utf8_lossy(&log)
+        .lines()
+        .filter(|line| line.contains(text))
+        .map(str::to_string)
+        .collect()
 }
 
 /// The number behind this in a line.
 fn field(line: &str, name: &str) -> u64 {
     let number = line.split_once(name).map_or("", |(_, rest)| rest);
-    number.split(' ').next().unwrap_or_default().parse().unwrap_or_else(|_| panic!("no {name} in {line}"))
+    number
+        .split(' ')
+        .next()
+        .unwrap_or_default()
+        .parse()
+        .unwrap_or_else(|_| panic!("no {name} in {line}"))
 }
 
 /// Runs a test's tasks on a loop of their own that is watched.
 fn watched<T>(test: impl Future<Output = T>) -> T {
     static LOGGED: Once = Once::new();
-    LOGGED.call_once(|| tracing_subscriber::fmt().with_writer(|| Log).with_ansi(false).init());
+    LOGGED.call_once(|| {
+        tracing_subscriber::fmt()
+            .with_writer(|| Log)
+            .with_ansi(false)
+            .init()
+    });
     let _alone: MutexGuard<()> = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_time()
+        .build()
+        .expect("a runtime");
     let _watchdog = watchdog::start();
     LocalSet::new().block_on(&runtime, test)
 }
@@ -101,11 +120,19 @@
     let ended = logged("a turn of client connection (peer port 4711) took");
     assert_eq!((held.len(), ended.len()), (1, 1), "{held:?} {ended:?}");
     for line in held.iter().chain(&ended) {
-        let fields =
-            ["WARN", "task=client connection (peer port 4711)", "cause=", "elapsed_ms=", "processor_ms="];
+        let fields = [
+            "WARN",
+            "task=client connection (peer port 4711)",
+            "cause=",
+            "elapsed_ms=",
+            "processor_ms=",
+        ];
         assert!(fields.iter().all(|field| line.contains(field)), "{line}");
     }
-    assert!(ended[0].contains("cause=Busy") && ended[0].contains("it used the processor"), "{ended:?}");
+    assert!(
+        ended[0].contains("cause=Busy") && ended[0].contains("it used the processor"),
+        "{ended:?}"
+    );
 }
 
 /// Reported again when it has lasted twice as long: not at each look.
@@ -113,26 +140,40 @@
 fn a_turn_that_goes_on_is_reported_again_ever_more_seldom() {
     let counts = watched(async {
         let task = watchdog::spawn(TaskKind::DiscoveryWatch, async {
-            spin_until("three reports", || logged("held by discovery watch for").len() == 3);
+            spin_until("three reports", || {
+                logged("held by discovery watch for").len() == 3
+            });
         });
         ends(task).await;
         watchdog::counts()
     });
     assert_eq!(counts.busy + counts.stalled, 1, "{counts:?}");
     let lines = logged("held by discovery watch for");
-    let elapsed: Vec<u64> = lines.iter().map(|line| field(line, "elapsed_ms=")).collect();
-    assert!(elapsed.windows(2).all(|pair| pair[1] >= 2 * pair[0]), "{elapsed:?}");
+    let elapsed: Vec<u64> = lines
+        .iter()
+        .map(|line| field(line, "elapsed_ms="))
+        .collect();
+    assert!(
+        elapsed.windows(2).all(|pair| pair[1] >= 2 * pair[0]),
+        "{elapsed:?}"
+    );
 }
 
 #[test]
 fn a_long_turn_that_ends_between_two_looks_is_reported_with_its_task() {
     let counts = watched(async {
-        ends(watchdog::spawn(TaskKind::Reload, async { spin_for(2 * LONG_TURN) })).await;
+        ends(watchdog::spawn(TaskKind::Reload, async {
+            spin_for(2 * LONG_TURN)
+        }))
+        .await;
         watchdog::counts()
     });
     assert_eq!(counts.busy + counts.stalled, 1, "{counts:?}");
     let told = logged("event loop: a turn of reload took");
-    assert!(told.len() == 1 && told[0].contains("cause=Busy"), "{told:?}");
+    assert!(
+        told.len() == 1 && told[0].contains("cause=Busy"),
+        "{told:?}"
+    );
 }
 
 /// As in a process that was stopped or got no processor: it is not taken for one that spins.
@@ -153,9 +194,14 @@
     // A busy machine may have held up one of the short ones as well.
     assert!(counts.busy == 0 && counts.stalled >= 1, "{counts:?}");
     let told = logged("a turn of persisted state took");
-    let told: Vec<_> = told.iter().filter(|line| field(line, "elapsed_ms=") >= 200).collect();
+    let told: Vec<_> = told
+        .iter()
+        .filter(|line| field(line, "elapsed_ms=") >= 200)
+        .collect();
     assert!(
-        !told.is_empty() && told[0].contains("cause=Stalled") && told[0].contains("or a call blocked"),
+        !told.is_empty()
+            && told[0].contains("cause=Stalled")
+            && told[0].contains("or a call blocked"),
         "{told:?}"
     );
 }
@@ -181,7 +227,9 @@
 #[test]
 fn a_task_that_panicked_is_not_reported_as_running() {
     watched(async {
-        let task = watchdog::spawn(TaskKind::LoadProbe, async { panic!("as the test wants it") });
+        let task = watchdog::spawn(TaskKind::LoadProbe, async {
+            panic!("as the test wants it")
+        });
         assert!(task.await.is_err());
         tokio::time::sleep(2 * LOOK_EVERY + LONG_TURN).await;
     });
@@ -190,9 +238,14 @@
 
 #[test]
 fn a_thread_without_a_watchdog_counts_nothing() {
-    let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .build()
+        .expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
-        assert_eq!(watchdog::spawn(TaskKind::Upkeep, async { 7 }).await.ok(), Some(7));
+        assert_eq!(
+            watchdog::spawn(TaskKind::Upkeep, async { 7 }).await.ok(),
+            Some(7)
+        );
     });
     assert_eq!(watchdog::counts(), Counts::default());
 }
--- a/fuzz/fuzz_targets/levels_condition.rs
+++ b/fuzz/fuzz_targets/levels_condition.rs
@@ -14,10 +14,21 @@
     let mut again = Condition::parse(&condition.to_string()).expect("what was read can be read");
     assert_eq!(condition, again);
     let mut signals = Signals::default();
-    let names = [Signal::FailingServers, Signal::Goodput(None), Signal::Unknown, Signal::ListAge];
-    names.into_iter().zip(values).for_each(|(signal, value)| signals.set(signal, value));
+    let names = [
+        Signal::FailingServers,
+        Signal::Goodput(None),
+        Signal::Unknown,
+        Signal::ListAge,
+    ];
+    names
+        .into_iter()
+        .zip(values)
+        .for_each(|(signal, value)| signals.set(signal, value));
     for now in [0, 1_000_000, u64::MAX] {
-        assert_eq!(condition.evaluate(now, &signals), again.evaluate(now, &signals));
+        assert_eq!(
+            condition.evaluate(now, &signals),
+            again.evaluate(now, &signals)
+        );
     }
     assert!(!condition.values(&signals).contains('\n'));
     // Too many points is an answer too.
