--- a/crates/agent/src/link.rs
+++ b/crates/agent/src/link.rs
@@ -3,13 +3,13 @@
 use crate::client::Client;
 use crate::clock::Clock;
 use hyper::{Method, StatusCode};
+use madderloom_endpoint_sharing::{Lists, Tells};
 use madderloom_fleet::change::Traits;
 use madderloom_fleet::gate::Counts;
 use madderloom_fleet::protocol::{Outcome, ToAgent, ToInstance};
 use madderloom_fleet::settings::Overlay;
 use madderloom_fleet::{Action, Event, Instance, Memory, Session};
 use madderloom_quota::{Asks, Lent};
-use madderloom_roster::{Lists, Tells};
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use std::pin::Pin;
 use std::rc::Rc;
--- a/crates/agent/src/view.rs
+++ b/crates/agent/src/view.rs
@@ -1,13 +1,13 @@
 //! What the agent can be asked for.
 
 use crate::traffic::Traffic;
+use madderloom_endpoint_sharing::{Relay, SharedList};
 use madderloom_fleet::gate::Counts;
 use madderloom_fleet::membership::{Presence, SEEN};
 use madderloom_fleet::protocol::Outcome;
 use madderloom_fleet::rollout::{End, Phase, Rollout, Step, Target};
 use madderloom_fleet::{By, Entry, Fleet, Micros};
 use madderloom_quota::{Amount, ONE, UNBOUNDED, View};
-use madderloom_roster::{Relay, SharedList};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -155,7 +155,7 @@
         .filter(|pool| shares && pool.discovery.is_some());
     let told = pools.map(|pool| {
         let ask_within = pool.site.settings.rules.ask_within;
-        let (after, spread) = madderloom_roster::own_calls(ask_within);
+        let (after, spread) = madderloom_endpoint_sharing::own_calls(ask_within);
         let (name, seconds) = (&pool.name, |micros: u64| micros as f64 / 1e6);
         let (after, spread, within) = (seconds(after), seconds(spread), seconds(ask_within));
         format!(
--- a/crates/roster/tests/long_lists_are_shared_where_the_agent_takes_them.rs
+++ b/crates/endpoint-sharing/tests/long_lists_are_shared_where_the_agent_takes_them.rs
@@ -1,7 +1,7 @@
 //! Lists of a thousand servers and more go to the fleet by way of an agent that says that it takes them, and an agent that does
 //! not say hears of them what it always heard: nothing.
 
-use madderloom_roster::{ALWAYS_TAKEN, Lists, MOST_TEXT, Relay, Share, Version};
+use madderloom_endpoint_sharing::{ALWAYS_TAKEN, Lists, MOST_TEXT, Relay, Share, Version};
 
 const LIST: &str = "fleet/shop";
 const START: u64 = 7;
@@ -74,7 +74,7 @@
         let of = word
             .of
             .into_iter()
-            .map(|line| madderloom_roster::Line {
+            .map(|line| madderloom_endpoint_sharing::Line {
                 wanted: true,
                 ..line
             })
--- a/crates/roster/tests/no_list_is_taken_for_younger_than_it_is.rs
+++ b/crates/endpoint-sharing/tests/no_list_is_taken_for_younger_than_it_is.rs
@@ -2,7 +2,7 @@
 //! agent and instances that die, freeze and come back: whoever holds a list holds no less than discovery had told by the
 //! time that it takes for the evidence, and once all is well again all hold the newest.
 
-use madderloom_roster::{
+use madderloom_endpoint_sharing::{
     Heard, Lists, Micros, Relay, Share, Tells, Version, WATCHERS, asks_agent, own_calls,
 };
 use oorandom::Rand64;
@@ -307,7 +307,7 @@
     share.follow([LIST.to_string()]);
     assert!(share.told(1_000_000, LIST, 7, text(7)));
     let _ = share.tell(1_050_000);
-    let line = |index: u64, said: &str| madderloom_roster::Line {
+    let line = |index: u64, said: &str| madderloom_endpoint_sharing::Line {
         list: LIST.into(),
         version: Version::of(index, &text(index)),
         text: Some(said.into()),
--- a/crates/fleet/src/instance.rs
+++ b/crates/fleet/src/instance.rs
@@ -11,8 +11,8 @@
 };
 use crate::settings::Overlay;
 use crate::{InjectedBug, Micros, is_injected};
+use madderloom_endpoint_sharing::Lists;
 use madderloom_quota::Grant;
-use madderloom_roster::Lists;
 use serde::{Deserialize, Serialize};
 
 /// How long an instance waits for an answer to its registration, in microseconds.
--- a/crates/fleet/src/protocol.rs
+++ b/crates/fleet/src/protocol.rs
@@ -9,8 +9,8 @@
 use crate::change::Traits;
 use crate::gate::Counts;
 use crate::settings::{Fingerprint, Overlay, check_name};
+use madderloom_endpoint_sharing::{Lists, MOST_TEXT, Tells};
 use madderloom_quota::{Grant, LeaseRequests};
-use madderloom_roster::{Lists, MOST_TEXT, Tells};
 use serde::{Deserialize, Serialize};
 
 /// The version of the protocol; it is part of the path of every request.
--- a/crates/lab/src/scale/bounds.rs
+++ b/crates/lab/src/scale/bounds.rs
@@ -4,11 +4,11 @@
 use super::capacity::{CONNECTIONS, DAY, Reckoner, Row, exactly, reckoned};
 use crate::hop::Row as HopRow;
 use madderloom_agent::USUAL_CONNECTIONS;
+use madderloom_endpoint_sharing::MOST_LISTS;
 use madderloom_fleet::change::MOST_LAYERS;
 use madderloom_fleet::membership::Leases;
 use madderloom_fleet::settings::MOST_SETTINGS;
 use madderloom_fleet::spread::Pace;
-use madderloom_roster::MOST_LISTS;
 
 /// What carries a call through a sidecar.
 const TRANSACTION: &str = "`sidecar/src/transaction.rs`";
@@ -123,7 +123,7 @@
                 "calls and watches as lists are shared",
                 None,
                 "",
-                "`roster/src/relay.rs` `Relay`",
+                "`endpoint-sharing/src/relay.rs` `Relay`",
             ),
             row(
                 "command line",
@@ -174,7 +174,7 @@
                 MOST_LISTS as f64,
                 "",
                 "code: fixed",
-                "`roster/src/lib.rs` `MOST_LISTS`",
+                "`endpoint-sharing/src/lib.rs` `MOST_LISTS`",
             ),
             bound(
                 "names known to an agent",
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -2,7 +2,7 @@
 //!
 //! Registration, reports, the watch and orders are those of [`madderloom_agent::Link`] and
 //! [`madderloom_fleet::Instance`], the lease of limits is [`madderloom_quota::Holder`], lists are
-//! [`madderloom_roster::Share`]. An overlay is checked and compared as the sidecar does it, and then kept.
+//! [`madderloom_endpoint_sharing::Share`]. An overlay is checked and compared as the sidecar does it, and then kept.
 
 use super::lists::{Discovery, SharedLists};
 use super::places;
@@ -11,13 +11,13 @@
 use super::usage;
 use madderloom_agent::traffic::Counters;
 use madderloom_agent::{Client, Link, Settings, Taking};
+use madderloom_endpoint_sharing::{Lists, Tells};
 use madderloom_fleet::gate::Counts;
 use madderloom_fleet::protocol::{Outcome, ToAgent, ToInstance, Who};
 use madderloom_fleet::settings::{Key, MOST_SETTINGS, Overlay, Value};
 use madderloom_fleet::{Instance, Memory, Problem};
 use madderloom_keys::Keyring;
 use madderloom_quota::{Asks, Holder, Lent, Safe};
-use madderloom_roster::{Lists, Tells};
 use rustix::time::{ClockId, clock_gettime};
 use std::cell::{Cell, RefCell};
 use std::hash::{BuildHasher, RandomState};
--- a/crates/lab/src/scale/lists.rs
+++ b/crates/lab/src/scale/lists.rs
@@ -1,10 +1,10 @@
 //! The lists of servers that a hollow instance shares, and a discovery that answers at once.
 //!
 //! When discovery is called, and what is told of it, follows `shared_lists.rs` of the sidecar; what decides is
-//! [`madderloom_roster::Share`]. The discovery is a number in this process: its calls cost nothing here.
+//! [`madderloom_endpoint_sharing::Share`]. The discovery is a number in this process: its calls cost nothing here.
 
 use super::hollow::boottime;
-use madderloom_roster::{Lists, Share, Tells, asks_agent, own_calls};
+use madderloom_endpoint_sharing::{Lists, Share, Tells, asks_agent, own_calls};
 use std::cell::{Cell, RefCell};
 use std::hash::{BuildHasher, RandomState};
 use std::rc::Rc;
--- a/crates/sidecar/src/promises.rs
+++ b/crates/sidecar/src/promises.rs
@@ -170,17 +170,17 @@
         bytes(
             "roster/src/lib.rs",
             "MOST_TEXT",
-            madderloom_roster::MOST_TEXT,
+            madderloom_endpoint_sharing::MOST_TEXT,
         ),
         bytes(
             "roster/src/lib.rs",
             "ALWAYS_TAKEN",
-            madderloom_roster::ALWAYS_TAKEN,
+            madderloom_endpoint_sharing::ALWAYS_TAKEN,
         ),
         count(
             "roster/src/lib.rs",
             "MOST_LISTS",
-            madderloom_roster::MOST_LISTS,
+            madderloom_endpoint_sharing::MOST_LISTS,
         ),
         bytes(
             "fleet/src/protocol.rs",
--- a/crates/sidecar/src/shared_lists.rs
+++ b/crates/sidecar/src/shared_lists.rs
@@ -1,10 +1,12 @@
 //! Lists of servers that this instance shares with its fleet: what goes to the agent, what comes of it, and when discovery
-//! is called all the same. It knows nothing of services or of the link; what decides is [`madderloom_roster::Share`].
+//! is called all the same. It knows nothing of services or of the link; what decides is [`madderloom_endpoint_sharing::Share`].
 //!
 //! Ages are taken by a clock that also runs while the machine is suspended.
 
 use super::clock::boottime;
-use madderloom_roster::{Heard, Lists, Micros, Offer, Share, Tells, asks_agent, own_calls};
+use madderloom_endpoint_sharing::{
+    Heard, Lists, Micros, Offer, Share, Tells, asks_agent, own_calls,
+};
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
 use std::hash::{BuildHasher, RandomState};
