--- a/crates/lab/examples/warm_restart.rs
+++ b/crates/lab/examples/warm_restart.rs
@@ -12,7 +12,7 @@
 use madderloom_lab::experiment::{Arm, Experiment, Fault, FaultKind};
 use madderloom_lab::policy::{Policy, Start};
 use madderloom_lab::{shipped, virtual_time};
-use madderloom_ledger::{Aging, ClassMemory, ServerMemory as Kept, Warm, blend};
+use madderloom_sidecar_state::{Aging, ClassMemory, ServerMemory as Kept, Warm, blend};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::ops::ControlFlow;
--- a/crates/operator/src/pools.rs
+++ b/crates/operator/src/pools.rs
@@ -7,8 +7,8 @@
 use madderloom_balancer::settings::{Site, written_name};
 use madderloom_config::Document;
 use madderloom_graphql::{ClassInfo, Policy};
-use madderloom_ledger::Mode;
 use madderloom_levels::section::{Checked, ClassFacts, Section as LevelsSection};
+use madderloom_sidecar_state::Mode;
 use serde::{Deserialize, Deserializer};
 use std::net::SocketAddr;
 
--- a/crates/operator/src/state.rs
+++ b/crates/operator/src/state.rs
@@ -1,7 +1,7 @@
 //! `[state]`: what outlasts the process, and where. Without the section nothing does.
 
 use madderloom_config::{Document, Span};
-use madderloom_ledger::{Aging, Mode, Rules};
+use madderloom_sidecar_state::{Aging, Mode, Rules};
 use serde::Deserialize;
 use std::path::PathBuf;
 
--- a/crates/operator/tests/file.rs
+++ b/crates/operator/tests/file.rs
@@ -1,8 +1,8 @@
 //! The operator file: what it says, and what is said of one that makes no sense.
 
 use madderloom_config::Problem;
-use madderloom_ledger::Mode;
 use madderloom_operator::{Admin, Bounds, Kept, Operator, parts};
+use madderloom_sidecar_state::Mode;
 use proptest::prelude::*;
 use rstest::rstest;
 use std::path::Path;
--- a/crates/ledger/tests/submissions.rs
+++ b/crates/sidecar-state/tests/submissions.rs
@@ -1,6 +1,6 @@
 //! No submission runs twice across restarts: what may have run is never forgotten, and never marked answered twice.
 
-use madderloom_ledger::{Begin, Id, Ledger, Mode, Next, Rules, Was};
+use madderloom_sidecar_state::{Begin, Id, Ledger, Mode, Next, Rules, Was};
 use madderloom_store::sim::{Loss, SimDisk};
 use madderloom_store::{Durability, Error, Options, Store};
 use rstest::rstest;
--- a/crates/ledger/tests/warm.rs
+++ b/crates/sidecar-state/tests/warm.rs
@@ -1,6 +1,6 @@
 //! What is remembered counts by its age, and an old memory counts no more than knowing nothing.
 
-use madderloom_ledger::{
+use madderloom_sidecar_state::{
     Aging, ClassMemory, Drain, Recalled, ServerMemory, Warm, WarmWriter, blend, recollect,
 };
 use madderloom_store::sim::{Loss, SimDisk};
--- a/crates/sidecar/src/ledger.rs
+++ b/crates/sidecar/src/ledger.rs
@@ -8,8 +8,8 @@
 use super::transaction::Answer;
 use hyper::HeaderMap;
 use hyper::header::HeaderName;
-use madderloom_ledger::{Begin, Id, Ledger, LongId, Mode, Next, Recollection, recollect};
 use madderloom_operator::State;
+use madderloom_sidecar_state::{Begin, Id, Ledger, LongId, Mode, Next, Recollection, recollect};
 use madderloom_store::{
     Batch, Disk, Durability, Error, GroupCommit, Options, RealDisk, Status, Store,
 };
@@ -473,7 +473,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use madderloom_ledger::{Aging, Rules};
+    use madderloom_sidecar_state::{Aging, Rules};
     use madderloom_store::sim::SimDisk;
     use rstest::rstest;
 
--- a/crates/sidecar/src/promises.rs
+++ b/crates/sidecar/src/promises.rs
@@ -152,7 +152,7 @@
         (
             "ledger/src/warm.rs",
             "MAX_SERVERS",
-            madderloom_ledger::MAX_SERVERS,
+            madderloom_sidecar_state::MAX_SERVERS,
         ),
     ];
     assert!(lists.iter().all(|(.., of)| *of >= 1_024));
--- a/crates/sidecar/src/service.rs
+++ b/crates/sidecar/src/service.rs
@@ -328,7 +328,7 @@
     }
 
     /// The servers as an earlier process knew them.
-    pub(super) fn remembered_servers(&self) -> Vec<madderloom_ledger::ServerMemory> {
+    pub(super) fn remembered_servers(&self) -> Vec<madderloom_sidecar_state::ServerMemory> {
         let keeper = self.common.keeper.get();
         keeper
             .map(|keeper| self.remembered.borrow().listed(keeper))
--- a/crates/sidecar/src/warm.rs
+++ b/crates/sidecar/src/warm.rs
@@ -5,7 +5,7 @@
 use super::ledger::Keeper;
 use super::service::Service;
 use madderloom_balancer::{Memory, Micros, ServerId, ServerMemory};
-use madderloom_ledger::{
+use madderloom_sidecar_state::{
     ClassMemory, Recalled, Recollection, ServerMemory as KeptServer, Warm, WarmWriter, blend,
 };
 use madderloom_store::{Batch, Durability};
