--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -161,7 +161,7 @@
             config.control = Some(address);
         }
         if let Some(number) = variable_set("RELAY_ACCEPT_FD")? {
-            let socket = madderloom_inherited::listener(&number, config.listen);
+            let socket = madderloom_socket_activation::listener(&number, config.listen);
             config.inherited = Some(socket.map_err(|e| format!("RELAY_ACCEPT_FD: {e}"))?);
         }
         config.limits.sockets = config.limits.sockets.min(allowed_descriptors());
