--- a/crates/timeline/examples/detect.rs
+++ b/crates/endpoint-history/examples/detect.rs
@@ -2,7 +2,7 @@
 //! beside two others' ways, on the same attempts.
 //!
 //! ```sh
-//! cargo run --release -p madderloom-timeline --example detect
+//! cargo run --release -p madderloom-endpoint-history --example detect
 //! ```
 //!
 //! Sixteen servers answer with times that an exponential part above a fixed one makes, and fail once in a thousand times.
@@ -15,7 +15,7 @@
 //! ejection ends.
 
 use madderloom_balancer::{Outcome, ServerId};
-use madderloom_timeline::{Arrival, Observed, Phase, Settings, Story, Subject};
+use madderloom_endpoint_history::{Arrival, Observed, Phase, Settings, Story, Subject};
 use oorandom::Rand64;
 use std::collections::VecDeque;
 
--- a/crates/timeline/examples/story_cost.rs
+++ b/crates/endpoint-history/examples/story_cost.rs
@@ -1,11 +1,11 @@
 //! What a story costs: bytes for each server, as stated and as allocated, and nanoseconds for each attempt.
 //!
 //! ```sh
-//! cargo run --release -p madderloom-timeline --example story_cost
+//! cargo run --release -p madderloom-endpoint-history --example story_cost
 //! ```
 
 use madderloom_balancer::{Outcome, ServerId};
-use madderloom_timeline::{Arrival, Gauge, Observed, Settings, Story};
+use madderloom_endpoint_history::{Arrival, Gauge, Observed, Settings, Story};
 use oorandom::Rand64;
 use peak_alloc::PeakAlloc;
 use std::time::Instant;
--- a/crates/timeline/tests/departures.rs
+++ b/crates/endpoint-history/tests/departures.rs
@@ -1,7 +1,9 @@
 //! A departure is found within seconds, told once, and cleared; what is usual is none.
 
 use madderloom_balancer::{Outcome, ServerId};
-use madderloom_timeline::{Arrival, Departure, Fault, Observed, Phase, Settings, Story, Subject};
+use madderloom_endpoint_history::{
+    Arrival, Departure, Fault, Observed, Phase, Settings, Story, Subject,
+};
 use oorandom::Rand64;
 
 const S: u64 = 1_000_000;
--- a/crates/timeline/tests/lines.rs
+++ b/crates/endpoint-history/tests/lines.rs
@@ -1,7 +1,7 @@
 //! Lines hold what happened, in order, in a bounded place.
 
 use madderloom_balancer::{Outcome, ServerId};
-use madderloom_timeline::{Arrival, Gauge, Happening, Observed, Settings, Sketch, Story};
+use madderloom_endpoint_history::{Arrival, Gauge, Happening, Observed, Settings, Sketch, Story};
 use proptest::prelude::*;
 
 const S: u64 = 1_000_000;
@@ -171,7 +171,8 @@
     }
     let line = story.line(ServerId(1)).expect("it is there");
     let told = line.story();
-    let ends = |(width, step): &(u64, madderloom_timeline::Step)| (step.from, step.from + width);
+    let ends =
+        |(width, step): &(u64, madderloom_endpoint_history::Step)| (step.from, step.from + width);
     assert!(
         told.windows(2)
             .all(|pair| ends(&pair[0]).1 <= ends(&pair[1]).0),
@@ -181,7 +182,7 @@
         told.iter().map(|(_, step)| step.attempts()).sum::<u32>(),
         10_800
     );
-    let recording = madderloom_timeline::Recording::of("s-one", line);
+    let recording = madderloom_endpoint_history::Recording::of("s-one", line);
     assert_eq!(recording.problem(), None);
     assert_eq!(
         recording.moments.iter().map(|m| m.attempts).sum::<u64>(),
--- a/crates/lab/examples/night.rs
+++ b/crates/lab/examples/night.rs
@@ -8,11 +8,13 @@
 use madderloom_balancer::{
     Action, Event, Members, Micros, Note, Outcome, RequestId, ServerId, ServerState,
 };
+use madderloom_endpoint_history::{
+    Arrival, Departure, Happening, Observed, Settings, Story, Subject,
+};
 use madderloom_lab::experiment::Experiment;
 use madderloom_lab::policy::{self, Policy, Start};
 use madderloom_lab::virtual_time;
 use madderloom_lab::world::World;
-use madderloom_timeline::{Arrival, Departure, Happening, Observed, Settings, Story, Subject};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::ops::ControlFlow;
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -326,7 +326,7 @@
     pub file: Option<String>,
     /// What that file holds, once it was read: whoever reads the experiment fills it in (`play::with_files`).
     #[serde(skip)]
-    pub recording: Option<std::sync::Arc<madderloom_timeline::Recording>>,
+    pub recording: Option<std::sync::Arc<madderloom_endpoint_history::Recording>>,
 }
 
 /// What can break.
--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/play.rs
@@ -10,7 +10,7 @@
 use crate::virtual_time::{self, Watch};
 use madderloom_balancer::{Action, Event, Micros};
 use madderloom_config::Span;
-use madderloom_timeline::Recording;
+use madderloom_endpoint_history::Recording;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::path::Path;
--- a/crates/lab/tests/every_request_ends_once.rs
+++ b/crates/lab/tests/every_request_ends_once.rs
@@ -4,13 +4,13 @@
 use common::*;
 use madderloom_balancer::*;
 use madderloom_config::Span;
+use madderloom_endpoint_history::{Moment, Recording};
 use madderloom_lab::experiment::{
     CancelStops, Class, Distribution, Effect, Experiment, Fault, FaultKind, Phase, ServerKind,
 };
 use madderloom_lab::policy::{self, Policy, Start};
 use madderloom_lab::record::Run;
 use madderloom_lab::seeds::{Concern, Random, stream};
-use madderloom_timeline::{Moment, Recording};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rand::RngExt;
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -76,7 +76,7 @@
     /// Where the admin view is served; nowhere if it is not named.
     pub admin: Option<Admin>,
     /// How the story of each pool's servers is kept; not at all if it is not named.
-    pub timeline: Option<madderloom_timeline::Settings>,
+    pub timeline: Option<madderloom_endpoint_history::Settings>,
     /// The agent that it registers with; none if none is named.
     pub control: Option<Control>,
     /// What outlasts the process; nothing if it is not named.
--- a/crates/operator/src/timeline.rs
+++ b/crates/operator/src/timeline.rs
@@ -1,7 +1,7 @@
 //! `[timeline]`: whether the story of each server is kept, and how much of it.
 
 use madderloom_config::{Document, Span};
-use madderloom_timeline::{Settings, Story};
+use madderloom_endpoint_history::{Settings, Story};
 use serde::Deserialize;
 
 /// The section as it is written.
--- a/crates/sidecar/src/service.rs
+++ b/crates/sidecar/src/service.rs
@@ -381,7 +381,7 @@
     }
 
     /// Keeps the story of its servers by these settings from now on, or no more.
-    pub(super) fn keep_story(&self, settings: Option<madderloom_timeline::Settings>) {
+    pub(super) fn keep_story(&self, settings: Option<madderloom_endpoint_history::Settings>) {
         let now = self.common.clock.now();
         let Some(settings) = settings else {
             return drop(self.teller.take());
--- a/crates/sidecar/src/teller.rs
+++ b/crates/sidecar/src/teller.rs
@@ -6,7 +6,7 @@
 use madderloom_balancer::{
     Closed, Listed, Members, Micros, Note, Outcome, RequestId, ServerId, ServerState, Snapshot,
 };
-use madderloom_timeline::{
+use madderloom_endpoint_history::{
     Arrival, Departure, Gauge, Happening, Observed, Phase, Settings, Story, Subject,
 };
 use serde_json::json;
