--- a/crates/levels/examples/cost.rs
+++ b/crates/degradation/examples/cost.rs
@@ -1,10 +1,10 @@
-//! What levels cost: `cargo run --release -p madderloom-levels --example cost`. Told are nanoseconds for each request
+//! What levels cost: `cargo run --release -p madderloom-degradation --example cost`. Told are nanoseconds for each request
 //! and for each look at the signals, the best and the median of eleven rounds.
 
 use madderloom_balancer::{Closed, Outcome, ServerId};
-use madderloom_levels::gauge::Outside;
-use madderloom_levels::keeper::{End, Keeper};
-use madderloom_levels::section::{ClassFacts, Section};
+use madderloom_degradation::gauge::Outside;
+use madderloom_degradation::keeper::{End, Keeper};
+use madderloom_degradation::section::{ClassFacts, Section};
 use std::hint::black_box;
 use std::time::Instant;
 
@@ -86,7 +86,7 @@
         10_000_000,
         |_, number| {
             black_box(reduced.away.first().is_some_and(|share| *share > 0.0));
-            black_box(madderloom_levels::place(number));
+            black_box(madderloom_degradation::place(number));
         },
     );
 }
--- a/crates/levels/tests/conditions.rs
+++ b/crates/degradation/tests/conditions.rs
@@ -1,6 +1,6 @@
 //! Conditions: what is read, what is refused, and that they mean what they say.
 
-use madderloom_levels::{Condition, Signal, Signals};
+use madderloom_degradation::{Condition, Signal, Signals};
 use proptest::prelude::*;
 
 const S: u64 = 1_000_000;
--- a/crates/levels/tests/gauge.rs
+++ b/crates/degradation/tests/gauge.rs
@@ -1,8 +1,8 @@
 //! Signals say what was measured lately, and nothing where nothing was.
 
 use madderloom_balancer::{Closed, Outcome, ServerId};
-use madderloom_levels::gauge::{End, FEWEST, Gauge, LONGEST, Outside};
-use madderloom_levels::{Signal, Signals};
+use madderloom_degradation::gauge::{End, FEWEST, Gauge, LONGEST, Outside};
+use madderloom_degradation::{Signal, Signals};
 
 const S: u64 = 1_000_000;
 
--- a/crates/levels/tests/never_flaps.rs
+++ b/crates/degradation/tests/never_flaps.rs
@@ -1,7 +1,7 @@
 //! The level changes a bounded number of times, whatever the signals do, and still does what it is for.
 
-use madderloom_levels::section::{ClassFacts, built_in};
-use madderloom_levels::{
+use madderloom_degradation::section::{ClassFacts, built_in};
+use madderloom_degradation::{
     Cause, Condition, Damping, Effects, Level, Levels, Order, Signal, Signals,
 };
 use proptest::prelude::*;
--- a/crates/levels/tests/section.rs
+++ b/crates/degradation/tests/section.rs
@@ -1,7 +1,7 @@
 //! Levels in a file: what is refused, and where.
 
 use madderloom_config::{Document, Problem};
-use madderloom_levels::section::{Checked, ClassFacts, Section, built_in};
+use madderloom_degradation::section::{Checked, ClassFacts, Section, built_in};
 use serde::Deserialize;
 
 #[derive(Default, Deserialize)]
--- a/crates/lab/examples/levels.rs
+++ b/crates/lab/examples/levels.rs
@@ -7,6 +7,7 @@
 //! change, the part of all instances that make one to the same level within a second.
 
 use clap::Parser;
+use madderloom_degradation::section::Section;
 use madderloom_lab::experiment::{Arm, Experiment};
 use madderloom_lab::figures::Figure;
 use madderloom_lab::leveled::{self, Told};
@@ -14,7 +15,6 @@
 use madderloom_lab::record::Run;
 use madderloom_lab::stats::{Interval, bootstrap};
 use madderloom_lab::{shipped, virtual_time};
-use madderloom_levels::section::Section;
 use std::cell::RefCell;
 use std::ops::ControlFlow;
 use std::rc::Rc;
--- a/crates/lab/src/leveled.rs
+++ b/crates/lab/src/leveled.rs
@@ -7,10 +7,10 @@
 use crate::policy::{Policy, Start};
 use foldhash::fast::FixedState;
 use madderloom_balancer::{Action, Balancer, Event, Members, Micros, Outcome, RequestId};
-use madderloom_levels::gauge::Outside;
-use madderloom_levels::keeper::{End, Keeper, LOOK};
-use madderloom_levels::section::ClassFacts;
-use madderloom_levels::{Change, place};
+use madderloom_degradation::gauge::Outside;
+use madderloom_degradation::keeper::{End, Keeper, LOOK};
+use madderloom_degradation::section::ClassFacts;
+use madderloom_degradation::{Change, place};
 use std::collections::HashMap;
 use std::rc::Rc;
 
--- a/crates/lab/tests/levels.rs
+++ b/crates/lab/tests/levels.rs
@@ -1,12 +1,12 @@
 //! Reduced service levels on whole days in virtual time: they do not swing with the servers, and a storm ends.
 
 use madderloom_config::Span;
+use madderloom_degradation::section::Section;
 use madderloom_lab::experiment::{Arm, Experiment, Fault, FaultKind};
 use madderloom_lab::leveled::{self, Told};
 use madderloom_lab::policy::Start;
 use madderloom_lab::record::Run;
 use madderloom_lab::{shipped, virtual_time};
-use madderloom_levels::section::Section;
 use proptest::prelude::*;
 use std::cell::RefCell;
 use std::ops::ControlFlow;
--- a/crates/operator/src/levels.rs
+++ b/crates/operator/src/levels.rs
@@ -1,8 +1,8 @@
 //! The levels of a pool as `madderloom check` tells them.
 
 use madderloom_config::Span;
-use madderloom_levels::section::Checked;
-use madderloom_levels::{Effects, Level};
+use madderloom_degradation::section::Checked;
+use madderloom_degradation::{Effects, Level};
 use serde_json::{Value, json};
 use std::fmt;
 
--- a/crates/sidecar/src/levels.rs
+++ b/crates/sidecar/src/levels.rs
@@ -1,14 +1,14 @@
 //! The levels of a service at work: their signals are gathered, the module is told of changes, and operators' orders
-//! are taken. What is decided is decided in `madderloom_levels`.
+//! are taken. What is decided is decided in `madderloom_degradation`.
 
 use super::ledger::ORDERS;
 use super::service::Service;
 use madderloom_balancer::{Event, Micros, Reduced};
 use madderloom_config::Span;
-use madderloom_levels::gauge::Outside;
-use madderloom_levels::keeper::{Keeper, LOOK};
-use madderloom_levels::section::{Checked, FULL};
-use madderloom_levels::{Change, Order};
+use madderloom_degradation::gauge::Outside;
+use madderloom_degradation::keeper::{Keeper, LOOK};
+use madderloom_degradation::section::{Checked, FULL};
+use madderloom_degradation::{Change, Order};
 use madderloom_store::{Batch, Durability};
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use rustix::time::{ClockId, clock_gettime};
--- a/crates/sidecar/src/service.rs
+++ b/crates/sidecar/src/service.rs
@@ -22,9 +22,9 @@
     Action, Balancer, Event, Members, Memory, Micros, NewRequest, Note, RequestId, ServerId,
     Snapshot, Timer,
 };
+use madderloom_degradation::keeper::Keeper;
+use madderloom_degradation::section::Checked;
 use madderloom_graphql::{Front, Policy};
-use madderloom_levels::keeper::Keeper;
-use madderloom_levels::section::Checked;
 use madderloom_operator::{Kept, MemberLimits};
 use madderloom_services::shares::Part;
 use std::cell::{Cell, RefCell};
@@ -129,7 +129,7 @@
         let service = Rc::new(Service {
             balancer: RefCell::new(balancer),
             keeper: RefCell::default(),
-            place: madderloom_levels::place(seed),
+            place: madderloom_degradation::place(seed),
             pool: Pool::new(
                 discovery,
                 site.zones.clone(),
--- a/crates/sidecar/src/transaction.rs
+++ b/crates/sidecar/src/transaction.rs
@@ -6,7 +6,7 @@
 use super::service::Service;
 use hyper::Response;
 use madderloom_balancer::{Event, Micros, NewRequest, RequestId, ServerId};
-use madderloom_levels::keeper::End;
+use madderloom_degradation::keeper::End;
 use madderloom_timers::TimerKey;
 use smallvec::SmallVec;
 use std::cell::{Cell, RefCell};
--- a/fuzz/fuzz_targets/levels_condition.rs
+++ b/fuzz/fuzz_targets/levels_condition.rs
@@ -3,7 +3,7 @@
 
 #![no_main]
 
-use madderloom_levels::{Condition, Signal, Signals};
+use madderloom_degradation::{Condition, Signal, Signals};
 
 libfuzzer_sys::fuzz_target!(|data: (&str, [f64; 4])| {
     let (text, values) = data;
