--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -35,7 +35,7 @@
 pub use state::{Kept, State};
 
 use madderloom_config::Document;
-use madderloom_services::routes::{Route, Table};
+use madderloom_routing::routes::{Route, Table};
 use names::Names;
 use serde::Deserialize;
 use std::fmt;
--- a/crates/operator/src/limits.rs
+++ b/crates/operator/src/limits.rs
@@ -2,8 +2,8 @@
 
 use crate::Operator;
 use madderloom_config::{Document, Size};
-use madderloom_services::rate::Rate;
-use madderloom_services::shares::Part;
+use madderloom_routing::rate::Rate;
+use madderloom_routing::shares::Part;
 use serde::Deserialize;
 
 /// The section of the whole process as it is written.
--- a/crates/operator/src/routes.rs
+++ b/crates/operator/src/routes.rs
@@ -4,7 +4,7 @@
 use crate::pools::Pool;
 use http::{HeaderName, HeaderValue, Method};
 use madderloom_config::Document;
-use madderloom_services::routes::{Clash, HeaderPattern, PathPattern, Piece, Route, Table};
+use madderloom_routing::routes::{Clash, HeaderPattern, PathPattern, Piece, Route, Table};
 use serde::{Deserialize, Deserializer, de::Error};
 use std::collections::BTreeMap;
 use std::fmt;
--- a/crates/services/benches/routes.rs
+++ b/crates/routing/benches/routes.rs
@@ -1,12 +1,12 @@
-//! Nanoseconds for a route: `cargo bench -p madderloom-services`.
+//! Nanoseconds for a route: `cargo bench -p madderloom-routing`.
 //!
 //! Tables of 10, 1,000 and 10,000 routes: a tenth of them name a host each, the others are prefixes, templates and
 //! whole paths of one host, so that a request meets literal and named segments side by side.
 
 use divan::{Bencher, black_box};
 use http::{HeaderMap, Method, Uri, Version, header::HOST};
-use madderloom_services::request::Asked;
-use madderloom_services::routes::{HostPattern, PathPattern, Route, Table};
+use madderloom_routing::request::Asked;
+use madderloom_routing::routes::{HostPattern, PathPattern, Route, Table};
 
 fn main() {
     divan::main();
--- a/crates/services/tests/limits.rs
+++ b/crates/routing/tests/limits.rs
@@ -1,6 +1,6 @@
 //! Limits hold: nothing held exceeds its bound, a guaranteed part is always there, and what is borrowed returns.
 
-use madderloom_services::shares::{Denied, MemberId, Part, Shares};
+use madderloom_routing::shares::{Denied, MemberId, Part, Shares};
 use proptest::prelude::*;
 
 #[derive(Clone, Debug)]
--- a/crates/services/tests/routes.rs
+++ b/crates/routing/tests/routes.rs
@@ -1,8 +1,8 @@
 //! The route that the table finds is the one that the stated order gives, found here by trying every route.
 
 use http::{HeaderMap, HeaderName, Method, Uri, Version};
-use madderloom_services::request::Asked;
-use madderloom_services::routes::{
+use madderloom_routing::request::Asked;
+use madderloom_routing::routes::{
     Clash, HeaderPattern, HostPattern, PathPattern, Piece, Route, Table, Verdict,
 };
 use proptest::prelude::*;
--- a/crates/services/tests/turns.rs
+++ b/crates/routing/tests/turns.rs
@@ -1,6 +1,6 @@
 //! The thread's time is shared by weight: who floods it waits, who does not is not made to.
 
-use madderloom_services::turns::{AccountId, Turns};
+use madderloom_routing::turns::{AccountId, Turns};
 use proptest::prelude::*;
 
 const SLICE: u64 = 200_000;
--- a/crates/sidecar/src/graphql.rs
+++ b/crates/sidecar/src/graphql.rs
@@ -23,7 +23,7 @@
 use madderloom_graphql::{
     Classed, Fault, Media, Message, Part, PartAnswer, Plan, Rejection, Reply, join, stages,
 };
-use madderloom_services::request::subject;
+use madderloom_routing::request::subject;
 use std::pin::Pin;
 use std::rc::Rc;
 use std::task::Poll;
--- a/crates/sidecar/src/limits.rs
+++ b/crates/sidecar/src/limits.rs
@@ -2,8 +2,8 @@
 
 use madderloom_balancer::Micros;
 use madderloom_operator::RateLimit;
-use madderloom_services::rate::Rate;
-use madderloom_services::shares::{Denied, Held as Numbers, MemberId, Part, Shares};
+use madderloom_routing::rate::Rate;
+use madderloom_routing::shares::{Denied, Held as Numbers, MemberId, Part, Shares};
 use std::cell::RefCell;
 use std::rc::Rc;
 
--- a/crates/sidecar/src/listener.rs
+++ b/crates/sidecar/src/listener.rs
@@ -213,7 +213,7 @@
     }
 
     /// What it spent of the thread's time: on taking connections, reading heads, and what it turned away.
-    pub(super) fn spent(&self) -> madderloom_services::turns::Spent {
+    pub(super) fn spent(&self) -> madderloom_routing::turns::Spent {
         self.account
             .as_ref()
             .map_or_else(Default::default, |account| account.spent())
--- a/crates/sidecar/src/process.rs
+++ b/crates/sidecar/src/process.rs
@@ -15,7 +15,7 @@
 use super::warm;
 use madderloom_balancer::Micros;
 use madderloom_operator::{Kept, MemberLimits, Operator, PLATFORM};
-use madderloom_services::shares::Part;
+use madderloom_routing::shares::Part;
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use std::cell::RefCell;
 use std::hash::{BuildHasher, RandomState};
--- a/crates/sidecar/src/reload.rs
+++ b/crates/sidecar/src/reload.rs
@@ -10,7 +10,7 @@
 use super::service::{Parts, Service, Spec};
 use madderloom_balancer::settings::Site;
 use madderloom_operator::{Bounds, MemberLimits, Operator, PLATFORM, Pool, parts};
-use madderloom_services::routes::{Route, Table};
+use madderloom_routing::routes::{Route, Table};
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use std::hash::BuildHasher;
 use std::rc::Rc;
--- a/crates/sidecar/src/routing.rs
+++ b/crates/sidecar/src/routing.rs
@@ -1,8 +1,8 @@
 //! Where the requests of a listener go.
 
 use super::service::Service;
-use madderloom_services::request::Asked;
-use madderloom_services::routes::Table;
+use madderloom_routing::request::Asked;
+use madderloom_routing::routes::Table;
 use std::rc::Rc;
 
 /// What a request's class follows from.
--- a/crates/sidecar/src/service.rs
+++ b/crates/sidecar/src/service.rs
@@ -26,7 +26,7 @@
 use madderloom_degradation::section::Checked;
 use madderloom_graphql::{Front, Policy};
 use madderloom_operator::{Kept, MemberLimits};
-use madderloom_services::shares::Part;
+use madderloom_routing::shares::Part;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
--- a/crates/sidecar/src/turns.rs
+++ b/crates/sidecar/src/turns.rs
@@ -1,7 +1,7 @@
 //! Work taken in turn: tasks that are held back when their account has had its slice of the thread.
 
 use super::common::Common;
-use madderloom_services::turns::{AccountId, Spent, Turns};
+use madderloom_routing::turns::{AccountId, Spent, Turns};
 use std::cell::{Cell, RefCell};
 use std::pin::Pin;
 use std::rc::Rc;
--- a/crates/sidecar/src/view.rs
+++ b/crates/sidecar/src/view.rs
@@ -11,8 +11,8 @@
 use super::turns::charged_to;
 use madderloom_balancer::{Effect, Micros, Outcome, ServerId, ServerState, ServerView};
 use madderloom_endpoint_history::{Line, Recording, Sketch, Step, Subject};
-use madderloom_services::shares::Held;
-use madderloom_services::turns::Spent;
+use madderloom_routing::shares::Held;
+use madderloom_routing::turns::Spent;
 use serde_json::{Value, json};
 use std::rc::Rc;
 
--- a/crates/sidecar/src/virtual_server.rs
+++ b/crates/sidecar/src/virtual_server.rs
@@ -22,7 +22,7 @@
 use hyper::http::request::Parts;
 use hyper::{Method, Request, Response, StatusCode, Uri, body::Body, body::Incoming};
 use madderloom_balancer::{Effect, Micros, NewRequest, RequestId};
-use madderloom_services::request::{Asked, Fault, split_key, subject};
+use madderloom_routing::request::{Asked, Fault, split_key, subject};
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use std::rc::Rc;
 
