--- a/crates/sidecar/src/counts.rs
+++ b/crates/sidecar/src/counts.rs
@@ -1,7 +1,7 @@
 //! What became of requests, by their classes: the one registry that the second address, the admin view and the agent's
 //! link read. Written where a request ends.
 
-use madderloom_operations::figures::Ended;
+use madderloom_admin::figures::Ended;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/crates/sidecar/src/drain.rs
+++ b/crates/sidecar/src/drain.rs
@@ -1,7 +1,7 @@
 //! The drain of the process and its end: what the duty decides, carried out on the listeners.
 
 use super::common::Common;
-use madderloom_operations::duty::State;
+use madderloom_admin::duty::State;
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/sidecar/src/promises.rs
+++ b/crates/sidecar/src/promises.rs
@@ -37,14 +37,14 @@
             on_call,
             format!(
                 "from {} on, connections idle",
-                seconds(madderloom_operations::duty::IDLE_STAYS)
+                seconds(madderloom_admin::duty::IDLE_STAYS)
             ),
         ),
         (
             on_call,
             format!(
                 "idle for {} are closed",
-                seconds(madderloom_operations::duty::IDLE_FOR)
+                seconds(madderloom_admin::duty::IDLE_FOR)
             ),
         ),
         (
--- a/crates/sidecar/src/second_address.rs
+++ b/crates/sidecar/src/second_address.rs
@@ -4,9 +4,9 @@
 
 use super::common::Common;
 use super::drain;
+use madderloom_admin::call::{self, Call, Fault};
+use madderloom_admin::figures::{Ended, Figures};
 use madderloom_balancer::{Micros, ServerState};
-use madderloom_operations::call::{self, Call, Fault};
-use madderloom_operations::figures::{Ended, Figures};
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
--- a/fuzz/fuzz_targets/call_line.rs
+++ b/fuzz/fuzz_targets/call_line.rs
@@ -2,7 +2,7 @@
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
-use madderloom_operations::call::{LONGEST, read};
+use madderloom_admin::call::{LONGEST, read};
 
 fuzz_target!(|bytes: &[u8]| {
     let first = (0..=bytes.len()).find_map(|end| Some((end, read(&bytes[..end])?)));
