--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -2,7 +2,7 @@
 
 use crate::output::{Output, tell, tell_problems};
 use madderloom_config::Problem;
-use madderloom_operator::{Operator, PoolLevels};
+use madderloom_operator_config::{Operator, PoolLevels};
 use madderloom_quota::{Amount, ONE, Safe, UNBOUNDED};
 use madderloom_sidecar::Config;
 use std::path::PathBuf;
--- a/crates/cli/src/place.rs
+++ b/crates/cli/src/place.rs
@@ -1,6 +1,6 @@
 //! Where a running process's admin view is, as command lines name it.
 
-use madderloom_operator::{Admin, Operator};
+use madderloom_operator_config::{Admin, Operator};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
--- a/crates/cli/src/route.rs
+++ b/crates/cli/src/route.rs
@@ -3,7 +3,7 @@
 use crate::output::{Output, table, tell, tell_problems};
 use http::header::{HOST, HeaderName, HeaderValue};
 use http::{HeaderMap, Method, Uri, Version};
-use madderloom_operator::{Operator, PLATFORM};
+use madderloom_operator_config::{Operator, PLATFORM};
 use madderloom_routing::request::{Asked, split_key};
 use madderloom_routing::routes::Verdict;
 use serde_json::{Value, json};
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -1,7 +1,7 @@
 //! `madderloom serve`: one sidecar, from its environment to a program that serves until it is told to stop.
 
 use crate::logging::{LAST_LINES, Logging};
-use madderloom_operator::Operator;
+use madderloom_operator_config::Operator;
 use madderloom_sidecar::{Config, Sidecar};
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use std::path::PathBuf;
--- a/crates/operator/tests/beside.rs
+++ b/crates/operator-config/tests/beside.rs
@@ -1,7 +1,7 @@
 //! What is set beside an operator file is checked with it, whole, and refused by the name of the setting.
 
 use madderloom_fleet::settings::{Key, Overlay, Value};
-use madderloom_operator::{Operator, Source};
+use madderloom_operator_config::{Operator, Source};
 use std::collections::BTreeMap;
 
 const FILE: &str = r#"
--- a/crates/operator/tests/file.rs
+++ b/crates/operator-config/tests/file.rs
@@ -1,7 +1,7 @@
 //! The operator file: what it says, and what is said of one that makes no sense.
 
 use madderloom_config::Problem;
-use madderloom_operator::{Admin, Bounds, Kept, Operator, parts};
+use madderloom_operator_config::{Admin, Bounds, Kept, Operator, parts};
 use madderloom_sidecar_state::Mode;
 use proptest::prelude::*;
 use rstest::rstest;
--- a/crates/sidecar/src/admin.rs
+++ b/crates/sidecar/src/admin.rs
@@ -18,7 +18,7 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
-use madderloom_operator::Admin;
+use madderloom_operator_config::Admin;
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use percent_encoding::percent_decode_str;
 use serde_json::{Value, json};
--- a/crates/sidecar/src/agent_link/connection.rs
+++ b/crates/sidecar/src/agent_link/connection.rs
@@ -33,7 +33,7 @@
 /// Keeps the link to one agent for as long as it is polled.
 pub(super) async fn keep_link(
     sidecar: Weak<Sidecar>,
-    control: madderloom_operator::Control,
+    control: madderloom_operator_config::Control,
     traits: watch::Receiver<Traits>,
 ) {
     let files = Files {
--- a/crates/sidecar/src/agent_link/mod.rs
+++ b/crates/sidecar/src/agent_link/mod.rs
@@ -19,7 +19,7 @@
 use madderloom_fleet::Memory;
 use madderloom_fleet::change::Traits;
 use madderloom_fleet::settings::{Key, LogLevel, Overlay, Value};
-use madderloom_operator::{Operator, Source};
+use madderloom_operator_config::{Operator, Source};
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use overlay::{changes_file, steering};
 use persisted::{load, write};
@@ -49,13 +49,13 @@
 
 /// The agent that the operator file names, and that file.
 struct ConfiguredAgent {
-    control: madderloom_operator::Control,
+    control: madderloom_operator_config::Control,
     source: Arc<Source>,
 }
 
 /// A running link; it ends when this is dropped.
 struct ActiveLink {
-    control: madderloom_operator::Control,
+    control: madderloom_operator_config::Control,
     traits: watch::Sender<Traits>,
     task: AbortHandle,
 }
@@ -205,7 +205,10 @@
     /// Follows a file that has taken effect.
     pub(super) fn file_applied(
         self: &Rc<Self>,
-        read: (Option<madderloom_operator::Control>, Option<Arc<Source>>),
+        read: (
+            Option<madderloom_operator_config::Control>,
+            Option<Arc<Source>>,
+        ),
     ) {
         let named = match read {
             (Some(control), Some(source)) => Some(ConfiguredAgent { control, source }),
@@ -254,7 +257,7 @@
             let (fleet_limits, share_lists) =
                 (control.fleet_limits.clone(), control.share_lists.clone());
             let former = running.control.clone();
-            madderloom_operator::Control {
+            madderloom_operator_config::Control {
                 zone,
                 labels,
                 fleet_limits,
--- a/crates/sidecar/src/fleet_limits.rs
+++ b/crates/sidecar/src/fleet_limits.rs
@@ -6,7 +6,7 @@
 
 use super::clock::boottime as now;
 use hyper::HeaderMap;
-use madderloom_operator::FleetLimit;
+use madderloom_operator_config::FleetLimit;
 use madderloom_quota::{Amount, Asks, Denied, Holder, Lent, ONE, UNBOUNDED};
 use serde_json::{Value, json};
 use smallvec::SmallVec;
--- a/crates/sidecar/src/ledger.rs
+++ b/crates/sidecar/src/ledger.rs
@@ -8,7 +8,7 @@
 use super::transaction::Answer;
 use hyper::HeaderMap;
 use hyper::header::HeaderName;
-use madderloom_operator::State;
+use madderloom_operator_config::State;
 use madderloom_sidecar_state::{Begin, Id, Ledger, LongId, Mode, Next, Recollection, recollect};
 use madderloom_store::{
     Batch, Disk, Durability, Error, GroupCommit, Options, RealDisk, Status, Store,
@@ -480,7 +480,7 @@
     fn keeper() -> Keeper {
         Keeper::without_store(State {
             dir: "state".into(),
-            usual: madderloom_operator::Kept::default(),
+            usual: madderloom_operator_config::Kept::default(),
             ids: Vec::new(),
             rules: Rules {
                 window: 60_000_000,
--- a/crates/sidecar/src/limits.rs
+++ b/crates/sidecar/src/limits.rs
@@ -1,7 +1,7 @@
 //! What is limited, and who holds how much of it: handles on the shares that give back what they took.
 
 use madderloom_balancer::Micros;
-use madderloom_operator::RateLimit;
+use madderloom_operator_config::RateLimit;
 use madderloom_routing::rate::Rate;
 use madderloom_routing::shares::{Denied, Held as Numbers, MemberId, Part, Shares};
 use std::cell::RefCell;
--- a/crates/sidecar/src/listener.rs
+++ b/crates/sidecar/src/listener.rs
@@ -9,7 +9,7 @@
 use super::service::{Parts, Service};
 use super::turns::{self, Account, Charged, InTurn};
 use madderloom_balancer::Micros;
-use madderloom_operator::MemberLimits;
+use madderloom_operator_config::MemberLimits;
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use std::cell::{Cell, RefCell};
 use std::io::ErrorKind;
--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -11,7 +11,7 @@
 use madderloom_balancer::settings::Site;
 use madderloom_balancer::{Event, Listed, Members, Micros, ServerId, ServerState};
 use madderloom_endpoint_sharing::first_wait;
-use madderloom_operator::Server;
+use madderloom_operator_config::Server;
 use madderloom_sidecar_state::{ListedMemory, ServerMemory};
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use serde::{Deserialize, Serialize};
--- a/crates/sidecar/src/process.rs
+++ b/crates/sidecar/src/process.rs
@@ -14,7 +14,7 @@
 use super::service::{Parts, Service, Spec};
 use super::warm;
 use madderloom_balancer::Micros;
-use madderloom_operator::{Kept, MemberLimits, Operator, PLATFORM};
+use madderloom_operator_config::{Kept, MemberLimits, Operator, PLATFORM};
 use madderloom_routing::shares::Part;
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use std::cell::RefCell;
--- a/crates/sidecar/src/reload.rs
+++ b/crates/sidecar/src/reload.rs
@@ -9,7 +9,7 @@
 use super::routing::{Routed, Routing};
 use super::service::{Parts, Service, Spec};
 use madderloom_balancer::settings::Site;
-use madderloom_operator::{Bounds, MemberLimits, Operator, PLATFORM, Pool, parts};
+use madderloom_operator_config::{Bounds, MemberLimits, Operator, PLATFORM, Pool, parts};
 use madderloom_routing::routes::{Route, Table};
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use std::hash::BuildHasher;
--- a/crates/sidecar/src/service.rs
+++ b/crates/sidecar/src/service.rs
@@ -25,7 +25,7 @@
 use madderloom_degradation::keeper::Keeper;
 use madderloom_degradation::section::Checked;
 use madderloom_graphql::{Front, Policy};
-use madderloom_operator::{Kept, MemberLimits};
+use madderloom_operator_config::{Kept, MemberLimits};
 use madderloom_routing::shares::Part;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -172,7 +172,7 @@
 
     /// Takes over other limits, its servers or its discovery where these are others, and how its GraphQL
     /// operations are classed: what it learned of documents holds for the same policy alone.
-    pub(super) fn change(self: &Rc<Self>, pool: &madderloom_operator::Pool, parts: Parts) {
+    pub(super) fn change(self: &Rc<Self>, pool: &madderloom_operator_config::Pool, parts: Parts) {
         self.change_limits(pool.limits, parts);
         self.kept.set(pool.kept);
         let mut front = self.graphql.borrow_mut();
