--- a/crates/agent/src/config.rs
+++ b/crates/agent/src/config.rs
@@ -1,6 +1,6 @@
 //! The agent's file.
 
-use madderloom_config::{Document, Problem, Span};
+use madderloom_config_reader::{Document, Problem, Span};
 use madderloom_fleet::Rules;
 use madderloom_fleet::fleet_limits::FleetLimitSettings;
 use madderloom_fleet::membership::Leases;
--- a/crates/agent/src/relay/config.rs
+++ b/crates/agent/src/relay/config.rs
@@ -1,7 +1,7 @@
 //! The relay's file.
 
 use crate::config::{KeysPart, RegistrationsPart, USUAL_CONNECTIONS, needed_path};
-use madderloom_config::{Document, Problem, Span};
+use madderloom_config_reader::{Document, Problem, Span};
 use madderloom_fleet::relay::RelayRules;
 use madderloom_fleet::settings::check_name;
 use madderloom_fleet::spread::Pace;
--- a/crates/agent/tests/common/mod.rs
+++ b/crates/agent/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use madderloom_agent::{
     Agent, Client, Config, Error, Link, Saves, Settings, Storage, Taking, view,
 };
-use madderloom_config::Problem;
+use madderloom_config_reader::Problem;
 use madderloom_fleet::change::{Change, Policy, Selector, Share, Then, Traits, What};
 use madderloom_fleet::gate::Counts;
 use madderloom_fleet::protocol::{Outcome, ToAgent, Who};
--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -1,7 +1,7 @@
 //! `madderloom check`: whether a file makes sense, and where it does not.
 
 use crate::output::{Output, tell, tell_problems};
-use madderloom_config::Problem;
+use madderloom_config_reader::Problem;
 use madderloom_operator_config::{Operator, PoolLevels};
 use madderloom_quota::{Amount, ONE, Safe, UNBOUNDED};
 use madderloom_sidecar::Config;
--- a/crates/cli/src/level.rs
+++ b/crates/cli/src/level.rs
@@ -1,7 +1,7 @@
 //! `madderloom level`: an operator's orders on the service level of a pool.
 
 use crate::place::Place;
-use madderloom_config::Span;
+use madderloom_config_reader::Span;
 use serde_json::{Value, json};
 use std::process::ExitCode;
 
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -1,6 +1,6 @@
 //! What the commands tell: for people, or for programs.
 
-use madderloom_config::Problem;
+use madderloom_config_reader::Problem;
 use std::io::Write;
 use std::path::Path;
 
--- a/crates/cli/src/status.rs
+++ b/crates/cli/src/status.rs
@@ -400,5 +400,6 @@
 }
 
 fn humantime(us: f64) -> String {
-    madderloom_config::Span(Duration::from_secs_f64(us / 1e6).as_secs() * 1_000_000).to_string()
+    madderloom_config_reader::Span(Duration::from_secs_f64(us / 1e6).as_secs() * 1_000_000)
+        .to_string()
 }
--- a/crates/degradation/src/condition.rs
+++ b/crates/degradation/src/condition.rs
@@ -12,7 +12,7 @@
 //! hangs on it is not met, and its negation is not met either.
 
 use crate::{Micros, Signal, Signals};
-use madderloom_config::Span;
+use madderloom_config_reader::Span;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use winnow::ascii::multispace0;
--- a/crates/degradation/src/machine.rs
+++ b/crates/degradation/src/machine.rs
@@ -1,7 +1,7 @@
 //! The level that holds: a state machine that goes up at once and comes down slowly.
 
 use crate::{Condition, Effects, Micros, Signals};
-use madderloom_config::Span;
+use madderloom_config_reader::Span;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use std::fmt;
--- a/crates/degradation/src/section.rs
+++ b/crates/degradation/src/section.rs
@@ -2,7 +2,7 @@
 
 use crate::machine::changes_at_most;
 use crate::{Condition, Damping, Effects, Level, Micros};
-use madderloom_config::{Document, Problem, Span};
+use madderloom_config_reader::{Document, Problem, Span};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/crates/degradation/tests/section.rs
+++ b/crates/degradation/tests/section.rs
@@ -1,6 +1,6 @@
 //! Levels in a file: what is refused, and where.
 
-use madderloom_config::{Document, Problem};
+use madderloom_config_reader::{Document, Problem};
 use madderloom_degradation::section::{Checked, ClassFacts, Section, built_in};
 use serde::Deserialize;
 
--- a/crates/fleet/src/file.rs
+++ b/crates/fleet/src/file.rs
@@ -34,7 +34,7 @@
 use crate::change::{Change, Policy, Selector, Share, Then, What};
 use crate::gate::GateRule;
 use crate::settings::{Edits, Key, LogLevel, Value};
-use madderloom_config::{Document, Problem, Span};
+use madderloom_config_reader::{Document, Problem, Span};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
--- a/crates/graphql/src/section.rs
+++ b/crates/graphql/src/section.rs
@@ -1,7 +1,7 @@
 //! The operator file's section for a GraphQL front.
 
 use crate::policy::{ClassInfo, Policy};
-use madderloom_config::{Document, Size, Span};
+use madderloom_config_reader::{Document, Size, Span};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/crates/graphql/tests/common/mod.rs
+++ b/crates/graphql/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 use http::{HeaderMap, HeaderName, HeaderValue, Method, header};
 use madderloom_balancer::{Effect, Scope};
-use madderloom_config::Document;
+use madderloom_config_reader::Document;
 use madderloom_graphql::*;
 use proptest::prelude::ProptestConfig;
 use std::collections::BTreeMap;
@@ -77,7 +77,7 @@
 
 /// The policy of a text, or its problems.
 pub fn policy(text: &str) -> Result<Policy, Vec<String>> {
-    let told = |problems: Vec<madderloom_config::Problem>| -> Vec<String> {
+    let told = |problems: Vec<madderloom_config_reader::Problem>| -> Vec<String> {
         problems.iter().map(ToString::to_string).collect()
     };
     let (mut document, file) = Document::read::<File>(text).map_err(told)?;
--- a/crates/lab/examples/throughput.rs
+++ b/crates/lab/examples/throughput.rs
@@ -4,7 +4,7 @@
 //! get 20,000 requests a second for 60 virtual seconds.
 
 use madderloom_balancer::{Action, Event, Members, Micros, ServerId};
-use madderloom_config::Span;
+use madderloom_config_reader::Span;
 use madderloom_lab::experiment::{Arm, Class, Experiment, ServerKind};
 use madderloom_lab::policy::{self, Maker, Policy, Start};
 use madderloom_lab::virtual_time;
--- a/crates/lab/examples/warm_restart.rs
+++ b/crates/lab/examples/warm_restart.rs
@@ -8,7 +8,7 @@
 //! seed. A snapshot is taken every 5 s, as `[state] warm_every` has it by default, and weighed as it is there.
 
 use madderloom_balancer::{Action, Balancer, Event, Memory, Micros, ServerMemory};
-use madderloom_config::Span;
+use madderloom_config_reader::Span;
 use madderloom_lab::experiment::{Arm, Experiment, Fault, FaultKind};
 use madderloom_lab::policy::{Policy, Start};
 use madderloom_lab::{shipped, virtual_time};
--- a/crates/lab/src/check/events.rs
+++ b/crates/lab/src/check/events.rs
@@ -4,7 +4,7 @@
 use crate::experiment::{Experiment, Fault, FaultKind};
 use crate::leveled;
 use crate::play;
-use madderloom_config::Span;
+use madderloom_config_reader::Span;
 
 impl Checker<'_> {
     pub(super) fn events(&mut self, e: &Experiment) {
--- a/crates/lab/src/check/load.rs
+++ b/crates/lab/src/check/load.rs
@@ -2,7 +2,7 @@
 
 use super::{Checker, HIGHEST_RATE, LONGEST};
 use crate::experiment::{Class, Effect, Experiment, Phase};
-use madderloom_config::Span;
+use madderloom_config_reader::Span;
 
 const HOUR: Span = Span::s(3_600);
 
--- a/crates/lab/src/check/mod.rs
+++ b/crates/lab/src/check/mod.rs
@@ -8,7 +8,7 @@
 mod world;
 
 use crate::experiment::{Experiment, VERSION};
-use madderloom_config::{Document, Problem, Span};
+use madderloom_config_reader::{Document, Problem, Span};
 use std::collections::BTreeSet;
 use std::ops::RangeInclusive;
 
--- a/crates/lab/src/check/world.rs
+++ b/crates/lab/src/check/world.rs
@@ -2,7 +2,7 @@
 
 use super::{Checker, MOST_INSTANCES, MOST_SERVERS};
 use crate::experiment::{Experiment, ServerKind};
-use madderloom_config::Span;
+use madderloom_config_reader::Span;
 use std::collections::BTreeSet;
 
 const HOUR: Span = Span::s(3_600);
--- a/crates/lab/src/cli/run.rs
+++ b/crates/lab/src/cli/run.rs
@@ -11,7 +11,7 @@
 use crate::schedule::{Job, Runs};
 use crate::shipped;
 use indicatif::{ProgressBar, ProgressStyle};
-use madderloom_config::Span;
+use madderloom_config_reader::Span;
 use serde_json::json;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
--- a/crates/lab/src/expect.rs
+++ b/crates/lab/src/expect.rs
@@ -4,7 +4,7 @@
 use crate::figures;
 use crate::record::{Latency, Run, Tally};
 use crate::stats;
-use madderloom_config::Span;
+use madderloom_config_reader::Span;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -3,7 +3,7 @@
 //! Every field has a default, so that a file with a fault is told all of its problems at once; what must not be
 //! missing is a matter of the check.
 
-use madderloom_config::Span;
+use madderloom_config_reader::Span;
 use serde::{Deserialize, Serialize};
 
 /// The format version that this build reads and writes.
--- a/crates/lab/src/judge.rs
+++ b/crates/lab/src/judge.rs
@@ -19,7 +19,7 @@
 use crate::world::{ASK_WITHIN, World};
 use foldhash::fast::FixedState;
 use madderloom_balancer::{Listed, Micros, Outcome, RequestId, ServerId, ServerState};
-use madderloom_config::Span;
+use madderloom_config_reader::Span;
 use smallvec::SmallVec;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/play.rs
@@ -9,7 +9,7 @@
 use crate::sockets;
 use crate::virtual_time::{self, Watch};
 use madderloom_balancer::{Action, Event, Micros};
-use madderloom_config::Span;
+use madderloom_config_reader::Span;
 use madderloom_endpoint_history::Recording;
 use serde::{Deserialize, Serialize};
 use std::fmt;
--- a/crates/lab/src/record.rs
+++ b/crates/lab/src/record.rs
@@ -1,6 +1,6 @@
 //! What a run leaves behind: plain data, written as JSON, read by `compare` and `report`.
 
-use madderloom_config::Span;
+use madderloom_config_reader::Span;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/crates/lab/src/recorder.rs
+++ b/crates/lab/src/recorder.rs
@@ -9,7 +9,7 @@
 use crate::world::World;
 use hdrhistogram::Histogram;
 use madderloom_balancer::{Micros, Outcome};
-use madderloom_config::Span;
+use madderloom_config_reader::Span;
 use std::collections::BTreeMap;
 
 /// The outcomes in the order in which they are counted, as results name them.
--- a/crates/lab/src/scale/child.rs
+++ b/crates/lab/src/scale/child.rs
@@ -4,7 +4,7 @@
 use crate::sockets::itself::{log_to_standard_error, on_one_thread, stay_with, told_to_stop};
 use madderloom_agent::relay::{Relay, RelayConfig};
 use madderloom_agent::{Agent, Config, Lasting, Memory, Storage};
-use madderloom_config::Problem;
+use madderloom_config_reader::Problem;
 use madderloom_operator_config::Operator;
 use madderloom_sidecar::Sidecar;
 use std::os::unix::process::CommandExt;
--- a/crates/lab/src/scale/command.rs
+++ b/crates/lab/src/scale/command.rs
@@ -15,7 +15,7 @@
 use crate::results::{Folder, write_whole};
 use crate::sockets::child::own_program;
 use crate::sockets::itself::{on_one_thread, told_to_stop};
-use madderloom_config::Span;
+use madderloom_config_reader::Span;
 use std::io::Write;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
--- a/crates/lab/src/scale/size.rs
+++ b/crates/lab/src/scale/size.rs
@@ -1,6 +1,6 @@
 //! The size that a capacity is reckoned for: a file in TOML.
 
-use madderloom_config::{Document, Problem, Span};
+use madderloom_config_reader::{Document, Problem, Span};
 use serde::Deserialize;
 
 /// The fleet and what its control may cost.
--- a/crates/lab/src/schedule.rs
+++ b/crates/lab/src/schedule.rs
@@ -9,7 +9,7 @@
 use crate::experiment::{Arm, Experiment};
 use crate::play::{self, Driver};
 use crate::record::Run;
-use madderloom_config::Span;
+use madderloom_config_reader::Span;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
--- a/crates/lab/src/sockets/books.rs
+++ b/crates/lab/src/sockets/books.rs
@@ -16,7 +16,7 @@
 use foldhash::fast::FixedState;
 use hdrhistogram::Histogram;
 use madderloom_balancer::{Listed, Micros, Outcome, RequestId};
-use madderloom_config::Span;
+use madderloom_config_reader::Span;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
 
--- a/crates/lab/src/sockets/config.rs
+++ b/crates/lab/src/sockets/config.rs
@@ -88,7 +88,7 @@
     use super::*;
     use crate::experiment::{Class, ServerKind};
     use madderloom_balancer::settings::Site;
-    use madderloom_config::Span;
+    use madderloom_config_reader::Span;
 
     #[test]
     fn a_sidecar_is_told_what_an_instance_in_virtual_time_is_told() {
--- a/crates/lab/src/sockets/mod.rs
+++ b/crates/lab/src/sockets/mod.rs
@@ -19,7 +19,7 @@
 
 use crate::experiment::{Arm, Experiment};
 use crate::record::Run;
-use madderloom_config::Span;
+use madderloom_config_reader::Span;
 use stage::{Purpose, Stage};
 use std::future::pending;
 use std::ops::ControlFlow;
--- a/crates/lab/src/sockets/stage.rs
+++ b/crates/lab/src/sockets/stage.rs
@@ -344,7 +344,7 @@
     fn broken_off(&self) -> String {
         format!(
             "broken off at {}",
-            madderloom_config::Span(self.clock.now())
+            madderloom_config_reader::Span(self.clock.now())
         )
     }
 
--- a/crates/lab/src/up.rs
+++ b/crates/lab/src/up.rs
@@ -6,7 +6,7 @@
 use crate::sockets::itself::{on_one_thread, told_to_stop};
 use crate::sockets::stage::{Purpose, Snapshot, Stage};
 use console::Term;
-use madderloom_config::Span;
+use madderloom_config_reader::Span;
 use std::collections::VecDeque;
 use std::fmt::Write;
 use std::ops::ControlFlow;
--- a/crates/lab/src/virtual_time/mod.rs
+++ b/crates/lab/src/virtual_time/mod.rs
@@ -32,7 +32,7 @@
     Action, Closed, Event, Listed, Members, Micros, NewRequest, Outcome, Report, RequestId,
     ServerId, ServerState, Timer,
 };
-use madderloom_config::Span;
+use madderloom_config_reader::Span;
 use queue::Queue;
 use slotmap::{Key, KeyData, SlotMap, new_key_type};
 use smallvec::SmallVec;
--- a/crates/lab/tests/attempts.rs
+++ b/crates/lab/tests/attempts.rs
@@ -3,7 +3,7 @@
 mod common;
 use common::*;
 use madderloom_balancer::*;
-use madderloom_config::Span;
+use madderloom_config_reader::Span;
 use madderloom_lab::experiment::{Arm, Effect, Experiment, FaultKind};
 use madderloom_lab::policy::{Policy, Start, Truth};
 use madderloom_lab::record::Run;
--- a/crates/lab/tests/both_drivers_agree.rs
+++ b/crates/lab/tests/both_drivers_agree.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use madderloom_config::Span;
+use madderloom_config_reader::Span;
 use madderloom_lab::experiment::{Arm, Class, Effect, Experiment, Fault, FaultKind, ServerKind};
 use madderloom_lab::record::Run;
 use madderloom_lab::{policy, sockets};
--- a/crates/lab/tests/common/mod.rs
+++ b/crates/lab/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use madderloom_balancer::*;
-use madderloom_config::Span;
+use madderloom_config_reader::Span;
 use madderloom_lab::experiment::{self as lab, Arm, Experiment, Fault, FaultKind, ServerKind};
 use madderloom_lab::policy::{Maker, Policy, Start};
 use madderloom_lab::record::Run;
--- a/crates/lab/tests/comparisons_are_paired.rs
+++ b/crates/lab/tests/comparisons_are_paired.rs
@@ -1,6 +1,6 @@
 //! Arms are compared seed by seed, and no more is said of them than the seeds bear out.
 
-use madderloom_config::Span;
+use madderloom_config_reader::Span;
 use madderloom_lab::compare::{self, Seen, Side};
 use madderloom_lab::expect;
 use madderloom_lab::experiment::Experiment;
--- a/crates/lab/tests/every_request_ends_once.rs
+++ b/crates/lab/tests/every_request_ends_once.rs
@@ -3,7 +3,7 @@
 mod common;
 use common::*;
 use madderloom_balancer::*;
-use madderloom_config::Span;
+use madderloom_config_reader::Span;
 use madderloom_endpoint_history::{Moment, Recording};
 use madderloom_lab::experiment::{
     CancelStops, Class, Distribution, Effect, Experiment, Fault, FaultKind, Phase, ServerKind,
--- a/crates/lab/tests/levels.rs
+++ b/crates/lab/tests/levels.rs
@@ -1,6 +1,6 @@
 //! Reduced service levels on whole days in virtual time: they do not swing with the servers, and a storm ends.
 
-use madderloom_config::Span;
+use madderloom_config_reader::Span;
 use madderloom_degradation::section::Section;
 use madderloom_lab::experiment::{Arm, Experiment, Fault, FaultKind};
 use madderloom_lab::leveled::{self, Told};
--- a/crates/lab/tests/models.rs
+++ b/crates/lab/tests/models.rs
@@ -3,7 +3,7 @@
 mod common;
 use common::fault;
 use madderloom_balancer::{Listed, Micros, ServerId, ServerState};
-use madderloom_config::Span;
+use madderloom_config_reader::Span;
 use madderloom_lab::experiment::{
     Allow, CancelStops, Class, Effect, Experiment, FaultKind, Network as Between, Phase, ServerKind,
 };
--- a/crates/lab/tests/rules_are_judged.rs
+++ b/crates/lab/tests/rules_are_judged.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use madderloom_config::Span;
+use madderloom_config_reader::Span;
 use madderloom_lab::experiment::{Effect, Experiment, FaultKind};
 use madderloom_lab::record::Breach;
 
--- a/crates/lab/tests/stand_ins_speak_the_protocol.rs
+++ b/crates/lab/tests/stand_ins_speak_the_protocol.rs
@@ -1,7 +1,7 @@
 //! The stand-ins of the sockets driver, spoken to by a scripted peer.
 
 use madderloom_balancer::{Listed, Micros, ServerId, ServerState};
-use madderloom_config::Span;
+use madderloom_config_reader::Span;
 use madderloom_lab::experiment::{Arm, Class, Effect, Experiment, ServerKind};
 use madderloom_lab::model::clients::{Ask, Clients, End};
 use madderloom_lab::model::discovery::Discovery;
--- a/crates/operator-config/src/admin.rs
+++ b/crates/operator-config/src/admin.rs
@@ -1,6 +1,6 @@
 //! `[admin]`: where the admin view is served.
 
-use madderloom_config::Document;
+use madderloom_config_reader::Document;
 use serde::Deserialize;
 use std::fmt;
 use std::net::SocketAddr;
--- a/crates/operator-config/src/control.rs
+++ b/crates/operator-config/src/control.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet_limits::{self, FleetLimit};
 use crate::names::Names;
-use madderloom_config::Document;
+use madderloom_config_reader::Document;
 use madderloom_fleet::change::Traits;
 use madderloom_fleet::settings::check_name;
 use serde::Deserialize;
--- a/crates/operator-config/src/fleet_limits.rs
+++ b/crates/operator-config/src/fleet_limits.rs
@@ -3,7 +3,7 @@
 
 use crate::names::{Names, is_name};
 use http::HeaderName;
-use madderloom_config::Document;
+use madderloom_config_reader::Document;
 use madderloom_fleet::settings::check_name;
 use madderloom_quota::{Amount, ONE, Safe, UNBOUNDED};
 use serde::Deserialize;
--- a/crates/operator-config/src/levels.rs
+++ b/crates/operator-config/src/levels.rs
@@ -1,6 +1,6 @@
 //! The levels of a pool as `madderloom check` tells them.
 
-use madderloom_config::Span;
+use madderloom_config_reader::Span;
 use madderloom_degradation::section::Checked;
 use madderloom_degradation::{Effects, Level};
 use serde_json::{Value, json};
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -27,14 +27,14 @@
 pub use levels::PoolLevels;
 pub use limits::{Bounds, Limits, MemberLimits, RateLimit, parts};
 pub use listeners::Listener;
-pub use madderloom_config::Problem;
+pub use madderloom_config_reader::Problem;
 pub use names::PLATFORM;
 pub use pools::{Pool, Server};
 pub use process::Process;
 pub use source::Source;
 pub use state::{Kept, State};
 
-use madderloom_config::Document;
+use madderloom_config_reader::Document;
 use madderloom_routing::routes::{Route, Table};
 use names::Names;
 use serde::Deserialize;
--- a/crates/operator-config/src/limits.rs
+++ b/crates/operator-config/src/limits.rs
@@ -1,7 +1,7 @@
 //! `[limits]`, and the `limits` of listeners and pools: who may hold how much.
 
 use crate::Operator;
-use madderloom_config::{Document, Size};
+use madderloom_config_reader::{Document, Size};
 use madderloom_routing::rate::Rate;
 use madderloom_routing::shares::Part;
 use serde::Deserialize;
--- a/crates/operator-config/src/listeners.rs
+++ b/crates/operator-config/src/listeners.rs
@@ -1,7 +1,7 @@
 //! `[[listeners]]`: where clients connect.
 
 use crate::limits::{MemberLimits, MemberSection};
-use madderloom_config::{Document, Size, Span};
+use madderloom_config_reader::{Document, Size, Span};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
--- a/crates/operator-config/src/names.rs
+++ b/crates/operator-config/src/names.rs
@@ -1,6 +1,6 @@
 //! Names of listeners, pools and routes, and what refers to them.
 
-use madderloom_config::Document;
+use madderloom_config_reader::Document;
 
 /// The name of the listener and of the pool that the platform's configuration stands for.
 pub const PLATFORM: &str = "platform";
--- a/crates/operator-config/src/pools.rs
+++ b/crates/operator-config/src/pools.rs
@@ -5,7 +5,7 @@
 use crate::state::{Kept, PoolSection, State};
 use madderloom_balancer::Effect;
 use madderloom_balancer::settings::{Site, written_name};
-use madderloom_config::Document;
+use madderloom_config_reader::Document;
 use madderloom_degradation::section::{Checked, ClassFacts, Section as LevelsSection};
 use madderloom_graphql::{ClassInfo, Policy};
 use madderloom_sidecar_state::Mode;
--- a/crates/operator-config/src/process.rs
+++ b/crates/operator-config/src/process.rs
@@ -1,6 +1,6 @@
 //! `[process]`: what concerns the whole process.
 
-use madderloom_config::{Document, Span};
+use madderloom_config_reader::{Document, Span};
 use serde::Deserialize;
 
 /// The section as it is written.
--- a/crates/operator-config/src/routes.rs
+++ b/crates/operator-config/src/routes.rs
@@ -3,7 +3,7 @@
 use crate::names::Names;
 use crate::pools::Pool;
 use http::{HeaderName, HeaderValue, Method};
-use madderloom_config::Document;
+use madderloom_config_reader::Document;
 use madderloom_routing::routes::{Clash, HeaderPattern, PathPattern, Piece, Route, Table};
 use serde::{Deserialize, Deserializer, de::Error};
 use std::collections::BTreeMap;
--- a/crates/operator-config/src/state.rs
+++ b/crates/operator-config/src/state.rs
@@ -1,6 +1,6 @@
 //! `[state]`: what outlasts the process, and where. Without the section nothing does.
 
-use madderloom_config::{Document, Span};
+use madderloom_config_reader::{Document, Span};
 use madderloom_sidecar_state::{Aging, Mode, Rules};
 use serde::Deserialize;
 use std::path::PathBuf;
--- a/crates/operator-config/src/timeline.rs
+++ b/crates/operator-config/src/timeline.rs
@@ -1,6 +1,6 @@
 //! `[timeline]`: whether the story of each server is kept, and how much of it.
 
-use madderloom_config::{Document, Span};
+use madderloom_config_reader::{Document, Span};
 use madderloom_endpoint_history::{Settings, Story};
 use serde::Deserialize;
 
--- a/crates/operator-config/tests/file.rs
+++ b/crates/operator-config/tests/file.rs
@@ -1,6 +1,6 @@
 //! The operator file: what it says, and what is said of one that makes no sense.
 
-use madderloom_config::Problem;
+use madderloom_config_reader::Problem;
 use madderloom_operator_config::{Admin, Bounds, Kept, Operator, parts};
 use madderloom_sidecar_state::Mode;
 use proptest::prelude::*;
--- a/crates/sidecar/src/ledger.rs
+++ b/crates/sidecar/src/ledger.rs
@@ -486,7 +486,7 @@
                 window: 60_000_000,
                 most: 1_000,
             },
-            warm_every: madderloom_config::Span::s(5),
+            warm_every: madderloom_config_reader::Span::s(5),
             aging: Aging { half: 1, oldest: 1 },
         })
     }
--- a/crates/sidecar/src/levels.rs
+++ b/crates/sidecar/src/levels.rs
@@ -4,7 +4,7 @@
 use super::ledger::ORDERS;
 use super::service::Service;
 use madderloom_balancer::{Event, Micros, Reduced};
-use madderloom_config::Span;
+use madderloom_config_reader::Span;
 use madderloom_degradation::gauge::Outside;
 use madderloom_degradation::keeper::{Keeper, LOOK};
 use madderloom_degradation::section::{Checked, FULL};
