--- a/crates/agent/src/config.rs
+++ b/crates/agent/src/config.rs
@@ -7,7 +7,7 @@
 use madderloom_fleet::settings::check_name;
 use madderloom_fleet::spread::Pace;
 use madderloom_keys::Files;
-use madderloom_quota::{Amount, Bound, LEASES, Limit, ONE, UNBOUNDED};
+use madderloom_quota_leases::{Amount, Bound, LEASES, Limit, ONE, UNBOUNDED};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/agent/src/core.rs
+++ b/crates/agent/src/core.rs
@@ -14,7 +14,7 @@
 use madderloom_fleet::protocol::{ToAgent, ToInstance};
 use madderloom_fleet::relay::{Batch, BatchAnswer, WatchLine};
 use madderloom_fleet::{Accepted, By, Declined, Fleet, Micros, Note, Output, Rules, Time};
-use madderloom_quota::Note as Quota;
+use madderloom_quota_leases::Note as Quota;
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
--- a/crates/agent/src/link.rs
+++ b/crates/agent/src/link.rs
@@ -9,7 +9,7 @@
 use madderloom_fleet::protocol::{Outcome, ToAgent, ToInstance};
 use madderloom_fleet::settings::Overlay;
 use madderloom_fleet::{Action, Event, Instance, Memory, Session};
-use madderloom_quota::{Asks, Lent};
+use madderloom_quota_leases::{Asks, Lent};
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use std::pin::Pin;
 use std::rc::Rc;
--- a/crates/agent/src/view.rs
+++ b/crates/agent/src/view.rs
@@ -7,7 +7,7 @@
 use madderloom_fleet::protocol::Outcome;
 use madderloom_fleet::rollout::{End, Phase, Rollout, Step, Target};
 use madderloom_fleet::{By, Entry, Fleet, Micros};
-use madderloom_quota::{Amount, ONE, UNBOUNDED, View};
+use madderloom_quota_leases::{Amount, ONE, UNBOUNDED, View};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -3,7 +3,7 @@
 use crate::output::{Output, tell, tell_problems};
 use madderloom_config_reader::Problem;
 use madderloom_operator_config::{Operator, PoolLevels};
-use madderloom_quota::{Amount, ONE, Safe, UNBOUNDED};
+use madderloom_quota_leases::{Amount, ONE, Safe, UNBOUNDED};
 use madderloom_sidecar::Config;
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/crates/fleet/src/explore/lease_model.rs
+++ b/crates/fleet/src/explore/lease_model.rs
@@ -12,7 +12,7 @@
 
 use super::Model;
 use foldhash::quality::FixedState;
-use madderloom_quota::{
+use madderloom_quota_leases::{
     Amount, Grant, LeaseHolder, LeaseRequests, LeaseServer, Limit, Micros, ONE, Safe, ServerId,
 };
 use std::collections::BTreeMap;
--- a/crates/fleet/src/explore/tests.rs
+++ b/crates/fleet/src/explore/tests.rs
@@ -182,7 +182,7 @@
 /// reports take more steps than are explored here: a test of the lease server has them.)
 #[test]
 fn bugs_in_lending_are_found() {
-    use madderloom_quota::{InjectedBug, with_injected_bug};
+    use madderloom_quota_leases::{InjectedBug, with_injected_bug};
     let killed = "an agent that is killed";
     let two = "two instances, messages late or lost, wants that change";
     for (bug, breaks, name) in [
--- a/crates/fleet/src/fleet/limits.rs
+++ b/crates/fleet/src/fleet/limits.rs
@@ -4,7 +4,7 @@
 use super::record::Record;
 use super::{Fleet, Output, Time};
 use crate::fleet_limits::{FleetLimitSettings, FleetLimits};
-use madderloom_quota::{LeaseServer, ServerId};
+use madderloom_quota_leases::{LeaseServer, ServerId};
 
 impl Fleet {
     /// Starts to serve leases of the limits of the agent's file. Must be called once, right after [`Fleet::restore`].
--- a/crates/fleet/src/fleet_limits.rs
+++ b/crates/fleet/src/fleet_limits.rs
@@ -4,7 +4,7 @@
 use crate::change::Layers;
 use crate::protocol::Report;
 use crate::settings::{FleetFigure, Key, Value};
-use madderloom_quota::{Grant, LeaseServer, Limit, MOST, Note, ONE, ServerId, UNBOUNDED};
+use madderloom_quota_leases::{Grant, LeaseServer, Limit, MOST, Note, ONE, ServerId, UNBOUNDED};
 use std::collections::BTreeMap;
 
 /// The fleet-wide limits of an agent's file.
--- a/crates/fleet/src/instance.rs
+++ b/crates/fleet/src/instance.rs
@@ -12,7 +12,7 @@
 use crate::settings::Overlay;
 use crate::{InjectedBug, Micros, is_injected};
 use madderloom_endpoint_sharing::Lists;
-use madderloom_quota::Grant;
+use madderloom_quota_leases::Grant;
 use serde::{Deserialize, Serialize};
 
 /// How long an instance waits for an answer to its registration, in microseconds.
--- a/crates/fleet/src/protocol.rs
+++ b/crates/fleet/src/protocol.rs
@@ -10,7 +10,7 @@
 use crate::gate::Counts;
 use crate::settings::{Fingerprint, Overlay, check_name};
 use madderloom_endpoint_sharing::{Lists, MOST_TEXT, Tells};
-use madderloom_quota::{Grant, LeaseRequests};
+use madderloom_quota_leases::{Grant, LeaseRequests};
 use serde::{Deserialize, Serialize};
 
 /// The version of the protocol; it is part of the path of every request.
--- a/crates/fleet/tests/a_relay_keeps_its_bounds.rs
+++ b/crates/fleet/tests/a_relay_keeps_its_bounds.rs
@@ -3,7 +3,7 @@
 use madderloom_fleet::protocol::{Register, Report, ToAgent, ToInstance, Welcome, Who};
 use madderloom_fleet::relay::{Addressed, Batch, BatchAnswer, MAX_BATCH, Relay, RelayRules};
 use madderloom_fleet::spread::Pace;
-use madderloom_quota::LeaseRequests;
+use madderloom_quota_leases::LeaseRequests;
 
 const S: u64 = 1_000_000;
 const TERM: u64 = 7;
--- a/crates/fleet/tests/names_on_the_wire_and_on_disk_stay.rs
+++ b/crates/fleet/tests/names_on_the_wire_and_on_disk_stay.rs
@@ -3,7 +3,7 @@
 
 use madderloom_fleet::Record;
 use madderloom_fleet::protocol::{Report, ToAgent, ToInstance, Who};
-use madderloom_quota::{Amount, Grant, Lease, LeaseRequest, LeaseRequests, ServerId};
+use madderloom_quota_leases::{Amount, Grant, Lease, LeaseRequest, LeaseRequests, ServerId};
 use serde_json::{json, to_value};
 
 const AMOUNT: Amount = Amount {
--- a/crates/operator-config/src/fleet_limits.rs
+++ b/crates/operator-config/src/fleet_limits.rs
@@ -5,7 +5,7 @@
 use http::HeaderName;
 use madderloom_config_reader::Document;
 use madderloom_fleet::settings::check_name;
-use madderloom_quota::{Amount, ONE, Safe, UNBOUNDED};
+use madderloom_quota_leases::{Amount, ONE, Safe, UNBOUNDED};
 use serde::Deserialize;
 
 /// The most limits of one instance.
@@ -42,7 +42,7 @@
 impl Pattern {
     /// Whether it fits a name.
     pub fn fits(&self, name: &str) -> bool {
-        madderloom_quota::fits(&self.0, name)
+        madderloom_quota_leases::fits(&self.0, name)
     }
 }
 
--- a/crates/quota/examples/admission.rs
+++ b/crates/quota-leases/examples/admission.rs
@@ -1,8 +1,8 @@
 //! Measures what admitting a request costs, under a lease and without limits.
 //!
-//! `cargo run --release -p madderloom-quota --example admission`
+//! `cargo run --release -p madderloom-quota-leases --example admission`
 
-use madderloom_quota::{Amount, Grant, Lease, LeaseHolder, ONE, Safe, ServerId};
+use madderloom_quota_leases::{Amount, Grant, Lease, LeaseHolder, ONE, Safe, ServerId};
 use std::hint::black_box;
 use std::time::Instant;
 
--- a/crates/quota/tests/new_holders_are_allocated_at_a_bounded_cost.rs
+++ b/crates/quota-leases/tests/new_holders_are_allocated_at_a_bounded_cost.rs
@@ -1,7 +1,7 @@
 //! However many holders a server knows and however fast new ones arrive, allocations for new ones look at 10,000 holders a
 //! second at most, and each new one has its share within a quarter of the report interval.
 
-use madderloom_quota::{
+use madderloom_quota_leases::{
     Amount, Grant, LeaseRequest, LeaseRequests, LeaseServer, Limit, Micros, ONE, ServerId,
 };
 use std::collections::BTreeMap;
--- a/crates/quota/tests/no_window_is_over_the_limit.rs
+++ b/crates/quota-leases/tests/no_window_is_over_the_limit.rs
@@ -2,7 +2,7 @@
 //! drift, and holders and servers that freeze, die and come back: no window admits more than the limit, and never are
 //! more requests open.
 
-use madderloom_quota::{
+use madderloom_quota_leases::{
     Amount, Grant, LeaseHolder, LeaseRequest, LeaseRequests, LeaseServer, Limit, Micros, Note, ONE,
     Safe, ServerId,
 };
@@ -524,7 +524,7 @@
         holder.end(&format!("node/{name}"));
     }
     let known = |holder: &LeaseHolder| holder.standings(0).count();
-    assert_eq!(known(&holder), madderloom_quota::MOST_LIMITS);
+    assert_eq!(known(&holder), madderloom_quota_leases::MOST_LIMITS);
     // All in use: another is turned away, and none is forgotten.
     let now = 4_000_000_000;
     for server in 745..1_000 {
--- a/crates/sidecar/src/agent_link/connection.rs
+++ b/crates/sidecar/src/agent_link/connection.rs
@@ -11,7 +11,7 @@
 use madderloom_fleet::settings::Overlay;
 use madderloom_fleet::{Instance, Memory};
 use madderloom_keys::{Files, Keyring, Role};
-use madderloom_quota::{Grant, LeaseRequests};
+use madderloom_quota_leases::{Grant, LeaseRequests};
 use std::hash::{BuildHasher, RandomState};
 use std::rc::Weak;
 use std::sync::Arc;
--- a/crates/sidecar/src/fleet_limits.rs
+++ b/crates/sidecar/src/fleet_limits.rs
@@ -1,5 +1,5 @@
 //! Fleet-wide limits at this instance: which requests they are for, and the lease under which these are let in. It knows
-//! nothing of services, listeners or the agent; what decides is [`madderloom_quota::Holder`].
+//! nothing of services, listeners or the agent; what decides is [`madderloom_quota_leases::Holder`].
 //!
 //! Leases end by a clock that also runs while the machine is suspended, read anew for each request: whoever stood still
 //! in between must not go by what the clock said before.
@@ -7,7 +7,7 @@
 use super::clock::boottime as now;
 use hyper::HeaderMap;
 use madderloom_operator_config::FleetLimit;
-use madderloom_quota::{Amount, Asks, Denied, Holder, Lent, ONE, UNBOUNDED};
+use madderloom_quota_leases::{Amount, Asks, Denied, Holder, Lent, ONE, UNBOUNDED};
 use serde_json::{Value, json};
 use smallvec::SmallVec;
 use std::cell::{Cell, RefCell};
