--- a/crates/agent/src/batch.rs
+++ b/crates/agent/src/batch.rs
@@ -1,10 +1,10 @@
 //! A batch of a relay: what goes into the answer to it, and what goes over watches.
 
 use crate::routes::{RelayId, Routes};
+use madderloom_control_plane::Micros;
+use madderloom_control_plane::protocol::{ToAgent, ToInstance};
+use madderloom_control_plane::relay::{Batch, BatchAnswer};
 use madderloom_endpoint_sharing::{Lists, Note, Relay as ListRelay};
-use madderloom_fleet::Micros;
-use madderloom_fleet::protocol::{ToAgent, ToInstance};
-use madderloom_fleet::relay::{Batch, BatchAnswer};
 
 /// Messages to instances, by name.
 pub(crate) type Sends = Vec<(String, ToInstance)>;
--- a/crates/agent/src/clock.rs
+++ b/crates/agent/src/clock.rs
@@ -1,6 +1,6 @@
 //! The two clocks.
 
-use madderloom_fleet::Time;
+use madderloom_control_plane::Time;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// The clocks of this process.
--- a/crates/agent/src/config.rs
+++ b/crates/agent/src/config.rs
@@ -1,11 +1,11 @@
 //! The agent's file.
 
 use madderloom_config_reader::{Document, Problem, Span};
-use madderloom_fleet::Rules;
-use madderloom_fleet::fleet_limits::FleetLimitSettings;
-use madderloom_fleet::membership::Leases;
-use madderloom_fleet::settings::check_name;
-use madderloom_fleet::spread::Pace;
+use madderloom_control_plane::Rules;
+use madderloom_control_plane::fleet_limits::FleetLimitSettings;
+use madderloom_control_plane::membership::Leases;
+use madderloom_control_plane::settings::check_name;
+use madderloom_control_plane::spread::Pace;
 use madderloom_keys::Files;
 use madderloom_quota_leases::{Amount, Bound, LEASES, Limit, ONE, UNBOUNDED};
 use serde::Deserialize;
@@ -376,7 +376,7 @@
             include_str!("../../../examples/fleet/slow-w7.toml"),
             include_str!("../../../examples/fleet/calm.toml"),
         ] {
-            assert!(madderloom_fleet::file::read(change, Some(0)).is_ok());
+            assert!(madderloom_control_plane::file::read(change, Some(0)).is_ok());
         }
     }
 
--- a/crates/agent/src/error.rs
+++ b/crates/agent/src/error.rs
@@ -90,7 +90,7 @@
     StorageThread(#[source] tokio::task::JoinError),
     /// The durable records do not make a state.
     #[error("the state makes no sense: {0}")]
-    InvalidState(#[source] madderloom_fleet::Error),
+    InvalidState(#[source] madderloom_control_plane::Error),
 }
 
 impl From<Error> for String {
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,4 +1,4 @@
-//! The agent of a fleet, with its I/O: what [`madderloom_fleet`] decides, over HTTP/1.1 and JSON within mutual TLS.
+//! The agent of a fleet, with its I/O: what [`madderloom_control_plane`] decides, over HTTP/1.1 and JSON within mutual TLS.
 //!
 //! - [`Config`] is the agent's file, [`Agent`] the program: it listens, keeps what must last through a [`Storage`],
 //!   and writes every attempt to change something into an audit log.
--- a/crates/agent/src/link.rs
+++ b/crates/agent/src/link.rs
@@ -3,12 +3,12 @@
 use crate::client::Client;
 use crate::clock::Clock;
 use hyper::{Method, StatusCode};
+use madderloom_control_plane::change::Traits;
+use madderloom_control_plane::gate::Counts;
+use madderloom_control_plane::protocol::{Outcome, ToAgent, ToInstance};
+use madderloom_control_plane::settings::Overlay;
+use madderloom_control_plane::{Action, Event, Instance, Memory, Session};
 use madderloom_endpoint_sharing::{Lists, Tells};
-use madderloom_fleet::change::Traits;
-use madderloom_fleet::gate::Counts;
-use madderloom_fleet::protocol::{Outcome, ToAgent, ToInstance};
-use madderloom_fleet::settings::Overlay;
-use madderloom_fleet::{Action, Event, Instance, Memory, Session};
 use madderloom_quota_leases::{Asks, Lent};
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use std::pin::Pin;
--- a/crates/agent/src/relay/config.rs
+++ b/crates/agent/src/relay/config.rs
@@ -2,9 +2,9 @@
 
 use crate::config::{KeysPart, RegistrationsPart, USUAL_CONNECTIONS, needed_path};
 use madderloom_config_reader::{Document, Problem, Span};
-use madderloom_fleet::relay::RelayRules;
-use madderloom_fleet::settings::check_name;
-use madderloom_fleet::spread::Pace;
+use madderloom_control_plane::relay::RelayRules;
+use madderloom_control_plane::settings::check_name;
+use madderloom_control_plane::spread::Pace;
 use madderloom_keys::Files;
 use serde::Deserialize;
 use std::net::SocketAddr;
--- a/crates/agent/src/relay/mod.rs
+++ b/crates/agent/src/relay/mod.rs
@@ -1,5 +1,5 @@
 //! The relay: an agent to the instances of one zone, and the one connection of them all to the agent above. What it
-//! decides, and what it does not, is told at [`madderloom_fleet::relay`].
+//! decides, and what it does not, is told at [`madderloom_control_plane::relay`].
 //!
 //! Instances need no other setting than its address in place of the agent's. It keeps nothing on disk: after a restart
 //! its instances register anew, at its own pace.
--- a/crates/agent/src/relay/parent.rs
+++ b/crates/agent/src/relay/parent.rs
@@ -2,8 +2,8 @@
 
 use crate::client::Client;
 use hyper::{Method, StatusCode};
-use madderloom_fleet::protocol::ToAgent;
-use madderloom_fleet::relay::{Addressed, Batch, BatchAnswer, LARGEST_BATCH, WatchLine};
+use madderloom_control_plane::protocol::ToAgent;
+use madderloom_control_plane::relay::{Addressed, Batch, BatchAnswer, LARGEST_BATCH, WatchLine};
 use madderloom_keys::Keyring;
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use serde::Serialize;
--- a/crates/agent/src/routes.rs
+++ b/crates/agent/src/routes.rs
@@ -1,7 +1,7 @@
 //! The ways to instances: over the watch of an instance, or over that of the relay that it is behind.
 
-use madderloom_fleet::protocol::ToInstance;
-use madderloom_fleet::relay::{Addressed, WatchLine};
+use madderloom_control_plane::protocol::ToInstance;
+use madderloom_control_plane::relay::{Addressed, WatchLine};
 use std::collections::BTreeMap;
 use tokio::sync::mpsc;
 
--- a/crates/agent/src/storage.rs
+++ b/crates/agent/src/storage.rs
@@ -1,7 +1,7 @@
 //! Where the agent keeps what must last.
 
 use crate::Error;
-use madderloom_fleet::Record;
+use madderloom_control_plane::Record;
 use madderloom_store::{Batch, Durability, Options, RealDisk, Store};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
--- a/crates/agent/src/view.rs
+++ b/crates/agent/src/view.rs
@@ -1,12 +1,12 @@
 //! What the agent can be asked for.
 
 use crate::traffic::Traffic;
+use madderloom_control_plane::gate::Counts;
+use madderloom_control_plane::membership::{Presence, SEEN};
+use madderloom_control_plane::protocol::Outcome;
+use madderloom_control_plane::rollout::{End, Phase, Rollout, Step, Target};
+use madderloom_control_plane::{By, Entry, Fleet, Micros};
 use madderloom_endpoint_sharing::{Relay, SharedList};
-use madderloom_fleet::gate::Counts;
-use madderloom_fleet::membership::{Presence, SEEN};
-use madderloom_fleet::protocol::Outcome;
-use madderloom_fleet::rollout::{End, Phase, Rollout, Step, Target};
-use madderloom_fleet::{By, Entry, Fleet, Micros};
 use madderloom_quota_leases::{Amount, ONE, UNBOUNDED, View};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -371,7 +371,7 @@
         ended: None,
         why: rollout.why.clone(),
         note: rollout.change.note.clone(),
-        difference: madderloom_fleet::difference(&rollout.change),
+        difference: madderloom_control_plane::difference(&rollout.change),
         counts: counts(&rollout.targets),
         results: results
             .map(|(name, target)| (name.clone(), result(target)))
@@ -391,7 +391,7 @@
         ended: Some(entry.ended),
         why: entry.why.clone(),
         note: entry.change.note.clone(),
-        difference: madderloom_fleet::difference(&entry.change),
+        difference: madderloom_control_plane::difference(&entry.change),
         counts: targets.map(counts).unwrap_or_default(),
         results: results
             .map(|(name, target)| (name.clone(), result(target)))
--- a/crates/agent/tests/common/mod.rs
+++ b/crates/agent/tests/common/mod.rs
@@ -8,11 +8,11 @@
     Agent, Client, Config, Error, Link, Saves, Settings, Storage, Taking, view,
 };
 use madderloom_config_reader::Problem;
-use madderloom_fleet::change::{Change, Policy, Selector, Share, Then, Traits, What};
-use madderloom_fleet::gate::Counts;
-use madderloom_fleet::protocol::{Outcome, ToAgent, Who};
-use madderloom_fleet::settings::{Edits, Key, Overlay, Value};
-use madderloom_fleet::{Instance, Memory, Record};
+use madderloom_control_plane::change::{Change, Policy, Selector, Share, Then, Traits, What};
+use madderloom_control_plane::gate::Counts;
+use madderloom_control_plane::protocol::{Outcome, ToAgent, Who};
+use madderloom_control_plane::settings::{Edits, Key, Overlay, Value};
+use madderloom_control_plane::{Instance, Memory, Record};
 use madderloom_keys::{Authority, Files, Role};
 use std::cell::RefCell;
 use std::path::PathBuf;
@@ -101,7 +101,7 @@
             .filter(|key| overlay.0.contains_key(key))
         {
             let problem = "is not known to this instance".to_string();
-            return Outcome::Refused(madderloom_fleet::Problem {
+            return Outcome::Refused(madderloom_control_plane::Problem {
                 field: format!("set.{key}"),
                 problem,
             });
@@ -466,7 +466,7 @@
 pub async fn push(
     client: &Client,
     change: &Change,
-) -> Result<madderloom_fleet::Accepted, madderloom_agent::Failed> {
+) -> Result<madderloom_control_plane::Accepted, madderloom_agent::Failed> {
     client
         .get(
             hyper::Method::POST,
--- a/crates/agent/tests/every_change_ends_for_each_instance.rs
+++ b/crates/agent/tests/every_change_ends_for_each_instance.rs
@@ -6,11 +6,11 @@
 use common::{Rig, Toy, change, push, run};
 use hyper::Method;
 use madderloom_agent::{Failed, view};
-use madderloom_fleet::change::Then;
-use madderloom_fleet::gate::{Counts, GateRule};
-use madderloom_fleet::rollout::End;
-use madderloom_fleet::settings::{Key, Value};
-use madderloom_fleet::{Accepted, Declined};
+use madderloom_control_plane::change::Then;
+use madderloom_control_plane::gate::{Counts, GateRule};
+use madderloom_control_plane::rollout::End;
+use madderloom_control_plane::settings::{Key, Value};
+use madderloom_control_plane::{Accepted, Declined};
 use std::time::Duration;
 
 fn weight(toy: &Toy, server: &str) -> Option<Value> {
--- a/crates/agent/tests/relays_stand_between_instances_and_an_agent.rs
+++ b/crates/agent/tests/relays_stand_between_instances_and_an_agent.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{Rig, TestRelay, Toy, change, push, run};
-use madderloom_fleet::settings::{Key, Value};
+use madderloom_control_plane::settings::{Key, Value};
 use std::time::{Duration, Instant};
 
 /// Relays of a test.
--- a/crates/cli/src/fleet/declined.rs
+++ b/crates/cli/src/fleet/declined.rs
@@ -1,7 +1,7 @@
 //! Why a change was declined, with what to do.
 
 use super::text::{ended, when};
-use madderloom_fleet::Declined;
+use madderloom_control_plane::Declined;
 use std::io::Write;
 
 /// Tells why a change was declined, with what to do.
--- a/crates/cli/src/fleet/follow.rs
+++ b/crates/cli/src/fleet/follow.rs
@@ -6,7 +6,7 @@
 use crate::output::{Output, Table, tell};
 use madderloom_agent::view::Rollouts;
 use madderloom_agent::{Client, Failed};
-use madderloom_fleet::Accepted;
+use madderloom_control_plane::Accepted;
 use std::io::{IsTerminal, Write};
 use std::process::ExitCode;
 
--- a/crates/cli/src/fleet/push.rs
+++ b/crates/cli/src/fleet/push.rs
@@ -8,11 +8,11 @@
 use hyper::Method;
 use madderloom_agent::view::{Instance, Rollouts, Status};
 use madderloom_agent::{Client, Failed};
-use madderloom_fleet::change::{Change, Policy, Selector, Traits, What};
-use madderloom_fleet::membership::Presence;
-use madderloom_fleet::rollout::Rollout as FleetRollout;
-use madderloom_fleet::settings::{Edits, Key, Value};
-use madderloom_fleet::{Accepted, By, Error};
+use madderloom_control_plane::change::{Change, Policy, Selector, Traits, What};
+use madderloom_control_plane::membership::Presence;
+use madderloom_control_plane::rollout::Rollout as FleetRollout;
+use madderloom_control_plane::settings::{Edits, Key, Value};
+use madderloom_control_plane::{Accepted, By, Error};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -40,7 +40,7 @@
         let name = self.file.display().to_string();
         let text = std::fs::read_to_string(&self.file).map_err(|e| format!("{name}: {e}"))?;
         let read = |newest| {
-            madderloom_fleet::file::read(&text, newest).map_err(|problems| {
+            madderloom_control_plane::file::read(&text, newest).map_err(|problems| {
                 let lines: Vec<String> = problems
                     .iter()
                     .map(|problem| format!("{name}:{problem}"))
@@ -71,7 +71,7 @@
     let instances: Vec<Instance> = get(client, "/v1/instances").await?;
     let known: Vec<Rollouts> = get(client, "/v1/rollouts").await?;
     let (id, base, newest) = (change.id.clone(), change.base, status.revision);
-    let difference = madderloom_fleet::difference(&change);
+    let difference = madderloom_control_plane::difference(&change);
     let why = if let Some(term) = status.stood_down {
         Some(format!("an agent of term {term} has taken over"))
     } else if let Some(former) = known.iter().find(|former| former.id == id) {
--- a/crates/cli/src/fleet/rollout.rs
+++ b/crates/cli/src/fleet/rollout.rs
@@ -8,7 +8,7 @@
 use clap::Subcommand;
 use hyper::Method;
 use madderloom_agent::view::Rollouts;
-use madderloom_fleet::Accepted;
+use madderloom_control_plane::Accepted;
 use std::process::ExitCode;
 
 /// Shows a rollout, stops it or takes it back.
--- a/crates/cli/src/fleet/text.rs
+++ b/crates/cli/src/fleet/text.rs
@@ -2,9 +2,9 @@
 
 use crate::output::{Table, tell};
 use madderloom_agent::view::{Figures, Instance, Rollouts, Share};
+use madderloom_control_plane::membership::Presence;
+use madderloom_control_plane::rollout::End;
 use madderloom_endpoint_sharing::SharedList;
-use madderloom_fleet::membership::Presence;
-use madderloom_fleet::rollout::End;
 use serde::Serialize;
 use std::collections::BTreeMap;
 use time::OffsetDateTime;
--- a/crates/cli/src/fleet/top.rs
+++ b/crates/cli/src/fleet/top.rs
@@ -5,7 +5,7 @@
 use crate::output::tell;
 use madderloom_agent::view::{Instance, Rollouts, Status};
 use madderloom_agent::{Client, Failed};
-use madderloom_fleet::membership::Presence;
+use madderloom_control_plane::membership::Presence;
 use std::fmt;
 use std::io::IsTerminal;
 use std::process::ExitCode;
--- a/crates/cli/src/logging.rs
+++ b/crates/cli/src/logging.rs
@@ -6,7 +6,7 @@
 //! in the code, [`A_SECOND`] are written in a second at most, and how many were left out is told behind them.
 
 use clap::ValueEnum;
-use madderloom_fleet::settings::LogLevel;
+use madderloom_control_plane::settings::LogLevel;
 use std::collections::HashMap;
 use std::fmt;
 use std::io::{self, Write};
--- a/crates/cli/tests/fleet/commands.rs
+++ b/crates/cli/tests/fleet/commands.rs
@@ -2,11 +2,11 @@
 
 use crate::rig::{found, madderloom};
 use madderloom_agent::{Client, Link, Settings, Taking};
-use madderloom_fleet::change::Traits;
-use madderloom_fleet::gate::Counts;
-use madderloom_fleet::protocol::{Outcome, Who};
-use madderloom_fleet::settings::Overlay;
-use madderloom_fleet::{Instance, Memory, Problem};
+use madderloom_control_plane::change::Traits;
+use madderloom_control_plane::gate::Counts;
+use madderloom_control_plane::protocol::{Outcome, Who};
+use madderloom_control_plane::settings::Overlay;
+use madderloom_control_plane::{Instance, Memory, Problem};
 use madderloom_keys::Files;
 use std::io::{BufRead, BufReader};
 use std::path::Path;
--- a/crates/cli/tests/fleet/faults.rs
+++ b/crates/cli/tests/fleet/faults.rs
@@ -2,7 +2,7 @@
 //! they say of themselves agrees with what the fleet has settled on, and no request is lost or repeated by it.
 
 use crate::rig::{Instance, PAUSE, Rig, ZONES, judge};
-use madderloom_fleet::settings::{Overlay, Value};
+use madderloom_control_plane::settings::{Overlay, Value};
 use madderloom_rig::{Direction, Load, Signal, until};
 use std::collections::BTreeMap;
 use std::process::Output;
--- a/crates/fleet/examples/explore.rs
+++ b/crates/control-plane/examples/explore.rs
@@ -1,10 +1,10 @@
 //! Explores the fleet's state machines, and prints the number of states or the trace to a violated invariant.
 //!
-//! `cargo run --release -p madderloom-fleet --features explore --example explore [large] [STATES]`
+//! `cargo run --release -p madderloom-control-plane --features explore --example explore [large] [STATES]`
 //!
 //! `large` explores the larger models; `STATES` bounds the states of each (ten million by default, some 2 GB).
 
-use madderloom_fleet::explore::{
+use madderloom_control_plane::explore::{
     Explored, explore, larger_lease_models, larger_rollout_models, lease_models, rollout_models,
 };
 use std::process::ExitCode;
--- a/crates/fleet/tests/a_change_is_refused_with_its_field.rs
+++ b/crates/control-plane/tests/a_change_is_refused_with_its_field.rs
@@ -1,10 +1,10 @@
 //! Changes as documents: the file, the checks, fingerprints, layers and differences.
 
-use madderloom_fleet::change::{
+use madderloom_control_plane::change::{
     Change, Layer, Layers, MOST_NAMES, Policy, Selector, Share, Then, Traits, What,
 };
-use madderloom_fleet::file;
-use madderloom_fleet::settings::{Edits, Key, LogLevel, Overlay, Value};
+use madderloom_control_plane::file;
+use madderloom_control_plane::settings::{Edits, Key, LogLevel, Overlay, Value};
 use proptest::prelude::*;
 
 const FILE: &str = r#"
--- a/crates/fleet/tests/a_relay_keeps_its_bounds.rs
+++ b/crates/control-plane/tests/a_relay_keeps_its_bounds.rs
@@ -1,8 +1,10 @@
 //! The bounds of a relay: how many children, how long one waits, what is sent and what is repeated.
 
-use madderloom_fleet::protocol::{Register, Report, ToAgent, ToInstance, Welcome, Who};
-use madderloom_fleet::relay::{Addressed, Batch, BatchAnswer, MAX_BATCH, Relay, RelayRules};
-use madderloom_fleet::spread::Pace;
+use madderloom_control_plane::protocol::{Register, Report, ToAgent, ToInstance, Welcome, Who};
+use madderloom_control_plane::relay::{
+    Addressed, Batch, BatchAnswer, MAX_BATCH, Relay, RelayRules,
+};
+use madderloom_control_plane::spread::Pace;
 use madderloom_quota_leases::LeaseRequests;
 
 const S: u64 = 1_000_000;
--- a/crates/fleet/tests/errors_keep_their_texts.rs
+++ b/crates/control-plane/tests/errors_keep_their_texts.rs
@@ -1,8 +1,8 @@
 //! Operators see the texts of errors, and their tools may look for them.
 
-use madderloom_fleet::change::Layers;
-use madderloom_fleet::settings::{Key, Value, check_name};
-use madderloom_fleet::{Error, Fleet, Record, Rules, Time};
+use madderloom_control_plane::change::Layers;
+use madderloom_control_plane::settings::{Key, Value, check_name};
+use madderloom_control_plane::{Error, Fleet, Record, Rules, Time};
 use std::error::Error as _;
 
 fn of_name(name: &str) -> String {
--- a/crates/fleet/tests/names_on_the_wire_and_on_disk_stay.rs
+++ b/crates/control-plane/tests/names_on_the_wire_and_on_disk_stay.rs
@@ -1,8 +1,8 @@
 //! The names of fields and variants in messages and in durable records do not change when the code's names do: other
 //! versions of an agent or an instance read them.
 
-use madderloom_fleet::Record;
-use madderloom_fleet::protocol::{Report, ToAgent, ToInstance, Who};
+use madderloom_control_plane::Record;
+use madderloom_control_plane::protocol::{Report, ToAgent, ToInstance, Who};
 use madderloom_quota_leases::{Amount, Grant, Lease, LeaseRequest, LeaseRequests, ServerId};
 use serde_json::{json, to_value};
 
--- a/crates/fleet/tests/one_name_is_one_instance.rs
+++ b/crates/control-plane/tests/one_name_is_one_instance.rs
@@ -1,8 +1,8 @@
 //! Membership: leases, and who holds a name.
 
-use madderloom_fleet::change::Traits;
-use madderloom_fleet::membership::{Leases, Membership, Presence, Registered, Renewed};
-use madderloom_fleet::protocol::{Register, Who};
+use madderloom_control_plane::change::Traits;
+use madderloom_control_plane::membership::{Leases, Membership, Presence, Registered, Renewed};
+use madderloom_control_plane::protocol::{Register, Who};
 use proptest::prelude::*;
 
 const S: u64 = 1_000_000;
--- a/crates/fleet/tests/the_longest_lists_fit_into_messages.rs
+++ b/crates/control-plane/tests/the_longest_lists_fit_into_messages.rs
@@ -1,7 +1,7 @@
 //! The longest lists of servers that are shared fit into the messages of version 1 of the control protocol.
 
+use madderloom_control_plane::protocol::{LARGEST_FROM_INSTANCE, LARGEST_ORDER};
 use madderloom_endpoint_sharing::{Line, Lists, MOST_LISTS, MOST_TEXT, Tell, Tells};
-use madderloom_fleet::protocol::{LARGEST_FROM_INSTANCE, LARGEST_ORDER};
 
 #[test]
 fn a_report_with_a_list_of_which_each_byte_is_escaped_leaves_64_kib_for_the_rest() {
--- a/crates/lab/src/scale/bounds.rs
+++ b/crates/lab/src/scale/bounds.rs
@@ -4,11 +4,11 @@
 use super::capacity::{CONNECTIONS, DAY, Reckoner, Row, exactly, reckoned};
 use crate::hop::Row as HopRow;
 use madderloom_agent::USUAL_CONNECTIONS;
+use madderloom_control_plane::change::MOST_LAYERS;
+use madderloom_control_plane::membership::Leases;
+use madderloom_control_plane::settings::MOST_SETTINGS;
+use madderloom_control_plane::spread::Pace;
 use madderloom_endpoint_sharing::MOST_LISTS;
-use madderloom_fleet::change::MOST_LAYERS;
-use madderloom_fleet::membership::Leases;
-use madderloom_fleet::settings::MOST_SETTINGS;
-use madderloom_fleet::spread::Pace;
 
 /// What carries a call through a sidecar.
 const TRANSACTION: &str = "`sidecar/src/transaction.rs`";
@@ -37,7 +37,7 @@
                 Some(f64::from(Pace::default().rate)),
                 "/s",
                 "size: restarts / day, beside the usual pace",
-                "`fleet/src/spread.rs` `Pace`",
+                "`control-plane/src/spread.rs` `Pace`",
             ),
             row(
                 "agent",
@@ -158,7 +158,7 @@
                 MOST_SETTINGS as f64,
                 "",
                 "code: fixed",
-                "`fleet/src/settings.rs` `MOST_SETTINGS`",
+                "`control-plane/src/settings.rs` `MOST_SETTINGS`",
             ),
             bound(
                 "layers in effect, with one for each service",
@@ -166,7 +166,7 @@
                 MOST_LAYERS as f64,
                 "",
                 "code: fixed",
-                "`fleet/src/change.rs` `MOST_LAYERS`",
+                "`control-plane/src/change.rs` `MOST_LAYERS`",
             ),
             bound(
                 "lists that the fleet shares, with one for each service",
@@ -182,7 +182,7 @@
                 Leases::default().most as f64,
                 "",
                 "code: usual; `leases.instances` goes to 65,536",
-                "`fleet/src/membership.rs` `Leases`",
+                "`control-plane/src/membership.rs` `Leases`",
             ),
             bound(
                 "connections of an agent",
@@ -198,7 +198,7 @@
                 self.file.budget.change_seconds(),
                 "s",
                 "code: usual; sidecars / `registrations.rate`",
-                "`fleet/src/spread.rs` `Pace`",
+                "`control-plane/src/spread.rs` `Pace`",
             ),
         ]
     }
--- a/crates/lab/src/scale/capacity.rs
+++ b/crates/lab/src/scale/capacity.rs
@@ -4,7 +4,7 @@
 use super::line::{Foretold, Line};
 use super::measured::{BASE, Measured};
 use super::size::SizeFile;
-use madderloom_fleet::spread::Pace;
+use madderloom_control_plane::spread::Pace;
 use serde::Serialize;
 
 /// Seconds of a day.
@@ -171,7 +171,7 @@
                 factor: 1e3 * each,
                 budget: Some(budget.sidecar_bytes_per_second),
                 unit: "B/s",
-                carried_by: "`agent/src/link.rs` `Link`, `fleet/src/protocol.rs` `Report`",
+                carried_by: "`agent/src/link.rs` `Link`, `control-plane/src/protocol.rs` `Report`",
             }),
             self.row(Wanted {
                 series: BASE,
@@ -181,7 +181,7 @@
                 factor: each,
                 budget: None,
                 unit: "/s",
-                carried_by: "`fleet/src/instance.rs` `Instance`",
+                carried_by: "`control-plane/src/instance.rs` `Instance`",
             }),
             self.row(Wanted {
                 series: BASE,
@@ -262,7 +262,7 @@
                 carried_by,
             })
         };
-        let rollout = "`fleet/src/rollout.rs` `Rollout`";
+        let rollout = "`control-plane/src/rollout.rs` `Rollout`";
         let mut rows = self.ordinary_day(BASE, role).to_vec();
         rows.extend([row(
             "changes of a day, all to all: processor time beyond calm",
@@ -294,7 +294,7 @@
             })
         };
         let (fleet, server) = (
-            "`fleet/src/fleet/mod.rs` `Fleet`",
+            "`control-plane/src/fleet/mod.rs` `Fleet`",
             "`agent/src/server.rs` `Agent`",
         );
         [
@@ -391,7 +391,7 @@
             factor: 1e-3,
             budget: Some(gap),
             unit: "s",
-            carried_by: "`fleet/src/fleet/mod.rs` `Declined::Busy`",
+            carried_by: "`control-plane/src/fleet/mod.rs` `Declined::Busy`",
         })
     }
 
@@ -434,7 +434,7 @@
                 carried_by,
             })
         };
-        let spread = "`fleet/src/spread.rs` `Spread`";
+        let spread = "`control-plane/src/spread.rs` `Spread`";
         vec![
             row(
                 "agent",
@@ -476,13 +476,13 @@
                 "agent",
                 "region's cut over: change made meanwhile in force at its last",
                 Figure::RegionInForce,
-                "`fleet/src/fleet/mod.rs` `Fleet::bring`",
+                "`control-plane/src/fleet/mod.rs` `Fleet::bring`",
             ),
             row(
                 "command line",
                 "push while a region is cut: rollout ended",
                 Figure::RegionRollout,
-                "`fleet/src/rollout.rs` `Rollout`",
+                "`control-plane/src/rollout.rs` `Rollout`",
             ),
         ]
     }
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -1,7 +1,7 @@
 //! A hollow instance: the state machines of a real one over real TLS connections, without a data path.
 //!
 //! Registration, reports, the watch and orders are those of [`madderloom_agent::Link`] and
-//! [`madderloom_fleet::Instance`], the lease of limits is [`madderloom_quota_leases::Holder`], lists are
+//! [`madderloom_control_plane::Instance`], the lease of limits is [`madderloom_quota_leases::Holder`], lists are
 //! [`madderloom_endpoint_sharing::Share`]. An overlay is checked and compared as the sidecar does it, and then kept.
 
 use super::lists::{Discovery, SharedLists};
@@ -11,11 +11,11 @@
 use super::usage;
 use madderloom_agent::traffic::Counters;
 use madderloom_agent::{Client, Link, Settings, Taking};
+use madderloom_control_plane::gate::Counts;
+use madderloom_control_plane::protocol::{Outcome, ToAgent, ToInstance, Who};
+use madderloom_control_plane::settings::{Key, MOST_SETTINGS, Overlay, Value};
+use madderloom_control_plane::{Instance, Memory, Problem};
 use madderloom_endpoint_sharing::{Lists, Tells};
-use madderloom_fleet::gate::Counts;
-use madderloom_fleet::protocol::{Outcome, ToAgent, ToInstance, Who};
-use madderloom_fleet::settings::{Key, MOST_SETTINGS, Overlay, Value};
-use madderloom_fleet::{Instance, Memory, Problem};
 use madderloom_keys::Keyring;
 use madderloom_quota_leases::{Asks, Holder, Lent, Safe};
 use rustix::time::{ClockId, clock_gettime};
--- a/crates/lab/src/scale/with_relays.rs
+++ b/crates/lab/src/scale/with_relays.rs
@@ -77,7 +77,7 @@
         rows.extend(self.pushes(
             RELAYS,
             role,
-            "`fleet/src/fleet/registry.rs` `Fleet::report_all`",
+            "`control-plane/src/fleet/registry.rs` `Fleet::report_all`",
         ));
         rows
     }
@@ -96,7 +96,10 @@
                 carried_by,
             })
         };
-        let (agent, relay) = ("agent above relays", "`fleet/src/relay/mod.rs` `Relay`");
+        let (agent, relay) = (
+            "agent above relays",
+            "`control-plane/src/relay/mod.rs` `Relay`",
+        );
         vec![
             row(
                 agent,
@@ -144,7 +147,7 @@
                 "command line, relays",
                 "push while a region is cut: rollout ended",
                 Figure::RegionRollout,
-                "`fleet/src/rollout.rs` `Rollout`",
+                "`control-plane/src/rollout.rs` `Rollout`",
             ),
         ]
     }
--- a/crates/operator-config/src/control.rs
+++ b/crates/operator-config/src/control.rs
@@ -3,8 +3,8 @@
 use crate::fleet_limits::{self, FleetLimit};
 use crate::names::Names;
 use madderloom_config_reader::Document;
-use madderloom_fleet::change::Traits;
-use madderloom_fleet::settings::check_name;
+use madderloom_control_plane::change::Traits;
+use madderloom_control_plane::settings::check_name;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
--- a/crates/operator-config/src/fleet_limits.rs
+++ b/crates/operator-config/src/fleet_limits.rs
@@ -4,7 +4,7 @@
 use crate::names::{Names, is_name};
 use http::HeaderName;
 use madderloom_config_reader::Document;
-use madderloom_fleet::settings::check_name;
+use madderloom_control_plane::settings::check_name;
 use madderloom_quota_leases::{Amount, ONE, Safe, UNBOUNDED};
 use serde::Deserialize;
 
--- a/crates/operator-config/src/source.rs
+++ b/crates/operator-config/src/source.rs
@@ -1,7 +1,7 @@
 //! An operator file as it was read, to be read again with what the fleet's operators set beside it.
 
 use crate::{Faults, Operator, Problem};
-use madderloom_fleet::settings::{Fingerprint, Key, Overlay, Value};
+use madderloom_control_plane::settings::{Fingerprint, Key, Overlay, Value};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -59,7 +59,7 @@
     /// # Errors
     /// The setting at fault, as `set.limit/SERVICE/LIMIT` or `set.route/NAME` with what is below it, or `set` where
     /// it is the file that no longer fits.
-    pub fn with(&self, overlay: &Overlay) -> Result<Operator, madderloom_fleet::Problem> {
+    pub fn with(&self, overlay: &Overlay) -> Result<Operator, madderloom_control_plane::Problem> {
         let (text, places) = self.edited(overlay)?;
         let read = |name: &str| {
             self.named
@@ -71,15 +71,18 @@
         read.map(|operator| operator.beside(&self.file))
     }
 
-    fn edited(&self, overlay: &Overlay) -> Result<(String, Places), madderloom_fleet::Problem> {
-        let fault = |key: &Key, problem: String| madderloom_fleet::Problem {
+    fn edited(
+        &self,
+        overlay: &Overlay,
+    ) -> Result<(String, Places), madderloom_control_plane::Problem> {
+        let fault = |key: &Key, problem: String| madderloom_control_plane::Problem {
             field: format!("set.{key}"),
             problem,
         };
         let mut file: Table =
             self.text
                 .parse()
-                .map_err(|e: toml::de::Error| madderloom_fleet::Problem {
+                .map_err(|e: toml::de::Error| madderloom_control_plane::Problem {
                     field: "set".into(),
                     problem: format!("the file can't be read: {}", e.message()),
                 })?;
@@ -174,12 +177,12 @@
 }
 
 /// The first problem that stands where a setting does, by the setting's name; else the first one.
-fn told(problems: &[Problem], places: &Places) -> madderloom_fleet::Problem {
+fn told(problems: &[Problem], places: &Places) -> madderloom_control_plane::Problem {
     let by_setting = |problem: &Problem| {
         places.iter().find_map(|(place, key)| {
             let rest = problem.field.strip_prefix(place.as_str())?;
             let below = rest.is_empty() || rest.starts_with(['.', '[']);
-            below.then(|| madderloom_fleet::Problem {
+            below.then(|| madderloom_control_plane::Problem {
                 field: format!("set.{key}{rest}"),
                 problem: problem.problem.clone(),
             })
@@ -190,7 +193,7 @@
             .first()
             .map(|p| format!("{}: {}", p.field, p.problem))
             .unwrap_or_default();
-        madderloom_fleet::Problem {
+        madderloom_control_plane::Problem {
             field: "set".into(),
             problem: format!("with it, the file makes no sense: {first}"),
         }
--- a/crates/operator-config/tests/beside.rs
+++ b/crates/operator-config/tests/beside.rs
@@ -1,6 +1,6 @@
 //! What is set beside an operator file is checked with it, whole, and refused by the name of the setting.
 
-use madderloom_fleet::settings::{Key, Overlay, Value};
+use madderloom_control_plane::settings::{Key, Overlay, Value};
 use madderloom_operator_config::{Operator, Source};
 use std::collections::BTreeMap;
 
--- a/crates/sidecar/src/agent_link/apply.rs
+++ b/crates/sidecar/src/agent_link/apply.rs
@@ -4,9 +4,9 @@
 use crate::pool;
 use crate::process::Sidecar;
 use crate::reload::aside;
-use madderloom_fleet::Problem;
-use madderloom_fleet::protocol::Outcome;
-use madderloom_fleet::settings::{MOST_SETTINGS, Overlay};
+use madderloom_control_plane::Problem;
+use madderloom_control_plane::protocol::Outcome;
+use madderloom_control_plane::settings::{MOST_SETTINGS, Overlay};
 use std::rc::Rc;
 use std::sync::Arc;
 
--- a/crates/sidecar/src/agent_link/overlay.rs
+++ b/crates/sidecar/src/agent_link/overlay.rs
@@ -1,7 +1,7 @@
 //! The parts of an overlay: those that change the operator file, and those that steer servers.
 
 use crate::pool::Steering;
-use madderloom_fleet::settings::{Key, Overlay, Value};
+use madderloom_control_plane::settings::{Key, Overlay, Value};
 
 /// Whether an overlay changes a part of the operator file.
 pub(super) fn changes_file(overlay: &Overlay) -> bool {
--- a/crates/sidecar/src/agent_link/persisted.rs
+++ b/crates/sidecar/src/agent_link/persisted.rs
@@ -1,6 +1,6 @@
 //! The persisted state of the instance: a file in the directory that the operator file names.
 
-use madderloom_fleet::Memory;
+use madderloom_control_plane::Memory;
 use std::path::Path;
 
 /// The name of the file.
--- a/crates/sidecar/src/agent_link/window.rs
+++ b/crates/sidecar/src/agent_link/window.rs
@@ -2,7 +2,7 @@
 
 use crate::common::Common;
 use crate::service::Service;
-use madderloom_fleet::gate::Counts;
+use madderloom_control_plane::gate::Counts;
 use std::collections::VecDeque;
 use std::rc::{Rc, Weak};
 use std::time::Duration;
--- a/crates/sidecar/src/promises.rs
+++ b/crates/sidecar/src/promises.rs
@@ -4,7 +4,7 @@
 use super::{
     client, common, connections, counts, feed, list_reader, listener, pool, second_address, upload,
 };
-use madderloom_fleet::{change, protocol, settings};
+use madderloom_control_plane::{change, protocol, settings};
 
 /// So many seconds, as pages write them.
 fn seconds(micros: u64) -> String {
