--- a/crates/agent/src/audit.rs
+++ b/crates/agent/src/audit.rs
@@ -3,7 +3,7 @@
 
 use crate::Error;
 use crate::clock::wall;
-use madderloom_keys::Peer;
+use madderloom_pki::Peer;
 use serde::Serialize;
 use std::fs::{File, OpenOptions};
 use std::io::Write;
--- a/crates/agent/src/client.rs
+++ b/crates/agent/src/client.rs
@@ -9,7 +9,7 @@
 use hyper_util::rt::TokioIo;
 use madderloom_control_plane::Declined;
 use madderloom_control_plane::protocol::LARGEST_ORDER;
-use madderloom_keys::{Files, Keyring, explain};
+use madderloom_pki::{Files, Keyring, explain};
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use rustls::pki_types::ServerName;
 use serde::Deserialize;
--- a/crates/agent/src/config.rs
+++ b/crates/agent/src/config.rs
@@ -6,7 +6,7 @@
 use madderloom_control_plane::membership::Leases;
 use madderloom_control_plane::settings::check_name;
 use madderloom_control_plane::spread::Pace;
-use madderloom_keys::Files;
+use madderloom_pki::Files;
 use madderloom_quota_leases::{Amount, Bound, LEASES, Limit, ONE, UNBOUNDED};
 use serde::Deserialize;
 use std::collections::BTreeMap;
--- a/crates/agent/src/error.rs
+++ b/crates/agent/src/error.rs
@@ -1,6 +1,6 @@
 //! The errors of an agent: why it cannot start, or cannot keep its state.
 
-use madderloom_keys::Role;
+use madderloom_pki::Role;
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -8,7 +8,7 @@
 /// Why an agent cannot start, or cannot keep what it decides.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The keys cannot be read or used; the text is that of [`madderloom_keys`].
+    /// The keys cannot be read or used; the text is that of [`madderloom_pki`].
     #[error("{0}")]
     Keys(String),
     /// The certificate is for another role.
--- a/crates/agent/src/http.rs
+++ b/crates/agent/src/http.rs
@@ -9,7 +9,7 @@
 use hyper::body::Incoming;
 use hyper::header::{CONTENT_TYPE, HeaderValue};
 use hyper::{Method, Request, Response, StatusCode};
-use madderloom_keys::{Keyring, Peer, Shown, Verb};
+use madderloom_pki::{Keyring, Peer, Shown, Verb};
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
--- a/crates/agent/src/listener.rs
+++ b/crates/agent/src/listener.rs
@@ -8,7 +8,7 @@
 use hyper::service::service_fn;
 use hyper::{Request, Response};
 use hyper_util::rt::{TokioIo, TokioTimer};
-use madderloom_keys::{Files, Keyring, Role, Shown, explain};
+use madderloom_pki::{Files, Keyring, Role, Shown, explain};
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use std::convert::Infallible;
 use std::net::SocketAddr;
--- a/crates/agent/src/relay/config.rs
+++ b/crates/agent/src/relay/config.rs
@@ -5,7 +5,7 @@
 use madderloom_control_plane::relay::RelayRules;
 use madderloom_control_plane::settings::check_name;
 use madderloom_control_plane::spread::Pace;
-use madderloom_keys::Files;
+use madderloom_pki::Files;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
--- a/crates/agent/src/relay/core.rs
+++ b/crates/agent/src/relay/core.rs
@@ -6,7 +6,7 @@
 use crate::routes::Routes;
 use madderloom_control_plane::protocol::{ToAgent, ToInstance};
 use madderloom_control_plane::relay::{MAX_BATCH, Relay, RelayOutput, RelayStatus, RequestId};
-use madderloom_keys::Keyring;
+use madderloom_pki::Keyring;
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
--- a/crates/agent/src/relay/parent.rs
+++ b/crates/agent/src/relay/parent.rs
@@ -4,7 +4,7 @@
 use hyper::{Method, StatusCode};
 use madderloom_control_plane::protocol::ToAgent;
 use madderloom_control_plane::relay::{Addressed, Batch, BatchAnswer, LARGEST_BATCH, WatchLine};
-use madderloom_keys::Keyring;
+use madderloom_pki::Keyring;
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use serde::Serialize;
 use serde_json::value::RawValue;
--- a/crates/agent/src/relay/paths.rs
+++ b/crates/agent/src/relay/paths.rs
@@ -11,7 +11,7 @@
 use hyper::{Method, Request, Response, StatusCode};
 use madderloom_control_plane::protocol::{LARGEST_FROM_INSTANCE, ToAgent};
 use madderloom_control_plane::relay::RelayStatus;
-use madderloom_keys::{Keyring, Verb, role::may};
+use madderloom_pki::{Keyring, Verb, role::may};
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
--- a/crates/agent/src/server.rs
+++ b/crates/agent/src/server.rs
@@ -17,7 +17,7 @@
 use madderloom_control_plane::protocol::{LARGEST_FROM_INSTANCE, LARGEST_ORDER, ToAgent};
 use madderloom_control_plane::relay::{Batch, LARGEST_BATCH, MAX_BATCH};
 use madderloom_control_plane::{Accepted, By, Declined};
-use madderloom_keys::{Keyring, Peer, Verb, role::may};
+use madderloom_pki::{Keyring, Peer, Verb, role::may};
 use serde::Serialize;
 use std::rc::Rc;
 use std::sync::Arc;
--- a/crates/agent/tests/common/mod.rs
+++ b/crates/agent/tests/common/mod.rs
@@ -13,7 +13,7 @@
 use madderloom_control_plane::protocol::{Outcome, ToAgent, Who};
 use madderloom_control_plane::settings::{Edits, Key, Overlay, Value};
 use madderloom_control_plane::{Instance, Memory, Record};
-use madderloom_keys::{Authority, Files, Role};
+use madderloom_pki::{Authority, Files, Role};
 use std::cell::RefCell;
 use std::path::PathBuf;
 use std::rc::Rc;
--- a/crates/agent/tests/nothing_is_done_that_may_not_be.rs
+++ b/crates/agent/tests/nothing_is_done_that_may_not_be.rs
@@ -5,7 +5,7 @@
 use common::{Rig, change, push, run};
 use hyper::{Method, StatusCode};
 use madderloom_agent::Failed;
-use madderloom_keys::Authority;
+use madderloom_pki::Authority;
 use std::time::{Duration, Instant};
 use time::OffsetDateTime;
 
--- a/crates/cli/src/fleet/connection.rs
+++ b/crates/cli/src/fleet/connection.rs
@@ -4,7 +4,7 @@
 use super::declined::explain;
 use hyper::Method;
 use madderloom_agent::{Client, Failed};
-use madderloom_keys::Files;
+use madderloom_pki::Files;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
--- a/crates/cli/src/keys.rs
+++ b/crates/cli/src/keys.rs
@@ -2,7 +2,7 @@
 
 use crate::output::{Output, Table, tell};
 use clap::Subcommand;
-use madderloom_keys::{Authority, Issued, Role, State};
+use madderloom_pki::{Authority, Issued, Role, State};
 use std::path::PathBuf;
 use std::process::ExitCode;
 use time::OffsetDateTime;
--- a/crates/cli/src/server.rs
+++ b/crates/cli/src/server.rs
@@ -1,7 +1,7 @@
 //! What an agent and a relay share as processes: one thread, and the signals.
 
 use madderloom_config_reader::Problem;
-use madderloom_keys::Keyring;
+use madderloom_pki::Keyring;
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use std::path::Path;
 use std::sync::Arc;
--- a/crates/cli/tests/fleet/commands.rs
+++ b/crates/cli/tests/fleet/commands.rs
@@ -7,7 +7,7 @@
 use madderloom_control_plane::protocol::{Outcome, Who};
 use madderloom_control_plane::settings::Overlay;
 use madderloom_control_plane::{Instance, Memory, Problem};
-use madderloom_keys::Files;
+use madderloom_pki::Files;
 use std::io::{BufRead, BufReader};
 use std::path::Path;
 use std::process::{Child, Command, Output, Stdio};
--- a/crates/cli/tests/fleet/wire.rs
+++ b/crates/cli/tests/fleet/wire.rs
@@ -1,7 +1,7 @@
 //! What goes wrong between real sidecars and a real agent: the network, keys, disks and clocks.
 
 use crate::rig::{Instance, PAUSE, Rig, judge};
-use madderloom_keys::{Authority, Files, Keyring, Role};
+use madderloom_pki::{Authority, Files, Keyring, Role};
 use madderloom_rig::{Direction, Load, until};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/crates/lab/src/scale/agent.rs
+++ b/crates/lab/src/scale/agent.rs
@@ -10,7 +10,7 @@
 use madderloom_agent::{Client, Failed};
 use madderloom_control_plane::Accepted;
 use madderloom_control_plane::change::Change;
-use madderloom_keys::{Authority, Files, Role};
+use madderloom_pki::{Authority, Files, Role};
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -16,7 +16,7 @@
 use madderloom_control_plane::settings::{Key, MOST_SETTINGS, Overlay, Value};
 use madderloom_control_plane::{Instance, Memory, Problem};
 use madderloom_endpoint_sharing::{Lists, Tells};
-use madderloom_keys::Keyring;
+use madderloom_pki::Keyring;
 use madderloom_quota_leases::{Asks, Holder, Lent, Safe};
 use rustix::time::{ClockId, clock_gettime};
 use std::cell::{Cell, RefCell};
--- a/crates/lab/src/scale/worker.rs
+++ b/crates/lab/src/scale/worker.rs
@@ -6,7 +6,7 @@
 use super::usage;
 use crate::sockets::itself::{on_one_thread, stay_with};
 use madderloom_agent::traffic::{Counters, Traffic};
-use madderloom_keys::{Files, Keyring};
+use madderloom_pki::{Files, Keyring};
 use std::cell::Cell;
 use std::io::{BufRead, Write};
 use std::rc::Rc;
--- a/crates/keys/tests/a_wrong_certificate_gets_nothing.rs
+++ b/crates/pki/tests/a_wrong_certificate_gets_nothing.rs
@@ -1,6 +1,6 @@
 //! Handshakes in memory, and certificates that are looked at again while a connection lives.
 
-use madderloom_keys::{Authority, Files, Keyring, Peer, Refused, Role, Shown, explain};
+use madderloom_pki::{Authority, Files, Keyring, Peer, Refused, Role, Shown, explain};
 use rustls::pki_types::pem::PemObject;
 use rustls::pki_types::{CertificateDer, ServerName};
 use rustls::{ClientConnection, ServerConnection};
--- a/crates/keys/tests/private_keys_are_private.rs
+++ b/crates/pki/tests/private_keys_are_private.rs
@@ -1,6 +1,6 @@
 //! The files of an authority.
 
-use madderloom_keys::{Authority, Files, Keyring, Role, State};
+use madderloom_pki::{Authority, Files, Keyring, Role, State};
 use std::os::unix::fs::PermissionsExt;
 use std::path::Path;
 use tempfile::TempDir;
--- a/crates/sidecar/src/agent_link/connection.rs
+++ b/crates/sidecar/src/agent_link/connection.rs
@@ -10,7 +10,7 @@
 use madderloom_control_plane::settings::Overlay;
 use madderloom_control_plane::{Instance, Memory};
 use madderloom_endpoint_sharing::{Lists, Offer, Tells};
-use madderloom_keys::{Files, Keyring, Role};
+use madderloom_pki::{Files, Keyring, Role};
 use madderloom_quota_leases::{Grant, LeaseRequests};
 use std::hash::{BuildHasher, RandomState};
 use std::rc::Weak;
