--- a/crates/balancer/tests/asks.rs
+++ b/crates/balancer/tests/asks.rs
@@ -3,7 +3,7 @@
 mod common;
 use common::*;
 use madderloom_balancer::*;
-use madderloom_rig::worst;
+use madderloom_fault_testing::worst;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
--- a/crates/cli/tests/fleet/faults.rs
+++ b/crates/cli/tests/fleet/faults.rs
@@ -3,7 +3,7 @@
 
 use crate::rig::{Instance, PAUSE, Rig, ZONES, judge};
 use madderloom_control_plane::settings::{Overlay, Value};
-use madderloom_rig::{Direction, Load, Signal, until};
+use madderloom_fault_testing::{Direction, Load, Signal, until};
 use std::collections::BTreeMap;
 use std::process::Output;
 use std::time::{Duration, Instant};
--- a/crates/cli/tests/fleet/limits.rs
+++ b/crates/cli/tests/fleet/limits.rs
@@ -3,7 +3,7 @@
 
 use crate::many::Fleet;
 use crate::rig::{found, madderloom};
-use madderloom_rig::{
+use madderloom_fault_testing::{
     Act, Arrivals, Direction, Fault, Got, Link, Menu, Plan, Server, served, shrink, until,
 };
 use std::net::SocketAddr;
--- a/crates/cli/tests/fleet/lists.rs
+++ b/crates/cli/tests/fleet/lists.rs
@@ -2,7 +2,7 @@
 //! and the servers counted is judged.
 
 use crate::many::Fleet;
-use madderloom_rig::{Act, Got, Link, Lists, Load, Manner, Says, Server, served, until};
+use madderloom_fault_testing::{Act, Got, Link, Lists, Load, Manner, Says, Server, served, until};
 use std::time::{Duration, Instant};
 
 /// What discovery bears: some 50 calls a second for forty-five, of which a third may wait.
@@ -163,7 +163,7 @@
 
     /// What came to a server from then on.
     fn came(&self, server: usize, from: Instant) -> usize {
-        madderloom_rig::Arrivals::of([&self.fleet.rig.servers[server]])
+        madderloom_fault_testing::Arrivals::of([&self.fleet.rig.servers[server]])
             .since(from)
             .len()
     }
--- a/crates/cli/tests/fleet/many.rs
+++ b/crates/cli/tests/fleet/many.rs
@@ -1,7 +1,7 @@
 //! An agent at a port that it keeps, and many sidecars with a link of their own to it.
 
 use crate::rig::{Rig, found, madderloom};
-use madderloom_rig::{Arrivals, Link, Load, Program, Server, Slot, Stage, own_address};
+use madderloom_fault_testing::{Arrivals, Link, Load, Program, Server, Slot, Stage, own_address};
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
 use std::time::Duration;
--- a/crates/cli/tests/fleet/overlay.rs
+++ b/crates/cli/tests/fleet/overlay.rs
@@ -2,7 +2,7 @@
 //! goes with the section that names the agent.
 
 use crate::rig::{PAUSE, Rig, judge};
-use madderloom_rig::{Load, Signal, until};
+use madderloom_fault_testing::{Load, Signal, until};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
 use std::sync::{Arc, Mutex};
--- a/crates/cli/tests/fleet/relays.rs
+++ b/crates/cli/tests/fleet/relays.rs
@@ -1,7 +1,7 @@
 //! Relays as processes between real sidecars and an agent: what a region that is cut off has, and what the heal brings.
 
 use crate::many::Fleet;
-use madderloom_rig::{Act, Load, Server, served, until};
+use madderloom_fault_testing::{Act, Load, Server, served, until};
 use std::time::Duration;
 
 const ZONES: [&str; 3] = ["north", "south", "east"];
--- a/crates/cli/tests/fleet/rig.rs
+++ b/crates/cli/tests/fleet/rig.rs
@@ -1,7 +1,7 @@
 //! An agent, instances that serve, servers behind them, clients that count what they got, and a network between the
 //! instances and the agent that can be cut in one direction.
 
-use madderloom_rig::{Got, Link, Program, Server, built, until};
+use madderloom_fault_testing::{Got, Link, Program, Server, built, until};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
--- a/crates/cli/tests/fleet/wire.rs
+++ b/crates/cli/tests/fleet/wire.rs
@@ -1,8 +1,8 @@
 //! What goes wrong between real sidecars and a real agent: the network, keys, disks and clocks.
 
 use crate::rig::{Instance, PAUSE, Rig, judge};
+use madderloom_fault_testing::{Direction, Load, until};
 use madderloom_pki::{Authority, Files, Keyring, Role};
-use madderloom_rig::{Direction, Load, until};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::process::Command;
--- a/crates/cli/tests/sidecar/rig.rs
+++ b/crates/cli/tests/sidecar/rig.rs
@@ -1,7 +1,7 @@
 //! The real program as a process, and its client, nodes and discovery played by the test on loopback.
 //! Every wait is for something to happen; `PATIENCE` only ends a test in which it never does.
 
-pub use madderloom_rig::peer::*;
+pub use madderloom_fault_testing::peer::*;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
--- a/crates/cli/tests/starts/alone.rs
+++ b/crates/cli/tests/starts/alone.rs
@@ -2,7 +2,7 @@
 //! the figures beside which fleet-wide verdicts will be held.
 
 use super::{Fleet, MANNER, Size, alone, many, millis};
-use madderloom_rig::{Answers, Arrivals, Load, Server, listing};
+use madderloom_fault_testing::{Answers, Arrivals, Load, Server, listing};
 use std::time::{Duration, Instant};
 
 /// What a server gets of all sidecars in windows of half a second, from then on.
--- a/crates/cli/tests/starts/cold.rs
+++ b/crates/cli/tests/starts/cold.rs
@@ -2,7 +2,9 @@
 //! it falls for good when that is more than the protocol says that it bears.
 
 use super::{Fleet, MANNER, Size, alone, many, millis};
-use madderloom_rig::{Arrivals, Cold, Got, Link, Load, Server, listing, own_address, served};
+use madderloom_fault_testing::{
+    Arrivals, Cold, Got, Link, Load, Server, listing, own_address, served,
+};
 use rstest::rstest;
 use std::net::SocketAddr;
 use std::ops::Range;
--- a/crates/cli/tests/starts/main.rs
+++ b/crates/cli/tests/starts/main.rs
@@ -5,7 +5,7 @@
 mod cold;
 mod told;
 
-use madderloom_rig::{
+use madderloom_fault_testing::{
     Arrivals, Got, Link, Lists, Load, Manner, PATIENCE, Program, Says, Server, Slot, Stage, built,
     listing, own_address, served,
 };
@@ -365,9 +365,13 @@
     let mut fleet = Fleet::start(MANNER, |_| ());
     let load = fleet.load();
     for _ in 0..10 {
-        fleet.stage.act("east-*", madderloom_rig::Act::Kill);
+        fleet
+            .stage
+            .act("east-*", madderloom_fault_testing::Act::Kill);
         std::thread::sleep(millis(50));
-        fleet.stage.act("east-*", madderloom_rig::Act::Start);
+        fleet
+            .stage
+            .act("east-*", madderloom_fault_testing::Act::Start);
         std::thread::sleep(millis(600));
     }
     fleet.all_up();
--- a/crates/cli/tests/starts/told.rs
+++ b/crates/cli/tests/starts/told.rs
@@ -2,7 +2,7 @@
 //! new goes to a server that drains: whatever became of watches and calls before.
 
 use super::{Fleet, MANNER, ZONES, millis};
-use madderloom_rig::{Act, Arrivals};
+use madderloom_fault_testing::{Act, Arrivals};
 use std::time::{Duration, Instant};
 
 /// Told, and the grace of the settings, and the protocol's slack on it.
--- a/crates/rig/tests/links_do_what_they_are_told.rs
+++ b/crates/fault-testing/tests/links_do_what_they_are_told.rs
@@ -1,6 +1,6 @@
 //! What a link is told to do with bytes is what its two ends see.
 
-use madderloom_rig::{Arrivals, Direction, Link, Load, Server, until};
+use madderloom_fault_testing::{Arrivals, Direction, Link, Load, Server, until};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
--- a/crates/rig/tests/servers_count_what_comes.rs
+++ b/crates/fault-testing/tests/servers_count_what_comes.rs
@@ -1,6 +1,6 @@
 //! A server counts each request that reaches it, whatever becomes of the connection.
 
-use madderloom_rig::{Server, until};
+use madderloom_fault_testing::{Server, until};
 use std::io::Write;
 use std::net::TcpStream;
 
--- a/crates/lab/src/scale/relays.rs
+++ b/crates/lab/src/scale/relays.rs
@@ -5,7 +5,7 @@
 use super::places::{self, ZONES};
 use super::usage::{self, Usage};
 use crate::sockets::child::Process;
-use madderloom_rig::Link;
+use madderloom_fault_testing::Link;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
--- a/crates/quota-leases/tests/no_window_is_over_the_limit.rs
+++ b/crates/quota-leases/tests/no_window_is_over_the_limit.rs
@@ -2,11 +2,11 @@
 //! drift, and holders and servers that freeze, die and come back: no window admits more than the limit, and never are
 //! more requests open.
 
+use madderloom_fault_testing::worst;
 use madderloom_quota_leases::{
     Amount, Grant, LeaseHolder, LeaseRequest, LeaseRequests, LeaseServer, Limit, Micros, Note, ONE,
     Safe, ServerId,
 };
-use madderloom_rig::worst;
 use oorandom::Rand64;
 use std::collections::{BTreeMap, BinaryHeap};
 
