--- a/crates/simhost/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,6 +1,6 @@
 //! Drives decision modules from lines on standard input, with replies on standard output.
 
-use madderloom_simhost::Adapter;
+use madderloom_simulator_adapter::Adapter;
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
