--- a/crates/sidecar/src/alarms.rs
+++ b/crates/sidecar/src/alarms.rs
@@ -5,7 +5,7 @@
 use super::common::Common;
 use super::service::Service;
 use madderloom_balancer::{Event, Micros, Timer};
-use madderloom_timers::{Poll as Found, TimerKey, Wheel};
+use madderloom_timer_wheel::{Poll as Found, TimerKey, Wheel};
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
 use std::pin::{Pin, pin};
--- a/crates/sidecar/src/transaction.rs
+++ b/crates/sidecar/src/transaction.rs
@@ -7,7 +7,7 @@
 use hyper::Response;
 use madderloom_balancer::{Event, Micros, NewRequest, RequestId, ServerId};
 use madderloom_degradation::keeper::End;
-use madderloom_timers::TimerKey;
+use madderloom_timer_wheel::TimerKey;
 use smallvec::SmallVec;
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
--- a/crates/timers/examples/hundred_thousand.rs
+++ b/crates/timer-wheel/examples/hundred_thousand.rs
@@ -1,9 +1,9 @@
 //! What a timer costs, by how many there are: time to set one and take it back among the others, time to hand one out
 //! where all are due in one second, the longest turn of that, and memory.
 //!
-//! `cargo run --release -p madderloom-timers --example hundred_thousand`
+//! `cargo run --release -p madderloom-timer-wheel --example hundred_thousand`
 
-use madderloom_timers::{Poll, Wheel};
+use madderloom_timer_wheel::{Poll, Wheel};
 use std::hint::black_box;
 use std::time::Instant;
 
--- a/crates/timers/tests/like_a_heap.rs
+++ b/crates/timer-wheel/tests/like_a_heap.rs
@@ -1,6 +1,6 @@
 //! The wheel against a plain ordered map, on random operations.
 
-use madderloom_timers::{Poll, Wheel};
+use madderloom_timer_wheel::{Poll, Wheel};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
