--- a/crates/cli/src/store.rs
+++ b/crates/cli/src/store.rs
@@ -1,7 +1,7 @@
 //! `madderloom store`: an embedded store looked at, compacted, and saved from damage, while nothing else has it open.
 
 use clap::{Args, Subcommand, ValueEnum};
-use madderloom_store::{Error, Options, RealDisk, Store as Opened, Verified, salvage, verify};
+use madderloom_store::{Error, Options, RealDisk, Store as Opened, VerifyReport, salvage, verify};
 use serde_json::{Value, json};
 use std::io::{BufWriter, IsTerminal, Write};
 use std::path::PathBuf;
@@ -107,7 +107,7 @@
     fn refused(&self, error: &Error) -> String {
         let at = self.directory.display();
         match error {
-            Error::Damaged(_) => {
+            Error::Corrupted(_) => {
                 format!("{at}: {error}; what can be read of it: madderloom store salvage {at} NEW")
             }
             _ => format!("{at}: {error}"),
@@ -125,44 +125,44 @@
 
     fn verify(&self) -> Result<ExitCode, String> {
         let verified = verify(&self.disk()?).map_err(|e| self.refused(&e))?;
-        let Verified {
-            damage,
-            files,
+        let VerifyReport {
+            corruption,
+            segments,
             frames,
             records,
             bytes,
-            torn,
-            strays,
+            torn_bytes,
+            unlisted_segments,
         } = &verified;
         if self.output == Output::Json {
-            let place = |d: &madderloom_store::Damage| json!({"file": d.file, "offset": d.offset, "problem": d.problem});
+            let place = |d: &madderloom_store::Corruption| json!({"file": d.file, "offset": d.offset, "problem": d.problem});
             tell(json!({
-                "directory": self.directory, "sound": damage.is_none(), "damage": damage.as_ref().map(place),
-                "files": files, "batches": frames, "records": records, "bytes": bytes, "torn": torn,
-                "strays": strays,
+                "directory": self.directory, "sound": corruption.is_none(), "damage": corruption.as_ref().map(place),
+                "files": segments, "batches": frames, "records": records, "bytes": bytes, "torn": torn_bytes,
+                "strays": unlisted_segments,
             }));
         } else {
             let read =
-                format!("{files} segments, {frames} batches, {records} records, {bytes} bytes");
-            match damage {
-                Some(damage) => tell(
-                    self.refused(&Error::Damaged(damage.clone()))
+                format!("{segments} segments, {frames} batches, {records} records, {bytes} bytes");
+            match corruption {
+                Some(corruption) => tell(
+                    self.refused(&Error::Corrupted(corruption.clone()))
                         + &format!("; read before it: {read}"),
                 ),
                 None => tell(format_args!("{}: sound: {read}", self.directory.display())),
             }
-            if *torn > 0 {
+            if *torn_bytes > 0 {
                 tell(format_args!(
-                    "a torn end of {torn} bytes, never acknowledged, is cut at the next opening"
+                    "a torn end of {torn_bytes} bytes, never acknowledged, is cut at the next opening"
                 ));
             }
-            if *strays > 0 {
+            if *unlisted_segments > 0 {
                 tell(format_args!(
-                    "{strays} files that a crash left are removed at the next opening"
+                    "{unlisted_segments} files that a crash left are removed at the next opening"
                 ));
             }
         }
-        Ok(if damage.is_none() {
+        Ok(if corruption.is_none() {
             ExitCode::SUCCESS
         } else {
             ExitCode::FAILURE
@@ -175,15 +175,15 @@
     }
 
     fn tell_stat(&self, store: &Opened<RealDisk>) {
-        let stat = store.stat(0);
+        let statistics = store.statistics(0);
         let rows = [
-            ("keys", stat.keys),
-            ("live_bytes", stat.live),
-            ("log_bytes", stat.log),
-            ("segments", stat.segments),
-            ("batches", stat.next),
-            ("manifests", stat.generation),
-            ("torn_bytes", stat.cut),
+            ("keys", statistics.keys),
+            ("live_bytes", statistics.live_bytes),
+            ("log_bytes", statistics.log_bytes),
+            ("segments", statistics.segments),
+            ("batches", statistics.next_sequence),
+            ("manifests", statistics.manifest_generation),
+            ("torn_bytes", statistics.truncated_bytes),
         ];
         if self.output == Output::Json {
             let mut object: serde_json::Map<String, Value> = rows
@@ -243,7 +243,7 @@
     fn run(self) -> Result<ExitCode, String> {
         let of = &self.of;
         let mut store = of.open(false)?;
-        let before = store.stat(0).log;
+        let before = store.statistics(0).log_bytes;
         let compacted = store
             .begin_compaction(self.expired_by)
             .and_then(|mut compaction| {
@@ -260,7 +260,7 @@
                     }
                 }
                 store.finish_compaction(compaction)?;
-                store.relocate(usize::MAX);
+                store.relocate_entries(usize::MAX);
                 Ok(())
             });
         compacted.map_err(|e| of.refused(&e))?;
@@ -286,13 +286,13 @@
         if self.of.output == Output::Json {
             let lost = salvaged.lost.iter().map(|lost| {
                 let batches = lost.sequences.as_ref().map(|s| [s.start, s.end]);
-                let place = &lost.damage;
+                let place = &lost.corruption;
                 json!({"file": place.file, "offset": place.offset, "problem": place.problem, "bytes": lost.bytes,
                     "batches": batches})
             });
             tell(
                 json!({"directory": from, "into": into, "batches": salvaged.frames, "records": salvaged.records,
-                "torn": salvaged.torn, "lost": lost.collect::<Vec<_>>()}),
+                "torn": salvaged.torn_bytes, "lost": lost.collect::<Vec<_>>()}),
             );
         } else {
             let into = into.display();
@@ -306,7 +306,7 @@
                     .map(|s| format!(", batches {} to {}", s.start, s.end.saturating_sub(1)));
                 tell(format_args!(
                     "lost: {}: {} bytes{}",
-                    lost.damage,
+                    lost.corruption,
                     lost.bytes,
                     batches.unwrap_or_default()
                 ));
--- a/crates/sidecar-state/tests/submissions.rs
+++ b/crates/sidecar-state/tests/submissions.rs
@@ -15,9 +15,9 @@
 
 fn options() -> Options {
     Options {
-        segment: 1024,
-        slack: 512,
-        reserve: 64,
+        segment_bytes: 1024,
+        compaction_slack_bytes: 512,
+        max_preallocated_bytes: 64,
         ..Options::default()
     }
 }
@@ -155,11 +155,11 @@
     let mut rig = Rig::new(SimDisk::new(), Mode::Durable);
     assert_eq!(rig.send("a"), Ok(()));
     let batch = rig.ledger.never_ran(&id("a")).expect("it was recorded");
-    rig.disk.set_room(Some(0));
+    rig.disk.set_capacity(Some(0));
     let done = rig.store.write(&batch, Durability::Relaxed);
     assert!(done.is_err());
     rig.ledger.withdrawn(&id("a"), &done);
-    rig.disk.set_room(None);
+    rig.disk.set_capacity(None);
     assert_eq!((rig.send("a"), rig.ledger.len()), (Ok(()), 1));
     // What is remembered of it goes with its window.
     rig.ledger.never_ran(&id("a")).expect("it was recorded");
@@ -207,10 +207,10 @@
     #[case] unrecorded: u64,
 ) {
     let mut rig = Rig::new(SimDisk::new(), mode);
-    rig.disk.set_room(Some(10));
+    rig.disk.set_capacity(Some(10));
     assert_eq!(rig.send("a"), expected);
     assert_eq!((rig.ledger.len(), rig.ledger.unrecorded()), (0, unrecorded));
-    rig.disk.set_room(None);
+    rig.disk.set_capacity(None);
     // A refused one is as if it had never come; one that was sent is still open, though no record is there.
     assert_eq!(
         rig.send("a"),
@@ -267,7 +267,7 @@
     rig.store
         .compact(rig.ledger.time(rig.now))
         .expect("it compacts");
-    assert_eq!(rig.store.stat(0).keys, 0);
+    assert_eq!(rig.store.statistics(0).keys, 0);
 }
 
 #[test]
@@ -359,7 +359,12 @@
     assert_eq!(did.sent.len(), 16);
     let operations = whole.disk.operations();
     for at in 1..=operations {
-        for loss in [Loss::All, Loss::Nothing, Loss::Any(at), Loss::Any(at << 20)] {
+        for loss in [
+            Loss::All,
+            Loss::Nothing,
+            Loss::Random(at),
+            Loss::Random(at << 20),
+        ] {
             let disk = SimDisk::new();
             disk.crash_in(at);
             let mut did = Did::default();
@@ -403,7 +408,7 @@
     for cut in 32..=bytes.len() {
         let mut files = files.clone();
         files.insert(name.clone(), bytes[..cut].to_vec());
-        let mut rig = Rig::new(SimDisk::of(&files), Mode::Durable);
+        let mut rig = Rig::new(SimDisk::from_files(&files), Mode::Durable);
         let mut found = BTreeMap::new();
         for i in 0..8 {
             let name = format!("r{i}");
--- a/crates/sidecar/src/ledger.rs
+++ b/crates/sidecar/src/ledger.rs
@@ -11,7 +11,7 @@
 use madderloom_operator_config::State;
 use madderloom_sidecar_state::{Begin, Id, Ledger, LongId, Mode, Next, Recollection, recollect};
 use madderloom_store::{
-    Batch, Disk, Durability, Error, GroupCommit, Options, RealDisk, Status, Store,
+    Batch, Disk, Durability, Error, GroupCommit, GroupCommitStatus, Options, RealDisk, Store,
 };
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -42,7 +42,7 @@
         durability: Durability,
         done: Box<dyn FnOnce(Done) + Send>,
     ) -> Result<(), Error>;
-    fn status(&self) -> Status;
+    fn status(&self) -> GroupCommitStatus;
 }
 
 impl<D: Disk> Records for GroupCommit<D> {
@@ -59,7 +59,7 @@
         GroupCommit::submit(self, batch, durability, done)
     }
 
-    fn status(&self) -> Status {
+    fn status(&self) -> GroupCommitStatus {
         GroupCommit::status(self)
     }
 }
@@ -93,7 +93,7 @@
             return Ok(Rc::new(keeper));
         };
         let next = match error {
-            Error::Damaged(_) => "; see `madderloom store verify` and `salvage`",
+            Error::Corrupted(_) => "; see `madderloom store verify` and `salvage`",
             Error::Io {
                 kind: ErrorKind::NotFound,
                 ..
@@ -239,8 +239,8 @@
             "open": store.is_some(), "recording": !self.refusing.get(),
             "entries": ledger.len(), "unrecorded": ledger.unrecorded(),
             "groups": status.groups, "batches": status.batches, "compactions": status.compactions,
-            "refusing": told(status.refusing), "not_compacting": told(status.compaction),
-            "log_bytes": status.stat.map(|stat| stat.log), "live_bytes": status.stat.map(|stat| stat.live),
+            "refusing": told(status.last_write_error), "not_compacting": told(status.last_compaction_error),
+            "log_bytes": status.statistics.map(|statistics| statistics.log_bytes), "live_bytes": status.statistics.map(|statistics| statistics.live_bytes),
         })
     }
 
@@ -314,7 +314,7 @@
                 NotADirectory | NotFound | PermissionDenied | ReadOnlyFilesystem
             )
         }
-        Error::Damaged(_) | Error::Newer { .. } | Error::Locked => true,
+        Error::Corrupted(_) | Error::UnsupportedVersion { .. } | Error::Locked => true,
         _ => false,
     }
 }
@@ -495,8 +495,8 @@
         let keeper = keeper();
         // So little is reserved ahead that a full disk is met at once.
         let options = Options {
-            segment: 1 << 20,
-            reserve: 64,
+            segment_bytes: 1 << 20,
+            max_preallocated_bytes: 64,
             ..Options::default()
         };
         let store = Store::open(disk.clone(), options).expect("it opens");
@@ -540,8 +540,8 @@
             Ok(())
         }
 
-        fn status(&self) -> Status {
-            Status::default()
+        fn status(&self) -> GroupCommitStatus {
+            GroupCommitStatus::default()
         }
     }
 
@@ -588,7 +588,7 @@
                 Gate::Open
             );
             if full {
-                disk.set_room(Some(0));
+                disk.set_capacity(Some(0));
             } else {
                 // The write itself succeeds, its flush does not.
                 disk.fail_in(2, ErrorKind::Other);
@@ -601,8 +601,8 @@
             if full {
                 assert_eq!(entry(&keeper, Mode::Relaxed, "b").pass().await, Gate::Open);
             }
-            disk.set_room(None);
-            disk.fail_none();
+            disk.set_capacity(None);
+            disk.clear_failures();
             assert_eq!(entry(&keeper, Mode::Durable, "a").pass().await, Gate::Open);
             assert!(!keeper.refusing.get());
         });
--- a/crates/store/bench/src/crashes.rs
+++ b/crates/store/bench/src/crashes.rs
@@ -117,7 +117,7 @@
     let (mut sound, mut bad) = (0, Vec::new());
     std::panic::set_hook(Box::new(|_| {}));
     for at in 1..=operations {
-        for loss in [Loss::All, Loss::Nothing, Loss::Any(at), Loss::Any(at << 20)] {
+        for loss in [Loss::All, Loss::Nothing, Loss::Random(at), Loss::Random(at << 20)] {
             let disk = SimDisk::new();
             disk.crash_in(at);
             let acknowledged = std::panic::catch_unwind(|| write(&disk)).unwrap_or(u64::MAX);
@@ -152,7 +152,7 @@
 fn full() -> Outcome<()> {
     let disk = SimDisk::new();
     let database = Database::builder().create_with_backend(Backend::new(&disk)?)?;
-    disk.set_room(Some(disk.used() + (1 << 20)));
+    disk.set_capacity(Some(disk.used_bytes() + (1 << 20)));
     let write = |i: u64| -> Outcome<()> {
         let transaction = database.begin_write()?;
         transaction
@@ -163,7 +163,7 @@
     let (count, refused) = (0..)
         .find_map(|i| write(i).err().map(|e| (i, e.to_string())))
         .expect("it is full once");
-    disk.set_room(None);
+    disk.set_capacity(None);
     println!("redb on a full disk, after {count} writes: {refused}");
     println!(
         "  with room again: {}",
--- a/crates/store/fuzz/fuzz_targets/recovery.rs
+++ b/crates/store/fuzz/fuzz_targets/recovery.rs
@@ -74,13 +74,13 @@
     if mends % 2 == 1 {
         files.iter_mut().for_each(|(name, bytes)| mend(name, bytes));
     }
-    let disk = SimDisk::of(&files);
+    let disk = SimDisk::from_files(&files);
     let _ = verify(&disk);
     let _ = salvage(&disk, SimDisk::new());
     if let Ok(mut store) = Store::open(
         disk.clone(),
         Options {
-            reserve: 0,
+            max_preallocated_bytes: 0,
             ..Options::default()
         },
     ) {
--- a/crates/store/src/batch.rs
+++ b/crates/store/src/batch.rs
@@ -1,7 +1,7 @@
 //! A batch: operations that happen together or not at all.
 
 use crate::error::{Error, Result};
-use crate::format::{MAX_BATCH, MAX_KEY, OP_HEADER};
+use crate::format::{MAX_BATCH_BYTES, MAX_KEY_BYTES, OP_HEADER};
 
 /// One operation.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -90,19 +90,19 @@
     pub(crate) fn check(&self) -> Result<()> {
         for op in &self.ops {
             let (Op::Put { key, .. } | Op::Delete { key }) = op;
-            if key.len() > MAX_KEY {
+            if key.len() > MAX_KEY_BYTES {
                 return Err(Error::TooLarge {
                     what: "a key",
                     size: key.len(),
-                    most: MAX_KEY,
+                    most: MAX_KEY_BYTES,
                 });
             }
         }
-        if self.size > MAX_BATCH {
+        if self.size > MAX_BATCH_BYTES {
             return Err(Error::TooLarge {
                 what: "a batch",
                 size: self.size,
-                most: MAX_BATCH,
+                most: MAX_BATCH_BYTES,
             });
         }
         Ok(())
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -4,7 +4,7 @@
 
 /// Where a file is damaged, and how.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Damage {
+pub struct Corruption {
     /// The file's name within the store.
     pub file: String,
     /// The first byte that can't be what was written, counted from the file's beginning.
@@ -13,7 +13,7 @@
     pub problem: String,
 }
 
-impl fmt::Display for Damage {
+impl fmt::Display for Corruption {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}: byte {}: {}", self.file, self.offset, self.problem)
     }
@@ -32,14 +32,14 @@
         problem: String,
     },
     /// There is no room on the disk. Nothing of the write is kept; it may be tried again once there is room.
-    Full {
+    DiskFull {
         /// The file that found no room.
         file: String,
     },
     /// What is on the disk can't be what was written.
-    Damaged(Damage),
+    Corrupted(Corruption),
     /// A newer program wrote the file.
-    Newer {
+    UnsupportedVersion {
         /// The file.
         file: String,
         /// The version of its format.
@@ -48,7 +48,7 @@
     /// Another process has the store open.
     Locked,
     /// There is no store in the directory, and none was to be made.
-    Missing,
+    StoreNotFound,
     /// A switch of the manifest was begun and it can't be told whether it would outlast a loss of power: nothing
     /// more is written until the store is opened again. Reading goes on.
     Poisoned(String),
@@ -73,7 +73,7 @@
     pub(crate) fn io(file: &str, error: &io::Error) -> Self {
         match error.kind() {
             io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded => {
-                Error::Full { file: file.into() }
+                Error::DiskFull { file: file.into() }
             }
             kind => Error::Io {
                 file: file.into(),
@@ -84,7 +84,7 @@
     }
 
     pub(crate) fn damage(file: &str, offset: u64, problem: impl Into<String>) -> Self {
-        Error::Damaged(Damage {
+        Error::Corrupted(Corruption {
             file: file.into(),
             offset,
             problem: problem.into(),
@@ -96,18 +96,18 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Error::Io { file, problem, .. } => write!(f, "{file}: {problem}"),
-            Error::Full { file } => write!(
+            Error::DiskFull { file } => write!(
                 f,
                 "{file}: no room on the disk; the store goes on once there is"
             ),
-            Error::Damaged(damage) => write!(f, "damaged: {damage}"),
-            Error::Newer { file, version } => write!(
+            Error::Corrupted(damage) => write!(f, "damaged: {damage}"),
+            Error::UnsupportedVersion { file, version } => write!(
                 f,
                 "{file}: written in format {version} by a newer program; this one reads up to format {}",
-                crate::format::VERSION
+                crate::format::FORMAT_VERSION
             ),
             Error::Locked => f.write_str("another process has the store open"),
-            Error::Missing => f.write_str("there is no store in this directory"),
+            Error::StoreNotFound => f.write_str("there is no store in this directory"),
             Error::Poisoned(why) => write!(
                 f,
                 "no more is written until the store is opened again: {why}"
--- a/crates/store/src/format.rs
+++ b/crates/store/src/format.rs
@@ -5,11 +5,11 @@
 use crate::batch::{Batch, Op};
 
 /// The format that is written, and the newest that is read.
-pub const VERSION: u32 = 1;
+pub const FORMAT_VERSION: u32 = 1;
 /// The most bytes of a key.
-pub const MAX_KEY: usize = u16::MAX as usize;
+pub const MAX_KEY_BYTES: usize = u16::MAX as usize;
 /// The most bytes of a batch, with 15 for each operation and its keys and values.
-pub const MAX_BATCH: usize = 4 << 20;
+pub const MAX_BATCH_BYTES: usize = 4 << 20;
 
 /// The manifest's name, and that under which the next is written.
 pub(crate) const MANIFEST: &str = "MANIFEST";
@@ -93,7 +93,7 @@
 pub(crate) fn encode_segment_header(kind: Kind, id: u32, first: u64) -> [u8; SEGMENT_HEADER] {
     let mut header = [0; SEGMENT_HEADER];
     header[..8].copy_from_slice(&SEGMENT_MAGIC);
-    header[8..12].copy_from_slice(&VERSION.to_le_bytes());
+    header[8..12].copy_from_slice(&FORMAT_VERSION.to_le_bytes());
     header[12..16].copy_from_slice(&kind.code().to_le_bytes());
     header[16..20].copy_from_slice(&id.to_le_bytes());
     header[20..28].copy_from_slice(&first.to_le_bytes());
@@ -110,7 +110,7 @@
     }
     // The version is read before the checksum: a newer format may keep its own elsewhere.
     let version = u32_at(bytes, 8).ok_or(short.clone())?;
-    if version > VERSION {
+    if version > FORMAT_VERSION {
         return Err(Refusal::Newer(version));
     }
     let covered = bytes.get(..28).ok_or(short.clone())?;
@@ -175,8 +175,9 @@
         let length = u32_at(bytes, 4)?;
         let (sequence, flushed) = (u64_at(bytes, 16)?, u64_at(bytes, 24)?);
         // The cheap questions first: the search for a frame behind damage asks this at every byte.
-        let sound =
-            (1..=MAX_BATCH as u32).contains(&length) && flushed <= sequence && sequence < u64::MAX;
+        let sound = (1..=MAX_BATCH_BYTES as u32).contains(&length)
+            && flushed <= sequence
+            && sequence < u64::MAX;
         if !sound || u32_at(bytes, 12)? != 0 || u32_at(bytes, 0)? != Self::crc(id, bytes.get(4..)?)
         {
             return None;
@@ -309,7 +310,7 @@
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(28 + LISTED * self.segments.len());
         bytes.extend_from_slice(&MANIFEST_MAGIC);
-        bytes.extend_from_slice(&VERSION.to_le_bytes());
+        bytes.extend_from_slice(&FORMAT_VERSION.to_le_bytes());
         bytes.extend_from_slice(&(self.segments.len() as u32).to_le_bytes());
         bytes.extend_from_slice(&self.generation.to_le_bytes());
         for segment in &self.segments {
@@ -330,7 +331,7 @@
             return Err(Refusal::Damaged(0, "not a manifest of a store"));
         }
         let version = u32_at(bytes, 8).ok_or(short.clone())?;
-        if version > VERSION {
+        if version > FORMAT_VERSION {
             return Err(Refusal::Newer(version));
         }
         let (covered, crc) = bytes.split_last_chunk::<4>().ok_or(short.clone())?;
--- a/crates/store/src/group.rs
+++ b/crates/store/src/group.rs
@@ -4,7 +4,7 @@
 use crate::compact::Compaction;
 use crate::disk::Disk;
 use crate::error::{Error, Result};
-use crate::store::{Durability, Reader, Stat, Store};
+use crate::store::{Durability, Reader, Statistics, Store};
 use std::collections::VecDeque;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::thread::{self, JoinHandle};
@@ -29,11 +29,11 @@
 
 /// What became of the compactions in the background, and of the store's writing.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Status {
+pub struct GroupCommitStatus {
     /// The last error of a write, none since one has succeeded.
-    pub refusing: Option<Error>,
+    pub last_write_error: Option<Error>,
     /// The last error of a compaction, none since one has succeeded.
-    pub compaction: Option<Error>,
+    pub last_compaction_error: Option<Error>,
     /// Compactions that have succeeded.
     pub compactions: u64,
     /// Groups that were written.
@@ -41,7 +41,7 @@
     /// Batches in them.
     pub batches: u64,
     /// What the store held and took after the last group.
-    pub stat: Option<Stat>,
+    pub statistics: Option<Statistics>,
 }
 
 struct Queue<D: Disk> {
@@ -55,7 +55,7 @@
     relocating: bool,
     /// The last group was of one batch.
     alone: bool,
-    status: Status,
+    status: GroupCommitStatus,
 }
 
 struct Shared<D: Disk> {
@@ -130,7 +130,7 @@
             held: false,
             relocating: false,
             alone: true,
-            status: Status::default(),
+            status: GroupCommitStatus::default(),
         };
         let shared = Arc::new(Shared {
             writer: Mutex::new(Writer::new(store)),
@@ -228,7 +228,7 @@
     }
 
     /// How the store fares.
-    pub fn status(&self) -> Status {
+    pub fn status(&self) -> GroupCommitStatus {
         self.shared.lock().status.clone()
     }
 }
@@ -273,7 +273,7 @@
             self.end_compaction(shared, compacted);
         }
         if self.relocating {
-            self.relocating = self.store.relocate(RELOCATED);
+            self.relocating = self.store.relocate_entries(RELOCATED);
         }
         if closed && idle {
             return true;
@@ -285,7 +285,7 @@
 
     /// Leaves word of how things stand. Says whether something waits.
     fn leave(&self, shared: &Shared<D>) -> bool {
-        let held = self.compaction.is_some() && self.store.is_overgrown((shared.clock)());
+        let held = self.compaction.is_some() && self.store.writes_should_stall((shared.clock)());
         let mut queue = shared.lock();
         (queue.held, queue.relocating, queue.alone) = (held, self.relocating, self.last.0 <= 1);
         !queue.waiting.is_empty()
@@ -300,7 +300,7 @@
         drop(compacted);
         // Relaxed writes become durable with the end: it is planned, so there is time for it.
         if let Err(error) = self.store.commit(Durability::Durable) {
-            shared.lock().status.refusing = Some(error);
+            shared.lock().status.last_write_error = Some(error);
         }
     }
 
@@ -372,10 +372,10 @@
     }
 
     fn tell(&self, shared: &Shared<D>, written: &Result<u64>, batches: u64) {
-        let stat = self.store.stat((shared.clock)());
+        let statistics = self.store.statistics((shared.clock)());
         let status = &mut shared.lock().status;
-        status.refusing = written.as_ref().err().cloned();
-        status.stat = Some(stat);
+        status.last_write_error = written.as_ref().err().cloned();
+        status.statistics = Some(statistics);
         if written.is_ok() {
             status.groups += 1;
             status.batches += batches;
@@ -423,7 +423,7 @@
             Ok(()) => {
                 self.relocating = true;
                 let status = &mut shared.lock().status;
-                status.compaction = None;
+                status.last_compaction_error = None;
                 status.compactions += 1;
             }
             Err(error) => self.compaction_failed(shared, error),
@@ -432,6 +432,6 @@
 
     fn compaction_failed(&mut self, shared: &Shared<D>, error: Error) {
         self.compact_from = Some(Instant::now() + COMPACT_AGAIN);
-        shared.lock().status.compaction = Some(error);
+        shared.lock().status.last_compaction_error = Some(error);
     }
 }
--- a/crates/store/src/inspect.rs
+++ b/crates/store/src/inspect.rs
@@ -2,47 +2,47 @@
 
 use crate::batch::Batch;
 use crate::disk::{Disk, File};
-use crate::error::{Damage, Error, Result};
+use crate::error::{Corruption, Error, Result};
 use crate::format::{
     Kind, Listed, MANIFEST, NEVER, Ops, Refusal, decode_segment_header, segment_id, segment_name,
 };
 use crate::manifest;
-use crate::scan::{Lost, Mode, scan};
+use crate::scan::{LostRange, Mode, scan};
 use crate::store::{Durability, Options, Store};
 
 /// What a check found.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Verified {
+pub struct VerifyReport {
     /// The first damage, in the order in which the files apply.
-    pub damage: Option<Damage>,
+    pub corruption: Option<Corruption>,
     /// Files, frames, records and bytes that were read whole, up to the first damage.
-    pub files: u64,
-    /// See `files`.
+    pub segments: u64,
+    /// See `segments`.
     pub frames: u64,
-    /// See `files`.
+    /// See `segments`.
     pub records: u64,
-    /// See `files`.
+    /// See `segments`.
     pub bytes: u64,
     /// Bytes of a torn end: what was written and never acknowledged as durable. The next opening cuts them.
-    pub torn: u64,
+    pub torn_bytes: u64,
     /// Files that no manifest lists, left by a crash. The next opening removes them.
-    pub strays: u64,
+    pub unlisted_segments: u64,
 }
 
 /// Reads all of a store and changes nothing. Memory is bounded by one batch, not by the store.
 ///
 /// # Errors
-/// [`Error::Locked`], [`Error::Missing`], [`Error::Newer`], [`Error::Io`]. Damage is no error here: it is told.
-pub fn verify<D: Disk>(disk: &D) -> Result<Verified> {
+/// [`Error::Locked`], [`Error::StoreNotFound`], [`Error::UnsupportedVersion`], [`Error::Io`]. Damage is no error here: it is told.
+pub fn verify<D: Disk>(disk: &D) -> Result<VerifyReport> {
     let directory = |e: std::io::Error| Error::io("directory", &e);
     let _lock = disk.lock(false).map_err(directory)?.ok_or(Error::Locked)?;
     let names = disk.list().map_err(directory)?;
-    let mut verified = Verified::default();
+    let mut verified = VerifyReport::default();
     let told = match load(disk, &names) {
         Ok(manifest) => {
             let ids: Vec<u32> = names.iter().filter_map(|n| segment_id(n)).collect();
             let listed = |id: &&u32| manifest.iter().any(|s| s.id == **id);
-            verified.strays = ids.iter().filter(|id| !listed(id)).count() as u64;
+            verified.unlisted_segments = ids.iter().filter(|id| !listed(id)).count() as u64;
             manifest
                 .iter()
                 .try_for_each(|segment| verify_segment(disk, segment, &mut verified))
@@ -50,7 +50,7 @@
         Err(error) => Err(error),
     };
     match told {
-        Err(Error::Damaged(damage)) => verified.damage = Some(damage),
+        Err(Error::Corrupted(damage)) => verified.corruption = Some(damage),
         other => other?,
     }
     Ok(verified)
@@ -65,7 +65,7 @@
             .filter_map(|n| segment_id(n))
             .try_for_each(|id| crate::store::refuse_orphan(disk, id))?;
     }
-    Ok(manifest.ok_or(Error::Missing)?.segments)
+    Ok(manifest.ok_or(Error::StoreNotFound)?.segments)
 }
 
 fn open_segment<D: Disk>(disk: &D, listed: &Listed) -> Result<D::File> {
@@ -78,30 +78,30 @@
     })
 }
 
-fn verify_segment<D: Disk>(disk: &D, listed: &Listed, verified: &mut Verified) -> Result<()> {
+fn verify_segment<D: Disk>(disk: &D, listed: &Listed, verified: &mut VerifyReport) -> Result<()> {
     let file = open_segment(disk, listed)?;
     let scanned = scan(&file, listed, Mode::Refuse, |frame| {
         verified.frames += 1;
         verified.records += Ops::of(frame.body).count() as u64;
         Ok(())
     })?;
-    verified.files += 1;
+    verified.segments += 1;
     verified.bytes += scanned.end;
-    verified.torn += scanned.torn;
+    verified.torn_bytes += scanned.torn;
     Ok(())
 }
 
 /// What a salvage copied and what it could not.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Salvaged {
+pub struct SalvageReport {
     /// Frames and records that were read whole.
     pub frames: u64,
     /// See `frames`.
     pub records: u64,
     /// Bytes of a torn end that were cut: they were never acknowledged as durable.
-    pub torn: u64,
+    pub torn_bytes: u64,
     /// What was passed over, in the order in which it stood.
-    pub lost: Vec<Lost>,
+    pub lost: Vec<LostRange>,
 }
 
 /// Copies all that can be read of a damaged store into a new one in an empty directory, and tells what could not.
@@ -111,18 +111,18 @@
 /// Where the manifest itself is lost, so may be what a finished compaction left to be removed.
 ///
 /// # Errors
-/// [`Error::Locked`], [`Error::Newer`], [`Error::Io`]; [`Error::Missing`] where there is nothing to read at all; and
+/// [`Error::Locked`], [`Error::UnsupportedVersion`], [`Error::Io`]; [`Error::StoreNotFound`] where there is nothing to read at all; and
 /// where the new directory is not empty or can't be written.
-pub fn salvage<D: Disk, E: Disk>(from: &D, to: E) -> Result<Salvaged> {
+pub fn salvage<D: Disk, E: Disk>(from: &D, to: E) -> Result<SalvageReport> {
     let directory = |e: std::io::Error| Error::io("directory", &e);
     let _lock = from.lock(false).map_err(directory)?.ok_or(Error::Locked)?;
-    let mut salvaged = Salvaged::default();
+    let mut salvaged = SalvageReport::default();
     let segments = match manifest::load(from) {
         Ok(Some(manifest)) => manifest.segments,
         Ok(None) => by_headers(from, &mut salvaged)?,
-        Err(Error::Damaged(damage)) => {
-            salvaged.lost.push(Lost {
-                damage,
+        Err(Error::Corrupted(damage)) => {
+            salvaged.lost.push(LostRange {
+                corruption: damage,
                 bytes: 0,
                 sequences: None,
             });
@@ -140,11 +140,11 @@
     let mut store = Store::open(to, Options::default())?;
     for listed in &segments {
         let file = match open_segment(from, listed) {
-            Err(Error::Damaged(damage)) => {
+            Err(Error::Corrupted(damage)) => {
                 let sequences = listed.sealed.map(|(_, next)| listed.first..next);
                 let bytes = listed.sealed.map_or(0, |(length, _)| length);
-                salvaged.lost.push(Lost {
-                    damage,
+                salvaged.lost.push(LostRange {
+                    corruption: damage,
                     bytes,
                     sequences,
                 });
@@ -165,7 +165,7 @@
             salvaged.frames += 1;
             store.write(&batch, Durability::Relaxed).map(|_| ())
         })?;
-        salvaged.torn += scanned.torn;
+        salvaged.torn_bytes += scanned.torn;
         salvaged.lost.extend(scanned.lost);
     }
     store.commit(Durability::Durable)?;
@@ -174,11 +174,11 @@
 
 /// The segments in the order in which they apply, where no manifest tells: a compacted one holds what was there before
 /// the batch that it names. A file whose header can't be read is passed over.
-fn by_headers<D: Disk>(disk: &D, salvaged: &mut Salvaged) -> Result<Vec<Listed>> {
+fn by_headers<D: Disk>(disk: &D, salvaged: &mut SalvageReport) -> Result<Vec<Listed>> {
     let names = disk.list().map_err(|e| Error::io("directory", &e))?;
     let ids: Vec<u32> = names.iter().filter_map(|n| segment_id(n)).collect();
     if ids.is_empty() && !names.iter().any(|n| n == MANIFEST) {
-        return Err(Error::Missing);
+        return Err(Error::StoreNotFound);
     }
     let mut segments = Vec::new();
     for id in ids {
@@ -197,7 +197,7 @@
                 sealed: None,
             }),
             Err(Refusal::Newer(version)) => {
-                return Err(Error::Newer {
+                return Err(Error::UnsupportedVersion {
                     file: name,
                     version,
                 });
@@ -208,13 +208,13 @@
                     _ => "the header is that of another segment",
                 };
                 let bytes = file.size().map_err(|e| Error::io(&name, &e))?;
-                let damage = Damage {
+                let damage = Corruption {
                     file: name,
                     offset: 0,
                     problem: problem.into(),
                 };
-                salvaged.lost.push(Lost {
-                    damage,
+                salvaged.lost.push(LostRange {
+                    corruption: damage,
                     bytes,
                     sequences: None,
                 });
--- a/crates/store/src/manifest.rs
+++ b/crates/store/src/manifest.rs
@@ -27,7 +27,7 @@
     bytes.truncate(read);
     match Manifest::decode(&bytes) {
         Ok(manifest) => Ok(Some(manifest)),
-        Err(Refusal::Newer(version)) => Err(Error::Newer {
+        Err(Refusal::Newer(version)) => Err(Error::UnsupportedVersion {
             file: MANIFEST.into(),
             version,
         }),
--- a/crates/store/src/scan.rs
+++ b/crates/store/src/scan.rs
@@ -3,7 +3,7 @@
 //! that a later one calls flushed was whole once.
 
 use crate::disk::File;
-use crate::error::{Damage, Error, Result};
+use crate::error::{Corruption, Error, Result};
 use crate::format::{
     FRAME_HEADER, FrameHeader, Kind, Listed, Ops, Refusal, SEGMENT_HEADER, decode_segment_header,
     segment_name,
@@ -64,9 +64,9 @@
 
 /// Bytes that could not be read, and the frames that stood there.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Lost {
+pub struct LostRange {
     /// Where, and what is wrong there.
-    pub damage: Damage,
+    pub corruption: Corruption,
     /// How many bytes were passed over.
     pub bytes: u64,
     /// The sequence numbers of the batches that are missing, where known: not where they were compacted.
@@ -84,7 +84,7 @@
     /// Up to here some frame calls the log flushed, with the sequence number after that.
     pub proven: (u64, u64),
     /// What was passed over.
-    pub lost: Vec<Lost>,
+    pub lost: Vec<LostRange>,
 }
 
 /// What to do at damage.
@@ -99,7 +99,7 @@
 /// Reads a segment, frame by frame.
 ///
 /// # Errors
-/// Damage, a newer format, a file that can't be read; and what `visit` ends with.
+/// Corruption, a newer format, a file that can't be read; and what `visit` ends with.
 pub(crate) fn scan<F: File>(
     file: &F,
     listed: &Listed,
@@ -115,17 +115,17 @@
         ..Scanned::default()
     };
     let mut lose = |offset: u64, problem: String, bytes: u64, sequences: Option<Range<u64>>| {
-        let damage = Damage {
+        let damage = Corruption {
             file: name.clone(),
             offset,
             problem,
         };
         if mode == Mode::Refuse {
-            return Err(Error::Damaged(damage));
+            return Err(Error::Corrupted(damage));
         }
         let sequences = sequences.filter(|_| listed.kind == Kind::Log);
-        scanned.lost.push(Lost {
-            damage,
+        scanned.lost.push(LostRange {
+            corruption: damage,
             bytes,
             sequences,
         });
@@ -141,7 +141,7 @@
             None,
         )?,
         Err(Refusal::Newer(version)) => {
-            return Err(Error::Newer {
+            return Err(Error::UnsupportedVersion {
                 file: name,
                 version,
             });
--- a/crates/store/src/sim.rs
+++ b/crates/store/src/sim.rs
@@ -15,9 +15,9 @@
     /// All: only the process has ended, and a later loss may still take what was not flushed.
     Nothing,
     /// The first so many bytes of it, in the order they were written, with what was done to names before that.
-    Behind(u64),
+    AllAfter(u64),
     /// Any of it, each write torn anywhere, names on their own; by this seed.
-    Any(u64),
+    Random(u64),
 }
 
 enum Change {
@@ -65,7 +65,7 @@
     operations: u64,
     crash_at: Option<u64>,
     failures: BTreeMap<u64, ErrorKind>,
-    room: Option<usize>,
+    capacity: Option<usize>,
     read_only: bool,
 }
 
@@ -116,7 +116,7 @@
         Ok(())
     }
 
-    fn used(&self) -> usize {
+    fn used_bytes(&self) -> usize {
         self.names
             .values()
             .filter_map(|inode| Some(self.inodes.get(inode)?.seen.len()))
@@ -186,15 +186,15 @@
         let mut state = disk.state();
         let changes = std::mem::take(&mut state.unflushed);
         let (mut seed, mut left) = match loss {
-            Loss::Any(seed) => (seed, u64::MAX),
-            Loss::Behind(bytes) => (0, bytes),
+            Loss::Random(seed) => (seed, u64::MAX),
+            Loss::AllAfter(bytes) => (0, bytes),
             Loss::All | Loss::Nothing => (0, 0),
         };
         for change in changes {
             let keeps = match loss {
                 Loss::All | Loss::Nothing => false,
-                Loss::Behind(_) => left > 0,
-                Loss::Any(_) => splitmix(&mut seed).is_multiple_of(2),
+                Loss::AllAfter(_) => left > 0,
+                Loss::Random(_) => splitmix(&mut seed).is_multiple_of(2),
             };
             match change {
                 Change::Write {
@@ -203,7 +203,7 @@
                     mut bytes,
                 } if keeps => {
                     let torn =
-                        matches!(loss, Loss::Any(_)) && splitmix(&mut seed).is_multiple_of(4);
+                        matches!(loss, Loss::Random(_)) && splitmix(&mut seed).is_multiple_of(4);
                     let most = if torn {
                         splitmix(&mut seed) % (bytes.len() as u64 + 1)
                     } else {
@@ -245,7 +245,7 @@
     }
 
     /// Whether the process has ended.
-    pub fn is_dead(&self) -> bool {
+    pub fn has_crashed(&self) -> bool {
         self.state().life != self.life
     }
 
@@ -258,7 +258,7 @@
     }
 
     /// Fails no more operations.
-    pub fn fail_none(&self) {
+    pub fn clear_failures(&self) {
         self.state().failures.clear();
     }
 
@@ -268,13 +268,13 @@
     }
 
     /// Sets how many bytes all files may hold together.
-    pub fn set_room(&self, room: Option<usize>) {
-        self.state().room = room;
+    pub fn set_capacity(&self, capacity: Option<usize>) {
+        self.state().capacity = capacity;
     }
 
     /// Bytes that all files hold together.
-    pub fn used(&self) -> usize {
-        self.state().used()
+    pub fn used_bytes(&self) -> usize {
+        self.state().used_bytes()
     }
 
     /// Refuses or allows every change.
@@ -283,7 +283,7 @@
     }
 
     /// Flips a bit of a file, beneath whoever has it open.
-    pub fn flip(&self, name: &str, offset: usize) {
+    pub fn flip_bit(&self, name: &str, offset: usize) {
         let mut state = self.state();
         if let Some(inode) = state.names.get(name).copied() {
             let inode = state.inode(inode);
@@ -293,7 +293,7 @@
     }
 
     /// Bytes that were written and not flushed.
-    pub fn unflushed(&self) -> u64 {
+    pub fn unflushed_bytes(&self) -> u64 {
         let bytes = |c: &Change| {
             if let Change::Write { bytes, .. } = c {
                 bytes.len() as u64
@@ -322,7 +322,7 @@
     }
 
     /// A directory of these files, all flushed.
-    pub fn of(files: &BTreeMap<String, Vec<u8>>) -> Self {
+    pub fn from_files(files: &BTreeMap<String, Vec<u8>>) -> Self {
         let disk = SimDisk::new();
         let mut state = disk.state();
         for (inode, (name, bytes)) in (0..).zip(files) {
@@ -476,8 +476,8 @@
         };
         let grows = (offset as usize + fits).saturating_sub(state.inode(self.inode).seen.len());
         let room = state
-            .room
-            .map_or(usize::MAX, |room| room.saturating_sub(state.used()));
+            .capacity
+            .map_or(usize::MAX, |room| room.saturating_sub(state.used_bytes()));
         fits -= grows.saturating_sub(room).min(fits);
         let part = &bytes[..fits];
         write(&mut state.inode(self.inode).seen, offset, part);
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -35,15 +35,15 @@
     /// Whether it is opened for reading alone: nothing in the directory is changed, and others may read it, too.
     pub read_only: bool,
     /// A segment of the log that holds so many bytes is followed by a new one. At most 1 GiB; 16 MiB by default.
-    pub segment: u64,
+    pub segment_bytes: u64,
     /// Bytes of the log beyond twice the live ones before compaction is due; 1 MiB by default.
-    pub slack: u64,
+    pub compaction_slack_bytes: u64,
     /// Bytes that may wait for a flush; 8 MiB by default.
-    pub pending: usize,
+    pub max_pending_bytes: usize,
     /// The most bytes that are reserved ahead of the log, with zeros: a flush is cheaper where the file need not grow,
     /// and a full disk is met before anything of a write is on it. Begins with 64 KiB or as many as the segment
     /// holds; 1 MiB by default.
-    pub reserve: u64,
+    pub max_preallocated_bytes: u64,
 }
 
 impl Default for Options {
@@ -51,10 +51,10 @@
         Options {
             create: true,
             read_only: false,
-            segment: 16 << 20,
-            slack: 1 << 20,
-            pending: 8 << 20,
-            reserve: 1 << 20,
+            segment_bytes: 16 << 20,
+            compaction_slack_bytes: 1 << 20,
+            max_pending_bytes: 8 << 20,
+            max_preallocated_bytes: 1 << 20,
         }
     }
 }
@@ -166,21 +166,21 @@
 
 /// What a store holds and takes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Stat {
+pub struct Statistics {
     /// Keys, those that have expired and not been dropped yet included.
     pub keys: u64,
     /// Bytes in the log of what is live.
-    pub live: u64,
+    pub live_bytes: u64,
     /// Bytes of the log.
-    pub log: u64,
+    pub log_bytes: u64,
     /// Files of the log.
     pub segments: u64,
     /// The sequence number of the next batch.
-    pub next: u64,
+    pub next_sequence: u64,
     /// Switches of the manifest so far.
-    pub generation: u64,
+    pub manifest_generation: u64,
     /// Bytes of a torn end that were cut at the opening.
-    pub cut: u64,
+    pub truncated_bytes: u64,
 }
 
 impl<D: Disk> Store<D> {
@@ -190,7 +190,7 @@
     /// before the first write, but files that no manifest lists are removed.
     ///
     /// # Errors
-    /// [`Error::Locked`], [`Error::Missing`], [`Error::Newer`]; [`Error::Damaged`] where what was once whole can't
+    /// [`Error::Locked`], [`Error::StoreNotFound`], [`Error::UnsupportedVersion`]; [`Error::Corrupted`] where what was once whole can't
     /// be read; [`Error::Io`].
     pub fn open(disk: D, options: Options) -> Result<Self> {
         let directory = |e: std::io::Error| Error::io("directory", &e);
@@ -203,7 +203,7 @@
         let manifest = manifest::load(&disk)?;
         if manifest.is_none() {
             if !options.create || options.read_only {
-                return Err(Error::Missing);
+                return Err(Error::StoreNotFound);
             }
             ids.clone().try_for_each(|id| refuse_orphan(&disk, id))?;
         }
@@ -265,7 +265,7 @@
         Ok(Store {
             disk,
             options: Options {
-                segment: options.segment.clamp(1 << 10, LONGEST_SEGMENT),
+                segment_bytes: options.segment_bytes.clamp(1 << 10, LONGEST_SEGMENT),
                 ..options
             },
             index: Arc::new(RwLock::new(index)),
@@ -313,7 +313,7 @@
             return Err(Error::ReadOnly);
         }
         let size = batch.size() + FRAME_HEADER;
-        if !self.pending.is_empty() && self.pending_bytes + size > self.options.pending {
+        if !self.pending.is_empty() && self.pending_bytes + size > self.options.max_pending_bytes {
             return Err(Error::Busy);
         }
         if !batch.is_empty() {
@@ -371,7 +371,7 @@
 
     fn write_group(&mut self, group: Vec<Vec<u8>>, durability: Durability) -> Result<()> {
         let full =
-            |tail: &Tail<D::File>| tail.file.is_none() || tail.length >= self.options.segment;
+            |tail: &Tail<D::File>| tail.file.is_none() || tail.length >= self.options.segment_bytes;
         if self.tail.as_ref().is_none_or(full) {
             self.begin_segment()?;
         }
@@ -389,8 +389,13 @@
             bytes.extend_from_slice(body);
         }
         // Refused here, nothing of the group is on the disk, and the segment is as it was.
-        reserve(&*file, tail, bytes.len() as u64, self.options.reserve)
-            .map_err(|e| Error::io(&name, &e))?;
+        reserve(
+            &*file,
+            tail,
+            bytes.len() as u64,
+            self.options.max_preallocated_bytes,
+        )
+        .map_err(|e| Error::io(&name, &e))?;
         let kept_bytes: usize = tail.kept.iter().map(|k| k.body.len()).sum();
         let flush = durability == Durability::Durable || kept_bytes + bytes.len() > UNFLUSHED;
         let written = file.write_at(&bytes, tail.length);
@@ -464,8 +469,14 @@
             flushed: (0, 0),
             kept: Vec::new(),
         };
-        let made = make_segment(&self.disk, &name, &mut tail, &kept, self.options.reserve)
-            .map_err(|e| Error::io(&name, &e));
+        let made = make_segment(
+            &self.disk,
+            &name,
+            &mut tail,
+            &kept,
+            self.options.max_preallocated_bytes,
+        )
+        .map_err(|e| Error::io(&name, &e));
         let mut segments = self.manifest.segments.clone();
         let mut emptied = None;
         if let Some(old) = &self.tail {
@@ -545,23 +556,25 @@
     // ---- Compaction ----
 
     /// Whether the log is so much longer than what is live, or in so many pieces, that compaction is worth its cost:
-    /// longer than twice the live bytes and [`Options::slack`], or more than 16 segments beyond those it fills.
+    /// longer than twice the live bytes and [`Options::compaction_slack_bytes`], or more than 16 segments beyond those it fills.
     pub fn is_compaction_due(&self, now: u64) -> bool {
         if self.options.read_only || self.poisoned.is_some() || self.relocation.is_some() {
             return false;
         }
         let log = self.log_bytes();
         let live = read_lock(&self.index).live(now);
-        let most = live.saturating_mul(2).saturating_add(self.options.slack);
+        let most = live
+            .saturating_mul(2)
+            .saturating_add(self.options.compaction_slack_bytes);
         log > most
-            || self.manifest.segments.len() as u64 > SEGMENTS + 2 * log / self.options.segment
+            || self.manifest.segments.len() as u64 > SEGMENTS + 2 * log / self.options.segment_bytes
     }
 
     /// Whether writes outrun a compaction: the log is longer than three times the live bytes and twice
-    /// [`Options::slack`]. Then they are to wait for its end, or the log would grow without bound.
-    pub fn is_overgrown(&self, now: u64) -> bool {
+    /// [`Options::compaction_slack_bytes`]. Then they are to wait for its end, or the log would grow without bound.
+    pub fn writes_should_stall(&self, now: u64) -> bool {
         let live = read_lock(&self.index).live(now);
-        let slack = self.options.slack.saturating_mul(2);
+        let slack = self.options.compaction_slack_bytes.saturating_mul(2);
         self.log_bytes() > live.saturating_mul(3).saturating_add(slack)
     }
 
@@ -586,7 +599,7 @@
         if self.options.read_only {
             return Err(Error::ReadOnly);
         }
-        self.relocate(usize::MAX);
+        self.relocate_entries(usize::MAX);
         self.begin_segment()?;
         let inputs = self
             .manifest
@@ -600,7 +613,7 @@
             self.snapshot(),
             inputs,
             Arc::clone(&self.next_id),
-            self.options.segment,
+            self.options.segment_bytes,
             self.next,
             now,
         ))
@@ -645,7 +658,7 @@
 
     /// Goes on with a compaction's last part: renews the places of up to so many entries in the index. Says whether
     /// there are more.
-    pub fn relocate(&mut self, most: usize) -> bool {
+    pub fn relocate_entries(&mut self, most: usize) -> bool {
         let mut left = most;
         while let Some(moving) = &mut self.relocation {
             if left == 0 {
@@ -678,21 +691,21 @@
         let mut compaction = self.begin_compaction(now)?;
         while !compaction.step(usize::MAX)? {}
         self.finish_compaction(compaction)?;
-        self.relocate(usize::MAX);
+        self.relocate_entries(usize::MAX);
         Ok(())
     }
 
     /// What the store holds and takes.
-    pub fn stat(&self, now: u64) -> Stat {
+    pub fn statistics(&self, now: u64) -> Statistics {
         let index = read_lock(&self.index);
-        Stat {
+        Statistics {
             keys: index.len() as u64,
-            live: index.live(now),
-            log: self.log_bytes(),
+            live_bytes: index.live(now),
+            log_bytes: self.log_bytes(),
             segments: self.manifest.segments.len() as u64,
-            next: self.next,
-            generation: self.manifest.generation,
-            cut: self.cut,
+            next_sequence: self.next,
+            manifest_generation: self.manifest.generation,
+            truncated_bytes: self.cut,
         }
     }
 }
--- a/crates/store/tests/any_bytes.rs
+++ b/crates/store/tests/any_bytes.rs
@@ -11,9 +11,9 @@
 fn sound() -> Files {
     let disk = SimDisk::new();
     let options = Options {
-        segment: 1024,
-        slack: 256,
-        reserve: 64,
+        segment_bytes: 1024,
+        compaction_slack_bytes: 256,
+        max_preallocated_bytes: 64,
         ..Options::default()
     };
     let mut store = Store::open(disk.clone(), options).expect("it opens");
@@ -35,14 +35,14 @@
 
 /// What is opened may be read and written to.
 fn use_all(files: &Files) {
-    let disk = SimDisk::of(files);
+    let disk = SimDisk::from_files(files);
     let _ = verify(&disk);
     let _ = salvage(&disk, SimDisk::new());
     if let Ok(mut store) = Store::open(disk, Options::default()) {
         let _ = store.snapshot().scan(b"", 0).count();
         let _ = store.put(b"a", b"1");
         let _ = store.compact(0);
-        let _ = store.stat(0);
+        let _ = store.statistics(0);
     }
 }
 
--- a/crates/store/tests/backward_compatibility.rs
+++ b/crates/store/tests/backward_compatibility.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use madderloom_store::sim::SimDisk;
-use madderloom_store::{Batch, Durability, Error, RealDisk, Store, VERSION, verify};
+use madderloom_store::{Batch, Durability, Error, FORMAT_VERSION, RealDisk, Store, verify};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
@@ -21,7 +21,7 @@
     let mut store = Store::open(
         disk.clone(),
         madderloom_store::Options {
-            reserve: 0,
+            max_preallocated_bytes: 0,
             ..SMALL
         },
     )
@@ -90,7 +90,7 @@
 fn a_store_of_version_1_opens_and_goes_on() {
     let files = read(&fixture());
     assert!(files.len() > 4, "{:?}", files.keys());
-    let disk = SimDisk::of(&files);
+    let disk = SimDisk::from_files(&files);
     let mut store = open(&disk).expect("it opens");
     assert_eq!(contents(&store), expected());
     store.put(b"more", b"1").expect("it is written");
@@ -101,13 +101,13 @@
     assert_eq!(contents(&open(&disk).expect("it opens")), more);
     // Verifying reads it, too, on the real disk.
     let verified = verify(&RealDisk::open(fixture()).expect("it is there")).expect("it reads");
-    assert_eq!((verified.damage, verified.torn), (None, 0));
+    assert_eq!((verified.corruption, verified.torn_bytes), (None, 0));
 }
 
 /// A change of what is written without a new version would be met by no test of an older store.
 #[test]
 fn version_1_is_still_what_is_written() {
-    assert_eq!(VERSION, 1);
+    assert_eq!(FORMAT_VERSION, 1);
     assert_eq!(version_1(), read(&fixture()));
 }
 
@@ -116,15 +116,15 @@
     for (name, bytes) in version_1() {
         let mut files = version_1();
         let mut newer = bytes;
-        newer[8..12].copy_from_slice(&(VERSION + 1).to_le_bytes());
+        newer[8..12].copy_from_slice(&(FORMAT_VERSION + 1).to_le_bytes());
         files.insert(name.clone(), newer);
-        let disk = SimDisk::of(&files);
+        let disk = SimDisk::from_files(&files);
         let refused = open(&disk).err().expect("it is refused");
         assert_eq!(
             refused,
-            Error::Newer {
+            Error::UnsupportedVersion {
                 file: name.clone(),
-                version: VERSION + 1
+                version: FORMAT_VERSION + 1
             }
         );
         let line = format!(
--- a/crates/store/tests/common/mod.rs
+++ b/crates/store/tests/common/mod.rs
@@ -11,10 +11,10 @@
 pub const SMALL: Options = Options {
     create: true,
     read_only: false,
-    segment: 1024,
-    slack: 512,
-    pending: 1 << 20,
-    reserve: 100,
+    segment_bytes: 1024,
+    compaction_slack_bytes: 512,
+    max_pending_bytes: 1 << 20,
+    max_preallocated_bytes: 100,
 };
 
 pub fn open(disk: &SimDisk) -> Result<Store<SimDisk>, Error> {
--- a/crates/store/tests/crash_consistency.rs
+++ b/crates/store/tests/crash_consistency.rs
@@ -47,14 +47,14 @@
         for loss in [
             Loss::All,
             Loss::Nothing,
-            Loss::Any(at),
-            Loss::Any(at << 32),
-            Loss::Any(at << 48),
+            Loss::Random(at),
+            Loss::Random(at << 32),
+            Loss::Random(at << 48),
         ] {
             let disk = SimDisk::new();
             disk.crash_in(at);
             let ran = run(&disk, &steps);
-            assert!(disk.is_dead(), "operation {at} was not reached");
+            assert!(disk.has_crashed(), "operation {at} was not reached");
             // Where only the process ends, relaxed writes last, too.
             let least = if loss == Loss::Nothing {
                 ran.acknowledged
@@ -86,11 +86,11 @@
             let ran = run(&disk, &steps);
             (disk, ran)
         };
-        for kept in 0..=crashed().0.unflushed() {
+        for kept in 0..=crashed().0.unflushed_bytes() {
             let (disk, ran) = crashed();
             let told = format!("operation {at}, {kept} bytes");
             survives(
-                disk.lose_power(Loss::Behind(kept)),
+                disk.lose_power(Loss::AllAfter(kept)),
                 &states,
                 ran,
                 ran.durable,
@@ -122,10 +122,11 @@
     for cut in 32..=end {
         let mut files = files.clone();
         files.insert(name.clone(), bytes[..cut].to_vec());
-        let store = open(&SimDisk::of(&files)).unwrap_or_else(|e| panic!("cut at {cut}: {e}"));
+        let store =
+            open(&SimDisk::from_files(&files)).unwrap_or_else(|e| panic!("cut at {cut}: {e}"));
         let at = find(&states, &contents(&store), last, 9);
         last = at.unwrap_or_else(|| panic!("cut at {cut}: {:?}", contents(&store)));
-        let torn = store.stat(0).cut;
+        let torn = store.statistics(0).truncated_bytes;
         let reserved = bytes[..cut]
             .iter()
             .rposition(|b| *b != 0)
@@ -196,12 +197,12 @@
             let disk = SimDisk::new();
             disk.crash_in(at);
             let ran = run(&disk, &steps);
-            let disk = disk.lose_power(Loss::Any(at));
+            let disk = disk.lose_power(Loss::Random(at));
             disk.crash_in(again);
             if let Ok(mut store) = open(&disk) {
                 let _ = store.put(b"x", b"y");
             }
-            let disk = disk.lose_power(Loss::Any(again));
+            let disk = disk.lose_power(Loss::Random(again));
             let store = open(&disk).unwrap_or_else(|e| panic!("operations {at}, {again}: {e}"));
             let mut found = contents(&store);
             found.remove(&b"x"[..]);
@@ -247,7 +248,11 @@
                     found.insert(b"after".to_vec(), b"1".to_vec());
                 }
                 drop(store);
-                let disk = disk.lose_power(if seed < 2 { Loss::All } else { Loss::Any(seed) });
+                let disk = disk.lose_power(if seed < 2 {
+                    Loss::All
+                } else {
+                    Loss::Random(seed)
+                });
                 let left = contents(&open(&disk).unwrap_or_else(|e| panic!("{told}: {e}")));
                 if written {
                     assert_eq!(left, found, "{told}");
@@ -275,5 +280,5 @@
         },
     )
     .err();
-    assert_eq!(refused, Some(madderloom_store::Error::Missing));
+    assert_eq!(refused, Some(madderloom_store::Error::StoreNotFound));
 }
--- a/crates/store/tests/damage.rs
+++ b/crates/store/tests/damage.rs
@@ -36,7 +36,7 @@
         for at in 0..bytes.len() {
             let mut files = files.clone();
             files.get_mut(name).expect("it is there")[at] ^= 1 << (at % 8);
-            let disk = SimDisk::of(&files);
+            let disk = SimDisk::from_files(&files);
             let verified = verify(&disk);
             match open(&disk) {
                 // The last group, and what is reserved behind it: nothing later tells that it was once whole.
@@ -45,26 +45,26 @@
                     let found = find(&states, &contents(&store), 33, 34);
                     assert!(found.is_some(), "{name}, byte {at}: {:?}", contents(&store));
                     assert_eq!(
-                        verified.expect("it reads").damage,
+                        verified.expect("it reads").corruption,
                         None,
                         "{name}, byte {at}"
                     );
                     cut += 1;
                 }
-                Err(Error::Damaged(damage)) => {
+                Err(Error::Corrupted(damage)) => {
                     assert!(
                         damage.file == *name && damage.offset <= at as u64,
                         "{name}, byte {at}: {damage}"
                     );
                     assert_eq!(
-                        verified.expect("it reads").damage,
+                        verified.expect("it reads").corruption,
                         Some(damage),
                         "{name}, byte {at}"
                     );
                     refused += 1;
                 }
                 // The version itself may be what is flipped.
-                Err(Error::Newer { file, .. }) => {
+                Err(Error::UnsupportedVersion { file, .. }) => {
                     assert!(file == *name && (8..12).contains(&at), "byte {at}")
                 }
                 Err(other) => panic!("{name}, byte {at}: {other}"),
@@ -87,9 +87,9 @@
         for cut in 0..records {
             let mut files = files.clone();
             files.insert(name.clone(), bytes[..cut].to_vec());
-            let opened = open(&SimDisk::of(&files));
+            let opened = open(&SimDisk::from_files(&files));
             assert!(
-                matches!(opened, Err(Error::Damaged(_))),
+                matches!(opened, Err(Error::Corrupted(_))),
                 "{name} cut at {cut}: {:?}",
                 opened.err()
             );
@@ -103,8 +103,8 @@
     for name in files.keys() {
         let mut files = files.clone();
         files.remove(name);
-        match open(&SimDisk::of(&files)) {
-            Err(Error::Damaged(damage)) => assert_eq!(damage.file, *name),
+        match open(&SimDisk::from_files(&files)) {
+            Err(Error::Corrupted(damage)) => assert_eq!(damage.file, *name),
             other => panic!("{name}: {:?}", other.err()),
         }
     }
@@ -117,7 +117,7 @@
     let mut swapped = files.clone();
     swapped.insert(names[0].clone(), files[names[1]].clone());
     assert!(
-        matches!(open(&SimDisk::of(&swapped)), Err(Error::Damaged(damage)) if damage.file == *names[0])
+        matches!(open(&SimDisk::from_files(&swapped)), Err(Error::Corrupted(damage)) if damage.file == *names[0])
     );
 }
 
@@ -128,7 +128,7 @@
     let mut store = Store::open(
         disk.clone(),
         Options {
-            reserve: 0,
+            max_preallocated_bytes: 0,
             ..Options::default()
         },
     )
@@ -151,23 +151,23 @@
         .position(|w| w == b"value 7")
         .expect("it is written");
     bytes[place] ^= 1;
-    let damaged = SimDisk::of(&files);
+    let damaged = SimDisk::from_files(&files);
     let refused = Store::open(damaged.clone(), SMALL).err();
-    let Some(Error::Damaged(damage)) = refused else {
+    let Some(Error::Corrupted(damage)) = refused else {
         panic!("{refused:?}")
     };
 
     let to = SimDisk::new();
     let salvaged = salvage(&damaged, to.clone()).expect("it salvages");
     assert_eq!(
-        (salvaged.frames, salvaged.records, salvaged.torn),
+        (salvaged.frames, salvaged.records, salvaged.torn_bytes),
         (19, 38, 0)
     );
     let [lost] = &salvaged.lost[..] else {
         panic!("{salvaged:?}")
     };
     assert_eq!(
-        (&lost.damage, lost.sequences.clone()),
+        (&lost.corruption, lost.sequences.clone()),
         (&damage, Some(7..8))
     );
     assert!((damage.offset..damage.offset + lost.bytes).contains(&(place as u64)));
@@ -193,11 +193,11 @@
     let (mut files, states) = sound();
     files.remove("MANIFEST");
     let to = SimDisk::new();
-    salvage(&SimDisk::of(&files), to.clone()).expect("it salvages");
+    salvage(&SimDisk::from_files(&files), to.clone()).expect("it salvages");
     assert_eq!(contents(&open(&to).expect("it opens")), states[34]);
     // And it writes into nothing that is not empty.
     assert!(matches!(
-        salvage(&SimDisk::of(&files), to),
+        salvage(&SimDisk::from_files(&files), to),
         Err(Error::Io { .. })
     ));
 }
@@ -210,7 +210,7 @@
             let mut files = files.clone();
             let file = files.get_mut(name).expect("it is there");
             file.drain(at..(at + 40).min(bytes.len()));
-            let disk = SimDisk::of(&files);
+            let disk = SimDisk::from_files(&files);
             let told = (salvage(&disk, SimDisk::new()), verify(&disk));
             assert!(
                 told.0.is_ok() && told.1.is_ok(),
@@ -245,15 +245,18 @@
     };
     damage(&mut files);
     // The last group may have been torn just so, in a crash before it was flushed.
-    let cut = open(&SimDisk::of(&files)).expect("it opens");
+    let cut = open(&SimDisk::from_files(&files)).expect("it opens");
     assert_eq!(cut.get(b"a", 0), Ok(Some(b"first".to_vec())));
-    assert!(cut.stat(0).cut > 60);
+    assert!(cut.statistics(0).truncated_bytes > 60);
 
     // With a later group behind them, they were whole.
     store.put(b"b", b"later").expect("it is written");
     let mut files = disk.files();
     damage(&mut files);
-    assert!(matches!(open(&SimDisk::of(&files)), Err(Error::Damaged(_))));
+    assert!(matches!(
+        open(&SimDisk::from_files(&files)),
+        Err(Error::Corrupted(_))
+    ));
 }
 
 #[test]
@@ -271,13 +274,13 @@
         .windows(10)
         .position(|w| w == b"value of b")
         .expect("it is written");
-    disk.flip(&name, place + 3);
+    disk.flip_bit(&name, place + 3);
     assert!(
-        matches!(store.get(b"b", 0), Err(Error::Damaged(damage)) if damage.offset == place as u64)
+        matches!(store.get(b"b", 0), Err(Error::Corrupted(damage)) if damage.offset == place as u64)
     );
     assert_eq!(store.get(b"c", 0), Ok(Some(b"value of c".to_vec())));
-    assert!(matches!(store.compact(0), Err(Error::Damaged(_))));
-    assert!(matches!(store.get(b"b", 0), Err(Error::Damaged(_))));
+    assert!(matches!(store.compact(0), Err(Error::Corrupted(_))));
+    assert!(matches!(store.get(b"b", 0), Err(Error::Corrupted(_))));
     store.put(b"b", b"anew").expect("it is written");
     store
         .compact(0)
@@ -295,9 +298,9 @@
     manifest[48..56].copy_from_slice(&(end + 1).to_le_bytes());
     let (covered, crc) = manifest.split_last_chunk_mut::<4>().expect("it is long");
     *crc = crc32c::crc32c(covered).to_le_bytes();
-    let refused = open(&SimDisk::of(&files)).err();
+    let refused = open(&SimDisk::from_files(&files)).err();
     assert!(
-        matches!(&refused, Some(Error::Damaged(d)) if d.problem.contains("is missing")),
+        matches!(&refused, Some(Error::Corrupted(d)) if d.problem.contains("is missing")),
         "{refused:?}"
     );
 }
--- a/crates/store/tests/faults.rs
+++ b/crates/store/tests/faults.rs
@@ -5,7 +5,7 @@
 use common::*;
 use madderloom_store::sim::{Loss, SimDisk};
 use madderloom_store::{
-    Batch, Durability, Error, MAX_BATCH, MAX_KEY, Options, RealDisk, Store, verify,
+    Batch, Durability, Error, MAX_BATCH_BYTES, MAX_KEY_BYTES, Options, RealDisk, Store, verify,
 };
 use rstest::rstest;
 use std::io::ErrorKind;
@@ -16,11 +16,11 @@
     let (steps, states) = (script(30), states(30));
     let whole = SimDisk::new();
     run(&whole, &steps);
-    let most = whole.used() + 2_000;
+    let most = whole.used_bytes() + 2_000;
     let mut refusals = 0;
     for room in (40..most).step_by(13) {
         let disk = SimDisk::new();
-        disk.set_room(Some(room));
+        disk.set_capacity(Some(room));
         let mut store = open(&disk).expect("opening takes no room");
         let mut map = Map::new();
         for (i, step) in steps
@@ -36,22 +36,22 @@
             let written = store.write(batch, *durability);
             match &written {
                 Ok(_) => {}
-                Err(Error::Full { .. }) => refusals += 1,
+                Err(Error::DiskFull { .. }) => refusals += 1,
                 Err(other) => panic!("room {room}, step {i}: {other}"),
             }
             if written.is_err() {
                 // Neither half of it nor anything else has changed; with room again it is taken.
                 assert_eq!(contents(&store), map, "room {room}, step {i}");
-                disk.set_room(None);
+                disk.set_capacity(None);
                 store
                     .write(batch, *durability)
                     .expect("there is room again");
-                disk.set_room(Some(disk.used() + 100));
+                disk.set_capacity(Some(disk.used_bytes() + 100));
             }
             map = contents(&store);
         }
         assert_eq!(map, states[30], "room {room}");
-        disk.set_room(None);
+        disk.set_capacity(None);
         store
             .commit(Durability::Durable)
             .expect("there is room again");
@@ -69,7 +69,7 @@
 #[test]
 fn a_disk_with_less_room_than_is_reserved_ahead_is_used_to_its_end() {
     let disk = SimDisk::new();
-    disk.set_room(Some(10_000));
+    disk.set_capacity(Some(10_000));
     let mut store = Store::open(disk.clone(), Options::default()).expect("it opens");
     let mut written = 0;
     while store.put(&[written], &[0; 200]).is_ok() {
@@ -78,7 +78,7 @@
     assert!(written >= 38, "{written} of 247 bytes in 10,000");
     assert!(matches!(
         store.put(b"more", &[0; 200]),
-        Err(Error::Full { .. })
+        Err(Error::DiskFull { .. })
     ));
     assert_eq!(store.snapshot().len(), usize::from(written));
 }
@@ -91,14 +91,14 @@
     store
         .write(Batch::new().put("relaxed", "1"), Durability::Relaxed)
         .expect("it is written");
-    let segments = store.stat(0).segments;
+    let segments = store.statistics(0).segments;
     // The write, then its flush.
     disk.fail_in(2, ErrorKind::Other);
     assert!(matches!(store.put(b"b", b"1"), Err(Error::Io { .. })));
     assert_eq!(store.get(b"b", 0), Ok(None));
     assert_eq!(store.get(b"relaxed", 0), Ok(Some(b"1".to_vec())));
     store.put(b"c", b"1").expect("the log goes on");
-    assert_eq!(store.stat(0).segments, segments + 1);
+    assert_eq!(store.statistics(0).segments, segments + 1);
     drop(store);
     // What was acknowledged behind the failed flush does not lean on what that lost.
     let store = open(&disk.lose_power(Loss::All)).expect("it opens");
@@ -128,9 +128,9 @@
     for loss in [
         Loss::All,
         Loss::Nothing,
-        Loss::Any(1),
-        Loss::Any(2),
-        Loss::Any(3),
+        Loss::Random(1),
+        Loss::Random(2),
+        Loss::Random(3),
     ] {
         let files = disk.files();
         let mut store =
@@ -189,7 +189,7 @@
     let mut files = disk.files();
     // What a crash left is not removed either.
     files.insert("0000ffff.seg".into(), Vec::new());
-    let disk = SimDisk::of(&files);
+    let disk = SimDisk::from_files(&files);
     disk.set_read_only(true);
     let mut store = Store::open(
         disk.clone(),
@@ -204,7 +204,7 @@
     assert_eq!(store.commit(Durability::Durable), Ok(30));
     assert_eq!(store.compact(0), Err(Error::ReadOnly));
     drop(store);
-    assert_eq!(verify(&disk).expect("it reads").strays, 1);
+    assert_eq!(verify(&disk).expect("it reads").unlisted_segments, 1);
     assert_eq!(disk.files(), files);
     // Opened to be written to, it can still be read.
     let mut store = open(&disk).expect("it opens");
@@ -239,7 +239,7 @@
         !has(&store, 10),
         "a compaction drops what has expired by its time"
     );
-    assert_eq!(store.stat(0).keys, 1);
+    assert_eq!(store.statistics(0).keys, 1);
     drop(store);
     assert!(!has(&open(&disk).expect("it opens"), 10));
 }
@@ -266,21 +266,21 @@
     let disk = SimDisk::new();
     let mut store = Store::open(disk.clone(), Options::default()).expect("it opens");
     let large: Vec<u8> = (0..64 << 10).map(|i| (i % 251) as u8).collect();
-    let largest = vec![7; MAX_BATCH - MAX_KEY - 15];
+    let largest = vec![7; MAX_BATCH_BYTES - MAX_KEY_BYTES - 15];
     store.put(b"", &large).expect("a key of nothing");
     store.put(b"empty", b"").expect("a value of nothing");
     store
         .put(b"\0", b"small")
         .expect("small, before what is large");
     store
-        .put(&vec![1; MAX_KEY], &largest)
+        .put(&vec![1; MAX_KEY_BYTES], &largest)
         .expect("the largest that may be");
     assert!(matches!(
-        store.put(&vec![1; MAX_KEY + 1], b""),
+        store.put(&vec![1; MAX_KEY_BYTES + 1], b""),
         Err(Error::TooLarge { .. })
     ));
     assert!(matches!(
-        store.put(b"a", &vec![0; MAX_BATCH]),
+        store.put(b"a", &vec![0; MAX_BATCH_BYTES]),
         Err(Error::TooLarge { .. })
     ));
     assert_eq!(store.write(&Batch::new(), Durability::Durable), Ok(4));
@@ -289,7 +289,7 @@
         assert_eq!(store.get(b"empty", 0), Ok(Some(Vec::new())));
         assert_eq!(
             store
-                .get(&vec![1; MAX_KEY], 0)
+                .get(&vec![1; MAX_KEY_BYTES], 0)
                 .map(|v| v == Some(largest.clone())),
             Ok(true)
         );
@@ -309,7 +309,7 @@
     let mut store = Store::open(
         disk,
         Options {
-            pending: 1_000,
+            max_pending_bytes: 1_000,
             ..SMALL
         },
     )
@@ -347,7 +347,8 @@
             .expect("it is written");
     }
     let told = |store: &Store<SimDisk>| {
-        [0, 49 << 24, 60 << 24].map(|now| (store.stat(now).live, store.stat(now).keys))
+        [0, 49 << 24, 60 << 24]
+            .map(|now| (store.statistics(now).live_bytes, store.statistics(now).keys))
     };
     let before = told(&store);
     assert_eq!(before[1].0 - before[2].0, 17);
--- a/crates/store/tests/group_commit.rs
+++ b/crates/store/tests/group_commit.rs
@@ -112,16 +112,19 @@
         )
     };
     write("a").expect("it is written");
-    disk.set_room(Some(disk.used() + 100));
-    assert!(matches!(write("b"), Err(Error::Full { .. })));
-    assert!(matches!(group.status().refusing, Some(Error::Full { .. })));
-    disk.set_room(None);
+    disk.set_capacity(Some(disk.used_bytes() + 100));
+    assert!(matches!(write("b"), Err(Error::DiskFull { .. })));
+    assert!(matches!(
+        group.status().last_write_error,
+        Some(Error::DiskFull { .. })
+    ));
+    disk.set_capacity(None);
     write("b").expect("there is room again");
-    assert_eq!(group.status().refusing, None);
+    assert_eq!(group.status().last_write_error, None);
     disk.fail_in(1, ErrorKind::Other);
     assert!(matches!(write("c"), Err(Error::Io { .. })));
     assert!(!group.reader().contains(b"c", 0));
-    disk.fail_none();
+    disk.clear_failures();
     write("c").expect("the log goes on elsewhere");
     disk.kill();
     assert!(matches!(write("d"), Err(Error::Io { .. })));
@@ -161,9 +164,9 @@
     let directory = tempfile::tempdir().expect("a directory");
     let disk = RealDisk::open(directory.path()).expect("it is there");
     let options = Options {
-        segment: 16 << 10,
-        slack: 16 << 10,
-        reserve: 4 << 10,
+        segment_bytes: 16 << 10,
+        compaction_slack_bytes: 16 << 10,
+        max_preallocated_bytes: 4 << 10,
         ..Options::default()
     };
     let clock = Arc::new(AtomicU64::new(0));
@@ -185,14 +188,17 @@
         worst = worst.max(
             group
                 .status()
-                .stat
-                .map_or(0, |s| s.log.saturating_sub(3 * s.live)),
+                .statistics
+                .map_or(0, |s| s.log_bytes.saturating_sub(3 * s.live_bytes)),
         );
         assert!(written < 1_000_000, "it is never compacted");
     }
     // However slow the compaction's thread is, by no more than a write beyond what is allowed.
-    assert!(worst <= 2 * options.slack + 1_000, "{worst}");
-    assert_eq!(group.status().compaction, None);
+    assert!(
+        worst <= 2 * options.compaction_slack_bytes + 1_000,
+        "{worst}"
+    );
+    assert_eq!(group.status().last_compaction_error, None);
     drop(group);
     let mut store = Store::open(disk, options).expect("it opens");
     let latest = |k: u32| {
@@ -206,7 +212,7 @@
         assert_eq!(found, Some(value(latest(k)).into_bytes()));
     }
     store.compact(u64::from(written)).expect("it compacts");
-    assert_eq!(store.stat(0).keys, 100);
+    assert_eq!(store.statistics(0).keys, 100);
 }
 
 /// A disk on which a compaction's writes take their time.
@@ -276,9 +282,9 @@
 #[test]
 fn writes_that_outrun_a_compaction_wait_for_it() {
     let options = Options {
-        segment: 8 << 10,
-        slack: 8 << 10,
-        reserve: 1 << 10,
+        segment_bytes: 8 << 10,
+        compaction_slack_bytes: 8 << 10,
+        max_preallocated_bytes: 1 << 10,
         ..Options::default()
     };
     let store = Store::open(Slow(SimDisk::new()), options).expect("it opens");
@@ -291,11 +297,12 @@
             .write(batch, Durability::Relaxed)
             .expect("it is written");
         written += 1;
-        let stat = group.status().stat.expect("there was a write");
-        worst = worst.max(stat.log.saturating_sub(3 * stat.live));
+        let stat = group.status().statistics.expect("there was a write");
+        worst = worst.max(stat.log_bytes.saturating_sub(3 * stat.live_bytes));
     }
     assert!(
-        (options.slack..2 * options.slack + 1_000).contains(&worst),
+        (options.compaction_slack_bytes..2 * options.compaction_slack_bytes + 1_000)
+            .contains(&worst),
         "{worst}"
     );
 }
--- a/crates/store/tests/model.rs
+++ b/crates/store/tests/model.rs
@@ -55,8 +55,8 @@
     prop_oneof![
         Just(Loss::All),
         Just(Loss::Nothing),
-        (0_u64..400).prop_map(Loss::Behind),
-        any::<u64>().prop_map(Loss::Any)
+        (0_u64..400).prop_map(Loss::AllAfter),
+        any::<u64>().prop_map(Loss::Random)
     ]
 }
 
@@ -174,7 +174,7 @@
             Err(error) => {
                 let expected = matches!(
                     error,
-                    Error::Full { .. } | Error::Io { .. } | Error::Poisoned(_)
+                    Error::DiskFull { .. } | Error::Io { .. } | Error::Poisoned(_)
                 );
                 assert!(expected, "{error}");
                 self.maybe.push(batches);
@@ -183,7 +183,7 @@
                 }
             }
         }
-        if self.disk.is_dead() {
+        if self.disk.has_crashed() {
             self.restart(Loss::Nothing);
         }
     }
@@ -193,7 +193,7 @@
         self.store = None;
         self.snapshots.clear();
         self.disk = self.disk.lose_power(loss);
-        self.disk.set_room(None);
+        self.disk.set_capacity(None);
         let store = Store::open(self.disk.clone(), SMALL).expect("what a crash leaves opens");
         let found = read(&store.snapshot(), self.compacted);
         let same = |m: &Model| live(m, self.compacted) == found;
@@ -266,7 +266,7 @@
                     }
                     run.compacted = run.compacted.max(run.now);
                 }
-                if run.disk.is_dead() {
+                if run.disk.has_crashed() {
                     run.restart(Loss::Nothing);
                 }
             }
@@ -279,14 +279,14 @@
             Does::Power(loss) => run.restart(loss),
             Does::CrashIn(operations) => run.disk.crash_in(operations),
             Does::FailIn(operations) => run.disk.fail_in(operations, ErrorKind::Other),
-            Does::Room(more) => run.disk.set_room(Some(run.disk.used() + more)),
+            Does::Room(more) => run.disk.set_capacity(Some(run.disk.used_bytes() + more)),
         }
         run
     }
 
     fn check_invariants(run: &Run, (): &()) {
         let Some(store) = &run.store else { return };
-        if run.disk.is_dead() {
+        if run.disk.has_crashed() {
             return;
         }
         // Entries that a compaction dropped stay away at any time.
--- a/crates/store/tests/snapshots.rs
+++ b/crates/store/tests/snapshots.rs
@@ -43,7 +43,7 @@
     let names = std::fs::read_dir(directory.path())
         .expect("it reads")
         .count();
-    assert_eq!(names as u64, store.stat(0).segments + 1);
+    assert_eq!(names as u64, store.statistics(0).segments + 1);
     // With it, the files that only it needed are closed: what is left is the log's, and the directory, which is locked.
     drop(snapshot);
     let held = std::fs::read_dir("/proc/self/fd")
@@ -51,7 +51,7 @@
         .flatten();
     let held = held
         .filter(|e| std::fs::read_link(e.path()).is_ok_and(|l| l.starts_with(directory.path())));
-    assert_eq!(held.count() as u64, store.stat(0).segments + 1);
+    assert_eq!(held.count() as u64, store.statistics(0).segments + 1);
 }
 
 #[test]
@@ -85,7 +85,7 @@
     }
     assert!(steps > 10, "{steps}");
     store.finish_compaction(compaction).expect("it is switched");
-    while store.relocate(7) {
+    while store.relocate_entries(7) {
         set(
             &mut store,
             &mut expected,
@@ -129,9 +129,9 @@
 fn compaction_when_due_bounds_the_log() {
     let disk = SimDisk::new();
     let options = Options {
-        segment: 4096,
-        slack: 4096,
-        reserve: 1024,
+        segment_bytes: 4096,
+        compaction_slack_bytes: 4096,
+        max_preallocated_bytes: 1024,
         ..SMALL
     };
     let mut store = Store::open(disk.clone(), options).expect("it opens");
@@ -148,18 +148,18 @@
         store
             .write(&batch, Durability::Relaxed)
             .expect("it is written");
-        let stat = store.stat(now);
-        worst = worst.max(stat.log.saturating_sub(2 * stat.live));
+        let stat = store.statistics(now);
+        worst = worst.max(stat.log_bytes.saturating_sub(2 * stat.live_bytes));
         if store.is_compaction_due(now) {
             store.compact(now).expect("it compacts");
             compactions += 1;
             assert!(!store.is_compaction_due(now), "one compaction suffices");
-            assert!(store.stat(now).keys <= 50 + 21);
+            assert!(store.statistics(now).keys <= 50 + 21);
         }
     }
     assert!(compactions > 50, "{compactions}");
     assert!(worst <= 4096 + 200, "{worst}");
-    assert!(disk.used() < 20_000, "{}", disk.used());
+    assert!(disk.used_bytes() < 20_000, "{}", disk.used_bytes());
 }
 
 #[test]
