--- a/crates/cli/src/store.rs
+++ b/crates/cli/src/store.rs
@@ -220,13 +220,15 @@
             expires.map_or(Ok(()), |expires| write!(out, "\texpires {expires}"))?;
             writeln!(out)
         };
-        for (key, _, expires) in snapshot.keys(self.prefix.as_bytes(), 0) {
+        for entry in snapshot.keys(self.prefix.as_bytes(), 0) {
             let value = if self.keys {
                 None
             } else {
-                snapshot.get(key, 0).map_err(|e| self.of.refused(&e))?
+                snapshot
+                    .get(entry.key, 0)
+                    .map_err(|e| self.of.refused(&e))?
             };
-            if line(key, expires, value.as_deref()).is_err() {
+            if line(entry.key, entry.expires_at, value.as_deref()).is_err() {
                 // Whoever read it has seen enough.
                 return Ok(ExitCode::SUCCESS);
             }
--- a/crates/sidecar-state/src/submissions.rs
+++ b/crates/sidecar-state/src/submissions.rs
@@ -150,8 +150,8 @@
         let mut held: BTreeMap<u64, usize> = BTreeMap::new();
         let mut latest = None;
         // With the earliest time asked for, none has expired yet.
-        for (_, _, expires) in snapshot.keys(PREFIX, 0) {
-            let expires = expires.unwrap_or(u64::MAX);
+        for entry in snapshot.keys(PREFIX, 0) {
+            let expires = entry.expires_at.unwrap_or(u64::MAX);
             *held.entry(expires >> STEP).or_default() += 1;
             latest = latest.max(Some(expires));
         }
--- a/crates/sidecar-state/src/warm.rs
+++ b/crates/sidecar-state/src/warm.rs
@@ -255,8 +255,9 @@
 /// Where the store can't be read.
 pub fn recollect<F: File>(snapshot: &Snapshot<F>) -> Result<BTreeMap<String, Recollection>> {
     let mut names = Vec::new();
-    for (key, ..) in snapshot.keys(PREFIX.as_bytes(), 0) {
-        let name = key
+    for entry in snapshot.keys(PREFIX.as_bytes(), 0) {
+        let name = entry
+            .key
             .get(PREFIX.len()..)
             .and_then(|rest| rest.split(|b| *b == 0).next());
         let name = String::from_utf8_lossy(name.unwrap_or_default()).into_owned();
--- a/crates/sidecar/src/ledger.rs
+++ b/crates/sidecar/src/ledger.rs
@@ -94,10 +94,9 @@
         };
         let next = match error {
             Error::Corrupted(_) => "; see `madderloom store verify` and `salvage`",
-            Error::Io {
-                kind: ErrorKind::NotFound,
-                ..
-            } => "; make the directory first",
+            Error::Io { ref source, .. } if source.kind() == ErrorKind::NotFound => {
+                "; make the directory first"
+            }
             _ => "",
         };
         let told = format!(
@@ -278,14 +277,7 @@
 
 /// Opens the store and writes to it, so that what is wrong with the directory shows now.
 fn open_store(dir: &Path) -> Result<Store<RealDisk>, Error> {
-    let disk = RealDisk::open(dir).map_err(|e| {
-        let (file, problem) = ("directory".to_string(), e.to_string());
-        Error::Io {
-            file,
-            kind: e.kind(),
-            problem,
-        }
-    })?;
+    let disk = RealDisk::open(dir).map_err(Error::directory)?;
     let mut store = Store::open(disk, Options::default())?;
     let mut start = Batch::new();
     start.put(
@@ -308,9 +300,9 @@
 fn is_lasting(error: &Error) -> bool {
     use ErrorKind::{NotADirectory, NotFound, PermissionDenied, ReadOnlyFilesystem};
     match error {
-        Error::Io { kind, .. } => {
+        Error::Io { source, .. } => {
             matches!(
-                kind,
+                source.kind(),
                 NotADirectory | NotFound | PermissionDenied | ReadOnlyFilesystem
             )
         }
--- a/crates/store/src/batch.rs
+++ b/crates/store/src/batch.rs
@@ -1,109 +1,117 @@
-//! A batch: operations that happen together or not at all.
+//! Batches: operations that are applied together.
 
 use crate::error::{Error, Result};
-use crate::format::{MAX_BATCH_BYTES, MAX_KEY_BYTES, OP_HEADER};
+use crate::format::{MAX_BATCH_BYTES, MAX_KEY_BYTES, RECORD_HEADER_BYTES};
 
-/// One operation.
+/// One operation of a batch.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Op {
+pub(crate) enum Operation {
+    /// Sets a key to a value.
     Put {
         key: Vec<u8>,
         value: Vec<u8>,
-        expires: Option<u64>,
-    },
-    Delete {
-        key: Vec<u8>,
+        /// From this time on the key reads as absent; `None` for never.
+        expires_at: Option<u64>,
     },
+    /// Deletes a key.
+    Delete { key: Vec<u8> },
 }
 
-impl Op {
-    fn size(&self) -> usize {
+impl Operation {
+    fn key(&self) -> &[u8] {
+        match self {
+            Operation::Put { key, .. } | Operation::Delete { key } => key,
+        }
+    }
+
+    /// The bytes that the operation takes in the log.
+    fn encoded_size(&self) -> usize {
         match self {
-            Op::Put { key, value, .. } => OP_HEADER + key.len() + value.len(),
-            Op::Delete { key } => OP_HEADER + key.len(),
+            Operation::Put { key, value, .. } => RECORD_HEADER_BYTES + key.len() + value.len(),
+            Operation::Delete { key } => RECORD_HEADER_BYTES + key.len(),
         }
     }
 }
 
-/// Operations that become visible together and survive together: after a crash at any point either all of them are
-/// there or none is. Where two concern one key, the later one holds.
+/// Operations that become visible together and survive together.
+///
+/// After a crash of the process and after power loss, at any byte, either all operations of a batch are found or none
+/// is. Which batches survive is a matter of the [`Durability`](crate::Durability) they were written with. Of two
+/// operations on one key the later one counts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Batch {
-    ops: Vec<Op>,
+    operations: Vec<Operation>,
     size: usize,
 }
 
 impl Batch {
-    /// A batch of nothing.
+    /// Creates an empty batch.
+    #[must_use]
     pub fn new() -> Self {
         Batch::default()
     }
 
-    /// Sets a key to a value, for good. A key has at most 65,535 bytes and may have none.
+    /// Sets a key to a value that does not expire. A key has 0 to [`MAX_KEY_BYTES`] bytes.
     pub fn put(&mut self, key: impl Into<Vec<u8>>, value: impl Into<Vec<u8>>) -> &mut Self {
-        self.push(Op::Put {
+        self.push(Operation::Put {
             key: key.into(),
             value: value.into(),
-            expires: None,
+            expires_at: None,
         })
     }
 
-    /// Sets a key to a value until a time, on the clock of whoever reads: from then on it reads as absent.
+    /// Sets a key to a value that expires: for readers whose clock has reached `expires_at` the key is absent. The unit
+    /// is the caller's.
     pub fn put_until(
         &mut self,
         key: impl Into<Vec<u8>>,
         value: impl Into<Vec<u8>>,
-        expires: u64,
+        expires_at: u64,
     ) -> &mut Self {
-        self.push(Op::Put {
+        self.push(Operation::Put {
             key: key.into(),
             value: value.into(),
-            expires: Some(expires),
+            expires_at: Some(expires_at),
         })
     }
 
-    /// Takes a key away, if it is there.
+    /// Deletes a key, if it exists.
     pub fn delete(&mut self, key: impl Into<Vec<u8>>) -> &mut Self {
-        self.push(Op::Delete { key: key.into() })
+        self.push(Operation::Delete { key: key.into() })
     }
 
-    fn push(&mut self, op: Op) -> &mut Self {
-        self.size += op.size();
-        self.ops.push(op);
+    fn push(&mut self, operation: Operation) -> &mut Self {
+        self.size += operation.encoded_size();
+        self.operations.push(operation);
         self
     }
 
-    pub(crate) fn ops(&self) -> &[Op] {
-        &self.ops
+    pub(crate) fn operations(&self) -> &[Operation] {
+        &self.operations
     }
 
-    /// Whether there is no operation in it.
+    /// Whether the batch holds no operation.
+    #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.ops.is_empty()
+        self.operations.is_empty()
     }
 
-    /// What it takes in the log, in bytes, without a frame's 32.
+    /// The bytes that the batch takes in the log, without the 32 bytes of its frame's header.
+    #[must_use]
     pub fn size(&self) -> usize {
         self.size
     }
 
-    pub(crate) fn check(&self) -> Result<()> {
-        for op in &self.ops {
-            let (Op::Put { key, .. } | Op::Delete { key }) = op;
-            if key.len() > MAX_KEY_BYTES {
-                return Err(Error::TooLarge {
-                    what: "a key",
-                    size: key.len(),
-                    most: MAX_KEY_BYTES,
-                });
+    /// Checks the batch against the limits of the format.
+    pub(crate) fn check_limits(&self) -> Result<()> {
+        for operation in &self.operations {
+            let size = operation.key().len();
+            if size > MAX_KEY_BYTES {
+                return Err(Error::KeyTooLarge { size });
             }
         }
         if self.size > MAX_BATCH_BYTES {
-            return Err(Error::TooLarge {
-                what: "a batch",
-                size: self.size,
-                most: MAX_BATCH_BYTES,
-            });
+            return Err(Error::BatchTooLarge { size: self.size });
         }
         Ok(())
     }
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -1,174 +1,107 @@
-//! The one door to files: a directory of flat names. What each call promises is what the store builds on, and what
-//! the disk in memory (`sim`) takes away.
-
-use std::fs::{self, File as StdFile, OpenOptions};
-use std::io::{self, ErrorKind};
-use std::os::unix::fs::FileExt;
-use std::path::{Path, PathBuf};
+//! The interface to files: a directory of flat names. The store builds on what each call promises here, and the
+//! disk in memory (`sim`) takes away everything that is not promised.
+
+use std::io;
+
+/// How a directory is locked.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum LockMode {
+    /// For one process that writes; nobody else holds a lock meanwhile.
+    Exclusive,
+    /// For processes that only read.
+    Shared,
+}
 
-/// A directory that holds the files of one store.
+/// A directory that holds the files of one store. Its clones are the same directory.
+///
+/// What is done to names survives a crash of the process at once, and power loss only after [`Disk::sync`].
 pub trait Disk: Clone + Send + Sync + 'static {
-    /// A file in it.
+    /// A file in the directory.
     type File: File;
-    /// What is held while the directory is locked; the lock ends with it, and with the process.
+    /// Holds the directory locked. The lock ends when this is dropped, and when the process ends.
     type Lock: Send + Sync;
 
-    /// The names of all files, in no order.
+    /// Lists the names of all files, in no particular order.
+    ///
+    /// # Errors
+    /// If the directory cannot be read.
     fn list(&self) -> io::Result<Vec<String>>;
-    /// Opens a file for reading. It stays readable for as long as it is open, also once its name is gone.
+
+    /// Opens a file for reading. It stays readable as long as it is open, even once its name is removed.
+    ///
+    /// # Errors
+    /// [`io::ErrorKind::NotFound`] if there is no such file; any other if it cannot be opened.
     fn open(&self, name: &str) -> io::Result<Self::File>;
-    /// Makes an empty file that is not there yet, for reading and writing. The name outlasts a loss of power only
-    /// after [`Disk::sync`].
+
+    /// Creates an empty file for reading and writing.
+    ///
+    /// The name survives power loss only after [`Disk::sync`].
+    ///
+    /// # Errors
+    /// If the file exists, or cannot be created.
     fn create(&self, name: &str) -> io::Result<Self::File>;
-    /// Gives a file another name, in place of the file that has it. After a crash the name is one or the other's;
-    /// which, is known only after [`Disk::sync`].
+
+    /// Renames a file and replaces the file that has the new name.
+    ///
+    /// After a crash at any point the new name refers to either file, complete. Which of the two survives power loss
+    /// is certain only after [`Disk::sync`].
+    ///
+    /// # Errors
+    /// If the file cannot be renamed. It is then unknown whether the rename survives power loss.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
-    /// Takes a name away.
+
+    /// Removes a name. Handles of the file stay readable.
+    ///
+    /// # Errors
+    /// [`io::ErrorKind::NotFound`] if there is no such file; any other if it cannot be removed.
     fn remove(&self, name: &str) -> io::Result<()>;
-    /// Makes every making, renaming and removal before it outlast a loss of power.
+
+    /// Flushes the directory: every creation, rename and removal before it survives power loss.
+    ///
+    /// # Errors
+    /// If the flush fails. Nothing is known then of the changes since the last one that succeeded.
     fn sync(&self) -> io::Result<()>;
-    /// Locks the directory: alone, or with others that only read. None where another process holds it.
-    fn lock(&self, alone: bool) -> io::Result<Option<Self::Lock>>;
+
+    /// Locks the directory. Returns `None` if another process holds a lock that excludes this one.
+    ///
+    /// # Errors
+    /// If the directory cannot be locked at all.
+    fn lock(&self, mode: LockMode) -> io::Result<Option<Self::Lock>>;
 }
 
 /// A file of a [`Disk`].
+///
+/// What is written survives a crash of the process at once, and power loss only after [`File::sync`].
 pub trait File: Send + Sync + 'static {
-    /// Its length in bytes.
+    /// Returns the length in bytes.
+    ///
+    /// # Errors
+    /// If the system cannot tell it.
     fn size(&self) -> io::Result<u64>;
-    /// Fills the buffer from this place, less only where the file ends. Says how much it read.
-    fn read_at(&self, buffer: &mut [u8], offset: u64) -> io::Result<usize>;
-    /// Writes all of it at this place. After an error any part of it may have been written. What is written outlasts
-    /// the process; a loss of power it outlasts only after [`File::sync`].
-    fn write_at(&self, bytes: &[u8], offset: u64) -> io::Result<()>;
-    /// Gives back what lies behind this length. Like a write, it outlasts a loss of power only after [`File::sync`].
-    fn truncate(&self, length: u64) -> io::Result<()>;
-    /// Makes all that was written before it outlast a loss of power. After an error nothing is known of what was
-    /// written since the last that succeeded, and a later success says nothing of it either.
-    fn sync(&self) -> io::Result<()>;
-}
 
-/// A directory of the system.
-#[derive(Clone, Debug)]
-pub struct RealDisk {
-    path: PathBuf,
-}
-
-impl RealDisk {
-    /// A directory that is there.
+    /// Fills the buffer from this offset and returns the bytes read; fewer than the buffer holds only at the end of the
+    /// file.
     ///
     /// # Errors
-    /// Where there is none.
-    pub fn open(path: impl Into<PathBuf>) -> io::Result<Self> {
-        let path = path.into();
-        if fs::metadata(&path)?.is_dir() {
-            Ok(RealDisk { path })
-        } else {
-            Err(io::Error::new(ErrorKind::NotADirectory, "not a directory"))
-        }
-    }
+    /// If the bytes cannot be read.
+    fn read_at(&self, buffer: &mut [u8], offset: u64) -> io::Result<usize>;
 
-    /// A directory that is made, with those above it, where there is none.
+    /// Writes all bytes at this offset.
     ///
     /// # Errors
-    /// Where it can't be made.
-    pub fn create(path: impl Into<PathBuf>) -> io::Result<Self> {
-        let path = path.into();
-        if !path.is_dir() {
-            fs::create_dir_all(&path)?;
-            // The name of the directory is to last too, or all in it would be lost with it.
-            let parent = path
-                .parent()
-                .filter(|p| !p.as_os_str().is_empty())
-                .unwrap_or(Path::new("."));
-            StdFile::open(parent)?.sync_all()?;
-        }
-        Self::open(path)
-    }
-}
-
-impl Disk for RealDisk {
-    type File = StdFile;
-    type Lock = StdFile;
-
-    fn list(&self) -> io::Result<Vec<String>> {
-        let mut names = Vec::new();
-        for entry in fs::read_dir(&self.path)? {
-            // A name that is no text is none of ours.
-            if let Ok(name) = entry?.file_name().into_string() {
-                names.push(name);
-            }
-        }
-        Ok(names)
-    }
-
-    fn open(&self, name: &str) -> io::Result<StdFile> {
-        StdFile::open(self.path.join(name))
-    }
-
-    fn create(&self, name: &str) -> io::Result<StdFile> {
-        OpenOptions::new()
-            .read(true)
-            .write(true)
-            .create_new(true)
-            .open(self.path.join(name))
-    }
-
-    fn rename(&self, from: &str, to: &str) -> io::Result<()> {
-        fs::rename(self.path.join(from), self.path.join(to))
-    }
-
-    fn remove(&self, name: &str) -> io::Result<()> {
-        fs::remove_file(self.path.join(name))
-    }
-
-    fn sync(&self) -> io::Result<()> {
-        StdFile::open(&self.path)?.sync_all()
-    }
-
-    fn lock(&self, alone: bool) -> io::Result<Option<StdFile>> {
-        use rustix::fs::{FlockOperation, flock};
-        // The directory itself is locked: that needs no file, so it works where nothing can be written.
-        let directory = StdFile::open(&self.path)?;
-        let how = if alone {
-            FlockOperation::NonBlockingLockExclusive
-        } else {
-            FlockOperation::NonBlockingLockShared
-        };
-        match flock(&directory, how) {
-            Ok(()) => Ok(Some(directory)),
-            Err(rustix::io::Errno::WOULDBLOCK) => Ok(None),
-            Err(error) => Err(error.into()),
-        }
-    }
-}
-
-impl File for StdFile {
-    fn size(&self) -> io::Result<u64> {
-        Ok(self.metadata()?.len())
-    }
-
-    fn read_at(&self, buffer: &mut [u8], offset: u64) -> io::Result<usize> {
-        let mut done = 0;
-        while let Some(rest) = buffer.get_mut(done..).filter(|r| !r.is_empty()) {
-            match FileExt::read_at(self, rest, offset + done as u64) {
-                Ok(0) => break,
-                Ok(read) => done += read,
-                Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                Err(error) => return Err(error),
-            }
-        }
-        Ok(done)
-    }
-
-    fn write_at(&self, bytes: &[u8], offset: u64) -> io::Result<()> {
-        self.write_all_at(bytes, offset)
-    }
+    /// If not all of them could be written. Any part of them may be in the file then.
+    fn write_at(&self, bytes: &[u8], offset: u64) -> io::Result<()>;
 
-    fn truncate(&self, length: u64) -> io::Result<()> {
-        self.set_len(length)
-    }
+    /// Shortens the file to this length.
+    ///
+    /// # Errors
+    /// If the file cannot be shortened.
+    fn truncate(&self, length: u64) -> io::Result<()>;
 
-    fn sync(&self) -> io::Result<()> {
-        self.sync_data()
-    }
+    /// Flushes the file: everything written before survives power loss.
+    ///
+    /// # Errors
+    /// If the flush fails. Nothing is known then of what was written since the last one that succeeded, and a later
+    /// success says nothing of it either.
+    fn sync(&self) -> io::Result<()>;
 }
--- a/crates/store/src/index.rs
+++ b/crates/store/src/index.rs
@@ -1,150 +1,107 @@
-//! What is live, in memory, in the order of its keys: keys and places, no values.
+//! The index: an ordered map in memory from each key to the location of its value. It holds no values.
 
 use crate::disk::File;
-use crate::error::{Error, Result};
-use crate::format::{NEVER, OP_HEADER, Ops, segment_name};
+use crate::format::{FRAME_HEADER_BYTES, InvalidRecord, NO_EXPIRY};
+use crate::snapshot::Snapshot;
+use crate::value_location::{SegmentFiles, ValueLocation, for_each_record};
 use imbl::OrdMap;
 use std::collections::BTreeMap;
-use std::ops::Bound;
 use std::sync::Arc;
 
+/// A key, shared between the index and its snapshots.
 pub(crate) type Key = Arc<[u8]>;
 
-/// Where a value lies.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Place {
-    pub segment: u32,
-    pub offset: u32,
-    pub length: u32,
-    /// Checksum of the value alone, so that a read need not read its whole frame.
-    pub crc: u32,
-    pub expires: u64,
-}
-
-impl Place {
-    fn size(&self, key: &[u8]) -> u64 {
-        (OP_HEADER + key.len()) as u64 + u64::from(self.length)
-    }
-}
-
-/// A place in a frame's body, and what makes no sense there.
-pub(crate) type Senseless = (usize, &'static str);
-
-/// Tells of each operation of a body that lies at this place; of none, where one makes no sense.
-fn read_ops(
-    body: &[u8],
-    segment: u32,
-    offset: u64,
-    mut tell: impl FnMut(&[u8], Option<Place>),
-) -> std::result::Result<(), Senseless> {
-    for op in Ops::of(body) {
-        let op = op.map_err(|at| (at, "a record makes no sense"))?;
-        if let Some((_, at, _)) = op.put {
-            u32::try_from(offset + at as u64).map_err(|_| (at, "a segment of more than 4 GiB"))?;
-        }
-    }
-    for op in Ops::of(body).flatten() {
-        let place = op.put.map(|(value, at, expires)| Place {
-            segment,
-            offset: (offset + at as u64) as u32,
-            length: value.len() as u32,
-            crc: crc32c::crc32c(value),
-            expires,
-        });
-        tell(op.key, place);
-    }
-    Ok(())
-}
-
-/// Expiries are counted in steps of this power of two, so that the count stays small.
-const EXPIRY_STEP: u32 = 22;
-
-/// The open files by segment.
-pub(crate) type Files<F> = Arc<BTreeMap<u32, Arc<F>>>;
-
-/// The index, and the files that its places point into.
+/// The index, and the open segments that its locations refer to.
 pub(crate) struct Index<F> {
-    map: OrdMap<Key, Place>,
-    files: Files<F>,
-    /// Bytes that the live entries take in the log, those that have expired since included.
-    live: u64,
-    /// Of these, the bytes that expire, by their time.
-    expiring: BTreeMap<u64, u64>,
+    locations: OrdMap<Key, ValueLocation>,
+    files: Arc<SegmentFiles<F>>,
+    /// The bytes that all entries take in the log, those that have expired included.
+    entry_bytes: u64,
+    /// The part of `entry_bytes` that expires.
+    expiring_bytes: ExpiringBytes,
 }
 
 impl<F: File> Index<F> {
     pub fn new() -> Self {
         Index {
-            map: OrdMap::new(),
+            locations: OrdMap::new(),
             files: Arc::default(),
-            live: 0,
-            expiring: BTreeMap::new(),
+            entry_bytes: 0,
+            expiring_bytes: ExpiringBytes::default(),
         }
     }
 
-    /// Applies a frame's body that lies at this place. An error is the place in the body that makes no sense;
-    /// nothing is applied then.
+    /// Applies the records of a frame's body that begins at `body_offset` of this segment. Nothing is applied if one of
+    /// them is invalid.
     pub fn apply(
         &mut self,
         body: &[u8],
         segment: u32,
-        offset: u64,
-    ) -> std::result::Result<(), Senseless> {
-        read_ops(body, segment, offset, |key, place| match place {
-            Some(place) => self.put(key, place),
+        body_offset: u64,
+    ) -> std::result::Result<(), InvalidRecord> {
+        for_each_record(body, segment, body_offset, |key, location| match location {
+            Some(location) => self.put(key, location),
             None => self.remove(key),
         })
     }
 
-    fn put(&mut self, key: &[u8], place: Place) {
-        self.count(key, &place, true);
-        // A key that is there keeps its bytes: they are shared with snapshots.
-        if let Some(old) = self.map.get_mut(key) {
-            let old = std::mem::replace(old, place);
-            self.count(key, &old, false);
-        } else {
-            self.map.insert(key.into(), place);
+    /// Applies frames that this process wrote one behind the other from this offset of a segment.
+    pub fn apply_frames<'a>(
+        &mut self,
+        bodies: impl Iterator<Item = &'a [u8]>,
+        segment: u32,
+        first_frame_offset: u64,
+    ) {
+        let mut offset = first_frame_offset;
+        for body in bodies {
+            let body_offset = offset + FRAME_HEADER_BYTES as u64;
+            // The records were encoded by this process, and a segment ends long before 4 GiB.
+            let _ = self.apply(body, segment, body_offset);
+            offset = body_offset + body.len() as u64;
         }
     }
 
-    fn put_key(&mut self, key: Key, place: Place) {
-        self.count(&key, &place, true);
-        if let Some(old) = self.map.insert(Arc::clone(&key), place) {
-            self.count(&key, &old, false);
+    fn put(&mut self, key: &[u8], location: ValueLocation) {
+        self.account_added(key, &location);
+        // An existing key keeps its allocation, which snapshots share.
+        if let Some(current) = self.locations.get_mut(key) {
+            let former = std::mem::replace(current, location);
+            self.account_removed(key, &former);
+        } else {
+            self.locations.insert(key.into(), location);
         }
     }
 
-    fn remove(&mut self, key: &[u8]) {
-        if let Some(old) = self.map.remove(key) {
-            self.count(key, &old, false);
+    /// Like [`Index::put`], for a key that is allocated already.
+    pub fn put_shared(&mut self, key: Key, location: ValueLocation) {
+        self.account_added(&key, &location);
+        if let Some(former) = self.locations.insert(Arc::clone(&key), location) {
+            self.account_removed(&key, &former);
         }
     }
 
-    fn count(&mut self, key: &[u8], place: &Place, more: bool) {
-        let size = place.size(key);
-        self.live = if more {
-            self.live + size
-        } else {
-            self.live.saturating_sub(size)
-        };
-        if place.expires == NEVER {
-            return;
-        }
-        let step = place.expires >> EXPIRY_STEP;
-        let bytes = self.expiring.entry(step).or_default();
-        *bytes = if more {
-            *bytes + size
-        } else {
-            bytes.saturating_sub(size)
-        };
-        if *bytes == 0 {
-            self.expiring.remove(&step);
+    pub fn remove(&mut self, key: &[u8]) {
+        if let Some(former) = self.locations.remove(key) {
+            self.account_removed(key, &former);
         }
     }
 
-    /// Points a key to where compaction put it, or drops it, unless it has changed since.
-    pub fn relocate(&mut self, key: &[u8], from: Place, to: Option<Place>) {
-        if self.map.get(key) == Some(&from) {
+    fn account_added(&mut self, key: &[u8], location: &ValueLocation) {
+        let bytes = location.log_bytes(key);
+        self.entry_bytes += bytes;
+        self.expiring_bytes.add(location.expires_at, bytes);
+    }
+
+    fn account_removed(&mut self, key: &[u8], location: &ValueLocation) {
+        let bytes = location.log_bytes(key);
+        self.entry_bytes = self.entry_bytes.saturating_sub(bytes);
+        self.expiring_bytes.remove(location.expires_at, bytes);
+    }
+
+    /// Points a key to where compaction copied its value, or removes it for `None`. Does nothing if the key has changed
+    /// since the compaction began.
+    pub fn relocate(&mut self, key: &[u8], from: ValueLocation, to: Option<ValueLocation>) {
+        if self.locations.get(key) == Some(&from) {
             match to {
                 Some(to) => self.put(key, to),
                 None => self.remove(key),
@@ -152,203 +109,74 @@
         }
     }
 
-    /// Bytes in the log of what is live and has not expired by `now`, to within one step of expiries (4.2 s where
-    /// times are in microseconds).
-    pub fn live(&self, now: u64) -> u64 {
-        let expired: u64 = self
-            .expiring
-            .range(..now >> EXPIRY_STEP)
-            .map(|(_, bytes)| bytes)
-            .sum();
-        self.live.saturating_sub(expired)
+    /// The bytes in the log of the entries that have not expired by `now`, exact to one step of expiries (4.2 s if times
+    /// are in microseconds).
+    pub fn live_bytes(&self, now: u64) -> u64 {
+        self.entry_bytes
+            .saturating_sub(self.expiring_bytes.expired_by(now))
     }
 
+    /// The count of entries, those that have expired included.
     pub fn len(&self) -> usize {
-        self.map.len()
+        self.locations.len()
     }
 
-    pub fn files(&mut self) -> &mut BTreeMap<u32, Arc<F>> {
+    /// The open segments. Snapshots keep those that they were taken with.
+    pub fn files_mut(&mut self) -> &mut SegmentFiles<F> {
         Arc::make_mut(&mut self.files)
     }
 
     pub fn snapshot(&self) -> Snapshot<F> {
-        Snapshot {
-            map: self.map.clone(),
-            files: Arc::clone(&self.files),
-        }
+        Snapshot::new(self.locations.clone(), Arc::clone(&self.files))
+    }
+
+    /// The location of a value that has not expired by `now`.
+    pub fn find(&self, key: &[u8], now: u64) -> Option<ValueLocation> {
+        let location = self.locations.get(key)?;
+        location.is_live(now).then_some(*location)
     }
 
-    /// Where a value lies, if it is there, with its file: so that it can be read without the index.
-    pub fn find(&self, key: &[u8], now: u64) -> Option<(Place, Option<Arc<F>>)> {
-        let place = self.map.get(key).filter(|p| p.expires > now)?;
-        Some((*place, self.files.get(&place.segment).cloned()))
+    /// The open segment with this id.
+    pub fn file(&self, segment: u32) -> Option<Arc<F>> {
+        self.files.get(&segment).cloned()
     }
 }
 
-/// Operations that are sorted before they are applied, at an opening.
-const SORTED: usize = 256 << 10;
+/// Expiries are counted in steps of two to this power, so that the count of steps stays small.
+const EXPIRY_STEP_BITS: u32 = 22;
 
-/// Fills an index from a log. Keys come in any order, and each would be looked for in memory that is not in any cache:
-/// so many are sorted first, and then meet the index in its own order.
-pub(crate) struct Loader<F> {
-    index: Index<F>,
-    ops: Vec<(Key, Option<Place>)>,
+/// How many bytes of the log expire in each step of time.
+#[derive(Default)]
+struct ExpiringBytes {
+    by_step: BTreeMap<u64, u64>,
 }
 
-impl<F: File> Loader<F> {
-    pub fn new() -> Self {
-        Loader {
-            index: Index::new(),
-            ops: Vec::new(),
+impl ExpiringBytes {
+    fn add(&mut self, expires_at: u64, bytes: u64) {
+        if expires_at != NO_EXPIRY {
+            *self
+                .by_step
+                .entry(expires_at >> EXPIRY_STEP_BITS)
+                .or_default() += bytes;
         }
     }
 
-    /// See [`Index::apply`].
-    pub fn apply(
-        &mut self,
-        body: &[u8],
-        segment: u32,
-        offset: u64,
-    ) -> std::result::Result<(), Senseless> {
-        read_ops(body, segment, offset, |key, place| {
-            self.ops.push((key.into(), place))
-        })?;
-        if self.ops.len() >= SORTED {
-            self.settle();
+    fn remove(&mut self, expires_at: u64, bytes: u64) {
+        let step = expires_at >> EXPIRY_STEP_BITS;
+        if expires_at == NO_EXPIRY {
+            return;
         }
-        Ok(())
-    }
-
-    fn settle(&mut self) {
-        // Operations on one key keep their order: the last holds.
-        self.ops.sort_by(|(a, _), (b, _)| a.cmp(b));
-        let mut ops = self.ops.drain(..).peekable();
-        while let Some((key, place)) = ops.next() {
-            if ops.peek().is_some_and(|(next, _)| *next == key) {
-                continue;
-            }
-            match place {
-                Some(place) => self.index.put_key(key, place),
-                None => self.index.remove(&key),
+        if let Some(left) = self.by_step.get_mut(&step) {
+            *left = left.saturating_sub(bytes);
+            if *left == 0 {
+                self.by_step.remove(&step);
             }
         }
     }
 
-    pub fn end(mut self) -> Index<F> {
-        self.settle();
-        self.index
-    }
-}
-
-pub(crate) fn read<F: File>(place: Place, file: Option<&Arc<F>>) -> Result<Vec<u8>> {
-    let name = segment_name(place.segment);
-    let offset = u64::from(place.offset);
-    let file = file.ok_or_else(|| Error::damage(&name, offset, "the segment is not open"))?;
-    let mut value = vec![0; place.length as usize];
-    let read = file
-        .read_at(&mut value, offset)
-        .map_err(|e| Error::io(&name, &e))?;
-    if read < value.len() || crc32c::crc32c(&value) != place.crc {
-        return Err(Error::damage(
-            &name,
-            offset,
-            "a value is not what was written",
-        ));
-    }
-    Ok(value)
-}
-
-/// All that was there at one moment. It stays as it is while writes and compactions go on, and can be read from any
-/// thread. The files it needs stay open, and their space taken, until it is dropped.
-pub struct Snapshot<F> {
-    map: OrdMap<Key, Place>,
-    files: Files<F>,
-}
-
-impl<F> Clone for Snapshot<F> {
-    fn clone(&self) -> Self {
-        Snapshot {
-            map: self.map.clone(),
-            files: Arc::clone(&self.files),
-        }
-    }
-}
-
-impl<F: File> Snapshot<F> {
-    /// A key's value, if it was there and does not expire by `now`.
-    ///
-    /// # Errors
-    /// Where the value can't be read, or is not what was written.
-    pub fn get(&self, key: &[u8], now: u64) -> Result<Option<Vec<u8>>> {
-        let Some(place) = self.map.get(key).filter(|p| p.expires > now) else {
-            return Ok(None);
-        };
-        read(*place, self.files.get(&place.segment)).map(Some)
-    }
-
-    /// Keys that begin with a prefix, with their values, in the order of the keys' bytes, without those that expire
-    /// by `now`. An empty prefix means all.
-    ///
-    /// # Errors
-    /// Of each value on its own: see [`Snapshot::get`].
-    pub fn scan<'a>(
-        &'a self,
-        prefix: &'a [u8],
-        now: u64,
-    ) -> impl Iterator<Item = Result<(&'a [u8], Vec<u8>)>> + 'a {
-        self.places(prefix, now)
-            .map(|(key, place)| Ok((key, read(place, self.files.get(&place.segment))?)))
-    }
-
-    /// The same keys without reading any value, each with its value's length in bytes and the time it expires.
-    pub fn keys<'a>(
-        &'a self,
-        prefix: &'a [u8],
-        now: u64,
-    ) -> impl Iterator<Item = (&'a [u8], u32, Option<u64>)> + 'a {
-        let told = |p: Place| (p.length, (p.expires != NEVER).then_some(p.expires));
-        self.places(prefix, now).map(move |(key, place)| {
-            let (length, expires) = told(place);
-            (key, length, expires)
-        })
-    }
-
-    fn places<'a>(
-        &'a self,
-        prefix: &'a [u8],
-        now: u64,
-    ) -> impl Iterator<Item = (&'a [u8], Place)> + 'a {
-        let from: (Bound<&[u8]>, Bound<&[u8]>) = (Bound::Included(prefix), Bound::Unbounded);
-        let all = self
-            .map
-            .range::<_, [u8]>(from)
-            .map(|(key, place)| (&**key, *place));
-        all.take_while(move |(key, _)| key.starts_with(prefix))
-            .filter(move |(_, p)| p.expires > now)
-    }
-
-    /// The entries behind a key, or from the first, those that have expired included.
-    pub(crate) fn entries_after<'a>(
-        &'a self,
-        key: Option<&'a [u8]>,
-    ) -> impl Iterator<Item = (&'a Key, Place)> + 'a {
-        let from: Bound<&[u8]> = key.map_or(Bound::Unbounded, Bound::Excluded);
-        self.map
-            .range::<_, [u8]>((from, Bound::Unbounded))
-            .map(|(key, place)| (key, *place))
-    }
-
-    pub(crate) fn file(&self, segment: u32) -> Option<&Arc<F>> {
-        self.files.get(&segment)
-    }
-
-    /// How many keys there are, those that have expired and not been dropped yet included.
-    pub fn len(&self) -> usize {
-        self.map.len()
-    }
-
-    /// Whether there is none.
-    pub fn is_empty(&self) -> bool {
-        self.map.is_empty()
+    /// The bytes of all steps that have passed by `now`.
+    fn expired_by(&self, now: u64) -> u64 {
+        let passed = self.by_step.range(..now >> EXPIRY_STEP_BITS);
+        passed.map(|(_, bytes)| bytes).sum()
     }
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,12 +1,13 @@
-//! A small embedded store: an append-only log with an index in memory, which survives a crash at any byte.
+//! A small embedded store: an append-only log with an index in memory that survives a crash at any byte.
 //!
-//! It knows nothing of what is kept in it. Keys and values are bytes; times are whatever the caller counts, in one
-//! unit and on one clock: the store reads none.
+//! It knows nothing of what is stored in it. Keys and values are bytes. Times are numbers in any unit of one clock, which
+//! is the caller's: the store reads no clock.
 //!
-//! - [`Store`] is for one owner, which blocks while it writes; [`GroupCommit`] for many writers, and for those that
+//! - [`Store`] is for one owner, which blocks while it writes; [`GroupCommit`] is for many writers, and for writers that
 //!   must not block. [`Reader`] and [`Snapshot`] read beside them.
-//! - [`Durability`] tells what an acknowledged write survives.
-//! - All files are met through [`Disk`] and [`File`].
+//! - [`Durability`] says what an acknowledged write survives.
+//! - [`Disk`] and [`File`] are the only way to files, so that a test can replace them.
+//! - [`verify`] checks a store; [`salvage`] copies what can be read of a corrupted one.
 //!
 //! ```
 //! use madderloom_store::{Batch, Durability, Options, RealDisk, Store};
@@ -27,27 +28,46 @@
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 
+mod active_segment;
 mod batch;
-mod compact;
+mod compaction;
+mod compaction_policy;
 mod disk;
 mod error;
 mod format;
-mod group;
+mod group_commit;
 mod index;
-mod inspect;
-mod manifest;
-mod scan;
+mod index_loader;
+mod manifest_file;
+mod options;
+mod poison;
+mod preallocation;
+mod reader;
+mod real_disk;
+mod recovery;
+mod salvage;
+mod segment_files;
+mod segment_scan;
 #[cfg(feature = "sim")]
 pub mod sim;
+mod snapshot;
+mod statistics;
 mod store;
+mod value_location;
+mod verify;
 
 pub use batch::Batch;
-pub use compact::Compaction;
-pub use disk::{Disk, File, RealDisk};
-pub use error::{Corruption, Error, Result};
+pub use compaction::Compaction;
+pub use disk::{Disk, File, LockMode};
+pub use error::{Corruption, Error, IoError, Result};
 pub use format::{FORMAT_VERSION, MAX_BATCH_BYTES, MAX_KEY_BYTES};
-pub use group::{GroupCommit, GroupCommitStatus};
-pub use index::Snapshot;
-pub use inspect::{SalvageReport, VerifyReport, salvage, verify};
-pub use scan::LostRange;
-pub use store::{Durability, Options, Reader, Statistics, Store};
+pub use group_commit::{GroupCommit, GroupCommitStatus};
+pub use options::{Durability, Options};
+pub use reader::Reader;
+pub use real_disk::RealDisk;
+pub use salvage::{SalvageReport, salvage};
+pub use segment_scan::LostRange;
+pub use snapshot::{KeyEntry, Snapshot};
+pub use statistics::Statistics;
+pub use store::Store;
+pub use verify::{VerifyReport, verify};
--- a/crates/store/tests/crash_consistency.rs
+++ b/crates/store/tests/crash_consistency.rs
@@ -157,7 +157,7 @@
             ran.tried += 1;
             for _ in 0..3 {
                 let written = store.write(batch, *durability);
-                if let Err(madderloom_store::Error::Poisoned(_)) = written {
+                if let Err(madderloom_store::Error::Poisoned { .. }) = written {
                     drop(store);
                     store = open(&disk).expect("it opens again");
                 }
--- a/crates/store/tests/damage.rs
+++ b/crates/store/tests/damage.rs
@@ -198,7 +198,7 @@
     // And it writes into nothing that is not empty.
     assert!(matches!(
         salvage(&SimDisk::from_files(&files), to),
-        Err(Error::Io { .. })
+        Err(Error::SalvageTargetNotEmpty)
     ));
 }
 
--- a/crates/store/tests/faults.rs
+++ b/crates/store/tests/faults.rs
@@ -120,9 +120,9 @@
     disk.fail_in(6, ErrorKind::Other);
     assert!(matches!(
         store.finish_compaction(compaction),
-        Err(Error::Poisoned(_))
+        Err(Error::Poisoned { .. })
     ));
-    assert!(matches!(store.put(b"b", b"1"), Err(Error::Poisoned(_))));
+    assert!(matches!(store.put(b"b", b"1"), Err(Error::Poisoned { .. })));
     assert_eq!(store.get(b"a", 0), Ok(Some(b"1".to_vec())));
     drop(store);
     for loss in [
@@ -277,11 +277,11 @@
         .expect("the largest that may be");
     assert!(matches!(
         store.put(&vec![1; MAX_KEY_BYTES + 1], b""),
-        Err(Error::TooLarge { .. })
+        Err(Error::KeyTooLarge { .. })
     ));
     assert!(matches!(
         store.put(b"a", &vec![0; MAX_BATCH_BYTES]),
-        Err(Error::TooLarge { .. })
+        Err(Error::BatchTooLarge { .. })
     ));
     assert_eq!(store.write(&Batch::new(), Durability::Durable), Ok(4));
     for _ in 0..2 {
@@ -382,7 +382,7 @@
     let snapshot = store.snapshot();
     let found: Vec<u32> = snapshot
         .keys(b"", 0)
-        .map(|(key, ..)| u32::from_be_bytes(key.try_into().expect("four bytes")))
+        .map(|entry| u32::from_be_bytes(entry.key.try_into().expect("four bytes")))
         .collect();
     assert!(found.is_sorted_by(|a, b| a < b) && found.len() == keys as usize);
     assert_eq!(
--- a/crates/store/tests/group_commit.rs
+++ b/crates/store/tests/group_commit.rs
@@ -5,7 +5,7 @@
 use common::*;
 use madderloom_store::sim::{Loss, SimDisk, SimFile, SimLock};
 use madderloom_store::{
-    Batch, Disk, Durability, Error, File, GroupCommit, Options, RealDisk, Store,
+    Batch, Disk, Durability, Error, File, GroupCommit, LockMode, Options, RealDisk, Store,
 };
 use std::io::{self, ErrorKind};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -249,8 +249,8 @@
         self.0.sync()
     }
 
-    fn lock(&self, alone: bool) -> io::Result<Option<SimLock>> {
-        self.0.lock(alone)
+    fn lock(&self, mode: LockMode) -> io::Result<Option<SimLock>> {
+        self.0.lock(mode)
     }
 }
 
--- a/crates/store/tests/model.rs
+++ b/crates/store/tests/model.rs
@@ -174,11 +174,11 @@
             Err(error) => {
                 let expected = matches!(
                     error,
-                    Error::DiskFull { .. } | Error::Io { .. } | Error::Poisoned(_)
+                    Error::DiskFull { .. } | Error::Io { .. } | Error::Poisoned { .. }
                 );
                 assert!(expected, "{error}");
                 self.maybe.push(batches);
-                if matches!(error, Error::Poisoned(_)) {
+                if matches!(error, Error::Poisoned { .. }) {
                     self.restart(Loss::Nothing);
                 }
             }
