--- a/crates/store/tests/common/mod.rs
+++ b/crates/store/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A run of writes whose every state is known, to compare with what a restart finds.
+//! A script of writes whose state after each batch is known, to compare with what a restart finds.
 #![allow(dead_code, reason = "each file of tests uses a part")]
 
 use madderloom_store::sim::SimDisk;
@@ -7,7 +7,7 @@
 
 pub type Map = BTreeMap<Vec<u8>, Vec<u8>>;
 
-/// Segments of a few batches, so that a short run meets every kind of file.
+/// Segments of a few batches each, so that a short script writes every kind of file.
 pub const SMALL: Options = Options {
     create: true,
     read_only: false,
@@ -21,13 +21,14 @@
     Store::open(disk.clone(), SMALL)
 }
 
-/// All that a store holds, at a time before any expiry.
+/// Everything that a store holds, at a time before any expiry.
 pub fn contents(store: &Store<SimDisk>) -> Map {
     let snapshot = store.snapshot();
     let all = snapshot.scan(b"", 0).map(|entry| entry.expect("it reads"));
     all.map(|(key, value)| (key.to_vec(), value)).collect()
 }
 
+/// A step of the script.
 pub enum Step {
     Write(Batch, Durability),
     Compact,
@@ -76,7 +77,7 @@
     }
 }
 
-/// What the store holds after so many batches of the script, for each count of them.
+/// What the store holds after each count of batches of the script.
 pub fn states(batches: usize) -> Vec<Map> {
     let mut all = vec![Map::new()];
     for i in 0..batches {
@@ -87,30 +88,32 @@
     all
 }
 
-/// How far a run came.
+/// How far a run of the script came. All are counts of batches.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Ran {
-    /// Batches that were handed over, that were acknowledged, and of these, that are durable by that.
-    pub tried: usize,
+pub struct Progress {
+    /// Handed over to the store.
+    pub attempted: usize,
+    /// Acknowledged, with all before them.
     pub acknowledged: usize,
+    /// Durable by an acknowledgement, with all before them.
     pub durable: usize,
 }
 
 /// Runs the script until its end or the first error.
-pub fn run(disk: &SimDisk, steps: &[Step]) -> Ran {
-    let mut ran = Ran::default();
+pub fn run_script(disk: &SimDisk, steps: &[Step]) -> Progress {
+    let mut progress = Progress::default();
     let Ok(mut store) = open(disk) else {
-        return ran;
+        return progress;
     };
     for step in steps {
         let done = match step {
             Step::Write(batch, durability) => {
-                ran.tried += 1;
+                progress.attempted += 1;
                 let written = store.write(batch, *durability).is_ok();
                 if written {
-                    ran.acknowledged = ran.tried;
+                    progress.acknowledged = progress.attempted;
                     if *durability == Durability::Durable {
-                        ran.durable = ran.tried;
+                        progress.durable = progress.attempted;
                     }
                 }
                 written
@@ -120,7 +123,7 @@
                 drop(store);
                 match open(disk) {
                     Ok(opened) => store = opened,
-                    Err(_) => return ran,
+                    Err(_) => return progress,
                 }
                 true
             }
@@ -129,10 +132,10 @@
             break;
         }
     }
-    ran
+    progress
 }
 
-/// After how many batches the store looked as it does now: at least so many, at most so many.
-pub fn find(states: &[Map], found: &Map, least: usize, most: usize) -> Option<usize> {
-    (least..=most).rev().find(|i| states[*i] == *found)
+/// The count of batches, within these bounds, after which the store held what it holds now.
+pub fn find_state(states: &[Map], found: &Map, min: usize, max: usize) -> Option<usize> {
+    (min..=max).rev().find(|i| states[*i] == *found)
 }
--- a/crates/store/tests/damage.rs
+++ b/crates/store/tests/corruption_repair.rs
@@ -1,4 +1,5 @@
-//! Damage is told from a torn end: the end is cut, what was once whole is refused, and salvage says what it lost.
+//! Corruption is told from a torn end: the end is truncated, what was once complete is rejected, and salvage reports
+//! what is lost.
 
 mod common;
 
@@ -12,7 +13,7 @@
 /// A store with compacted segments, sealed logs and an open one.
 fn sound() -> (Files, Vec<Map>) {
     let disk = SimDisk::new();
-    assert_eq!(run(&disk, &script(34)).durable, 34);
+    assert_eq!(run_script(&disk, &script(34)).durable, 34);
     (disk.files(), states(34))
 }
 
@@ -42,7 +43,7 @@
                 // The last group, and what is reserved behind it: nothing later tells that it was once whole.
                 Ok(store) => {
                     assert!(*name == last, "{name}, byte {at} was taken");
-                    let found = find(&states, &contents(&store), 33, 34);
+                    let found = find_state(&states, &contents(&store), 33, 34);
                     assert!(found.is_some(), "{name}, byte {at}: {:?}", contents(&store));
                     assert_eq!(
                         verified.expect("it reads").corruption,
@@ -121,7 +122,7 @@
     );
 }
 
-/// What is refused can be salvaged: all batches before and behind the damage are there, and what is not is told.
+/// What is refused can be salvaged: all batches before and behind the corruption are there, and what is lost is reported.
 #[test]
 fn salvage_copies_all_but_what_is_damaged_and_says_what_that_was() {
     let disk = SimDisk::new();
@@ -211,10 +212,10 @@
             let file = files.get_mut(name).expect("it is there");
             file.drain(at..(at + 40).min(bytes.len()));
             let disk = SimDisk::from_files(&files);
-            let told = (salvage(&disk, SimDisk::new()), verify(&disk));
+            let reports = (salvage(&disk, SimDisk::new()), verify(&disk));
             assert!(
-                told.0.is_ok() && told.1.is_ok(),
-                "{name}, byte {at}: {told:?}"
+                reports.0.is_ok() && reports.1.is_ok(),
+                "{name}, byte {at}: {reports:?}"
             );
         }
     }
--- a/crates/store/tests/crash_consistency.rs
+++ b/crates/store/tests/crash_consistency.rs
@@ -1,4 +1,4 @@
-//! Whatever a crash leaves, a restart finds all that was acknowledged, and no batch by half.
+//! Whatever a crash leaves, a restart finds everything that was acknowledged, and no batch in part.
 
 mod common;
 
@@ -9,13 +9,13 @@
 const BATCHES: usize = 40;
 
 /// Opens what a crash left, compares it, and goes on with it through another loss of power.
-fn survives(disk: SimDisk, states: &[Map], ran: Ran, least: usize, told: &str) {
-    let mut store = open(&disk).unwrap_or_else(|e| panic!("{told}: {ran:?}: {e}"));
+fn survives(disk: SimDisk, states: &[Map], progress: Progress, min: usize, context: &str) {
+    let mut store = open(&disk).unwrap_or_else(|e| panic!("{context}: {progress:?}: {e}"));
     let found = contents(&store);
-    let at = find(states, &found, least, ran.tried);
+    let at = find_state(&states, &found, min, progress.attempted);
     assert!(
         at.is_some(),
-        "{told}: {ran:?}: no state from {least} on looks like {found:?}"
+        "{context}: {progress:?}: no state from {min} on looks like {found:?}"
     );
 
     store
@@ -29,7 +29,7 @@
     assert_eq!(
         contents(&open(&disk).expect("it opens again")),
         expected,
-        "{told}: {ran:?}"
+        "{context}: {progress:?}"
     );
 }
 
@@ -37,7 +37,7 @@
 fn a_crash_at_any_operation_loses_nothing_acknowledged() {
     let (steps, states) = (script(BATCHES), states(BATCHES));
     let whole = SimDisk::new();
-    assert_eq!(run(&whole, &steps).acknowledged, BATCHES);
+    assert_eq!(run_script(&whole, &steps).acknowledged, BATCHES);
     let operations = whole.operations();
     assert!(
         operations > 200,
@@ -53,19 +53,19 @@
         ] {
             let disk = SimDisk::new();
             disk.crash_in(at);
-            let ran = run(&disk, &steps);
+            let progress = run_script(&disk, &steps);
             assert!(disk.has_crashed(), "operation {at} was not reached");
             // Where only the process ends, relaxed writes last, too.
-            let least = if loss == Loss::Nothing {
-                ran.acknowledged
+            let min = if loss == Loss::Nothing {
+                progress.acknowledged
             } else {
-                ran.durable
+                progress.durable
             };
             survives(
                 disk.lose_power(loss),
                 &states,
-                ran,
-                least,
+                progress,
+                min,
                 &format!("operation {at}, {loss:?}"),
             );
         }
@@ -77,24 +77,24 @@
 fn an_unflushed_write_torn_at_any_byte_is_there_whole_or_not_at_all() {
     let (steps, states) = (script(6), states(6));
     let whole = SimDisk::new();
-    run(&whole, &steps);
+    run_script(&whole, &steps);
     let mut tried = 0;
     for at in 1..=whole.operations() {
         let crashed = || {
             let disk = SimDisk::new();
             disk.crash_in(at);
-            let ran = run(&disk, &steps);
-            (disk, ran)
+            let progress = run_script(&disk, &steps);
+            (disk, progress)
         };
         for kept in 0..=crashed().0.unflushed_bytes() {
-            let (disk, ran) = crashed();
-            let told = format!("operation {at}, {kept} bytes");
+            let (disk, progress) = crashed();
+            let context = format!("operation {at}, {kept} bytes");
             survives(
                 disk.lose_power(Loss::AllAfter(kept)),
                 &states,
-                ran,
-                ran.durable,
-                &told,
+                progress,
+                progress.durable,
+                &context,
             );
             tried += 1;
         }
@@ -107,7 +107,7 @@
     let steps: Vec<Step> = script(9);
     let states = states(9);
     let disk = SimDisk::new();
-    run(&disk, &steps);
+    run_script(&disk, &steps);
     let files = disk.files();
     let (name, bytes) = files
         .iter()
@@ -124,7 +124,7 @@
         files.insert(name.clone(), bytes[..cut].to_vec());
         let store =
             open(&SimDisk::from_files(&files)).unwrap_or_else(|e| panic!("cut at {cut}: {e}"));
-        let at = find(&states, &contents(&store), last, 9);
+        let at = find_state(&states, &contents(&store), last, 9);
         last = at.unwrap_or_else(|| panic!("cut at {cut}: {:?}", contents(&store)));
         let torn = store.statistics(0).truncated_bytes;
         let reserved = bytes[..cut]
@@ -141,11 +141,11 @@
 fn a_failed_flush_at_any_operation_loses_nothing_acknowledged_later() {
     let (steps, states) = (script(BATCHES), states(BATCHES));
     let whole = SimDisk::new();
-    run(&whole, &steps);
+    run_script(&whole, &steps);
     for at in 1..=whole.operations() {
         let disk = SimDisk::new();
         disk.fail_in(at, std::io::ErrorKind::Other);
-        let mut ran = Ran::default();
+        let mut progress = Progress::default();
         let mut map = Map::new();
         let mut store = open(&disk).expect("opening changes nothing");
         // Refused writes are tried again, with the store opened anew where that is what it asks for.
@@ -154,7 +154,7 @@
                 let _ = store.compact(0);
                 continue;
             };
-            ran.tried += 1;
+            progress.attempted += 1;
             for _ in 0..3 {
                 let written = store.write(batch, *durability);
                 if let Err(madderloom_store::Error::Poisoned { .. }) = written {
@@ -162,9 +162,9 @@
                     store = open(&disk).expect("it opens again");
                 }
                 if written.is_ok() {
-                    map.clone_from(&states[ran.tried]);
+                    map.clone_from(&states[progress.attempted]);
                     if *durability == Durability::Durable {
-                        ran.durable = ran.tried;
+                        progress.durable = progress.attempted;
                     }
                     break;
                 }
@@ -179,8 +179,8 @@
         let disk = disk.lose_power(Loss::All);
         let found = contents(&open(&disk).unwrap_or_else(|e| panic!("operation {at}: {e}")));
         assert!(
-            find(&states, &found, ran.durable, BATCHES).is_some(),
-            "operation {at}: {ran:?}: {found:?}"
+            find_state(&states, &found, progress.durable, BATCHES).is_some(),
+            "operation {at}: {progress:?}: {found:?}"
         );
     }
 }
@@ -191,12 +191,12 @@
 fn a_crash_while_a_crash_is_recovered_from_changes_nothing() {
     let (steps, states) = (script(25), states(25));
     let whole = SimDisk::new();
-    run(&whole, &steps);
+    run_script(&whole, &steps);
     for at in (1..=whole.operations()).step_by(3) {
         for again in 1..=12 {
             let disk = SimDisk::new();
             disk.crash_in(at);
-            let ran = run(&disk, &steps);
+            let progress = run_script(&disk, &steps);
             let disk = disk.lose_power(Loss::Random(at));
             disk.crash_in(again);
             if let Ok(mut store) = open(&disk) {
@@ -207,7 +207,7 @@
             let mut found = contents(&store);
             found.remove(&b"x"[..]);
             assert!(
-                find(&states, &found, ran.durable, ran.tried).is_some(),
+                find_state(&states, &found, progress.durable, progress.attempted).is_some(),
                 "operations {at}, {again}: {found:?}"
             );
         }
@@ -220,7 +220,7 @@
 fn what_a_killed_process_left_unflushed_is_not_built_upon() {
     let (steps, states) = (script(BATCHES), states(BATCHES));
     let whole = SimDisk::new();
-    run(&whole, &steps);
+    run_script(&whole, &steps);
     for at in 1..=whole.operations() {
         // A flush may have failed before the end, and what it lost is read all the same.
         for fails in [false, true] {
@@ -231,20 +231,21 @@
                 } else {
                     disk.crash_in(at);
                 }
-                let ran = run(&disk, &steps);
+                let progress = run_script(&disk, &steps);
                 let disk = disk.kill();
-                let told = format!("operation {at}, {fails}, {seed}: {ran:?}");
-                let mut store = open(&disk).unwrap_or_else(|e| panic!("{told}: {e}"));
+                let context = format!("operation {at}, {fails}, {seed}: {progress:?}");
+                let mut store = open(&disk).unwrap_or_else(|e| panic!("{context}: {e}"));
                 let mut found = contents(&store);
                 assert!(
-                    find(&states, &found, ran.acknowledged, ran.tried).is_some(),
-                    "{told}: {found:?}"
+                    find_state(&states, &found, progress.acknowledged, progress.attempted)
+                        .is_some(),
+                    "{context}: {found:?}"
                 );
                 let written = seed % 2 == 0;
                 if written {
                     store
                         .put(b"after", b"1")
-                        .unwrap_or_else(|e| panic!("{told}: {e}"));
+                        .unwrap_or_else(|e| panic!("{context}: {e}"));
                     found.insert(b"after".to_vec(), b"1".to_vec());
                 }
                 drop(store);
@@ -253,13 +254,13 @@
                 } else {
                     Loss::Random(seed)
                 });
-                let left = contents(&open(&disk).unwrap_or_else(|e| panic!("{told}: {e}")));
+                let left = contents(&open(&disk).unwrap_or_else(|e| panic!("{context}: {e}")));
                 if written {
-                    assert_eq!(left, found, "{told}");
+                    assert_eq!(left, found, "{context}");
                 } else {
                     assert!(
-                        find(&states, &left, ran.durable, ran.tried).is_some(),
-                        "{told}: {left:?}"
+                        find_state(&states, &left, progress.durable, progress.attempted).is_some(),
+                        "{context}: {left:?}"
                     );
                 }
             }
--- a/crates/store/tests/model.rs
+++ b/crates/store/tests/model.rs
@@ -1,5 +1,5 @@
-//! The store beside an ordered map: any writes, expiries, compactions, snapshots, full disks and failed operations, with
-//! crashes at any of them.
+//! The store reads as an ordered map does, through any writes, expiries, compactions, snapshots, full disks and failed
+//! operations, with crashes at any of them.
 
 mod common;
 
@@ -22,7 +22,7 @@
 }
 
 #[derive(Clone, Debug)]
-enum Does {
+enum Action {
     Write {
         batches: Vec<Vec<Change>>,
         durable: bool,
@@ -60,45 +60,45 @@
     ]
 }
 
-/// The model keeps nothing of its own: what a crash leaves is only known once it is looked at, so it is kept beside
-/// the store.
-struct Machine;
+/// The reference has no state of its own: what a crash leaves is known only once the store is opened, so the model is
+/// part of the system under test.
+struct ReferenceMachine;
 
-impl ReferenceStateMachine for Machine {
+impl ReferenceStateMachine for ReferenceMachine {
     type State = ();
-    type Transition = Does;
+    type Transition = Action;
 
     fn init_state() -> BoxedStrategy<()> {
         Just(()).boxed()
     }
 
-    fn transitions((): &()) -> BoxedStrategy<Does> {
+    fn transitions((): &()) -> BoxedStrategy<Action> {
         let batches = prop::collection::vec(prop::collection::vec(change(), 1..4), 1..4);
         prop_oneof![
-            12 => (batches, any::<bool>()).prop_map(|(batches, durable)| Does::Write { batches, durable }),
-            2 => (0_u64..40).prop_map(Does::Time),
-            2 => Just(Does::Compact),
-            1 => Just(Does::Snapshot),
-            1 => Just(Does::Kill),
-            1 => loss().prop_map(Does::Power),
-            1 => (1_u64..12).prop_map(Does::CrashIn),
-            1 => (1_u64..12).prop_map(Does::FailIn),
-            1 => (0_usize..2_000).prop_map(Does::Room),
+            12 => (batches, any::<bool>()).prop_map(|(batches, durable)| Action::Write { batches, durable }),
+            2 => (0_u64..40).prop_map(Action::Time),
+            2 => Just(Action::Compact),
+            1 => Just(Action::Snapshot),
+            1 => Just(Action::Kill),
+            1 => loss().prop_map(Action::Power),
+            1 => (1_u64..12).prop_map(Action::CrashIn),
+            1 => (1_u64..12).prop_map(Action::FailIn),
+            1 => (0_usize..2_000).prop_map(Action::Room),
         ]
         .boxed()
     }
 
-    fn apply((): (), _: &Does) {}
+    fn apply((): (), _: &Action) {}
 }
 
-struct Run {
+struct StoreUnderTest {
     disk: SimDisk,
     store: Option<Store<SimDisk>>,
     now: u64,
     /// What was acknowledged, after each batch, from the last that is durable.
     states: Vec<Model>,
-    /// Groups of which any may be there behind these after a crash, though it was refused.
-    maybe: Vec<Vec<Vec<Change>>>,
+    /// Groups that were not acknowledged. After a crash any first part of one may be found behind these states.
+    unacknowledged: Vec<Vec<Vec<Change>>>,
     /// Counts the batches, so that no two states are alike.
     count: u32,
     /// Dropped by a compaction, at this time.
@@ -131,7 +131,7 @@
         .collect()
 }
 
-impl Run {
+impl StoreUnderTest {
     fn model(&self) -> &Model {
         self.states.last().expect("there is always one")
     }
@@ -169,7 +169,7 @@
                 if durable {
                     self.states.drain(..self.states.len() - 1);
                 }
-                self.maybe.clear();
+                self.unacknowledged.clear();
             }
             Err(error) => {
                 let expected = matches!(
@@ -177,7 +177,7 @@
                     Error::DiskFull { .. } | Error::Io { .. } | Error::Poisoned { .. }
                 );
                 assert!(expected, "{error}");
-                self.maybe.push(batches);
+                self.unacknowledged.push(batches);
                 if matches!(error, Error::Poisoned { .. }) {
                     self.restart(Loss::Nothing);
                 }
@@ -198,16 +198,16 @@
         let found = read(&store.snapshot(), self.compacted);
         let same = |m: &Model| live(m, self.compacted) == found;
         // Where only the process ended, all that was acknowledged is there.
-        let least = if loss == Loss::Nothing {
+        let min = if loss == Loss::Nothing {
             self.states.len() - 1
         } else {
             0
         };
-        if let Some(at) = self.states.iter().rposition(same).filter(|at| *at >= least) {
+        if let Some(at) = self.states.iter().rposition(same).filter(|at| *at >= min) {
             // A later loss may still undo what was never acknowledged as durable, so the ones before are kept.
             self.states.truncate(at + 1);
         } else {
-            let behind = self.maybe.iter().find_map(|group| {
+            let behind = self.unacknowledged.iter().find_map(|group| {
                 let mut models = vec![self.model().clone()];
                 for batch in group {
                     let mut model = models.last().expect("there is one").clone();
@@ -222,47 +222,47 @@
             let none = || {
                 panic!(
                     "{loss:?}: {found:?} is none of {:?} nor behind by {:?}",
-                    self.states, self.maybe
+                    self.states, self.unacknowledged
                 )
             };
             let behind = behind.unwrap_or_else(none);
             self.states.extend(behind);
         }
-        self.maybe.clear();
+        self.unacknowledged.clear();
         self.store = Some(store);
     }
 }
 
-impl StateMachineTest for Run {
-    type SystemUnderTest = Run;
-    type Reference = Machine;
+impl StateMachineTest for StoreUnderTest {
+    type SystemUnderTest = StoreUnderTest;
+    type Reference = ReferenceMachine;
 
-    fn init_test((): &()) -> Run {
+    fn init_test((): &()) -> StoreUnderTest {
         let disk = SimDisk::new();
         let store = Some(Store::open(disk.clone(), SMALL).expect("it opens"));
         let (states, snapshots) = (vec![Model::new()], Vec::new());
-        Run {
+        StoreUnderTest {
             disk,
             store,
             now: 0,
             states,
-            maybe: Vec::new(),
+            unacknowledged: Vec::new(),
             count: 0,
             compacted: 0,
             snapshots,
         }
     }
 
-    fn apply(mut run: Run, (): &(), does: Does) -> Run {
-        match does {
-            Does::Write { batches, durable } => run.write(batches, durable),
-            Does::Time(now) => run.now = now,
-            Does::Compact => {
+    fn apply(mut run: StoreUnderTest, (): &(), action: Action) -> StoreUnderTest {
+        match action {
+            Action::Write { batches, durable } => run.write(batches, durable),
+            Action::Time(now) => run.now = now,
+            Action::Compact => {
                 if let Some(store) = &mut run.store {
                     // Its first act makes all durable; whether it came so far is known by its end alone.
                     if store.compact(run.now).is_ok() {
                         run.states.drain(..run.states.len() - 1);
-                        run.maybe.clear();
+                        run.unacknowledged.clear();
                     }
                     run.compacted = run.compacted.max(run.now);
                 }
@@ -270,21 +270,21 @@
                     run.restart(Loss::Nothing);
                 }
             }
-            Does::Snapshot => {
+            Action::Snapshot => {
                 let snapshot = run.store.as_ref().map(Store::snapshot);
                 let model = run.model().clone();
                 run.snapshots.extend(snapshot.map(|s| (s, model)));
             }
-            Does::Kill => run.restart(Loss::Nothing),
-            Does::Power(loss) => run.restart(loss),
-            Does::CrashIn(operations) => run.disk.crash_in(operations),
-            Does::FailIn(operations) => run.disk.fail_in(operations, ErrorKind::Other),
-            Does::Room(more) => run.disk.set_capacity(Some(run.disk.used_bytes() + more)),
+            Action::Kill => run.restart(Loss::Nothing),
+            Action::Power(loss) => run.restart(loss),
+            Action::CrashIn(operations) => run.disk.crash_in(operations),
+            Action::FailIn(operations) => run.disk.fail_in(operations, ErrorKind::Other),
+            Action::Room(more) => run.disk.set_capacity(Some(run.disk.used_bytes() + more)),
         }
         run
     }
 
-    fn check_invariants(run: &Run, (): &()) {
+    fn check_invariants(run: &StoreUnderTest, (): &()) {
         let Some(store) = &run.store else { return };
         if run.disk.has_crashed() {
             return;
@@ -308,5 +308,5 @@
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, rng_seed: RngSeed::Fixed(9), ..ProptestConfig::default() })]
 
     #[test]
-    fn the_store_reads_as_an_ordered_map_does_whatever_happens_to_the_disk(sequential 1..60 => Run);
+    fn the_store_reads_as_an_ordered_map_does_whatever_happens_to_the_disk(sequential 1..60 => StoreUnderTest);
 }
