--- a/crates/store/bench/src/crashes.rs
+++ b/crates/store/bench/src/crashes.rs
@@ -117,7 +117,12 @@
     let (mut sound, mut bad) = (0, Vec::new());
     std::panic::set_hook(Box::new(|_| {}));
     for at in 1..=operations {
-        for loss in [Loss::All, Loss::Nothing, Loss::Random(at), Loss::Random(at << 20)] {
+        for loss in [
+            Loss::All,
+            Loss::Nothing,
+            Loss::Random(at),
+            Loss::Random(at << 20),
+        ] {
             let disk = SimDisk::new();
             disk.crash_in(at);
             let acknowledged = std::panic::catch_unwind(|| write(&disk)).unwrap_or(u64::MAX);
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -72,7 +72,7 @@
         /// The error of the system.
         source: IoError,
     },
-    /// A file differs from what the store wrote. [`salvage`](crate::salvage) copies what can still be read.
+    /// A file differs from what the store wrote. [`salvage()`](crate::salvage()) copies what can still be read.
     #[error("damaged: {0}")]
     Corrupted(#[source] Corruption),
     /// A newer version of the program wrote the file.
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -7,7 +7,7 @@
 //!   must not block. [`Reader`] and [`Snapshot`] read beside them.
 //! - [`Durability`] says what an acknowledged write survives.
 //! - [`Disk`] and [`File`] are the only way to files, so that a test can replace them.
-//! - [`verify`] checks a store; [`salvage`] copies what can be read of a corrupted one.
+//! - [`verify()`] checks a store; [`salvage()`] copies what can be read of a corrupted one.
 //!
 //! ```
 //! use madderloom_store::{Batch, Durability, Options, RealDisk, Store};
--- a/crates/store/src/salvage.rs
+++ b/crates/store/src/salvage.rs
@@ -14,7 +14,7 @@
 use crate::segment_scan::{LostRange, OnCorruption, scan_segment};
 use crate::store::Store;
 
-/// What [`salvage`] copied, and what it could not.
+/// What [`salvage()`] copied, and what it could not.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SalvageReport {
     /// The count of frames that were copied. A frame holds a batch, or a part of a compacted segment.
--- a/crates/store/src/verify.rs
+++ b/crates/store/src/verify.rs
@@ -8,7 +8,7 @@
 use crate::segment_files::{open_segment, reject_orphaned_segments};
 use crate::segment_scan::{OnCorruption, scan_segment};
 
-/// The result of [`verify`]. The counts are those of what was read up to the first corruption.
+/// The result of [`verify()`]. The counts are those of what was read up to the first corruption.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct VerifyReport {
     /// The first corruption, in the order in which the segments apply; `None` if the store is sound.
