--- a/crates/agent/src/batch.rs
+++ b/crates/agent/src/batch.rs
@@ -4,7 +4,9 @@
 use madderloom_control_plane::Micros;
 use madderloom_control_plane::protocol::{ToAgent, ToInstance};
 use madderloom_control_plane::relay::{Batch, BatchAnswer};
-use madderloom_endpoint_sharing::{Lists, Note, Relay as ListRelay};
+use madderloom_endpoint_sharing::{
+    DistributionEvent, EndpointListDistributor, EndpointListUpdates,
+};
 
 /// Messages to instances, by name.
 pub(crate) type Sends = Vec<(String, ToInstance)>;
@@ -16,7 +18,7 @@
     batch: &Batch,
     relay: &RelayId,
     sends: Sends,
-    (routes, lists, now): (&mut Routes, &mut ListRelay, Micros),
+    (routes, lists, now): (&mut Routes, &mut EndpointListDistributor, Micros),
 ) -> (BatchAnswer, Sends) {
     let (answer, mut others) = BatchAnswer::new(term, batch, sends);
     let accepted = answer.accepted();
@@ -37,24 +39,39 @@
 /// Handles what a report of an instance that holds its name says of lists. Returns the answer to it, and what other
 /// instances are told; none where it says nothing of lists.
 pub(crate) fn share_lists(
-    lists: &mut ListRelay,
+    lists: &mut EndpointListDistributor,
     now: Micros,
     message: &ToAgent,
-) -> Option<(Lists, Sends)> {
+) -> Option<(EndpointListUpdates, Sends)> {
     let ToAgent::Report(report) = message else {
         return None;
     };
-    let tells = report.tells.as_ref()?;
-    let (answer, others, notes) = lists.hear(now, &report.who.name, report.who.start, tells);
-    for note in notes {
-        match note {
-            Note::Newer { .. } => tracing::info!("{note}"),
-            Note::Odd { .. } => tracing::warn!("{note}"),
-        }
-    }
-    let others = others
-        .into_iter()
-        .map(|(name, lists)| (name, ToInstance::Lists(lists)))
+    let reports = report.tells.as_ref()?;
+    let distribution = lists.handle_report(now, &report.who.name, report.who.start, reports);
+    distribution.events.iter().for_each(log_event);
+    let pushes = distribution.pushes.into_iter();
+    let others = pushes
+        .map(|push| (push.instance, ToInstance::Lists(push.updates)))
         .collect();
-    Some((answer, others))
+    Some((distribution.answer, others))
+}
+
+fn log_event(event: &DistributionEvent) {
+    match event {
+        DistributionEvent::ListAdopted {
+            list,
+            index,
+            instance,
+        } => tracing::info!(
+            %list,
+            version = index,
+            %instance,
+            "lists: {list} is at version {index}, as {instance} heard"
+        ),
+        DistributionEvent::ReportRejected { instance, reason } => tracing::warn!(
+            %instance,
+            %reason,
+            "lists: a report of {instance} is ignored: {reason}"
+        ),
+    }
 }
--- a/crates/agent/src/core.rs
+++ b/crates/agent/src/core.rs
@@ -13,7 +13,7 @@
 use madderloom_control_plane::protocol::{ToAgent, ToInstance};
 use madderloom_control_plane::relay::{Batch, BatchAnswer, WatchLine};
 use madderloom_control_plane::{Accepted, By, Declined, Fleet, Micros, Note, Output, Rules, Time};
-use madderloom_endpoint_sharing::Relay as ListRelay;
+use madderloom_endpoint_sharing::EndpointListDistributor;
 use madderloom_quota_leases::Note as Quota;
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use std::time::Duration;
@@ -35,7 +35,7 @@
 type Reply<T> = oneshot::Sender<Result<T, Unable>>;
 
 /// What someone wants to see of it, as JSON.
-type Look = Box<dyn FnOnce(&Fleet, &ListRelay, &Routes, Micros) -> Vec<u8> + Send>;
+type Look = Box<dyn FnOnce(&Fleet, &EndpointListDistributor, &Routes, Micros) -> Vec<u8> + Send>;
 
 /// What is asked of the machine.
 pub(crate) enum Ask {
@@ -71,9 +71,9 @@
     /// The same, of the lists that the fleet shares and the ways to instances as well.
     async fn see_all<T: serde::Serialize>(
         &self,
-        what: impl FnOnce(&Fleet, &ListRelay, &Routes, Micros) -> T + Send + 'static,
+        what: impl FnOnce(&Fleet, &EndpointListDistributor, &Routes, Micros) -> T + Send + 'static,
     ) -> Result<Vec<u8>, Unable> {
-        let written = |fleet: &Fleet, lists: &ListRelay, routes: &Routes, now| {
+        let written = |fleet: &Fleet, lists: &EndpointListDistributor, routes: &Routes, now| {
             serde_json::to_vec(&what(fleet, lists, routes, now)).unwrap_or_default()
         };
         self.ask(|reply| Ask::See(Box::new(written), reply)).await
@@ -161,7 +161,7 @@
     storage: Option<Box<dyn Storage>>,
     fleet: Result<Fleet, Unable>,
     /// The lists that the fleet shares. Each term learns them anew.
-    lists: ListRelay,
+    lists: EndpointListDistributor,
     routes: Routes,
     rng: oorandom::Rand64,
     above: u64,
@@ -185,7 +185,7 @@
         lending,
         storage: Some(storage),
         fleet: Err(Unable(String::new())),
-        lists: ListRelay::new(0, 0),
+        lists: EndpointListDistributor::new(0, 0),
         routes: Routes::default(),
         rng: oorandom::Rand64::new(seed),
         above,
@@ -363,7 +363,7 @@
             fleet.serve_fleet_limits(self.clock.time(), self.lending.clone(), self.rng.rand_u64());
         out.saves.extend(leases.saves);
         self.commit(out.saves).await?;
-        self.lists = ListRelay::new(fleet.term(), self.rng.rand_u64());
+        self.lists = EndpointListDistributor::new(fleet.term(), self.rng.rand_u64());
         tracing::info!(
             "term {} begins at revision {}",
             fleet.term(),
@@ -379,10 +379,11 @@
 }
 
 pub(crate) async fn status(core: &Core, traffic: Traffic) -> Result<Vec<u8>, Unable> {
-    let status = move |fleet: &Fleet, lists: &ListRelay, routes: &Routes, now| view::Status {
-        traffic,
-        relays: routes.relays(),
-        ..view::status(fleet, lists, now)
-    };
+    let status =
+        move |fleet: &Fleet, lists: &EndpointListDistributor, routes: &Routes, now| view::Status {
+            traffic,
+            relays: routes.relays(),
+            ..view::status(fleet, lists, now)
+        };
     core.see_all(status).await
 }
--- a/crates/agent/src/link.rs
+++ b/crates/agent/src/link.rs
@@ -8,7 +8,7 @@
 use madderloom_control_plane::protocol::{Outcome, ToAgent, ToInstance};
 use madderloom_control_plane::settings::Overlay;
 use madderloom_control_plane::{Action, Event, Instance, Memory, Session};
-use madderloom_endpoint_sharing::{Lists, Tells};
+use madderloom_endpoint_sharing::{EndpointListReports, EndpointListUpdates};
 use madderloom_quota_leases::{Asks, Lent};
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use std::pin::Pin;
@@ -41,7 +41,7 @@
         false
     }
     /// What it says of lists that the fleet shares with the report that is made now. None where it takes part in none.
-    fn tells(&mut self) -> Option<Tells> {
+    fn tells(&mut self) -> Option<EndpointListReports> {
         None
     }
     /// This goes to the agent now; for those who count.
@@ -49,7 +49,7 @@
     /// This has come from the agent; for those who count.
     fn received(&mut self, _message: &ToInstance) {}
     /// This is what the fleet goes by. Gives whether the agent wants a report at once.
-    fn lists(&mut self, _lists: &Lists) -> bool {
+    fn lists(&mut self, _lists: &EndpointListUpdates) -> bool {
         false
     }
 }
--- a/crates/agent/src/view.rs
+++ b/crates/agent/src/view.rs
@@ -6,7 +6,7 @@
 use madderloom_control_plane::protocol::Outcome;
 use madderloom_control_plane::rollout::{End, Phase, Rollout, Step, Target};
 use madderloom_control_plane::{By, Entry, Fleet, Micros};
-use madderloom_endpoint_sharing::{Relay, SharedList};
+use madderloom_endpoint_sharing::{EndpointListDistributor, EndpointListStatus};
 use madderloom_quota_leases::{Amount, ONE, UNBOUNDED, View};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -34,7 +34,7 @@
     pub lends_all: Option<bool>,
     /// The lists that the fleet shares, by name.
     #[serde(default)]
-    pub shared_lists: BTreeMap<String, SharedList>,
+    pub shared_lists: BTreeMap<String, EndpointListStatus>,
     /// What has passed over its connections since it started.
     #[serde(default)]
     pub traffic: Traffic,
@@ -211,7 +211,7 @@
     }
 }
 
-pub(crate) fn status(fleet: &Fleet, relay: &Relay, now: Micros) -> Status {
+pub(crate) fn status(fleet: &Fleet, lists: &EndpointListDistributor, now: Micros) -> Status {
     let mut instances = BTreeMap::new();
     for (_, member) in fleet.membership().iter() {
         *instances
@@ -235,7 +235,7 @@
             .map(|lender| shares(lender.views(now)))
             .unwrap_or_default(),
         lends_all: fleet.lender().map(|lender| lender.has_learned(now)),
-        shared_lists: relay.views(now).collect(),
+        shared_lists: lists.statuses(now),
         // The machine knows nothing of connections: whoever holds them fills this in.
         traffic: Traffic::default(),
         relays: BTreeMap::new(),
--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -2,6 +2,7 @@
 
 use crate::output::{Output, tell, tell_problems};
 use madderloom_config_reader::Problem;
+use madderloom_endpoint_sharing::DiscoveryCallSchedule;
 use madderloom_operator_config::{Operator, PoolLevels};
 use madderloom_quota_leases::{Amount, ONE, Safe, UNBOUNDED};
 use madderloom_sidecar::Config;
@@ -155,9 +156,10 @@
         .filter(|pool| shares && pool.discovery.is_some());
     let told = pools.map(|pool| {
         let ask_within = pool.site.settings.rules.ask_within;
-        let (after, spread) = madderloom_endpoint_sharing::own_calls(ask_within);
+        let schedule = DiscoveryCallSchedule::within(ask_within);
         let (name, seconds) = (&pool.name, |micros: u64| micros as f64 / 1e6);
-        let (after, spread, within) = (seconds(after), seconds(spread), seconds(ask_within));
+        let (after, spread) = (seconds(schedule.earliest_age), seconds(schedule.spread));
+        let within = seconds(ask_within);
         format!(
             "pool {name}: its list is shared: this instance calls discovery itself once what it knows is {after} s old, \
              and up to {spread} s later: with 5% for its clock within {within} s"
--- a/crates/cli/src/fleet/text.rs
+++ b/crates/cli/src/fleet/text.rs
@@ -4,7 +4,7 @@
 use madderloom_agent::view::{Figures, Instance, Rollouts, Share};
 use madderloom_control_plane::membership::Presence;
 use madderloom_control_plane::rollout::End;
-use madderloom_endpoint_sharing::SharedList;
+use madderloom_endpoint_sharing::EndpointListStatus;
 use serde::Serialize;
 use std::collections::BTreeMap;
 use time::OffsetDateTime;
@@ -79,15 +79,15 @@
 }
 
 /// The lists that the fleet shares, a row each.
-pub(super) fn lists(lists: &BTreeMap<String, SharedList>) -> Table {
+pub(super) fn lists(lists: &BTreeMap<String, EndpointListStatus>) -> Table {
     let mut table = Table::new(["SHARED LIST", "VERSION", "AGE", "WATCHED BY", "BEHIND"]);
     for (name, list) in lists {
         table.row([
             name.clone(),
             list.version.to_string(),
             format!("{:.1} s", list.age_us as f64 / 1e6),
-            list.watched.to_string(),
-            list.behind.to_string(),
+            list.watcher_count.to_string(),
+            list.behind_count.to_string(),
         ]);
     }
     table
--- a/crates/control-plane/src/instance.rs
+++ b/crates/control-plane/src/instance.rs
@@ -11,7 +11,7 @@
 };
 use crate::settings::Overlay;
 use crate::{InjectedBug, Micros, is_injected};
-use madderloom_endpoint_sharing::Lists;
+use madderloom_endpoint_sharing::EndpointListUpdates;
 use madderloom_quota_leases::Grant;
 use serde::{Deserialize, Serialize};
 
@@ -79,7 +79,7 @@
     /// Use these leases of fleet-wide limits.
     Lent(Grant),
     /// Use these lists, which the fleet shares.
-    Lists(Lists),
+    Lists(EndpointListUpdates),
 }
 
 /// The state machine of one start of an instance.
@@ -307,9 +307,9 @@
                 actions.push(Action::Lent(grant.clone()));
             }
             ToInstance::Lists(lists)
-                if lists.start == self.who.start
+                if lists.incarnation == self.who.start
                     && self.session == Session::In
-                    && self.observe_term(lists.stamp.term, actions) =>
+                    && self.observe_term(lists.sent_at.term, actions) =>
             {
                 actions.push(Action::Lists(lists.clone()));
             }
--- a/crates/control-plane/src/protocol.rs
+++ b/crates/control-plane/src/protocol.rs
@@ -9,14 +9,14 @@
 use crate::change::Traits;
 use crate::gate::Counts;
 use crate::settings::{Fingerprint, Overlay, check_name};
-use madderloom_endpoint_sharing::{Lists, MOST_TEXT, Tells};
+use madderloom_endpoint_sharing::{EndpointListReports, EndpointListUpdates, MAX_LIST_BYTES};
 use madderloom_quota_leases::{Grant, LeaseRequests};
 use serde::{Deserialize, Serialize};
 
 /// The version of the protocol; it is part of the path of every request.
 pub const VERSION: u32 = 1;
 /// The largest message of an instance, in bytes: 64 KiB, and one list of servers, each byte of which may be escaped.
-pub const LARGEST_FROM_INSTANCE: usize = (64 << 10) + 2 * MOST_TEXT;
+pub const LARGEST_FROM_INSTANCE: usize = (64 << 10) + 2 * MAX_LIST_BYTES;
 /// The largest message of the agent to an instance, and of the command line to the agent, in bytes.
 pub const LARGEST_ORDER: usize = 8 << 20;
 /// The longest reason for a refusal, in bytes.
@@ -163,7 +163,7 @@
     pub asks: Option<Box<LeaseRequests>>,
     /// The state of the lists that the fleet shares; none where the instance takes part in no list.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub tells: Option<Box<Tells>>,
+    pub tells: Option<Box<EndpointListReports>>,
 }
 
 /// A message of the agent to an instance.
@@ -205,7 +205,7 @@
     /// Leases of fleet-wide limits. Sent only to instances that have requested some, and so know the message.
     Lent(Grant),
     /// The lists that the fleet shares. Sent only to instances that have reported theirs, and so know the message.
-    Lists(Lists),
+    Lists(EndpointListUpdates),
 }
 
 impl ToInstance {
@@ -220,7 +220,7 @@
             ToInstance::Welcome(welcome) => welcome.start,
             ToInstance::Order(order) => order.start,
             ToInstance::Lent(lent) => lent.start,
-            ToInstance::Lists(lists) => lists.start,
+            ToInstance::Lists(lists) => lists.incarnation,
             ToInstance::Superseded { start, .. }
             | ToInstance::Later { start, .. }
             | ToInstance::Unknown { start }
--- a/crates/control-plane/src/relay/parent.rs
+++ b/crates/control-plane/src/relay/parent.rs
@@ -244,7 +244,7 @@
         ToInstance::Renewed { term, .. } => Some(*term),
         ToInstance::Order(order) => Some(order.stamp.term),
         ToInstance::Lent(grant) => Some(grant.by.term),
-        ToInstance::Lists(lists) => Some(lists.stamp.term),
+        ToInstance::Lists(lists) => Some(lists.sent_at.term),
         ToInstance::Superseded { .. } | ToInstance::Later { .. } | ToInstance::Unknown { .. } => {
             None
         }
--- a/crates/endpoint-sharing/src/error.rs
+++ b/crates/endpoint-sharing/src/error.rs
@@ -1,18 +1,20 @@
 //! The errors of this crate.
 
-/// Why the agent ignores what an instance reports of a list. The text names what the instance has reported.
+use crate::limits::{MAX_LIST_BYTES, MAX_LISTS, MAX_NAME_BYTES};
+
+/// Why the agent ignores an instance's report of one list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// The name of the list is empty, or longer than [`LONGEST_NAME`](crate::LONGEST_NAME).
-    #[error("a list without a name, or with one that is too long")]
+    /// The name of the list is empty, or longer than [`MAX_NAME_BYTES`].
+    #[error("the name of the list is empty or longer than {MAX_NAME_BYTES} bytes")]
     InvalidName,
-    /// The text of the list is longer than [`MOST_TEXT`](crate::MOST_TEXT).
-    #[error("a list that is too long")]
+    /// The text of the list is longer than [`MAX_LIST_BYTES`].
+    #[error("the list is longer than {MAX_LIST_BYTES} bytes")]
     TextTooLong,
     /// The checksum of the text differs from that of the reported version.
-    #[error("a list that is not the one that it says")]
+    #[error("the checksum of the list differs from that of its version")]
     WrongChecksum,
-    /// The agent has [`MOST_LISTS`](crate::MOST_LISTS) other lists already.
-    #[error("more lists than an agent keeps")]
+    /// The agent already stores [`MAX_LISTS`] other lists.
+    #[error("the agent already stores {MAX_LISTS} other lists")]
     TooManyLists,
 }
--- a/crates/lab/src/scale/bounds.rs
+++ b/crates/lab/src/scale/bounds.rs
@@ -8,7 +8,7 @@
 use madderloom_control_plane::membership::Leases;
 use madderloom_control_plane::settings::MOST_SETTINGS;
 use madderloom_control_plane::spread::Pace;
-use madderloom_endpoint_sharing::MOST_LISTS;
+use madderloom_endpoint_sharing::MAX_LISTS;
 
 /// What carries a call through a sidecar.
 const TRANSACTION: &str = "`sidecar/src/transaction.rs`";
@@ -123,7 +123,7 @@
                 "calls and watches as lists are shared",
                 None,
                 "",
-                "`endpoint-sharing/src/relay.rs` `Relay`",
+                "`endpoint-sharing/src/distributor.rs` `EndpointListDistributor`",
             ),
             row(
                 "command line",
@@ -171,10 +171,10 @@
             bound(
                 "lists that the fleet shares, with one for each service",
                 services,
-                MOST_LISTS as f64,
+                MAX_LISTS as f64,
                 "",
                 "code: fixed",
-                "`endpoint-sharing/src/lib.rs` `MOST_LISTS`",
+                "`endpoint-sharing/src/limits.rs` `MAX_LISTS`",
             ),
             bound(
                 "names known to an agent",
--- a/crates/lab/src/scale/conductor.rs
+++ b/crates/lab/src/scale/conductor.rs
@@ -449,7 +449,7 @@
         self.workers.tell(&Command::Discovery(self.discovery))?;
         tokio::time::sleep(self.settings.calm).await;
         let lists = self.agent.status().await?.shared_lists;
-        let behind: usize = lists.values().map(|list| list.behind).sum();
+        let behind: usize = lists.values().map(|list| list.behind_count).sum();
         let known = lists.len() as u64;
         let outcome = Outcome::about(self.settings.instances).count("lists_known_to_agent", known);
         Ok(outcome.count("instances_behind", behind as u64))
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -2,7 +2,7 @@
 //!
 //! Registration, reports, the watch and orders are those of [`madderloom_agent::Link`] and
 //! [`madderloom_control_plane::Instance`], the lease of limits is [`madderloom_quota_leases::Holder`], lists are
-//! [`madderloom_endpoint_sharing::Share`]. An overlay is checked and compared as the sidecar does it, and then kept.
+//! [`madderloom_endpoint_sharing::SharedEndpointLists`]. An overlay is checked and compared as the sidecar does it, and then kept.
 
 use super::lists::{Discovery, SharedLists};
 use super::places;
@@ -15,7 +15,7 @@
 use madderloom_control_plane::protocol::{Outcome, ToAgent, ToInstance, Who};
 use madderloom_control_plane::settings::{Key, MOST_SETTINGS, Overlay, Value};
 use madderloom_control_plane::{Instance, Memory, Problem};
-use madderloom_endpoint_sharing::{Lists, Tells};
+use madderloom_endpoint_sharing::{EndpointListReports, EndpointListUpdates};
 use madderloom_pki::Keyring;
 use madderloom_quota_leases::{Asks, Holder, Lent, Safe};
 use rustix::time::{ClockId, clock_gettime};
@@ -257,11 +257,11 @@
         self.holder.take(boottime(), lent)
     }
 
-    fn tells(&mut self) -> Option<Tells> {
+    fn tells(&mut self) -> Option<EndpointListReports> {
         self.lists.tell()
     }
 
-    fn lists(&mut self, lists: &Lists) -> bool {
+    fn lists(&mut self, lists: &EndpointListUpdates) -> bool {
         self.lists.hear(lists)
     }
 
--- a/crates/lab/src/scale/lists.rs
+++ b/crates/lab/src/scale/lists.rs
@@ -1,10 +1,13 @@
 //! The lists of servers that a hollow instance shares, and a discovery that answers at once.
 //!
 //! When discovery is called, and what is told of it, follows `shared_lists.rs` of the sidecar; what decides is
-//! [`madderloom_endpoint_sharing::Share`]. The discovery is a number in this process: its calls cost nothing here.
+//! [`madderloom_endpoint_sharing::SharedEndpointLists`]. The discovery is a number in this process: its calls cost nothing here.
 
 use super::hollow::boottime;
-use madderloom_endpoint_sharing::{Lists, Share, Tells, asks_agent, own_calls};
+use madderloom_endpoint_sharing::{
+    DiscoveryCallSchedule, EndpointListReports, EndpointListUpdates, SharedEndpointLists,
+    agent_refresh_age,
+};
 use std::cell::{Cell, RefCell};
 use std::hash::{BuildHasher, RandomState};
 use std::rc::Rc;
@@ -36,7 +39,7 @@
 pub struct SharedLists {
     pools: Vec<Rc<Pool>>,
     discovery: Discovery,
-    share: RefCell<Share>,
+    share: RefCell<SharedEndpointLists>,
     news: Rc<Notify>,
 }
 
@@ -52,7 +55,7 @@
             })
         };
         let pools: Vec<Rc<Pool>> = (0..lists).map(pool).collect();
-        let mut share = Share::default();
+        let mut share = SharedEndpointLists::default();
         share.follow(pools.iter().map(|pool| pool.list.clone()));
         Rc::new(SharedLists {
             pools,
@@ -68,29 +71,29 @@
     }
 
     /// What goes with a report that is made now.
-    pub fn tell(&self) -> Option<Tells> {
+    pub fn tell(&self) -> Option<EndpointListReports> {
         let mut share = self.share.borrow_mut();
-        (!share.is_empty()).then(|| share.tell(boottime()))
+        (!share.is_empty()).then(|| share.report(boottime()))
     }
 
     /// The agent's word has come. Gives whether the agent wants a report at once.
-    pub fn hear(&self, lists: &Lists) -> bool {
+    pub fn hear(&self, lists: &EndpointListUpdates) -> bool {
         let mut share = self.share.borrow_mut();
-        let heard = share.hear(boottime(), lists);
-        heard
+        let outcome = share.agent_updated(boottime(), lists);
+        outcome
             .offers
             .into_iter()
-            .for_each(|offer| share.taken(offer));
+            .for_each(|offer| share.adopt(offer));
         for pool in &self.pools {
-            if heard.enough.contains(&pool.list) {
+            if outcome.stop_watching.contains(&pool.list) {
                 pool.watches.set(false);
-                share.ended(&pool.list);
+                share.watch_ended(&pool.list);
             }
-            if heard.call.contains(&pool.list) {
+            if outcome.call_discovery.contains(&pool.list) {
                 pool.call.notify_one();
             }
         }
-        heard.at_once
+        outcome.report_now
     }
 
     /// A task for each list, which calls discovery when that is due.
@@ -116,24 +119,24 @@
     }
 
     async fn until_call_is_due(&self, pool: &Pool) {
-        let (after, spread) = own_calls(ASK_WITHIN);
-        let own = RandomState::new().hash_one(0) % spread.max(1);
+        let schedule = DiscoveryCallSchedule::within(ASK_WITHIN);
+        let own = RandomState::new().hash_one(0) % schedule.spread.max(1);
         let first = boottime().saturating_add(ASK_WITHIN / 5);
         loop {
             let due = self
                 .share
                 .borrow()
-                .due(&pool.list, after.saturating_add(own))
+                .discovery_call_due(&pool.list, schedule.earliest_age.saturating_add(own))
                 .unwrap_or(first);
             let now = boottime();
             if due <= now {
                 return;
             }
-            if self
-                .share
-                .borrow_mut()
-                .asks(now, &pool.list, asks_agent(ASK_WITHIN))
-            {
+            if self.share.borrow_mut().take_agent_refresh(
+                now,
+                &pool.list,
+                agent_refresh_age(ASK_WITHIN),
+            ) {
                 self.news.notify_one();
             }
             tokio::select! {
@@ -148,8 +151,8 @@
         let (version, now) = (self.discovery.get(), boottime());
         let mut share = self.share.borrow_mut();
         if told.replace(version) == Some(version) {
-            share.beat(now, &pool.list);
-        } else if share.told(now, &pool.list, version, text(&pool.list, version)) {
+            share.discovery_confirmed(now, &pool.list);
+        } else if share.discovery_updated(now, &pool.list, version, text(&pool.list, version)) {
             self.news.notify_one();
         }
     }
--- a/crates/sidecar/src/agent_link/connection.rs
+++ b/crates/sidecar/src/agent_link/connection.rs
@@ -9,7 +9,7 @@
 use madderloom_control_plane::protocol::Who;
 use madderloom_control_plane::settings::Overlay;
 use madderloom_control_plane::{Instance, Memory};
-use madderloom_endpoint_sharing::{Lists, Offer, Tells};
+use madderloom_endpoint_sharing::{EndpointListReports, EndpointListUpdates, Offer};
 use madderloom_pki::{Files, Keyring, Role};
 use madderloom_quota_leases::{Grant, LeaseRequests};
 use std::hash::{BuildHasher, RandomState};
@@ -159,11 +159,11 @@
             .is_some_and(|sidecar| sidecar.common.fleet_limits.take(grant))
     }
 
-    fn tells(&mut self) -> Option<Tells> {
+    fn tells(&mut self) -> Option<EndpointListReports> {
         self.sidecar.upgrade()?.common.shared_lists.tell()
     }
 
-    fn lists(&mut self, lists: &Lists) -> bool {
+    fn lists(&mut self, lists: &EndpointListUpdates) -> bool {
         let Some(sidecar) = self.sidecar.upgrade() else {
             return false;
         };
--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -10,7 +10,7 @@
 use hyper_util::rt::TokioIo;
 use madderloom_balancer::settings::Site;
 use madderloom_balancer::{Event, Listed, Members, Micros, ServerId, ServerState};
-use madderloom_endpoint_sharing::first_wait;
+use madderloom_endpoint_sharing::first_discovery_wait;
 use madderloom_operator_config::Server;
 use madderloom_sidecar_state::{ListedMemory, ServerMemory};
 use madderloom_watchdog::{self as watchdog, TaskKind};
@@ -683,7 +683,7 @@
             let ask_within = own.tuned().site.settings.rules.ask_within;
             // Without any server a request may be waiting for the list.
             let first = if own.pool.is_known() {
-                first_wait(own.common.clock.up(), ask_within)
+                first_discovery_wait(own.common.clock.up(), ask_within)
             } else {
                 0
             };
--- a/crates/sidecar/src/promises.rs
+++ b/crates/sidecar/src/promises.rs
@@ -168,19 +168,19 @@
             list_reader::LONGEST,
         ),
         bytes(
-            "roster/src/lib.rs",
-            "MOST_TEXT",
-            madderloom_endpoint_sharing::MOST_TEXT,
+            "endpoint-sharing/src/limits.rs",
+            "MAX_LIST_BYTES",
+            madderloom_endpoint_sharing::MAX_LIST_BYTES,
         ),
         bytes(
-            "roster/src/lib.rs",
-            "ALWAYS_TAKEN",
-            madderloom_endpoint_sharing::ALWAYS_TAKEN,
+            "endpoint-sharing/src/limits.rs",
+            "DEFAULT_ACCEPTED_LIST_BYTES",
+            madderloom_endpoint_sharing::DEFAULT_ACCEPTED_LIST_BYTES,
         ),
         count(
-            "roster/src/lib.rs",
-            "MOST_LISTS",
-            madderloom_endpoint_sharing::MOST_LISTS,
+            "endpoint-sharing/src/limits.rs",
+            "MAX_LISTS",
+            madderloom_endpoint_sharing::MAX_LISTS,
         ),
         bytes(
             "fleet/src/protocol.rs",
--- a/crates/sidecar/src/shared_lists.rs
+++ b/crates/sidecar/src/shared_lists.rs
@@ -1,11 +1,12 @@
 //! Lists of servers that this instance shares with its fleet: what goes to the agent, what comes of it, and when discovery
-//! is called all the same. It knows nothing of services or of the link; what decides is [`madderloom_endpoint_sharing::Share`].
+//! is called all the same. It knows nothing of services or of the link; what decides is [`madderloom_endpoint_sharing::SharedEndpointLists`].
 //!
 //! Ages are taken by a clock that also runs while the machine is suspended.
 
 use super::clock::boottime;
 use madderloom_endpoint_sharing::{
-    Heard, Lists, Micros, Offer, Share, Tells, asks_agent, own_calls,
+    DiscoveryCallSchedule, EndpointListReports, EndpointListUpdates, HeldListStatus, Micros, Offer,
+    SharedEndpointLists, UpdateOutcome, agent_refresh_age,
 };
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
@@ -24,7 +25,7 @@
 /// The lists that this instance shares; nothing where its file shares none.
 #[derive(Default)]
 pub(super) struct SharedLists {
-    share: RefCell<Share>,
+    share: RefCell<SharedEndpointLists>,
     /// What they go by in the fleet, before the name of the pool.
     name: RefCell<Option<String>>,
     news: Rc<Notify>,
@@ -61,7 +62,7 @@
         let now = boottime();
         let mut share = self.share.borrow_mut();
         let was_too_long = share.is_too_long(&list);
-        let at_once = share.told(now, &list, index, text());
+        let at_once = share.discovery_updated(now, &list, index, text());
         if share.is_too_long(&list) && !was_too_long {
             tracing::warn!(%pool, "{pool}: its list is too long to be shared: each instance calls discovery itself");
         }
@@ -77,14 +78,16 @@
     /// Discovery has said that it is there and that nothing has changed.
     pub(super) fn beat(&self, pool: &str) {
         if let Some(list) = self.list(pool) {
-            self.share.borrow_mut().beat(boottime(), &list);
+            self.share
+                .borrow_mut()
+                .discovery_confirmed(boottime(), &list);
         }
     }
 
     /// The watch of this pool's list has ended, or is ended.
     pub(super) fn ended(&self, pool: &str) {
         if let Some(list) = self.list(pool) {
-            self.share.borrow_mut().ended(&list);
+            self.share.borrow_mut().watch_ended(&list);
         }
     }
 
@@ -95,19 +98,19 @@
         }
     }
 
-    /// Whether a whole list of this version from discovery may be taken; see [`Share::allows`].
+    /// Whether a whole list of this version from discovery may be taken; see [`SharedEndpointLists::accepts_from_discovery`].
     pub(super) fn allows(&self, pool: &str, index: u64, ask_within: Micros) -> bool {
         self.list(pool).is_none_or(|list| {
             self.share
                 .borrow()
-                .allows(boottime(), &list, index, ask_within)
+                .accepts_from_discovery(boottime(), &list, index, ask_within)
         })
     }
 
     /// How old the evidence for this pool's list is; none where it is not shared, or nobody has told of it.
     pub(super) fn age(&self, pool: &str) -> Option<Micros> {
-        let heard = self.share.borrow().due(&self.list(pool)?, 0)?;
-        Some(boottime().saturating_sub(heard))
+        let evidence_at = self.share.borrow().evidence_at(&self.list(pool)?)?;
+        Some(boottime().saturating_sub(evidence_at))
     }
 
     /// Waits until discovery has to be called for this pool: for the first so many microseconds where nobody has told of its
@@ -115,20 +118,20 @@
     pub(super) async fn wait_to_call(&self, pool: &str, ask_within: Micros, first: Micros) {
         let Some(list) = self.list(pool) else { return };
         let first = boottime().saturating_add(first);
-        let (after, spread) = own_calls(ask_within);
-        let own = RandomState::new().hash_one(0) % spread.max(1);
+        let schedule = DiscoveryCallSchedule::within(ask_within);
+        let own = RandomState::new().hash_one(0) % schedule.spread.max(1);
         let due = || {
             self.share
                 .borrow()
-                .due(&list, after.saturating_add(own))
+                .discovery_call_due(&list, schedule.earliest_age.saturating_add(own))
                 .unwrap_or(first)
         };
         while let Some(left) = due().checked_sub(boottime()).filter(|left| *left > 0) {
-            if self
-                .share
-                .borrow_mut()
-                .asks(boottime(), &list, asks_agent(ask_within))
-            {
+            if self.share.borrow_mut().take_agent_refresh(
+                boottime(),
+                &list,
+                agent_refresh_age(ask_within),
+            ) {
                 self.news.notify_one();
             }
             tokio::time::sleep(LOOK.min(Duration::from_micros(left))).await;
@@ -136,9 +139,9 @@
     }
 
     /// What goes with a report that is made now; none where no list is shared.
-    pub(super) fn tell(&self) -> Option<Tells> {
+    pub(super) fn tell(&self) -> Option<EndpointListReports> {
         let mut share = self.share.borrow_mut();
-        (!share.is_empty()).then(|| share.tell(boottime()))
+        (!share.is_empty()).then(|| share.report(boottime()))
     }
 
     /// The agent's word has come. What goes before what is held is given to `apply`, with the pool's name and its age,
@@ -146,39 +149,39 @@
     /// those for which it need not be watched. Gives whether the agent wants a report at once.
     pub(super) fn hear(
         &self,
-        lists: &Lists,
+        lists: &EndpointListUpdates,
         mut apply: impl FnMut(&str, &Offer, Micros) -> Result<(), String>,
         call: impl Fn(&str),
         rest: impl Fn(&str),
     ) -> bool {
         let now = boottime();
-        let Heard {
+        let UpdateOutcome {
             offers,
-            at_once,
-            call: called_for,
-            enough,
-        } = self.share.borrow_mut().hear(now, lists);
+            report_now,
+            call_discovery,
+            stop_watching,
+        } = self.share.borrow_mut().agent_updated(now, lists);
         let pool = |list: &str| {
             list.rsplit_once('/')
                 .map_or(String::new(), |(_, pool)| pool.to_string())
         };
-        called_for.iter().for_each(|list| call(&pool(list)));
-        enough.iter().for_each(|list| rest(&pool(list)));
+        call_discovery.iter().for_each(|list| call(&pool(list)));
+        stop_watching.iter().for_each(|list| rest(&pool(list)));
         for offer in offers {
             let pool = pool(&offer.list);
-            let age = now.saturating_sub(offer.heard);
+            let age = now.saturating_sub(offer.evidence_at);
             match apply(&pool, &offer, age) {
                 Ok(()) => {
                     let (index, age) = (offer.version.index, age / 1_000);
                     tracing::info!(%pool, index, "{pool}: version {index} of its list, {age} ms old, by way of the agent");
-                    self.share.borrow_mut().taken(offer);
+                    self.share.borrow_mut().adopt(offer);
                 }
                 Err(problem) => {
                     tracing::warn!(%pool, "{pool}: a list by way of the agent: {problem}")
                 }
             }
         }
-        at_once
+        report_now
     }
 
     /// What the admin view shows; nothing where no list is shared.
@@ -187,12 +190,11 @@
         if share.is_empty() {
             return Value::Null;
         }
-        let list = |(name, index, heard): (&str, u64, Micros)| {
-            (
-                name.to_string(),
-                json!({"version": index, "age_us": now.saturating_sub(heard)}),
-            )
+        let list = |held: HeldListStatus<'_>| {
+            let age = now.saturating_sub(held.evidence_at);
+            let view = json!({"version": held.index, "age_us": age});
+            (held.name.to_string(), view)
         };
-        Value::Object(share.views().map(list).collect())
+        Value::Object(share.statuses().map(list).collect())
     }
 }
