--- a/crates/agent/src/audit.rs
+++ b/crates/agent/src/audit.rs
@@ -3,7 +3,7 @@
 
 use crate::Error;
 use crate::clock::wall;
-use madderloom_pki::Peer;
+use madderloom_pki::Identity;
 use serde::Serialize;
 use std::fs::{File, OpenOptions};
 use std::io::Write;
@@ -45,12 +45,12 @@
     /// Writes a line that outlives a loss of power. Blocks; a change is asked for rarely.
     pub(crate) fn write(
         &self,
-        peer: &Peer,
+        peer: &Identity,
         asked: &str,
         about: &str,
         outcome: &str,
     ) -> Result<(), Error> {
-        let Peer {
+        let Identity {
             name, role, serial, ..
         } = peer;
         let role = role.to_string();
--- a/crates/agent/src/client.rs
+++ b/crates/agent/src/client.rs
@@ -9,7 +9,7 @@
 use hyper_util::rt::TokioIo;
 use madderloom_control_plane::Declined;
 use madderloom_control_plane::protocol::LARGEST_ORDER;
-use madderloom_pki::{Files, Keyring, explain};
+use madderloom_pki::{KeyFiles, Keyring, describe_handshake_error};
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use rustls::pki_types::ServerName;
 use serde::Deserialize;
@@ -71,7 +71,7 @@
     ///
     /// # Errors
     /// What is wrong with the address or the keys.
-    pub fn new(address: &str, files: Files) -> Result<Self, String> {
+    pub fn new(address: &str, files: KeyFiles) -> Result<Self, String> {
         Client::with(address, &Keyring::load(files)?)
     }
 
@@ -88,7 +88,7 @@
         let host = host.trim_matches(['[', ']']);
         let host = ServerName::try_from(host.to_string())
             .map_err(|_| format!("{address:?}: {host:?} is no host"))?;
-        let connector = TlsConnector::from(keyring.client()?);
+        let connector = TlsConnector::from(keyring.client_config()?);
         Ok(Client {
             connector,
             address: address.to_string(),
@@ -125,7 +125,7 @@
                 let rustls = problem
                     .get_ref()
                     .and_then(|e| e.downcast_ref::<rustls::Error>());
-                rustls.map_or_else(|| problem.to_string(), explain)
+                rustls.map_or_else(|| problem.to_string(), describe_handshake_error)
             })?;
             http1::handshake(TokioIo::new(stream))
                 .await
@@ -172,7 +172,7 @@
                     .and_then(|e| e.get_ref())
                     .and_then(|e| e.downcast_ref::<rustls::Error>())
                 {
-                    told = explain(rustls);
+                    told = describe_handshake_error(rustls);
                 }
                 source = error.source();
             }
--- a/crates/agent/src/config.rs
+++ b/crates/agent/src/config.rs
@@ -6,7 +6,7 @@
 use madderloom_control_plane::membership::Leases;
 use madderloom_control_plane::settings::check_name;
 use madderloom_control_plane::spread::Pace;
-use madderloom_pki::Files;
+use madderloom_pki::KeyFiles;
 use madderloom_quota_leases::{Amount, Bound, LEASES, Limit, ONE, UNBOUNDED};
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -27,7 +27,7 @@
     /// Where it writes who asked for what.
     pub audit: PathBuf,
     /// Its keys.
-    pub keys: Files,
+    pub keys: KeyFiles,
     /// The term of this start is above this one.
     pub term_above: u64,
     /// The most connections at a time.
@@ -65,9 +65,9 @@
 
 impl KeysPart {
     /// The files, beside the file that names them.
-    pub(crate) fn files(self, document: &mut Document<'_>, place: &Path) -> Files {
+    pub(crate) fn files(self, document: &mut Document<'_>, place: &Path) -> KeyFiles {
         let mut needed = |path, field| needed_path(document, place, path, field);
-        Files {
+        KeyFiles {
             authority: needed(self.authority, "keys.authority"),
             certificate: needed(self.certificate, "keys.certificate"),
             key: needed(self.key, "keys.key"),
--- a/crates/agent/src/error.rs
+++ b/crates/agent/src/error.rs
@@ -8,9 +8,9 @@
 /// Why an agent cannot start, or cannot keep what it decides.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The keys cannot be read or used; the text is that of [`madderloom_pki`].
+    /// The keys cannot be read or used.
     #[error("{0}")]
-    Keys(String),
+    Keys(#[source] madderloom_pki::Error),
     /// The certificate is for another role.
     #[error("{}: is for {role}, not for an agent", certificate.display())]
     WrongRole {
--- a/crates/agent/src/http.rs
+++ b/crates/agent/src/http.rs
@@ -9,7 +9,7 @@
 use hyper::body::Incoming;
 use hyper::header::{CONTENT_TYPE, HeaderValue};
 use hyper::{Method, Request, Response, StatusCode};
-use madderloom_pki::{Keyring, Peer, Shown, Verb};
+use madderloom_pki::{Identity, Keyring, Permission, PresentedCertificate};
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -34,7 +34,7 @@
     /// Its address.
     pub(crate) from: String,
     /// The certificate that it showed.
-    pub(crate) shown: Rc<Shown>,
+    pub(crate) shown: Rc<PresentedCertificate>,
 }
 
 impl Caller {
@@ -42,9 +42,9 @@
     ///
     /// # Errors
     /// The certificate is not good any more.
-    pub(crate) fn identify(&self, keyring: &Keyring) -> Result<Peer, Refusal> {
+    pub(crate) fn identify(&self, keyring: &Keyring) -> Result<Identity, Refusal> {
         keyring
-            .check_again(&self.shown, wall() / 1_000)
+            .verify_again(&self.shown, wall() / 1_000)
             .map_err(|refused| {
                 tracing::warn!("{}: turned away: {refused}", self.from);
                 Refusal::new(StatusCode::FORBIDDEN, refused)
@@ -54,17 +54,21 @@
 
 impl Caller {
     /// The answer to one whose role does not permit what it asks for.
-    pub(crate) fn refuse_verb(&self, peer: &Peer, verb: Verb<'_>) -> Response<Body> {
-        let Peer {
+    pub(crate) fn refuse_permission(
+        &self,
+        peer: &Identity,
+        permission: Permission<'_>,
+    ) -> Response<Body> {
+        let Identity {
             name, role, serial, ..
         } = peer;
         tracing::warn!(
-            "{}: turned away: {name} ({role}, {serial}) may not {verb}",
+            "{}: turned away: {name} ({role}, {serial}) may not {permission}",
             self.from
         );
         refuse(
             StatusCode::FORBIDDEN,
-            format!("{name} has the role {role} and may not {verb}"),
+            format!("{name} has the role {role} and may not {permission}"),
         )
     }
 }
@@ -119,10 +123,15 @@
 }
 
 /// What a request of an instance asks for: to be that instance. None for all other requests.
-pub(crate) fn instance_verb<'a>(method: &Method, parts: &[&'a str]) -> Option<Verb<'a>> {
+pub(crate) fn instance_permission<'a>(
+    method: &Method,
+    parts: &[&'a str],
+) -> Option<Permission<'a>> {
     match (method, parts) {
         (&Method::POST, ["v1", "instances", name, "register" | "report"])
-        | (&Method::GET, ["v1", "instances", name, "orders"]) => Some(Verb::Be(name)),
+        | (&Method::GET, ["v1", "instances", name, "orders"]) => {
+            Some(Permission::ActAsInstance(name))
+        }
         _ => None,
     }
 }
@@ -201,7 +210,7 @@
                 _ = heartbeat.tick() => Vec::new(),
             };
             // A certificate may expire or be revoked while it is watched under it.
-            if keyring.check_again(&caller.shown, wall() / 1_000).is_err() {
+            if keyring.verify_again(&caller.shown, wall() / 1_000).is_err() {
                 return;
             }
             let line = Bytes::from([line.as_slice(), b"\n"].concat());
--- a/crates/agent/src/listener.rs
+++ b/crates/agent/src/listener.rs
@@ -8,7 +8,7 @@
 use hyper::service::service_fn;
 use hyper::{Request, Response};
 use hyper_util::rt::{TokioIo, TokioTimer};
-use madderloom_pki::{Files, Keyring, Role, Shown, explain};
+use madderloom_pki::{KeyFiles, Keyring, PresentedCertificate, Role, describe_handshake_error};
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -55,12 +55,12 @@
     /// What is wrong with the keys or the address.
     pub(crate) async fn bind(
         address: SocketAddr,
-        keys: &Files,
+        keys: &KeyFiles,
         connections: usize,
     ) -> Result<Self, Error> {
         let keyring = Keyring::load(keys.clone()).map_err(Error::Keys)?;
         let certificate = || keys.certificate.clone();
-        match keyring.own() {
+        match keyring.own_identity() {
             Some(own) if own.role == Role::Agent => {}
             Some(own) => {
                 return Err(Error::WrongRole {
@@ -101,7 +101,7 @@
         handler: Rc<H>,
         stop: impl Future<Output = ()>,
     ) -> Result<(), String> {
-        let acceptor = TlsAcceptor::from(self.keyring.server()?);
+        let acceptor = TlsAcceptor::from(self.keyring.server_config()?);
         let key_files =
             watchdog::spawn(TaskKind::KeyFiles, follow_files(Arc::clone(&self.keyring)));
         let room = Arc::new(Semaphore::new(self.connections));
@@ -152,10 +152,12 @@
         match keyring.reload() {
             Ok(true) => tracing::info!("the keys were read again"),
             Ok(false) => {}
-            Err(problem) if last.as_ref() == Some(&problem) => {}
-            Err(problem) => {
-                tracing::warn!("the keys stay as they were: {problem}");
-                last = Some(problem);
+            Err(error) => {
+                let problem = error.to_string();
+                if last.as_ref() != Some(&problem) {
+                    tracing::warn!("the keys stay as they were: {problem}");
+                    last = Some(problem);
+                }
             }
         }
     }
@@ -179,12 +181,12 @@
             let rustls = problem
                 .get_ref()
                 .and_then(|e| e.downcast_ref::<rustls::Error>());
-            let told = rustls.map_or_else(|| problem.to_string(), explain);
+            let told = rustls.map_or_else(|| problem.to_string(), describe_handshake_error);
             return tracing::warn!("{from}: turned away: {told}");
         }
         Err(_) => return tracing::debug!("{from}: no handshake in time"),
     };
-    let shown = Rc::new(Shown::new(
+    let shown = Rc::new(PresentedCertificate::new(
         stream.get_ref().1.peer_certificates().unwrap_or_default(),
     ));
     let caller = Caller { from, shown };
--- a/crates/agent/src/relay/config.rs
+++ b/crates/agent/src/relay/config.rs
@@ -5,7 +5,7 @@
 use madderloom_control_plane::relay::RelayRules;
 use madderloom_control_plane::settings::check_name;
 use madderloom_control_plane::spread::Pace;
-use madderloom_pki::Files;
+use madderloom_pki::KeyFiles;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -23,13 +23,13 @@
     /// Where it listens.
     pub listen: SocketAddr,
     /// Its keys as a server: a certificate for an agent.
-    pub keys: Files,
+    pub keys: KeyFiles,
     /// The most connections at a time.
     pub connections: usize,
     /// The agents above it, `HOST:PORT` each. It connects to one at a time, and to the next where that fails.
     pub agents: Vec<String>,
     /// Its keys as a client: a certificate for an instance that is good for the names of all its instances.
-    pub parent_keys: Files,
+    pub parent_keys: KeyFiles,
     /// Leases, bounds, paces.
     pub rules: RelayRules,
 }
@@ -92,7 +92,7 @@
             );
         }
         let keys = file.keys.files(&mut document, place);
-        let parent_keys = Files {
+        let parent_keys = KeyFiles {
             certificate: needed_path(
                 &mut document,
                 place,
--- a/crates/agent/src/relay/paths.rs
+++ b/crates/agent/src/relay/paths.rs
@@ -4,14 +4,14 @@
 use super::core::{self, Ask, RelayCore};
 use crate::Error;
 use crate::clock::wall;
-use crate::http::{Body, Caller, instance_verb, json, number_in_query, read, refuse, watch};
+use crate::http::{Body, Caller, instance_permission, json, number_in_query, read, refuse, watch};
 use crate::listener::{Handler, Listener, follow_files};
 use crate::traffic::{Counters, Traffic};
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
 use madderloom_control_plane::protocol::{LARGEST_FROM_INSTANCE, ToAgent};
 use madderloom_control_plane::relay::RelayStatus;
-use madderloom_pki::{Keyring, Verb, role::may};
+use madderloom_pki::{Keyring, Permission};
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
@@ -108,23 +108,23 @@
         };
         let path = request.uri().path().to_string();
         let parts: Vec<&str> = path.split('/').skip(1).collect();
-        let own_view =
-            (request.method() == Method::GET && parts == ["v1", "relay"]).then_some(Verb::See);
-        let verb = match instance_verb(request.method(), &parts).or(own_view) {
-            Some(verb) => verb,
+        let own_view = (request.method() == Method::GET && parts == ["v1", "relay"])
+            .then_some(Permission::ViewFleet);
+        let permission = match instance_permission(request.method(), &parts).or(own_view) {
+            Some(permission) => permission,
             None => {
                 let error = format!("this is the relay {}: ask the agent for {path}", self.name);
                 return refuse(StatusCode::NOT_FOUND, error);
             }
         };
-        if !may(peer.role, &peer.name, verb) {
-            return caller.refuse_verb(&peer, verb);
+        if !peer.role.permits(&peer.name, permission) {
+            return caller.refuse_permission(&peer, permission);
         }
-        match verb {
-            Verb::Be(name) if request.method() == Method::POST => {
+        match permission {
+            Permission::ActAsInstance(name) if request.method() == Method::POST => {
                 self.answer_instance(name, request).await
             }
-            Verb::Be(name) => self.watch(caller, name, request).await,
+            Permission::ActAsInstance(name) => self.watch(caller, name, request).await,
             _ => self.view().await,
         }
     }
--- a/crates/agent/src/server.rs
+++ b/crates/agent/src/server.rs
@@ -5,7 +5,9 @@
 use crate::clock::{Clock, wall};
 use crate::config::Config;
 use crate::core::{self, Ask, Core, Unable};
-use crate::http::{Body, Caller, instance_verb, json, number_in_query, read, refuse, seen, watch};
+use crate::http::{
+    Body, Caller, instance_permission, json, number_in_query, read, refuse, seen, watch,
+};
 use crate::listener::{Handler, Listener};
 use crate::routes::RelayId;
 use crate::storage::Storage;
@@ -17,7 +19,7 @@
 use madderloom_control_plane::protocol::{LARGEST_FROM_INSTANCE, LARGEST_ORDER, ToAgent};
 use madderloom_control_plane::relay::{Batch, LARGEST_BATCH, MAX_BATCH};
 use madderloom_control_plane::{Accepted, By, Declined};
-use madderloom_pki::{Keyring, Peer, Verb, role::may};
+use madderloom_pki::{Identity, Keyring, Permission};
 use serde::Serialize;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -100,12 +102,13 @@
         if let ["v1", "relays", relay, what] = parts.as_slice() {
             return self.answer_relay(caller, &peer, relay, what, request).await;
         }
-        let verb = instance_verb(request.method(), &parts).unwrap_or(match *request.method() {
-            Method::GET => Verb::See,
-            _ => Verb::Change,
-        });
-        if !may(peer.role, &peer.name, verb) {
-            if verb == Verb::Change {
+        let permission =
+            instance_permission(request.method(), &parts).unwrap_or(match *request.method() {
+                Method::GET => Permission::ViewFleet,
+                _ => Permission::ChangeFleet,
+            });
+        if !peer.role.permits(&peer.name, permission) {
+            if permission == Permission::ChangeFleet {
                 let _ = self.audit.write(
                     &peer,
                     request.method().as_str(),
@@ -113,7 +116,7 @@
                     "refused: wrong role",
                 );
             }
-            return caller.refuse_verb(&peer, verb);
+            return caller.refuse_permission(&peer, permission);
         }
         self.answer_permitted(caller, &peer, &path, &parts, request)
             .await
@@ -124,7 +127,7 @@
     async fn answer_permitted(
         &self,
         caller: Caller,
-        peer: &Peer,
+        peer: &Identity,
         path: &str,
         parts: &[&str],
         request: Request<Incoming>,
@@ -230,7 +233,7 @@
     async fn answer_relay(
         &self,
         caller: Caller,
-        peer: &Peer,
+        peer: &Identity,
         relay: &str,
         what: &str,
         request: Request<Incoming>,
@@ -271,7 +274,7 @@
     async fn answer_batch(
         &self,
         caller: &Caller,
-        peer: &Peer,
+        peer: &Identity,
         relay: RelayId,
         batch: Batch,
     ) -> Response<Body> {
@@ -284,12 +287,12 @@
         let names = batch
             .messages
             .iter()
-            .map(|message| Verb::Be(&message.who().name));
-        if let Some(verb) = names
+            .map(|message| Permission::ActAsInstance(&message.who().name));
+        if let Some(permission) = names
             .into_iter()
-            .find(|verb| !may(peer.role, &peer.name, *verb))
+            .find(|permission| !peer.role.permits(&peer.name, *permission))
         {
-            return caller.refuse_verb(peer, verb);
+            return caller.refuse_permission(peer, permission);
         }
         self.counters.messages_came(batch.messages.len());
         match self.core.ask(|reply| Ask::Batch(relay, batch, reply)).await {
@@ -307,7 +310,7 @@
     /// Asks for a change of the fleet, with a line in the audit log before and after.
     async fn change_fleet(
         &self,
-        peer: &Peer,
+        peer: &Identity,
         asked: &str,
         about: &str,
         ask: impl FnOnce(
--- a/crates/agent/tests/common/mod.rs
+++ b/crates/agent/tests/common/mod.rs
@@ -13,7 +13,7 @@
 use madderloom_control_plane::protocol::{Outcome, ToAgent, Who};
 use madderloom_control_plane::settings::{Edits, Key, Overlay, Value};
 use madderloom_control_plane::{Instance, Memory, Record};
-use madderloom_pki::{Authority, Files, Role};
+use madderloom_pki::{Authority, CertificateRequest, KeyFiles, Role};
 use std::cell::RefCell;
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -171,7 +171,7 @@
         let directory = TempDir::new().expect("a directory");
         let now = OffsetDateTime::now_utc();
         let own = directory.path().join("keys");
-        Authority::init(&own, "fleet", 30, now).expect("an authority");
+        Authority::create(&own, "fleet", 30, now).expect("an authority");
         let mut authority = Authority::open(&own).expect("an authority");
         let hosts = ["127.0.0.1".to_string()];
         for (name, role, hosts) in [
@@ -181,8 +181,14 @@
             ("vic", Role::View, &[]),
             ("shop-*", Role::Instance, &[]),
         ] {
+            let request = CertificateRequest {
+                name,
+                role,
+                hosts,
+                days: 20,
+            };
             authority
-                .issue((name, role), hosts, 20, directory.path(), now)
+                .issue(request, directory.path(), now)
                 .expect("a certificate");
         }
         let mut rig = Rig {
@@ -202,8 +208,8 @@
         self.directory.path().join(name)
     }
 
-    pub fn files(&self, name: &str) -> Files {
-        Files {
+    pub fn files(&self, name: &str) -> KeyFiles {
+        KeyFiles {
             authority: self.at("keys/authority.pem"),
             certificate: self.at(&format!("{name}.pem")),
             key: self.at(&format!("{name}.key")),
--- a/crates/cli/src/fleet/connection.rs
+++ b/crates/cli/src/fleet/connection.rs
@@ -4,7 +4,7 @@
 use super::declined::explain;
 use hyper::Method;
 use madderloom_agent::{Client, Failed};
-use madderloom_pki::Files;
+use madderloom_pki::KeyFiles;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -35,7 +35,7 @@
 impl Connection {
     fn client(&self) -> Result<Client, String> {
         let at = |file: String| self.keys.join(file);
-        let files = Files {
+        let files = KeyFiles {
             authority: at("authority.pem".into()),
             certificate: at(format!("{}.pem", self.whom)),
             key: at(format!("{}.key", self.whom)),
--- a/crates/cli/src/keys.rs
+++ b/crates/cli/src/keys.rs
@@ -2,7 +2,7 @@
 
 use crate::output::{Output, Table, tell};
 use clap::Subcommand;
-use madderloom_pki::{Authority, Issued, Role, State};
+use madderloom_pki::{Authority, CertificateRequest, CertificateState, IssuedCertificate, Role};
 use std::path::PathBuf;
 use std::process::ExitCode;
 use time::OffsetDateTime;
@@ -82,7 +82,7 @@
         let dir = self.dir.display();
         match self.what {
             What::Init { name, days } => {
-                Authority::init(&self.dir, &name, days, now)?;
+                Authority::create(&self.dir, &name, days, now)?;
                 tell(format_args!(
                     "founded {name} in {dir}; keep {dir}/authority.key where no one else can read it"
                 ));
@@ -95,11 +95,17 @@
                 out,
             } => {
                 let mut authority = Authority::open(&self.dir)?;
-                let (issued, file) = authority.issue((&name, role), &hosts, days, &out, now)?;
-                let (until, file) = (day(issued.until), file.display());
+                let request = CertificateRequest {
+                    name: &name,
+                    role,
+                    hosts: &hosts,
+                    days,
+                };
+                let issued = authority.issue(request, &out, now)?;
+                let (until, file) = (day(issued.certificate.valid_until), issued.path.display());
                 tell(format_args!(
                     "issued {file} for {name} to {role} until {until}, serial {}",
-                    issued.serial
+                    issued.certificate.serial
                 ));
             }
             What::Rotate {
@@ -117,7 +123,7 @@
                 };
                 tell(format_args!(
                     "issued anew for {name} until {}, serial {}; the former one {former}",
-                    day(issued.until),
+                    day(issued.valid_until),
                     issued.serial
                 ));
             }
@@ -132,7 +138,7 @@
                 }
                 tell(format_args!(
                     "copy {} to every agent",
-                    authority.revoked_file().display()
+                    authority.revocation_list_path().display()
                 ));
             }
             What::List { output } => list(&Authority::open(&self.dir)?, output, now),
@@ -143,7 +149,7 @@
 
 fn list(authority: &Authority, output: Output, now: OffsetDateTime) {
     if output == Output::Json {
-        let told = |issued: &Issued| {
+        let told = |issued: &IssuedCertificate| {
             let mut object = serde_json::to_value(issued).unwrap_or_default();
             object["state"] = serde_json::to_value(issued.state(now)).unwrap_or_default();
             object
@@ -153,19 +159,19 @@
     }
     let mut table = Table::new(["NAME", "ROLE", "STATE", "UNTIL", "SERIAL"]);
     for issued in authority.issued() {
-        let left = (issued.until - now.unix_timestamp()) / 86_400;
+        let left = (issued.valid_until - now.unix_timestamp()) / 86_400;
         let state = match issued.state(now) {
-            State::Valid if left < 14 => format!("valid, {left} days left"),
-            State::Valid => "valid".into(),
-            State::Expired => "expired".into(),
-            State::Revoked => "revoked".into(),
+            CertificateState::Valid if left < 14 => format!("valid, {left} days left"),
+            CertificateState::Valid => "valid".into(),
+            CertificateState::Expired => "expired".into(),
+            CertificateState::Revoked => "revoked".into(),
         };
         let serial = issued.serial.clone();
         table.row([
             issued.name.clone(),
             issued.role.to_string(),
             state,
-            day(issued.until),
+            day(issued.valid_until),
             serial,
         ]);
     }
--- a/crates/cli/tests/fleet/commands.rs
+++ b/crates/cli/tests/fleet/commands.rs
@@ -7,7 +7,7 @@
 use madderloom_control_plane::protocol::{Outcome, Who};
 use madderloom_control_plane::settings::Overlay;
 use madderloom_control_plane::{Instance, Memory, Problem};
-use madderloom_pki::Files;
+use madderloom_pki::KeyFiles;
 use std::io::{BufRead, BufReader};
 use std::path::Path;
 use std::process::{Child, Command, Output, Stdio};
@@ -87,7 +87,7 @@
     fn instances(&self, count: usize) {
         let at = |file: &str| self.directory.path().join(file);
         let (certificate, key) = (at("shop-any.pem"), at("shop-any.key"));
-        let files = Files {
+        let files = KeyFiles {
             authority: at("authority.pem"),
             certificate,
             key,
--- a/crates/cli/tests/fleet/wire.rs
+++ b/crates/cli/tests/fleet/wire.rs
@@ -2,7 +2,7 @@
 
 use crate::rig::{Instance, PAUSE, Rig, judge};
 use madderloom_fault_testing::{Direction, Load, until};
-use madderloom_pki::{Authority, Files, Keyring, Role};
+use madderloom_pki::{Authority, CertificateRequest, KeyFiles, Keyring, Role};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::process::Command;
@@ -82,14 +82,14 @@
     // One that has eight seconds to go.
     let mut authority = Authority::open(&rig.at("keys")).expect("an authority");
     let almost = OffsetDateTime::now_utc() - time::Duration::days(1) + time::Duration::seconds(8);
+    let request = CertificateRequest {
+        name: "late-*",
+        role: Role::Instance,
+        hosts: &[],
+        days: 1,
+    };
     authority
-        .issue(
-            ("late-*", Role::Instance),
-            &[],
-            1,
-            rig.directory.path(),
-            almost,
-        )
+        .issue(request, rig.directory.path(), almost)
         .expect("a certificate");
     drop(authority);
     let text = rig
@@ -312,14 +312,14 @@
 /// One with an agent's certificate that answers each connection's requests in its own senseless way.
 fn babbler(rig: &Rig) -> (SocketAddr, Arc<[AtomicUsize; 3]>) {
     let (certificate, key) = (rig.at("agent.pem"), rig.at("agent.key"));
-    let files = Files {
+    let files = KeyFiles {
         authority: rig.at("authority.pem"),
         certificate,
         key,
         revoked: None,
     };
     let tls = Keyring::load(files)
-        .and_then(|keyring| keyring.server())
+        .and_then(|keyring| keyring.server_config())
         .expect("keys");
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     let address = listener.local_addr().expect("it is bound");
--- a/crates/lab/src/scale/agent.rs
+++ b/crates/lab/src/scale/agent.rs
@@ -10,7 +10,7 @@
 use madderloom_agent::{Client, Failed};
 use madderloom_control_plane::Accepted;
 use madderloom_control_plane::change::Change;
-use madderloom_pki::{Authority, Files, Role};
+use madderloom_pki::{Authority, CertificateRequest, KeyFiles, Role};
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
@@ -239,7 +239,7 @@
 
 fn make_keys(directory: &Path) -> Result<(), String> {
     let (own, now) = (directory.join("keys"), OffsetDateTime::now_utc());
-    Authority::init(&own, "fleet", 30, now)?;
+    Authority::create(&own, "fleet", 30, now)?;
     let mut authority = Authority::open(&own)?;
     let hosts = ["127.0.0.1".to_string()];
     let all = [
@@ -248,13 +248,19 @@
         ("shop-*", Role::Instance, &[]),
     ];
     for (name, role, hosts) in all {
-        authority.issue((name, role), hosts, DAYS, directory, now)?;
+        let request = CertificateRequest {
+            name,
+            role,
+            hosts,
+            days: DAYS,
+        };
+        authority.issue(request, directory, now)?;
     }
     Ok(())
 }
 
-fn files(directory: &Path, name: &str) -> Files {
-    Files {
+fn files(directory: &Path, name: &str) -> KeyFiles {
+    KeyFiles {
         authority: directory.join("keys/authority.pem"),
         certificate: directory.join(format!("{name}.pem")),
         key: directory.join(format!("{name}.key")),
--- a/crates/lab/src/scale/worker.rs
+++ b/crates/lab/src/scale/worker.rs
@@ -6,7 +6,7 @@
 use super::usage;
 use crate::sockets::itself::{on_one_thread, stay_with};
 use madderloom_agent::traffic::{Counters, Traffic};
-use madderloom_pki::{Files, Keyring};
+use madderloom_pki::{KeyFiles, Keyring};
 use std::cell::Cell;
 use std::io::{BufRead, Write};
 use std::rc::Rc;
@@ -115,7 +115,7 @@
     fn set_up(&mut self, setup: Setup) -> Result<(), String> {
         let file = |ending: &str| setup.keys.join(format!("shop-any.{ending}"));
         let authority = setup.keys.join("keys/authority.pem");
-        let files = Files {
+        let files = KeyFiles {
             authority,
             certificate: file("pem"),
             key: file("key"),
--- a/crates/pki/src/lib.rs
+++ b/crates/pki/src/lib.rs
@@ -1,18 +1,28 @@
-//! Keys of a fleet: a small authority of one's own, certificates that carry a role, and TLS that follows its files.
+//! The public key infrastructure of a fleet: a small certificate authority, certificates that carry a role, and TLS
+//! settings that follow their key files.
 //!
-//! - [`role`] decides who may do what, free of I/O.
-//! - [`Authority`] is a directory with the authority's key, what it has issued and what it has revoked.
-//! - [`Keyring`] is a program's own certificate, the authorities that it trusts and the list of what is revoked, read
-//!   from files, and read again while it runs. It makes the settings for TLS, in which both sides show a
-//!   certificate, and says of a certificate whose it is or, in one sentence, why it is refused.
+//! - [`Role`] and [`Permission`] decide who may do what; they do no I/O.
+//! - [`Authority`] is a directory with the authority's key, the certificates that it has issued and its revocation list.
+//! - [`Keyring`] is a program's own certificate and key, the authorities that it trusts and their revocation list, read
+//!   from files and read again while the program runs. It makes the TLS settings, under which both sides present a
+//!   certificate, and verifies certificates: it returns the [`Identity`] in one, or the [`CertificateRejection`].
 //!
-//! Private keys are created readable by their owner alone; one that others can read is not used.
+//! Private keys are created readable by their owner alone. A key file that others can read is not used.
 
 mod authority;
+mod error;
 mod files;
+mod hexadecimal;
+mod identity;
 mod keyring;
-pub mod role;
+mod rejection;
+mod role;
 
-pub use authority::{Authority, Issued, State};
-pub use keyring::{Files, Keyring, Peer, Refused, Shown, explain};
-pub use role::{Role, Verb};
+pub use authority::{
+    Authority, CertificateRequest, CertificateState, IssuedCertificate, IssuedFile,
+};
+pub use error::Error;
+pub use identity::Identity;
+pub use keyring::{KeyFiles, Keyring, PresentedCertificate};
+pub use rejection::{CertificateRejection, describe_handshake_error};
+pub use role::{Permission, Role};
--- a/crates/pki/src/role.rs
+++ b/crates/pki/src/role.rs
@@ -1,5 +1,6 @@
-//! Who may do what.
+//! Roles, and what each permits.
 
+use crate::error::Error;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::str::FromStr;
@@ -8,19 +9,33 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// Sees everything and changes nothing.
+    /// An operator who may see everything and change nothing.
     View,
-    /// Sees and changes.
+    /// An operator who may see and change everything.
     Operate,
-    /// Is an instance: registers, reports and takes orders under its own name.
+    /// An instance, which registers, reports and takes orders under its own name.
     Instance,
-    /// Is the agent.
+    /// The agent.
     Agent,
 }
 
 impl Role {
-    /// All of them.
+    /// All roles.
     pub const ALL: [Role; 4] = [Role::View, Role::Operate, Role::Instance, Role::Agent];
+
+    /// Whether a certificate of this role and name permits something. The name in an instance's certificate may end in
+    /// `*`: the certificate is then valid for all names with that prefix.
+    pub fn permits(self, name: &str, permission: Permission<'_>) -> bool {
+        match (self, permission) {
+            (Role::View | Role::Operate, Permission::ViewFleet)
+            | (Role::Operate, Permission::ChangeFleet) => true,
+            (Role::Instance, Permission::ActAsInstance(instance)) => match name.strip_suffix('*') {
+                Some(prefix) => instance.starts_with(prefix),
+                None => instance == name,
+            },
+            _ => false,
+        }
+    }
 }
 
 impl fmt::Display for Role {
@@ -35,76 +50,31 @@
 }
 
 impl FromStr for Role {
-    type Err = String;
+    type Err = Error;
 
-    fn from_str(text: &str) -> Result<Self, String> {
-        let named = Role::ALL.into_iter().find(|role| role.to_string() == text);
-        named.ok_or_else(|| {
-            format!("{text:?} is no role; there are view, operate, instance and agent")
-        })
+    fn from_str(text: &str) -> Result<Self, Error> {
+        let role = Role::ALL.into_iter().find(|role| role.to_string() == text);
+        role.ok_or_else(|| Error::UnknownRole { text: text.into() })
     }
 }
 
-/// What someone asks the agent for.
+/// What a caller asks the agent for, and needs a permission for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verb<'a> {
-    /// To see instances, rollouts, the history.
-    See,
-    /// To push, stop or take back a change.
-    Change,
-    /// To be the instance of this name.
-    Be(&'a str),
+pub enum Permission<'a> {
+    /// To see instances, rollouts and the history.
+    ViewFleet,
+    /// To push, stop or undo a change.
+    ChangeFleet,
+    /// To act as the instance of this name.
+    ActAsInstance(&'a str),
 }
 
-impl fmt::Display for Verb<'_> {
+impl fmt::Display for Permission<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Verb::See => f.write_str("see the fleet"),
-            Verb::Change => f.write_str("change the fleet"),
-            Verb::Be(name) => write!(f, "be the instance {name}"),
-        }
-    }
-}
-
-/// Whether a certificate of this role and name may be used for something. The name of an instance's certificate may
-/// end in `*`: it is then good for all names that begin so.
-pub fn may(role: Role, name: &str, verb: Verb<'_>) -> bool {
-    match (role, verb) {
-        (Role::View | Role::Operate, Verb::See) | (Role::Operate, Verb::Change) => true,
-        (Role::Instance, Verb::Be(wanted)) => match name.strip_suffix('*') {
-            Some(begin) => wanted.starts_with(begin),
-            None => wanted == name,
-        },
-        _ => false,
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn each_role_may_do_its_own_and_nothing_else() {
-        let may = |role, verb| may(role, "shop-1", verb);
-        assert!(may(Role::View, Verb::See) && may(Role::Operate, Verb::See));
-        assert!(may(Role::Operate, Verb::Change) && may(Role::Instance, Verb::Be("shop-1")));
-        for (role, verb) in [
-            (Role::View, Verb::Change),
-            (Role::Instance, Verb::Change),
-            (Role::Instance, Verb::See),
-            (Role::Agent, Verb::Change),
-            (Role::Agent, Verb::Be("shop-1")),
-            (Role::Operate, Verb::Be("shop-1")),
-            (Role::Instance, Verb::Be("shop-10")),
-        ] {
-            assert!(!may(role, verb), "{role} may {verb}");
+            Permission::ViewFleet => f.write_str("see the fleet"),
+            Permission::ChangeFleet => f.write_str("change the fleet"),
+            Permission::ActAsInstance(name) => write!(f, "be the instance {name}"),
         }
     }
-
-    #[test]
-    fn a_certificate_for_a_group_is_good_for_its_names_alone() {
-        assert!(may(Role::Instance, "shop-*", Verb::Be("shop-10")));
-        assert!(!may(Role::Instance, "shop-*", Verb::Be("till-1")));
-        assert!(!may(Role::Operate, "*", Verb::Be("shop-1")));
-    }
 }
--- a/crates/pki/tests/private_keys_are_private.rs
+++ b/crates/pki/tests/authority_files.rs
@@ -1,6 +1,8 @@
-//! The files of an authority.
+//! The files of an authority: who can read them, that none is overwritten, and what is on record.
 
-use madderloom_pki::{Authority, Files, Keyring, Role, State};
+use madderloom_pki::{
+    Authority, CertificateRequest, CertificateState, Error, IssuedFile, KeyFiles, Keyring, Role,
+};
 use std::os::unix::fs::PermissionsExt;
 use std::path::Path;
 use tempfile::TempDir;
@@ -14,21 +16,35 @@
         & 0o777
 }
 
-fn founded() -> (TempDir, Authority) {
+/// Issues a certificate for two days into a directory.
+fn issue(
+    authority: &mut Authority,
+    name: &str,
+    role: Role,
+    directory: &Path,
+) -> Result<IssuedFile, Error> {
+    let request = CertificateRequest {
+        name,
+        role,
+        hosts: &[],
+        days: 2,
+    };
+    authority.issue(request, directory, OffsetDateTime::now_utc())
+}
+
+fn created() -> (TempDir, Authority) {
     let directory = TempDir::new().expect("a directory");
     let own = directory.path().join("keys");
-    Authority::init(&own, "fleet", 3_650, OffsetDateTime::now_utc()).expect("an authority");
+    Authority::create(&own, "fleet", 3_650, OffsetDateTime::now_utc()).expect("an authority");
     let authority = Authority::open(&own).expect("an authority");
     (directory, authority)
 }
 
 #[test]
 fn keys_are_readable_by_their_owner_alone_from_the_beginning_and_after_a_rotation() {
-    let (directory, mut authority) = founded();
+    let (directory, mut authority) = created();
     let (to, now) = (directory.path(), OffsetDateTime::now_utc());
-    authority
-        .issue(("alice", Role::View), &[], 2, to, now)
-        .expect("issued");
+    issue(&mut authority, "alice", Role::View, to).expect("issued");
     authority
         .rotate("alice", 2, to, false, now)
         .expect("rotated");
@@ -40,20 +56,18 @@
 
 #[test]
 fn a_key_that_others_can_read_is_not_used() {
-    let (directory, mut authority) = founded();
-    let (to, now) = (directory.path(), OffsetDateTime::now_utc());
-    authority
-        .issue(("alice", Role::View), &[], 2, to, now)
-        .expect("issued");
+    let (directory, mut authority) = created();
+    let to = directory.path();
+    issue(&mut authority, "alice", Role::View, to).expect("issued");
     std::fs::set_permissions(to.join("alice.key"), PermissionsExt::from_mode(0o640))
         .expect("its owner may");
-    let files = Files {
+    let files = KeyFiles {
         authority: to.join("keys/authority.pem"),
         certificate: to.join("alice.pem"),
         key: to.join("alice.key"),
         revoked: None,
     };
-    let problem = Keyring::load(files).expect_err("refused");
+    let problem = Keyring::load(files).expect_err("refused").to_string();
     assert!(
         problem.contains("alice.key: others can read this key (mode 640)"),
         "{problem}"
@@ -61,29 +75,25 @@
 }
 
 #[test]
-fn nothing_that_is_there_is_written_over() {
-    let (directory, mut authority) = founded();
+fn no_existing_file_is_overwritten() {
+    let (directory, mut authority) = created();
     let (to, now) = (directory.path(), OffsetDateTime::now_utc());
-    let problem = Authority::init(&to.join("keys"), "fleet", 30, now).expect_err("there is one");
+    let problem = Authority::create(&to.join("keys"), "fleet", 30, now).expect_err("there is one");
+    let problem = problem.to_string();
     assert!(problem.contains("not empty"), "{problem}");
-    authority
-        .issue(("alice", Role::View), &[], 2, to, now)
-        .expect("issued");
-    let problem = authority
-        .issue(("alice", Role::View), &[], 2, to, now)
-        .expect_err("there is one");
+    issue(&mut authority, "alice", Role::View, to).expect("issued");
+    let problem = issue(&mut authority, "alice", Role::View, to).expect_err("there is one");
+    let problem = problem.to_string();
     assert!(problem.contains("keys rotate"), "{problem}");
     assert_eq!(authority.issued().len(), 1);
 }
 
 #[test]
-fn what_was_issued_is_on_record_with_its_state() {
-    let (directory, mut authority) = founded();
+fn issued_certificates_are_on_record_with_their_state() {
+    let (directory, mut authority) = created();
     let (to, now) = (directory.path(), OffsetDateTime::now_utc());
     for name in ["alice", "bob", "carol"] {
-        authority
-            .issue((name, Role::Operate), &[], 2, to, now)
-            .expect("issued");
+        issue(&mut authority, name, Role::Operate, to).expect("issued");
     }
     let bob = authority.issued()[1].serial.clone();
     assert_eq!(authority.revoke(&bob, now).expect("revoked").len(), 1);
@@ -96,6 +106,7 @@
         authority
             .revoke("dave", now)
             .expect_err("nobody")
+            .to_string()
             .contains("there are alice, bob, carol")
     );
     let again = Authority::open(&to.join("keys")).expect("an authority");
@@ -104,39 +115,49 @@
             .issued()
             .iter()
             .map(|issued| issued.state(now))
-            .collect::<Vec<State>>()
+            .collect::<Vec<CertificateState>>()
     };
-    assert_eq!(states(now), [State::Valid, State::Revoked, State::Valid]);
+    assert_eq!(
+        states(now),
+        [
+            CertificateState::Valid,
+            CertificateState::Revoked,
+            CertificateState::Valid
+        ]
+    );
     assert_eq!(
         states(now + Duration::days(3)),
-        [State::Expired, State::Revoked, State::Expired]
+        [
+            CertificateState::Expired,
+            CertificateState::Revoked,
+            CertificateState::Expired
+        ]
     );
 }
 
 #[test]
-fn names_and_spans_that_make_no_sense_are_refused() {
-    let (directory, mut authority) = founded();
+fn invalid_names_and_validities_are_rejected() {
+    let (directory, mut authority) = created();
     let (to, now) = (directory.path(), OffsetDateTime::now_utc());
     for name in ["", "../alice", "a b", "shop-*", ".alice", "a/b"] {
         assert!(
-            authority
-                .issue((name, Role::View), &[], 2, to, now)
-                .is_err(),
+            issue(&mut authority, name, Role::View, to).is_err(),
             "{name:?}"
         );
     }
     for days in [0, 40_000] {
-        assert!(
-            authority
-                .issue(("alice", Role::View), &[], days, to, now)
-                .is_err(),
-            "{days}"
-        );
+        let request = CertificateRequest {
+            name: "alice",
+            role: Role::View,
+            hosts: &[],
+            days,
+        };
+        assert!(authority.issue(request, to, now).is_err(), "{days}");
     }
     assert!(
-        authority
-            .issue(("agent", Role::Agent), &[], 2, to, now)
+        issue(&mut authority, "agent", Role::Agent, to)
             .expect_err("no host")
+            .to_string()
             .contains("--host")
     );
     assert_eq!(authority.issued().len(), 0);
--- a/crates/sidecar/src/agent_link/connection.rs
+++ b/crates/sidecar/src/agent_link/connection.rs
@@ -10,7 +10,7 @@
 use madderloom_control_plane::settings::Overlay;
 use madderloom_control_plane::{Instance, Memory};
 use madderloom_endpoint_sharing::{EndpointListReports, EndpointListUpdates, Offer};
-use madderloom_pki::{Files, Keyring, Role};
+use madderloom_pki::{KeyFiles, Keyring, Role};
 use madderloom_quota_leases::{Grant, LeaseRequests};
 use std::hash::{BuildHasher, RandomState};
 use std::rc::Weak;
@@ -23,7 +23,7 @@
 const KEY_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Loads the keys, and makes a client for reports and one for the watch.
-fn clients(agent: &str, files: &Files) -> Result<(Arc<Keyring>, Client, Client), String> {
+fn clients(agent: &str, files: &KeyFiles) -> Result<(Arc<Keyring>, Client, Client), String> {
     let keyring = Keyring::load(files.clone())?;
     let client = || Client::with(agent, &keyring);
     let (reports, watch) = (client()?, client()?);
@@ -36,7 +36,7 @@
     control: madderloom_operator_config::Control,
     traits: watch::Receiver<Traits>,
 ) {
-    let files = Files {
+    let files = KeyFiles {
         authority: control.authority.clone(),
         certificate: control.certificate.clone(),
         key: control.key.clone(),
@@ -56,7 +56,10 @@
         }
         tokio::time::sleep(KEY_CHECK_INTERVAL).await;
     };
-    if keyring.own().is_none_or(|own| own.role != Role::Instance) {
+    if keyring
+        .own_identity()
+        .is_none_or(|own| own.role != Role::Instance)
+    {
         tracing::warn!(
             "control: {}: is not for an instance; the agent will turn it away",
             files.certificate.display()
@@ -100,7 +103,7 @@
 }
 
 /// Loads renewed keys. They are read only where a file has changed.
-async fn follow_files(keyring: &Keyring, files: &Files) {
+async fn follow_files(keyring: &Keyring, files: &KeyFiles) {
     let stamp = || {
         let all = [&files.authority, &files.certificate, &files.key];
         all.map(|file| {
