--- a/crates/lab/examples/warm_restart.rs
+++ b/crates/lab/examples/warm_restart.rs
@@ -12,7 +12,9 @@
 use madderloom_lab::experiment::{Arm, Experiment, Fault, FaultKind};
 use madderloom_lab::policy::{Policy, Start};
 use madderloom_lab::{shipped, virtual_time};
-use madderloom_sidecar_state::{Aging, ClassMemory, ServerMemory as Kept, Warm, blend};
+use madderloom_sidecar_state::{
+    ClassSnapshot, Means, ServerSnapshot, SnapshotDecay, WarmStartSnapshot, blend,
+};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::ops::ControlFlow;
@@ -21,14 +23,14 @@
 const EVERY: Micros = 5_000_000;
 const KILLED: Span = Span::s(40);
 const AWAY: Span = Span::ms(500);
-const AGING: Aging = Aging {
-    half: 30_000_000,
-    oldest: 300_000_000,
+const DECAY: SnapshotDecay = SnapshotDecay {
+    half_life: 30_000_000,
+    max_age: 300_000_000,
 };
 const SEEDS: u64 = 30;
 
 /// The last snapshot of each instance.
-type Store = Rc<RefCell<BTreeMap<u32, (Warm, Vec<ServerMemory>)>>>;
+type Store = Rc<RefCell<BTreeMap<u32, (WarmStartSnapshot, Vec<ServerMemory>)>>>;
 
 /// The decision module with what a sidecar does of the warm start around it.
 struct Warmed {
@@ -47,7 +49,7 @@
         let Some((warm, servers)) = store.get(&self.instance) else {
             return Vec::new();
         };
-        let recalled = warm.recall(now + self.older, AGING);
+        let recalled = warm.decayed(now + self.older, DECAY);
         if recalled.weight == 0.0 {
             return Vec::new();
         }
@@ -58,12 +60,14 @@
             ..guess.clone()
         };
         for (class, kept) in memory.classes.iter_mut().zip(&recalled.classes) {
-            (class.usual, class.slow) =
-                (mixed(class.usual, kept.cost), mixed(class.slow, kept.slow));
+            (class.usual, class.slow) = (
+                mixed(class.usual, kept.usual_work),
+                mixed(class.slow, kept.slow_time),
+            );
         }
         memory.means = (
-            mixed(guess.means.0, recalled.means.0),
-            mixed(guess.means.1, recalled.means.1),
+            mixed(guess.means.0, recalled.means.work),
+            mixed(guess.means.1, recalled.means.answer_time),
         );
         self.inner.recall_classes(&memory);
         let faded = servers
@@ -71,10 +75,10 @@
             .zip(&recalled.servers)
             .map(|(server, kept)| ServerMemory {
                 work: kept.work,
-                time: kept.time,
-                failures: kept.failures,
-                ejected: kept.ejected,
-                ejection: kept.ejection,
+                time: kept.attempt_time,
+                failures: kept.consecutive_failures,
+                ejected: kept.ejection_left,
+                ejection: kept.ejection_time,
                 ..*server
             });
         faded.collect()
@@ -82,26 +86,26 @@
 
     fn write(&self, now: Micros) {
         let memory = self.inner.memory(now);
-        let server = |s: &ServerMemory| Kept {
+        let server = |s: &ServerMemory| ServerSnapshot {
             name: s.server.0.to_string(),
             work: s.work,
-            time: s.time,
-            failures: s.failures,
-            ejected: s.ejected,
-            ejection: s.ejection,
-            ..Kept::default()
+            attempt_time: s.time,
+            consecutive_failures: s.failures,
+            ejection_left: s.ejected,
+            ejection_time: s.ejection,
+            ..ServerSnapshot::default()
         };
-        let warm = Warm {
-            taken: now,
-            means: memory.means,
+        let warm = WarmStartSnapshot {
+            taken_at: now,
+            means: Means::from(memory.means),
             servers: memory.servers.iter().map(server).collect(),
             classes: memory
                 .classes
                 .iter()
-                .map(|class| ClassMemory {
+                .map(|class| ClassSnapshot {
                     name: String::new(),
-                    cost: class.usual,
-                    slow: class.slow,
+                    usual_work: class.usual,
+                    slow_time: class.slow,
                 })
                 .collect(),
         };
--- a/crates/operator-config/src/pools.rs
+++ b/crates/operator-config/src/pools.rs
@@ -8,7 +8,7 @@
 use madderloom_config_reader::Document;
 use madderloom_degradation::section::{Checked, ClassFacts, Section as LevelsSection};
 use madderloom_graphql::{ClassInfo, Policy};
-use madderloom_sidecar_state::Mode;
+use madderloom_sidecar_state::IdempotencyMode;
 use serde::{Deserialize, Deserializer};
 use std::net::SocketAddr;
 
@@ -24,7 +24,7 @@
     limits: MemberSection,
     levels: Option<LevelsSection>,
     graphql: Option<madderloom_graphql::Section>,
-    ledger: Option<Mode>,
+    ledger: Option<IdempotencyMode>,
     warm_start: Option<bool>,
 }
 
--- a/crates/operator-config/src/state.rs
+++ b/crates/operator-config/src/state.rs
@@ -1,7 +1,7 @@
 //! `[state]`: what outlasts the process, and where. Without the section nothing does.
 
 use madderloom_config_reader::{Document, Span};
-use madderloom_sidecar_state::{Aging, Mode, Rules};
+use madderloom_sidecar_state::{IdempotencyLimits, IdempotencyMode, SnapshotDecay};
 use serde::Deserialize;
 use std::path::PathBuf;
 
@@ -10,7 +10,7 @@
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Section {
     dir: Option<PathBuf>,
-    ledger: Option<Mode>,
+    ledger: Option<IdempotencyMode>,
     warm_start: bool,
     ids: Option<Vec<String>>,
     window: Option<Span>,
@@ -31,18 +31,18 @@
     /// identity. Usually `Idempotency-Key`, then `X-Trace-Id`.
     pub ids: Vec<String>,
     /// How long entries of the ledger last, and how many there may be. Usually 5 minutes and 200,000.
-    pub rules: Rules,
+    pub rules: IdempotencyLimits,
     /// Between two snapshots for the warm start. Usually 5 s.
     pub warm_every: Span,
     /// How what was measured loses weight. Usually half of it in 30 s, and all beyond 5 minutes.
-    pub aging: Aging,
+    pub aging: SnapshotDecay,
 }
 
 /// What is kept of a pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Kept {
     /// Of submissions.
-    pub ledger: Mode,
+    pub ledger: IdempotencyMode,
     /// Whether what was measured of its servers is.
     pub warm_start: bool,
 }
@@ -50,7 +50,7 @@
 /// What a pool says of it.
 #[derive(Clone, Copy)]
 pub(crate) struct PoolSection {
-    pub(crate) ledger: Option<Mode>,
+    pub(crate) ledger: Option<IdempotencyMode>,
     pub(crate) warm_start: Option<bool>,
 }
 
@@ -116,14 +116,14 @@
                 warm_start,
             },
             ids: ids.iter().map(|name| name.to_ascii_lowercase()).collect(),
-            rules: Rules {
-                window: window.micros(),
-                most: entries as usize,
+            rules: IdempotencyLimits {
+                retention: window.micros(),
+                max_records: entries as usize,
             },
             warm_every,
-            aging: Aging {
-                half: half.micros(),
-                oldest: oldest.micros(),
+            aging: SnapshotDecay {
+                half_life: half.micros(),
+                max_age: oldest.micros(),
             },
         }
     }
@@ -135,7 +135,7 @@
 impl State {
     /// Whether what is held in memory of it fits into what the file grants.
     pub(crate) fn check_memory(&self, document: &mut Document<'_>, memory: Option<u64>) {
-        let bytes = (self.rules.most as u64).saturating_mul(ENTRY);
+        let bytes = (self.rules.max_records as u64).saturating_mul(ENTRY);
         document.require(
             memory.is_none_or(|memory| bytes <= memory / 2),
             "state.entries",
@@ -164,7 +164,7 @@
         let problem =
             "needs a directory; write one in [state], such as dir = \"/var/lib/madderloom\"";
         document.require(
-            there(kept.ledger != Mode::Off),
+            there(kept.ledger != IdempotencyMode::Off),
             &format!("{at}.ledger"),
             problem,
         );
--- a/crates/operator-config/tests/file.rs
+++ b/crates/operator-config/tests/file.rs
@@ -2,7 +2,7 @@
 
 use madderloom_config_reader::Problem;
 use madderloom_operator_config::{Admin, Bounds, Kept, Operator, parts};
-use madderloom_sidecar_state::Mode;
+use madderloom_sidecar_state::IdempotencyMode;
 use proptest::prelude::*;
 use rstest::rstest;
 use std::path::Path;
@@ -157,7 +157,7 @@
     let state = operator.state.expect("it is there");
     assert_eq!(state.ids, ["idempotency-key", "x-trace-id"]);
     assert_eq!(
-        (state.rules.window, state.rules.most),
+        (state.rules.retention, state.rules.max_records),
         (300_000_000, 200_000)
     );
     let kept = |ledger, warm_start| Kept { ledger, warm_start };
@@ -165,9 +165,9 @@
     assert_eq!(
         pools,
         [
-            kept(Mode::Relaxed, false),
-            kept(Mode::Durable, true),
-            kept(Mode::Relaxed, false)
+            kept(IdempotencyMode::Relaxed, false),
+            kept(IdempotencyMode::Durable, true),
+            kept(IdempotencyMode::Relaxed, false)
         ]
     );
 }
--- a/crates/sidecar-state/src/drains.rs
+++ b/crates/sidecar-state/src/drains.rs
@@ -1,69 +1,76 @@
-//! Operators' drains: servers that are to take no new work until an operator says otherwise.
+//! Drains: servers that get no new requests until an operator ends the drain.
 
 use madderloom_store::{Batch, File, Result, Snapshot};
 use serde::{Deserialize, Serialize};
 
-/// The most drains of a service that are read.
+/// The most drains of one service that are read.
 pub const MAX_DRAINS: usize = 16_384;
 
-const PREFIX: &str = "drain/";
+/// The beginning of every key of a drain: `drain/SERVICE\0SERVER`.
+const KEY_PREFIX: &str = "drain/";
 
-/// A server that an operator has drained. To be written durably, before the operator is told that it is done.
+/// A server that an operator has drained. Its batches have to be written durably before the operator gets an answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Drain {
-    /// The server's name, the same across restarts.
+    /// The server's name, which is the same across restarts.
     pub server: String,
-    /// Since when, in microseconds since 1970 by the machine's clock.
-    pub since: u64,
-    /// Who asked for it.
-    pub by: String,
-}
-
-fn prefix(service: &str) -> Vec<u8> {
-    format!("{PREFIX}{service}\0").into_bytes()
+    /// When the drain began: microseconds since 1970 by the machine's clock. 0 if it is not known.
+    #[serde(rename = "since")]
+    pub drained_at: u64,
+    /// The operator who requested it; empty if not known.
+    #[serde(rename = "by")]
+    pub requested_by: String,
 }
 
 impl Drain {
+    fn service_prefix(service: &str) -> Vec<u8> {
+        format!("{KEY_PREFIX}{service}\0").into_bytes()
+    }
+
     fn key(service: &str, server: &str) -> Vec<u8> {
-        [&prefix(service), server.as_bytes()].concat()
+        [&Drain::service_prefix(service), server.as_bytes()].concat()
     }
 
-    /// What is to be written to keep it.
-    pub fn keep(&self, service: &str) -> Batch {
+    /// The batch that stores the drain.
+    pub fn put_batch(&self, service: &str) -> Batch {
         let mut batch = Batch::new();
-        // Text and numbers always have a JSON form.
+        // Strings and integers always have a JSON form.
         let value = serde_json::to_vec(self).unwrap_or_default();
         batch.put(Drain::key(service, &self.server), value);
         batch
     }
 
-    /// What is to be written to end a server's.
-    pub fn end(service: &str, server: &str) -> Batch {
+    /// The batch that ends the drain of a server.
+    pub fn delete_batch(service: &str, server: &str) -> Batch {
         let mut batch = Batch::new();
         batch.delete(Drain::key(service, server));
         batch
     }
 
-    /// All drains of a service, by the servers' names. One whose record makes no sense still names its server: it
-    /// stays drained, by nobody known.
+    /// The stored drains of a service, by the servers' names; at most [`MAX_DRAINS`]. A server whose record cannot be read
+    /// remains drained, since an unknown time and by an unknown operator.
     ///
     /// # Errors
-    /// Where the store can't be read.
+    /// The store cannot be read.
     pub fn load<F: File>(snapshot: &Snapshot<F>, service: &str) -> Result<Vec<Drain>> {
-        let prefix = prefix(service);
-        let read = snapshot.scan(&prefix, 0).take(MAX_DRAINS).map(|entry| {
+        let prefix = Drain::service_prefix(service);
+        let entries = snapshot.scan(&prefix, 0).take(MAX_DRAINS);
+        let drains = entries.map(|entry| {
             let (key, value) = entry?;
-            let server =
-                String::from_utf8_lossy(key.get(prefix.len()..).unwrap_or_default()).into_owned();
-            let drain = serde_json::from_slice::<Drain>(&value)
-                .ok()
-                .filter(|d| d.server == server);
-            Ok(drain.unwrap_or(Drain {
-                server,
-                since: 0,
-                by: String::new(),
-            }))
+            let server = key.get(prefix.len()..).unwrap_or_default();
+            let server = String::from_utf8_lossy(server).into_owned();
+            Ok(Drain::parse(server, &value))
         });
-        read.collect()
+        drains.collect()
+    }
+
+    fn parse(server: String, value: &[u8]) -> Drain {
+        let drain = serde_json::from_slice::<Drain>(value).ok();
+        let drain = drain.filter(|drain| drain.server == server);
+        drain.unwrap_or(Drain {
+            server,
+            drained_at: 0,
+            requested_by: String::new(),
+        })
     }
 }
--- a/crates/sidecar-state/src/lib.rs
+++ b/crates/sidecar-state/src/lib.rs
@@ -1,17 +1,26 @@
-//! What a sidecar keeps across restarts, over the embedded store: which submissions were sent and answered
-//! ([`Ledger`]), what was measured of servers ([`Warm`]), and what operators have drained ([`Drain`]).
+//! What a sidecar keeps across restarts, in the embedded store:
 //!
-//! Nothing here does I/O: what is to be written comes out as a [`madderloom_store::Batch`], with the durability it
-//! asks for, and what is to be known goes in as a snapshot or a reader of a store. All users of one store share one
-//! clock for its expiries: [`Ledger::time`].
+//! - idempotency records: whether a request that must not run twice may have run ([`IdempotencyTracker`]),
+//! - warm-start snapshots: what was measured of servers and request classes ([`WarmStartSnapshot`]),
+//! - drains: the servers that operators have drained ([`Drain`]).
+//!
+//! The crate does no I/O of its own. What has to be written is returned as a [`madderloom_store::Batch`], with the
+//! durability that it needs; what has to be read is passed in as a snapshot or a reader of a store. All users of one store
+//! have to pass it the same time for its expiries: [`IdempotencyTracker::store_time`].
 
 mod drains;
-mod submissions;
-mod warm;
+mod error;
+mod idempotency;
+mod warm_start;
 
 pub use drains::{Drain, MAX_DRAINS};
-pub use submissions::{Begin, Id, Ledger, LongId, MAX_ID, MAX_SERVICE, Mode, Next, Rules, Was};
-pub use warm::{
-    Aging, ClassMemory, ListedMemory, MAX_CLASSES, MAX_NAME, MAX_SERVERS, Recalled, Recollection,
-    ServerMemory, Warm, WarmWriter, blend, recollect,
+pub use error::Error;
+pub use idempotency::{
+    Admission, IdempotencyKey, IdempotencyLimits, IdempotencyMode, IdempotencyTracker,
+    MAX_KEY_BYTES, MAX_SERVICE_NAME_BYTES, RecordState, WriteVerdict,
+};
+pub use warm_start::{
+    ClassSnapshot, DecayedSnapshot, ListedServer, MAX_CLASSES, MAX_NAME_BYTES, MAX_SERVERS, Means,
+    PendingSnapshot, RestoredService, ServerSnapshot, SnapshotDecay, SnapshotWriter,
+    WarmStartSnapshot, blend, restore_services,
 };
--- a/crates/sidecar/src/common.rs
+++ b/crates/sidecar/src/common.rs
@@ -5,13 +5,13 @@
 use super::connections::is_exhausted;
 use super::feed::Feed;
 use super::fleet_limits::FleetLimits;
-use super::ledger::Keeper;
 use super::levels::Processor;
 use super::limits::Bound;
 use super::listener::Listener;
 use super::pool::Steering;
 use super::service::Service;
 use super::shared_lists::SharedLists;
+use super::state_writer::StateWriter;
 use super::turns::{Account, Scheduler};
 use madderloom_admin::duty::Duty;
 use madderloom_balancer::Micros;
@@ -79,7 +79,7 @@
     /// What is set of servers beside their lists.
     pub(super) steering: RefCell<Steering>,
     /// What outlasts the process, where the operator file names a place for it.
-    pub(super) keeper: OnceCell<Rc<Keeper>>,
+    pub(super) state_writer: OnceCell<Rc<StateWriter>>,
     pub(super) processor: Processor,
     /// Fleet-wide limits, where the operator file has any.
     pub(super) fleet_limits: Rc<FleetLimits>,
@@ -175,7 +175,7 @@
             feed: Rc::default(),
             day: OnceCell::new(),
             steering: RefCell::default(),
-            keeper: OnceCell::new(),
+            state_writer: OnceCell::new(),
             processor: Processor::default(),
             fleet_limits: Rc::default(),
             shared_lists: SharedLists::default(),
--- a/crates/sidecar/src/flow.rs
+++ b/crates/sidecar/src/flow.rs
@@ -4,10 +4,10 @@
 use super::connections::NoConnection;
 use super::counts::count;
 use super::exchange::{self, Broken, Message, Progress, Taken, Whole};
-use super::ledger::{Entry, Gate};
 use super::passing::{Passing, Reply};
 use super::readiness;
 use super::service::Service;
+use super::state_writer::{IdempotencyRecord, WriteBarrier};
 use super::teller::EndedAttempt;
 use super::transaction::Answer;
 use super::upload::{self, Length, Upload};
@@ -61,7 +61,7 @@
     pub(super) unsafe_to_repeat: bool,
     pub(super) reading: Reading,
     /// Where its pool keeps a ledger of what must not run twice.
-    pub(super) entry: Option<Entry>,
+    pub(super) idempotency_record: Option<IdempotencyRecord>,
 }
 
 impl Onward {
@@ -157,13 +157,13 @@
 /// Makes the attempt. An answer is there if its outcome was that it was served, or where the ledger does not let it be
 /// sent; else the module has been told, and says what follows.
 pub(super) async fn run(mut attempt: Attempt, onward: Rc<Onward>) -> Option<Answer> {
-    if let Some(entry) = &onward.entry {
-        let gate = entry.pass().await;
-        if gate != Gate::Open {
+    if let Some(record) = &onward.idempotency_record {
+        let barrier = record.pass_barrier().await;
+        if barrier != WriteBarrier::Open {
             attempt.over.set(true);
             attempt.close(Outcome::Moot);
-            return Some(match gate {
-                Gate::MayHaveRun => Answer::Failed,
+            return Some(match barrier {
+                WriteBarrier::MayHaveRun => Answer::Failed,
                 _ => Answer::Refused {
                     retry_after: attempt.service.retry_after(),
                 },
--- a/crates/sidecar/src/graphql.rs
+++ b/crates/sidecar/src/graphql.rs
@@ -4,10 +4,10 @@
 use super::client::Client;
 use super::counts::count;
 use super::flow::{Onward, Reading};
-use super::ledger::Entry;
 use super::listener::Listener;
 use super::passing::Reply as Body;
 use super::service::Service;
+use super::state_writer::IdempotencyRecord;
 use super::transaction::{self, Answer};
 use super::upload::Upload;
 use super::virtual_server::{
@@ -194,12 +194,12 @@
                 .is_some_and(|second| second == "1"),
         };
         let is_unsafe = classed.effect == Effect::Unsafe;
-        let entry = if is_unsafe {
-            Entry::of(service, &headers, part)
+        let idempotency_record = if is_unsafe {
+            IdempotencyRecord::for_request(service, &headers, part)
         } else {
             Ok(None)
         };
-        let entry = entry
+        let idempotency_record = idempotency_record
             .map_err(|_| Fault::bad("the id of what must not run twice is over 1,024 bytes"))?;
         let onward = Onward {
             client: Rc::clone(self.client),
@@ -211,7 +211,7 @@
             reading: Reading::Graphql {
                 hash_only: message.hash_only,
             },
-            entry,
+            idempotency_record,
         };
         match transaction::run(service, now, new, Rc::new(onward)).await {
             Answer::Served(response) => {
--- a/crates/sidecar/src/levels.rs
+++ b/crates/sidecar/src/levels.rs
@@ -1,8 +1,8 @@
 //! The levels of a service at work: their signals are gathered, the module is told of changes, and operators' orders
 //! are taken. What is decided is decided in `madderloom_degradation`.
 
-use super::ledger::ORDERS;
 use super::service::Service;
+use super::state_writer::LEVEL_ORDERS_PREFIX;
 use madderloom_balancer::{Event, Micros, Reduced};
 use madderloom_config_reader::Span;
 use madderloom_degradation::gauge::Outside;
@@ -203,11 +203,11 @@
 
 /// The orders on a service's level that were written down and have not ended. What can't be read is told and left.
 fn kept_orders(service: &Service, now: Micros) -> Vec<Order> {
-    let Some(state) = service.common.keeper.get() else {
+    let Some(state) = service.common.state_writer.get() else {
         return Vec::new();
     };
     let read = state
-        .orders
+        .level_orders
         .borrow()
         .get(&service.name)
         .map(|kept| serde_json::from_slice(kept));
@@ -228,7 +228,7 @@
 
 /// Writes a pool's orders down, where the file has a `[state]`.
 pub(super) async fn keep_orders(service: &Service) -> Result<(), String> {
-    let Some(state) = service.common.keeper.get() else {
+    let Some(state) = service.common.state_writer.get() else {
         return Ok(());
     };
     let orders = service
@@ -236,14 +236,17 @@
         .borrow()
         .as_ref()
         .map_or_else(Vec::new, |k| k.levels().orders().to_vec());
-    let (key, mut batch) = (format!("{ORDERS}{}", service.name), Batch::new());
+    let (key, mut batch) = (
+        format!("{LEVEL_ORDERS_PREFIX}{}", service.name),
+        Batch::new(),
+    );
     if orders.is_empty() {
         batch.delete(key);
-        state.orders.borrow_mut().remove(&service.name);
+        state.level_orders.borrow_mut().remove(&service.name);
     } else {
         let value = serde_json::to_vec(&orders).map_err(|e| e.to_string())?;
         state
-            .orders
+            .level_orders
             .borrow_mut()
             .insert(service.name.clone(), value.clone());
         batch.put(key, value);
--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -12,7 +12,7 @@
 use madderloom_balancer::{Event, Listed, Members, Micros, ServerId, ServerState};
 use madderloom_endpoint_sharing::first_discovery_wait;
 use madderloom_operator_config::Server;
-use madderloom_sidecar_state::{ListedMemory, ServerMemory};
+use madderloom_sidecar_state::{ListedServer, ServerSnapshot};
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
@@ -67,18 +67,20 @@
     }
 
     /// Servers as an earlier process knew them. Their list is of no version, so discovery is asked for all of it.
-    fn remembered(servers: Vec<ServerMemory>) -> Self {
-        let endpoint = |server: ServerMemory| {
+    fn remembered(servers: Vec<ServerSnapshot>) -> Self {
+        let endpoint = |server: ServerSnapshot| {
             let listed = server.listed?;
             Some(Endpoint {
                 name: server.name.into(),
                 address: listed.address,
                 zone: listed.zone,
-                kind: listed.kind,
+                kind: listed.machine_type,
                 group: listed.group,
                 status: Status::InService,
                 weight: listed.weight,
-                since_ms: server.started.map_or(0, |started| started / 1_000),
+                since_ms: server
+                    .incarnation_started_at
+                    .map_or(0, |started| started / 1_000),
             })
         };
         let endpoints = servers
@@ -313,7 +315,7 @@
     }
 
     /// The servers that take new work, as the next process is to know them until its list has come.
-    pub(super) fn listed_memories(&self) -> BTreeMap<ServerId, ServerMemory> {
+    pub(super) fn server_snapshots(&self) -> BTreeMap<ServerId, ServerSnapshot> {
         let (members, names) = (self.members.borrow(), self.names.borrow());
         let ready = members
             .iter()
@@ -321,21 +323,21 @@
         let memory = |(id, m): (&ServerId, &Member)| {
             let (listed, address) = (&m.listed, m.address);
             let (zone, kind) = places(&names, listed);
-            let as_listed = ListedMemory {
+            let as_listed = ListedServer {
                 address,
                 zone,
-                kind,
+                machine_type: kind,
                 group: listed.cell,
                 weight: listed.capacity,
             };
             let (name, started) = (m.name.to_string(), unix(m.since_ms));
             (
                 *id,
-                ServerMemory {
+                ServerSnapshot {
                     name,
                     listed: Some(as_listed),
-                    started,
-                    ..ServerMemory::default()
+                    incarnation_started_at: started,
+                    ..ServerSnapshot::default()
                 },
             )
         };
--- a/crates/sidecar/src/process.rs
+++ b/crates/sidecar/src/process.rs
@@ -7,12 +7,12 @@
 use super::config::{Config, Keys, allowed_descriptors};
 use super::feed::FOLLOWERS;
 use super::kept::keep_going;
-use super::ledger::Keeper;
 use super::listener::{Listener, Manner, Socket, bind};
 use super::routing::Routing;
 use super::second_address;
 use super::service::{Parts, Service, Spec};
-use super::warm;
+use super::state_writer::StateWriter;
+use super::warm_start;
 use madderloom_balancer::Micros;
 use madderloom_operator_config::{Kept, MemberLimits, Operator, PLATFORM};
 use madderloom_routing::shares::Part;
@@ -104,10 +104,10 @@
         let state = own.and_then(|operator| operator.state.clone());
         let kept = state.as_ref().map(|state| state.usual).unwrap_or_default();
         if let Some((state, (file, _))) = state.zip(operator.as_ref()) {
-            let keeper =
-                Keeper::open(state).map_err(|problem| format!("{}: {problem}", file.display()))?;
-            watchdog::spawn(TaskKind::State, Rc::clone(&keeper).run());
-            common.keeper.get_or_init(|| keeper);
+            let writer = StateWriter::open(state)
+                .map_err(|problem| format!("{}: {problem}", file.display()))?;
+            watchdog::spawn(TaskKind::State, Rc::clone(&writer).process_withdrawals());
+            common.state_writer.get_or_init(|| writer);
         }
         let name = match (&config, own) {
             (_, Some(operator)) if !operator.process.name.is_empty() => {
@@ -159,8 +159,8 @@
         if let Some(scheduler) = &self.common.scheduler {
             watchdog::spawn(TaskKind::FairQueue, Rc::clone(scheduler).run());
         }
-        let warm = self.common.keeper.get().map(|keeper| {
-            let writing = warm::run(Rc::clone(&self.common), Rc::clone(keeper));
+        let warm = self.common.state_writer.get().map(|writer| {
+            let writing = warm_start::run(Rc::clone(&self.common), Rc::clone(writer));
             watchdog::spawn(TaskKind::WarmState, writing).abort_handle()
         });
         stop.await;
@@ -180,10 +180,10 @@
             self.common.ended.notified().await;
         }
         self.admin.take();
-        if let Some(keeper) = self.common.keeper.get() {
+        if let Some(writer) = self.common.state_writer.get() {
             warm.inspect(AbortHandle::abort);
-            warm::write(&self.common, keeper).await;
-            keeper.close();
+            warm_start::write(&self.common, writer).await;
+            writer.close();
         }
         Ok(())
     }
--- a/crates/sidecar/src/promises.rs
+++ b/crates/sidecar/src/promises.rs
@@ -150,7 +150,7 @@
             settings::MOST_SETTINGS,
         ),
         (
-            "ledger/src/warm.rs",
+            "sidecar-state/src/warm_start/snapshot.rs",
             "MAX_SERVERS",
             madderloom_sidecar_state::MAX_SERVERS,
         ),
--- a/crates/sidecar/src/reload.rs
+++ b/crates/sidecar/src/reload.rs
@@ -72,14 +72,14 @@
         if self.platform.is_none() {
             stands_alone(&operator)?;
         }
-        match (self.common.keeper.get(), &operator.state) {
+        match (self.common.state_writer.get(), &operator.state) {
             (None, None) => {}
             (None, Some(_)) => {
                 return Err(
                     "state: takes effect with a restart; take it out or restart".to_string()
                 );
             }
-            (Some(keeper), state) => keeper.may_change(state.as_ref())?,
+            (Some(writer), state) => writer.check_reconfiguration(state.as_ref())?,
         }
         let prepared = self.prepare(&operator)?;
         let mut made = Vec::new();
@@ -167,8 +167,8 @@
             Some(&operator),
             self.platform.is_some(),
         ));
-        if let Some((keeper, state)) = self.common.keeper.get().zip(operator.state.clone()) {
-            keeper.change(state);
+        if let Some((writer, state)) = self.common.state_writer.get().zip(operator.state.clone()) {
+            writer.reconfigure(state);
         }
         made.reverse();
         let mut services = Vec::new();
--- a/crates/sidecar/src/service.rs
+++ b/crates/sidecar/src/service.rs
@@ -14,7 +14,7 @@
 use super::transaction::{Step, Steps};
 use super::tuned::Tuned;
 use super::turns::Charged;
-use super::warm::Remembered;
+use super::warm_start::WarmStart;
 use foldhash::quality::FixedState;
 use hyper::header::HeaderValue;
 use madderloom_balancer::settings::Site;
@@ -90,7 +90,7 @@
     /// What of it outlasts the process.
     pub(super) kept: Cell<Kept>,
     /// What an earlier process measured of servers that are not listed yet.
-    remembered: RefCell<Remembered>,
+    warm_start: RefCell<WarmStart>,
     /// A request has ended.
     idle: Notify,
     leaving: Cell<bool>,
@@ -150,7 +150,7 @@
             charged,
             counts,
             kept: Cell::new(kept),
-            remembered: RefCell::default(),
+            warm_start: RefCell::default(),
             idle: Notify::new(),
             leaving: Cell::new(false),
             tasks: RefCell::default(),
@@ -303,35 +303,35 @@
 
     /// Begins with what an earlier process measured of classes, and keeps the rest until servers are listed.
     fn recall_classes(&self) {
-        let Some(keeper) = self
+        let Some(writer) = self
             .common
-            .keeper
+            .state_writer
             .get()
             .filter(|_| self.kept.get().warm_start)
         else {
             return;
         };
-        let remembered = Remembered::of(keeper, &self.name);
+        let warm_start = WarmStart::of(writer, &self.name);
         let begun = self.memory(self.common.clock.now());
-        if let Some(memory) = remembered.classes(keeper, self, &begun) {
+        if let Some(memory) = warm_start.classes(writer, self, &begun) {
             self.balancer.borrow_mut().recall_classes(&memory);
         }
-        self.remembered.replace(remembered);
+        self.warm_start.replace(warm_start);
     }
 
     /// Servers were listed: what was measured of them before is given to the module.
     pub(super) fn recall_servers(&self, now: Micros) {
-        if let Some(keeper) = self.common.keeper.get() {
+        if let Some(writer) = self.common.state_writer.get() {
             let take = |memory: &_| self.balancer.borrow_mut().recall_server(now, memory);
-            self.remembered.borrow_mut().servers(keeper, take);
+            self.warm_start.borrow_mut().servers(writer, take);
         }
     }
 
     /// The servers as an earlier process knew them.
-    pub(super) fn remembered_servers(&self) -> Vec<madderloom_sidecar_state::ServerMemory> {
-        let keeper = self.common.keeper.get();
-        keeper
-            .map(|keeper| self.remembered.borrow().listed(keeper))
+    pub(super) fn remembered_servers(&self) -> Vec<madderloom_sidecar_state::ServerSnapshot> {
+        let writer = self.common.state_writer.get();
+        writer
+            .map(|writer| self.warm_start.borrow().listed(writer))
             .unwrap_or_default()
     }
 
--- /dev/null
+++ b/crates/sidecar/src/state_writer/opening.rs
@@ -0,0 +1,43 @@
+//! Opening the store of a directory, and which failures of that last.
+
+use madderloom_store::{Batch, Durability, Error, Options, RealDisk, Store};
+use std::io::ErrorKind;
+use std::path::Path;
+use std::time::UNIX_EPOCH;
+
+/// The key of the time of the last start.
+const START_KEY: &str = "start";
+
+/// Opens the store and writes to it, so that a problem with the directory shows at the start.
+pub(super) fn open_store(dir: &Path) -> Result<Store<RealDisk>, Error> {
+    let disk = RealDisk::open(dir).map_err(|error| Error::Io {
+        file: "directory".to_string(),
+        kind: error.kind(),
+        problem: error.to_string(),
+    })?;
+    let mut store = Store::open(disk, Options::default())?;
+    let started_at = UNIX_EPOCH.elapsed().unwrap_or_default().as_secs();
+    let mut start = Batch::new();
+    start.put(START_KEY, started_at.to_string());
+    match store.write(&start, Durability::Durable) {
+        Err(error) if is_lasting(&error) => Err(error),
+        // The disk is full or fails: what it holds can be read, and it may recover.
+        _ => Ok(store),
+    }
+}
+
+/// Whether an operator has to remove the cause before the program can start. A disk that fails at one time and not at
+/// another must not prevent a start.
+pub(super) fn is_lasting(error: &Error) -> bool {
+    use ErrorKind::{NotADirectory, NotFound, PermissionDenied, ReadOnlyFilesystem};
+    match error {
+        Error::Io { kind, .. } => {
+            matches!(
+                kind,
+                NotADirectory | NotFound | PermissionDenied | ReadOnlyFilesystem
+            )
+        }
+        Error::Damaged(_) | Error::Newer { .. } | Error::Locked => true,
+        _ => false,
+    }
+}
--- a/crates/sidecar/src/transaction.rs
+++ b/crates/sidecar/src/transaction.rs
@@ -241,8 +241,8 @@
             self.service
                 .tell(|teller| teller.turned_away(self.service.common.clock.now(), server));
         }
-        if let Some(entry) = &onward.entry {
-            entry.end(&answer);
+        if let Some(record) = &onward.idempotency_record {
+            record.answered(&answer);
         }
         let (aim, given_up) = (self.aim, self.given_up);
         self.tell(|elapsed| match &answer {
--- a/crates/sidecar/src/view.rs
+++ b/crates/sidecar/src/view.rs
@@ -63,7 +63,7 @@
                 "open": all(&bounds.open_by_pool),
                 "bodies": all(&bounds.bodies_by_pool),
             },
-            "state": common.keeper.get().map(|keeper| keeper.view()),
+            "state": common.state_writer.get().map(|writer| writer.view()),
             "connections": {
                 "parked": common.clients.get() - common.served_clients.get(),
                 "served": common.served_clients.get(),
--- a/crates/sidecar/src/virtual_server.rs
+++ b/crates/sidecar/src/virtual_server.rs
@@ -7,12 +7,12 @@
 use super::fleet_limits::LetIn;
 use super::flow::{Onward, Reading};
 use super::graphql;
-use super::ledger::Entry;
 use super::limits::Full;
 use super::listener::{Listener, Manner};
 use super::passing::{HeldByAnswer, Reply};
 use super::routing::{ClassFrom, Routing};
 use super::service::Service;
+use super::state_writer::IdempotencyRecord;
 use super::transaction::{self, Answer};
 use super::tuned::ClassEntry;
 use super::upload::{self, Length, Room};
@@ -163,12 +163,12 @@
         .is_none_or(|class| class.effect() == Effect::Unsafe);
     let aim = service.aim(&new);
     let reading = Reading::Plain;
-    let ledgered = if unsafe_to_repeat {
-        Entry::of(&service, &head.headers, None)
+    let idempotency_record = if unsafe_to_repeat {
+        IdempotencyRecord::for_request(&service, &head.headers, None)
     } else {
         Ok(None)
     };
-    let Ok(ledgered) = ledgered else {
+    let Ok(idempotency_record) = idempotency_record else {
         count(&counts.senseless);
         return rejected(LONG_ID);
     };
@@ -182,7 +182,7 @@
         body,
         unsafe_to_repeat,
         reading,
-        entry: ledgered,
+        idempotency_record,
     };
     let onward = Rc::new(onward);
     let answer = transaction::run(&service, now, new, Rc::clone(&onward)).await;
--- /dev/null
+++ b/crates/sidecar/src/warm_start.rs
@@ -0,0 +1,216 @@
+//! The warm start: what the balancer has measured is written to the store every few seconds and at a graceful shutdown, and
+//! is used after a restart, weighted by its age.
+
+use super::common::Common;
+use super::service::Service;
+use super::state_writer::StateWriter;
+use madderloom_balancer::{Memory, Micros, ServerId, ServerMemory};
+use madderloom_sidecar_state::{
+    ClassSnapshot, DecayedSnapshot, Means, PendingSnapshot, RestoredService, ServerSnapshot,
+    SnapshotWriter, WarmStartSnapshot, blend,
+};
+use madderloom_store::Durability;
+use std::collections::{BTreeMap, BTreeSet};
+use std::rc::Rc;
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+
+/// The snapshot of an earlier process, as far as it is not used yet.
+#[derive(Default)]
+pub(super) struct WarmStart {
+    snapshot: Option<WarmStartSnapshot>,
+    /// The servers that were not listed yet since the start.
+    unlisted: BTreeSet<ServerId>,
+}
+
+/// The machine's clock, in microseconds since 1970: the only clock that runs while the program does not.
+fn unix_now() -> u64 {
+    let since = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
+    u64::try_from(since.as_micros()).unwrap_or(u64::MAX)
+}
+
+/// What the balancer takes in of a server's snapshot.
+fn memory_of(server: ServerId, snapshot: &ServerSnapshot) -> ServerMemory {
+    ServerMemory {
+        server,
+        started: snapshot.incarnation_started_at,
+        work: snapshot.work,
+        time: snapshot.attempt_time,
+        failures: snapshot.consecutive_failures,
+        ejected: snapshot.ejection_left,
+        ejection: snapshot.ejection_time,
+    }
+}
+
+impl WarmStart {
+    /// What an earlier process has stored of a pool that has a warm start. Each snapshot is handed out once.
+    pub(super) fn of(writer: &StateWriter, pool: &str) -> Self {
+        let mut restored_services = writer.restored_services.borrow_mut();
+        let snapshot = restored_services
+            .get_mut(pool)
+            .and_then(|restored| restored.snapshot.take());
+        let servers = snapshot.iter().flat_map(|snapshot| &snapshot.servers);
+        let unlisted = servers
+            .map(|server| ServerId::named(&server.name))
+            .collect();
+        WarmStart { snapshot, unlisted }
+    }
+
+    /// The snapshot at its present age; none if it has no weight any more.
+    fn decayed(&self, writer: &StateWriter) -> Option<DecayedSnapshot> {
+        let decay = writer.state().aging;
+        let decayed = self.snapshot.as_ref()?.decayed(unix_now(), decay);
+        (decayed.weight > 0.0).then_some(decayed)
+    }
+
+    /// The servers as they were listed; none if the snapshot is too old.
+    pub(super) fn listed(&self, writer: &StateWriter) -> Vec<ServerSnapshot> {
+        self.decayed(writer)
+            .map(|decayed| decayed.servers)
+            .unwrap_or_default()
+    }
+
+    /// What was measured of request classes and over all requests, blended into what the balancer assumes at a start.
+    pub(super) fn classes(
+        &self,
+        writer: &StateWriter,
+        service: &Service,
+        assumed: &Memory,
+    ) -> Option<Memory> {
+        let DecayedSnapshot {
+            weight,
+            classes,
+            means,
+            ..
+        } = self.decayed(writer)?;
+        let blended = |assumed: f64, stored: f64| blend(assumed, stored, weight);
+        let mut memory = assumed.clone();
+        for (class, name) in memory.classes.iter_mut().zip(&service.tuned().site.classes) {
+            if let Some(stored) = classes.iter().find(|stored| stored.name == *name) {
+                class.usual = blended(class.usual, stored.usual_work);
+                class.slow = blended(class.slow, stored.slow_time);
+            }
+        }
+        memory.means = (
+            blended(assumed.means.0, means.work),
+            blended(assumed.means.1, means.answer_time),
+        );
+        Some(memory)
+    }
+
+    /// Passes each server that was not listed yet to `recall`, which returns whether it has taken the server.
+    pub(super) fn servers(
+        &mut self,
+        writer: &StateWriter,
+        mut recall: impl FnMut(&ServerMemory) -> bool,
+    ) {
+        if self.unlisted.is_empty() {
+            return;
+        }
+        let Some(DecayedSnapshot { servers, .. }) = self.decayed(writer) else {
+            *self = WarmStart::default();
+            return;
+        };
+        for server in &servers {
+            let id = ServerId::named(&server.name);
+            if self.unlisted.contains(&id) && recall(&memory_of(id, server)) {
+                self.unlisted.remove(&id);
+            }
+        }
+    }
+}
+
+/// Writes snapshots for as long as the process serves.
+pub(super) async fn run(common: Rc<Common>, writer: Rc<StateWriter>) {
+    delete_unused(&common, &writer).await;
+    loop {
+        tokio::time::sleep(Duration::from_micros(writer.state().warm_every.micros())).await;
+        write(&common, &writer).await;
+    }
+}
+
+/// Deletes the snapshots of services that have no warm start any more.
+async fn delete_unused(common: &Common, writer: &StateWriter) {
+    let mut batches = Vec::new();
+    writer
+        .restored_services
+        .borrow_mut()
+        .retain(|name, restored| {
+            let services = common.services.borrow();
+            let is_used = services
+                .iter()
+                .any(|service| service.name == *name && service.kept.get().warm_start);
+            if !is_used {
+                batches.push(restored.writer.delete_batch());
+            }
+            is_used
+        });
+    for batch in batches {
+        // What cannot be deleted now is deleted at the next start.
+        let _ = writer.write(batch, Durability::Relaxed).await;
+    }
+}
+
+/// Writes one snapshot of each service that has a warm start.
+pub(super) async fn write(common: &Common, writer: &StateWriter) {
+    let services = common.services.borrow().clone();
+    for service in services
+        .iter()
+        .filter(|service| service.kept.get().warm_start && !service.is_leaving())
+    {
+        let mut pending = prepare(writer, service);
+        let batch = std::mem::take(&mut pending.batch);
+        // If it is not written, the next snapshot contains all changes since the last one that was.
+        if writer.write(batch, Durability::Relaxed).await.is_ok()
+            && let Some(restored) = writer.restored_services.borrow_mut().get_mut(&service.name)
+        {
+            restored.writer.set_written(pending);
+        }
+    }
+}
+
+/// The changes that store a snapshot of a service.
+fn prepare(writer: &StateWriter, service: &Service) -> PendingSnapshot {
+    let mut restored_services = writer.restored_services.borrow_mut();
+    let restored = restored_services
+        .entry(service.name.clone())
+        .or_insert_with(|| RestoredService {
+            snapshot: None,
+            writer: SnapshotWriter::empty(&service.name),
+        });
+    restored.writer.prepare(&take_snapshot(service))
+}
+
+fn take_snapshot(service: &Service) -> WarmStartSnapshot {
+    let now: Micros = service.common.clock.now();
+    let memory = service.memory(now);
+    let measured: BTreeMap<ServerId, &ServerMemory> =
+        memory.servers.iter().map(|s| (s.server, s)).collect();
+    let mut servers = service.pool.server_snapshots();
+    for (id, server) in &mut servers {
+        if let Some(measured) = measured.get(id) {
+            server.incarnation_started_at = measured.started;
+            server.work = measured.work;
+            server.attempt_time = measured.time;
+            server.consecutive_failures = measured.failures;
+            server.ejection_left = measured.ejected;
+            server.ejection_time = measured.ejection;
+        }
+    }
+    let tuned = service.tuned();
+    let places = tuned.places.iter().zip(&memory.classes);
+    let classes = places
+        .filter(|(place, _)| !place.retired)
+        .map(|(place, class)| ClassSnapshot {
+            name: place.entry.name.clone(),
+            usual_work: class.usual,
+            slow_time: class.slow,
+        });
+    WarmStartSnapshot {
+        taken_at: unix_now(),
+        means: Means::from(memory.means),
+        servers: servers.into_values().collect(),
+        classes: classes.collect(),
+    }
+}
