--- a/crates/agent/src/client.rs
+++ b/crates/agent/src/client.rs
@@ -1,6 +1,6 @@
 //! Speaking to an agent.
 
-use crate::dial::{ByteStream, Dial};
+use crate::dial::{ByteStream, Dialer};
 use bytes::{Bytes, BytesMut};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
@@ -32,7 +32,7 @@
     address: String,
     host: ServerName<'static>,
     /// What opens the stream below TLS; none for a plain TCP connection.
-    dial: Option<Arc<dyn Dial>>,
+    dial: Option<Arc<dyn Dialer>>,
     /// One request at a time: a second connection beside a slow answer would make the agent slower still.
     open: Mutex<Option<SendRequest<Full<Bytes>>>>,
 }
@@ -48,7 +48,7 @@
 
 /// Why the agent did not do what it was asked for.
 #[derive(Clone, Debug)]
-pub enum Failed {
+pub enum ClientError {
     /// It could not be asked, or did not answer.
     Unheard(String),
     /// It declined a change.
@@ -57,11 +57,11 @@
     Refused(StatusCode, String),
 }
 
-impl fmt::Display for Failed {
+impl fmt::Display for ClientError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Failed::Unheard(why) | Failed::Refused(_, why) => f.write_str(why),
-            Failed::Declined(declined) => declined.fmt(f),
+            ClientError::Unheard(why) | ClientError::Refused(_, why) => f.write_str(why),
+            ClientError::Declined(declined) => declined.fmt(f),
         }
     }
 }
@@ -72,14 +72,14 @@
     /// # Errors
     /// What is wrong with the address or the keys.
     pub fn new(address: &str, files: Files) -> Result<Self, String> {
-        Client::with(address, &Keyring::load(files)?)
+        Client::with_keyring(address, &Keyring::load(files)?)
     }
 
     /// The same, with keys that were read before.
     ///
     /// # Errors
     /// What is wrong with the address.
-    pub fn with(address: &str, keyring: &Arc<Keyring>) -> Result<Self, String> {
+    pub fn with_keyring(address: &str, keyring: &Arc<Keyring>) -> Result<Self, String> {
         let (host, port) = address
             .rsplit_once(':')
             .ok_or_else(|| format!("{address:?}: write HOST:PORT"))?;
@@ -99,7 +99,7 @@
     }
 
     /// Opens the streams below TLS in another way than by a plain TCP connection, such as one that counts bytes.
-    pub fn dialled_by(mut self, dial: Arc<dyn Dial>) -> Self {
+    pub fn with_dialer(mut self, dial: Arc<dyn Dialer>) -> Self {
         self.dial = Some(dial);
         self
     }
@@ -217,15 +217,15 @@
         method: Method,
         path: &str,
         body: Vec<u8>,
-    ) -> Result<T, Failed> {
+    ) -> Result<T, ClientError> {
         let answer = self
             .ask(method, path, body)
             .await
-            .map_err(Failed::Unheard)?;
+            .map_err(ClientError::Unheard)?;
         if answer.status == StatusCode::OK {
             let read = serde_json::from_slice(&answer.body);
             return read
-                .map_err(|e| Failed::Unheard(format!("the agent's answer makes no sense: {e}")));
+                .map_err(|e| ClientError::Unheard(format!("the agent's answer makes no sense: {e}")));
         }
         #[derive(Deserialize)]
         struct Told {
@@ -236,9 +236,9 @@
             Ok(Told {
                 declined: Some(declined),
                 ..
-            }) => Err(Failed::Declined(declined)),
-            Ok(Told { error, .. }) => Err(Failed::Refused(answer.status, error)),
-            Err(_) => Err(Failed::Refused(
+            }) => Err(ClientError::Declined(declined)),
+            Ok(Told { error, .. }) => Err(ClientError::Refused(answer.status, error)),
+            Err(_) => Err(ClientError::Refused(
                 answer.status,
                 format!("the agent answered {}", answer.status),
             )),
--- a/crates/agent/src/config.rs
+++ b/crates/agent/src/config.rs
@@ -15,11 +15,11 @@
 
 /// The most connections at a time where the agent's file does not say: two for each instance that is known by default, and
 /// some for operators.
-pub const USUAL_CONNECTIONS: usize = 40_000;
+pub const DEFAULT_MAX_CONNECTIONS: usize = 40_000;
 
 /// An agent's settings.
 #[derive(Clone, Debug)]
-pub struct Config {
+pub struct AgentConfig {
     /// Where it listens.
     pub listen: SocketAddr,
     /// Where it keeps what must last; without it that is lost with the process.
@@ -249,7 +249,7 @@
     }
 }
 
-impl Config {
+impl AgentConfig {
     /// Reads an agent's file; paths in it are beside it.
     ///
     /// # Errors
@@ -319,9 +319,9 @@
                 );
             }
         }
-        let connections = file.connections.unwrap_or(USUAL_CONNECTIONS);
+        let connections = file.connections.unwrap_or(DEFAULT_MAX_CONNECTIONS);
         document.require(connections >= 4, "connections", "must be 4 or more");
-        let config = Config {
+        let config = AgentConfig {
             listen: file.listen.unwrap_or(SocketAddr::from(([127, 0, 0, 1], 0))),
             state: file.state.map(|path| beside(place, path)),
             audit,
@@ -335,7 +335,7 @@
     }
 }
 
-impl Config {
+impl AgentConfig {
     /// What each fleet-wide limit bounds, and how stale it may be, in figures.
     pub fn bounds(&self) -> Vec<Bound> {
         let FleetLimitSettings { limits, duration } = &self.lending;
@@ -363,7 +363,7 @@
 
     #[test]
     fn a_file_is_read_with_paths_beside_it() {
-        let config = Config::read(FILE, Path::new("/etc/fleet/agent.toml")).expect("sound");
+        let config = AgentConfig::read(FILE, Path::new("/etc/fleet/agent.toml")).expect("sound");
         assert_eq!(config.keys.key, Path::new("/etc/fleet/agent.key"));
         assert_eq!((config.rules.leases.lease, config.state), (9_000_000, None));
     }
@@ -371,7 +371,7 @@
     #[test]
     fn the_examples_make_sense() {
         let agent = include_str!("../../../examples/fleet/agent.toml");
-        assert!(Config::read(agent, Path::new("agent.toml")).is_ok());
+        assert!(AgentConfig::read(agent, Path::new("agent.toml")).is_ok());
         for change in [
             include_str!("../../../examples/fleet/slow-w7.toml"),
             include_str!("../../../examples/fleet/calm.toml"),
@@ -386,7 +386,7 @@
             .replace("9s", "8s")
             .replace("key = \"agent.key\"\n", "")
             .replace("listen", "lisetn");
-        let problems = Config::read(&text, Path::new("agent.toml")).expect_err("problems");
+        let problems = AgentConfig::read(&text, Path::new("agent.toml")).expect_err("problems");
         let fields: Vec<&str> = problems
             .iter()
             .map(|problem| problem.field.as_str())
--- a/crates/agent/src/core.rs
+++ b/crates/agent/src/core.rs
@@ -5,7 +5,7 @@
 use crate::batch::{self, Sends};
 use crate::clock::Clock;
 use crate::routes::{RelayId, Routes};
-use crate::storage::{Saves, Storage};
+use crate::storage::{RecordChanges, Storage};
 use crate::traffic::Traffic;
 use crate::view;
 use madderloom_control_plane::change::Change;
@@ -30,32 +30,32 @@
 
 /// The agent can't keep what it decides, so that it decides nothing.
 #[derive(Clone, Debug)]
-pub(crate) struct Unable(pub(crate) String);
+pub(crate) struct Unavailable(pub(crate) String);
 
-type Reply<T> = oneshot::Sender<Result<T, Unable>>;
+type Reply<T> = oneshot::Sender<Result<T, Unavailable>>;
 
 /// What someone wants to see of it, as JSON.
-type Look = Box<dyn FnOnce(&Fleet, &ListRelay, &Routes, Micros) -> Vec<u8> + Send>;
+type Query = Box<dyn FnOnce(&Fleet, &ListRelay, &Routes, Micros) -> Vec<u8> + Send>;
 
 /// What is asked of the machine.
-pub(crate) enum Ask {
+pub(crate) enum Command {
     Instance(Box<ToAgent>, Reply<Vec<ToInstance>>),
     Batch(RelayId, Batch, Reply<BatchAnswer>),
     Push(Box<Change>, By, Reply<Result<Accepted, Declined>>),
     Stop(String, By, Reply<Result<Accepted, Declined>>),
     Undo(String, By, Reply<Result<Accepted, Declined>>),
-    See(Look, Reply<Vec<u8>>),
+    See(Query, Reply<Vec<u8>>),
     Watch(String, u64, Reply<mpsc::Receiver<ToInstance>>),
     WatchRelay(RelayId, u64, Reply<mpsc::Receiver<WatchLine>>),
 }
 
 /// How the machine is asked.
 #[derive(Clone)]
-pub(crate) struct Core(mpsc::Sender<Ask>);
+pub(crate) struct FleetHandle(mpsc::Sender<Command>);
 
-impl Core {
-    pub(crate) async fn ask<T>(&self, ask: impl FnOnce(Reply<T>) -> Ask) -> Result<T, Unable> {
-        let gone = || Unable("the agent is stopping".into());
+impl FleetHandle {
+    pub(crate) async fn ask<T>(&self, ask: impl FnOnce(Reply<T>) -> Command) -> Result<T, Unavailable> {
+        let gone = || Unavailable("the agent is stopping".into());
         let (reply, answer) = oneshot::channel();
         self.0.send(ask(reply)).await.map_err(|_| gone())?;
         answer.await.map_err(|_| gone())?
@@ -64,7 +64,7 @@
     pub(crate) async fn see<T: serde::Serialize>(
         &self,
         what: impl FnOnce(&Fleet, Micros) -> T + Send + 'static,
-    ) -> Result<Vec<u8>, Unable> {
+    ) -> Result<Vec<u8>, Unavailable> {
         self.see_all(|fleet, _, _, now| what(fleet, now)).await
     }
 
@@ -72,16 +72,16 @@
     async fn see_all<T: serde::Serialize>(
         &self,
         what: impl FnOnce(&Fleet, &ListRelay, &Routes, Micros) -> T + Send + 'static,
-    ) -> Result<Vec<u8>, Unable> {
+    ) -> Result<Vec<u8>, Unavailable> {
         let written = |fleet: &Fleet, lists: &ListRelay, routes: &Routes, now| {
             serde_json::to_vec(&what(fleet, lists, routes, now)).unwrap_or_default()
         };
-        self.ask(|reply| Ask::See(Box::new(written), reply)).await
+        self.ask(|reply| Command::See(Box::new(written), reply)).await
     }
 
     /// The messages for a start of an instance that come of what others ask. There are none where the agent is unable.
     pub(crate) async fn watch(&self, name: String, start: u64) -> mpsc::Receiver<ToInstance> {
-        self.ask(|reply| Ask::Watch(name, start, reply))
+        self.ask(|reply| Command::Watch(name, start, reply))
             .await
             .unwrap_or_else(|_| mpsc::channel(1).1)
     }
@@ -89,19 +89,19 @@
     /// The messages for all instances behind a start of a relay, which knows of this term. There are none where the agent
     /// is unable.
     pub(crate) async fn watch_relay(&self, relay: RelayId, term: u64) -> mpsc::Receiver<WatchLine> {
-        self.ask(|reply| Ask::WatchRelay(relay, term, reply))
+        self.ask(|reply| Command::WatchRelay(relay, term, reply))
             .await
             .unwrap_or_else(|_| mpsc::channel(1).1)
     }
 }
 
 /// An answer that waits until what it tells of lasts.
-type Held = Box<dyn FnOnce(Result<(), Unable>)>;
+type Held = Box<dyn FnOnce(Result<(), Unavailable>)>;
 
 /// What has come of the requests that are taken together.
 #[derive(Default)]
 struct Turn {
-    saves: Saves,
+    saves: RecordChanges,
     sends: Sends,
     /// Answers that wait until what they tell of lasts.
     held: Vec<Held>,
@@ -129,37 +129,37 @@
     }
 }
 
-impl Ask {
+impl Command {
     /// The messages of instances in it; at least one.
     fn messages(&self) -> usize {
         match self {
-            Ask::Batch(_, batch, _) => batch.messages.len().max(1),
+            Command::Batch(_, batch, _) => batch.messages.len().max(1),
             _ => 1,
         }
     }
 
     /// Answers that nothing is done.
-    fn refuse(self, unable: &Unable) {
+    fn refuse(self, unable: &Unavailable) {
         let unable = unable.clone();
         match self {
-            Ask::Instance(_, reply) => drop(reply.send(Err(unable))),
-            Ask::Batch(_, _, reply) => drop(reply.send(Err(unable))),
-            Ask::Push(_, _, reply) | Ask::Stop(_, _, reply) | Ask::Undo(_, _, reply) => {
+            Command::Instance(_, reply) => drop(reply.send(Err(unable))),
+            Command::Batch(_, _, reply) => drop(reply.send(Err(unable))),
+            Command::Push(_, _, reply) | Command::Stop(_, _, reply) | Command::Undo(_, _, reply) => {
                 drop(reply.send(Err(unable)));
             }
-            Ask::See(_, reply) => drop(reply.send(Err(unable))),
-            Ask::Watch(_, _, reply) => drop(reply.send(Err(unable))),
-            Ask::WatchRelay(_, _, reply) => drop(reply.send(Err(unable))),
+            Command::See(_, reply) => drop(reply.send(Err(unable))),
+            Command::Watch(_, _, reply) => drop(reply.send(Err(unable))),
+            Command::WatchRelay(_, _, reply) => drop(reply.send(Err(unable))),
         }
     }
 }
 
-struct Driver {
+struct FleetTask {
     clock: Clock,
     rules: Rules,
     lending: FleetLimitSettings,
     storage: Option<Box<dyn Storage>>,
-    fleet: Result<Fleet, Unable>,
+    fleet: Result<Fleet, Unavailable>,
     /// The lists that the fleet shares. Each term learns them anew.
     lists: ListRelay,
     routes: Routes,
@@ -177,14 +177,14 @@
     above: u64,
     storage: Box<dyn Storage>,
     seed: u128,
-) -> Result<Core, Error> {
+) -> Result<FleetHandle, Error> {
     let (sender, asked) = mpsc::channel(WAITING);
-    let mut driver = Driver {
+    let mut driver = FleetTask {
         clock,
         rules,
         lending,
         storage: Some(storage),
-        fleet: Err(Unable(String::new())),
+        fleet: Err(Unavailable(String::new())),
         lists: ListRelay::new(0, 0),
         routes: Routes::default(),
         rng: oorandom::Rand64::new(seed),
@@ -193,11 +193,11 @@
     };
     driver.restore().await?;
     watchdog::spawn(TaskKind::AgentCore, driver.run(asked));
-    Ok(Core(sender))
+    Ok(FleetHandle(sender))
 }
 
-impl Driver {
-    async fn run(mut self, mut asked: mpsc::Receiver<Ask>) {
+impl FleetTask {
+    async fn run(mut self, mut asked: mpsc::Receiver<Command>) {
         loop {
             let due = match &self.fleet {
                 Ok(fleet) => fleet.next(self.clock.now()).map(|at| self.clock.at(at)),
@@ -225,8 +225,8 @@
                 self.again = Instant::now() + AGAIN;
                 continue;
             }
-            let mut all: Vec<Ask> = first.into_iter().collect();
-            let mut messages: usize = all.iter().map(Ask::messages).sum();
+            let mut all: Vec<Command> = first.into_iter().collect();
+            let mut messages: usize = all.iter().map(Command::messages).sum();
             while messages < TOGETHER
                 && let Ok(ask) = asked.try_recv()
             {
@@ -238,7 +238,7 @@
     }
 
     /// Takes what was asked, in turn; makes it last; answers.
-    async fn take(&mut self, all: Vec<Ask>) {
+    async fn take(&mut self, all: Vec<Command>) {
         if let Err(unable) = &self.fleet {
             return all.into_iter().for_each(|ask| ask.refuse(unable));
         }
@@ -267,7 +267,7 @@
             Err(problem) => {
                 // What was decided may last or not: the machine is made anew from what does.
                 tracing::error!("{problem}");
-                let unable = Unable(format!("the agent can't write its state: {problem}"));
+                let unable = Unavailable(format!("the agent can't write its state: {problem}"));
                 self.fleet = Err(unable.clone());
                 self.again = Instant::now() + AGAIN;
                 held.into_iter()
@@ -277,10 +277,10 @@
     }
 
     /// Has the state machine handle one request.
-    fn handle(&mut self, time: Time, ask: Ask, turn: &mut Turn) {
+    fn handle(&mut self, time: Time, ask: Command, turn: &mut Turn) {
         let Ok(fleet) = &mut self.fleet else { return };
         match ask {
-            Ask::Instance(message, reply) => {
+            Command::Instance(message, reply) => {
                 let sends = turn.record(fleet.receive(time, &message, self.rng.rand_u64()));
                 let name = &message.who().name;
                 let (own, others): (Sends, Sends) =
@@ -297,7 +297,7 @@
                 }
                 turn.held.push(hold(reply, own));
             }
-            Ask::Batch(relay, batch, reply) => {
+            Command::Batch(relay, batch, reply) => {
                 let sends =
                     turn.record(fleet.receive_batch(time, &batch.messages, self.rng.rand_u64()));
                 let shared = (&mut self.routes, &mut self.lists, time.now);
@@ -305,31 +305,31 @@
                 turn.sends.extend(others);
                 turn.held.push(hold(reply, answer));
             }
-            Ask::Push(change, by, reply) => {
+            Command::Push(change, by, reply) => {
                 let (done, out) = fleet.push(time, *change, by);
                 turn.record_and_send(out);
                 turn.held.push(hold(reply, done));
             }
-            Ask::Stop(id, by, reply) => {
+            Command::Stop(id, by, reply) => {
                 let (done, out) = fleet.stop(time, &id, &by);
                 turn.record_and_send(out);
                 turn.held.push(hold(reply, done));
             }
-            Ask::Undo(id, by, reply) => {
+            Command::Undo(id, by, reply) => {
                 let (done, out) = fleet.undo(time, &id, by);
                 turn.record_and_send(out);
                 turn.held.push(hold(reply, done));
             }
-            Ask::See(what, reply) => {
+            Command::See(what, reply) => {
                 turn.held.push(hold(
                     reply,
                     what(fleet, &self.lists, &self.routes, time.now),
                 ));
             }
-            Ask::Watch(name, start, reply) => {
+            Command::Watch(name, start, reply) => {
                 turn.held.push(hold(reply, self.routes.watch(name, start)))
             }
-            Ask::WatchRelay(relay, term, reply) => {
+            Command::WatchRelay(relay, term, reply) => {
                 turn.record_and_send(fleet.hear_of_term(term));
                 turn.held
                     .push(hold(reply, self.routes.watch_relay(relay, fleet.term())));
@@ -337,7 +337,7 @@
         }
     }
 
-    async fn commit(&mut self, saves: Saves) -> Result<(), Error> {
+    async fn commit(&mut self, saves: RecordChanges) -> Result<(), Error> {
         let mut storage = self.storage.take().ok_or(Error::StorageLost)?;
         let task = tokio::task::spawn_blocking(move || {
             let done = storage.commit(saves);
@@ -378,8 +378,8 @@
     Box::new(move |lasting| drop(reply.send(lasting.map(|()| answer))))
 }
 
-pub(crate) async fn status(core: &Core, traffic: Traffic) -> Result<Vec<u8>, Unable> {
-    let status = move |fleet: &Fleet, lists: &ListRelay, routes: &Routes, now| view::Status {
+pub(crate) async fn status(core: &FleetHandle, traffic: Traffic) -> Result<Vec<u8>, Unavailable> {
+    let status = move |fleet: &Fleet, lists: &ListRelay, routes: &Routes, now| view::StatusView {
         traffic,
         relays: routes.relays(),
         ..view::status(fleet, lists, now)
--- a/crates/agent/src/http.rs
+++ b/crates/agent/src/http.rs
@@ -1,8 +1,8 @@
 //! What an agent and a relay share of HTTP: who asks, bodies that are read whole, answers in JSON, and watches.
 
 use crate::clock::wall;
-use crate::core::Unable;
-use crate::traffic::Counters;
+use crate::core::Unavailable;
+use crate::traffic::TrafficCounters;
 use bytes::Bytes;
 use http_body_util::combinators::BoxBody;
 use http_body_util::{BodyExt, Channel, Full, LengthLimitError, Limited};
@@ -128,13 +128,13 @@
 }
 
 /// The answer to a request to see something, which may not be there.
-pub(crate) fn seen(done: Result<Vec<u8>, Unable>) -> Response<Body> {
+pub(crate) fn seen(done: Result<Vec<u8>, Unavailable>) -> Response<Body> {
     match done {
         Ok(text) if text == b"null" => {
             refuse(StatusCode::NOT_FOUND, "there is nothing of that name")
         }
         Ok(text) => json(StatusCode::OK, text),
-        Err(Unable(why)) => refuse(StatusCode::SERVICE_UNAVAILABLE, why),
+        Err(Unavailable(why)) => refuse(StatusCode::SERVICE_UNAVAILABLE, why),
     }
 }
 
@@ -184,7 +184,7 @@
 pub(crate) fn watch<T: Serialize + 'static>(
     caller: Caller,
     keyring: Arc<Keyring>,
-    counters: Arc<Counters>,
+    counters: Arc<TrafficCounters>,
     mut messages: mpsc::Receiver<T>,
 ) -> Response<Body> {
     let (mut sender, body) = Channel::<Bytes, Infallible>::new(1);
@@ -209,7 +209,7 @@
             if sender.send_data(line).await.is_err() {
                 return;
             }
-            counters.messages_went(messages);
+            counters.add_messages_out(messages);
         }
     });
     let mut response = Response::new(BodyExt::boxed(body));
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,6 +1,6 @@
 //! The agent of a fleet, with its I/O: what [`madderloom_control_plane`] decides, over HTTP/1.1 and JSON within mutual TLS.
 //!
-//! - [`Config`] is the agent's file, [`Agent`] the program: it listens, keeps what must last through a [`Storage`],
+//! - [`AgentConfig`] is the agent's file, [`Agent`] the program: it listens, keeps what must last through a [`Storage`],
 //!   and writes every attempt to change something into an audit log.
 //! - [`relay`] is the program between many instances and an agent.
 //! - [`Client`] speaks to an agent; [`view`] holds what it can be asked for.
@@ -27,10 +27,10 @@
 pub mod traffic;
 pub mod view;
 
-pub use client::{Answer, Client, Failed};
-pub use config::{Config, USUAL_CONNECTIONS};
-pub use dial::{ByteStream, Dial, Dialling};
+pub use client::{Answer, Client, ClientError};
+pub use config::{AgentConfig, DEFAULT_MAX_CONNECTIONS};
+pub use dial::{ByteStream, Dialer, DialFuture};
 pub use error::Error;
-pub use link::{Link, Settings, Taking};
+pub use link::{Link, LinkHandler, ApplyFuture};
 pub use server::Agent;
-pub use storage::{Lasting, Memory, Saves, Storage};
+pub use storage::{DurableStorage, MemoryStorage, RecordChanges, Storage};
--- a/crates/agent/src/link.rs
+++ b/crates/agent/src/link.rs
@@ -20,36 +20,36 @@
 const UNDER_WAY: usize = 3;
 
 /// An order that is being met.
-pub type Taking = Pin<Box<dyn Future<Output = Outcome>>>;
+pub type ApplyFuture = Pin<Box<dyn Future<Output = Outcome>>>;
 
 /// What an instance's program does for its link. Calls must not block.
-pub trait Settings {
+pub trait LinkHandler {
     /// Checks all of this, and has all of it in effect beside its own file, or nothing of it. Orders are met one
     /// after the other; one that is dropped before its end must have no effect.
-    fn take(&mut self, overlay: &Overlay) -> Taking;
+    fn apply(&mut self, overlay: &Overlay) -> ApplyFuture;
     /// The requests that ended within the last window of ten seconds.
-    fn counts(&mut self) -> Counts;
+    fn request_counts(&mut self) -> Counts;
     /// Keeps this for the next start, if it can keep anything.
-    fn keep(&mut self, memory: &Memory);
+    fn persist(&mut self, memory: &Memory);
     /// What it says of fleet-wide limits with the report that is made now; `term` is the greatest of an agent that was
     /// heard of. None where it takes part in none.
-    fn asks(&mut self, _term: u64) -> Option<Asks> {
+    fn lease_requests(&mut self, _term: u64) -> Option<Asks> {
         None
     }
     /// This is lent of fleet-wide limits. Gives whether the agent is to be told at once that it is obeyed.
-    fn lent(&mut self, _lent: &Lent) -> bool {
+    fn grant_received(&mut self, _lent: &Lent) -> bool {
         false
     }
     /// What it says of lists that the fleet shares with the report that is made now. None where it takes part in none.
-    fn tells(&mut self) -> Option<Tells> {
+    fn list_reports(&mut self) -> Option<Tells> {
         None
     }
     /// This goes to the agent now; for those who count.
-    fn sent(&mut self, _message: &ToAgent) {}
+    fn message_sent(&mut self, _message: &ToAgent) {}
     /// This has come from the agent; for those who count.
-    fn received(&mut self, _message: &ToInstance) {}
+    fn message_received(&mut self, _message: &ToInstance) {}
     /// This is what the fleet goes by. Gives whether the agent wants a report at once.
-    fn lists(&mut self, _lists: &Lists) -> bool {
+    fn lists_received(&mut self, _lists: &Lists) -> bool {
         false
     }
 }
@@ -58,11 +58,11 @@
 pub struct Link<S> {
     clock: Clock,
     machine: Instance,
-    settings: S,
+    handler: S,
     reports: Rc<Client>,
     watch: Rc<Client>,
     watching: Option<AbortHandle>,
-    taking: Option<Taking>,
+    taking: Option<ApplyFuture>,
     traits: Option<watch::Receiver<Traits>>,
     news: Option<Rc<Notify>>,
     under_way: Rc<()>,
@@ -70,19 +70,19 @@
 }
 
 /// What has come to a link.
-enum Came {
+enum LinkEvent {
     Messages(Vec<ToInstance>),
     Lost(String),
 }
 
-impl<S: Settings> Link<S> {
+impl<S: LinkHandler> Link<S> {
     /// A link over two clients of the same agent: one for reports, one for the watch. The machine's first time must
     /// be 0.
-    pub fn new(machine: Instance, settings: S, reports: Client, watch: Client, seed: u128) -> Self {
+    pub fn new(machine: Instance, handler: S, reports: Client, watch: Client, seed: u128) -> Self {
         Link {
             clock: Clock::new(),
             machine,
-            settings,
+            handler,
             reports: Rc::new(reports),
             watch: Rc::new(watch),
             watching: None,
@@ -95,36 +95,36 @@
     }
 
     /// Tells the agent what the instance says of itself whenever that changes.
-    pub fn following(mut self, traits: watch::Receiver<Traits>) -> Self {
+    pub fn with_traits(mut self, traits: watch::Receiver<Traits>) -> Self {
         self.traits = Some(traits);
         self
     }
 
     /// Reports at once whenever this is notified.
-    pub fn told_by(mut self, news: Rc<Notify>) -> Self {
+    pub fn reporting_on(mut self, news: Rc<Notify>) -> Self {
         self.news = Some(news);
         self
     }
 
     /// Keeps the link for as long as it is polled, within a [`tokio::task::LocalSet`].
     pub async fn run(mut self) {
-        let (sender, mut came) = mpsc::channel::<Came>(16);
+        let (sender, mut came) = mpsc::channel::<LinkEvent>(16);
         loop {
             let due = self.clock.at(self.machine.next());
             tokio::select! {
                 () = tokio::time::sleep_until(due) => {
-                    let counts = self.settings.counts();
+                    let counts = self.handler.request_counts();
                     self.machine.count(counts);
                     self.handle(Event::Timer, &sender);
                 }
                 came = came.recv() => match came {
-                    Some(Came::Messages(messages)) => {
+                    Some(LinkEvent::Messages(messages)) => {
                         for message in &messages {
-                            self.settings.received(message);
+                            self.handler.message_received(message);
                             self.handle(Event::Message(message), &sender);
                         }
                     }
-                    Some(Came::Lost(why)) => {
+                    Some(LinkEvent::Lost(why)) => {
                         tracing::debug!("agent: {why}");
                         self.handle(Event::Lost, &sender);
                     }
@@ -144,28 +144,28 @@
         }
     }
 
-    fn handle(&mut self, event: Event<'_>, sender: &mpsc::Sender<Came>) {
+    fn handle(&mut self, event: Event<'_>, sender: &mpsc::Sender<LinkEvent>) {
         let mut actions = Vec::new();
         self.machine
             .handle(self.clock.now(), event, self.rng.rand_u64(), &mut actions);
         for action in actions {
             match action {
-                Action::Keep(memory) => self.settings.keep(&memory),
-                Action::Take(order) => self.taking = Some(self.settings.take(&order.overlay)),
+                Action::Keep(memory) => self.handler.persist(&memory),
+                Action::Take(order) => self.taking = Some(self.handler.apply(&order.overlay)),
                 Action::Send(mut message) => {
                     if let ToAgent::Report(report) = &mut message {
-                        report.asks = self.settings.asks(report.term).map(Box::new);
-                        report.tells = self.settings.tells().map(Box::new);
+                        report.asks = self.handler.lease_requests(report.term).map(Box::new);
+                        report.tells = self.handler.list_reports().map(Box::new);
                     }
                     self.send(message, sender.clone());
                 }
                 Action::Lent(lent) => {
-                    if self.settings.lent(&lent) {
+                    if self.handler.grant_received(&lent) {
                         self.handle(Event::Report, sender);
                     }
                 }
                 Action::Lists(lists) => {
-                    if self.settings.lists(&lists) {
+                    if self.handler.lists_received(&lists) {
                         self.handle(Event::Report, sender);
                     }
                 }
@@ -173,12 +173,12 @@
         }
     }
 
-    fn send(&mut self, message: ToAgent, sender: mpsc::Sender<Came>) {
+    fn send(&mut self, message: ToAgent, sender: mpsc::Sender<LinkEvent>) {
         // An agent that is there and does not answer must not make them pile up.
         if Rc::strong_count(&self.under_way) > UNDER_WAY {
             return;
         }
-        self.settings.sent(&message);
+        self.handler.message_sent(&message);
         let under_way = Rc::clone(&self.under_way);
         let client = Rc::clone(&self.reports);
         let what = match &message {
@@ -189,13 +189,13 @@
         let body = serde_json::to_vec(&message).unwrap_or_default();
         watchdog::spawn(TaskKind::AgentCall, async move {
             let came = match client.ask(Method::POST, &path, body).await {
-                Err(why) => Came::Lost(why),
+                Err(why) => LinkEvent::Lost(why),
                 Ok(answer) if answer.status != StatusCode::OK => {
-                    Came::Lost(String::from_utf8_lossy(&answer.body).into_owned())
+                    LinkEvent::Lost(String::from_utf8_lossy(&answer.body).into_owned())
                 }
                 Ok(answer) => match serde_json::from_slice(&answer.body) {
-                    Ok(messages) => Came::Messages(messages),
-                    Err(problem) => Came::Lost(format!("makes no sense: {problem}")),
+                    Ok(messages) => LinkEvent::Messages(messages),
+                    Err(problem) => LinkEvent::Lost(format!("makes no sense: {problem}")),
                 },
             };
             drop(under_way);
@@ -204,7 +204,7 @@
     }
 
     /// The watch is open exactly while the instance is known.
-    fn follow_session(&mut self, sender: &mpsc::Sender<Came>) {
+    fn follow_session(&mut self, sender: &mpsc::Sender<LinkEvent>) {
         let known = self.machine.session() == Session::In;
         if !known && let Some(watching) = self.watching.take() {
             watching.abort();
@@ -218,11 +218,11 @@
                 let ended = client.watch(&path, |line| {
                     if let Ok(message) = serde_json::from_slice(line) {
                         // Where there is no room, the next report brings it again.
-                        let _ = lines.try_send(Came::Messages(vec![message]));
+                        let _ = lines.try_send(LinkEvent::Messages(vec![message]));
                     }
                 });
                 let why = ended.await;
-                let _ = sender.send(Came::Lost(why)).await;
+                let _ = sender.send(LinkEvent::Lost(why)).await;
             });
             self.watching = Some(watching.abort_handle());
         }
@@ -230,7 +230,7 @@
 }
 
 /// The outcome of the order that is being met, if there is one.
-async fn taken(taking: &mut Option<Taking>) -> Outcome {
+async fn taken(taking: &mut Option<ApplyFuture>) -> Outcome {
     match taking {
         Some(taking) => taking.await,
         None => std::future::pending().await,
--- a/crates/agent/src/listener.rs
+++ b/crates/agent/src/listener.rs
@@ -2,7 +2,7 @@
 
 use crate::Error;
 use crate::http::{Body, Caller, PATIENCE};
-use crate::traffic::{Counted, Counters};
+use crate::traffic::{CountedStream, TrafficCounters};
 use hyper::body::Incoming;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
@@ -44,7 +44,7 @@
     /// Its keys; they may be read again at any time.
     pub(crate) keyring: Arc<Keyring>,
     /// What has passed over its connections.
-    pub(crate) counters: Arc<Counters>,
+    pub(crate) counters: Arc<TrafficCounters>,
     connections: usize,
 }
 
@@ -164,7 +164,7 @@
 async fn serve_connection<H: Handler>(
     stream: TcpStream,
     acceptor: TlsAcceptor,
-    counters: Arc<Counters>,
+    counters: Arc<TrafficCounters>,
     handler: Rc<H>,
 ) {
     let from = stream
@@ -172,7 +172,7 @@
         .map(|from| from.to_string())
         .unwrap_or_default();
     let _ = stream.set_nodelay(true);
-    let stream = Counted::new(stream, counters);
+    let stream = CountedStream::new(stream, counters);
     let stream = match timeout(PATIENCE, acceptor.accept(stream)).await {
         Ok(Ok(stream)) => stream,
         Ok(Err(problem)) => {
--- a/crates/agent/src/relay/config.rs
+++ b/crates/agent/src/relay/config.rs
@@ -1,6 +1,6 @@
 //! The relay's file.
 
-use crate::config::{KeysPart, RegistrationsPart, USUAL_CONNECTIONS, needed_path};
+use crate::config::{KeysPart, RegistrationsPart, DEFAULT_MAX_CONNECTIONS, needed_path};
 use madderloom_config_reader::{Document, Problem, Span};
 use madderloom_control_plane::relay::RelayRules;
 use madderloom_control_plane::settings::check_name;
@@ -122,7 +122,7 @@
             "children.instances",
             "must be from 1 to 65536",
         );
-        let connections = file.connections.unwrap_or(USUAL_CONNECTIONS);
+        let connections = file.connections.unwrap_or(DEFAULT_MAX_CONNECTIONS);
         document.require(connections >= 4, "connections", "must be 4 or more");
         let config = RelayConfig {
             name: file.name,
--- a/crates/agent/src/relay/core.rs
+++ b/crates/agent/src/relay/core.rs
@@ -26,7 +26,7 @@
 const RECONNECT_SPREAD: Duration = Duration::from_millis(300);
 
 /// A request to the relay.
-pub(super) enum Ask {
+pub(super) enum RelayCommand {
     /// A message of an instance.
     Message(Box<ToAgent>, oneshot::Sender<Vec<ToInstance>>),
     /// A watch of a start of an instance.
@@ -37,18 +37,18 @@
 
 /// How the relay is asked. An answer is missing once it stops.
 #[derive(Clone)]
-pub(super) struct RelayCore(mpsc::Sender<Ask>);
+pub(super) struct RelayHandle(mpsc::Sender<RelayCommand>);
 
-impl RelayCore {
+impl RelayHandle {
     /// Asks, and waits for the answer.
-    pub(super) async fn ask<T>(&self, ask: impl FnOnce(oneshot::Sender<T>) -> Ask) -> Option<T> {
+    pub(super) async fn ask<T>(&self, ask: impl FnOnce(oneshot::Sender<T>) -> RelayCommand) -> Option<T> {
         let (reply, answer) = oneshot::channel();
         self.0.send(ask(reply)).await.ok()?;
         answer.await.ok()
     }
 }
 
-struct Driver {
+struct RelayTask {
     clock: Clock,
     relay: Relay,
     routes: Routes,
@@ -73,11 +73,11 @@
 }
 
 /// Starts the relay's task.
-pub(super) fn start(config: &RelayConfig, keyring: Arc<Keyring>, seed: u128) -> RelayCore {
+pub(super) fn start(config: &RelayConfig, keyring: Arc<Keyring>, seed: u128) -> RelayHandle {
     let (asks, asked) = mpsc::channel(REQUESTS);
     let (events, happened) = mpsc::channel(EVENTS);
     let mut rng = oorandom::Rand64::new(seed);
-    let driver = Driver {
+    let driver = RelayTask {
         clock: Clock::new(),
         relay: Relay::new(config.rules),
         routes: Routes::default(),
@@ -99,13 +99,13 @@
         rng,
     };
     watchdog::spawn(TaskKind::AgentCore, driver.run(asked, happened));
-    RelayCore(asks)
+    RelayHandle(asks)
 }
 
-impl Driver {
+impl RelayTask {
     async fn run(
         mut self,
-        mut asked: mpsc::Receiver<Ask>,
+        mut asked: mpsc::Receiver<RelayCommand>,
         mut happened: mpsc::Receiver<(u64, ParentEvent)>,
     ) {
         loop {
@@ -137,9 +137,9 @@
             .min()
     }
 
-    fn take_ask(&mut self, ask: Ask) {
+    fn take_ask(&mut self, ask: RelayCommand) {
         match ask {
-            Ask::Message(message, reply) => {
+            RelayCommand::Message(message, reply) => {
                 let request = self.next_request;
                 self.next_request += 1;
                 self.waiting.insert(request, reply);
@@ -149,10 +149,10 @@
                     .receive(self.clock.now(), request, *message, jitter);
                 self.deliver(output);
             }
-            Ask::Watch(name, start, reply) => {
+            RelayCommand::Watch(name, start, reply) => {
                 let _ = reply.send(self.routes.watch(name, start));
             }
-            Ask::Status(reply) => {
+            RelayCommand::Status(reply) => {
                 let _ = reply.send((self.relay.status(), self.agents[self.agent].clone()));
             }
         }
--- a/crates/agent/src/relay/parent.rs
+++ b/crates/agent/src/relay/parent.rs
@@ -68,8 +68,8 @@
         identity: Identity,
         events: Events,
     ) -> Result<Self, String> {
-        let batches = Rc::new(Client::with(address, keyring)?);
-        let watch = Client::with(address, keyring)?;
+        let batches = Rc::new(Client::with_keyring(address, keyring)?);
+        let watch = Client::with_keyring(address, keyring)?;
         let path = format!("{}&term={term}", identity.path("watch"));
         let watch = watchdog::spawn(
             TaskKind::AgentCall,
--- a/crates/agent/src/relay/paths.rs
+++ b/crates/agent/src/relay/paths.rs
@@ -1,12 +1,12 @@
 //! The relay's paths: those of an agent for its instances, and a view of itself.
 
 use super::config::RelayConfig;
-use super::core::{self, Ask, RelayCore};
+use super::core::{self, RelayCommand, RelayHandle};
 use crate::Error;
 use crate::clock::wall;
 use crate::http::{Body, Caller, instance_verb, json, number_in_query, read, refuse, watch};
 use crate::listener::{Handler, Listener, follow_files};
-use crate::traffic::{Counters, Traffic};
+use crate::traffic::{TrafficCounters, Traffic};
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
 use madderloom_control_plane::protocol::{LARGEST_FROM_INSTANCE, ToAgent};
@@ -96,8 +96,8 @@
 struct RelayPaths {
     name: String,
     keyring: Arc<Keyring>,
-    core: RelayCore,
-    counters: Arc<Counters>,
+    core: RelayHandle,
+    counters: Arc<TrafficCounters>,
 }
 
 impl Handler for RelayPaths {
@@ -141,10 +141,10 @@
             let error = format!("name: is {told:?}, and {name:?} in the path");
             return refuse(StatusCode::BAD_REQUEST, error);
         }
-        self.counters.messages_came(1);
-        match self.core.ask(|reply| Ask::Message(message, reply)).await {
+        self.counters.add_messages_in(1);
+        match self.core.ask(|reply| RelayCommand::Message(message, reply)).await {
             Some(messages) => {
-                self.counters.messages_went(messages.len());
+                self.counters.add_messages_out(messages.len());
                 json(
                     StatusCode::OK,
                     serde_json::to_vec(&messages).unwrap_or_default(),
@@ -166,7 +166,7 @@
         };
         match self
             .core
-            .ask(|reply| Ask::Watch(name.to_string(), start, reply))
+            .ask(|reply| RelayCommand::Watch(name.to_string(), start, reply))
             .await
         {
             Some(messages) => watch(
@@ -180,7 +180,7 @@
     }
 
     async fn view(&self) -> Response<Body> {
-        let Some((relay, agent)) = self.core.ask(Ask::Status).await else {
+        let Some((relay, agent)) = self.core.ask(RelayCommand::Status).await else {
             return stopping();
         };
         let view = RelayView {
--- a/crates/agent/src/server.rs
+++ b/crates/agent/src/server.rs
@@ -3,13 +3,13 @@
 use crate::Error;
 use crate::audit::Audit;
 use crate::clock::{Clock, wall};
-use crate::config::Config;
-use crate::core::{self, Ask, Core, Unable};
+use crate::config::AgentConfig;
+use crate::core::{self, Command, FleetHandle, Unavailable};
 use crate::http::{Body, Caller, instance_verb, json, number_in_query, read, refuse, seen, watch};
 use crate::listener::{Handler, Listener};
 use crate::routes::RelayId;
 use crate::storage::Storage;
-use crate::traffic::Counters;
+use crate::traffic::TrafficCounters;
 use crate::view;
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
@@ -34,7 +34,7 @@
     ///
     /// # Errors
     /// What is wrong with the files, the state or the address.
-    pub async fn start(config: &Config, storage: Box<dyn Storage>) -> Result<Self, Error> {
+    pub async fn start(config: &AgentConfig, storage: Box<dyn Storage>) -> Result<Self, Error> {
         let listener = Listener::bind(config.listen, &config.keys, config.connections).await?;
         let audit = Audit::open(&config.audit)?;
         let seed = u128::from(wall()) << 32 | u128::from(std::process::id());
@@ -84,9 +84,9 @@
 
 struct AgentPaths {
     keyring: Arc<Keyring>,
-    core: Core,
+    core: FleetHandle,
     audit: Audit,
-    counters: Arc<Counters>,
+    counters: Arc<TrafficCounters>,
 }
 
 impl Handler for AgentPaths {
@@ -168,19 +168,19 @@
                 Ok(change) => {
                     let change: Box<Change> = change;
                     let id = change.id.clone();
-                    self.change_fleet(peer, "push", &id, |by, reply| Ask::Push(change, by, reply))
+                    self.change_fleet(peer, "push", &id, |by, reply| Command::Push(change, by, reply))
                         .await
                 }
             },
             (&Method::POST, ["v1", "rollouts", id, "stop"]) => {
                 self.change_fleet(peer, "stop", id, |by, reply| {
-                    Ask::Stop(id.to_string(), by, reply)
+                    Command::Stop(id.to_string(), by, reply)
                 })
                 .await
             }
             (&Method::POST, ["v1", "rollouts", id, "undo"]) => {
                 self.change_fleet(peer, "undo", id, |by, reply| {
-                    Ask::Undo(id.to_string(), by, reply)
+                    Command::Undo(id.to_string(), by, reply)
                 })
                 .await
             }
@@ -209,20 +209,20 @@
                 format!("name: is {:?}, and {name:?} in the path", who.name),
             );
         }
-        self.counters.messages_came(1);
+        self.counters.add_messages_in(1);
         match self
             .core
-            .ask(|reply| Ask::Instance(Box::new(message), reply))
+            .ask(|reply| Command::Instance(Box::new(message), reply))
             .await
         {
             Ok(messages) => {
-                self.counters.messages_went(messages.len());
+                self.counters.add_messages_out(messages.len());
                 json(
                     StatusCode::OK,
                     serde_json::to_vec(&messages).unwrap_or_default(),
                 )
             }
-            Err(Unable(why)) => refuse(StatusCode::SERVICE_UNAVAILABLE, why),
+            Err(Unavailable(why)) => refuse(StatusCode::SERVICE_UNAVAILABLE, why),
         }
     }
 
@@ -291,16 +291,16 @@
         {
             return caller.refuse_verb(peer, verb);
         }
-        self.counters.messages_came(batch.messages.len());
-        match self.core.ask(|reply| Ask::Batch(relay, batch, reply)).await {
+        self.counters.add_messages_in(batch.messages.len());
+        match self.core.ask(|reply| Command::Batch(relay, batch, reply)).await {
             Ok(answer) => {
-                self.counters.messages_went(answer.messages.len());
+                self.counters.add_messages_out(answer.messages.len());
                 json(
                     StatusCode::OK,
                     serde_json::to_vec(&answer).unwrap_or_default(),
                 )
             }
-            Err(Unable(why)) => refuse(StatusCode::SERVICE_UNAVAILABLE, why),
+            Err(Unavailable(why)) => refuse(StatusCode::SERVICE_UNAVAILABLE, why),
         }
     }
 
@@ -312,8 +312,8 @@
         about: &str,
         ask: impl FnOnce(
             By,
-            tokio::sync::oneshot::Sender<Result<Result<Accepted, Declined>, Unable>>,
-        ) -> Ask,
+            tokio::sync::oneshot::Sender<Result<Result<Accepted, Declined>, Unavailable>>,
+        ) -> Command,
     ) -> Response<Body> {
         if let Err(problem) = self.audit.write(peer, asked, about, "asked") {
             // What can't be put on record is not done.
@@ -332,7 +332,7 @@
             })) => format!("accepted as revision {revision}"),
             Ok(Ok(Accepted { revision, .. })) => format!("repeats what made revision {revision}"),
             Ok(Err(declined)) => format!("declined: {declined}"),
-            Err(Unable(why)) => format!("not done: {why}"),
+            Err(Unavailable(why)) => format!("not done: {why}"),
         };
         if let Err(problem) = self.audit.write(peer, asked, about, &outcome) {
             tracing::error!("{problem}: {} {asked} {about}: {outcome}", peer.name);
@@ -348,7 +348,7 @@
                 serde_json::to_vec(&accepted).unwrap_or_default(),
             ),
             Ok(Err(declined)) => answer_declined(&declined),
-            Err(Unable(why)) => refuse(StatusCode::SERVICE_UNAVAILABLE, why),
+            Err(Unavailable(why)) => refuse(StatusCode::SERVICE_UNAVAILABLE, why),
         }
     }
 }
--- a/crates/agent/src/storage.rs
+++ b/crates/agent/src/storage.rs
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 
 /// Records to keep, or delete, by their keys.
-pub type Saves = BTreeMap<String, Option<Record>>;
+pub type RecordChanges = BTreeMap<String, Option<Record>>;
 
 /// Keeps records. Calls may block; the agent makes them on a thread for that.
 pub trait Storage: Send {
@@ -22,14 +22,14 @@
     ///
     /// # Errors
     /// Why they may not have; which of the two happened shows at the next [`Storage::load`].
-    fn commit(&mut self, saves: Saves) -> Result<(), Error>;
+    fn commit(&mut self, saves: RecordChanges) -> Result<(), Error>;
 }
 
 /// Keeps records for as long as the process lives.
 #[derive(Debug, Default)]
-pub struct Memory(BTreeMap<String, Record>);
+pub struct MemoryStorage(BTreeMap<String, Record>);
 
-impl Storage for Memory {
+impl Storage for MemoryStorage {
     fn load(&mut self) -> Result<Vec<(String, Record)>, Error> {
         Ok(self
             .0
@@ -38,7 +38,7 @@
             .collect())
     }
 
-    fn commit(&mut self, saves: Saves) -> Result<(), Error> {
+    fn commit(&mut self, saves: RecordChanges) -> Result<(), Error> {
         for (key, record) in saves {
             match record {
                 Some(record) => self.0.insert(key, record),
@@ -50,15 +50,15 @@
 }
 
 /// Keeps records in an embedded store: what was committed outlives a loss of power. One process at a time.
-pub struct Lasting {
+pub struct DurableStorage {
     directory: PathBuf,
     store: Option<Store<RealDisk>>,
 }
 
-impl Lasting {
+impl DurableStorage {
     /// In a directory, which is made where it is not there.
     pub fn new(directory: &Path) -> Self {
-        Lasting {
+        DurableStorage {
             directory: directory.to_path_buf(),
             store: None,
         }
@@ -80,7 +80,7 @@
     }
 }
 
-impl Storage for Lasting {
+impl Storage for DurableStorage {
     fn load(&mut self) -> Result<Vec<(String, Record)>, Error> {
         // The lock of the former one must go first. What a failed write left in doubt is settled by reading the log.
         self.store = None;
@@ -102,7 +102,7 @@
         Ok(records)
     }
 
-    fn commit(&mut self, saves: Saves) -> Result<(), Error> {
+    fn commit(&mut self, saves: RecordChanges) -> Result<(), Error> {
         let mut batch = Batch::new();
         for (key, record) in saves {
             match record {
@@ -135,12 +135,12 @@
     fn what_was_committed_is_there_when_it_is_opened_again() {
         let directory = tempfile::TempDir::new().expect("a directory");
         let place = directory.path().join("state");
-        let mut first = Lasting::new(&place);
+        let mut first = DurableStorage::new(&place);
         assert_eq!(first.load().expect("opened"), []);
-        let saves = |term: u64| Saves::from([("term".to_string(), Some(Record::Term(term)))]);
+        let saves = |term: u64| RecordChanges::from([("term".to_string(), Some(Record::Term(term)))]);
         first.commit(saves(1)).expect("written");
         assert!(
-            Lasting::new(&place).load().is_err(),
+            DurableStorage::new(&place).load().is_err(),
             "one process at a time"
         );
         first.commit(saves(2)).expect("written");
@@ -149,7 +149,7 @@
             [("term".to_string(), Record::Term(2))]
         );
         first
-            .commit(Saves::from([("term".to_string(), None)]))
+            .commit(RecordChanges::from([("term".to_string(), None)]))
             .expect("written");
         assert_eq!(first.load().expect("opened again"), []);
     }
--- a/crates/agent/src/traffic.rs
+++ b/crates/agent/src/traffic.rs
@@ -28,7 +28,7 @@
 
 /// The counters behind [`Traffic`].
 #[derive(Debug, Default)]
-pub struct Counters {
+pub struct TrafficCounters {
     open: AtomicU64,
     opened: AtomicU64,
     bytes_in: AtomicU64,
@@ -37,7 +37,7 @@
     messages_out: AtomicU64,
 }
 
-impl Counters {
+impl TrafficCounters {
     /// The counts by now.
     pub fn read(&self) -> Traffic {
         let value = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
@@ -52,39 +52,39 @@
     }
 
     /// So many messages came from instances.
-    pub fn messages_came(&self, count: usize) {
+    pub fn add_messages_in(&self, count: usize) {
         self.messages_in.fetch_add(count as u64, Ordering::Relaxed);
     }
 
     /// So many messages went to instances.
-    pub fn messages_went(&self, count: usize) {
+    pub fn add_messages_out(&self, count: usize) {
         self.messages_out.fetch_add(count as u64, Ordering::Relaxed);
     }
 }
 
 /// A stream whose bytes are counted. It counts as an open connection until it is dropped.
 #[derive(Debug)]
-pub struct Counted<S> {
+pub struct CountedStream<S> {
     stream: S,
-    counters: Arc<Counters>,
+    counters: Arc<TrafficCounters>,
 }
 
-impl<S> Counted<S> {
+impl<S> CountedStream<S> {
     /// Counts this stream from now on.
-    pub fn new(stream: S, counters: Arc<Counters>) -> Self {
+    pub fn new(stream: S, counters: Arc<TrafficCounters>) -> Self {
         counters.open.fetch_add(1, Ordering::Relaxed);
         counters.opened.fetch_add(1, Ordering::Relaxed);
-        Counted { stream, counters }
+        CountedStream { stream, counters }
     }
 }
 
-impl<S> Drop for Counted<S> {
+impl<S> Drop for CountedStream<S> {
     fn drop(&mut self) {
         self.counters.open.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Counted<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for CountedStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -100,7 +100,7 @@
     }
 }
 
-impl<S: AsyncWrite + Unpin> Counted<S> {
+impl<S: AsyncWrite + Unpin> CountedStream<S> {
     fn wrote(&self, polled: &Poll<io::Result<usize>>) {
         if let Poll::Ready(Ok(written)) = polled {
             self.counters
@@ -110,7 +110,7 @@
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Counted<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for CountedStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/crates/agent/src/view.rs
+++ b/crates/agent/src/view.rs
@@ -13,7 +13,7 @@
 
 /// The agent itself.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Status {
+pub struct StatusView {
     /// Its term.
     pub term: u64,
     /// The newest revision.
@@ -28,7 +28,7 @@
     pub in_effect: Vec<String>,
     /// Fleet-wide limits, by their names.
     #[serde(default)]
-    pub fleet_limits: BTreeMap<String, Share>,
+    pub fleet_limits: BTreeMap<String, FleetLimitView>,
     /// Whether all of them may be lent: what a former agent lent is over. None where there are none.
     #[serde(default)]
     pub lends_all: Option<bool>,
@@ -43,9 +43,9 @@
     pub relays: BTreeMap<String, usize>,
 }
 
-/// Figures of a fleet-wide limit: all of it, or a part.
+/// Amounts of a fleet-wide limit: all of it, or a part.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Figures {
+pub struct AmountView {
     /// Requests a second; none where it has no such bound.
     pub requests_per_second: Option<f64>,
     /// Requests at once.
@@ -54,11 +54,11 @@
     pub open: Option<u64>,
 }
 
-impl From<Amount> for Figures {
+impl From<Amount> for AmountView {
     fn from(amount: Amount) -> Self {
         let bounded = |figure: u64| Some(figure).filter(|figure| *figure != UNBOUNDED);
         let whole = |figure: u64| bounded(figure).map(|figure| figure as f64 / ONE as f64);
-        Figures {
+        AmountView {
             requests_per_second: whole(amount.rate),
             burst: whole(amount.burst),
             open: bounded(amount.open),
@@ -68,11 +68,11 @@
 
 /// How a fleet-wide limit, or an instance's part of one, stands.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Share {
+pub struct FleetLimitView {
     /// All of it.
-    pub whole: Figures,
+    pub whole: AmountView,
     /// What may be out.
-    pub lent: Figures,
+    pub lent: AmountView,
     /// Requests a second that were let in of late.
     pub used: f64,
     /// Requests a second that came of late.
@@ -87,7 +87,7 @@
     pub with_part: usize,
 }
 
-impl From<View> for Share {
+impl From<View> for FleetLimitView {
     fn from(view: View) -> Self {
         let View {
             whole,
@@ -104,7 +104,7 @@
         } else {
             used.saturating_sub(whole.rate)
         };
-        Share {
+        FleetLimitView {
             whole: whole.into(),
             lent: lent.into(),
             used: whole_of(used),
@@ -119,7 +119,7 @@
 
 /// An instance.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Instance {
+pub struct InstanceView {
     /// Its name.
     pub name: String,
     /// Whether it is there.
@@ -146,22 +146,22 @@
     pub rival: Option<u64>,
     /// Its parts of fleet-wide limits, all its processes together.
     #[serde(default)]
-    pub fleet_limits: BTreeMap<String, Share>,
+    pub fleet_limits: BTreeMap<String, FleetLimitView>,
 }
 
 /// An instance with what it has in effect beside its own file, as it should be.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct InstanceWhole {
+pub struct InstanceDetailView {
     /// What is in the list as well.
     #[serde(flatten)]
-    pub instance: Instance,
+    pub instance: InstanceView,
     /// What the fleet has settled on for it.
     pub settled: Vec<String>,
 }
 
 /// How a target stands in a rollout.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Result {
+pub struct TargetView {
     /// Its wave, from 1.
     pub wave: u32,
     /// `pending`, `sent`, `applied`, `refused` or `failed`.
@@ -174,7 +174,7 @@
 
 /// A change under way or over.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Rollouts {
+pub struct RolloutView {
     /// Its id.
     pub id: String,
     /// The revision that it makes.
@@ -196,10 +196,10 @@
     /// How many instances stand how.
     pub counts: BTreeMap<String, usize>,
     /// Each instance, while that is remembered; empty in lists.
-    pub results: BTreeMap<String, Result>,
+    pub results: BTreeMap<String, TargetView>,
 }
 
-impl Rollouts {
+impl RolloutView {
     /// Whether all that it is for have it.
     pub fn is_applied(&self) -> bool {
         self.end == Some(End::Done) && self.counts.keys().all(|state| state == "applied")
@@ -211,14 +211,14 @@
     }
 }
 
-pub(crate) fn status(fleet: &Fleet, relay: &Relay, now: Micros) -> Status {
+pub(crate) fn status(fleet: &Fleet, relay: &Relay, now: Micros) -> StatusView {
     let mut instances = BTreeMap::new();
     for (_, member) in fleet.membership().iter() {
         *instances
             .entry(format!("{:?}", member.presence).to_lowercase())
             .or_insert(0) += 1;
     }
-    Status {
+    StatusView {
         term: fleet.term(),
         revision: fleet.newest(),
         stood_down: fleet.stood_down(),
@@ -242,21 +242,21 @@
     }
 }
 
-fn shares(views: BTreeMap<String, View>) -> BTreeMap<String, Share> {
+fn shares(views: BTreeMap<String, View>) -> BTreeMap<String, FleetLimitView> {
     views
         .into_iter()
         .map(|(name, view)| (name, view.into()))
         .collect()
 }
 
-pub(crate) fn instance(fleet: &Fleet, now: Micros, name: &str) -> Option<Instance> {
+pub(crate) fn instance(fleet: &Fleet, now: Micros, name: &str) -> Option<InstanceView> {
     let member = fleet.membership().get(name)?;
     let line = fleet.line(name);
     let refused = match line.and_then(|line| line.answer.as_ref()) {
         Some(Outcome::Refused(problem)) => Some(problem.to_string()),
         _ => None,
     };
-    Some(Instance {
+    Some(InstanceView {
         name: name.to_string(),
         presence: member.presence,
         incarnation: member.incarnation,
@@ -281,7 +281,7 @@
     })
 }
 
-pub(crate) fn instances(fleet: &Fleet, now: Micros) -> Vec<Instance> {
+pub(crate) fn instances(fleet: &Fleet, now: Micros) -> Vec<InstanceView> {
     fleet
         .membership()
         .iter()
@@ -289,7 +289,7 @@
         .collect()
 }
 
-pub(crate) fn instance_whole(fleet: &Fleet, now: Micros, name: &str) -> Option<InstanceWhole> {
+pub(crate) fn instance_whole(fleet: &Fleet, now: Micros, name: &str) -> Option<InstanceDetailView> {
     let member = fleet.membership().get(name)?;
     let (overlay, _) = fleet.layers().overlay(name, &member.traits);
     let settled = overlay
@@ -297,7 +297,7 @@
         .iter()
         .map(|(key, value)| format!("{key} = {value}"))
         .collect();
-    Some(InstanceWhole {
+    Some(InstanceDetailView {
         instance: instance(fleet, now, name)?,
         settled,
     })
@@ -313,11 +313,11 @@
     }
 }
 
-fn result(target: &Target) -> Result {
+fn result(target: &Target) -> TargetView {
     let text = target.step.to_string();
     let reason = text.split_once(": ").map(|(_, reason)| reason.to_string());
     let back = target.back.as_ref().map(Step::to_string);
-    Result {
+    TargetView {
         wave: target.wave + 1,
         state: state(&target.step).into(),
         reason,
@@ -360,9 +360,9 @@
     }
 }
 
-fn under_way(rollout: &Rollout, whole: bool) -> Rollouts {
+fn under_way(rollout: &Rollout, whole: bool) -> RolloutView {
     let results = rollout.targets.iter().filter(|_| whole);
-    Rollouts {
+    RolloutView {
         id: rollout.change.id.clone(),
         revision: rollout.revision,
         by: rollout.by.clone(),
@@ -379,10 +379,10 @@
     }
 }
 
-fn over(fleet: &Fleet, entry: &Entry, whole: bool) -> Rollouts {
+fn over(fleet: &Fleet, entry: &Entry, whole: bool) -> RolloutView {
     let targets = fleet.results(entry.revision);
     let results = targets.into_iter().flatten().filter(|_| whole);
-    Rollouts {
+    RolloutView {
         id: entry.change.id.clone(),
         revision: entry.revision,
         by: entry.by.clone(),
@@ -399,7 +399,7 @@
     }
 }
 
-pub(crate) fn rollout(fleet: &Fleet, id: &str) -> Option<Rollouts> {
+pub(crate) fn rollout(fleet: &Fleet, id: &str) -> Option<RolloutView> {
     match fleet.rollout().filter(|rollout| rollout.change.id == id) {
         Some(rollout) => Some(under_way(rollout, true)),
         None => fleet
@@ -410,7 +410,7 @@
 }
 
 /// Newest first.
-pub(crate) fn history(fleet: &Fleet) -> Vec<Rollouts> {
+pub(crate) fn history(fleet: &Fleet) -> Vec<RolloutView> {
     let now = fleet.rollout().map(|rollout| under_way(rollout, false));
     now.into_iter()
         .chain(fleet.history().rev().map(|entry| over(fleet, entry, false)))
--- a/crates/agent/tests/common/mod.rs
+++ b/crates/agent/tests/common/mod.rs
@@ -5,7 +5,7 @@
 
 use madderloom_agent::relay::{Relay, RelayConfig, RelayView};
 use madderloom_agent::{
-    Agent, Client, Config, Error, Link, Saves, Settings, Storage, Taking, view,
+    Agent, Client, AgentConfig, Error, Link, RecordChanges, LinkHandler, Storage, ApplyFuture, view,
 };
 use madderloom_config_reader::Problem;
 use madderloom_control_plane::change::{Change, Policy, Selector, Share, Then, Traits, What};
@@ -56,7 +56,7 @@
             .collect())
     }
 
-    fn commit(&mut self, saves: Saves) -> Result<(), Error> {
+    fn commit(&mut self, saves: RecordChanges) -> Result<(), Error> {
         let mut disk = self.0.lock().expect("not poisoned");
         if disk.full {
             return Err(Error::Storage("no space left on device".into()));
@@ -111,13 +111,13 @@
     }
 }
 
-impl Settings for Toy {
-    fn take(&mut self, overlay: &Overlay) -> Taking {
+impl LinkHandler for Toy {
+    fn apply(&mut self, overlay: &Overlay) -> ApplyFuture {
         let outcome = self.meet(overlay);
         Box::pin(std::future::ready(outcome))
     }
 
-    fn counts(&mut self) -> Counts {
+    fn request_counts(&mut self) -> Counts {
         let toy = self.0.borrow();
         let hurt = toy
             .hurt_by
@@ -133,11 +133,11 @@
         }
     }
 
-    fn keep(&mut self, memory: &Memory) {
+    fn persist(&mut self, memory: &Memory) {
         self.0.borrow_mut().memory = memory.clone();
     }
 
-    fn sent(&mut self, message: &ToAgent) {
+    fn message_sent(&mut self, message: &ToAgent) {
         self.0.borrow_mut().registrations += usize::from(matches!(message, ToAgent::Register(_)));
     }
 }
@@ -211,7 +211,7 @@
         }
     }
 
-    pub fn config(&self) -> Config {
+    pub fn config(&self) -> AgentConfig {
         let text = format!(
             "version = 1\nlisten = \"{}\"\naudit = \"audit.log\"\nterm_above = {}\n[keys]\nauthority = \"keys/authority.pem\"\n\
              certificate = \"agent.pem\"\nkey = \"agent.key\"\nrevoked = \"keys/revoked.pem\"\n\
@@ -219,7 +219,7 @@
             self.address, self.term_above, self.paces
         );
         let problems = |problems: Vec<Problem>| panic!("{problems:?}");
-        Config::read(&text, &self.directory.path().join("agent.toml")).unwrap_or_else(problems)
+        AgentConfig::read(&text, &self.directory.path().join("agent.toml")).unwrap_or_else(problems)
     }
 
     /// Starts the agent where it was, from what it kept.
@@ -375,21 +375,21 @@
         toys
     }
 
-    pub async fn status(&self) -> Option<view::Status> {
+    pub async fn status(&self) -> Option<view::StatusView> {
         self.client("vic")
             .get(hyper::Method::GET, "/v1/status", vec![])
             .await
             .ok()
     }
 
-    pub async fn instances(&self) -> Vec<view::Instance> {
+    pub async fn instances(&self) -> Vec<view::InstanceView> {
         self.client("vic")
             .get(hyper::Method::GET, "/v1/instances", vec![])
             .await
             .unwrap_or_default()
     }
 
-    pub async fn until(&self, what: &str, holds: impl Fn(&view::Status) -> bool) {
+    pub async fn until(&self, what: &str, holds: impl Fn(&view::StatusView) -> bool) {
         let begin = Instant::now();
         loop {
             let status = self.status().await;
@@ -405,13 +405,13 @@
     }
 
     /// Waits until a rollout has ended.
-    pub async fn ended(&self, id: &str) -> view::Rollouts {
+    pub async fn ended(&self, id: &str) -> view::RolloutView {
         let begin = Instant::now();
         loop {
             let path = format!("/v1/rollouts/{id}");
             let rollout = self
                 .client("vic")
-                .get::<view::Rollouts>(hyper::Method::GET, &path, vec![])
+                .get::<view::RolloutView>(hyper::Method::GET, &path, vec![])
                 .await;
             if let Ok(rollout) = &rollout
                 && rollout.end.is_some()
@@ -466,7 +466,7 @@
 pub async fn push(
     client: &Client,
     change: &Change,
-) -> Result<madderloom_control_plane::Accepted, madderloom_agent::Failed> {
+) -> Result<madderloom_control_plane::Accepted, madderloom_agent::ClientError> {
     client
         .get(
             hyper::Method::POST,
--- a/crates/agent/tests/every_change_ends_for_each_instance.rs
+++ b/crates/agent/tests/every_change_ends_for_each_instance.rs
@@ -5,7 +5,7 @@
 
 use common::{Rig, Toy, change, push, run};
 use hyper::Method;
-use madderloom_agent::{Failed, view};
+use madderloom_agent::{ClientError, view};
 use madderloom_control_plane::change::Then;
 use madderloom_control_plane::gate::{Counts, GateRule};
 use madderloom_control_plane::rollout::End;
@@ -98,7 +98,7 @@
             .filter(|(_, result)| result.state == "refused")
             .collect();
         assert!((1..=2).contains(&refused.len()), "{refused:?}");
-        let told = |result: &view::Result| {
+        let told = |result: &view::TargetView| {
             result
                 .reason
                 .as_ref()
@@ -236,7 +236,7 @@
         let failed = push(&bob, &change("fast-w7", 0, "w7", 2_000))
             .await
             .expect_err("too late");
-        let Failed::Declined(declined) = &failed else {
+        let ClientError::Declined(declined) = &failed else {
             panic!("{failed}")
         };
         let Declined::Conflict {
@@ -260,7 +260,7 @@
         );
         let other = change("slow-w7", 1, "w8", 1);
         assert!(
-            matches!(push(&bob, &other).await, Err(Failed::Declined(d)) if matches!(*d, Declined::IdUsed { revision: 1 }))
+            matches!(push(&bob, &other).await, Err(ClientError::Declined(d)) if matches!(*d, Declined::IdUsed { revision: 1 }))
         );
     });
 }
--- a/crates/agent/tests/nothing_is_done_that_may_not_be.rs
+++ b/crates/agent/tests/nothing_is_done_that_may_not_be.rs
@@ -4,7 +4,7 @@
 
 use common::{Rig, change, push, run};
 use hyper::{Method, StatusCode};
-use madderloom_agent::Failed;
+use madderloom_agent::ClientError;
 use madderloom_pki::Authority;
 use std::time::{Duration, Instant};
 use time::OffsetDateTime;
@@ -19,7 +19,7 @@
                 .await
                 .expect_err("refused");
             assert!(
-                matches!(failed, Failed::Refused(StatusCode::FORBIDDEN, _)),
+                matches!(failed, ClientError::Refused(StatusCode::FORBIDDEN, _)),
                 "{failed:?}"
             );
             assert!(
--- a/crates/cli/src/agent.rs
+++ b/crates/cli/src/agent.rs
@@ -2,7 +2,7 @@
 
 use crate::logging::{LAST_LINES, Logging};
 use crate::server::{Signals, read_config, serve_locally};
-use madderloom_agent::{Agent as Program, Config, Lasting, Memory, Storage};
+use madderloom_agent::{Agent as Program, AgentConfig, DurableStorage, MemoryStorage, Storage};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -22,14 +22,14 @@
 impl Agent {
     pub(crate) fn run(self) -> Result<ExitCode, String> {
         let (_, written) = self.logging.start()?;
-        let config = read_config(&self.config, Config::read)?;
+        let config = read_config(&self.config, AgentConfig::read)?;
         let storage: Box<dyn Storage> = match &config.state {
-            Some(directory) => Box::new(Lasting::new(directory)),
+            Some(directory) => Box::new(DurableStorage::new(directory)),
             None => {
                 tracing::warn!(
                     "no `state` is configured: what the fleet settles on is lost with this process"
                 );
-                Box::<Memory>::default()
+                Box::<MemoryStorage>::default()
             }
         };
         let served = serve_locally(async {
--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -35,7 +35,7 @@
             let read = madderloom_agent::relay::RelayConfig::read(&text, &self.file);
             read.map(|config| (relays_summary(&config), Vec::new(), Vec::new(), Vec::new()))
         } else if operator && is_agents(&text) {
-            let read = madderloom_agent::Config::read(&text, &self.file);
+            let read = madderloom_agent::AgentConfig::read(&text, &self.file);
             read.map(|config| {
                 (
                     agents_summary(&config),
@@ -115,7 +115,7 @@
 }
 
 /// What its fleet-wide limits bound, as arithmetic.
-fn agents_bounds(config: &madderloom_agent::Config) -> Vec<String> {
+fn agents_bounds(config: &madderloom_agent::AgentConfig) -> Vec<String> {
     config.bounds().iter().map(ToString::to_string).collect()
 }
 
@@ -176,7 +176,7 @@
 }
 
 /// What an agent's file configures, in a few words.
-fn agents_summary(config: &madderloom_agent::Config) -> String {
+fn agents_summary(config: &madderloom_agent::AgentConfig) -> String {
     let state = config
         .state
         .as_ref()
--- a/crates/cli/src/fleet/connection.rs
+++ b/crates/cli/src/fleet/connection.rs
@@ -3,7 +3,7 @@
 use super::REFUSED;
 use super::declined::explain;
 use hyper::Method;
-use madderloom_agent::{Client, Failed};
+use madderloom_agent::{Client, ClientError};
 use madderloom_pki::Files;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -47,7 +47,7 @@
     /// Runs a command that speaks to the agent.
     pub(super) fn run(
         &self,
-        command: impl AsyncFnOnce(Client) -> Result<ExitCode, Failed>,
+        command: impl AsyncFnOnce(Client) -> Result<ExitCode, ClientError>,
     ) -> Result<ExitCode, String> {
         let client = self.client()?;
         let runtime = tokio::runtime::Builder::new_current_thread()
@@ -56,7 +56,7 @@
         let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
         let done = tokio::task::LocalSet::new().block_on(&runtime, command(client));
         match done {
-            Err(Failed::Declined(declined)) => {
+            Err(ClientError::Declined(declined)) => {
                 explain(&declined);
                 Ok(ExitCode::from(REFUSED))
             }
@@ -68,12 +68,12 @@
 pub(super) async fn get<T: for<'a> serde::Deserialize<'a>>(
     client: &Client,
     path: &str,
-) -> Result<T, Failed> {
+) -> Result<T, ClientError> {
     client.get(Method::GET, path, Vec::new()).await
 }
 
 /// What is not there, with the nearest name that is.
-pub(super) fn unknown(kind: &str, name: &str, known: impl Iterator<Item = String>) -> Failed {
+pub(super) fn unknown(kind: &str, name: &str, known: impl Iterator<Item = String>) -> ClientError {
     let near = known
         .map(|known| (strsim::jaro_winkler(name, &known), known))
         .max_by(|a, b| a.0.total_cmp(&b.0));
@@ -81,9 +81,9 @@
         Some((likeness, near)) if likeness > 0.7 => format!("; did you mean {near}?"),
         _ => String::new(),
     };
-    Failed::Unheard(format!("there is no {kind} {name:?}{suggestion}"))
+    ClientError::Unheard(format!("there is no {kind} {name:?}{suggestion}"))
 }
 
-pub(super) fn is_missing(failed: &Failed) -> bool {
-    matches!(failed, Failed::Refused(status, _) if status.as_u16() == 404)
+pub(super) fn is_missing(failed: &ClientError) -> bool {
+    matches!(failed, ClientError::Refused(status, _) if status.as_u16() == 404)
 }
--- a/crates/cli/src/fleet/follow.rs
+++ b/crates/cli/src/fleet/follow.rs
@@ -4,8 +4,8 @@
 use super::text::{counts, json, when};
 use super::{FAILED, LOOK, REFUSED};
 use crate::output::{Output, Table, tell};
-use madderloom_agent::view::Rollouts;
-use madderloom_agent::{Client, Failed};
+use madderloom_agent::view::RolloutView;
+use madderloom_agent::{Client, ClientError};
 use madderloom_control_plane::Accepted;
 use std::io::{IsTerminal, Write};
 use std::process::ExitCode;
@@ -25,7 +25,7 @@
     client: &Client,
     accepted: &Accepted,
     waiting: &Waiting,
-) -> Result<ExitCode, Failed> {
+) -> Result<ExitCode, ClientError> {
     if waiting.no_wait {
         match waiting.output {
             Output::Json => json(accepted),
@@ -39,7 +39,7 @@
     let mut shown = String::new();
     let path = format!("/v1/rollouts/{}", accepted.id);
     loop {
-        let rollout: Rollouts = get(client, &path).await?;
+        let rollout: RolloutView = get(client, &path).await?;
         let progress = format!("{}: {}: {}", rollout.id, rollout.phase, counts(&rollout));
         if progress != shown && waiting.output == Output::Text {
             show_progress(&progress);
@@ -67,7 +67,7 @@
     let _ = err.flush();
 }
 
-pub(super) fn code(rollout: &Rollouts) -> ExitCode {
+pub(super) fn code(rollout: &RolloutView) -> ExitCode {
     if rollout.is_applied() {
         ExitCode::SUCCESS
     } else if rollout.is_refused() {
@@ -77,7 +77,7 @@
     }
 }
 
-pub(super) fn tell_rollout(rollout: &Rollouts, output: Output) {
+pub(super) fn tell_rollout(rollout: &RolloutView, output: Output) {
     if output == Output::Json {
         return json(rollout);
     }
@@ -86,7 +86,7 @@
         .as_ref()
         .map(|why| format!(": {why}"))
         .unwrap_or_default();
-    let Rollouts {
+    let RolloutView {
         id,
         revision,
         by,
--- a/crates/cli/src/fleet/instances.rs
+++ b/crates/cli/src/fleet/instances.rs
@@ -3,7 +3,7 @@
 use super::connection::{Connection, get, is_missing, unknown};
 use super::text::{json, shares, table};
 use crate::output::{Output, tell};
-use madderloom_agent::view::{Instance, InstanceWhole};
+use madderloom_agent::view::{InstanceView, InstanceDetailView};
 use std::process::ExitCode;
 
 /// Lists the instances of the fleet.
@@ -22,7 +22,7 @@
 impl Instances {
     pub(crate) fn run(self) -> Result<ExitCode, String> {
         self.connection.run(async |client| {
-            let instances: Vec<Instance> = get(&client, "/v1/instances").await?;
+            let instances: Vec<InstanceView> = get(&client, "/v1/instances").await?;
             match self.output {
                 Output::Json => json(&instances),
                 Output::Text if instances.is_empty() => {
@@ -51,10 +51,10 @@
     pub(crate) fn run(self) -> Result<ExitCode, String> {
         self.connection.run(async |client| {
             let found =
-                get::<InstanceWhole>(&client, &format!("/v1/instances/{}", self.name)).await;
+                get::<InstanceDetailView>(&client, &format!("/v1/instances/{}", self.name)).await;
             let whole = match found {
                 Err(failed) if is_missing(&failed) => {
-                    let known: Vec<Instance> = get(&client, "/v1/instances").await?;
+                    let known: Vec<InstanceView> = get(&client, "/v1/instances").await?;
                     let names = known.into_iter().map(|instance| instance.name);
                     return Err(unknown("instance", &self.name, names));
                 }
--- a/crates/cli/src/fleet/push.rs
+++ b/crates/cli/src/fleet/push.rs
@@ -6,8 +6,8 @@
 use super::text::json;
 use crate::output::{Output, Table, tell};
 use hyper::Method;
-use madderloom_agent::view::{Instance, Rollouts, Status};
-use madderloom_agent::{Client, Failed};
+use madderloom_agent::view::{InstanceView, RolloutView, StatusView};
+use madderloom_agent::{Client, ClientError};
 use madderloom_control_plane::change::{Change, Policy, Selector, Traits, What};
 use madderloom_control_plane::membership::Presence;
 use madderloom_control_plane::rollout::Rollout as FleetRollout;
@@ -51,8 +51,8 @@
         // All but the revision can be said before anyone is asked.
         read(Some(0))?;
         self.connection.run(async |client| {
-            let status: Status = get(&client, "/v1/status").await?;
-            let change = read(Some(status.revision)).map_err(Failed::Unheard)?;
+            let status: StatusView = get(&client, "/v1/status").await?;
+            let change = read(Some(status.revision)).map_err(ClientError::Unheard)?;
             if self.dry_run {
                 return dry_run(&client, change, &status, self.waiting.output).await;
             }
@@ -65,11 +65,11 @@
 async fn dry_run(
     client: &Client,
     change: Change,
-    status: &Status,
+    status: &StatusView,
     output: Output,
-) -> Result<ExitCode, Failed> {
-    let instances: Vec<Instance> = get(client, "/v1/instances").await?;
-    let known: Vec<Rollouts> = get(client, "/v1/rollouts").await?;
+) -> Result<ExitCode, ClientError> {
+    let instances: Vec<InstanceView> = get(client, "/v1/instances").await?;
+    let known: Vec<RolloutView> = get(client, "/v1/rollouts").await?;
     let (id, base, newest) = (change.id.clone(), change.base, status.revision);
     let difference = madderloom_control_plane::difference(&change);
     let why = if let Some(term) = status.stood_down {
@@ -156,7 +156,7 @@
     })
 }
 
-async fn push(client: &Client, change: &Change, waiting: &Waiting) -> Result<ExitCode, Failed> {
+async fn push(client: &Client, change: &Change, waiting: &Waiting) -> Result<ExitCode, ClientError> {
     let body = serde_json::to_vec(change).unwrap_or_default();
     let accepted: Accepted = client.get(Method::POST, "/v1/changes", body).await?;
     follow(client, &accepted, waiting).await
@@ -188,7 +188,7 @@
             .parse()
             .map_err(|error: Error| error.to_string())?;
         self.connection.run(async |client| {
-            let status: Status = get(&client, "/v1/status").await?;
+            let status: StatusView = get(&client, "/v1/status").await?;
             let verb = if self.lift { "lift" } else { "drain" };
             let drained = Some(Value::Drained(true)).filter(|_| !self.lift);
             let change = Change {
--- a/crates/cli/src/fleet/rollout.rs
+++ b/crates/cli/src/fleet/rollout.rs
@@ -7,7 +7,7 @@
 use crate::output::{Output, Table, tell};
 use clap::Subcommand;
 use hyper::Method;
-use madderloom_agent::view::Rollouts;
+use madderloom_agent::view::RolloutView;
 use madderloom_control_plane::Accepted;
 use std::process::ExitCode;
 
@@ -59,9 +59,9 @@
                     undone(code)
                 });
             }
-            match get::<Rollouts>(&client, &path).await {
+            match get::<RolloutView>(&client, &path).await {
                 Err(failed) if is_missing(&failed) => {
-                    let known: Vec<Rollouts> = get(&client, "/v1/rollouts").await?;
+                    let known: Vec<RolloutView> = get(&client, "/v1/rollouts").await?;
                     Err(unknown(
                         "change",
                         &one.id,
@@ -104,7 +104,7 @@
 impl History {
     pub(crate) fn run(self) -> Result<ExitCode, String> {
         self.connection.run(async |client| {
-            let all: Vec<Rollouts> = get(&client, "/v1/rollouts").await?;
+            let all: Vec<RolloutView> = get(&client, "/v1/rollouts").await?;
             if self.output == Output::Json {
                 json(&all);
                 return Ok(ExitCode::SUCCESS);
@@ -124,7 +124,7 @@
                     [first, ..] => format!("{first} and {} more", rollout.difference.len() - 1),
                     [] => String::new(),
                 };
-                let Rollouts {
+                let RolloutView {
                     id,
                     revision,
                     by,
--- a/crates/cli/src/fleet/text.rs
+++ b/crates/cli/src/fleet/text.rs
@@ -1,7 +1,7 @@
 //! Times, states and tables as they are shown.
 
 use crate::output::{Table, tell};
-use madderloom_agent::view::{Figures, Instance, Rollouts, Share};
+use madderloom_agent::view::{AmountView, InstanceView, RolloutView, FleetLimitView};
 use madderloom_control_plane::membership::Presence;
 use madderloom_control_plane::rollout::End;
 use madderloom_endpoint_sharing::SharedList;
@@ -33,7 +33,7 @@
     ));
 }
 
-pub(super) fn counts(rollout: &Rollouts) -> String {
+pub(super) fn counts(rollout: &RolloutView) -> String {
     let counts: Vec<String> = rollout
         .counts
         .iter()
@@ -46,7 +46,7 @@
     }
 }
 
-fn line(instance: &Instance) -> [String; 8] {
+fn line(instance: &InstanceView) -> [String; 8] {
     let in_line = match (&instance.refused, instance.in_line) {
         (Some(_), _) => "refused",
         (None, Some(true)) => "yes",
@@ -94,7 +94,7 @@
 }
 
 /// Fleet-wide limits, or parts of them, a row each.
-pub(super) fn shares(limits: &BTreeMap<String, Share>) -> Table {
+pub(super) fn shares(limits: &BTreeMap<String, FleetLimitView>) -> Table {
     let mut table = Table::new([
         "FLEET LIMIT",
         "ALL",
@@ -107,7 +107,7 @@
         "WITHOUT A LEASE",
     ]);
     for (name, share) in limits {
-        let figures = |figures: &Figures| {
+        let figures = |figures: &AmountView| {
             let rate = figures
                 .requests_per_second
                 .map(|rate| format!("{rate:.1}/s"));
@@ -138,7 +138,7 @@
     }
 }
 
-pub(super) fn table(instances: &[Instance]) -> Table {
+pub(super) fn table(instances: &[InstanceView]) -> Table {
     let mut table = Table::new([
         "NAME", "STATE", "ZONE", "REVISION", "IN LINE", "REQUESTS", "BAD", "NOTE",
     ]);
--- a/crates/cli/src/fleet/top.rs
+++ b/crates/cli/src/fleet/top.rs
@@ -3,8 +3,8 @@
 use super::connection::{Connection, get};
 use super::text::{counts, lists, shares, table};
 use crate::output::tell;
-use madderloom_agent::view::{Instance, Rollouts, Status};
-use madderloom_agent::{Client, Failed};
+use madderloom_agent::view::{InstanceView, RolloutView, StatusView};
+use madderloom_agent::{Client, ClientError};
 use madderloom_control_plane::membership::Presence;
 use std::fmt;
 use std::io::IsTerminal;
@@ -50,21 +50,21 @@
 }
 
 struct View {
-    status: Status,
-    rollout: Option<Rollouts>,
-    instances: Vec<Instance>,
+    status: StatusView,
+    rollout: Option<RolloutView>,
+    instances: Vec<InstanceView>,
     /// The most instances that are shown.
     rows: usize,
 }
 
-async fn look(client: &Client, rows: usize) -> Result<View, Failed> {
-    let status: Status = get(client, "/v1/status").await?;
+async fn look(client: &Client, rows: usize) -> Result<View, ClientError> {
+    let status: StatusView = get(client, "/v1/status").await?;
     let rollout = match &status.rolling_out {
         // It may have ended since.
         Some(id) => get(client, &format!("/v1/rollouts/{id}")).await.ok(),
         None => None,
     };
-    let mut instances: Vec<Instance> = get(client, "/v1/instances").await?;
+    let mut instances: Vec<InstanceView> = get(client, "/v1/instances").await?;
     // What needs a look stands first.
     instances.sort_by_key(|i| {
         (
@@ -82,7 +82,7 @@
 
 impl fmt::Display for View {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Status {
+        let StatusView {
             term,
             revision,
             instances,
--- a/crates/cli/tests/fleet/commands.rs
+++ b/crates/cli/tests/fleet/commands.rs
@@ -1,7 +1,7 @@
 //! The agent as a process, instances that register with it, and the command line as an operator uses it.
 
 use crate::rig::{found, madderloom};
-use madderloom_agent::{Client, Link, Settings, Taking};
+use madderloom_agent::{Client, Link, LinkHandler, ApplyFuture};
 use madderloom_control_plane::change::Traits;
 use madderloom_control_plane::gate::Counts;
 use madderloom_control_plane::protocol::{Outcome, Who};
@@ -17,8 +17,8 @@
 /// Takes everything but a log level.
 struct Toy;
 
-impl Settings for Toy {
-    fn take(&mut self, overlay: &Overlay) -> Taking {
+impl LinkHandler for Toy {
+    fn apply(&mut self, overlay: &Overlay) -> ApplyFuture {
         let outcome = match overlay.0.keys().any(|key| key.to_string() == "log_level") {
             true => Outcome::Refused(Problem {
                 field: "set.log_level".into(),
@@ -29,11 +29,11 @@
         Box::pin(std::future::ready(outcome))
     }
 
-    fn counts(&mut self) -> Counts {
+    fn request_counts(&mut self) -> Counts {
         Counts { ended: 100, bad: 1 }
     }
 
-    fn keep(&mut self, _: &Memory) {}
+    fn persist(&mut self, _: &Memory) {}
 }
 
 struct Rig {
--- a/crates/lab/src/scale/agent.rs
+++ b/crates/lab/src/scale/agent.rs
@@ -6,8 +6,8 @@
 use super::usage;
 use crate::sockets::child::Process;
 use hyper::Method;
-use madderloom_agent::view::{Rollouts, Status};
-use madderloom_agent::{Client, Failed};
+use madderloom_agent::view::{RolloutView, StatusView};
+use madderloom_agent::{Client, ClientError};
 use madderloom_control_plane::Accepted;
 use madderloom_control_plane::change::Change;
 use madderloom_pki::{Authority, Files, Role};
@@ -136,7 +136,7 @@
     ///
     /// # Errors
     /// It does not answer.
-    pub async fn status(&self) -> Result<Status, String> {
+    pub async fn status(&self) -> Result<StatusView, String> {
         self.get("/v1/status").await
     }
 
@@ -174,7 +174,7 @@
     ///
     /// # Errors
     /// It does not end in time, or the agent does not answer.
-    pub async fn ended(&self, id: &str, patience: Duration) -> Result<Rollouts, String> {
+    pub async fn ended(&self, id: &str, patience: Duration) -> Result<RolloutView, String> {
         let begin = Instant::now();
         loop {
             let status = self.status().await?;
@@ -192,9 +192,9 @@
         let begin = Instant::now();
         loop {
             match self.client.get(Method::GET, path, vec![]).await {
-                Err(Failed::Unheard(why)) if begin.elapsed() > PATIENCE => return Err(why),
+                Err(ClientError::Unheard(why)) if begin.elapsed() > PATIENCE => return Err(why),
                 // An agent that is busy with many connections may be slow to answer.
-                Err(Failed::Unheard(_)) => tokio::time::sleep(LOOK).await,
+                Err(ClientError::Unheard(_)) => tokio::time::sleep(LOOK).await,
                 other => return other.map_err(|e| e.to_string()),
             }
         }
--- a/crates/lab/src/scale/bounds.rs
+++ b/crates/lab/src/scale/bounds.rs
@@ -3,7 +3,7 @@
 
 use super::capacity::{CONNECTIONS, DAY, Reckoner, Row, exactly, reckoned};
 use crate::hop::Row as HopRow;
-use madderloom_agent::USUAL_CONNECTIONS;
+use madderloom_agent::DEFAULT_MAX_CONNECTIONS;
 use madderloom_control_plane::change::MOST_LAYERS;
 use madderloom_control_plane::membership::Leases;
 use madderloom_control_plane::settings::MOST_SETTINGS;
@@ -187,7 +187,7 @@
             bound(
                 "connections of an agent",
                 connections,
-                USUAL_CONNECTIONS as f64,
+                DEFAULT_MAX_CONNECTIONS as f64,
                 "",
                 "code: usual; `connections` has no upper bound but the system's descriptors",
                 "`agent/src/config.rs` `Config`",
--- a/crates/lab/src/scale/child.rs
+++ b/crates/lab/src/scale/child.rs
@@ -3,7 +3,7 @@
 
 use crate::sockets::itself::{log_to_standard_error, on_one_thread, stay_with, told_to_stop};
 use madderloom_agent::relay::{Relay, RelayConfig};
-use madderloom_agent::{Agent, Config, Lasting, Memory, Storage};
+use madderloom_agent::{Agent, AgentConfig, DurableStorage, MemoryStorage, Storage};
 use madderloom_config_reader::Problem;
 use madderloom_operator_config::Operator;
 use madderloom_sidecar::Sidecar;
@@ -68,10 +68,10 @@
 
 fn serve_agent(file: &Path) -> Result<(), String> {
     let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
-    let config = Config::read(&text, file).map_err(|problems| written(file, &problems))?;
+    let config = AgentConfig::read(&text, file).map_err(|problems| written(file, &problems))?;
     let storage: Box<dyn Storage> = match &config.state {
-        Some(directory) => Box::new(Lasting::new(directory)),
-        None => Box::<Memory>::default(),
+        Some(directory) => Box::new(DurableStorage::new(directory)),
+        None => Box::<MemoryStorage>::default(),
     };
     on_one_thread(async {
         let stop = told_to_stop()?;
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -9,8 +9,8 @@
 use super::protocol::Manner;
 use super::switch::{Switch, SwitchedDial};
 use super::usage;
-use madderloom_agent::traffic::Counters;
-use madderloom_agent::{Client, Link, Settings, Taking};
+use madderloom_agent::traffic::TrafficCounters;
+use madderloom_agent::{Client, Link, LinkHandler, ApplyFuture};
 use madderloom_control_plane::gate::Counts;
 use madderloom_control_plane::protocol::{Outcome, ToAgent, ToInstance, Who};
 use madderloom_control_plane::settings::{Key, MOST_SETTINGS, Overlay, Value};
@@ -41,7 +41,7 @@
     /// What the instances are like.
     pub manner: Manner,
     /// What has passed.
-    pub counters: Arc<Counters>,
+    pub counters: Arc<TrafficCounters>,
     /// What discovery lists.
     pub discovery: Discovery,
 }
@@ -99,7 +99,7 @@
             lists: Rc::clone(&lists),
         };
         let link = Link::new(machine, settings, self.client()?, self.client()?, seed)
-            .told_by(lists.news());
+            .reporting_on(lists.news());
         let link = tokio::task::spawn_local(link.run());
         self.tasks = lists.follow_discovery();
         self.tasks.push(link.abort_handle());
@@ -145,8 +145,8 @@
         let agents = &self.shared.agents;
         let agent = agents.get(places::zone_number(self.number) % agents.len().max(1));
         let agent = agent.ok_or("no agent is named")?;
-        let client = Client::with(agent, &self.shared.keyring)?;
-        Ok(client.dialled_by(Arc::new(SwitchedDial(Arc::clone(&self.switch)))))
+        let client = Client::with_keyring(agent, &self.shared.keyring)?;
+        Ok(client.with_dialer(Arc::new(SwitchedDial(Arc::clone(&self.switch)))))
     }
 }
 
@@ -186,7 +186,7 @@
 /// What the link asks of a hollow instance.
 struct HollowSettings {
     manner: Manner,
-    counters: Arc<Counters>,
+    counters: Arc<TrafficCounters>,
     seen: Rc<Seen>,
     holder: Holder,
     lists: Rc<SharedLists>,
@@ -213,8 +213,8 @@
     })
 }
 
-impl Settings for HollowSettings {
-    fn take(&mut self, overlay: &Overlay) -> Taking {
+impl LinkHandler for HollowSettings {
+    fn apply(&mut self, overlay: &Overlay) -> ApplyFuture {
         let outcome = match check(overlay) {
             Ok(()) => Outcome::Applied,
             Err(problem) => Outcome::Refused(problem),
@@ -227,7 +227,7 @@
         Box::pin(std::future::ready(outcome))
     }
 
-    fn counts(&mut self) -> Counts {
+    fn request_counts(&mut self) -> Counts {
         let ended = self.manner.requests;
         Counts {
             ended,
@@ -235,11 +235,11 @@
         }
     }
 
-    fn keep(&mut self, memory: &Memory) {
+    fn persist(&mut self, memory: &Memory) {
         self.seen.memory.replace(memory.clone());
     }
 
-    fn asks(&mut self, term: u64) -> Option<Asks> {
+    fn lease_requests(&mut self, term: u64) -> Option<Asks> {
         if self.manner.requests > 0 {
             // One request a report: there is demand, and what it comes to is of no matter here.
             for limit in 0..self.manner.limits {
@@ -253,27 +253,27 @@
         (!self.holder.is_empty()).then(|| self.holder.ask(boottime()))
     }
 
-    fn lent(&mut self, lent: &Lent) -> bool {
+    fn grant_received(&mut self, lent: &Lent) -> bool {
         self.holder.take(boottime(), lent)
     }
 
-    fn tells(&mut self) -> Option<Tells> {
+    fn list_reports(&mut self) -> Option<Tells> {
         self.lists.tell()
     }
 
-    fn lists(&mut self, lists: &Lists) -> bool {
+    fn lists_received(&mut self, lists: &Lists) -> bool {
         self.lists.hear(lists)
     }
 
-    fn sent(&mut self, message: &ToAgent) {
-        self.counters.messages_went(1);
+    fn message_sent(&mut self, message: &ToAgent) {
+        self.counters.add_messages_out(1);
         if matches!(message, ToAgent::Report(_)) {
             self.seen.reported.set(true);
         }
     }
 
-    fn received(&mut self, message: &ToInstance) {
-        self.counters.messages_came(1);
+    fn message_received(&mut self, message: &ToInstance) {
+        self.counters.add_messages_in(1);
         let is_renewed = matches!(message, ToInstance::Renewed { .. }) && self.seen.reported.get();
         if is_renewed && self.seen.renewed.get().is_none() {
             self.seen.renewed.set(Some(usage::now()));
--- a/crates/lab/src/scale/switch.rs
+++ b/crates/lab/src/scale/switch.rs
@@ -1,7 +1,7 @@
 //! A link of an instance that can be held: neither end hears of the other, and neither is told so.
 
-use madderloom_agent::traffic::{Counted, Counters};
-use madderloom_agent::{ByteStream, Dial, Dialling};
+use madderloom_agent::traffic::{CountedStream, TrafficCounters};
+use madderloom_agent::{ByteStream, Dialer, DialFuture};
 use std::io;
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -16,19 +16,19 @@
     held: bool,
     waiting: Vec<Waker>,
     /// Streams that were given up while the link was held: the other end must not hear of it before the release.
-    given_up: Vec<Counted<TcpStream>>,
+    given_up: Vec<CountedStream<TcpStream>>,
 }
 
 /// Holds and releases all streams of one instance.
 pub struct Switch {
-    counters: Arc<Counters>,
+    counters: Arc<TrafficCounters>,
     state: Mutex<State>,
     released: Notify,
 }
 
 impl Switch {
     /// A link that is not held, whose bytes are counted.
-    pub fn new(counters: Arc<Counters>) -> Arc<Self> {
+    pub fn new(counters: Arc<TrafficCounters>) -> Arc<Self> {
         Arc::new(Switch {
             counters,
             state: Mutex::default(),
@@ -78,14 +78,14 @@
 /// Opens streams that a switch holds.
 pub struct SwitchedDial(pub Arc<Switch>);
 
-impl Dial for SwitchedDial {
-    fn dial<'a>(&'a self, address: &'a str) -> Dialling<'a> {
+impl Dialer for SwitchedDial {
+    fn dial<'a>(&'a self, address: &'a str) -> DialFuture<'a> {
         Box::pin(async move {
             self.0.until_released().await;
             let address: SocketAddr = address.parse().map_err(io::Error::other)?;
             let stream = TcpSocket::new_v4()?.connect(address).await?;
             let _ = stream.set_nodelay(true);
-            let stream = Counted::new(stream, Arc::clone(&self.0.counters));
+            let stream = CountedStream::new(stream, Arc::clone(&self.0.counters));
             let stream = Switched {
                 stream: Some(stream),
                 switch: Arc::clone(&self.0),
@@ -97,13 +97,13 @@
 
 struct Switched {
     /// There until it is dropped.
-    stream: Option<Counted<TcpStream>>,
+    stream: Option<CountedStream<TcpStream>>,
     switch: Arc<Switch>,
 }
 
 impl Switched {
     /// The stream, where it may be used now.
-    fn open(&mut self, context: &Context<'_>) -> Option<Pin<&mut Counted<TcpStream>>> {
+    fn open(&mut self, context: &Context<'_>) -> Option<Pin<&mut CountedStream<TcpStream>>> {
         if self.switch.holds(context) {
             None
         } else {
@@ -153,7 +153,7 @@
     }
 
     fn is_write_vectored(&self) -> bool {
-        self.stream.as_ref().is_some_and(Counted::is_write_vectored)
+        self.stream.as_ref().is_some_and(CountedStream::is_write_vectored)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
--- a/crates/lab/src/scale/worker.rs
+++ b/crates/lab/src/scale/worker.rs
@@ -5,7 +5,7 @@
 use super::protocol::{Command, Reply, Setup, Totals};
 use super::usage;
 use crate::sockets::itself::{on_one_thread, stay_with};
-use madderloom_agent::traffic::{Counters, Traffic};
+use madderloom_agent::traffic::{TrafficCounters, Traffic};
 use madderloom_pki::{Files, Keyring};
 use std::cell::Cell;
 use std::io::{BufRead, Write};
@@ -125,7 +125,7 @@
             agents: setup.agents,
             keyring: Keyring::load(files)?,
             manner: setup.manner,
-            counters: Arc::new(Counters::default()),
+            counters: Arc::new(TrafficCounters::default()),
             discovery: Rc::new(Cell::new(1)),
         });
         self.instances = setup
--- a/crates/sidecar/src/agent_link/connection.rs
+++ b/crates/sidecar/src/agent_link/connection.rs
@@ -3,7 +3,7 @@
 use super::window::Window;
 use crate::pool;
 use crate::process::Sidecar;
-use madderloom_agent::{Client, Link, Settings, Taking};
+use madderloom_agent::{Client, Link, LinkHandler, ApplyFuture};
 use madderloom_control_plane::change::Traits;
 use madderloom_control_plane::gate::Counts;
 use madderloom_control_plane::protocol::Who;
@@ -25,7 +25,7 @@
 /// Loads the keys, and makes a client for reports and one for the watch.
 fn clients(agent: &str, files: &Files) -> Result<(Arc<Keyring>, Client, Client), String> {
     let keyring = Keyring::load(files.clone())?;
-    let client = || Client::with(agent, &keyring);
+    let client = || Client::with_keyring(agent, &keyring);
     let (reports, watch) = (client()?, client()?);
     Ok((keyring, reports, watch))
 }
@@ -91,8 +91,8 @@
         window: Window::default(),
     };
     let link = Link::new(machine, settings, reports, watch, seed)
-        .following(traits)
-        .told_by(report_now);
+        .with_traits(traits)
+        .reporting_on(report_now);
     tokio::select! {
         () = link.run() => {}
         () = follow_files(&keyring, &files) => {}
@@ -131,8 +131,8 @@
     window: Window,
 }
 
-impl Settings for LinkHost {
-    fn take(&mut self, overlay: &Overlay) -> Taking {
+impl LinkHandler for LinkHost {
+    fn apply(&mut self, overlay: &Overlay) -> ApplyFuture {
         let (sidecar, overlay) = (self.sidecar.upgrade(), overlay.clone());
         Box::pin(async move {
             match sidecar {
@@ -142,28 +142,28 @@
         })
     }
 
-    fn counts(&mut self) -> Counts {
+    fn request_counts(&mut self) -> Counts {
         let Some(sidecar) = self.sidecar.upgrade() else {
             return Counts::default();
         };
         self.window.sample(Instant::now(), &sidecar.common)
     }
 
-    fn asks(&mut self, term: u64) -> Option<LeaseRequests> {
+    fn lease_requests(&mut self, term: u64) -> Option<LeaseRequests> {
         self.sidecar.upgrade()?.common.fleet_limits.ask(term)
     }
 
-    fn lent(&mut self, grant: &Grant) -> bool {
+    fn grant_received(&mut self, grant: &Grant) -> bool {
         self.sidecar
             .upgrade()
             .is_some_and(|sidecar| sidecar.common.fleet_limits.take(grant))
     }
 
-    fn tells(&mut self) -> Option<Tells> {
+    fn list_reports(&mut self) -> Option<Tells> {
         self.sidecar.upgrade()?.common.shared_lists.tell()
     }
 
-    fn lists(&mut self, lists: &Lists) -> bool {
+    fn lists_received(&mut self, lists: &Lists) -> bool {
         let Some(sidecar) = self.sidecar.upgrade() else {
             return false;
         };
@@ -184,7 +184,7 @@
         common.shared_lists.hear(lists, apply, call, rest)
     }
 
-    fn keep(&mut self, memory: &Memory) {
+    fn persist(&mut self, memory: &Memory) {
         if let Some(sidecar) = self.sidecar.upgrade() {
             sidecar.agent_link.persist(memory);
         }
