--- a/crates/agent/src/dial.rs
+++ b/crates/agent/src/dial.rs
@@ -1,4 +1,4 @@
-//! How a client opens the byte stream that its TLS runs over.
+//! How a client opens the byte stream below TLS.
 
 use std::io;
 use std::pin::Pin;
@@ -12,8 +12,8 @@
 /// A stream that is being opened.
 pub type DialFuture<'a> = Pin<Box<dyn Future<Output = io::Result<Box<dyn ByteStream>>> + 'a>>;
 
-/// Opens streams to an agent. Whoever wants to count bytes, or to hold or cut a link, implements this.
+/// Opens streams to an agent. It is implemented by whoever counts the bytes of a link, delays it or cuts it.
 pub trait Dialer {
-    /// Opens a stream to an address, `HOST:PORT`.
+    /// Opens a stream to an address, `HOST:PORT`. The caller bounds the time.
     fn dial<'a>(&'a self, address: &'a str) -> DialFuture<'a>;
 }
--- a/crates/agent/tests/common/mod.rs
+++ b/crates/agent/tests/common/mod.rs
@@ -326,7 +326,7 @@
     pub async fn relay_view(&self, relay: &TestRelay) -> Option<RelayView> {
         let client = Client::new(&relay.address, self.files("vic")).expect("a client");
         client
-            .get(hyper::Method::GET, "/v1/relay", vec![])
+            .request(hyper::Method::GET, "/v1/relay", vec![])
             .await
             .ok()
     }
@@ -377,14 +377,14 @@
 
     pub async fn status(&self) -> Option<view::StatusView> {
         self.client("vic")
-            .get(hyper::Method::GET, "/v1/status", vec![])
+            .request(hyper::Method::GET, "/v1/status", vec![])
             .await
             .ok()
     }
 
     pub async fn instances(&self) -> Vec<view::InstanceView> {
         self.client("vic")
-            .get(hyper::Method::GET, "/v1/instances", vec![])
+            .request(hyper::Method::GET, "/v1/instances", vec![])
             .await
             .unwrap_or_default()
     }
@@ -411,7 +411,7 @@
             let path = format!("/v1/rollouts/{id}");
             let rollout = self
                 .client("vic")
-                .get::<view::RolloutView>(hyper::Method::GET, &path, vec![])
+                .request::<view::RolloutView>(hyper::Method::GET, &path, vec![])
                 .await;
             if let Ok(rollout) = &rollout
                 && rollout.end.is_some()
@@ -468,7 +468,7 @@
     change: &Change,
 ) -> Result<madderloom_control_plane::Accepted, madderloom_agent::ClientError> {
     client
-        .get(
+        .request(
             hyper::Method::POST,
             "/v1/changes",
             serde_json::to_vec(change).expect("JSON"),
--- a/crates/agent/tests/every_change_ends_for_each_instance.rs
+++ b/crates/agent/tests/every_change_ends_for_each_instance.rs
@@ -52,7 +52,7 @@
         assert!(toys.iter().all(|toy| toy.0.borrow().taken == 1));
 
         let undone: Accepted = alice
-            .get(Method::POST, "/v1/rollouts/slow-w7/undo", vec![])
+            .request(Method::POST, "/v1/rollouts/slow-w7/undo", vec![])
             .await
             .expect("undone");
         let rollout = rig.ended(&undone.id).await;
@@ -289,7 +289,7 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
         let _: Accepted = alice
-            .get(Method::POST, "/v1/rollouts/slow-w7/stop", vec![])
+            .request(Method::POST, "/v1/rollouts/slow-w7/stop", vec![])
             .await
             .expect("stopped");
         let rollout = rig.ended("slow-w7").await;
--- a/crates/agent/tests/nothing_is_done_that_may_not_be.rs
+++ b/crates/agent/tests/nothing_is_done_that_may_not_be.rs
@@ -19,7 +19,7 @@
                 .await
                 .expect_err("refused");
             assert!(
-                matches!(failed, ClientError::Refused(StatusCode::FORBIDDEN, _)),
+                matches!(failed, ClientError::Rejected { status: StatusCode::FORBIDDEN, .. }),
                 "{failed:?}"
             );
             assert!(
@@ -32,7 +32,7 @@
             let path = format!("/v1/instances/{instance}/report");
             let answer = rig
                 .client(name)
-                .ask(Method::POST, &path, b"{}".to_vec())
+                .send(Method::POST, &path, b"{}".to_vec())
                 .await
                 .expect("an answer");
             assert_eq!(answer.status, StatusCode::FORBIDDEN, "{name}");
@@ -65,7 +65,7 @@
         let failed = loop {
             // The connection that is open, and any new one.
             match alice
-                .get::<serde_json::Value>(Method::GET, "/v1/status", vec![])
+                .request::<serde_json::Value>(Method::GET, "/v1/status", vec![])
                 .await
             {
                 Err(failed) => break failed,
@@ -147,13 +147,13 @@
             (Method::DELETE, "/v1/instances", b"", StatusCode::NOT_FOUND),
         ] {
             let answer = alice
-                .ask(method, path, body.to_vec())
+                .send(method, path, body.to_vec())
                 .await
                 .expect("an answer");
             assert_eq!(answer.status, status, "{path}");
         }
         let large = alice
-            .ask(Method::POST, "/v1/changes", vec![b' '; (8 << 20) + 1])
+            .send(Method::POST, "/v1/changes", vec![b' '; (8 << 20) + 1])
             .await;
         assert!(
             large.is_err()
--- a/crates/agent/tests/relays_stand_between_instances_and_an_agent.rs
+++ b/crates/agent/tests/relays_stand_between_instances_and_an_agent.rs
@@ -261,19 +261,19 @@
             r#"{"messages":[{"register":{"who":{"name":"till-1","start":1,"incarnation":1}}}]}"#;
         let path = "/v1/relays/zone-0/batch?start=5";
         let answer = client
-            .ask(hyper::Method::POST, path, batch.into())
+            .send(hyper::Method::POST, path, batch.into())
             .await
             .expect("it answers");
         assert_eq!(answer.status, hyper::StatusCode::FORBIDDEN, "{answer:?}");
         let viewer = rig.client("vic");
         let batch = batch.replace("till-1", "shop-1");
         let answer = viewer
-            .ask(hyper::Method::POST, path, batch.clone().into())
+            .send(hyper::Method::POST, path, batch.clone().into())
             .await
             .expect("it answers");
         assert_eq!(answer.status, hyper::StatusCode::FORBIDDEN, "{answer:?}");
         let answer = client
-            .ask(hyper::Method::POST, path, batch.into())
+            .send(hyper::Method::POST, path, batch.into())
             .await
             .expect("it answers");
         assert_eq!(answer.status, hyper::StatusCode::OK, "{answer:?}");
--- a/crates/cli/src/agent.rs
+++ b/crates/cli/src/agent.rs
@@ -38,7 +38,7 @@
             let address = agent.address().map_err(|e| e.to_string())?;
             tracing::info!("listening on {address}");
             let keyring = agent.keyring();
-            agent.serve(signals.stop(vec![keyring])).await
+            Ok(agent.serve(signals.stop(vec![keyring])).await?)
         });
         written.wait(LAST_LINES);
         served.map(|()| ExitCode::SUCCESS)
--- a/crates/cli/src/fleet/follow.rs
+++ b/crates/cli/src/fleet/follow.rs
@@ -1,11 +1,11 @@
 //! Waiting for a rollout to end, and how it is shown.
 
-use super::connection::get;
+use super::connection::{CommandError, get};
 use super::text::{counts, json, when};
 use super::{FAILED, LOOK, REFUSED};
 use crate::output::{Output, Table, tell};
 use madderloom_agent::view::RolloutView;
-use madderloom_agent::{Client, ClientError};
+use madderloom_agent::Client;
 use madderloom_control_plane::Accepted;
 use std::io::{IsTerminal, Write};
 use std::process::ExitCode;
@@ -25,7 +25,7 @@
     client: &Client,
     accepted: &Accepted,
     waiting: &Waiting,
-) -> Result<ExitCode, ClientError> {
+) -> Result<ExitCode, CommandError> {
     if waiting.no_wait {
         match waiting.output {
             Output::Json => json(accepted),
--- a/crates/cli/src/fleet/push.rs
+++ b/crates/cli/src/fleet/push.rs
@@ -1,13 +1,13 @@
 //! `push` and `drain`: changes to the fleet.
 
 use super::REFUSED;
-use super::connection::{Connection, get};
+use super::connection::{CommandError, Connection, get};
 use super::follow::{Waiting, follow};
 use super::text::json;
 use crate::output::{Output, Table, tell};
 use hyper::Method;
 use madderloom_agent::view::{InstanceView, RolloutView, StatusView};
-use madderloom_agent::{Client, ClientError};
+use madderloom_agent::Client;
 use madderloom_control_plane::change::{Change, Policy, Selector, Traits, What};
 use madderloom_control_plane::membership::Presence;
 use madderloom_control_plane::rollout::Rollout as FleetRollout;
@@ -52,7 +52,7 @@
         read(Some(0))?;
         self.connection.run(async |client| {
             let status: StatusView = get(&client, "/v1/status").await?;
-            let change = read(Some(status.revision)).map_err(ClientError::Unheard)?;
+            let change = read(Some(status.revision)).map_err(CommandError::Invalid)?;
             if self.dry_run {
                 return dry_run(&client, change, &status, self.waiting.output).await;
             }
@@ -67,7 +67,7 @@
     change: Change,
     status: &StatusView,
     output: Output,
-) -> Result<ExitCode, ClientError> {
+) -> Result<ExitCode, CommandError> {
     let instances: Vec<InstanceView> = get(client, "/v1/instances").await?;
     let known: Vec<RolloutView> = get(client, "/v1/rollouts").await?;
     let (id, base, newest) = (change.id.clone(), change.base, status.revision);
@@ -156,9 +156,9 @@
     })
 }
 
-async fn push(client: &Client, change: &Change, waiting: &Waiting) -> Result<ExitCode, ClientError> {
+async fn push(client: &Client, change: &Change, waiting: &Waiting) -> Result<ExitCode, CommandError> {
     let body = serde_json::to_vec(change).unwrap_or_default();
-    let accepted: Accepted = client.get(Method::POST, "/v1/changes", body).await?;
+    let accepted: Accepted = client.request(Method::POST, "/v1/changes", body).await?;
     follow(client, &accepted, waiting).await
 }
 
--- a/crates/cli/src/fleet/rollout.rs
+++ b/crates/cli/src/fleet/rollout.rs
@@ -49,7 +49,7 @@
             let path = format!("/v1/rollouts/{}", one.id);
             if let Some(verb) = verb {
                 let accepted = client
-                    .get::<Accepted>(Method::POST, &format!("{path}/{verb}"), Vec::new())
+                    .request::<Accepted>(Method::POST, &format!("{path}/{verb}"), Vec::new())
                     .await?;
                 let code = follow(&client, &accepted, &one.waiting).await?;
                 // What was asked for is that it ends so.
@@ -68,7 +68,7 @@
                         known.into_iter().map(|rollout| rollout.id),
                     ))
                 }
-                Err(failed) => Err(failed),
+                Err(failed) => Err(failed.into()),
                 Ok(rollout) => {
                     tell_rollout(&rollout, one.waiting.output);
                     Ok(if rollout.end.is_none() {
--- a/crates/cli/src/fleet/top.rs
+++ b/crates/cli/src/fleet/top.rs
@@ -1,10 +1,10 @@
 //! `top`: the fleet watched in the terminal.
 
-use super::connection::{Connection, get};
+use super::connection::{CommandError, Connection, get};
 use super::text::{counts, lists, shares, table};
 use crate::output::tell;
 use madderloom_agent::view::{InstanceView, RolloutView, StatusView};
-use madderloom_agent::{Client, ClientError};
+use madderloom_agent::Client;
 use madderloom_control_plane::membership::Presence;
 use std::fmt;
 use std::io::IsTerminal;
@@ -57,7 +57,7 @@
     rows: usize,
 }
 
-async fn look(client: &Client, rows: usize) -> Result<View, ClientError> {
+async fn look(client: &Client, rows: usize) -> Result<View, CommandError> {
     let status: StatusView = get(client, "/v1/status").await?;
     let rollout = match &status.rolling_out {
         // It may have ended since.
--- a/crates/cli/src/relay.rs
+++ b/crates/cli/src/relay.rs
@@ -30,7 +30,7 @@
             let address = relay.address().map_err(|e| e.to_string())?;
             tracing::info!("listening on {address}");
             let keyrings = relay.keyrings().to_vec();
-            relay.serve(signals.stop(keyrings)).await
+            Ok(relay.serve(signals.stop(keyrings)).await?)
         });
         written.wait(LAST_LINES);
         served.map(|()| ExitCode::SUCCESS)
--- a/crates/lab/src/scale/agent.rs
+++ b/crates/lab/src/scale/agent.rs
@@ -7,7 +7,7 @@
 use crate::sockets::child::Process;
 use hyper::Method;
 use madderloom_agent::view::{RolloutView, StatusView};
-use madderloom_agent::{Client, ClientError};
+use madderloom_agent::Client;
 use madderloom_control_plane::Accepted;
 use madderloom_control_plane::change::Change;
 use madderloom_pki::{Authority, Files, Role};
@@ -165,7 +165,7 @@
         let body = serde_json::to_vec(change).map_err(|e| e.to_string())?;
         let accepted = self
             .client
-            .get::<Accepted>(Method::POST, "/v1/changes", body)
+            .request::<Accepted>(Method::POST, "/v1/changes", body)
             .await;
         accepted.map_err(|e| e.to_string())
     }
@@ -191,10 +191,12 @@
     async fn get<T: for<'a> serde::Deserialize<'a>>(&self, path: &str) -> Result<T, String> {
         let begin = Instant::now();
         loop {
-            match self.client.get(Method::GET, path, vec![]).await {
-                Err(ClientError::Unheard(why)) if begin.elapsed() > PATIENCE => return Err(why),
+            match self.client.request(Method::GET, path, vec![]).await {
+                Err(error) if error.is_unanswered() && begin.elapsed() > PATIENCE => {
+                    return Err(error.to_string());
+                }
                 // An agent that is busy with many connections may be slow to answer.
-                Err(ClientError::Unheard(_)) => tokio::time::sleep(LOOK).await,
+                Err(error) if error.is_unanswered() => tokio::time::sleep(LOOK).await,
                 other => return other.map_err(|e| e.to_string()),
             }
         }
--- a/crates/lab/src/scale/child.rs
+++ b/crates/lab/src/scale/child.rs
@@ -78,7 +78,7 @@
         let agent = Agent::start(&config, storage).await?;
         let address = agent.address().map_err(|e| e.to_string())?;
         tracing::info!("listening on {address}");
-        agent.serve(stop).await
+        Ok(agent.serve(stop).await?)
     })
 }
 
@@ -90,7 +90,7 @@
         let relay = Relay::start(&config).await?;
         let address = relay.address().map_err(|e| e.to_string())?;
         tracing::info!("listening on {address}");
-        relay.serve(stop).await
+        Ok(relay.serve(stop).await?)
     })
 }
 
--- a/crates/sidecar/src/agent_link/connection.rs
+++ b/crates/sidecar/src/agent_link/connection.rs
@@ -3,7 +3,7 @@
 use super::window::Window;
 use crate::pool;
 use crate::process::Sidecar;
-use madderloom_agent::{Client, Link, LinkHandler, ApplyFuture};
+use madderloom_agent::{ApplyFuture, Client, Link, LinkHandler};
 use madderloom_control_plane::change::Traits;
 use madderloom_control_plane::gate::Counts;
 use madderloom_control_plane::protocol::Who;
