--- a/crates/agent/src/error.rs
+++ b/crates/agent/src/error.rs
@@ -1,11 +1,11 @@
-//! The errors of an agent: why it cannot start, or cannot keep its state.
+//! The errors of an agent or a relay: why it cannot start, or cannot keep its state.
 
 use madderloom_pki::Role;
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Why an agent cannot start, or cannot keep what it decides.
+/// Why an agent or a relay cannot start, or an agent cannot keep its state.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The keys cannot be read or used; the text is that of [`madderloom_pki`].
@@ -25,12 +25,12 @@
         /// The file of the certificate.
         certificate: PathBuf,
     },
-    /// The agent cannot listen on its address.
+    /// The address cannot be listened on.
     #[error("{address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system says.
+        /// The error of the system.
         source: io::Error,
     },
     /// The audit log cannot be opened.
@@ -38,7 +38,7 @@
     OpenAuditLog {
         /// The file.
         path: PathBuf,
-        /// What the system says.
+        /// The error of the system.
         source: io::Error,
     },
     /// A line of the audit log cannot be formatted.
@@ -52,7 +52,7 @@
     OpenDirectory {
         /// The directory of the store.
         directory: PathBuf,
-        /// What the system says.
+        /// The error of the system.
         source: io::Error,
     },
     /// The store of the durable records has failed.
@@ -60,7 +60,7 @@
     Store {
         /// The directory of the store.
         directory: PathBuf,
-        /// What the store says.
+        /// The error of the store.
         source: madderloom_store::Error,
     },
     /// A durable record cannot be read or written.
@@ -70,7 +70,7 @@
         directory: PathBuf,
         /// The key of the record.
         key: String,
-        /// What is wrong with it.
+        /// Why it cannot be read or written.
         source: serde_json::Error,
     },
     /// Records are committed to a store before they were loaded.
--- /dev/null
+++ b/crates/agent/src/http/caller.rs
@@ -0,0 +1,54 @@
+//! The other end of a connection: its address, and who it is by its certificate.
+
+use super::response::Rejection;
+use crate::clock::unix_seconds;
+use hyper::StatusCode;
+use madderloom_pki::role::may;
+use madderloom_pki::{Keyring, Peer, Shown, Verb};
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+/// The other end of a connection.
+#[derive(Clone)]
+pub(crate) struct Caller {
+    /// Its address.
+    pub(crate) address: SocketAddr,
+    /// The certificate that it showed in the TLS handshake.
+    pub(crate) certificate: Rc<Shown>,
+}
+
+impl Caller {
+    /// Checks the certificate again, and returns who shows it. It may expire or be revoked while the connection is open.
+    pub(crate) fn identify(&self, keyring: &Keyring) -> Result<Peer, Rejection> {
+        keyring
+            .check_again(&self.certificate, unix_seconds())
+            .map_err(|error| {
+                tracing::warn!(
+                    peer = %self.address,
+                    %error,
+                    "request rejected: certificate not valid"
+                );
+                Rejection::new(StatusCode::FORBIDDEN, error)
+            })
+    }
+
+    /// Checks that the role of a caller permits an operation.
+    pub(crate) fn authorize(&self, peer: &Peer, verb: Verb<'_>) -> Result<(), Rejection> {
+        if may(peer.role, &peer.name, verb) {
+            return Ok(());
+        }
+        let Peer {
+            name, role, serial, ..
+        } = peer;
+        tracing::warn!(
+            peer = %self.address,
+            %name,
+            %role,
+            %serial,
+            operation = %verb,
+            "request rejected: not permitted to the role"
+        );
+        let error = format!("{name} has the role {role} and may not {verb}");
+        Err(Rejection::new(StatusCode::FORBIDDEN, error))
+    }
+}
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,36 +1,39 @@
-//! The agent of a fleet, with its I/O: what [`madderloom_control_plane`] decides, over HTTP/1.1 and JSON within mutual TLS.
+//! The agent of a fleet, its relays and their clients: the sockets, TLS and storage around the state machines of
+//! [`madderloom_control_plane`]. They speak HTTP/1.1 and JSON under mutual TLS.
 //!
-//! - [`AgentConfig`] is the agent's file, [`Agent`] the program: it listens, keeps what must last through a [`Storage`],
-//!   and writes every attempt to change something into an audit log.
-//! - [`relay`] is the program between many instances and an agent.
-//! - [`Client`] speaks to an agent; [`view`] holds what it can be asked for.
-//! - [`traffic`] counts what passes over its connections.
-//! - [`Link`] is an instance's side: it drives the instance's machine over a client, and never makes it wait.
+//! - [`AgentConfig`] is the agent's configuration file, [`Agent`] the program. It keeps its durable records in a [`Storage`],
+//!   and records every attempt to change the fleet in an audit log.
+//! - [`relay`] is the program between the instances of one zone and the agent.
+//! - [`Client`] sends requests to an agent or a relay; [`view`] holds what an agent shows to operators.
+//! - [`Link`] is the side of an instance: it drives the instance's state machine over two clients.
+//! - [`traffic`] counts what passes over connections.
 //!
-//! `docs/control-protocol.md` tells what goes over the wire.
+//! One thread serves. State is owned by one task each, [`Agent`]'s and [`relay::Relay`]'s, which others ask over a channel, so
+//! that nothing is borrowed while a task waits.
+//!
+//! `docs/control-protocol.md` documents the messages on the wire.
 
-mod audit;
-mod batch;
+mod audit_log;
 mod client;
 mod clock;
 mod config;
-mod core;
+mod delivery_routes;
 mod dial;
 mod error;
+mod fleet_task;
 mod http;
+mod key_files;
 mod link;
-mod listener;
 pub mod relay;
-mod routes;
 mod server;
 mod storage;
 pub mod traffic;
 pub mod view;
 
-pub use client::{Answer, Client, ClientError};
+pub use client::{AgentResponse, Client, ClientError};
 pub use config::{AgentConfig, DEFAULT_MAX_CONNECTIONS};
-pub use dial::{ByteStream, Dialer, DialFuture};
+pub use dial::{ByteStream, DialFuture, Dialer};
 pub use error::Error;
-pub use link::{Link, LinkHandler, ApplyFuture};
+pub use link::{ApplyFuture, Link, LinkHandler};
 pub use server::Agent;
 pub use storage::{DurableStorage, MemoryStorage, RecordChanges, Storage};
--- a/crates/agent/src/relay/config.rs
+++ b/crates/agent/src/relay/config.rs
@@ -1,39 +1,50 @@
-//! The relay's file.
+//! The relay's configuration file.
 
-use crate::config::{KeysPart, RegistrationsPart, DEFAULT_MAX_CONNECTIONS, needed_path};
+use crate::config::{
+    KeysSection, RegistrationsSection, check_version, max_connections, required_listen_address,
+    required_path,
+};
 use madderloom_config_reader::{Document, Problem, Span};
+use madderloom_control_plane::Micros;
 use madderloom_control_plane::relay::RelayRules;
 use madderloom_control_plane::settings::check_name;
-use madderloom_control_plane::spread::Pace;
 use madderloom_pki::Files;
 use serde::Deserialize;
 use std::net::SocketAddr;
+use std::ops::RangeInclusive;
 use std::path::{Path, PathBuf};
 
-/// The most agents that a relay may be told of.
+/// The most agents that a relay can be configured with.
 const MAX_AGENTS: usize = 8;
-/// The longest that an instance may have to wait for the agent's answer: it takes a registration for lost after 5 s.
-const LONGEST_ANSWER: Span = Span::s(4);
+/// How long the relay can be set to wait for the agent's answer before it answers an instance itself, in microseconds. An
+/// instance regards a registration as lost after 5 s.
+const ANSWER_TIMEOUTS: RangeInclusive<Micros> = 10_000..=4_000_000;
+/// The leases of instances that can be set, in microseconds.
+const LEASES: RangeInclusive<Micros> = 300_000..=600_000_000;
+/// The most instances that can be set to be known.
+const INSTANCE_COUNTS: RangeInclusive<usize> = 1..=65_536;
 
-/// A relay's settings.
+/// The settings of a relay.
 #[derive(Clone, Debug)]
 pub struct RelayConfig {
-    /// Its name among all relays.
+    /// Its name, which no other relay has.
     pub name: String,
-    /// Where it listens.
+    /// The address to listen on.
     pub listen: SocketAddr,
-    /// Its keys as a server: a certificate for an agent.
+    /// Its keys as a server, with a certificate for an agent.
     pub keys: Files,
     /// The most connections at a time.
-    pub connections: usize,
-    /// The agents above it, `HOST:PORT` each. It connects to one at a time, and to the next where that fails.
+    pub max_connections: usize,
+    /// The agents above it, `HOST:PORT` each, one at least. It is connected to one at a time, and connects to the next where
+    /// that fails.
     pub agents: Vec<String>,
-    /// Its keys as a client: a certificate for an instance that is good for the names of all its instances.
-    pub parent_keys: Files,
+    /// Its keys as a client, with a certificate for an instance that is valid for the names of all its instances.
+    pub client_keys: Files,
     /// Leases, bounds, paces.
     pub rules: RelayRules,
 }
 
+/// The file, as it is written.
 #[derive(Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 struct File {
@@ -41,110 +52,110 @@
     name: String,
     listen: Option<SocketAddr>,
     connections: Option<usize>,
-    keys: KeysPart,
-    parent: ParentPart,
-    children: ChildrenPart,
-    registrations: RegistrationsPart,
+    keys: KeysSection,
+    parent: ParentSection,
+    children: ChildrenSection,
+    registrations: RegistrationsSection,
 }
 
+/// `[parent]`: the agents above.
 #[derive(Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-struct ParentPart {
+struct ParentSection {
     agents: Vec<String>,
     certificate: Option<PathBuf>,
     key: Option<PathBuf>,
 }
 
+/// `[children]`: the instances.
 #[derive(Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-struct ChildrenPart {
+struct ChildrenSection {
     lease: Option<Span>,
     answer: Option<Span>,
     instances: Option<usize>,
 }
 
 impl RelayConfig {
-    /// Reads a relay's file; paths in it are beside it.
+    /// Reads the file of a relay. Paths in it are relative to the directory of `path`.
     ///
     /// # Errors
-    /// Every problem of the file, with its place.
-    pub fn read(text: &str, place: &Path) -> Result<Self, Vec<Problem>> {
+    /// All problems of the file, each with its place.
+    pub fn read(text: &str, path: &Path) -> Result<Self, Vec<Problem>> {
         let (mut document, file) = Document::read::<File>(text)?;
-        document.require(file.version == 1, "version", "must be 1");
+        check_version(&mut document, file.version);
         if let Err(problem) = check_name(&file.name) {
             document.problem("name", problem);
         }
-        let missing = "is missing; write an address such as \"10.0.0.5:7070\"";
-        document.require(file.listen.is_some(), "listen", missing);
-        let count = file.parent.agents.len();
+        let listen = required_listen_address(&mut document, file.listen);
+        file.parent.check_agents(&mut document);
+        let keys = file.keys.files(&mut document, path);
+        let (certificate, key) = (file.parent.certificate, file.parent.key);
+        let client_keys = Files {
+            certificate: required_path(&mut document, path, certificate, "parent.certificate"),
+            key: required_path(&mut document, path, key, "parent.key"),
+            ..keys.clone()
+        };
+        let defaults = RelayRules::default();
+        let pace = file.registrations.pace(&mut document, defaults.pace);
+        let rules = file.children.rules(&mut document, RelayRules { pace, ..defaults });
+        let max_connections = max_connections(&mut document, file.connections);
+        let config = RelayConfig {
+            name: file.name,
+            listen,
+            keys,
+            max_connections,
+            agents: file.parent.agents,
+            client_keys,
+            rules,
+        };
+        document.finish(config)
+    }
+}
+
+impl ParentSection {
+    /// Checks that there are agents, and that each is `HOST:PORT`.
+    fn check_agents(&self, document: &mut Document<'_>) {
         document.require(
-            (1..=MAX_AGENTS).contains(&count),
+            (1..=MAX_AGENTS).contains(&self.agents.len()),
             "parent.agents",
             "must be from 1 to 8 addresses, such as [\"10.0.0.5:7070\"]",
         );
-        for (at, agent) in file.parent.agents.iter().enumerate() {
+        for (index, agent) in self.agents.iter().enumerate() {
             let port = agent.rsplit_once(':').map(|(_, port)| port.parse::<u16>());
-            let is_address = matches!(port, Some(Ok(_)));
             document.require(
-                is_address,
-                &format!("parent.agents[{at}]"),
+                matches!(port, Some(Ok(_))),
+                &format!("parent.agents[{index}]"),
                 "must be HOST:PORT",
             );
         }
-        let keys = file.keys.files(&mut document, place);
-        let parent_keys = Files {
-            certificate: needed_path(
-                &mut document,
-                place,
-                file.parent.certificate,
-                "parent.certificate",
-            ),
-            key: needed_path(&mut document, place, file.parent.key, "parent.key"),
-            ..keys.clone()
+    }
+}
+
+impl ChildrenSection {
+    /// The rules, by default those given.
+    fn rules(&self, document: &mut Document<'_>, defaults: RelayRules) -> RelayRules {
+        let rules = RelayRules {
+            lease: self.lease.map_or(defaults.lease, Span::micros),
+            answer_timeout: self.answer.map_or(defaults.answer_timeout, Span::micros),
+            max_children: self.instances.unwrap_or(defaults.max_children),
+            ..defaults
         };
-        let pace = file
-            .registrations
-            .pace(&mut document, RelayRules::default().pace);
-        let rules = file.children.rules(pace);
-        let answer = file.children.answer.unwrap_or(Span::s(2));
         document.require(
-            answer <= LONGEST_ANSWER && rules.answer_timeout >= 10_000,
+            ANSWER_TIMEOUTS.contains(&rules.answer_timeout),
             "children.answer",
             "must be from 10ms to 4s",
         );
         document.require(
-            (300_000..=600_000_000).contains(&rules.lease),
+            LEASES.contains(&rules.lease),
             "children.lease",
             "must be from 300ms to 10m",
         );
         document.require(
-            (1..=65_536).contains(&rules.max_children),
+            INSTANCE_COUNTS.contains(&rules.max_children),
             "children.instances",
             "must be from 1 to 65536",
         );
-        let connections = file.connections.unwrap_or(DEFAULT_MAX_CONNECTIONS);
-        document.require(connections >= 4, "connections", "must be 4 or more");
-        let config = RelayConfig {
-            name: file.name,
-            listen: file.listen.unwrap_or(SocketAddr::from(([127, 0, 0, 1], 0))),
-            keys,
-            connections,
-            agents: file.parent.agents,
-            parent_keys,
-            rules,
-        };
-        document.finish(config)
-    }
-}
-
-impl ChildrenPart {
-    fn rules(&self, pace: Pace) -> RelayRules {
-        let usual = RelayRules::default();
-        RelayRules {
-            lease: self.lease.map_or(usual.lease, Span::micros),
-            answer_timeout: self.answer.map_or(usual.answer_timeout, Span::micros),
-            max_children: self.instances.unwrap_or(usual.max_children),
-            pace,
-        }
+        rules
     }
 }
--- a/crates/agent/src/traffic.rs
+++ b/crates/agent/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Counts of what passes over an agent's connections.
+//! Counts of what passes over the connections of an agent, a relay or a client.
 
 use serde::{Deserialize, Serialize};
 use std::io;
@@ -12,21 +12,21 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Traffic {
-    /// Connections that are open now, those of operators included.
+    /// Connections that are open now, including those of operators.
     pub connections: u64,
-    /// Connections that were opened, likewise.
+    /// Connections that were ever opened, including those of operators.
     pub opened: u64,
-    /// Bytes read from them, TLS included.
+    /// Bytes read, TLS included.
     pub bytes_in: u64,
-    /// Bytes written to them, TLS included.
+    /// Bytes written, TLS included.
     pub bytes_out: u64,
-    /// Messages from instances: registrations and reports.
+    /// Messages received: at a server registrations and reports, at a client those in answers and over watches.
     pub messages_in: u64,
-    /// Messages to instances, in answers and over watches.
+    /// Messages sent: at a server those in answers and over watches, at a client registrations and reports.
     pub messages_out: u64,
 }
 
-/// The counters behind [`Traffic`].
+/// The counters behind [`Traffic`]. Any thread may add to them.
 #[derive(Debug, Default)]
 pub struct TrafficCounters {
     open: AtomicU64,
@@ -38,7 +38,7 @@
 }
 
 impl TrafficCounters {
-    /// The counts by now.
+    /// The present counts. They are read one after the other, so that they may differ by what passes meanwhile.
     pub fn read(&self) -> Traffic {
         let value = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         Traffic {
@@ -51,12 +51,12 @@
         }
     }
 
-    /// So many messages came from instances.
+    /// Adds to the messages received.
     pub fn add_messages_in(&self, count: usize) {
         self.messages_in.fetch_add(count as u64, Ordering::Relaxed);
     }
 
-    /// So many messages went to instances.
+    /// Adds to the messages sent.
     pub fn add_messages_out(&self, count: usize) {
         self.messages_out.fetch_add(count as u64, Ordering::Relaxed);
     }
@@ -70,12 +70,24 @@
 }
 
 impl<S> CountedStream<S> {
-    /// Counts this stream from now on.
+    /// Counts a stream from now on.
     pub fn new(stream: S, counters: Arc<TrafficCounters>) -> Self {
         counters.open.fetch_add(1, Ordering::Relaxed);
         counters.opened.fetch_add(1, Ordering::Relaxed);
         CountedStream { stream, counters }
     }
+
+    fn add_bytes_in(&self, count: usize) {
+        let counter = &self.counters.bytes_in;
+        counter.fetch_add(count as u64, Ordering::Relaxed);
+    }
+
+    fn add_bytes_out(&self, written: &Poll<io::Result<usize>>) {
+        if let Poll::Ready(Ok(count)) = written {
+            let counter = &self.counters.bytes_out;
+            counter.fetch_add(*count as u64, Ordering::Relaxed);
+        }
+    }
 }
 
 impl<S> Drop for CountedStream<S> {
@@ -90,26 +102,13 @@
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let before = buffer.filled().len();
+        let filled_before = buffer.filled().len();
         let polled = Pin::new(&mut self.stream).poll_read(context, buffer);
-        let read = buffer.filled().len() - before;
-        self.counters
-            .bytes_in
-            .fetch_add(read as u64, Ordering::Relaxed);
+        self.add_bytes_in(buffer.filled().len() - filled_before);
         polled
     }
 }
 
-impl<S: AsyncWrite + Unpin> CountedStream<S> {
-    fn wrote(&self, polled: &Poll<io::Result<usize>>) {
-        if let Poll::Ready(Ok(written)) = polled {
-            self.counters
-                .bytes_out
-                .fetch_add(*written as u64, Ordering::Relaxed);
-        }
-    }
-}
-
 impl<S: AsyncWrite + Unpin> AsyncWrite for CountedStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
@@ -117,7 +116,7 @@
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_write(context, bytes);
-        self.wrote(&polled);
+        self.add_bytes_out(&polled);
         polled
     }
 
@@ -127,7 +126,7 @@
         slices: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_write_vectored(context, slices);
-        self.wrote(&polled);
+        self.add_bytes_out(&polled);
         polled
     }
 
--- a/crates/agent/tests/nothing_is_done_that_may_not_be.rs
+++ b/crates/agent/tests/rejected_requests.rs
@@ -1,8 +1,11 @@
-//! Wrong roles, foreign and revoked certificates, a full disk: refused, on record, and nothing has changed.
+//! Requests under a wrong role or a revoked certificate, requests that are not valid, and changes while the disk is full: they
+//! are rejected and recorded, and change nothing.
 
 mod common;
 
-use common::{Rig, change, push, run};
+use common::change::{change, push};
+use common::fleet::TestFleet;
+use common::run;
 use hyper::{Method, StatusCode};
 use madderloom_agent::ClientError;
 use madderloom_pki::Authority;
@@ -12,10 +15,10 @@
 #[test]
 fn a_viewer_and_an_instance_change_nothing() {
     run(async {
-        let mut rig = Rig::new().await;
-        rig.fleet(1).await;
+        let mut fleet = TestFleet::new().await;
+        fleet.start_instances(1).await;
         for name in ["vic", "shop-any"] {
-            let failed = push(&rig.client(name), &change("c", 0, "w", 1))
+            let failed = push(&fleet.client(name), &change("c", 0, "w", 1))
                 .await
                 .expect_err("refused");
             assert!(
@@ -30,15 +33,15 @@
         // Nor is an operator an instance, or an instance another one.
         for (name, instance) in [("alice", "shop-0"), ("shop-any", "till-0")] {
             let path = format!("/v1/instances/{instance}/report");
-            let answer = rig
+            let answer = fleet
                 .client(name)
                 .send(Method::POST, &path, b"{}".to_vec())
                 .await
                 .expect("an answer");
             assert_eq!(answer.status, StatusCode::FORBIDDEN, "{name}");
         }
-        assert_eq!(rig.status().await.map(|status| status.revision), Some(0));
-        let audit = rig.audit();
+        assert_eq!(fleet.status().await.map(|status| status.revision), Some(0));
+        let audit = fleet.audit_log();
         assert_eq!(audit.len(), 2, "{audit:?}");
         assert!(
             audit
@@ -50,14 +53,14 @@
 }
 
 #[test]
-fn a_revoked_certificate_ends_with_the_next_request_without_a_restart() {
+fn a_revoked_certificate_is_rejected_from_the_next_request_on_without_a_restart() {
     run(async {
-        let rig = Rig::new().await;
-        let alice = rig.client("alice");
+        let fleet = TestFleet::new().await;
+        let alice = fleet.client("alice");
         push(&alice, &change("c1", 0, "w", 1))
             .await
             .expect("accepted");
-        let mut authority = Authority::open(&rig.at("keys")).expect("an authority");
+        let mut authority = Authority::open(&fleet.path("keys")).expect("an authority");
         authority
             .revoke("alice", OffsetDateTime::now_utc())
             .expect("revoked");
@@ -74,47 +77,47 @@
             tokio::time::sleep(Duration::from_millis(50)).await;
         };
         assert!(failed.to_string().contains("was revoked"), "{failed}");
-        let failed = push(&rig.client("alice"), &change("c2", 1, "w", 1))
+        let failed = push(&fleet.client("alice"), &change("c2", 1, "w", 1))
             .await
             .expect_err("refused");
         assert!(failed.to_string().contains("was revoked"), "{failed}");
-        assert_eq!(rig.status().await.map(|status| status.revision), Some(1));
+        assert_eq!(fleet.status().await.map(|status| status.revision), Some(1));
     });
 }
 
 #[test]
-fn while_the_disk_is_full_nothing_is_accepted_and_all_goes_on_afterwards() {
+fn no_change_is_accepted_while_the_disk_is_full_and_the_agent_recovers_afterwards() {
     run(async {
-        let mut rig = Rig::new().await;
-        let toys = rig.fleet(3).await;
-        rig.disk.fill(true);
-        let alice = rig.client("alice");
+        let mut fleet = TestFleet::new().await;
+        let instances = fleet.start_instances(3).await;
+        fleet.storage.set_full(true);
+        let alice = fleet.client("alice");
         let failed = push(&alice, &change("c1", 0, "w", 1))
             .await
             .expect_err("refused");
         assert!(failed.to_string().contains("no space left"), "{failed}");
-        assert!(toys.iter().all(|toy| toy.0.borrow().taken == 0));
+        assert!(instances.iter().all(|instance| instance.0.borrow().orders == 0));
         // However long it lasts.
         tokio::time::sleep(Duration::from_millis(1_500)).await;
         assert!(push(&alice, &change("c1", 0, "w", 1)).await.is_err());
-        rig.disk.fill(false);
-        rig.until("it goes on", |status| {
+        fleet.storage.set_full(false);
+        fleet.wait_for_status("it goes on", |status| {
             status.term == 2 && status.revision == 0
         })
         .await;
         push(&alice, &change("c1", 0, "w", 1))
             .await
             .expect("accepted");
-        assert!(rig.ended("c1").await.is_applied());
-        assert!(rig.disk.commits() > 3);
+        assert!(fleet.rollout_ended("c1").await.is_applied());
+        assert!(fleet.storage.commits() > 3);
     });
 }
 
 #[test]
-fn what_makes_no_sense_is_refused_with_its_field() {
+fn invalid_requests_are_rejected_with_the_field_at_fault() {
     run(async {
-        let rig = Rig::new().await;
-        let alice = rig.client("alice");
+        let fleet = TestFleet::new().await;
+        let alice = fleet.client("alice");
         let mut odd = change("c1", 0, "w", 1);
         odd.rollout.at_once = 0;
         let failed = push(&alice, &odd).await.expect_err("refused");
--- a/crates/cli/src/agent.rs
+++ b/crates/cli/src/agent.rs
@@ -23,7 +23,7 @@
     pub(crate) fn run(self) -> Result<ExitCode, String> {
         let (_, written) = self.logging.start()?;
         let config = read_config(&self.config, AgentConfig::read)?;
-        let storage: Box<dyn Storage> = match &config.state {
+        let storage: Box<dyn Storage> = match &config.state_directory {
             Some(directory) => Box::new(DurableStorage::new(directory)),
             None => {
                 tracing::warn!(
--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -178,7 +178,7 @@
 /// What an agent's file configures, in a few words.
 fn agents_summary(config: &madderloom_agent::AgentConfig) -> String {
     let state = config
-        .state
+        .state_directory
         .as_ref()
         .map_or("nowhere".to_string(), |state| state.display().to_string());
     let (listen, key) = (config.listen, config.keys.certificate.display());
--- a/crates/cli/src/fleet/follow.rs
+++ b/crates/cli/src/fleet/follow.rs
@@ -4,7 +4,7 @@
 use super::text::{counts, json, when};
 use super::{FAILED, LOOK, REFUSED};
 use crate::output::{Output, Table, tell};
-use madderloom_agent::view::RolloutView;
+use madderloom_agent::view::{RolloutView, TargetState};
 use madderloom_agent::Client;
 use madderloom_control_plane::Accepted;
 use std::io::{IsTerminal, Write};
@@ -70,7 +70,7 @@
 pub(super) fn code(rollout: &RolloutView) -> ExitCode {
     if rollout.is_applied() {
         ExitCode::SUCCESS
-    } else if rollout.is_refused() {
+    } else if rollout.is_rejected() {
         ExitCode::from(REFUSED)
     } else {
         ExitCode::from(FAILED)
@@ -82,21 +82,21 @@
         return json(rollout);
     }
     let why = rollout
-        .why
+        .reason
         .as_ref()
         .map(|why| format!(": {why}"))
         .unwrap_or_default();
     let RolloutView {
         id,
         revision,
-        by,
+        author,
         phase,
         ..
     } = rollout;
     tell(format_args!(
         "{id}, revision {revision}, by {} at {}: {phase}{why}",
-        by.who,
-        when(by.at)
+        author.who,
+        when(author.at)
     ));
     rollout
         .difference
@@ -105,19 +105,19 @@
     tell(format_args!("{}", counts(rollout)));
     let mut table = Table::new(["NAME", "WAVE", "RESULT", "REASON", "TAKEN BACK"]);
     let odd = rollout
-        .results
+        .targets
         .iter()
-        .filter(|(_, result)| result.state != "applied" || result.back.is_some());
+        .filter(|(_, target)| target.state != TargetState::Applied || target.rollback.is_some());
     let mut any = false;
-    for (name, result) in odd {
+    for (name, target) in odd {
         any = true;
         let text = |text: &Option<String>| text.clone().unwrap_or_default();
         let row = [
             name.clone(),
-            result.wave.to_string(),
-            result.state.clone(),
-            text(&result.reason),
-            text(&result.back),
+            target.wave.to_string(),
+            target.state.to_string(),
+            text(&target.reason),
+            text(&target.rollback),
         ];
         table.row(row);
     }
--- a/crates/cli/src/fleet/instances.rs
+++ b/crates/cli/src/fleet/instances.rs
@@ -77,18 +77,18 @@
             ));
             tell(format_args!(
                 "own file {}, labels {}",
-                instance.file,
+                instance.config_fingerprint,
                 labels.join(" ")
             ));
             if !instance.fleet_limits.is_empty() {
                 tell(format_args!("{}", shares(&instance.fleet_limits)));
             }
             tell(format_args!("the fleet has settled on:"));
-            if whole.settled.is_empty() {
+            if whole.intended_settings.is_empty() {
                 tell(format_args!("  nothing beside its own file"));
             }
             whole
-                .settled
+                .intended_settings
                 .iter()
                 .for_each(|line| tell(format_args!("  {line}")));
             Ok(ExitCode::SUCCESS)
--- a/crates/cli/src/fleet/push.rs
+++ b/crates/cli/src/fleet/push.rs
@@ -72,7 +72,7 @@
     let known: Vec<RolloutView> = get(client, "/v1/rollouts").await?;
     let (id, base, newest) = (change.id.clone(), change.base, status.revision);
     let difference = madderloom_control_plane::difference(&change);
-    let why = if let Some(term) = status.stood_down {
+    let why = if let Some(term) = status.superseded_by {
         Some(format!("an agent of term {term} has taken over"))
     } else if let Some(former) = known.iter().find(|former| former.id == id) {
         let same = former.difference == difference;
@@ -107,7 +107,7 @@
         )
     });
     let chosen = chosen
-        .map(|instance| (instance.name.clone(), instance.counts))
+        .map(|instance| (instance.name.clone(), instance.request_counts))
         .collect();
     let by = By {
         who: String::new(),
--- a/crates/cli/src/fleet/rollout.rs
+++ b/crates/cli/src/fleet/rollout.rs
@@ -127,15 +127,15 @@
                 let RolloutView {
                     id,
                     revision,
-                    by,
+                    author,
                     phase,
                     ..
                 } = rollout;
                 let row = [
                     revision.to_string(),
                     id.clone(),
-                    by.who.clone(),
-                    when(by.at),
+                    author.who.clone(),
+                    when(author.at),
                     phase.clone(),
                 ];
                 let [revision, id, who, at, phase] = row;
--- a/crates/cli/src/fleet/text.rs
+++ b/crates/cli/src/fleet/text.rs
@@ -35,7 +35,7 @@
 
 pub(super) fn counts(rollout: &RolloutView) -> String {
     let counts: Vec<String> = rollout
-        .counts
+        .target_counts
         .iter()
         .map(|(state, count)| format!("{count} {state}"))
         .collect();
@@ -47,23 +47,23 @@
 }
 
 fn line(instance: &InstanceView) -> [String; 8] {
-    let in_line = match (&instance.refused, instance.in_line) {
+    let in_line = match (&instance.rejection, instance.in_sync) {
         (Some(_), _) => "refused",
         (None, Some(true)) => "yes",
         (None, Some(false)) => "no",
         (None, None) => "?",
     };
-    let share = instance.counts.bad as f64 * 100.0 / instance.counts.ended.max(1) as f64;
-    let mut note = instance.refused.clone().unwrap_or_default();
+    let share = instance.request_counts.bad as f64 * 100.0 / instance.request_counts.ended.max(1) as f64;
+    let mut note = instance.rejection.clone().unwrap_or_default();
     let without = instance
         .fleet_limits
         .iter()
-        .filter(|(_, share)| share.instances > 0 && share.with_part == 0);
+        .filter(|(_, share)| share.instances > 0 && share.lease_holders == 0);
     let without: Vec<&str> = without.map(|(name, _)| name.as_str()).collect();
     if !without.is_empty() {
         note = format!("no lease of {} {note}", without.join(", "));
     }
-    if let Some(rival) = instance.rival {
+    if let Some(rival) = instance.rival_incarnation {
         note = format!("another process wants this name (incarnation {rival}) {note}");
     }
     [
@@ -72,7 +72,7 @@
         instance.zone.clone(),
         instance.revision.to_string(),
         in_line.into(),
-        instance.counts.ended.to_string(),
+        instance.request_counts.ended.to_string(),
         format!("{share:.1}%"),
         note,
     ]
@@ -111,19 +111,19 @@
             let rate = figures
                 .requests_per_second
                 .map(|rate| format!("{rate:.1}/s"));
-            let open = figures.open.map(|open| format!("{open} open"));
+            let open = figures.in_flight.map(|open| format!("{open} open"));
             rate.into_iter().chain(open).collect::<Vec<_>>().join(", ")
         };
         table.row([
             name.clone(),
-            figures(&share.whole),
-            figures(&share.lent),
-            format!("{:.1}", share.used),
-            format!("{:.1}", share.wanted),
-            share.open.to_string(),
-            format!("{:.1}", share.over),
+            figures(&share.limit),
+            figures(&share.granted),
+            format!("{:.1}", share.admitted_rate),
+            format!("{:.1}", share.demand_rate),
+            share.in_flight.to_string(),
+            format!("{:.1}", share.excess_rate),
             share.instances.to_string(),
-            share.instances.saturating_sub(share.with_part).to_string(),
+            share.instances.saturating_sub(share.lease_holders).to_string(),
         ]);
     }
     table
--- a/crates/cli/src/fleet/top.rs
+++ b/crates/cli/src/fleet/top.rs
@@ -68,7 +68,7 @@
     // What needs a look stands first.
     instances.sort_by_key(|i| {
         (
-            i.presence == Presence::Alive && i.in_line == Some(true) && i.refused.is_none(),
+            i.presence == Presence::Alive && i.in_sync == Some(true) && i.rejection.is_none(),
             i.name.clone(),
         )
     });
@@ -87,7 +87,7 @@
             revision,
             instances,
             in_effect,
-            stood_down,
+            superseded_by,
             ..
         } = &self.status;
         let there: Vec<String> = instances
@@ -100,7 +100,7 @@
             "revision {revision}, {changes} changes in effect, term {term}; instances: {}",
             there.join(", ")
         )?;
-        if let Some(term) = stood_down {
+        if let Some(term) = superseded_by {
             writeln!(
                 f,
                 "an agent of term {term} has taken over: this one gives no orders any more"
@@ -111,7 +111,7 @@
             None => writeln!(f, "nothing is rolling out")?,
         }
         if !self.status.fleet_limits.is_empty() {
-            if self.status.lends_all == Some(false) {
+            if self.status.grants_in_full == Some(false) {
                 writeln!(
                     f,
                     "fleet limits: what a former agent lent may be out, and is lent again alone"
--- a/crates/cli/src/logging.rs
+++ b/crates/cli/src/logging.rs
@@ -8,12 +8,13 @@
 use clap::ValueEnum;
 use madderloom_control_plane::settings::LogLevel;
 use std::collections::HashMap;
-use std::fmt;
+use std::fmt::{self, Write as _};
 use std::io::{self, Write};
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::sync::mpsc::{Receiver, RecvTimeoutError, Sender, channel};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
+use tracing::field::{Field, Visit};
 use tracing::{Event, Level, Metadata, Subscriber, callsite, level_filters::LevelFilter};
 use tracing_subscriber::fmt::MakeWriter;
 use tracing_subscriber::fmt::format::{FormatEvent, FormatFields, Writer};
@@ -386,17 +387,44 @@
         mut to: Writer<'_>,
         event: &Event<'_>,
     ) -> fmt::Result {
-        struct Message<'a, 'b>(&'a mut Writer<'b>, fmt::Result);
-        impl tracing::field::Visit for Message<'_, '_> {
-            fn record_debug(&mut self, field: &tracing::field::Field, value: &dyn fmt::Debug) {
-                if field.name() == "message" {
-                    self.1 = write!(self.0, "{value:?}");
-                }
-            }
+        let mut line = TextLine::default();
+        event.record(&mut line);
+        write!(to, "{}", line.message)?;
+        if has_fixed_messages(event.metadata()) {
+            write!(to, "{}", line.fields)?;
         }
-        let mut message = Message(&mut to, Ok(()));
-        event.record(&mut message);
-        message.1?;
         writeln!(to)
     }
 }
+
+/// The crates whose messages are fixed texts, so that a line in text shows the fields as well. The messages of the others
+/// contain the values of their fields.
+const FIXED_MESSAGE_CRATES: [&str; 1] = ["madderloom_agent"];
+
+fn has_fixed_messages(metadata: &Metadata<'_>) -> bool {
+    let target = metadata.target();
+    let crate_name = target.split("::").next().unwrap_or(target);
+    FIXED_MESSAGE_CRATES.contains(&crate_name)
+}
+
+/// The parts of a line in text.
+#[derive(Default)]
+struct TextLine {
+    message: String,
+    /// ` NAME=VALUE` for each field, in the order of the event.
+    fields: String,
+}
+
+impl Visit for TextLine {
+    fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
+        // Writing to a string does not fail.
+        let _ = match field.name() {
+            "message" => write!(self.message, "{value:?}"),
+            name => write!(self.fields, " {name}={value:?}"),
+        };
+    }
+
+    fn record_str(&mut self, field: &Field, value: &str) {
+        self.record_debug(field, &format_args!("{value}"));
+    }
+}
--- a/crates/cli/tests/fleet/wire.rs
+++ b/crates/cli/tests/fleet/wire.rs
@@ -165,17 +165,17 @@
     rig.instances = vec![rig.launch(0, ""), wrong, stray, foreign, revoked];
     rig.until_alive(2);
     let agent = rig.agent.as_ref().expect("it is up");
-    agent.wait_for("vic (view, ");
-    agent.wait_for("may not be the instance stray-1");
+    agent.wait_for("name=vic role=view ");
+    agent.wait_for("operation=be the instance stray-1");
     agent.wait_for(
-        "turned away: the other side's certificate is refused: the certificate comes from another",
+        "error=the other side's certificate is refused: the certificate comes from another",
     );
     rig.instances[1]
         .program()
         .wait_for("is not for an instance; the agent will turn it away");
     keys(&["revoke", "gone-*"]);
     keys(&["revoke", "mallory"]);
-    agent.wait_for("turned away: the certificate was revoked");
+    agent.wait_for("error=the certificate was revoked");
     let names: Vec<_> = rig
         .listed()
         .iter()
--- a/crates/lab/src/scale/bounds.rs
+++ b/crates/lab/src/scale/bounds.rs
@@ -46,7 +46,7 @@
                 None,
                 "days",
                 "size: sidecars / machines failing a day, all machines alike",
-                "one process, `agent/src/server.rs` `Agent`",
+                "one process, `agent/src/server/mod.rs` `Agent`",
             ),
         ]
     }
@@ -130,7 +130,7 @@
                 "`instances`, `top` and `history` at this size",
                 None,
                 "",
-                "`agent/src/view.rs`",
+                "`agent/src/view`",
             ),
         ]);
         rows
@@ -190,7 +190,7 @@
                 DEFAULT_MAX_CONNECTIONS as f64,
                 "",
                 "code: usual; `connections` has no upper bound but the system's descriptors",
-                "`agent/src/config.rs` `Config`",
+                "`agent/src/config/mod.rs` `AgentConfig`",
             ),
             bound(
                 "all register at the usual pace",
--- a/crates/lab/src/scale/capacity.rs
+++ b/crates/lab/src/scale/capacity.rs
@@ -15,7 +15,7 @@
 pub(super) const CONNECTIONS: f64 = 2.0;
 
 /// What carries an agent's work.
-const DRIVER: &str = "`agent/src/core.rs` `Driver`, one thread";
+const DRIVER: &str = "`agent/src/fleet_task/task.rs` `FleetTask`, one thread";
 
 /// Whether something fits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
@@ -171,7 +171,7 @@
                 factor: 1e3 * each,
                 budget: Some(budget.sidecar_bytes_per_second),
                 unit: "B/s",
-                carried_by: "`agent/src/link.rs` `Link`, `control-plane/src/protocol.rs` `Report`",
+                carried_by: "`agent/src/link/mod.rs` `Link`, `control-plane/src/protocol.rs` `Report`",
             }),
             self.row(Wanted {
                 series: BASE,
@@ -191,7 +191,7 @@
                 factor: each,
                 budget: Some(budget.sidecar_core_percent),
                 unit: "% of a core",
-                carried_by: "`agent/src/link.rs` `Link`",
+                carried_by: "`agent/src/link/mod.rs` `Link`",
             }),
         ];
         rows.extend(self.real_sidecar());
@@ -295,7 +295,7 @@
         };
         let (fleet, server) = (
             "`control-plane/src/fleet/mod.rs` `Fleet`",
-            "`agent/src/server.rs` `Agent`",
+            "`agent/src/server/mod.rs` `Agent`",
         );
         [
             row(
--- a/crates/lab/src/scale/child.rs
+++ b/crates/lab/src/scale/child.rs
@@ -69,7 +69,7 @@
 fn serve_agent(file: &Path) -> Result<(), String> {
     let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
     let config = AgentConfig::read(&text, file).map_err(|problems| written(file, &problems))?;
-    let storage: Box<dyn Storage> = match &config.state {
+    let storage: Box<dyn Storage> = match &config.state_directory {
         Some(directory) => Box::new(DurableStorage::new(directory)),
         None => Box::<MemoryStorage>::default(),
     };
--- a/crates/lab/src/scale/conductor.rs
+++ b/crates/lab/src/scale/conductor.rs
@@ -10,6 +10,7 @@
 use super::steps::Step;
 use super::usage::{Allowed, now};
 use super::workers::Workers;
+use madderloom_agent::view::TargetState;
 use madderloom_control_plane::change::{Change, Policy, Then, What};
 use madderloom_control_plane::settings::{Edits, Key, Value};
 use std::collections::BTreeMap;
@@ -326,7 +327,7 @@
         let outcome = Outcome::about(wanted)
             .time("in_force", in_force)
             .time("rollout_ended", ended);
-        Ok(count_results(outcome, &rollout.counts))
+        Ok(count_results(outcome, &rollout.target_counts))
     }
 
     async fn restart_agent(&mut self, state_lost: bool) -> Result<Outcome, String> {
@@ -406,7 +407,7 @@
             .time("rollout_ended", ended)
             .time("back", back_again)
             .time("in_force_after_heal", Times::since(back, times, wanted));
-        Ok(count_results(outcome, &rollout.counts))
+        Ok(count_results(outcome, &rollout.target_counts))
     }
 
     /// The region's instances are cut off, or its relays are.
@@ -456,9 +457,9 @@
     }
 }
 
-fn count_results(outcome: Outcome, counts: &BTreeMap<String, usize>) -> Outcome {
-    counts.iter().fold(outcome, |outcome, (name, count)| {
-        outcome.count(name, *count as u64)
+fn count_results(outcome: Outcome, counts: &BTreeMap<TargetState, usize>) -> Outcome {
+    counts.iter().fold(outcome, |outcome, (state, count)| {
+        outcome.count(&state.to_string(), *count as u64)
     })
 }
 
--- a/crates/lab/src/scale/with_relays.rs
+++ b/crates/lab/src/scale/with_relays.rs
@@ -30,7 +30,7 @@
                 factor: 1.0 / zones,
                 budget,
                 unit,
-                carried_by: "`agent/src/relay/core.rs` `Driver`, one thread",
+                carried_by: "`agent/src/relay/task.rs` `RelayTask`, one thread",
             })
         };
         vec![
@@ -58,7 +58,7 @@
                 (CONNECTIONS * (self.sidecars / zones + 1.0).round(), None),
                 "",
                 "code: two of each instance of a zone, and two to the agent",
-                "`agent/src/relay/paths.rs` `Relay`",
+                "`agent/src/relay/server.rs` `Relay`",
             ),
             reckoned(
                 "relay",
@@ -66,7 +66,7 @@
                 (zones + AGENTS, Some(f64::from(self.file.budget.machines))),
                 "",
                 "size: one relay in each zone, one agent above",
-                "`agent/src/relay/paths.rs` `Relay`",
+                "`agent/src/relay/server.rs` `Relay`",
             ),
         ]
     }
