--- a/crates/agent/src/config/fleet_limit.rs
+++ b/crates/agent/src/config/fleet_limit.rs
@@ -94,11 +94,7 @@
             "open",
             "must be 100000000 at most",
         );
-        require(
-            is_figure(self.floor),
-            "floor",
-            "must lie in 0 to 100000000",
-        );
+        require(is_figure(self.floor), "floor", "must lie in 0 to 100000000");
         require(
             self.are_weights_valid(),
             "weights",
@@ -113,8 +109,7 @@
 
     fn are_weights_valid(&self) -> bool {
         let mut weights = self.weights.values();
-        self.weights.len() <= MAX_WEIGHTS
-            && weights.all(|weight| (1..=MAX_WEIGHT).contains(weight))
+        self.weights.len() <= MAX_WEIGHTS && weights.all(|weight| (1..=MAX_WEIGHT).contains(weight))
     }
 
     fn longest(&self) -> Span {
--- a/crates/agent/src/config/mod.rs
+++ b/crates/agent/src/config/mod.rs
@@ -153,9 +153,7 @@
             .pace(&mut document, Rules::default().pace);
         let every = file.leases.report_interval(&mut document);
         let leases = file.leases.name_leases(&mut document, every);
-        let duration = file
-            .leases
-            .limit_lease(&mut document, every, leases.lease);
+        let duration = file.leases.limit_lease(&mut document, every, leases.lease);
         let limits = read_limits(file.fleet_limits, &mut document);
         let max_connections = max_connections(&mut document, file.connections);
         let config = AgentConfig {
--- a/crates/agent/src/fleet_task/handle.rs
+++ b/crates/agent/src/fleet_task/handle.rs
@@ -58,20 +58,12 @@
     }
 
     /// Stops the rollout of a change.
-    pub(crate) async fn stop(
-        &self,
-        id: String,
-        author: By,
-    ) -> Result<ChangeOutcome, Unavailable> {
+    pub(crate) async fn stop(&self, id: String, author: By) -> Result<ChangeOutcome, Unavailable> {
         self.send(|reply| Command::Stop { id, author, reply }).await
     }
 
     /// Takes a change back.
-    pub(crate) async fn undo(
-        &self,
-        id: String,
-        author: By,
-    ) -> Result<ChangeOutcome, Unavailable> {
+    pub(crate) async fn undo(&self, id: String, author: By) -> Result<ChangeOutcome, Unavailable> {
         self.send(|reply| Command::Undo { id, author, reply }).await
     }
 
@@ -121,10 +113,7 @@
         opened.await.unwrap_or_else(|_| closed())
     }
 
-    async fn send<T>(
-        &self,
-        command: impl FnOnce(Reply<T>) -> Command,
-    ) -> Result<T, Unavailable> {
+    async fn send<T>(&self, command: impl FnOnce(Reply<T>) -> Command) -> Result<T, Unavailable> {
         let (reply, answer) = oneshot::channel();
         let sent = self.0.send(command(reply)).await;
         sent.map_err(|_| Unavailable::Stopping)?;
--- a/crates/agent/src/http/request.rs
+++ b/crates/agent/src/http/request.rs
@@ -74,7 +74,5 @@
     let value = pairs.find(|(key, _)| *key == name);
     value
         .and_then(|(_, value)| value.parse().ok())
-        .ok_or_else(|| {
-            Rejection::bad_request(format!("{name}: is missing; write ?{name}=NUMBER"))
-        })
+        .ok_or_else(|| Rejection::bad_request(format!("{name}: is missing; write ?{name}=NUMBER")))
 }
--- a/crates/agent/src/link/mod.rs
+++ b/crates/agent/src/link/mod.rs
@@ -192,7 +192,10 @@
             self.close_watch();
             return;
         }
-        let is_open = self.watch_task.as_ref().is_some_and(|task| !task.is_finished());
+        let is_open = self
+            .watch_task
+            .as_ref()
+            .is_some_and(|task| !task.is_finished());
         if is_open {
             return;
         }
--- a/crates/agent/src/relay/agent_connection.rs
+++ b/crates/agent/src/relay/agent_connection.rs
@@ -182,7 +182,10 @@
 
 impl Watcher {
     async fn run(self, path: String) {
-        let Err(error) = self.client.watch(&path, |line| self.handle_line(line)).await;
+        let Err(error) = self
+            .client
+            .watch(&path, |line| self.handle_line(line))
+            .await;
         let lost = self.event(AgentEvent::Lost(error));
         let _ = self.events.send(lost).await;
     }
--- a/crates/agent/src/relay/config.rs
+++ b/crates/agent/src/relay/config.rs
@@ -98,7 +98,9 @@
         };
         let defaults = RelayRules::default();
         let pace = file.registrations.pace(&mut document, defaults.pace);
-        let rules = file.children.rules(&mut document, RelayRules { pace, ..defaults });
+        let rules = file
+            .children
+            .rules(&mut document, RelayRules { pace, ..defaults });
         let max_connections = max_connections(&mut document, file.connections);
         let config = RelayConfig {
             name: file.name,
--- a/crates/agent/src/relay/server.rs
+++ b/crates/agent/src/relay/server.rs
@@ -51,8 +51,7 @@
     /// # Errors
     /// The keys cannot be used, or the address cannot be listened on.
     pub async fn start(config: &RelayConfig) -> Result<Self, Error> {
-        let listener =
-            Listener::bind(config.listen, &config.keys, config.max_connections).await?;
+        let listener = Listener::bind(config.listen, &config.keys, config.max_connections).await?;
         let client_keyring = Keyring::load(config.client_keys.clone()).map_err(Error::Keys)?;
         let relay = task::start(config, Arc::clone(&client_keyring), random_seed());
         let (keyring, counters) = (&listener.keyring, &listener.counters);
@@ -171,9 +170,7 @@
     async fn open_watch(&self, caller: Caller, name: &str, request: &Request<Incoming>) -> Answer {
         let start = number_in_query(request, "start")?;
         let messages = self.relay.watch_instance(name.to_string(), start).await;
-        Ok(self
-            .watches
-            .respond(caller, messages.ok_or_else(stopping)?))
+        Ok(self.watches.respond(caller, messages.ok_or_else(stopping)?))
     }
 
     async fn answer_view(&self) -> Answer {
--- a/crates/agent/src/server/agent_requests.rs
+++ b/crates/agent/src/server/agent_requests.rs
@@ -6,8 +6,8 @@
 use crate::delivery_routes::RelayId;
 use crate::fleet_task::{ChangeOutcome, FleetHandle, Unavailable};
 use crate::http::{
-    Body, Caller, Rejection, WatchResponder, check_name_in_path, instance_verb, json_response, number_in_query,
-    raw_json_response, read_json,
+    Body, Caller, Rejection, WatchResponder, check_name_in_path, instance_verb, json_response,
+    number_in_query, raw_json_response, read_json,
 };
 use crate::traffic::TrafficCounters;
 use crate::view::{InstanceDetailView, InstanceView, RolloutView, StatusView};
@@ -349,8 +349,6 @@
     if segments.first() == Some(&"v1") {
         Rejection::not_found(format!("there is no {method} {path}"))
     } else {
-        Rejection::not_found(
-            "this agent speaks version 1 of the protocol: paths begin with /v1/",
-        )
+        Rejection::not_found("this agent speaks version 1 of the protocol: paths begin with /v1/")
     }
 }
--- a/crates/agent/src/server/listener.rs
+++ b/crates/agent/src/server/listener.rs
@@ -91,13 +91,13 @@
         handler: Rc<H>,
         stop: impl Future<Output = ()>,
     ) -> Result<(), Error> {
-        let tls = self.keyring.server().map_err(Error::Keys)?;
+        let acceptor = TlsAcceptor::from(self.keyring.server().map_err(Error::Keys)?);
         let keyring = Arc::clone(&self.keyring);
         let key_files = watchdog::spawn(TaskKind::KeyFiles, reload_changed_keys(keyring));
         // Connections end with the listener: one that lived on would keep an instance at an agent that is no more.
         let mut connections = JoinSet::new();
         tokio::select! {
-            () = self.accept_loop(&TlsAcceptor::from(tls), &handler, &mut connections) => {}
+            () = self.accept_loop(&acceptor, &handler, &mut connections) => {}
             () = stop => {}
         }
         key_files.abort();
--- a/crates/agent/src/server/mod.rs
+++ b/crates/agent/src/server/mod.rs
@@ -31,8 +31,7 @@
     /// # Errors
     /// The keys, the state or the audit log cannot be used, or the address cannot be listened on.
     pub async fn start(config: &AgentConfig, storage: Box<dyn Storage>) -> Result<Self, Error> {
-        let listener =
-            Listener::bind(config.listen, &config.keys, config.max_connections).await?;
+        let listener = Listener::bind(config.listen, &config.keys, config.max_connections).await?;
         let audit_log = AuditLog::open(&config.audit_log)?;
         let settings = FleetTaskSettings {
             rules: config.rules,
--- a/crates/agent/src/view/fleet_limit.rs
+++ b/crates/agent/src/view/fleet_limit.rs
@@ -77,10 +77,10 @@
 }
 
 /// Views of limits, by their names.
-pub(super) fn views(
-    statuses: BTreeMap<String, LimitStatus>,
-) -> BTreeMap<String, FleetLimitView> {
-    let views = statuses.into_iter().map(|(name, status)| (name, status.into()));
+pub(super) fn views(statuses: BTreeMap<String, LimitStatus>) -> BTreeMap<String, FleetLimitView> {
+    let views = statuses
+        .into_iter()
+        .map(|(name, status)| (name, status.into()));
     views.collect()
 }
 
--- a/crates/agent/src/view/status.rs
+++ b/crates/agent/src/view/status.rs
@@ -1,7 +1,7 @@
 //! The state of the agent as a whole.
 
-use super::fleet_limit::{self, FleetLimitView};
 use super::FleetSnapshot;
+use super::fleet_limit::{self, FleetLimitView};
 use crate::traffic::Traffic;
 use madderloom_control_plane::Fleet;
 use madderloom_control_plane::membership::Presence;
--- a/crates/agent/tests/common/fleet.rs
+++ b/crates/agent/tests/common/fleet.rs
@@ -17,7 +17,8 @@
 use tokio::task::JoinHandle;
 
 /// Paces at which the tests are not kept waiting.
-const FAST_PACES: &str = "[leases]\nreport = \"100ms\"\nlease = \"2s\"\ngrace = \"2s\"\n[registrations]\nrate = 1000\n";
+const FAST_PACES: &str =
+    "[leases]\nreport = \"100ms\"\nlease = \"2s\"\ngrace = \"2s\"\n[registrations]\nrate = 1000\n";
 
 /// An agent that can be killed and started again, and the instances that were started.
 pub struct TestFleet {
--- a/crates/agent/tests/configuration.rs
+++ b/crates/agent/tests/configuration.rs
@@ -10,7 +10,10 @@
 fn a_file_is_read_with_paths_beside_it() {
     let config = AgentConfig::read(FILE, Path::new("/etc/fleet/agent.toml")).expect("sound");
     assert_eq!(config.keys.key, Path::new("/etc/fleet/agent.key"));
-    assert_eq!((config.rules.leases.lease, config.state_directory), (9_000_000, None));
+    assert_eq!(
+        (config.rules.leases.lease, config.state_directory),
+        (9_000_000, None)
+    );
 }
 
 #[test]
--- a/crates/agent/tests/registration_pace.rs
+++ b/crates/agent/tests/registration_pace.rs
@@ -17,7 +17,8 @@
 const TOLERANCE: f64 = 20.0;
 
 #[test]
-fn five_hundred_instances_that_return_at_once_register_at_the_configured_pace_and_get_each_change_once() {
+fn five_hundred_instances_that_return_at_once_register_at_the_configured_pace_and_get_each_change_once()
+ {
     run(async {
         let paces =
             "[leases]\nreport = \"2s\"\nlease = \"8s\"\n[registrations]\nrate = 150\nburst = 50\n";
@@ -60,7 +61,9 @@
             .expect("accepted");
         assert!(fleet.rollout_ended("after").await.is_applied());
         assert!(
-            instances.iter().all(|instance| instance.0.borrow().orders == 2),
+            instances
+                .iter()
+                .all(|instance| instance.0.borrow().orders == 2),
             "each change once"
         );
     });
--- a/crates/agent/tests/rejected_requests.rs
+++ b/crates/agent/tests/rejected_requests.rs
@@ -22,7 +22,13 @@
                 .await
                 .expect_err("refused");
             assert!(
-                matches!(failed, ClientError::Rejected { status: StatusCode::FORBIDDEN, .. }),
+                matches!(
+                    failed,
+                    ClientError::Rejected {
+                        status: StatusCode::FORBIDDEN,
+                        ..
+                    }
+                ),
                 "{failed:?}"
             );
             assert!(
@@ -96,15 +102,20 @@
             .await
             .expect_err("refused");
         assert!(failed.to_string().contains("no space left"), "{failed}");
-        assert!(instances.iter().all(|instance| instance.0.borrow().orders == 0));
+        assert!(
+            instances
+                .iter()
+                .all(|instance| instance.0.borrow().orders == 0)
+        );
         // However long it lasts.
         tokio::time::sleep(Duration::from_millis(1_500)).await;
         assert!(push(&alice, &change("c1", 0, "w", 1)).await.is_err());
         fleet.storage.set_full(false);
-        fleet.wait_for_status("it goes on", |status| {
-            status.term == 2 && status.revision == 0
-        })
-        .await;
+        fleet
+            .wait_for_status("it goes on", |status| {
+                status.term == 2 && status.revision == 0
+            })
+            .await;
         push(&alice, &change("c1", 0, "w", 1))
             .await
             .expect("accepted");
--- a/crates/agent/tests/relays.rs
+++ b/crates/agent/tests/relays.rs
@@ -24,11 +24,14 @@
     let mut relays = Vec::new();
     for number in 0..RELAYS {
         relays.push(
-            fleet.start_relay(&format!("zone-{number}"), "127.0.0.1:0")
+            fleet
+                .start_relay(&format!("zone-{number}"), "127.0.0.1:0")
                 .await,
         );
     }
-    let instances: Vec<TestInstance> = (0..RELAYS * EACH).map(|_| TestInstance::default()).collect();
+    let instances: Vec<TestInstance> = (0..RELAYS * EACH)
+        .map(|_| TestInstance::default())
+        .collect();
     for (number, instance) in instances.iter().enumerate() {
         fleet.start_instance_at(&relays[number % RELAYS].address, number, instance);
     }
@@ -37,12 +40,24 @@
 }
 
 fn registrations(instances: &[TestInstance]) -> usize {
-    instances.iter().map(|instance| instance.0.borrow().registrations).sum()
+    instances
+        .iter()
+        .map(|instance| instance.0.borrow().registrations)
+        .sum()
 }
 
 /// Pushes a change, and checks that each instance has it, by one order.
-async fn push_to_all(fleet: &TestFleet, instances: &[TestInstance], id: &str, base: u64, value: u32) {
-    let before: Vec<usize> = instances.iter().map(|instance| instance.0.borrow().orders).collect();
+async fn push_to_all(
+    fleet: &TestFleet,
+    instances: &[TestInstance],
+    id: &str,
+    base: u64,
+    value: u32,
+) {
+    let before: Vec<usize> = instances
+        .iter()
+        .map(|instance| instance.0.borrow().orders)
+        .collect();
     push(&fleet.client("alice"), &change(id, base, "w7", value))
         .await
         .expect("accepted");
@@ -52,7 +67,8 @@
         "{rollout:?}"
     );
     assert!(
-        instances.iter()
+        instances
+            .iter()
             .all(|instance| instance.weight("w7") == Some(Value::Weight(value)))
     );
     let once = instances
@@ -95,12 +111,13 @@
                 }
             };
             // Each instance has reported three times meanwhile, and was answered.
-            fleet.wait_for_relay(
-                relay,
-                "reports are answered without the agent",
-                alone(3 * EACH as u64),
-            )
-            .await;
+            fleet
+                .wait_for_relay(
+                    relay,
+                    "reports are answered without the agent",
+                    alone(3 * EACH as u64),
+                )
+                .await;
         }
         let begin = Instant::now();
         fleet.start_agent().await;
@@ -161,22 +178,25 @@
         let rollout = fleet.rollout_ended("meanwhile").await;
         assert!(rollout.is_applied(), "{rollout:?}");
         assert!(
-            instances.iter()
+            instances
+                .iter()
                 .all(|instance| instance.weight("w7") == Some(Value::Weight(200)))
         );
-        fleet.wait_for_relay(&replacement, "it has its instances", |view| {
-            view.status.registered == EACH
-        })
-        .await;
+        fleet
+            .wait_for_relay(&replacement, "it has its instances", |view| {
+                view.status.registered == EACH
+            })
+            .await;
 
         // One of them moves to another relay: it is the same instance, and has the next change once.
         let moved = TestInstance(instances[0].0.clone());
         fleet.kill_instance(0);
         fleet.start_instance_at(&relays[0].address, 0, &moved);
-        fleet.wait_for_relay(&relays[0], "it has one more", |view| {
-            view.status.registered == EACH + 1
-        })
-        .await;
+        fleet
+            .wait_for_relay(&relays[0], "it has one more", |view| {
+                view.status.registered == EACH + 1
+            })
+            .await;
         fleet.wait_until_alive(RELAYS * EACH).await;
         push_to_all(&fleet, &instances, "afterwards", 1, 300).await;
     });
@@ -195,16 +215,18 @@
             fleet.start_instance_at(&second.address, place, &moved);
         }
         let half = EACH / 2;
-        fleet.wait_for_relay(&second, "half of them have come", |view| {
-            view.status.registered == half
-        })
-        .await;
+        fleet
+            .wait_for_relay(&second, "half of them have come", |view| {
+                view.status.registered == half
+            })
+            .await;
         fleet.wait_until_alive(RELAYS * EACH).await;
         push_to_all(&fleet, &instances, "both", 0, 200).await;
-        fleet.wait_for_relay(&relays[0], "it has forgotten them", |view| {
-            view.status.children == half
-        })
-        .await;
+        fleet
+            .wait_for_relay(&relays[0], "it has forgotten them", |view| {
+                view.status.children == half
+            })
+            .await;
         push_to_all(&fleet, &instances, "both-again", 1, 300).await;
     });
 }
@@ -227,10 +249,11 @@
             !view.status.is_connected && view.status.registered == 0,
             "{view:?}"
         );
-        fleet.wait_for_status("the agent has heard of nobody", |status| {
-            status.instances.values().all(|count| *count == 0)
-        })
-        .await;
+        fleet
+            .wait_for_status("the agent has heard of nobody", |status| {
+                status.instances.values().all(|count| *count == 0)
+            })
+            .await;
     });
 }
 
--- a/crates/agent/tests/rollouts.rs
+++ b/crates/agent/tests/rollouts.rs
@@ -41,12 +41,17 @@
             "{rollout:?}"
         );
         assert!(
-            instances.iter()
+            instances
+                .iter()
                 .all(|instance| instance.weight("w7") == Some(Value::Weight(200)))
         );
         // The same again changes nothing and says the same.
         assert!(push(&alice, &change).await.expect("known").repeat);
-        assert!(instances.iter().all(|instance| instance.0.borrow().orders == 1));
+        assert!(
+            instances
+                .iter()
+                .all(|instance| instance.0.borrow().orders == 1)
+        );
 
         let undone: Accepted = alice
             .request(Method::POST, "/v1/rollouts/slow-w7/undo", vec![])
@@ -57,7 +62,11 @@
             rollout.is_applied() && rollout.targets.len() == 20,
             "{rollout:?}"
         );
-        assert!(instances.iter().all(|instance| instance.weight("w7").is_none()));
+        assert!(
+            instances
+                .iter()
+                .all(|instance| instance.weight("w7").is_none())
+        );
         let audit = fleet.audit_log();
         assert!(
             audit
@@ -106,13 +115,19 @@
                 |(name, result)| ["shop-5", "shop-6"].contains(&name.as_str()) && told(result)
             )
         );
+        assert!(rollout.targets.values().all(|result| {
+            [
+                TargetState::Applied,
+                TargetState::Rejected,
+                TargetState::Failed,
+            ]
+            .contains(&result.state)
+        }));
         assert!(
-            rollout
-                .targets
-                .values()
-                .all(|result| [TargetState::Applied, TargetState::Rejected, TargetState::Failed].contains(&result.state))
+            instances
+                .iter()
+                .all(|instance| instance.weight("w7").is_none())
         );
-        assert!(instances.iter().all(|instance| instance.weight("w7").is_none()));
     });
 }
 
@@ -136,7 +151,9 @@
         let mut change = change("slow-w7", 0, "w7", 200);
         change.rollout.pause = 500_000;
         change.rollout.gate = Some(GateRule::default());
-        push(&fleet.client("alice"), &change).await.expect("accepted");
+        push(&fleet.client("alice"), &change)
+            .await
+            .expect("accepted");
         let rollout = fleet.rollout_ended("slow-w7").await;
         assert_eq!(rollout.end, Some(End::TakenBack), "{rollout:?}");
         assert!(
@@ -146,8 +163,16 @@
                 .is_some_and(|why| why.starts_with("it hurts")),
             "{rollout:?}"
         );
-        assert_eq!(rollout.target_counts.get(&TargetState::Applied), Some(&4), "{rollout:?}");
-        assert!(instances.iter().all(|instance| instance.weight("w7").is_none()));
+        assert_eq!(
+            rollout.target_counts.get(&TargetState::Applied),
+            Some(&4),
+            "{rollout:?}"
+        );
+        assert!(
+            instances
+                .iter()
+                .all(|instance| instance.weight("w7").is_none())
+        );
     });
 }
 
@@ -158,7 +183,9 @@
         let instances = fleet.start_instances(20).await;
         let mut change = change("slow-w7", 0, "w7", 200);
         change.rollout.pause = 300_000;
-        push(&fleet.client("alice"), &change).await.expect("accepted");
+        push(&fleet.client("alice"), &change)
+            .await
+            .expect("accepted");
         for _ in 0..2 {
             fleet.kill_agent().await;
             fleet.start_agent().await;
@@ -170,17 +197,21 @@
             "{rollout:?}"
         );
         assert!(
-            instances.iter()
+            instances
+                .iter()
                 .all(|instance| instance.weight("w7") == Some(Value::Weight(200)))
         );
         assert!(
-            instances.iter().all(|instance| instance.0.borrow().orders == 1),
+            instances
+                .iter()
+                .all(|instance| instance.0.borrow().orders == 1),
             "a repeat changes nothing"
         );
-        fleet.wait_for_status("all came back", |status| {
-            status.instances.get("alive") == Some(&20) && status.term == 3
-        })
-        .await;
+        fleet
+            .wait_for_status("all came back", |status| {
+                status.instances.get("alive") == Some(&20) && status.term == 3
+            })
+            .await;
     });
 }
 
@@ -192,7 +223,9 @@
         fleet.kill_instance(2);
         let mut change = change("slow-w7", 0, "w7", 200);
         (change.rollout.silence, change.rollout.failures) = (700_000, 1);
-        push(&fleet.client("alice"), &change).await.expect("accepted");
+        push(&fleet.client("alice"), &change)
+            .await
+            .expect("accepted");
         let rollout = fleet.rollout_ended("slow-w7").await;
         assert_eq!(rollout.end, Some(End::Done), "{rollout:?}");
         let failed = &rollout.targets["shop-2"];
@@ -260,19 +293,26 @@
         let alice = fleet.client("alice");
         push(&alice, &change).await.expect("accepted");
         let applied = || {
-            instances.iter()
+            instances
+                .iter()
                 .filter(|instance| instance.weight("w7").is_some())
                 .count()
         };
         let observe = async || applied();
-        wait_until("the first wave has it", PATIENCE, observe, |count| *count >= 2).await;
+        wait_until("the first wave has it", PATIENCE, observe, |count| {
+            *count >= 2
+        })
+        .await;
         let _: Accepted = alice
             .request(Method::POST, "/v1/rollouts/slow-w7/stop", vec![])
             .await
             .expect("stopped");
         let rollout = fleet.rollout_ended("slow-w7").await;
         assert_eq!(
-            (rollout.end, rollout.target_counts.get(&TargetState::Applied)),
+            (
+                rollout.end,
+                rollout.target_counts.get(&TargetState::Applied)
+            ),
             (Some(End::Stopped), Some(&2)),
             "{rollout:?}"
         );
--- a/crates/cli/src/fleet/instances.rs
+++ b/crates/cli/src/fleet/instances.rs
@@ -3,7 +3,7 @@
 use super::connection::{Connection, get, is_missing, unknown};
 use super::text::{json, shares, table};
 use crate::output::{Output, tell};
-use madderloom_agent::view::{InstanceView, InstanceDetailView};
+use madderloom_agent::view::{InstanceDetailView, InstanceView};
 use std::process::ExitCode;
 
 /// Lists the instances of the fleet.
--- a/crates/cli/src/fleet/push.rs
+++ b/crates/cli/src/fleet/push.rs
@@ -6,8 +6,8 @@
 use super::text::json;
 use crate::output::{Output, Table, tell};
 use hyper::Method;
-use madderloom_agent::view::{InstanceView, RolloutView, StatusView};
 use madderloom_agent::Client;
+use madderloom_agent::view::{InstanceView, RolloutView, StatusView};
 use madderloom_control_plane::change::{Change, Policy, Selector, Traits, What};
 use madderloom_control_plane::membership::Presence;
 use madderloom_control_plane::rollout::Rollout as FleetRollout;
@@ -156,7 +156,11 @@
     })
 }
 
-async fn push(client: &Client, change: &Change, waiting: &Waiting) -> Result<ExitCode, CommandError> {
+async fn push(
+    client: &Client,
+    change: &Change,
+    waiting: &Waiting,
+) -> Result<ExitCode, CommandError> {
     let body = serde_json::to_vec(change).unwrap_or_default();
     let accepted: Accepted = client.request(Method::POST, "/v1/changes", body).await?;
     follow(client, &accepted, waiting).await
--- a/crates/cli/src/fleet/text.rs
+++ b/crates/cli/src/fleet/text.rs
@@ -1,7 +1,7 @@
 //! Times, states and tables as they are shown.
 
 use crate::output::{Table, tell};
-use madderloom_agent::view::{AmountView, InstanceView, RolloutView, FleetLimitView};
+use madderloom_agent::view::{AmountView, FleetLimitView, InstanceView, RolloutView};
 use madderloom_control_plane::membership::Presence;
 use madderloom_control_plane::rollout::End;
 use madderloom_endpoint_sharing::SharedList;
@@ -53,7 +53,8 @@
         (None, Some(false)) => "no",
         (None, None) => "?",
     };
-    let share = instance.request_counts.bad as f64 * 100.0 / instance.request_counts.ended.max(1) as f64;
+    let share =
+        instance.request_counts.bad as f64 * 100.0 / instance.request_counts.ended.max(1) as f64;
     let mut note = instance.rejection.clone().unwrap_or_default();
     let without = instance
         .fleet_limits
@@ -123,7 +124,10 @@
             share.in_flight.to_string(),
             format!("{:.1}", share.excess_rate),
             share.instances.to_string(),
-            share.instances.saturating_sub(share.lease_holders).to_string(),
+            share
+                .instances
+                .saturating_sub(share.lease_holders)
+                .to_string(),
         ]);
     }
     table
--- a/crates/cli/src/fleet/top.rs
+++ b/crates/cli/src/fleet/top.rs
@@ -3,8 +3,8 @@
 use super::connection::{CommandError, Connection, get};
 use super::text::{counts, lists, shares, table};
 use crate::output::tell;
-use madderloom_agent::view::{InstanceView, RolloutView, StatusView};
 use madderloom_agent::Client;
+use madderloom_agent::view::{InstanceView, RolloutView, StatusView};
 use madderloom_control_plane::membership::Presence;
 use std::fmt;
 use std::io::IsTerminal;
--- a/crates/cli/tests/fleet/commands.rs
+++ b/crates/cli/tests/fleet/commands.rs
@@ -1,7 +1,7 @@
 //! The agent as a process, instances that register with it, and the command line as an operator uses it.
 
 use crate::rig::{found, madderloom};
-use madderloom_agent::{Client, Link, LinkHandler, ApplyFuture};
+use madderloom_agent::{ApplyFuture, Client, Link, LinkHandler};
 use madderloom_control_plane::change::Traits;
 use madderloom_control_plane::gate::Counts;
 use madderloom_control_plane::protocol::{Outcome, Who};
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -10,7 +10,7 @@
 use super::switch::{Switch, SwitchedDial};
 use super::usage;
 use madderloom_agent::traffic::TrafficCounters;
-use madderloom_agent::{Client, Link, LinkHandler, ApplyFuture};
+use madderloom_agent::{ApplyFuture, Client, Link, LinkHandler};
 use madderloom_control_plane::gate::Counts;
 use madderloom_control_plane::protocol::{Outcome, ToAgent, ToInstance, Who};
 use madderloom_control_plane::settings::{Key, MOST_SETTINGS, Overlay, Value};
--- a/crates/lab/src/scale/switch.rs
+++ b/crates/lab/src/scale/switch.rs
@@ -1,7 +1,7 @@
 //! A link of an instance that can be held: neither end hears of the other, and neither is told so.
 
 use madderloom_agent::traffic::{CountedStream, TrafficCounters};
-use madderloom_agent::{ByteStream, Dialer, DialFuture};
+use madderloom_agent::{ByteStream, DialFuture, Dialer};
 use std::io;
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -153,7 +153,9 @@
     }
 
     fn is_write_vectored(&self) -> bool {
-        self.stream.as_ref().is_some_and(CountedStream::is_write_vectored)
+        self.stream
+            .as_ref()
+            .is_some_and(CountedStream::is_write_vectored)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
--- a/crates/lab/src/scale/worker.rs
+++ b/crates/lab/src/scale/worker.rs
@@ -5,7 +5,7 @@
 use super::protocol::{Command, Reply, Setup, Totals};
 use super::usage;
 use crate::sockets::itself::{on_one_thread, stay_with};
-use madderloom_agent::traffic::{TrafficCounters, Traffic};
+use madderloom_agent::traffic::{Traffic, TrafficCounters};
 use madderloom_pki::{Files, Keyring};
 use std::cell::Cell;
 use std::io::{BufRead, Write};
