--- a/crates/agent/src/audit_log.rs
+++ b/crates/agent/src/audit_log.rs
@@ -20,9 +20,9 @@
 
 /// An attempt to change the fleet, or what came of it.
 pub(crate) struct AuditEvent<'a> {
-    /// Who asks.
+    /// Who requests it.
     pub(crate) peer: &'a Peer,
-    /// What is asked for: `push`, `stop`, `undo`, or the method of a request that is rejected.
+    /// The requested operation: `push`, `stop`, `undo`, or the method of a request that is rejected.
     pub(crate) operation: &'a str,
     /// The id of the change, or the path of a request that is rejected.
     pub(crate) subject: &'a str,
--- a/crates/agent/src/client/error.rs
+++ b/crates/agent/src/client/error.rs
@@ -5,7 +5,7 @@
 use madderloom_pki::explain;
 use std::io;
 
-/// Why an agent could not be asked, or did not do what it was asked for.
+/// Why an agent gave no answer, or did not do what was requested.
 #[derive(Debug, thiserror::Error)]
 pub enum ClientError {
     /// The address of the agent has no port.
--- a/crates/agent/src/client/mod.rs
+++ b/crates/agent/src/client/mod.rs
@@ -1,4 +1,4 @@
-//! The client of an agent or of a relay: requests over one connection that is kept, and watches.
+//! The client of an agent or of a relay: requests over one reused connection, and watches.
 
 mod endpoint;
 mod error;
@@ -31,10 +31,10 @@
 /// missing.
 const WATCH_SILENCE_LIMIT: Duration = Duration::from_secs(12);
 
-/// Sends requests to one agent or relay, one at a time, over a connection that is kept and opened anew where it has ended.
+/// Sends requests to one agent or relay, one at a time, over a connection that is reused, and reopened where it has ended.
 pub struct Client {
     endpoint: Endpoint,
-    /// The kept connection. It is locked from a request until its response is complete: a second connection beside a slow
+    /// The connection for reuse. It is locked from a request until its response is complete: a second connection beside a slow
     /// response would make the agent slower still.
     connection: Mutex<Option<Connection>>,
 }
@@ -94,12 +94,12 @@
         path: &str,
         body: Vec<u8>,
     ) -> Result<AgentResponse, ClientError> {
-        let mut kept = self.connection.lock().await;
-        let response = self.exchange(&mut kept, method, path, body).await?;
+        let mut reusable = self.connection.lock().await;
+        let response = self.exchange(&mut reusable, method, path, body).await?;
         let status = response.status();
         if status == StatusCode::FORBIDDEN {
             // The certificate of this connection may have expired or been revoked; the next connection shows the present one.
-            *kept = None;
+            *reusable = None;
         }
         let body = Limited::new(response.into_body(), LARGEST_ORDER).collect();
         let body = timeout(RESPONSE_TIMEOUT, body)
@@ -130,7 +130,7 @@
     }
 
     /// Opens a watch, and hands each line of it that is not blank to `on_line`, without its end, until the watch ends. The
-    /// connection is locked meanwhile.
+    /// connection is locked until then.
     ///
     /// # Errors
     /// Why the watch could not be opened or has ended: it always does.
@@ -139,9 +139,9 @@
         path: &str,
         mut on_line: impl FnMut(&[u8]),
     ) -> Result<Infallible, ClientError> {
-        let mut kept = self.connection.lock().await;
+        let mut reusable = self.connection.lock().await;
         let response = self
-            .exchange(&mut kept, Method::GET, path, Vec::new())
+            .exchange(&mut reusable, Method::GET, path, Vec::new())
             .await?;
         if response.status() != StatusCode::OK {
             return Err(ClientError::WatchRejected(response.status()));
@@ -166,17 +166,17 @@
         }
     }
 
-    /// Sends a request over the kept connection, or over a new one, and waits for the head of the response.
+    /// Sends a request over the connection for reuse, or over a new one, and waits for the head of the response.
     async fn exchange(
         &self,
-        kept: &mut Option<Connection>,
+        reusable: &mut Option<Connection>,
         method: Method,
         path: &str,
         body: Vec<u8>,
     ) -> Result<Response<Incoming>, ClientError> {
         // It is put back once the response has begun: the next request must not meet the late response to one that was given
         // up.
-        let mut connection = match kept.take().filter(|kept| !kept.is_closed()) {
+        let mut connection = match reusable.take().filter(|reused| !reused.is_closed()) {
             Some(connection) => connection,
             None => self.endpoint.connect().await?,
         };
@@ -191,7 +191,7 @@
             .await
             .map_err(|_| self.endpoint.timeout())?
             .map_err(|error| self.endpoint.http_error(error))?;
-        *kept = Some(connection);
+        *reusable = Some(connection);
         Ok(response)
     }
 }
--- a/crates/agent/src/config/mod.rs
+++ b/crates/agent/src/config/mod.rs
@@ -35,7 +35,7 @@
     pub listen: SocketAddr,
     /// The directory of the durable records. None: they are lost with the process.
     pub state_directory: Option<PathBuf>,
-    /// The file that records who asked for what.
+    /// The audit log: the file that records who requested which change.
     pub audit_log: PathBuf,
     /// The agent's keys.
     pub keys: Files,
--- a/crates/agent/src/fleet_task/command.rs
+++ b/crates/agent/src/fleet_task/command.rs
@@ -1,4 +1,4 @@
-//! What the task of the fleet's state machine can be asked.
+//! The commands to the task of the fleet's state machine.
 
 use crate::Error;
 use crate::delivery_routes::RelayId;
--- a/crates/agent/src/fleet_task/effects.rs
+++ b/crates/agent/src/fleet_task/effects.rs
@@ -36,7 +36,7 @@
     /// Adds the answer to a command.
     pub(super) fn reply<T: 'static>(&mut self, reply: Reply<T>, answer: T) {
         let send = move |durable: Result<(), Unavailable>| {
-            // Whoever asked may have gone.
+            // The requester may have disconnected.
             let _ = reply.send(durable.map(|()| answer));
         };
         self.replies.push(Box::new(send));
--- a/crates/agent/src/fleet_task/task.rs
+++ b/crates/agent/src/fleet_task/task.rs
@@ -76,7 +76,7 @@
     Loaded(Box<Fleet>),
     /// It may not agree with them: it was dropped, and is loaded again.
     Lost {
-        /// What commands are answered meanwhile.
+        /// Why commands are rejected until then.
         reason: Unavailable,
         /// When it is loaded again.
         reload_at: Instant,
@@ -120,7 +120,7 @@
                 let next = fleet.next(self.clock.now());
                 next.map(|at| self.clock.instant_at(at))
             }
-            // It stands still however many commands come meanwhile.
+            // The time is fixed, so that commands that keep arriving do not postpone it.
             FleetState::Lost { reload_at, .. } => Some(*reload_at),
         }
     }
--- a/crates/agent/src/http/request.rs
+++ b/crates/agent/src/http/request.rs
@@ -13,7 +13,7 @@
 /// The time limit of the body of a request. No measurement behind it.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What a request to a path of a single instance asks for: to be that instance. None: it is another request. `segments` are
+/// The permission that a request of an instance needs: to act as that instance. None: it is another request. `segments` are
 /// those of the path.
 pub(crate) fn instance_verb<'a>(method: &Method, segments: &[&'a str]) -> Option<Verb<'a>> {
     match (method, segments) {
--- a/crates/agent/src/relay/agent_connection.rs
+++ b/crates/agent/src/relay/agent_connection.rs
@@ -39,7 +39,7 @@
     Lost(ClientError),
 }
 
-/// The number of a connection, by which late events of a former one are told apart.
+/// The number of a connection, which distinguishes its events from late ones of a former connection.
 pub(super) type ConnectionNumber = u64;
 
 /// An event, with the connection that it belongs to.
@@ -70,7 +70,7 @@
     pub(super) address: &'a str,
     /// The keys of the relay as a client.
     pub(super) keyring: &'a Arc<Keyring>,
-    /// The greatest term that is known. The agent is told of it, so that one that was replaced stands down.
+    /// The greatest term that is known. It is sent to the agent, so that one that was replaced stands down.
     pub(super) known_term: u64,
     /// Where events go.
     pub(super) events: mpsc::Sender<ConnectionEvent>,
--- a/crates/agent/src/relay/server.rs
+++ b/crates/agent/src/relay/server.rs
@@ -139,7 +139,7 @@
         }
     }
 
-    /// What a request asks for.
+    /// The permission that a request needs.
     fn verb<'a>(
         &self,
         method: &Method,
--- a/crates/agent/src/relay/task.rs
+++ b/crates/agent/src/relay/task.rs
@@ -201,7 +201,7 @@
                 let output = self.relay.receive(self.clock.now(), id, *message, jitter);
                 self.deliver(output);
             }
-            // Whoever asked may have gone.
+            // The requester may have disconnected.
             Request::WatchInstance { name, start, reply } => {
                 let _ = reply.send(self.routes.watch_instance(name, start));
             }
@@ -309,7 +309,7 @@
     fn deliver(&mut self, output: RelayOutput) {
         for (request, messages) in output.answers {
             if let Some(reply) = self.unanswered.remove(&request) {
-                // Whoever asked may have gone.
+                // The requester may have disconnected.
                 let _ = reply.send(messages);
             }
         }
--- a/crates/agent/src/traffic.rs
+++ b/crates/agent/src/traffic.rs
@@ -38,7 +38,7 @@
 }
 
 impl TrafficCounters {
-    /// The present counts. They are read one after the other, so that they may differ by what passes meanwhile.
+    /// The present counts. They are read one after the other, so that they may be of slightly different times.
     pub fn read(&self) -> Traffic {
         let value = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         Traffic {
