--- a/crates/cli/src/fleet/push.rs
+++ b/crates/cli/src/fleet/push.rs
@@ -1,13 +1,13 @@
 //! `push` and `drain`: changes to the fleet.
 
 use super::REFUSED;
-use super::connection::{Connection, get};
+use super::connection::{CommandError, Connection, get};
 use super::follow::{Waiting, follow};
 use super::text::json;
 use crate::output::{Output, Table, tell};
 use hyper::Method;
-use madderloom_agent::view::{Instance, Rollouts, Status};
-use madderloom_agent::{Client, Failed};
+use madderloom_agent::Client;
+use madderloom_agent::view::{InstanceView, RolloutView, StatusView};
 use madderloom_control_plane::change::{Change, Policy, Selector, Traits, What};
 use madderloom_control_plane::membership::Presence;
 use madderloom_control_plane::rollout::Rollout as FleetRollout;
@@ -51,8 +51,8 @@
         // All but the revision can be said before anyone is asked.
         read(Some(0))?;
         self.connection.run(async |client| {
-            let status: Status = get(&client, "/v1/status").await?;
-            let change = read(Some(status.revision)).map_err(Failed::Unheard)?;
+            let status: StatusView = get(&client, "/v1/status").await?;
+            let change = read(Some(status.revision)).map_err(CommandError::Invalid)?;
             if self.dry_run {
                 return dry_run(&client, change, &status, self.waiting.output).await;
             }
@@ -65,14 +65,14 @@
 async fn dry_run(
     client: &Client,
     change: Change,
-    status: &Status,
+    status: &StatusView,
     output: Output,
-) -> Result<ExitCode, Failed> {
-    let instances: Vec<Instance> = get(client, "/v1/instances").await?;
-    let known: Vec<Rollouts> = get(client, "/v1/rollouts").await?;
+) -> Result<ExitCode, CommandError> {
+    let instances: Vec<InstanceView> = get(client, "/v1/instances").await?;
+    let known: Vec<RolloutView> = get(client, "/v1/rollouts").await?;
     let (id, base, newest) = (change.id.clone(), change.base, status.revision);
     let difference = madderloom_control_plane::difference(&change);
-    let why = if let Some(term) = status.stood_down {
+    let why = if let Some(term) = status.superseded_by {
         Some(format!("an agent of term {term} has taken over"))
     } else if let Some(former) = known.iter().find(|former| former.id == id) {
         let same = former.difference == difference;
@@ -107,7 +107,7 @@
         )
     });
     let chosen = chosen
-        .map(|instance| (instance.name.clone(), instance.counts))
+        .map(|instance| (instance.name.clone(), instance.request_counts))
         .collect();
     let by = By {
         who: String::new(),
@@ -156,9 +156,13 @@
     })
 }
 
-async fn push(client: &Client, change: &Change, waiting: &Waiting) -> Result<ExitCode, Failed> {
+async fn push(
+    client: &Client,
+    change: &Change,
+    waiting: &Waiting,
+) -> Result<ExitCode, CommandError> {
     let body = serde_json::to_vec(change).unwrap_or_default();
-    let accepted: Accepted = client.get(Method::POST, "/v1/changes", body).await?;
+    let accepted: Accepted = client.request(Method::POST, "/v1/changes", body).await?;
     follow(client, &accepted, waiting).await
 }
 
@@ -188,7 +192,7 @@
             .parse()
             .map_err(|error: Error| error.to_string())?;
         self.connection.run(async |client| {
-            let status: Status = get(&client, "/v1/status").await?;
+            let status: StatusView = get(&client, "/v1/status").await?;
             let verb = if self.lift { "lift" } else { "drain" };
             let drained = Some(Value::Drained(true)).filter(|_| !self.lift);
             let change = Change {
--- a/crates/lab/src/scale/bounds.rs
+++ b/crates/lab/src/scale/bounds.rs
@@ -3,7 +3,7 @@
 
 use super::capacity::{CONNECTIONS, DAY, Reckoner, Row, exactly, reckoned};
 use crate::hop::Row as HopRow;
-use madderloom_agent::USUAL_CONNECTIONS;
+use madderloom_agent::DEFAULT_MAX_CONNECTIONS;
 use madderloom_control_plane::change::MOST_LAYERS;
 use madderloom_control_plane::membership::Leases;
 use madderloom_control_plane::settings::MOST_SETTINGS;
@@ -46,7 +46,7 @@
                 None,
                 "days",
                 "size: sidecars / machines failing a day, all machines alike",
-                "one process, `agent/src/server.rs` `Agent`",
+                "one process, `agent/src/server/mod.rs` `Agent`",
             ),
         ]
     }
@@ -130,7 +130,7 @@
                 "`instances`, `top` and `history` at this size",
                 None,
                 "",
-                "`agent/src/view.rs`",
+                "`agent/src/view`",
             ),
         ]);
         rows
@@ -187,10 +187,10 @@
             bound(
                 "connections of an agent",
                 connections,
-                USUAL_CONNECTIONS as f64,
+                DEFAULT_MAX_CONNECTIONS as f64,
                 "",
                 "code: usual; `connections` has no upper bound but the system's descriptors",
-                "`agent/src/config.rs` `Config`",
+                "`agent/src/config/mod.rs` `AgentConfig`",
             ),
             bound(
                 "all register at the usual pace",
