--- a/crates/endpoint-history/examples/detect.rs
+++ b/crates/endpoint-history/examples/detect.rs
@@ -15,7 +15,9 @@
 //! ejection ends.
 
 use madderloom_balancer::{Outcome, ServerId};
-use madderloom_endpoint_history::{Arrival, Observed, Phase, Settings, Story, Subject};
+use madderloom_endpoint_history::{
+    AnomalyPhase, CompletedAttempt, EndpointHistory, ListedEndpoint, Settings, Subject,
+};
 use oorandom::Rand64;
 use std::collections::VecDeque;
 
@@ -26,18 +28,18 @@
 
 /// A way to find departures of single servers.
 trait Way {
-    fn attempt(&mut self, now: u64, seen: &Observed);
+    fn attempt(&mut self, now: u64, seen: &CompletedAttempt);
     /// Once a second: the servers that are held to be bad now.
     fn bad(&mut self, now: u64) -> Vec<u64>;
 }
 
 struct Ours {
-    story: Story,
+    story: EndpointHistory,
     open: Vec<(u64, Vec<u64>)>,
 }
 
 impl Way for Ours {
-    fn attempt(&mut self, now: u64, seen: &Observed) {
+    fn attempt(&mut self, now: u64, seen: &CompletedAttempt) {
         self.story
             .attempt(now, (now / (60 * S) % 1_440) as u16, seen);
     }
@@ -49,9 +51,9 @@
                 Subject::Zone(_) | Subject::Fleet => (0..SERVERS).collect(),
             };
             match said.phase {
-                Phase::Raised => self.open.push((said.number, whom)),
-                Phase::Cleared => self.open.retain(|(number, _)| *number != said.number),
-                Phase::Updated => {}
+                AnomalyPhase::Raised => self.open.push((said.number, whom)),
+                AnomalyPhase::Cleared => self.open.retain(|(number, _)| *number != said.number),
+                AnomalyPhase::Updated => {}
             }
         }
         let mut bad: Vec<u64> = self
@@ -71,7 +73,7 @@
 }
 
 impl Way for Threshold {
-    fn attempt(&mut self, now: u64, seen: &Observed) {
+    fn attempt(&mut self, now: u64, seen: &CompletedAttempt) {
         self.seen[seen.server.0 as usize].push_back((now, seen.outcome != Outcome::Ok));
     }
 
@@ -119,7 +121,7 @@
 }
 
 impl Way for Envoy {
-    fn attempt(&mut self, now: u64, seen: &Observed) {
+    fn attempt(&mut self, now: u64, seen: &CompletedAttempt) {
         let id = seen.server.0 as usize;
         let host = &mut self.hosts[id];
         // An ejected host gets nothing: what this run sends there all the same it does not see.
@@ -267,7 +269,7 @@
         let outcome = if failed { Outcome::Error } else { Outcome::Ok };
         way.attempt(
             now,
-            &Observed {
+            &CompletedAttempt {
                 server: ServerId(id),
                 class,
                 outcome,
@@ -290,8 +292,8 @@
 
 const WAYS: [(&str, Maker); 3] = [
     ("madderloom", || {
-        let mut story = Story::new(Settings::default());
-        (0..SERVERS).for_each(|id| story.listed(0, ServerId(id), Arrival::default()));
+        let mut story = EndpointHistory::new(Settings::default());
+        (0..SERVERS).for_each(|id| story.listed(0, ServerId(id), ListedEndpoint::default()));
         Box::new(Ours {
             story,
             open: Vec::new(),
--- a/crates/endpoint-history/examples/story_cost.rs
+++ b/crates/endpoint-history/examples/story_cost.rs
@@ -5,7 +5,9 @@
 //! ```
 
 use madderloom_balancer::{Outcome, ServerId};
-use madderloom_endpoint_history::{Arrival, Gauge, Observed, Settings, Story};
+use madderloom_endpoint_history::{
+    CompletedAttempt, EndpointGauges, EndpointHistory, ListedEndpoint, Settings,
+};
 use oorandom::Rand64;
 use peak_alloc::PeakAlloc;
 use std::time::Instant;
@@ -17,23 +19,23 @@
 /// Attempts that are timed at once.
 const TIMED: u64 = 1_000_000;
 
-fn story(servers: u64) -> Story {
-    let mut story = Story::new(Settings {
+fn story(servers: u64) -> EndpointHistory {
+    let mut story = EndpointHistory::new(Settings {
         servers: servers as usize,
         ..Settings::default()
     });
-    (0..servers).for_each(|id| story.listed(0, ServerId(id), Arrival::default()));
+    (0..servers).for_each(|id| story.listed(0, ServerId(id), ListedEndpoint::default()));
     story
 }
 
-fn attempt(random: &mut Rand64, servers: u64) -> Observed {
+fn attempt(random: &mut Rand64, servers: u64) -> CompletedAttempt {
     let elapsed = (50_000.0 * (1.0 - random.rand_float().max(1e-9).ln())) as u64;
     let outcome = if random.rand_float() < 0.001 {
         Outcome::Error
     } else {
         Outcome::Ok
     };
-    Observed {
+    CompletedAttempt {
         server: ServerId(random.rand_u64() % servers),
         class: 0,
         outcome,
@@ -46,7 +48,7 @@
     let mut random = Rand64::new(1);
     println!(
         "bytes for each server, at most, as stated: {}",
-        Story::bytes_for_each_server()
+        EndpointHistory::bytes_for_each_server()
     );
     for servers in [10, 100] {
         let before = ALLOCATED.current_usage();
@@ -58,13 +60,13 @@
                 full.gauge(
                     now,
                     ServerId(id),
-                    Gauge {
+                    EndpointGauges {
                         out: 1,
                         region: 0.1,
                         reported: Some((1.0, 0)),
                     },
                 );
-                let seen = Observed {
+                let seen = CompletedAttempt {
                     server: ServerId(id),
                     ..attempt(&mut random, servers)
                 };
@@ -80,7 +82,8 @@
     }
     for servers in [10, 100, 1_000] {
         let mut story = story(servers);
-        let seen: Vec<Observed> = (0..TIMED).map(|_| attempt(&mut random, servers)).collect();
+        let seen: Vec<CompletedAttempt> =
+            (0..TIMED).map(|_| attempt(&mut random, servers)).collect();
         let mut runs: Vec<f64> = (0..5)
             .map(|run| {
                 let began = Instant::now();
--- a/crates/endpoint-history/src/departure.rs
+++ b/crates/endpoint-history/src/departure.rs
@@ -43,7 +43,7 @@
 /// Where a departure stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Phase {
+pub enum AnomalyPhase {
     /// It has just been found.
     Raised,
     /// It goes on, and has changed much since it was last told of.
@@ -54,7 +54,7 @@
 
 /// A departure from what is usual, with its evidence.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Departure {
+pub struct Anomaly {
     /// Its number, the same until it is over.
     pub number: u64,
     /// Whom it is about.
@@ -68,7 +68,7 @@
     /// When this was said.
     pub at: Micros,
     /// What is said.
-    pub phase: Phase,
+    pub phase: AnomalyPhase,
     /// The share of what is wrong since it began, and the usual one. For slowness: of what is over the usual limit.
     pub share: f64,
     /// See `share`.
@@ -91,13 +91,13 @@
     }
 }
 
-impl Departure {
+impl Anomaly {
     /// It in a line, with the name of the server or the zone, and the class's where it is about one.
     pub fn told(&self, name: &str, class: Option<&str>) -> String {
         let said = match self.phase {
-            Phase::Raised => "departs from its usual",
-            Phase::Updated => "still departs from its usual",
-            Phase::Cleared => "is as usual again",
+            AnomalyPhase::Raised => "departs from its usual",
+            AnomalyPhase::Updated => "still departs from its usual",
+            AnomalyPhase::Cleared => "is as usual again",
         };
         let subject = match self.subject {
             Subject::Server(_) => format!("server {name}"),
@@ -113,7 +113,7 @@
     }
 }
 
-impl fmt::Display for Departure {
+impl fmt::Display for Anomaly {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let class = self.class.map(|class| format!("class {class}"));
         let name = match self.subject {
--- a/crates/endpoint-history/src/line.rs
+++ b/crates/endpoint-history/src/line.rs
@@ -1,6 +1,6 @@
 //! A time line: steps that widen with age, and beside them what happened.
 
-use crate::{Micros, S, Sketch};
+use crate::{LatencySketch, Micros, S};
 use madderloom_balancer::Outcome;
 use serde::Serialize;
 use std::collections::VecDeque;
@@ -12,7 +12,7 @@
 const NOTES: usize = 64;
 /// What happened within a stretch of time.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Step {
+pub struct Interval {
     /// Its beginning.
     pub from: Micros,
     /// Attempts by outcome, in the order of the interface's outcomes.
@@ -28,10 +28,10 @@
     /// Requests that were turned away because of it.
     pub turned_away: u32,
     /// Latencies of what was served; none in the narrowest steps that are over.
-    pub latency: Option<Sketch>,
+    pub latency: Option<LatencySketch>,
 }
 
-impl Step {
+impl Interval {
     /// Attempts that ended so.
     pub fn ended(&self, outcome: Outcome) -> u32 {
         self.outcomes[place(outcome)]
@@ -45,7 +45,7 @@
     }
 
     /// Takes in a step that is a part of this one, and later than what it holds.
-    fn merge(&mut self, part: &Step) {
+    fn merge(&mut self, part: &Interval) {
         for (ours, theirs) in self.outcomes.iter_mut().zip(part.outcomes) {
             *ours = ours.saturating_add(theirs);
         }
@@ -76,7 +76,7 @@
 /// Something that happened to a server, with the module's reason where it decided it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Happening {
+pub enum EndpointEvent {
     /// It was listed for the first time, or again.
     Joined,
     /// It has started anew.
@@ -107,11 +107,11 @@
 
 /// A happening with its time.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Noted {
+pub struct EventRecord {
     /// When it was so first.
     pub at: Micros,
     /// What it was.
-    pub what: Happening,
+    pub what: EndpointEvent,
     /// When it was so last, and how often in a row.
     pub last: Micros,
     /// See `last`.
@@ -120,43 +120,44 @@
 
 /// The story of one server: numbers in steps, and a list of happenings.
 #[derive(Clone, Debug, Serialize)]
-pub struct Line {
+pub struct Timeline {
     /// The step that goes on now.
-    open: Step,
+    open: Interval,
     /// For each width the steps that are over, the oldest first, and the one being put together.
     rows: [Row; 4],
-    notes: VecDeque<Noted>,
+    notes: VecDeque<EventRecord>,
 }
 
 #[derive(Clone, Debug, Default, Serialize)]
 struct Row {
-    over: VecDeque<Step>,
-    open: Step,
+    over: VecDeque<Interval>,
+    open: Interval,
 }
 
-impl Line {
+impl Timeline {
     /// The most bytes that a line takes: its steps with their sketches, and its happenings.
     pub(crate) const BYTES: usize = {
-        let (mut bytes, mut at) = (size_of::<Self>() + NOTES * size_of::<Noted>(), 0);
+        let (mut bytes, mut at) = (size_of::<Self>() + NOTES * size_of::<EventRecord>(), 0);
         while at < WIDTHS.len() {
             // Queues grow by doubling, up to a power of two of places.
-            let sketch = if at == 0 { 0 } else { Sketch::BYTES };
-            bytes += WIDTHS[at].1.next_power_of_two() * size_of::<Step>() + WIDTHS[at].1 * sketch;
+            let sketch = if at == 0 { 0 } else { LatencySketch::BYTES };
+            bytes +=
+                WIDTHS[at].1.next_power_of_two() * size_of::<Interval>() + WIDTHS[at].1 * sketch;
             at += 1;
         }
         bytes
     };
 
     pub(crate) fn new(now: Micros) -> Self {
-        let open = |width: Micros| Step {
+        let open = |width: Micros| Interval {
             from: now - now % width,
-            ..Step::default()
+            ..Interval::default()
         };
         let rows = WIDTHS.map(|(width, _)| Row {
             over: VecDeque::new(),
             open: open(width),
         });
-        Line {
+        Timeline {
             open: open(WIDTHS[0].0),
             rows,
             notes: VecDeque::new(),
@@ -164,13 +165,13 @@
     }
 
     /// The step that goes on at this time. Time that has passed is closed first.
-    pub(crate) fn at(&mut self, now: Micros) -> &mut Step {
+    pub(crate) fn at(&mut self, now: Micros) -> &mut Interval {
         let from = now - now % WIDTHS[0].0;
         if from > self.open.from {
-            let next = Step {
+            let next = Interval {
                 from,
                 region: self.open.region,
-                ..Step::default()
+                ..Interval::default()
             };
             let over = std::mem::replace(&mut self.open, next);
             self.close(over, from);
@@ -179,18 +180,18 @@
     }
 
     /// Puts a second that is over into the rows, and what it ends there likewise.
-    fn close(&mut self, over: Step, now: Micros) {
-        let is_silent = |step: &Step| {
+    fn close(&mut self, over: Interval, now: Micros) {
+        let is_silent = |step: &Interval| {
             step.outcomes == [0; 8] && step.turned_away == 0 && step.reported.is_none()
         };
         for (row, (width, _)) in self.rows.iter_mut().zip(WIDTHS).skip(1) {
             row.open.merge(&over);
             let from = now - now % width;
             if from > row.open.from {
-                let next = Step {
+                let next = Interval {
                     from,
                     region: row.open.region,
-                    ..Step::default()
+                    ..Interval::default()
                 };
                 let done = std::mem::replace(&mut row.open, next);
                 if !is_silent(&done) {
@@ -199,7 +200,7 @@
             }
         }
         // Of a single second the mean is enough.
-        let over = Step {
+        let over = Interval {
             latency: None,
             ..over
         };
@@ -216,7 +217,7 @@
 
     /// The steps of a width that is at least this, the oldest first, with the one that goes on. Steps in which nothing
     /// happened are left out.
-    pub fn steps(&self, width: Micros) -> impl Iterator<Item = &Step> {
+    pub fn steps(&self, width: Micros) -> impl Iterator<Item = &Interval> {
         let at = WIDTHS
             .iter()
             .position(|(w, _)| *w >= width)
@@ -231,8 +232,8 @@
 
     /// All that is remembered, each stretch of time once and as finely as it is known: steps with their widths, the
     /// oldest first. Steps in which nothing happened are left out.
-    pub fn story(&self) -> Vec<(Micros, Step)> {
-        let mut told: Vec<(Micros, Step)> = Vec::new();
+    pub fn story(&self) -> Vec<(Micros, Interval)> {
+        let mut told: Vec<(Micros, Interval)> = Vec::new();
         // From the narrowest row backwards: a wider step is told where no narrower one reaches back to.
         let mut reached = Micros::MAX;
         for (at, (row, (width, most))) in self.rows.iter().zip(WIDTHS).enumerate() {
@@ -255,11 +256,11 @@
     }
 
     /// What happened, the oldest first.
-    pub fn notes(&self) -> impl Iterator<Item = &Noted> {
+    pub fn notes(&self) -> impl Iterator<Item = &EventRecord> {
         self.notes.iter()
     }
 
-    pub(crate) fn note(&mut self, now: Micros, what: Happening) {
+    pub(crate) fn note(&mut self, now: Micros, what: EndpointEvent) {
         if let Some(last) = self.notes.back_mut().filter(|last| last.what == what) {
             (last.last, last.times) = (now, last.times.saturating_add(1));
             return;
@@ -267,7 +268,7 @@
         if self.notes.len() == NOTES {
             self.notes.pop_front();
         }
-        self.notes.push_back(Noted {
+        self.notes.push_back(EventRecord {
             at: now,
             what,
             last: now,
--- a/crates/endpoint-history/src/recording.rs
+++ b/crates/endpoint-history/src/recording.rs
@@ -1,6 +1,6 @@
 //! A time line as a file: how much failed and how slow it was over time, to be played again as a fault.
 
-use crate::{Line, Micros};
+use crate::{Micros, Timeline};
 use madderloom_balancer::Outcome;
 use serde::{Deserialize, Serialize};
 
@@ -12,7 +12,7 @@
 /// A stretch of a recording.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Moment {
+pub struct RecordedInterval {
     /// Its beginning, in milliseconds since that of the recording.
     pub from_ms: u64,
     /// How long it lasts, in milliseconds.
@@ -42,15 +42,15 @@
     /// The usual mean latency of an answer, in microseconds, in which `slower` is counted.
     pub usual_us: u64,
     /// In the order of time, none over another.
-    pub moments: Vec<Moment>,
+    pub moments: Vec<RecordedInterval>,
 }
 
 impl Recording {
     /// The version that this build writes and reads.
     pub const VERSION: u32 = 1;
 
-    /// What a line holds. Usual is the median of its steps' mean latencies, weighed by their lengths.
-    pub fn of(server: &str, line: &Line) -> Self {
+    /// What a line holds. Baseline is the median of its steps' mean latencies, weighed by their lengths.
+    pub fn of(server: &str, line: &Timeline) -> Self {
         let story = line.story();
         let began_us = story.first().map_or(0, |(_, step)| step.from);
         let mut means: Vec<(u64, Micros)> = story
@@ -71,7 +71,7 @@
             passed >= half
         });
         let usual_us = usual.map_or(1, |(mean, _)| *mean).max(1);
-        let moment = |(width, step): &(Micros, crate::Step)| {
+        let moment = |(width, step): &(Micros, crate::Interval)| {
             let count = |outcomes: &[Outcome]| {
                 outcomes
                     .iter()
@@ -93,7 +93,7 @@
             let from_ms = step.from.saturating_sub(began_us) / 1_000;
             let lasts_ms = width / 1_000;
             let (errors, lost, refused) = (share(errors), share(lost), share(refused));
-            Moment {
+            RecordedInterval {
                 from_ms,
                 lasts_ms,
                 attempts,
--- a/crates/endpoint-history/src/sketch.rs
+++ b/crates/endpoint-history/src/sketch.rs
@@ -16,19 +16,19 @@
 /// After C. Masson, J. E. Rim and H. K. Lee, "DDSketch" (VLDB 2019), with all buckets there from the beginning: a
 /// fixed size is worth more here than a smaller error.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Sketch {
+pub struct LatencySketch {
     counts: Vec<u32>,
 }
 
-impl Default for Sketch {
+impl Default for LatencySketch {
     fn default() -> Self {
-        Sketch {
+        LatencySketch {
             counts: vec![0; BUCKETS],
         }
     }
 }
 
-impl Sketch {
+impl LatencySketch {
     /// The bytes that one takes.
     pub(crate) const BYTES: usize = BUCKETS * size_of::<u32>() + size_of::<Self>();
 
@@ -42,7 +42,7 @@
     }
 
     /// Takes in all of another.
-    pub fn merge(&mut self, other: &Sketch) {
+    pub fn merge(&mut self, other: &LatencySketch) {
         for (ours, theirs) in self.counts.iter_mut().zip(&other.counts) {
             *ours = ours.saturating_add(*theirs);
         }
--- a/crates/endpoint-history/src/story.rs
+++ b/crates/endpoint-history/src/story.rs
@@ -3,10 +3,10 @@
 mod class_mean;
 mod server;
 
-use crate::departure::{Departure, Evidence, Fault, Phase, Subject};
+use crate::departure::{Anomaly, AnomalyPhase, Evidence, Fault, Subject};
 use crate::detector::{Test, raised};
-use crate::line::{Happening, Line};
-use crate::usual::Usual;
+use crate::line::{EndpointEvent, Timeline};
+use crate::usual::Baseline;
 use crate::{Micros, S};
 use class_mean::ClassMean;
 use madderloom_balancer::{Outcome, ServerId};
@@ -67,7 +67,7 @@
 
 /// An attempt that ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Observed {
+pub struct CompletedAttempt {
     /// Where.
     pub server: ServerId,
     /// The request's class.
@@ -82,7 +82,7 @@
 
 /// A server as it is listed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Arrival {
+pub struct ListedEndpoint {
     /// Its zone.
     pub zone: u32,
     /// The kind of machine it is: what is usual of a kind stands in for what is not yet known of one of its servers.
@@ -95,7 +95,7 @@
 
 /// How a server stands at a moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Gauge {
+pub struct EndpointGauges {
     /// Attempts of this instance that are out there.
     pub out: u32,
     /// The part of the interval that its region covers.
@@ -105,7 +105,7 @@
 }
 
 /// The story of a pool's servers.
-pub struct Story {
+pub struct EndpointHistory {
     settings: Settings,
     servers: BTreeMap<ServerId, Server>,
     classes: Vec<ClassMean>,
@@ -116,18 +116,18 @@
     bound: f64,
     late_bound: f64,
     /// Departures of a zone or the fleet that go on, with the servers that are in them.
-    shared: Vec<(Departure, Fault)>,
+    shared: Vec<(Anomaly, Fault)>,
     numbers: u64,
-    told: VecDeque<Departure>,
+    told: VecDeque<Anomaly>,
     /// What was cleared since the last step, still to be said.
-    cleared: Vec<Departure>,
+    cleared: Vec<Anomaly>,
     stepped: Micros,
 }
 
-impl Story {
+impl EndpointHistory {
     /// A story that has not begun.
     pub fn new(settings: Settings) -> Self {
-        let mut story = Story {
+        let mut story = EndpointHistory {
             settings,
             servers: BTreeMap::new(),
             classes: Vec::new(),
@@ -149,7 +149,11 @@
     /// The most bytes that are kept for one server.
     pub const fn bytes_for_each_server() -> usize {
         let open = (4 + CLASSES) * (size_of::<Kind>() + size_of::<Open>());
-        Line::BYTES + Usual::BYTES + size_of::<Server>() + open + AN_HOUR.1 * size_of::<Micros>()
+        Timeline::BYTES
+            + Baseline::BYTES
+            + size_of::<Server>()
+            + open
+            + AN_HOUR.1 * size_of::<Micros>()
     }
 
     /// Goes on by other settings.
@@ -161,7 +165,7 @@
 
     /// A server is listed. Of one that has started anew, what was usual before is so until its own answers say
     /// otherwise.
-    pub fn listed(&mut self, now: Micros, id: ServerId, arrival: Arrival) {
+    pub fn listed(&mut self, now: Micros, id: ServerId, arrival: ListedEndpoint) {
         if !self.servers.contains_key(&id) && !self.make_room(now) {
             return;
         }
@@ -173,11 +177,11 @@
         (server.zone, server.kind, server.cold_until) =
             (arrival.zone, arrival.kind, arrival.cold_until);
         if server.left.take().is_some() || !known {
-            server.line.note(now, Happening::Joined);
+            server.line.note(now, EndpointEvent::Joined);
         }
         if arrival.restarted {
-            server.line.note(now, Happening::Restarted);
-            let line = std::mem::replace(&mut server.line, Line::new(now));
+            server.line.note(now, EndpointEvent::Restarted);
+            let line = std::mem::replace(&mut server.line, Timeline::new(now));
             let usual = &server.usual;
             let before = FallbackBaseline {
                 failures: usual.failures().or(server.before.failures),
@@ -201,12 +205,12 @@
             .filter(|server| server.left.is_none())
         {
             server.left = Some(now);
-            server.line.note(now, Happening::Left);
+            server.line.note(now, EndpointEvent::Left);
         }
     }
 
     /// Something happened to a server.
-    pub fn note(&mut self, now: Micros, id: ServerId, what: Happening) {
+    pub fn note(&mut self, now: Micros, id: ServerId, what: EndpointEvent) {
         if let Some(server) = self.servers.get_mut(&id) {
             server.line.at(now);
             server.line.note(now, what);
@@ -214,7 +218,7 @@
     }
 
     /// How a server stands now. To be told about once a second.
-    pub fn gauge(&mut self, now: Micros, id: ServerId, gauge: Gauge) {
+    pub fn gauge(&mut self, now: Micros, id: ServerId, gauge: EndpointGauges) {
         if let Some(server) = self.servers.get_mut(&id) {
             let step = server.line.at(now);
             (step.most_out, step.region) = (step.most_out.max(gauge.out), gauge.region as f32);
@@ -254,10 +258,10 @@
     }
 
     /// An attempt ended, at this minute of the local day (0 to 1,439).
-    pub fn attempt(&mut self, now: Micros, minute_of_day: u16, seen: &Observed) {
+    pub fn attempt(&mut self, now: Micros, minute_of_day: u16, seen: &CompletedAttempt) {
         let (bound, late_bound) = (self.bound, self.late_bound);
         self.counted.1 = self.counted.1.saturating_add(1);
-        let Story {
+        let EndpointHistory {
             servers,
             classes,
             kinds,
@@ -403,7 +407,7 @@
         if now.saturating_sub(self.stepped) > STOOD_STILL {
             return;
         }
-        let Story {
+        let EndpointHistory {
             servers,
             classes,
             kinds,
@@ -447,7 +451,7 @@
     }
 
     /// Says what has changed: departures raised, updated, cleared. To be called about once a second.
-    pub fn step(&mut self, now: Micros) -> Vec<Departure> {
+    pub fn step(&mut self, now: Micros) -> Vec<Anomaly> {
         self.count(now);
         self.forget(now);
         self.stepped = now;
@@ -462,7 +466,7 @@
                     let updated = (now, open.told.share, open.told.observations);
                     (open.said, open.told.at, open.updated) = (true, now, updated);
                     server.raised.push_back(now);
-                    server.line.note(now, Happening::Departed(self.numbers));
+                    server.line.note(now, EndpointEvent::Departed(self.numbers));
                     said.push(open.told.clone());
                 }
                 let (last, share, _) = open.updated;
@@ -470,9 +474,9 @@
                     open.told.share > UPDATE.1 * share || open.told.share < share / UPDATE.1;
                 if open.said && changed && now.saturating_sub(last) >= UPDATE.0 {
                     open.updated = (now, open.told.share, open.told.observations);
-                    said.push(Departure {
+                    said.push(Anomaly {
                         at: now,
-                        phase: Phase::Updated,
+                        phase: AnomalyPhase::Updated,
                         ..open.told.clone()
                     });
                 }
@@ -487,7 +491,7 @@
     }
 
     /// Departures that go on.
-    pub fn departures(&self) -> impl Iterator<Item = &Departure> {
+    pub fn departures(&self) -> impl Iterator<Item = &Anomaly> {
         let open = self
             .servers
             .values()
@@ -497,12 +501,12 @@
     }
 
     /// What was said lately, the oldest first.
-    pub fn told(&self) -> impl Iterator<Item = &Departure> {
+    pub fn told(&self) -> impl Iterator<Item = &Anomaly> {
         self.told.iter()
     }
 
     /// A server's line; none where it is not known.
-    pub fn line(&self, id: ServerId) -> Option<&Line> {
+    pub fn line(&self, id: ServerId) -> Option<&Timeline> {
         self.servers.get(&id).map(|server| &server.line)
     }
 
@@ -559,7 +563,7 @@
             })
     }
 
-    fn remember(&mut self, said: &[Departure]) {
+    fn remember(&mut self, said: &[Anomaly]) {
         self.told.extend(said.iter().cloned());
         let over = self.told.len().saturating_sub(TOLD);
         self.told.drain(..over);
@@ -581,10 +585,12 @@
         }
         // What was never said is taken back in silence.
         if open.said {
-            server.line.note(now, Happening::Cleared(open.told.number));
-            self.cleared.push(Departure {
+            server
+                .line
+                .note(now, EndpointEvent::Cleared(open.told.number));
+            self.cleared.push(Anomaly {
                 at: now,
-                phase: Phase::Cleared,
+                phase: AnomalyPhase::Cleared,
                 ..open.told
             });
         }
@@ -672,7 +678,7 @@
     }
 
     /// What befalls a whole zone or half of the fleet is one departure, not one of each server.
-    fn gather(&mut self, now: Micros, said: &mut Vec<Departure>) {
+    fn gather(&mut self, now: Micros, said: &mut Vec<Anomaly>) {
         let here = |server: &&Server| server.left.is_none();
         let there = self.servers.values().filter(here).count();
         for fault in [
@@ -726,9 +732,9 @@
                     .count();
                 if 3 * still < all {
                     let (departure, _) = self.shared.remove(at);
-                    said.push(Departure {
+                    said.push(Anomaly {
                         at: now,
-                        phase: Phase::Cleared,
+                        phase: AnomalyPhase::Cleared,
                         ..departure
                     });
                     // Those that are still bad are so by themselves.
@@ -797,14 +803,14 @@
                 count += 1.0;
             }
             self.numbers += 1;
-            let departure = Departure {
+            let departure = Anomaly {
                 number: self.numbers,
                 subject,
                 fault,
                 class: None,
                 began,
                 at: now,
-                phase: Phase::Raised,
+                phase: AnomalyPhase::Raised,
                 share: share / f64::max(count, 1.0),
                 usual: usual / f64::max(count, 1.0),
                 observations,
--- a/crates/endpoint-history/src/story/server.rs
+++ b/crates/endpoint-history/src/story/server.rs
@@ -1,10 +1,10 @@
 //! One server of a pool: what was seen of it, the tests of its answers, and the departures that go on there.
 
-use super::Arrival;
-use crate::departure::{Departure, Fault, Phase, Subject};
+use super::ListedEndpoint;
+use crate::departure::{Anomaly, AnomalyPhase, Fault, Subject};
 use crate::detector::{Test, raised};
-use crate::line::Line;
-use crate::usual::Usual;
+use crate::line::Timeline;
+use crate::usual::Baseline;
 use crate::{Micros, S};
 use madderloom_balancer::ServerId;
 use std::collections::{BTreeMap, VecDeque};
@@ -50,7 +50,7 @@
 /// A departure that goes on.
 #[derive(Clone, Debug)]
 pub(super) struct Open {
-    pub(super) told: Departure,
+    pub(super) told: Anomaly,
     /// Not yet said: others may have the same.
     pub(super) since: Micros,
     pub(super) said: bool,
@@ -68,8 +68,8 @@
     /// What was usual before it started anew.
     pub(super) before: FallbackBaseline,
     pub(super) left: Option<Micros>,
-    pub(super) line: Line,
-    pub(super) usual: Usual,
+    pub(super) line: Timeline,
+    pub(super) usual: Baseline,
     /// Failures among what it took: a large rise, a small one, and by class.
     pub(super) lost: [Test; 2],
     pub(super) lost_by_class: [Test; CLASSES],
@@ -90,15 +90,15 @@
 }
 
 impl Server {
-    pub(super) fn new(now: Micros, arrival: Arrival) -> Self {
+    pub(super) fn new(now: Micros, arrival: ListedEndpoint) -> Self {
         Server {
             zone: arrival.zone,
             kind: arrival.kind,
             cold_until: arrival.cold_until,
             before: FallbackBaseline::default(),
             left: None,
-            line: Line::new(now),
-            usual: Usual::new(),
+            line: Timeline::new(now),
+            usual: Baseline::new(),
             lost: [Test::default(); 2],
             lost_by_class: [Test::default(); CLASSES],
             seen_by_class: [0; CLASSES],
@@ -161,14 +161,14 @@
                 other.fault != kind.fault || other.class.is_none() || open.said
             });
         }
-        let told = Departure {
+        let told = Anomaly {
             number: 0,
             subject: Subject::Server(server),
             fault: kind.fault,
             class: kind.class,
             began: test.since,
             at: now,
-            phase: Phase::Raised,
+            phase: AnomalyPhase::Raised,
             share: test.share(),
             usual,
             observations: test.all,
--- a/crates/endpoint-history/src/usual.rs
+++ b/crates/endpoint-history/src/usual.rs
@@ -1,6 +1,6 @@
 //! What is usual: learned while nothing is wrong, and by the time of day from what happens every day.
 
-use crate::{Micros, Sketch};
+use crate::{LatencySketch, Micros};
 
 /// Parts of a day.
 const PARTS: usize = 48;
@@ -61,11 +61,11 @@
 
 /// What is usual of a server: its share of failures, and a limit on its latency.
 #[derive(Clone, Debug)]
-pub(crate) struct Usual {
+pub(crate) struct Baseline {
     /// While nothing is wrong.
     failures: f64,
     seen: u32,
-    latency: Sketch,
+    latency: LatencySketch,
     faded: u32,
     limit: Option<f64>,
     middle: Option<f64>,
@@ -78,18 +78,18 @@
     daily_middle: Daily,
     part: usize,
     part_failures: (u32, u32),
-    part_latency: Sketch,
+    part_latency: LatencySketch,
 }
 
-impl Usual {
+impl Baseline {
     /// The bytes that one takes besides itself.
-    pub(crate) const BYTES: usize = 2 * PARTS * (DAYS * 4 + 8) + 2 * Sketch::BYTES;
+    pub(crate) const BYTES: usize = 2 * PARTS * (DAYS * 4 + 8) + 2 * LatencySketch::BYTES;
 
     pub fn new() -> Self {
-        Usual {
+        Baseline {
             failures: 0.0,
             seen: 0,
-            latency: Sketch::default(),
+            latency: LatencySketch::default(),
             faded: 0,
             limit: None,
             middle: None,
@@ -100,7 +100,7 @@
             daily_middle: Daily::new(),
             part: PARTS,
             part_failures: (0, 0),
-            part_latency: Sketch::default(),
+            part_latency: LatencySketch::default(),
         }
     }
 
--- a/crates/endpoint-history/tests/departures.rs
+++ b/crates/endpoint-history/tests/departures.rs
@@ -2,7 +2,8 @@
 
 use madderloom_balancer::{Outcome, ServerId};
 use madderloom_endpoint_history::{
-    Arrival, Departure, Fault, Observed, Phase, Settings, Story, Subject,
+    Anomaly, AnomalyPhase, CompletedAttempt, EndpointHistory, Fault, ListedEndpoint, Settings,
+    Subject,
 };
 use oorandom::Rand64;
 
@@ -11,11 +12,11 @@
 
 /// A pool whose servers answer as a closure says, and all that its story said.
 struct Pool {
-    story: Story,
+    story: EndpointHistory,
     random: Rand64,
     now: u64,
     servers: u64,
-    said: Vec<Departure>,
+    said: Vec<Anomaly>,
 }
 
 /// What a server makes of a request.
@@ -32,14 +33,14 @@
 
 impl Pool {
     fn new(servers: u64, seed: u128) -> Self {
-        let mut story = Story::new(Settings::default());
+        let mut story = EndpointHistory::new(Settings::default());
         (0..servers).for_each(|id| {
             story.listed(
                 0,
                 ServerId(id),
-                Arrival {
+                ListedEndpoint {
                     zone: (id % 2) as u32,
-                    ..Arrival::default()
+                    ..ListedEndpoint::default()
                 },
             )
         });
@@ -75,7 +76,7 @@
                 outcome => outcome,
             };
             let minute = (self.now / (60 * S) % 1_440) as u16;
-            let seen = Observed {
+            let seen = CompletedAttempt {
                 server: ServerId(id),
                 class,
                 outcome,
@@ -90,17 +91,17 @@
         }
     }
 
-    fn raised(&self) -> Vec<&Departure> {
+    fn raised(&self) -> Vec<&Anomaly> {
         self.said
             .iter()
-            .filter(|d| d.phase == Phase::Raised)
+            .filter(|d| d.phase == AnomalyPhase::Raised)
             .collect()
     }
 
     fn cleared_after(&self, from: u64) -> Option<u64> {
         self.said
             .iter()
-            .find(|d| d.phase == Phase::Cleared && d.at >= from)
+            .find(|d| d.phase == AnomalyPhase::Cleared && d.at >= from)
             .map(|d| d.at - from)
     }
 }
@@ -368,7 +369,7 @@
             .waiting(now, ServerId(1), (0..ATTEMPTS).map(|_| (0, second * S)));
         pool.said.extend(pool.story.step(now));
     }
-    let ended = |outcome, elapsed| Observed {
+    let ended = |outcome, elapsed| CompletedAttempt {
         server: ServerId(1),
         class: 0,
         outcome,
@@ -452,8 +453,8 @@
 /// What is asked for changes, and no server does: a class that takes ten times as long comes to be most of the load.
 #[test]
 fn another_mix_of_classes_is_no_departure() {
-    let mut story = Story::new(Settings::default());
-    (0..4).for_each(|id| story.listed(0, ServerId(id), Arrival::default()));
+    let mut story = EndpointHistory::new(Settings::default());
+    (0..4).for_each(|id| story.listed(0, ServerId(id), ListedEndpoint::default()));
     let mut random = Rand64::new(4);
     let mut said = Vec::new();
     for tick in 0..120_000u64 {
@@ -462,7 +463,7 @@
         let usual = if heavy { 500_000.0 } else { 50_000.0 };
         let elapsed = (usual * (1.0 - 0.5 * random.rand_float().max(1e-9).ln())) as u64;
         let class = u32::from(heavy);
-        let seen = Observed {
+        let seen = CompletedAttempt {
             server: ServerId(tick % 4),
             class,
             outcome: Outcome::Ok,
@@ -487,9 +488,9 @@
         pool.story.listed(
             began,
             ServerId(id),
-            Arrival {
+            ListedEndpoint {
                 restarted,
-                ..Arrival::default()
+                ..ListedEndpoint::default()
             },
         );
         pool.servers = pool.servers.max(id + 1);
@@ -519,10 +520,10 @@
     let mut pool = Pool::new(6, 33);
     pool.play(300 * S, 20.0, |_, _, _, _, _| WELL);
     let began = pool.now;
-    let arrival = Arrival {
+    let arrival = ListedEndpoint {
         restarted: true,
         cold_until: began + 30 * S,
-        ..Arrival::default()
+        ..ListedEndpoint::default()
     };
     pool.story.listed(began, ServerId(1), arrival);
     pool.play(began + 100 * S, 20.0, |now, id, _, _, _| {
@@ -552,7 +553,9 @@
             }
         });
         assert!(!pool.raised().is_empty());
-        pool.said.iter().any(|said| said.phase == Phase::Cleared)
+        pool.said
+            .iter()
+            .any(|said| said.phase == AnomalyPhase::Cleared)
     };
     let early = (0..60).filter(ended_early).count();
     // In an hour of such minutes, all together.
--- a/crates/endpoint-history/tests/lines.rs
+++ b/crates/endpoint-history/tests/lines.rs
@@ -1,7 +1,10 @@
 //! Lines hold what happened, in order, in a bounded place.
 
 use madderloom_balancer::{Outcome, ServerId};
-use madderloom_endpoint_history::{Arrival, Gauge, Happening, Observed, Settings, Sketch, Story};
+use madderloom_endpoint_history::{
+    CompletedAttempt, EndpointEvent, EndpointGauges, EndpointHistory, LatencySketch,
+    ListedEndpoint, Settings,
+};
 use proptest::prelude::*;
 
 const S: u64 = 1_000_000;
@@ -13,16 +16,16 @@
         cuts in proptest::collection::vec(0usize..300, 0..5),
         part in 0.0..1.0f64,
     ) {
-        let whole = values.iter().fold(Sketch::default(), |mut sketch, v| { sketch.add(*v); sketch });
+        let whole = values.iter().fold(LatencySketch::default(), |mut sketch, v| { sketch.add(*v); sketch });
         let mut cuts: Vec<usize> = cuts.iter().map(|c| c % values.len()).chain([0, values.len()]).collect();
         cuts.sort_unstable();
-        let mut parts: Vec<Sketch> = cuts.windows(2).map(|c| {
-            let mut sketch = Sketch::default();
+        let mut parts: Vec<LatencySketch> = cuts.windows(2).map(|c| {
+            let mut sketch = LatencySketch::default();
             values[c[0]..c[1]].iter().for_each(|v| sketch.add(*v));
             sketch
         }).collect();
         parts.rotate_left(cuts.len() / 2 % cuts.len().max(1) % (cuts.len() - 1).max(1));
-        let merged = parts.iter().fold(Sketch::default(), |mut all, sketch| { all.merge(sketch); all });
+        let merged = parts.iter().fold(LatencySketch::default(), |mut all, sketch| { all.merge(sketch); all });
         prop_assert_eq!(&merged, &whole);
         let mut sorted = values.clone();
         sorted.sort_unstable();
@@ -37,20 +40,20 @@
     fn any_stream_of_events_keeps_the_order_and_the_bound(
         events in proptest::collection::vec((0u64..200 * S, 0u64..4, 0u8..6), 1..600),
     ) {
-        let mut story = Story::new(Settings { servers: 3, ..Settings::default() });
+        let mut story = EndpointHistory::new(Settings { servers: 3, ..Settings::default() });
         let mut now = 5 * S;
         let mut attempts = [0u64; 4];
         for (gap, id, what) in events {
             now += gap;
             let server = ServerId(id);
             match what {
-                0 => story.listed(now, server, Arrival { restarted: gap % 3 == 0, ..Arrival::default() }),
+                0 => story.listed(now, server, ListedEndpoint { restarted: gap % 3 == 0, ..ListedEndpoint::default() }),
                 1 => story.left(now, server),
-                2 => story.note(now, server, Happening::Ejected(Outcome::Reset)),
-                3 => story.gauge(now, server, Gauge { out: 3, region: 0.1, reported: None }),
+                2 => story.note(now, server, EndpointEvent::Ejected(Outcome::Reset)),
+                3 => story.gauge(now, server, EndpointGauges { out: 3, region: 0.1, reported: None }),
                 _ => {
                     let outcome = if gap % 2 == 0 { Outcome::Ok } else { Outcome::Reset };
-                    let seen = Observed { server, class: 0, outcome, elapsed: gap, size: 1.0 };
+                    let seen = CompletedAttempt { server, class: 0, outcome, elapsed: gap, size: 1.0 };
                     if story.line(server).is_some() {
                         attempts[id as usize] += 1;
                     }
@@ -79,15 +82,15 @@
 
 #[test]
 fn every_width_tells_of_the_same_attempts() {
-    let mut story = Story::new(Settings::default());
-    story.listed(0, ServerId(1), Arrival::default());
+    let mut story = EndpointHistory::new(Settings::default());
+    story.listed(0, ServerId(1), ListedEndpoint::default());
     for n in 0..6_000u64 {
         let outcome = if n % 10 == 0 {
             Outcome::Reset
         } else {
             Outcome::Ok
         };
-        let seen = Observed {
+        let seen = CompletedAttempt {
             server: ServerId(1),
             class: 0,
             outcome,
@@ -97,7 +100,7 @@
         story.attempt(n * 20_000, 0, &seen);
     }
     // 120 s in all: each width reaches back that far. What goes on now is not yet in the wider ones.
-    story.gauge(3_600 * S, ServerId(1), Gauge::default());
+    story.gauge(3_600 * S, ServerId(1), EndpointGauges::default());
     let line = story.line(ServerId(1)).expect("it is there");
     for width in [10 * S, 60 * S, 1_800 * S] {
         let steps: Vec<_> = line.steps(width).collect();
@@ -121,19 +124,19 @@
 
 #[test]
 fn the_memory_of_a_server_is_stated() {
-    let bytes = Story::bytes_for_each_server();
+    let bytes = EndpointHistory::bytes_for_each_server();
     assert!(bytes < 150_000, "{bytes} bytes");
 }
 
 #[test]
 fn happenings_beyond_what_is_kept_push_out_the_oldest() {
-    let mut story = Story::new(Settings::default());
-    story.listed(0, ServerId(1), Arrival::default());
+    let mut story = EndpointHistory::new(Settings::default());
+    story.listed(0, ServerId(1), ListedEndpoint::default());
     for second in 1..=1_000 {
         let what = if second % 2 == 0 {
-            Happening::Ready
+            EndpointEvent::Ready
         } else {
-            Happening::Draining
+            EndpointEvent::Draining
         };
         story.note(second * S, ServerId(1), what);
     }
@@ -151,8 +154,8 @@
 /// A story has each attempt once, however old it is, and its recording is read back as it was written.
 #[test]
 fn a_line_told_as_one_story_has_each_attempt_once() {
-    let mut story = Story::new(Settings::default());
-    story.listed(0, ServerId(1), Arrival::default());
+    let mut story = EndpointHistory::new(Settings::default());
+    story.listed(0, ServerId(1), ListedEndpoint::default());
     // An attempt a second for three hours, so that every width is in use.
     for n in 0..10_800u64 {
         let outcome = if n % 4 == 0 {
@@ -160,7 +163,7 @@
         } else {
             Outcome::Ok
         };
-        let seen = Observed {
+        let seen = CompletedAttempt {
             server: ServerId(1),
             class: 0,
             outcome,
@@ -171,8 +174,9 @@
     }
     let line = story.line(ServerId(1)).expect("it is there");
     let told = line.story();
-    let ends =
-        |(width, step): &(u64, madderloom_endpoint_history::Step)| (step.from, step.from + width);
+    let ends = |(width, step): &(u64, madderloom_endpoint_history::Interval)| {
+        (step.from, step.from + width)
+    };
     assert!(
         told.windows(2)
             .all(|pair| ends(&pair[0]).1 <= ends(&pair[1]).0),
--- a/crates/lab/examples/night.rs
+++ b/crates/lab/examples/night.rs
@@ -9,7 +9,7 @@
     Action, Event, Members, Micros, Note, Outcome, RequestId, ServerId, ServerState,
 };
 use madderloom_endpoint_history::{
-    Arrival, Departure, Happening, Observed, Settings, Story, Subject,
+    Anomaly, CompletedAttempt, EndpointEvent, EndpointHistory, ListedEndpoint, Settings, Subject,
 };
 use madderloom_lab::experiment::Experiment;
 use madderloom_lab::policy::{self, Policy, Start};
@@ -25,7 +25,7 @@
 
 /// What is told, and what it is told of.
 struct Night {
-    story: Story,
+    story: EndpointHistory,
     /// Open requests: their class and their hinted size.
     open: BTreeMap<RequestId, (u32, Option<Micros>)>,
     hints: (f64, f64),
@@ -44,7 +44,7 @@
             .unwrap_or_else(|| format!("{:016x}", id.0))
     }
 
-    fn say(&mut self, said: &Departure) {
+    fn say(&mut self, said: &Anomaly) {
         let name = match said.subject {
             Subject::Server(id) => self.name(id),
             Subject::Zone(zone) => self.zones.get(zone as usize).cloned().unwrap_or_default(),
@@ -70,10 +70,10 @@
                     if server.state == ServerState::Gone {
                         self.story.left(now, server.server);
                     } else {
-                        let arrival = Arrival {
+                        let arrival = ListedEndpoint {
                             zone: server.zone,
                             kind: server.kind,
-                            ..Arrival::default()
+                            ..ListedEndpoint::default()
                         };
                         self.story.listed(now, server.server, arrival);
                     }
@@ -97,7 +97,7 @@
                     *mean += (hint as f64 - *mean) / *count;
                 }
                 let (server, outcome) = (closed.server, closed.outcome);
-                let seen = Observed {
+                let seen = CompletedAttempt {
                     server,
                     class,
                     outcome,
@@ -119,8 +119,12 @@
 
     fn noted(&mut self, now: Micros, note: Note) {
         let (id, what, words) = match note {
-            Note::Ejected(id, outcome) => (id, Happening::Ejected(outcome), ejected(outcome)),
-            Note::Restored(id) => (id, Happening::Restored, "is trusted again after its trial"),
+            Note::Ejected(id, outcome) => (id, EndpointEvent::Ejected(outcome), ejected(outcome)),
+            Note::Restored(id) => (
+                id,
+                EndpointEvent::Restored,
+                "is trusted again after its trial",
+            ),
             Note::Overload(_) | Note::DiscoveryFailed => return,
         };
         self.story.note(now, id, what);
@@ -165,7 +169,7 @@
     let experiment = Experiment::read(&text).map_err(|problems| problems[0].to_string())?;
     let world = World::of(&experiment, 1);
     let night = Rc::new(RefCell::new(Night {
-        story: Story::new(Settings::default()),
+        story: EndpointHistory::new(Settings::default()),
         open: BTreeMap::new(),
         hints: (0.0, 0.0),
         told: Vec::new(),
--- a/crates/lab/tests/every_request_ends_once.rs
+++ b/crates/lab/tests/every_request_ends_once.rs
@@ -4,7 +4,7 @@
 use common::*;
 use madderloom_balancer::*;
 use madderloom_config_reader::Span;
-use madderloom_endpoint_history::{Moment, Recording};
+use madderloom_endpoint_history::{RecordedInterval, Recording};
 use madderloom_lab::experiment::{
     CancelStops, Class, Distribution, Effect, Experiment, Fault, FaultKind, Phase, ServerKind,
 };
@@ -89,7 +89,7 @@
 
 /// A server that first fails a part of what it is given, and then is slow.
 fn recording(size: f64, gap: u64) -> Recording {
-    let moment = |from_ms: u64, errors: f64, slower: f64| Moment {
+    let moment = |from_ms: u64, errors: f64, slower: f64| RecordedInterval {
         from_ms,
         lasts_ms: 400,
         attempts: 1,
--- a/crates/operator-config/src/timeline.rs
+++ b/crates/operator-config/src/timeline.rs
@@ -1,7 +1,7 @@
 //! `[timeline]`: whether the story of each server is kept, and how much of it.
 
 use madderloom_config_reader::{Document, Span};
-use madderloom_endpoint_history::{Settings, Story};
+use madderloom_endpoint_history::{EndpointHistory, Settings};
 use serde::Deserialize;
 
 /// The section as it is written.
@@ -31,7 +31,7 @@
             "timeline.false_alarms_a_day",
             "must lie in 0.001 to 1000",
         );
-        let each = Story::bytes_for_each_server() as u64;
+        let each = EndpointHistory::bytes_for_each_server() as u64;
         let granted = memory.map_or(u64::MAX, |memory| {
             memory / 2 / each.saturating_mul(pools.max(1) as u64)
         });
--- a/crates/operator-config/tests/file.rs
+++ b/crates/operator-config/tests/file.rs
@@ -562,7 +562,8 @@
         .expect("it makes sense")
         .timeline
         .expect("it is on");
-    let bytes = 3 * little.servers * madderloom_endpoint_history::Story::bytes_for_each_server();
+    let bytes =
+        3 * little.servers * madderloom_endpoint_history::EndpointHistory::bytes_for_each_server();
     assert!(
         (30 << 20..=32 << 20).contains(&bytes),
         "{} servers: half of the memory in 3 pools",
--- a/crates/sidecar/src/teller.rs
+++ b/crates/sidecar/src/teller.rs
@@ -7,7 +7,8 @@
     Closed, Listed, Members, Micros, Note, Outcome, RequestId, ServerId, ServerState, Snapshot,
 };
 use madderloom_endpoint_history::{
-    Arrival, Departure, Gauge, Happening, Observed, Phase, Settings, Story, Subject,
+    Anomaly, AnomalyPhase, CompletedAttempt, EndpointEvent, EndpointGauges, EndpointHistory,
+    ListedEndpoint, Settings, Subject,
 };
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -39,7 +40,7 @@
 
 /// Keeps the story of a service's servers.
 pub(super) struct Teller {
-    pub(super) story: Story,
+    pub(super) story: EndpointHistory,
     settings: Settings,
     pool: Rc<str>,
     /// How long a server that has started is cold at most.
@@ -54,7 +55,7 @@
 impl Teller {
     pub(super) fn new(pool: &str, settings: Settings, cold: Micros) -> Self {
         Teller {
-            story: Story::new(settings),
+            story: EndpointHistory::new(settings),
             settings,
             pool: pool.into(),
             cold,
@@ -130,7 +131,7 @@
         let is_back = former.is_some_and(|(former, _)| former.state == ServerState::Gone);
         let restarted = former.is_some_and(|(former, _)| listed.started > former.started);
         let cold_until = listed.started.map_or(0, |at| at.saturating_add(self.cold));
-        let arrival = Arrival {
+        let arrival = ListedEndpoint {
             zone: listed.zone,
             kind: listed.kind,
             restarted,
@@ -153,8 +154,8 @@
         }
         let was_draining = former.is_some_and(|(former, _)| former.state == ServerState::Draining);
         match (was_draining, listed.state == ServerState::Draining) {
-            (false, true) => self.happened(service, now, id, Happening::Draining),
-            (true, false) => self.happened(service, now, id, Happening::Ready),
+            (false, true) => self.happened(service, now, id, EndpointEvent::Draining),
+            (true, false) => self.happened(service, now, id, EndpointEvent::Ready),
             _ => {}
         }
         // Whoever was found there before is not any more.
@@ -165,7 +166,7 @@
                 .iter()
                 .find(|(other, known)| **other != id && known.address == Some(address));
             if let Some(former) = former.map(|(other, _)| *other) {
-                self.happened(service, now, former, Happening::AddressTaken);
+                self.happened(service, now, former, EndpointEvent::AddressTaken);
                 if let Some(known) = self.servers.get_mut(&former) {
                     known.address = None;
                 }
@@ -190,17 +191,17 @@
     /// The module wrote a line for the operators.
     pub(super) fn noted(&mut self, service: &Service, now: Micros, note: Note) {
         let (id, what) = match note {
-            Note::Ejected(id, outcome) => (id, Happening::Ejected(outcome)),
-            Note::Restored(id) => (id, Happening::Restored),
+            Note::Ejected(id, outcome) => (id, EndpointEvent::Ejected(outcome)),
+            Note::Restored(id) => (id, EndpointEvent::Restored),
             Note::Overload(_) | Note::DiscoveryFailed => return,
         };
         if let Some(known) = self.servers.get_mut(&id) {
-            known.is_ejected = matches!(what, Happening::Ejected(_));
+            known.is_ejected = matches!(what, EndpointEvent::Ejected(_));
         }
         self.happened(service, now, id, what);
     }
 
-    fn happened(&mut self, service: &Service, now: Micros, id: ServerId, what: Happening) {
+    fn happened(&mut self, service: &Service, now: Micros, id: ServerId, what: EndpointEvent) {
         let (name, text) = words(&what);
         self.story.note(now, id, what);
         self.say(service, now, id, name, &text);
@@ -233,7 +234,7 @@
         known.out.insert((now, request, attempt), class);
         // It gets nothing while it is ejected but on trial.
         if known.is_ejected {
-            self.happened(service, now, id, Happening::Trial);
+            self.happened(service, now, id, EndpointEvent::Trial);
         }
     }
 
@@ -251,7 +252,7 @@
             known.out.remove(&(ended.sent, request, attempt));
         }
         let size = self.size(ended.class, ended.cost);
-        let seen = Observed {
+        let seen = CompletedAttempt {
             server,
             class: ended.class,
             outcome,
@@ -309,7 +310,7 @@
             self.story.gauge(
                 now,
                 id,
-                Gauge {
+                EndpointGauges {
                     out,
                     region: view.share,
                     reported,
@@ -330,7 +331,7 @@
     }
 
     /// A departure in a line: whom it is about by name, and for which class.
-    pub(super) fn told(&self, service: &Service, departure: &Departure) -> String {
+    pub(super) fn told(&self, service: &Service, departure: &Anomaly) -> String {
         let name = match departure.subject {
             Subject::Server(id) => self.name(id).into_string(),
             Subject::Zone(zone) => service
@@ -347,13 +348,13 @@
         departure.told(&name, class.map(|class| class.name.as_str()))
     }
 
-    fn departed(&self, service: &Service, departure: &Departure) {
+    fn departed(&self, service: &Service, departure: &Anomaly) {
         let text = self.told(service, departure);
         let of = &service.label;
         let (event, is_bad) = match departure.phase {
-            Phase::Raised => ("raised", true),
-            Phase::Updated => ("updated", true),
-            Phase::Cleared => ("cleared", false),
+            AnomalyPhase::Raised => ("raised", true),
+            AnomalyPhase::Updated => ("updated", true),
+            AnomalyPhase::Cleared => ("cleared", false),
         };
         if is_bad {
             tracing::warn!(number = departure.number, "{of}{text}");
@@ -379,28 +380,30 @@
 }
 
 /// A happening as one word for programs, and what people are told behind the server's name.
-pub(super) fn words(what: &Happening) -> (&'static str, String) {
+pub(super) fn words(what: &EndpointEvent) -> (&'static str, String) {
     match what {
-        Happening::Joined => ("joined", "is listed".to_string()),
-        Happening::Restarted => ("restarted", "has started anew".to_string()),
-        Happening::AddressTaken => (
+        EndpointEvent::Joined => ("joined", "is listed".to_string()),
+        EndpointEvent::Restarted => ("restarted", "has started anew".to_string()),
+        EndpointEvent::AddressTaken => (
             "address_taken",
             "has lost its address to another server".to_string(),
         ),
-        Happening::Draining => ("draining", "drains".to_string()),
-        Happening::Ready => ("ready", "takes new work again".to_string()),
-        Happening::Left => ("left", "is gone from the list".to_string()),
-        Happening::Ejected(outcome) => (
+        EndpointEvent::Draining => ("draining", "drains".to_string()),
+        EndpointEvent::Ready => ("ready", "takes new work again".to_string()),
+        EndpointEvent::Left => ("left", "is gone from the list".to_string()),
+        EndpointEvent::Ejected(outcome) => (
             "ejected",
             format!("is ejected, since attempts there {}", ended(*outcome)),
         ),
-        Happening::Trial => ("trial", "is sent a request on trial".to_string()),
-        Happening::Restored => ("restored", "is trusted again after its trial".to_string()),
-        Happening::Departed(number) => (
+        EndpointEvent::Trial => ("trial", "is sent a request on trial".to_string()),
+        EndpointEvent::Restored => ("restored", "is trusted again after its trial".to_string()),
+        EndpointEvent::Departed(number) => (
             "raised",
             format!("departs from its usual (number {number})"),
         ),
-        Happening::Cleared(number) => ("cleared", format!("is as usual again (number {number})")),
+        EndpointEvent::Cleared(number) => {
+            ("cleared", format!("is as usual again (number {number})"))
+        }
     }
 }
 
--- a/crates/sidecar/src/view.rs
+++ b/crates/sidecar/src/view.rs
@@ -10,7 +10,7 @@
 use super::teller::{Teller, words};
 use super::turns::charged_to;
 use madderloom_balancer::{Effect, Micros, Outcome, ServerId, ServerState, ServerView};
-use madderloom_endpoint_history::{Line, Recording, Sketch, Step, Subject};
+use madderloom_endpoint_history::{Interval, LatencySketch, Recording, Subject, Timeline};
 use madderloom_routing::shares::Held;
 use madderloom_routing::turns::Spent;
 use serde_json::{Value, json};
@@ -331,8 +331,8 @@
 }
 
 /// The outcomes of steps, summed up, and the latencies of what was served.
-fn lately(line: &Line) -> Value {
-    let mut steps: Vec<&Step> = line.steps(LATELY).collect();
+fn lately(line: &Timeline) -> Value {
+    let mut steps: Vec<&Interval> = line.steps(LATELY).collect();
     let steps = steps.split_off(steps.len().saturating_sub(2));
     let sum = |outcomes: &[Outcome]| -> u64 {
         steps
@@ -340,7 +340,7 @@
             .flat_map(|step| outcomes.iter().map(|o| u64::from(step.ended(*o))))
             .sum()
     };
-    let mut latency = Sketch::default();
+    let mut latency = LatencySketch::default();
     steps
         .iter()
         .filter_map(|step| step.latency.as_ref())
@@ -355,7 +355,7 @@
     })
 }
 
-fn step(width: Micros, step: &Step) -> Value {
+fn step(width: Micros, step: &Interval) -> Value {
     let served = step.ended(Outcome::Ok);
     let quantile = |part: f64| {
         step.latency
