--- a/crates/endpoint-history/src/lib.rs
+++ b/crates/endpoint-history/src/lib.rs
@@ -1,27 +1,45 @@
-//! The story of each server: what happened there, in steps that widen with age, and an event where a server departs
-//! from what is usual for it.
+//! History of the endpoints (servers) of one pool, and detection of anomalies in it.
 //!
-//! [`EndpointHistory`] is told of attempts and happenings with the time passed in, and reads no clock. Its memory for each
-//! server is fixed ([`EndpointHistory::bytes_for_each_server`]). A departure is found by sequential tests whose setting is a
-//! rate of false alarms, not a threshold; what is usual is learned, by the time of day as well. What the story knows
-//! of servers that are half well goes to the decision module as [`Evidence`].
+//! [`EndpointHistory`] records completed attempts, changes of the endpoint list, load reports and ejections. The caller
+//! passes the current time in; nothing here reads a clock or does I/O. For each endpoint it keeps
+//!
+//! - a [`Timeline`]: counters in intervals that widen with age, and the latest [`EndpointEvent`]s;
+//! - a baseline: the usual share of failures and the usual latency, learned while the endpoint behaves normally, with a
+//!   profile by time of day;
+//! - sequential tests that compare each attempt with the baseline.
+//!
+//! [`EndpointHistory::poll_anomalies`] reports an [`Anomaly`] when an endpoint, a zone or the whole fleet deviates from
+//! its baseline. The tests are configured by the accepted rate of false alarms, not by thresholds.
+//! [`EndpointHistory::evidence`] summarizes which endpoints are partially degraded.
+//!
+//! The memory for one endpoint is bounded by [`EndpointHistory::max_bytes_per_endpoint`].
 
-mod departure;
-mod detector;
-mod line;
+mod anomaly;
+mod baseline;
+mod cusum;
+mod evidence;
+mod history;
+mod input;
+mod latency_sketch;
 mod recording;
-mod sketch;
-mod story;
-mod usual;
+mod settings;
+mod timeline;
 
-pub use departure::{Anomaly, AnomalyPhase, Evidence, Fault, Subject};
-pub use line::{EndpointEvent, EventRecord, Interval, Timeline};
-pub use recording::{RecordedInterval, Recording};
-pub use sketch::LatencySketch;
-pub use story::{CompletedAttempt, EndpointGauges, EndpointHistory, ListedEndpoint, Settings};
+pub use anomaly::{Anomaly, AnomalyPhase, Fault, Subject};
+pub use evidence::Evidence;
+pub use history::{EndpointHistory, KnownEndpoint};
+pub use input::{CompletedAttempt, EndpointGauges, ListedEndpoint, ReportedLoad, WaitingAttempt};
+pub use latency_sketch::LatencySketch;
+pub use recording::{RecordedInterval, Recording, RecordingError};
+pub use settings::Settings;
+pub use timeline::{EndpointEvent, EventRecord, Interval, LoadSample, Timeline, TimelineEntry};
 
-/// A time, or a span of time, in whole microseconds. Times only ever grow.
+/// A point in time or a duration, in whole microseconds. Points in time never decrease from call to call.
 pub type Micros = u64;
 
-/// A second.
-pub(crate) const S: Micros = 1_000_000;
+/// One second.
+pub(crate) const SECOND: Micros = 1_000_000;
+/// One hour.
+pub(crate) const HOUR: Micros = 3_600 * SECOND;
+/// One day.
+pub(crate) const DAY: Micros = 24 * HOUR;
--- a/crates/endpoint-history/src/recording.rs
+++ b/crates/endpoint-history/src/recording.rs
@@ -1,168 +1,212 @@
-//! A time line as a file: how much failed and how slow it was over time, to be played again as a fault.
+//! A timeline as a file: the failures and the slowness of one endpoint over time, to be replayed as a fault.
 
+use crate::timeline::{Interval, TimelineEntry};
 use crate::{Micros, Timeline};
 use madderloom_balancer::Outcome;
 use serde::{Deserialize, Serialize};
 
-/// The most moments of a recording that is read: more than a line holds.
-const MOMENTS: usize = 4_096;
-/// A recording tells of no more slowness than this, and no more speed.
-const SLOWNESS: (f64, f64) = (0.01, 1_000.0);
+/// Upper bound on the intervals of a valid recording; more than a timeline holds.
+const MAX_INTERVALS: usize = 4_096;
+/// Lower bound on the latency ratio of a recording.
+const MIN_LATENCY_RATIO: f64 = 0.01;
+/// Upper bound on the latency ratio of a recording.
+const MAX_LATENCY_RATIO: f64 = 1_000.0;
+/// A sum of shares that were rounded may exceed 1 by this.
+const SHARE_ROUNDING: f64 = 1e-9;
+/// A valid recording ends before this, in milliseconds after its start; some 35 years.
+const MAX_END_MS: u64 = 1 << 40;
 
-/// A stretch of a recording.
+/// One interval of a recording.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RecordedInterval {
-    /// Its beginning, in milliseconds since that of the recording.
-    pub from_ms: u64,
-    /// How long it lasts, in milliseconds.
-    pub lasts_ms: u64,
-    /// Attempts that ended in it.
+    /// Start of the interval, in milliseconds after the start of the recording.
+    #[serde(rename = "from_ms")]
+    pub start_ms: u64,
+    /// Length of the interval, in milliseconds.
+    #[serde(rename = "lasts_ms")]
+    pub duration_ms: u64,
+    /// Attempts that ended in it, except those that were cancelled or never sent.
     pub attempts: u64,
-    /// The share of them that was answered with an error, from 0 to 1.
-    pub errors: f64,
-    /// The share of them that was not answered though it may have run, from 0 to 1.
-    pub lost: f64,
-    /// The share of them that it provably did not take, from 0 to 1.
-    pub refused: f64,
-    /// How many times longer than usual its answers took; 1 where there were none.
-    pub slower: f64,
+    /// Share of them that got an error response, from 0 to 1.
+    #[serde(rename = "errors")]
+    pub error_share: f64,
+    /// Share of them that got no response although they may have run, from 0 to 1.
+    #[serde(rename = "lost")]
+    pub lost_share: f64,
+    /// Share of them that provably did not run, from 0 to 1.
+    #[serde(rename = "refused")]
+    pub rejected_share: f64,
+    /// Mean latency relative to the usual one; 1 without responses.
+    #[serde(rename = "slower")]
+    pub latency_ratio: f64,
 }
 
-/// What a server did, over time.
+/// What one endpoint did over time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Recording {
-    /// The version of the format, [`Recording::VERSION`].
+    /// Version of the format, [`Recording::VERSION`].
     pub version: u32,
-    /// The server's name.
+    /// Name of the endpoint.
     pub server: String,
-    /// When it begins, in microseconds of Unix time.
-    pub began_us: Micros,
-    /// The usual mean latency of an answer, in microseconds, in which `slower` is counted.
-    pub usual_us: u64,
-    /// In the order of time, none over another.
-    pub moments: Vec<RecordedInterval>,
+    /// Start of the recording, in microseconds of Unix time.
+    #[serde(rename = "began_us")]
+    pub started_at: Micros,
+    /// The usual mean latency in microseconds, the unit of [`RecordedInterval::latency_ratio`].
+    #[serde(rename = "usual_us")]
+    pub usual_latency: Micros,
+    /// Intervals in the order of time, without overlap.
+    #[serde(rename = "moments")]
+    pub intervals: Vec<RecordedInterval>,
+}
+
+/// Why a recording that was read is invalid. Fields are named as they are in the file.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+pub enum RecordingError {
+    /// The format's version is not supported.
+    #[error("version {0} is not known; this build reads {version}", version = Recording::VERSION)]
+    UnknownVersion(u32),
+    /// There is no interval, or there are too many.
+    #[error("holds {0} moments; 1 to {max} make sense", max = MAX_INTERVALS)]
+    IntervalCount(usize),
+    /// An interval starts before the end of the one before.
+    #[error("moments[{0}].from_ms lies before the end of the one before")]
+    Overlap(usize),
+    /// An interval has no length.
+    #[error("moments[{0}].lasts_ms must be above 0")]
+    NoDuration(usize),
+    /// The shares of an interval, or their sum, are not between 0 and 1.
+    #[error(
+        "moments[{0}].lost and errors and refused must each lie in 0 to 1, and so must their sum"
+    )]
+    Shares(usize),
+    /// The latency ratio of an interval is out of bounds.
+    #[error("moments[{0}].slower must lie in 0.01 to 1000")]
+    LatencyRatio(usize),
+    /// An interval ends too late.
+    #[error("moments[{0}].lasts_ms is longer than any day")]
+    TooLong(usize),
 }
 
 impl Recording {
     /// The version that this build writes and reads.
     pub const VERSION: u32 = 1;
 
-    /// What a line holds. Baseline is the median of its steps' mean latencies, weighed by their lengths.
-    pub fn of(server: &str, line: &Timeline) -> Self {
-        let story = line.story();
-        let began_us = story.first().map_or(0, |(_, step)| step.from);
-        let mut means: Vec<(u64, Micros)> = story
-            .iter()
-            .filter(|(_, step)| step.ended(Outcome::Ok) > 0)
-            .map(|(width, step)| {
-                (
-                    step.latency_sum / u64::from(step.ended(Outcome::Ok)),
-                    *width,
-                )
-            })
-            .collect();
-        means.sort_unstable();
-        let half = means.iter().map(|(_, width)| width).sum::<Micros>() / 2;
-        let mut passed = 0;
-        let usual = means.iter().find(|(_, width)| {
-            passed += width;
-            passed >= half
-        });
-        let usual_us = usual.map_or(1, |(mean, _)| *mean).max(1);
-        let moment = |(width, step): &(Micros, crate::Interval)| {
-            let count = |outcomes: &[Outcome]| {
-                outcomes
-                    .iter()
-                    .map(|o| u64::from(step.ended(*o)))
-                    .sum::<u64>()
-            };
-            let served = count(&[Outcome::Ok]);
-            let errors = count(&[Outcome::Error]);
-            let lost = count(&[Outcome::Timeout, Outcome::Reset]);
-            let refused = count(&[Outcome::Full, Outcome::ConnectFailed]);
-            let attempts = served + errors + lost + refused;
-            let share = |of: u64| of as f64 / attempts.max(1) as f64;
-            let slower = if served > 0 {
-                (step.latency_sum as f64 / served as f64 / usual_us as f64)
-                    .clamp(SLOWNESS.0, SLOWNESS.1)
-            } else {
-                1.0
-            };
-            let from_ms = step.from.saturating_sub(began_us) / 1_000;
-            let lasts_ms = width / 1_000;
-            let (errors, lost, refused) = (share(errors), share(lost), share(refused));
-            RecordedInterval {
-                from_ms,
-                lasts_ms,
-                attempts,
-                errors,
-                lost,
-                refused,
-                slower,
-            }
-        };
-        let moments = story
+    /// Records all that a timeline holds. The usual latency is the median of the mean latencies of its intervals,
+    /// weighted by their lengths.
+    pub fn of(server: &str, timeline: &Timeline) -> Self {
+        let entries = timeline.finest_entries();
+        let started_at = entries.first().map_or(0, |entry| entry.interval.start);
+        let usual_latency = usual_latency(&entries);
+        let intervals = entries
             .iter()
-            .map(moment)
-            .filter(|moment| moment.attempts > 0)
+            .map(|entry| RecordedInterval::of(entry, started_at, usual_latency))
+            .filter(|interval| interval.attempts > 0)
             .collect();
         Recording {
             version: Self::VERSION,
             server: server.to_string(),
-            began_us,
-            usual_us,
-            moments,
+            started_at,
+            usual_latency,
+            intervals,
         }
     }
 
-    /// Says what makes no sense in one that was read, and where; nothing where all does.
-    pub fn problem(&self) -> Option<String> {
+    /// Checks a recording that was read.
+    ///
+    /// # Errors
+    /// The first problem that was found.
+    pub fn validate(&self) -> Result<(), RecordingError> {
         if self.version != Self::VERSION {
-            return Some(format!(
-                "version {} is not known; this build reads {}",
-                self.version,
-                Self::VERSION
-            ));
+            return Err(RecordingError::UnknownVersion(self.version));
         }
-        if self.moments.is_empty() || self.moments.len() > MOMENTS {
-            return Some(format!(
-                "holds {} moments; 1 to {MOMENTS} make sense",
-                self.moments.len()
-            ));
+        if self.intervals.is_empty() || self.intervals.len() > MAX_INTERVALS {
+            return Err(RecordingError::IntervalCount(self.intervals.len()));
         }
-        let mut end = 0;
-        for (at, moment) in self.moments.iter().enumerate() {
-            let told =
-                |field: &str, problem: &str| Some(format!("moments[{at}].{field} {problem}"));
-            let is_share = |share: f64| (0.0..=1.0).contains(&share);
-            if moment.from_ms < end {
-                return told("from_ms", "lies before the end of the one before");
-            }
-            if moment.lasts_ms == 0 {
-                return told("lasts_ms", "must be above 0");
-            }
-            let shares = [moment.errors, moment.lost, moment.refused];
-            // Sums of shares that were rounded may be over 1 by as little.
-            if !shares.into_iter().all(is_share) || shares.iter().sum::<f64>() > 1.0 + 1e-9 {
-                return told(
-                    "lost",
-                    "and errors and refused must each lie in 0 to 1, and so must their sum",
-                );
-            }
-            if !(SLOWNESS.0..=SLOWNESS.1).contains(&moment.slower) {
-                return told("slower", "must lie in 0.01 to 1000");
-            }
-            match moment
-                .from_ms
-                .checked_add(moment.lasts_ms)
-                .filter(|end| *end < 1 << 40)
-            {
-                Some(over) => end = over,
-                None => return told("lasts_ms", "is longer than any day"),
-            }
+        let mut previous_end_ms = 0;
+        for (index, interval) in self.intervals.iter().enumerate() {
+            previous_end_ms = interval.validate(index, previous_end_ms)?;
         }
-        None
+        Ok(())
     }
 }
+
+impl RecordedInterval {
+    fn of(entry: &TimelineEntry, started_at: Micros, usual_latency: Micros) -> Self {
+        let interval = &entry.interval;
+        let served = attempts_that_ended(interval, &[Outcome::Ok]);
+        let errors = attempts_that_ended(interval, &[Outcome::Error]);
+        let lost = attempts_that_ended(interval, &[Outcome::Timeout, Outcome::Reset]);
+        let rejected = attempts_that_ended(interval, &[Outcome::Full, Outcome::ConnectFailed]);
+        let attempts = served + errors + lost + rejected;
+        let share = |part: u64| part as f64 / attempts.max(1) as f64;
+        let latency_ratio = if served > 0 {
+            (interval.latency_sum as f64 / served as f64 / usual_latency as f64)
+                .clamp(MIN_LATENCY_RATIO, MAX_LATENCY_RATIO)
+        } else {
+            1.0
+        };
+        RecordedInterval {
+            start_ms: interval.start.saturating_sub(started_at) / 1_000,
+            duration_ms: entry.width / 1_000,
+            attempts,
+            error_share: share(errors),
+            lost_share: share(lost),
+            rejected_share: share(rejected),
+            latency_ratio,
+        }
+    }
+
+    /// Checks one interval, and gives its end in milliseconds after the start of the recording.
+    fn validate(&self, index: usize, previous_end_ms: u64) -> Result<u64, RecordingError> {
+        if self.start_ms < previous_end_ms {
+            return Err(RecordingError::Overlap(index));
+        }
+        if self.duration_ms == 0 {
+            return Err(RecordingError::NoDuration(index));
+        }
+        let shares = [self.error_share, self.lost_share, self.rejected_share];
+        let is_share = |share: f64| (0.0..=1.0).contains(&share);
+        if !shares.into_iter().all(is_share) || shares.iter().sum::<f64>() > 1.0 + SHARE_ROUNDING {
+            return Err(RecordingError::Shares(index));
+        }
+        if !(MIN_LATENCY_RATIO..=MAX_LATENCY_RATIO).contains(&self.latency_ratio) {
+            return Err(RecordingError::LatencyRatio(index));
+        }
+        self.start_ms
+            .checked_add(self.duration_ms)
+            .filter(|end_ms| *end_ms < MAX_END_MS)
+            .ok_or(RecordingError::TooLong(index))
+    }
+}
+
+/// The median of the mean latencies of all intervals, weighted by their lengths; at least 1.
+fn usual_latency(entries: &[TimelineEntry]) -> Micros {
+    struct WeightedMean {
+        latency: Micros,
+        width: Micros,
+    }
+    let mean = |entry: &TimelineEntry| {
+        let served = u64::from(entry.interval.ended(Outcome::Ok));
+        let latency = entry.interval.latency_sum.checked_div(served)?;
+        let width = entry.width;
+        Some(WeightedMean { latency, width })
+    };
+    let mut means: Vec<WeightedMean> = entries.iter().filter_map(mean).collect();
+    means.sort_unstable_by_key(|mean| (mean.latency, mean.width));
+    let half = means.iter().map(|mean| mean.width).sum::<Micros>() / 2;
+    let mut passed = 0;
+    let median = means.iter().find(|mean| {
+        passed += mean.width;
+        passed >= half
+    });
+    median.map_or(1, |mean| mean.latency).max(1)
+}
+
+fn attempts_that_ended(interval: &Interval, outcomes: &[Outcome]) -> u64 {
+    outcomes
+        .iter()
+        .map(|outcome| u64::from(interval.ended(*outcome)))
+        .sum()
+}
--- a/crates/lab/examples/night.rs
+++ b/crates/lab/examples/night.rs
@@ -46,20 +46,22 @@
 
     fn say(&mut self, said: &Anomaly) {
         let name = match said.subject {
-            Subject::Server(id) => self.name(id),
+            Subject::Endpoint(id) => self.name(id),
             Subject::Zone(zone) => self.zones.get(zone as usize).cloned().unwrap_or_default(),
             Subject::Fleet => String::new(),
         };
         let class = said
             .class
             .and_then(|class| self.classes.get(class as usize));
-        self.told
-            .push((said.at, said.told(&name, class.map(String::as_str))));
+        self.told.push((
+            said.reported_at,
+            said.describe(&name, class.map(String::as_str)),
+        ));
     }
 
     fn hear(&mut self, now: Micros, event: &Event<'_>) {
         while self.next <= now {
-            for said in self.story.step(self.next) {
+            for said in self.story.poll_anomalies(self.next) {
                 self.say(&said);
             }
             self.next += S;
@@ -68,14 +70,14 @@
             Event::Members(Members::Full(all) | Members::Changes(all)) => {
                 for server in *all {
                     if server.state == ServerState::Gone {
-                        self.story.left(now, server.server);
+                        self.story.endpoint_left(now, server.server);
                     } else {
                         let arrival = ListedEndpoint {
                             zone: server.zone,
-                            kind: server.kind,
+                            machine_kind: server.kind,
                             ..ListedEndpoint::default()
                         };
-                        self.story.listed(now, server.server, arrival);
+                        self.story.endpoint_listed(now, server.server, arrival);
                     }
                 }
             }
@@ -102,16 +104,16 @@
                     class,
                     outcome,
                     elapsed: closed.elapsed,
-                    size,
+                    relative_size: size,
                 };
                 self.story
-                    .attempt(now, (now / (60 * S) % 1_440) as u16, &seen);
+                    .record_attempt(now, (now / (60 * S) % 1_440) as u16, &seen);
                 if closed.ended {
                     self.open.remove(&closed.request);
                 }
             }
             Event::Probed(server, Some(report)) => {
-                self.story.reported(now, *server, report.held, 0)
+                self.story.record_load_report(now, *server, report.held, 0)
             }
             _ => {}
         }
@@ -127,7 +129,7 @@
             ),
             Note::Overload(_) | Note::DiscoveryFailed => return,
         };
-        self.story.note(now, id, what);
+        self.story.record_event(now, id, what);
         self.told.push((now, format!("{} {words}", self.name(id))));
     }
 }
--- a/crates/lab/src/model/faults.rs
+++ b/crates/lab/src/model/faults.rs
@@ -220,26 +220,29 @@
     }
     match fault.kind {
         FaultKind::Replay => {
-            let moments = fault
+            let intervals = fault
                 .recording
                 .as_ref()
-                .map_or(&[][..], |recording| &recording.moments);
+                .map_or(&[][..], |recording| &recording.intervals);
             let all = experiment.faults.len() as u32;
-            // Each trouble of each moment ends by a number of its own, which no fault of the file has.
+            // Each trouble of each interval ends by a number of its own, which no fault of the file has.
             let mut numbers = (1u32..).map(|turn| number + all * turn);
-            for moment in moments {
-                let from = at + moment.from_ms * 1_000;
-                let over = (from + moment.lasts_ms * 1_000).min(end.unwrap_or(Micros::MAX));
-                let errors = (moment.errors + moment.refused).min(1.0);
+            for interval in intervals {
+                let from = at + interval.start_ms * 1_000;
+                let over = (from + interval.duration_ms * 1_000).min(end.unwrap_or(Micros::MAX));
+                let errors = (interval.error_share + interval.rejected_share).min(1.0);
                 // Faster than usual is no fault.
-                let slower = if moment.slower > 1.0 {
-                    moment.slower
+                let slower = if interval.latency_ratio > 1.0 {
+                    interval.latency_ratio
                 } else {
                     0.0
                 };
                 for (trouble, size) in [
                     (Trouble::FastErrors(errors), errors),
-                    (Trouble::LostAnswers(moment.lost), moment.lost),
+                    (
+                        Trouble::LostAnswers(interval.lost_share),
+                        interval.lost_share,
+                    ),
                     (Trouble::Slow(slower), slower),
                 ] {
                     let Some(number) = numbers.next().filter(|_| size > 0.0 && from < over) else {
--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/play.rs
@@ -144,14 +144,14 @@
         }
         let text = std::fs::read_to_string(&file).map_err(|e| told(e.to_string()))?;
         let recording: Recording = serde_json::from_str(&text).map_err(|e| told(e.to_string()))?;
-        if let Some(problem) = recording.problem() {
-            return Err(told(problem));
-        }
+        recording
+            .validate()
+            .map_err(|error| told(error.to_string()))?;
         // It lasts as long as what was recorded, unless it is to be shorter.
         let end = recording
-            .moments
+            .intervals
             .last()
-            .map_or(0, |moment| moment.from_ms + moment.lasts_ms)
+            .map_or(0, |interval| interval.start_ms + interval.duration_ms)
             * 1_000;
         if fault.lasts.micros() == 0 || fault.lasts.micros() > end {
             fault.lasts = Span(end);
--- a/crates/lab/tests/every_request_ends_once.rs
+++ b/crates/lab/tests/every_request_ends_once.rs
@@ -89,25 +89,25 @@
 
 /// A server that first fails a part of what it is given, and then is slow.
 fn recording(size: f64, gap: u64) -> Recording {
-    let moment = |from_ms: u64, errors: f64, slower: f64| RecordedInterval {
-        from_ms,
-        lasts_ms: 400,
+    let interval = |start_ms: u64, error_share: f64, latency_ratio: f64| RecordedInterval {
+        start_ms,
+        duration_ms: 400,
         attempts: 1,
-        errors,
-        lost: (1.0 - errors) / 2.0,
-        refused: 0.0,
-        slower,
+        error_share,
+        lost_share: (1.0 - error_share) / 2.0,
+        rejected_share: 0.0,
+        latency_ratio,
     };
-    let moments = vec![
-        moment(0, size, 1.0),
-        moment(400 + gap, 0.0, 1.0 + 9.0 * size),
+    let intervals = vec![
+        interval(0, size, 1.0),
+        interval(400 + gap, 0.0, 1.0 + 9.0 * size),
     ];
     Recording {
         version: Recording::VERSION,
         server: "s".into(),
-        began_us: 0,
-        usual_us: 1,
-        moments,
+        started_at: 0,
+        usual_latency: 1,
+        intervals,
     }
 }
 
--- a/crates/operator-config/src/timeline.rs
+++ b/crates/operator-config/src/timeline.rs
@@ -1,4 +1,4 @@
-//! `[timeline]`: whether the story of each server is kept, and how much of it.
+//! `[timeline]`: whether the history of each endpoint is kept, and how much of it.
 
 use madderloom_config_reader::{Document, Span};
 use madderloom_endpoint_history::{EndpointHistory, Settings};
@@ -25,20 +25,22 @@
         pools: usize,
     ) -> Settings {
         let usual = Settings::default();
-        let false_alarms_a_day = self.false_alarms_a_day.unwrap_or(usual.false_alarms_a_day);
+        let false_alarms_a_day = self
+            .false_alarms_a_day
+            .unwrap_or(usual.false_alarms_per_day);
         document.require(
             (0.001..=1_000.0).contains(&false_alarms_a_day),
             "timeline.false_alarms_a_day",
             "must lie in 0.001 to 1000",
         );
-        let each = EndpointHistory::bytes_for_each_server() as u64;
+        let each = EndpointHistory::max_bytes_per_endpoint() as u64;
         let granted = memory.map_or(u64::MAX, |memory| {
             memory / 2 / each.saturating_mul(pools.max(1) as u64)
         });
         // Where nothing is said, as many as the memory that the file grants has room for.
         let servers = self
             .servers
-            .unwrap_or((usual.servers as u64).min(granted).max(1));
+            .unwrap_or((usual.max_endpoints as u64).min(granted).max(1));
         document.require(
             (1..=4_096).contains(&servers),
             "timeline.servers",
@@ -56,16 +58,18 @@
                 pools.max(1)
             ),
         );
-        let remember_left = self.remember_left.map_or(usual.remember_left, Span::micros);
+        let remember_left = self
+            .remember_left
+            .map_or(usual.retention_after_leaving, Span::micros);
         document.require(
             remember_left <= LONGEST.micros(),
             "timeline.remember_left",
             format_args!("is over {LONGEST}; write less"),
         );
         Settings {
-            false_alarms_a_day,
-            remember_left,
-            servers: servers as usize,
+            false_alarms_per_day: false_alarms_a_day,
+            retention_after_leaving: remember_left,
+            max_endpoints: servers as usize,
         }
     }
 }
--- a/crates/operator-config/tests/file.rs
+++ b/crates/operator-config/tests/file.rs
@@ -557,22 +557,30 @@
         .expect("it makes sense")
         .timeline
         .expect("it is on");
-    assert_eq!((usual.servers, usual.false_alarms_a_day), (1_024, 0.1));
+    assert_eq!(
+        (usual.max_endpoints, usual.false_alarms_per_day),
+        (1_024, 0.1)
+    );
     let little = with("[limits]\nmemory = \"64MiB\"\n[timeline]")
         .expect("it makes sense")
         .timeline
         .expect("it is on");
-    let bytes =
-        3 * little.servers * madderloom_endpoint_history::EndpointHistory::bytes_for_each_server();
+    let bytes = 3
+        * little.max_endpoints
+        * madderloom_endpoint_history::EndpointHistory::max_bytes_per_endpoint();
     assert!(
         (30 << 20..=32 << 20).contains(&bytes),
         "{} servers: half of the memory in 3 pools",
-        little.servers
+        little.max_endpoints
     );
     let own = with("[timeline]\nservers = 10\nfalse_alarms_a_day = 2\nremember_left = \"2h\"");
     let own = own.expect("it makes sense").timeline.expect("it is on");
     assert_eq!(
-        (own.servers, own.false_alarms_a_day, own.remember_left),
+        (
+            own.max_endpoints,
+            own.false_alarms_per_day,
+            own.retention_after_leaving
+        ),
         (10, 2.0, 7_200_000_000)
     );
     let bad = told("[timeline]\nservers = 0\nfalse_alarms_a_day = 0\nremember_left = \"8d\"");
--- a/crates/sidecar/src/promises.rs
+++ b/crates/sidecar/src/promises.rs
@@ -156,7 +156,7 @@
         ),
     ];
     assert!(lists.iter().all(|(.., of)| *of >= 1_024));
-    assert!(madderloom_endpoint_history::Settings::default().servers >= 1_024);
+    assert!(madderloom_endpoint_history::Settings::default().max_endpoints >= 1_024);
     let mut bounds: Vec<_> = lists
         .iter()
         .map(|(place, name, of)| count(place, name, *of))
--- a/crates/sidecar/src/teller.rs
+++ b/crates/sidecar/src/teller.rs
@@ -8,7 +8,7 @@
 };
 use madderloom_endpoint_history::{
     Anomaly, AnomalyPhase, CompletedAttempt, EndpointEvent, EndpointGauges, EndpointHistory,
-    ListedEndpoint, Settings, Subject,
+    ListedEndpoint, ReportedLoad, Settings, Subject, WaitingAttempt,
 };
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -68,7 +68,7 @@
     pub(super) fn change(&mut self, now: Micros, settings: Settings) {
         if settings != self.settings {
             self.settings = settings;
-            self.story.change(now, settings);
+            self.story.reconfigure(now, settings);
         }
     }
 
@@ -130,14 +130,14 @@
             .map(|known| (known.listed, known.address));
         let is_back = former.is_some_and(|(former, _)| former.state == ServerState::Gone);
         let restarted = former.is_some_and(|(former, _)| listed.started > former.started);
-        let cold_until = listed.started.map_or(0, |at| at.saturating_add(self.cold));
+        let warming_up_until = listed.started.map_or(0, |at| at.saturating_add(self.cold));
         let arrival = ListedEndpoint {
             zone: listed.zone,
-            kind: listed.kind,
+            machine_kind: listed.kind,
             restarted,
-            cold_until,
+            warming_up_until,
         };
-        self.story.listed(now, id, arrival);
+        self.story.endpoint_listed(now, id, arrival);
         let known = self.servers.entry(id).or_insert_with(|| Known {
             name: service.pool.name(id),
             listed: *listed,
@@ -184,7 +184,7 @@
         };
         known.listed.state = ServerState::Gone;
         known.is_ejected = false;
-        self.story.left(now, id);
+        self.story.endpoint_left(now, id);
         self.say(service, now, id, "left", "is gone from the list");
     }
 
@@ -203,7 +203,7 @@
 
     fn happened(&mut self, service: &Service, now: Micros, id: ServerId, what: EndpointEvent) {
         let (name, text) = words(&what);
-        self.story.note(now, id, what);
+        self.story.record_event(now, id, what);
         self.say(service, now, id, name, &text);
     }
 
@@ -234,7 +234,7 @@
         known.out.insert((now, request, attempt), class);
         // It gets nothing while it is ejected but on trial.
         if known.is_ejected {
-            self.happened(service, now, id, EndpointEvent::Trial);
+            self.happened(service, now, id, EndpointEvent::TrialSent);
         }
     }
 
@@ -257,9 +257,9 @@
             class: ended.class,
             outcome,
             elapsed,
-            size,
+            relative_size: size,
         };
-        self.story.attempt(now, self.minute, &seen);
+        self.story.record_attempt(now, self.minute, &seen);
     }
 
     /// A request's size over its class's usual one, as clients guess them.
@@ -284,12 +284,12 @@
     pub(super) fn reported(&mut self, now: Micros, id: ServerId, held: f64) {
         let out = self.servers.get(&id).map_or(0, |known| known.out.len());
         self.story
-            .reported(now, id, held, u32::try_from(out).unwrap_or(u32::MAX));
+            .record_load_report(now, id, held, u32::try_from(out).unwrap_or(u32::MAX));
     }
 
     /// A request ended unserved, and this server had it last.
     pub(super) fn turned_away(&mut self, now: Micros, id: ServerId) {
-        self.story.turned_away(now, id);
+        self.story.record_rejection(now, id);
     }
 
     /// Looks at how all stand, and says what departs from its usual. To be called once a second.
@@ -303,29 +303,39 @@
         self.minute = minute;
         for view in &snapshot.servers {
             let id = view.listed.server;
-            let reported = view
-                .report
-                .and_then(|(at, report)| Some((report?.held, now.saturating_sub(at))));
+            let reported = view.report.and_then(|(at, report)| {
+                Some(ReportedLoad {
+                    held: report?.held,
+                    age: now.saturating_sub(at),
+                })
+            });
             let out = u32::try_from(view.out).unwrap_or(u32::MAX);
-            self.story.gauge(
+            self.story.record_gauges(
                 now,
                 id,
                 EndpointGauges {
-                    out,
-                    region: view.share,
+                    in_flight: out,
+                    region_fraction: view.share,
                     reported,
                 },
             );
             if let Some(known) = self.servers.get(&id) {
                 let oldest = known.out.iter().take(LOOKED_AT);
-                let ages = oldest.map(|((sent, ..), class)| (*class, now.saturating_sub(*sent)));
-                self.story.waiting(now, id, ages);
+                let waiting = oldest.map(|((sent, ..), class)| WaitingAttempt {
+                    class: *class,
+                    age: now.saturating_sub(*sent),
+                });
+                self.story.check_waiting_attempts(now, id, waiting);
             }
         }
-        for departure in self.story.step(now) {
+        for departure in self.story.poll_anomalies(now) {
             self.departed(service, &departure);
         }
-        let remembered: BTreeSet<ServerId> = self.story.servers().map(|(id, _)| id).collect();
+        let remembered: BTreeSet<ServerId> = self
+            .story
+            .known_endpoints()
+            .map(|known| known.server)
+            .collect();
         self.servers
             .retain(|id, known| known.listed.state != ServerState::Gone || remembered.contains(id));
     }
@@ -333,7 +343,7 @@
     /// A departure in a line: whom it is about by name, and for which class.
     pub(super) fn told(&self, service: &Service, departure: &Anomaly) -> String {
         let name = match departure.subject {
-            Subject::Server(id) => self.name(id).into_string(),
+            Subject::Endpoint(id) => self.name(id).into_string(),
             Subject::Zone(zone) => service
                 .tuned()
                 .site
@@ -345,7 +355,7 @@
         };
         let tuned = service.tuned();
         let class = departure.class.and_then(|class| tuned.at(class));
-        departure.told(&name, class.map(|class| class.name.as_str()))
+        departure.describe(&name, class.map(|class| class.name.as_str()))
     }
 
     fn departed(&self, service: &Service, departure: &Anomaly) {
@@ -362,11 +372,11 @@
             tracing::info!(number = departure.number, "{of}{text}");
         }
         let server = match departure.subject {
-            Subject::Server(id) => Some(self.name(id)),
+            Subject::Endpoint(id) => Some(self.name(id)),
             Subject::Zone(_) | Subject::Fleet => None,
         };
         let said = Said {
-            at: departure.at,
+            at: departure.reported_at,
             pool: &self.pool,
             server: server.as_deref(),
             event,
@@ -395,13 +405,13 @@
             "ejected",
             format!("is ejected, since attempts there {}", ended(*outcome)),
         ),
-        EndpointEvent::Trial => ("trial", "is sent a request on trial".to_string()),
+        EndpointEvent::TrialSent => ("trial", "is sent a request on trial".to_string()),
         EndpointEvent::Restored => ("restored", "is trusted again after its trial".to_string()),
-        EndpointEvent::Departed(number) => (
+        EndpointEvent::AnomalyRaised(number) => (
             "raised",
             format!("departs from its usual (number {number})"),
         ),
-        EndpointEvent::Cleared(number) => {
+        EndpointEvent::AnomalyCleared(number) => {
             ("cleared", format!("is as usual again (number {number})"))
         }
     }
--- a/crates/sidecar/src/view.rs
+++ b/crates/sidecar/src/view.rs
@@ -204,8 +204,8 @@
             if let Some(teller) = story {
                 let left = teller
                     .story
-                    .servers()
-                    .filter_map(|(id, left)| Some((id, left?)));
+                    .known_endpoints()
+                    .filter_map(|known| Some((known.server, known.left_at?)));
                 rows.extend(
                     left.map(|(id, at)| left_row(service, teller, id, now.saturating_sub(at))),
                 );
@@ -218,7 +218,7 @@
             let teller = service.teller.borrow();
             let story = teller.as_deref();
             let all = story.into_iter().flat_map(|teller| {
-                let all = teller.story.departures().filter(|d| !matches!(d.subject, Subject::Server(_)));
+                let all = teller.story.active_anomalies().filter(|d| !matches!(d.subject, Subject::Endpoint(_)));
                 all.map(|d| json!({"pool": service.name, "departure": d, "text": teller.told(service, d)}))
             });
             all.collect::<Vec<Value>>()
@@ -249,10 +249,10 @@
             let teller = service.teller.borrow();
             let teller = teller.as_deref()?;
             let id = teller.find(name)?;
-            let line = teller.story.line(id)?;
+            let line = teller.story.timeline(id)?;
             let snapshot = service.snapshot();
             let seen = snapshot.servers.iter().find(|seen| seen.listed.server == id);
-            let left = teller.story.servers().find(|(other, _)| *other == id).and_then(|(_, left)| left);
+            let left = teller.story.known_endpoints().find(|known| known.server == id).and_then(|known| known.left_at);
             let mut told = match seen {
                 Some(seen) => row(service, seen, Some(teller), now),
                 None => {
@@ -260,13 +260,13 @@
                     left_row(service, teller, id, ago)
                 }
             };
-            let notes = line.notes().map(|note| {
-                let (event, text) = words(&note.what);
-                json!({"at_us": note.at, "last_us": note.last, "times": note.times, "event": event, "text": text})
+            let notes = line.events().map(|note| {
+                let (event, text) = words(&note.event);
+                json!({"at_us": note.first_at, "last_us": note.last_at, "times": note.count, "event": event, "text": text})
             });
             told["now_us"] = now.into();
             told["notes"] = notes.collect();
-            told["steps"] = line.story().iter().map(|(width, s)| step(*width, s)).collect();
+            told["steps"] = line.finest_entries().iter().map(|entry| step(entry.width, &entry.interval)).collect();
             let evidence = teller.story.evidence().find(|evidence| evidence.server == id);
             told["evidence"] = json!(evidence);
             told["recording"] = json!(Recording::of(name, line));
@@ -317,13 +317,13 @@
 }
 
 fn add_story(told: &mut Value, service: &Service, teller: &Teller, id: ServerId) {
-    if let Some(line) = teller.story.line(id) {
+    if let Some(line) = teller.story.timeline(id) {
         told["lately"] = lately(line);
     }
     let own = teller
         .story
-        .departures()
-        .filter(|d| d.subject == Subject::Server(id));
+        .active_anomalies()
+        .filter(|d| d.subject == Subject::Endpoint(id));
     told["departures"] = own
         .map(|d| json!({"departure": d, "text": teller.told(service, d)}))
         .collect::<Vec<Value>>()
@@ -332,7 +332,7 @@
 
 /// The outcomes of steps, summed up, and the latencies of what was served.
 fn lately(line: &Timeline) -> Value {
-    let mut steps: Vec<&Interval> = line.steps(LATELY).collect();
+    let mut steps: Vec<&Interval> = line.intervals(LATELY).collect();
     let steps = steps.split_off(steps.len().saturating_sub(2));
     let sum = |outcomes: &[Outcome]| -> u64 {
         steps
@@ -343,14 +343,14 @@
     let mut latency = LatencySketch::default();
     steps
         .iter()
-        .filter_map(|step| step.latency.as_ref())
+        .filter_map(|step| step.latencies.as_ref())
         .for_each(|part| latency.merge(part));
     json!({
-        "from_us": steps.first().map(|step| step.from),
+        "from_us": steps.first().map(|step| step.start),
         "served": sum(&[Outcome::Ok]),
         "lost": sum(&[Outcome::Error, Outcome::Timeout, Outcome::Reset]),
         "refused": sum(&[Outcome::Full, Outcome::ConnectFailed]),
-        "turned_away": steps.iter().map(|step| u64::from(step.turned_away)).sum::<u64>(),
+        "turned_away": steps.iter().map(|step| u64::from(step.rejected_requests)).sum::<u64>(),
         "p50_us": latency.quantile(0.5), "p99_us": latency.quantile(0.99),
     })
 }
@@ -358,19 +358,19 @@
 fn step(width: Micros, step: &Interval) -> Value {
     let served = step.ended(Outcome::Ok);
     let quantile = |part: f64| {
-        step.latency
+        step.latencies
             .as_ref()
             .and_then(|latency| latency.quantile(part))
     };
     json!({
-        "from_us": step.from, "width_us": width,
+        "from_us": step.start, "width_us": width,
         "served": served, "error": step.ended(Outcome::Error), "full": step.ended(Outcome::Full),
         "timeout": step.ended(Outcome::Timeout), "connect_failed": step.ended(Outcome::ConnectFailed),
         "reset": step.ended(Outcome::Reset), "cancelled": step.ended(Outcome::Cancelled),
         "moot": step.ended(Outcome::Moot),
         "mean_us": step.latency_sum.checked_div(u64::from(served)),
         "p50_us": quantile(0.5), "p99_us": quantile(0.99),
-        "most_out": step.most_out, "region": step.region, "turned_away": step.turned_away,
-        "reported": step.reported.map(|(held, age)| json!({"held": held, "age_us": age})),
+        "most_out": step.max_in_flight, "region": step.region_fraction, "turned_away": step.rejected_requests,
+        "reported": step.reported.map(|load| json!({"held": load.held, "age_us": load.age})),
     })
 }
