--- a/crates/degradation/examples/cost.rs
+++ b/crates/degradation/examples/cost.rs
@@ -1,92 +1,104 @@
-//! What levels cost: `cargo run --release -p madderloom-degradation --example cost`. Told are nanoseconds for each request
-//! and for each look at the signals, the best and the median of eleven rounds.
+//! Cost of reduced service levels: time for each request, and for each evaluation of the conditions, as the best and the
+//! median of eleven rounds.
+//!
+//! ```sh
+//! cargo run --release -p madderloom-degradation --example cost
+//! ```
 
-use madderloom_balancer::{Closed, Outcome, ServerId};
-use madderloom_degradation::gauge::Outside;
-use madderloom_degradation::keeper::{End, Keeper};
-use madderloom_degradation::section::{ClassFacts, Section};
+use madderloom_balancer::{Closed, Outcome, ServerId, place};
+use madderloom_degradation::{
+    ClassTraits, EVALUATION_INTERVAL, ExternalSignals, LevelController, LevelsSection, RequestEnd,
+};
 use std::hint::black_box;
 use std::time::Instant;
 
-fn keeper() -> Keeper {
-    let class = |name: &str, repeatable| ClassFacts {
+const ROUNDS: usize = 11;
+/// Latency of every request, in microseconds.
+const LATENCY: u64 = 20_000;
+const LATENCY_OBJECTIVE: u64 = 500_000;
+/// Requests between two evaluations.
+const REQUESTS_PER_EVALUATION: u64 = 100;
+
+fn controller() -> LevelController {
+    let class = |name: &str, is_idempotent| ClassTraits {
         name: name.into(),
-        repeatable,
+        is_idempotent,
     };
-    let section = Section {
+    let section = LevelsSection {
         built_in: true,
-        ..Section::default()
+        ..LevelsSection::default()
     };
-    let checked = section
+    let plan = section
         .resolve(&[class("submit-check", false), class("recheck", true)])
-        .expect("sound");
-    Keeper::new(
-        checked,
-        vec!["submit-check".into(), "recheck".into()],
-        0.5,
-        0,
-    )
+        .expect("built-in levels are valid");
+    let classes = vec!["submit-check".into(), "recheck".into()];
+    LevelController::new(plan, classes, 0.5, 0)
 }
 
-fn measure(what: &str, times: u64, mut each: impl FnMut(&mut Keeper, u64)) {
-    let mut rounds: Vec<f64> = (0..11)
+fn measure(name: &str, iterations: u64, mut run: impl FnMut(&mut LevelController, u64)) {
+    let mut nanos: Vec<f64> = (0..ROUNDS)
         .map(|_| {
-            let mut keeper = keeper();
-            let begun = Instant::now();
-            (0..times).for_each(|number| each(&mut keeper, number));
-            black_box(&keeper);
-            begun.elapsed().as_nanos() as f64 / times as f64
+            let mut controller = controller();
+            let begin = Instant::now();
+            (0..iterations).for_each(|iteration| run(&mut controller, iteration));
+            black_box(&controller);
+            begin.elapsed().as_nanos() as f64 / iterations as f64
         })
         .collect();
-    rounds.sort_by(f64::total_cmp);
+    nanos.sort_by(f64::total_cmp);
     println!(
-        "{what}: {:.0} ns at best, {:.0} ns in the median",
-        rounds[0], rounds[5]
+        "{name}: {:.0} ns at best, {:.0} ns in the median",
+        nanos[0],
+        nanos[ROUNDS / 2]
     );
 }
 
-fn main() {
-    let closed = |request| Closed {
+fn served_attempt(request: u64) -> Closed {
+    Closed {
         request,
         attempt: 0,
         server: ServerId(1),
         outcome: Outcome::Ok,
-        elapsed: 20_000,
+        elapsed: LATENCY,
         ended: true,
-    };
+    }
+}
+
+fn main() {
+    let served = RequestEnd::served(LATENCY, LATENCY_OBJECTIVE);
     measure(
         "a request's end and that of its attempt",
         1_000_000,
-        |keeper, number| {
+        |controller, number| {
             let now = 1_000 * number;
-            keeper.closed(now, &closed(number));
-            keeper.ended(now, (number % 2) as usize, End::served(20_000, 500_000));
+            controller.attempt_ended(now, &served_attempt(number));
+            controller.request_ended(now, (number % 2) as usize, served);
         },
     );
-    let outside = Outside {
-        failing: Some(0.1),
-        open: Some(0.2),
+    let external = ExternalSignals {
+        failing_servers: Some(0.1),
+        open_requests: Some(0.2),
         cpu: Some(0.3),
         list_age: Some(1),
     };
     measure(
-        "a look, with 100 requests since the last",
+        "an evaluation, with 100 requests since the last",
         10_000,
-        |keeper, number| {
-            let now = 100_000 * number;
-            (0..100).for_each(|of| {
-                keeper.ended(now + of, (of % 2) as usize, End::served(20_000, 500_000))
-            });
-            black_box(keeper.look(now + 100, &outside));
+        |controller, number| {
+            let now = EVALUATION_INTERVAL * number;
+            for request in 0..REQUESTS_PER_EVALUATION {
+                controller.request_ended(now + request, (request % 2) as usize, served);
+            }
+            black_box(controller.evaluate(now + REQUESTS_PER_EVALUATION, &external));
         },
     );
-    let reduced = keeper().reduced().clone();
+    let reduced = controller().reduced().clone();
     measure(
         "a key's place, beside a share of none",
         10_000_000,
-        |_, number| {
+        |_, key| {
             black_box(reduced.away.first().is_some_and(|share| *share > 0.0));
-            black_box(madderloom_degradation::place(number));
+            black_box(place(key));
         },
     );
 }
--- a/crates/degradation/src/effects.rs
+++ b/crates/degradation/src/effects.rs
@@ -3,69 +3,71 @@
 use madderloom_balancer::{Reduced, place};
 use std::collections::BTreeMap;
 
-/// What is given up. The default gives up nothing.
+/// What is given up while a level is active. The default gives up nothing.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Effects {
-    /// The share of a class's requests that is turned away, from 0 to 1.
-    pub turn_away: BTreeMap<String, f64>,
-    /// Requests of at least this worth are spared that.
-    pub spare_worth: f64,
-    /// Servers may be probed.
-    pub probes: bool,
-    /// The part of the usual retry budget that is left, from 0 to 1.
-    pub retries: f64,
-    /// The part of the usual time that is waited for an answer, above 0 and at most 1.
-    pub patience: f64,
+    /// For each class, by name, the share of its keys whose requests are rejected, from 0 to 1.
+    pub rejected_shares: BTreeMap<String, f64>,
+    /// Classes of at least this priority weight are exempt from rejection.
+    pub exempt_weight: f64,
+    /// Whether servers may be probed for their load.
+    pub allows_probes: bool,
+    /// The remaining part of the retry budget, from 0 to 1.
+    pub retry_budget_factor: f64,
+    /// The remaining part of the time that is waited for a response, above 0 and at most 1.
+    pub timeout_factor: f64,
 }
 
 impl Default for Effects {
     fn default() -> Self {
         Effects {
-            turn_away: BTreeMap::new(),
-            spare_worth: f64::INFINITY,
-            probes: true,
-            retries: 1.0,
-            patience: 1.0,
+            rejected_shares: BTreeMap::new(),
+            exempt_weight: f64::INFINITY,
+            allows_probes: true,
+            retry_budget_factor: 1.0,
+            timeout_factor: 1.0,
         }
     }
 }
 
 impl Effects {
-    /// All that either gives up: a level does what those below it do, too.
-    pub fn with(&self, other: &Effects) -> Effects {
-        let mut turn_away = self.turn_away.clone();
-        for (class, share) in &other.turn_away {
-            let ours = turn_away.entry(class.clone()).or_insert(0.0);
-            *ours = ours.max(*share);
+    /// Both effects together: a level also has the effects of all milder ones.
+    pub fn combine(&self, other: &Effects) -> Effects {
+        let mut rejected_shares = self.rejected_shares.clone();
+        for (class, share) in &other.rejected_shares {
+            let combined = rejected_shares.entry(class.clone()).or_insert(0.0);
+            *combined = combined.max(*share);
         }
         Effects {
-            turn_away,
-            spare_worth: self.spare_worth.min(other.spare_worth),
-            probes: self.probes && other.probes,
-            retries: self.retries.min(other.retries),
-            patience: self.patience.min(other.patience),
+            rejected_shares,
+            exempt_weight: self.exempt_weight.min(other.exempt_weight),
+            allows_probes: self.allows_probes && other.allows_probes,
+            retry_budget_factor: self.retry_budget_factor.min(other.retry_budget_factor),
+            timeout_factor: self.timeout_factor.min(other.timeout_factor),
         }
     }
 
-    /// The same for a decision module whose settings hold these classes in this order.
-    pub fn of_classes(&self, classes: &[String]) -> Reduced {
+    /// The same for the decision module, whose settings have these classes in this order.
+    pub fn for_classes(&self, classes: &[String]) -> Reduced {
         Reduced {
             away: classes
                 .iter()
-                .map(|class| self.turn_away.get(class).copied().unwrap_or(0.0))
+                .map(|class| self.rejected_share(class))
                 .collect(),
-            spare_worth: self.spare_worth,
-            probes: self.probes,
-            retries: self.retries,
-            patience: self.patience,
+            spare_worth: self.exempt_weight,
+            probes: self.allows_probes,
+            retries: self.retry_budget_factor,
+            patience: self.timeout_factor,
         }
     }
 
-    /// Whether a request is turned away. It is so by its key: whom it befalls once it befalls again for as long as
-    /// the level holds, at every instance, and all others are served as ever. A request without a key is to be
-    /// given a random one.
-    pub fn turns_away(&self, class: &str, key: u64, worth: f64) -> bool {
-        let share = self.turn_away.get(class).copied().unwrap_or(0.0);
-        worth < self.spare_worth && place(key) < share
+    /// Whether a request is rejected. The decision depends on its key: requests of one key are rejected, or served, for
+    /// as long as the level is active and at every instance. A request without a key is to be given a random one.
+    pub fn rejects(&self, class: &str, key: u64, weight: f64) -> bool {
+        weight < self.exempt_weight && place(key) < self.rejected_share(class)
+    }
+
+    fn rejected_share(&self, class: &str) -> f64 {
+        self.rejected_shares.get(class).copied().unwrap_or(0.0)
     }
 }
--- a/crates/degradation/src/section.rs
+++ b/crates/degradation/src/section.rs
@@ -1,31 +1,43 @@
-//! Levels as a file has them, and the check of what it says.
+//! Levels in a configuration file, and the checks of what it says.
 
-use crate::machine::changes_at_most;
-use crate::{Condition, Damping, Effects, Level, Micros};
-use madderloom_config_reader::{Document, Problem, Span};
+mod built_in;
+mod level_section;
+
+pub use built_in::built_in_levels;
+pub use level_section::LevelSection;
+
+use crate::state_machine::max_changes;
+use crate::{Damping, Level, Micros, SECOND, SectionError};
+use madderloom_config_reader::{Document, Span};
 use serde::{Deserialize, Serialize};
-use std::collections::BTreeMap;
 
-/// The word for full service, where operators name a level.
-pub const FULL: &str = "full";
-/// Levels in one service, at most.
-const MOST: usize = 16;
-/// The window for which a file's bound on changes is told.
-pub const TOLD_WINDOW: Micros = 600_000_000;
+/// The word for full service where operators name a level.
+pub const FULL_SERVICE: &str = "full";
+/// Levels of one section, at most, besides those that are built in.
+const MAX_LEVELS: usize = 16;
+/// The window that the bound on changes is reported for.
+const CHANGE_BOUND_WINDOW: Micros = 600 * SECOND;
+/// The shortest duration that is accepted for stays and damping.
+const MIN_DURATION: Micros = SECOND;
+/// The largest growth of stays that is accepted.
+const MAX_GROWTH: f64 = 10.0;
+/// The largest jitter of stays that is accepted.
+const MAX_JITTER: f64 = 10.0;
 
 /// The section `levels` of a service.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Section {
-    /// Whether the levels that are built in stand before those of the file.
+pub struct LevelsSection {
+    /// Whether the built-in levels precede those of the section.
     pub built_in: bool,
     /// How stays grow with changes.
     pub damping: DampingSection,
-    /// The file's levels, the mildest first.
-    pub level: Vec<LevelSection>,
+    /// The section's own levels, the mildest first.
+    #[serde(rename = "level")]
+    pub levels: Vec<LevelSection>,
 }
 
-/// How stays grow with changes; what is not said is as [`Damping::default`] has it.
+/// How stays grow with changes. Fields that are missing are as in [`Damping::default`].
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct DampingSection {
@@ -33,368 +45,124 @@
     pub growth: Option<f64>,
     /// See [`Damping::half_life`].
     pub half_life: Option<Span>,
-    /// See [`Damping::longest`].
-    pub longest_stay: Option<Span>,
-    /// See [`Damping::blind`].
-    pub blind: Option<Span>,
-    /// See [`Damping::spread`].
-    pub spread: Option<f64>,
-}
-
-/// One level.
-#[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-#[serde(default, deny_unknown_fields)]
-pub struct LevelSection {
-    /// Its name.
-    pub name: String,
-    /// When it is entered.
-    pub enter: String,
-    /// When it is left.
-    pub leave: String,
-    /// How long it holds at least; 10 s where the file does not say.
-    pub least_stay: Option<Span>,
-    /// The share of each class that is turned away.
-    pub turn_away: BTreeMap<String, f64>,
-    /// Requests of at least this worth are spared that.
-    pub spare_worth: Option<f64>,
-    /// Whether servers may be probed.
-    pub probes: Option<bool>,
-    /// The part of the retry budget that is left.
-    pub retries: Option<f64>,
-    /// The part of the time that is waited.
-    pub patience: Option<f64>,
+    /// See [`Damping::max_stay`].
+    #[serde(rename = "longest_stay")]
+    pub max_stay: Option<Span>,
+    /// See [`Damping::blind_timeout`].
+    #[serde(rename = "blind")]
+    pub blind_timeout: Option<Span>,
+    /// See [`Damping::max_jitter`].
+    #[serde(rename = "spread")]
+    pub max_jitter: Option<f64>,
 }
 
-/// A class, as far as levels are concerned.
+/// What levels need to know about a class of requests.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ClassFacts {
+pub struct ClassTraits {
     /// Its name.
     pub name: String,
-    /// Whether a request of it may be sent again without harm: by the client too, after it was turned away.
-    pub repeatable: bool,
+    /// Whether its requests are idempotent, so that a client may also repeat them after a rejection.
+    pub is_idempotent: bool,
 }
 
-/// Levels that were read.
+/// The levels of a service, checked.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Checked {
-    /// The mildest first.
+pub struct LevelPlan {
+    /// The levels, the mildest first.
     pub levels: Vec<Level>,
-    /// How stays grow.
+    /// How stays grow with changes.
     pub damping: Damping,
-    /// Changes in any ten minutes, at most, but for operators' orders and new files.
-    pub changes_in_ten_minutes: u64,
+    /// Upper bound on changes within ten minutes, except for operators' orders and new configurations.
+    pub max_changes_in_ten_minutes: u64,
 }
 
-impl Section {
-    /// The levels of a section that stands in no file, or was checked with the one that it stands in. An error tells
-    /// all that is wrong in one line.
-    pub fn resolve(&self, classes: &[ClassFacts]) -> Result<Checked, String> {
+impl LevelsSection {
+    /// The levels of a section that is in no file, or was checked with its file.
+    ///
+    /// # Errors
+    /// All problems of the section.
+    pub fn resolve(&self, classes: &[ClassTraits]) -> Result<LevelPlan, SectionError> {
         #[derive(Default, Deserialize)]
-        struct Nothing {}
-        let read = Document::read::<Nothing>("").and_then(|(mut document, _)| {
-            let checked = self.check(&mut document, "levels", classes);
-            document.finish(checked)
-        });
-        let told = |problem: &Problem| format!("{}: {}", problem.field, problem.problem);
-        read.map_err(|problems| problems.iter().map(told).collect::<Vec<_>>().join("; "))
+        struct EmptyFile {}
+        Document::read::<EmptyFile>("")
+            .and_then(|(mut document, _)| {
+                let plan = self.check(&mut document, "levels", classes);
+                document.finish(plan)
+            })
+            .map_err(|problems| SectionError { problems })
     }
 
-    /// Reads the conditions and checks all, noting each problem with its field under `path`. What is not sound is left
-    /// out of what is given back; the document then refuses the file as a whole.
+    /// Checks the section, and reports each problem with its field below `path`. Invalid levels are missing in the
+    /// result; the document then rejects the file as a whole.
     pub fn check(
         &self,
         document: &mut Document<'_>,
         path: &str,
-        classes: &[ClassFacts],
-    ) -> Checked {
+        classes: &[ClassTraits],
+    ) -> LevelPlan {
         let damping = self.damping.check(document, &format!("{path}.damping"));
         let mut levels = if self.built_in {
-            built_in(classes)
+            built_in_levels(classes)
         } else {
             Vec::new()
         };
         document.require(
-            self.level.len() <= MOST,
+            self.levels.len() <= MAX_LEVELS,
             &format!("{path}.level"),
-            format!("holds more than {MOST} levels"),
+            format!("holds more than {MAX_LEVELS} levels"),
         );
-        for (number, section) in self.level.iter().enumerate().take(MOST) {
-            let at = format!("{path}.level[{number}]");
-            if let Some(level) = section.check(document, &at, classes) {
-                let known = levels.iter().any(|other| other.name == level.name);
-                document.require(
-                    !known,
-                    &format!("{at}.name"),
-                    format!("there is a level {} already", level.name),
-                );
-                levels.push(level);
-            }
+        for (number, section) in self.levels.iter().enumerate().take(MAX_LEVELS) {
+            let level_path = format!("{path}.level[{number}]");
+            let Some(level) = section.check(document, &level_path, classes) else {
+                continue;
+            };
+            let is_unique = levels.iter().all(|other| other.name != level.name);
+            document.require(
+                is_unique,
+                &format!("{level_path}.name"),
+                format!("there is a level {} already", level.name),
+            );
+            levels.push(level);
         }
-        let changes_in_ten_minutes = changes_at_most(&levels, &damping, TOLD_WINDOW);
-        Checked {
+        let max_changes_in_ten_minutes = max_changes(&levels, &damping, CHANGE_BOUND_WINDOW);
+        LevelPlan {
             levels,
             damping,
-            changes_in_ten_minutes,
+            max_changes_in_ten_minutes,
         }
     }
 }
 
 impl DampingSection {
     fn check(&self, document: &mut Document<'_>, path: &str) -> Damping {
-        let usual = Damping::default();
-        let growth = self.growth.unwrap_or(usual.growth);
+        let defaults = Damping::default();
+        let growth = self.growth.unwrap_or(defaults.growth);
         document.require(
-            (1.0..=10.0).contains(&growth),
+            (1.0..=MAX_GROWTH).contains(&growth),
             &format!("{path}.growth"),
-            "must lie in 1..=10",
+            format!("must lie in 1..={MAX_GROWTH}"),
         );
-        let spread = self.spread.unwrap_or(usual.spread);
+        let max_jitter = self.max_jitter.unwrap_or(defaults.max_jitter);
         document.require(
-            (0.0..=10.0).contains(&spread),
+            (0.0..=MAX_JITTER).contains(&max_jitter),
             &format!("{path}.spread"),
-            "must lie in 0..=10",
+            format!("must lie in 0..={MAX_JITTER}"),
         );
-        let mut span = |field: &str, span: Option<Span>, usual: Micros| {
-            let span = span.map_or(usual, Span::micros);
+        let mut duration = |field: &str, written: Option<Span>, default: Micros| {
+            let duration = written.map_or(default, Span::micros);
             document.require(
-                span >= 1_000_000,
+                duration >= MIN_DURATION,
                 &format!("{path}.{field}"),
                 "must be 1s or more",
             );
-            span
+            duration
         };
         Damping {
-            half_life: span("half_life", self.half_life, usual.half_life),
-            longest: span("longest_stay", self.longest_stay, usual.longest),
-            blind: span("blind", self.blind, usual.blind),
+            half_life: duration("half_life", self.half_life, defaults.half_life),
+            max_stay: duration("longest_stay", self.max_stay, defaults.max_stay),
+            blind_timeout: duration("blind", self.blind_timeout, defaults.blind_timeout),
             growth,
-            spread,
-        }
-    }
-}
-
-impl LevelSection {
-    fn check(
-        &self,
-        document: &mut Document<'_>,
-        path: &str,
-        classes: &[ClassFacts],
-    ) -> Option<Level> {
-        let field = |name: &str| format!("{path}.{name}");
-        let sound = !self.name.is_empty()
-            && self.name.len() <= 64
-            && !self.name.chars().any(char::is_control);
-        document.require(sound, &field("name"), "must be a name of 1 to 64 bytes");
-        let free = self.name != FULL;
-        document.require(
-            free,
-            &field("name"),
-            format!("is the word for full service; take another than {FULL}"),
-        );
-        let least_stay = self.least_stay.unwrap_or(Span::s(10)).micros();
-        document.require(
-            least_stay >= 1_000_000,
-            &field("least_stay"),
-            "must be 1s or more",
-        );
-        for (class, share) in &self.turn_away {
-            let at = field(&format!("turn_away.{class}"));
-            let known = classes.iter().any(|c| c.name == *class);
-            document.require(known, &at, no_class(class, classes));
-            document.require((0.0..=1.0).contains(share), &at, "must lie in 0..=1");
-        }
-        let usual = Effects::default();
-        let mut part = |name: &str, value: Option<f64>, usual: f64, least: f64, most: f64| {
-            let value = value.unwrap_or(usual);
-            let sound = value >= least && value <= most;
-            document.require(
-                value == usual || sound,
-                &field(name),
-                format!("must lie in {least}..={most}"),
-            );
-            value
-        };
-        let effects = Effects {
-            turn_away: self.turn_away.clone(),
-            spare_worth: part(
-                "spare_worth",
-                self.spare_worth,
-                usual.spare_worth,
-                0.0,
-                f64::MAX,
-            ),
-            probes: self.probes.unwrap_or(usual.probes),
-            retries: part("retries", self.retries, usual.retries, 0.0, 1.0),
-            patience: part("patience", self.patience, usual.patience, 0.1, 1.0),
-        };
-        let enter = read(document, &field("enter"), &self.enter, classes)?;
-        let leave = read(document, &field("leave"), &self.leave, classes)?;
-        match enter.met_together(&leave) {
-            Ok(None) => {}
-            Ok(Some(values)) => {
-                document.problem(
-                    &field("leave"),
-                    format!("is met while enter is, at {values}: the level would flap"),
-                );
-            }
-            Err(problem) => document.problem(&field("leave"), format!("with enter {problem}")),
+            max_jitter,
         }
-        // A level that lets nothing of a class through can't see that it is well again.
-        for class in leave
-            .signals()
-            .into_iter()
-            .filter_map(|signal| signal.class())
-        {
-            if self.turn_away.get(class).is_some_and(|share| *share > 0.98) {
-                let all = "turns away all of a class on which its leave hangs: let a part through, such as 0.95";
-                document.problem(&field(&format!("turn_away.{class}")), all);
-            }
-        }
-        Some(Level {
-            name: self.name.clone(),
-            enter,
-            leave,
-            least_stay,
-            effects,
-        })
     }
 }
-
-fn no_class(class: &str, classes: &[ClassFacts]) -> String {
-    let names: Vec<&str> = classes.iter().map(|c| c.name.as_str()).collect();
-    format!("there is no class {class}; there are {}", names.join(", "))
-}
-
-fn read(
-    document: &mut Document<'_>,
-    field: &str,
-    text: &str,
-    classes: &[ClassFacts],
-) -> Option<Condition> {
-    if text.is_empty() {
-        document.problem(field, "is missing");
-        return None;
-    }
-    match Condition::parse(text) {
-        Ok(condition) => {
-            let unknown = condition
-                .signals()
-                .into_iter()
-                .filter_map(|signal| signal.class());
-            let unknown: Vec<&str> = unknown
-                .filter(|class| !classes.iter().any(|c| c.name == *class))
-                .collect();
-            for class in unknown {
-                document.problem(field, no_class(class, classes));
-            }
-            Some(condition)
-        }
-        Err(problem) => {
-            document.problem(field, problem);
-            None
-        }
-    }
-}
-
-/// Sound levels for a service of these classes. What may be asked again without harm is given up before what may not:
-/// a client that is turned away loses only time there. Nothing is turned away for errors that less load would not cure:
-/// conditions for that speak of what comes late or is refused.
-///
-/// - `lean`: servers fail or attempts end without telling; half of the retries go.
-/// - `reduced`: what may not be repeated is refused or comes late; half of what may be repeated goes, and nearly all
-///   retries.
-/// - `essential`: half of what may not be repeated is refused or comes late; most of what may be repeated goes, and all
-///   retries and probes.
-/// - `recovery`: what may not be repeated is mostly not served in time for twelve seconds, for whatever reason; most of it
-///   goes as well, so that queues can empty that would else feed themselves.
-pub fn built_in(classes: &[ClassFacts]) -> Vec<Level> {
-    let (repeatable, others): (Vec<_>, Vec<_>) = classes.iter().partition(|class| class.repeatable);
-    // Where all classes are alike, none is given up before another: only what they cost beyond themselves is.
-    let alike = repeatable.is_empty() || others.is_empty();
-    let away = |share: f64| match alike {
-        true => BTreeMap::new(),
-        false => repeatable
-            .iter()
-            .map(|class| (class.name.clone(), share))
-            .collect(),
-    };
-    // A condition on each class that is kept; on all together where there is no such, or its text would be too long.
-    let each = |text: &str, joined: &str| {
-        let texts: Vec<String> = others
-            .iter()
-            .map(|class| text.replace('*', &format!("({})", class.name)))
-            .collect();
-        let whole = Condition::parse(&texts.join(joined))
-            .ok()
-            .filter(|_| !alike);
-        whole.or_else(|| Condition::parse(&text.replace('*', "")).ok())
-    };
-    let level = |name: &str, enter: &str, leave: &str, effects: Effects| {
-        let (enter, leave) = (each(enter, " or ")?, each(leave, " and ")?);
-        Some(Level {
-            name: name.to_string(),
-            enter,
-            leave,
-            least_stay: 5_000_000,
-            effects,
-        })
-    };
-    let lean = Effects {
-        retries: 0.5,
-        ..Effects::default()
-    };
-    let reduced = Effects {
-        turn_away: away(0.5),
-        retries: 0.1,
-        ..Effects::default()
-    };
-    let essential = Effects {
-        turn_away: away(0.95),
-        retries: 0.0,
-        probes: false,
-        ..Effects::default()
-    };
-    let all = |class: &ClassFacts| {
-        (
-            class.name.clone(),
-            if class.repeatable && !alike {
-                0.95
-            } else {
-                0.9
-            },
-        )
-    };
-    let recovery = Effects {
-        turn_away: classes.iter().map(all).collect(),
-        ..essential.clone()
-    };
-    [
-        level(
-            "lean",
-            "failing_servers > 10% for 2s or unknown > 15% for 2s",
-            "(failing_servers < 5% and unknown < 5%) for 2s",
-            lean,
-        ),
-        level(
-            "reduced",
-            "refused* > 10% for 1s or lateness* > 20% for 1s",
-            "(refused* < 3% and lateness* < 5%) for 2s",
-            reduced,
-        ),
-        level(
-            "essential",
-            "refused* > 40% for 1s or lateness* > 50% for 2s",
-            "(refused* < 10% and lateness* < 20%) for 2s",
-            essential,
-        ),
-        level(
-            "recovery",
-            "goodput* < 50% for 12s",
-            "goodput* > 85%",
-            recovery,
-        ),
-    ]
-    .into_iter()
-    .flatten()
-    .collect()
-}
--- a/crates/degradation/src/signal.rs
+++ b/crates/degradation/src/signal.rs
@@ -1,33 +1,35 @@
-//! What levels are decided on.
+//! Signals: what conditions are evaluated on.
 
+use crate::SignalError;
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Something that is measured of a service. All but `ListAge` are shares from 0 to 1.
+/// A measurement of a service. All but [`Signal::ListAge`] are shares from 0 to 1.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Signal {
-    /// Servers that fail, of those that take new work: ejected, or silent past what was due.
+    /// Share of failing servers among those that take new requests: ejected, or without a response that was due.
     FailingServers,
-    /// Requests that were served in time, of a class or of all.
+    /// Share of requests served within their latency objective, of a class or of all.
     Goodput(Option<String>),
-    /// Answers that came past their aim, of those of a class or of all.
+    /// Share of requests served after their latency objective or given up for want of time, among those that were
+    /// admitted, of a class or of all.
     Lateness(Option<String>),
-    /// Requests that were turned away, of those of a class or of all.
-    Refused(Option<String>),
-    /// Retries, of all attempts.
+    /// Share of rejected requests, of a class or of all.
+    Rejected(Option<String>),
+    /// Share of retries among attempts.
     Retries,
-    /// Open requests, of those that the limits allow.
-    Open,
-    /// Attempts that ended without telling whether they ran.
-    Unknown,
-    /// Processor time that the one thread used, of all it could.
+    /// Open requests relative to their limit.
+    OpenRequests,
+    /// Share of attempts that ended without telling whether the request ran.
+    UnknownOutcome,
+    /// Share of processor time that the serving thread used.
     Cpu,
-    /// How old the server list is, in microseconds.
+    /// Age of the server list, in microseconds.
     ListAge,
 }
 
-/// The names of signals.
-const NAMES: [&str; 9] = [
+/// The names of signals in conditions, in the order of the variants of [`Signal`].
+pub(crate) const SIGNAL_NAMES: [&str; 9] = [
     "failing_servers",
     "goodput",
     "lateness",
@@ -40,58 +42,61 @@
 ];
 
 impl Signal {
-    /// The signal of this name and class; an error says which there are.
-    pub fn named(name: &str, class: Option<&str>) -> Result<Self, String> {
-        let class = class.map(str::to_string);
+    /// The signal of this name, of one class or of all.
+    ///
+    /// # Errors
+    /// There is no signal of this name, or it isn't measured by class.
+    pub fn from_name(name: &str, class: Option<&str>) -> Result<Self, SignalError> {
+        let owned_class = class.map(str::to_string);
         let signal = match name {
             "failing_servers" => Signal::FailingServers,
-            "goodput" => Signal::Goodput(class.clone()),
-            "lateness" => Signal::Lateness(class.clone()),
-            "refused" => Signal::Refused(class.clone()),
+            "goodput" => Signal::Goodput(owned_class),
+            "lateness" => Signal::Lateness(owned_class),
+            "refused" => Signal::Rejected(owned_class),
             "retries" => Signal::Retries,
-            "open" => Signal::Open,
-            "unknown" => Signal::Unknown,
+            "open" => Signal::OpenRequests,
+            "unknown" => Signal::UnknownOutcome,
             "cpu" => Signal::Cpu,
             "list_age" => Signal::ListAge,
-            _ => {
-                return Err(format!(
-                    "there is no signal {name}; there are {}",
-                    NAMES.join(", ")
-                ));
-            }
+            _ => return Err(SignalError::Unknown(name.to_string())),
         };
         if class.is_some() && signal.class().is_none() {
-            return Err(format!("{name} is not counted by class"));
+            return Err(SignalError::NotByClass(name.to_string()));
         }
         Ok(signal)
     }
 
-    /// The class it is of, if it is of one alone.
+    /// The class that it is limited to.
     pub fn class(&self) -> Option<&str> {
         match self {
-            Signal::Goodput(class) | Signal::Lateness(class) | Signal::Refused(class) => {
+            Signal::Goodput(class) | Signal::Lateness(class) | Signal::Rejected(class) => {
                 class.as_deref()
             }
             _ => None,
         }
     }
 
-    /// Whether it is a time, not a share.
-    pub fn is_time(&self) -> bool {
+    /// Whether it is a duration and not a share.
+    pub fn is_duration(&self) -> bool {
         *self == Signal::ListAge
     }
 
+    /// The highest value that it can have. The lowest is 0.
+    pub(crate) fn max_value(&self) -> f64 {
+        if self.is_duration() { f64::MAX } else { 1.0 }
+    }
+
     fn name(&self) -> &'static str {
         match self {
-            Signal::FailingServers => NAMES[0],
-            Signal::Goodput(_) => NAMES[1],
-            Signal::Lateness(_) => NAMES[2],
-            Signal::Refused(_) => NAMES[3],
-            Signal::Retries => NAMES[4],
-            Signal::Open => NAMES[5],
-            Signal::Unknown => NAMES[6],
-            Signal::Cpu => NAMES[7],
-            Signal::ListAge => NAMES[8],
+            Signal::FailingServers => SIGNAL_NAMES[0],
+            Signal::Goodput(_) => SIGNAL_NAMES[1],
+            Signal::Lateness(_) => SIGNAL_NAMES[2],
+            Signal::Rejected(_) => SIGNAL_NAMES[3],
+            Signal::Retries => SIGNAL_NAMES[4],
+            Signal::OpenRequests => SIGNAL_NAMES[5],
+            Signal::UnknownOutcome => SIGNAL_NAMES[6],
+            Signal::Cpu => SIGNAL_NAMES[7],
+            Signal::ListAge => SIGNAL_NAMES[8],
         }
     }
 }
@@ -103,12 +108,12 @@
     }
 }
 
-/// The signals as they are now. One that is absent was not measured lately: that is not health.
+/// The values of signals at one time. A signal without a value was not measured recently, which is no sign of health.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Signals(BTreeMap<Signal, f64>);
 
 impl Signals {
-    /// Notes a signal's value; one that is no number is as good as none.
+    /// Sets the value of a signal. A value that is not finite removes it.
     pub fn set(&mut self, signal: Signal, value: f64) {
         if value.is_finite() {
             self.0.insert(signal, value);
@@ -117,12 +122,12 @@
         }
     }
 
-    /// All that were measured, in their order.
+    /// All signals with a value, in the order of [`Signal`].
     pub fn iter(&self) -> impl Iterator<Item = (&Signal, f64)> {
         self.0.iter().map(|(signal, value)| (signal, *value))
     }
 
-    /// Its value, if it was measured.
+    /// The value of a signal, if it was measured.
     pub fn get(&self, signal: &Signal) -> Option<f64> {
         self.0.get(signal).copied()
     }
--- a/crates/degradation/tests/section.rs
+++ b/crates/degradation/tests/section.rs
@@ -1,60 +1,63 @@
-//! Levels in a file: what is refused, and where.
+//! Levels in a configuration file: what is rejected, and at which place.
 
 use madderloom_config_reader::{Document, Problem};
-use madderloom_degradation::section::{Checked, ClassFacts, Section, built_in};
+use madderloom_degradation::{ClassTraits, LevelPlan, LevelsSection, built_in_levels};
 use serde::Deserialize;
 
 #[derive(Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 struct File {
-    levels: Section,
+    levels: LevelsSection,
 }
 
-fn classes() -> Vec<ClassFacts> {
-    let class = |name: &str, repeatable| ClassFacts {
+fn classes() -> Vec<ClassTraits> {
+    let class = |name: &str, is_idempotent| ClassTraits {
         name: name.to_string(),
-        repeatable,
+        is_idempotent,
     };
     vec![class("submit-check", false), class("recheck", true)]
 }
 
-fn check(text: &str) -> Result<Checked, Vec<String>> {
+fn check(text: &str) -> Result<LevelPlan, Vec<String>> {
     let read = Document::read::<File>(text).and_then(|(mut document, file)| {
-        let checked = file.levels.check(&mut document, "levels", &classes());
-        document.finish(checked)
+        let plan = file.levels.check(&mut document, "levels", &classes());
+        document.finish(plan)
     });
     read.map_err(|problems| problems.iter().map(Problem::to_string).collect())
 }
 
-const SOUND: &str = "[levels]\nbuilt_in = true\n[[levels.level]]\nname = \"night\"\nenter = \"cpu > 90% for 5s\"\n\
+const VALID: &str = "[levels]\nbuilt_in = true\n[[levels.level]]\nname = \"night\"\nenter = \"cpu > 90% for 5s\"\n\
     leave = \"cpu < 70%\"\nleast_stay = \"20s\"\nretries = 0.2\n[levels.level.turn_away]\nrecheck = 0.3\n";
 
 #[test]
-fn a_sound_section_stands_behind_the_levels_that_are_built_in() {
-    let checked = check(SOUND).expect("it is sound");
-    let names: Vec<&str> = checked
+fn levels_of_a_valid_section_follow_the_built_in_ones() {
+    let plan = check(VALID).expect("it is valid");
+    let names: Vec<&str> = plan
         .levels
         .iter()
         .map(|level| level.name.as_str())
         .collect();
     assert_eq!(names, ["lean", "reduced", "essential", "recovery", "night"]);
-    assert_eq!(checked.levels[4].effects.turn_away["recheck"], 0.3);
-    // A way down a stay at the most, of 5 s each, and five ways up between two of them.
+    assert_eq!(plan.levels[4].effects.rejected_shares["recheck"], 0.3);
+    // At most one change down per stay of 5 s, and five changes up between two of them.
     assert!(
-        (5..=6 * 121 + 5).contains(&checked.changes_in_ten_minutes),
+        (5..=6 * 121 + 5).contains(&plan.max_changes_in_ten_minutes),
         "{}",
-        checked.changes_in_ten_minutes
+        plan.max_changes_in_ten_minutes
     );
     assert_eq!(
-        built_in(&classes()[1..])[2].effects.turn_away.len(),
+        built_in_levels(&classes()[1..])[2]
+            .effects
+            .rejected_shares
+            .len(),
         0,
-        "nothing goes before what is alike"
+        "classes that are alike are not given up"
     );
 }
 
 #[test]
-fn every_nonsense_is_told_with_its_place() {
-    for (from, to, told) in [
+fn every_problem_is_reported_with_its_place() {
+    for (from, to, expected) in [
         ("night", "", "4:8: levels.level[0].name: must be a name"),
         (
             "night",
@@ -107,25 +110,25 @@
             "3:1: levels.level[0].leave: is missing",
         ),
     ] {
-        let problems = check(&SOUND.replacen(from, to, 1)).expect_err(told);
+        let problems = check(&VALID.replacen(from, to, 1)).expect_err(expected);
         assert!(
-            problems.iter().any(|p| p.starts_with(told)),
-            "{told}: {problems:?}"
+            problems.iter().any(|p| p.starts_with(expected)),
+            "{expected}: {problems:?}"
         );
     }
-    let blind = SOUND
+    let blind = VALID
         .replace("cpu < 70%", "cpu < 70% and lateness(recheck) < 10%")
         .replace("0.3", "1.0");
-    let problems = check(&blind).expect_err("it can't see");
+    let problems = check(&blind).expect_err("it can't measure recovery");
     assert!(problems[0].contains("let a part through"), "{problems:?}");
 }
 
-/// Read and of no effect, they would promise what nothing keeps.
+/// Accepted without an effect, they would mislead.
 #[test]
-fn what_no_level_can_do_is_refused_with_its_name() {
+fn unsupported_effects_are_rejected_by_name() {
     for key in ["second_copies = false", "traces = false", "watch = 2.0"] {
-        let text = SOUND.replace("retries = 0.2", key);
-        let problems = check(&text).expect_err("it does nothing");
+        let text = VALID.replace("retries = 0.2", key);
+        let problems = check(&text).expect_err("it has no effect");
         let name = key.split(' ').next().expect("a name");
         assert!(
             problems.len() == 1 && problems[0].contains(name),
--- a/crates/lab/examples/levels.rs
+++ b/crates/lab/examples/levels.rs
@@ -7,7 +7,7 @@
 //! change, the part of all instances that make one to the same level within a second.
 
 use clap::Parser;
-use madderloom_degradation::section::Section;
+use madderloom_degradation::LevelsSection;
 use madderloom_lab::experiment::{Arm, Experiment};
 use madderloom_lab::figures::Figure;
 use madderloom_lab::leveled::{self, Told};
@@ -112,9 +112,9 @@
         Arm {
             name: "built in".into(),
             policy: "madderloom".into(),
-            levels: Some(Section {
+            levels: Some(LevelsSection {
                 built_in: true,
-                ..Section::default()
+                ..LevelsSection::default()
             }),
             ..Arm::default()
         },
@@ -122,7 +122,7 @@
     let own = experiment
         .arms
         .iter()
-        .filter(|arm| arm.levels.as_ref().is_some_and(|l| !l.level.is_empty()));
+        .filter(|arm| arm.levels.as_ref().is_some_and(|l| !l.levels.is_empty()));
     arms.extend(own.cloned());
     let last = experiment.seeds.last().copied().unwrap_or(0);
     let seeds: Vec<u64> = experiment
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -389,7 +389,7 @@
     pub with: std::collections::BTreeMap<String, f64>,
     /// Reduced service levels, for the decision module in virtual time; none without it.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub levels: Option<madderloom_degradation::section::Section>,
+    pub levels: Option<madderloom_degradation::LevelsSection>,
 }
 
 /// What must hold.
--- a/crates/lab/src/leveled.rs
+++ b/crates/lab/src/leveled.rs
@@ -6,22 +6,21 @@
 use crate::experiment::{Arm, Class, Effect, Experiment};
 use crate::policy::{Policy, Start};
 use foldhash::fast::FixedState;
-use madderloom_balancer::{Action, Balancer, Event, Members, Micros, Outcome, RequestId};
-use madderloom_degradation::gauge::Outside;
-use madderloom_degradation::keeper::{End, Keeper, LOOK};
-use madderloom_degradation::section::ClassFacts;
-use madderloom_degradation::{Change, place};
+use madderloom_balancer::{Action, Balancer, Event, Members, Micros, Outcome, RequestId, place};
+use madderloom_degradation::{
+    ClassTraits, EVALUATION_INTERVAL, ExternalSignals, LevelChange, LevelController, RequestEnd,
+};
 use std::collections::HashMap;
 use std::rc::Rc;
 
 /// Told of each change with the instance that it is of.
-pub type Told = Rc<dyn Fn(u32, &Change)>;
+pub type Told = Rc<dyn Fn(u32, &LevelChange)>;
 
 /// What levels need to know of an experiment's classes.
-pub fn facts(classes: &[Class]) -> Vec<ClassFacts> {
-    let facts = |class: &Class| ClassFacts {
+pub fn facts(classes: &[Class]) -> Vec<ClassTraits> {
+    let facts = |class: &Class| ClassTraits {
         name: class.name.clone(),
-        repeatable: class.effect != Effect::Unsafe,
+        is_idempotent: class.effect != Effect::Unsafe,
     };
     classes.iter().map(facts).collect()
 }
@@ -40,7 +39,9 @@
     let Some(section) = &arm.levels else {
         return crate::policy::own(start);
     };
-    let checked = section.resolve(&facts(&experiment.classes))?;
+    let checked = section
+        .resolve(&facts(&experiment.classes))
+        .map_err(|error| error.to_string())?;
     let names = experiment
         .classes
         .iter()
@@ -52,7 +53,7 @@
         .iter()
         .map(|class| (class.aim, class.aim_stretch))
         .collect();
-    let keeper = Keeper::new(checked, names, place(start.seed), 0);
+    let keeper = LevelController::new(checked, names, place(start.seed), 0);
     let inner = Balancer::new(settings, start.seed).map_err(|e| e.to_string())?;
     let (open, list_failed) = (HashMap::default(), None);
     Ok(Box::new(Leveled {
@@ -75,7 +76,7 @@
 
 struct Leveled {
     inner: Balancer,
-    keeper: Keeper,
+    keeper: LevelController,
     aims: Vec<(Micros, f64)>,
     open: HashMap<RequestId, Open, FixedState>,
     /// Since when the list is out of reach.
@@ -87,13 +88,13 @@
 
 impl Leveled {
     fn look(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        self.look = now + LOOK;
-        let outside = Outside {
-            failing: self.inner.failing(now),
+        self.look = now + EVALUATION_INTERVAL;
+        let outside = ExternalSignals {
+            failing_servers: self.inner.failing(now),
             list_age: Some(self.list_failed.map_or(0, |since| now - since)),
-            ..Outside::default()
+            ..ExternalSignals::default()
         };
-        if let Some(change) = self.keeper.look(now, &outside) {
+        if let Some(change) = self.keeper.evaluate(now, &outside) {
             self.inner
                 .handle(now, Event::Level(self.keeper.reduced()), actions);
             if let Some(told) = &self.told {
@@ -102,12 +103,17 @@
         }
     }
 
-    fn ended(&mut self, now: Micros, id: RequestId, how: impl Fn(Micros, Micros) -> Option<End>) {
+    fn ended(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        how: impl Fn(Micros, Micros) -> Option<RequestEnd>,
+    ) {
         let Some(Open { class, came, aim }) = self.open.remove(&id) else {
             return;
         };
         if let Some(end) = how(now - came, aim) {
-            self.keeper.ended(now, class, end);
+            self.keeper.request_ended(now, class, end);
         }
     }
 }
@@ -133,14 +139,14 @@
                 );
             }
             Event::Closed(closed) => {
-                self.keeper.closed(now, closed);
+                self.keeper.attempt_ended(now, closed);
                 if closed.outcome == Outcome::Ok {
                     self.ended(now, closed.request, |elapsed, aim| {
-                        Some(End::served(elapsed, aim))
+                        Some(RequestEnd::served(elapsed, aim))
                     });
                 }
             }
-            Event::ClientGone(id) => self.ended(now, *id, End::left),
+            Event::ClientGone(id) => self.ended(now, *id, RequestEnd::abandoned),
             Event::Members(Members::Failed { .. }) => {
                 self.list_failed = self.list_failed.or(Some(now))
             }
@@ -157,7 +163,7 @@
             };
             // The level's own doing is none of its signals.
             self.ended(now, id, |elapsed, aim| {
-                (!level).then(|| End::unserved(elapsed, aim, refused))
+                (!level).then(|| RequestEnd::unserved(elapsed, aim, refused))
             });
         }
     }
--- a/crates/lab/tests/levels.rs
+++ b/crates/lab/tests/levels.rs
@@ -1,7 +1,7 @@
 //! Reduced service levels on whole days in virtual time: they do not swing with the servers, and a storm ends.
 
 use madderloom_config_reader::Span;
-use madderloom_degradation::section::Section;
+use madderloom_degradation::LevelsSection;
 use madderloom_lab::experiment::{Arm, Experiment, Fault, FaultKind};
 use madderloom_lab::leveled::{self, Told};
 use madderloom_lab::policy::Start;
@@ -17,7 +17,7 @@
 }
 
 /// Plays it with levels or without, and gives the changes of each instance.
-fn play(experiment: &Experiment, levels: Option<Section>, seed: u64) -> (Run, Vec<u64>) {
+fn play(experiment: &Experiment, levels: Option<LevelsSection>, seed: u64) -> (Run, Vec<u64>) {
     let changes = Rc::new(RefCell::new(vec![0; experiment.instances.count as usize]));
     let log = Rc::clone(&changes);
     let told: Told = Rc::new(move |instance, _| log.borrow_mut()[instance as usize] += 1);
@@ -46,18 +46,18 @@
     (run, changes)
 }
 
-fn built_in() -> Section {
-    Section {
+fn built_in() -> LevelsSection {
+    LevelsSection {
         built_in: true,
-        ..Section::default()
+        ..LevelsSection::default()
     }
 }
 
 fn bound(experiment: &Experiment) -> u64 {
-    let checked = built_in()
+    let plan = built_in()
         .resolve(&leveled::facts(&experiment.classes))
         .expect("they are sound");
-    checked.changes_in_ten_minutes
+    plan.max_changes_in_ten_minutes
 }
 
 /// Of the submissions, the share that was served in time.
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -217,7 +217,7 @@
         let of = |pool: &Pool| {
             Some(PoolLevels {
                 pool: pool.name.clone(),
-                checked: pool.levels.clone()?,
+                plan: pool.levels.clone()?,
             })
         };
         self.pools.iter().filter_map(of).collect()
--- a/crates/operator-config/src/pools.rs
+++ b/crates/operator-config/src/pools.rs
@@ -6,7 +6,7 @@
 use madderloom_balancer::Effect;
 use madderloom_balancer::settings::{Site, written_name};
 use madderloom_config_reader::Document;
-use madderloom_degradation::section::{Checked, ClassFacts, Section as LevelsSection};
+use madderloom_degradation::{ClassTraits, LevelPlan, LevelsSection};
 use madderloom_graphql::{ClassInfo, Policy};
 use madderloom_sidecar_state::Mode;
 use serde::{Deserialize, Deserializer};
@@ -68,7 +68,7 @@
     /// What its requests may hold together.
     pub limits: MemberLimits,
     /// What it gives up when; it always gives full service where there are none.
-    pub levels: Option<Checked>,
+    pub levels: Option<LevelPlan>,
     /// How its GraphQL operations are classed, if it has any.
     pub graphql: Option<Policy>,
     /// What of it outlasts the process.
@@ -157,11 +157,11 @@
 }
 
 /// What levels need to know of the classes.
-fn facts(site: &Site) -> Vec<ClassFacts> {
+fn facts(site: &Site) -> Vec<ClassTraits> {
     let classes = site.classes.iter().zip(&site.settings.classes);
-    let facts = classes.map(|(name, class)| ClassFacts {
+    let facts = classes.map(|(name, class)| ClassTraits {
         name: name.clone(),
-        repeatable: class.effect != Effect::Unsafe,
+        is_idempotent: class.effect != Effect::Unsafe,
     });
     facts.collect()
 }
--- a/crates/sidecar/src/levels.rs
+++ b/crates/sidecar/src/levels.rs
@@ -5,10 +5,10 @@
 use super::service::Service;
 use madderloom_balancer::{Event, Micros, Reduced};
 use madderloom_config_reader::Span;
-use madderloom_degradation::gauge::Outside;
-use madderloom_degradation::keeper::{Keeper, LOOK};
-use madderloom_degradation::section::{Checked, FULL};
-use madderloom_degradation::{Change, Order};
+use madderloom_degradation::{
+    EVALUATION_INTERVAL, ExternalSignals, FULL_SERVICE, LevelChange, LevelController, LevelPlan,
+    OperatorOrder, OrderKind,
+};
 use madderloom_store::{Batch, Durability};
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use rustix::time::{ClockId, clock_gettime};
@@ -49,17 +49,17 @@
 }
 
 /// Gives a service the levels of a file, or none. The level that holds goes on where the file has one of its name.
-pub(super) fn set(service: &Rc<Service>, checked: Option<Checked>) {
+pub(super) fn set(service: &Rc<Service>, checked: Option<LevelPlan>) {
     let now = service.common.clock.now();
     let mut keeper = service.keeper.borrow_mut();
     let change = match (keeper.as_mut(), checked) {
-        (Some(keeper), Some(checked)) => keeper.turn_to(checked, now),
+        (Some(keeper), Some(checked)) => keeper.reconfigure(checked, now),
         (None, Some(checked)) => {
             let names = service.tuned().site.classes.clone();
-            let mut fresh = Keeper::new(checked, names, service.place, now);
+            let mut fresh = LevelController::new(checked, names, service.place, now);
             for order in kept_orders(service, now) {
                 // The level may be of an older file.
-                if let Err(problem) = fresh.order(order) {
+                if let Err(problem) = fresh.apply_order(order) {
                     let of = &service.label;
                     tracing::warn!("{of}an order from before the restart is left out: {problem}");
                 }
@@ -81,7 +81,7 @@
 
 async fn run(service: Rc<Service>) {
     while service.keeper.borrow().is_some() {
-        tokio::time::sleep(Duration::from_micros(LOOK)).await;
+        tokio::time::sleep(Duration::from_micros(EVALUATION_INTERVAL)).await;
         look(&service);
     }
 }
@@ -94,9 +94,9 @@
         service.transactions.borrow().len() as f64,
         service.tuned().site.max_open as f64,
     );
-    let outside = Outside {
-        failing: service.failing(now),
-        open: Some(part(numbers.used as f64, numbers.part.most as f64).max(own)),
+    let outside = ExternalSignals {
+        failing_servers: service.failing(now),
+        open_requests: Some(part(numbers.used as f64, numbers.part.most as f64).max(own)),
         cpu: service.common.processor.share(now),
         list_age: service.list_age(now),
     };
@@ -104,14 +104,14 @@
         .keeper
         .borrow_mut()
         .as_mut()
-        .and_then(|keeper| keeper.look(now, &outside));
+        .and_then(|keeper| keeper.evaluate(now, &outside));
     if change.is_some() {
         tell(service, change.as_ref());
     }
 }
 
 /// Tells the module what to give up from now on, and the log why.
-fn tell(service: &Rc<Service>, change: Option<&Change>) {
+fn tell(service: &Rc<Service>, change: Option<&LevelChange>) {
     let reduced = service
         .keeper
         .borrow()
@@ -132,7 +132,7 @@
 #[serde(deny_unknown_fields)]
 pub(super) struct Asked {
     order: Kind,
-    /// [`FULL`] stands for full service.
+    /// [`FULL_SERVICE`] stands for full service.
     level: Option<String>,
     /// How long it is to hold, in microseconds.
     #[serde(default)]
@@ -171,7 +171,7 @@
             || "the pin".to_string(),
             |level| format!("the bar of {level}"),
         );
-        if !keeper.withdraw(level.as_deref()) {
+        if !keeper.withdraw_order(level.as_deref()) {
             return Err(format!(
                 "there is nothing to take back: {what} does not hold"
             ));
@@ -187,22 +187,24 @@
     }
     let name = level.ok_or("names no level")?;
     let (level, pin) = (
-        Some(name.clone()).filter(|name| name != FULL),
+        Some(name.clone()).filter(|name| name != FULL_SERVICE),
         order == Kind::Pin,
     );
-    keeper.order(Order {
-        by: by.clone(),
-        level,
-        pin,
-        until: now + for_us,
-    })?;
+    keeper
+        .apply_order(OperatorOrder {
+            ordered_by: by.clone(),
+            level,
+            kind: OrderKind::from(pin),
+            expires_at: now + for_us,
+        })
+        .map_err(|error| error.to_string())?;
     let (what, span) = (if pin { "pinned" } else { "barred" }, Span(for_us));
     tracing::warn!(%pool, %by, "{of}service level: {name} is {what} for {span} by {by}");
     Ok(())
 }
 
 /// The orders on a service's level that were written down and have not ended. What can't be read is told and left.
-fn kept_orders(service: &Service, now: Micros) -> Vec<Order> {
+fn kept_orders(service: &Service, now: Micros) -> Vec<OperatorOrder> {
     let Some(state) = service.common.keeper.get() else {
         return Vec::new();
     };
@@ -211,7 +213,7 @@
         .borrow()
         .get(&service.name)
         .map(|kept| serde_json::from_slice(kept));
-    let mut orders: Vec<Order> = read
+    let mut orders: Vec<OperatorOrder> = read
         .transpose()
         .unwrap_or_else(|problem| {
             tracing::warn!(
@@ -222,7 +224,7 @@
         })
         .unwrap_or_default();
     // Their times are of the module's clock, which reads as Unix time does at each start.
-    orders.retain(|order| now < order.until);
+    orders.retain(|order| now < order.expires_at);
     orders
 }
 
@@ -265,21 +267,21 @@
         json!({"ago_us": ago(change.at), "from": change.from, "to": change.to, "cause": change.cause.to_string()})
     });
     let orders = levels.orders().iter().map(|order| {
-        let level = order.level.as_deref().unwrap_or(FULL);
-        json!({"level": level, "pin": order.pin, "by": order.by, "for_us": order.until.saturating_sub(now)})
+        let level = order.level.as_deref().unwrap_or(FULL_SERVICE);
+        json!({"level": level, "pin": bool::from(order.kind), "by": order.ordered_by, "for_us": order.expires_at.saturating_sub(now)})
     });
     let signals = keeper
         .signals()
         .iter()
         .map(|(signal, value)| (signal.to_string(), json!(value)));
     json!({
-        "level": levels.current().map_or(FULL, |level| &level.name),
+        "level": levels.current().map_or(FULL_SERVICE, |level| &level.name),
         "since_us": ago(levels.since()),
-        "levels": levels.names().collect::<Value>(),
+        "levels": levels.level_names().collect::<Value>(),
         "history": history.collect::<Value>(),
         "orders": orders.collect::<Value>(),
         "signals": signals.collect::<serde_json::Map<_, _>>(),
-        "changes_in_ten_minutes": keeper.changes_in_ten_minutes(),
+        "changes_in_ten_minutes": keeper.max_changes_in_ten_minutes(),
         "given_up": service.given_up(),
     })
 }
--- a/crates/sidecar/src/service.rs
+++ b/crates/sidecar/src/service.rs
@@ -22,8 +22,7 @@
     Action, Balancer, Event, Members, Memory, Micros, NewRequest, Note, RequestId, ServerId,
     Snapshot, Timer,
 };
-use madderloom_degradation::keeper::Keeper;
-use madderloom_degradation::section::Checked;
+use madderloom_degradation::{LevelController, LevelPlan};
 use madderloom_graphql::{Front, Policy};
 use madderloom_operator_config::{Kept, MemberLimits};
 use madderloom_routing::shares::Part;
@@ -46,7 +45,7 @@
     /// The servers as they are known at the start, or for good.
     pub(super) known: Listing,
     pub(super) limits: MemberLimits,
-    pub(super) levels: Option<Checked>,
+    pub(super) levels: Option<LevelPlan>,
     /// How its GraphQL operations are classed, if it has any.
     pub(super) graphql: Option<Policy>,
     pub(super) kept: Kept,
@@ -68,7 +67,7 @@
     pub(super) common: Rc<Common>,
     balancer: RefCell<Balancer>,
     /// None where the file has no levels for it.
-    pub(super) keeper: RefCell<Option<Keeper>>,
+    pub(super) keeper: RefCell<Option<LevelController>>,
     /// Its part of the spread by which the instances of a fleet come back apart, from 0 to 1.
     pub(super) place: f64,
     pub(super) pool: Pool,
@@ -129,7 +128,7 @@
         let service = Rc::new(Service {
             balancer: RefCell::new(balancer),
             keeper: RefCell::default(),
-            place: madderloom_degradation::place(seed),
+            place: madderloom_balancer::place(seed),
             pool: Pool::new(
                 discovery,
                 site.zones.clone(),
@@ -355,7 +354,7 @@
             _ => {}
         }
         if let (Event::Closed(closed), Some(keeper)) = (&event, self.keeper.borrow_mut().as_mut()) {
-            keeper.closed(now, closed);
+            keeper.attempt_ended(now, closed);
         }
         trail::event(self, now, &event);
         let within = self.handling.replace(true);
--- a/crates/sidecar/src/transaction.rs
+++ b/crates/sidecar/src/transaction.rs
@@ -6,7 +6,7 @@
 use super::service::Service;
 use hyper::Response;
 use madderloom_balancer::{Event, Micros, NewRequest, RequestId, ServerId};
-use madderloom_degradation::keeper::End;
+use madderloom_degradation::RequestEnd;
 use madderloom_timer_wheel::TimerKey;
 use smallvec::SmallVec;
 use std::cell::{Cell, RefCell};
@@ -246,21 +246,21 @@
         }
         let (aim, given_up) = (self.aim, self.given_up);
         self.tell(|elapsed| match &answer {
-            Answer::Served(_) => Some(End::served(elapsed, aim)),
+            Answer::Served(_) => Some(RequestEnd::served(elapsed, aim)),
             // The level's own doing is none of its signals.
             Answer::Refused { .. } if given_up => None,
-            Answer::Refused { .. } => Some(End::unserved(elapsed, aim, true)),
-            Answer::Failed => Some(End::unserved(elapsed, aim, false)),
+            Answer::Refused { .. } => Some(RequestEnd::unserved(elapsed, aim, true)),
+            Answer::Failed => Some(RequestEnd::unserved(elapsed, aim, false)),
         });
         answer
     }
 
     /// Tells the service's level how it ended, by how long it took.
-    fn tell(&self, how: impl Fn(Micros) -> Option<End>) {
+    fn tell(&self, how: impl Fn(Micros) -> Option<RequestEnd>) {
         if let Some(keeper) = self.service.keeper.borrow_mut().as_mut() {
             let now = self.service.common.clock.now();
             if let Some(end) = how(now.saturating_sub(self.came)) {
-                keeper.ended(now, self.class, end);
+                keeper.request_ended(now, self.class, end);
             }
         }
     }
@@ -271,7 +271,7 @@
     /// that are still out end, or it would take them for its own and send again.
     fn drop(&mut self) {
         if !self.over.replace(true) {
-            self.tell(|elapsed| End::left(elapsed, self.aim));
+            self.tell(|elapsed| RequestEnd::abandoned(elapsed, self.aim));
             let now = self.service.common.clock.now();
             self.service.handle(now, Event::ClientGone(self.id));
         }
--- a/fuzz/fuzz_targets/levels_condition.rs
+++ b/fuzz/fuzz_targets/levels_condition.rs
@@ -9,7 +9,7 @@
     let (text, values) = data;
     let mut condition = match Condition::parse(text) {
         Ok(condition) => condition,
-        Err(problem) => return assert!(!problem.is_empty()),
+        Err(error) => return assert!(!error.to_string().is_empty()),
     };
     let mut again = Condition::parse(&condition.to_string()).expect("what was read can be read");
     assert_eq!(condition, again);
@@ -17,7 +17,7 @@
     let names = [
         Signal::FailingServers,
         Signal::Goodput(None),
-        Signal::Unknown,
+        Signal::UnknownOutcome,
         Signal::ListAge,
     ];
     names
@@ -30,7 +30,7 @@
             again.evaluate(now, &signals)
         );
     }
-    assert!(!condition.values(&signals).contains('\n'));
+    assert!(!condition.describe_values(&signals).contains('\n'));
     // Too many points is an answer too.
     let _ = condition.met_together(&again);
 });
