--- a/crates/degradation/tests/level_changes_are_bounded.rs
+++ b/crates/degradation/tests/level_changes_are_bounded.rs
@@ -259,16 +259,19 @@
     );
 }
 
-#[test]
-fn an_operator_pins_and_bars_levels_until_the_order_expires() {
-    let mut levels =
-        LevelStateMachine::new(built_in_levels(&classes()), Damping::default(), 0.0, 0);
-    let order = |level: Option<&str>, kind, expires_at| OperatorOrder {
+fn order(level: Option<&str>, kind: OrderKind, expires_at: u64) -> OperatorOrder {
+    OperatorOrder {
         ordered_by: "ana".into(),
         level: level.map(str::to_string),
         kind,
         expires_at,
-    };
+    }
+}
+
+#[test]
+fn an_operator_pins_and_bars_levels_until_the_order_expires() {
+    let mut levels =
+        LevelStateMachine::new(built_in_levels(&classes()), Damping::default(), 0.0, 0);
     assert!(
         levels
             .apply_order(order(Some("no-such"), OrderKind::Pin, S))
--- a/crates/degradation/tests/section.rs
+++ b/crates/degradation/tests/section.rs
@@ -55,61 +55,64 @@
     );
 }
 
+/// A text of the valid section, an invalid one in its place, and the problem that is reported.
+const PROBLEMS: [(&str, &str, &str); 11] = [
+    ("night", "", "4:8: levels.level[0].name: must be a name"),
+    (
+        "night",
+        "lean",
+        "4:8: levels.level[0].name: there is a level lean already",
+    ),
+    (
+        "cpu > 90%",
+        "cpu > 190%",
+        "5:9: levels.level[0].enter: cpu > 190% is never met",
+    ),
+    (
+        "cpu > 90%",
+        "load > 90%",
+        "5:9: levels.level[0].enter: there is no signal load",
+    ),
+    (
+        "cpu < 70%",
+        "cpu > 70%",
+        "6:9: levels.level[0].leave: is met while enter is, at cpu = 1.0000",
+    ),
+    (
+        "cpu < 70%",
+        "lateness(x) < 70%",
+        "6:9: levels.level[0].leave: there is no class x",
+    ),
+    (
+        "20s",
+        "20ms",
+        "7:14: levels.level[0].least_stay: must be 1s or more",
+    ),
+    (
+        "0.2",
+        "-0.2",
+        "8:11: levels.level[0].retries: must lie in 0..=1",
+    ),
+    (
+        "recheck = 0.3",
+        "recheck = 3",
+        "10:11: levels.level[0].turn_away.recheck: must lie in 0..=1",
+    ),
+    (
+        "recheck = 0.3",
+        "rechek = 0.3",
+        "10:10: levels.level[0].turn_away.rechek: there is no class rechek",
+    ),
+    (
+        "leave = \"cpu < 70%\"\n",
+        "",
+        "3:1: levels.level[0].leave: is missing",
+    ),
+];
+
 #[test]
 fn every_problem_is_reported_with_its_place() {
-    for (from, to, expected) in [
-        ("night", "", "4:8: levels.level[0].name: must be a name"),
-        (
-            "night",
-            "lean",
-            "4:8: levels.level[0].name: there is a level lean already",
-        ),
-        (
-            "cpu > 90%",
-            "cpu > 190%",
-            "5:9: levels.level[0].enter: cpu > 190% is never met",
-        ),
-        (
-            "cpu > 90%",
-            "load > 90%",
-            "5:9: levels.level[0].enter: there is no signal load",
-        ),
-        (
-            "cpu < 70%",
-            "cpu > 70%",
-            "6:9: levels.level[0].leave: is met while enter is, at cpu = 1.0000",
-        ),
-        (
-            "cpu < 70%",
-            "lateness(x) < 70%",
-            "6:9: levels.level[0].leave: there is no class x",
-        ),
-        (
-            "20s",
-            "20ms",
-            "7:14: levels.level[0].least_stay: must be 1s or more",
-        ),
-        (
-            "0.2",
-            "-0.2",
-            "8:11: levels.level[0].retries: must lie in 0..=1",
-        ),
-        (
-            "recheck = 0.3",
-            "recheck = 3",
-            "10:11: levels.level[0].turn_away.recheck: must lie in 0..=1",
-        ),
-        (
-            "recheck = 0.3",
-            "rechek = 0.3",
-            "10:10: levels.level[0].turn_away.rechek: there is no class rechek",
-        ),
-        (
-            "leave = \"cpu < 70%\"\n",
-            "",
-            "3:1: levels.level[0].leave: is missing",
-        ),
-    ] {
+    for (from, to, expected) in PROBLEMS {
         let problems = check(&VALID.replacen(from, to, 1)).expect_err(expected);
         assert!(
             problems.iter().any(|p| p.starts_with(expected)),
--- a/crates/endpoint-history/tests/anomalies.rs
+++ b/crates/endpoint-history/tests/anomalies.rs
@@ -128,68 +128,79 @@
     }
 }
 
+/// A fault of one server, and the anomaly that it is expected to be.
+struct FaultCase {
+    name: &'static str,
+    /// How the faulty server responds, by class, size and a random number.
+    respond: fn(u32, f64, f64) -> Response,
+    expected: Fault,
+    class: Option<u32>,
+    detected_within: u64,
+}
+
+const FAULT_CASES: [FaultCase; 7] = [
+    FaultCase {
+        name: "fails 30% of its attempts",
+        respond: |_, _, c| failing(0.3, c, Outcome::Reset),
+        expected: Fault::FailsRequests,
+        class: None,
+        detected_within: 4 * S,
+    },
+    FaultCase {
+        name: "fails one in a hundred",
+        respond: |_, _, c| failing(0.02, c, Outcome::Error),
+        expected: Fault::FailsRequests,
+        class: None,
+        detected_within: 120 * S,
+    },
+    FaultCase {
+        name: "hangs",
+        respond: |_, _, _| failing(1.0, 0.0, Outcome::Timeout),
+        expected: Fault::FailsRequests,
+        class: None,
+        detected_within: 3 * S,
+    },
+    FaultCase {
+        name: "rejects connections",
+        respond: |_, _, c| failing(0.5, c, Outcome::ConnectFailed),
+        expected: Fault::RejectsRequests,
+        class: None,
+        detected_within: 4 * S,
+    },
+    FaultCase {
+        name: "is slow and never fails",
+        respond: |_, _, _| Response {
+            latency_factor: 4.0,
+            ..HEALTHY
+        },
+        expected: Fault::Slow,
+        class: None,
+        detected_within: 15 * S,
+    },
+    FaultCase {
+        name: "is slow for heavy requests",
+        respond: |_, size, _| Response {
+            latency_factor: if size >= 2.0 { 6.0 } else { 1.0 },
+            ..HEALTHY
+        },
+        expected: Fault::SlowForLargeRequests,
+        class: None,
+        detected_within: 25 * S,
+    },
+    FaultCase {
+        name: "fails one class",
+        respond: |class, _, c| failing(if class == 1 { 0.1 } else { 0.0 }, c, Outcome::Error),
+        expected: Fault::FailsRequests,
+        class: Some(1),
+        detected_within: 30 * S,
+    },
+];
+
 /// Each fault of a single server: one report within seconds, and one when it is over.
 #[test]
 fn a_fault_of_one_endpoint_is_one_anomaly_within_seconds_and_is_cleared() {
-    type Fleet = fn(u64, u32, f64, f64) -> Response;
-    let faults: [(&str, Fleet, Fault, Option<u32>, u64); 7] = [
-        (
-            "fails 30% of its attempts",
-            |_, _, _, c| failing(0.3, c, Outcome::Reset),
-            Fault::FailsRequests,
-            None,
-            4,
-        ),
-        (
-            "fails one in a hundred",
-            |_, _, _, c| failing(0.02, c, Outcome::Error),
-            Fault::FailsRequests,
-            None,
-            120,
-        ),
-        (
-            "hangs",
-            |_, _, _, _| failing(1.0, 0.0, Outcome::Timeout),
-            Fault::FailsRequests,
-            None,
-            3,
-        ),
-        (
-            "rejects connections",
-            |_, _, _, c| failing(0.5, c, Outcome::ConnectFailed),
-            Fault::RejectsRequests,
-            None,
-            4,
-        ),
-        (
-            "is slow and never fails",
-            |_, _, _, _| Response {
-                latency_factor: 4.0,
-                ..HEALTHY
-            },
-            Fault::Slow,
-            None,
-            15,
-        ),
-        (
-            "is slow for heavy requests",
-            |_, _, size, _| Response {
-                latency_factor: if size >= 2.0 { 6.0 } else { 1.0 },
-                ..HEALTHY
-            },
-            Fault::SlowForLargeRequests,
-            None,
-            25,
-        ),
-        (
-            "fails one class",
-            |_, class, _, c| failing(if class == 1 { 0.1 } else { 0.0 }, c, Outcome::Error),
-            Fault::FailsRequests,
-            Some(1),
-            30,
-        ),
-    ];
-    for (name, fault, expected, class, within) in faults {
+    for case in FAULT_CASES {
+        let name = case.name;
         let mut pool = Pool::new(8, 7);
         pool.run(300 * S, 20.0, |_, _, _, _, _| HEALTHY);
         assert_eq!(
@@ -201,33 +212,12 @@
         let began = pool.now;
         pool.run(began + 200 * S, 20.0, |_, id, class, size, c| {
             if id == 3 {
-                fault(0, class, size, c)
+                (case.respond)(class, size, c)
             } else {
                 HEALTHY
             }
         });
-        let raised = pool.raised();
-        assert!(!raised.is_empty(), "{name}: not found");
-        let first = raised[0];
-        assert_eq!(
-            (first.subject, first.fault),
-            (Subject::Endpoint(ServerId(3)), expected),
-            "{name}: {first}"
-        );
-        assert_eq!(first.class, class, "{name}: {first:?}");
-        assert!(
-            first.reported_at - began <= within * S,
-            "{name}: only after {} s",
-            (first.reported_at - began) / S
-        );
-        assert!(
-            raised.iter().all(|d| d.subject == first.subject),
-            "{name}: {raised:?}"
-        );
-        assert!(
-            raised.len() <= 2,
-            "{name}: reported more than once: {raised:?}"
-        );
+        assert_one_anomaly(&pool, &case, began);
         let healthy_from = pool.now;
         pool.run(healthy_from + 200 * S, 20.0, |_, _, _, _, _| HEALTHY);
         let cleared = pool
@@ -242,6 +232,33 @@
     }
 }
 
+/// The expected anomaly was raised in time, and no other.
+fn assert_one_anomaly(pool: &Pool, case: &FaultCase, began: u64) {
+    let name = case.name;
+    let raised = pool.raised();
+    assert!(!raised.is_empty(), "{name}: not found");
+    let first = raised[0];
+    assert_eq!(
+        (first.subject, first.fault),
+        (Subject::Endpoint(ServerId(3)), case.expected),
+        "{name}: {first}"
+    );
+    assert_eq!(first.class, case.class, "{name}: {first:?}");
+    assert!(
+        first.reported_at - began <= case.detected_within,
+        "{name}: only after {} s",
+        (first.reported_at - began) / S
+    );
+    assert!(
+        raised.iter().all(|d| d.subject == first.subject),
+        "{name}: {raised:?}"
+    );
+    assert!(
+        raised.len() <= 2,
+        "{name}: reported more than once: {raised:?}"
+    );
+}
+
 #[test]
 fn a_fault_of_all_endpoints_is_one_anomaly_of_the_fleet_and_one_of_a_zone_one_of_the_zone() {
     for (bad, subject) in [(|_: u64| true) as fn(u64) -> bool, |id| id % 2 == 1]
--- a/crates/endpoint-history/tests/timelines.rs
+++ b/crates/endpoint-history/tests/timelines.rs
@@ -157,12 +157,8 @@
     );
 }
 
-/// The finest entries hold each attempt once, however old it is, and a recording of them is valid.
-#[test]
-fn the_finest_entries_of_a_timeline_hold_each_attempt_once() {
-    let mut history = EndpointHistory::new(Settings::default());
-    history.endpoint_listed(0, ServerId(1), ListedEndpoint::default());
-    // An attempt a second for three hours, so that every width is in use.
+/// Records an attempt a second for three hours, so that every resolution is in use. One in four is reset.
+fn record_three_hours(history: &mut EndpointHistory, server: ServerId) {
     for n in 0..10_800u64 {
         let outcome = if n % 4 == 0 {
             Outcome::Reset
@@ -170,7 +166,7 @@
             Outcome::Ok
         };
         let attempt = CompletedAttempt {
-            server: ServerId(1),
+            server,
             class: 0,
             outcome,
             elapsed: 20_000,
@@ -178,6 +174,14 @@
         };
         history.record_attempt(n * S, 0, &attempt);
     }
+}
+
+/// The finest entries hold each attempt once, however old it is, and a recording of them is valid.
+#[test]
+fn the_finest_entries_of_a_timeline_hold_each_attempt_once() {
+    let mut history = EndpointHistory::new(Settings::default());
+    history.endpoint_listed(0, ServerId(1), ListedEndpoint::default());
+    record_three_hours(&mut history, ServerId(1));
     let timeline = history.timeline(ServerId(1)).expect("it is there");
     let entries = timeline.finest_entries();
     let ends = |entry: &TimelineEntry| (entry.interval.start, entry.interval.start + entry.width);
