--- a/crates/lab/examples/night.rs
+++ b/crates/lab/examples/night.rs
@@ -9,7 +9,7 @@
     Action, Event, Members, Micros, Note, Outcome, RequestId, ServerId, ServerState,
 };
 use madderloom_endpoint_history::{
-    Arrival, Departure, Happening, Observed, Settings, Story, Subject,
+    Anomaly, CompletedAttempt, EndpointEvent, EndpointHistory, ListedEndpoint, Settings, Subject,
 };
 use madderloom_lab::experiment::Experiment;
 use madderloom_lab::policy::{self, Policy, Start};
@@ -25,7 +25,7 @@
 
 /// What is told, and what it is told of.
 struct Night {
-    story: Story,
+    story: EndpointHistory,
     /// Open requests: their class and their hinted size.
     open: BTreeMap<RequestId, (u32, Option<Micros>)>,
     hints: (f64, f64),
@@ -44,22 +44,24 @@
             .unwrap_or_else(|| format!("{:016x}", id.0))
     }
 
-    fn say(&mut self, said: &Departure) {
+    fn say(&mut self, said: &Anomaly) {
         let name = match said.subject {
-            Subject::Server(id) => self.name(id),
+            Subject::Endpoint(id) => self.name(id),
             Subject::Zone(zone) => self.zones.get(zone as usize).cloned().unwrap_or_default(),
             Subject::Fleet => String::new(),
         };
         let class = said
             .class
             .and_then(|class| self.classes.get(class as usize));
-        self.told
-            .push((said.at, said.told(&name, class.map(String::as_str))));
+        self.told.push((
+            said.reported_at,
+            said.describe(&name, class.map(String::as_str)),
+        ));
     }
 
     fn hear(&mut self, now: Micros, event: &Event<'_>) {
         while self.next <= now {
-            for said in self.story.step(self.next) {
+            for said in self.story.poll_anomalies(self.next) {
                 self.say(&said);
             }
             self.next += S;
@@ -68,14 +70,14 @@
             Event::Members(Members::Full(all) | Members::Changes(all)) => {
                 for server in *all {
                     if server.state == ServerState::Gone {
-                        self.story.left(now, server.server);
+                        self.story.endpoint_left(now, server.server);
                     } else {
-                        let arrival = Arrival {
+                        let arrival = ListedEndpoint {
                             zone: server.zone,
-                            kind: server.kind,
-                            ..Arrival::default()
+                            machine_kind: server.kind,
+                            ..ListedEndpoint::default()
                         };
-                        self.story.listed(now, server.server, arrival);
+                        self.story.endpoint_listed(now, server.server, arrival);
                     }
                 }
             }
@@ -97,21 +99,21 @@
                     *mean += (hint as f64 - *mean) / *count;
                 }
                 let (server, outcome) = (closed.server, closed.outcome);
-                let seen = Observed {
+                let seen = CompletedAttempt {
                     server,
                     class,
                     outcome,
                     elapsed: closed.elapsed,
-                    size,
+                    relative_size: size,
                 };
                 self.story
-                    .attempt(now, (now / (60 * S) % 1_440) as u16, &seen);
+                    .record_attempt(now, (now / (60 * S) % 1_440) as u16, &seen);
                 if closed.ended {
                     self.open.remove(&closed.request);
                 }
             }
             Event::Probed(server, Some(report)) => {
-                self.story.reported(now, *server, report.held, 0)
+                self.story.record_load_report(now, *server, report.held, 0)
             }
             _ => {}
         }
@@ -119,11 +121,15 @@
 
     fn noted(&mut self, now: Micros, note: Note) {
         let (id, what, words) = match note {
-            Note::Ejected(id, outcome) => (id, Happening::Ejected(outcome), ejected(outcome)),
-            Note::Restored(id) => (id, Happening::Restored, "is trusted again after its trial"),
+            Note::Ejected(id, outcome) => (id, EndpointEvent::Ejected(outcome), ejected(outcome)),
+            Note::Restored(id) => (
+                id,
+                EndpointEvent::Restored,
+                "is trusted again after its trial",
+            ),
             Note::Overload(_) | Note::DiscoveryFailed => return,
         };
-        self.story.note(now, id, what);
+        self.story.record_event(now, id, what);
         self.told.push((now, format!("{} {words}", self.name(id))));
     }
 }
@@ -165,7 +171,7 @@
     let experiment = Experiment::read(&text).map_err(|problems| problems[0].to_string())?;
     let world = World::of(&experiment, 1);
     let night = Rc::new(RefCell::new(Night {
-        story: Story::new(Settings::default()),
+        story: EndpointHistory::new(Settings::default()),
         open: BTreeMap::new(),
         hints: (0.0, 0.0),
         told: Vec::new(),
