--- a/crates/agent/src/link.rs
+++ b/crates/agent/src/link.rs
@@ -3,7 +3,7 @@
 use crate::client::Client;
 use crate::clock::Clock;
 use hyper::{Method, StatusCode};
-use madderloom_control_plane::change::Traits;
+use madderloom_control_plane::selector::Traits;
 use madderloom_control_plane::gate::Counts;
 use madderloom_control_plane::protocol::{Outcome, ToAgent, ToInstance};
 use madderloom_control_plane::settings::Overlay;
--- a/crates/agent/tests/common/mod.rs
+++ b/crates/agent/tests/common/mod.rs
@@ -8,7 +8,9 @@
     Agent, Client, Config, Error, Link, Saves, Settings, Storage, Taking, view,
 };
 use madderloom_config_reader::Problem;
-use madderloom_control_plane::change::{Change, Policy, Selector, Share, Then, Traits, What};
+use madderloom_control_plane::change::{Change, What};
+use madderloom_control_plane::policy::{Policy, Share, Then};
+use madderloom_control_plane::selector::{Selector, Traits};
 use madderloom_control_plane::gate::Counts;
 use madderloom_control_plane::protocol::{Outcome, ToAgent, Who};
 use madderloom_control_plane::settings::{Edits, Key, Overlay, Value};
--- a/crates/agent/tests/every_change_ends_for_each_instance.rs
+++ b/crates/agent/tests/every_change_ends_for_each_instance.rs
@@ -6,7 +6,7 @@
 use common::{Rig, Toy, change, push, run};
 use hyper::Method;
 use madderloom_agent::{Failed, view};
-use madderloom_control_plane::change::Then;
+use madderloom_control_plane::policy::Then;
 use madderloom_control_plane::gate::{Counts, GateRule};
 use madderloom_control_plane::rollout::End;
 use madderloom_control_plane::settings::{Key, Value};
--- a/crates/cli/tests/fleet/commands.rs
+++ b/crates/cli/tests/fleet/commands.rs
@@ -2,7 +2,7 @@
 
 use crate::rig::{found, madderloom};
 use madderloom_agent::{Client, Link, Settings, Taking};
-use madderloom_control_plane::change::Traits;
+use madderloom_control_plane::selector::Traits;
 use madderloom_control_plane::gate::Counts;
 use madderloom_control_plane::protocol::{Outcome, Who};
 use madderloom_control_plane::settings::Overlay;
--- a/crates/control-plane/src/error.rs
+++ b/crates/control-plane/src/error.rs
@@ -1,7 +1,6 @@
 //! The errors of this crate. Their texts are shown to operators, mostly behind the field that they are about.
 
-use crate::change::UNDOABLE;
-use crate::settings::{LONGEST_NAME, LONGEST_ROUTE};
+use crate::bounds::{LONGEST_NAME, LONGEST_ROUTE, UNDOABLE};
 use std::num::ParseIntError;
 
 /// Why a name, a setting, an undo or a durable record is invalid.
--- a/crates/control-plane/src/explore/relay_model/state.rs
+++ b/crates/control-plane/src/explore/relay_model/state.rs
@@ -1,10 +1,10 @@
 //! A state of the model, and its transitions by name.
 
 use super::super::rollout_model::{UNIT, hash_of};
-use crate::change::Traits;
 use crate::fleet::Record;
 use crate::protocol::{Order, Stamp, ToAgent, ToInstance, Who};
 use crate::relay::{Addressed, BatchAnswer, Relay, RelayRules};
+use crate::selector::Traits;
 use crate::settings::{Key, Value};
 use crate::spread::Pace;
 use crate::{Fleet, Instance, Memory};
--- a/crates/control-plane/src/explore/rollout_model/bounds.rs
+++ b/crates/control-plane/src/explore/rollout_model/bounds.rs
@@ -1,9 +1,11 @@
 //! The bounds of a model: the number of processes, the changes, and the number of faults.
 
 use super::state::Process;
-use crate::change::{Change, Policy, Selector, Share, Then, Traits, What};
+use crate::change::{Change, What};
 use crate::membership::Leases;
+use crate::policy::{Policy, Share, Then};
 use crate::protocol::Who;
+use crate::selector::{Selector, Traits};
 use crate::settings::{Edits, Key, Overlay, Value};
 use crate::spread::Pace;
 use crate::{Instance, Memory, Micros, Rules, Time};
--- a/crates/control-plane/src/explore/rollout_model/shipped.rs
+++ b/crates/control-plane/src/explore/rollout_model/shipped.rs
@@ -1,7 +1,7 @@
 //! The models that are explored in each test run, and larger ones.
 
 use super::RolloutModel;
-use crate::change::Then;
+use crate::policy::Then;
 
 /// The models that are explored in each test run.
 pub fn rollout_models() -> Vec<RolloutModel> {
--- a/crates/control-plane/src/file.rs
+++ b/crates/control-plane/src/file.rs
@@ -31,8 +31,10 @@
 //! A value of `"file"` goes back to what each instance's own file says.
 
 use crate::Error;
-use crate::change::{Change, Policy, Selector, Share, Then, What};
+use crate::change::{Change, What};
 use crate::gate::GateRule;
+use crate::policy::{Policy, Share, Then};
+use crate::selector::Selector;
 use crate::settings::{Edits, Key, LogLevel, Value};
 use madderloom_config_reader::{Document, Problem, Span};
 use serde::Deserialize;
--- a/crates/control-plane/src/fleet/declined.rs
+++ b/crates/control-plane/src/fleet/declined.rs
@@ -1,7 +1,7 @@
 //! The answers to an operator: a change was accepted, or the reason why it was declined.
 
-use super::record::By;
 use crate::Problem;
+use crate::author::By;
 use crate::change::{Change, What};
 use crate::rollout::End;
 use serde::{Deserialize, Serialize};
--- a/crates/control-plane/src/fleet/explored.rs
+++ b/crates/control-plane/src/fleet/explored.rs
@@ -2,7 +2,7 @@
 
 use super::Fleet;
 use crate::Micros;
-use crate::change::Layer;
+use crate::layers::Layer;
 use crate::rollout::Rollout;
 use std::collections::BTreeMap;
 
--- a/crates/control-plane/src/fleet/mod.rs
+++ b/crates/control-plane/src/fleet/mod.rs
@@ -15,10 +15,10 @@
 pub use declined::{Accepted, Declined, Since, StandDown, difference};
 pub use note::Note;
 pub use orders::InstanceState;
-pub use record::{By, Entry, Record};
+pub use record::{Entry, Record};
 
-use crate::change::Layers;
 use crate::fleet_limits::FleetLimits;
+use crate::layers::Layers;
 use crate::membership::{Leases, Membership};
 use crate::protocol::{ToAgent, ToInstance};
 use crate::rollout::{Phase, Rollout, Target};
--- a/crates/control-plane/src/fleet/operator.rs
+++ b/crates/control-plane/src/fleet/operator.rs
@@ -1,12 +1,18 @@
 //! The commands of operators: push, stop and undo a change.
 
 use super::declined::{Accepted, Declined, Since, StandDown, difference};
-use super::record::{By, Record};
+use super::record::Record;
 use super::{Fleet, Output, Time};
-use crate::change::{Change, MOST_LAYERS, Policy, Selector, Then, What};
+use crate::author::By;
+use crate::author::By;
+use crate::bounds::MOST_LAYERS;
+use crate::bounds::MOST_SETTINGS;
+use crate::change::{Change, What};
 use crate::membership::Presence;
+use crate::policy::{Policy, Then};
 use crate::rollout::{End, Rollout};
-use crate::settings::{Key, MOST_SETTINGS};
+use crate::selector::Selector;
+use crate::settings::Key;
 use crate::{Error, Problem};
 use std::collections::BTreeMap;
 
@@ -289,7 +295,7 @@
         let change = Change {
             id: format!("undo-{}-{id}", self.newest.saturating_add(1))
                 .chars()
-                .take(crate::settings::LONGEST_NAME)
+                .take(crate::bounds::LONGEST_NAME)
                 .collect(),
             base: self.newest,
             note: String::new(),
--- a/crates/control-plane/src/fleet/orders.rs
+++ b/crates/control-plane/src/fleet/orders.rs
@@ -2,8 +2,9 @@
 
 use super::note::Note;
 use super::{Fleet, Output};
-use crate::change::{Layers, What};
+use crate::change::What;
 use crate::gate::Counts;
+use crate::layers::Layers;
 use crate::membership::Presence;
 use crate::protocol::{Answer, Holding, LONGEST_REASON, Order, Outcome, Stamp, ToInstance};
 use crate::rollout::{Cause, Side};
--- a/crates/control-plane/src/fleet/record.rs
+++ b/crates/control-plane/src/fleet/record.rs
@@ -1,20 +1,13 @@
 //! The durable records of an agent.
 
 use crate::Micros;
-use crate::change::{Change, Layers};
+use crate::author::By;
+use crate::change::Change;
+use crate::layers::Layers;
 use crate::membership::PersistedMember;
 use crate::rollout::{End, Rollout, Target};
 use serde::{Deserialize, Serialize};
 
-/// Who did something, and when by the wall clock.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct By {
-    /// The name in the certificate.
-    pub who: String,
-    /// Milliseconds since 1970.
-    pub at: u64,
-}
-
 /// A change that has ended.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Entry {
--- a/crates/control-plane/src/fleet/rollouts.rs
+++ b/crates/control-plane/src/fleet/rollouts.rs
@@ -3,9 +3,11 @@
 use super::note::Note;
 use super::record::{Entry, Record};
 use super::{Fleet, HISTORY, Output, RESULTS, Time};
-use crate::change::{Layer, Selector, What};
+use crate::change::What;
+use crate::layers::Layer;
 use crate::membership::Presence;
 use crate::rollout::{End, Phase, Rollout, Step, Target};
+use crate::selector::Selector;
 
 impl Fleet {
     /// Advances the rollout, and sends the orders that have become due.
--- a/crates/control-plane/src/fleet_limits.rs
+++ b/crates/control-plane/src/fleet_limits.rs
@@ -1,7 +1,7 @@
 //! The fleet-wide limits of an agent: those of its file, with the changes in effect applied to them.
 
 use crate::Micros;
-use crate::change::Layers;
+use crate::layers::Layers;
 use crate::protocol::Report;
 use crate::settings::{FleetFigure, Key, Value};
 use madderloom_quota_leases::{Grant, LeaseServer, Limit, MOST, Note, ONE, ServerId, UNBOUNDED};
--- a/crates/control-plane/src/instance.rs
+++ b/crates/control-plane/src/instance.rs
@@ -4,11 +4,12 @@
 //! in full or not at all. It never waits for the agent: while there is none it goes on with the settings that it has.
 //! The cost is one message for each report and each order, and the memory of two orders at most.
 
-use crate::change::Traits;
+use crate::bounds::{MAX_REPORT_INTERVAL, MIN_REPORT_INTERVAL};
 use crate::gate::Counts;
 use crate::protocol::{
     Answer, Holding, Order, Outcome, Register, Report, Stamp, ToAgent, ToInstance, Who,
 };
+use crate::selector::Traits;
 use crate::settings::Overlay;
 use crate::{InjectedBug, Micros, is_injected};
 use madderloom_endpoint_sharing::Lists;
@@ -23,8 +24,6 @@
 const SHORTEST_WAIT: Micros = 200_000;
 /// The longest delay that an agent may ask for, in microseconds.
 const LONGEST_WAIT: Micros = 120_000_000;
-/// The shortest and the longest report interval that an agent may ask for, in microseconds.
-pub(crate) const REPORT_INTERVALS: (Micros, Micros) = (100_000, 60_000_000);
 
 /// The state of an instance's session with the agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -266,7 +265,9 @@
                 }
                 self.session = Session::In;
                 self.unanswered = 0;
-                self.every = welcome.every.clamp(REPORT_INTERVALS.0, REPORT_INTERVALS.1);
+                self.every = welcome
+                    .every
+                    .clamp(MIN_REPORT_INTERVAL, MAX_REPORT_INTERVAL);
                 self.spread = welcome.spread.clamp(1, LONGEST_WAIT);
                 if self.who.incarnation != welcome.incarnation {
                     self.who.incarnation = welcome.incarnation;
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -3,7 +3,7 @@
 //! All maps are ordered, so that the same events give the same actions.
 //!
 //! - [`Fleet`] is the agent's state machine: the [`membership`], the one [`rollout`] under way, the
-//!   [`change::Layers`] in effect, and the orders to each instance. It returns what must be durable as records. The
+//!   [`layers::Layers`] in effect, and the orders to each instance. It returns what must be durable as records. The
 //!   caller must make them durable together before it does anything else that the same call returned.
 //! - [`Instance`] is the instance's side of the [`protocol`].
 //! - [`relay`] passes the messages of many instances on to an agent above it.
@@ -12,6 +12,8 @@
 //! With the feature `explore` there is also an explorer that runs both sides through every order of messages, losses,
 //! repeats and crashes of small fleets.
 
+mod author;
+pub mod bounds;
 pub mod change;
 mod error;
 pub mod file;
@@ -19,20 +21,29 @@
 pub mod fleet_limits;
 pub mod gate;
 mod instance;
+pub mod layers;
 pub mod membership;
+pub mod policy;
 pub mod protocol;
 pub mod relay;
 pub mod rollout;
+pub mod selector;
 pub mod settings;
 pub mod spread;
 
 #[cfg(any(test, feature = "explore"))]
 pub mod explore;
 
+#[cfg(test)]
+mod gate_tests;
+#[cfg(test)]
+mod spread_tests;
+
+pub use author::By;
 pub use error::Error;
 pub use fleet::{
-    Accepted, By, Declined, Entry, Fleet, InstanceState, Note, Output, Record, Rules, Since,
-    StandDown, Time, difference,
+    Accepted, Declined, Entry, Fleet, InstanceState, Note, Output, Record, Rules, Since, StandDown,
+    Time, difference,
 };
 // The former name, for code that still uses it.
 pub use fleet::InstanceState as Line;
--- a/crates/control-plane/src/membership.rs
+++ b/crates/control-plane/src/membership.rs
@@ -12,8 +12,8 @@
 //! recorded as the name's rival, for operators to see. Two processes configured with one name show as rivals for as
 //! long as both run; a restart shows no rival.
 
-use crate::change::Traits;
 use crate::protocol::{Register, Who};
+use crate::selector::Traits;
 use crate::{InjectedBug, Micros, is_injected};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/control-plane/src/protocol.rs
+++ b/crates/control-plane/src/protocol.rs
@@ -6,8 +6,8 @@
 //! lost, late or duplicated does no harm: the next report repairs it.
 
 use crate::Problem;
-use crate::change::Traits;
 use crate::gate::Counts;
+use crate::selector::Traits;
 use crate::settings::{Fingerprint, Overlay, check_name};
 use madderloom_endpoint_sharing::{Lists, MOST_TEXT, Tells};
 use madderloom_quota_leases::{Grant, LeaseRequests};
--- a/crates/control-plane/src/relay/parent.rs
+++ b/crates/control-plane/src/relay/parent.rs
@@ -3,7 +3,7 @@
 use super::child::ChildKey;
 use super::wire::{Addressed, Batch, BatchAnswer, MAX_BATCH};
 use super::{Relay, RelayOutput};
-use crate::instance::REPORT_INTERVALS;
+use crate::bounds::{MAX_REPORT_INTERVAL, MIN_REPORT_INTERVAL};
 use crate::protocol::{ToAgent, ToInstance, Welcome};
 use crate::{InjectedBug, Micros, is_injected};
 use std::collections::BTreeMap;
@@ -175,7 +175,9 @@
         welcome: &Welcome,
         is_waiting: bool,
     ) -> Option<ToInstance> {
-        self.every = welcome.every.clamp(REPORT_INTERVALS.0, REPORT_INTERVALS.1);
+        self.every = welcome
+            .every
+            .clamp(MIN_REPORT_INTERVAL, MAX_REPORT_INTERVAL);
         let child = self.children.get_mut(key)?;
         let was_registered = std::mem::replace(&mut child.is_registered, true);
         if is_waiting || !was_registered {
--- a/crates/control-plane/src/rollout.rs
+++ b/crates/control-plane/src/rollout.rs
@@ -10,11 +10,13 @@
 //! Each target goes from pending through sent to applied, refused or failed. Deadlines are not persisted: an agent
 //! that resumes a rollout gives each instance that has not answered its full time again.
 
-use crate::change::{Change, Share, Then, What};
+use crate::author::By;
+use crate::change::{Change, What};
 use crate::gate::{Counts, Sample, Verdict, judge};
+use crate::policy::{Share, Then};
 use crate::protocol::Outcome;
 use crate::settings::Fingerprint;
-use crate::{By, Micros, Problem};
+use crate::{Micros, Problem};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
--- a/crates/control-plane/src/settings.rs
+++ b/crates/control-plane/src/settings.rs
@@ -1,5 +1,6 @@
 //! What a change can set, and what of it is in effect on an instance.
 
+use crate::bounds::{GREATEST_WEIGHT, LONGEST_NAME, LONGEST_ROUTE, MOST_SETTINGS};
 use crate::{Error, Problem};
 use serde::de::{self, Deserializer};
 use serde::{Deserialize, Serialize, Serializer};
@@ -8,15 +9,6 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// The most settings of one change, and the most that are in effect on an instance beside its own file.
-pub const MOST_SETTINGS: usize = 1_024;
-/// The longest name of an instance, a server, a zone, a label, in bytes.
-pub const LONGEST_NAME: usize = 128;
-/// The longest text of a route, in bytes.
-pub const LONGEST_ROUTE: usize = 4_096;
-/// The greatest weight of a server: a hundred times what discovery lists, in thousandths.
-pub const GREATEST_WEIGHT: u32 = 100_000;
-
 /// Whether a text can name an instance, a server, a zone, a label: 1 to 128 letters, digits and `. _ : -`.
 ///
 /// # Errors
--- a/crates/control-plane/tests/a_change_is_refused_with_its_field.rs
+++ b/crates/control-plane/tests/a_change_is_refused_with_its_field.rs
@@ -1,8 +1,10 @@
 //! Changes as documents: the file, the checks, fingerprints, layers and differences.
 
-use madderloom_control_plane::change::{
-    Change, Layer, Layers, MOST_NAMES, Policy, Selector, Share, Then, Traits, What,
-};
+use madderloom_control_plane::bounds::MOST_NAMES;
+use madderloom_control_plane::change::{Change, What};
+use madderloom_control_plane::layers::{Layer, Layers};
+use madderloom_control_plane::policy::{Policy, Share, Then};
+use madderloom_control_plane::selector::{Selector, Traits};
 use madderloom_control_plane::file;
 use madderloom_control_plane::settings::{Edits, Key, LogLevel, Overlay, Value};
 use proptest::prelude::*;
--- a/crates/control-plane/tests/errors_keep_their_texts.rs
+++ b/crates/control-plane/tests/errors_keep_their_texts.rs
@@ -1,6 +1,6 @@
 //! Operators see the texts of errors, and their tools may look for them.
 
-use madderloom_control_plane::change::Layers;
+use madderloom_control_plane::layers::Layers;
 use madderloom_control_plane::settings::{Key, Value, check_name};
 use madderloom_control_plane::{Error, Fleet, Record, Rules, Time};
 use std::error::Error as _;
--- a/crates/control-plane/tests/one_name_is_one_instance.rs
+++ b/crates/control-plane/tests/one_name_is_one_instance.rs
@@ -1,6 +1,6 @@
 //! Membership: leases, and who holds a name.
 
-use madderloom_control_plane::change::Traits;
+use madderloom_control_plane::selector::Traits;
 use madderloom_control_plane::membership::{Leases, Membership, Presence, Registered, Renewed};
 use madderloom_control_plane::protocol::{Register, Who};
 use proptest::prelude::*;
--- a/crates/lab/src/scale/bounds.rs
+++ b/crates/lab/src/scale/bounds.rs
@@ -4,9 +4,9 @@
 use super::capacity::{CONNECTIONS, DAY, Reckoner, Row, exactly, reckoned};
 use crate::hop::Row as HopRow;
 use madderloom_agent::USUAL_CONNECTIONS;
-use madderloom_control_plane::change::MOST_LAYERS;
+use madderloom_control_plane::bounds::MOST_LAYERS;
 use madderloom_control_plane::membership::Leases;
-use madderloom_control_plane::settings::MOST_SETTINGS;
+use madderloom_control_plane::bounds::MOST_SETTINGS;
 use madderloom_control_plane::spread::Pace;
 use madderloom_endpoint_sharing::MOST_LISTS;
 
@@ -158,7 +158,7 @@
                 MOST_SETTINGS as f64,
                 "",
                 "code: fixed",
-                "`control-plane/src/settings.rs` `MOST_SETTINGS`",
+                "`control-plane/src/bounds.rs` `MOST_SETTINGS`",
             ),
             bound(
                 "layers in effect, with one for each service",
@@ -166,7 +166,7 @@
                 MOST_LAYERS as f64,
                 "",
                 "code: fixed",
-                "`control-plane/src/change.rs` `MOST_LAYERS`",
+                "`control-plane/src/bounds.rs` `MOST_LAYERS`",
             ),
             bound(
                 "lists that the fleet shares, with one for each service",
--- a/crates/lab/src/scale/places.rs
+++ b/crates/lab/src/scale/places.rs
@@ -1,6 +1,6 @@
 //! Where instances are: which service, zone and region each belongs to, and groups of them that a step is about.
 
-use madderloom_control_plane::change::{Selector, Traits};
+use madderloom_control_plane::selector::{Selector, Traits};
 use madderloom_control_plane::settings::Fingerprint;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
--- a/crates/operator-config/src/control.rs
+++ b/crates/operator-config/src/control.rs
@@ -3,7 +3,7 @@
 use crate::fleet_limits::{self, FleetLimit};
 use crate::names::Names;
 use madderloom_config_reader::Document;
-use madderloom_control_plane::change::Traits;
+use madderloom_control_plane::selector::Traits;
 use madderloom_control_plane::settings::check_name;
 use serde::Deserialize;
 use std::collections::BTreeMap;
--- a/crates/sidecar/src/agent_link/apply.rs
+++ b/crates/sidecar/src/agent_link/apply.rs
@@ -6,7 +6,8 @@
 use crate::reload::aside;
 use madderloom_control_plane::Problem;
 use madderloom_control_plane::protocol::Outcome;
-use madderloom_control_plane::settings::{MOST_SETTINGS, Overlay};
+use madderloom_control_plane::bounds::MOST_SETTINGS;
+use madderloom_control_plane::settings::Overlay;
 use std::rc::Rc;
 use std::sync::Arc;
 
--- a/crates/sidecar/src/agent_link/connection.rs
+++ b/crates/sidecar/src/agent_link/connection.rs
@@ -4,7 +4,7 @@
 use crate::pool;
 use crate::process::Sidecar;
 use madderloom_agent::{Client, Link, Settings, Taking};
-use madderloom_control_plane::change::Traits;
+use madderloom_control_plane::selector::Traits;
 use madderloom_control_plane::gate::Counts;
 use madderloom_control_plane::protocol::Who;
 use madderloom_control_plane::settings::Overlay;
--- a/crates/sidecar/src/agent_link/mod.rs
+++ b/crates/sidecar/src/agent_link/mod.rs
@@ -17,7 +17,7 @@
 use super::reload::aside;
 use connection::keep_link;
 use madderloom_control_plane::Memory;
-use madderloom_control_plane::change::Traits;
+use madderloom_control_plane::selector::Traits;
 use madderloom_control_plane::settings::{Key, LogLevel, Overlay, Value};
 use madderloom_operator_config::{Operator, Source};
 use madderloom_watchdog::{self as watchdog, TaskKind};
--- a/crates/sidecar/src/promises.rs
+++ b/crates/sidecar/src/promises.rs
@@ -4,7 +4,7 @@
 use super::{
     client, common, connections, counts, feed, list_reader, listener, pool, second_address, upload,
 };
-use madderloom_control_plane::{change, protocol, settings};
+use madderloom_control_plane::{bounds, protocol};
 
 /// So many seconds, as pages write them.
 fn seconds(micros: u64) -> String {
@@ -143,11 +143,11 @@
     };
     let lists = [
         ("sidecar/src/pool.rs", "SERVERS", pool::SERVERS),
-        ("fleet/src/change.rs", "MOST_NAMES", change::MOST_NAMES),
+        ("control-plane/src/bounds.rs", "MOST_NAMES", bounds::MOST_NAMES),
         (
-            "fleet/src/settings.rs",
+            "control-plane/src/bounds.rs",
             "MOST_SETTINGS",
-            settings::MOST_SETTINGS,
+            bounds::MOST_SETTINGS,
         ),
         (
             "ledger/src/warm.rs",
@@ -183,12 +183,12 @@
             madderloom_endpoint_sharing::MOST_LISTS,
         ),
         bytes(
-            "fleet/src/protocol.rs",
+            "control-plane/src/protocol.rs",
             "LARGEST_FROM_INSTANCE",
             protocol::LARGEST_FROM_INSTANCE,
         ),
         bytes(
-            "fleet/src/protocol.rs",
+            "control-plane/src/protocol.rs",
             "LARGEST_ORDER",
             protocol::LARGEST_ORDER,
         ),
