--- a/crates/agent/src/batch.rs
+++ b/crates/agent/src/batch.rs
@@ -21,13 +21,13 @@
     let (answer, mut others) = BatchAnswer::new(term, batch, sends);
     let accepted = answer.accepted();
     for message in &batch.messages {
-        let who = message.who();
+        let who = message.sender();
         if !accepted.contains(&(who.name.as_str(), who.start)) {
             continue;
         }
         routes.set_behind(&who.name, relay);
         if let Some((answer, updates)) = share_lists(lists, now, message) {
-            others.push((who.name.clone(), ToInstance::Lists(answer)));
+            others.push((who.name.clone(), ToInstance::EndpointLists(answer)));
             others.extend(updates);
         }
     }
@@ -44,8 +44,8 @@
     let ToAgent::Report(report) = message else {
         return None;
     };
-    let tells = report.tells.as_ref()?;
-    let (answer, others, notes) = lists.hear(now, &report.who.name, report.who.start, tells);
+    let tells = report.endpoint_lists.as_ref()?;
+    let (answer, others, notes) = lists.hear(now, &report.id.name, report.id.start, tells);
     for note in notes {
         match note {
             Note::Newer { .. } => tracing::info!("{note}"),
@@ -54,7 +54,7 @@
     }
     let others = others
         .into_iter()
-        .map(|(name, lists)| (name, ToInstance::Lists(lists)))
+        .map(|(name, lists)| (name, ToInstance::EndpointLists(lists)))
         .collect();
     Some((answer, others))
 }
--- a/crates/agent/src/client.rs
+++ b/crates/agent/src/client.rs
@@ -7,8 +7,8 @@
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::{Method, Request, Response, StatusCode, header};
 use hyper_util::rt::TokioIo;
-use madderloom_control_plane::Declined;
-use madderloom_control_plane::protocol::LARGEST_ORDER;
+use madderloom_control_plane::Rejection;
+use madderloom_control_plane::protocol::MAX_ORDER_BYTES;
 use madderloom_pki::{Files, Keyring, explain};
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use rustls::pki_types::ServerName;
@@ -52,7 +52,7 @@
     /// It could not be asked, or did not answer.
     Unheard(String),
     /// It declined a change.
-    Declined(Box<Declined>),
+    Declined(Box<Rejection>),
     /// It refused: the status, and why.
     Refused(StatusCode, String),
 }
@@ -196,7 +196,7 @@
         }
         let body = timeout(
             PATIENCE,
-            Limited::new(answer.into_body(), LARGEST_ORDER).collect(),
+            Limited::new(answer.into_body(), MAX_ORDER_BYTES).collect(),
         )
         .await;
         let body = body
@@ -230,7 +230,7 @@
         #[derive(Deserialize)]
         struct Told {
             error: String,
-            declined: Option<Box<Declined>>,
+            declined: Option<Box<Rejection>>,
         }
         match serde_json::from_slice::<Told>(&answer.body) {
             Ok(Told {
@@ -272,7 +272,7 @@
                     line(&whole);
                 }
             }
-            if unread.len() > LARGEST_ORDER {
+            if unread.len() > MAX_ORDER_BYTES {
                 return "a line is too long".into();
             }
         }
--- a/crates/agent/src/config.rs
+++ b/crates/agent/src/config.rs
@@ -1,11 +1,11 @@
 //! The agent's file.
 
 use madderloom_config_reader::{Document, Problem, Span};
-use madderloom_control_plane::Rules;
+use madderloom_control_plane::FleetSettings;
 use madderloom_control_plane::fleet_limits::FleetLimitSettings;
-use madderloom_control_plane::membership::Leases;
+use madderloom_control_plane::membership::LeaseSettings;
+use madderloom_control_plane::registration_limiter::RegistrationRate;
 use madderloom_control_plane::settings::check_name;
-use madderloom_control_plane::spread::Pace;
 use madderloom_pki::Files;
 use madderloom_quota_leases::{Amount, Bound, LEASES, Limit, ONE, UNBOUNDED};
 use serde::Deserialize;
@@ -33,7 +33,7 @@
     /// The most connections at a time.
     pub connections: usize,
     /// Leases, paces, reports.
-    pub rules: Rules,
+    pub rules: FleetSettings,
     /// Fleet-wide limits.
     pub lending: FleetLimitSettings,
 }
@@ -229,19 +229,23 @@
 
 impl RegistrationsPart {
     /// The pace, which is the usual one where the file does not say.
-    pub(crate) fn pace(&self, document: &mut Document<'_>, usual: Pace) -> Pace {
-        let pace = Pace {
-            rate: self.rate.unwrap_or(usual.rate),
+    pub(crate) fn pace(
+        &self,
+        document: &mut Document<'_>,
+        usual: RegistrationRate,
+    ) -> RegistrationRate {
+        let pace = RegistrationRate {
+            per_second: self.rate.unwrap_or(usual.per_second),
             burst: self.burst.unwrap_or(usual.burst),
-            horizon: self.horizon.map_or(usual.horizon, Span::micros),
+            max_delay: self.horizon.map_or(usual.max_delay, Span::micros),
         };
         document.require(
-            pace.rate > 0,
+            pace.per_second > 0,
             "registrations.rate",
             "must be 1 or more a second",
         );
         document.require(
-            pace.horizon >= 1_000_000,
+            pace.max_delay >= 1_000_000,
             "registrations.horizon",
             "must be 1s or more",
         );
@@ -264,41 +268,43 @@
             "listen",
             "is missing; write an address such as \"10.0.0.5:7070\"",
         );
-        let usual = Rules::default();
+        let usual = FleetSettings::default();
         let micros = |span: Option<Span>, usual: u64| span.map_or(usual, Span::micros);
         let (part, leases) = (&file.leases, usual.leases);
-        let rules = Rules {
-            every: micros(part.report, usual.every),
-            leases: Leases {
-                lease: micros(part.lease, leases.lease),
-                grace: micros(part.grace, leases.grace),
-                memory: micros(part.memory, leases.memory),
-                most: part.instances.unwrap_or(leases.most),
+        let rules = FleetSettings {
+            report_interval: micros(part.report, usual.report_interval),
+            leases: LeaseSettings {
+                duration: micros(part.lease, leases.duration),
+                grace_period: micros(part.grace, leases.grace_period),
+                retention: micros(part.memory, leases.retention),
+                max_members: part.instances.unwrap_or(leases.max_members),
             },
-            pace: file.registrations.pace(&mut document, usual.pace),
+            registration_rate: file
+                .registrations
+                .pace(&mut document, usual.registration_rate),
         };
-        let every = rules.every;
+        let every = rules.report_interval;
         document.require(
             (100_000..=60_000_000).contains(&every),
             "leases.report",
             "must be from 100ms to 1m",
         );
         document.require(
-            rules.leases.lease / 3 >= every,
+            rules.leases.duration / 3 >= every,
             "leases.lease",
             "must be three reports or more",
         );
         document.require(
-            rules.leases.grace > 0,
+            rules.leases.grace_period > 0,
             "leases.grace",
             "must be more than nothing",
         );
         document.require(
-            (1..=65_536).contains(&rules.leases.most),
+            (1..=65_536).contains(&rules.leases.max_members),
             "leases.instances",
             "must be from 1 to 65536",
         );
-        let duration = micros(file.leases.limits, rules.leases.lease);
+        let duration = micros(file.leases.limits, rules.leases.duration);
         document.require(
             duration / 3 >= every && (LEASES.0..=LEASES.1).contains(&duration),
             "leases.limits",
@@ -347,7 +353,7 @@
             },
             whole: limit.whole,
             lease: *duration,
-            every: self.rules.every,
+            every: self.rules.report_interval,
             longest: limit.longest,
         };
         limits.iter().map(bound).collect()
@@ -365,7 +371,10 @@
     fn a_file_is_read_with_paths_beside_it() {
         let config = Config::read(FILE, Path::new("/etc/fleet/agent.toml")).expect("sound");
         assert_eq!(config.keys.key, Path::new("/etc/fleet/agent.key"));
-        assert_eq!((config.rules.leases.lease, config.state), (9_000_000, None));
+        assert_eq!(
+            (config.rules.leases.duration, config.state),
+            (9_000_000, None)
+        );
     }
 
     #[test]
@@ -376,7 +385,7 @@
             include_str!("../../../examples/fleet/slow-w7.toml"),
             include_str!("../../../examples/fleet/calm.toml"),
         ] {
-            assert!(madderloom_control_plane::file::read(change, Some(0)).is_ok());
+            assert!(madderloom_control_plane::change_file::read(change, Some(0)).is_ok());
         }
     }
 
--- a/crates/agent/src/core.rs
+++ b/crates/agent/src/core.rs
@@ -12,7 +12,9 @@
 use madderloom_control_plane::fleet_limits::FleetLimitSettings;
 use madderloom_control_plane::protocol::{ToAgent, ToInstance};
 use madderloom_control_plane::relay::{Batch, BatchAnswer, WatchLine};
-use madderloom_control_plane::{Accepted, By, Declined, Fleet, Micros, Note, Output, Rules, Time};
+use madderloom_control_plane::{
+    Accepted, Author, Fleet, FleetEvent, FleetOutput, FleetSettings, Micros, Rejection, Time,
+};
 use madderloom_endpoint_sharing::Relay as ListRelay;
 use madderloom_quota_leases::Note as Quota;
 use madderloom_watchdog::{self as watchdog, TaskKind};
@@ -41,9 +43,9 @@
 pub(crate) enum Ask {
     Instance(Box<ToAgent>, Reply<Vec<ToInstance>>),
     Batch(RelayId, Batch, Reply<BatchAnswer>),
-    Push(Box<Change>, By, Reply<Result<Accepted, Declined>>),
-    Stop(String, By, Reply<Result<Accepted, Declined>>),
-    Undo(String, By, Reply<Result<Accepted, Declined>>),
+    Push(Box<Change>, Author, Reply<Result<Accepted, Rejection>>),
+    Stop(String, Author, Reply<Result<Accepted, Rejection>>),
+    Undo(String, Author, Reply<Result<Accepted, Rejection>>),
     See(Look, Reply<Vec<u8>>),
     Watch(String, u64, Reply<mpsc::Receiver<ToInstance>>),
     WatchRelay(RelayId, u64, Reply<mpsc::Receiver<WatchLine>>),
@@ -109,21 +111,21 @@
 
 impl Turn {
     /// Logs the events of an output and keeps its records. Returns its messages.
-    fn record(&mut self, out: Output) -> Sends {
-        for note in &out.notes {
+    fn record(&mut self, out: FleetOutput) -> Sends {
+        for note in &out.events {
             match note {
-                Note::Leases(Quota::Overcommitted(_) | Quota::Conflict(_)) => {
+                FleetEvent::Leases(Quota::Overcommitted(_) | Quota::Conflict(_)) => {
                     tracing::error!("{note}")
                 }
                 note => tracing::info!("{note}"),
             }
         }
-        self.saves.extend(out.saves);
-        out.sends
+        self.saves.extend(out.records);
+        out.messages
     }
 
     /// The same, and sends its messages.
-    fn record_and_send(&mut self, out: Output) {
+    fn record_and_send(&mut self, out: FleetOutput) {
         let sends = self.record(out);
         self.sends.extend(sends);
     }
@@ -156,7 +158,7 @@
 
 struct Driver {
     clock: Clock,
-    rules: Rules,
+    rules: FleetSettings,
     lending: FleetLimitSettings,
     storage: Option<Box<dyn Storage>>,
     fleet: Result<Fleet, Unable>,
@@ -172,7 +174,7 @@
 /// Starts the machine from what lasts, in a new term.
 pub(crate) async fn start(
     clock: Clock,
-    rules: Rules,
+    rules: FleetSettings,
     lending: FleetLimitSettings,
     above: u64,
     storage: Box<dyn Storage>,
@@ -200,7 +202,9 @@
     async fn run(mut self, mut asked: mpsc::Receiver<Ask>) {
         loop {
             let due = match &self.fleet {
-                Ok(fleet) => fleet.next(self.clock.now()).map(|at| self.clock.at(at)),
+                Ok(fleet) => fleet
+                    .next_deadline(self.clock.now())
+                    .map(|at| self.clock.at(at)),
                 // A time that does not move on with all that is asked meanwhile.
                 Err(_) => Some(self.again),
             };
@@ -282,7 +286,7 @@
         match ask {
             Ask::Instance(message, reply) => {
                 let sends = turn.record(fleet.receive(time, &message, self.rng.rand_u64()));
-                let name = &message.who().name;
+                let name = &message.sender().name;
                 let (own, others): (Sends, Sends) =
                     sends.into_iter().partition(|(to, _)| to == name);
                 turn.sends.extend(others);
@@ -292,7 +296,7 @@
                     && let Some((answer, updates)) =
                         batch::share_lists(&mut self.lists, time.now, &message)
                 {
-                    own.push(ToInstance::Lists(answer));
+                    own.push(ToInstance::EndpointLists(answer));
                     turn.sends.extend(updates);
                 }
                 turn.held.push(hold(reply, own));
@@ -330,7 +334,7 @@
                 turn.held.push(hold(reply, self.routes.watch(name, start)))
             }
             Ask::WatchRelay(relay, term, reply) => {
-                turn.record_and_send(fleet.hear_of_term(term));
+                turn.record_and_send(fleet.observe_relay_term(term));
                 turn.held
                     .push(hold(reply, self.routes.watch_relay(relay, fleet.term())));
             }
@@ -361,13 +365,13 @@
                 .map_err(Error::InvalidState)?;
         let leases =
             fleet.serve_fleet_limits(self.clock.time(), self.lending.clone(), self.rng.rand_u64());
-        out.saves.extend(leases.saves);
-        self.commit(out.saves).await?;
+        out.records.extend(leases.records);
+        self.commit(out.records).await?;
         self.lists = ListRelay::new(fleet.term(), self.rng.rand_u64());
         tracing::info!(
             "term {} begins at revision {}",
             fleet.term(),
-            fleet.newest()
+            fleet.newest_revision()
         );
         self.fleet = Ok(fleet);
         Ok(())
--- a/crates/agent/src/link.rs
+++ b/crates/agent/src/link.rs
@@ -3,11 +3,11 @@
 use crate::client::Client;
 use crate::clock::Clock;
 use hyper::{Method, StatusCode};
-use madderloom_control_plane::selector::Traits;
-use madderloom_control_plane::gate::Counts;
+use madderloom_control_plane::health_gate::RequestCounts;
 use madderloom_control_plane::protocol::{Outcome, ToAgent, ToInstance};
+use madderloom_control_plane::selector::Attributes;
 use madderloom_control_plane::settings::Overlay;
-use madderloom_control_plane::{Action, Event, Instance, Memory, Session};
+use madderloom_control_plane::{Action, Event, Instance, PersistedInstance, Session};
 use madderloom_endpoint_sharing::{Lists, Tells};
 use madderloom_quota_leases::{Asks, Lent};
 use madderloom_watchdog::{self as watchdog, TaskKind};
@@ -28,9 +28,9 @@
     /// after the other; one that is dropped before its end must have no effect.
     fn take(&mut self, overlay: &Overlay) -> Taking;
     /// The requests that ended within the last window of ten seconds.
-    fn counts(&mut self) -> Counts;
+    fn counts(&mut self) -> RequestCounts;
     /// Keeps this for the next start, if it can keep anything.
-    fn keep(&mut self, memory: &Memory);
+    fn keep(&mut self, memory: &PersistedInstance);
     /// What it says of fleet-wide limits with the report that is made now; `term` is the greatest of an agent that was
     /// heard of. None where it takes part in none.
     fn asks(&mut self, _term: u64) -> Option<Asks> {
@@ -63,7 +63,7 @@
     watch: Rc<Client>,
     watching: Option<AbortHandle>,
     taking: Option<Taking>,
-    traits: Option<watch::Receiver<Traits>>,
+    traits: Option<watch::Receiver<Attributes>>,
     news: Option<Rc<Notify>>,
     under_way: Rc<()>,
     rng: oorandom::Rand64,
@@ -95,7 +95,7 @@
     }
 
     /// Tells the agent what the instance says of itself whenever that changes.
-    pub fn following(mut self, traits: watch::Receiver<Traits>) -> Self {
+    pub fn following(mut self, traits: watch::Receiver<Attributes>) -> Self {
         self.traits = Some(traits);
         self
     }
@@ -110,11 +110,11 @@
     pub async fn run(mut self) {
         let (sender, mut came) = mpsc::channel::<Came>(16);
         loop {
-            let due = self.clock.at(self.machine.next());
+            let due = self.clock.at(self.machine.next_timer());
             tokio::select! {
                 () = tokio::time::sleep_until(due) => {
                     let counts = self.settings.counts();
-                    self.machine.count(counts);
+                    self.machine.set_request_counts(counts);
                     self.handle(Event::Timer, &sender);
                 }
                 came = came.recv() => match came {
@@ -126,19 +126,19 @@
                     }
                     Some(Came::Lost(why)) => {
                         tracing::debug!("agent: {why}");
-                        self.handle(Event::Lost, &sender);
+                        self.handle(Event::ConnectionLost, &sender);
                     }
                     None => return,
                 },
                 outcome = taken(&mut self.taking) => {
                     self.taking = None;
-                    self.handle(Event::Taken(outcome), &sender);
+                    self.handle(Event::OrderCompleted(outcome), &sender);
                 }
                 traits = changed(&mut self.traits) => match traits {
                     Some(traits) => self.handle(Event::FileChanged(&traits), &sender),
                     None => self.traits = None,
                 },
-                () = notified(self.news.as_deref()) => self.handle(Event::Report, &sender),
+                () = notified(self.news.as_deref()) => self.handle(Event::ReportRequested, &sender),
             }
             self.follow_session(&sender);
         }
@@ -150,23 +150,23 @@
             .handle(self.clock.now(), event, self.rng.rand_u64(), &mut actions);
         for action in actions {
             match action {
-                Action::Keep(memory) => self.settings.keep(&memory),
-                Action::Take(order) => self.taking = Some(self.settings.take(&order.overlay)),
+                Action::Persist(memory) => self.settings.keep(&memory),
+                Action::Apply(order) => self.taking = Some(self.settings.take(&order.overlay)),
                 Action::Send(mut message) => {
                     if let ToAgent::Report(report) = &mut message {
-                        report.asks = self.settings.asks(report.term).map(Box::new);
-                        report.tells = self.settings.tells().map(Box::new);
+                        report.lease_requests = self.settings.asks(report.term).map(Box::new);
+                        report.endpoint_lists = self.settings.tells().map(Box::new);
                     }
                     self.send(message, sender.clone());
                 }
-                Action::Lent(lent) => {
+                Action::UseLeases(lent) => {
                     if self.settings.lent(&lent) {
-                        self.handle(Event::Report, sender);
+                        self.handle(Event::ReportRequested, sender);
                     }
                 }
-                Action::Lists(lists) => {
+                Action::UseLists(lists) => {
                     if self.settings.lists(&lists) {
-                        self.handle(Event::Report, sender);
+                        self.handle(Event::ReportRequested, sender);
                     }
                 }
             }
@@ -185,7 +185,7 @@
             ToAgent::Register(_) => "register",
             ToAgent::Report(_) => "report",
         };
-        let path = format!("/v1/instances/{}/{what}", message.who().name);
+        let path = format!("/v1/instances/{}/{what}", message.sender().name);
         let body = serde_json::to_vec(&message).unwrap_or_default();
         watchdog::spawn(TaskKind::AgentCall, async move {
             let came = match client.ask(Method::POST, &path, body).await {
@@ -205,13 +205,13 @@
 
     /// The watch is open exactly while the instance is known.
     fn follow_session(&mut self, sender: &mpsc::Sender<Came>) {
-        let known = self.machine.session() == Session::In;
+        let known = self.machine.session() == Session::Registered;
         if !known && let Some(watching) = self.watching.take() {
             watching.abort();
         }
         if known && self.watching.as_ref().is_none_or(AbortHandle::is_finished) {
             let (client, sender) = (Rc::clone(&self.watch), sender.clone());
-            let who = self.machine.who();
+            let who = self.machine.id();
             let path = format!("/v1/instances/{}/orders?start={}", who.name, who.start);
             let watching = watchdog::spawn(TaskKind::AgentCall, async move {
                 let lines = sender.clone();
@@ -246,7 +246,7 @@
 }
 
 /// What the instance says of itself, once that has changed; none if it never will again.
-async fn changed(traits: &mut Option<watch::Receiver<Traits>>) -> Option<Traits> {
+async fn changed(traits: &mut Option<watch::Receiver<Attributes>>) -> Option<Attributes> {
     match traits {
         Some(traits) => traits
             .changed()
--- a/crates/agent/src/relay/config.rs
+++ b/crates/agent/src/relay/config.rs
@@ -2,9 +2,9 @@
 
 use crate::config::{KeysPart, RegistrationsPart, USUAL_CONNECTIONS, needed_path};
 use madderloom_config_reader::{Document, Problem, Span};
-use madderloom_control_plane::relay::RelayRules;
+use madderloom_control_plane::registration_limiter::RegistrationRate;
+use madderloom_control_plane::relay::RelaySettings;
 use madderloom_control_plane::settings::check_name;
-use madderloom_control_plane::spread::Pace;
 use madderloom_pki::Files;
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -31,7 +31,7 @@
     /// Its keys as a client: a certificate for an instance that is good for the names of all its instances.
     pub parent_keys: Files,
     /// Leases, bounds, paces.
-    pub rules: RelayRules,
+    pub rules: RelaySettings,
 }
 
 #[derive(Default, Deserialize)]
@@ -104,7 +104,7 @@
         };
         let pace = file
             .registrations
-            .pace(&mut document, RelayRules::default().pace);
+            .pace(&mut document, RelaySettings::default().registration_rate);
         let rules = file.children.rules(pace);
         let answer = file.children.answer.unwrap_or(Span::s(2));
         document.require(
@@ -113,7 +113,7 @@
             "must be from 10ms to 4s",
         );
         document.require(
-            (300_000..=600_000_000).contains(&rules.lease),
+            (300_000..=600_000_000).contains(&rules.child_lease),
             "children.lease",
             "must be from 300ms to 10m",
         );
@@ -138,13 +138,13 @@
 }
 
 impl ChildrenPart {
-    fn rules(&self, pace: Pace) -> RelayRules {
-        let usual = RelayRules::default();
-        RelayRules {
-            lease: self.lease.map_or(usual.lease, Span::micros),
+    fn rules(&self, pace: RegistrationRate) -> RelaySettings {
+        let usual = RelaySettings::default();
+        RelaySettings {
+            child_lease: self.lease.map_or(usual.child_lease, Span::micros),
             answer_timeout: self.answer.map_or(usual.answer_timeout, Span::micros),
             max_children: self.instances.unwrap_or(usual.max_children),
-            pace,
+            registration_rate: pace,
         }
     }
 }
--- a/crates/agent/src/relay/core.rs
+++ b/crates/agent/src/relay/core.rs
@@ -5,7 +5,9 @@
 use crate::clock::Clock;
 use crate::routes::Routes;
 use madderloom_control_plane::protocol::{ToAgent, ToInstance};
-use madderloom_control_plane::relay::{MAX_BATCH, Relay, RelayOutput, RelayStatus, RequestId};
+use madderloom_control_plane::relay::{
+    MAX_BATCH_MESSAGES, Relay, RelayOutput, RelayStatus, RequestId,
+};
 use madderloom_pki::Keyring;
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use std::collections::{BTreeMap, HashMap};
@@ -129,7 +131,7 @@
     }
 
     fn next_timer(&self) -> Option<Instant> {
-        let tick = self.relay.next().map(|at| self.clock.at(at));
+        let tick = self.relay.next_deadline().map(|at| self.clock.at(at));
         let reconnect = Some(self.reconnect).filter(|_| self.connection.is_none());
         [tick, reconnect, self.batch_due]
             .into_iter()
@@ -212,7 +214,7 @@
 
     fn do_what_is_due(&mut self) {
         let now = self.clock.now();
-        if self.relay.next().is_some_and(|at| at <= now) {
+        if self.relay.next_deadline().is_some_and(|at| at <= now) {
             let output = self.relay.tick(now);
             self.deliver(output);
         }
@@ -246,7 +248,7 @@
         let due = *self
             .batch_due
             .get_or_insert_with(|| Instant::now() + BATCH_DELAY);
-        if outgoing < MAX_BATCH && Instant::now() < due {
+        if outgoing < MAX_BATCH_MESSAGES && Instant::now() < due {
             return;
         }
         self.batch_due = None;
@@ -259,9 +261,9 @@
     }
 
     fn deliver(&mut self, output: RelayOutput) {
-        for (request, messages) in output.answers {
-            if let Some(reply) = self.waiting.remove(&request) {
-                let _ = reply.send(messages);
+        for answer in output.answers {
+            if let Some(reply) = self.waiting.remove(&answer.request) {
+                let _ = reply.send(answer.messages);
             }
         }
         for push in output.pushes {
--- a/crates/agent/src/relay/parent.rs
+++ b/crates/agent/src/relay/parent.rs
@@ -3,7 +3,9 @@
 use crate::client::Client;
 use hyper::{Method, StatusCode};
 use madderloom_control_plane::protocol::ToAgent;
-use madderloom_control_plane::relay::{Addressed, Batch, BatchAnswer, LARGEST_BATCH, WatchLine};
+use madderloom_control_plane::relay::{
+    AddressedMessage, Batch, BatchAnswer, MAX_BATCH_BYTES, WatchLine,
+};
 use madderloom_pki::Keyring;
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use serde::Serialize;
@@ -18,7 +20,7 @@
     /// The parent takes batches; its term.
     Connected(u64),
     /// A message for an instance.
-    Message(Addressed),
+    Message(AddressedMessage),
     /// The answer to the last batch.
     Answered(BatchAnswer),
     /// The connection has ended; why.
@@ -119,14 +121,14 @@
     }
 }
 
-/// Writes a batch of [`LARGEST_BATCH`] and one message at most; returns it with the messages that were left.
+/// Writes a batch of [`MAX_BATCH_BYTES`] and one message at most; returns it with the messages that were left.
 fn write(batch: Batch) -> (Vec<u8>, Vec<ToAgent>) {
     let mut written = WrittenBatch {
         messages: Vec::new(),
     };
     let mut length = 0;
     let mut messages = batch.messages.into_iter();
-    while length < LARGEST_BATCH
+    while length < MAX_BATCH_BYTES
         && let Some(message) = messages.next()
     {
         let Ok(message) = serde_json::value::to_raw_value(&message) else {
--- a/crates/agent/src/relay/paths.rs
+++ b/crates/agent/src/relay/paths.rs
@@ -9,7 +9,7 @@
 use crate::traffic::{Counters, Traffic};
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
-use madderloom_control_plane::protocol::{LARGEST_FROM_INSTANCE, ToAgent};
+use madderloom_control_plane::protocol::{MAX_REPORT_BYTES, ToAgent};
 use madderloom_control_plane::relay::RelayStatus;
 use madderloom_pki::{Keyring, Verb, role::may};
 use madderloom_watchdog::{self as watchdog, TaskKind};
@@ -132,11 +132,11 @@
 
 impl RelayPaths {
     async fn answer_instance(&self, name: &str, request: Request<Incoming>) -> Response<Body> {
-        let message = match read::<Box<ToAgent>>(request, LARGEST_FROM_INSTANCE).await {
+        let message = match read::<Box<ToAgent>>(request, MAX_REPORT_BYTES).await {
             Ok(message) => message,
             Err(refusal) => return refusal.into(),
         };
-        let told = &message.who().name;
+        let told = &message.sender().name;
         if told != name {
             let error = format!("name: is {told:?}, and {name:?} in the path");
             return refuse(StatusCode::BAD_REQUEST, error);
--- a/crates/agent/src/routes.rs
+++ b/crates/agent/src/routes.rs
@@ -1,7 +1,7 @@
 //! The ways to instances: over the watch of an instance, or over that of the relay that it is behind.
 
 use madderloom_control_plane::protocol::ToInstance;
-use madderloom_control_plane::relay::{Addressed, WatchLine};
+use madderloom_control_plane::relay::{AddressedMessage, WatchLine};
 use std::collections::BTreeMap;
 use tokio::sync::mpsc;
 
@@ -85,7 +85,7 @@
             .get(&name)
             .and_then(|relay| self.relays.get(relay));
         if let Some(to) = relay {
-            let _ = to.try_send(WatchLine::Message(Addressed { name, message }));
+            let _ = to.try_send(WatchLine::Message(AddressedMessage { name, message }));
         }
     }
 }
--- a/crates/agent/src/server.rs
+++ b/crates/agent/src/server.rs
@@ -14,9 +14,9 @@
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
 use madderloom_control_plane::change::Change;
-use madderloom_control_plane::protocol::{LARGEST_FROM_INSTANCE, LARGEST_ORDER, ToAgent};
-use madderloom_control_plane::relay::{Batch, LARGEST_BATCH, MAX_BATCH};
-use madderloom_control_plane::{Accepted, By, Declined};
+use madderloom_control_plane::protocol::{MAX_ORDER_BYTES, MAX_REPORT_BYTES, ToAgent};
+use madderloom_control_plane::relay::{Batch, MAX_BATCH_BYTES, MAX_BATCH_MESSAGES};
+use madderloom_control_plane::{Accepted, Author, Rejection};
 use madderloom_pki::{Keyring, Peer, Verb, role::may};
 use serde::Serialize;
 use std::rc::Rc;
@@ -163,7 +163,7 @@
                 let id = id.to_string();
                 seen(core.see(move |fleet, _| view::rollout(fleet, &id)).await)
             }
-            (&Method::POST, ["v1", "changes"]) => match read(request, LARGEST_ORDER).await {
+            (&Method::POST, ["v1", "changes"]) => match read(request, MAX_ORDER_BYTES).await {
                 Err(refusal) => refusal.into(),
                 Ok(change) => {
                     let change: Box<Change> = change;
@@ -185,7 +185,7 @@
                 .await
             }
             (&Method::POST, ["v1", "instances", name, "register" | "report"]) => {
-                match read::<ToAgent>(request, LARGEST_FROM_INSTANCE).await {
+                match read::<ToAgent>(request, MAX_REPORT_BYTES).await {
                     Err(refusal) => refusal.into(),
                     Ok(message) => self.answer_instance(name, message).await,
                 }
@@ -202,7 +202,7 @@
     }
 
     async fn answer_instance(&self, name: &str, message: ToAgent) -> Response<Body> {
-        let who = message.who();
+        let who = message.sender();
         if who.name != name {
             return refuse(
                 StatusCode::BAD_REQUEST,
@@ -246,7 +246,7 @@
         };
         match (request.method(), what) {
             (&Method::POST, "batch") => {
-                match read::<Batch>(request, LARGEST_BATCH + LARGEST_FROM_INSTANCE).await {
+                match read::<Batch>(request, MAX_BATCH_BYTES + MAX_REPORT_BYTES).await {
                     Err(refusal) => refusal.into(),
                     Ok(batch) => self.answer_batch(&caller, peer, relay, batch).await,
                 }
@@ -275,16 +275,16 @@
         relay: RelayId,
         batch: Batch,
     ) -> Response<Body> {
-        if batch.messages.len() > MAX_BATCH {
+        if batch.messages.len() > MAX_BATCH_MESSAGES {
             return refuse(
                 StatusCode::BAD_REQUEST,
-                format!("messages: are more than {MAX_BATCH}"),
+                format!("messages: are more than {MAX_BATCH_MESSAGES}"),
             );
         }
         let names = batch
             .messages
             .iter()
-            .map(|message| Verb::Be(&message.who().name));
+            .map(|message| Verb::Be(&message.sender().name));
         if let Some(verb) = names
             .into_iter()
             .find(|verb| !may(peer.role, &peer.name, *verb))
@@ -311,16 +311,16 @@
         asked: &str,
         about: &str,
         ask: impl FnOnce(
-            By,
-            tokio::sync::oneshot::Sender<Result<Result<Accepted, Declined>, Unable>>,
+            Author,
+            tokio::sync::oneshot::Sender<Result<Result<Accepted, Rejection>, Unable>>,
         ) -> Ask,
     ) -> Response<Body> {
         if let Err(problem) = self.audit.write(peer, asked, about, "asked") {
             // What can't be put on record is not done.
             return refuse(StatusCode::SERVICE_UNAVAILABLE, problem.to_string());
         }
-        let by = By {
-            who: peer.name.clone(),
+        let by = Author {
+            name: peer.name.clone(),
             at: wall(),
         };
         let done = self.core.ask(|reply| ask(by, reply)).await;
@@ -353,19 +353,19 @@
     }
 }
 
-fn answer_declined(declined: &Declined) -> Response<Body> {
+fn answer_declined(declined: &Rejection) -> Response<Body> {
     let status = match declined {
-        Declined::Invalid(_) => StatusCode::UNPROCESSABLE_ENTITY,
-        Declined::Impossible(_) => StatusCode::NOT_FOUND,
-        Declined::StoodDown(_) => StatusCode::SERVICE_UNAVAILABLE,
-        Declined::Conflict { .. } | Declined::Busy { .. } | Declined::IdUsed { .. } => {
+        Rejection::Invalid(_) => StatusCode::UNPROCESSABLE_ENTITY,
+        Rejection::Impossible(_) => StatusCode::NOT_FOUND,
+        Rejection::Superseded(_) => StatusCode::SERVICE_UNAVAILABLE,
+        Rejection::Conflict { .. } | Rejection::Busy { .. } | Rejection::IdUsed { .. } => {
             StatusCode::CONFLICT
         }
     };
     #[derive(Serialize)]
     struct Both<'a> {
         error: String,
-        declined: &'a Declined,
+        declined: &'a Rejection,
     }
     let both = Both {
         error: declined.to_string(),
--- a/crates/agent/src/view.rs
+++ b/crates/agent/src/view.rs
@@ -1,11 +1,11 @@
 //! What the agent can be asked for.
 
 use crate::traffic::Traffic;
-use madderloom_control_plane::gate::Counts;
-use madderloom_control_plane::membership::{Presence, SEEN};
+use madderloom_control_plane::health_gate::RequestCounts;
+use madderloom_control_plane::membership::{CONFLICT_CONFIRMED, MemberState};
 use madderloom_control_plane::protocol::Outcome;
-use madderloom_control_plane::rollout::{End, Phase, Rollout, Step, Target};
-use madderloom_control_plane::{By, Entry, Fleet, Micros};
+use madderloom_control_plane::rollout::{Phase, Rollout, RolloutResult, Target, TargetState};
+use madderloom_control_plane::{Author, Fleet, HistoryEntry, Micros};
 use madderloom_endpoint_sharing::{Relay, SharedList};
 use madderloom_quota_leases::{Amount, ONE, UNBOUNDED, View};
 use serde::{Deserialize, Serialize};
@@ -123,7 +123,7 @@
     /// Its name.
     pub name: String,
     /// Whether it is there.
-    pub presence: Presence,
+    pub presence: MemberState,
     /// The incarnation it goes by.
     pub incarnation: u64,
     /// Its zone.
@@ -141,7 +141,7 @@
     /// Why it refused its last order, if it did.
     pub refused: Option<String>,
     /// Its requests within the last window.
-    pub counts: Counts,
+    pub counts: RequestCounts,
     /// That another process wants its name, with its incarnation.
     pub rival: Option<u64>,
     /// Its parts of fleet-wide limits, all its processes together.
@@ -180,11 +180,11 @@
     /// The revision that it makes.
     pub revision: u64,
     /// Who pushed it, and when.
-    pub by: By,
+    pub by: Author,
     /// Where it is, for people.
     pub phase: String,
     /// How it ended.
-    pub end: Option<End>,
+    pub end: Option<RolloutResult>,
     /// When it ended: milliseconds since 1970.
     pub ended: Option<u64>,
     /// Why it stopped or was taken back.
@@ -202,7 +202,8 @@
 impl Rollouts {
     /// Whether all that it is for have it.
     pub fn is_applied(&self) -> bool {
-        self.end == Some(End::Done) && self.counts.keys().all(|state| state == "applied")
+        self.end == Some(RolloutResult::Completed)
+            && self.counts.keys().all(|state| state == "applied")
     }
 
     /// Whether an instance refused it.
@@ -215,13 +216,13 @@
     let mut instances = BTreeMap::new();
     for (_, member) in fleet.membership().iter() {
         *instances
-            .entry(format!("{:?}", member.presence).to_lowercase())
+            .entry(format!("{:?}", member.state).to_lowercase())
             .or_insert(0) += 1;
     }
     Status {
         term: fleet.term(),
-        revision: fleet.newest(),
-        stood_down: fleet.stood_down(),
+        revision: fleet.newest_revision(),
+        stood_down: fleet.superseded_by(),
         instances,
         rolling_out: fleet.rollout().map(|rollout| rollout.change.id.clone()),
         in_effect: fleet
@@ -231,10 +232,10 @@
             .map(|layer| layer.id.clone())
             .collect(),
         fleet_limits: fleet
-            .lender()
+            .lease_server()
             .map(|lender| shares(lender.views(now)))
             .unwrap_or_default(),
-        lends_all: fleet.lender().map(|lender| lender.has_learned(now)),
+        lends_all: fleet.lease_server().map(|lender| lender.has_learned(now)),
         shared_lists: relay.views(now).collect(),
         // The machine knows nothing of connections: whoever holds them fills this in.
         traffic: Traffic::default(),
@@ -251,31 +252,31 @@
 
 pub(crate) fn instance(fleet: &Fleet, now: Micros, name: &str) -> Option<Instance> {
     let member = fleet.membership().get(name)?;
-    let line = fleet.line(name);
-    let refused = match line.and_then(|line| line.answer.as_ref()) {
+    let line = fleet.instance(name);
+    let refused = match line.and_then(|line| line.outcome.as_ref()) {
         Some(Outcome::Refused(problem)) => Some(problem.to_string()),
         _ => None,
     };
     Some(Instance {
         name: name.to_string(),
-        presence: member.presence,
+        presence: member.state,
         incarnation: member.incarnation,
-        zone: member.traits.zone.clone(),
-        labels: member.traits.labels.clone(),
-        build: member.traits.build.clone(),
-        file: member.traits.file.to_string(),
-        revision: line.map_or(0, |line| line.holding.revision),
+        zone: member.attributes.zone.clone(),
+        labels: member.attributes.labels.clone(),
+        build: member.attributes.build.clone(),
+        file: member.attributes.file.to_string(),
+        revision: line.map_or(0, |line| line.applied.revision),
         in_line: line
-            .filter(|_| member.presence != Presence::Joining)
-            .and_then(|_| fleet.in_line(name)),
+            .filter(|_| member.state != MemberState::Joining)
+            .and_then(|_| fleet.has_converged(name)),
         refused,
         counts: line.map(|line| line.counts).unwrap_or_default(),
         rival: member
-            .rival
-            .filter(|rival| rival.seen >= SEEN)
+            .conflict
+            .filter(|rival| rival.rejections >= CONFLICT_CONFIRMED)
             .map(|rival| rival.incarnation),
         fleet_limits: fleet
-            .lender()
+            .lease_server()
             .map(|lender| shares(lender.views_at(now, name)))
             .unwrap_or_default(),
     })
@@ -291,7 +292,7 @@
 
 pub(crate) fn instance_whole(fleet: &Fleet, now: Micros, name: &str) -> Option<InstanceWhole> {
     let member = fleet.membership().get(name)?;
-    let (overlay, _) = fleet.layers().overlay(name, &member.traits);
+    let (overlay, _) = fleet.layers().overlay(name, &member.attributes);
     let settled = overlay
         .0
         .iter()
@@ -303,23 +304,23 @@
     })
 }
 
-fn state(step: &Step) -> &'static str {
+fn state(step: &TargetState) -> &'static str {
     match step {
-        Step::Pending => "pending",
-        Step::Sent => "sent",
-        Step::Applied => "applied",
-        Step::Refused(_) => "refused",
-        Step::Failed(_) => "failed",
+        TargetState::Pending => "pending",
+        TargetState::Sent => "sent",
+        TargetState::Applied => "applied",
+        TargetState::Refused(_) => "refused",
+        TargetState::Failed(_) => "failed",
     }
 }
 
 fn result(target: &Target) -> Result {
-    let text = target.step.to_string();
+    let text = target.state.to_string();
     let reason = text.split_once(": ").map(|(_, reason)| reason.to_string());
-    let back = target.back.as_ref().map(Step::to_string);
+    let back = target.rollback.as_ref().map(TargetState::to_string);
     Result {
-        wave: target.wave + 1,
-        state: state(&target.step).into(),
+        wave: target.stage + 1,
+        state: state(&target.state).into(),
         reason,
         back,
     }
@@ -328,7 +329,7 @@
 fn counts(targets: &BTreeMap<String, Target>) -> BTreeMap<String, usize> {
     let mut counts = BTreeMap::<&str, usize>::new();
     for target in targets.values() {
-        *counts.entry(state(&target.step)).or_default() += 1;
+        *counts.entry(state(&target.state)).or_default() += 1;
     }
     counts
         .into_iter()
@@ -340,23 +341,23 @@
     let waves = rollout
         .targets
         .values()
-        .map(|target| target.wave + 1)
+        .map(|target| target.stage + 1)
         .max()
         .unwrap_or(1);
     match rollout.phase {
-        Phase::Forward { wave } => format!("wave {} of {waves}", wave + 1),
-        Phase::Watch { wave } => format!("watching after wave {} of {waves}", wave + 1),
+        Phase::Deploying { stage } => format!("wave {} of {waves}", stage + 1),
+        Phase::Observing { stage } => format!("watching after wave {} of {waves}", stage + 1),
         Phase::Stopping => "stopping".into(),
-        Phase::Back => "being taken back".into(),
+        Phase::RollingBack => "being taken back".into(),
         Phase::Ended(end) => ended(end).into(),
     }
 }
 
-fn ended(end: End) -> &'static str {
+fn ended(end: RolloutResult) -> &'static str {
     match end {
-        End::Done => "done",
-        End::Stopped => "stopped",
-        End::TakenBack => "taken back",
+        RolloutResult::Completed => "done",
+        RolloutResult::Stopped => "stopped",
+        RolloutResult::RolledBack => "taken back",
     }
 }
 
@@ -369,9 +370,9 @@
         phase: phase(rollout),
         end: None,
         ended: None,
-        why: rollout.why.clone(),
+        why: rollout.reason.clone(),
         note: rollout.change.note.clone(),
-        difference: madderloom_control_plane::difference(&rollout.change),
+        difference: madderloom_control_plane::describe_operation(&rollout.change),
         counts: counts(&rollout.targets),
         results: results
             .map(|(name, target)| (name.clone(), result(target)))
@@ -379,19 +380,19 @@
     }
 }
 
-fn over(fleet: &Fleet, entry: &Entry, whole: bool) -> Rollouts {
+fn over(fleet: &Fleet, entry: &HistoryEntry, whole: bool) -> Rollouts {
     let targets = fleet.results(entry.revision);
     let results = targets.into_iter().flatten().filter(|_| whole);
     Rollouts {
         id: entry.change.id.clone(),
         revision: entry.revision,
         by: entry.by.clone(),
-        phase: ended(entry.end).into(),
-        end: Some(entry.end),
-        ended: Some(entry.ended),
-        why: entry.why.clone(),
+        phase: ended(entry.result).into(),
+        end: Some(entry.result),
+        ended: Some(entry.ended_at),
+        why: entry.reason.clone(),
         note: entry.change.note.clone(),
-        difference: madderloom_control_plane::difference(&entry.change),
+        difference: madderloom_control_plane::describe_operation(&entry.change),
         counts: targets.map(counts).unwrap_or_default(),
         results: results
             .map(|(name, target)| (name.clone(), result(target)))
--- a/crates/agent/tests/common/mod.rs
+++ b/crates/agent/tests/common/mod.rs
@@ -8,13 +8,13 @@
     Agent, Client, Config, Error, Link, Saves, Settings, Storage, Taking, view,
 };
 use madderloom_config_reader::Problem;
-use madderloom_control_plane::change::{Change, What};
-use madderloom_control_plane::policy::{Policy, Share, Then};
-use madderloom_control_plane::selector::{Selector, Traits};
-use madderloom_control_plane::gate::Counts;
-use madderloom_control_plane::protocol::{Outcome, ToAgent, Who};
+use madderloom_control_plane::change::{Change, Operation};
+use madderloom_control_plane::health_gate::RequestCounts;
+use madderloom_control_plane::policy::{FailureAction, RolloutPolicy, StageSize};
+use madderloom_control_plane::protocol::{InstanceId, Outcome, ToAgent};
+use madderloom_control_plane::selector::{Attributes, Selector};
 use madderloom_control_plane::settings::{Edits, Key, Overlay, Value};
-use madderloom_control_plane::{Instance, Memory, Record};
+use madderloom_control_plane::{Instance, PersistedInstance, Record};
 use madderloom_pki::{Authority, Files, Role};
 use std::cell::RefCell;
 use std::path::PathBuf;
@@ -85,10 +85,10 @@
     pub overlay: Overlay,
     pub taken: usize,
     pub refuses: Option<Key>,
-    pub counts: Counts,
+    pub counts: RequestCounts,
     /// Its requests end badly while it has this.
     pub hurt_by: Option<Key>,
-    pub memory: Memory,
+    pub memory: PersistedInstance,
     /// How often it has registered.
     pub registrations: usize,
 }
@@ -119,13 +119,13 @@
         Box::pin(std::future::ready(outcome))
     }
 
-    fn counts(&mut self) -> Counts {
+    fn counts(&mut self) -> RequestCounts {
         let toy = self.0.borrow();
         let hurt = toy
             .hurt_by
             .as_ref()
             .is_some_and(|key| toy.overlay.0.contains_key(key));
-        Counts {
+        RequestCounts {
             bad: if hurt {
                 toy.counts.ended / 2
             } else {
@@ -135,7 +135,7 @@
         }
     }
 
-    fn keep(&mut self, memory: &Memory) {
+    fn keep(&mut self, memory: &PersistedInstance) {
         self.0.borrow_mut().memory = memory.clone();
     }
 
@@ -262,7 +262,7 @@
 
     /// Starts an instance whose agent, or relay, is at this address. Gives its place for [`Rig::kill_instance`].
     pub fn start_instance_at(&mut self, address: &str, number: usize, toy: &Toy) -> usize {
-        let who = Who {
+        let who = InstanceId {
             name: format!("shop-{number}"),
             start: 1_000 + self.links.len() as u64,
             incarnation: 1,
@@ -272,10 +272,10 @@
         } else {
             "south"
         };
-        let traits = Traits {
+        let traits = Attributes {
             zone: zone.into(),
             build: "test".into(),
-            ..Traits::default()
+            ..Attributes::default()
         };
         let memory = toy.0.borrow().memory.clone();
         let machine = Instance::new(0, who, traits, memory);
@@ -452,16 +452,16 @@
         base,
         note: String::new(),
         select: Selector::default(),
-        rollout: Policy {
-            waves: vec![Share::Percent(20)],
-            at_once: 8,
-            pause: 0,
-            silence: 10_000_000,
-            failures: 0,
-            then: Then::TakeBack,
+        rollout: RolloutPolicy {
+            stages: vec![StageSize::Percent(20)],
+            max_in_flight: 8,
+            stage_pause: 0,
+            answer_timeout: 10_000_000,
+            max_failures: 0,
+            on_failure: FailureAction::RollBack,
             gate: None,
         },
-        what: What::Set(edits),
+        operation: Operation::Set(edits),
     }
 }
 
--- a/crates/agent/tests/every_change_ends_for_each_instance.rs
+++ b/crates/agent/tests/every_change_ends_for_each_instance.rs
@@ -6,11 +6,11 @@
 use common::{Rig, Toy, change, push, run};
 use hyper::Method;
 use madderloom_agent::{Failed, view};
-use madderloom_control_plane::policy::Then;
-use madderloom_control_plane::gate::{Counts, GateRule};
-use madderloom_control_plane::rollout::End;
+use madderloom_control_plane::health_gate::{HealthGate, RequestCounts};
+use madderloom_control_plane::policy::FailureAction;
+use madderloom_control_plane::rollout::RolloutResult;
 use madderloom_control_plane::settings::{Key, Value};
-use madderloom_control_plane::{Accepted, Declined};
+use madderloom_control_plane::{Accepted, Rejection};
 use std::time::Duration;
 
 fn weight(toy: &Toy, server: &str) -> Option<Value> {
@@ -91,7 +91,7 @@
             .await
             .expect("accepted");
         let rollout = rig.ended("slow-w7").await;
-        assert_eq!(rollout.end, Some(End::TakenBack), "{rollout:?}");
+        assert_eq!(rollout.end, Some(RolloutResult::RolledBack), "{rollout:?}");
         let refused: Vec<_> = rollout
             .results
             .iter()
@@ -126,7 +126,7 @@
         let toys = rig.fleet(20).await;
         for toy in &toys {
             let mut toy = toy.0.borrow_mut();
-            toy.counts = Counts { ended: 400, bad: 4 };
+            toy.counts = RequestCounts { ended: 400, bad: 4 };
             toy.hurt_by = Some(Key::Weight("w7".into()));
         }
         // Their figures are with the agent before the change begins.
@@ -144,11 +144,11 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
         let mut change = change("slow-w7", 0, "w7", 200);
-        change.rollout.pause = 500_000;
-        change.rollout.gate = Some(GateRule::default());
+        change.rollout.stage_pause = 500_000;
+        change.rollout.gate = Some(HealthGate::default());
         push(&rig.client("alice"), &change).await.expect("accepted");
         let rollout = rig.ended("slow-w7").await;
-        assert_eq!(rollout.end, Some(End::TakenBack), "{rollout:?}");
+        assert_eq!(rollout.end, Some(RolloutResult::RolledBack), "{rollout:?}");
         assert!(
             rollout
                 .why
@@ -167,7 +167,7 @@
         let mut rig = Rig::new().await;
         let toys = rig.fleet(20).await;
         let mut change = change("slow-w7", 0, "w7", 200);
-        change.rollout.pause = 300_000;
+        change.rollout.stage_pause = 300_000;
         push(&rig.client("alice"), &change).await.expect("accepted");
         for _ in 0..2 {
             rig.kill_agent().await;
@@ -201,10 +201,10 @@
         let toys = rig.fleet(4).await;
         rig.kill_instance(2);
         let mut change = change("slow-w7", 0, "w7", 200);
-        (change.rollout.silence, change.rollout.failures) = (700_000, 1);
+        (change.rollout.answer_timeout, change.rollout.max_failures) = (700_000, 1);
         push(&rig.client("alice"), &change).await.expect("accepted");
         let rollout = rig.ended("slow-w7").await;
-        assert_eq!(rollout.end, Some(End::Done), "{rollout:?}");
+        assert_eq!(rollout.end, Some(RolloutResult::Completed), "{rollout:?}");
         let failed = &rollout.results["shop-2"];
         assert_eq!(
             (failed.state.as_str(), failed.reason.as_deref()),
@@ -239,7 +239,7 @@
         let Failed::Declined(declined) = &failed else {
             panic!("{failed}")
         };
-        let Declined::Conflict {
+        let Rejection::Conflict {
             base: 0,
             newest: 1,
             since,
@@ -249,7 +249,7 @@
             panic!("{failed}")
         };
         assert_eq!(
-            (since[0].by.who.as_str(), &since[0].difference[..]),
+            (since[0].by.name.as_str(), &since[0].difference[..]),
             ("alice", &["weight/w7 = 0.2".to_string()][..])
         );
         assert!(
@@ -260,7 +260,7 @@
         );
         let other = change("slow-w7", 1, "w8", 1);
         assert!(
-            matches!(push(&bob, &other).await, Err(Failed::Declined(d)) if matches!(*d, Declined::IdUsed { revision: 1 }))
+            matches!(push(&bob, &other).await, Err(Failed::Declined(d)) if matches!(*d, Rejection::IdUsed { revision: 1 }))
         );
     });
 }
@@ -271,8 +271,8 @@
         let mut rig = Rig::new().await;
         let toys = rig.fleet(10).await;
         let mut change = change("slow-w7", 0, "w7", 200);
-        change.rollout.pause = 60_000_000;
-        change.rollout.then = Then::Stop;
+        change.rollout.stage_pause = 60_000_000;
+        change.rollout.on_failure = FailureAction::Stop;
         let alice = rig.client("alice");
         push(&alice, &change).await.expect("accepted");
         let applied = || {
@@ -295,7 +295,7 @@
         let rollout = rig.ended("slow-w7").await;
         assert_eq!(
             (rollout.end, rollout.counts.get("applied")),
-            (Some(End::Stopped), Some(&2)),
+            (Some(RolloutResult::Stopped), Some(&2)),
             "{rollout:?}"
         );
         assert_eq!(applied(), 2);
--- a/crates/agent/tests/nothing_is_done_that_may_not_be.rs
+++ b/crates/agent/tests/nothing_is_done_that_may_not_be.rs
@@ -116,7 +116,7 @@
         let rig = Rig::new().await;
         let alice = rig.client("alice");
         let mut odd = change("c1", 0, "w", 1);
-        odd.rollout.at_once = 0;
+        odd.rollout.max_in_flight = 0;
         let failed = push(&alice, &odd).await.expect_err("refused");
         assert!(
             failed
--- a/crates/agent/tests/relays_stand_between_instances_and_an_agent.rs
+++ b/crates/agent/tests/relays_stand_between_instances_and_an_agent.rs
@@ -102,7 +102,7 @@
         for relay in &relays {
             let alone = |count| {
                 move |view: &madderloom_agent::relay::RelayView| {
-                    !view.relay.is_connected && view.relay.answered_alone >= count
+                    !view.relay.is_connected && view.relay.answered_locally >= count
                 }
             };
             // Each instance has reported three times meanwhile, and was answered.
--- a/crates/cli/src/fleet/declined.rs
+++ b/crates/cli/src/fleet/declined.rs
@@ -1,13 +1,13 @@
 //! Why a change was declined, with what to do.
 
 use super::text::{ended, when};
-use madderloom_control_plane::Declined;
+use madderloom_control_plane::Rejection;
 use std::io::Write;
 
 /// Tells why a change was declined, with what to do.
-pub(super) fn explain(declined: &Declined) {
+pub(super) fn explain(declined: &Rejection) {
     let mut text = format!("madderloom: declined: {declined}");
-    if let Declined::Conflict {
+    if let Rejection::Conflict {
         base,
         newest,
         since,
@@ -20,12 +20,12 @@
             text += "\n  (what came right after it is no longer remembered)";
         }
         for since in since {
-            let end = since.end.map_or("rolling out", ended);
+            let end = since.result.map_or("rolling out", ended);
             text += &format!(
                 "\n  revision {}: {} by {}, {}, {end}",
                 since.revision,
                 since.id,
-                since.by.who,
+                since.by.name,
                 when(since.by.at)
             );
             for line in &since.difference {
--- a/crates/cli/src/fleet/follow.rs
+++ b/crates/cli/src/fleet/follow.rs
@@ -95,7 +95,7 @@
     } = rollout;
     tell(format_args!(
         "{id}, revision {revision}, by {} at {}: {phase}{why}",
-        by.who,
+        by.name,
         when(by.at)
     ));
     rollout
--- a/crates/cli/src/fleet/push.rs
+++ b/crates/cli/src/fleet/push.rs
@@ -8,13 +8,13 @@
 use hyper::Method;
 use madderloom_agent::view::{Instance, Rollouts, Status};
 use madderloom_agent::{Client, Failed};
-use madderloom_control_plane::change::{Change, What};
-use madderloom_control_plane::policy::Policy;
-use madderloom_control_plane::selector::{Selector, Traits};
-use madderloom_control_plane::membership::Presence;
+use madderloom_control_plane::change::{Change, Operation};
+use madderloom_control_plane::membership::MemberState;
+use madderloom_control_plane::policy::RolloutPolicy;
 use madderloom_control_plane::rollout::Rollout as FleetRollout;
+use madderloom_control_plane::selector::{Attributes, Selector};
 use madderloom_control_plane::settings::{Edits, Key, Value};
-use madderloom_control_plane::{Accepted, By, Error};
+use madderloom_control_plane::{Accepted, Author, Error};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -42,7 +42,7 @@
         let name = self.file.display().to_string();
         let text = std::fs::read_to_string(&self.file).map_err(|e| format!("{name}: {e}"))?;
         let read = |newest| {
-            madderloom_control_plane::file::read(&text, newest).map_err(|problems| {
+            madderloom_control_plane::change_file::read(&text, newest).map_err(|problems| {
                 let lines: Vec<String> = problems
                     .iter()
                     .map(|problem| format!("{name}:{problem}"))
@@ -73,7 +73,7 @@
     let instances: Vec<Instance> = get(client, "/v1/instances").await?;
     let known: Vec<Rollouts> = get(client, "/v1/rollouts").await?;
     let (id, base, newest) = (change.id.clone(), change.base, status.revision);
-    let difference = madderloom_control_plane::difference(&change);
+    let difference = madderloom_control_plane::describe_operation(&change);
     let why = if let Some(term) = status.stood_down {
         Some(format!("an agent of term {term} has taken over"))
     } else if let Some(former) = known.iter().find(|former| former.id == id) {
@@ -96,23 +96,23 @@
     };
     let there = instances
         .iter()
-        .filter(|instance| instance.presence != Presence::Gone);
+        .filter(|instance| instance.presence != MemberState::Gone);
     let chosen = there.filter(|instance| {
         let (zone, labels) = (instance.zone.clone(), instance.labels.clone());
         change.select.matches(
             &instance.name,
-            &Traits {
+            &Attributes {
                 zone,
                 labels,
-                ..Traits::default()
+                ..Attributes::default()
             },
         )
     });
     let chosen = chosen
         .map(|instance| (instance.name.clone(), instance.counts))
         .collect();
-    let by = By {
-        who: String::new(),
+    let by = Author {
+        name: String::new(),
         at: 0,
     };
     let rollout = FleetRollout::new(
@@ -202,15 +202,15 @@
                     ..Selector::default()
                 },
                 // A drain is wanted at once, and harms nobody who is slow to hear of it.
-                rollout: Policy {
-                    waves: vec![],
-                    at_once: 1_000,
-                    pause: 0,
-                    failures: u32::MAX,
+                rollout: RolloutPolicy {
+                    stages: vec![],
+                    max_in_flight: 1_000,
+                    stage_pause: 0,
+                    max_failures: u32::MAX,
                     gate: None,
-                    ..Policy::default()
+                    ..RolloutPolicy::default()
                 },
-                what: What::Set(Edits::from([(key.clone(), drained)])),
+                operation: Operation::Set(Edits::from([(key.clone(), drained)])),
             };
             push(&client, &change, &self.waiting).await
         })
--- a/crates/cli/src/fleet/rollout.rs
+++ b/crates/cli/src/fleet/rollout.rs
@@ -134,7 +134,7 @@
                 let row = [
                     revision.to_string(),
                     id.clone(),
-                    by.who.clone(),
+                    by.name.clone(),
                     when(by.at),
                     phase.clone(),
                 ];
--- a/crates/cli/src/fleet/text.rs
+++ b/crates/cli/src/fleet/text.rs
@@ -2,19 +2,19 @@
 
 use crate::output::{Table, tell};
 use madderloom_agent::view::{Figures, Instance, Rollouts, Share};
-use madderloom_control_plane::membership::Presence;
-use madderloom_control_plane::rollout::End;
+use madderloom_control_plane::membership::MemberState;
+use madderloom_control_plane::rollout::RolloutResult;
 use madderloom_endpoint_sharing::SharedList;
 use serde::Serialize;
 use std::collections::BTreeMap;
 use time::OffsetDateTime;
 use time::macros::format_description;
 
-pub(super) fn ended(end: End) -> &'static str {
+pub(super) fn ended(end: RolloutResult) -> &'static str {
     match end {
-        End::Done => "done",
-        End::Stopped => "stopped",
-        End::TakenBack => "taken back",
+        RolloutResult::Completed => "done",
+        RolloutResult::Stopped => "stopped",
+        RolloutResult::RolledBack => "taken back",
     }
 }
 
@@ -129,12 +129,12 @@
     table
 }
 
-fn presence(presence: Presence) -> &'static str {
+fn presence(presence: MemberState) -> &'static str {
     match presence {
-        Presence::Joining => "joining",
-        Presence::Alive => "alive",
-        Presence::Suspect => "suspect",
-        Presence::Gone => "gone",
+        MemberState::Joining => "joining",
+        MemberState::Alive => "alive",
+        MemberState::Suspect => "suspect",
+        MemberState::Gone => "gone",
     }
 }
 
--- a/crates/cli/src/fleet/top.rs
+++ b/crates/cli/src/fleet/top.rs
@@ -5,7 +5,7 @@
 use crate::output::tell;
 use madderloom_agent::view::{Instance, Rollouts, Status};
 use madderloom_agent::{Client, Failed};
-use madderloom_control_plane::membership::Presence;
+use madderloom_control_plane::membership::MemberState;
 use std::fmt;
 use std::io::IsTerminal;
 use std::process::ExitCode;
@@ -68,7 +68,7 @@
     // What needs a look stands first.
     instances.sort_by_key(|i| {
         (
-            i.presence == Presence::Alive && i.in_line == Some(true) && i.refused.is_none(),
+            i.presence == MemberState::Alive && i.in_line == Some(true) && i.refused.is_none(),
             i.name.clone(),
         )
     });
--- a/crates/cli/tests/fleet/commands.rs
+++ b/crates/cli/tests/fleet/commands.rs
@@ -2,11 +2,11 @@
 
 use crate::rig::{found, madderloom};
 use madderloom_agent::{Client, Link, Settings, Taking};
-use madderloom_control_plane::selector::Traits;
-use madderloom_control_plane::gate::Counts;
-use madderloom_control_plane::protocol::{Outcome, Who};
+use madderloom_control_plane::health_gate::RequestCounts;
+use madderloom_control_plane::protocol::{InstanceId, Outcome};
+use madderloom_control_plane::selector::Attributes;
 use madderloom_control_plane::settings::Overlay;
-use madderloom_control_plane::{Instance, Memory, Problem};
+use madderloom_control_plane::{Instance, PersistedInstance, Problem};
 use madderloom_pki::Files;
 use std::io::{BufRead, BufReader};
 use std::path::Path;
@@ -29,11 +29,11 @@
         Box::pin(std::future::ready(outcome))
     }
 
-    fn counts(&mut self) -> Counts {
-        Counts { ended: 100, bad: 1 }
+    fn counts(&mut self) -> RequestCounts {
+        RequestCounts { ended: 100, bad: 1 }
     }
 
-    fn keep(&mut self, _: &Memory) {}
+    fn keep(&mut self, _: &PersistedInstance) {}
 }
 
 struct Rig {
@@ -101,12 +101,13 @@
                 .expect("a runtime");
             tokio::task::LocalSet::new().block_on(&runtime, async {
                 for number in 0..count {
-                    let who = Who {
+                    let who = InstanceId {
                         name: format!("shop-{number}"),
                         start: number as u64 + 1,
                         incarnation: 1,
                     };
-                    let machine = Instance::new(0, who, Traits::default(), Memory::default());
+                    let machine =
+                        Instance::new(0, who, Attributes::default(), PersistedInstance::default());
                     let client = || Client::new(&address, files.clone()).expect("a client");
                     tokio::task::spawn_local(
                         Link::new(machine, Toy, client(), client(), number as u128).run(),
--- a/crates/cli/tests/fleet/limits.rs
+++ b/crates/cli/tests/fleet/limits.rs
@@ -385,7 +385,7 @@
     fleet
         .stage
         .program("agent")
-        .wait_for("no more orders are given here");
+        .wait_for("no more orders are issued");
     std::thread::sleep(OUT);
     let from = Instant::now();
     std::thread::sleep(millis(3_000));
--- a/crates/cli/tests/fleet/relays.rs
+++ b/crates/cli/tests/fleet/relays.rs
@@ -135,7 +135,7 @@
     fleet
         .stage
         .program("agent")
-        .wait_for("no more orders are given here");
+        .wait_for("no more orders are issued");
     fleet
         .stage
         .program("relay-east")
--- a/crates/cli/tests/promises.rs
+++ b/crates/cli/tests/promises.rs
@@ -94,7 +94,7 @@
         match name.as_str() {
             // What a change says is read by the agent's machine.
             "examples/fleet/calm.toml" | "examples/fleet/slow-w7.toml" => {
-                let change = madderloom_control_plane::file::read(&read(&file), Some(0));
+                let change = madderloom_control_plane::change_file::read(&read(&file), Some(0));
                 assert!(change.is_ok(), "{name}: {change:?}");
             }
             // The platform's: what its commands name is there.
--- a/crates/control-plane/src/author.rs
+++ b/crates/control-plane/src/author.rs
@@ -2,11 +2,12 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Who did something, and when by the wall clock.
+/// The operator who pushed, stopped or undid a change, and when.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct By {
-    /// The name in the certificate.
-    pub who: String,
-    /// Milliseconds since 1970.
+pub struct Author {
+    /// The name in the operator's certificate.
+    #[serde(rename = "who")]
+    pub name: String,
+    /// Wall-clock time of the agent, in milliseconds since 1970.
     pub at: u64,
 }
--- a/crates/control-plane/src/change.rs
+++ b/crates/control-plane/src/change.rs
@@ -1,16 +1,16 @@
 //! A change as a document: what is set, where, and how it is rolled out.
 
 use crate::Problem;
-use crate::bounds::LONGEST_NOTE;
-use crate::policy::Policy;
+use crate::bounds::MAX_NOTE_BYTES;
+use crate::policy::RolloutPolicy;
 use crate::selector::Selector;
 use crate::settings::{Edits, Fingerprint, Key, check_edits, check_name};
 use serde::{Deserialize, Serialize};
 
-/// What a change does.
+/// The operation of a change.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum What {
+pub enum Operation {
     /// Sets values on the selected instances.
     Set(Edits),
     /// Undoes another change, named by its id, on the instances that have it.
@@ -21,25 +21,26 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Change {
-    /// Names the change permanently: a second push of the same id changes nothing.
+    /// Identifies the change permanently: a second push of the same id changes nothing.
     pub id: String,
-    /// The fleet's revision that it was made on.
+    /// The revision of the fleet that the change was made on.
     pub base: u64,
-    /// Why.
+    /// The reason, for people.
     #[serde(default)]
     pub note: String,
-    /// For which instances.
+    /// The instances that the change is for.
     #[serde(default)]
     pub select: Selector,
-    /// How it is rolled out.
+    /// How the change is rolled out.
     #[serde(default)]
-    pub rollout: Policy,
-    /// What it does.
-    pub what: What,
+    pub rollout: RolloutPolicy,
+    /// What the change does.
+    #[serde(rename = "what")]
+    pub operation: Operation,
 }
 
 impl Change {
-    /// All problems of the change, each with its field.
+    /// Checks the change. Returns all problems, each with its field.
     pub fn check(&self) -> Vec<Problem> {
         let mut problems = Vec::new();
         if let Err(error) = check_name(&self.id) {
@@ -48,9 +49,9 @@
                 problem: error.to_string(),
             });
         }
-        if self.note.len() > LONGEST_NOTE {
+        if self.note.len() > MAX_NOTE_BYTES {
             let problem = format!(
-                "has {} bytes; there are {LONGEST_NOTE} at most",
+                "has {} bytes; there are {MAX_NOTE_BYTES} at most",
                 self.note.len()
             );
             problems.push(Problem {
@@ -60,17 +61,17 @@
         }
         self.select.check(&mut problems);
         self.rollout.check(&mut problems);
-        match &self.what {
-            What::Set(edits) if edits.is_empty() => {
+        match &self.operation {
+            Operation::Set(edits) if edits.is_empty() => {
                 problems.push(Problem {
                     field: "set".into(),
                     problem: "nothing is set".into(),
                 });
             }
-            What::Set(edits) => {
+            Operation::Set(edits) => {
                 check_edits(edits, &mut problems);
-                let of_fleet = edits.keys().find(|key| matches!(key, Key::Fleet { .. }));
-                if let Some(key) = of_fleet.filter(|_| !self.select.is_all()) {
+                let fleet_key = edits.keys().find(|key| matches!(key, Key::Fleet { .. }));
+                if let Some(key) = fleet_key.filter(|_| !self.select.is_all()) {
                     let problem = format!(
                         "{key} holds for the whole fleet; a change of it selects all instances"
                     );
@@ -80,7 +81,7 @@
                     });
                 }
             }
-            What::Undo(id) => {
+            Operation::Undo(id) => {
                 if let Err(error) = check_name(id) {
                     problems.push(Problem {
                         field: "undo".into(),
--- a/crates/control-plane/src/error.rs
+++ b/crates/control-plane/src/error.rs
@@ -1,6 +1,6 @@
 //! The errors of this crate. Their texts are shown to operators, mostly behind the field that they are about.
 
-use crate::bounds::{LONGEST_NAME, LONGEST_ROUTE, UNDOABLE};
+use crate::bounds::{MAX_NAME_BYTES, MAX_ROUTE_BYTES, MAX_UNDOABLE_LAYERS};
 use std::num::ParseIntError;
 
 /// Why a name, a setting, an undo or a durable record is invalid.
@@ -10,7 +10,7 @@
     #[error("is empty")]
     EmptyName,
     /// A name is too long.
-    #[error("has {length} bytes; a name has {LONGEST_NAME} at most")]
+    #[error("has {length} bytes; a name has {MAX_NAME_BYTES} at most")]
     NameTooLong {
         /// Its length in bytes.
         length: usize,
@@ -64,7 +64,7 @@
     #[error("must be a whole number")]
     NotAWholeNumber,
     /// A route is too long.
-    #[error("has {length} bytes; a route has {LONGEST_ROUTE} at most")]
+    #[error("has {length} bytes; a route has {MAX_ROUTE_BYTES} at most")]
     RouteTooLong {
         /// Its length in bytes.
         length: usize,
@@ -82,7 +82,9 @@
         id: String,
     },
     /// A change that should be undone is too old.
-    #[error("{id} is older than the last {UNDOABLE} changes; push one that sets anew what it set")]
+    #[error(
+        "{id} is older than the last {MAX_UNDOABLE_LAYERS} changes; push one that sets anew what it set"
+    )]
     TooOldToUndo {
         /// The id of the change.
         id: String,
--- a/crates/control-plane/src/explore/relay_model/mod.rs
+++ b/crates/control-plane/src/explore/relay_model/mod.rs
@@ -29,8 +29,8 @@
 use super::Model;
 use super::rollout_model::{UNIT, hash_of, now};
 use crate::Fleet;
-use crate::change::{Change, What};
-use crate::policy::{Policy, Then};
+use crate::change::{Change, Operation};
+use crate::policy::{FailureAction, RolloutPolicy};
 use crate::selector::Selector;
 use crate::settings::{Edits, Key, Value};
 use foldhash::quality::FixedState;
@@ -163,16 +163,16 @@
             base,
             note: String::new(),
             select: Selector::default(),
-            rollout: Policy {
-                waves: vec![],
-                at_once: 4,
-                pause: UNIT,
-                silence: 3 * UNIT,
-                failures: 4,
-                then: Then::Stop,
+            rollout: RolloutPolicy {
+                stages: vec![],
+                max_in_flight: 4,
+                stage_pause: UNIT,
+                answer_timeout: 3 * UNIT,
+                max_failures: 4,
+                on_failure: FailureAction::Stop,
                 gate: None,
             },
-            what: What::Set(edits()),
+            operation: Operation::Set(edits()),
         }
     }
 }
@@ -198,7 +198,7 @@
             disk: BTreeMap::new(),
             routes: BTreeMap::new(),
         };
-        agent.save(out.saves);
+        agent.save(out.records);
         let mut state = RelayModelState {
             agents: vec![agent],
             relays: (0..self.relays).map(|_| RelayNode::new()).collect(),
--- a/crates/control-plane/src/explore/relay_model/rules.rs
+++ b/crates/control-plane/src/explore/relay_model/rules.rs
@@ -3,14 +3,14 @@
 use super::edits;
 use super::state::RelayModelState;
 use crate::explore::rollout_model::rules;
-use crate::membership::Presence;
-use crate::protocol::{Outcome, Stamp};
+use crate::membership::MemberState;
+use crate::protocol::{FencingToken, Outcome};
 use crate::settings::{Key, Value};
-use crate::{Fleet, Rules, Session};
+use crate::{Fleet, FleetSettings, Session};
 use std::collections::BTreeMap;
 
 /// The rules of the agents.
-pub(super) fn fleet_rules() -> Rules {
+pub(super) fn fleet_rules() -> FleetSettings {
     rules()
 }
 
@@ -40,19 +40,19 @@
             return Err(format!("whole: {name} has half of the change"));
         }
         let Some((line, outcome)) = fleet
-            .line(name)
-            .and_then(|line| Some((line, line.answer.as_ref()?)))
+            .instance(name)
+            .and_then(|line| Some((line, line.outcome.as_ref()?)))
         else {
             continue;
         };
-        let stamp = Stamp {
+        let stamp = FencingToken {
             term: fleet.term(),
-            number: line.number,
+            number: line.last_order_number,
         };
         let answer = instance
             .machine
             .answer()
-            .filter(|answer| answer.stamp == stamp);
+            .filter(|answer| answer.fencing_token == stamp);
         if answer.is_none_or(|answer| answer.outcome != *outcome) {
             return Err(format!(
                 "true: {outcome:?} of {name} is recorded for {stamp:?}, which it never carried out"
@@ -79,12 +79,12 @@
     for instance in &state.instances {
         let member = fleet.membership().get(instance.name())?;
         let is_alive =
-            member.presence == Presence::Alive && member.start == instance.machine.who().start;
-        let line = fleet.line(instance.name())?;
-        let agrees = line.holding.overlay == instance.machine.holding().overlay;
+            member.state == MemberState::Alive && member.start == instance.machine.id().start;
+        let line = fleet.instance(instance.name())?;
+        let agrees = line.applied.fingerprint == instance.machine.applied().fingerprint;
         if !is_alive
-            || instance.machine.session() != Session::In
-            || !fleet.in_line(instance.name())?
+            || instance.machine.session() != Session::Registered
+            || !fleet.has_converged(instance.name())?
             || !agrees
         {
             return None;
@@ -109,8 +109,8 @@
             ));
         }
         let refused = fleet
-            .line(instance.name())
-            .and_then(|line| line.answer.clone());
+            .instance(instance.name())
+            .and_then(|line| line.outcome.clone());
         if matches!(refused, Some(Outcome::Refused(_))) {
             return Err(format!(
                 "rest: {} is recorded as having refused",
--- a/crates/control-plane/src/explore/relay_model/state.rs
+++ b/crates/control-plane/src/explore/relay_model/state.rs
@@ -2,12 +2,12 @@
 
 use super::super::rollout_model::{UNIT, hash_of};
 use crate::fleet::Record;
-use crate::protocol::{Order, Stamp, ToAgent, ToInstance, Who};
-use crate::relay::{Addressed, BatchAnswer, Relay, RelayRules};
-use crate::selector::Traits;
+use crate::protocol::{FencingToken, InstanceId, Order, ToAgent, ToInstance};
+use crate::registration_limiter::RegistrationRate;
+use crate::relay::{AddressedMessage, BatchAnswer, Relay, RelaySettings};
+use crate::selector::Attributes;
 use crate::settings::{Key, Value};
-use crate::spread::Pace;
-use crate::{Fleet, Instance, Memory};
+use crate::{Fleet, Instance, PersistedInstance};
 use std::collections::BTreeMap;
 use std::fmt;
 
@@ -36,19 +36,19 @@
     pub(super) relay: Relay,
     pub(super) agent: Option<usize>,
     pub(super) answer: Option<BatchAnswer>,
-    pub(super) lines: Vec<Addressed>,
+    pub(super) lines: Vec<AddressedMessage>,
 }
 
 impl RelayNode {
     pub(super) fn new() -> Self {
-        let rules = RelayRules {
-            lease: 3 * UNIT,
+        let rules = RelaySettings {
+            child_lease: 3 * UNIT,
             answer_timeout: UNIT / 5,
             max_children: 8,
-            pace: Pace {
-                rate: u32::MAX,
+            registration_rate: RegistrationRate {
+                per_second: u32::MAX,
                 burst: u32::MAX,
-                horizon: UNIT,
+                max_delay: UNIT,
             },
         };
         let (agent, answer, lines) = Default::default();
@@ -83,17 +83,18 @@
     pub(super) in_progress: Option<Order>,
     /// The settings in effect, apart from what the state machine reports.
     pub(super) effective: BTreeMap<Key, Value>,
-    pub(super) obeyed: Stamp,
+    pub(super) obeyed: FencingToken,
 }
 
 impl InstanceNode {
     pub(super) fn new(number: usize, relay: usize) -> Self {
-        let who = Who {
+        let who = InstanceId {
             name: format!("i{number}"),
             start: number as u64 + 1,
             incarnation: 1,
         };
-        let machine = Instance::new(0, who, Traits::default(), Memory::default()).max_unanswered(2);
+        let machine = Instance::new(0, who, Attributes::default(), PersistedInstance::default())
+            .with_max_unanswered_reports(2);
         let (request, is_asking, answer, pushes, in_progress, effective, obeyed) =
             Default::default();
         InstanceNode {
@@ -110,7 +111,7 @@
     }
 
     pub(super) fn name(&self) -> &str {
-        &self.machine.who().name
+        &self.machine.id().name
     }
 
     /// The connection to its relay ends.
--- a/crates/control-plane/src/explore/relay_model/transitions.rs
+++ b/crates/control-plane/src/explore/relay_model/transitions.rs
@@ -5,8 +5,8 @@
 use super::state::{AgentNode, RelayModelState, RelayNode, Step};
 use crate::explore::rollout_model::now;
 use crate::protocol::{Outcome, ToAgent, ToInstance};
-use crate::relay::{Addressed, BatchAnswer, RelayOutput};
-use crate::{Action, By, Event, Fleet, Micros, Session, Time};
+use crate::relay::{AddressedMessage, BatchAnswer, RelayAnswer, RelayOutput};
+use crate::{Action, Author, Event, Fleet, Micros, Session, Time};
 use std::collections::BTreeMap;
 
 /// The most lines of a watch that wait; more are dropped.
@@ -73,7 +73,7 @@
                 let next = (self.instances[instance].relay + 1) % self.relays.len();
                 let name = self.instances[instance].name().to_string();
                 self.late
-                    .retain(|(relay, message)| *relay != next || message.who().name != name);
+                    .retain(|(relay, message)| *relay != next || message.sender().name != name);
                 self.instances[instance].relay = next;
                 self.lose_connection(instance);
             }
@@ -92,7 +92,7 @@
 
     /// What a relay has for its instances is in transit from now on.
     fn deliver(&mut self, relay: usize, output: RelayOutput) {
-        for (request, messages) in output.answers {
+        for RelayAnswer { request, messages } in output.answers {
             let instance = usize::try_from(request)
                 .ok()
                 .and_then(|at| self.instances.get_mut(at));
@@ -101,7 +101,7 @@
                 instance.answer.get_or_insert_default().extend(messages);
             }
         }
-        for Addressed { name, message } in output.pushes {
+        for AddressedMessage { name, message } in output.pushes {
             let to = self
                 .instances
                 .iter_mut()
@@ -114,9 +114,9 @@
     }
 
     fn instance_hears(&mut self, at: usize, message: &ToInstance) {
-        let was_in = self.instances[at].machine.session() == Session::In;
+        let was_in = self.instances[at].machine.session() == Session::Registered;
         self.instance(at, Event::Message(message));
-        if was_in && self.instances[at].machine.session() != Session::In {
+        if was_in && self.instances[at].machine.session() != Session::Registered {
             self.violation = Some(format!(
                 "quiet: i{at} leaves its session because of {message:?}"
             ));
@@ -129,9 +129,9 @@
         instance.machine.handle(0, event, 0, &mut actions);
         for action in actions {
             match action {
-                Action::Take(order) => instance.in_progress = Some(order),
+                Action::Apply(order) => instance.in_progress = Some(order),
                 Action::Send(message) => instance.request = Some(message),
-                Action::Keep(_) | Action::Lent(_) | Action::Lists(_) => {}
+                Action::Persist(_) | Action::UseLeases(_) | Action::UseLists(_) => {}
             }
         }
     }
@@ -141,13 +141,13 @@
         let Some(order) = instance.in_progress.take() else {
             return;
         };
-        if order.stamp < instance.obeyed {
-            let (stamp, obeyed) = (order.stamp, instance.obeyed);
+        if order.fencing_token < instance.obeyed {
+            let (stamp, obeyed) = (order.fencing_token, instance.obeyed);
             self.violation = Some(format!("fenced: i{at} obeys {stamp:?} after {obeyed:?}"));
         }
-        instance.obeyed = order.stamp;
+        instance.obeyed = order.fencing_token;
         instance.effective = order.overlay.0;
-        self.instance(at, Event::Taken(Outcome::Applied));
+        self.instance(at, Event::OrderCompleted(Outcome::Applied));
     }
 
     fn agent_receives(&mut self, relay: usize) {
@@ -158,8 +158,8 @@
         };
         let agent = &mut self.agents[at];
         let out = agent.fleet.receive_batch(now(), &batch.messages, 0);
-        agent.save(out.saves);
-        let (answer, others) = BatchAnswer::new(agent.fleet.term(), &batch, out.sends);
+        agent.save(out.records);
+        let (answer, others) = BatchAnswer::new(agent.fleet.term(), &batch, out.messages);
         for (name, _) in answer.accepted() {
             agent.routes.insert(name.to_string(), relay);
         }
@@ -175,7 +175,7 @@
             };
             let relay = &mut self.relays[*relay];
             if relay.agent == Some(agent) && relay.lines.len() < MAX_LINES {
-                relay.lines.push(Addressed { name, message });
+                relay.lines.push(AddressedMessage { name, message });
             }
         }
     }
@@ -225,7 +225,7 @@
             disk: records,
             routes: BTreeMap::new(),
         };
-        agent.save(out.saves);
+        agent.save(out.records);
         if model.stale_agent {
             self.agents.push(agent);
             return;
@@ -250,17 +250,17 @@
 
     fn lose_connection(&mut self, at: usize) {
         self.instances[at].drop_messages();
-        self.instance(at, Event::Lost);
+        self.instance(at, Event::ConnectionLost);
     }
 
     fn push(&mut self, model: &RelayModel) {
         self.is_pushed = true;
         let newest = self.agents.len() - 1;
         let agent = &mut self.agents[newest];
-        let change = model.change(agent.fleet.newest());
-        let (_, out) = agent.fleet.push(now(), change, By::default());
-        agent.save(out.saves);
-        self.send(newest, out.sends);
+        let change = model.change(agent.fleet.newest_revision());
+        let (_, out) = agent.fleet.push(now(), change, Author::default());
+        agent.save(out.records);
+        self.send(newest, out.messages);
     }
 
     /// Time passes until the next deadline, for all alike.
@@ -269,15 +269,18 @@
         let instances = self
             .instances
             .iter()
-            .map(|instance| instance.machine.next());
-        let relays = self.relays.iter().filter_map(|node| node.relay.next());
+            .map(|instance| instance.machine.next_timer());
+        let relays = self
+            .relays
+            .iter()
+            .filter_map(|node| node.relay.next_deadline());
         let next = instances
             .chain(relays)
-            .chain(self.agents[newest].fleet.next(0))
+            .chain(self.agents[newest].fleet.next_deadline(0))
             .min();
         let Some(by) = next else { return };
         for at in 0..self.instances.len() {
-            let is_due = self.instances[at].machine.next() <= by;
+            let is_due = self.instances[at].machine.next_timer() <= by;
             self.instances[at].machine.rebase(by);
             if is_due {
                 self.instance(at, Event::Timer);
@@ -295,7 +298,7 @@
         let agent = &mut self.agents[at];
         let out = agent.fleet.tick(Time { now: by, wall: 0 });
         agent.fleet.rebase(by);
-        agent.save(out.saves);
-        self.send(at, out.sends);
+        agent.save(out.records);
+        self.send(at, out.messages);
     }
 }
--- a/crates/control-plane/src/explore/rollout_model/bounds.rs
+++ b/crates/control-plane/src/explore/rollout_model/bounds.rs
@@ -1,14 +1,14 @@
 //! The bounds of a model: the number of processes, the changes, and the number of faults.
 
 use super::state::Process;
-use crate::change::{Change, What};
-use crate::membership::Leases;
-use crate::policy::{Policy, Share, Then};
-use crate::protocol::Who;
-use crate::selector::{Selector, Traits};
+use crate::change::{Change, Operation};
+use crate::membership::LeaseSettings;
+use crate::policy::{FailureAction, RolloutPolicy, StageSize};
+use crate::protocol::InstanceId;
+use crate::registration_limiter::RegistrationRate;
+use crate::selector::{Attributes, Selector};
 use crate::settings::{Edits, Key, Overlay, Value};
-use crate::spread::Pace;
-use crate::{Instance, Memory, Micros, Rules, Time};
+use crate::{FleetSettings, Instance, Micros, PersistedInstance, Time};
 use std::sync::OnceLock;
 
 /// The unit of all durations in the model. Its real length does not matter.
@@ -26,13 +26,13 @@
     /// The number of changes that are pushed, at most two.
     pub changes: usize,
     /// The waves of each change.
-    pub waves: Vec<Share>,
+    pub waves: Vec<StageSize>,
     /// The most instances with an unanswered order.
     pub at_once: u32,
     /// The most instances that may fail.
     pub failures: u32,
     /// What happens when more fail.
-    pub then: Then,
+    pub then: FailureAction,
     /// The number of times that the agent is killed.
     pub agent_kills: u8,
     /// Whether a killed agent continues beside the new one, with a disk of its own.
@@ -64,10 +64,10 @@
             processes: vec![0, 1],
             refuses: vec![],
             changes: 1,
-            waves: vec![Share::Count(1)],
+            waves: vec![StageSize::Count(1)],
             at_once: 2,
             failures: 0,
-            then: Then::TakeBack,
+            then: FailureAction::RollBack,
             agent_kills: 0,
             stale_agent: false,
             kills: 0,
@@ -83,20 +83,20 @@
     }
 }
 
-pub(in crate::explore) fn rules() -> Rules {
-    Rules {
-        leases: Leases {
-            lease: 2 * UNIT,
-            grace: UNIT,
-            memory: 1_000 * UNIT,
-            most: 8,
+pub(in crate::explore) fn rules() -> FleetSettings {
+    FleetSettings {
+        leases: LeaseSettings {
+            duration: 2 * UNIT,
+            grace_period: UNIT,
+            retention: 1_000 * UNIT,
+            max_members: 8,
         },
-        pace: Pace {
-            rate: u32::MAX,
+        registration_rate: RegistrationRate {
+            per_second: u32::MAX,
             burst: u32::MAX,
-            horizon: UNIT,
+            max_delay: UNIT,
         },
-        every: UNIT,
+        report_interval: UNIT,
     }
 }
 
@@ -122,16 +122,16 @@
             base,
             note: String::new(),
             select: Selector::default(),
-            rollout: Policy {
-                waves: self.waves.clone(),
-                at_once: self.at_once,
-                pause: UNIT,
-                silence: 2 * UNIT,
-                failures: self.failures,
-                then: self.then,
+            rollout: RolloutPolicy {
+                stages: self.waves.clone(),
+                max_in_flight: self.at_once,
+                stage_pause: UNIT,
+                answer_timeout: 2 * UNIT,
+                max_failures: self.failures,
+                on_failure: self.then,
                 gate: None,
             },
-            what: What::Set(edits(number)),
+            operation: Operation::Set(edits(number)),
         }
     }
 
@@ -156,15 +156,16 @@
         name: usize,
         start: u64,
         incarnation: u64,
-        memory: Memory,
+        memory: PersistedInstance,
     ) -> Process {
-        let who = Who {
+        let who = InstanceId {
             name: format!("i{name}"),
             start,
             incarnation,
         };
         let effective = memory.overlay.0.clone();
-        let machine = Instance::new(0, who, Traits::default(), memory.clone()).max_unanswered(1);
+        let machine = Instance::new(0, who, Attributes::default(), memory.clone())
+            .with_max_unanswered_reports(1);
         let (in_progress, last, obeyed, obeyed_term) = Default::default();
         Process {
             name,
--- a/crates/control-plane/src/explore/rollout_model/invariants.rs
+++ b/crates/control-plane/src/explore/rollout_model/invariants.rs
@@ -2,10 +2,10 @@
 
 use super::RolloutModel;
 use super::state::{ModelState, Process};
-use crate::change::What;
-use crate::membership::Presence;
-use crate::protocol::{Outcome, Stamp};
-use crate::rollout::{End, Reason, Step as TargetStep};
+use crate::change::Operation;
+use crate::membership::MemberState;
+use crate::protocol::{FencingToken, Outcome};
+use crate::rollout::{FailureReason, RolloutResult, TargetState as TargetStep};
 use crate::{Fleet, Session};
 
 impl RolloutModel {
@@ -22,7 +22,7 @@
         let fleet = self.fleet(state);
         let possible = self.possible.get_or_init(|| self.all_possible());
         for process in state.processes.iter().map(|process| &process.value) {
-            let who = process.machine.who();
+            let who = process.machine.id();
             let start = who.start;
             if process.effective != process.machine.overlay().0 {
                 return Err(format!(
@@ -36,7 +36,10 @@
                 return Err(format!("whole: start {start} has half of a change"));
             }
             let revision = process.machine.overlay().0.len() as u64;
-            if revision > 0 && process.memory.revision > fleet.newest() && !self.stale_agent {
+            if revision > 0
+                && process.memory.revision > fleet.newest_revision()
+                && !self.stale_agent
+            {
                 let revision = process.memory.revision;
                 return Err(format!(
                     "lasting: start {start} has revision {revision}, which the agent does not know"
@@ -44,8 +47,8 @@
             }
             let in_session = |other: &Process| {
                 other.name == process.name
-                    && other.machine.session() == Session::In
-                    && other.machine.who().incarnation == who.incarnation
+                    && other.machine.session() == Session::Registered
+                    && other.machine.id().incarnation == who.incarnation
             };
             if in_session(process)
                 && state
@@ -66,7 +69,7 @@
             let sent = rollout
                 .targets
                 .values()
-                .filter(|target| target.step == TargetStep::Sent)
+                .filter(|target| target.state == TargetStep::Sent)
                 .count();
             if sent > self.at_once as usize {
                 return Err(format!("waves: {sent} instances are under way at once"));
@@ -75,18 +78,18 @@
                 rollout
                     .targets
                     .values()
-                    .all(|t| t.wave > wave || t.step.is_final())
+                    .all(|t| t.stage > wave || t.state.is_final())
             };
             let begun = |t: &crate::rollout::Target| {
                 !matches!(
-                    t.step,
-                    TargetStep::Pending | TargetStep::Failed(Reason::NotReached)
+                    t.state,
+                    TargetStep::Pending | TargetStep::Failed(FailureReason::NotReached)
                 )
             };
             if rollout
                 .targets
                 .values()
-                .any(|t| t.wave > 0 && begun(t) && !through(t.wave - 1))
+                .any(|t| t.stage > 0 && begun(t) && !through(t.stage - 1))
             {
                 return Err("waves: a wave has begun before the one before it was through".into());
             }
@@ -111,33 +114,33 @@
 
     /// Checks that the agent's record of an answer agrees with the instance.
     fn check_record(&self, fleet: &Fleet, process: &Process) -> Result<(), String> {
-        let who = process.machine.who();
+        let who = process.machine.id();
         let holder = fleet
             .membership()
             .get(&who.name)
             .filter(|member| member.start == who.start);
-        let line = fleet.line(&who.name).filter(|_| holder.is_some());
-        let Some((line, outcome)) = line.and_then(|line| Some((line, line.answer.as_ref()?)))
+        let line = fleet.instance(&who.name).filter(|_| holder.is_some());
+        let Some((line, outcome)) = line.and_then(|line| Some((line, line.outcome.as_ref()?)))
         else {
             return Ok(());
         };
-        let stamp = Stamp {
+        let stamp = FencingToken {
             term: fleet.term(),
-            number: line.number,
+            number: line.last_order_number,
         };
         let said = process
             .machine
             .answer()
-            .filter(|answer| answer.stamp == stamp);
+            .filter(|answer| answer.fencing_token == stamp);
         let Some(said) = said else {
-            let has = process.machine.stamp();
+            let has = process.machine.fencing_token();
             return Err(format!(
                 "true: the agent has recorded that {} {outcome:?} order {stamp:?}, which it has never met: it is at {has:?}",
                 who.name
             ));
         };
-        let held =
-            *outcome != Outcome::Applied || process.machine.holding().overlay == said.overlay;
+        let held = *outcome != Outcome::Applied
+            || process.machine.applied().fingerprint == said.fingerprint;
         if said.outcome != *outcome || !held {
             return Err(format!(
                 "true: the agent has recorded {outcome:?} of {}, which made otherwise of it",
@@ -154,27 +157,28 @@
             return None;
         }
         for process in state.processes.iter().map(|process| &process.value) {
-            let who = process.machine.who();
+            let who = process.machine.id();
             let member = fleet
                 .membership()
                 .get(&who.name)
-                .filter(|m| m.presence == Presence::Alive)?;
+                .filter(|m| m.state == MemberState::Alive)?;
             if process.in_progress.is_some() {
                 return None;
             }
             if member.start != who.start {
                 // Another process holds the name, and this one knows it.
-                let holder = |other: &Process| other.machine.who().start == member.start;
+                let holder = |other: &Process| other.machine.id().start == member.start;
                 let held = state.processes.iter().any(|other| holder(&other.value));
-                if held && process.machine.session() != Session::In {
+                if held && process.machine.session() != Session::Registered {
                     continue;
                 }
                 return None;
             }
-            let line = fleet.line(&who.name)?;
-            if process.machine.session() != Session::In
-                || !fleet.in_line(&who.name)? && !matches!(line.answer, Some(Outcome::Refused(_)))
-                || line.holding.overlay != process.machine.holding().overlay
+            let line = fleet.instance(&who.name)?;
+            if process.machine.session() != Session::Registered
+                || !fleet.has_converged(&who.name)?
+                    && !matches!(line.outcome, Some(Outcome::Refused(_)))
+                || line.applied.fingerprint != process.machine.applied().fingerprint
             {
                 return None;
             }
@@ -185,23 +189,24 @@
     fn check_rest(&self, state: &ModelState, fleet: &Fleet) -> Result<(), String> {
         for entry in fleet.history() {
             let targets = fleet.results(entry.revision).cloned().unwrap_or_default();
-            if let Some((name, target)) = targets.iter().find(|(_, target)| !target.step.is_final())
+            if let Some((name, target)) =
+                targets.iter().find(|(_, target)| !target.state.is_final())
             {
                 return Err(format!(
                     "rest: {} has ended, {name} is {}",
-                    entry.change.id, target.step
+                    entry.change.id, target.state
                 ));
             }
         }
         let Some(last) = fleet.history().last() else {
             return Ok(());
         };
-        let What::Set(edits) = &last.change.what else {
+        let Operation::Set(edits) = &last.change.operation else {
             return Ok(());
         };
         let targets = fleet.results(last.revision).cloned().unwrap_or_default();
         for process in state.processes.iter().map(|process| &process.value) {
-            let who = process.machine.who();
+            let who = process.machine.id();
             let has = edits
                 .iter()
                 .all(|(key, value)| process.effective.get(key) == value.as_ref());
@@ -213,23 +218,26 @@
                 continue;
             };
             let refused = matches!(
-                fleet.line(&who.name).and_then(|l| l.answer.as_ref()),
+                fleet.instance(&who.name).and_then(|l| l.outcome.as_ref()),
                 Some(Outcome::Refused(_))
             );
-            if last.end == End::TakenBack && has {
+            if last.result == RolloutResult::RolledBack && has {
                 return Err(format!(
                     "rest: {} was taken back and {} still has it",
                     last.change.id, who.name
                 ));
             }
-            if last.end != End::TakenBack && target.step == TargetStep::Applied && !has && !refused
+            if last.result != RolloutResult::RolledBack
+                && target.state == TargetStep::Applied
+                && !has
+                && !refused
             {
                 return Err(format!(
                     "rest: {} is recorded as applied and {} does not have it",
                     last.change.id, who.name
                 ));
             }
-            if matches!(target.step, TargetStep::Refused(_)) && has {
+            if matches!(target.state, TargetStep::Refused(_)) && has {
                 return Err(format!(
                     "rest: {} is recorded as refused and {} has it",
                     last.change.id, who.name
--- a/crates/control-plane/src/explore/rollout_model/mod.rs
+++ b/crates/control-plane/src/explore/rollout_model/mod.rs
@@ -43,7 +43,7 @@
 pub use step::Step;
 
 use super::Model;
-use crate::{By, Event, Fleet, InjectedBug, Memory, is_injected};
+use crate::{Author, Event, Fleet, InjectedBug, PersistedInstance, is_injected};
 pub(super) use bounds::{UNIT, now, rules};
 use foldhash::quality::FixedState;
 use hashed::Hashed;
@@ -72,7 +72,12 @@
             .iter()
             .map(|name| {
                 starts[*name] += 1;
-                Hashed::<Process>::new(self.process(*name, starts[*name], 1, Memory::default()))
+                Hashed::<Process>::new(self.process(
+                    *name,
+                    starts[*name],
+                    1,
+                    PersistedInstance::default(),
+                ))
             })
             .collect();
         let mut state = ModelState {
@@ -150,7 +155,7 @@
             let ticks = |agent: &usize| {
                 state.agents[*agent]
                     .fleet
-                    .next(0)
+                    .next_deadline(0)
                     .is_some_and(|at| at < 100 * UNIT)
             };
             steps.extend((0..=newest).filter(ticks).map(Step::AgentTick));
@@ -161,7 +166,7 @@
         for change in 0..self.changes {
             let accepted = state.accepted.iter().any(|accepted| accepted.0 == change);
             if !accepted {
-                let current = self.fleet(state).newest();
+                let current = self.fleet(state).newest_revision();
                 let stale = (current > 0 && state.remaining.repeats > 0).then_some(0);
                 for base in [Some(current), stale].into_iter().flatten() {
                     steps.push(Step::Push { change, base });
@@ -203,7 +208,7 @@
             }
             Step::AgentTick(agent) => {
                 state.remaining.agent_ticks -= 1;
-                if let Some(by) = state.agents[*agent].fleet.next(0) {
+                if let Some(by) = state.agents[*agent].fleet.next_deadline(0) {
                     self.agent_tick(&mut state, *agent, by);
                 }
             }
@@ -219,7 +224,7 @@
             }
             Step::KillUnsaved(change) => {
                 state.remaining.agent_kills -= 1;
-                let base = self.fleet(&state).newest();
+                let base = self.fleet(&state).newest_revision();
                 self.push(&mut state, *change, base, false);
                 self.kill_agent(&mut state);
             }
@@ -233,7 +238,7 @@
             }
             Step::Push { change, base } => {
                 if state.accepted.iter().any(|accepted| accepted.0 == *change)
-                    || *base < self.fleet(&state).newest()
+                    || *base < self.fleet(&state).newest_revision()
                 {
                     state.remaining.repeats -= 1;
                 }
@@ -245,8 +250,8 @@
                 let mut fleet = (*state.agents[agent].fleet).clone();
                 let id = format!("c{change}");
                 let (_, out) = match step {
-                    Step::Stop(_) => fleet.stop(now(), &id, &By::default()),
-                    _ => fleet.undo(now(), &id, By::default()),
+                    Step::Stop(_) => fleet.stop(now(), &id, &Author::default()),
+                    _ => fleet.undo(now(), &id, Author::default()),
                 };
                 self.commit(&mut state, agent, fleet, out);
             }
@@ -256,13 +261,13 @@
                 let timers = state
                     .processes
                     .iter()
-                    .map(|process| process.value.machine.next());
-                let Some(by) = timers.chain(fleet.next(0)).min() else {
+                    .map(|process| process.value.machine.next_timer());
+                let Some(by) = timers.chain(fleet.next_deadline(0)).min() else {
                     return state;
                 };
                 for at in 0..state.processes.len() {
                     let mut process = (*state.processes[at].value).clone();
-                    let due = process.machine.next() <= by;
+                    let due = process.machine.next_timer() <= by;
                     process.machine.rebase(by);
                     state.processes[at] = Hashed::new(process);
                     if due {
--- a/crates/control-plane/src/explore/rollout_model/packet.rs
+++ b/crates/control-plane/src/explore/rollout_model/packet.rs
@@ -1,7 +1,7 @@
 //! Messages in transit between the agent and the instances.
 
 use super::hashed::hash_of;
-use crate::protocol::{Outcome, Stamp, ToAgent, ToInstance, Who};
+use crate::protocol::{FencingToken, InstanceId, Outcome, ToAgent, ToInstance};
 use std::fmt;
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -23,14 +23,14 @@
                 message: ToAgent::Register(mut registration),
                 ..
             } => {
-                registration.who.name.clear();
+                registration.id.name.clear();
                 hash_of(registration)
             }
             Packet::Up {
                 message: ToAgent::Report(mut report),
                 ..
             } => {
-                report.who.name.clear();
+                report.id.name.clear();
                 hash_of(report)
             }
             Packet::Down { message, .. } => hash_of(message),
@@ -53,11 +53,11 @@
                 message: ToAgent::Register(registration),
                 ..
             } => {
-                let Who {
+                let InstanceId {
                     name,
                     start,
                     incarnation,
-                } = &registration.who;
+                } = &registration.id;
                 write!(
                     f,
                     "{name} (start {start}, incarnation {incarnation}) -> agent: I want to be known"
@@ -67,14 +67,14 @@
                 message: ToAgent::Report(report),
                 ..
             } => {
-                let Who { name, start, .. } = &report.who;
+                let InstanceId { name, start, .. } = &report.id;
                 write!(
                     f,
                     "{name} (start {start}) -> agent: I have revision {}",
-                    report.holding.revision
+                    report.applied.revision
                 )?;
                 report.answer.as_ref().map_or(Ok(()), |a| {
-                    let Stamp { term, number } = a.stamp;
+                    let FencingToken { term, number } = a.fencing_token;
                     write!(
                         f,
                         ", {} order {term}.{number} (revision {})",
@@ -94,7 +94,7 @@
                         )
                     }
                     ToInstance::Order(o) => {
-                        let Stamp { term, number } = o.stamp;
+                        let FencingToken { term, number } = o.fencing_token;
                         write!(
                             f,
                             "order {term}.{number} for start {}: have revision {}",
--- a/crates/control-plane/src/explore/rollout_model/shipped.rs
+++ b/crates/control-plane/src/explore/rollout_model/shipped.rs
@@ -1,7 +1,7 @@
 //! The models that are explored in each test run, and larger ones.
 
 use super::RolloutModel;
-use crate::policy::Then;
+use crate::policy::FailureAction;
 
 /// The models that are explored in each test run.
 pub fn rollout_models() -> Vec<RolloutModel> {
@@ -49,7 +49,7 @@
         RolloutModel {
             name: "one instance refuses, stopped",
             refuses: vec![1],
-            then: Then::Stop,
+            then: FailureAction::Stop,
             late: 1,
             ..usual()
         },
--- a/crates/control-plane/src/explore/rollout_model/state.rs
+++ b/crates/control-plane/src/explore/rollout_model/state.rs
@@ -4,8 +4,8 @@
 use super::packet::Packet;
 use crate::change::Change;
 use crate::fleet::Record;
-use crate::instance::Memory;
-use crate::protocol::{Order, Stamp, ToAgent};
+use crate::instance::PersistedInstance;
+use crate::protocol::{FencingToken, Order, ToAgent};
 use crate::settings::{Fingerprint, Key, Value};
 use crate::{Fleet, Instance};
 use std::collections::BTreeMap;
@@ -69,7 +69,7 @@
                     key,
                     rollout.revision,
                     rollout.phase,
-                    rollout.back_revision,
+                    rollout.rollback_revision,
                 )));
             }
             (record, None) => common.push(hash_of((key, record))),
@@ -85,10 +85,10 @@
     /// The settings in effect, apart from what the state machine reports.
     pub(super) effective: BTreeMap<Key, Value>,
     pub(super) in_progress: Option<Order>,
-    pub(super) memory: Memory,
+    pub(super) memory: PersistedInstance,
     /// The last order that was carried out.
     pub(super) last: Option<(String, u64, Fingerprint)>,
-    pub(super) obeyed: Stamp,
+    pub(super) obeyed: FencingToken,
     pub(super) obeyed_term: u64,
 }
 
@@ -116,15 +116,15 @@
             Packet::Up {
                 message: ToAgent::Register(registration),
                 ..
-            } => registration.who.start,
+            } => registration.id.start,
             Packet::Up {
                 message: ToAgent::Report(report),
                 ..
-            } => report.who.start,
+            } => report.id.start,
             Packet::Down { message, .. } => message.start(),
         };
         let to = |process: &Hashed<Process>| {
-            process.value.name == packet.name() && process.value.machine.who().start == start
+            process.value.name == packet.name() && process.value.machine.id().start == start
         };
         if let Some(at) = self.processes.iter().position(to) {
             let hash = packet.hash_without_name();
--- a/crates/control-plane/src/explore/rollout_model/transitions.rs
+++ b/crates/control-plane/src/explore/rollout_model/transitions.rs
@@ -6,20 +6,27 @@
 use super::packet::Packet;
 use super::state::{Agent, ModelState};
 use crate::fleet::Record;
-use crate::protocol::{Outcome, Report, ToAgent, ToInstance, Who};
+use crate::protocol::{InstanceId, Outcome, Report, ToAgent, ToInstance};
 use crate::{
-    Action, By, Event, Fleet, InjectedBug, Memory, Micros, Output, Problem, Time, is_injected,
+    Action, Author, Event, Fleet, FleetOutput, InjectedBug, Micros, PersistedInstance, Problem,
+    Time, is_injected,
 };
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 impl RolloutModel {
     /// Stores the records of an agent, and sends its messages.
-    pub(super) fn commit(&self, state: &mut ModelState, agent: usize, fleet: Fleet, out: Output) {
+    pub(super) fn commit(
+        &self,
+        state: &mut ModelState,
+        agent: usize,
+        fleet: Fleet,
+        out: FleetOutput,
+    ) {
         let mut disk = Arc::clone(&state.agents[agent].disk);
-        if !out.saves.is_empty() {
+        if !out.records.is_empty() {
             let disk = Arc::make_mut(&mut disk);
-            for (key, record) in out.saves {
+            for (key, record) in out.records {
                 match record {
                     Some(record) => disk.insert(key, record),
                     None => disk.remove(&key),
@@ -27,7 +34,7 @@
             }
         }
         state.agents[agent] = Agent::new(fleet, disk, Some(&state.agents[agent]), self.names());
-        self.send_down(state, out.sends);
+        self.send_down(state, out.messages);
     }
 
     fn send_down(&self, state: &mut ModelState, sends: Vec<(String, ToInstance)>) {
@@ -63,11 +70,11 @@
         let name = process.name;
         for action in actions {
             match action {
-                Action::Keep(memory) => process.memory = memory,
-                Action::Take(order) => process.in_progress = Some(order),
+                Action::Persist(memory) => process.memory = memory,
+                Action::Apply(order) => process.in_progress = Some(order),
                 Action::Send(message) => state.insert(Packet::Up { name, message }),
                 // This model has no fleet-wide limits and no lists: see `lease_model`.
-                Action::Lent(_) | Action::Lists(_) => {}
+                Action::UseLeases(_) | Action::UseLists(_) => {}
             }
         }
         state.processes[at] = Hashed::new(process);
@@ -81,27 +88,27 @@
         };
         let fingerprint = order.overlay.fingerprint();
         let this = Some((order.change.clone(), order.revision, fingerprint));
-        let start = process.machine.who().start;
+        let start = process.machine.id().start;
         if process.last == this {
             state.violation = Some(format!(
                 "once: start {start} carries {} out twice",
                 order.change
             ));
         }
-        if order.stamp < process.obeyed {
+        if order.fencing_token < process.obeyed {
             state.violation = Some(format!(
                 "fenced: start {start} obeys {:?} after {:?}",
-                order.stamp, process.obeyed
+                order.fencing_token, process.obeyed
             ));
         }
-        if order.stamp.term < process.obeyed_term {
-            let (term, after) = (order.stamp.term, process.obeyed_term);
+        if order.fencing_token.term < process.obeyed_term {
+            let (term, after) = (order.fencing_token.term, process.obeyed_term);
             state.violation = Some(format!(
                 "fenced: start {start} obeys term {term} after term {after}"
             ));
         }
-        (process.last, process.obeyed) = (this, order.stamp);
-        process.obeyed_term = process.obeyed_term.max(order.stamp.term);
+        (process.last, process.obeyed) = (this, order.fencing_token);
+        process.obeyed_term = process.obeyed_term.max(order.fencing_token.term);
         let refused = self.refuses.contains(&process.name) && !order.overlay.0.is_empty();
         let outcome = if refused {
             if is_injected(InjectedBug::ApplyPartially)
@@ -119,7 +126,7 @@
             Outcome::Applied
         };
         state.processes[at] = Hashed::new(process);
-        self.instance(state, at, Event::Taken(outcome));
+        self.instance(state, at, Event::OrderCompleted(outcome));
     }
 
     pub(super) fn deliver(&self, state: &mut ModelState, packet: &Packet, agent: usize) {
@@ -127,9 +134,9 @@
             Packet::Up { message, .. } => {
                 let mut fleet = (*state.agents[agent].fleet).clone();
                 let out = fleet.receive(now(), message, 0);
-                if let ToAgent::Report(Report { who, .. }) = message
+                if let ToAgent::Report(Report { id: who, .. }) = message
                     && out
-                        .sends
+                        .messages
                         .iter()
                         .any(|(_, message)| matches!(message, ToInstance::Renewed { .. }))
                     && fleet
@@ -137,7 +144,7 @@
                         .get(&who.name)
                         .is_none_or(|member| member.start != who.start)
                 {
-                    let Who { name, start, .. } = who;
+                    let InstanceId { name, start, .. } = who;
                     state.violation = Some(format!(
                         "one name: start {start} is heard as {name}, which another one holds"
                     ));
@@ -157,7 +164,7 @@
 
     pub(super) fn instance_tick(&self, state: &mut ModelState, at: usize) {
         let mut process = (*state.processes[at].value).clone();
-        process.machine.rebase(process.machine.next());
+        process.machine.rebase(process.machine.next_timer());
         state.processes[at] = Hashed::new(process);
         self.instance(state, at, Event::Timer);
     }
@@ -184,17 +191,17 @@
 
     pub(super) fn kill(&self, state: &mut ModelState, at: usize, keeps: bool, backwards: bool) {
         let former = Arc::clone(&state.processes[at].value);
-        let start = former.machine.who().start;
+        let start = former.machine.id().start;
         state.starts[former.name] += 1;
         let incarnation = if backwards {
             1
         } else {
-            former.machine.who().incarnation + 1
+            former.machine.id().incarnation + 1
         };
         let memory = if keeps {
             former.memory.clone()
         } else {
-            Memory::default()
+            PersistedInstance::default()
         };
         let mut process = self.process(former.name, state.starts[former.name], incarnation, memory);
         process.obeyed_term = if keeps { former.obeyed_term } else { 0 };
@@ -216,9 +223,9 @@
             .clone()
             .unwrap_or_else(|| self.change(change, base));
         let mut fleet = (*state.agents[agent].fleet).clone();
-        let (done, out) = fleet.push(now(), document.clone(), By::default());
+        let (done, out) = fleet.push(now(), document.clone(), Author::default());
         if !save {
-            return self.send_down(state, out.sends);
+            return self.send_down(state, out.messages);
         }
         self.commit(state, agent, fleet, out);
         if let Ok(accepted) = done {
--- a/crates/control-plane/src/fleet/explored.rs
+++ b/crates/control-plane/src/fleet/explored.rs
@@ -1,4 +1,4 @@
-//! What the explorer needs of the agent: hashes of its state, and a way to set its clock back.
+//! What the explorer needs of the agent: hashes of its state, and an operation that sets its clock back.
 
 use super::Fleet;
 use crate::Micros;
@@ -16,12 +16,12 @@
         }
         let Fleet {
             term,
-            stood_down,
-            newest,
+            superseded_by,
+            newest_revision,
             history,
-            noted_phase,
-            highest_number,
-            spread,
+            reported_phase,
+            highest_order_number,
+            registrations,
             ..
         } = self;
         let layers = self.layers.0.iter().map(|layer| {
@@ -33,34 +33,34 @@
             let Rollout {
                 change,
                 revision,
-                back_revision,
+                rollback_revision,
                 by,
                 phase,
-                why,
-                watch,
+                reason,
+                observation,
                 targets,
                 ..
             } = rollout;
             (
                 change,
                 revision,
-                back_revision,
+                rollback_revision,
                 by,
                 phase,
-                why,
-                watch,
+                reason,
+                observation,
                 targets.len(),
             )
         });
         let layers: Vec<Layer> = layers.collect();
         let common = hash((
             term,
-            stood_down,
-            newest,
+            superseded_by,
+            newest_revision,
             history,
-            noted_phase,
-            highest_number,
-            spread,
+            reported_phase,
+            highest_order_number,
+            registrations,
             layers,
             head,
         ));
@@ -96,7 +96,7 @@
 
     pub(crate) fn rebase(&mut self, by: Micros) {
         self.membership.rebase(by);
-        self.spread.rebase(by);
+        self.registrations.rebase(by);
         self.rollout
             .iter_mut()
             .for_each(|rollout| rollout.rebase(by));
--- a/crates/control-plane/src/fleet/limits.rs
+++ b/crates/control-plane/src/fleet/limits.rs
@@ -1,8 +1,8 @@
 //! The lease server of fleet-wide limits.
 
-use super::note::Note;
-use super::record::Record;
-use super::{Fleet, Output, Time};
+use super::event::FleetEvent;
+use super::record::{LEASE_DURATION_KEY, Record};
+use super::{Fleet, FleetOutput, Time};
 use crate::fleet_limits::{FleetLimitSettings, FleetLimits};
 use madderloom_quota_leases::{LeaseServer, ServerId};
 
@@ -14,8 +14,8 @@
         time: Time,
         settings: FleetLimitSettings,
         id: u64,
-    ) -> Output {
-        let mut out = Output::default();
+    ) -> FleetOutput {
+        let mut out = FleetOutput::default();
         if settings.limits.is_empty() && self.outstanding_duration == 0 {
             return out;
         }
@@ -29,39 +29,41 @@
             id,
             settings,
             self.outstanding_duration,
-            self.rules.every,
+            self.settings.report_interval,
         );
         fleet_limits.apply_layers(time.now, &self.layers);
         self.fleet_limits = Some(Box::new(fleet_limits));
         // The next start must wait for the leases of this one and of those before it.
         self.outstanding_duration = self.outstanding_duration.max(duration);
-        out.saves.insert(
-            "lending".into(),
-            Some(Record::LeaseDuration(self.outstanding_duration)),
-        );
+        self.save_outstanding_duration(&mut out);
         out
     }
 
     /// The lease server; none where there is no fleet-wide limit, or where a later agent has taken over.
-    pub fn lender(&self) -> Option<&LeaseServer> {
+    pub fn lease_server(&self) -> Option<&LeaseServer> {
         self.fleet_limits
             .as_ref()
             .map(|fleet_limits| &fleet_limits.server)
     }
 
-    pub(super) fn collect_lease_notes(&mut self, out: &mut Output) {
+    /// Moves the events of the lease server into an output.
+    pub(super) fn collect_lease_events(&mut self, out: &mut FleetOutput) {
         let Some(fleet_limits) = &mut self.fleet_limits else {
             return;
         };
-        let (notes, recovered) = fleet_limits.notes();
-        if recovered && self.outstanding_duration != fleet_limits.lease_duration() {
+        let events = fleet_limits.take_events();
+        let duration = fleet_limits.lease_duration();
+        out.events
+            .extend(events.events.into_iter().map(FleetEvent::Leases));
+        if events.has_recovered && self.outstanding_duration != duration {
             // Leases of a longer duration have expired.
-            self.outstanding_duration = fleet_limits.lease_duration();
-            out.saves.insert(
-                "lending".into(),
-                Some(Record::LeaseDuration(self.outstanding_duration)),
-            );
+            self.outstanding_duration = duration;
+            self.save_outstanding_duration(out);
         }
-        out.notes.extend(notes.into_iter().map(Note::Leases));
+    }
+
+    fn save_outstanding_duration(&self, out: &mut FleetOutput) {
+        let record = Record::LeaseDuration(self.outstanding_duration);
+        out.save(LEASE_DURATION_KEY, record);
     }
 }
--- a/crates/control-plane/src/fleet/registry.rs
+++ b/crates/control-plane/src/fleet/registry.rs
@@ -1,119 +1,120 @@
 //! Registration and reports of instances.
 
-use super::note::Note;
+use super::event::FleetEvent;
 use super::orders::InstanceState;
-use super::record::Record;
-use super::{Fleet, Output, Time};
-use crate::membership::{Presence, Registered, Renewed};
-use crate::protocol::{Register, Report, ToInstance, Welcome, Who};
+use super::record::{Record, member_key};
+use super::{Fleet, FleetOutput, Time};
+use crate::membership::{MemberState, NameHeld, RegistrationOutcome, RenewalOutcome};
+use crate::protocol::{InstanceId, Register, Report, ToInstance, Welcome};
 use std::collections::BTreeSet;
 
-/// The way on which a registration has come.
+/// How a registration is admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Admission {
-    /// From the instance itself, after a handshake of its own: admitted at the agent's pace.
-    Paced,
-    /// Through a relay, which keeps a pace of its own: admitted at once.
+    /// It comes from the instance itself, after a handshake of its own: the agent limits the rate.
+    RateLimited,
+    /// It comes through a relay, which limits the rate itself: the agent admits it at once.
     Relayed,
 }
 
 impl Fleet {
+    /// Handles a registration. One with invalid fields is dropped.
     pub(super) fn register(
         &mut self,
         time: Time,
         registration: &Register,
         admission: Admission,
         jitter: u64,
-        out: &mut Output,
+        out: &mut FleetOutput,
     ) {
-        let Who { name, start, .. } = &registration.who;
-        if registration
-            .who
-            .check()
-            .and_then(|()| registration.traits.check())
-            .is_err()
-        {
+        let id = &registration.id;
+        let checked = id.check().and_then(|()| registration.attributes.check());
+        if checked.is_err() {
             return;
         }
         self.observe_term(registration.term, out);
-        let (start, term, every) = (*start, self.term, self.rules.every);
-        if admission == Admission::Paced
-            && let Err(again) = self.spread.admit(time.now, name, jitter)
+        let start = id.start;
+        if admission == Admission::RateLimited
+            && let Err(retry_after) = self.registrations.admit(time.now, &id.name, jitter)
         {
-            return out
-                .sends
-                .push((name.clone(), ToInstance::Later { start, again }));
+            return out.send(&id.name, ToInstance::RetryLater { start, retry_after });
         }
-        let known = self.membership.len();
+        let members_before = self.membership.len();
         let answer = match self.membership.register(time.now, registration) {
-            Registered::Welcome { incarnation, new } => {
-                if new {
-                    // A stamp is never used twice within a term: a start may lose its name and win it back.
-                    let former = self
-                        .instances
-                        .get(name)
-                        .map_or(0, |instance| instance.number);
-                    let number = former.max(self.highest_number);
-                    self.instances.insert(
-                        name.clone(),
-                        InstanceState {
-                            number,
-                            ..InstanceState::default()
-                        },
-                    );
+            RegistrationOutcome::Accepted {
+                incarnation,
+                is_new,
+            } => {
+                if is_new {
+                    self.reset_instance(&id.name);
                 }
-                if self.membership.len() <= known && new {
+                if is_new && self.membership.len() <= members_before {
                     self.forget_instances_without_member(out);
                 }
-                if let Some(member) = self.membership.get(name) {
-                    out.saves.insert(
-                        format!("member/{name}"),
-                        Some(Record::Member(member.persisted())),
-                    );
-                }
-                out.notes
-                    .push(Note::Presence(name.clone(), Presence::Joining));
-                let spread = self.spread.span(self.membership.len());
-                ToInstance::Welcome(Welcome {
-                    start,
-                    incarnation,
-                    term,
-                    every,
-                    spread,
-                })
+                self.welcome(id, incarnation, out)
             }
-            Registered::Superseded { by, again } => {
-                out.notes
-                    .push(Note::Rival(name.clone(), registration.who.incarnation, by));
-                ToInstance::Superseded { start, by, again }
-            }
-            Registered::Full => ToInstance::Later {
+            RegistrationOutcome::Superseded(held) => reject_name(id, held, out),
+            RegistrationOutcome::Full => ToInstance::RetryLater {
                 start,
-                again: self.rules.pace.horizon,
+                retry_after: self.settings.registration_rate.max_delay,
             },
         };
-        out.sends.push((name.clone(), answer));
+        out.send(&id.name, answer);
+    }
+
+    /// Forgets what is known of an instance but the number of its last order: a fencing token is never used twice
+    /// within a term, since a start may lose its name and win it back.
+    fn reset_instance(&mut self, name: &str) {
+        let former_number = self
+            .instances
+            .get(name)
+            .map_or(0, |instance| instance.last_order_number);
+        let state = InstanceState {
+            last_order_number: former_number.max(self.highest_order_number),
+            ..InstanceState::default()
+        };
+        self.instances.insert(name.to_string(), state);
+    }
+
+    /// Saves a member that was accepted. Returns the answer to its registration.
+    fn welcome(&self, id: &InstanceId, incarnation: u64, out: &mut FleetOutput) -> ToInstance {
+        if let Some(member) = self.membership.get(&id.name) {
+            out.save(member_key(&id.name), Record::Member(member.persisted()));
+        }
+        out.events.push(FleetEvent::MemberState {
+            name: id.name.clone(),
+            state: MemberState::Joining,
+        });
+        ToInstance::Welcome(Welcome {
+            start: id.start,
+            incarnation,
+            term: self.term,
+            report_interval: self.settings.report_interval,
+            reconnect_window: self.registrations.reconnect_window(self.membership.len()),
+        })
     }
 
-    /// Drops the state and the record of each name that was forgotten to make room.
-    fn forget_instances_without_member(&mut self, out: &mut Output) {
-        let (membership, highest_number) = (&self.membership, &mut self.highest_number);
+    /// Drops the state and the record of each member that was forgotten to make room.
+    fn forget_instances_without_member(&mut self, out: &mut FleetOutput) {
+        let membership = &self.membership;
+        let highest_order_number = &mut self.highest_order_number;
         self.instances.retain(|name, instance| {
-            let known = membership.get(name).is_some();
-            if !known {
-                *highest_number = instance.number.max(*highest_number);
-                out.saves.insert(format!("member/{name}"), None);
+            let is_member = membership.get(name).is_some();
+            if !is_member {
+                *highest_order_number = instance.last_order_number.max(*highest_order_number);
+                out.delete(member_key(name));
             }
-            known
+            is_member
         });
     }
 
-    /// Records a term that an instance knows. The agent stands down where it is a later one.
-    pub(super) fn observe_term(&mut self, term: u64, out: &mut Output) {
-        if term > self.term && self.stood_down.is_none_or(|known| known < term) {
-            self.stood_down = Some(term);
+    /// Records a term that an instance or a relay knows. A later term than the agent's own supersedes the agent: it
+    /// issues no more orders and no more leases.
+    pub(super) fn observe_term(&mut self, term: u64, out: &mut FleetOutput) {
+        if term > self.term && self.superseded_by.is_none_or(|known| known < term) {
+            self.superseded_by = Some(term);
             self.fleet_limits = None;
-            out.notes.push(Note::StoodDown(term));
+            out.events.push(FleetEvent::Superseded { term });
         }
     }
 
@@ -122,12 +123,12 @@
         &mut self,
         time: Time,
         reports: impl IntoIterator<Item = &'a Report>,
-        out: &mut Output,
+        out: &mut FleetOutput,
     ) {
         let reporters: Vec<&str> = reports
             .into_iter()
             .filter(|report| self.accept_report(time, report, out))
-            .map(|report| report.who.name.as_str())
+            .map(|report| report.id.name.as_str())
             .collect();
         if reporters.is_empty() {
             return;
@@ -135,66 +136,92 @@
         self.advance(time, out);
         // The rollout may have sent orders just now.
         let is_order = |message: &ToInstance| matches!(message, ToInstance::Order(_));
-        let ordered = out.sends.iter().filter(|(_, message)| is_order(message));
-        let ordered: BTreeSet<String> = ordered.map(|(name, _)| name.clone()).collect();
-        for name in reporters
-            .into_iter()
-            .filter(|name| !ordered.contains(*name))
-        {
-            self.send_order(name, out);
+        let ordered: BTreeSet<String> = out
+            .messages
+            .iter()
+            .filter(|(_, message)| is_order(message))
+            .map(|(name, _)| name.clone())
+            .collect();
+        for name in reporters {
+            if !ordered.contains(name) {
+                self.send_order(name, out);
+            }
         }
     }
 
     /// Records a report, and renews the lease of the instance. Returns whether the instance holds its name.
-    fn accept_report(&mut self, time: Time, report: &Report, out: &mut Output) -> bool {
-        let Who { name, start, .. } = &report.who;
-        let start = *start;
-        if report.who.check().is_err() {
+    fn accept_report(&mut self, time: Time, report: &Report, out: &mut FleetOutput) -> bool {
+        let id = &report.id;
+        if id.check().is_err() {
             return false;
         }
         self.observe_term(report.term, out);
-        let was = match self.membership.renew(time.now, &report.who) {
-            Renewed::Renewed(was) => was,
-            Renewed::Unknown => {
-                out.sends
-                    .push((name.clone(), ToInstance::Unknown { start }));
+        let former_state = match self.membership.renew(time.now, id) {
+            RenewalOutcome::Renewed(former_state) => former_state,
+            RenewalOutcome::NotRegistered => {
+                out.send(&id.name, ToInstance::NotRegistered { start: id.start });
                 return false;
             }
-            Renewed::Superseded { by, again } => {
-                out.notes
-                    .push(Note::Rival(name.clone(), report.who.incarnation, by));
-                out.sends
-                    .push((name.clone(), ToInstance::Superseded { start, by, again }));
+            RenewalOutcome::Superseded(held) => {
+                let answer = reject_name(id, held, out);
+                out.send(&id.name, answer);
                 return false;
             }
         };
-        if was != Presence::Alive {
-            out.notes
-                .push(Note::Presence(name.clone(), Presence::Alive));
+        if former_state != MemberState::Alive {
+            out.events.push(FleetEvent::MemberState {
+                name: id.name.clone(),
+                state: MemberState::Alive,
+            });
         }
-        out.sends.push((
-            name.clone(),
-            ToInstance::Renewed {
-                start,
-                term: self.term,
-            },
-        ));
-        if let Some(fleet_limits) = &mut self.fleet_limits {
-            let zone = self
-                .membership
-                .get(name)
-                .map_or("", |member| &member.traits.zone);
-            let grant = fleet_limits.handle_report(time.now, zone, report);
-            out.sends
-                .extend(grant.map(|grant| (name.clone(), ToInstance::Lent(grant))));
-            self.collect_lease_notes(out);
+        let renewed = ToInstance::Renewed {
+            start: id.start,
+            term: self.term,
+        };
+        out.send(&id.name, renewed);
+        self.grant_leases(time, report, out);
+        self.record_state(report, out);
+        true
+    }
+
+    /// Grants the leases of fleet-wide limits that a report requests.
+    fn grant_leases(&mut self, time: Time, report: &Report, out: &mut FleetOutput) {
+        let Some(fleet_limits) = &mut self.fleet_limits else {
+            return;
+        };
+        let name = &report.id.name;
+        let zone = self
+            .membership
+            .get(name)
+            .map_or("", |member| &member.attributes.zone);
+        if let Some(grant) = fleet_limits.handle_report(time.now, zone, report) {
+            out.send(name, ToInstance::LeaseGrant(grant));
         }
+        self.collect_lease_events(out);
+    }
+
+    /// Records the state of an instance, and the answer to its last order.
+    fn record_state(&mut self, report: &Report, out: &mut FleetOutput) {
+        let name = &report.id.name;
         let instance = self.instances.entry(name.clone()).or_default();
-        instance.holding = report.holding.clone();
+        instance.applied = report.applied.clone();
         instance.counts = report.counts;
         if let Some(answer) = &report.answer {
             self.record_answer(name, answer, out);
         }
-        true
+    }
+}
+
+/// Logs that a start was rejected because another one holds its name. Returns the answer to it.
+fn reject_name(id: &InstanceId, held: NameHeld, out: &mut FleetOutput) -> ToInstance {
+    out.events.push(FleetEvent::NameConflict {
+        name: id.name.clone(),
+        rejected_incarnation: id.incarnation,
+        holder_incarnation: held.holder_incarnation,
+    });
+    ToInstance::Superseded {
+        start: id.start,
+        holder_incarnation: held.holder_incarnation,
+        retry_after: held.retry_after,
     }
 }
--- a/crates/control-plane/src/fleet/declined.rs
+++ b/crates/control-plane/src/fleet/rejection.rs
@@ -1,9 +1,9 @@
-//! The answers to an operator: a change was accepted, or the reason why it was declined.
+//! The answers to an operator: a change was accepted, or the reason why it was rejected.
 
 use crate::Problem;
-use crate::author::By;
-use crate::change::{Change, What};
-use crate::rollout::End;
+use crate::author::Author;
+use crate::change::{Change, Operation};
+use crate::rollout::RolloutResult;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
@@ -12,15 +12,15 @@
 pub struct Accepted {
     /// The id of the change.
     pub id: String,
-    /// The revision that it makes, or that undoing it makes.
+    /// The revision that the change makes, or that undoing it makes.
     pub revision: u64,
     /// Whether the request repeats an earlier one.
     pub repeat: bool,
 }
 
-/// This agent gives no orders any more.
+/// A later agent has taken over: this one issues no more orders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StandDown {
+pub struct SupersededBy {
     /// The term of the later agent.
     pub term: u64,
 }
@@ -28,7 +28,7 @@
 /// Why a change was not accepted. Nothing has changed then.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Declined {
+pub enum Rejection {
     /// The change is invalid.
     Invalid(Vec<Problem>),
     /// The change was made on a revision that is no longer the newest.
@@ -38,7 +38,7 @@
         /// The newest revision.
         newest: u64,
         /// The changes since then, oldest first.
-        since: Vec<Since>,
+        since: Vec<InterveningChange>,
         /// Whether there were more changes, which are no longer remembered.
         more: bool,
     },
@@ -47,7 +47,7 @@
         /// The id of its change.
         id: String,
         /// Who pushed it.
-        by: By,
+        by: Author,
     },
     /// The id was used for another change.
     IdUsed {
@@ -57,78 +57,80 @@
     /// There is no change of that name, or it can no longer be stopped or undone.
     Impossible(String),
     /// A later agent has taken over.
-    StoodDown(StandDown),
+    #[serde(rename = "stood_down")]
+    Superseded(SupersededBy),
 }
 
-/// A change that was made in between.
+/// A change that was made since the revision that another one is based on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Since {
+pub struct InterveningChange {
     /// The revision that it made.
     pub revision: u64,
     /// Its id.
     pub id: String,
     /// Who pushed it, and when.
-    pub by: By,
+    pub by: Author,
     /// How it ended; none while it is rolled out.
-    pub end: Option<End>,
+    #[serde(rename = "end")]
+    pub result: Option<RolloutResult>,
     /// What it set, one line each.
     pub difference: Vec<String>,
 }
 
-impl fmt::Display for Declined {
+impl fmt::Display for Rejection {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Declined::Invalid(problems) => {
+            Rejection::Invalid(problems) => {
                 let lines: Vec<String> = problems.iter().map(Problem::to_string).collect();
                 f.write_str(&lines.join("; "))
             }
-            Declined::Conflict {
+            Rejection::Conflict {
                 base,
                 newest,
                 since,
                 ..
             } => {
                 write!(f, "made on revision {base}, but the fleet is at {newest}")?;
-                for since in since {
-                    write!(
-                        f,
-                        "; {} by {} made {}: ",
-                        since.id, since.by.who, since.revision
-                    )?;
-                    f.write_str(&since.difference.join(", "))?;
-                }
-                Ok(())
+                since
+                    .iter()
+                    .try_for_each(|intervening| write!(f, "; {intervening}"))
             }
-            Declined::Busy { id, by } => {
-                write!(f, "{id}, pushed by {}, is still rolling out", by.who)
-            }
-            Declined::IdUsed { revision } => {
-                write!(
-                    f,
-                    "the id was used for another change, which made revision {revision}; choose another one"
-                )
-            }
-            Declined::Impossible(why) => f.write_str(why),
-            Declined::StoodDown(StandDown { term }) => {
-                write!(
-                    f,
-                    "an agent of term {term} has taken over; this one gives no orders any more"
-                )
+            Rejection::Busy { id, by } => {
+                write!(f, "{id}, pushed by {}, is still rolling out", by.name)
             }
+            Rejection::IdUsed { revision } => write!(
+                f,
+                "the id was used for another change, which made revision {revision}; choose another one"
+            ),
+            Rejection::Impossible(reason) => f.write_str(reason),
+            Rejection::Superseded(SupersededBy { term }) => write!(
+                f,
+                "an agent of term {term} has taken over; this one gives no orders any more"
+            ),
         }
     }
 }
 
-/// What a change sets, one line each.
-pub fn difference(change: &Change) -> Vec<String> {
-    match &change.what {
-        What::Set(edits) => edits
+impl fmt::Display for InterveningChange {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let InterveningChange {
+            revision, id, by, ..
+        } = self;
+        let difference = self.difference.join(", ");
+        write!(f, "{id} by {} made {revision}: {difference}", by.name)
+    }
+}
+
+/// Describes what a change sets, one line each.
+pub fn describe_operation(change: &Change) -> Vec<String> {
+    match &change.operation {
+        Operation::Set(edits) => edits
             .iter()
             .map(|(key, value)| match value {
                 Some(value) => format!("{key} = {value}"),
                 None => format!("{key} as in each instance's file"),
             })
             .collect(),
-        What::Undo(id) => vec![format!("takes {id} back")],
+        Operation::Undo(id) => vec![format!("takes {id} back")],
     }
 }
--- a/crates/control-plane/src/fleet_limits.rs
+++ b/crates/control-plane/src/fleet_limits.rs
@@ -4,7 +4,9 @@
 use crate::layers::Layers;
 use crate::protocol::Report;
 use crate::settings::{FleetFigure, Key, Value};
-use madderloom_quota_leases::{Grant, LeaseServer, Limit, MOST, Note, ONE, ServerId, UNBOUNDED};
+use madderloom_quota_leases::{
+    Amount, Grant, LeaseServer, Limit, MOST, Note, ONE, ServerId, UNBOUNDED,
+};
 use std::collections::BTreeMap;
 
 /// The fleet-wide limits of an agent's file.
@@ -23,15 +25,23 @@
     pub(crate) server: LeaseServer,
 }
 
+/// The events of the lease server since they were last taken.
+pub(crate) struct LeaseEvents {
+    pub(crate) events: Vec<Note>,
+    /// Whether the recovery has ended: the leases of former servers have expired.
+    pub(crate) has_recovered: bool,
+}
+
 impl FleetLimits {
+    /// Starts a lease server. `former_duration` is the longest duration of the leases of former servers.
     pub(crate) fn new(
         now: Micros,
         id: ServerId,
         settings: FleetLimitSettings,
-        former: Micros,
+        former_duration: Micros,
         report_interval: Micros,
     ) -> Self {
-        let server = LeaseServer::new(now, id, settings.duration, former, report_interval);
+        let server = LeaseServer::new(now, id, settings.duration, former_duration, report_interval);
         FleetLimits { settings, server }
     }
 
@@ -43,49 +53,38 @@
                 let Key::Fleet { limit, figure } = key else {
                     continue;
                 };
-                let (Some(own), Some(limit)) =
+                if let (Some(file), Some(limit)) =
                     (self.settings.limits.get(limit), limits.get_mut(limit))
-                else {
-                    continue;
-                };
-                let number = match value {
-                    Some(Value::Limit(number)) => Some(*number),
-                    _ => None,
-                };
-                let thousandths = number.map(|number| number.saturating_mul(ONE).min(MOST));
-                let (whole, file) = (&mut limit.whole, own.whole);
-                match figure {
-                    FleetFigure::Rate => whole.rate = thousandths.unwrap_or(file.rate),
-                    FleetFigure::Burst => whole.burst = thousandths.unwrap_or(file.burst),
-                    FleetFigure::Open => whole.open = number.unwrap_or(file.open),
-                }
-                // A rate that the file does not bound comes with the burst of one second.
-                if whole.rate != UNBOUNDED && whole.burst == UNBOUNDED {
-                    whole.burst = whole.rate.max(ONE);
+                {
+                    set_figure(&mut limit.whole, *figure, value.as_ref(), file.whole);
                 }
             }
         }
         self.server.set_limits(now, limits);
     }
 
+    /// Grants the leases that a report requests.
     pub(crate) fn handle_report(
         &mut self,
         now: Micros,
         zone: &str,
         report: &Report,
     ) -> Option<Grant> {
-        let requests = report.asks.as_ref()?;
+        let requests = report.lease_requests.as_ref()?;
         self.server
-            .handle_report(now, &report.who.name, zone, report.who.start, requests)
+            .handle_report(now, &report.id.name, zone, report.id.start, requests)
     }
 
-    /// Takes the events for the log. The flag says whether the recovery has ended.
-    pub(crate) fn notes(&mut self) -> (Vec<Note>, bool) {
-        let notes = self.server.notes();
-        let recovered = notes.contains(&Note::Recovered);
-        (notes, recovered)
+    /// Takes the events for the log.
+    pub(crate) fn take_events(&mut self) -> LeaseEvents {
+        let events = self.server.notes();
+        LeaseEvents {
+            has_recovered: events.contains(&Note::Recovered),
+            events,
+        }
     }
 
+    /// The duration of the leases that are granted, in microseconds.
     pub(crate) fn lease_duration(&self) -> Micros {
         self.settings.duration
     }
@@ -95,3 +94,21 @@
         self.settings.limits.contains_key(limit)
     }
 }
+
+/// Sets a figure of a limit; without a value, to that of the file.
+fn set_figure(limit: &mut Amount, figure: FleetFigure, value: Option<&Value>, file: Amount) {
+    let number = match value {
+        Some(Value::Limit(number)) => Some(*number),
+        _ => None,
+    };
+    let thousandths = number.map(|number| number.saturating_mul(ONE).min(MOST));
+    match figure {
+        FleetFigure::Rate => limit.rate = thousandths.unwrap_or(file.rate),
+        FleetFigure::Burst => limit.burst = thousandths.unwrap_or(file.burst),
+        FleetFigure::Open => limit.open = number.unwrap_or(file.open),
+    }
+    // A rate that the file does not bound comes with the burst of one second.
+    if limit.rate != UNBOUNDED && limit.burst == UNBOUNDED {
+        limit.burst = limit.rate.max(ONE);
+    }
+}
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,13 +1,13 @@
-//! The control plane of a fleet as state machines: an agent, and the instances that it changes. They have no clock,
-//! do no I/O and use no randomness but a seed. The caller passes times in as whole microseconds of a monotonic clock.
-//! All maps are ordered, so that the same events give the same actions.
+//! The control plane of a fleet as state machines: an agent, and the instances that it configures. They read no clock,
+//! do no I/O and draw no random numbers: the caller passes times, as whole microseconds of a monotonic clock, and
+//! random numbers in. All maps are ordered, so that the same events give the same actions.
 //!
 //! - [`Fleet`] is the agent's state machine: the [`membership`], the one [`rollout`] under way, the
 //!   [`layers::Layers`] in effect, and the orders to each instance. It returns what must be durable as records. The
 //!   caller must make them durable together before it does anything else that the same call returned.
 //! - [`Instance`] is the instance's side of the [`protocol`].
-//! - [`relay`] passes the messages of many instances on to an agent above it.
-//! - [`gate`] judges by the instances' own request counts whether a change does harm.
+//! - [`relay`] forwards the messages of many instances to an agent above it.
+//! - [`health_gate`] judges by the instances' own request counts whether a change does harm.
 //!
 //! With the feature `explore` there is also an explorer that runs both sides through every order of messages, losses,
 //! repeats and crashes of small fleets.
@@ -15,39 +15,37 @@
 mod author;
 pub mod bounds;
 pub mod change;
+pub mod change_file;
 mod error;
-pub mod file;
 mod fleet;
 pub mod fleet_limits;
-pub mod gate;
+pub mod health_gate;
 mod instance;
 pub mod layers;
 pub mod membership;
 pub mod policy;
 pub mod protocol;
+pub mod registration_limiter;
 pub mod relay;
 pub mod rollout;
 pub mod selector;
 pub mod settings;
-pub mod spread;
 
 #[cfg(any(test, feature = "explore"))]
 pub mod explore;
 
 #[cfg(test)]
-mod gate_tests;
+mod health_gate_tests;
 #[cfg(test)]
-mod spread_tests;
+mod registration_limiter_tests;
 
-pub use author::By;
+pub use author::Author;
 pub use error::Error;
 pub use fleet::{
-    Accepted, Declined, Entry, Fleet, InstanceState, Note, Output, Record, Rules, Since, StandDown,
-    Time, difference,
+    Accepted, Fleet, FleetEvent, FleetOutput, FleetSettings, HistoryEntry, InstanceState,
+    InterveningChange, Record, Rejection, SupersededBy, Time, describe_operation,
 };
-// The former name, for code that still uses it.
-pub use fleet::InstanceState as Line;
-pub use instance::{Action, Event, Instance, Memory, Session};
+pub use instance::{Action, Event, Instance, PersistedInstance, Session};
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -55,12 +53,12 @@
 /// A point in time or a duration, in microseconds. Times never decrease; their zero has no meaning.
 pub type Micros = u64;
 
-/// What is wrong with a document, and where.
+/// A problem of a document, and where it is.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Problem {
     /// The field at fault, such as `set.weight/w7`.
     pub field: String,
-    /// What is wrong, and what to write instead.
+    /// The problem, and what to write instead.
     pub problem: String,
 }
 
@@ -89,7 +87,7 @@
     ApplyPartially,
     /// The agent forgets a rollout that was under way when it was killed.
     ForgetRollout,
-    /// A relay passes on what an agent of an earlier term says.
+    /// A relay forwards messages of an agent of an earlier term.
     RelayObeysFormerTerms,
     /// A relay sends messages over watches that overtake answers under a former term.
     RelayOvertakesAnswers,
--- a/crates/control-plane/src/membership.rs
+++ b/crates/control-plane/src/membership.rs
@@ -9,35 +9,35 @@
 //!
 //! Of two starts with one name, the one with the greater incarnation holds it. A start whose incarnation is not
 //! greater waits until the holder is gone, and then receives an incarnation above the holder's. Until then it is
-//! recorded as the name's rival, for operators to see. Two processes configured with one name show as rivals for as
-//! long as both run; a restart shows no rival.
+//! recorded as a name conflict, for operators to see. Two processes configured with one name show a conflict for as
+//! long as both run; a restart shows none.
 
-use crate::protocol::{Register, Who};
-use crate::selector::Traits;
+use crate::protocol::{InstanceId, Register};
+use crate::selector::Attributes;
 use crate::{InjectedBug, Micros, is_injected};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Durations and bounds of membership.
+/// The durations and the bound of membership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Leases {
+pub struct LeaseSettings {
     /// How long a member without reports counts as alive, in microseconds.
-    pub lease: Micros,
-    /// The grace period of a suspect, in microseconds.
-    pub grace: Micros,
+    pub duration: Micros,
+    /// How long a suspect keeps its name after the lease has expired, in microseconds.
+    pub grace_period: Micros,
     /// How long a member that is gone is remembered, in microseconds.
-    pub memory: Micros,
-    /// The most names that are known.
-    pub most: usize,
+    pub retention: Micros,
+    /// The most members, in any state.
+    pub max_members: usize,
 }
 
-impl Default for Leases {
+impl Default for LeaseSettings {
     fn default() -> Self {
-        Leases {
-            lease: 10_000_000,
-            grace: 20_000_000,
-            memory: 86_400_000_000,
-            most: 16_384,
+        LeaseSettings {
+            duration: 10_000_000,
+            grace_period: 20_000_000,
+            retention: 86_400_000_000,
+            max_members: 16_384,
         }
     }
 }
@@ -45,8 +45,8 @@
 /// The state of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Presence {
-    /// It has registered and has not reported yet.
+pub enum MemberState {
+    /// The member has registered and has not reported yet.
     Joining,
     /// Its lease is valid.
     Alive,
@@ -56,20 +56,21 @@
     Gone,
 }
 
-/// Another start that wants to use the same name.
+/// The registrations of another start under a name that is held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Rival {
-    /// The start.
+pub struct NameConflict {
+    /// The start that was rejected.
     pub start: u64,
     /// The incarnation that it registered with.
     pub incarnation: u64,
-    /// How often it has registered, up to [`SEEN`]. A start that was replaced registers once, another process
-    /// repeatedly.
-    pub seen: u32,
+    /// How often it was rejected, up to [`CONFLICT_CONFIRMED`].
+    #[serde(rename = "seen")]
+    pub rejections: u32,
 }
 
-/// A rival that has registered this often is a process of its own.
-pub const SEEN: u32 = 3;
+/// The number of rejections that confirm a conflict: a start that was replaced is rejected once or twice, another
+/// process with the same name repeatedly.
+pub const CONFLICT_CONFIRMED: u32 = 3;
 
 /// The start that holds a name.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -78,14 +79,14 @@
     pub start: u64,
     /// Its incarnation.
     pub incarnation: u64,
-    /// Its traits, as it registered them.
-    pub traits: Traits,
+    /// Its attributes, as it registered them.
+    pub attributes: Attributes,
     /// Its state.
-    pub presence: Presence,
+    pub state: MemberState,
     /// When the state changes if no report arrives.
-    pub until: Micros,
-    /// A start that was rejected because this one holds the name.
-    pub rival: Option<Rival>,
+    pub deadline: Micros,
+    /// The last start that was rejected because this one holds the name.
+    pub conflict: Option<NameConflict>,
 }
 
 /// The part of a member that is persisted.
@@ -95,51 +96,51 @@
     pub start: u64,
     /// Its incarnation.
     pub incarnation: u64,
-    /// Its traits.
-    pub traits: Traits,
+    /// Its attributes.
+    #[serde(rename = "traits")]
+    pub attributes: Attributes,
+}
+
+/// A start was rejected because another one holds its name.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct NameHeld {
+    /// The incarnation of the holder.
+    pub holder_incarnation: u64,
+    /// The delay after which to try again, in microseconds.
+    pub retry_after: Micros,
 }
 
-/// The result of a registration.
+/// The outcome of a registration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Registered {
+pub enum RegistrationOutcome {
     /// The start holds the name.
-    Welcome {
+    Accepted {
         /// Its incarnation from now on.
         incarnation: u64,
         /// Whether the name was free before or held by another start.
-        new: bool,
+        is_new: bool,
     },
     /// Another start holds the name.
-    Superseded {
-        /// The holder's incarnation.
-        by: u64,
-        /// The delay after which to try again, in microseconds.
-        again: Micros,
-    },
-    /// The most names are known already, and all of them are in use.
+    Superseded(NameHeld),
+    /// There are as many members as may be, and none of them is gone.
     Full,
 }
 
-/// The result of a report.
+/// The outcome of a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Renewed {
+pub enum RenewalOutcome {
     /// The lease is renewed; this was the state before.
-    Renewed(Presence),
+    Renewed(MemberState),
     /// Neither this start nor another holds the name: the start has to register.
-    Unknown,
+    NotRegistered,
     /// Another start holds the name.
-    Superseded {
-        /// The holder's incarnation.
-        by: u64,
-        /// The delay after which to try again, in microseconds.
-        again: Micros,
-    },
+    Superseded(NameHeld),
 }
 
-/// All known names and their holders.
+/// All members, by name.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Membership {
-    leases: Leases,
+    settings: LeaseSettings,
     members: BTreeMap<String, Member>,
     /// The deadline of each member with its name, so that a tick costs nothing for members that are not due.
     deadlines: BTreeSet<(Micros, String)>,
@@ -147,62 +148,57 @@
 
 impl Membership {
     /// Creates an empty membership.
-    pub fn new(leases: Leases) -> Self {
+    pub fn new(settings: LeaseSettings) -> Self {
         Membership {
-            leases,
+            settings,
             ..Membership::default()
         }
     }
 
     /// Adds a member that was known before the agent started. It is suspect until it reports.
     pub fn restore(&mut self, now: Micros, name: String, member: PersistedMember) {
-        let PersistedMember {
-            start,
-            incarnation,
-            traits,
-        } = member;
-        let until = now
-            .saturating_add(self.leases.lease)
-            .saturating_add(self.leases.grace);
-        if self.members.len() < self.leases.most {
-            let presence = Presence::Suspect;
-            self.insert(
-                name,
-                Member {
-                    start,
-                    incarnation,
-                    traits,
-                    presence,
-                    until,
-                    rival: None,
-                },
-            );
+        if self.members.len() >= self.settings.max_members {
+            return;
         }
+        let deadline = now
+            .saturating_add(self.settings.duration)
+            .saturating_add(self.settings.grace_period);
+        self.insert(
+            name,
+            Member {
+                start: member.start,
+                incarnation: member.incarnation,
+                attributes: member.attributes,
+                state: MemberState::Suspect,
+                deadline,
+                conflict: None,
+            },
+        );
     }
 
     /// Adds a member or replaces the one of this name.
     fn insert(&mut self, name: String, member: Member) {
-        self.deadlines.insert((member.until, name.clone()));
+        self.deadlines.insert((member.deadline, name.clone()));
         if let Some(former) = self
             .members
             .get(&name)
-            .filter(|former| former.until != member.until)
+            .filter(|former| former.deadline != member.deadline)
         {
-            self.deadlines.remove(&(former.until, name.clone()));
+            self.deadlines.remove(&(former.deadline, name.clone()));
         }
         self.members.insert(name, member);
     }
 
-    /// Puts a member into a state that ends at `until`.
-    fn set_presence(&mut self, name: &str, presence: Presence, until: Micros) {
+    /// Puts a member into a state that ends at a deadline.
+    fn enter_state(&mut self, name: &str, state: MemberState, deadline: Micros) {
         let Some(member) = self.members.get_mut(name) else {
             return;
         };
-        let former = std::mem::replace(&mut member.until, until);
-        member.presence = presence;
-        if former != until {
+        let former = std::mem::replace(&mut member.deadline, deadline);
+        member.state = state;
+        if former != deadline {
             self.deadlines.remove(&(former, name.to_string()));
-            self.deadlines.insert((until, name.to_string()));
+            self.deadlines.insert((deadline, name.to_string()));
         }
     }
 
@@ -211,98 +207,103 @@
         let Some(member) = self.members.remove(name) else {
             return false;
         };
-        self.deadlines.remove(&(member.until, name.to_string()));
+        self.deadlines.remove(&(member.deadline, name.to_string()));
         true
     }
 
     /// Registers a start under its name. The name must have been checked.
-    pub fn register(&mut self, now: Micros, registration: &Register) -> Registered {
-        let Who {
+    pub fn register(&mut self, now: Micros, registration: &Register) -> RegistrationOutcome {
+        let InstanceId {
             name,
             start,
             incarnation,
-        } = &registration.who;
-        let until = now.saturating_add(self.leases.lease);
-        if let Some(member) = self.members.get_mut(name) {
-            let same = member.start == *start;
-            if !same && *incarnation <= member.incarnation && member.presence != Presence::Gone {
-                return member.reject(now, *start, *incarnation);
-            }
-            if same && member.presence != Presence::Gone {
-                // It registers again, because it did not receive the answer or lost the connection.
-                member.traits = registration.traits.clone();
-                let incarnation = member.incarnation;
-                self.set_presence(name, Presence::Joining, until);
-                return Registered::Welcome {
-                    incarnation,
-                    new: false,
-                };
-            }
-            // Two starts with the same incarnation would be taken for one.
-            let above = member.incarnation.saturating_add(1);
-            let granted = if same {
-                member.incarnation
-            } else {
-                above.max(*incarnation)
-            };
-            self.insert(
-                name.clone(),
-                Member::joining(*start, granted, registration.traits.clone(), until),
-            );
-            return Registered::Welcome {
-                incarnation: granted,
-                new: !same,
+        } = &registration.id;
+        let Some(member) = self.members.get_mut(name) else {
+            return self.register_new_name(now, registration);
+        };
+        let is_holder = member.start == *start;
+        let is_gone = member.state == MemberState::Gone;
+        if !is_holder && *incarnation <= member.incarnation && !is_gone {
+            return RegistrationOutcome::Superseded(member.reject(now, *start, *incarnation));
+        }
+        if is_holder && !is_gone {
+            // It registers again, because it did not receive the answer or lost the connection.
+            member.attributes = registration.attributes.clone();
+            let incarnation = member.incarnation;
+            let deadline = now.saturating_add(self.settings.duration);
+            self.enter_state(name, MemberState::Joining, deadline);
+            return RegistrationOutcome::Accepted {
+                incarnation,
+                is_new: false,
             };
         }
-        if self.members.len() >= self.leases.most && !self.forget_longest_gone() {
-            return Registered::Full;
+        let granted = if is_holder {
+            member.incarnation
+        } else {
+            // Two starts with the same incarnation would be taken for one.
+            member.incarnation.saturating_add(1).max(*incarnation)
+        };
+        self.join(now, registration, granted);
+        RegistrationOutcome::Accepted {
+            incarnation: granted,
+            is_new: !is_holder,
+        }
+    }
+
+    fn register_new_name(&mut self, now: Micros, registration: &Register) -> RegistrationOutcome {
+        if self.members.len() >= self.settings.max_members && !self.forget_longest_gone() {
+            return RegistrationOutcome::Full;
         }
-        self.insert(
-            name.clone(),
-            Member::joining(*start, *incarnation, registration.traits.clone(), until),
-        );
-        Registered::Welcome {
-            incarnation: *incarnation,
-            new: true,
+        let incarnation = registration.id.incarnation;
+        self.join(now, registration, incarnation);
+        RegistrationOutcome::Accepted {
+            incarnation,
+            is_new: true,
         }
     }
 
+    /// Makes a start the holder of its name.
+    fn join(&mut self, now: Micros, registration: &Register, incarnation: u64) {
+        let member = Member {
+            start: registration.id.start,
+            incarnation,
+            attributes: registration.attributes.clone(),
+            state: MemberState::Joining,
+            deadline: now.saturating_add(self.settings.duration),
+            conflict: None,
+        };
+        self.insert(registration.id.name.clone(), member);
+    }
+
     /// Renews the lease of a start that has reported.
-    pub fn renew(&mut self, now: Micros, who: &Who) -> Renewed {
-        let Some(member) = self.members.get_mut(&who.name) else {
-            return Renewed::Unknown;
+    pub fn renew(&mut self, now: Micros, id: &InstanceId) -> RenewalOutcome {
+        let Some(member) = self.members.get_mut(&id.name) else {
+            return RenewalOutcome::NotRegistered;
         };
-        if member.start != who.start && !is_injected(InjectedBug::IdentifyByName) {
-            if member.presence == Presence::Gone {
-                return Renewed::Unknown;
-            }
-            return match member.reject(now, who.start, who.incarnation) {
-                Registered::Superseded { by, again } => Renewed::Superseded { by, again },
-                _ => Renewed::Unknown,
-            };
+        if member.state == MemberState::Gone {
+            return RenewalOutcome::NotRegistered;
         }
-        let was = member.presence;
-        if was == Presence::Gone
-            || member.incarnation != who.incarnation && !is_injected(InjectedBug::IdentifyByName)
-        {
-            return Renewed::Unknown;
+        let by_name_only = is_injected(InjectedBug::IdentifyByName);
+        if member.start != id.start && !by_name_only {
+            return RenewalOutcome::Superseded(member.reject(now, id.start, id.incarnation));
         }
-        self.set_presence(
-            &who.name,
-            Presence::Alive,
-            now.saturating_add(self.leases.lease),
-        );
-        Renewed::Renewed(was)
+        if member.incarnation != id.incarnation && !by_name_only {
+            return RenewalOutcome::NotRegistered;
+        }
+        let former = member.state;
+        let deadline = now.saturating_add(self.settings.duration);
+        self.enter_state(&id.name, MemberState::Alive, deadline);
+        RenewalOutcome::Renewed(former)
     }
 
-    /// Returns the members whose state has changed by now, ordered by name. A member that is forgotten appears as gone once
-    /// more.
-    pub fn tick(&mut self, now: Micros) -> Vec<(String, Presence)> {
+    /// Returns the members whose state has changed by now, ordered by name. A member that is forgotten appears as gone
+    /// once more.
+    pub fn tick(&mut self, now: Micros) -> Vec<(String, MemberState)> {
         let later = self
             .deadlines
             .split_off(&(now.saturating_add(1), String::new()));
         let due = std::mem::replace(&mut self.deadlines, later);
-        let mut changed: Vec<(String, Presence)> = due
+        let mut changed: Vec<(String, MemberState)> = due
             .into_iter()
             .map(|(_, name)| (name.clone(), self.expire(now, name)))
             .collect();
@@ -311,27 +312,29 @@
     }
 
     /// Puts a member whose deadline has passed, and is no longer indexed, into its next state.
-    fn expire(&mut self, now: Micros, name: String) -> Presence {
+    fn expire(&mut self, now: Micros, name: String) -> MemberState {
         let Some(member) = self.members.get_mut(&name) else {
-            return Presence::Gone;
+            return MemberState::Gone;
         };
-        let (next, wait) = match member.presence {
-            Presence::Joining | Presence::Alive => (Presence::Suspect, self.leases.grace),
-            Presence::Suspect => (Presence::Gone, self.leases.memory),
-            Presence::Gone => {
+        let (next, duration) = match member.state {
+            MemberState::Joining | MemberState::Alive => {
+                (MemberState::Suspect, self.settings.grace_period)
+            }
+            MemberState::Suspect => (MemberState::Gone, self.settings.retention),
+            MemberState::Gone => {
                 self.remove(&name);
-                return Presence::Gone;
+                return MemberState::Gone;
             }
         };
-        member.presence = next;
-        member.until = now.saturating_add(wait);
-        self.deadlines.insert((member.until, name));
+        member.state = next;
+        member.deadline = now.saturating_add(duration);
+        self.deadlines.insert((member.deadline, name));
         next
     }
 
     /// When [`Membership::tick`] is due next.
-    pub fn next(&self) -> Option<Micros> {
-        self.deadlines.first().map(|(until, _)| *until)
+    pub fn next_deadline(&self) -> Option<Micros> {
+        self.deadlines.first().map(|(deadline, _)| *deadline)
     }
 
     /// The holder of a name.
@@ -339,80 +342,70 @@
         self.members.get(name)
     }
 
-    /// All holders, ordered by name.
+    /// All members, ordered by name.
     pub fn iter(&self) -> impl Iterator<Item = (&String, &Member)> {
         self.members.iter()
     }
 
-    /// The number of known names.
+    /// The number of members, in any state.
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// Whether no name is known.
+    /// Whether there is no member.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
     /// Forgets the member that has been gone for longest. Returns whether there was one.
     fn forget_longest_gone(&mut self) -> bool {
-        let gone = self
+        let longest = self
             .members
             .iter()
-            .filter(|(_, member)| member.presence == Presence::Gone);
-        let longest = gone
-            .min_by_key(|(_, member)| member.until)
+            .filter(|(_, member)| member.state == MemberState::Gone)
+            .min_by_key(|(_, member)| member.deadline)
             .map(|(name, _)| name.clone());
         longest.is_some_and(|name| self.remove(&name))
     }
 
+    /// Sets the clock back.
     #[cfg(any(test, feature = "explore"))]
     pub(crate) fn rebase(&mut self, by: Micros) {
         self.members
             .values_mut()
-            .for_each(|member| member.until = member.until.saturating_sub(by));
+            .for_each(|member| member.deadline = member.deadline.saturating_sub(by));
         let deadlines = self
             .members
             .iter()
-            .map(|(name, member)| (member.until, name.clone()));
+            .map(|(name, member)| (member.deadline, name.clone()));
         self.deadlines = deadlines.collect();
     }
 }
 
 impl Member {
-    fn joining(start: u64, incarnation: u64, traits: Traits, until: Micros) -> Self {
-        Member {
-            start,
-            incarnation,
-            traits,
-            presence: Presence::Joining,
-            until,
-            rival: None,
-        }
-    }
-
     /// The part of the member that is persisted.
     pub fn persisted(&self) -> PersistedMember {
         PersistedMember {
             start: self.start,
             incarnation: self.incarnation,
-            traits: self.traits.clone(),
+            attributes: self.attributes.clone(),
         }
     }
 
-    fn reject(&mut self, now: Micros, start: u64, incarnation: u64) -> Registered {
-        let seen = self
-            .rival
-            .filter(|rival| rival.start == start)
-            .map_or(0, |rival| rival.seen);
-        self.rival = Some(Rival {
+    /// Rejects another start, and records it as a name conflict.
+    fn reject(&mut self, now: Micros, start: u64, incarnation: u64) -> NameHeld {
+        let former_rejections = self
+            .conflict
+            .filter(|conflict| conflict.start == start)
+            .map_or(0, |conflict| conflict.rejections);
+        self.conflict = Some(NameConflict {
             start,
             incarnation,
-            seen: (seen + 1).min(SEEN),
+            rejections: (former_rejections + 1).min(CONFLICT_CONFIRMED),
         });
-        Registered::Superseded {
-            by: self.incarnation,
-            again: self.until.saturating_sub(now),
+        NameHeld {
+            holder_incarnation: self.incarnation,
+            retry_after: self.deadline.saturating_sub(now),
         }
     }
 }
--- a/crates/control-plane/src/protocol.rs
+++ b/crates/control-plane/src/protocol.rs
@@ -1,13 +1,16 @@
 //! The messages between an instance and the agent, version 1. `docs/control-protocol.md` describes how they are
-//! transported.
+//! transported, and the names of their fields.
 //!
-//! The protocol is level-triggered: an instance's report contains the settings in effect and the last order that it
-//! obeyed, and the agent answers with an order for as long as these are not the desired ones. So a message that is
-//! lost, late or duplicated does no harm: the next report repairs it.
+//! The protocol is level-triggered: an instance's report contains its applied configuration and the last order that
+//! it obeyed, and the agent answers with an order for as long as these are not the desired ones. A message that is
+//! lost, late or duplicated therefore does no harm: the next report repairs it.
+//!
+//! A *start* is one process of an instance, from its start to its end. Every message names the start that it is from
+//! or for by a random number, so that a message for an earlier process of the same name is ignored.
 
 use crate::Problem;
-use crate::gate::Counts;
-use crate::selector::Traits;
+use crate::health_gate::RequestCounts;
+use crate::selector::Attributes;
 use crate::settings::{Fingerprint, Overlay, check_name};
 use madderloom_endpoint_sharing::{Lists, MOST_TEXT, Tells};
 use madderloom_quota_leases::{Grant, LeaseRequests};
@@ -16,27 +19,27 @@
 /// The version of the protocol; it is part of the path of every request.
 pub const VERSION: u32 = 1;
 /// The largest message of an instance, in bytes: 64 KiB, and one list of servers, each byte of which may be escaped.
-pub const LARGEST_FROM_INSTANCE: usize = (64 << 10) + 2 * MOST_TEXT;
+pub const MAX_REPORT_BYTES: usize = (64 << 10) + 2 * MOST_TEXT;
 /// The largest message of the agent to an instance, and of the command line to the agent, in bytes.
-pub const LARGEST_ORDER: usize = 8 << 20;
+pub const MAX_ORDER_BYTES: usize = 8 << 20;
 /// The longest reason for a refusal, in bytes.
-pub const LONGEST_REASON: usize = 1_024;
+pub const MAX_REASON_BYTES: usize = 1_024;
 
-/// Orders the agent's orders: by the term of the agent that gave them, then by number. Numbers count the orders to
-/// one instance within one term, from 1.
+/// The fencing token of an order. Tokens are ordered by the term of the agent that issued them, then by number. An
+/// instance obeys no order with a lower token than that of the last order.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct Stamp {
+pub struct FencingToken {
     /// The term of the agent; it grows with each of the agent's starts.
     pub term: u64,
-    /// The number of the order.
+    /// The number of the order, counted from 1 for each instance within one term.
     pub number: u64,
 }
 
 /// The identity of one start of an instance.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Who {
+pub struct InstanceId {
     /// The instance's name.
     pub name: String,
     /// Drawn at random at each start, so that two processes are never taken for one.
@@ -45,7 +48,7 @@
     pub incarnation: u64,
 }
 
-impl Who {
+impl InstanceId {
     /// Checks the name.
     ///
     /// # Errors
@@ -61,11 +64,12 @@
 /// The settings in effect on an instance beside its own file.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Holding {
+pub struct AppliedConfiguration {
     /// The revision of the newest change in it; 0 for none.
     pub revision: u64,
     /// The fingerprint of all settings.
-    pub overlay: Fingerprint,
+    #[serde(rename = "overlay")]
+    pub fingerprint: Fingerprint,
 }
 
 /// The outcome of an order.
@@ -81,14 +85,16 @@
 /// An instance's answer to the last order that it obeyed.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Answer {
-    /// The stamp of the order.
-    pub stamp: Stamp,
+    /// The fencing token of the order.
+    #[serde(rename = "stamp")]
+    pub fencing_token: FencingToken,
     /// The change of the order.
     pub change: String,
     /// The revision of the order.
     pub revision: u64,
     /// The fingerprint of the ordered settings.
-    pub overlay: Fingerprint,
+    #[serde(rename = "overlay")]
+    pub fingerprint: Fingerprint,
     /// The outcome.
     pub outcome: Outcome,
 }
@@ -98,8 +104,9 @@
 pub struct Order {
     /// The start that the order is for; any other start ignores it.
     pub start: u64,
-    /// Its place among all orders.
-    pub stamp: Stamp,
+    /// Orders this order among all orders to the instance.
+    #[serde(rename = "stamp")]
+    pub fencing_token: FencingToken,
     /// The change that the order belongs to; empty where no change is in effect for the instance.
     pub change: String,
     /// The revision of the change.
@@ -120,10 +127,10 @@
 
 impl ToAgent {
     /// The start that the message is from.
-    pub fn who(&self) -> &Who {
+    pub fn sender(&self) -> &InstanceId {
         match self {
-            ToAgent::Register(registration) => &registration.who,
-            ToAgent::Report(report) => &report.who,
+            ToAgent::Register(registration) => &registration.id,
+            ToAgent::Report(report) => &report.id,
         }
     }
 }
@@ -132,10 +139,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Register {
     /// The identity of the start.
-    pub who: Who,
-    /// Its traits.
-    #[serde(default)]
-    pub traits: Traits,
+    #[serde(rename = "who")]
+    pub id: InstanceId,
+    /// The attributes that selectors match.
+    #[serde(default, rename = "traits")]
+    pub attributes: Attributes,
     /// The greatest known term of an agent. The instance obeys no agent of an earlier term.
     #[serde(default)]
     pub term: u64,
@@ -145,7 +153,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Report {
     /// The identity of the start.
-    pub who: Who,
+    #[serde(rename = "who")]
+    pub id: InstanceId,
     /// The greatest known term of an agent.
     #[serde(default)]
     pub term: u64,
@@ -153,17 +162,17 @@
     #[serde(default)]
     pub answer: Option<Answer>,
     /// The settings in effect.
-    #[serde(default)]
-    pub holding: Holding,
+    #[serde(default, rename = "holding")]
+    pub applied: AppliedConfiguration,
     /// The requests of the last window.
     #[serde(default)]
-    pub counts: Counts,
+    pub counts: RequestCounts,
     /// The requests for leases of fleet-wide limits; none where the instance takes part in no limit.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub asks: Option<Box<LeaseRequests>>,
-    /// The state of the lists that the fleet shares; none where the instance takes part in no list.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub tells: Option<Box<Tells>>,
+    #[serde(default, rename = "asks", skip_serializing_if = "Option::is_none")]
+    pub lease_requests: Option<Box<LeaseRequests>>,
+    /// The state of the endpoint lists that the fleet shares; none where the instance takes part in no list.
+    #[serde(default, rename = "tells", skip_serializing_if = "Option::is_none")]
+    pub endpoint_lists: Option<Box<Tells>>,
 }
 
 /// A message of the agent to an instance.
@@ -176,20 +185,25 @@
     Superseded {
         /// The start that the message is for.
         start: u64,
-        /// The incarnation that holds the name.
-        by: u64,
+        /// The incarnation of the start that holds the name.
+        #[serde(rename = "by")]
+        holder_incarnation: u64,
         /// The delay after which to register again, in microseconds.
-        again: u64,
+        #[serde(rename = "again")]
+        retry_after: u64,
     },
     /// Too many instances register at once.
-    Later {
+    #[serde(rename = "later")]
+    RetryLater {
         /// The start that the message is for.
         start: u64,
         /// The delay after which to register again, in microseconds.
-        again: u64,
+        #[serde(rename = "again")]
+        retry_after: u64,
     },
     /// The start is not registered and has to register again.
-    Unknown {
+    #[serde(rename = "unknown")]
+    NotRegistered {
         /// The start that the message is for.
         start: u64,
     },
@@ -203,13 +217,16 @@
     /// The settings that are to be in effect.
     Order(Order),
     /// Leases of fleet-wide limits. Sent only to instances that have requested some, and so know the message.
-    Lent(Grant),
-    /// The lists that the fleet shares. Sent only to instances that have reported theirs, and so know the message.
-    Lists(Lists),
+    #[serde(rename = "lent")]
+    LeaseGrant(Grant),
+    /// The endpoint lists that the fleet shares. Sent only to instances that have reported theirs, and so know the
+    /// message.
+    #[serde(rename = "lists")]
+    EndpointLists(Lists),
 }
 
 impl ToInstance {
-    /// Whether it says that the start holds its name.
+    /// Whether the message says that the start holds its name.
     pub fn is_acceptance(&self) -> bool {
         matches!(self, ToInstance::Welcome(_) | ToInstance::Renewed { .. })
     }
@@ -219,14 +236,29 @@
         match self {
             ToInstance::Welcome(welcome) => welcome.start,
             ToInstance::Order(order) => order.start,
-            ToInstance::Lent(lent) => lent.start,
-            ToInstance::Lists(lists) => lists.start,
+            ToInstance::LeaseGrant(grant) => grant.start,
+            ToInstance::EndpointLists(lists) => lists.start,
             ToInstance::Superseded { start, .. }
-            | ToInstance::Later { start, .. }
-            | ToInstance::Unknown { start }
+            | ToInstance::RetryLater { start, .. }
+            | ToInstance::NotRegistered { start }
             | ToInstance::Renewed { start, .. } => *start,
         }
     }
+
+    /// The term of the agent that made the decision in the message; none where the message carries no decision that
+    /// lasts.
+    pub fn term(&self) -> Option<u64> {
+        match self {
+            ToInstance::Welcome(welcome) => Some(welcome.term),
+            ToInstance::Renewed { term, .. } => Some(*term),
+            ToInstance::Order(order) => Some(order.fencing_token.term),
+            ToInstance::LeaseGrant(grant) => Some(grant.by.term),
+            ToInstance::EndpointLists(lists) => Some(lists.stamp.term),
+            ToInstance::Superseded { .. }
+            | ToInstance::RetryLater { .. }
+            | ToInstance::NotRegistered { .. } => None,
+        }
+    }
 }
 
 /// The agent's answer to an accepted registration.
@@ -239,7 +271,10 @@
     /// The agent's term.
     pub term: u64,
     /// The report interval, in microseconds.
-    pub every: u64,
-    /// The time within which the instance should register again after the agent was unreachable, in microseconds.
-    pub spread: u64,
+    #[serde(rename = "every")]
+    pub report_interval: u64,
+    /// The time over which the instance should spread its registration after the agent was unreachable, in
+    /// microseconds.
+    #[serde(rename = "spread")]
+    pub reconnect_window: u64,
 }
--- a/crates/control-plane/src/spread_tests.rs
+++ b/crates/control-plane/src/registration_limiter_tests.rs
@@ -1,12 +1,12 @@
 //! Instances that register at once are admitted at the configured rate.
 
 use crate::Micros;
-use crate::spread::{Pace, Spread};
+use crate::registration_limiter::{RegistrationLimiter, RegistrationRate};
 
-/// Plays instances that all register at once and return when they are told to. Returns the times of their
-/// admission.
-fn come_back(pace: Pace, count: usize) -> Vec<Micros> {
-    let mut spread = Spread::new(pace);
+/// Simulates instances that all register at once and return after the delay that they are given. Returns the times of
+/// their admission.
+fn admission_times(rate: RegistrationRate, count: usize) -> Vec<Micros> {
+    let mut limiter = RegistrationLimiter::new(rate);
     let mut rng = oorandom::Rand64::new(3);
     let mut waiting: Vec<(Micros, usize)> = (0..count).map(|n| (1_000_000, n)).collect();
     let mut admitted = Vec::new();
@@ -14,7 +14,7 @@
         let now: Vec<usize> = waiting.iter().filter(|w| w.0 == at).map(|w| w.1).collect();
         waiting.retain(|w| w.0 != at);
         for one in now {
-            match spread.admit(at, &format!("i{one}"), rng.rand_u64()) {
+            match limiter.admit(at, &format!("i{one}"), rng.rand_u64()) {
                 Ok(()) => admitted.push(at),
                 Err(wait) => waiting.push((at + wait, one)),
             }
@@ -24,12 +24,12 @@
 }
 
 #[test]
-fn five_hundred_at_once_come_in_at_the_pace_and_all_of_them_do() {
-    let times = come_back(
-        Pace {
-            rate: 100,
+fn five_hundred_at_once_are_all_admitted_at_the_configured_rate() {
+    let times = admission_times(
+        RegistrationRate {
+            per_second: 100,
             burst: 50,
-            horizon: 60_000_000,
+            max_delay: 60_000_000,
         },
         500,
     );
@@ -45,12 +45,12 @@
 }
 
 #[test]
-fn more_than_the_horizon_holds_still_come_in_at_the_pace() {
-    let times = come_back(
-        Pace {
-            rate: 100,
+fn more_instances_than_fit_into_the_longest_delay_are_admitted_at_the_configured_rate() {
+    let times = admission_times(
+        RegistrationRate {
+            per_second: 100,
             burst: 10,
-            horizon: 2_000_000,
+            max_delay: 2_000_000,
         },
         1_000,
     );
@@ -63,6 +63,6 @@
     });
     assert!(
         most.max().expect("some") <= 320,
-        "more than the pace and what had places"
+        "more than the rate and the reservations"
     );
 }
