--- a/crates/control-plane/src/relay/children.rs
+++ b/crates/control-plane/src/relay/children.rs
@@ -1,11 +1,12 @@
 //! The relay's side towards its children: registrations, reports and the answers to them.
 
-use super::child::{Child, ChildKey, Waiting, repeatable};
+use super::child::{Child, ChildKey, PendingRequest, repeatable};
 use super::{RETRY_DELAY, Relay, RelayOutput, RequestId};
 use crate::Micros;
 use crate::protocol::{Register, Report, ToAgent, ToInstance, Welcome};
 
 impl Relay {
+    /// Handles a registration. One with invalid fields is answered with no messages.
     pub(super) fn register(
         &mut self,
         now: Micros,
@@ -14,69 +15,59 @@
         jitter: u64,
         output: &mut RelayOutput,
     ) {
-        let start = registration.who.start;
-        if registration
-            .who
+        let start = registration.id.start;
+        let checked = registration
+            .id
             .check()
-            .and_then(|()| registration.traits.check())
-            .is_err()
-        {
-            return output.answers.push((request, Vec::new()));
+            .and_then(|()| registration.attributes.check());
+        if checked.is_err() {
+            return output.answer(request, Vec::new());
         }
         self.observe_child_term(registration.term);
-        let key = ChildKey {
-            name: registration.who.name.clone(),
-            start,
-        };
+        let key = ChildKey::from(&registration.id);
         let is_known = self
             .children
             .get(&key)
             .is_some_and(|child| child.is_registered);
-        if !is_known && let Err(again) = self.admit(now, &key, jitter) {
-            return output
-                .answers
-                .push((request, vec![ToInstance::Later { start, again }]));
+        if !is_known && let Err(retry_after) = self.admit(now, &key, jitter) {
+            return output.answer(request, vec![ToInstance::RetryLater { start, retry_after }]);
         }
-        let until = now.saturating_add(self.lease());
+        let forget_at = now.saturating_add(self.child_lease());
+        let is_connected = self.is_connected();
         let child = self
             .children
             .entry(key.clone())
-            .or_insert_with(|| Child::new(registration.clone(), now, until));
+            .or_insert_with(|| Child::new(registration.clone(), now, forget_at));
         child.registration = registration.clone();
         child.last_report = None;
         child.must_register = false;
-        child.unread_term = if self.is_connected {
-            None
-        } else {
-            Some(self.term)
-        };
-        child.heard = now;
-        self.set_deadline(&key, until);
-        if self.is_connected {
-            self.wait(now, &key, request, output);
+        child.unread_term = (!is_connected).then_some(self.term);
+        child.last_message_at = now;
+        self.renew_lease(&key, forget_at);
+        if is_connected {
+            self.await_parent(now, &key, request, output);
             self.queue(&key, ToAgent::Register(registration));
         } else {
-            output.answers.push((
-                request,
-                vec![self.welcome(start, registration.who.incarnation)],
-            ));
+            let welcome = self.welcome(start, registration.id.incarnation);
+            output.answer(request, vec![welcome]);
         }
     }
 
-    /// Whether a start that no parent has accepted may register now; else the delay after which it should try again.
+    /// Admits the registration of a start that no parent has accepted, or returns the delay after which to try again.
     pub(super) fn admit(&mut self, now: Micros, key: &ChildKey, jitter: u64) -> Result<(), Micros> {
-        if !self.is_connected {
+        if !self.is_connected() {
             return Err(RETRY_DELAY + jitter % RETRY_DELAY);
         }
-        self.spread.admit(now, &key.name, jitter)?;
-        let is_full = self.children.len() >= self.rules.max_children;
+        self.registrations.admit(now, &key.name, jitter)?;
+        let is_full = self.children.len() >= self.settings.max_children;
         if is_full && !self.children.contains_key(key) {
-            Err(self.rules.pace.horizon)
+            Err(self.settings.registration_rate.max_delay)
         } else {
             Ok(())
         }
     }
 
+    /// Handles a report: it is sent to the parent or, while the parent is unreachable, answered here.
     pub(super) fn report(
         &mut self,
         now: Micros,
@@ -84,127 +75,126 @@
         report: Report,
         output: &mut RelayOutput,
     ) {
-        let start = report.who.start;
-        let key = ChildKey {
-            name: report.who.name.clone(),
-            start,
-        };
+        let start = report.id.start;
+        let key = ChildKey::from(&report.id);
         self.observe_child_term(report.term);
         let child = self.children.get_mut(&key);
         let Some(child) = child.filter(|child| child.is_registered && !child.must_register) else {
-            return output
-                .answers
-                .push((request, vec![ToInstance::Unknown { start }]));
+            return output.answer(request, vec![ToInstance::NotRegistered { start }]);
         };
         child.unread_term = None;
-        child.registration.who = report.who.clone();
+        child.registration.id = report.id.clone();
         child.last_report = Some(repeatable(&report));
-        child.heard = now;
-        self.set_deadline(&key, now.saturating_add(self.lease()));
-        self.wait(now, &key, request, output);
-        if self.is_connected {
+        child.last_message_at = now;
+        self.renew_lease(&key, now.saturating_add(self.child_lease()));
+        self.await_parent(now, &key, request, output);
+        if self.is_connected() {
             self.queue(&key, ToAgent::Report(report));
         } else {
-            self.answer_alone(now, &key, output);
+            self.answer_locally(now, &key, output);
         }
     }
 
-    /// A child may have heard of a later agent elsewhere: this parent was replaced then.
+    /// Records the term that a child knows. A later one than the parent's shows that the parent was superseded.
     pub(super) fn observe_child_term(&mut self, term: u64) {
         self.term = self.term.max(term);
     }
 
+    /// The answer to an accepted registration, with the relay's own reconnect window.
     pub(super) fn welcome(&self, start: u64, incarnation: u64) -> ToInstance {
-        let spread = self.spread.span(self.children.len());
+        let reconnect_window = self.registrations.reconnect_window(self.children.len());
         ToInstance::Welcome(Welcome {
             start,
             incarnation,
             term: self.term,
-            every: self.every,
-            spread,
+            report_interval: self.report_interval,
+            reconnect_window,
         })
     }
 
-    /// How long a child without messages is remembered: no less than three of the reports that the parent asks for.
-    pub(super) fn lease(&self) -> Micros {
-        self.rules.lease.max(self.every.saturating_mul(3))
+    /// How long a child without messages is remembered, in microseconds; at least three report intervals.
+    fn child_lease(&self) -> Micros {
+        self.settings
+            .child_lease
+            .max(self.report_interval.saturating_mul(3))
     }
 
-    /// Has a request wait for the parent. One that waited before is answered with nothing.
-    pub(super) fn wait(
+    /// Keeps a request until the parent has answered it. A former one of the child is answered with no messages.
+    pub(super) fn await_parent(
         &mut self,
         now: Micros,
         key: &ChildKey,
         request: RequestId,
         output: &mut RelayOutput,
     ) {
-        let waiting = Waiting {
+        let pending = PendingRequest {
             request,
-            until: now.saturating_add(self.rules.answer_timeout),
+            deadline: now.saturating_add(self.settings.answer_timeout),
         };
         let Some(child) = self.children.get_mut(key) else {
             return;
         };
         self.deadlines.remove(&(child.deadline(), key.clone()));
-        if let Some(former) = child.waiting.replace(waiting) {
-            output.answers.push((former.request, Vec::new()));
+        if let Some(former) = child.pending.replace(pending) {
+            output.answer(former.request, Vec::new());
         }
         self.deadlines.insert((child.deadline(), key.clone()));
     }
 
-    /// Takes the request of a child that waits, if one does.
-    pub(super) fn take_waiting(&mut self, key: &ChildKey) -> Option<RequestId> {
+    /// Takes the pending request of a child, if there is one.
+    pub(super) fn take_pending(&mut self, key: &ChildKey) -> Option<RequestId> {
         let child = self.children.get_mut(key)?;
         self.deadlines.remove(&(child.deadline(), key.clone()));
-        let waiting = child.waiting.take();
-        child.unread_term = waiting.map(|_| self.term).or(child.unread_term);
+        let pending = child.pending.take();
+        child.unread_term = pending.map(|_| self.term).or(child.unread_term);
         self.deadlines.insert((child.deadline(), key.clone()));
-        waiting.map(|waiting| waiting.request)
+        pending.map(|pending| pending.request)
     }
 
-    /// Answers a child that waits without the parent.
-    pub(super) fn answer_alone(&mut self, now: Micros, key: &ChildKey, output: &mut RelayOutput) {
-        let is_overdue = |waiting: &Waiting| !self.is_connected || waiting.until <= now;
+    /// Answers the pending request of a child without the parent, if the parent is unreachable or late.
+    pub(super) fn answer_locally(&mut self, now: Micros, key: &ChildKey, output: &mut RelayOutput) {
+        let is_connected = self.is_connected();
+        let is_due = |pending: &PendingRequest| !is_connected || pending.deadline <= now;
         let child = self.children.get(key);
-        let Some(child) = child.filter(|child| child.waiting.as_ref().is_some_and(is_overdue))
-        else {
+        let Some(child) = child.filter(|child| child.pending.as_ref().is_some_and(is_due)) else {
             return;
         };
         let (start, term) = (key.start, self.term);
         let answer = match child.is_registered {
             true => ToInstance::Renewed { start, term },
-            false => ToInstance::Later {
+            false => ToInstance::RetryLater {
                 start,
-                again: RETRY_DELAY,
+                retry_after: RETRY_DELAY,
             },
         };
-        if let Some(request) = self.take_waiting(key) {
-            self.answered_alone += 1;
-            output.answers.push((request, vec![answer]));
+        if let Some(request) = self.take_pending(key) {
+            self.answered_locally += 1;
+            output.answer(request, vec![answer]);
         }
     }
 
-    pub(super) fn set_deadline(&mut self, key: &ChildKey, until: Micros) {
+    /// Postpones the time at which a child is forgotten.
+    pub(super) fn renew_lease(&mut self, key: &ChildKey, forget_at: Micros) {
         let Some(child) = self.children.get_mut(key) else {
             return;
         };
         self.deadlines.remove(&(child.deadline(), key.clone()));
-        child.until = until;
+        child.forget_at = forget_at;
         self.deadlines.insert((child.deadline(), key.clone()));
     }
 
-    /// Forgets a child. A request of it that waits is answered with nothing.
+    /// Forgets a child. Its pending request is answered with no messages.
     pub(super) fn forget(&mut self, key: &ChildKey, output: &mut RelayOutput) {
         let Some(child) = self.children.remove(key) else {
             return;
         };
         self.deadlines.remove(&(child.deadline(), key.clone()));
-        output
-            .answers
-            .extend(child.waiting.map(|waiting| (waiting.request, Vec::new())));
+        if let Some(pending) = child.pending {
+            output.answer(pending.request, Vec::new());
+        }
     }
 
-    /// The parent has decided which start holds the name.
+    /// Forgets the other starts of a name, once the parent has decided which one holds it.
     pub(super) fn forget_other_starts(&mut self, holder: &ChildKey, output: &mut RelayOutput) {
         let first = ChildKey {
             name: holder.name.clone(),
@@ -224,7 +214,7 @@
             .for_each(|key| self.forget(key, output));
     }
 
-    /// Sends a message of a child to the parent with one of the next batches.
+    /// Queues a message of a child for one of the next batches.
     pub(super) fn queue(&mut self, key: &ChildKey, message: ToAgent) {
         let Some(child) = self.children.get_mut(key) else {
             return;
--- a/crates/control-plane/src/relay/mod.rs
+++ b/crates/control-plane/src/relay/mod.rs
@@ -1,149 +1,176 @@
 //! The state machine of a relay: an agent to the instances behind it (its children), and the one connection of them all
 //! to the agent above (its parent).
 //!
-//! A relay decides nothing. It passes the messages of the [protocol](crate::protocol) on, in batches, and answers by
+//! A relay decides nothing. It forwards the messages of the [protocol](crate::protocol) in batches, and answers by
 //! itself in three cases only:
 //!
-//! - While the parent is away, or does not answer within [`RelayRules::answer_timeout`], a registered child that reports
-//!   is told that its lease is renewed, under the greatest known term. So children keep their sessions, and do not all
-//!   register anew when the parent is back.
-//! - A child that registers while the parent is away is told to come later, or, where the parent has accepted this start
-//!   before, is welcomed as it was.
-//! - Registrations are admitted at the relay's own pace.
+//! - While the parent is unreachable, or does not answer within [`RelaySettings::answer_timeout`], a registered child
+//!   that reports gets its lease renewed, under the greatest known term. So children keep their sessions, and do not
+//!   all register anew when the parent is back.
+//! - A child that registers while the parent is unreachable is asked to retry later or, if a parent has accepted this
+//!   start before, is welcomed again.
+//! - Registrations are admitted at the relay's own rate.
 //!
-//! When a parent is back, or another one has taken its place, the relay sends the last report of each child that was
-//! heard within two report intervals. A parent that does not know a child gets its registration from the relay, without
-//! a message to the child.
+//! When a parent is back, or another one has taken its place, the relay sends the last report of each child that has
+//! sent a message within two report intervals. A parent that does not know a child gets its registration from the
+//! relay, without a message to the child.
 //!
-//! # What is bounded
-//! - Staleness: a message waits for one batch to be answered, and a child for an answer until `answer_timeout`. Leases of
-//!   limits and ages of lists count from the child's own clock, so that a relay that delays or repeats messages makes
+//! # Bounds
+//! - Staleness: a message waits for one batch to be answered, and a child for an answer until `answer_timeout`. Leases
+//!   of limits and ages of lists count from the child's own clock, so that a relay that delays or repeats messages makes
 //!   them shorter and never longer: to the state machines at both ends a relay is a connection that loses, delays and
 //!   repeats messages.
-//! - No two answers for one thing: orders, leases and lists carry the term of the agent that decided; a relay drops
-//!   those of a term below the greatest it knows.
-//! - Memory: [`RelayRules::max_children`] children, for each one registration, one report and one outgoing message. A
-//!   child that is not heard for [`RelayRules::lease`] is forgotten.
+//! - No conflicting decisions: orders, leases and lists carry the term of the agent that decided; a relay drops those of
+//!   a term below the greatest that it knows.
+//! - Memory: [`RelaySettings::max_children`] children, for each one registration, one report and one outgoing message. A
+//!   child that has sent no message for [`RelaySettings::child_lease`] is forgotten.
 
 mod child;
 mod children;
 mod parent;
 mod wire;
 
-pub use wire::{Addressed, Batch, BatchAnswer, LARGEST_BATCH, MAX_BATCH, WatchLine};
+pub use wire::{
+    AddressedMessage, Batch, BatchAnswer, MAX_BATCH_BYTES, MAX_BATCH_MESSAGES, WatchLine,
+};
 
 use crate::Micros;
 use crate::protocol::{ToAgent, ToInstance};
-use crate::spread::{Pace, Spread};
+use crate::registration_limiter::{RegistrationLimiter, RegistrationRate};
 use child::{Child, ChildKey};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The delay after which a child that is turned away registers again, in microseconds; up to as much again is added at
-/// random.
+/// The delay after which a child that was rejected registers again, in microseconds; a random time up to as much again is
+/// added.
 const RETRY_DELAY: Micros = 1_000_000;
-/// The report interval until a parent has told another one, in microseconds.
-const REPORT_INTERVAL: Micros = 3_000_000;
+/// The report interval until a parent has set another one, in microseconds.
+const DEFAULT_REPORT_INTERVAL: Micros = 3_000_000;
 
 /// Identifies a request of a child to its embedder.
 pub type RequestId = u64;
 
 /// The settings of a relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct RelayRules {
+pub struct RelaySettings {
     /// How long a child without messages is remembered, in microseconds; three report intervals where these are longer.
-    pub lease: Micros,
-    /// The longest that a child waits for the parent's answer, in microseconds; below the 5 s after which an instance
-    /// takes a registration for lost.
+    pub child_lease: Micros,
+    /// The longest time that a child waits for the parent's answer, in microseconds; below the 5 s after which an instance
+    /// repeats a registration.
     pub answer_timeout: Micros,
     /// The most children.
     pub max_children: usize,
     /// The rate at which children may register.
-    pub pace: Pace,
+    pub registration_rate: RegistrationRate,
 }
 
-impl Default for RelayRules {
+impl Default for RelaySettings {
     /// 400 registrations a second: 850 children of one zone are back after some 2 s, and their handshakes, 2 ms for the
     /// two connections of each, take four fifths of one core meanwhile.
     fn default() -> Self {
-        RelayRules {
-            lease: 10_000_000,
+        RelaySettings {
+            child_lease: 10_000_000,
             answer_timeout: 2_000_000,
             max_children: 16_384,
-            pace: Pace {
-                rate: 400,
-                ..Pace::default()
+            registration_rate: RegistrationRate {
+                per_second: 400,
+                ..RegistrationRate::default()
             },
         }
     }
 }
 
-/// What a call has led to. Answers and messages that cannot be delivered are dropped.
+/// The answer to a request of a child.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct RelayAnswer {
+    /// The request.
+    pub request: RequestId,
+    /// The messages to the child; there may be none.
+    pub messages: Vec<ToInstance>,
+}
+
+/// The result of a call. Answers and messages that cannot be delivered are dropped.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RelayOutput {
     /// Answers to requests of children.
-    pub answers: Vec<(RequestId, Vec<ToInstance>)>,
+    pub answers: Vec<RelayAnswer>,
     /// Messages for the watches of children, by name.
-    pub pushes: Vec<Addressed>,
+    pub pushes: Vec<AddressedMessage>,
+}
+
+impl RelayOutput {
+    /// Answers a request with messages.
+    fn answer(&mut self, request: RequestId, messages: Vec<ToInstance>) {
+        self.answers.push(RelayAnswer { request, messages });
+    }
 }
 
-/// How a relay stands.
+/// The status of a relay, for operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct RelayStatus {
     /// Whether the parent answers.
     pub is_connected: bool,
     /// The greatest known term.
     pub term: u64,
-    /// Children.
+    /// The number of children.
     pub children: usize,
-    /// Children that a parent has accepted.
+    /// The number of children that a parent has accepted.
     pub registered: usize,
-    /// Messages for the parent that were not sent yet.
+    /// The number of messages for the parent that were not sent yet.
     pub outgoing: usize,
-    /// Reports that the relay has answered by itself.
-    pub answered_alone: u64,
+    /// The number of requests that the relay has answered by itself.
+    #[serde(rename = "answered_alone")]
+    pub answered_locally: u64,
+}
+
+/// The state of the connection to the parent.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+enum ParentConnection {
+    /// The parent is unreachable.
+    Disconnected,
+    /// The parent accepts a batch.
+    Idle,
+    /// The parent has not answered a batch yet, which has messages of these children.
+    BatchInFlight(Vec<ChildKey>),
 }
 
 /// The state machine of a relay.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Relay {
-    rules: RelayRules,
+    settings: RelaySettings,
     term: u64,
-    is_connected: bool,
-    every: Micros,
+    parent: ParentConnection,
+    report_interval: Micros,
     children: BTreeMap<ChildKey, Child>,
     /// The deadline of each child.
     deadlines: BTreeSet<(Micros, ChildKey)>,
     /// Children with a message for the parent, by the number of the message: the longest waiting first.
     outgoing: BTreeMap<u64, ChildKey>,
     next_outgoing: u64,
-    /// Children of the batch that the parent has not answered yet; none where there is no such batch.
-    in_flight: Option<Vec<ChildKey>>,
-    spread: Spread,
-    answered_alone: u64,
+    registrations: RegistrationLimiter,
+    answered_locally: u64,
 }
 
 impl Relay {
-    /// A relay without children whose parent is away.
-    pub fn new(rules: RelayRules) -> Self {
+    /// Creates a relay without children that is not connected to a parent.
+    pub fn new(settings: RelaySettings) -> Self {
         Relay {
-            rules,
+            settings,
             term: 0,
-            is_connected: false,
-            every: REPORT_INTERVAL,
+            parent: ParentConnection::Disconnected,
+            report_interval: DEFAULT_REPORT_INTERVAL,
             children: BTreeMap::new(),
             deadlines: BTreeSet::new(),
             outgoing: BTreeMap::new(),
             next_outgoing: 0,
-            in_flight: None,
-            spread: Spread::new(rules.pace),
-            answered_alone: 0,
+            registrations: RegistrationLimiter::new(settings.registration_rate),
+            answered_locally: 0,
         }
     }
 
-    /// How it stands.
+    /// The status of the relay.
     pub fn status(&self) -> RelayStatus {
         RelayStatus {
-            is_connected: self.is_connected,
+            is_connected: self.is_connected(),
             term: self.term,
             children: self.children.len(),
             registered: self
@@ -152,23 +179,23 @@
                 .filter(|child| child.is_registered)
                 .count(),
             outgoing: self.outgoing.len(),
-            answered_alone: self.answered_alone,
+            answered_locally: self.answered_locally,
         }
     }
 
-    /// The greatest known term.
+    /// The greatest known term of an agent.
     pub fn term(&self) -> u64 {
         self.term
     }
 
     /// Whether the parent answers.
     pub fn is_connected(&self) -> bool {
-        self.is_connected
+        self.parent != ParentConnection::Disconnected
     }
 
-    /// How many messages could go with a batch now: none while one is not answered yet.
+    /// The number of messages for the next batch; 0 while a batch is not answered yet.
     pub fn ready_for_batch(&self) -> usize {
-        if self.is_connected && self.in_flight.is_none() {
+        if self.parent == ParentConnection::Idle {
             self.outgoing.len()
         } else {
             0
@@ -176,19 +203,19 @@
     }
 
     /// When [`Relay::tick`] is due next.
-    pub fn next(&self) -> Option<Micros> {
+    pub fn next_deadline(&self) -> Option<Micros> {
         self.deadlines.first().map(|(at, _)| *at)
     }
 
-    /// Forgets children that are not heard any more, and answers those that have waited for too long.
+    /// Forgets children whose lease has expired, and answers those that have waited for too long.
     pub fn tick(&mut self, now: Micros) -> RelayOutput {
         let mut output = RelayOutput::default();
         while let Some((_, key)) = self.deadlines.first().filter(|(at, _)| *at <= now).cloned() {
-            self.answer_alone(now, &key, &mut output);
+            self.answer_locally(now, &key, &mut output);
             if self
                 .children
                 .get(&key)
-                .is_some_and(|child| child.until <= now)
+                .is_some_and(|child| child.forget_at <= now)
             {
                 self.forget(&key, &mut output);
             }
@@ -217,7 +244,7 @@
     /// Sets the clock back.
     #[cfg(any(test, feature = "explore"))]
     pub(crate) fn rebase(&mut self, by: Micros) {
-        self.spread.rebase(by);
+        self.registrations.rebase(by);
         let children = std::mem::take(&mut self.children);
         self.deadlines.clear();
         for (key, mut child) in children {
@@ -227,18 +254,17 @@
         }
     }
 
-    /// A hash without what grows for ever and decides nothing.
+    /// A hash without the counters that grow for ever and decide nothing.
     #[cfg(any(test, feature = "explore"))]
     pub(crate) fn explored_hash(&self) -> u64 {
         let order: Vec<&ChildKey> = self.outgoing.values().collect();
         let state = (
             self.term,
-            self.is_connected,
-            self.every,
+            &self.parent,
+            self.report_interval,
             &self.children,
             order,
-            &self.in_flight,
         );
-        crate::explore::hash_of((state, &self.spread))
+        crate::explore::hash_of((state, &self.registrations))
     }
 }
--- a/crates/control-plane/src/relay/parent.rs
+++ b/crates/control-plane/src/relay/parent.rs
@@ -1,27 +1,30 @@
-//! The relay's side towards its parent: connections, batches and the messages that come down.
+//! The relay's side towards its parent: connections, batches and the parent's messages.
 
 use super::child::ChildKey;
-use super::wire::{Addressed, Batch, BatchAnswer, MAX_BATCH};
-use super::{Relay, RelayOutput};
+use super::wire::{AddressedMessage, Batch, BatchAnswer, MAX_BATCH_MESSAGES};
+use super::{ParentConnection, Relay, RelayOutput};
 use crate::bounds::{MAX_REPORT_INTERVAL, MIN_REPORT_INTERVAL};
 use crate::protocol::{ToAgent, ToInstance, Welcome};
 use crate::{InjectedBug, Micros, is_injected};
 use std::collections::BTreeMap;
 
 impl Relay {
-    /// The parent takes batches from now on. Every child that was heard of late is sent to it.
+    /// Begins a connection to a parent, which accepts batches from now on. The state of every child that has sent a message
+    /// recently is sent to it.
     pub fn parent_connected(&mut self, now: Micros, term: u64) {
         if term < self.term && !is_injected(InjectedBug::RelayObeysFormerTerms) {
-            // Another one has taken its place.
+            // Another parent has superseded it.
             return;
         }
         self.term = self.term.max(term);
-        self.is_connected = true;
-        let recent = now.saturating_sub(self.every.saturating_mul(2));
+        if self.parent == ParentConnection::Disconnected {
+            self.parent = ParentConnection::Idle;
+        }
+        let recent = now.saturating_sub(self.report_interval.saturating_mul(2));
         let keys: Vec<ChildKey> = self.children.keys().cloned().collect();
         for key in keys {
             let child = &self.children[&key];
-            if child.heard < recent || !child.is_registered || child.must_register {
+            if child.last_message_at < recent || !child.is_registered || child.must_register {
                 continue;
             }
             let message = match &child.last_report {
@@ -32,30 +35,29 @@
         }
     }
 
-    /// The parent does not answer, or its watch has ended. Children that wait are answered.
+    /// Ends the connection: the parent does not answer, or its watch has ended. All pending requests are answered.
     pub fn parent_lost(&mut self, now: Micros) -> RelayOutput {
         let mut output = RelayOutput::default();
-        self.is_connected = false;
-        self.in_flight = None;
+        self.parent = ParentConnection::Disconnected;
         self.outgoing.clear();
         let keys: Vec<ChildKey> = self.children.keys().cloned().collect();
         for key in keys {
             if let Some(child) = self.children.get_mut(&key) {
                 child.outgoing = None;
             }
-            self.answer_alone(now, &key, &mut output);
+            self.answer_locally(now, &key, &mut output);
         }
         output
     }
 
     /// The next batch for the parent; none where there is nothing to send, or a batch is not answered yet.
     pub fn take_batch(&mut self) -> Option<Batch> {
-        if !self.is_connected || self.in_flight.is_some() || self.outgoing.is_empty() {
+        if self.parent != ParentConnection::Idle {
             return None;
         }
         let mut batch = Batch::default();
         let mut keys = Vec::new();
-        while batch.messages.len() < MAX_BATCH
+        while batch.messages.len() < MAX_BATCH_MESSAGES
             && let Some((_, key)) = self.outgoing.pop_first()
         {
             if let Some(message) = self
@@ -70,15 +72,15 @@
         if keys.is_empty() {
             return None;
         }
-        self.in_flight = Some(keys);
+        self.parent = ParentConnection::BatchInFlight(keys);
         Some(batch)
     }
 
-    /// Puts the messages of a batch back that did not fit into the request for it.
+    /// Returns the messages of a batch that did not fit into its request to the queue.
     pub fn put_back(&mut self, messages: Vec<ToAgent>) {
         for message in messages {
-            let key = key_of(&message);
-            if let Some(keys) = &mut self.in_flight {
+            let key = ChildKey::from(message.sender());
+            if let ParentConnection::BatchInFlight(keys) = &mut self.parent {
                 keys.retain(|in_flight| *in_flight != key);
             }
             if self
@@ -93,17 +95,19 @@
 
     /// Handles the parent's answer to the last batch.
     pub fn batch_answered(&mut self, now: Micros, answer: BatchAnswer) -> RelayOutput {
-        let Some(keys) = self.in_flight.take() else {
+        let ParentConnection::BatchInFlight(keys) = &mut self.parent else {
             return RelayOutput::default();
         };
+        let keys = std::mem::take(keys);
+        self.parent = ParentConnection::Idle;
         if answer.term < self.term && !is_injected(InjectedBug::RelayObeysFormerTerms) {
-            // A parent that was replaced: another connection has to be made.
+            // The parent was superseded: another connection has to be made.
             return self.parent_lost(now);
         }
         self.term = self.term.max(answer.term);
         let mut by_child: BTreeMap<ChildKey, Vec<ToInstance>> =
             keys.into_iter().map(|key| (key, Vec::new())).collect();
-        for Addressed { name, message } in answer.messages {
+        for AddressedMessage { name, message } in answer.messages {
             let key = ChildKey {
                 name,
                 start: message.start(),
@@ -117,14 +121,14 @@
         output
     }
 
-    /// Handles a message that came over the watch at the parent.
-    pub fn parent_message(&mut self, message: Addressed) -> RelayOutput {
+    /// Handles a message that arrived over the watch at the parent.
+    pub fn parent_message(&mut self, message: AddressedMessage) -> RelayOutput {
         let mut output = RelayOutput::default();
         let key = ChildKey {
             name: message.name.clone(),
             start: message.message.start(),
         };
-        let term = term_of(&message.message).unwrap_or(self.term);
+        let term = message.message.term().unwrap_or(self.term);
         if term < self.term && !is_injected(InjectedBug::RelayObeysFormerTerms) {
             return output;
         }
@@ -133,122 +137,109 @@
         output
     }
 
-    /// Sends a message over the watch of a child. One that would overtake an answer under a former term is dropped: read
-    /// behind it, that answer would end the session. The next report brings the message again.
+    /// Sends a message over the watch of a child. A message that would overtake an answer under a former term is dropped,
+    /// since that answer, read after it, would end the session. The next report repeats the message.
     fn push(&self, key: &ChildKey, message: ToInstance, output: &mut RelayOutput) {
         let Some(child) = self.children.get(key) else {
             return;
         };
         let overtakes = child.unread_term.is_some_and(|unread| unread < self.term);
-        // That a lease is renewed is the answer to a report, and says nothing over a watch.
+        // A renewal answers a report, and has no meaning over a watch.
         let is_answer = matches!(message, ToInstance::Renewed { .. });
         if (!overtakes || is_injected(InjectedBug::RelayOvertakesAnswers)) && !is_answer {
-            output.pushes.push(Addressed {
+            output.pushes.push(AddressedMessage {
                 name: key.name.clone(),
                 message,
             });
         }
     }
 
-    /// Delivers the parent's messages to a child: as the answer that it waits for, or over its watch.
+    /// Delivers the parent's messages to a child: as the answer to its pending request, or over its watch.
     fn deliver(&mut self, key: &ChildKey, messages: Vec<ToInstance>, output: &mut RelayOutput) {
         if !self.children.contains_key(key) {
             return;
         }
-        let is_waiting = self.children[key].waiting.is_some();
+        let is_awaited = self.children[key].pending.is_some();
         let mut delivered = Vec::new();
         for message in messages {
-            delivered.extend(self.translate(key, message, is_waiting, output));
+            delivered.extend(self.translate(key, message, is_awaited, output));
         }
-        match self.take_waiting(key) {
-            Some(request) => output.answers.push((request, delivered)),
+        match self.take_pending(key) {
+            Some(request) => output.answer(request, delivered),
             None => delivered
                 .into_iter()
                 .for_each(|message| self.push(key, message, output)),
         }
     }
 
-    /// The parent has accepted a registration: one that the child waits for, or one that the relay made for it.
+    /// Handles that the parent has accepted a registration: one that the child waits for, or one that the relay made for
+    /// it.
     fn accept(
         &mut self,
         key: &ChildKey,
         welcome: &Welcome,
-        is_waiting: bool,
+        is_awaited: bool,
     ) -> Option<ToInstance> {
-        self.every = welcome
-            .every
+        self.report_interval = welcome
+            .report_interval
             .clamp(MIN_REPORT_INTERVAL, MAX_REPORT_INTERVAL);
         let child = self.children.get_mut(key)?;
         let was_registered = std::mem::replace(&mut child.is_registered, true);
-        if is_waiting || !was_registered {
+        if is_awaited || !was_registered {
             return Some(self.welcome(key.start, welcome.incarnation));
         }
-        child.must_register = welcome.incarnation != child.registration.who.incarnation;
+        child.must_register = welcome.incarnation != child.registration.id.incarnation;
         if let Some(report) = child.last_report.clone().filter(|_| !child.must_register) {
             self.queue(key, ToAgent::Report(report));
         }
         None
     }
 
-    /// What a child gets of a message of the parent; none where the message concerns the relay alone.
+    /// Translates a message of the parent into the message that the child gets; none where it concerns the relay only.
     fn translate(
         &mut self,
         key: &ChildKey,
         message: ToInstance,
-        is_waiting: bool,
+        is_awaited: bool,
         output: &mut RelayOutput,
     ) -> Option<ToInstance> {
         let (start, term) = (key.start, self.term);
         match message {
             ToInstance::Welcome(welcome) => {
                 self.forget_other_starts(key, output);
-                self.accept(key, &welcome, is_waiting)
+                self.accept(key, &welcome, is_awaited)
             }
-            ToInstance::Unknown { .. } => {
-                // The parent was started anew without its state: the relay registers the child for it.
+            ToInstance::NotRegistered { .. } => {
+                // The parent has restarted without its state: the relay registers the child.
                 let child = self.children.get(key)?;
                 let registration = ToAgent::Register(child.registration.clone());
                 if !is_injected(InjectedBug::RelayForgetsToRegister) {
                     self.queue(key, registration);
                 }
-                Some(ToInstance::Renewed { start, term }).filter(|_| is_waiting)
+                Some(ToInstance::Renewed { start, term }).filter(|_| is_awaited)
             }
-            ToInstance::Later { again, .. } => {
+            ToInstance::RetryLater { retry_after, .. } => {
                 let child = self.children.get_mut(key)?;
-                if is_waiting && !child.is_registered {
-                    return Some(ToInstance::Later { start, again });
+                if is_awaited && !child.is_registered {
+                    return Some(ToInstance::RetryLater { start, retry_after });
                 }
-                // The registration that the relay made for it: made again with its next report.
+                // The relay made the registration: the child has to register itself when it next reports.
                 child.must_register = true;
                 None
             }
-            ToInstance::Superseded { by, again, .. } => {
+            ToInstance::Superseded {
+                holder_incarnation,
+                retry_after,
+                ..
+            } => {
                 self.children.get_mut(key)?.is_registered = false;
-                Some(ToInstance::Superseded { start, by, again })
+                Some(ToInstance::Superseded {
+                    start,
+                    holder_incarnation,
+                    retry_after,
+                })
             }
             other => Some(other),
         }
     }
 }
-
-fn key_of(message: &ToAgent) -> ChildKey {
-    let who = message.who();
-    ChildKey {
-        name: who.name.clone(),
-        start: who.start,
-    }
-}
-
-/// The term of the agent that decided what a message says; none where it says nothing that lasts.
-fn term_of(message: &ToInstance) -> Option<u64> {
-    match message {
-        ToInstance::Welcome(welcome) => Some(welcome.term),
-        ToInstance::Renewed { term, .. } => Some(*term),
-        ToInstance::Order(order) => Some(order.stamp.term),
-        ToInstance::Lent(grant) => Some(grant.by.term),
-        ToInstance::Lists(lists) => Some(lists.stamp.term),
-        ToInstance::Superseded { .. } | ToInstance::Later { .. } | ToInstance::Unknown { .. } => {
-            None
-        }
-    }
-}
--- a/crates/control-plane/src/relay/wire.rs
+++ b/crates/control-plane/src/relay/wire.rs
@@ -6,11 +6,11 @@
 use std::collections::BTreeSet;
 
 /// The most messages in one batch.
-pub const MAX_BATCH: usize = 256;
+pub const MAX_BATCH_MESSAGES: usize = 256;
 /// The largest batch, in bytes, beyond its first message. A batch ends with the message that reaches it.
-pub const LARGEST_BATCH: usize = 4 << 20;
+pub const MAX_BATCH_BYTES: usize = 4 << 20;
 
-/// Messages of several instances, at most [`MAX_BATCH`], at most one of each.
+/// Messages of several instances, at most [`MAX_BATCH_MESSAGES`], at most one of each.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Batch {
     /// The messages, in the order in which they are to be handled.
@@ -19,45 +19,47 @@
 
 /// A message for one instance.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Addressed {
+pub struct AddressedMessage {
     /// The name of the instance.
     pub name: String,
     /// The message; it contains the start that it is for.
     pub message: ToInstance,
 }
 
-/// The parent's answer to a batch. Orders and lists are not in it: they come over the relay's watch, one a line, so that
-/// an answer stays small.
+/// The parent's answer to a batch. Orders and lists are not in it: they are sent over the relay's watch, one a line, so
+/// that an answer stays small.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct BatchAnswer {
     /// The parent's term.
     pub term: u64,
     /// The messages.
-    pub messages: Vec<Addressed>,
+    pub messages: Vec<AddressedMessage>,
 }
 
 impl BatchAnswer {
-    /// Makes the answer to a batch from what its messages have led to, by name. Returns it with what goes over watches:
-    /// orders and lists, which may be long, and messages for instances that are not in the batch.
+    /// Makes the answer to a batch from the messages to instances that it has led to, by name. Returns it with the
+    /// messages that are sent over watches: orders and lists, which may be long, and messages for instances that are
+    /// not in the batch.
     pub fn new(
         term: u64,
         batch: &Batch,
-        sends: Vec<(String, ToInstance)>,
+        messages: Vec<(String, ToInstance)>,
     ) -> (Self, Vec<(String, ToInstance)>) {
         let names: BTreeSet<&str> = batch
             .messages
             .iter()
-            .map(|message| message.who().name.as_str())
+            .map(|message| message.sender().name.as_str())
             .collect();
-        let is_short =
-            |message: &ToInstance| !matches!(message, ToInstance::Order(_) | ToInstance::Lists(_));
+        let is_short = |message: &ToInstance| {
+            !matches!(message, ToInstance::Order(_) | ToInstance::EndpointLists(_))
+        };
         let is_answer = |(name, message): &(String, ToInstance)| {
             is_short(message) && names.contains(name.as_str())
         };
-        let (own, others): (Vec<_>, Vec<_>) = sends.into_iter().partition(is_answer);
+        let (own, others): (Vec<_>, Vec<_>) = messages.into_iter().partition(is_answer);
         let messages = own
             .into_iter()
-            .map(|(name, message)| Addressed { name, message })
+            .map(|(name, message)| AddressedMessage { name, message })
             .collect();
         (BatchAnswer { term, messages }, others)
     }
@@ -84,5 +86,5 @@
         term: u64,
     },
     /// A message for an instance behind the relay.
-    Message(Addressed),
+    Message(AddressedMessage),
 }
--- a/crates/control-plane/src/settings.rs
+++ b/crates/control-plane/src/settings.rs
@@ -1,6 +1,6 @@
-//! What a change can set, and what of it is in effect on an instance.
+//! The settings that a change can make, and those that are in effect on an instance.
 
-use crate::bounds::{GREATEST_WEIGHT, LONGEST_NAME, LONGEST_ROUTE, MOST_SETTINGS};
+use crate::bounds::{MAX_NAME_BYTES, MAX_ROUTE_BYTES, MAX_SETTINGS, MAX_WEIGHT};
 use crate::{Error, Problem};
 use serde::de::{self, Deserializer};
 use serde::{Deserialize, Serialize, Serializer};
@@ -9,30 +9,31 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// Whether a text can name an instance, a server, a zone, a label: 1 to 128 letters, digits and `. _ : -`.
+/// Checks whether a text can name an instance, a server, a zone or a label: 1 to [`MAX_NAME_BYTES`] ASCII letters,
+/// digits and `. _ : -`.
 ///
 /// # Errors
-/// What is wrong with it.
+/// Why it is no name.
 pub fn check_name(text: &str) -> Result<(), Error> {
-    let odd = |c: char| !(c.is_ascii_alphanumeric() || matches!(c, '.' | '_' | ':' | '-'));
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '_' | ':' | '-');
     if text.is_empty() {
         Err(Error::EmptyName)
-    } else if text.len() > LONGEST_NAME {
+    } else if text.len() > MAX_NAME_BYTES {
         Err(Error::NameTooLong { length: text.len() })
-    } else if let Some(character) = text.chars().find(|c| odd(*c)) {
+    } else if let Some(character) = text.chars().find(|c| !is_allowed(*c)) {
         Err(Error::InvalidCharacter { character })
     } else {
         Ok(())
     }
 }
 
-/// What is set. Written as a path: `weight/SERVER`, `drain/SERVER`, `limit/SERVICE/LIMIT`, `route/NAME`, `log_level`,
-/// and of the agent itself `fleet/LIMIT/FIGURE`.
+/// The key of a setting. Its text is a path: `weight/SERVER`, `drain/SERVER`, `limit/SERVICE/LIMIT`, `route/NAME`,
+/// `log_level`, and for settings of the agent itself `fleet/LIMIT/FIGURE`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Key {
-    /// What a server's listed capacity is multiplied by.
+    /// The factor that multiplies the listed capacity of a server.
     Weight(String),
-    /// Whether a server gets nothing new.
+    /// Whether a server is drained: it receives no new requests.
     Drain(String),
     /// A limit of a service, as the operator file names both.
     Limit {
@@ -43,13 +44,13 @@
     },
     /// A route of the operator file.
     Route(String),
-    /// The least weighty lines that the log has.
+    /// The lowest level that is logged.
     LogLevel,
-    /// A figure of a fleet-wide limit of the agent's file. It is the agent's alone: nothing of it is set on instances.
+    /// A figure of a fleet-wide limit of the agent's file. Only the agent applies it; it is in no overlay.
     Fleet {
         /// The limit.
         limit: String,
-        /// Which of its figures.
+        /// The figure.
         figure: FleetFigure,
     },
 }
@@ -59,9 +60,9 @@
 pub enum FleetFigure {
     /// Requests a second.
     Rate,
-    /// Requests at once.
+    /// Requests in a burst.
     Burst,
-    /// Requests open at once.
+    /// Concurrent requests.
     Open,
 }
 
@@ -151,17 +152,17 @@
     }
 }
 
-/// What a setting is set to.
+/// The value of a setting.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Value {
-    /// A factor in thousandths: 1000 is as listed, 0 is none, 100000 the most.
+    /// A factor in thousandths: 1000 leaves the listed capacity, 0 sends no requests; [`MAX_WEIGHT`] at most.
     Weight(u32),
-    /// Whether it is drained.
+    /// Whether the server is drained.
     Drained(bool),
-    /// A limit, in the unit that the operator file has for it.
+    /// A limit, in the unit of the same limit in the operator file.
     Limit(u64),
-    /// A route, as the operator file has it; checked by the instance.
+    /// A route, in the syntax of the operator file. The instance checks it.
     Route(String),
     /// A level of the log.
     Level(LogLevel),
@@ -170,13 +171,18 @@
 /// A level of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-#[allow(missing_docs)]
 pub enum LogLevel {
+    /// Nothing is logged.
     Off,
+    /// Errors.
     Error,
+    /// Warnings and errors.
     Warn,
+    /// Ordinary events, and all above.
     Info,
+    /// Details for debugging, and all above.
     Debug,
+    /// Everything.
     Trace,
 }
 
@@ -193,24 +199,14 @@
 }
 
 impl Value {
-    /// The text of [`Value::validate`]'s error, for code that still uses it.
-    ///
-    /// # Errors
-    /// Why the value is invalid.
-    pub fn check(&self, key: &Key) -> Result<(), String> {
-        self.validate(key).map_err(|error| error.to_string())
-    }
-
     /// Checks whether a setting can have this value.
     ///
     /// # Errors
     /// Why the value is invalid.
     pub fn validate(&self, key: &Key) -> Result<(), Error> {
         match (key, self) {
-            (Key::Weight(_), Value::Weight(w)) if *w > GREATEST_WEIGHT => {
-                Err(Error::WeightOutOfRange)
-            }
-            (Key::Route(_), Value::Route(text)) if text.len() > LONGEST_ROUTE => {
+            (Key::Weight(_), Value::Weight(w)) if *w > MAX_WEIGHT => Err(Error::WeightOutOfRange),
+            (Key::Route(_), Value::Route(text)) if text.len() > MAX_ROUTE_BYTES => {
                 Err(Error::RouteTooLong { length: text.len() })
             }
             (Key::Weight(_), Value::Weight(_))
@@ -227,14 +223,14 @@
     }
 }
 
-/// Settings that a change makes; `None` goes back to what the instance's own file says.
+/// The settings of a change; `None` restores the value of the instance's own file.
 pub type Edits = BTreeMap<Key, Option<Value>>;
 
-/// Checks the settings of a change; problems name their field below `set`.
+/// Checks the settings of a change, and adds all problems. Their fields begin with `set`.
 pub fn check_edits(edits: &Edits, problems: &mut Vec<Problem>) {
-    if edits.len() > MOST_SETTINGS {
+    if edits.len() > MAX_SETTINGS {
         let problem = format!(
-            "{} settings; a change has {MOST_SETTINGS} at most",
+            "{} settings; a change has {MAX_SETTINGS} at most",
             edits.len()
         );
         problems.push(Problem {
@@ -252,17 +248,17 @@
     }
 }
 
-/// All that is set on an instance beside its own file. It takes effect whole or not at all.
+/// All settings of an instance beside its own file. An overlay takes effect completely or not at all.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Overlay(pub BTreeMap<Key, Value>);
 
 impl Overlay {
-    /// The same for the same settings, whatever made them.
+    /// A hash that is the same for the same settings, whichever changes made them.
     pub fn fingerprint(&self) -> Fingerprint {
         Fingerprint::of(self)
     }
 
-    /// Sets what is to be set. What is the agent's own is passed over.
+    /// Applies the settings of a change. Those of the agent itself are skipped.
     pub fn apply(&mut self, edits: &Edits) {
         for (key, value) in edits
             .iter()
@@ -275,32 +271,33 @@
         }
     }
 
-    /// What differs, a line each: `weight/w7: 1 -> 0.2`; `-` stands for what the instance's own file says.
+    /// The differences to a later overlay, one line each: `weight/w7: 1 -> 0.2`; `-` stands for the value of the
+    /// instance's own file.
     pub fn diff(&self, later: &Overlay) -> Vec<String> {
         let keys: std::collections::BTreeSet<&Key> = self.0.keys().chain(later.0.keys()).collect();
-        let told = |value: Option<&Value>| value.map_or_else(|| "-".to_string(), Value::to_string);
+        let text = |value: Option<&Value>| value.map_or_else(|| "-".to_string(), Value::to_string);
         keys.into_iter()
             .filter(|key| self.0.get(key) != later.0.get(key))
             .map(|key| {
                 format!(
                     "{key}: {} -> {}",
-                    told(self.0.get(key)),
-                    told(later.0.get(key))
+                    text(self.0.get(key)),
+                    text(later.0.get(key))
                 )
             })
             .collect()
     }
 }
 
-/// The first half of a SHA-256 over the canonical JSON of something. Written as 32 hexadecimal digits.
+/// The first half of a SHA-256 hash over the JSON of a value. Its text has 32 hexadecimal digits.
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Fingerprint(pub u128);
 
 impl Fingerprint {
-    /// That of anything that can be written as JSON; maps must be ordered ones.
-    pub fn of<T: Serialize>(what: &T) -> Self {
-        // What is given here has string keys alone, so that it can always be written.
-        let text = serde_json::to_vec(what).unwrap_or_default();
+    /// The fingerprint of a value. All maps in it must be ordered and have string keys.
+    pub fn of<T: Serialize>(value: &T) -> Self {
+        // Maps with string keys can always be serialized.
+        let text = serde_json::to_vec(value).unwrap_or_default();
         let hash = Sha256::digest(&text);
         let half = hash
             .iter()
--- a/crates/control-plane/tests/a_change_is_refused_with_its_field.rs
+++ b/crates/control-plane/tests/a_change_is_refused_with_its_field.rs
@@ -1,11 +1,11 @@
 //! Changes as documents: the file, the checks, fingerprints, layers and differences.
 
-use madderloom_control_plane::bounds::MOST_NAMES;
-use madderloom_control_plane::change::{Change, What};
+use madderloom_control_plane::bounds::MAX_SELECTED_NAMES;
+use madderloom_control_plane::change::{Change, Operation};
+use madderloom_control_plane::change_file;
 use madderloom_control_plane::layers::{Layer, Layers};
-use madderloom_control_plane::policy::{Policy, Share, Then};
-use madderloom_control_plane::selector::{Selector, Traits};
-use madderloom_control_plane::file;
+use madderloom_control_plane::policy::{FailureAction, RolloutPolicy, StageSize};
+use madderloom_control_plane::selector::{Attributes, Selector};
 use madderloom_control_plane::settings::{Edits, Key, LogLevel, Overlay, Value};
 use proptest::prelude::*;
 
@@ -38,16 +38,25 @@
 "#;
 
 #[test]
-fn a_file_is_read_as_it_is_meant() {
-    let change = file::read(FILE, None).expect("sound");
+fn a_change_file_is_read_into_its_change() {
+    let change = change_file::read(FILE, None).expect("valid");
     assert_eq!((change.id.as_str(), change.base), ("slow-w7", 41));
-    assert_eq!(change.rollout.waves, [Share::Count(1), Share::Percent(10)]);
     assert_eq!(
-        (change.rollout.pause, change.rollout.then),
-        (20_000_000, Then::Stop)
+        change.rollout.stages,
+        [StageSize::Count(1), StageSize::Percent(10)]
     );
-    assert_eq!(change.rollout.gate.map(|gate| gate.worse), Some(5));
-    let What::Set(edits) = &change.what else {
+    assert_eq!(
+        (change.rollout.stage_pause, change.rollout.on_failure),
+        (20_000_000, FailureAction::Stop)
+    );
+    assert_eq!(
+        change
+            .rollout
+            .gate
+            .map(|gate| gate.max_increase_thousandths),
+        Some(5)
+    );
+    let Operation::Set(edits) = &change.operation else {
         panic!("it sets")
     };
     assert_eq!(
@@ -65,72 +74,81 @@
 
 #[test]
 fn every_problem_names_its_field() {
-    let told = |from: &str, to: &str| -> Vec<String> {
+    let problems_after = |from: &str, to: &str| -> Vec<String> {
         let text = FILE.replace(from, to);
         assert_ne!(text, FILE, "{from} is there");
-        let problems = file::read(&text, None).expect_err(to);
+        let problems = change_file::read(&text, None).expect_err(to);
         problems
             .iter()
             .map(|problem| format!("{}: {}", problem.field, problem.problem))
             .collect()
     };
-    let begins = |told: Vec<String>, begin: &str| {
-        assert!(told[0].starts_with(begin), "{told:?} is not {begin}")
+    let assert_first_begins = |problems: Vec<String>, begin: &str| {
+        assert!(
+            problems[0].starts_with(begin),
+            "{problems:?} is not {begin}"
+        )
     };
-    begins(
-        told("id = \"slow-w7\"", "id = \"slow w7\""),
+    assert_first_begins(
+        problems_after("id = \"slow-w7\"", "id = \"slow w7\""),
         "id: holds ' '",
     );
-    begins(told("base = 41", ""), "base: is missing");
-    begins(
-        told("at_once = 5", "at_once = 0"),
+    assert_first_begins(problems_after("base = 41", ""), "base: is missing");
+    assert_first_begins(
+        problems_after("at_once = 5", "at_once = 0"),
         "rollout.at_once: must be at least 1",
     );
-    begins(
-        told("\"10%\"", "\"ten\""),
+    assert_first_begins(
+        problems_after("\"10%\"", "\"ten\""),
         "rollout.waves[1]: \"ten\" is no wave",
     );
-    begins(told("\"10%\"", "\"110%\""), "rollout.waves[1]: must be");
-    begins(
-        told("\"0.5%\"", "\"half\""),
+    assert_first_begins(
+        problems_after("\"10%\"", "\"110%\""),
+        "rollout.waves[1]: must be",
+    );
+    assert_first_begins(
+        problems_after("\"0.5%\"", "\"half\""),
         "rollout.gate.worse: \"half\" is no share",
     );
-    begins(told("true", "1"), "set.drain/w9: must be true or false");
-    begins(
-        told("= 200", "= -1"),
+    assert_first_begins(
+        problems_after("true", "1"),
+        "set.drain/w9: must be true or false",
+    );
+    assert_first_begins(
+        problems_after("= 200", "= -1"),
         "set.limit/reports/open: is not negative",
     );
-    begins(
-        told("log_level", "log_levle"),
+    assert_first_begins(
+        problems_after("log_level", "log_levle"),
         "set: \"log_levle\" is no setting; there are",
     );
-    begins(
-        told("[select]", "[selcet]"),
+    assert_first_begins(
+        problems_after("[select]", "[selcet]"),
         "selcet: is not known; did you mean select?",
     );
-    begins(
-        told("zones = [\"north\"]", "zones = [\"a b\"]"),
+    assert_first_begins(
+        problems_after("zones = [\"north\"]", "zones = [\"a b\"]"),
         "select.zones[0]: holds ' '",
     );
 }
 
-/// A change may name each instance of a large fleet, and there is a bound that is told.
+/// A change may name each instance of a large fleet, up to a bound that the error names.
 #[test]
 fn a_change_names_4_096_instances_and_no_more() {
     let named = |count: usize| {
         let names: Vec<String> = (0..count)
             .map(|number| format!("\"shop-{number}\""))
             .collect();
-        file::read(&FILE.replace("\"shop-*\"", &names.join(", ")), None)
+        change_file::read(&FILE.replace("\"shop-*\"", &names.join(", ")), None)
     };
-    let change = named(MOST_NAMES).expect("sound");
+    let change = named(MAX_SELECTED_NAMES).expect("valid");
     assert!(change.select.names.len() == 4_096 && change.check().is_empty());
-    let all = Traits {
+    let all = Attributes {
         zone: "north".into(),
-        ..Traits::default()
+        ..Attributes::default()
     };
     assert!(change.select.matches("shop-4095", &all) && !change.select.matches("shop-4096", &all));
-    let fields: Vec<String> = match named(MOST_NAMES + 1) {
+    let fields: Vec<String> = match named(MAX_SELECTED_NAMES + 1) {
         Ok(change) => change
             .check()
             .into_iter()
@@ -142,7 +160,7 @@
 }
 
 #[test]
-fn a_difference_tells_people_what_changed() {
+fn a_difference_has_one_line_for_each_setting() {
     let mut former = Overlay::default();
     former
         .0
@@ -173,14 +191,14 @@
 }
 
 #[test]
-fn undoing_one_change_leaves_those_over_and_under_it() {
+fn undoing_one_change_leaves_those_above_and_below_it() {
     let mut layers = Layers::default();
     for (revision, weight) in [(1, 100), (2, 200), (3, 300)] {
         layers.add(layer(revision, Selector::default(), "w", weight));
     }
     let weight = |layers: &Layers| {
         layers
-            .overlay("a", &Traits::default())
+            .overlay("a", &Attributes::default())
             .0
             .0
             .into_values()
@@ -203,55 +221,55 @@
 }
 
 proptest! {
-    /// Layers that are dropped for showing nowhere never showed, also not after the undoing of one that can be.
+    /// Layers that are dropped because later ones hide them had no effect, also after any undo that is still possible.
     #[test]
     fn dropping_hidden_layers_changes_nothing(
-        made in proptest::collection::vec((any_selector(), 0usize..3, 0u32..5), 0..90),
-        undone in proptest::collection::vec(0usize..32, 0..3),
+        layers in proptest::collection::vec((any_selector(), 0usize..3, 0u32..5), 0..90),
+        undos in proptest::collection::vec(0usize..32, 0..3),
     ) {
-        let (mut kept, mut all) = (Layers::default(), Layers::default());
-        for (revision, (select, server, weight)) in made.into_iter().enumerate() {
+        let (mut merged, mut all) = (Layers::default(), Layers::default());
+        for (revision, (select, server, weight)) in layers.into_iter().enumerate() {
             let layer = layer(revision as u64, select, ["w1", "w2", "w3"][server], weight);
-            kept.add(layer.clone());
+            merged.add(layer.clone());
             all.0.push(layer);
         }
-        prop_assert!(kept.0.len() <= 32 + 9, "{} layers", kept.0.len());
-        for back in undone {
+        prop_assert!(merged.0.len() <= 32 + 9, "{} layers", merged.0.len());
+        for back in undos {
             let Some(id) = all.0.iter().rev().nth(back).map(|layer| layer.id.clone()) else { continue };
-            if kept.undoable(&id).is_ok() {
-                (kept, all) = (kept.without(&id), all.without(&id));
+            if merged.undoable(&id).is_ok() {
+                (merged, all) = (merged.without(&id), all.without(&id));
             }
         }
         for name in ["a", "b1", "c"] {
-            let traits = Traits::default();
-            prop_assert_eq!(kept.overlay(name, &traits).0, all.overlay(name, &traits).0);
+            let attributes = Attributes::default();
+            prop_assert_eq!(merged.overlay(name, &attributes).0, all.overlay(name, &attributes).0);
         }
     }
 
     #[test]
-    fn no_text_is_too_odd(text in "\\PC{0,40}", key in "[a-z_/]{0,24}") {
-        let _ = file::read(&text, Some(1));
-        let _ = file::read(&format!("version = 1\nid = \"x\"\n[set]\n\"{key}\" = 1\n"), Some(1));
+    fn any_text_is_read_without_a_panic(text in "\\PC{0,40}", key in "[a-z_/]{0,24}") {
+        let _ = change_file::read(&text, Some(1));
+        let _ = change_file::read(&format!("version = 1\nid = \"x\"\n[set]\n\"{key}\" = 1\n"), Some(1));
     }
 
     #[test]
-    fn waves_end_with_all_or_fewer(count in 0usize..3_000, percent in 1u32..101, many in 1u32..4_000) {
-        prop_assert!(Share::Percent(percent).of(count) <= count);
-        prop_assert!(Share::Count(many).of(count) <= count);
-        prop_assert!(count == 0 || Share::Percent(percent).of(count) >= 1);
+    fn a_stage_has_no_more_instances_than_there_are(count in 0usize..3_000, percent in 1u32..101, many in 1u32..4_000) {
+        prop_assert!(StageSize::Percent(percent).of(count) <= count);
+        prop_assert!(StageSize::Count(many).of(count) <= count);
+        prop_assert!(count == 0 || StageSize::Percent(percent).of(count) >= 1);
     }
 }
 
 #[test]
-fn the_usual_policy_is_sound() {
+fn the_default_policy_is_valid() {
     let set = Edits::from([(Key::LogLevel, Some(Value::Level(LogLevel::Info)))]);
     let change = Change {
         id: "c".into(),
         base: 0,
         note: String::new(),
         select: Selector::default(),
-        rollout: Policy::default(),
-        what: What::Set(set),
+        rollout: RolloutPolicy::default(),
+        operation: Operation::Set(set),
     };
     assert_eq!(change.check(), []);
 }
--- a/crates/control-plane/tests/a_relay_keeps_its_bounds.rs
+++ b/crates/control-plane/tests/a_relay_keeps_its_bounds.rs
@@ -1,29 +1,32 @@
-//! The bounds of a relay: how many children, how long one waits, what is sent and what is repeated.
+//! The bounds of a relay: the number of children, how long a request waits, and which messages are sent and repeated.
 
-use madderloom_control_plane::protocol::{Register, Report, ToAgent, ToInstance, Welcome, Who};
+use madderloom_control_plane::protocol::{
+    InstanceId, Register, Report, ToAgent, ToInstance, Welcome,
+};
+use madderloom_control_plane::registration_limiter::RegistrationRate;
 use madderloom_control_plane::relay::{
-    Addressed, Batch, BatchAnswer, MAX_BATCH, Relay, RelayRules,
+    AddressedMessage, Batch, BatchAnswer, MAX_BATCH_MESSAGES, Relay, RelayAnswer, RelaySettings,
+    RequestId,
 };
-use madderloom_control_plane::spread::Pace;
 use madderloom_quota_leases::LeaseRequests;
 
 const S: u64 = 1_000_000;
 const TERM: u64 = 7;
 
-fn rules() -> RelayRules {
-    RelayRules {
+fn settings() -> RelaySettings {
+    RelaySettings {
         max_children: 1_000,
-        pace: Pace {
-            rate: 1_000_000,
+        registration_rate: RegistrationRate {
+            per_second: 1_000_000,
             burst: 1_000_000,
-            horizon: 60 * S,
+            max_delay: 60 * S,
         },
-        ..RelayRules::default()
+        ..RelaySettings::default()
     }
 }
 
-fn who(number: usize) -> Who {
-    Who {
+fn id(number: usize) -> InstanceId {
+    InstanceId {
         name: format!("shop-{number}"),
         start: number as u64 + 1,
         incarnation: 1,
@@ -32,57 +35,61 @@
 
 fn registration(number: usize) -> ToAgent {
     ToAgent::Register(Register {
-        who: who(number),
+        id: id(number),
         ..Register::default()
     })
 }
 
 fn report(number: usize) -> ToAgent {
-    let asks = Some(Box::new(LeaseRequests::default()));
+    let lease_requests = Some(Box::new(LeaseRequests::default()));
     ToAgent::Report(Report {
-        who: who(number),
+        id: id(number),
         term: TERM,
-        asks,
+        lease_requests,
         ..Report::default()
     })
 }
 
-fn welcome(number: usize) -> Addressed {
-    let Who {
+fn welcome(number: usize) -> AddressedMessage {
+    let InstanceId {
         name,
         start,
         incarnation,
-    } = who(number);
+    } = id(number);
     let welcome = Welcome {
         start,
         incarnation,
         term: TERM,
-        every: 3 * S,
-        spread: 100 * S,
+        report_interval: 3 * S,
+        reconnect_window: 100 * S,
     };
-    Addressed {
+    AddressedMessage {
         name,
         message: ToInstance::Welcome(welcome),
     }
 }
 
-fn addressed(number: usize, message: ToInstance) -> Addressed {
-    Addressed {
-        name: who(number).name,
+fn addressed(number: usize, message: ToInstance) -> AddressedMessage {
+    AddressedMessage {
+        name: id(number).name,
         message,
     }
 }
 
+fn answer(request: RequestId, messages: Vec<ToInstance>) -> RelayAnswer {
+    RelayAnswer { request, messages }
+}
+
 fn renewed(number: usize) -> ToInstance {
     ToInstance::Renewed {
-        start: who(number).start,
+        start: id(number).start,
         term: TERM,
     }
 }
 
 /// A relay whose parent has accepted so many children at the time 0.
 fn relay_with(children: usize) -> Relay {
-    let mut relay = Relay::new(rules());
+    let mut relay = Relay::new(settings());
     relay.parent_connected(0, TERM);
     for number in 0..children {
         assert!(
@@ -96,7 +103,7 @@
         let numbers = batch
             .messages
             .iter()
-            .map(|message| message.who().start as usize - 1);
+            .map(|message| message.sender().start as usize - 1);
         let messages = numbers.map(welcome).collect();
         relay.batch_answered(
             0,
@@ -114,13 +121,13 @@
     batch
         .messages
         .iter()
-        .map(|message| message.who().name.as_str())
+        .map(|message| message.sender().name.as_str())
         .collect()
 }
 
 #[test]
-fn a_registration_is_answered_by_the_parent_with_the_relays_own_spread() {
-    let mut relay = Relay::new(RelayRules::default());
+fn a_registration_is_answered_by_the_parent_with_the_relays_own_reconnect_window() {
+    let mut relay = Relay::new(RelaySettings::default());
     relay.parent_connected(0, TERM);
     assert!(relay.receive(0, 5, registration(0), 0).answers.is_empty());
     assert_eq!(names(&relay.take_batch().expect("a batch")), ["shop-0"]);
@@ -131,62 +138,68 @@
             messages: vec![welcome(0)],
         },
     );
-    let [(5, messages)] = output.answers.as_slice() else {
+    let [
+        RelayAnswer {
+            request: 5,
+            messages,
+        },
+    ] = output.answers.as_slice()
+    else {
         panic!("{output:?}")
     };
     let [ToInstance::Welcome(welcome)] = messages.as_slice() else {
         panic!("{messages:?}")
     };
-    // One child at 400 a second: not the time that the whole fleet needs.
-    assert_eq!((welcome.term, welcome.spread), (TERM, 2_500));
+    // The window of one child at 400 registrations a second, not that of all instances.
+    assert_eq!((welcome.term, welcome.reconnect_window), (TERM, 2_500));
 }
 
 #[test]
 fn a_child_waits_for_the_parent_until_the_answer_timeout_and_no_longer() {
     let mut relay = relay_with(1);
     assert!(relay.receive(S, 9, report(0), 0).answers.is_empty());
-    let due = relay.next().expect("it waits");
-    assert_eq!(due, S + rules().answer_timeout);
+    let due = relay.next_deadline().expect("it waits");
+    assert_eq!(due, S + settings().answer_timeout);
     assert!(relay.tick(due - 1).answers.is_empty());
-    assert_eq!(relay.tick(due).answers, [(9, vec![renewed(0)])]);
-    assert_eq!(relay.status().answered_alone, 1);
+    assert_eq!(relay.tick(due).answers, [answer(9, vec![renewed(0)])]);
+    assert_eq!(relay.status().answered_locally, 1);
 }
 
 #[test]
-fn while_the_parent_is_away_reports_are_answered_at_once_and_strangers_come_later() {
+fn while_the_parent_is_unreachable_reports_are_answered_at_once_and_new_starts_retry_later() {
     let mut relay = relay_with(1);
     assert!(relay.receive(S, 1, report(0), 0).answers.is_empty());
-    assert_eq!(relay.parent_lost(S).answers, [(1, vec![renewed(0)])]);
+    assert_eq!(relay.parent_lost(S).answers, [answer(1, vec![renewed(0)])]);
     assert_eq!(
         relay.receive(2 * S, 2, report(0), 0).answers,
-        [(2, vec![renewed(0)])]
+        [answer(2, vec![renewed(0)])]
     );
     let output = relay.receive(2 * S, 3, registration(1), 500);
     assert_eq!(
         output.answers,
-        [(
+        [answer(
             3,
-            vec![ToInstance::Later {
+            vec![ToInstance::RetryLater {
                 start: 2,
-                again: S + 500
+                retry_after: S + 500
             }]
         )]
     );
     // A start that is known is welcomed as it was.
     let output = relay.receive(2 * S, 4, registration(0), 0);
     assert!(
-        matches!(output.answers.as_slice(), [(4, messages)] if matches!(messages[..], [ToInstance::Welcome(_)]))
+        matches!(output.answers.as_slice(), [RelayAnswer { request: 4, messages }] if matches!(messages[..], [ToInstance::Welcome(_)]))
     );
     assert!(relay.take_batch().is_none());
 }
 
 #[test]
-fn a_parent_that_is_back_gets_the_last_reports_without_what_they_asked_for() {
+fn a_parent_that_is_back_gets_the_last_reports_without_their_lease_requests() {
     let mut relay = relay_with(3);
     relay.receive(S, 1, report(0), 0);
     relay.receive(S, 2, report(1), 0);
     relay.parent_lost(S);
-    // The second one was not heard within two report intervals, the third never reported.
+    // The second child has sent no message within two report intervals, the third never reported.
     relay.receive(8 * S, 3, report(0), 0);
     relay.parent_connected(8 * S, TERM + 1);
     let batch = relay.take_batch().expect("a batch");
@@ -195,7 +208,7 @@
         panic!("{batch:?}")
     };
     assert!(
-        report.asks.is_none() && report.tells.is_none(),
+        report.lease_requests.is_none() && report.endpoint_lists.is_none(),
         "{report:?}"
     );
 }
@@ -205,7 +218,7 @@
     let mut relay = relay_with(1);
     relay.receive(S, 1, report(0), 0);
     relay.take_batch().expect("the report");
-    let unknown = addressed(0, ToInstance::Unknown { start: 1 });
+    let unknown = addressed(0, ToInstance::NotRegistered { start: 1 });
     let output = relay.batch_answered(
         S,
         BatchAnswer {
@@ -215,8 +228,8 @@
     );
     assert_eq!(
         output.answers,
-        [(1, vec![renewed(0)])],
-        "the child is told nothing of it"
+        [answer(1, vec![renewed(0)])],
+        "the child gets no message"
     );
     let batch = relay.take_batch().expect("the registration");
     assert!(
@@ -239,11 +252,11 @@
 }
 
 #[test]
-fn a_child_that_the_parent_gave_another_incarnation_registers_itself() {
+fn a_child_that_the_parent_granted_another_incarnation_registers_itself() {
     let mut relay = relay_with(1);
     relay.receive(S, 1, report(0), 0);
     relay.take_batch().expect("the report");
-    let unknown = addressed(0, ToInstance::Unknown { start: 1 });
+    let unknown = addressed(0, ToInstance::NotRegistered { start: 1 });
     relay.batch_answered(
         S,
         BatchAnswer {
@@ -266,7 +279,7 @@
     let output = relay.receive(2 * S, 2, report(0), 0);
     assert_eq!(
         output.answers,
-        [(2, vec![ToInstance::Unknown { start: 1 }])]
+        [answer(2, vec![ToInstance::NotRegistered { start: 1 }])]
     );
 }
 
@@ -283,12 +296,12 @@
         "a later message takes the place of one that was not sent"
     );
     let batch = relay.take_batch().expect("a batch");
-    assert_eq!(batch.messages.len(), MAX_BATCH);
+    assert_eq!(batch.messages.len(), MAX_BATCH_MESSAGES);
     assert!(
         relay.take_batch().is_none() && relay.ready_for_batch() == 0,
         "one is under way"
     );
-    // What did not fit into the request goes with a later one.
+    // Messages that did not fit into the request are sent with a later one.
     let left = batch.messages[200..].to_vec();
     relay.put_back(left);
     relay.batch_answered(
@@ -318,32 +331,32 @@
     let output = relay.receive(S, 7, registration(1_000), 0);
     assert_eq!(
         output.answers,
-        [(
+        [answer(
             7,
-            vec![ToInstance::Later {
+            vec![ToInstance::RetryLater {
                 start: 1_001,
-                again: 60 * S
+                retry_after: 60 * S
             }]
         )]
     );
-    // Nine in ten report; the others are forgotten once their lease is over, also one that waits.
+    // Nine in ten report; the others are forgotten once their lease is over, also one with a pending request.
     (100..1_000).for_each(|number| drop(relay.receive(5 * S, number as u64, report(number), 0)));
     relay.parent_lost(5 * S);
-    relay.tick(rules().lease);
+    relay.tick(settings().child_lease);
     assert_eq!(relay.status().children, 900);
-    relay.tick(5 * S + rules().lease);
-    assert_eq!((relay.status().children, relay.next()), (0, None));
+    relay.tick(5 * S + settings().child_lease);
+    assert_eq!((relay.status().children, relay.next_deadline()), (0, None));
 }
 
 #[test]
-fn where_reports_are_seldom_a_child_is_remembered_for_three_of_them() {
-    let mut relay = Relay::new(rules());
+fn with_a_long_report_interval_a_child_is_remembered_for_three_of_them() {
+    let mut relay = Relay::new(settings());
     relay.parent_connected(0, TERM);
     relay.receive(0, 1, registration(0), 0);
     relay.take_batch().expect("the registration");
     let mut seldom = welcome(0);
     if let ToInstance::Welcome(welcome) = &mut seldom.message {
-        welcome.every = 20 * S;
+        welcome.report_interval = 20 * S;
     }
     relay.batch_answered(
         0,
@@ -361,20 +374,20 @@
 }
 
 #[test]
-fn registrations_are_admitted_at_the_relays_pace() {
-    let pace = Pace {
-        rate: 10,
+fn registrations_are_admitted_at_the_relays_rate() {
+    let registration_rate = RegistrationRate {
+        per_second: 10,
         burst: 5,
-        horizon: 60 * S,
+        max_delay: 60 * S,
     };
-    let mut relay = Relay::new(RelayRules {
-        pace,
-        ..RelayRules::default()
+    let mut relay = Relay::new(RelaySettings {
+        registration_rate,
+        ..RelaySettings::default()
     });
     relay.parent_connected(0, TERM);
     let later = (0..100).filter(|number| {
         let output = relay.receive(0, *number as u64, registration(*number), 0);
-        matches!(output.answers.as_slice(), [(_, messages)] if matches!(messages[..], [ToInstance::Later { .. }]))
+        matches!(output.answers.as_slice(), [RelayAnswer { messages, .. }] if matches!(messages[..], [ToInstance::RetryLater { .. }]))
     });
     assert_eq!(
         later.count(),
@@ -384,11 +397,11 @@
 }
 
 #[test]
-fn a_parent_of_a_former_term_is_left_and_what_it_says_is_dropped() {
+fn a_parent_of_a_former_term_is_disconnected_and_its_messages_are_dropped() {
     let mut relay = relay_with(1);
-    // The child has heard of a later agent elsewhere.
+    // The child knows a later agent.
     let later = Report {
-        who: who(0),
+        id: id(0),
         term: TERM + 1,
         ..Report::default()
     };
@@ -405,7 +418,7 @@
         start: 1,
         term: TERM + 1,
     };
-    assert_eq!(output.answers, [(1, vec![told])]);
+    assert_eq!(output.answers, [answer(1, vec![told])]);
     assert!(!relay.is_connected());
     relay.parent_connected(S, TERM);
     assert!(!relay.is_connected(), "it is the former one still");
--- a/crates/control-plane/tests/errors_keep_their_texts.rs
+++ b/crates/control-plane/tests/errors_keep_their_texts.rs
@@ -2,7 +2,7 @@
 
 use madderloom_control_plane::layers::Layers;
 use madderloom_control_plane::settings::{Key, Value, check_name};
-use madderloom_control_plane::{Error, Fleet, Record, Rules, Time};
+use madderloom_control_plane::{Error, Fleet, FleetSettings, Record, Time};
 use std::error::Error as _;
 
 fn of_name(name: &str) -> String {
@@ -15,7 +15,7 @@
 
 fn of_record(key: &str, record: Record) -> Error {
     let records = [(key.to_string(), record)];
-    Fleet::restore(Rules::default(), Time::default(), 0, records).expect_err(key)
+    Fleet::restore(FleetSettings::default(), Time::default(), 0, records).expect_err(key)
 }
 
 #[test]
--- a/crates/control-plane/tests/the_longest_lists_fit_into_messages.rs
+++ b/crates/control-plane/tests/the_longest_lists_fit_into_messages.rs
@@ -1,6 +1,6 @@
 //! The longest lists of servers that are shared fit into the messages of version 1 of the control protocol.
 
-use madderloom_control_plane::protocol::{LARGEST_FROM_INSTANCE, LARGEST_ORDER};
+use madderloom_control_plane::protocol::{MAX_ORDER_BYTES, MAX_REPORT_BYTES};
 use madderloom_endpoint_sharing::{Line, Lists, MOST_LISTS, MOST_TEXT, Tell, Tells};
 
 #[test]
@@ -19,7 +19,7 @@
     .expect("it can be written");
     let without = tells.len() - 2 * MOST_TEXT;
     assert!(without < 16 << 10, "{without} bytes beside the list");
-    assert!(tells.len() + (48 << 10) <= LARGEST_FROM_INSTANCE);
+    assert!(tells.len() + (48 << 10) <= MAX_REPORT_BYTES);
 }
 
 #[test]
@@ -37,15 +37,15 @@
         ..Lists::default()
     };
     let written = serde_json::to_vec(&lists).expect("it can be written").len();
-    assert!(written < LARGEST_ORDER, "{written} bytes");
+    assert!(written < MAX_ORDER_BYTES, "{written} bytes");
 }
 
-/// Fields that are not known are passed over, so that an instance that knows of no room hears the rest.
+/// Unknown fields are skipped, so that an instance of an earlier version reads the rest of a message.
 #[test]
-fn a_word_with_fields_that_are_not_known_is_read() {
-    let word = r#"{"start": 7, "answers": 3, "room": 262144, "of_later": [1], "of": [{"list": "l", "later": {}}]}"#;
-    let word: Lists = serde_json::from_str(word).expect("a word");
-    assert_eq!((word.start, word.answers, word.of.len()), (7, 3, 1));
-    let word: Lists = serde_json::from_str(r#"{"start": 7}"#).expect("a word");
-    assert_eq!(word.room, 0);
+fn a_message_with_unknown_fields_is_read() {
+    let text = r#"{"start": 7, "answers": 3, "room": 262144, "of_later": [1], "of": [{"list": "l", "later": {}}]}"#;
+    let lists: Lists = serde_json::from_str(text).expect("lists");
+    assert_eq!((lists.start, lists.answers, lists.of.len()), (7, 3, 1));
+    let lists: Lists = serde_json::from_str(r#"{"start": 7}"#).expect("lists");
+    assert_eq!(lists.room, 0);
 }
--- a/crates/lab/src/scale/bounds.rs
+++ b/crates/lab/src/scale/bounds.rs
@@ -4,10 +4,10 @@
 use super::capacity::{CONNECTIONS, DAY, Reckoner, Row, exactly, reckoned};
 use crate::hop::Row as HopRow;
 use madderloom_agent::USUAL_CONNECTIONS;
-use madderloom_control_plane::bounds::MOST_LAYERS;
-use madderloom_control_plane::membership::Leases;
-use madderloom_control_plane::bounds::MOST_SETTINGS;
-use madderloom_control_plane::spread::Pace;
+use madderloom_control_plane::bounds::MAX_LAYERS;
+use madderloom_control_plane::bounds::MAX_SETTINGS;
+use madderloom_control_plane::membership::LeaseSettings;
+use madderloom_control_plane::registration_limiter::RegistrationRate;
 use madderloom_endpoint_sharing::MOST_LISTS;
 
 /// What carries a call through a sidecar.
@@ -34,10 +34,10 @@
                 "agent",
                 "restarts of a day: registrations",
                 size.restarts_per_day / DAY,
-                Some(f64::from(Pace::default().rate)),
+                Some(f64::from(RegistrationRate::default().per_second)),
                 "/s",
                 "size: restarts / day, beside the usual pace",
-                "`control-plane/src/spread.rs` `Pace`",
+                "`control-plane/src/registration_limiter.rs` `RegistrationRate`",
             ),
             row(
                 "agent",
@@ -140,7 +140,7 @@
     pub(super) fn bounds(&self) -> Vec<Row> {
         let services = f64::from(self.file.size.services);
         let connections = CONNECTIONS * self.sidecars;
-        let rate = f64::from(Pace::default().rate);
+        let rate = f64::from(RegistrationRate::default().per_second);
         let bound = |what: &str, needs: f64, budget: f64, unit, from, carried_by| {
             reckoned(
                 "bound in code",
@@ -155,18 +155,18 @@
             bound(
                 "settings of one overlay, with one for each service",
                 services,
-                MOST_SETTINGS as f64,
+                MAX_SETTINGS as f64,
                 "",
                 "code: fixed",
-                "`control-plane/src/bounds.rs` `MOST_SETTINGS`",
+                "`control-plane/src/bounds.rs` `MAX_SETTINGS`",
             ),
             bound(
                 "layers in effect, with one for each service",
                 services,
-                MOST_LAYERS as f64,
+                MAX_LAYERS as f64,
                 "",
                 "code: fixed",
-                "`control-plane/src/bounds.rs` `MOST_LAYERS`",
+                "`control-plane/src/bounds.rs` `MAX_LAYERS`",
             ),
             bound(
                 "lists that the fleet shares, with one for each service",
@@ -179,10 +179,10 @@
             bound(
                 "names known to an agent",
                 self.sidecars,
-                Leases::default().most as f64,
+                LeaseSettings::default().max_members as f64,
                 "",
                 "code: usual; `leases.instances` goes to 65,536",
-                "`control-plane/src/membership.rs` `Leases`",
+                "`control-plane/src/membership.rs` `LeaseSettings`",
             ),
             bound(
                 "connections of an agent",
@@ -198,7 +198,7 @@
                 self.file.budget.change_seconds(),
                 "s",
                 "code: usual; sidecars / `registrations.rate`",
-                "`control-plane/src/spread.rs` `Pace`",
+                "`control-plane/src/registration_limiter.rs` `RegistrationRate`",
             ),
         ]
     }
--- a/crates/lab/src/scale/capacity.rs
+++ b/crates/lab/src/scale/capacity.rs
@@ -4,7 +4,7 @@
 use super::line::{Foretold, Line};
 use super::measured::{BASE, Measured};
 use super::size::SizeFile;
-use madderloom_control_plane::spread::Pace;
+use madderloom_control_plane::registration_limiter::RegistrationRate;
 use serde::Serialize;
 
 /// Seconds of a day.
@@ -181,7 +181,7 @@
                 factor: each,
                 budget: None,
                 unit: "/s",
-                carried_by: "`control-plane/src/instance.rs` `Instance`",
+                carried_by: "`control-plane/src/instance/mod.rs` `Instance`",
             }),
             self.row(Wanted {
                 series: BASE,
@@ -262,7 +262,7 @@
                 carried_by,
             })
         };
-        let rollout = "`control-plane/src/rollout.rs` `Rollout`";
+        let rollout = "`control-plane/src/rollout/mod.rs` `Rollout`";
         let mut rows = self.ordinary_day(BASE, role).to_vec();
         rows.extend([row(
             "changes of a day, all to all: processor time beyond calm",
@@ -355,7 +355,7 @@
 
     /// What the agent's one core has to do while all come back, beside the time that they take at the usual pace.
     fn return_processor(&self) -> [Row; 2] {
-        let at_the_pace = self.sidecars / f64::from(Pace::default().rate);
+        let at_the_pace = self.sidecars / f64::from(RegistrationRate::default().per_second);
         let row = |what, figure| {
             self.row(Wanted {
                 series: BASE,
@@ -391,7 +391,7 @@
             factor: 1e-3,
             budget: Some(gap),
             unit: "s",
-            carried_by: "`control-plane/src/fleet/mod.rs` `Declined::Busy`",
+            carried_by: "`control-plane/src/fleet/rejection.rs` `Rejection::Busy`",
         })
     }
 
@@ -434,7 +434,7 @@
                 carried_by,
             })
         };
-        let spread = "`control-plane/src/spread.rs` `Spread`";
+        let spread = "`control-plane/src/registration_limiter.rs` `RegistrationLimiter`";
         vec![
             row(
                 "agent",
@@ -476,13 +476,13 @@
                 "agent",
                 "region's cut over: change made meanwhile in force at its last",
                 Figure::RegionInForce,
-                "`control-plane/src/fleet/mod.rs` `Fleet::bring`",
+                "`control-plane/src/fleet/orders.rs` `Fleet::send_order`",
             ),
             row(
                 "command line",
                 "push while a region is cut: rollout ended",
                 Figure::RegionRollout,
-                "`control-plane/src/rollout.rs` `Rollout`",
+                "`control-plane/src/rollout/mod.rs` `Rollout`",
             ),
         ]
     }
--- a/crates/lab/src/scale/conductor.rs
+++ b/crates/lab/src/scale/conductor.rs
@@ -10,8 +10,8 @@
 use super::steps::Step;
 use super::usage::{Allowed, now};
 use super::workers::Workers;
-use madderloom_control_plane::change::{Change, What};
-use madderloom_control_plane::policy::{Policy, Then};
+use madderloom_control_plane::change::{Change, Operation};
+use madderloom_control_plane::policy::{FailureAction, RolloutPolicy};
 use madderloom_control_plane::settings::{Edits, Key, Value};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -472,13 +472,13 @@
     let select = group
         .selector()
         .ok_or_else(|| format!("no label selects {group:?}"))?;
-    let rollout = Policy {
-        waves: vec![],
-        at_once: u32::MAX,
-        pause: 0,
-        silence: u64::try_from(silence.as_micros()).unwrap_or(u64::MAX),
-        failures: u32::MAX,
-        then: Then::Stop,
+    let rollout = RolloutPolicy {
+        stages: vec![],
+        max_in_flight: u32::MAX,
+        stage_pause: 0,
+        answer_timeout: u64::try_from(silence.as_micros()).unwrap_or(u64::MAX),
+        max_failures: u32::MAX,
+        on_failure: FailureAction::Stop,
         gate: None,
     };
     Ok(Change {
@@ -487,7 +487,7 @@
         note: String::new(),
         select,
         rollout,
-        what: What::Set(Edits::from([(
+        operation: Operation::Set(Edits::from([(
             Key::Weight(MARKER.into()),
             Some(Value::Weight(marker)),
         )])),
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -11,11 +11,11 @@
 use super::usage;
 use madderloom_agent::traffic::Counters;
 use madderloom_agent::{Client, Link, Settings, Taking};
-use madderloom_control_plane::gate::Counts;
-use madderloom_control_plane::protocol::{Outcome, ToAgent, ToInstance, Who};
-use madderloom_control_plane::bounds::MOST_SETTINGS;
+use madderloom_control_plane::bounds::MAX_SETTINGS;
+use madderloom_control_plane::health_gate::RequestCounts;
+use madderloom_control_plane::protocol::{InstanceId, Outcome, ToAgent, ToInstance};
 use madderloom_control_plane::settings::{Key, Overlay, Value};
-use madderloom_control_plane::{Instance, Memory, Problem};
+use madderloom_control_plane::{Instance, PersistedInstance, Problem};
 use madderloom_endpoint_sharing::{Lists, Tells};
 use madderloom_pki::Keyring;
 use madderloom_quota_leases::{Asks, Holder, Lent, Safe};
@@ -50,7 +50,7 @@
 /// What outlives a start of an instance, and what is seen of it.
 #[derive(Default)]
 struct Seen {
-    memory: RefCell<Memory>,
+    memory: RefCell<PersistedInstance>,
     in_force: Cell<Option<(u32, u64)>>,
     /// A report was made since the mark. An answer to one that was made before says nothing of its session.
     reported: Cell<bool>,
@@ -152,11 +152,11 @@
 }
 
 /// A new start of an instance, as the sidecar makes it.
-fn who(number: usize) -> Who {
+fn who(number: usize) -> InstanceId {
     let unix = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
-    Who {
+    InstanceId {
         name: places::name(number),
         start: RandomState::new().hash_one(number),
         incarnation: u64::try_from(unix.as_micros()).unwrap_or(u64::MAX / 2),
@@ -195,8 +195,8 @@
 
 /// Checks an overlay as the sidecar does before it takes it.
 fn check(overlay: &Overlay) -> Result<(), Problem> {
-    if overlay.0.len() > MOST_SETTINGS {
-        let problem = format!("holds more than {MOST_SETTINGS} settings");
+    if overlay.0.len() > MAX_SETTINGS {
+        let problem = format!("holds more than {MAX_SETTINGS} settings");
         return Err(Problem {
             field: "set".into(),
             problem,
@@ -205,11 +205,11 @@
     let fault = overlay
         .0
         .iter()
-        .find_map(|(key, value)| Some((key, value.check(key).err()?)));
+        .find_map(|(key, value)| Some((key, value.validate(key).err()?)));
     fault.map_or(Ok(()), |(key, problem)| {
         Err(Problem {
             field: format!("set.{key}"),
-            problem,
+            problem: problem.to_string(),
         })
     })
 }
@@ -228,15 +228,15 @@
         Box::pin(std::future::ready(outcome))
     }
 
-    fn counts(&mut self) -> Counts {
+    fn counts(&mut self) -> RequestCounts {
         let ended = self.manner.requests;
-        Counts {
+        RequestCounts {
             ended,
             bad: ended * BAD_OF_A_THOUSAND / 1_000,
         }
     }
 
-    fn keep(&mut self, memory: &Memory) {
+    fn keep(&mut self, memory: &PersistedInstance) {
         self.seen.memory.replace(memory.clone());
     }
 
--- a/crates/lab/src/scale/places.rs
+++ b/crates/lab/src/scale/places.rs
@@ -1,6 +1,6 @@
 //! Where instances are: which service, zone and region each belongs to, and groups of them that a step is about.
 
-use madderloom_control_plane::selector::{Selector, Traits};
+use madderloom_control_plane::selector::{Attributes, Selector};
 use madderloom_control_plane::settings::Fingerprint;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -44,12 +44,12 @@
 }
 
 /// What an instance says of itself.
-pub fn traits(number: usize) -> Traits {
+pub fn traits(number: usize) -> Attributes {
     let labels = [
         ("service", service(number)),
         ("region", format!("region-{}", region(number))),
     ];
-    Traits {
+    Attributes {
         zone: zone(number),
         labels: labels
             .into_iter()
--- a/crates/lab/src/scale/with_relays.rs
+++ b/crates/lab/src/scale/with_relays.rs
@@ -147,7 +147,7 @@
                 "command line, relays",
                 "push while a region is cut: rollout ended",
                 Figure::RegionRollout,
-                "`control-plane/src/rollout.rs` `Rollout`",
+                "`control-plane/src/rollout/mod.rs` `Rollout`",
             ),
         ]
     }
--- a/crates/operator-config/src/control.rs
+++ b/crates/operator-config/src/control.rs
@@ -3,7 +3,7 @@
 use crate::fleet_limits::{self, FleetLimit};
 use crate::names::Names;
 use madderloom_config_reader::Document;
-use madderloom_control_plane::selector::Traits;
+use madderloom_control_plane::selector::Attributes;
 use madderloom_control_plane::settings::check_name;
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -95,10 +95,10 @@
                 format_args!("{problem}; it is what the agent lists"),
             );
         }
-        let traits = Traits {
+        let traits = Attributes {
             zone: zone.clone(),
             labels: labels.clone(),
-            ..Traits::default()
+            ..Attributes::default()
         };
         if let Err(problem) = traits.check() {
             document.problem(&format!("control.{}", problem.field), problem.problem);
--- a/crates/sidecar/src/agent_link/apply.rs
+++ b/crates/sidecar/src/agent_link/apply.rs
@@ -5,8 +5,8 @@
 use crate::process::Sidecar;
 use crate::reload::aside;
 use madderloom_control_plane::Problem;
+use madderloom_control_plane::bounds::MAX_SETTINGS;
 use madderloom_control_plane::protocol::Outcome;
-use madderloom_control_plane::bounds::MOST_SETTINGS;
 use madderloom_control_plane::settings::Overlay;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -21,8 +21,8 @@
                 problem: problem.to_string(),
             })
         };
-        if overlay.0.len() > MOST_SETTINGS {
-            return refused("set", &format!("holds more than {MOST_SETTINGS} settings"));
+        if overlay.0.len() > MAX_SETTINGS {
+            return refused("set", &format!("holds more than {MAX_SETTINGS} settings"));
         }
         let fault = overlay
             .0
--- a/crates/sidecar/src/agent_link/connection.rs
+++ b/crates/sidecar/src/agent_link/connection.rs
@@ -4,11 +4,11 @@
 use crate::pool;
 use crate::process::Sidecar;
 use madderloom_agent::{Client, Link, Settings, Taking};
-use madderloom_control_plane::selector::Traits;
-use madderloom_control_plane::gate::Counts;
-use madderloom_control_plane::protocol::Who;
+use madderloom_control_plane::health_gate::RequestCounts;
+use madderloom_control_plane::protocol::InstanceId;
+use madderloom_control_plane::selector::Attributes;
 use madderloom_control_plane::settings::Overlay;
-use madderloom_control_plane::{Instance, Memory};
+use madderloom_control_plane::{Instance, PersistedInstance};
 use madderloom_endpoint_sharing::{Lists, Offer, Tells};
 use madderloom_pki::{Files, Keyring, Role};
 use madderloom_quota_leases::{Grant, LeaseRequests};
@@ -34,7 +34,7 @@
 pub(super) async fn keep_link(
     sidecar: Weak<Sidecar>,
     control: madderloom_operator_config::Control,
-    traits: watch::Receiver<Traits>,
+    traits: watch::Receiver<Attributes>,
 ) {
     let files = Files {
         authority: control.authority.clone(),
@@ -66,7 +66,7 @@
     let unix = SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
         .unwrap_or_default();
-    let who = Who {
+    let who = InstanceId {
         name: control.name.clone(),
         start: RandomState::new().hash_one(&control.name),
         incarnation: u64::try_from(unix.as_micros()).unwrap_or(u64::MAX / 2),
@@ -74,8 +74,8 @@
     let memory = own.agent_link.memory.borrow().clone();
     let machine = Instance::new(0, who, traits.borrow().clone(), memory.clone());
     // Persisted before it is used, so that no two starts have the same incarnation.
-    own.agent_link.persist(&Memory {
-        incarnation: machine.who().incarnation,
+    own.agent_link.persist(&PersistedInstance {
+        incarnation: machine.id().incarnation,
         ..memory
     });
     tracing::info!(
@@ -142,9 +142,9 @@
         })
     }
 
-    fn counts(&mut self) -> Counts {
+    fn counts(&mut self) -> RequestCounts {
         let Some(sidecar) = self.sidecar.upgrade() else {
-            return Counts::default();
+            return RequestCounts::default();
         };
         self.window.sample(Instant::now(), &sidecar.common)
     }
@@ -184,7 +184,7 @@
         common.shared_lists.hear(lists, apply, call, rest)
     }
 
-    fn keep(&mut self, memory: &Memory) {
+    fn keep(&mut self, memory: &PersistedInstance) {
         if let Some(sidecar) = self.sidecar.upgrade() {
             sidecar.agent_link.persist(memory);
         }
--- a/crates/sidecar/src/agent_link/mod.rs
+++ b/crates/sidecar/src/agent_link/mod.rs
@@ -16,8 +16,8 @@
 use super::process::Sidecar;
 use super::reload::aside;
 use connection::keep_link;
-use madderloom_control_plane::Memory;
-use madderloom_control_plane::selector::Traits;
+use madderloom_control_plane::PersistedInstance;
+use madderloom_control_plane::selector::Attributes;
 use madderloom_control_plane::settings::{Key, LogLevel, Overlay, Value};
 use madderloom_operator_config::{Operator, Source};
 use madderloom_watchdog::{self as watchdog, TaskKind};
@@ -38,7 +38,7 @@
     pub(super) turn: Mutex<()>,
     file: RefCell<Option<ConfiguredAgent>>,
     /// The persisted state, with the overlay in effect.
-    memory: RefCell<Memory>,
+    memory: RefCell<PersistedInstance>,
     link: RefCell<Option<ActiveLink>>,
     log: RefCell<Option<LogHook>>,
     /// Whether the log has been told that the state cannot be persisted.
@@ -56,7 +56,7 @@
 /// A running link; it ends when this is dropped.
 struct ActiveLink {
     control: madderloom_operator_config::Control,
-    traits: watch::Sender<Traits>,
+    traits: watch::Sender<Attributes>,
     task: AbortHandle,
 }
 
@@ -118,10 +118,10 @@
         .await?
     }
 
-    fn traits(&self) -> Option<Traits> {
+    fn traits(&self) -> Option<Attributes> {
         let file = self.file.borrow();
         let ConfiguredAgent { control, source } = file.as_ref()?;
-        Some(Traits {
+        Some(Attributes {
             zone: control.zone.clone(),
             labels: control.labels.clone(),
             build: env!("CARGO_PKG_VERSION").to_string(),
@@ -144,7 +144,7 @@
 
     /// Persists the state for the next start. The file survives the process. A file system that loses it in a power
     /// failure costs what a lost state does: the agent orders the settings again.
-    fn persist(&self, memory: &Memory) {
+    fn persist(&self, memory: &PersistedInstance) {
         self.memory.replace(memory.clone());
         let file = self.file.borrow();
         let Some(directory) = file.as_ref().and_then(|file| file.control.state.as_ref()) else {
@@ -230,7 +230,7 @@
                 .as_ref()
                 .and_then(|file| file.control.state.clone());
             let memory = load(directory.as_deref());
-            self.agent_link.memory.replace(Memory {
+            self.agent_link.memory.replace(PersistedInstance {
                 overlay: Overlay::default(),
                 revision: 0,
                 ..memory
--- a/crates/sidecar/src/agent_link/window.rs
+++ b/crates/sidecar/src/agent_link/window.rs
@@ -2,7 +2,7 @@
 
 use crate::common::Common;
 use crate::service::Service;
-use madderloom_control_plane::gate::Counts;
+use madderloom_control_plane::health_gate::RequestCounts;
 use std::collections::VecDeque;
 use std::rc::{Rc, Weak};
 use std::time::Duration;
@@ -15,20 +15,20 @@
 /// The request counts of the last window, over all services.
 #[derive(Default)]
 pub(super) struct Window {
-    all: Counts,
+    all: RequestCounts,
     /// The counts of each service at the last sample.
-    services: Vec<(Weak<Service>, Counts)>,
-    samples: VecDeque<(Instant, Counts)>,
+    services: Vec<(Weak<Service>, RequestCounts)>,
+    samples: VecDeque<(Instant, RequestCounts)>,
 }
 
 impl Window {
-    pub(super) fn sample(&mut self, now: Instant, common: &Common) -> Counts {
+    pub(super) fn sample(&mut self, now: Instant, common: &Common) -> RequestCounts {
         self.services
             .retain(|(service, _)| service.strong_count() > 0);
         for service in common.services.borrow().iter() {
             let counts = service.counts.sum();
             let away = counts.refused.get() + counts.failed.get() + counts.turned_away.get();
-            let present = Counts {
+            let present = RequestCounts {
                 ended: counts.served.get() + away,
                 bad: counts.late.get() + away,
             };
@@ -40,7 +40,7 @@
                 Some((_, former)) => std::mem::replace(former, present),
                 None => {
                     self.services.push((Rc::downgrade(service), present));
-                    Counts::default()
+                    RequestCounts::default()
                 }
             };
             self.all.ended += present.ended - former.ended;
@@ -49,7 +49,7 @@
         self.since(now)
     }
 
-    fn since(&mut self, now: Instant) -> Counts {
+    fn since(&mut self, now: Instant) -> RequestCounts {
         // The last sample before the window stands for its beginning.
         while self
             .samples
@@ -61,7 +61,7 @@
         let first = self
             .samples
             .front()
-            .map_or(Counts::default(), |(_, counts)| *counts);
+            .map_or(RequestCounts::default(), |(_, counts)| *counts);
         if self
             .samples
             .back()
@@ -69,7 +69,7 @@
         {
             self.samples.push_back((now, self.all));
         }
-        Counts {
+        RequestCounts {
             ended: self.all.ended - first.ended,
             bad: self.all.bad - first.bad,
         }
--- a/crates/sidecar/src/promises.rs
+++ b/crates/sidecar/src/promises.rs
@@ -143,11 +143,15 @@
     };
     let lists = [
         ("sidecar/src/pool.rs", "SERVERS", pool::SERVERS),
-        ("control-plane/src/bounds.rs", "MOST_NAMES", bounds::MOST_NAMES),
         (
             "control-plane/src/bounds.rs",
-            "MOST_SETTINGS",
-            bounds::MOST_SETTINGS,
+            "MAX_SELECTED_NAMES",
+            bounds::MAX_SELECTED_NAMES,
+        ),
+        (
+            "control-plane/src/bounds.rs",
+            "MAX_SETTINGS",
+            bounds::MAX_SETTINGS,
         ),
         (
             "ledger/src/warm.rs",
@@ -184,13 +188,13 @@
         ),
         bytes(
             "control-plane/src/protocol.rs",
-            "LARGEST_FROM_INSTANCE",
-            protocol::LARGEST_FROM_INSTANCE,
+            "MAX_REPORT_BYTES",
+            protocol::MAX_REPORT_BYTES,
         ),
         bytes(
             "control-plane/src/protocol.rs",
-            "LARGEST_ORDER",
-            protocol::LARGEST_ORDER,
+            "MAX_ORDER_BYTES",
+            protocol::MAX_ORDER_BYTES,
         ),
         count("sidecar/src/common.rs", "Totals", common::MOST_CONNECTIONS),
         bytes("sidecar/src/upload.rs", "KEPT", upload::KEPT),
