--- a/crates/cli/src/fleet/push.rs
+++ b/crates/cli/src/fleet/push.rs
@@ -125,7 +125,7 @@
     let waves = rollout
         .targets
         .iter()
-        .map(|(name, target)| (name.as_str(), target.wave + 1));
+        .map(|(name, target)| (name.as_str(), target.stage + 1));
     let waves: BTreeMap<&str, u32> = waves.collect();
     if output == Output::Json {
         json(&serde_json::json!({
--- a/crates/control-plane/src/instance/mod.rs
+++ b/crates/control-plane/src/instance/mod.rs
@@ -9,6 +9,7 @@
 
 pub use interface::{Action, Event, PersistedInstance, Session};
 
+use crate::Micros;
 use crate::bounds::{MAX_REPORT_INTERVAL, MIN_REPORT_INTERVAL};
 use crate::health_gate::RequestCounts;
 use crate::protocol::{
@@ -17,7 +18,6 @@
 };
 use crate::selector::Attributes;
 use crate::settings::Overlay;
-use crate::Micros;
 use orders::OrderState;
 
 /// How long an instance waits for an answer to its registration, in microseconds. A random time up to as much again is
