--- a/crates/agent/src/client/mod.rs
+++ b/crates/agent/src/client/mod.rs
@@ -13,8 +13,8 @@
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode, header};
 use lines::LineBuffer;
-use madderloom_control_plane::Declined;
-use madderloom_control_plane::protocol::LARGEST_ORDER;
+use madderloom_control_plane::Rejection;
+use madderloom_control_plane::protocol::MAX_ORDER_BYTES;
 use madderloom_pki::{KeyFiles, Keyring};
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
@@ -44,7 +44,7 @@
 pub struct AgentResponse {
     /// The status.
     pub status: StatusCode,
-    /// The body, at most [`LARGEST_ORDER`] bytes.
+    /// The body, at most [`MAX_ORDER_BYTES`] bytes.
     pub body: Bytes,
 }
 
@@ -53,7 +53,7 @@
 struct ErrorBody {
     error: String,
     /// Present where the agent declined a change.
-    declined: Option<Box<Declined>>,
+    declined: Option<Box<Rejection>>,
 }
 
 impl Client {
@@ -101,7 +101,7 @@
             // The certificate of this connection may have expired or been revoked; the next connection shows the present one.
             *reusable = None;
         }
-        let body = Limited::new(response.into_body(), LARGEST_ORDER).collect();
+        let body = Limited::new(response.into_body(), MAX_ORDER_BYTES).collect();
         let body = timeout(RESPONSE_TIMEOUT, body)
             .await
             .map_err(|_| ClientError::BodyTimeout)?
@@ -160,7 +160,7 @@
             while let Some(line) = lines.next_line() {
                 on_line(&line);
             }
-            if lines.incomplete() > LARGEST_ORDER {
+            if lines.incomplete() > MAX_ORDER_BYTES {
                 return Err(ClientError::WatchLineTooLong);
             }
         }
--- a/crates/agent/src/config/mod.rs
+++ b/crates/agent/src/config/mod.rs
@@ -12,8 +12,8 @@
 use fleet_limit::{FleetLimitEntry, read_limits};
 use madderloom_config_reader::{Document, Problem, Span};
 use madderloom_control_plane::fleet_limits::FleetLimitSettings;
-use madderloom_control_plane::membership::Leases;
-use madderloom_control_plane::{Micros, Rules};
+use madderloom_control_plane::membership::LeaseSettings;
+use madderloom_control_plane::{FleetSettings, Micros};
 use madderloom_pki::KeyFiles;
 use madderloom_quota_leases::{Bound, LEASES, Limit};
 use serde::Deserialize;
@@ -43,8 +43,8 @@
     pub term_above: u64,
     /// The most connections at a time.
     pub max_connections: usize,
-    /// Leases, paces, reports.
-    pub rules: Rules,
+    /// LeaseSettings, paces, reports.
+    pub rules: FleetSettings,
     /// Fleet-wide limits.
     pub fleet_limits: FleetLimitSettings,
 }
@@ -80,7 +80,9 @@
 impl LeasesSection {
     /// The report interval, in microseconds.
     fn report_interval(&self, document: &mut Document<'_>) -> Micros {
-        let interval = self.report.map_or(Rules::default().every, Span::micros);
+        let interval = self
+            .report
+            .map_or(FleetSettings::default().report_interval, Span::micros);
         document.require(
             REPORT_INTERVALS.contains(&interval),
             "leases.report",
@@ -90,26 +92,26 @@
     }
 
     /// The leases of names.
-    fn name_leases(&self, document: &mut Document<'_>, report_interval: Micros) -> Leases {
-        let defaults = Leases::default();
-        let leases = Leases {
-            lease: self.lease.map_or(defaults.lease, Span::micros),
-            grace: self.grace.map_or(defaults.grace, Span::micros),
-            memory: self.memory.map_or(defaults.memory, Span::micros),
-            most: self.instances.unwrap_or(defaults.most),
+    fn name_leases(&self, document: &mut Document<'_>, report_interval: Micros) -> LeaseSettings {
+        let defaults = LeaseSettings::default();
+        let leases = LeaseSettings {
+            duration: self.lease.map_or(defaults.duration, Span::micros),
+            grace_period: self.grace.map_or(defaults.grace_period, Span::micros),
+            retention: self.memory.map_or(defaults.retention, Span::micros),
+            max_members: self.instances.unwrap_or(defaults.max_members),
         };
         document.require(
-            covers_reports(leases.lease, report_interval),
+            covers_reports(leases.duration, report_interval),
             "leases.lease",
             "must be three reports or more",
         );
         document.require(
-            leases.grace > 0,
+            leases.grace_period > 0,
             "leases.grace",
             "must be more than nothing",
         );
         document.require(
-            INSTANCE_COUNTS.contains(&leases.most),
+            INSTANCE_COUNTS.contains(&leases.max_members),
             "leases.instances",
             "must be from 1 to 65536",
         );
@@ -148,12 +150,14 @@
         let keys = file.keys.files(&mut document, path);
         let audit_log = required_path(&mut document, path, file.audit, "audit");
         let listen = required_listen_address(&mut document, file.listen);
-        let pace = file
+        let registration_rate = file
             .registrations
-            .pace(&mut document, Rules::default().pace);
-        let every = file.leases.report_interval(&mut document);
-        let leases = file.leases.name_leases(&mut document, every);
-        let duration = file.leases.limit_lease(&mut document, every, leases.lease);
+            .pace(&mut document, FleetSettings::default().registration_rate);
+        let report_interval = file.leases.report_interval(&mut document);
+        let leases = file.leases.name_leases(&mut document, report_interval);
+        let duration = file
+            .leases
+            .limit_lease(&mut document, report_interval, leases.duration);
         let limits = read_limits(file.fleet_limits, &mut document);
         let max_connections = max_connections(&mut document, file.connections);
         let config = AgentConfig {
@@ -163,10 +167,10 @@
             keys,
             term_above: file.term_above,
             max_connections,
-            rules: Rules {
+            rules: FleetSettings {
                 leases,
-                pace,
-                every,
+                registration_rate,
+                report_interval,
             },
             fleet_limits: FleetLimitSettings { limits, duration },
         };
@@ -191,7 +195,7 @@
             name,
             whole: limit.whole,
             lease: self.fleet_limits.duration,
-            every: self.rules.every,
+            every: self.rules.report_interval,
             longest: limit.longest,
         }
     }
--- a/crates/agent/src/delivery_routes.rs
+++ b/crates/agent/src/delivery_routes.rs
@@ -1,7 +1,7 @@
 //! How messages reach instances: over the watch of an instance, or over the watch of the relay that it is behind.
 
 use madderloom_control_plane::protocol::ToInstance;
-use madderloom_control_plane::relay::{Addressed, WatchLine};
+use madderloom_control_plane::relay::{AddressedMessage, WatchLine};
 use std::collections::BTreeMap;
 use tokio::sync::mpsc;
 
@@ -106,7 +106,7 @@
         let relay = self.relay_of.get(&instance);
         if let Some(sender) = relay.and_then(|relay| self.relay_watches.get(relay)) {
             let name = instance;
-            let _ = sender.try_send(WatchLine::Message(Addressed { name, message }));
+            let _ = sender.try_send(WatchLine::Message(AddressedMessage { name, message }));
         }
     }
 }
--- a/crates/agent/src/fleet_task/effects.rs
+++ b/crates/agent/src/fleet_task/effects.rs
@@ -3,7 +3,7 @@
 use super::command::{Reply, Unavailable};
 use super::relay_batch::InstanceMessages;
 use crate::storage::RecordChanges;
-use madderloom_control_plane::{Note, Output};
+use madderloom_control_plane::{FleetEvent, FleetOutput};
 use madderloom_quota_leases::Note as QuotaNote;
 
 /// An answer that waits for the records that it depends on.
@@ -21,14 +21,14 @@
 
 impl PendingEffects {
     /// Logs the events of an output, and adds its records. Returns its messages.
-    pub(super) fn add_records(&mut self, output: Output) -> InstanceMessages {
-        output.notes.iter().for_each(log_event);
-        self.record_changes.extend(output.saves);
-        output.sends
+    pub(super) fn add_records(&mut self, output: FleetOutput) -> InstanceMessages {
+        output.events.iter().for_each(log_event);
+        self.record_changes.extend(output.records);
+        output.messages
     }
 
     /// Logs the events of an output, and adds its records and messages.
-    pub(super) fn add(&mut self, output: Output) {
+    pub(super) fn add(&mut self, output: FleetOutput) {
         let messages = self.add_records(output);
         self.messages.extend(messages);
     }
@@ -50,9 +50,9 @@
     }
 }
 
-fn log_event(event: &Note) {
+fn log_event(event: &FleetEvent) {
     match event {
-        Note::Leases(QuotaNote::Overcommitted(_) | QuotaNote::Conflict(_)) => {
+        FleetEvent::Leases(QuotaNote::Overcommitted(_) | QuotaNote::Conflict(_)) => {
             tracing::error!(%event, "quota leases in conflict");
         }
         event => tracing::info!(%event, "fleet event"),
--- a/crates/agent/src/fleet_task/handle.rs
+++ b/crates/agent/src/fleet_task/handle.rs
@@ -3,7 +3,7 @@
 use super::command::{ChangeOutcome, Command, Reply, Unavailable};
 use crate::delivery_routes::RelayId;
 use crate::view::FleetSnapshot;
-use madderloom_control_plane::By;
+use madderloom_control_plane::Author;
 use madderloom_control_plane::change::Change;
 use madderloom_control_plane::protocol::{ToAgent, ToInstance};
 use madderloom_control_plane::relay::{Batch, BatchAnswer, WatchLine};
@@ -47,7 +47,7 @@
     pub(crate) async fn push(
         &self,
         change: Box<Change>,
-        author: By,
+        author: Author,
     ) -> Result<ChangeOutcome, Unavailable> {
         self.send(|reply| Command::Push {
             change,
@@ -58,12 +58,20 @@
     }
 
     /// Stops the rollout of a change.
-    pub(crate) async fn stop(&self, id: String, author: By) -> Result<ChangeOutcome, Unavailable> {
+    pub(crate) async fn stop(
+        &self,
+        id: String,
+        author: Author,
+    ) -> Result<ChangeOutcome, Unavailable> {
         self.send(|reply| Command::Stop { id, author, reply }).await
     }
 
     /// Takes a change back.
-    pub(crate) async fn undo(&self, id: String, author: By) -> Result<ChangeOutcome, Unavailable> {
+    pub(crate) async fn undo(
+        &self,
+        id: String,
+        author: Author,
+    ) -> Result<ChangeOutcome, Unavailable> {
         self.send(|reply| Command::Undo { id, author, reply }).await
     }
 
--- a/crates/agent/src/fleet_task/relay_batch.rs
+++ b/crates/agent/src/fleet_task/relay_batch.rs
@@ -35,13 +35,13 @@
         let (answer, mut watched) = BatchAnswer::new(self.term, self.batch, self.messages);
         let accepted = answer.accepted();
         for message in &self.batch.messages {
-            let who = message.who();
+            let who = message.sender();
             if !accepted.contains(&(who.name.as_str(), who.start)) {
                 continue;
             }
             shared.routes.set_relay(&who.name, self.relay);
             if let Some(update) = share_lists(shared.lists, shared.now, message) {
-                watched.push((who.name.clone(), ToInstance::Lists(update.answer)));
+                watched.push((who.name.clone(), ToInstance::EndpointLists(update.answer)));
                 watched.extend(update.others);
             }
         }
@@ -67,14 +67,14 @@
     let ToAgent::Report(report) = message else {
         return None;
     };
-    let reports = report.tells.as_ref()?;
-    let distribution = lists.handle_report(now, &report.who.name, report.who.start, reports);
+    let reports = report.endpoint_lists.as_ref()?;
+    let distribution = lists.handle_report(now, &report.id.name, report.id.start, reports);
     distribution.events.iter().for_each(log_event);
     let pushes = distribution.pushes.into_iter();
     Some(ListUpdate {
         answer: distribution.answer,
         others: pushes
-            .map(|push| (push.instance, ToInstance::Lists(push.updates)))
+            .map(|push| (push.instance, ToInstance::EndpointLists(push.updates)))
             .collect(),
     })
 }
--- a/crates/agent/src/fleet_task/task.rs
+++ b/crates/agent/src/fleet_task/task.rs
@@ -13,7 +13,7 @@
 use madderloom_control_plane::fleet_limits::FleetLimitSettings;
 use madderloom_control_plane::protocol::{ToAgent, ToInstance};
 use madderloom_control_plane::relay::{Batch, BatchAnswer};
-use madderloom_control_plane::{Fleet, Rules, Time};
+use madderloom_control_plane::{Fleet, FleetSettings, Time};
 use madderloom_endpoint_sharing::EndpointListDistributor;
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use std::sync::Arc;
@@ -32,7 +32,7 @@
 /// How the state machine is set.
 pub(crate) struct FleetTaskSettings {
     /// Leases, paces, reports.
-    pub(crate) rules: Rules,
+    pub(crate) rules: FleetSettings,
     /// Fleet-wide limits.
     pub(crate) fleet_limits: FleetLimitSettings,
     /// The term of the agent is above this one.
@@ -117,7 +117,7 @@
     fn next_timer(&self) -> Option<Instant> {
         match &self.state {
             FleetState::Loaded(fleet) => {
-                let next = fleet.next(self.clock.now());
+                let next = fleet.next_deadline(self.clock.now());
                 next.map(|at| self.clock.instant_at(at))
             }
             // The time is fixed, so that commands that keep arriving do not postpone it.
@@ -238,7 +238,7 @@
                 known_term,
                 reply,
             } => {
-                effects.add(fleet.hear_of_term(known_term));
+                effects.add(fleet.observe_relay_term(known_term));
                 effects.reply(reply, self.routes.watch_relay(relay, fleet.term()));
             }
         }
@@ -256,7 +256,7 @@
         };
         let output = fleet.receive(time, message, self.rng.rand_u64());
         let messages = effects.add_records(output);
-        let name = &message.who().name;
+        let name = &message.sender().name;
         let (own, others): (InstanceMessages, InstanceMessages) =
             messages.into_iter().partition(|(to, _)| to == name);
         effects.messages.extend(others);
@@ -264,7 +264,7 @@
         if own.iter().any(ToInstance::is_acceptance)
             && let Some(update) = share_lists(&mut self.lists, time.now, message)
         {
-            own.push(ToInstance::Lists(update.answer));
+            own.push(ToInstance::EndpointLists(update.answer));
             effects.messages.extend(update.others);
         }
         own
--- a/crates/agent/src/http/request.rs
+++ b/crates/agent/src/http/request.rs
@@ -1,6 +1,6 @@
 //! Reading requests: their paths, queries and bodies.
 
-use super::response::Rejection;
+use super::response::HttpError;
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::Incoming;
 use hyper::{Method, Request, StatusCode};
@@ -35,49 +35,49 @@
 pub(crate) async fn read_json<T: DeserializeOwned>(
     request: Request<Incoming>,
     max_length: usize,
-) -> Result<T, Rejection> {
+) -> Result<T, HttpError> {
     let body = Limited::new(request.into_body(), max_length).collect();
     let body = match timeout(BODY_TIMEOUT, body).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
-            return Err(Rejection::new(
+            return Err(HttpError::new(
                 StatusCode::PAYLOAD_TOO_LARGE,
                 format!("more than {max_length} bytes"),
             ));
         }
-        Ok(Err(error)) => return Err(Rejection::bad_request(error)),
+        Ok(Err(error)) => return Err(HttpError::bad_request(error)),
         Err(_) => {
-            return Err(Rejection::new(
+            return Err(HttpError::new(
                 StatusCode::REQUEST_TIMEOUT,
                 "the body has not come",
             ));
         }
     };
-    serde_json::from_slice(&body).map_err(Rejection::bad_request)
+    serde_json::from_slice(&body).map_err(HttpError::bad_request)
 }
 
 /// Checks that a message is of the instance that the path names.
 ///
 /// # Errors
 /// It is of another one.
-pub(crate) fn check_name_in_path(message: &ToAgent, name_in_path: &str) -> Result<(), Rejection> {
-    let name = &message.who().name;
+pub(crate) fn check_name_in_path(message: &ToAgent, name_in_path: &str) -> Result<(), HttpError> {
+    let name = &message.sender().name;
     if name == name_in_path {
         return Ok(());
     }
     let error = format!("name: is {name:?}, and {name_in_path:?} in the path");
-    Err(Rejection::bad_request(error))
+    Err(HttpError::bad_request(error))
 }
 
 /// The value of a number in the query of a request.
 ///
 /// # Errors
 /// The query does not name it, or its value is no number.
-pub(crate) fn number_in_query(request: &Request<Incoming>, name: &str) -> Result<u64, Rejection> {
+pub(crate) fn number_in_query(request: &Request<Incoming>, name: &str) -> Result<u64, HttpError> {
     let query = request.uri().query().unwrap_or_default();
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     let value = pairs.find(|(key, _)| *key == name);
     value
         .and_then(|(_, value)| value.parse().ok())
-        .ok_or_else(|| Rejection::bad_request(format!("{name}: is missing; write ?{name}=NUMBER")))
+        .ok_or_else(|| HttpError::bad_request(format!("{name}: is missing; write ?{name}=NUMBER")))
 }
--- a/crates/agent/src/link/handler.rs
+++ b/crates/agent/src/link/handler.rs
@@ -1,7 +1,7 @@
 //! What a link needs of the program of its instance.
 
-use madderloom_control_plane::Memory;
-use madderloom_control_plane::gate::Counts;
+use madderloom_control_plane::PersistedInstance;
+use madderloom_control_plane::health_gate::RequestCounts;
 use madderloom_control_plane::protocol::{Outcome, ToAgent, ToInstance};
 use madderloom_control_plane::settings::Overlay;
 use madderloom_endpoint_sharing::{EndpointListReports, EndpointListUpdates};
@@ -18,10 +18,10 @@
     fn apply(&mut self, overlay: &Overlay) -> ApplyFuture;
 
     /// The requests that have ended within the last window of ten seconds.
-    fn request_counts(&mut self) -> Counts;
+    fn request_counts(&mut self) -> RequestCounts;
 
     /// Persists what the next start of the instance needs, if the program can persist anything.
-    fn persist(&mut self, memory: &Memory);
+    fn persist(&mut self, memory: &PersistedInstance);
 
     /// The requests for leases of fleet-wide limits that go with the report that is made now. `term` is the greatest known
     /// term of an agent. None: the instance takes part in no fleet-wide limit.
--- a/crates/agent/src/view/status.rs
+++ b/crates/agent/src/view/status.rs
@@ -4,7 +4,7 @@
 use super::fleet_limit::{self, FleetLimitView};
 use crate::traffic::Traffic;
 use madderloom_control_plane::Fleet;
-use madderloom_control_plane::membership::Presence;
+use madderloom_control_plane::membership::MemberState;
 use madderloom_endpoint_sharing::EndpointListStatus;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -53,11 +53,11 @@
             now,
         } = *snapshot;
         let rollout = fleet.rollout();
-        let lease_server = fleet.lender();
+        let lease_server = fleet.lease_server();
         StatusView {
             term: fleet.term(),
-            revision: fleet.newest(),
-            superseded_by: fleet.stood_down(),
+            revision: fleet.newest_revision(),
+            superseded_by: fleet.superseded_by(),
             instances: count_by_presence(fleet),
             rolling_out: rollout.map(|rollout| rollout.change.id.clone()),
             in_effect: changes_in_effect(fleet),
@@ -75,18 +75,18 @@
 fn count_by_presence(fleet: &Fleet) -> BTreeMap<String, usize> {
     let mut counts = BTreeMap::new();
     for (_, member) in fleet.membership().iter() {
-        let name = presence_name(member.presence).to_string();
+        let name = presence_name(member.state).to_string();
         *counts.entry(name).or_insert(0) += 1;
     }
     counts
 }
 
-fn presence_name(presence: Presence) -> &'static str {
+fn presence_name(presence: MemberState) -> &'static str {
     match presence {
-        Presence::Joining => "joining",
-        Presence::Alive => "alive",
-        Presence::Suspect => "suspect",
-        Presence::Gone => "gone",
+        MemberState::Joining => "joining",
+        MemberState::Alive => "alive",
+        MemberState::Suspect => "suspect",
+        MemberState::Gone => "gone",
     }
 }
 
--- a/crates/agent/tests/common/fleet.rs
+++ b/crates/agent/tests/common/fleet.rs
@@ -8,8 +8,8 @@
 use madderloom_agent::{Agent, AgentConfig, Client, Link};
 use madderloom_config_reader::Problem;
 use madderloom_control_plane::Instance;
-use madderloom_control_plane::change::Traits;
-use madderloom_control_plane::protocol::Who;
+use madderloom_control_plane::protocol::InstanceId;
+use madderloom_control_plane::selector::Attributes;
 use madderloom_pki::{Authority, CertificateRequest, KeyFiles, Role};
 use std::path::{Path, PathBuf};
 use tempfile::TempDir;
@@ -129,7 +129,7 @@
         number: usize,
         instance: &TestInstance,
     ) -> usize {
-        let who = Who {
+        let who = InstanceId {
             name: format!("shop-{number}"),
             start: 1_000 + self.links.len() as u64,
             incarnation: 1,
@@ -139,10 +139,10 @@
         } else {
             "south"
         };
-        let traits = Traits {
+        let traits = Attributes {
             zone: zone.into(),
             build: "test".into(),
-            ..Traits::default()
+            ..Attributes::default()
         };
         let memory = instance.0.borrow().memory.clone();
         let machine = Instance::new(0, who, traits, memory);
--- a/crates/agent/tests/rollouts.rs
+++ b/crates/agent/tests/rollouts.rs
@@ -9,11 +9,11 @@
 use hyper::Method;
 use madderloom_agent::ClientError;
 use madderloom_agent::view::{InstanceView, TargetState, TargetView};
-use madderloom_control_plane::change::Then;
-use madderloom_control_plane::gate::{Counts, GateRule};
-use madderloom_control_plane::rollout::End;
+use madderloom_control_plane::health_gate::{HealthGate, RequestCounts};
+use madderloom_control_plane::policy::FailureAction;
+use madderloom_control_plane::rollout::RolloutResult;
 use madderloom_control_plane::settings::{Key, Value};
-use madderloom_control_plane::{Accepted, Declined};
+use madderloom_control_plane::{Accepted, Rejection};
 use std::time::Duration;
 
 /// The time limit of what these tests wait for.
@@ -97,7 +97,7 @@
             .await
             .expect("accepted");
         let rollout = fleet.rollout_ended("slow-w7").await;
-        assert_eq!(rollout.end, Some(End::TakenBack), "{rollout:?}");
+        assert_eq!(rollout.end, Some(RolloutResult::RolledBack), "{rollout:?}");
         let refused: Vec<_> = rollout
             .targets
             .iter()
@@ -138,7 +138,7 @@
         let instances = fleet.start_instances(20).await;
         for instance in &instances {
             let mut instance = instance.0.borrow_mut();
-            instance.counts = Counts { ended: 400, bad: 4 };
+            instance.counts = RequestCounts { ended: 400, bad: 4 };
             instance.hurt_by = Some(Key::Weight("w7".into()));
         }
         // Their figures are with the agent before the change begins.
@@ -149,13 +149,13 @@
         let observe = async || fleet.instances().await;
         wait_until("their counts arrive", PATIENCE, observe, all_counted).await;
         let mut change = change("slow-w7", 0, "w7", 200);
-        change.rollout.pause = 500_000;
-        change.rollout.gate = Some(GateRule::default());
+        change.rollout.stage_pause = 500_000;
+        change.rollout.gate = Some(HealthGate::default());
         push(&fleet.client("alice"), &change)
             .await
             .expect("accepted");
         let rollout = fleet.rollout_ended("slow-w7").await;
-        assert_eq!(rollout.end, Some(End::TakenBack), "{rollout:?}");
+        assert_eq!(rollout.end, Some(RolloutResult::RolledBack), "{rollout:?}");
         assert!(
             rollout
                 .reason
@@ -182,7 +182,7 @@
         let mut fleet = TestFleet::new().await;
         let instances = fleet.start_instances(20).await;
         let mut change = change("slow-w7", 0, "w7", 200);
-        change.rollout.pause = 300_000;
+        change.rollout.stage_pause = 300_000;
         push(&fleet.client("alice"), &change)
             .await
             .expect("accepted");
@@ -222,12 +222,12 @@
         let instances = fleet.start_instances(4).await;
         fleet.kill_instance(2);
         let mut change = change("slow-w7", 0, "w7", 200);
-        (change.rollout.silence, change.rollout.failures) = (700_000, 1);
+        (change.rollout.answer_timeout, change.rollout.max_failures) = (700_000, 1);
         push(&fleet.client("alice"), &change)
             .await
             .expect("accepted");
         let rollout = fleet.rollout_ended("slow-w7").await;
-        assert_eq!(rollout.end, Some(End::Done), "{rollout:?}");
+        assert_eq!(rollout.end, Some(RolloutResult::Completed), "{rollout:?}");
         let failed = &rollout.targets["shop-2"];
         assert_eq!(
             (failed.state, failed.reason.as_deref()),
@@ -256,7 +256,7 @@
         let ClientError::Declined(declined) = &failed else {
             panic!("{failed}")
         };
-        let Declined::Conflict {
+        let Rejection::Conflict {
             base: 0,
             newest: 1,
             since,
@@ -266,7 +266,7 @@
             panic!("{failed}")
         };
         assert_eq!(
-            (since[0].by.who.as_str(), &since[0].difference[..]),
+            (since[0].by.name.as_str(), &since[0].difference[..]),
             ("alice", &["weight/w7 = 0.2".to_string()][..])
         );
         assert!(
@@ -277,7 +277,7 @@
         );
         let other = change("slow-w7", 1, "w8", 1);
         assert!(
-            matches!(push(&bob, &other).await, Err(ClientError::Declined(d)) if matches!(*d, Declined::IdUsed { revision: 1 }))
+            matches!(push(&bob, &other).await, Err(ClientError::Declined(d)) if matches!(*d, Rejection::IdUsed { revision: 1 }))
         );
     });
 }
@@ -288,8 +288,8 @@
         let mut fleet = TestFleet::new().await;
         let instances = fleet.start_instances(10).await;
         let mut change = change("slow-w7", 0, "w7", 200);
-        change.rollout.pause = 60_000_000;
-        change.rollout.then = Then::Stop;
+        change.rollout.stage_pause = 60_000_000;
+        change.rollout.on_failure = FailureAction::Stop;
         let alice = fleet.client("alice");
         push(&alice, &change).await.expect("accepted");
         let applied = || {
@@ -313,7 +313,7 @@
                 rollout.end,
                 rollout.target_counts.get(&TargetState::Applied)
             ),
-            (Some(End::Stopped), Some(&2)),
+            (Some(RolloutResult::Stopped), Some(&2)),
             "{rollout:?}"
         );
         assert_eq!(applied(), 2);
--- a/crates/control-plane/tests/the_longest_lists_fit_into_messages.rs
+++ b/crates/control-plane/tests/the_longest_lists_fit_into_messages.rs
@@ -1,6 +1,6 @@
 //! The longest lists of servers that are shared fit into the messages of version 1 of the control protocol.
 
-use madderloom_control_plane::protocol::{LARGEST_FROM_INSTANCE, LARGEST_ORDER};
+use madderloom_control_plane::protocol::{MAX_ORDER_BYTES, MAX_REPORT_BYTES};
 use madderloom_endpoint_sharing::{
     EndpointListReport, EndpointListReports, EndpointListUpdate, EndpointListUpdates,
     MAX_LIST_BYTES, MAX_LISTS,
@@ -22,7 +22,7 @@
     .expect("it can be written");
     let without = reports.len() - 2 * MAX_LIST_BYTES;
     assert!(without < 16 << 10, "{without} bytes beside the list");
-    assert!(reports.len() + (48 << 10) <= LARGEST_FROM_INSTANCE);
+    assert!(reports.len() + (48 << 10) <= MAX_REPORT_BYTES);
 }
 
 #[test]
@@ -42,7 +42,7 @@
     let written = serde_json::to_vec(&updates)
         .expect("it can be written")
         .len();
-    assert!(written < LARGEST_ORDER, "{written} bytes");
+    assert!(written < MAX_ORDER_BYTES, "{written} bytes");
 }
 
 /// Unknown fields are ignored, so that an instance that does not know the agent's limit reads the rest.
