--- a/crates/store/tests/corruption_repair.rs
+++ b/crates/store/tests/corruption_repair.rs
@@ -122,9 +122,8 @@
     );
 }
 
-/// What is refused can be salvaged: all batches before and behind the corruption are there, and what is lost is reported.
-#[test]
-fn salvage_copies_all_but_what_is_damaged_and_says_what_that_was() {
+/// The files of a store with twenty batches of two records each.
+fn twenty_batches() -> Files {
     let disk = SimDisk::new();
     let mut store = Store::open(
         disk.clone(),
@@ -143,8 +142,13 @@
             .write(&batch, Durability::Durable)
             .expect("it is written");
     }
-    drop(store);
-    let mut files = disk.files();
+    disk.files()
+}
+
+/// What is refused can be salvaged: all batches before and behind the corruption are there, and what is lost is reported.
+#[test]
+fn salvage_copies_all_but_what_is_damaged_and_says_what_that_was() {
+    let mut files = twenty_batches();
     let name = last_segment(&files);
     let bytes = files.get_mut(&name).expect("it is there");
     let place = bytes
--- a/crates/store/tests/crash_consistency.rs
+++ b/crates/store/tests/crash_consistency.rs
@@ -12,7 +12,7 @@
 fn survives(disk: SimDisk, states: &[Map], progress: Progress, min: usize, context: &str) {
     let mut store = open(&disk).unwrap_or_else(|e| panic!("{context}: {progress:?}: {e}"));
     let found = contents(&store);
-    let at = find_state(&states, &found, min, progress.attempted);
+    let at = find_state(states, &found, min, progress.attempted);
     assert!(
         at.is_some(),
         "{context}: {progress:?}: no state from {min} on looks like {found:?}"
