--- a/crates/endpoint-history/src/baseline.rs
+++ b/crates/endpoint-history/src/baseline.rs
@@ -14,7 +14,7 @@
 const NO_PERIOD: usize = PERIODS;
 /// Latencies after which the weight of older ones is halved.
 const LATENCIES_PER_HALVING: u32 = 4_000;
-/// The limits of latency are computed anew after so many latencies: a quantile costs more than all else here.
+/// The limits of latency are recomputed after so many latencies, since a quantile costs more than the rest of learning.
 const LATENCIES_PER_LIMIT: u32 = 64;
 /// Attempts without which there is no baseline.
 const MIN_ATTEMPTS: u32 = 40;
@@ -77,7 +77,7 @@
     attempts: u32,
 }
 
-/// What is usual for one endpoint.
+/// The learned baseline of one endpoint.
 #[derive(Clone, Debug)]
 pub(crate) struct Baseline {
     failure_share: f64,
--- a/crates/endpoint-history/src/history/bounds.rs
+++ b/crates/endpoint-history/src/history/bounds.rs
@@ -95,7 +95,7 @@
         self.update_baselines_by_kind(now);
     }
 
-    /// Computes the bounds anew.
+    /// Recomputes the bounds.
     pub(super) fn update_bounds(&mut self) {
         self.bounds = Bounds::new(&self.settings, &self.attempt_rate, self.endpoints.len());
     }
