--- a/crates/agent/src/audit_log.rs
+++ b/crates/agent/src/audit_log.rs
@@ -3,7 +3,7 @@
 
 use crate::Error;
 use crate::clock::unix_millis;
-use madderloom_pki::Peer;
+use madderloom_pki::Identity;
 use serde::Serialize;
 use std::fs::{File, OpenOptions};
 use std::io::Write;
@@ -21,7 +21,7 @@
 /// An attempt to change the fleet, or what came of it.
 pub(crate) struct AuditEvent<'a> {
     /// Who requests it.
-    pub(crate) peer: &'a Peer,
+    pub(crate) peer: &'a Identity,
     /// The requested operation: `push`, `stop`, `undo`, or the method of a request that is rejected.
     pub(crate) operation: &'a str,
     /// The id of the change, or the path of a request that is rejected.
--- a/crates/agent/src/client/endpoint.rs
+++ b/crates/agent/src/client/endpoint.rs
@@ -55,7 +55,7 @@
                 address: address.to_string(),
                 host: host.to_string(),
             })?;
-        let tls = keyring.client().map_err(ClientError::Keys)?;
+        let tls = keyring.client_config().map_err(ClientError::Keys)?;
         Ok(Endpoint {
             address: address.to_string(),
             host: server_name,
--- a/crates/agent/src/client/error.rs
+++ b/crates/agent/src/client/error.rs
@@ -2,7 +2,7 @@
 
 use hyper::StatusCode;
 use madderloom_control_plane::Declined;
-use madderloom_pki::explain;
+use madderloom_pki::describe_handshake_error;
 use std::io;
 
 /// Why an agent gave no answer, or did not do what was requested.
@@ -30,9 +30,9 @@
         /// The part of it before the last colon, without brackets.
         host: String,
     },
-    /// The keys cannot be read or used; the text is that of [`madderloom_pki`].
+    /// The keys cannot be read or used.
     #[error("{0}")]
-    Keys(String),
+    Keys(#[source] madderloom_pki::Error),
     /// The connection could not be opened, or TLS failed for a reason that is not about certificates.
     #[error("agent at {address}: {source}")]
     Connect {
@@ -43,7 +43,7 @@
     },
     /// The TLS handshake failed. A server that rejects the client's certificate says so only after the client regards
     /// the handshake as complete, so that the first request over a connection can fail with this error as well.
-    #[error("agent at {address}: {}", explain(source))]
+    #[error("agent at {address}: {}", describe_handshake_error(source))]
     Tls {
         /// The address of the agent.
         address: String,
--- a/crates/agent/src/client/mod.rs
+++ b/crates/agent/src/client/mod.rs
@@ -15,7 +15,7 @@
 use lines::LineBuffer;
 use madderloom_control_plane::Declined;
 use madderloom_control_plane::protocol::LARGEST_ORDER;
-use madderloom_pki::{Files, Keyring};
+use madderloom_pki::{KeyFiles, Keyring};
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
 use std::convert::Infallible;
@@ -61,7 +61,7 @@
     ///
     /// # Errors
     /// The address is not of that form, or the keys cannot be read.
-    pub fn new(address: &str, files: Files) -> Result<Self, ClientError> {
+    pub fn new(address: &str, files: KeyFiles) -> Result<Self, ClientError> {
         let keyring = Keyring::load(files).map_err(ClientError::Keys)?;
         Client::with_keyring(address, &keyring)
     }
--- a/crates/agent/src/config/mod.rs
+++ b/crates/agent/src/config/mod.rs
@@ -14,7 +14,7 @@
 use madderloom_control_plane::fleet_limits::FleetLimitSettings;
 use madderloom_control_plane::membership::Leases;
 use madderloom_control_plane::{Micros, Rules};
-use madderloom_pki::Files;
+use madderloom_pki::KeyFiles;
 use madderloom_quota_leases::{Bound, LEASES, Limit};
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -38,7 +38,7 @@
     /// The audit log: the file that records who requested which change.
     pub audit_log: PathBuf,
     /// The agent's keys.
-    pub keys: Files,
+    pub keys: KeyFiles,
     /// The term of this start is above this one.
     pub term_above: u64,
     /// The most connections at a time.
--- a/crates/agent/src/config/sections.rs
+++ b/crates/agent/src/config/sections.rs
@@ -2,7 +2,7 @@
 
 use madderloom_config_reader::{Document, Span};
 use madderloom_control_plane::spread::Pace;
-use madderloom_pki::Files;
+use madderloom_pki::KeyFiles;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -78,9 +78,9 @@
 
 impl KeysSection {
     /// The key files, of which all but the revocation list must be named.
-    pub(crate) fn files(self, document: &mut Document<'_>, file: &Path) -> Files {
+    pub(crate) fn files(self, document: &mut Document<'_>, file: &Path) -> KeyFiles {
         let mut required = |path, field| required_path(document, file, path, field);
-        Files {
+        KeyFiles {
             authority: required(self.authority, "keys.authority"),
             certificate: required(self.certificate, "keys.certificate"),
             key: required(self.key, "keys.key"),
--- a/crates/agent/src/fleet_task/relay_batch.rs
+++ b/crates/agent/src/fleet_task/relay_batch.rs
@@ -4,7 +4,9 @@
 use madderloom_control_plane::Micros;
 use madderloom_control_plane::protocol::{ToAgent, ToInstance};
 use madderloom_control_plane::relay::{Batch, BatchAnswer};
-use madderloom_endpoint_sharing::{Lists, Note, Relay as ListRelay};
+use madderloom_endpoint_sharing::{
+    DistributionEvent, EndpointListDistributor, EndpointListUpdates,
+};
 
 /// Messages to instances, each with the name of its instance.
 pub(crate) type InstanceMessages = Vec<(String, ToInstance)>;
@@ -22,7 +24,7 @@
 /// What an answer needs besides the messages of the state machine.
 pub(super) struct SharedState<'a> {
     pub(super) routes: &'a mut DeliveryRoutes,
-    pub(super) lists: &'a mut ListRelay,
+    pub(super) lists: &'a mut EndpointListDistributor,
     pub(super) now: Micros,
 }
 
@@ -50,7 +52,7 @@
 /// What a report on endpoint lists has led to.
 pub(super) struct ListUpdate {
     /// The answer to the instance that has reported.
-    pub(super) answer: Lists,
+    pub(super) answer: EndpointListUpdates,
     /// Messages for other instances.
     pub(super) others: InstanceMessages,
 }
@@ -58,28 +60,35 @@
 /// Handles what a message of an instance reports of endpoint lists. None: it reports nothing of them. The instance must hold
 /// its name.
 pub(super) fn share_lists(
-    lists: &mut ListRelay,
+    lists: &mut EndpointListDistributor,
     now: Micros,
     message: &ToAgent,
 ) -> Option<ListUpdate> {
     let ToAgent::Report(report) = message else {
         return None;
     };
-    let tells = report.tells.as_ref()?;
-    let (answer, others, notes) = lists.hear(now, &report.who.name, report.who.start, tells);
-    notes.iter().for_each(log_event);
-    let others = others.into_iter();
+    let reports = report.tells.as_ref()?;
+    let who = &report.who;
+    let distribution = lists.handle_report(now, &who.name, who.start, reports);
+    distribution.events.iter().for_each(log_event);
+    let pushes = distribution.pushes.into_iter();
     Some(ListUpdate {
-        answer,
-        others: others
-            .map(|(name, lists)| (name, ToInstance::Lists(lists)))
+        answer: distribution.answer,
+        others: pushes
+            .map(|push| (push.instance, ToInstance::Lists(push.updates)))
             .collect(),
     })
 }
 
-fn log_event(event: &Note) {
+fn log_event(event: &DistributionEvent) {
     match event {
-        Note::Newer { .. } => tracing::info!(%event, "endpoint list updated"),
-        Note::Odd { .. } => tracing::warn!(%event, "endpoint list rejected"),
+        DistributionEvent::ListAdopted {
+            list,
+            index,
+            instance,
+        } => tracing::info!(%list, version = index, %instance, "endpoint list updated"),
+        DistributionEvent::ReportRejected { instance, reason } => {
+            tracing::warn!(%instance, %reason, "endpoint list report rejected");
+        }
     }
 }
--- a/crates/agent/src/fleet_task/task.rs
+++ b/crates/agent/src/fleet_task/task.rs
@@ -14,7 +14,7 @@
 use madderloom_control_plane::protocol::{ToAgent, ToInstance};
 use madderloom_control_plane::relay::{Batch, BatchAnswer};
 use madderloom_control_plane::{Fleet, Rules, Time};
-use madderloom_endpoint_sharing::Relay as ListRelay;
+use madderloom_endpoint_sharing::EndpointListDistributor;
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use std::sync::Arc;
 use std::time::Duration;
@@ -60,7 +60,7 @@
     let task = FleetTask {
         clock,
         store,
-        lists: ListRelay::new(fleet.term(), rng.rand_u64()),
+        lists: EndpointListDistributor::new(fleet.term(), rng.rand_u64()),
         state: FleetState::Loaded(Box::new(fleet)),
         routes: DeliveryRoutes::default(),
         rng,
@@ -88,7 +88,7 @@
     store: StateStore,
     state: FleetState,
     /// The endpoint lists that the fleet shares. Each term learns them anew from reports.
-    lists: ListRelay,
+    lists: EndpointListDistributor,
     routes: DeliveryRoutes,
     rng: oorandom::Rand64,
 }
@@ -129,7 +129,7 @@
     async fn reload(&mut self) {
         match self.store.load(&mut self.rng).await {
             Ok(fleet) => {
-                self.lists = ListRelay::new(fleet.term(), self.rng.rand_u64());
+                self.lists = EndpointListDistributor::new(fleet.term(), self.rng.rand_u64());
                 self.state = FleetState::Loaded(Box::new(fleet));
                 tracing::info!("state loaded again");
             }
--- a/crates/agent/src/http/caller.rs
+++ b/crates/agent/src/http/caller.rs
@@ -3,8 +3,7 @@
 use super::response::Rejection;
 use crate::clock::unix_seconds;
 use hyper::StatusCode;
-use madderloom_pki::role::may;
-use madderloom_pki::{Keyring, Peer, Shown, Verb};
+use madderloom_pki::{Identity, Keyring, Permission, PresentedCertificate};
 use std::net::SocketAddr;
 use std::rc::Rc;
 
@@ -14,14 +13,14 @@
     /// Its address.
     pub(crate) address: SocketAddr,
     /// The certificate that it showed in the TLS handshake.
-    pub(crate) certificate: Rc<Shown>,
+    pub(crate) certificate: Rc<PresentedCertificate>,
 }
 
 impl Caller {
     /// Checks the certificate again, and returns who shows it. It may expire or be revoked while the connection is open.
-    pub(crate) fn identify(&self, keyring: &Keyring) -> Result<Peer, Rejection> {
+    pub(crate) fn identify(&self, keyring: &Keyring) -> Result<Identity, Rejection> {
         keyring
-            .check_again(&self.certificate, unix_seconds())
+            .verify_again(&self.certificate, unix_seconds())
             .map_err(|error| {
                 tracing::warn!(
                     peer = %self.address,
@@ -33,11 +32,15 @@
     }
 
     /// Checks that the role of a caller permits an operation.
-    pub(crate) fn authorize(&self, peer: &Peer, verb: Verb<'_>) -> Result<(), Rejection> {
-        if may(peer.role, &peer.name, verb) {
+    pub(crate) fn authorize(
+        &self,
+        peer: &Identity,
+        permission: Permission<'_>,
+    ) -> Result<(), Rejection> {
+        if peer.role.permits(&peer.name, permission) {
             return Ok(());
         }
-        let Peer {
+        let Identity {
             name, role, serial, ..
         } = peer;
         tracing::warn!(
@@ -45,10 +48,10 @@
             %name,
             %role,
             %serial,
-            operation = %verb,
+            operation = %permission,
             "request rejected: not permitted to the role"
         );
-        let error = format!("{name} has the role {role} and may not {verb}");
+        let error = format!("{name} has the role {role} and may not {permission}");
         Err(Rejection::new(StatusCode::FORBIDDEN, error))
     }
 }
--- a/crates/agent/src/http/mod.rs
+++ b/crates/agent/src/http/mod.rs
@@ -6,6 +6,6 @@
 mod watch;
 
 pub(crate) use caller::Caller;
-pub(crate) use request::{check_name_in_path, instance_verb, number_in_query, read_json};
+pub(crate) use request::{check_name_in_path, instance_permission, number_in_query, read_json};
 pub(crate) use response::{Body, Rejection, json_response, raw_json_response};
 pub(crate) use watch::WatchResponder;
--- a/crates/agent/src/http/request.rs
+++ b/crates/agent/src/http/request.rs
@@ -5,7 +5,7 @@
 use hyper::body::Incoming;
 use hyper::{Method, Request, StatusCode};
 use madderloom_control_plane::protocol::ToAgent;
-use madderloom_pki::Verb;
+use madderloom_pki::Permission;
 use serde::de::DeserializeOwned;
 use std::time::Duration;
 use tokio::time::timeout;
@@ -15,10 +15,15 @@
 
 /// The permission that a request of an instance needs: to act as that instance. None: it is another request. `segments` are
 /// those of the path.
-pub(crate) fn instance_verb<'a>(method: &Method, segments: &[&'a str]) -> Option<Verb<'a>> {
+pub(crate) fn instance_permission<'a>(
+    method: &Method,
+    segments: &[&'a str],
+) -> Option<Permission<'a>> {
     match (method, segments) {
         (&Method::POST, ["v1", "instances", name, "register" | "report"])
-        | (&Method::GET, ["v1", "instances", name, "orders"]) => Some(Verb::Be(name)),
+        | (&Method::GET, ["v1", "instances", name, "orders"]) => {
+            Some(Permission::ActAsInstance(name))
+        }
         _ => None,
     }
 }
--- a/crates/agent/src/http/watch.rs
+++ b/crates/agent/src/http/watch.rs
@@ -79,7 +79,7 @@
             let checked = self
                 .responder
                 .keyring
-                .check_again(certificate, unix_seconds());
+                .verify_again(certificate, unix_seconds());
             if checked.is_err() {
                 return;
             }
--- a/crates/agent/src/key_files.rs
+++ b/crates/agent/src/key_files.rs
@@ -17,10 +17,12 @@
         match keyring.reload() {
             Ok(true) => tracing::info!("keys reloaded"),
             Ok(false) => {}
-            Err(error) if last_error.as_ref() == Some(&error) => {}
             Err(error) => {
-                tracing::warn!(%error, "keys not reloaded");
-                last_error = Some(error);
+                let error = error.to_string();
+                if last_error.as_ref() != Some(&error) {
+                    tracing::warn!(%error, "keys not reloaded");
+                    last_error = Some(error);
+                }
             }
         }
     }
--- a/crates/agent/src/link/handler.rs
+++ b/crates/agent/src/link/handler.rs
@@ -4,7 +4,7 @@
 use madderloom_control_plane::gate::Counts;
 use madderloom_control_plane::protocol::{Outcome, ToAgent, ToInstance};
 use madderloom_control_plane::settings::Overlay;
-use madderloom_endpoint_sharing::{Lists, Tells};
+use madderloom_endpoint_sharing::{EndpointListReports, EndpointListUpdates};
 use madderloom_quota_leases::{Grant, LeaseRequests};
 use std::pin::Pin;
 
@@ -35,12 +35,12 @@
     }
 
     /// The reports on shared endpoint lists that go with the report that is made now. None: the instance shares no list.
-    fn list_reports(&mut self) -> Option<Tells> {
+    fn list_reports(&mut self) -> Option<EndpointListReports> {
         None
     }
 
     /// Takes an update of shared endpoint lists. Returns whether the agent wants a report at once.
-    fn lists_received(&mut self, _lists: &Lists) -> bool {
+    fn lists_received(&mut self, _updates: &EndpointListUpdates) -> bool {
         false
     }
 
--- a/crates/agent/src/relay/config.rs
+++ b/crates/agent/src/relay/config.rs
@@ -8,7 +8,7 @@
 use madderloom_control_plane::Micros;
 use madderloom_control_plane::relay::RelayRules;
 use madderloom_control_plane::settings::check_name;
-use madderloom_pki::Files;
+use madderloom_pki::KeyFiles;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -32,14 +32,14 @@
     /// The address to listen on.
     pub listen: SocketAddr,
     /// Its keys as a server, with a certificate for an agent.
-    pub keys: Files,
+    pub keys: KeyFiles,
     /// The most connections at a time.
     pub max_connections: usize,
     /// The agents above it, `HOST:PORT` each, one at least. It is connected to one at a time, and connects to the next where
     /// that fails.
     pub agents: Vec<String>,
     /// Its keys as a client, with a certificate for an instance that is valid for the names of all its instances.
-    pub client_keys: Files,
+    pub client_keys: KeyFiles,
     /// Leases, bounds, paces.
     pub rules: RelayRules,
 }
@@ -91,7 +91,7 @@
         file.parent.check_agents(&mut document);
         let keys = file.keys.files(&mut document, path);
         let (certificate, key) = (file.parent.certificate, file.parent.key);
-        let client_keys = Files {
+        let client_keys = KeyFiles {
             certificate: required_path(&mut document, path, certificate, "parent.certificate"),
             key: required_path(&mut document, path, key, "parent.key"),
             ..keys.clone()
--- a/crates/agent/src/relay/server.rs
+++ b/crates/agent/src/relay/server.rs
@@ -5,8 +5,8 @@
 use crate::Error;
 use crate::clock::random_seed;
 use crate::http::{
-    Body, Caller, Rejection, WatchResponder, check_name_in_path, instance_verb, json_response,
-    number_in_query, read_json,
+    Body, Caller, Rejection, WatchResponder, check_name_in_path, instance_permission,
+    json_response, number_in_query, read_json,
 };
 use crate::key_files::reload_changed_keys;
 use crate::server::{Listener, RequestHandler};
@@ -15,7 +15,7 @@
 use hyper::{Method, Request, Response, StatusCode};
 use madderloom_control_plane::protocol::{LARGEST_FROM_INSTANCE, ToAgent};
 use madderloom_control_plane::relay::RelayStatus;
-use madderloom_pki::{Keyring, Verb};
+use madderloom_pki::{Keyring, Permission};
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use serde::{Deserialize, Serialize};
 use std::io;
@@ -128,29 +128,29 @@
         let peer = caller.identify(&self.keyring)?;
         let path = request.uri().path().to_string();
         let segments: Vec<&str> = path.split('/').skip(1).collect();
-        let verb = self.verb(request.method(), &path, &segments)?;
-        caller.authorize(&peer, verb)?;
-        match verb {
-            Verb::Be(name) if request.method() == Method::POST => {
+        let permission = self.permission(request.method(), &path, &segments)?;
+        caller.authorize(&peer, permission)?;
+        match permission {
+            Permission::ActAsInstance(name) if request.method() == Method::POST => {
                 self.answer_instance(name, request).await
             }
-            Verb::Be(name) => self.open_watch(caller, name, &request).await,
+            Permission::ActAsInstance(name) => self.open_watch(caller, name, &request).await,
             _ => self.answer_view().await,
         }
     }
 
     /// The permission that a request needs.
-    fn verb<'a>(
+    fn permission<'a>(
         &self,
         method: &Method,
         path: &str,
         segments: &[&'a str],
-    ) -> Result<Verb<'a>, Rejection> {
-        if let Some(verb) = instance_verb(method, segments) {
-            return Ok(verb);
+    ) -> Result<Permission<'a>, Rejection> {
+        if let Some(permission) = instance_permission(method, segments) {
+            return Ok(permission);
         }
         if method == Method::GET && segments == ["v1", "relay"] {
-            return Ok(Verb::See);
+            return Ok(Permission::ViewFleet);
         }
         let error = format!("this is the relay {}: ask the agent for {path}", self.name);
         Err(Rejection::not_found(error))
--- a/crates/agent/src/server/agent_requests.rs
+++ b/crates/agent/src/server/agent_requests.rs
@@ -6,8 +6,8 @@
 use crate::delivery_routes::RelayId;
 use crate::fleet_task::{ChangeOutcome, FleetHandle, Unavailable};
 use crate::http::{
-    Body, Caller, Rejection, WatchResponder, check_name_in_path, instance_verb, json_response,
-    number_in_query, raw_json_response, read_json,
+    Body, Caller, Rejection, WatchResponder, check_name_in_path, instance_permission,
+    json_response, number_in_query, raw_json_response, read_json,
 };
 use crate::traffic::TrafficCounters;
 use crate::view::{InstanceDetailView, InstanceView, RolloutView, StatusView};
@@ -17,7 +17,7 @@
 use madderloom_control_plane::protocol::{LARGEST_FROM_INSTANCE, LARGEST_ORDER, ToAgent};
 use madderloom_control_plane::relay::{Batch, LARGEST_BATCH, MAX_BATCH};
 use madderloom_control_plane::{Accepted, By, Declined};
-use madderloom_pki::{Keyring, Peer, Verb};
+use madderloom_pki::{Identity, Keyring, Permission};
 use serde::Serialize;
 use std::sync::Arc;
 
@@ -39,7 +39,7 @@
 /// A request whose caller is known.
 struct IdentifiedRequest {
     caller: Caller,
-    peer: Peer,
+    peer: Identity,
     request: Request<Incoming>,
 }
 
@@ -110,13 +110,13 @@
         segments: &[&str],
     ) -> Result<(), Rejection> {
         let method = identified.request.method();
-        let verb = match instance_verb(method, segments) {
-            Some(verb) => verb,
-            None if *method == Method::GET => Verb::See,
-            None => Verb::Change,
+        let permission = match instance_permission(method, segments) {
+            Some(permission) => permission,
+            None if *method == Method::GET => Permission::ViewFleet,
+            None => Permission::ChangeFleet,
         };
-        let permitted = identified.caller.authorize(&identified.peer, verb);
-        if permitted.is_err() && verb == Verb::Change {
+        let permitted = identified.caller.authorize(&identified.peer, permission);
+        if permitted.is_err() && permission == Permission::ChangeFleet {
             let event = AuditEvent {
                 peer: &identified.peer,
                 operation: method.as_str(),
@@ -254,7 +254,7 @@
     async fn answer_batch(
         &self,
         caller: &Caller,
-        peer: &Peer,
+        peer: &Identity,
         relay: RelayId,
         batch: Batch,
     ) -> Answer {
@@ -263,7 +263,7 @@
             return Err(Rejection::bad_request(error));
         }
         for message in &batch.messages {
-            caller.authorize(peer, Verb::Be(&message.who().name))?;
+            caller.authorize(peer, Permission::ActAsInstance(&message.who().name))?;
         }
         self.counters.add_messages_in(batch.messages.len());
         let answer = self.fleet.relay_batch(relay, batch).await?;
@@ -307,7 +307,7 @@
     }
 }
 
-fn change_event<'a>(peer: &'a Peer, operation: &'a str, id: &'a str) -> AuditEvent<'a> {
+fn change_event<'a>(peer: &'a Identity, operation: &'a str, id: &'a str) -> AuditEvent<'a> {
     AuditEvent {
         peer,
         operation,
--- a/crates/agent/src/server/listener.rs
+++ b/crates/agent/src/server/listener.rs
@@ -9,7 +9,7 @@
 use hyper::service::service_fn;
 use hyper::{Request, Response};
 use hyper_util::rt::{TokioIo, TokioTimer};
-use madderloom_pki::{Files, Keyring, Role, Shown, explain};
+use madderloom_pki::{KeyFiles, Keyring, PresentedCertificate, Role, describe_handshake_error};
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use std::convert::Infallible;
 use std::io;
@@ -61,7 +61,7 @@
     /// The keys cannot be loaded, the certificate is not for an agent, or the address cannot be listened on.
     pub(crate) async fn bind(
         address: SocketAddr,
-        keys: &Files,
+        keys: &KeyFiles,
         max_connections: usize,
     ) -> Result<Self, Error> {
         let keyring = Keyring::load(keys.clone()).map_err(Error::Keys)?;
@@ -91,7 +91,7 @@
         handler: Rc<H>,
         stop: impl Future<Output = ()>,
     ) -> Result<(), Error> {
-        let acceptor = TlsAcceptor::from(self.keyring.server().map_err(Error::Keys)?);
+        let acceptor = TlsAcceptor::from(self.keyring.server_config().map_err(Error::Keys)?);
         let keyring = Arc::clone(&self.keyring);
         let key_files = watchdog::spawn(TaskKind::KeyFiles, reload_changed_keys(keyring));
         // Connections end with the listener: one that lived on would keep an instance at an agent that is no more.
@@ -143,9 +143,9 @@
 }
 
 /// Checks that the certificate of a server is for an agent.
-fn check_role(keyring: &Keyring, keys: &Files) -> Result<(), Error> {
+fn check_role(keyring: &Keyring, keys: &KeyFiles) -> Result<(), Error> {
     let certificate = keys.certificate.clone();
-    match keyring.own() {
+    match keyring.own_identity() {
         Some(own) if own.role == Role::Agent => Ok(()),
         Some(own) => Err(Error::WrongRole {
             certificate,
@@ -178,7 +178,7 @@
         let chain = stream.get_ref().1.peer_certificates().unwrap_or_default();
         let caller = Caller {
             address,
-            certificate: Rc::new(Shown::new(chain)),
+            certificate: Rc::new(PresentedCertificate::new(chain)),
         };
         let answer = service_fn(move |request| {
             let (handler, caller) = (Rc::clone(&handler), caller.clone());
@@ -218,5 +218,5 @@
 fn describe(error: &io::Error) -> String {
     let inner = error.get_ref();
     let tls = inner.and_then(|inner| inner.downcast_ref::<rustls::Error>());
-    tls.map_or_else(|| error.to_string(), explain)
+    tls.map_or_else(|| error.to_string(), describe_handshake_error)
 }
--- a/crates/agent/src/view/mod.rs
+++ b/crates/agent/src/view/mod.rs
@@ -15,14 +15,14 @@
 
 use crate::delivery_routes::DeliveryRoutes;
 use madderloom_control_plane::{Fleet, Micros};
-use madderloom_endpoint_sharing::Relay as ListRelay;
+use madderloom_endpoint_sharing::EndpointListDistributor;
 
 /// The state that views are made of, at one time.
 pub(crate) struct FleetSnapshot<'a> {
     /// Members, rollouts and fleet-wide limits.
     pub(crate) fleet: &'a Fleet,
     /// The endpoint lists that the fleet shares.
-    pub(crate) lists: &'a ListRelay,
+    pub(crate) lists: &'a EndpointListDistributor,
     /// The watches of instances and relays.
     pub(crate) routes: &'a DeliveryRoutes,
     /// The time, on the clock of the process.
--- a/crates/agent/src/view/status.rs
+++ b/crates/agent/src/view/status.rs
@@ -5,7 +5,7 @@
 use crate::traffic::Traffic;
 use madderloom_control_plane::Fleet;
 use madderloom_control_plane::membership::Presence;
-use madderloom_endpoint_sharing::SharedList;
+use madderloom_endpoint_sharing::EndpointListStatus;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -34,7 +34,7 @@
     pub grants_in_full: Option<bool>,
     /// The endpoint lists that the fleet shares, by their names.
     #[serde(default)]
-    pub shared_lists: BTreeMap<String, SharedList>,
+    pub shared_lists: BTreeMap<String, EndpointListStatus>,
     /// What has passed over the agent's connections since it started.
     #[serde(default)]
     pub traffic: Traffic,
@@ -65,7 +65,7 @@
                 .map(|server| fleet_limit::views(server.views(now)))
                 .unwrap_or_default(),
             grants_in_full: lease_server.map(|server| server.has_learned(now)),
-            shared_lists: lists.views(now).collect(),
+            shared_lists: lists.statuses(now),
             traffic,
             relays: routes.instances_by_relay(),
         }
--- a/crates/agent/tests/common/fleet.rs
+++ b/crates/agent/tests/common/fleet.rs
@@ -10,7 +10,7 @@
 use madderloom_control_plane::Instance;
 use madderloom_control_plane::change::Traits;
 use madderloom_control_plane::protocol::Who;
-use madderloom_pki::{Authority, Files, Role};
+use madderloom_pki::{Authority, CertificateRequest, KeyFiles, Role};
 use std::path::{Path, PathBuf};
 use tempfile::TempDir;
 use time::OffsetDateTime;
@@ -63,8 +63,8 @@
     }
 
     /// The keys of this name.
-    pub fn files(&self, name: &str) -> Files {
-        Files {
+    pub fn files(&self, name: &str) -> KeyFiles {
+        KeyFiles {
             authority: self.path("keys/authority.pem"),
             certificate: self.path(&format!("{name}.pem")),
             key: self.path(&format!("{name}.key")),
@@ -228,7 +228,7 @@
 fn issue_certificates(directory: &Path) {
     let now = OffsetDateTime::now_utc();
     let keys = directory.join("keys");
-    Authority::init(&keys, "fleet", 30, now).expect("an authority");
+    Authority::create(&keys, "fleet", 30, now).expect("an authority");
     let mut authority = Authority::open(&keys).expect("an authority");
     let hosts = ["127.0.0.1".to_string()];
     for (name, role, hosts) in [
@@ -238,8 +238,14 @@
         ("vic", Role::View, &[]),
         ("shop-*", Role::Instance, &[]),
     ] {
+        let request = CertificateRequest {
+            name,
+            role,
+            hosts,
+            days: 20,
+        };
         authority
-            .issue((name, role), hosts, 20, directory, now)
+            .issue(request, directory, now)
             .expect("a certificate");
     }
 }
