--- a/crates/agent/src/fleet_task/relay_batch.rs
+++ b/crates/agent/src/fleet_task/relay_batch.rs
@@ -87,7 +87,7 @@
             instance,
         } => tracing::info!(%list, version = index, %instance, "endpoint list updated"),
         DistributionEvent::ReportRejected { instance, reason } => {
-            tracing::warn!(%instance, %reason, "endpoint list rejected");
+            tracing::warn!(%instance, %reason, "endpoint list report rejected");
         }
     }
 }
--- a/crates/agent/src/link/handler.rs
+++ b/crates/agent/src/link/handler.rs
@@ -40,7 +40,7 @@
     }
 
     /// Takes an update of shared endpoint lists. Returns whether the agent wants a report at once.
-    fn lists_received(&mut self, _lists: &EndpointListUpdates) -> bool {
+    fn lists_received(&mut self, _updates: &EndpointListUpdates) -> bool {
         false
     }
 
--- a/crates/cli/tests/fleet/lists.rs
+++ b/crates/cli/tests/fleet/lists.rs
@@ -213,7 +213,7 @@
         .fleet
         .stage
         .program("agent")
-        .wait_for("version=3 instance=");
+        .wait_for("endpoint list updated list=fleet/shop version=3 ");
     shared.judge(&load.stop(), true);
 }
 
