--- a/crates/quota-leases/src/lease_holder.rs
+++ b/crates/quota-leases/src/lease_holder/mod.rs
@@ -1,40 +1,30 @@
 //! The instance's side of leases: the lease that it holds, and the requests that it admits.
 
+#[cfg(any(test, feature = "explore"))]
+mod explored;
+mod held_limit;
+mod standing;
+mod token_bucket;
+
+pub use held_limit::Safe;
+pub use standing::Standing;
+
 use crate::{
-    Amount, Grant, InjectedBug, LeaseRequest, LeaseRequests, MOST_LIMITS, Micros, ONE, ServerId,
-    UNBOUNDED, is_injected,
+    Amount, Grant, InjectedBug, LeaseRequest, LeaseRequests, MOST_LIMITS, Micros, ServerId,
+    is_injected,
 };
+use held_limit::HeldLimit;
 use std::collections::{BTreeMap, VecDeque};
+use token_bucket::Bucket;
 
 /// The number of reports whose times are remembered. A grant that answers an older report is ignored.
 const REMEMBERED_REPORTS: usize = 16;
-/// The time over which the rate of requests is averaged, in microseconds. At two requests a second, random variation
-/// alone moves the average by a third.
-const AVERAGING_TIME: u64 = 6_000_000;
-/// The recent maximum of open requests decays by this factor from one report to the next (7/10).
-const OPEN_DECAY: (u64, u64) = (7, 10);
-/// The shortest time between two measurements, in microseconds. A report that is made sooner repeats the last one.
-const SHORTEST_MEASUREMENT: Micros = 200_000;
 /// How long a share that was created on demand is kept without requests, in microseconds.
 const IDLE_TIME: Micros = 60_000_000;
-/// One request in the billionths that buckets count: a rate in thousandths a second, multiplied by microseconds.
-const TOKEN: u128 = 1_000_000_000;
 /// The delay after which a denied request is worth retrying where nothing better is known: one report, in
 /// microseconds.
 const DEFAULT_RETRY: Micros = 1_000_000;
 
-/// The amount of one limit that an instance may use while it holds no lease.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub enum Safe {
-    /// Nothing.
-    #[default]
-    Nothing,
-    /// A fixed amount, whatever the limit is.
-    Fixed(Amount),
-    /// The limit by the last lease, divided by this number; nothing before the first lease.
-    Part(u64),
-}
-
 /// Why a request is not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the fleet-wide limit has no room{}", if *.unleased { ": the instance holds no lease" } else { "" })]
@@ -46,168 +36,6 @@
     pub unleased: bool,
 }
 
-/// A token bucket that fills at a rate up to a burst. It is exact: nothing is rounded.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-struct Bucket {
-    /// Billionths of a request.
-    tokens: u128,
-    /// When it was last filled.
-    filled_at: Micros,
-}
-
-impl Bucket {
-    /// Adds the tokens that have accumulated until `now`.
-    fn refill(&mut self, now: Micros, amount: Amount) {
-        let elapsed = now.saturating_sub(self.filled_at);
-        self.filled_at = self.filled_at.max(now);
-        let full = u128::from(amount.burst) * TOKEN / u128::from(ONE);
-        let more = u128::from(amount.rate).saturating_mul(u128::from(elapsed));
-        self.tokens = self.tokens.saturating_add(more).min(full);
-    }
-
-    /// Takes a token. The error is the delay until there is one, or `None` where there never will be.
-    fn take(&mut self, now: Micros, amount: Amount) -> Result<(), Option<Micros>> {
-        if amount.rate == UNBOUNDED {
-            return Ok(());
-        }
-        self.refill(now, amount);
-        if self.tokens >= TOKEN {
-            self.tokens -= TOKEN;
-            return Ok(());
-        }
-        if amount.rate == 0 || amount.burst < ONE {
-            return Err(None);
-        }
-        let wait = (TOKEN - self.tokens).div_ceil(u128::from(amount.rate));
-        Err(Some(u64::try_from(wait).unwrap_or(u64::MAX)))
-    }
-}
-
-/// One limit at this instance.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct HeldLimit {
-    safe: Safe,
-    /// Whether the last grant contains a lease of the limit, and its amount.
-    has_lease: bool,
-    leased: Amount,
-    /// The whole limit, by the last lease of it.
-    whole: Amount,
-    /// Fills under leases.
-    bucket: Bucket,
-    /// Fills without a lease, by the safe amount.
-    safe_bucket: Bucket,
-    open: u64,
-    /// Requests since the last measurement.
-    requested: u64,
-    /// Requests admitted since the last measurement.
-    admitted: u64,
-    /// The most requests that were open at once, or would have been, since the last measurement.
-    peak_open: u64,
-    measured_at: Micros,
-    wanted: u64,
-    wanted_open: u64,
-    used: u64,
-    denied: u64,
-    /// Whether it was created on demand, and is forgotten when it has been idle for [`IDLE_TIME`].
-    on_demand: bool,
-    last_request: Micros,
-}
-
-impl HeldLimit {
-    fn new(now: Micros, safe: Safe, on_demand: bool) -> Self {
-        let bucket = Bucket {
-            tokens: 0,
-            filled_at: now,
-        };
-        HeldLimit {
-            safe,
-            has_lease: false,
-            leased: Amount::NOTHING,
-            whole: Amount::NOTHING,
-            bucket,
-            safe_bucket: bucket,
-            open: 0,
-            requested: 0,
-            admitted: 0,
-            peak_open: 0,
-            measured_at: now,
-            wanted: 0,
-            wanted_open: 0,
-            used: 0,
-            denied: 0,
-            on_demand,
-            last_request: now,
-        }
-    }
-
-    /// The amount that may be used without a lease.
-    fn safe_amount(&self) -> Amount {
-        match self.safe {
-            Safe::Nothing => Amount::NOTHING,
-            Safe::Fixed(amount) => amount,
-            Safe::Part(divisor) => {
-                let part = |whole: u64| {
-                    if whole == UNBOUNDED {
-                        UNBOUNDED
-                    } else {
-                        whole / divisor.max(1)
-                    }
-                };
-                self.whole.with(self.whole, |whole, _| part(whole))
-            }
-        }
-    }
-
-    /// Measures the requests since the last measurement.
-    fn measure(&mut self, now: Micros) {
-        let elapsed = now.saturating_sub(self.measured_at);
-        if elapsed < SHORTEST_MEASUREMENT {
-            return;
-        }
-        let per_second = |count: u64| {
-            let rate = u128::from(count) * TOKEN / u128::from(elapsed);
-            u64::try_from(rate).unwrap_or(u64::MAX).min(crate::MOST)
-        };
-        let averaged = |former: u64, present: u64| {
-            let (former, present) = (u128::from(former), u128::from(present));
-            let weight = u128::from(elapsed.min(AVERAGING_TIME));
-            let total = u128::from(AVERAGING_TIME);
-            u64::try_from((former * (total - weight) + present * weight) / total)
-                .unwrap_or(u64::MAX)
-        };
-        // A rate beyond random variation (two standard deviations) counts at once.
-        let certain = self
-            .requested
-            .saturating_sub(2 * (self.requested + 1).isqrt());
-        self.wanted = averaged(self.wanted, per_second(self.requested)).max(per_second(certain));
-        self.wanted_open = self
-            .peak_open
-            .max(self.wanted_open / OPEN_DECAY.1 * OPEN_DECAY.0);
-        self.used = averaged(self.used, per_second(self.admitted));
-        self.requested = 0;
-        self.admitted = 0;
-        self.peak_open = self.open;
-        self.measured_at = now;
-    }
-}
-
-/// How one limit stands at this instance.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Standing {
-    /// The amount that may be used now: that of the lease, or the safe amount.
-    pub may: Amount,
-    /// The whole limit by the last lease; nothing before the first lease.
-    pub whole: Amount,
-    /// Whether the instance holds a lease of the limit.
-    pub leased: bool,
-    /// Requests that are open.
-    pub open: u64,
-    /// The recent rate of admitted requests, in thousandths a second.
-    pub used: u64,
-    /// Requests that were denied since the start.
-    pub denied: u64,
-}
-
 /// Holds the leases of all limits of an instance, and admits requests within them.
 ///
 /// Times must come from a clock that also runs while the machine is suspended: otherwise the holder would use a lease
@@ -490,61 +318,9 @@
         lowered
     }
 
-    /// The name and standing of each limit.
-    pub fn standings(&self, now: Micros) -> impl Iterator<Item = (&str, Standing)> {
-        let leased = self.is_leased(now);
-        self.limits.iter().map(move |(name, held)| {
-            let standing = Standing {
-                may: if leased && held.has_lease {
-                    held.leased
-                } else {
-                    held.safe_amount()
-                },
-                whole: held.whole,
-                leased: leased && held.has_lease,
-                open: held.open,
-                used: held.used,
-                denied: held.denied,
-            };
-            (name.as_str(), standing)
-        })
-    }
-
     /// The number of ignored grants of another server of the same term. There are some where two agents run on copies
     /// of one state.
     pub fn strange(&self) -> u64 {
         self.strange
     }
-
-    /// The state that matters to the explorer, with times relative to `now`. Measurements are left out.
-    #[cfg(any(test, feature = "explore"))]
-    pub fn essence(&self, now: Micros) -> impl std::hash::Hash + use<> {
-        let limits: Vec<_> = self
-            .limits
-            .iter()
-            .map(|(name, held)| {
-                let mut bucket = held.bucket;
-                bucket.refill(now.min(self.expires).max(bucket.filled_at), held.leased);
-                let tokens = if self.is_leased(now) {
-                    bucket.tokens
-                } else {
-                    0
-                };
-                (name.clone(), held.leased, tokens, held.open)
-            })
-            .collect();
-        let report_times: Vec<_> = self
-            .report_times
-            .iter()
-            .map(|(seq, at)| (*seq, now.saturating_sub(*at)))
-            .collect();
-        (
-            limits,
-            self.by,
-            self.number,
-            self.expires.saturating_sub(now),
-            self.seq,
-            report_times,
-        )
-    }
 }
