--- a/crates/agent/src/config.rs
+++ b/crates/agent/src/config.rs
@@ -7,7 +7,10 @@
 use madderloom_control_plane::settings::check_name;
 use madderloom_control_plane::spread::Pace;
 use madderloom_pki::Files;
-use madderloom_quota_leases::{Amount, Bound, LEASES, Limit, ONE, UNBOUNDED};
+use madderloom_quota_leases::{
+    Bound, Capacity, HolderWeight, Limit, MAX_LEASE_DURATION, MIN_LEASE_DURATION, ONE_REQUEST,
+    UNBOUNDED,
+};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -187,32 +190,37 @@
             &field("longest"),
             "must be 1h at most",
         );
-        let thousandths = |figure: f64| (figure.clamp(0.0, MOST) * ONE as f64).round() as u64;
+        let thousandths =
+            |figure: f64| (figure.clamp(0.0, MOST) * ONE_REQUEST as f64).round() as u64;
         // Usually a second's worth, so that each of many has a request or more of it.
         let burst = burst.map(f64::from).or(rate.map(|rate| rate.max(1.0)));
-        let whole = Amount {
+        let total = Capacity {
             rate: rate.map_or(UNBOUNDED, thousandths),
             burst: burst.map_or(UNBOUNDED, thousandths),
-            open: open.unwrap_or(UNBOUNDED),
+            in_flight: open.unwrap_or(UNBOUNDED),
         };
-        let mut weights: Vec<(String, u64)> = self
+        let mut weights: Vec<HolderWeight> = self
             .weights
             .into_iter()
-            .map(|(name, weight)| (name, u64::from(weight)))
+            .map(|(pattern, weight)| HolderWeight {
+                pattern,
+                weight: u64::from(weight),
+            })
             .collect();
         // Whole names first, then the longer beginnings.
-        weights.sort_by_key(|(name, _)| (name.ends_with('*'), std::cmp::Reverse(name.len())));
-        let (floor, by_zone, each_server) =
-            (thousandths(self.floor), self.by_zone, self.each_server);
+        weights.sort_by_key(|weight| {
+            let pattern = &weight.pattern;
+            (pattern.ends_with('*'), std::cmp::Reverse(pattern.len()))
+        });
         (
             self.name,
             Limit {
-                whole,
-                floor,
+                total,
+                min_rate: thousandths(self.floor),
                 weights,
-                by_zone,
-                each_server,
-                longest: longest.micros(),
+                by_zone: self.by_zone,
+                per_server: self.each_server,
+                max_request_duration: longest.micros(),
             },
         )
     }
@@ -300,7 +308,7 @@
         );
         let duration = micros(file.leases.limits, rules.leases.lease);
         document.require(
-            duration / 3 >= every && (LEASES.0..=LEASES.1).contains(&duration),
+            duration / 3 >= every && (MIN_LEASE_DURATION..=MAX_LEASE_DURATION).contains(&duration),
             "leases.limits",
             "must be three reports or more, and from 500ms to 10m",
         );
@@ -340,15 +348,15 @@
     pub fn bounds(&self) -> Vec<Bound> {
         let FleetLimitSettings { limits, duration } = &self.lending;
         let bound = |(name, limit): (&String, &Limit)| Bound {
-            name: if limit.each_server {
+            limit: if limit.per_server {
                 format!("{name} (each server by itself)")
             } else {
                 name.clone()
             },
-            whole: limit.whole,
-            lease: *duration,
-            every: self.rules.every,
-            longest: limit.longest,
+            total: limit.total,
+            lease_duration: *duration,
+            report_interval: self.rules.every,
+            max_request_duration: limit.max_request_duration,
         };
         limits.iter().map(bound).collect()
     }
--- a/crates/agent/src/core.rs
+++ b/crates/agent/src/core.rs
@@ -14,7 +14,7 @@
 use madderloom_control_plane::relay::{Batch, BatchAnswer, WatchLine};
 use madderloom_control_plane::{Accepted, By, Declined, Fleet, Micros, Note, Output, Rules, Time};
 use madderloom_endpoint_sharing::Relay as ListRelay;
-use madderloom_quota_leases::Note as Quota;
+use madderloom_quota_leases::LeaseServerEvent;
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
@@ -112,7 +112,10 @@
     fn record(&mut self, out: Output) -> Sends {
         for note in &out.notes {
             match note {
-                Note::Leases(Quota::Overcommitted(_) | Quota::Conflict(_)) => {
+                Note::Leases(
+                    LeaseServerEvent::Overcommitted { .. }
+                    | LeaseServerEvent::ConflictingServer { .. },
+                ) => {
                     tracing::error!("{note}")
                 }
                 note => tracing::info!("{note}"),
--- a/crates/agent/src/link.rs
+++ b/crates/agent/src/link.rs
@@ -9,7 +9,7 @@
 use madderloom_control_plane::settings::Overlay;
 use madderloom_control_plane::{Action, Event, Instance, Memory, Session};
 use madderloom_endpoint_sharing::{Lists, Tells};
-use madderloom_quota_leases::{Asks, Lent};
+use madderloom_quota_leases::{Grant, LeaseRequests};
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use std::pin::Pin;
 use std::rc::Rc;
@@ -33,11 +33,11 @@
     fn keep(&mut self, memory: &Memory);
     /// What it says of fleet-wide limits with the report that is made now; `term` is the greatest of an agent that was
     /// heard of. None where it takes part in none.
-    fn asks(&mut self, _term: u64) -> Option<Asks> {
+    fn asks(&mut self, _term: u64) -> Option<LeaseRequests> {
         None
     }
     /// This is lent of fleet-wide limits. Gives whether the agent is to be told at once that it is obeyed.
-    fn lent(&mut self, _lent: &Lent) -> bool {
+    fn lent(&mut self, _grant: &Grant) -> bool {
         false
     }
     /// What it says of lists that the fleet shares with the report that is made now. None where it takes part in none.
--- a/crates/agent/src/view.rs
+++ b/crates/agent/src/view.rs
@@ -7,7 +7,7 @@
 use madderloom_control_plane::rollout::{End, Phase, Rollout, Step, Target};
 use madderloom_control_plane::{By, Entry, Fleet, Micros};
 use madderloom_endpoint_sharing::{Relay, SharedList};
-use madderloom_quota_leases::{Amount, ONE, UNBOUNDED, View};
+use madderloom_quota_leases::{Capacity, LimitStatus, ONE_REQUEST, UNBOUNDED};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -54,14 +54,14 @@
     pub open: Option<u64>,
 }
 
-impl From<Amount> for Figures {
-    fn from(amount: Amount) -> Self {
+impl From<Capacity> for Figures {
+    fn from(capacity: Capacity) -> Self {
         let bounded = |figure: u64| Some(figure).filter(|figure| *figure != UNBOUNDED);
-        let whole = |figure: u64| bounded(figure).map(|figure| figure as f64 / ONE as f64);
+        let whole = |figure: u64| bounded(figure).map(|figure| figure as f64 / ONE_REQUEST as f64);
         Figures {
-            requests_per_second: whole(amount.rate),
-            burst: whole(amount.burst),
-            open: bounded(amount.open),
+            requests_per_second: whole(capacity.rate),
+            burst: whole(capacity.burst),
+            open: bounded(capacity.in_flight),
         }
     }
 }
@@ -87,32 +87,32 @@
     pub with_part: usize,
 }
 
-impl From<View> for Share {
-    fn from(view: View) -> Self {
-        let View {
-            whole,
-            lent,
-            used,
-            wanted,
-            open,
-            instances,
-            with_part,
-        } = view;
-        let whole_of = |figure: u64| figure as f64 / ONE as f64;
-        let over = if whole.rate == UNBOUNDED {
+impl From<LimitStatus> for Share {
+    fn from(status: LimitStatus) -> Self {
+        let LimitStatus {
+            total,
+            reserved,
+            admitted_rate,
+            demand_rate,
+            in_flight,
+            participants,
+            lease_holders,
+        } = status;
+        let whole_of = |figure: u64| figure as f64 / ONE_REQUEST as f64;
+        let over = if total.rate == UNBOUNDED {
             0
         } else {
-            used.saturating_sub(whole.rate)
+            admitted_rate.saturating_sub(total.rate)
         };
         Share {
-            whole: whole.into(),
-            lent: lent.into(),
-            used: whole_of(used),
-            wanted: whole_of(wanted),
-            open,
+            whole: total.into(),
+            lent: reserved.into(),
+            used: whole_of(admitted_rate),
+            wanted: whole_of(demand_rate),
+            open: in_flight,
             over: whole_of(over),
-            instances,
-            with_part,
+            instances: participants,
+            with_part: lease_holders,
         }
     }
 }
@@ -232,9 +232,9 @@
             .collect(),
         fleet_limits: fleet
             .lender()
-            .map(|lender| shares(lender.views(now)))
+            .map(|lender| shares(lender.statuses(now)))
             .unwrap_or_default(),
-        lends_all: fleet.lender().map(|lender| lender.has_learned(now)),
+        lends_all: fleet.lender().map(|lender| lender.has_recovered(now)),
         shared_lists: relay.views(now).collect(),
         // The machine knows nothing of connections: whoever holds them fills this in.
         traffic: Traffic::default(),
@@ -242,10 +242,10 @@
     }
 }
 
-fn shares(views: BTreeMap<String, View>) -> BTreeMap<String, Share> {
-    views
+fn shares(statuses: BTreeMap<String, LimitStatus>) -> BTreeMap<String, Share> {
+    statuses
         .into_iter()
-        .map(|(name, view)| (name, view.into()))
+        .map(|(name, status)| (name, status.into()))
         .collect()
 }
 
@@ -276,7 +276,7 @@
             .map(|rival| rival.incarnation),
         fleet_limits: fleet
             .lender()
-            .map(|lender| shares(lender.views_at(now, name)))
+            .map(|lender| shares(lender.statuses_at(now, name)))
             .unwrap_or_default(),
     })
 }
--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -3,7 +3,7 @@
 use crate::output::{Output, tell, tell_problems};
 use madderloom_config_reader::Problem;
 use madderloom_operator_config::{Operator, PoolLevels};
-use madderloom_quota_leases::{Amount, ONE, Safe, UNBOUNDED};
+use madderloom_quota_leases::{Capacity, ONE_REQUEST, SafeCapacity, UNBOUNDED};
 use madderloom_sidecar::Config;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -128,10 +128,14 @@
     let told = limits.map(|limit| {
         let name = &limit.name;
         let own = match limit.safe {
-            Safe::Nothing => "nothing".to_string(),
-            Safe::Part(of) => format!("a part in {of} of the limit, as the last lease told it; nothing before one came"),
-            Safe::Fixed(Amount { rate, burst, open }) => {
-                let thousandths = |figure: u64| figure as f64 / ONE as f64;
+            SafeCapacity::Zero => "nothing".to_string(),
+            SafeCapacity::Fraction(of) => format!("a part in {of} of the limit, as the last lease told it; nothing before one came"),
+            SafeCapacity::Fixed(Capacity {
+                rate,
+                burst,
+                in_flight: open,
+            }) => {
+                let thousandths = |figure: u64| figure as f64 / ONE_REQUEST as f64;
                 let rates = format!("{} x W + {} in any W seconds", thousandths(rate), thousandths(burst));
                 let rates = Some(rates).filter(|_| rate != UNBOUNDED);
                 let open = Some(format!("{open} open at once")).filter(|_| open != UNBOUNDED);
--- a/crates/cli/tests/fleet/limits.rs
+++ b/crates/cli/tests/fleet/limits.rs
@@ -72,7 +72,7 @@
         fleet
             .stage
             .program("agent")
-            .wait_for("all of them can be lent");
+            .wait_for("each limit can be granted in full");
         until("each has a lease", || fleet.all_leased().then_some(()));
     }
 
@@ -379,7 +379,7 @@
     fleet
         .stage
         .program("agent")
-        .wait_for("all of them can be lent");
+        .wait_for("each limit can be granted in full");
     fleet.stage.act("agent", Act::Kill);
     fleet.stage.act("agent", Act::StartAfresh);
     fleet
@@ -463,7 +463,7 @@
     fleet
         .stage
         .program("agent")
-        .wait_for("all of them can be lent");
+        .wait_for("each limit can be granted in full");
     let text = std::fs::read_to_string(at.join("agent.toml")).expect("written");
     let port = fleet.rig.address.port().to_string();
     std::fs::write(
@@ -478,7 +478,7 @@
     fleet
         .stage
         .program("second")
-        .wait_for("another agent of term 2 lends");
+        .wait_for("another agent of term 2 grants leases");
     std::thread::sleep(OUT + millis(3_000));
     let over = fleet.arrivals().over(RATE, BURST, JITTER);
     assert!(over <= 0.0, "over by {over}");
--- a/crates/control-plane/src/change.rs
+++ b/crates/control-plane/src/change.rs
@@ -89,7 +89,7 @@
 
     /// Whether it matches an instance.
     pub fn matches(&self, name: &str, traits: &Traits) -> bool {
-        let named = |pattern: &String| madderloom_quota_leases::fits(pattern, name);
+        let named = |pattern: &String| madderloom_quota_leases::matches_pattern(pattern, name);
         (self.names.is_empty() || self.names.iter().any(named))
             && (self.zones.is_empty() || self.zones.contains(&traits.zone))
             && self
--- a/crates/control-plane/src/explore/lease_model.rs
+++ b/crates/control-plane/src/explore/lease_model.rs
@@ -13,7 +13,8 @@
 use super::Model;
 use foldhash::quality::FixedState;
 use madderloom_quota_leases::{
-    Amount, Grant, LeaseHolder, LeaseRequests, LeaseServer, Limit, Micros, ONE, Safe, ServerId,
+    Capacity, Grant, LeaseHolder, LeaseRequests, LeaseServer, Limit, Micros, ONE_REQUEST,
+    SafeCapacity, ServerId,
 };
 use std::collections::BTreeMap;
 use std::fmt;
@@ -133,12 +134,12 @@
         let (rate, burst, open) = self.whole;
         let of = |all: u64| if lowered { all / 2 } else { all };
         Limit {
-            whole: Amount {
-                rate: of(rate) * ONE,
-                burst: of(burst) * ONE,
-                open: of(open),
+            total: Capacity {
+                rate: of(rate) * ONE_REQUEST,
+                burst: of(burst) * ONE_REQUEST,
+                in_flight: of(open),
             },
-            longest: self.longest * SECOND,
+            max_request_duration: self.longest * SECOND,
             ..Limit::default()
         }
     }
@@ -180,9 +181,9 @@
 
     fn start(&self, state: &mut LeaseModelState, name: usize, demand: u64) {
         let mut holder = LeaseHolder::default();
-        holder.follow(
+        holder.set_limits(
             self.by_start(state, state.starts.len()),
-            [(LIMIT.to_string(), Safe::Nothing)],
+            [(LIMIT.to_string(), SafeCapacity::Zero)],
         );
         state.starts.push(Start {
             name,
@@ -200,11 +201,11 @@
             let now = self.by_start(state, at);
             let holder = &state.starts[at].holder;
             let grant = holder
-                .standings(now)
+                .statuses(now)
                 .next()
-                .filter(|(_, standing)| standing.leased);
+                .filter(|(_, standing)| standing.has_lease);
             grant.map_or((0, 0), |(_, standing)| {
-                (standing.may.rate, standing.may.burst)
+                (standing.usable.rate, standing.usable.burst)
             })
         };
         (0..state.starts.len())
@@ -243,17 +244,17 @@
         let mut steps = Vec::new();
         for (at, packet) in state.packets.iter().enumerate() {
             let what = match packet {
-                Packet::Up(from, requests) => format!("report {} of {from}", requests.seq),
+                Packet::Up(from, requests) => format!("report {} of {from}", requests.sequence),
                 Packet::Down(to, grant) => {
                     let amount = grant
-                        .of
+                        .leases
                         .first()
-                        .map(|lease| lease.amount)
+                        .map(|lease| lease.capacity)
                         .unwrap_or_default();
-                    let (term, number) = (grant.by.term, grant.number);
+                    let (term, number) = (grant.server.term, grant.number);
                     format!(
                         "word {number} of term {term} to {to} ({} a second, {} open)",
-                        amount.rate, amount.open
+                        amount.rate, amount.in_flight
                     )
                 }
             };
@@ -299,7 +300,7 @@
                 for start in &mut next.starts {
                     start.open.iter_mut().for_each(|age| *age += 1);
                     for _ in start.open.extract_if(.., |age| *age >= self.longest) {
-                        start.holder.end(LIMIT);
+                        start.holder.release(LIMIT);
                     }
                 }
             }
@@ -356,7 +357,7 @@
             .map(|at| {
                 let (now, start) = (self.by_start(state, at), &state.starts[at]);
                 let of = (
-                    start.holder.essence(now),
+                    start.holder.explored_state(now),
                     start.reports,
                     start.replaced,
                     &start.open,
@@ -378,7 +379,7 @@
         let now = self.by_agent(state);
         let server = agent
             .as_ref()
-            .map(|agent| FixedState::with_seed(2).hash_one(agent.essence(now)));
+            .map(|agent| FixedState::with_seed(2).hash_one(agent.explored_state(now)));
         let all = (
             essences,
             ticks,
@@ -410,16 +411,16 @@
                 all
             }
         };
-        if rate > of(whole.0, by_lease) * ONE {
+        if rate > of(whole.0, by_lease) * ONE_REQUEST {
             return Err(format!(
                 "rates: {rate} of {} thousandths",
-                of(whole.0, by_lease) * ONE
+                of(whole.0, by_lease) * ONE_REQUEST
             ));
         }
-        if burst > of(whole.1, by_lease) * ONE {
+        if burst > of(whole.1, by_lease) * ONE_REQUEST {
             return Err(format!(
                 "bursts: {burst} of {} thousandths",
-                of(whole.1, by_lease) * ONE
+                of(whole.1, by_lease) * ONE_REQUEST
             ));
         }
         let open = state
@@ -452,10 +453,10 @@
     fn is_newer(&self, other: &Packet) -> bool {
         match (self, other) {
             (Packet::Up(from, requests), Packet::Up(its, other)) => {
-                from == its && other.seq < requests.seq
+                from == its && other.sequence < requests.sequence
             }
             (Packet::Down(to, grant), Packet::Down(its, other)) => {
-                to == its && (other.by, other.number) < (grant.by, grant.number)
+                to == its && (other.server, other.number) < (grant.server, grant.number)
             }
             _ => false,
         }
@@ -490,7 +491,7 @@
             }
             Packet::Down(to, grant) => {
                 let now = self.by_start(next, to);
-                if next.starts[to].holder.take(now, &grant) && !next.starts[to].replaced {
+                if next.starts[to].holder.apply_grant(now, &grant) && !next.starts[to].replaced {
                     self.report(next, to, now);
                 }
             }
@@ -503,11 +504,14 @@
             return;
         }
         start.reports += 1;
-        let mut requests = start.holder.ask(now);
+        let mut requests = start.holder.make_report(now);
         // The demand is that of the model, not the measured one.
-        for request in &mut requests.of {
-            (request.wanted, request.wanted_open, request.used) =
-                (start.demand * ONE, start.demand, 0);
+        for request in &mut requests.requests {
+            (
+                request.demand_rate,
+                request.demand_in_flight,
+                request.admitted_rate,
+            ) = (start.demand * ONE_REQUEST, start.demand, 0);
         }
         self.send(state, Packet::Up(at, requests));
     }
--- a/crates/control-plane/src/explore/tests.rs
+++ b/crates/control-plane/src/explore/tests.rs
@@ -215,7 +215,7 @@
             "requests that are let in",
         ),
         (
-            InjectedBug::ForgetOpen,
+            InjectedBug::ForgetInFlight,
             "open",
             "requests that stay open for long",
         ),
--- a/crates/control-plane/src/fleet/mod.rs
+++ b/crates/control-plane/src/fleet/mod.rs
@@ -231,7 +231,7 @@
             out.sends.extend(
                 grants
                     .into_iter()
-                    .map(|(name, grant)| (name, ToInstance::Lent(grant))),
+                    .map(|addressed| (addressed.instance, ToInstance::Lent(addressed.grant))),
             );
         }
         self.collect_lease_notes(&mut out);
@@ -244,7 +244,7 @@
         let leases = self
             .fleet_limits
             .as_ref()
-            .and_then(|fleet_limits| fleet_limits.server.next(now));
+            .and_then(|fleet_limits| fleet_limits.server.next_tick(now));
         self.membership
             .next()
             .into_iter()
--- a/crates/control-plane/src/fleet/note.rs
+++ b/crates/control-plane/src/fleet/note.rs
@@ -19,7 +19,7 @@
     /// An instance knows of an agent of this later term; this agent gives no more orders.
     StoodDown(u64),
     /// An event of the lease server.
-    Leases(madderloom_quota_leases::Note),
+    Leases(madderloom_quota_leases::LeaseServerEvent),
 }
 
 impl fmt::Display for Note {
--- a/crates/control-plane/src/fleet_limits.rs
+++ b/crates/control-plane/src/fleet_limits.rs
@@ -4,7 +4,10 @@
 use crate::change::Layers;
 use crate::protocol::Report;
 use crate::settings::{FleetFigure, Key, Value};
-use madderloom_quota_leases::{Grant, LeaseServer, Limit, MOST, Note, ONE, ServerId, UNBOUNDED};
+use madderloom_quota_leases::{
+    Grant, LeaseServer, LeaseServerEvent, Limit, MAX_RATE_OR_BURST, ONE_REQUEST, ServerId,
+    UNBOUNDED,
+};
 use std::collections::BTreeMap;
 
 /// The fleet-wide limits of an agent's file.
@@ -52,16 +55,17 @@
                     Some(Value::Limit(number)) => Some(*number),
                     _ => None,
                 };
-                let thousandths = number.map(|number| number.saturating_mul(ONE).min(MOST));
-                let (whole, file) = (&mut limit.whole, own.whole);
+                let thousandths =
+                    number.map(|number| number.saturating_mul(ONE_REQUEST).min(MAX_RATE_OR_BURST));
+                let (total, file) = (&mut limit.total, own.total);
                 match figure {
-                    FleetFigure::Rate => whole.rate = thousandths.unwrap_or(file.rate),
-                    FleetFigure::Burst => whole.burst = thousandths.unwrap_or(file.burst),
-                    FleetFigure::Open => whole.open = number.unwrap_or(file.open),
+                    FleetFigure::Rate => total.rate = thousandths.unwrap_or(file.rate),
+                    FleetFigure::Burst => total.burst = thousandths.unwrap_or(file.burst),
+                    FleetFigure::Open => total.in_flight = number.unwrap_or(file.in_flight),
                 }
                 // A rate that the file does not bound comes with the burst of one second.
-                if whole.rate != UNBOUNDED && whole.burst == UNBOUNDED {
-                    whole.burst = whole.rate.max(ONE);
+                if total.rate != UNBOUNDED && total.burst == UNBOUNDED {
+                    total.burst = total.rate.max(ONE_REQUEST);
                 }
             }
         }
@@ -80,9 +84,9 @@
     }
 
     /// Takes the events for the log. The flag says whether the recovery has ended.
-    pub(crate) fn notes(&mut self) -> (Vec<Note>, bool) {
-        let notes = self.server.notes();
-        let recovered = notes.contains(&Note::Recovered);
+    pub(crate) fn notes(&mut self) -> (Vec<LeaseServerEvent>, bool) {
+        let notes = self.server.take_events();
+        let recovered = notes.contains(&LeaseServerEvent::Recovered);
         (notes, recovered)
     }
 
--- a/crates/control-plane/src/instance.rs
+++ b/crates/control-plane/src/instance.rs
@@ -302,7 +302,7 @@
             ToInstance::Lent(grant)
                 if grant.start == self.who.start
                     && self.session == Session::In
-                    && self.observe_term(grant.by.term, actions) =>
+                    && self.observe_term(grant.server.term, actions) =>
             {
                 actions.push(Action::Lent(grant.clone()));
             }
--- a/crates/control-plane/src/relay/parent.rs
+++ b/crates/control-plane/src/relay/parent.rs
@@ -243,7 +243,7 @@
         ToInstance::Welcome(welcome) => Some(welcome.term),
         ToInstance::Renewed { term, .. } => Some(*term),
         ToInstance::Order(order) => Some(order.stamp.term),
-        ToInstance::Lent(grant) => Some(grant.by.term),
+        ToInstance::Lent(grant) => Some(grant.server.term),
         ToInstance::Lists(lists) => Some(lists.stamp.term),
         ToInstance::Superseded { .. } | ToInstance::Later { .. } | ToInstance::Unknown { .. } => {
             None
--- a/crates/control-plane/tests/names_on_the_wire_and_on_disk_stay.rs
+++ b/crates/control-plane/tests/names_on_the_wire_and_on_disk_stay.rs
@@ -3,30 +3,30 @@
 
 use madderloom_control_plane::Record;
 use madderloom_control_plane::protocol::{Report, ToAgent, ToInstance, Who};
-use madderloom_quota_leases::{Amount, Grant, Lease, LeaseRequest, LeaseRequests, ServerId};
+use madderloom_quota_leases::{Capacity, Grant, Lease, LeaseRequest, LeaseRequests, ServerId};
 use serde_json::{json, to_value};
 
-const AMOUNT: Amount = Amount {
+const CAPACITY: Capacity = Capacity {
     rate: 1,
     burst: 2,
-    open: 3,
+    in_flight: 3,
 };
 
 #[test]
 fn a_grant_is_written_as_before() {
     let lease = Lease {
         limit: "submissions".into(),
-        amount: AMOUNT,
-        whole: AMOUNT,
+        capacity: CAPACITY,
+        total: CAPACITY,
     };
-    let by = ServerId { term: 4, id: 5 };
+    let server = ServerId { term: 4, id: 5 };
     let grant = Grant {
         start: 6,
-        by,
+        server,
         number: 7,
-        answers: 8,
+        answered_sequence: 8,
         duration: 9,
-        of: vec![lease],
+        leases: vec![lease],
     };
     let amount = json!({"rate": 1, "burst": 2, "open": 3});
     let written = json!({"lent": {
@@ -51,18 +51,18 @@
 fn a_request_for_leases_is_written_as_before() {
     let request = LeaseRequest {
         limit: "submissions".into(),
-        holds: AMOUNT,
-        wanted: 4,
-        wanted_open: 5,
-        open: 6,
-        used: 7,
+        held: CAPACITY,
+        demand_rate: 4,
+        demand_in_flight: 5,
+        in_flight: 6,
+        admitted_rate: 7,
     };
-    let by = Some(ServerId { term: 8, id: 9 });
+    let server = Some(ServerId { term: 8, id: 9 });
     let requests = LeaseRequests {
-        seq: 10,
-        by,
-        number: 11,
-        of: vec![request],
+        sequence: 10,
+        server,
+        grant_number: 11,
+        requests: vec![request],
     };
     let report = Report {
         who: Who::default(),
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -1,7 +1,7 @@
 //! A hollow instance: the state machines of a real one over real TLS connections, without a data path.
 //!
 //! Registration, reports, the watch and orders are those of [`madderloom_agent::Link`] and
-//! [`madderloom_control_plane::Instance`], the lease of limits is [`madderloom_quota_leases::Holder`], lists are
+//! [`madderloom_control_plane::Instance`], the lease of limits is [`madderloom_quota_leases::LeaseHolder`], lists are
 //! [`madderloom_endpoint_sharing::Share`]. An overlay is checked and compared as the sidecar does it, and then kept.
 
 use super::lists::{Discovery, SharedLists};
@@ -17,7 +17,7 @@
 use madderloom_control_plane::{Instance, Memory, Problem};
 use madderloom_endpoint_sharing::{Lists, Tells};
 use madderloom_pki::Keyring;
-use madderloom_quota_leases::{Asks, Holder, Lent, Safe};
+use madderloom_quota_leases::{Grant, LeaseHolder, LeaseRequests, SafeCapacity};
 use rustix::time::{ClockId, clock_gettime};
 use std::cell::{Cell, RefCell};
 use std::hash::{BuildHasher, RandomState};
@@ -162,10 +162,10 @@
     }
 }
 
-fn holder(manner: &Manner) -> Holder {
-    let mut holder = Holder::default();
-    let limits = (0..manner.limits).map(|limit| (limit_name(limit), Safe::Nothing));
-    holder.follow(boottime(), limits);
+fn holder(manner: &Manner) -> LeaseHolder {
+    let mut holder = LeaseHolder::default();
+    let limits = (0..manner.limits).map(|limit| (limit_name(limit), SafeCapacity::Zero));
+    holder.set_limits(boottime(), limits);
     holder
 }
 
@@ -188,7 +188,7 @@
     manner: Manner,
     counters: Arc<Counters>,
     seen: Rc<Seen>,
-    holder: Holder,
+    holder: LeaseHolder,
     lists: Rc<SharedLists>,
 }
 
@@ -239,22 +239,22 @@
         self.seen.memory.replace(memory.clone());
     }
 
-    fn asks(&mut self, term: u64) -> Option<Asks> {
+    fn asks(&mut self, term: u64) -> Option<LeaseRequests> {
         if self.manner.requests > 0 {
             // One request a report: there is demand, and what it comes to is of no matter here.
             for limit in 0..self.manner.limits {
                 let name = limit_name(limit);
                 if self.holder.admit(boottime(), &name).is_ok() {
-                    self.holder.end(&name);
+                    self.holder.release(&name);
                 }
             }
         }
-        self.holder.hear(term);
-        (!self.holder.is_empty()).then(|| self.holder.ask(boottime()))
+        self.holder.observe_term(term);
+        (!self.holder.is_empty()).then(|| self.holder.make_report(boottime()))
     }
 
-    fn lent(&mut self, lent: &Lent) -> bool {
-        self.holder.take(boottime(), lent)
+    fn lent(&mut self, grant: &Grant) -> bool {
+        self.holder.apply_grant(boottime(), grant)
     }
 
     fn tells(&mut self) -> Option<Tells> {
--- a/crates/operator-config/src/fleet_limits.rs
+++ b/crates/operator-config/src/fleet_limits.rs
@@ -5,7 +5,7 @@
 use http::HeaderName;
 use madderloom_config_reader::Document;
 use madderloom_control_plane::settings::check_name;
-use madderloom_quota_leases::{Amount, ONE, Safe, UNBOUNDED};
+use madderloom_quota_leases::{Capacity, ONE_REQUEST, SafeCapacity, UNBOUNDED};
 use serde::Deserialize;
 
 /// The most limits of one instance.
@@ -42,7 +42,7 @@
 impl Pattern {
     /// Whether it fits a name.
     pub fn fits(&self, name: &str) -> bool {
-        madderloom_quota_leases::fits(&self.0, name)
+        madderloom_quota_leases::matches_pattern(&self.0, name)
     }
 }
 
@@ -60,7 +60,7 @@
     /// It is for each server of the pools by itself, and counts attempts.
     pub each_server: bool,
     /// What may be let in while no lease holds.
-    pub safe: Safe,
+    pub safe: SafeCapacity,
 }
 
 pub(crate) fn check(
@@ -158,7 +158,7 @@
 }
 
 impl SafePart {
-    fn check(self, document: &mut Document<'_>, field: &dyn Fn(&str) -> String) -> Safe {
+    fn check(self, document: &mut Document<'_>, field: &dyn Fn(&str) -> String) -> SafeCapacity {
         let SafePart {
             requests_per_second: rate,
             burst,
@@ -185,7 +185,7 @@
                 "stands alone, without figures",
             );
             document.require(parts > 0, &field("safe.divide_by"), "must be 1 or more");
-            return Safe::Part(parts.max(1));
+            return SafeCapacity::Fraction(parts.max(1));
         }
         if rate.is_none() && open.is_none() {
             document.require(
@@ -193,15 +193,15 @@
                 &field("safe.burst"),
                 "goes with requests_per_second",
             );
-            return Safe::Nothing;
+            return SafeCapacity::Zero;
         }
         let thousandths =
-            |figure: f64| (figure.clamp(0.0, MOST_REQUESTS) * ONE as f64).round() as u64;
-        Safe::Fixed(Amount {
+            |figure: f64| (figure.clamp(0.0, MOST_REQUESTS) * ONE_REQUEST as f64).round() as u64;
+        SafeCapacity::Fixed(Capacity {
             // A safe part that bounds only what is open lets in no more than that at once.
             rate: rate.map_or(UNBOUNDED, thousandths),
             burst: rate.map_or(UNBOUNDED, |_| thousandths(f64::from(burst.unwrap_or(1)))),
-            open: open.unwrap_or(UNBOUNDED),
+            in_flight: open.unwrap_or(UNBOUNDED),
         })
     }
 }
--- a/crates/quota-leases/src/injected_bug.rs
+++ b/crates/quota-leases/src/injected_bug.rs
@@ -1,11 +1,11 @@
-//! Bugs that the explorer injects.
+//! Bugs that a model checker injects into lease servers and holders.
 
-/// Bugs that the explorer injects to check that it finds them. A program that serves has none.
+/// Bugs that the model checker injects to check that it finds them. A program that serves has none.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedBug {
     /// The server reuses capacity as soon as it has sent a smaller grant.
     ReuseBeforeAcknowledgement,
-    /// The server forgets a lease as soon as it expires, without [`DRIFT`].
+    /// The server forgets a lease as soon as it expires, without the allowance for clock drift.
     NoDrift,
     /// The server identifies instances by their names and not by their starts.
     IdentifyByName,
@@ -19,8 +19,8 @@
     NoFencing,
     /// An instance fills its bucket with each grant.
     RefillOnGrant,
-    /// The server reuses the capacity of open requests when the lease expires.
-    ForgetOpen,
+    /// The server reuses the capacity of requests in flight when the lease expires.
+    ForgetInFlight,
 }
 
 #[cfg(any(test, feature = "explore"))]
--- a/crates/quota-leases/src/lease_holder/held_limit.rs
+++ b/crates/quota-leases/src/lease_holder/held_limit.rs
@@ -1,132 +1,177 @@
-//! One limit at an instance: its lease, its buckets, and the measured demand.
+//! One limit at an instance: its lease, its buckets, and the demand for it.
 
-use super::token_bucket::{Bucket, TOKEN};
-use crate::{Amount, Micros, UNBOUNDED};
+use super::demand_meter::DemandMeter;
+use super::token_bucket::TokenBucket;
+use crate::{Capacity, InjectedBug, Lease, LeaseRequest, Micros, UNBOUNDED, is_injected};
 
-/// The time over which the rate of requests is averaged, in microseconds. At two requests a second, random variation
-/// alone moves the average by a third.
-const AVERAGING_TIME: u64 = 6_000_000;
-/// The recent maximum of open requests decays by this factor from one report to the next (7/10).
-const OPEN_DECAY: (u64, u64) = (7, 10);
-/// The shortest time between two measurements, in microseconds. A report that is made sooner repeats the last one.
-const SHORTEST_MEASUREMENT: Micros = 200_000;
+/// The delay after which a rejected request is worth retrying where nothing better is known: one report, in
+/// microseconds.
+const DEFAULT_RETRY_DELAY: Micros = 1_000_000;
 
-/// The amount of one limit that an instance may use while it holds no lease.
+/// The capacity of one limit that an instance may use while it holds no lease.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub enum Safe {
-    /// Nothing.
+pub enum SafeCapacity {
+    /// None: every request is rejected.
     #[default]
-    Nothing,
-    /// A fixed amount, whatever the limit is.
-    Fixed(Amount),
-    /// The limit by the last lease, divided by this number; nothing before the first lease.
-    Part(u64),
+    Zero,
+    /// A fixed capacity, whatever the limit is.
+    Fixed(Capacity),
+    /// The limit by the last lease, divided by this number; zero before the first lease.
+    Fraction(u64),
+}
+
+/// Why a request is not admitted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("the fleet-wide limit has no room{}", if *.without_lease { ": the instance holds no lease" } else { "" })]
+pub struct Rejection {
+    /// The delay after which the request will be admitted if nothing changes, in microseconds. `None` where that
+    /// depends on requests in flight.
+    pub retry_after: Option<Micros>,
+    /// Whether the instance holds no lease of the limit.
+    pub without_lease: bool,
 }
 
 /// One limit at this instance.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct HeldLimit {
-    pub(super) safe: Safe,
-    /// Whether the last grant contains a lease of the limit, and its amount.
-    pub(super) has_lease: bool,
-    pub(super) leased: Amount,
-    /// The whole limit, by the last lease of it.
-    pub(super) whole: Amount,
+    pub(super) safe: SafeCapacity,
+    /// The capacity of the lease in the last grant, if that has one. The holder knows whether the grant is valid.
+    pub(super) leased: Option<Capacity>,
+    /// The capacity of the limit by the last lease of it.
+    pub(super) total: Capacity,
     /// Fills under leases.
-    pub(super) bucket: Bucket,
-    /// Fills without a lease, by the safe amount.
-    pub(super) safe_bucket: Bucket,
-    pub(super) open: u64,
-    /// Requests since the last measurement.
-    pub(super) requested: u64,
-    /// Requests admitted since the last measurement.
-    pub(super) admitted: u64,
-    /// The most requests that were open at once, or would have been, since the last measurement.
-    pub(super) peak_open: u64,
-    pub(super) measured_at: Micros,
-    pub(super) wanted: u64,
-    pub(super) wanted_open: u64,
-    pub(super) used: u64,
-    pub(super) denied: u64,
-    /// Whether it was created on demand, and is forgotten when it has been idle for [`IDLE_TIME`].
+    pub(super) bucket: TokenBucket,
+    /// Fills without a lease, by the safe capacity.
+    pub(super) safe_bucket: TokenBucket,
+    pub(super) in_flight: u64,
+    pub(super) demand: DemandMeter,
+    /// Requests rejected since the start.
+    pub(super) rejected: u64,
+    /// Whether it was created on demand, and is forgotten when it has been idle for [`super::IDLE_TIMEOUT`].
     pub(super) on_demand: bool,
     pub(super) last_request: Micros,
 }
 
 impl HeldLimit {
-    pub(super) fn new(now: Micros, safe: Safe, on_demand: bool) -> Self {
-        let bucket = Bucket {
-            tokens: 0,
-            filled_at: now,
-        };
+    pub(super) fn new(now: Micros, safe: SafeCapacity, on_demand: bool) -> Self {
         HeldLimit {
             safe,
-            has_lease: false,
-            leased: Amount::NOTHING,
-            whole: Amount::NOTHING,
-            bucket,
-            safe_bucket: bucket,
-            open: 0,
-            requested: 0,
-            admitted: 0,
-            peak_open: 0,
-            measured_at: now,
-            wanted: 0,
-            wanted_open: 0,
-            used: 0,
-            denied: 0,
+            leased: None,
+            total: Capacity::ZERO,
+            bucket: TokenBucket::empty(now),
+            safe_bucket: TokenBucket::empty(now),
+            in_flight: 0,
+            demand: DemandMeter::new(now),
+            rejected: 0,
             on_demand,
             last_request: now,
         }
     }
 
-    /// The amount that may be used without a lease.
-    pub(super) fn safe_amount(&self) -> Amount {
+    /// The capacity that may be used without a lease.
+    pub(super) fn safe_capacity(&self) -> Capacity {
         match self.safe {
-            Safe::Nothing => Amount::NOTHING,
-            Safe::Fixed(amount) => amount,
-            Safe::Part(divisor) => {
-                let part = |whole: u64| {
-                    if whole == UNBOUNDED {
+            SafeCapacity::Zero => Capacity::ZERO,
+            SafeCapacity::Fixed(capacity) => capacity,
+            SafeCapacity::Fraction(divisor) => {
+                let fraction = |figure: u64| {
+                    if figure == UNBOUNDED {
                         UNBOUNDED
                     } else {
-                        whole / divisor.max(1)
+                        figure / divisor.max(1)
                     }
                 };
-                self.whole.with(self.whole, |whole, _| part(whole))
+                self.total
+                    .zip_with(self.total, |figure, _| fraction(figure))
             }
         }
     }
 
-    /// Measures the requests since the last measurement.
-    pub(super) fn measure(&mut self, now: Micros) {
-        let elapsed = now.saturating_sub(self.measured_at);
-        if elapsed < SHORTEST_MEASUREMENT {
-            return;
+    /// The capacity of the lease, while the grant that it is in is valid.
+    pub(super) fn valid_lease(&self, grant_is_valid: bool) -> Option<Capacity> {
+        self.leased.filter(|_| grant_is_valid)
+    }
+
+    /// The capacity that may be used now: that of the lease, or the safe capacity.
+    pub(super) fn usable(&self, grant_is_valid: bool) -> Capacity {
+        self.valid_lease(grant_is_valid)
+            .unwrap_or_else(|| self.safe_capacity())
+    }
+
+    /// Admits a request, which is in flight from now on, or rejects it.
+    pub(super) fn admit(&mut self, now: Micros, grant_is_valid: bool) -> Result<(), Rejection> {
+        self.last_request = now;
+        self.demand.count_request(self.in_flight);
+        match self.take_token(now, grant_is_valid) {
+            Ok(()) => {
+                self.in_flight += 1;
+                self.demand.count_admission();
+                Ok(())
+            }
+            Err(retry_after) => {
+                self.rejected += 1;
+                Err(Rejection {
+                    retry_after,
+                    without_lease: self.valid_lease(grant_is_valid).is_none(),
+                })
+            }
         }
-        let per_second = |count: u64| {
-            let rate = u128::from(count) * TOKEN / u128::from(elapsed);
-            u64::try_from(rate).unwrap_or(u64::MAX).min(crate::MOST)
-        };
-        let averaged = |former: u64, present: u64| {
-            let (former, present) = (u128::from(former), u128::from(present));
-            let weight = u128::from(elapsed.min(AVERAGING_TIME));
-            let total = u128::from(AVERAGING_TIME);
-            u64::try_from((former * (total - weight) + present * weight) / total)
-                .unwrap_or(u64::MAX)
+    }
+
+    /// Takes a token of the bucket that applies. The error is the delay to retry after, or `None` where requests in
+    /// flight must end first.
+    fn take_token(&mut self, now: Micros, grant_is_valid: bool) -> Result<(), Option<Micros>> {
+        let usable = self.usable(grant_is_valid);
+        if self.in_flight >= usable.in_flight {
+            return Err(None);
+        }
+        let taken = if self.valid_lease(grant_is_valid).is_some() {
+            self.bucket.take(now, usable)
+        } else {
+            // The tokens of a lease are lost when it expires.
+            self.bucket = TokenBucket::empty(now);
+            self.safe_bucket.take(now, usable)
         };
-        // A rate beyond random variation (two standard deviations) counts at once.
-        let certain = self
-            .requested
-            .saturating_sub(2 * (self.requested + 1).isqrt());
-        self.wanted = averaged(self.wanted, per_second(self.requested)).max(per_second(certain));
-        self.wanted_open = self
-            .peak_open
-            .max(self.wanted_open / OPEN_DECAY.1 * OPEN_DECAY.0);
-        self.used = averaged(self.used, per_second(self.admitted));
-        self.requested = 0;
-        self.admitted = 0;
-        self.peak_open = self.open;
-        self.measured_at = now;
+        taken.map_err(|wait| Some(wait.unwrap_or(DEFAULT_RETRY_DELAY)))
+    }
+
+    /// Replaces the lease by that of a new grant, or by none. The tokens of the former lease are kept, up to the new
+    /// burst.
+    pub(super) fn replace_lease(
+        &mut self,
+        now: Micros,
+        former_grant_is_valid: bool,
+        lease: Option<&Lease>,
+    ) {
+        match self.valid_lease(former_grant_is_valid) {
+            Some(former) => self.bucket.refill(now, former),
+            None => self.bucket = TokenBucket::empty(now),
+        }
+        self.leased = lease.map(|lease| lease.capacity);
+        if is_injected(InjectedBug::RefillOnGrant) {
+            self.bucket.tokens = u128::MAX;
+        }
+        self.bucket.refill(now, self.leased.unwrap_or_default());
+        if let Some(lease) = lease {
+            self.total = lease.total;
+        }
+    }
+
+    /// The request for a lease of this limit in a report that is made now.
+    pub(super) fn make_request(
+        &mut self,
+        now: Micros,
+        limit: &str,
+        grant_is_valid: bool,
+    ) -> LeaseRequest {
+        self.demand.measure(now, self.in_flight);
+        LeaseRequest {
+            limit: limit.to_string(),
+            held: self.valid_lease(grant_is_valid).unwrap_or_default(),
+            demand_rate: self.demand.demand_rate(),
+            demand_in_flight: self.demand.demand_in_flight(),
+            in_flight: self.in_flight,
+            admitted_rate: self.demand.admitted_rate(),
+        }
     }
 }
--- a/crates/quota-leases/src/lease_server/allocation.rs
+++ b/crates/quota-leases/src/lease_server/allocation.rs
@@ -3,13 +3,13 @@
 use super::holder_record::HolderRecord;
 use super::limit::Limit;
 use super::with_drift;
-use crate::divide::{Demand, divide};
-use crate::{Amount, LeaseRequest, Micros, ONE, UNBOUNDED};
+use crate::fair_share::{Demand, max_min_shares};
+use crate::{Capacity, LeaseRequest, Micros, ONE_REQUEST, UNBOUNDED};
 use std::collections::BTreeMap;
 
-/// A holder's share is greater than its recent demand by this factor (9/8): a bucket that fills at exactly the
+/// A holder's share is this many eighths of its recent demand, if there is as much: a bucket that fills at exactly the
 /// average rate of requests would reject many of them.
-const HEADROOM: (u64, u64) = (9, 8);
+const HEADROOM_EIGHTHS: u64 = 9;
 /// Where a limit does not suffice for all, the holders that have a share change after this many lease durations.
 const LEASES_PER_TURN: u64 = 2;
 
@@ -26,154 +26,188 @@
     participants: &[Participant<'_>],
     duration: Micros,
     now: Micros,
-) -> Vec<Amount> {
-    let all = limit.grantable();
-    let selected = select(all, participants, duration, now);
-    let zones: Vec<&str> = participants
-        .iter()
-        .map(|participant| {
-            if limit.by_zone {
+) -> Vec<Capacity> {
+    let allocation = Allocation {
+        limit,
+        participants,
+        selected: select(limit.grantable(), participants, duration, now),
+    };
+    let rates = allocation.rates();
+    let bursts = allocation.bursts();
+    let in_flight = allocation.in_flight();
+    let shares = rates.into_iter().zip(bursts).zip(in_flight);
+    shares
+        .map(|((rate, burst), in_flight)| Capacity {
+            rate,
+            burst,
+            in_flight,
+        })
+        .collect()
+}
+
+/// One limit and the participants among which it is divided.
+struct Allocation<'a> {
+    limit: &'a Limit,
+    participants: &'a [Participant<'a>],
+    /// Whether each participant receives a share.
+    selected: Vec<bool>,
+}
+
+impl Allocation<'_> {
+    fn rates(&self) -> Vec<u64> {
+        let demands = self.demands(|request| request.demand_rate, self.limit.min_rate);
+        self.divide_by_zone(self.limit.grantable().rate, &demands)
+    }
+
+    fn in_flight(&self) -> Vec<u64> {
+        let demand = |request: &LeaseRequest| request.demand_in_flight.max(request.in_flight) + 1;
+        let demands = self.demands(demand, 1);
+        self.divide_by_zone(self.limit.grantable().in_flight, &demands)
+    }
+
+    /// Divides the burst by weight alone: a burst evens out random variation, of which holders with little traffic have
+    /// no less than those with much.
+    fn bursts(&self) -> Vec<u64> {
+        let burst = self.limit.grantable().burst;
+        if burst == UNBOUNDED {
+            return vec![UNBOUNDED; self.participants.len()];
+        }
+        let demands = self.demands_of_selected(|_| (burst, ONE_REQUEST));
+        max_min_shares(burst, &demands)
+    }
+
+    /// The demands with headroom and a floor.
+    fn demands(&self, demand: impl Fn(&LeaseRequest) -> u64, floor: u64) -> Vec<Demand> {
+        self.demands_of_selected(|request| (with_headroom(demand(request)), floor))
+    }
+
+    /// The demands of all participants, by a function that returns what is wanted and the floor of a selected one.
+    fn demands_of_selected(&self, demand: impl Fn(&LeaseRequest) -> (u64, u64)) -> Vec<Demand> {
+        let participants = self.participants.iter().zip(&self.selected);
+        participants
+            .map(|(participant, selected)| {
+                let (wanted, floor) = if *selected {
+                    demand(participant.request)
+                } else {
+                    (0, 0)
+                };
+                Demand {
+                    wanted,
+                    floor,
+                    weight: self.limit.weight(&participant.holder.name),
+                }
+            })
+            .collect()
+    }
+
+    /// Divides a figure among zones where the limit says so, then within each zone. Half of what is left is added to
+    /// the shares of the selected participants by weight, so that each can grow at once; the other half stays free for
+    /// later requests.
+    fn divide_by_zone(&self, total: u64, demands: &[Demand]) -> Vec<u64> {
+        if total == UNBOUNDED {
+            return vec![UNBOUNDED; demands.len()];
+        }
+        let zones = self.members_by_zone();
+        let zone_demands: Vec<Demand> = zones
+            .values()
+            .map(|members| sum_of_demands(members, demands))
+            .collect();
+        let mut shares = vec![0; demands.len()];
+        for (members, zone_total) in zones.values().zip(max_min_shares(total, &zone_demands)) {
+            let own: Vec<Demand> = members.iter().map(|at| demands[*at]).collect();
+            for (at, share) in members.iter().zip(max_min_shares(zone_total, &own)) {
+                shares[*at] = share;
+            }
+        }
+        let surplus = total.saturating_sub(shares.iter().sum()) / 2;
+        self.add_surplus(&mut shares, surplus, demands);
+        shares
+    }
+
+    /// The participants of each zone by their index; of a single zone where the limit is not divided by zone.
+    fn members_by_zone(&self) -> BTreeMap<&str, Vec<usize>> {
+        let mut members: BTreeMap<&str, Vec<usize>> = BTreeMap::new();
+        for (at, participant) in self.participants.iter().enumerate() {
+            let zone = if self.limit.by_zone {
                 participant.holder.zone.as_str()
             } else {
                 ""
-            }
-        })
-        .collect();
-    let demands = |wanted: &dyn Fn(&LeaseRequest) -> u64, floor: u64| -> Vec<Demand> {
-        let demand = |(participant, selected): (&Participant<'_>, &bool)| {
-            let (wanted, floor) = if *selected {
-                (with_headroom(wanted(participant.request)), floor)
-            } else {
-                (0, 0)
             };
-            Demand {
-                wanted,
-                floor,
-                weight: limit.weight(&participant.holder.name),
+            members.entry(zone).or_default().push(at);
+        }
+        members
+    }
+
+    /// Adds a surplus to the shares of the selected participants by weight.
+    fn add_surplus(&self, shares: &mut [u64], surplus: u64, demands: &[Demand]) {
+        let weight = |at: usize| {
+            if self.selected[at] {
+                u128::from(demands[at].weight)
+            } else {
+                0
             }
         };
-        participants.iter().zip(&selected).map(demand).collect()
+        let total_weight: u128 = (0..demands.len()).map(weight).sum();
+        for (at, share) in shares.iter_mut().enumerate() {
+            let more = u128::from(surplus) * weight(at) / total_weight.max(1);
+            *share += u64::try_from(more).unwrap_or(0);
+        }
+    }
+}
+
+/// The demand of the members of a zone together. All zones have the same weight.
+fn sum_of_demands(members: &[usize], demands: &[Demand]) -> Demand {
+    let sum = |figure: &dyn Fn(&Demand) -> u64| {
+        members
+            .iter()
+            .map(|at| figure(&demands[*at]))
+            .fold(0, u64::saturating_add)
     };
-    let rates = demands(&|request| request.wanted, limit.floor);
-    let rates = divide_by_zone(all.rate, &rates, &zones, &selected);
-    let open = demands(&|request| request.wanted_open.max(request.open) + 1, 1);
-    let open = divide_by_zone(all.open, &open, &zones, &selected);
-    let bursts = divide_burst(limit, all.burst, participants, &selected);
-    let shares = rates.into_iter().zip(bursts).zip(open);
-    shares
-        .map(|((rate, burst), open)| Amount { rate, burst, open })
-        .collect()
+    Demand {
+        wanted: sum(&|demand| demand.wanted.max(demand.floor)),
+        floor: sum(&|demand| demand.floor),
+        weight: 1,
+    }
 }
 
-fn with_headroom(wanted: u64) -> u64 {
-    wanted.saturating_mul(HEADROOM.0) / HEADROOM.1
+fn with_headroom(demand: u64) -> u64 {
+    demand.saturating_mul(HEADROOM_EIGHTHS) / 8
 }
 
 /// Selects the participants that receive a share. No holder can use less than one request of the burst or less than
-/// one open request, so where there are more participants than that, they take turns.
+/// one request in flight, so where there are more participants than that, they take turns.
 fn select(
-    all: Amount,
+    grantable: Capacity,
     participants: &[Participant<'_>],
     duration: Micros,
     now: Micros,
 ) -> Vec<bool> {
-    let burst = if all.burst == UNBOUNDED {
+    let burst = if grantable.burst == UNBOUNDED {
         u64::MAX
     } else {
-        all.burst / ONE
+        grantable.burst / ONE_REQUEST
     };
-    let units = usize::try_from(burst.min(all.open)).unwrap_or(usize::MAX);
+    let units = usize::try_from(burst.min(grantable.in_flight)).unwrap_or(usize::MAX);
     let mut selected = vec![true; participants.len()];
     if units < participants.len() {
         let turn = now / with_drift(duration).saturating_mul(LEASES_PER_TURN).max(1);
         let rank = |(at, participant): (usize, &Participant<'_>)| {
-            let is_idle = participant.request.wanted == 0 && participant.request.wanted_open == 0;
-            (is_idle, mix(participant.start, turn), at)
+            let request = participant.request;
+            let is_idle = request.demand_rate == 0 && request.demand_in_flight == 0;
+            (is_idle, pseudorandom_rank(participant.start, turn), at)
         };
         let mut order: Vec<(bool, u64, usize)> =
             participants.iter().enumerate().map(rank).collect();
         order.sort_unstable();
-        order
-            .iter()
-            .skip(units)
-            .for_each(|(_, _, at)| selected[*at] = false);
-    }
-    selected
-}
-
-/// Divides the burst by weight alone: a burst evens out random variation, of which holders with little traffic have
-/// no less than those with much.
-fn divide_burst(
-    limit: &Limit,
-    burst: u64,
-    participants: &[Participant<'_>],
-    selected: &[bool],
-) -> Vec<u64> {
-    if burst == UNBOUNDED {
-        return vec![UNBOUNDED; participants.len()];
-    }
-    let demand = |(participant, selected): (&Participant<'_>, &bool)| {
-        let (wanted, floor) = if *selected { (burst, ONE) } else { (0, 0) };
-        Demand {
-            wanted,
-            floor,
-            weight: limit.weight(&participant.holder.name),
+        for (_, _, at) in order.into_iter().skip(units) {
+            selected[at] = false;
         }
-    };
-    let demands: Vec<Demand> = participants.iter().zip(selected).map(demand).collect();
-    divide(burst, &demands)
-}
-
-/// Divides among zones, then within each zone. Half of what is left is added to the shares of the selected
-/// participants by weight, so that each can grow at once; the other half stays free for later requests.
-fn divide_by_zone(all: u64, demands: &[Demand], zones: &[&str], selected: &[bool]) -> Vec<u64> {
-    if all == UNBOUNDED {
-        return vec![UNBOUNDED; demands.len()];
-    }
-    let mut members: BTreeMap<&str, Vec<usize>> = BTreeMap::new();
-    zones
-        .iter()
-        .enumerate()
-        .for_each(|(at, zone)| members.entry(zone).or_default().push(at));
-    let sum = |members: &[usize], figure: &dyn Fn(&Demand) -> u64| {
-        members
-            .iter()
-            .map(|at| figure(&demands[*at]))
-            .fold(0, u64::saturating_add)
-    };
-    let zone_demands: Vec<Demand> = members
-        .values()
-        .map(|members| Demand {
-            wanted: sum(members, &|demand| demand.wanted.max(demand.floor)),
-            floor: sum(members, &|demand| demand.floor),
-            weight: 1,
-        })
-        .collect();
-    let mut shares = vec![0; demands.len()];
-    for (members, total) in members.values().zip(divide(all, &zone_demands)) {
-        let own: Vec<Demand> = members.iter().map(|at| demands[*at]).collect();
-        for (at, share) in members.iter().zip(divide(total, &own)) {
-            shares[*at] = share;
-        }
-    }
-    let surplus = all.saturating_sub(shares.iter().sum()) / 2;
-    let weight = |at: usize| {
-        if selected[at] {
-            u128::from(demands[at].weight)
-        } else {
-            0
-        }
-    };
-    let total_weight: u128 = (0..demands.len()).map(weight).sum();
-    for (at, share) in shares.iter_mut().enumerate() {
-        let more = u128::from(surplus) * weight(at) / total_weight.max(1);
-        *share += u64::try_from(more).unwrap_or(0);
     }
-    shares
+    selected
 }
 
 /// Mixes a start and the number of a turn into a pseudorandom rank (SplitMix64's finalizer, Steele and others).
-fn mix(start: u64, turn: u64) -> u64 {
+fn pseudorandom_rank(start: u64, turn: u64) -> u64 {
     let mut mixed = start ^ turn.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/quota-leases/src/lease_server/grants.rs
+++ b/crates/quota-leases/src/lease_server/grants.rs
@@ -2,9 +2,8 @@
 
 use super::holder_record::{HolderRecord, OutstandingGrant};
 use super::limit::{Limit, limit_for};
-use super::note::Note;
-use super::{LeaseServer, is_notable, with_drift};
-use crate::{Amount, Grant, InjectedBug, Lease, LeaseRequest, Micros, ONE, is_injected};
+use super::{LeaseServer, LeaseServerEvent, is_notable, with_drift};
+use crate::{Capacity, Grant, InjectedBug, Lease, LeaseRequest, Micros, ONE_REQUEST, is_injected};
 use std::collections::BTreeMap;
 
 impl LeaseServer {
@@ -15,120 +14,130 @@
             .get(&start)
             .map(HolderRecord::limits)
             .unwrap_or_default();
-        let totals_before: BTreeMap<String, Amount> = limits
+        let reserved_before: BTreeMap<String, Capacity> = limits
             .into_iter()
-            .filter_map(|name| Some((name.clone(), *self.totals.get(name)?)))
+            .filter_map(|name| Some((name.clone(), *self.reserved.get(name)?)))
             .collect();
-        self.subtract_from_totals(start, now);
+        self.release_reservation(start, now);
         let leases = self.leases_for(now, start);
-        let (number, answers) = self.record_grant(now, start, &leases);
-        self.add_to_totals(start, now);
-        // During recovery the server grants again what others may have granted, and open requests may exceed the
-        // limit under safe amounts.
-        if self.has_learned(now) {
-            self.note_overcommitted(&leases, &totals_before);
+        let (number, answered_sequence) = self.record_grant(now, start, &leases);
+        self.reserve(start, now);
+        // During recovery the server grants again what others may have granted, and requests in flight may exceed the
+        // limit under safe capacities.
+        if self.has_recovered(now) {
+            self.report_overcommitted(&leases, &reserved_before);
         }
         Grant {
             start,
-            by: self.id,
+            server: self.id,
             number,
-            answers,
+            answered_sequence,
             duration: self.duration,
-            of: leases,
+            leases,
         }
     }
 
-    /// The leases of a start in its next grant. The totals must not contain the start's own usage.
+    /// The leases of a start in its next grant. Nothing must be reserved for the start itself.
     fn leases_for(&self, now: Micros, start: u64) -> Vec<Lease> {
         let Some(holder) = self.holders.get(&start) else {
             return Vec::new();
         };
         let lease = |(name, request): (&String, &LeaseRequest)| {
             let limit = limit_for(&self.limits, name)?;
-            let amount = self.next_amount(now, limit, holder, name, request)?;
+            let capacity = self.next_capacity(now, limit, holder, name, request)?;
             Some(Lease {
                 limit: name.clone(),
-                amount,
-                whole: limit.whole,
+                capacity,
+                total: limit.total,
             })
         };
         holder.requests.iter().filter_map(lease).collect()
     }
 
-    /// The amount of one limit in a holder's next grant. `None` during recovery where the holder has no lease: it
-    /// keeps to its safe amount.
-    fn next_amount(
+    /// The leased capacity of one limit in a holder's next grant. `None` during recovery where the holder has no
+    /// lease: it keeps to its safe capacity.
+    fn next_capacity(
         &self,
         now: Micros,
         limit: &Limit,
         holder: &HolderRecord,
         name: &str,
         request: &LeaseRequest,
-    ) -> Option<Amount> {
-        let is_recovering = !self.has_learned(now);
-        let available = limit.available(self.total(name));
+    ) -> Option<Capacity> {
+        let is_recovering = !self.has_recovered(now);
+        let available = limit.available(self.reserved(name));
         let target = holder.target.get(name).copied().unwrap_or_default();
         let granted = holder.granted(name, now);
-        if is_recovering && request.holds == Amount::NOTHING && granted == Amount::NOTHING {
+        if is_recovering && request.held == Capacity::ZERO && granted == Capacity::ZERO {
             return None;
         }
         let keeps = !is_notable(granted, target) && !granted.exceeds(available);
-        let mut amount = if keeps {
+        let mut capacity = if keeps {
             granted
         } else {
-            target.lesser(available)
+            target.component_min(available)
         };
         if is_recovering {
             // A lease of the former server is renewed with no more than it had.
-            let holds = request.holds.greater(granted);
-            amount = amount.lesser(Amount {
-                open: holds.open.max(request.open),
-                ..holds
+            let held = request.held.component_max(granted);
+            capacity = capacity.component_min(Capacity {
+                in_flight: held.in_flight.max(request.in_flight),
+                ..held
             });
         }
-        if amount.burst < ONE {
-            // The holder could not admit one request; others may use the amount.
-            (amount.rate, amount.burst) = (0, 0);
+        if capacity.burst < ONE_REQUEST {
+            // The holder could not admit one request; others may use the capacity.
+            capacity.rate = 0;
+            capacity.burst = 0;
         }
-        Some(amount)
+        Some(capacity)
     }
 
     /// Counts a grant as outstanding. Returns its number and the sequence number of the report that it answers.
     fn record_grant(&mut self, now: Micros, start: u64, leases: &[Lease]) -> (u64, u64) {
-        let has_drift = !is_injected(InjectedBug::NoDrift);
-        let valid_for = if has_drift {
-            with_drift(self.duration)
-        } else {
+        let valid_for = if is_injected(InjectedBug::NoDrift) {
             self.duration
+        } else {
+            with_drift(self.duration)
         };
         let expires = now.saturating_add(valid_for);
         let Some(holder) = self.holders.get_mut(&start) else {
             return (0, 0);
         };
-        holder.number += 1;
+        holder.last_grant += 1;
         if is_injected(InjectedBug::ReuseBeforeAcknowledgement) {
             holder.outstanding.clear();
         }
-        let number = holder.number;
-        let amounts = leases
+        let number = holder.last_grant;
+        let leased = leases
             .iter()
-            .map(|lease| (lease.limit.clone(), lease.amount))
+            .map(|lease| (lease.limit.clone(), lease.capacity))
             .collect();
         holder.add_outstanding(OutstandingGrant {
             number,
             expires,
-            amounts,
+            leased,
         });
-        (number, holder.seq)
+        (number, holder.last_sequence)
     }
 
-    fn note_overcommitted(&mut self, leases: &[Lease], totals_before: &BTreeMap<String, Amount>) {
+    /// Checks the invariant of all grants: what is reserved grows beyond no limit.
+    fn report_overcommitted(
+        &mut self,
+        leases: &[Lease],
+        reserved_before: &BTreeMap<String, Capacity>,
+    ) {
         for lease in leases {
-            let before = totals_before.get(&lease.limit).copied().unwrap_or_default();
-            let most = before.greater(self.grantable(&lease.limit));
-            let total = self.total(&lease.limit);
-            if total.rate > most.rate || total.burst > most.burst {
-                self.notes.push(Note::Overcommitted(lease.limit.clone()));
+            let before = reserved_before
+                .get(&lease.limit)
+                .copied()
+                .unwrap_or_default();
+            let most = before.component_max(self.grantable(&lease.limit));
+            let reserved = self.reserved(&lease.limit);
+            if reserved.rate > most.rate || reserved.burst > most.burst {
+                self.events.push(LeaseServerEvent::Overcommitted {
+                    limit: lease.limit.clone(),
+                });
             }
         }
     }
--- a/crates/quota-leases/src/lease_server/holder_record.rs
+++ b/crates/quota-leases/src/lease_server/holder_record.rs
@@ -1,10 +1,11 @@
-//! What the server knows of one lease holder: its last report, and the grants that it may still use.
+//! The server's record of one lease holder: its last report, and the grants that it may still use.
 
 use super::with_drift;
-use crate::{Amount, InjectedBug, LeaseRequest, Micros, is_injected};
+use crate::{Capacity, InjectedBug, LeaseRequest, Micros, is_injected};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The most unacknowledged grants to one holder that are tracked separately.
+/// The most unacknowledged grants to one holder that are tracked separately. It bounds the memory for a holder that
+/// acknowledges none; no measurement stands behind the figure.
 const MAX_OUTSTANDING: usize = 24;
 
 /// A grant that its holder may still use.
@@ -13,66 +14,80 @@
     pub(super) number: u64,
     /// When the grant has expired for certain, by the server's clock.
     pub(super) expires: Micros,
-    pub(super) amounts: BTreeMap<String, Amount>,
+    /// The leased capacity by limit.
+    pub(super) leased: BTreeMap<String, Capacity>,
 }
 
-/// One start of an instance.
+/// The record of one start of an instance.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct HolderRecord {
+    /// The instance's name.
     pub(super) name: String,
     pub(super) zone: String,
     /// The sequence number of its last report.
-    pub(super) seq: u64,
+    pub(super) last_sequence: u64,
     /// When its last report arrived.
     pub(super) last_report: Micros,
     /// The number of the last grant.
-    pub(super) number: u64,
+    pub(super) last_grant: u64,
+    /// The requests of its last report by limit.
     pub(super) requests: BTreeMap<String, LeaseRequest>,
+    /// Its unexpired or unacknowledged grants, oldest first.
     pub(super) outstanding: Vec<OutstandingGrant>,
     /// Its share of each limit by the last allocation.
-    pub(super) target: BTreeMap<String, Amount>,
+    pub(super) target: BTreeMap<String, Capacity>,
 }
 
 impl HolderRecord {
-    /// The greatest amount of a limit that it may be using, and the requests that may be open under it.
-    pub(super) fn possibly_used(&self, limit: &str, now: Micros, longest: Micros) -> Amount {
-        let open_counts = !is_injected(InjectedBug::ForgetOpen);
-        let mut most = Amount::NOTHING;
+    /// The capacity of a limit that must be reserved for the holder: the greatest that it may be using, and the
+    /// requests that may be in flight under it.
+    pub(super) fn reserved(
+        &self,
+        limit: &str,
+        now: Micros,
+        max_request_duration: Micros,
+    ) -> Capacity {
+        let counts_in_flight = !is_injected(InjectedBug::ForgetInFlight);
+        let may_be_in_flight = |last_use: Micros| {
+            counts_in_flight && last_use.saturating_add(with_drift(max_request_duration)) > now
+        };
+        let mut reserved = Capacity::ZERO;
         let mut last_use = self.last_report;
         for grant in &self.outstanding {
-            let Some(amount) = grant.amounts.get(limit) else {
+            let Some(leased) = grant.leased.get(limit) else {
                 continue;
             };
             if grant.expires > now {
-                most = most.greater(*amount);
-            } else if open_counts && grant.expires.saturating_add(with_drift(longest)) > now {
-                most.open = most.open.max(amount.open);
+                reserved = reserved.component_max(*leased);
+            } else if may_be_in_flight(grant.expires) {
+                reserved.in_flight = reserved.in_flight.max(leased.in_flight);
             }
             last_use = last_use.max(grant.expires);
         }
-        if open_counts && last_use.saturating_add(with_drift(longest)) > now {
-            let reported = self.requests.get(limit).map_or(0, |request| request.open);
-            most.open = most.open.max(reported);
+        if may_be_in_flight(last_use) {
+            let reported = self
+                .requests
+                .get(limit)
+                .map_or(0, |request| request.in_flight);
+            reserved.in_flight = reserved.in_flight.max(reported);
         }
-        most
+        reserved
     }
 
     /// The limits that it takes part in or may have a lease of.
     pub(super) fn limits(&self) -> BTreeSet<&String> {
-        self.requests
-            .keys()
-            .chain(
-                self.outstanding
-                    .iter()
-                    .flat_map(|grant| grant.amounts.keys()),
-            )
-            .collect()
+        let leased = self
+            .outstanding
+            .iter()
+            .flat_map(|grant| grant.leased.keys());
+        self.requests.keys().chain(leased).collect()
     }
 
-    /// The amount of a limit in the newest grant, while that is valid.
-    pub(super) fn granted(&self, limit: &str, now: Micros) -> Amount {
-        let last = self.outstanding.last().filter(|grant| grant.expires > now);
-        last.and_then(|grant| grant.amounts.get(limit))
+    /// The capacity of a limit in the newest grant, while that is valid; zero otherwise.
+    pub(super) fn granted(&self, limit: &str, now: Micros) -> Capacity {
+        let newest = self.outstanding.last().filter(|grant| grant.expires > now);
+        newest
+            .and_then(|grant| grant.leased.get(limit))
             .copied()
             .unwrap_or_default()
     }
@@ -83,12 +98,12 @@
         if self.outstanding.len() <= MAX_OUTSTANDING {
             return;
         }
-        let first = self.outstanding.remove(0);
+        let oldest = self.outstanding.remove(0);
         if let Some(second) = self.outstanding.first_mut() {
-            second.expires = second.expires.max(first.expires);
-            for (limit, amount) in first.amounts {
-                let merged = second.amounts.entry(limit).or_default();
-                *merged = merged.greater(amount);
+            second.expires = second.expires.max(oldest.expires);
+            for (limit, leased) in oldest.leased {
+                let merged = second.leased.entry(limit).or_default();
+                *merged = merged.component_max(leased);
             }
         }
     }
--- a/crates/quota-leases/src/lease_server/mod.rs
+++ b/crates/quota-leases/src/lease_server/mod.rs
@@ -1,73 +1,86 @@
 //! The agent's side of leases: which shares are granted, to whom and for how long.
 
 mod allocation;
+mod event;
 #[cfg(any(test, feature = "explore"))]
-mod explored;
+mod explored_state;
 mod grants;
 mod holder_record;
 mod limit;
-mod note;
 mod reallocation;
+mod reservations;
 mod status;
-mod totals;
 
-pub use limit::Limit;
-pub use note::Note;
+pub use event::LeaseServerEvent;
+pub use limit::{HolderWeight, Limit};
 pub use status::LimitStatus;
 
 use crate::{
-    Amount, DRIFT, Grant, InjectedBug, LeaseRequest, LeaseRequests, MOST_LIMITS, Micros, ServerId,
-    is_injected,
+    CLOCK_DRIFT_DIVISOR, Capacity, Grant, InjectedBug, LeaseRequest, LeaseRequests,
+    MAX_LIMITS_PER_HOLDER, MAX_RATE_OR_BURST, Micros, ServerId, is_injected,
 };
 use holder_record::HolderRecord;
 use std::collections::BTreeMap;
 
-/// The most starts of instances that are known at the same time.
+/// The most starts of instances that are known at the same time. Further ones receive no grants.
 const MAX_HOLDERS: usize = 65_536;
 /// A lease is changed at once where it differs from its target by more than one part in this many.
-const NOTABLE: u64 = 8;
+const NOTABLE_DIFFERENCE_DIVISOR: u64 = 8;
+/// The usual allocations divide the time between two reports of an instance into this many parts.
+const ALLOCATIONS_PER_REPORT: u64 = 4;
 /// The shortest time between two allocations where a holder is new, in microseconds.
-const SHORTEST_INTERVAL: Micros = 20_000;
-/// And for each known holder, so that allocations for new ones look at 10,000 holders a second at most, however many arrive:
-/// a twentieth of a core at the 5 us that a holder costs.
-const INTERVAL_PER_HOLDER: Micros = 100;
+const MIN_ALLOCATION_INTERVAL: Micros = 20_000;
+/// The time between two allocations where a holder is new, for each known holder, in microseconds. Allocations for new
+/// holders look at 10,000 holders a second at most, however many arrive: a twentieth of a core at the 5 us that a
+/// holder costs.
+const ALLOCATION_INTERVAL_PER_HOLDER: Micros = 100;
+
+/// A grant, and the name of the instance that it must be sent to.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct AddressedGrant {
+    /// The name of the instance.
+    pub instance: String,
+    /// The grant to the present start of the instance.
+    pub grant: Grant,
+}
 
 /// Grants leases of shares of limits to starts of instances. The documentation of the [crate] states the bound that
 /// it keeps.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseServer {
     id: ServerId,
+    /// The duration of a lease.
     duration: Micros,
     report_interval: Micros,
     limits: BTreeMap<String, Limit>,
     /// By the start of the instance.
     holders: BTreeMap<u64, HolderRecord>,
-    /// The amount of each limit that all holders together may be using.
-    totals: BTreeMap<String, Amount>,
+    /// The capacity of each limit that is reserved for all holders together.
+    reserved: BTreeMap<String, Capacity>,
     /// When the last lease of a former server expires.
     recovery_ends: Micros,
-    has_noted_recovery: bool,
+    has_reported_recovery: bool,
     last_allocation: Micros,
-    /// Whether another server of the same term was heard of.
+    /// Whether an instance uses grants of another server of the same or a later term.
     in_conflict: bool,
-    notes: Vec<Note>,
+    events: Vec<LeaseServerEvent>,
 }
 
 impl LeaseServer {
-    /// Starts a server at `now` whose leases last for `duration`. `former` is the longest duration of leases that
-    /// former servers granted. Instances report once each `report_interval`.
+    /// Starts a server at `now` whose leases last for `duration`. `former_duration` is the longest duration of leases
+    /// that former servers granted. Instances report once each `report_interval`.
     pub fn new(
         now: Micros,
         id: ServerId,
         duration: Micros,
-        former: Micros,
+        former_duration: Micros,
         report_interval: Micros,
     ) -> Self {
         let forgets = is_injected(InjectedBug::ForgetFormerDuration);
         let longest = if forgets {
             duration
         } else {
-            former.max(duration)
+            former_duration.max(duration)
         };
         let recovery_ends = if is_injected(InjectedBug::NoRecovery) {
             now
@@ -80,12 +93,12 @@
             report_interval,
             limits: BTreeMap::new(),
             holders: BTreeMap::new(),
-            totals: BTreeMap::new(),
+            reserved: BTreeMap::new(),
             recovery_ends,
-            has_noted_recovery: false,
+            has_reported_recovery: false,
             last_allocation: 0,
             in_conflict: false,
-            notes: Vec::new(),
+            events: Vec::new(),
         }
     }
 
@@ -98,17 +111,17 @@
     }
 
     /// Whether all leases of former servers have expired, so that each limit can be granted in full.
-    pub fn has_learned(&self, now: Micros) -> bool {
+    pub fn has_recovered(&self, now: Micros) -> bool {
         now >= self.recovery_ends
     }
 
     /// Takes the events for the log since the last call.
-    pub fn notes(&mut self) -> Vec<Note> {
-        std::mem::take(&mut self.notes)
+    pub fn take_events(&mut self) -> Vec<LeaseServerEvent> {
+        std::mem::take(&mut self.events)
     }
 
-    /// Handles an instance's report and returns the grant that answers it. Returns `None` where this server makes no
-    /// grants, and for a report that arrives after a newer one.
+    /// Handles the report of a start of an instance and returns the grant that answers it. Returns `None` where this
+    /// server makes no grants, and for a report that arrives after a newer one.
     pub fn handle_report(
         &mut self,
         now: Micros,
@@ -119,47 +132,22 @@
     ) -> Option<Grant> {
         let by_name = is_injected(InjectedBug::IdentifyByName);
         let start = if by_name { hash_name(name) } else { start };
-        if requests
-            .by
-            .is_some_and(|by| by.term >= self.id.term && by != self.id)
-            && !self.in_conflict
-        {
-            self.in_conflict = true;
-            self.notes.push(Note::Conflict(self.id.term));
-        }
+        self.detect_conflict(requests.server);
         let is_new = !self.holders.contains_key(&start);
         if self.in_conflict || is_new && self.holders.len() >= MAX_HOLDERS {
             return None;
         }
         let holder = self.holders.entry(start).or_default();
-        if requests.seq <= holder.seq && !by_name {
+        if requests.sequence <= holder.last_sequence && !by_name {
             return None;
         }
-        self.subtract_from_totals(start, now);
+        self.release_reservation(start, now);
         let holder = self.holders.get_mut(&start)?;
         holder.name = name.into();
         holder.zone = zone.into();
-        holder.seq = requests.seq;
         holder.last_report = now;
-        if requests.by == Some(self.id) {
-            // A holder that was forgotten would ignore grants with numbers below the one that it uses.
-            holder.number = holder.number.max(requests.number);
-            holder
-                .outstanding
-                .retain(|grant| grant.number >= requests.number);
-        }
-        holder.requests.clear();
-        for request in requests.of.iter().take(MOST_LIMITS) {
-            let wanted = request.wanted.min(crate::MOST);
-            holder.requests.insert(
-                request.limit.clone(),
-                LeaseRequest {
-                    wanted,
-                    ..request.clone()
-                },
-            );
-        }
-        self.add_to_totals(start, now);
+        record_requests(holder, self.id, requests);
+        self.reserve(start, now);
         let interval = if is_new {
             self.interval_for_new_holders()
         } else {
@@ -171,9 +159,19 @@
         Some(self.issue_grant(now, start))
     }
 
-    /// Reallocates where it is time to, and returns the grants that should be sent before the next reports, with the
-    /// names of their instances.
-    pub fn tick(&mut self, now: Micros) -> Vec<(String, Grant)> {
+    /// Stops granting leases where an instance uses grants of another server of this term or a later one.
+    fn detect_conflict(&mut self, used_server: Option<ServerId>) {
+        let conflicts =
+            used_server.is_some_and(|used| used.term >= self.id.term && used != self.id);
+        if conflicts && !self.in_conflict {
+            self.in_conflict = true;
+            self.events
+                .push(LeaseServerEvent::ConflictingServer { term: self.id.term });
+        }
+    }
+
+    /// Reallocates where it is time to, and returns the grants that should be sent before the next reports.
+    pub fn tick(&mut self, now: Micros) -> Vec<AddressedGrant> {
         let is_due = now.saturating_sub(self.last_allocation) >= self.allocation_interval();
         if self.holders.is_empty() || self.in_conflict || !is_due {
             return Vec::new();
@@ -181,14 +179,14 @@
         self.reallocate(now);
         let grants = self.holders_to_notify(now).into_iter().filter_map(|start| {
             let grant = self.issue_grant(now, start);
-            let holder = self.holders.get(&start)?;
-            Some((holder.name.clone(), grant))
+            let instance = self.holders.get(&start)?.name.clone();
+            Some(AddressedGrant { instance, grant })
         });
         grants.collect()
     }
 
-    /// When [`LeaseServer::tick`] is due next.
-    pub fn next(&self, now: Micros) -> Option<Micros> {
+    /// When [`LeaseServer::tick`] is due next; `None` where there is nothing to do.
+    pub fn next_tick(&self, now: Micros) -> Option<Micros> {
         (!self.holders.is_empty() && !self.in_conflict).then(|| {
             self.last_allocation
                 .saturating_add(self.allocation_interval())
@@ -197,16 +195,16 @@
     }
 
     fn allocation_interval(&self) -> Micros {
-        self.report_interval / 4
+        self.report_interval / ALLOCATIONS_PER_REPORT
     }
 
     /// The shortest time between two allocations where a holder is new. A new holder that has to wait keeps to its safe
-    /// amount until then.
+    /// capacity until then.
     fn interval_for_new_holders(&self) -> Micros {
-        let for_all = INTERVAL_PER_HOLDER.saturating_mul(self.holders.len() as Micros);
+        let for_all = ALLOCATION_INTERVAL_PER_HOLDER.saturating_mul(self.holders.len() as Micros);
         for_all
-            .max(SHORTEST_INTERVAL)
-            .min(self.allocation_interval().max(SHORTEST_INTERVAL))
+            .max(MIN_ALLOCATION_INTERVAL)
+            .min(self.allocation_interval().max(MIN_ALLOCATION_INTERVAL))
     }
 
     /// Whether a holder has reported within the last lease duration.
@@ -215,7 +213,27 @@
     }
 }
 
-/// The injected bug [`InjectedBug::IdentifyByName`] uses this in place of the start.
+/// Records the requests of a holder's report, and forgets the grants before the one that the report acknowledges.
+fn record_requests(holder: &mut HolderRecord, server: ServerId, requests: &LeaseRequests) {
+    holder.last_sequence = requests.sequence;
+    if requests.server == Some(server) {
+        // A holder that was forgotten would ignore grants with numbers below the one that it uses.
+        holder.last_grant = holder.last_grant.max(requests.grant_number);
+        holder
+            .outstanding
+            .retain(|grant| grant.number >= requests.grant_number);
+    }
+    holder.requests.clear();
+    for request in requests.requests.iter().take(MAX_LIMITS_PER_HOLDER) {
+        let bounded = LeaseRequest {
+            demand_rate: request.demand_rate.min(MAX_RATE_OR_BURST),
+            ..request.clone()
+        };
+        holder.requests.insert(request.limit.clone(), bounded);
+    }
+}
+
+/// Stands in for the start where [`InjectedBug::IdentifyByName`] is injected.
 fn hash_name(name: &str) -> u64 {
     name.bytes().fold(7, |hash: u64, byte| {
         hash.wrapping_mul(31).wrapping_add(byte.into())
@@ -224,13 +242,14 @@
 
 /// The longest time that a duration may take by a clock that runs slow.
 fn with_drift(duration: Micros) -> Micros {
-    duration.saturating_add(duration.div_ceil(DRIFT))
+    duration.saturating_add(duration.div_ceil(CLOCK_DRIFT_DIVISOR))
 }
 
 /// Whether a lease differs so much from its target that it is changed at once.
-fn is_notable(granted: Amount, target: Amount) -> bool {
-    let differs = |one: u64, other: u64| one.abs_diff(other) > one.max(other) / NOTABLE;
+fn is_notable(granted: Capacity, target: Capacity) -> bool {
+    let differs =
+        |one: u64, other: u64| one.abs_diff(other) > one.max(other) / NOTABLE_DIFFERENCE_DIVISOR;
     differs(granted.rate, target.rate)
         || differs(granted.burst, target.burst)
-        || differs(granted.open, target.open)
+        || differs(granted.in_flight, target.in_flight)
 }
--- a/crates/quota-leases/src/lease_server/reallocation.rs
+++ b/crates/quota-leases/src/lease_server/reallocation.rs
@@ -1,9 +1,8 @@
-//! The periodic allocation of all limits anew, and whom to tell of it.
+//! The periodic allocation of all limits among their holders, and which holders receive a grant because of it.
 
 use super::allocation::{Participant, allocate};
 use super::limit::limit_for;
-use super::note::Note;
-use super::{LeaseServer, is_notable, with_drift};
+use super::{LeaseServer, LeaseServerEvent, is_notable, with_drift};
 use crate::Micros;
 use std::collections::BTreeSet;
 
@@ -11,34 +10,38 @@
     /// Forgets expired grants and silent holders, and allocates all limits anew.
     pub(super) fn reallocate(&mut self, now: Micros) {
         self.last_allocation = now;
-        if !self.has_noted_recovery && self.has_learned(now) {
-            self.has_noted_recovery = true;
-            self.notes.push(Note::Recovered);
+        if !self.has_reported_recovery && self.has_recovered(now) {
+            self.has_reported_recovery = true;
+            self.events.push(LeaseServerEvent::Recovered);
         }
         self.forget_expired(now);
-        let starts = self.recount_totals(now);
+        let starts_by_limit = self.recount_reservations(now);
         self.holders
             .values_mut()
             .for_each(|holder| holder.target.clear());
-        for (name, starts) in starts {
-            let Some(limit) = limit_for(&self.limits, &name) else {
-                continue;
-            };
-            let participant = |start: &u64| {
-                let holder = self.holders.get(start)?;
-                Some(Participant {
-                    start: *start,
-                    holder,
-                    request: holder.requests.get(&name)?,
-                })
-            };
-            let participants: Vec<Participant<'_>> =
-                starts.iter().filter_map(participant).collect();
-            let shares = allocate(limit, &participants, self.duration, now);
-            for (start, share) in starts.into_iter().zip(shares) {
-                if let Some(holder) = self.holders.get_mut(&start) {
-                    holder.target.insert(name.clone(), share);
-                }
+        for (name, starts) in starts_by_limit {
+            self.allocate_limit(now, &name, starts);
+        }
+    }
+
+    /// Allocates one limit among the starts that take part in it.
+    fn allocate_limit(&mut self, now: Micros, name: &str, starts: Vec<u64>) {
+        let Some(limit) = limit_for(&self.limits, name) else {
+            return;
+        };
+        let participant = |start: &u64| {
+            let holder = self.holders.get(start)?;
+            Some(Participant {
+                start: *start,
+                holder,
+                request: holder.requests.get(name)?,
+            })
+        };
+        let participants: Vec<Participant<'_>> = starts.iter().filter_map(participant).collect();
+        let shares = allocate(limit, &participants, self.duration, now);
+        for (start, share) in starts.into_iter().zip(shares) {
+            if let Some(holder) = self.holders.get_mut(&start) {
+                holder.target.insert(name.to_string(), share);
             }
         }
     }
@@ -47,7 +50,7 @@
         let longest = self
             .limits
             .values()
-            .map(|limit| limit.longest)
+            .map(|limit| limit.max_request_duration)
             .max()
             .unwrap_or(0);
         let remembered = with_drift(self.duration.saturating_add(longest));
@@ -70,7 +73,7 @@
             let (mut shrinks, mut grows) = (false, false);
             for (limit, target) in holder.target.iter().filter(|_| self.is_active(holder, now)) {
                 let granted = holder.granted(limit, now);
-                let reachable = target.lesser(self.available(limit, holder, now));
+                let reachable = target.component_min(self.available(limit, holder, now));
                 shrinks |= is_notable(granted, *target)
                     && granted.exceeds(*target)
                     && contended.contains(limit);
@@ -84,7 +87,7 @@
         starts.into_iter().map(|(_, start)| start).collect()
     }
 
-    /// The limits of which a holder waits for more than it has, or of which more is granted than may be.
+    /// The limits of which a holder waits for more than it has, or of which more is reserved than may be granted.
     fn contended_limits(&self, now: Micros) -> BTreeSet<String> {
         let mut contended = BTreeSet::new();
         for holder in self.holders.values() {
@@ -98,8 +101,8 @@
                 }
             }
         }
-        for (limit, total) in &self.totals {
-            if total.exceeds(self.grantable(limit)) {
+        for (limit, reserved) in &self.reserved {
+            if reserved.exceeds(self.grantable(limit)) {
                 contended.insert(limit.clone());
             }
         }
--- a/crates/quota-leases/tests/new_holders_are_allocated_at_a_bounded_cost.rs
+++ b/crates/quota-leases/tests/new_holders_are_allocated_at_a_bounded_cost.rs
@@ -2,7 +2,7 @@
 //! second at most, and each new one has its share within a quarter of the report interval.
 
 use madderloom_quota_leases::{
-    Amount, Grant, LeaseRequest, LeaseRequests, LeaseServer, Limit, Micros, ONE, ServerId,
+    Capacity, Grant, LeaseRequest, LeaseRequests, LeaseServer, Limit, Micros, ONE_REQUEST, ServerId,
 };
 use std::collections::BTreeMap;
 
@@ -16,13 +16,13 @@
 
 fn server() -> LeaseServer {
     let limit = Limit {
-        // A share of it is there for a new holder though the others hold all that there is.
-        whole: Amount::UNBOUNDED,
-        floor: 0,
+        // There is a share for a new holder even while the others hold all that they request.
+        total: Capacity::UNBOUNDED,
+        min_rate: 0,
         weights: Vec::new(),
         by_zone: false,
-        each_server: false,
-        longest: S,
+        per_server: false,
+        max_request_duration: S,
     };
     let mut server = LeaseServer::new(
         0,
@@ -39,15 +39,15 @@
 fn first_report(server: &mut LeaseServer, now: Micros, start: u64) -> Grant {
     let request = LeaseRequest {
         limit: LIMIT.into(),
-        wanted: ONE,
-        wanted_open: 2,
+        demand_rate: ONE_REQUEST,
+        demand_in_flight: 2,
         ..Default::default()
     };
     let requests = LeaseRequests {
-        seq: 1,
-        by: None,
-        number: 0,
-        of: vec![request],
+        sequence: 1,
+        server: None,
+        grant_number: 0,
+        requests: vec![request],
     };
     server
         .handle_report(now, &format!("i{start}"), "", start, &requests)
@@ -65,7 +65,7 @@
 }
 
 fn has_share(grant: &Grant) -> bool {
-    grant.of.iter().any(|lease| lease.amount.rate > 0)
+    grant.leases.iter().any(|lease| lease.capacity.rate > 0)
 }
 
 #[test]
@@ -104,10 +104,10 @@
     )));
     let grants = server.tick(BEGIN + 101 * MS + REPORT_INTERVAL / 4);
     for name in ["i1000000", "i1000002"] {
-        let own = grants.iter().find(|(to, _)| to == name);
+        let own = grants.iter().find(|addressed| addressed.instance == name);
         assert!(
-            own.is_some_and(|(_, grant)| has_share(grant)),
-            "{name} was told of no share"
+            own.is_some_and(|own| has_share(&own.grant)),
+            "{name} was granted no share"
         );
     }
 }
--- a/crates/sidecar/src/fleet_limits.rs
+++ b/crates/sidecar/src/fleet_limits.rs
@@ -1,5 +1,5 @@
 //! Fleet-wide limits at this instance: which requests they are for, and the lease under which these are let in. It knows
-//! nothing of services, listeners or the agent; what decides is [`madderloom_quota_leases::Holder`].
+//! nothing of services, listeners or the agent; what decides is [`madderloom_quota_leases::LeaseHolder`].
 //!
 //! Leases end by a clock that also runs while the machine is suspended, read anew for each request: whoever stood still
 //! in between must not go by what the clock said before.
@@ -7,7 +7,9 @@
 use super::clock::boottime as now;
 use hyper::HeaderMap;
 use madderloom_operator_config::FleetLimit;
-use madderloom_quota_leases::{Amount, Asks, Denied, Holder, Lent, ONE, UNBOUNDED};
+use madderloom_quota_leases::{
+    Capacity, Grant, LeaseChange, LeaseHolder, LeaseRequests, ONE_REQUEST, Rejection, UNBOUNDED,
+};
 use serde_json::{Value, json};
 use smallvec::SmallVec;
 use std::cell::{Cell, RefCell};
@@ -17,7 +19,7 @@
 #[derive(Default)]
 pub(super) struct FleetLimits {
     limits: RefCell<Rc<[FleetLimit]>>,
-    holder: RefCell<Holder>,
+    holder: RefCell<LeaseHolder>,
     /// Words of a second agent of one term, as they were last told of.
     strange: Cell<u64>,
 }
@@ -31,7 +33,7 @@
 impl Drop for LetIn {
     fn drop(&mut self) {
         let mut holder = self.by.holder.borrow_mut();
-        self.limits.iter().for_each(|limit| holder.end(limit));
+        self.limits.iter().for_each(|limit| holder.release(limit));
     }
 }
 
@@ -39,7 +41,7 @@
     /// Takes part in these from now on. A lease that holds stays, and what is open stays counted.
     pub(super) fn follow(&self, limits: &[FleetLimit]) {
         let named = limits.iter().map(|limit| (limit.name.clone(), limit.safe));
-        self.holder.borrow_mut().follow(now(), named);
+        self.holder.borrow_mut().set_limits(now(), named);
         self.limits.replace(limits.into());
     }
 
@@ -52,7 +54,7 @@
         pool: &str,
         class: Option<&str>,
         headers: &HeaderMap,
-    ) -> Result<Option<LetIn>, Denied> {
+    ) -> Result<Option<LetIn>, Rejection> {
         let limits = Rc::clone(&self.limits.borrow());
         let is_for = |limit: &&FleetLimit| {
             !limit.each_server
@@ -88,7 +90,7 @@
         self: &Rc<Self>,
         pool: &str,
         server: impl Fn() -> Box<str>,
-    ) -> Result<Option<LetIn>, Denied> {
+    ) -> Result<Option<LetIn>, Rejection> {
         let limits = Rc::clone(&self.limits.borrow());
         let mut let_in: Option<LetIn> = None;
         for limit in limits
@@ -102,22 +104,22 @@
             let server = server();
             self.holder
                 .borrow_mut()
-                .admit_at(now(), &limit.name, &server)?;
+                .admit_to_server(now(), &limit.name, &server)?;
             all.limits.push(format!("{}/{server}", limit.name).into());
         }
         Ok(let_in)
     }
 
     /// What goes with a report that is made now; none where this instance takes part in no limit.
-    pub(super) fn ask(&self, term: u64) -> Option<Asks> {
+    pub(super) fn ask(&self, term: u64) -> Option<LeaseRequests> {
         let mut holder = self.holder.borrow_mut();
-        holder.hear(term);
-        (!holder.is_empty()).then(|| holder.ask(now()))
+        holder.observe_term(term);
+        (!holder.is_empty()).then(|| holder.make_report(now()))
     }
 
     /// The agent's word has come. Gives whether it is to be told at once that it is obeyed.
-    pub(super) fn take(&self, lent: &Lent) -> bool {
-        let lowered = self.holder.borrow_mut().take(now(), lent);
+    pub(super) fn take(&self, grant: &Grant) -> bool {
+        let lowered = self.holder.borrow_mut().apply_grant(now(), grant);
         self.look();
         lowered
     }
@@ -128,24 +130,24 @@
         if holder.is_empty() {
             return;
         }
-        let (now, since) = (now(), holder.since());
-        match holder.changed(now) {
-            Some(true) if since > 0 => {
+        let (now, since) = (now(), holder.changed_at());
+        match holder.take_lease_change(now) {
+            Some(LeaseChange::Acquired) if since > 0 => {
                 let without = now.saturating_sub(since) / 1_000;
                 tracing::info!(
                     without,
                     "fleet limits: a lease holds again, after {without} ms without: the safe part is left"
                 );
             }
-            Some(true) => tracing::info!("fleet limits: a lease holds"),
-            Some(false) => {
+            Some(LeaseChange::Acquired) => tracing::info!("fleet limits: a lease holds"),
+            Some(LeaseChange::Lost) => {
                 tracing::warn!(
                     "fleet limits: the lease has ended and no other has come: the safe part holds"
                 );
             }
             None => {}
         }
-        if holder.strange() != self.strange.replace(holder.strange()) {
+        if holder.conflicting_grants() != self.strange.replace(holder.conflicting_grants()) {
             tracing::warn!(
                 "fleet limits: a second agent of the same term lends too: its words are passed over"
             );
@@ -159,23 +161,23 @@
             return Value::Null;
         }
         let bounded = |figure: u64| Some(figure).filter(|figure| *figure != UNBOUNDED);
-        let whole = |figure: u64| bounded(figure).map(|figure| figure as f64 / ONE as f64);
-        let amount = |of: Amount| json!({"requests_per_second": whole(of.rate), "burst": whole(of.burst), "open": bounded(of.open)});
+        let whole = |figure: u64| bounded(figure).map(|figure| figure as f64 / ONE_REQUEST as f64);
+        let amount = |of: Capacity| json!({"requests_per_second": whole(of.rate), "burst": whole(of.burst), "open": bounded(of.in_flight)});
         let limits: serde_json::Map<String, Value> = holder
-            .standings(now)
-            .map(|(name, standing)| {
+            .statuses(now)
+            .map(|(name, status)| {
                 let told = json!({
-                    "may": amount(standing.may), "whole": amount(standing.whole), "open": standing.open,
-                    "used": whole(standing.used), "denied": standing.denied,
+                    "may": amount(status.usable), "whole": amount(status.total), "open": status.in_flight,
+                    "used": whole(status.admitted_rate), "denied": status.rejected,
                 });
                 (name.to_string(), told)
             })
             .collect();
         json!({
-            "leased": holder.is_leased(now),
-            "since_us": now.saturating_sub(holder.since()),
-            "ends_us": holder.ends().saturating_sub(now),
-            "term": holder.by().map(|by| by.term),
+            "leased": holder.has_valid_grant(now),
+            "since_us": now.saturating_sub(holder.changed_at()),
+            "ends_us": holder.expires_at().saturating_sub(now),
+            "term": holder.server().map(|server| server.term),
             "limits": limits,
         })
     }
--- a/crates/sidecar/src/virtual_server.rs
+++ b/crates/sidecar/src/virtual_server.rs
@@ -338,7 +338,7 @@
         .admit(&service.name, class, headers)
         .map_err(|denied| {
             count(&service.counts.unclassed().over_rate);
-            let problem = if denied.unleased {
+            let problem = if denied.without_lease {
                 "a fleet limit lets no more in, and no lease of it holds"
             } else {
                 "a fleet limit lets no more in"
@@ -347,7 +347,7 @@
             let usual = service.retry_after();
             Reject::Refused(
                 problem,
-                usual.map(|most| denied.after.map_or(most, |after| after.min(most))),
+                usual.map(|most| denied.retry_after.map_or(most, |after| after.min(most))),
             )
         })
 }
