--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -2,6 +2,7 @@
 
 use crate::output::{Output, tell, tell_problems};
 use madderloom_config_reader::Problem;
+use madderloom_endpoint_sharing::DiscoveryCallSchedule;
 use madderloom_operator_config::{Operator, PoolLevels};
 use madderloom_quota_leases::{Capacity, ONE_REQUEST, SafeCapacity, UNBOUNDED};
 use madderloom_sidecar::Config;
@@ -35,7 +36,7 @@
             let read = madderloom_agent::relay::RelayConfig::read(&text, &self.file);
             read.map(|config| (relays_summary(&config), Vec::new(), Vec::new(), Vec::new()))
         } else if operator && is_agents(&text) {
-            let read = madderloom_agent::Config::read(&text, &self.file);
+            let read = madderloom_agent::AgentConfig::read(&text, &self.file);
             read.map(|config| {
                 (
                     agents_summary(&config),
@@ -115,7 +116,7 @@
 }
 
 /// What its fleet-wide limits bound, as arithmetic.
-fn agents_bounds(config: &madderloom_agent::Config) -> Vec<String> {
+fn agents_bounds(config: &madderloom_agent::AgentConfig) -> Vec<String> {
     config.bounds().iter().map(ToString::to_string).collect()
 }
 
@@ -159,9 +160,10 @@
         .filter(|pool| shares && pool.discovery.is_some());
     let told = pools.map(|pool| {
         let ask_within = pool.site.settings.rules.ask_within;
-        let (after, spread) = madderloom_endpoint_sharing::own_calls(ask_within);
+        let schedule = DiscoveryCallSchedule::within(ask_within);
         let (name, seconds) = (&pool.name, |micros: u64| micros as f64 / 1e6);
-        let (after, spread, within) = (seconds(after), seconds(spread), seconds(ask_within));
+        let (after, spread) = (seconds(schedule.earliest_age), seconds(schedule.spread));
+        let within = seconds(ask_within);
         format!(
             "pool {name}: its list is shared: this instance calls discovery itself once what it knows is {after} s old, \
              and up to {spread} s later: with 5% for its clock within {within} s"
@@ -180,9 +182,9 @@
 }
 
 /// What an agent's file configures, in a few words.
-fn agents_summary(config: &madderloom_agent::Config) -> String {
+fn agents_summary(config: &madderloom_agent::AgentConfig) -> String {
     let state = config
-        .state
+        .state_directory
         .as_ref()
         .map_or("nowhere".to_string(), |state| state.display().to_string());
     let (listen, key) = (config.listen, config.keys.certificate.display());
--- a/crates/cli/src/fleet/follow.rs
+++ b/crates/cli/src/fleet/follow.rs
@@ -1,11 +1,11 @@
 //! Waiting for a rollout to end, and how it is shown.
 
-use super::connection::get;
+use super::connection::{CommandError, get};
 use super::text::{counts, json, when};
 use super::{FAILED, LOOK, REFUSED};
 use crate::output::{Output, Table, tell};
-use madderloom_agent::view::Rollouts;
-use madderloom_agent::{Client, Failed};
+use madderloom_agent::Client;
+use madderloom_agent::view::{RolloutView, TargetState};
 use madderloom_control_plane::Accepted;
 use std::io::{IsTerminal, Write};
 use std::process::ExitCode;
@@ -25,7 +25,7 @@
     client: &Client,
     accepted: &Accepted,
     waiting: &Waiting,
-) -> Result<ExitCode, Failed> {
+) -> Result<ExitCode, CommandError> {
     if waiting.no_wait {
         match waiting.output {
             Output::Json => json(accepted),
@@ -39,7 +39,7 @@
     let mut shown = String::new();
     let path = format!("/v1/rollouts/{}", accepted.id);
     loop {
-        let rollout: Rollouts = get(client, &path).await?;
+        let rollout: RolloutView = get(client, &path).await?;
         let progress = format!("{}: {}: {}", rollout.id, rollout.phase, counts(&rollout));
         if progress != shown && waiting.output == Output::Text {
             show_progress(&progress);
@@ -67,36 +67,36 @@
     let _ = err.flush();
 }
 
-pub(super) fn code(rollout: &Rollouts) -> ExitCode {
+pub(super) fn code(rollout: &RolloutView) -> ExitCode {
     if rollout.is_applied() {
         ExitCode::SUCCESS
-    } else if rollout.is_refused() {
+    } else if rollout.is_rejected() {
         ExitCode::from(REFUSED)
     } else {
         ExitCode::from(FAILED)
     }
 }
 
-pub(super) fn tell_rollout(rollout: &Rollouts, output: Output) {
+pub(super) fn tell_rollout(rollout: &RolloutView, output: Output) {
     if output == Output::Json {
         return json(rollout);
     }
     let why = rollout
-        .why
+        .reason
         .as_ref()
         .map(|why| format!(": {why}"))
         .unwrap_or_default();
-    let Rollouts {
+    let RolloutView {
         id,
         revision,
-        by,
+        author,
         phase,
         ..
     } = rollout;
     tell(format_args!(
         "{id}, revision {revision}, by {} at {}: {phase}{why}",
-        by.who,
-        when(by.at)
+        author.who,
+        when(author.at)
     ));
     rollout
         .difference
@@ -105,19 +105,19 @@
     tell(format_args!("{}", counts(rollout)));
     let mut table = Table::new(["NAME", "WAVE", "RESULT", "REASON", "TAKEN BACK"]);
     let odd = rollout
-        .results
+        .targets
         .iter()
-        .filter(|(_, result)| result.state != "applied" || result.back.is_some());
+        .filter(|(_, target)| target.state != TargetState::Applied || target.rollback.is_some());
     let mut any = false;
-    for (name, result) in odd {
+    for (name, target) in odd {
         any = true;
         let text = |text: &Option<String>| text.clone().unwrap_or_default();
         let row = [
             name.clone(),
-            result.wave.to_string(),
-            result.state.clone(),
-            text(&result.reason),
-            text(&result.back),
+            target.wave.to_string(),
+            target.state.to_string(),
+            text(&target.reason),
+            text(&target.rollback),
         ];
         table.row(row);
     }
--- a/crates/cli/src/fleet/rollout.rs
+++ b/crates/cli/src/fleet/rollout.rs
@@ -7,7 +7,7 @@
 use crate::output::{Output, Table, tell};
 use clap::Subcommand;
 use hyper::Method;
-use madderloom_agent::view::Rollouts;
+use madderloom_agent::view::RolloutView;
 use madderloom_control_plane::Accepted;
 use std::process::ExitCode;
 
@@ -49,7 +49,7 @@
             let path = format!("/v1/rollouts/{}", one.id);
             if let Some(verb) = verb {
                 let accepted = client
-                    .get::<Accepted>(Method::POST, &format!("{path}/{verb}"), Vec::new())
+                    .request::<Accepted>(Method::POST, &format!("{path}/{verb}"), Vec::new())
                     .await?;
                 let code = follow(&client, &accepted, &one.waiting).await?;
                 // What was asked for is that it ends so.
@@ -59,16 +59,16 @@
                     undone(code)
                 });
             }
-            match get::<Rollouts>(&client, &path).await {
+            match get::<RolloutView>(&client, &path).await {
                 Err(failed) if is_missing(&failed) => {
-                    let known: Vec<Rollouts> = get(&client, "/v1/rollouts").await?;
+                    let known: Vec<RolloutView> = get(&client, "/v1/rollouts").await?;
                     Err(unknown(
                         "change",
                         &one.id,
                         known.into_iter().map(|rollout| rollout.id),
                     ))
                 }
-                Err(failed) => Err(failed),
+                Err(failed) => Err(failed.into()),
                 Ok(rollout) => {
                     tell_rollout(&rollout, one.waiting.output);
                     Ok(if rollout.end.is_none() {
@@ -104,7 +104,7 @@
 impl History {
     pub(crate) fn run(self) -> Result<ExitCode, String> {
         self.connection.run(async |client| {
-            let all: Vec<Rollouts> = get(&client, "/v1/rollouts").await?;
+            let all: Vec<RolloutView> = get(&client, "/v1/rollouts").await?;
             if self.output == Output::Json {
                 json(&all);
                 return Ok(ExitCode::SUCCESS);
@@ -124,18 +124,18 @@
                     [first, ..] => format!("{first} and {} more", rollout.difference.len() - 1),
                     [] => String::new(),
                 };
-                let Rollouts {
+                let RolloutView {
                     id,
                     revision,
-                    by,
+                    author,
                     phase,
                     ..
                 } = rollout;
                 let row = [
                     revision.to_string(),
                     id.clone(),
-                    by.who.clone(),
-                    when(by.at),
+                    author.who.clone(),
+                    when(author.at),
                     phase.clone(),
                 ];
                 let [revision, id, who, at, phase] = row;
--- a/crates/cli/tests/fleet/commands.rs
+++ b/crates/cli/tests/fleet/commands.rs
@@ -1,13 +1,13 @@
 //! The agent as a process, instances that register with it, and the command line as an operator uses it.
 
 use crate::rig::{found, madderloom};
-use madderloom_agent::{Client, Link, Settings, Taking};
+use madderloom_agent::{ApplyFuture, Client, Link, LinkHandler};
 use madderloom_control_plane::change::Traits;
 use madderloom_control_plane::gate::Counts;
 use madderloom_control_plane::protocol::{Outcome, Who};
 use madderloom_control_plane::settings::Overlay;
 use madderloom_control_plane::{Instance, Memory, Problem};
-use madderloom_pki::Files;
+use madderloom_pki::KeyFiles;
 use std::io::{BufRead, BufReader};
 use std::path::Path;
 use std::process::{Child, Command, Output, Stdio};
@@ -17,8 +17,8 @@
 /// Takes everything but a log level.
 struct Toy;
 
-impl Settings for Toy {
-    fn take(&mut self, overlay: &Overlay) -> Taking {
+impl LinkHandler for Toy {
+    fn apply(&mut self, overlay: &Overlay) -> ApplyFuture {
         let outcome = match overlay.0.keys().any(|key| key.to_string() == "log_level") {
             true => Outcome::Refused(Problem {
                 field: "set.log_level".into(),
@@ -29,11 +29,11 @@
         Box::pin(std::future::ready(outcome))
     }
 
-    fn counts(&mut self) -> Counts {
+    fn request_counts(&mut self) -> Counts {
         Counts { ended: 100, bad: 1 }
     }
 
-    fn keep(&mut self, _: &Memory) {}
+    fn persist(&mut self, _: &Memory) {}
 }
 
 struct Rig {
@@ -87,7 +87,7 @@
     fn instances(&self, count: usize) {
         let at = |file: &str| self.directory.path().join(file);
         let (certificate, key) = (at("shop-any.pem"), at("shop-any.key"));
-        let files = Files {
+        let files = KeyFiles {
             authority: at("authority.pem"),
             certificate,
             key,
--- a/crates/cli/tests/fleet/lists.rs
+++ b/crates/cli/tests/fleet/lists.rs
@@ -213,7 +213,7 @@
         .fleet
         .stage
         .program("agent")
-        .wait_for("is at version 3");
+        .wait_for("version=3 instance=");
     shared.judge(&load.stop(), true);
 }
 
--- a/crates/lab/src/scale/bounds.rs
+++ b/crates/lab/src/scale/bounds.rs
@@ -3,12 +3,12 @@
 
 use super::capacity::{CONNECTIONS, DAY, Reckoner, Row, exactly, reckoned};
 use crate::hop::Row as HopRow;
-use madderloom_agent::USUAL_CONNECTIONS;
+use madderloom_agent::DEFAULT_MAX_CONNECTIONS;
 use madderloom_control_plane::change::MOST_LAYERS;
 use madderloom_control_plane::membership::Leases;
 use madderloom_control_plane::settings::MOST_SETTINGS;
 use madderloom_control_plane::spread::Pace;
-use madderloom_endpoint_sharing::MOST_LISTS;
+use madderloom_endpoint_sharing::MAX_LISTS;
 
 /// What carries a call through a sidecar.
 const TRANSACTION: &str = "`sidecar/src/transaction.rs`";
@@ -46,7 +46,7 @@
                 None,
                 "days",
                 "size: sidecars / machines failing a day, all machines alike",
-                "one process, `agent/src/server.rs` `Agent`",
+                "one process, `agent/src/server/mod.rs` `Agent`",
             ),
         ]
     }
@@ -123,14 +123,14 @@
                 "calls and watches as lists are shared",
                 None,
                 "",
-                "`endpoint-sharing/src/relay.rs` `Relay`",
+                "`endpoint-sharing/src/distributor.rs` `EndpointListDistributor`",
             ),
             row(
                 "command line",
                 "`instances`, `top` and `history` at this size",
                 None,
                 "",
-                "`agent/src/view.rs`",
+                "`agent/src/view`",
             ),
         ]);
         rows
@@ -171,10 +171,10 @@
             bound(
                 "lists that the fleet shares, with one for each service",
                 services,
-                MOST_LISTS as f64,
+                MAX_LISTS as f64,
                 "",
                 "code: fixed",
-                "`endpoint-sharing/src/lib.rs` `MOST_LISTS`",
+                "`endpoint-sharing/src/limits.rs` `MAX_LISTS`",
             ),
             bound(
                 "names known to an agent",
@@ -187,10 +187,10 @@
             bound(
                 "connections of an agent",
                 connections,
-                USUAL_CONNECTIONS as f64,
+                DEFAULT_MAX_CONNECTIONS as f64,
                 "",
                 "code: usual; `connections` has no upper bound but the system's descriptors",
-                "`agent/src/config.rs` `Config`",
+                "`agent/src/config/mod.rs` `AgentConfig`",
             ),
             bound(
                 "all register at the usual pace",
--- a/crates/lab/src/scale/conductor.rs
+++ b/crates/lab/src/scale/conductor.rs
@@ -10,6 +10,7 @@
 use super::steps::Step;
 use super::usage::{Allowed, now};
 use super::workers::Workers;
+use madderloom_agent::view::TargetState;
 use madderloom_control_plane::change::{Change, Policy, Then, What};
 use madderloom_control_plane::settings::{Edits, Key, Value};
 use std::collections::BTreeMap;
@@ -326,7 +327,7 @@
         let outcome = Outcome::about(wanted)
             .time("in_force", in_force)
             .time("rollout_ended", ended);
-        Ok(count_results(outcome, &rollout.counts))
+        Ok(count_results(outcome, &rollout.target_counts))
     }
 
     async fn restart_agent(&mut self, state_lost: bool) -> Result<Outcome, String> {
@@ -406,7 +407,7 @@
             .time("rollout_ended", ended)
             .time("back", back_again)
             .time("in_force_after_heal", Times::since(back, times, wanted));
-        Ok(count_results(outcome, &rollout.counts))
+        Ok(count_results(outcome, &rollout.target_counts))
     }
 
     /// The region's instances are cut off, or its relays are.
@@ -449,16 +450,16 @@
         self.workers.tell(&Command::Discovery(self.discovery))?;
         tokio::time::sleep(self.settings.calm).await;
         let lists = self.agent.status().await?.shared_lists;
-        let behind: usize = lists.values().map(|list| list.behind).sum();
+        let behind: usize = lists.values().map(|list| list.behind_count).sum();
         let known = lists.len() as u64;
         let outcome = Outcome::about(self.settings.instances).count("lists_known_to_agent", known);
         Ok(outcome.count("instances_behind", behind as u64))
     }
 }
 
-fn count_results(outcome: Outcome, counts: &BTreeMap<String, usize>) -> Outcome {
-    counts.iter().fold(outcome, |outcome, (name, count)| {
-        outcome.count(name, *count as u64)
+fn count_results(outcome: Outcome, counts: &BTreeMap<TargetState, usize>) -> Outcome {
+    counts.iter().fold(outcome, |outcome, (state, count)| {
+        outcome.count(&state.to_string(), *count as u64)
     })
 }
 
