--- a/crates/agent/src/config/mod.rs
+++ b/crates/agent/src/config/mod.rs
@@ -15,7 +15,7 @@
 use madderloom_control_plane::membership::LeaseSettings;
 use madderloom_control_plane::{FleetSettings, Micros};
 use madderloom_pki::KeyFiles;
-use madderloom_quota_leases::{Bound, LEASES, Limit};
+use madderloom_quota_leases::{Bound, Limit, MAX_LEASE_DURATION, MIN_LEASE_DURATION};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -127,7 +127,8 @@
     ) -> Micros {
         let duration = self.limits.map_or(name_lease, Span::micros);
         document.require(
-            covers_reports(duration, report_interval) && (LEASES.0..=LEASES.1).contains(&duration),
+            covers_reports(duration, report_interval)
+                && (MIN_LEASE_DURATION..=MAX_LEASE_DURATION).contains(&duration),
             "leases.limits",
             "must be three reports or more, and from 500ms to 10m",
         );
@@ -186,17 +187,17 @@
     }
 
     fn bound(&self, name: &str, limit: &Limit) -> Bound {
-        let name = if limit.each_server {
+        let name = if limit.per_server {
             format!("{name} (each server by itself)")
         } else {
             name.to_string()
         };
         Bound {
-            name,
-            whole: limit.whole,
-            lease: self.fleet_limits.duration,
-            every: self.rules.report_interval,
-            longest: limit.longest,
+            limit: name,
+            total: limit.total,
+            lease_duration: self.fleet_limits.duration,
+            report_interval: self.rules.report_interval,
+            max_request_duration: limit.max_request_duration,
         }
     }
 }
--- a/crates/agent/src/view/instance.rs
+++ b/crates/agent/src/view/instance.rs
@@ -82,7 +82,7 @@
             rival_incarnation: rival.map(|rival| rival.incarnation),
             fleet_limits: fleet
                 .lease_server()
-                .map(|server| fleet_limit::views(server.views_at(snapshot.now, name)))
+                .map(|server| fleet_limit::views(server.statuses_at(snapshot.now, name)))
                 .unwrap_or_default(),
         })
     }
--- a/crates/control-plane/src/fleet/event.rs
+++ b/crates/control-plane/src/fleet/event.rs
@@ -48,7 +48,7 @@
         term: u64,
     },
     /// An event of the lease server.
-    Leases(madderloom_quota_leases::Note),
+    Leases(madderloom_quota_leases::LeaseServerEvent),
 }
 
 impl fmt::Display for FleetEvent {
--- a/crates/control-plane/src/fleet/mod.rs
+++ b/crates/control-plane/src/fleet/mod.rs
@@ -145,8 +145,8 @@
         }
         self.advance(time, &mut out);
         if let Some(fleet_limits) = &mut self.fleet_limits {
-            for (name, grant) in fleet_limits.server.tick(time.now) {
-                out.send(&name, ToInstance::LeaseGrant(grant));
+            for addressed in fleet_limits.server.tick(time.now) {
+                out.send(&addressed.instance, ToInstance::LeaseGrant(addressed.grant));
             }
         }
         self.collect_lease_events(&mut out);
@@ -172,7 +172,7 @@
         let leases = self
             .fleet_limits
             .as_ref()
-            .and_then(|fleet_limits| fleet_limits.server.next(now));
+            .and_then(|fleet_limits| fleet_limits.server.next_tick(now));
         self.membership
             .next_deadline()
             .into_iter()
--- a/crates/control-plane/src/fleet_limits.rs
+++ b/crates/control-plane/src/fleet_limits.rs
@@ -5,7 +5,8 @@
 use crate::protocol::Report;
 use crate::settings::{FleetFigure, Key, Value};
 use madderloom_quota_leases::{
-    Amount, Grant, LeaseServer, Limit, MOST, Note, ONE, ServerId, UNBOUNDED,
+    Capacity, Grant, LeaseServer, LeaseServerEvent, Limit, MAX_RATE_OR_BURST, ONE_REQUEST,
+    ServerId, UNBOUNDED,
 };
 use std::collections::BTreeMap;
 
@@ -27,7 +28,7 @@
 
 /// The events of the lease server since they were last taken.
 pub(crate) struct LeaseEvents {
-    pub(crate) events: Vec<Note>,
+    pub(crate) events: Vec<LeaseServerEvent>,
     /// Whether the recovery has ended: the leases of former servers have expired.
     pub(crate) has_recovered: bool,
 }
@@ -56,7 +57,7 @@
                 if let (Some(file), Some(limit)) =
                     (self.settings.limits.get(limit), limits.get_mut(limit))
                 {
-                    set_figure(&mut limit.whole, *figure, value.as_ref(), file.whole);
+                    set_figure(&mut limit.total, *figure, value.as_ref(), file.total);
                 }
             }
         }
@@ -77,9 +78,9 @@
 
     /// Takes the events for the log.
     pub(crate) fn take_events(&mut self) -> LeaseEvents {
-        let events = self.server.notes();
+        let events = self.server.take_events();
         LeaseEvents {
-            has_recovered: events.contains(&Note::Recovered),
+            has_recovered: events.contains(&LeaseServerEvent::Recovered),
             events,
         }
     }
@@ -96,19 +97,20 @@
 }
 
 /// Sets a figure of a limit; without a value, to that of the file.
-fn set_figure(limit: &mut Amount, figure: FleetFigure, value: Option<&Value>, file: Amount) {
+fn set_figure(limit: &mut Capacity, figure: FleetFigure, value: Option<&Value>, file: Capacity) {
     let number = match value {
         Some(Value::Limit(number)) => Some(*number),
         _ => None,
     };
-    let thousandths = number.map(|number| number.saturating_mul(ONE).min(MOST));
+    let thousandths =
+        number.map(|number| number.saturating_mul(ONE_REQUEST).min(MAX_RATE_OR_BURST));
     match figure {
         FleetFigure::Rate => limit.rate = thousandths.unwrap_or(file.rate),
         FleetFigure::Burst => limit.burst = thousandths.unwrap_or(file.burst),
-        FleetFigure::Open => limit.open = number.unwrap_or(file.open),
+        FleetFigure::Open => limit.in_flight = number.unwrap_or(file.in_flight),
     }
     // A rate that the file does not bound comes with the burst of one second.
     if limit.rate != UNBOUNDED && limit.burst == UNBOUNDED {
-        limit.burst = limit.rate.max(ONE);
+        limit.burst = limit.rate.max(ONE_REQUEST);
     }
 }
--- a/crates/control-plane/src/protocol.rs
+++ b/crates/control-plane/src/protocol.rs
@@ -252,7 +252,7 @@
             ToInstance::Welcome(welcome) => Some(welcome.term),
             ToInstance::Renewed { term, .. } => Some(*term),
             ToInstance::Order(order) => Some(order.fencing_token.term),
-            ToInstance::LeaseGrant(grant) => Some(grant.by.term),
+            ToInstance::LeaseGrant(grant) => Some(grant.server.term),
             ToInstance::EndpointLists(lists) => Some(lists.sent_at.term),
             ToInstance::Superseded { .. }
             | ToInstance::RetryLater { .. }
