--- a/crates/agent/src/fleet_task/effects.rs
+++ b/crates/agent/src/fleet_task/effects.rs
@@ -4,7 +4,7 @@
 use super::relay_batch::InstanceMessages;
 use crate::storage::RecordChanges;
 use madderloom_control_plane::{FleetEvent, FleetOutput};
-use madderloom_quota_leases::Note as QuotaNote;
+use madderloom_quota_leases::LeaseServerEvent;
 
 /// An answer that waits for the records that it depends on.
 type DeferredReply = Box<dyn FnOnce(Result<(), Unavailable>)>;
@@ -52,7 +52,9 @@
 
 fn log_event(event: &FleetEvent) {
     match event {
-        FleetEvent::Leases(QuotaNote::Overcommitted(_) | QuotaNote::Conflict(_)) => {
+        FleetEvent::Leases(
+            LeaseServerEvent::Overcommitted { .. } | LeaseServerEvent::ConflictingServer { .. },
+        ) => {
             tracing::error!(%event, "quota leases in conflict");
         }
         event => tracing::info!(%event, "fleet event"),
--- a/crates/agent/src/view/mod.rs
+++ b/crates/agent/src/view/mod.rs
@@ -8,7 +8,7 @@
 mod rollout;
 mod status;
 
-pub use fleet_limit::{AmountView, FleetLimitView};
+pub use fleet_limit::{CapacityView, FleetLimitView};
 pub use instance::{InstanceDetailView, InstanceView};
 pub use rollout::{RolloutView, TargetState, TargetView};
 pub use status::StatusView;
--- a/crates/agent/src/view/status.rs
+++ b/crates/agent/src/view/status.rs
@@ -62,9 +62,9 @@
             rolling_out: rollout.map(|rollout| rollout.change.id.clone()),
             in_effect: changes_in_effect(fleet),
             fleet_limits: lease_server
-                .map(|server| fleet_limit::views(server.views(now)))
+                .map(|server| fleet_limit::views(server.statuses(now)))
                 .unwrap_or_default(),
-            grants_in_full: lease_server.map(|server| server.has_learned(now)),
+            grants_in_full: lease_server.map(|server| server.has_recovered(now)),
             shared_lists: lists.statuses(now),
             traffic,
             relays: routes.instances_by_relay(),
--- a/crates/cli/src/fleet/text.rs
+++ b/crates/cli/src/fleet/text.rs
@@ -1,7 +1,7 @@
 //! Times, states and tables as they are shown.
 
 use crate::output::{Table, tell};
-use madderloom_agent::view::{AmountView, FleetLimitView, InstanceView, RolloutView};
+use madderloom_agent::view::{CapacityView, FleetLimitView, InstanceView, RolloutView};
 use madderloom_control_plane::membership::MemberState;
 use madderloom_control_plane::rollout::RolloutResult;
 use madderloom_endpoint_sharing::EndpointListStatus;
@@ -108,7 +108,7 @@
         "WITHOUT A LEASE",
     ]);
     for (name, share) in limits {
-        let figures = |figures: &AmountView| {
+        let figures = |figures: &CapacityView| {
             let rate = figures
                 .requests_per_second
                 .map(|rate| format!("{rate:.1}/s"));
--- a/crates/control-plane/src/instance/mod.rs
+++ b/crates/control-plane/src/instance/mod.rs
@@ -236,7 +236,7 @@
             }
             ToInstance::NotRegistered { .. } if self.is_registered() => self.register_at(now),
             ToInstance::LeaseGrant(grant)
-                if self.is_registered() && self.observe_term(grant.by.term, actions) =>
+                if self.is_registered() && self.observe_term(grant.server.term, actions) =>
             {
                 actions.push(Action::UseLeases(grant.clone()));
             }
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -1,7 +1,7 @@
 //! A hollow instance: the state machines of a real one over real TLS connections, without a data path.
 //!
 //! Registration, reports, the watch and orders are those of [`madderloom_agent::Link`] and
-//! [`madderloom_control_plane::Instance`], the lease of limits is [`madderloom_quota_leases::Holder`], lists are
+//! [`madderloom_control_plane::Instance`], the lease of limits is [`madderloom_quota_leases::LeaseHolder`], lists are
 //! [`madderloom_endpoint_sharing::SharedEndpointLists`]. An overlay is checked and compared as the sidecar does it, and then kept.
 
 use super::lists::{Discovery, SharedLists};
@@ -18,7 +18,7 @@
 use madderloom_control_plane::{Instance, PersistedInstance, Problem};
 use madderloom_endpoint_sharing::{EndpointListReports, EndpointListUpdates};
 use madderloom_pki::Keyring;
-use madderloom_quota_leases::{Asks, Holder, Lent, Safe};
+use madderloom_quota_leases::{Grant, LeaseHolder, LeaseRequests, SafeCapacity};
 use rustix::time::{ClockId, clock_gettime};
 use std::cell::{Cell, RefCell};
 use std::hash::{BuildHasher, RandomState};
@@ -163,10 +163,10 @@
     }
 }
 
-fn holder(manner: &Manner) -> Holder {
-    let mut holder = Holder::default();
-    let limits = (0..manner.limits).map(|limit| (limit_name(limit), Safe::Nothing));
-    holder.follow(boottime(), limits);
+fn holder(manner: &Manner) -> LeaseHolder {
+    let mut holder = LeaseHolder::default();
+    let limits = (0..manner.limits).map(|limit| (limit_name(limit), SafeCapacity::Zero));
+    holder.set_limits(boottime(), limits);
     holder
 }
 
@@ -189,7 +189,7 @@
     manner: Manner,
     counters: Arc<TrafficCounters>,
     seen: Rc<Seen>,
-    holder: Holder,
+    holder: LeaseHolder,
     lists: Rc<SharedLists>,
 }
 
@@ -240,22 +240,22 @@
         self.seen.memory.replace(memory.clone());
     }
 
-    fn lease_requests(&mut self, term: u64) -> Option<Asks> {
+    fn lease_requests(&mut self, term: u64) -> Option<LeaseRequests> {
         if self.manner.requests > 0 {
             // One request a report: there is demand, and what it comes to is of no matter here.
             for limit in 0..self.manner.limits {
                 let name = limit_name(limit);
                 if self.holder.admit(boottime(), &name).is_ok() {
-                    self.holder.end(&name);
+                    self.holder.release(&name);
                 }
             }
         }
-        self.holder.hear(term);
-        (!self.holder.is_empty()).then(|| self.holder.ask(boottime()))
+        self.holder.observe_term(term);
+        (!self.holder.is_empty()).then(|| self.holder.make_report(boottime()))
     }
 
-    fn grant_received(&mut self, lent: &Lent) -> bool {
-        self.holder.take(boottime(), lent)
+    fn grant_received(&mut self, grant: &Grant) -> bool {
+        self.holder.apply_grant(boottime(), grant)
     }
 
     fn list_reports(&mut self) -> Option<EndpointListReports> {
