--- a/crates/agent/src/config/fleet_limit.rs
+++ b/crates/agent/src/config/fleet_limit.rs
@@ -2,7 +2,7 @@
 
 use madderloom_config_reader::{Document, Span};
 use madderloom_control_plane::settings::check_name;
-use madderloom_quota_leases::{Amount, Limit, ONE, UNBOUNDED};
+use madderloom_quota_leases::{Capacity, HolderWeight, Limit, ONE_REQUEST, UNBOUNDED};
 use serde::Deserialize;
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -117,36 +117,42 @@
     }
 
     fn into_limit(self) -> Limit {
-        let longest = self.longest().micros();
+        let max_request_duration = self.longest().micros();
         let rate = self.requests_per_second;
         // By default the requests of one second, so that each of many instances gets one request of it or more.
         let default_burst = rate.map(|rate| rate.max(1.0));
         let burst = self.burst.map(f64::from).or(default_burst);
         Limit {
-            whole: Amount {
+            total: Capacity {
                 rate: rate.map_or(UNBOUNDED, to_thousandths),
                 burst: burst.map_or(UNBOUNDED, to_thousandths),
-                open: self.open.unwrap_or(UNBOUNDED),
+                in_flight: self.open.unwrap_or(UNBOUNDED),
             },
-            floor: to_thousandths(self.floor),
+            min_rate: to_thousandths(self.floor),
             weights: in_order_of_precedence(self.weights),
             by_zone: self.by_zone,
-            each_server: self.each_server,
-            longest,
+            per_server: self.each_server,
+            max_request_duration,
         }
     }
 }
 
 fn to_thousandths(figure: f64) -> u64 {
-    (figure.clamp(0.0, MAX_FIGURE) * ONE as f64).round() as u64
+    (figure.clamp(0.0, MAX_FIGURE) * ONE_REQUEST as f64).round() as u64
 }
 
 /// The weights in the order in which their names are tried: whole names first, then beginnings (`shop-*`), longer ones first.
-fn in_order_of_precedence(weights: BTreeMap<String, u32>) -> Vec<(String, u64)> {
+fn in_order_of_precedence(weights: BTreeMap<String, u32>) -> Vec<HolderWeight> {
     let weights = weights.into_iter();
-    let mut weights: Vec<(String, u64)> = weights
-        .map(|(name, weight)| (name, u64::from(weight)))
+    let mut weights: Vec<HolderWeight> = weights
+        .map(|(pattern, weight)| HolderWeight {
+            pattern,
+            weight: u64::from(weight),
+        })
         .collect();
-    weights.sort_by_key(|(name, _)| (name.ends_with('*'), Reverse(name.len())));
+    weights.sort_by_key(|weight| {
+        let pattern = &weight.pattern;
+        (pattern.ends_with('*'), Reverse(pattern.len()))
+    });
     weights
 }
--- a/crates/agent/src/config/sections.rs
+++ b/crates/agent/src/config/sections.rs
@@ -1,7 +1,7 @@
 //! The sections that the files of an agent and of a relay have in common, and paths in them.
 
 use madderloom_config_reader::{Document, Span};
-use madderloom_control_plane::spread::Pace;
+use madderloom_control_plane::registration_limiter::RegistrationRate;
 use madderloom_pki::KeyFiles;
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -100,19 +100,23 @@
 
 impl RegistrationsSection {
     /// The pace, by default `default`.
-    pub(crate) fn pace(&self, document: &mut Document<'_>, default: Pace) -> Pace {
-        let pace = Pace {
-            rate: self.rate.unwrap_or(default.rate),
+    pub(crate) fn pace(
+        &self,
+        document: &mut Document<'_>,
+        default: RegistrationRate,
+    ) -> RegistrationRate {
+        let pace = RegistrationRate {
+            per_second: self.rate.unwrap_or(default.per_second),
             burst: self.burst.unwrap_or(default.burst),
-            horizon: self.horizon.map_or(default.horizon, Span::micros),
+            max_delay: self.horizon.map_or(default.max_delay, Span::micros),
         };
         document.require(
-            pace.rate > 0,
+            pace.per_second > 0,
             "registrations.rate",
             "must be 1 or more a second",
         );
         document.require(
-            pace.horizon >= MIN_HORIZON,
+            pace.max_delay >= MIN_HORIZON,
             "registrations.horizon",
             "must be 1s or more",
         );
--- a/crates/agent/src/fleet_task/command.rs
+++ b/crates/agent/src/fleet_task/command.rs
@@ -6,7 +6,7 @@
 use madderloom_control_plane::change::Change;
 use madderloom_control_plane::protocol::{ToAgent, ToInstance};
 use madderloom_control_plane::relay::{Batch, BatchAnswer, WatchLine};
-use madderloom_control_plane::{Accepted, By, Declined};
+use madderloom_control_plane::{Accepted, Author, Rejection};
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
 
@@ -22,7 +22,7 @@
 }
 
 /// The outcome of a command that changes the fleet.
-pub(crate) type ChangeOutcome = Result<Accepted, Declined>;
+pub(crate) type ChangeOutcome = Result<Accepted, Rejection>;
 
 /// Where the answer to a command goes.
 pub(super) type Reply<T> = oneshot::Sender<Result<T, Unavailable>>;
@@ -46,19 +46,19 @@
     /// Starts the rollout of a change.
     Push {
         change: Box<Change>,
-        author: By,
+        author: Author,
         reply: Reply<ChangeOutcome>,
     },
     /// Stops the rollout of the change of this id.
     Stop {
         id: String,
-        author: By,
+        author: Author,
         reply: Reply<ChangeOutcome>,
     },
     /// Takes back the change of this id.
     Undo {
         id: String,
-        author: By,
+        author: Author,
         reply: Reply<ChangeOutcome>,
     },
     /// Shows a part of the state.
--- a/crates/agent/src/http/caller.rs
+++ b/crates/agent/src/http/caller.rs
@@ -1,6 +1,6 @@
 //! The other end of a connection: its address, and who it is by its certificate.
 
-use super::response::Rejection;
+use super::response::HttpError;
 use crate::clock::unix_seconds;
 use hyper::StatusCode;
 use madderloom_pki::{Identity, Keyring, Permission, PresentedCertificate};
@@ -18,7 +18,7 @@
 
 impl Caller {
     /// Checks the certificate again, and returns who shows it. It may expire or be revoked while the connection is open.
-    pub(crate) fn identify(&self, keyring: &Keyring) -> Result<Identity, Rejection> {
+    pub(crate) fn identify(&self, keyring: &Keyring) -> Result<Identity, HttpError> {
         keyring
             .verify_again(&self.certificate, unix_seconds())
             .map_err(|error| {
@@ -27,7 +27,7 @@
                     %error,
                     "request rejected: certificate not valid"
                 );
-                Rejection::new(StatusCode::FORBIDDEN, error.to_string())
+                HttpError::new(StatusCode::FORBIDDEN, error.to_string())
             })
     }
 
@@ -36,7 +36,7 @@
         &self,
         peer: &Identity,
         permission: Permission<'_>,
-    ) -> Result<(), Rejection> {
+    ) -> Result<(), HttpError> {
         if peer.role.permits(&peer.name, permission) {
             return Ok(());
         }
@@ -52,6 +52,6 @@
             "request rejected: not permitted to the role"
         );
         let error = format!("{name} has the role {role} and may not {permission}");
-        Err(Rejection::new(StatusCode::FORBIDDEN, error))
+        Err(HttpError::new(StatusCode::FORBIDDEN, error))
     }
 }
--- a/crates/agent/src/http/response.rs
+++ b/crates/agent/src/http/response.rs
@@ -13,7 +13,7 @@
 
 /// Why a request is rejected.
 #[derive(Debug)]
-pub(crate) struct Rejection {
+pub(crate) struct HttpError {
     status: StatusCode,
     error: String,
 }
@@ -24,10 +24,10 @@
     error: String,
 }
 
-impl Rejection {
+impl HttpError {
     /// A rejection with this status and this reason.
     pub(crate) fn new(status: StatusCode, error: impl ToString) -> Self {
-        Rejection {
+        HttpError {
             status,
             error: error.to_string(),
         }
@@ -35,22 +35,22 @@
 
     /// The server cannot answer now.
     pub(crate) fn unavailable(error: impl ToString) -> Self {
-        Rejection::new(StatusCode::SERVICE_UNAVAILABLE, error)
+        HttpError::new(StatusCode::SERVICE_UNAVAILABLE, error)
     }
 
     /// There is no such path, or nothing of that name.
     pub(crate) fn not_found(error: impl ToString) -> Self {
-        Rejection::new(StatusCode::NOT_FOUND, error)
+        HttpError::new(StatusCode::NOT_FOUND, error)
     }
 
     /// The request is not of the expected form.
     pub(crate) fn bad_request(error: impl ToString) -> Self {
-        Rejection::new(StatusCode::BAD_REQUEST, error)
+        HttpError::new(StatusCode::BAD_REQUEST, error)
     }
 }
 
-impl From<Rejection> for Response<Body> {
-    fn from(rejection: Rejection) -> Self {
+impl From<HttpError> for Response<Body> {
+    fn from(rejection: HttpError) -> Self {
         let body = RejectionBody {
             error: rejection.error,
         };
--- a/crates/agent/src/link/mod.rs
+++ b/crates/agent/src/link/mod.rs
@@ -8,8 +8,8 @@
 use crate::client::{Client, ClientError};
 use crate::clock::Clock;
 use hyper::Method;
-use madderloom_control_plane::change::Traits;
 use madderloom_control_plane::protocol::{Outcome, ToAgent, ToInstance};
+use madderloom_control_plane::selector::Attributes;
 use madderloom_control_plane::{Action, Event, Instance, Session};
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use std::rc::Rc;
@@ -42,7 +42,7 @@
     /// The order that is being carried out.
     applying: Option<ApplyFuture>,
     /// Follows what the instance says of itself.
-    traits: Option<watch::Receiver<Traits>>,
+    traits: Option<watch::Receiver<Attributes>>,
     /// Notified when a report is due at once.
     report_trigger: Option<Rc<Notify>>,
     /// Each request in flight holds a clone.
@@ -70,7 +70,7 @@
     }
 
     /// Tells the agent what the instance says of itself whenever that changes.
-    pub fn with_traits(mut self, traits: watch::Receiver<Traits>) -> Self {
+    pub fn with_traits(mut self, traits: watch::Receiver<Attributes>) -> Self {
         self.traits = Some(traits);
         self
     }
@@ -85,11 +85,11 @@
     pub async fn run(mut self) {
         let (sender, mut events) = mpsc::channel::<LinkEvent>(EVENT_QUEUE_CAPACITY);
         loop {
-            let due = self.clock.instant_at(self.instance.next());
+            let due = self.clock.instant_at(self.instance.next_timer());
             tokio::select! {
                 () = tokio::time::sleep_until(due) => {
                     let counts = self.handler.request_counts();
-                    self.instance.count(counts);
+                    self.instance.set_request_counts(counts);
                     self.handle(Event::Timer, &sender);
                 }
                 event = events.recv() => match event {
@@ -98,14 +98,14 @@
                 },
                 outcome = applied(&mut self.applying) => {
                     self.applying = None;
-                    self.handle(Event::Taken(outcome), &sender);
+                    self.handle(Event::OrderCompleted(outcome), &sender);
                 }
                 traits = changed(&mut self.traits) => match traits {
                     Some(traits) => self.handle(Event::FileChanged(&traits), &sender),
                     None => self.traits = None,
                 },
                 () = triggered(self.report_trigger.as_deref()) => {
-                    self.handle(Event::Report, &sender);
+                    self.handle(Event::ReportRequested, &sender);
                 }
             }
             self.update_watch(&sender);
@@ -122,7 +122,7 @@
             }
             LinkEvent::Lost(error) => {
                 tracing::debug!(%error, "request to the agent failed");
-                self.handle(Event::Lost, sender);
+                self.handle(Event::ConnectionLost, sender);
             }
         }
     }
@@ -134,11 +134,11 @@
         self.instance.handle(now, event, jitter, &mut actions);
         for action in actions {
             let is_report_due = match action {
-                Action::Keep(memory) => {
+                Action::Persist(memory) => {
                     self.handler.persist(&memory);
                     false
                 }
-                Action::Take(order) => {
+                Action::Apply(order) => {
                     self.applying = Some(self.handler.apply(&order.overlay));
                     false
                 }
@@ -146,11 +146,11 @@
                     self.send(message, sender.clone());
                     false
                 }
-                Action::Lent(grant) => self.handler.grant_received(&grant),
-                Action::Lists(lists) => self.handler.lists_received(&lists),
+                Action::UseLeases(grant) => self.handler.grant_received(&grant),
+                Action::UseLists(lists) => self.handler.lists_received(&lists),
             };
             if is_report_due {
-                self.handle(Event::Report, sender);
+                self.handle(Event::ReportRequested, sender);
             }
         }
     }
@@ -158,8 +158,8 @@
     /// Sends a registration or a report. The answer is an event.
     fn send(&mut self, mut message: ToAgent, sender: mpsc::Sender<LinkEvent>) {
         if let ToAgent::Report(report) = &mut message {
-            report.asks = self.handler.lease_requests(report.term).map(Box::new);
-            report.tells = self.handler.list_reports().map(Box::new);
+            report.lease_requests = self.handler.lease_requests(report.term).map(Box::new);
+            report.endpoint_lists = self.handler.list_reports().map(Box::new);
         }
         // Requests must not pile up at an agent that accepts connections and does not answer.
         if Rc::strong_count(&self.in_flight) > MAX_IN_FLIGHT {
@@ -170,7 +170,7 @@
             ToAgent::Register(_) => "register",
             ToAgent::Report(_) => "report",
         };
-        let path = format!("/v1/instances/{}/{action}", message.who().name);
+        let path = format!("/v1/instances/{}/{action}", message.sender().name);
         let body = serde_json::to_vec(&message).unwrap_or_default();
         let in_flight = Rc::clone(&self.in_flight);
         let client = Rc::clone(&self.reports);
@@ -187,7 +187,7 @@
 
     /// Opens the watch while the instance is registered, and closes it otherwise.
     fn update_watch(&mut self, sender: &mpsc::Sender<LinkEvent>) {
-        let is_registered = self.instance.session() == Session::In;
+        let is_registered = self.instance.session() == Session::Registered;
         if !is_registered {
             self.close_watch();
             return;
@@ -199,7 +199,7 @@
         if is_open {
             return;
         }
-        let who = self.instance.who();
+        let who = self.instance.id();
         let path = format!("/v1/instances/{}/orders?start={}", who.name, who.start);
         let (client, sender) = (Rc::clone(&self.watch), sender.clone());
         let task = watchdog::spawn(TaskKind::AgentCall, async move {
@@ -249,7 +249,7 @@
 
 /// Completes when what the instance says of itself has changed, with `None` once it cannot change any more. Never completes
 /// where it is not followed.
-async fn changed(traits: &mut Option<watch::Receiver<Traits>>) -> Option<Traits> {
+async fn changed(traits: &mut Option<watch::Receiver<Attributes>>) -> Option<Attributes> {
     match traits {
         Some(traits) => {
             traits.changed().await.ok()?;
--- a/crates/agent/src/relay/agent_connection.rs
+++ b/crates/agent/src/relay/agent_connection.rs
@@ -3,7 +3,9 @@
 use crate::client::{Client, ClientError};
 use hyper::Method;
 use madderloom_control_plane::protocol::ToAgent;
-use madderloom_control_plane::relay::{Addressed, Batch, BatchAnswer, LARGEST_BATCH, WatchLine};
+use madderloom_control_plane::relay::{
+    AddressedMessage, Batch, BatchAnswer, MAX_BATCH_BYTES, WatchLine,
+};
 use madderloom_pki::Keyring;
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use serde::Serialize;
@@ -32,7 +34,7 @@
         term: u64,
     },
     /// A message for an instance.
-    Message(Addressed),
+    Message(AddressedMessage),
     /// The answer to the last batch.
     BatchAnswered(BatchAnswer),
     /// The connection has ended.
@@ -154,13 +156,13 @@
     }
 }
 
-/// Serializes messages until they are longer than [`LARGEST_BATCH`], so that the batch passes it by one message at most.
+/// Serializes messages until they are longer than [`MAX_BATCH_BYTES`], so that the batch passes it by one message at most.
 /// Returns the body with the messages that are left.
 fn serialize(batch: Batch) -> (Vec<u8>, Vec<ToAgent>) {
     let mut messages = Vec::new();
     let mut length = 0;
     let mut waiting = batch.messages.into_iter();
-    while length < LARGEST_BATCH
+    while length < MAX_BATCH_BYTES
         && let Some(message) = waiting.next()
     {
         let Ok(message) = serde_json::value::to_raw_value(&message) else {
--- a/crates/agent/src/relay/config.rs
+++ b/crates/agent/src/relay/config.rs
@@ -6,7 +6,7 @@
 };
 use madderloom_config_reader::{Document, Problem, Span};
 use madderloom_control_plane::Micros;
-use madderloom_control_plane::relay::RelayRules;
+use madderloom_control_plane::relay::RelaySettings;
 use madderloom_control_plane::settings::check_name;
 use madderloom_pki::KeyFiles;
 use serde::Deserialize;
@@ -41,7 +41,7 @@
     /// Its keys as a client, with a certificate for an instance that is valid for the names of all its instances.
     pub client_keys: KeyFiles,
     /// Leases, bounds, paces.
-    pub rules: RelayRules,
+    pub rules: RelaySettings,
 }
 
 /// The file, as it is written.
@@ -96,11 +96,17 @@
             key: required_path(&mut document, path, key, "parent.key"),
             ..keys.clone()
         };
-        let defaults = RelayRules::default();
-        let pace = file.registrations.pace(&mut document, defaults.pace);
-        let rules = file
-            .children
-            .rules(&mut document, RelayRules { pace, ..defaults });
+        let defaults = RelaySettings::default();
+        let registration_rate = file
+            .registrations
+            .pace(&mut document, defaults.registration_rate);
+        let rules = file.children.rules(
+            &mut document,
+            RelaySettings {
+                registration_rate,
+                ..defaults
+            },
+        );
         let max_connections = max_connections(&mut document, file.connections);
         let config = RelayConfig {
             name: file.name,
@@ -136,9 +142,9 @@
 
 impl ChildrenSection {
     /// The rules, by default those given.
-    fn rules(&self, document: &mut Document<'_>, defaults: RelayRules) -> RelayRules {
-        let rules = RelayRules {
-            lease: self.lease.map_or(defaults.lease, Span::micros),
+    fn rules(&self, document: &mut Document<'_>, defaults: RelaySettings) -> RelaySettings {
+        let rules = RelaySettings {
+            child_lease: self.lease.map_or(defaults.child_lease, Span::micros),
             answer_timeout: self.answer.map_or(defaults.answer_timeout, Span::micros),
             max_children: self.instances.unwrap_or(defaults.max_children),
             ..defaults
@@ -149,7 +155,7 @@
             "must be from 10ms to 4s",
         );
         document.require(
-            LEASES.contains(&rules.lease),
+            LEASES.contains(&rules.child_lease),
             "children.lease",
             "must be from 300ms to 10m",
         );
--- a/crates/agent/src/relay/server.rs
+++ b/crates/agent/src/relay/server.rs
@@ -5,7 +5,7 @@
 use crate::Error;
 use crate::clock::random_seed;
 use crate::http::{
-    Body, Caller, Rejection, WatchResponder, check_name_in_path, instance_permission,
+    Body, Caller, HttpError, WatchResponder, check_name_in_path, instance_permission,
     json_response, number_in_query, read_json,
 };
 use crate::key_files::reload_changed_keys;
@@ -13,7 +13,7 @@
 use crate::traffic::{Traffic, TrafficCounters};
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
-use madderloom_control_plane::protocol::{LARGEST_FROM_INSTANCE, ToAgent};
+use madderloom_control_plane::protocol::{MAX_REPORT_BYTES, ToAgent};
 use madderloom_control_plane::relay::RelayStatus;
 use madderloom_pki::{Keyring, Permission};
 use madderloom_watchdog::{self as watchdog, TaskKind};
@@ -112,7 +112,7 @@
 }
 
 /// The response to a request, or why it is rejected.
-type Answer = Result<Response<Body>, Rejection>;
+type Answer = Result<Response<Body>, HttpError>;
 
 impl RequestHandler for RelayRequests {
     async fn answer(&self, caller: Caller, request: Request<Incoming>) -> Response<Body> {
@@ -145,7 +145,7 @@
         method: &Method,
         path: &str,
         segments: &[&'a str],
-    ) -> Result<Permission<'a>, Rejection> {
+    ) -> Result<Permission<'a>, HttpError> {
         if let Some(permission) = instance_permission(method, segments) {
             return Ok(permission);
         }
@@ -153,12 +153,12 @@
             return Ok(Permission::ViewFleet);
         }
         let error = format!("this is the relay {}: ask the agent for {path}", self.name);
-        Err(Rejection::not_found(error))
+        Err(HttpError::not_found(error))
     }
 
     /// Answers a registration or a report of the instance that the path names.
     async fn answer_instance(&self, name: &str, request: Request<Incoming>) -> Answer {
-        let message: Box<ToAgent> = read_json(request, LARGEST_FROM_INSTANCE).await?;
+        let message: Box<ToAgent> = read_json(request, MAX_REPORT_BYTES).await?;
         check_name_in_path(&message, name)?;
         self.counters.add_messages_in(1);
         let messages = self.relay.instance_message(message).await;
@@ -185,6 +185,6 @@
     }
 }
 
-fn stopping() -> Rejection {
-    Rejection::unavailable("the relay is stopping")
+fn stopping() -> HttpError {
+    HttpError::unavailable("the relay is stopping")
 }
--- a/crates/agent/src/relay/task.rs
+++ b/crates/agent/src/relay/task.rs
@@ -9,7 +9,9 @@
 use crate::clock::Clock;
 use crate::delivery_routes::DeliveryRoutes;
 use madderloom_control_plane::protocol::{ToAgent, ToInstance};
-use madderloom_control_plane::relay::{MAX_BATCH, Relay, RelayOutput, RelayStatus, RequestId};
+use madderloom_control_plane::relay::{
+    MAX_BATCH_MESSAGES, Relay, RelayOutput, RelayStatus, RequestId,
+};
 use madderloom_pki::Keyring;
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use std::collections::HashMap;
@@ -187,7 +189,10 @@
     }
 
     fn next_timer(&self) -> Option<Instant> {
-        let tick = self.relay.next().map(|at| self.clock.instant_at(at));
+        let tick = self
+            .relay
+            .next_deadline()
+            .map(|at| self.clock.instant_at(at));
         tick.into_iter().chain(self.uplink.next_timer()).min()
     }
 
@@ -248,7 +253,7 @@
 
     fn do_due_work(&mut self) {
         let now = self.clock.now();
-        if self.relay.next().is_some_and(|at| at <= now) {
+        if self.relay.next_deadline().is_some_and(|at| at <= now) {
             let output = self.relay.tick(now);
             self.deliver(output);
         }
@@ -295,7 +300,7 @@
             return;
         }
         let due = *batch_due.get_or_insert_with(|| Instant::now() + BATCH_DELAY);
-        if waiting < MAX_BATCH && Instant::now() < due {
+        if waiting < MAX_BATCH_MESSAGES && Instant::now() < due {
             return;
         }
         *batch_due = None;
@@ -307,10 +312,10 @@
 
     /// Sends the answers and the messages of an output.
     fn deliver(&mut self, output: RelayOutput) {
-        for (request, messages) in output.answers {
-            if let Some(reply) = self.unanswered.remove(&request) {
+        for answer in output.answers {
+            if let Some(reply) = self.unanswered.remove(&answer.request) {
                 // The requester may have disconnected.
-                let _ = reply.send(messages);
+                let _ = reply.send(answer.messages);
             }
         }
         for push in output.pushes {
--- a/crates/agent/src/server/agent_requests.rs
+++ b/crates/agent/src/server/agent_requests.rs
@@ -6,7 +6,7 @@
 use crate::delivery_routes::RelayId;
 use crate::fleet_task::{ChangeOutcome, FleetHandle, Unavailable};
 use crate::http::{
-    Body, Caller, Rejection, WatchResponder, check_name_in_path, instance_permission,
+    Body, Caller, HttpError, WatchResponder, check_name_in_path, instance_permission,
     json_response, number_in_query, raw_json_response, read_json,
 };
 use crate::traffic::TrafficCounters;
@@ -14,15 +14,15 @@
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
 use madderloom_control_plane::change::Change;
-use madderloom_control_plane::protocol::{LARGEST_FROM_INSTANCE, LARGEST_ORDER, ToAgent};
-use madderloom_control_plane::relay::{Batch, LARGEST_BATCH, MAX_BATCH};
-use madderloom_control_plane::{Accepted, By, Declined};
+use madderloom_control_plane::protocol::{MAX_ORDER_BYTES, MAX_REPORT_BYTES, ToAgent};
+use madderloom_control_plane::relay::{Batch, MAX_BATCH_BYTES, MAX_BATCH_MESSAGES};
+use madderloom_control_plane::{Accepted, Author, Rejection};
 use madderloom_pki::{Identity, Keyring, Permission};
 use serde::Serialize;
 use std::sync::Arc;
 
-/// The longest body of a batch, in bytes: a relay fills it until [`LARGEST_BATCH`] is passed by at most one message.
-const MAX_BATCH_BODY: usize = LARGEST_BATCH + LARGEST_FROM_INSTANCE;
+/// The longest body of a batch, in bytes: a relay fills it until [`MAX_BATCH_BYTES`] is passed by at most one message.
+const MAX_BATCH_BODY: usize = MAX_BATCH_BYTES + MAX_REPORT_BYTES;
 
 /// Answers the requests to an agent.
 pub(super) struct AgentRequests {
@@ -34,7 +34,7 @@
 }
 
 /// The response to a request, or why it is rejected.
-type Answer = Result<Response<Body>, Rejection>;
+type Answer = Result<Response<Body>, HttpError>;
 
 /// A request whose caller is known.
 struct IdentifiedRequest {
@@ -47,12 +47,12 @@
 #[derive(Serialize)]
 struct DeclinedBody<'a> {
     error: String,
-    declined: &'a Declined,
+    declined: &'a Rejection,
 }
 
-impl From<Unavailable> for Rejection {
+impl From<Unavailable> for HttpError {
     fn from(reason: Unavailable) -> Self {
-        Rejection::unavailable(reason)
+        HttpError::unavailable(reason)
     }
 }
 
@@ -108,7 +108,7 @@
         identified: &IdentifiedRequest,
         path: &str,
         segments: &[&str],
-    ) -> Result<(), Rejection> {
+    ) -> Result<(), HttpError> {
         let method = identified.request.method();
         let permission = match instance_permission(method, segments) {
             Some(permission) => permission,
@@ -169,7 +169,7 @@
         };
         match view {
             Some(view) => Ok(raw_json_response(StatusCode::OK, view)),
-            None => Err(Rejection::not_found("there is nothing of that name")),
+            None => Err(HttpError::not_found("there is nothing of that name")),
         }
     }
 
@@ -183,7 +183,7 @@
         let fleet = &self.fleet;
         match (request.method(), segments) {
             (&Method::POST, ["v1", "changes"]) => {
-                let change: Box<Change> = read_json(request, LARGEST_ORDER).await?;
+                let change: Box<Change> = read_json(request, MAX_ORDER_BYTES).await?;
                 let id = change.id.clone();
                 let event = change_event(&peer, "push", &id);
                 self.change_fleet(event, async |author| fleet.push(change, author).await)
@@ -202,7 +202,7 @@
                     .await
             }
             (&Method::POST, ["v1", "instances", name, "register" | "report"]) => {
-                let message = read_json(request, LARGEST_FROM_INSTANCE).await?;
+                let message = read_json(request, MAX_REPORT_BYTES).await?;
                 self.answer_instance(name, message).await
             }
             (method, _) => Err(unknown_path(method, path, segments)),
@@ -245,7 +245,7 @@
                 let messages = self.fleet.watch_relay(relay, known_term).await;
                 Ok(self.watches.respond(caller, messages))
             }
-            (method, _) => Err(Rejection::not_found(format!(
+            (method, _) => Err(HttpError::not_found(format!(
                 "there is no {method} {action} of a relay"
             ))),
         }
@@ -258,12 +258,12 @@
         relay: RelayId,
         batch: Batch,
     ) -> Answer {
-        if batch.messages.len() > MAX_BATCH {
-            let error = format!("messages: are more than {MAX_BATCH}");
-            return Err(Rejection::bad_request(error));
+        if batch.messages.len() > MAX_BATCH_MESSAGES {
+            let error = format!("messages: are more than {MAX_BATCH_MESSAGES}");
+            return Err(HttpError::bad_request(error));
         }
         for message in &batch.messages {
-            caller.authorize(peer, Permission::ActAsInstance(&message.who().name))?;
+            caller.authorize(peer, Permission::ActAsInstance(&message.sender().name))?;
         }
         self.counters.add_messages_in(batch.messages.len());
         let answer = self.fleet.relay_batch(relay, batch).await?;
@@ -276,13 +276,13 @@
     async fn change_fleet(
         &self,
         event: AuditEvent<'_>,
-        change: impl AsyncFnOnce(By) -> Result<ChangeOutcome, Unavailable>,
+        change: impl AsyncFnOnce(Author) -> Result<ChangeOutcome, Unavailable>,
     ) -> Answer {
         self.audit_log
             .append(&event, "asked")
-            .map_err(Rejection::unavailable)?;
-        let author = By {
-            who: event.peer.name.clone(),
+            .map_err(HttpError::unavailable)?;
+        let author = Author {
+            name: event.peer.name.clone(),
             at: unix_millis(),
         };
         let outcome = change(author).await;
@@ -329,12 +329,12 @@
     }
 }
 
-fn declined_response(declined: &Declined) -> Response<Body> {
+fn declined_response(declined: &Rejection) -> Response<Body> {
     let status = match declined {
-        Declined::Invalid(_) => StatusCode::UNPROCESSABLE_ENTITY,
-        Declined::Impossible(_) => StatusCode::NOT_FOUND,
-        Declined::StoodDown(_) => StatusCode::SERVICE_UNAVAILABLE,
-        Declined::Conflict { .. } | Declined::Busy { .. } | Declined::IdUsed { .. } => {
+        Rejection::Invalid(_) => StatusCode::UNPROCESSABLE_ENTITY,
+        Rejection::Impossible(_) => StatusCode::NOT_FOUND,
+        Rejection::Superseded(_) => StatusCode::SERVICE_UNAVAILABLE,
+        Rejection::Conflict { .. } | Rejection::Busy { .. } | Rejection::IdUsed { .. } => {
             StatusCode::CONFLICT
         }
     };
@@ -345,10 +345,10 @@
     json_response(status, &body)
 }
 
-fn unknown_path(method: &Method, path: &str, segments: &[&str]) -> Rejection {
+fn unknown_path(method: &Method, path: &str, segments: &[&str]) -> HttpError {
     if segments.first() == Some(&"v1") {
-        Rejection::not_found(format!("there is no {method} {path}"))
+        HttpError::not_found(format!("there is no {method} {path}"))
     } else {
-        Rejection::not_found("this agent speaks version 1 of the protocol: paths begin with /v1/")
+        HttpError::not_found("this agent speaks version 1 of the protocol: paths begin with /v1/")
     }
 }
--- a/crates/agent/src/view/fleet_limit.rs
+++ b/crates/agent/src/view/fleet_limit.rs
@@ -1,12 +1,12 @@
 //! Fleet-wide limits, and the parts of them that single instances hold.
 
-use madderloom_quota_leases::{Amount, LimitStatus, ONE, UNBOUNDED};
+use madderloom_quota_leases::{Capacity, LimitStatus, ONE_REQUEST, UNBOUNDED};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The amounts of a fleet-wide limit, or of a part of it.
+/// The capacity of a fleet-wide limit, or of a part of it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct AmountView {
+pub struct CapacityView {
     /// Requests a second. None: the rate is not bounded.
     pub requests_per_second: Option<f64>,
     /// Requests at once. None: bursts are not bounded.
@@ -16,13 +16,13 @@
     pub in_flight: Option<u64>,
 }
 
-impl From<Amount> for AmountView {
-    fn from(amount: Amount) -> Self {
+impl From<Capacity> for CapacityView {
+    fn from(capacity: Capacity) -> Self {
         let bounded = |value: u64| Some(value).filter(|value| *value != UNBOUNDED);
-        AmountView {
-            requests_per_second: bounded(amount.rate).map(from_thousandths),
-            burst: bounded(amount.burst).map(from_thousandths),
-            in_flight: bounded(amount.open),
+        CapacityView {
+            requests_per_second: bounded(capacity.rate).map(from_thousandths),
+            burst: bounded(capacity.burst).map(from_thousandths),
+            in_flight: bounded(capacity.in_flight),
         }
     }
 }
@@ -32,10 +32,10 @@
 pub struct FleetLimitView {
     /// The whole limit.
     #[serde(rename = "whole")]
-    pub limit: AmountView,
-    /// The amount that instances may use under leases.
+    pub limit: CapacityView,
+    /// The capacity that instances may use under leases.
     #[serde(rename = "lent")]
-    pub granted: AmountView,
+    pub granted: CapacityView,
     /// The rate of admitted requests.
     #[serde(rename = "used")]
     pub admitted_rate: f64,
@@ -57,21 +57,21 @@
 
 impl From<LimitStatus> for FleetLimitView {
     fn from(status: LimitStatus) -> Self {
-        let is_rate_bounded = status.whole.rate != UNBOUNDED;
+        let is_rate_bounded = status.total.rate != UNBOUNDED;
         let excess = if is_rate_bounded {
-            status.used.saturating_sub(status.whole.rate)
+            status.admitted_rate.saturating_sub(status.total.rate)
         } else {
             0
         };
         FleetLimitView {
-            limit: status.whole.into(),
-            granted: status.lent.into(),
-            admitted_rate: from_thousandths(status.used),
-            demand_rate: from_thousandths(status.wanted),
-            in_flight: status.open,
+            limit: status.total.into(),
+            granted: status.reserved.into(),
+            admitted_rate: from_thousandths(status.admitted_rate),
+            demand_rate: from_thousandths(status.demand_rate),
+            in_flight: status.in_flight,
             excess_rate: from_thousandths(excess),
-            instances: status.instances,
-            lease_holders: status.with_part,
+            instances: status.participants,
+            lease_holders: status.lease_holders,
         }
     }
 }
@@ -85,5 +85,5 @@
 }
 
 fn from_thousandths(value: u64) -> f64 {
-    value as f64 / ONE as f64
+    value as f64 / ONE_REQUEST as f64
 }
--- a/crates/agent/src/view/instance.rs
+++ b/crates/agent/src/view/instance.rs
@@ -3,8 +3,8 @@
 use super::FleetSnapshot;
 use super::fleet_limit::{self, FleetLimitView};
 use madderloom_control_plane::InstanceState;
-use madderloom_control_plane::gate::Counts;
-use madderloom_control_plane::membership::{Presence, SEEN};
+use madderloom_control_plane::health_gate::RequestCounts;
+use madderloom_control_plane::membership::{CONFLICT_CONFIRMED, MemberState};
 use madderloom_control_plane::protocol::Outcome;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -15,7 +15,7 @@
     /// Its name.
     pub name: String,
     /// Whether it is there, by its lease.
-    pub presence: Presence,
+    pub presence: MemberState,
     /// The incarnation that holds the name.
     pub incarnation: u64,
     /// Its zone.
@@ -37,7 +37,7 @@
     pub rejection: Option<String>,
     /// Its requests within the last window.
     #[serde(rename = "counts")]
-    pub request_counts: Counts,
+    pub request_counts: RequestCounts,
     /// The incarnation of another process that wants the same name, if there is one.
     #[serde(rename = "rival")]
     pub rival_incarnation: Option<u64>,
@@ -62,25 +62,27 @@
     pub(crate) fn new(snapshot: &FleetSnapshot<'_>, name: &str) -> Option<Self> {
         let fleet = snapshot.fleet;
         let member = fleet.membership().get(name)?;
-        let state = fleet.line(name);
-        let has_reported = state.is_some() && member.presence != Presence::Joining;
-        let rival = member.rival.filter(|rival| rival.seen >= SEEN);
+        let state = fleet.instance(name);
+        let has_reported = state.is_some() && member.state != MemberState::Joining;
+        let rival = member
+            .conflict
+            .filter(|rival| rival.rejections >= CONFLICT_CONFIRMED);
         Some(InstanceView {
             name: name.to_string(),
-            presence: member.presence,
+            presence: member.state,
             incarnation: member.incarnation,
-            zone: member.traits.zone.clone(),
-            labels: member.traits.labels.clone(),
-            build: member.traits.build.clone(),
-            config_fingerprint: member.traits.file.to_string(),
-            revision: state.map_or(0, |state| state.holding.revision),
-            in_sync: has_reported.then(|| fleet.in_line(name)).flatten(),
+            zone: member.attributes.zone.clone(),
+            labels: member.attributes.labels.clone(),
+            build: member.attributes.build.clone(),
+            config_fingerprint: member.attributes.file.to_string(),
+            revision: state.map_or(0, |state| state.applied.revision),
+            in_sync: has_reported.then(|| fleet.has_converged(name)).flatten(),
             rejection: state.and_then(rejection),
             request_counts: state.map(|state| state.counts).unwrap_or_default(),
             rival_incarnation: rival.map(|rival| rival.incarnation),
             fleet_limits: fleet
-                .lender()
-                .map(|server| fleet_limit::views(server.views_at(snapshot.now, name)))
+                .lease_server()
+                .map(|server| fleet_limit::views(server.statuses_at(snapshot.now, name)))
                 .unwrap_or_default(),
         })
     }
@@ -99,7 +101,7 @@
     pub(crate) fn new(snapshot: &FleetSnapshot<'_>, name: &str) -> Option<Self> {
         let fleet = snapshot.fleet;
         let member = fleet.membership().get(name)?;
-        let (overlay, _) = fleet.layers().overlay(name, &member.traits);
+        let (overlay, _) = fleet.layers().overlay(name, &member.attributes);
         let settings = overlay.0.iter();
         Some(InstanceDetailView {
             instance: InstanceView::new(snapshot, name)?,
@@ -111,7 +113,7 @@
 }
 
 fn rejection(state: &InstanceState) -> Option<String> {
-    match &state.answer {
+    match &state.outcome {
         Some(Outcome::Refused(problem)) => Some(problem.to_string()),
         _ => None,
     }
--- a/crates/agent/tests/common/instance.rs
+++ b/crates/agent/tests/common/instance.rs
@@ -1,10 +1,10 @@
 //! Instances without a data path.
 
 use madderloom_agent::{ApplyFuture, LinkHandler};
-use madderloom_control_plane::gate::Counts;
+use madderloom_control_plane::health_gate::RequestCounts;
 use madderloom_control_plane::protocol::{Outcome, ToAgent};
 use madderloom_control_plane::settings::{Key, Overlay, Value};
-use madderloom_control_plane::{Memory, Problem};
+use madderloom_control_plane::{PersistedInstance, Problem};
 use std::cell::RefCell;
 use std::rc::Rc;
 
@@ -22,11 +22,11 @@
     /// It rejects settings that contain this key.
     pub rejects: Option<Key>,
     /// The requests that it reports.
-    pub counts: Counts,
+    pub counts: RequestCounts,
     /// Half of its requests end badly while this key is set.
     pub hurt_by: Option<Key>,
     /// What it has persisted.
-    pub memory: Memory,
+    pub memory: PersistedInstance,
     /// The number of registrations that it has sent.
     pub registrations: usize,
 }
@@ -59,7 +59,7 @@
         Box::pin(std::future::ready(outcome))
     }
 
-    fn request_counts(&mut self) -> Counts {
+    fn request_counts(&mut self) -> RequestCounts {
         let state = self.0.borrow();
         let is_set = |key| state.overlay.0.contains_key(key);
         let is_hurt = state.hurt_by.as_ref().is_some_and(is_set);
@@ -68,13 +68,13 @@
         } else {
             state.counts.bad
         };
-        Counts {
+        RequestCounts {
             bad,
             ..state.counts
         }
     }
 
-    fn persist(&mut self, memory: &Memory) {
+    fn persist(&mut self, memory: &PersistedInstance) {
         self.0.borrow_mut().memory = memory.clone();
     }
 
--- a/crates/agent/tests/rejected_requests.rs
+++ b/crates/agent/tests/rejected_requests.rs
@@ -130,12 +130,12 @@
         let fleet = TestFleet::new().await;
         let alice = fleet.client("alice");
         let mut odd = change("c1", 0, "w", 1);
-        odd.rollout.at_once = 0;
+        odd.rollout.max_in_flight = 0;
         let failed = push(&alice, &odd).await.expect_err("refused");
         assert!(
             failed
                 .to_string()
-                .contains("rollout.at_once: must be at least 1"),
+                .contains("rollout.max_in_flight: must be at least 1"),
             "{failed}"
         );
         for (method, path, body, status) in [
--- a/crates/cli/src/fleet/follow.rs
+++ b/crates/cli/src/fleet/follow.rs
@@ -95,7 +95,7 @@
     } = rollout;
     tell(format_args!(
         "{id}, revision {revision}, by {} at {}: {phase}{why}",
-        author.who,
+        author.name,
         when(author.at)
     ));
     rollout
--- a/crates/cli/src/fleet/text.rs
+++ b/crates/cli/src/fleet/text.rs
@@ -1,20 +1,20 @@
 //! Times, states and tables as they are shown.
 
 use crate::output::{Table, tell};
-use madderloom_agent::view::{AmountView, FleetLimitView, InstanceView, RolloutView};
-use madderloom_control_plane::membership::Presence;
-use madderloom_control_plane::rollout::End;
+use madderloom_agent::view::{CapacityView, FleetLimitView, InstanceView, RolloutView};
+use madderloom_control_plane::membership::MemberState;
+use madderloom_control_plane::rollout::RolloutResult;
 use madderloom_endpoint_sharing::EndpointListStatus;
 use serde::Serialize;
 use std::collections::BTreeMap;
 use time::OffsetDateTime;
 use time::macros::format_description;
 
-pub(super) fn ended(end: End) -> &'static str {
+pub(super) fn ended(end: RolloutResult) -> &'static str {
     match end {
-        End::Done => "done",
-        End::Stopped => "stopped",
-        End::TakenBack => "taken back",
+        RolloutResult::Completed => "done",
+        RolloutResult::Stopped => "stopped",
+        RolloutResult::RolledBack => "taken back",
     }
 }
 
@@ -108,7 +108,7 @@
         "WITHOUT A LEASE",
     ]);
     for (name, share) in limits {
-        let figures = |figures: &AmountView| {
+        let figures = |figures: &CapacityView| {
             let rate = figures
                 .requests_per_second
                 .map(|rate| format!("{rate:.1}/s"));
@@ -133,12 +133,12 @@
     table
 }
 
-fn presence(presence: Presence) -> &'static str {
+fn presence(presence: MemberState) -> &'static str {
     match presence {
-        Presence::Joining => "joining",
-        Presence::Alive => "alive",
-        Presence::Suspect => "suspect",
-        Presence::Gone => "gone",
+        MemberState::Joining => "joining",
+        MemberState::Alive => "alive",
+        MemberState::Suspect => "suspect",
+        MemberState::Gone => "gone",
     }
 }
 
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -1,7 +1,7 @@
 //! A hollow instance: the state machines of a real one over real TLS connections, without a data path.
 //!
 //! Registration, reports, the watch and orders are those of [`madderloom_agent::Link`] and
-//! [`madderloom_control_plane::Instance`], the lease of limits is [`madderloom_quota_leases::Holder`], lists are
+//! [`madderloom_control_plane::Instance`], the lease of limits is [`madderloom_quota_leases::LeaseHolder`], lists are
 //! [`madderloom_endpoint_sharing::SharedEndpointLists`]. An overlay is checked and compared as the sidecar does it, and then kept.
 
 use super::lists::{Discovery, SharedLists};
@@ -11,13 +11,14 @@
 use super::usage;
 use madderloom_agent::traffic::TrafficCounters;
 use madderloom_agent::{ApplyFuture, Client, Link, LinkHandler};
-use madderloom_control_plane::gate::Counts;
-use madderloom_control_plane::protocol::{Outcome, ToAgent, ToInstance, Who};
-use madderloom_control_plane::settings::{Key, MOST_SETTINGS, Overlay, Value};
-use madderloom_control_plane::{Instance, Memory, Problem};
+use madderloom_control_plane::bounds::MAX_SETTINGS;
+use madderloom_control_plane::health_gate::RequestCounts;
+use madderloom_control_plane::protocol::{InstanceId, Outcome, ToAgent, ToInstance};
+use madderloom_control_plane::settings::{Key, Overlay, Value};
+use madderloom_control_plane::{Instance, PersistedInstance, Problem};
 use madderloom_endpoint_sharing::{EndpointListReports, EndpointListUpdates};
 use madderloom_pki::Keyring;
-use madderloom_quota_leases::{Asks, Holder, Lent, Safe};
+use madderloom_quota_leases::{Grant, LeaseHolder, LeaseRequests, SafeCapacity};
 use rustix::time::{ClockId, clock_gettime};
 use std::cell::{Cell, RefCell};
 use std::hash::{BuildHasher, RandomState};
@@ -49,7 +50,7 @@
 /// What outlives a start of an instance, and what is seen of it.
 #[derive(Default)]
 struct Seen {
-    memory: RefCell<Memory>,
+    memory: RefCell<PersistedInstance>,
     in_force: Cell<Option<(u32, u64)>>,
     /// A report was made since the mark. An answer to one that was made before says nothing of its session.
     reported: Cell<bool>,
@@ -151,21 +152,21 @@
 }
 
 /// A new start of an instance, as the sidecar makes it.
-fn who(number: usize) -> Who {
+fn who(number: usize) -> InstanceId {
     let unix = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
-    Who {
+    InstanceId {
         name: places::name(number),
         start: RandomState::new().hash_one(number),
         incarnation: u64::try_from(unix.as_micros()).unwrap_or(u64::MAX / 2),
     }
 }
 
-fn holder(manner: &Manner) -> Holder {
-    let mut holder = Holder::default();
-    let limits = (0..manner.limits).map(|limit| (limit_name(limit), Safe::Nothing));
-    holder.follow(boottime(), limits);
+fn holder(manner: &Manner) -> LeaseHolder {
+    let mut holder = LeaseHolder::default();
+    let limits = (0..manner.limits).map(|limit| (limit_name(limit), SafeCapacity::Zero));
+    holder.set_limits(boottime(), limits);
     holder
 }
 
@@ -188,14 +189,14 @@
     manner: Manner,
     counters: Arc<TrafficCounters>,
     seen: Rc<Seen>,
-    holder: Holder,
+    holder: LeaseHolder,
     lists: Rc<SharedLists>,
 }
 
 /// Checks an overlay as the sidecar does before it takes it.
 fn check(overlay: &Overlay) -> Result<(), Problem> {
-    if overlay.0.len() > MOST_SETTINGS {
-        let problem = format!("holds more than {MOST_SETTINGS} settings");
+    if overlay.0.len() > MAX_SETTINGS {
+        let problem = format!("holds more than {MAX_SETTINGS} settings");
         return Err(Problem {
             field: "set".into(),
             problem,
@@ -204,11 +205,11 @@
     let fault = overlay
         .0
         .iter()
-        .find_map(|(key, value)| Some((key, value.check(key).err()?)));
+        .find_map(|(key, value)| Some((key, value.validate(key).err()?)));
     fault.map_or(Ok(()), |(key, problem)| {
         Err(Problem {
             field: format!("set.{key}"),
-            problem,
+            problem: problem.to_string(),
         })
     })
 }
@@ -227,34 +228,34 @@
         Box::pin(std::future::ready(outcome))
     }
 
-    fn request_counts(&mut self) -> Counts {
+    fn request_counts(&mut self) -> RequestCounts {
         let ended = self.manner.requests;
-        Counts {
+        RequestCounts {
             ended,
             bad: ended * BAD_OF_A_THOUSAND / 1_000,
         }
     }
 
-    fn persist(&mut self, memory: &Memory) {
+    fn persist(&mut self, memory: &PersistedInstance) {
         self.seen.memory.replace(memory.clone());
     }
 
-    fn lease_requests(&mut self, term: u64) -> Option<Asks> {
+    fn lease_requests(&mut self, term: u64) -> Option<LeaseRequests> {
         if self.manner.requests > 0 {
             // One request a report: there is demand, and what it comes to is of no matter here.
             for limit in 0..self.manner.limits {
                 let name = limit_name(limit);
                 if self.holder.admit(boottime(), &name).is_ok() {
-                    self.holder.end(&name);
+                    self.holder.release(&name);
                 }
             }
         }
-        self.holder.hear(term);
-        (!self.holder.is_empty()).then(|| self.holder.ask(boottime()))
+        self.holder.observe_term(term);
+        (!self.holder.is_empty()).then(|| self.holder.make_report(boottime()))
     }
 
-    fn grant_received(&mut self, lent: &Lent) -> bool {
-        self.holder.take(boottime(), lent)
+    fn grant_received(&mut self, grant: &Grant) -> bool {
+        self.holder.apply_grant(boottime(), grant)
     }
 
     fn list_reports(&mut self) -> Option<EndpointListReports> {
--- a/crates/sidecar/src/agent_link/connection.rs
+++ b/crates/sidecar/src/agent_link/connection.rs
@@ -4,11 +4,11 @@
 use crate::pool;
 use crate::process::Sidecar;
 use madderloom_agent::{ApplyFuture, Client, Link, LinkHandler};
-use madderloom_control_plane::change::Traits;
-use madderloom_control_plane::gate::Counts;
-use madderloom_control_plane::protocol::Who;
+use madderloom_control_plane::health_gate::RequestCounts;
+use madderloom_control_plane::protocol::InstanceId;
+use madderloom_control_plane::selector::Attributes;
 use madderloom_control_plane::settings::Overlay;
-use madderloom_control_plane::{Instance, Memory};
+use madderloom_control_plane::{Instance, PersistedInstance};
 use madderloom_endpoint_sharing::{EndpointListReports, EndpointListUpdates, Offer};
 use madderloom_pki::{KeyFiles, Keyring, Role};
 use madderloom_quota_leases::{Grant, LeaseRequests};
@@ -34,7 +34,7 @@
 pub(super) async fn keep_link(
     sidecar: Weak<Sidecar>,
     control: madderloom_operator_config::Control,
-    traits: watch::Receiver<Traits>,
+    traits: watch::Receiver<Attributes>,
 ) {
     let files = KeyFiles {
         authority: control.authority.clone(),
@@ -69,7 +69,7 @@
     let unix = SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
         .unwrap_or_default();
-    let who = Who {
+    let who = InstanceId {
         name: control.name.clone(),
         start: RandomState::new().hash_one(&control.name),
         incarnation: u64::try_from(unix.as_micros()).unwrap_or(u64::MAX / 2),
@@ -77,8 +77,8 @@
     let memory = own.agent_link.memory.borrow().clone();
     let machine = Instance::new(0, who, traits.borrow().clone(), memory.clone());
     // Persisted before it is used, so that no two starts have the same incarnation.
-    own.agent_link.persist(&Memory {
-        incarnation: machine.who().incarnation,
+    own.agent_link.persist(&PersistedInstance {
+        incarnation: machine.id().incarnation,
         ..memory
     });
     tracing::info!(
@@ -145,9 +145,9 @@
         })
     }
 
-    fn request_counts(&mut self) -> Counts {
+    fn request_counts(&mut self) -> RequestCounts {
         let Some(sidecar) = self.sidecar.upgrade() else {
-            return Counts::default();
+            return RequestCounts::default();
         };
         self.window.sample(Instant::now(), &sidecar.common)
     }
@@ -187,7 +187,7 @@
         common.shared_lists.hear(lists, apply, call, rest)
     }
 
-    fn persist(&mut self, memory: &Memory) {
+    fn persist(&mut self, memory: &PersistedInstance) {
         if let Some(sidecar) = self.sidecar.upgrade() {
             sidecar.agent_link.persist(memory);
         }
--- a/crates/sidecar/src/promises.rs
+++ b/crates/sidecar/src/promises.rs
@@ -4,7 +4,7 @@
 use super::{
     client, common, connections, counts, feed, list_reader, listener, pool, second_address, upload,
 };
-use madderloom_control_plane::{change, protocol, settings};
+use madderloom_control_plane::{bounds, protocol};
 
 /// So many seconds, as pages write them.
 fn seconds(micros: u64) -> String {
@@ -143,11 +143,15 @@
     };
     let lists = [
         ("sidecar/src/pool.rs", "SERVERS", pool::SERVERS),
-        ("fleet/src/change.rs", "MOST_NAMES", change::MOST_NAMES),
         (
-            "fleet/src/settings.rs",
-            "MOST_SETTINGS",
-            settings::MOST_SETTINGS,
+            "control-plane/src/bounds.rs",
+            "MAX_SELECTED_NAMES",
+            bounds::MAX_SELECTED_NAMES,
+        ),
+        (
+            "control-plane/src/bounds.rs",
+            "MAX_SETTINGS",
+            bounds::MAX_SETTINGS,
         ),
         (
             "sidecar-state/src/warm_start/snapshot.rs",
@@ -183,14 +187,14 @@
             madderloom_endpoint_sharing::MAX_LISTS,
         ),
         bytes(
-            "fleet/src/protocol.rs",
-            "LARGEST_FROM_INSTANCE",
-            protocol::LARGEST_FROM_INSTANCE,
+            "control-plane/src/protocol.rs",
+            "MAX_REPORT_BYTES",
+            protocol::MAX_REPORT_BYTES,
         ),
         bytes(
-            "fleet/src/protocol.rs",
-            "LARGEST_ORDER",
-            protocol::LARGEST_ORDER,
+            "control-plane/src/protocol.rs",
+            "MAX_ORDER_BYTES",
+            protocol::MAX_ORDER_BYTES,
         ),
         count("sidecar/src/common.rs", "Totals", common::MOST_CONNECTIONS),
         bytes("sidecar/src/upload.rs", "KEPT", upload::KEPT),
