--- a/crates/cli/tests/operations/calls.rs
+++ b/crates/cli/tests/operations/calls.rs
@@ -23,6 +23,37 @@
     assert_eq!(sidecar.figure("app.registry_entries"), 1);
 }
 
+/// Dashboards and scripts read them by these names, in this order.
+#[test]
+fn the_figures_have_these_names() {
+    let node = Node::new();
+    let sidecar = asked(&[&node]);
+    let told = sidecar.call("INFO\n");
+    let names: Vec<&str> = told.lines().map(|line| line.split('=').next().unwrap_or_default()).collect();
+    assert_eq!(
+        names,
+        [
+            "app.operations.recheck.fulfilled",
+            "app.operations.recheck.throttled",
+            "app.operations.recheck.faulted",
+            "app.operations.submit-check.fulfilled",
+            "app.operations.submit-check.throttled",
+            "app.operations.submit-check.faulted",
+            "app.relayed",
+            "app.open_requests",
+            "app.registry_entries",
+            "app.out_of_rotation",
+            "app.cfg_accepted",
+            "app.cfg_invalid",
+            "app.busy_turns",
+            "app.stalled_turns",
+            "eof",
+        ]
+    );
+    let mut counts = told.lines().filter_map(|line| line.split_once('='));
+    assert!(counts.all(|(_, count)| count.parse::<u64>().is_ok()), "{told}");
+}
+
 /// Those of a class stand on the page once, as `CLASS`.
 #[test]
 fn each_figure_is_on_the_page_for_on_call_staff() {
