--- a/crates/cli/tests/ledger/main.rs
+++ b/crates/cli/tests/ledger/main.rs
@@ -10,6 +10,7 @@
 mod a_disk_that_refuses;
 mod no_submission_runs_twice;
 mod nothing_without_the_section;
+mod stored_state;
 mod warm_start;
 
 use rig::{Conn, Message, PATIENCE};
