--- a/crates/store/tests/backward_compatibility.rs
+++ b/crates/store/tests/backward_compatibility.rs
@@ -82,6 +82,37 @@
     assert_eq!((verified.damage, verified.torn), (None, 0));
 }
 
+/// As the agent and the sidecar open it: on a real disk, with the usual options.
+#[test]
+fn a_copy_of_a_folder_of_version_1_opens_on_a_real_disk_and_goes_on() {
+    let copy = tempfile::TempDir::new().expect("a directory");
+    for (name, bytes) in read(&fixture()) {
+        std::fs::write(copy.path().join(name), bytes).expect("it is written");
+    }
+    let open = || {
+        let disk = RealDisk::open(copy.path()).expect("a disk");
+        Store::open(disk, madderloom_store::Options::default()).expect("it opens")
+    };
+    let contents = |store: &Store<RealDisk>| -> Map {
+        let snapshot = store.snapshot();
+        let entries = snapshot.scan(b"", 0).map(|entry| entry.expect("it reads"));
+        entries.map(|(key, value)| (key.to_vec(), value)).collect()
+    };
+    let mut store = open();
+    assert_eq!(contents(&store), expected());
+    store.put(b"more", b"1").expect("it is written");
+    drop(store);
+    let mut store = open();
+    let mut more = expected();
+    more.insert(b"more".to_vec(), b"1".to_vec());
+    assert_eq!(contents(&store), more);
+    // What has expired goes with the next compaction, and nothing else does.
+    store.compact(1_030).expect("it compacts");
+    drop(store);
+    more.retain(|key, _| key.first() != Some(&b'u') || key[1] > 30);
+    assert_eq!(contents(&open()), more);
+}
+
 /// A change of what is written without a new version would be met by no test of an older store.
 #[test]
 fn version_1_is_still_what_is_written() {
