--- a/crates/cli/src/fleet/top.rs
+++ b/crates/cli/src/fleet/top.rs
@@ -1,11 +1,11 @@
 //! `top`: the fleet watched in the terminal.
 
-use super::connection::{Connection, get};
+use super::connection::{CommandError, Connection, get};
 use super::text::{counts, lists, shares, table};
 use crate::output::tell;
-use madderloom_agent::view::{Instance, Rollouts, Status};
-use madderloom_agent::{Client, Failed};
-use madderloom_fleet::membership::Presence;
+use madderloom_agent::Client;
+use madderloom_agent::view::{InstanceView, RolloutView, StatusView};
+use madderloom_control_plane::membership::Presence;
 use std::fmt;
 use std::io::IsTerminal;
 use std::process::ExitCode;
@@ -50,54 +50,86 @@
 }
 
 struct View {
-    status: Status,
-    rollout: Option<Rollouts>,
-    instances: Vec<Instance>,
+    status: StatusView,
+    rollout: Option<RolloutView>,
+    instances: Vec<InstanceView>,
     /// The most instances that are shown.
     rows: usize,
 }
 
-async fn look(client: &Client, rows: usize) -> Result<View, Failed> {
-    let status: Status = get(client, "/v1/status").await?;
+async fn look(client: &Client, rows: usize) -> Result<View, CommandError> {
+    let status: StatusView = get(client, "/v1/status").await?;
     let rollout = match &status.rolling_out {
         // It may have ended since.
         Some(id) => get(client, &format!("/v1/rollouts/{id}")).await.ok(),
         None => None,
     };
-    let mut instances: Vec<Instance> = get(client, "/v1/instances").await?;
+    let mut instances: Vec<InstanceView> = get(client, "/v1/instances").await?;
     // What needs a look stands first.
     instances.sort_by_key(|i| {
-        (i.presence == Presence::Alive && i.in_line == Some(true) && i.refused.is_none(), i.name.clone())
+        (
+            i.presence == Presence::Alive && i.in_sync == Some(true) && i.rejection.is_none(),
+            i.name.clone(),
+        )
     });
-    Ok(View { status, rollout, instances, rows })
+    Ok(View {
+        status,
+        rollout,
+        instances,
+        rows,
+    })
 }
 
 impl fmt::Display for View {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Status { term, revision, instances, in_effect, stood_down, .. } = &self.status;
-        let there: Vec<String> = instances.iter().map(|(state, count)| format!("{count} {state}")).collect();
+        let StatusView {
+            term,
+            revision,
+            instances,
+            in_effect,
+            superseded_by,
+            ..
+        } = &self.status;
+        let there: Vec<String> = instances
+            .iter()
+            .map(|(state, count)| format!("{count} {state}"))
+            .collect();
         let changes = in_effect.len();
         writeln!(
             f,
             "revision {revision}, {changes} changes in effect, term {term}; instances: {}",
             there.join(", ")
         )?;
-        if let Some(term) = stood_down {
-            writeln!(f, "an agent of term {term} has taken over: this one gives no orders any more")?;
+        if let Some(term) = superseded_by {
+            writeln!(
+                f,
+                "an agent of term {term} has taken over: this one gives no orders any more"
+            )?;
         }
         match &self.rollout {
             Some(rollout) => writeln!(f, "{}: {}: {}", rollout.id, rollout.phase, counts(rollout))?,
             None => writeln!(f, "nothing is rolling out")?,
         }
         if !self.status.fleet_limits.is_empty() {
-            if self.status.lends_all == Some(false) {
-                writeln!(f, "fleet limits: what a former agent lent may be out, and is lent again alone")?;
+            if self.status.grants_in_full == Some(false) {
+                writeln!(
+                    f,
+                    "fleet limits: what a former agent lent may be out, and is lent again alone"
+                )?;
             }
             writeln!(f, "{}", shares(&self.status.fleet_limits))?;
         }
         if !self.status.relays.is_empty() {
-            let behind = self.status.relays.iter().map(|(relay, count)| format!("{relay} {count}"));
-            writeln!(f, "instances behind relays: {}", behind.collect::<Vec<_>>().join(", "))?;
+            let behind = self
+                .status
+                .relays
+                .iter()
+                .map(|(relay, count)| format!("{relay} {count}"));
+            writeln!(
+                f,
+                "instances behind relays: {}",
+                behind.collect::<Vec<_>>().join(", ")
+            )?;
         }
         if !self.status.shared_lists.is_empty() {
             writeln!(f, "{}", lists(&self.status.shared_lists))?;
--- a/crates/cli/src/place.rs
+++ b/crates/cli/src/place.rs
@@ -1,6 +1,6 @@
 //! Where a running process's admin view is, as command lines name it.
 
-use madderloom_operator::{Admin, Operator};
+use madderloom_operator_config::{Admin, Operator};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
@@ -37,7 +37,9 @@
 
 /// Waits for what is asked of an admin view.
 pub(crate) fn wait_for<T>(answer: impl Future<Output = T>) -> Result<T, String> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
     Ok(runtime.block_on(answer))
 }
--- a/crates/cli/src/store.rs
+++ b/crates/cli/src/store.rs
@@ -1,7 +1,7 @@
 //! `madderloom store`: an embedded store looked at, compacted, and saved from damage, while nothing else has it open.
 
 use clap::{Args, Subcommand, ValueEnum};
-use madderloom_store::{Error, Options, RealDisk, Store as Opened, Verified, salvage, verify};
+use madderloom_store::{Error, Options, RealDisk, Store as Opened, VerifyReport, salvage, verify};
 use serde_json::{Value, json};
 use std::io::{BufWriter, IsTerminal, Write};
 use std::path::PathBuf;
@@ -12,9 +12,11 @@
 /// The program that uses the store must not run meanwhile. Exits with 0 where all is well, with 1 where the store is
 /// damaged or can't be opened.
 #[derive(Args)]
-#[command(after_help = "Examples:\n  madderloom store verify /var/lib/madderloom\n  \
+#[command(
+    after_help = "Examples:\n  madderloom store verify /var/lib/madderloom\n  \
     madderloom store dump /var/lib/madderloom --prefix drain/\n  \
-    madderloom store salvage /var/lib/madderloom /var/lib/madderloom.saved")]
+    madderloom store salvage /var/lib/madderloom /var/lib/madderloom.saved"
+)]
 pub(crate) struct Store {
     #[command(subcommand)]
     command: Command,
@@ -105,7 +107,7 @@
     fn refused(&self, error: &Error) -> String {
         let at = self.directory.display();
         match error {
-            Error::Damaged(_) => {
+            Error::Corrupted(_) => {
                 format!("{at}: {error}; what can be read of it: madderloom store salvage {at} NEW")
             }
             _ => format!("{at}: {error}"),
@@ -113,38 +115,58 @@
     }
 
     fn open(&self, read_only: bool) -> Result<Opened<RealDisk>, String> {
-        let options = Options { create: false, read_only, ..Options::default() };
+        let options = Options {
+            create: false,
+            read_only,
+            ..Options::default()
+        };
         Opened::open(self.disk()?, options).map_err(|e| self.refused(&e))
     }
 
     fn verify(&self) -> Result<ExitCode, String> {
         let verified = verify(&self.disk()?).map_err(|e| self.refused(&e))?;
-        let Verified { damage, files, frames, records, bytes, torn, strays } = &verified;
+        let VerifyReport {
+            corruption,
+            segments,
+            frames,
+            records,
+            bytes,
+            torn_bytes,
+            unlisted_segments,
+        } = &verified;
         if self.output == Output::Json {
-            let place = |d: &madderloom_store::Damage| json!({"file": d.file, "offset": d.offset, "problem": d.problem});
+            let place = |d: &madderloom_store::Corruption| json!({"file": d.file, "offset": d.offset, "problem": d.problem});
             tell(json!({
-                "directory": self.directory, "sound": damage.is_none(), "damage": damage.as_ref().map(place),
-                "files": files, "batches": frames, "records": records, "bytes": bytes, "torn": torn,
-                "strays": strays,
+                "directory": self.directory, "sound": corruption.is_none(), "damage": corruption.as_ref().map(place),
+                "files": segments, "batches": frames, "records": records, "bytes": bytes, "torn": torn_bytes,
+                "strays": unlisted_segments,
             }));
         } else {
-            let read = format!("{files} segments, {frames} batches, {records} records, {bytes} bytes");
-            match damage {
-                Some(damage) => {
-                    tell(self.refused(&Error::Damaged(damage.clone())) + &format!("; read before it: {read}"))
-                }
+            let read =
+                format!("{segments} segments, {frames} batches, {records} records, {bytes} bytes");
+            match corruption {
+                Some(corruption) => tell(
+                    self.refused(&Error::Corrupted(corruption.clone()))
+                        + &format!("; read before it: {read}"),
+                ),
                 None => tell(format_args!("{}: sound: {read}", self.directory.display())),
             }
-            if *torn > 0 {
+            if *torn_bytes > 0 {
                 tell(format_args!(
-                    "a torn end of {torn} bytes, never acknowledged, is cut at the next opening"
+                    "a torn end of {torn_bytes} bytes, never acknowledged, is cut at the next opening"
                 ));
             }
-            if *strays > 0 {
-                tell(format_args!("{strays} files that a crash left are removed at the next opening"));
+            if *unlisted_segments > 0 {
+                tell(format_args!(
+                    "{unlisted_segments} files that a crash left are removed at the next opening"
+                ));
             }
         }
-        Ok(if damage.is_none() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+        Ok(if corruption.is_none() {
+            ExitCode::SUCCESS
+        } else {
+            ExitCode::FAILURE
+        })
     }
 
     fn stat(&self) -> Result<ExitCode, String> {
@@ -153,24 +175,27 @@
     }
 
     fn tell_stat(&self, store: &Opened<RealDisk>) {
-        let stat = store.stat(0);
+        let statistics = store.statistics(0);
         let rows = [
-            ("keys", stat.keys),
-            ("live_bytes", stat.live),
-            ("log_bytes", stat.log),
-            ("segments", stat.segments),
-            ("batches", stat.next),
-            ("manifests", stat.generation),
-            ("torn_bytes", stat.cut),
+            ("keys", statistics.keys),
+            ("live_bytes", statistics.live_bytes),
+            ("log_bytes", statistics.log_bytes),
+            ("segments", statistics.segments),
+            ("batches", statistics.next_sequence),
+            ("manifests", statistics.manifest_generation),
+            ("torn_bytes", statistics.truncated_bytes),
         ];
         if self.output == Output::Json {
-            let mut object: serde_json::Map<String, Value> =
-                rows.iter().map(|(name, value)| ((*name).to_owned(), json!(value))).collect();
+            let mut object: serde_json::Map<String, Value> = rows
+                .iter()
+                .map(|(name, value)| ((*name).to_owned(), json!(value)))
+                .collect();
             object.insert("directory".into(), json!(self.directory));
             tell(Value::Object(object));
         } else {
-            rows.iter()
-                .for_each(|(name, value)| tell(format_args!("{:<11} {value:>16}", name.replace('_', " "))));
+            rows.iter().for_each(|(name, value)| {
+                tell(format_args!("{:<11} {value:>16}", name.replace('_', " ")))
+            });
         }
     }
 }
@@ -195,10 +220,15 @@
             expires.map_or(Ok(()), |expires| write!(out, "\texpires {expires}"))?;
             writeln!(out)
         };
-        for (key, _, expires) in snapshot.keys(self.prefix.as_bytes(), 0) {
-            let value =
-                if self.keys { None } else { snapshot.get(key, 0).map_err(|e| self.of.refused(&e))? };
-            if line(key, expires, value.as_deref()).is_err() {
+        for entry in snapshot.keys(self.prefix.as_bytes(), 0) {
+            let value = if self.keys {
+                None
+            } else {
+                snapshot
+                    .get(entry.key, 0)
+                    .map_err(|e| self.of.refused(&e))?
+            };
+            if line(entry.key, entry.expires_at, value.as_deref()).is_err() {
                 // Whoever read it has seen enough.
                 return Ok(ExitCode::SUCCESS);
             }
@@ -215,22 +245,32 @@
     fn run(self) -> Result<ExitCode, String> {
         let of = &self.of;
         let mut store = of.open(false)?;
-        let before = store.stat(0).log;
-        let compacted = store.begin_compaction(self.expired_by).and_then(|mut compaction| {
-            let mut done = 0;
-            while !compaction.step(PROGRESS)? {
-                done += PROGRESS;
-                if std::io::stderr().is_terminal() {
-                    let _ = writeln!(std::io::stderr(), "{} MiB of {} at most", done >> 20, before >> 20);
+        let before = store.statistics(0).log_bytes;
+        let compacted = store
+            .begin_compaction(self.expired_by)
+            .and_then(|mut compaction| {
+                let mut done = 0;
+                while !compaction.step(PROGRESS)? {
+                    done += PROGRESS;
+                    if std::io::stderr().is_terminal() {
+                        let _ = writeln!(
+                            std::io::stderr(),
+                            "{} MiB of {} at most",
+                            done >> 20,
+                            before >> 20
+                        );
+                    }
                 }
-            }
-            store.finish_compaction(compaction)?;
-            store.relocate(usize::MAX);
-            Ok(())
-        });
+                store.finish_compaction(compaction)?;
+                store.relocate_entries(usize::MAX);
+                Ok(())
+            });
         compacted.map_err(|e| of.refused(&e))?;
         if of.output == Output::Text {
-            tell(format_args!("{}: {before} bytes before", of.directory.display()));
+            tell(format_args!(
+                "{}: {before} bytes before",
+                of.directory.display()
+            ));
         }
         of.tell_stat(&store);
         Ok(ExitCode::SUCCESS)
@@ -248,24 +288,27 @@
         if self.of.output == Output::Json {
             let lost = salvaged.lost.iter().map(|lost| {
                 let batches = lost.sequences.as_ref().map(|s| [s.start, s.end]);
-                let place = &lost.damage;
+                let place = &lost.corruption;
                 json!({"file": place.file, "offset": place.offset, "problem": place.problem, "bytes": lost.bytes,
                     "batches": batches})
             });
             tell(
                 json!({"directory": from, "into": into, "batches": salvaged.frames, "records": salvaged.records,
-                "torn": salvaged.torn, "lost": lost.collect::<Vec<_>>()}),
+                "torn": salvaged.torn_bytes, "lost": lost.collect::<Vec<_>>()}),
             );
         } else {
             let into = into.display();
-            tell(format_args!("{into}: {} batches, {} records copied", salvaged.frames, salvaged.records));
+            tell(format_args!(
+                "{into}: {} batches, {} records copied",
+                salvaged.frames, salvaged.records
+            ));
             for lost in &salvaged.lost {
                 let batches = lost.sequences.as_ref();
-                let batches =
-                    batches.map(|s| format!(", batches {} to {}", s.start, s.end.saturating_sub(1)));
+                let batches = batches
+                    .map(|s| format!(", batches {} to {}", s.start, s.end.saturating_sub(1)));
                 tell(format_args!(
                     "lost: {}: {} bytes{}",
-                    lost.damage,
+                    lost.corruption,
                     lost.bytes,
                     batches.unwrap_or_default()
                 ));
--- a/crates/cli/tests/command_line/main.rs
+++ b/crates/cli/tests/command_line/main.rs
@@ -9,5 +9,8 @@
 fn subcommands_and_options_are_those_of_the_outline() {
     let present = outline(Path::new(env!("CARGO_BIN_EXE_madderloom")), &[]);
     let committed = include_str!("../fixtures/command-line.txt");
-    assert_eq!(present, committed, "the command line has changed; it is now:\n{present}");
+    assert_eq!(
+        present, committed,
+        "the command line has changed; it is now:\n{present}"
+    );
 }
--- a/crates/cli/tests/command_line/outline.rs
+++ b/crates/cli/tests/command_line/outline.rs
@@ -8,7 +8,13 @@
 const MAX_NAME_INDENT: usize = 6;
 
 /// What stands behind a description in brackets.
-const NOTES: [&str; 5] = ["[default: ", "[env: ", "[possible values: ", "[aliases: ", "[short aliases: "];
+const NOTES: [&str; 5] = [
+    "[default: ",
+    "[env: ",
+    "[possible values: ",
+    "[aliases: ",
+    "[short aliases: ",
+];
 
 /// An argument or an option.
 struct Entry {
@@ -43,10 +49,16 @@
             continue;
         } else if indent <= MAX_NAME_INDENT && text.starts_with(['-', '<', '[']) {
             let (name, description) = text.split_once("  ").unwrap_or((text, ""));
-            entries.push(Entry { name: name.into(), description: description.trim().into(), values: vec![] });
+            entries.push(Entry {
+                name: name.into(),
+                description: description.trim().into(),
+                values: vec![],
+            });
         } else if let Some(entry) = entries.last_mut() {
             match text.strip_prefix("- ") {
-                Some(value) => entry.values.extend(value.split(':').next().map(String::from)),
+                Some(value) => entry
+                    .values
+                    .extend(value.split(':').next().map(String::from)),
                 None => entry.description.extend([" ", text]),
             }
         }
@@ -61,8 +73,17 @@
 
 fn help(program: &Path, path: &[String]) -> String {
     // Help tells the values of environment variables.
-    let done = Command::new(program).env_clear().args(path).arg("--help").output().expect("it runs");
-    assert!(done.status.success(), "{path:?}: {}", String::from_utf8_lossy(&done.stderr));
+    let done = Command::new(program)
+        .env_clear()
+        .args(path)
+        .arg("--help")
+        .output()
+        .expect("it runs");
+    assert!(
+        done.status.success(),
+        "{path:?}: {}",
+        String::from_utf8_lossy(&done.stderr)
+    );
     String::from_utf8(done.stdout).expect("text")
 }
 
--- a/crates/cli/tests/file_keys/agent.rs
+++ b/crates/cli/tests/file_keys/agent.rs
@@ -1,5 +1,5 @@
 use crate::{Keys, Table, check, keys};
-use madderloom_agent::Config;
+use madderloom_agent::AgentConfig;
 use std::path::Path;
 
 const FILE: &[Table] = &[
@@ -34,7 +34,10 @@
             ("limits", "\"12s\""),
         ],
     ),
-    ("[registrations]", &[("rate", "100"), ("burst", "50"), ("horizon", "\"1m\"")]),
+    (
+        "[registrations]",
+        &[("rate", "100"), ("burst", "50"), ("horizon", "\"1m\"")],
+    ),
     (
         "[[fleet_limits]]",
         &[
@@ -68,7 +71,10 @@
         ],
     ),
     keys("keys", &["authority", "certificate", "key", "revoked"]),
-    keys("leases", &["report", "lease", "grace", "memory", "instances", "limits"]),
+    keys(
+        "leases",
+        &["report", "lease", "grace", "memory", "instances", "limits"],
+    ),
     keys("registrations", &["rate", "burst", "horizon"]),
     keys(
         "fleet_limits",
@@ -88,5 +94,7 @@
 
 #[test]
 fn the_keys_of_the_agent_file_are_those_of_the_list() {
-    check(&[FILE], KEYS, |text| Config::read(text, Path::new("agent.toml")).map(drop));
+    check(&[FILE], KEYS, |text| {
+        AgentConfig::read(text, Path::new("agent.toml")).map(drop)
+    });
 }
--- a/crates/cli/tests/file_keys/change.rs
+++ b/crates/cli/tests/file_keys/change.rs
@@ -9,8 +9,23 @@
 ];
 
 const FILE: &[Table] = &[
-    ("", &[("version", "1"), ("id", "\"slow-w7\""), ("base", "41"), ("note", "\"w7 answers late\"")]),
-    ("[select]", &[("names", "[\"shop-*\"]"), ("labels", "{ tier = \"canary\" }"), ("zones", "[\"north\"]")]),
+    (
+        "",
+        &[
+            ("version", "1"),
+            ("id", "\"slow-w7\""),
+            ("base", "41"),
+            ("note", "\"w7 answers late\""),
+        ],
+    ),
+    (
+        "[select]",
+        &[
+            ("names", "[\"shop-*\"]"),
+            ("labels", "{ tier = \"canary\" }"),
+            ("zones", "[\"north\"]"),
+        ],
+    ),
     (
         "[rollout]",
         &[
@@ -37,7 +52,10 @@
 
 /// What the agent itself goes by is set on all instances alike.
 const FLEET_WIDE: &[Table] = &[
-    ("", &[("version", "1"), ("id", "\"more-views\""), ("base", "41")]),
+    (
+        "",
+        &[("version", "1"), ("id", "\"more-views\""), ("base", "41")],
+    ),
     (
         "[set]",
         &[
@@ -49,9 +67,17 @@
 ];
 
 const KEYS: &[Keys] = &[
-    keys("", &["version", "id", "base", "note", "select", "rollout", "set"]),
+    keys(
+        "",
+        &["version", "id", "base", "note", "select", "rollout", "set"],
+    ),
     keys("select", &["names", "labels", "zones"]),
-    keys("rollout", &["waves", "at_once", "pause", "silence", "failures", "then", "gate"]),
+    keys(
+        "rollout",
+        &[
+            "waves", "at_once", "pause", "silence", "failures", "then", "gate",
+        ],
+    ),
     Keys {
         table: "rollout.gate",
         keys: &["worse", "evidence", "sure", "patience", "unproven"],
@@ -78,5 +104,7 @@
 
 #[test]
 fn the_keys_of_a_change_are_those_of_the_list() {
-    check(&[FILE, FLEET_WIDE], KEYS, |text| madderloom_fleet::file::read(text, None).map(drop));
+    check(&[FILE, FLEET_WIDE], KEYS, |text| {
+        madderloom_control_plane::file::read(text, None).map(drop)
+    });
 }
--- a/crates/cli/tests/file_keys/main.rs
+++ b/crates/cli/tests/file_keys/main.rs
@@ -6,7 +6,7 @@
 mod operator;
 mod relay;
 
-use madderloom_config::Problem;
+use madderloom_config_reader::Problem;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A table of a file: its header, and its keys with their values.
@@ -34,7 +34,11 @@
 }
 
 const fn keys(table: &'static str, keys: &'static [&'static str]) -> Keys {
-    Keys { table, keys, refusal: Refusal::WithList }
+    Keys {
+        table,
+        keys,
+        refusal: Refusal::WithList,
+    }
 }
 
 fn written(tables: &[Table], unknown_in: Option<usize>) -> String {
@@ -62,10 +66,16 @@
     let mut place = String::new();
     for (end, _) in path.match_indices('.').chain([(path.len(), "")]) {
         let list = format!("[[{}]]", &path[..end]);
-        let entries = tables[..=number].iter().filter(|(header, _)| *header == list).count();
+        let entries = tables[..=number]
+            .iter()
+            .filter(|(header, _)| *header == list)
+            .count();
         let step = path[..end].rsplit('.').next().unwrap_or_default();
         let dot = if place.is_empty() { "" } else { "." };
-        let position = entries.checked_sub(1).map(|position| format!("[{position}]")).unwrap_or_default();
+        let position = entries
+            .checked_sub(1)
+            .map(|position| format!("[{position}]"))
+            .unwrap_or_default();
         place += &format!("{dot}{step}{position}");
     }
     place
@@ -73,18 +83,35 @@
 
 /// Checks that a refusal is the one that is expected of a key that is not known.
 fn check_refusal(list: &Keys, place: &str, problems: &[Problem]) {
-    let key = if place.is_empty() { UNKNOWN.to_string() } else { format!("{place}.{UNKNOWN}") };
-    let [Problem { field, problem, .. }] = problems else { panic!("not one problem: {problems:#?}") };
+    let key = if place.is_empty() {
+        UNKNOWN.to_string()
+    } else {
+        format!("{place}.{UNKNOWN}")
+    };
+    let [Problem { field, problem, .. }] = problems else {
+        panic!("not one problem: {problems:#?}")
+    };
     match list.refusal {
         Refusal::WithList => {
             assert_eq!(*field, key);
-            let known =
-                problem.strip_prefix("is not known; there are ").unwrap_or_else(|| panic!("{problem}"));
-            assert_eq!(sorted(known.split(", ")), sorted(list.keys.iter().copied()), "the keys of {place:?}");
+            let known = problem
+                .strip_prefix("is not known; there are ")
+                .unwrap_or_else(|| panic!("{problem}"));
+            assert_eq!(
+                sorted(known.split(", ")),
+                sorted(list.keys.iter().copied()),
+                "the keys of {place:?}"
+            );
         }
-        Refusal::Says(text) => assert!(*field == key && problem.starts_with(text), "{field}: {problem}"),
+        Refusal::Says(text) => assert!(
+            *field == key && problem.starts_with(text),
+            "{field}: {problem}"
+        ),
         Refusal::SaysOfTable(text) => {
-            assert!(field == place && problem.starts_with(text), "{field}: {problem}");
+            assert!(
+                field == place && problem.starts_with(text),
+                "{field}: {problem}"
+            );
         }
     }
 }
@@ -129,11 +156,17 @@
     table: &str,
     keys: impl Iterator<Item = &'k str>,
 ) {
-    found.entry(table.to_string()).or_default().extend(keys.map(String::from));
+    found
+        .entry(table.to_string())
+        .or_default()
+        .extend(keys.map(String::from));
     let mut inner = table;
     while !inner.is_empty() {
         let (outer, name) = inner.rsplit_once('.').unwrap_or(("", inner));
-        found.entry(outer.to_string()).or_default().insert(name.to_string());
+        found
+            .entry(outer.to_string())
+            .or_default()
+            .insert(name.to_string());
         inner = outer;
     }
 }
--- a/crates/cli/tests/file_keys/operator.rs
+++ b/crates/cli/tests/file_keys/operator.rs
@@ -1,6 +1,6 @@
 use crate::{Keys, Refusal, Table, check, keys};
-use madderloom_config::Problem;
-use madderloom_operator::Operator;
+use madderloom_config_reader::Problem;
+use madderloom_operator_config::Operator;
 
 const SETTINGS: &str = include_str!("../../../../examples/try/config.json");
 
@@ -10,10 +10,22 @@
     ("[process]", &[("name", "\"shop-1\""), ("drain", "\"2s\"")]),
     (
         "[limits]",
-        &[("descriptors", "4096"), ("memory", "\"256MiB\""), ("open", "20000"), ("bodies", "\"16MiB\"")],
+        &[
+            ("descriptors", "4096"),
+            ("memory", "\"256MiB\""),
+            ("open", "20000"),
+            ("bodies", "\"16MiB\""),
+        ],
     ),
     ("[admin]", &[("socket", "\"/run/madderloom/admin.sock\"")]),
-    ("[timeline]", &[("false_alarms_a_day", "1.0"), ("servers", "16"), ("remember_left", "\"1h\"")]),
+    (
+        "[timeline]",
+        &[
+            ("false_alarms_a_day", "1.0"),
+            ("servers", "16"),
+            ("remember_left", "\"1h\""),
+        ],
+    ),
     (
         "[state]",
         &[
@@ -41,7 +53,11 @@
     ),
     (
         "[control.keys]",
-        &[("authority", "\"authority.pem\""), ("certificate", "\"shop.pem\""), ("key", "\"shop.key\"")],
+        &[
+            ("authority", "\"authority.pem\""),
+            ("certificate", "\"shop.pem\""),
+            ("key", "\"shop.key\""),
+        ],
     ),
     (
         "[[control.fleet_limits]]",
@@ -54,7 +70,14 @@
             ("each_server", "false"),
         ],
     ),
-    ("[control.fleet_limits.safe]", &[("requests_per_second", "0.5"), ("burst", "1"), ("open", "4")]),
+    (
+        "[control.fleet_limits.safe]",
+        &[
+            ("requests_per_second", "0.5"),
+            ("burst", "1"),
+            ("open", "4"),
+        ],
+    ),
     (
         "[[listeners]]",
         &[
@@ -66,10 +89,26 @@
             ("body_size", "\"64KiB\""),
         ],
     ),
-    ("[listeners.limits]", &[("requests_per_second", "100.0"), ("burst", "10"), ("weight", "2")]),
-    ("[listeners.limits.open]", &[("guaranteed", "10"), ("most", "100")]),
-    ("[listeners.limits.bodies]", &[("guaranteed", "\"64KiB\""), ("most", "\"1MiB\"")]),
-    ("[listeners.limits.connections]", &[("guaranteed", "10"), ("most", "100")]),
+    (
+        "[listeners.limits]",
+        &[
+            ("requests_per_second", "100.0"),
+            ("burst", "10"),
+            ("weight", "2"),
+        ],
+    ),
+    (
+        "[listeners.limits.open]",
+        &[("guaranteed", "10"), ("most", "100")],
+    ),
+    (
+        "[listeners.limits.bodies]",
+        &[("guaranteed", "\"64KiB\""), ("most", "\"1MiB\"")],
+    ),
+    (
+        "[listeners.limits.connections]",
+        &[("guaranteed", "10"), ("most", "100")],
+    ),
     (
         "[[pools]]",
         &[
@@ -90,10 +129,26 @@
             ("weight", "1.0"),
         ],
     ),
-    ("[pools.limits]", &[("requests_per_second", "100.0"), ("burst", "10"), ("weight", "2")]),
-    ("[pools.limits.open]", &[("guaranteed", "10"), ("most", "100")]),
-    ("[pools.limits.bodies]", &[("guaranteed", "\"64KiB\""), ("most", "\"1MiB\"")]),
-    ("[pools.limits.connections]", &[("guaranteed", "10"), ("most", "100")]),
+    (
+        "[pools.limits]",
+        &[
+            ("requests_per_second", "100.0"),
+            ("burst", "10"),
+            ("weight", "2"),
+        ],
+    ),
+    (
+        "[pools.limits.open]",
+        &[("guaranteed", "10"), ("most", "100")],
+    ),
+    (
+        "[pools.limits.bodies]",
+        &[("guaranteed", "\"64KiB\""), ("most", "\"1MiB\"")],
+    ),
+    (
+        "[pools.limits.connections]",
+        &[("guaranteed", "10"), ("most", "100")],
+    ),
     ("[pools.levels]", &[("built_in", "true")]),
     (
         "[pools.levels.damping]",
@@ -119,7 +174,14 @@
             ("patience", "0.5"),
         ],
     ),
-    ("[pools.graphql]", &[("query", "\"view\""), ("mutation", "\"file\""), ("ignore", "[\"apiKey\"]")]),
+    (
+        "[pools.graphql]",
+        &[
+            ("query", "\"view\""),
+            ("mutation", "\"file\""),
+            ("ignore", "[\"apiKey\"]"),
+        ],
+    ),
     (
         "[pools.graphql.limits]",
         &[
@@ -131,11 +193,31 @@
             ("name", "\"256B\""),
         ],
     ),
-    ("[pools.graphql.remember]", &[("persisted", "10000"), ("others", "1000"), ("bytes", "\"4MiB\"")]),
-    ("[pools.graphql.batch]", &[("operations", "16"), ("split", "true")]),
+    (
+        "[pools.graphql.remember]",
+        &[
+            ("persisted", "10000"),
+            ("others", "1000"),
+            ("bytes", "\"4MiB\""),
+        ],
+    ),
+    (
+        "[pools.graphql.batch]",
+        &[("operations", "16"), ("split", "true")],
+    ),
     ("[pools.graphql.cost]", &[("field", "\"1ms\"")]),
-    ("[pools.graphql.operations.Board]", &[("class", "\"view\""), ("repeat", "true")]),
-    ("[pools.graphql.queries.report]", &[("repeat", "true"), ("subject", "\"id\""), ("cost", "\"first\"")]),
+    (
+        "[pools.graphql.operations.Board]",
+        &[("class", "\"view\""), ("repeat", "true")],
+    ),
+    (
+        "[pools.graphql.queries.report]",
+        &[
+            ("repeat", "true"),
+            ("subject", "\"id\""),
+            ("cost", "\"first\""),
+        ],
+    ),
     (
         "[pools.graphql.mutations.fileReport]",
         &[
@@ -206,7 +288,10 @@
             ("probes", "true"),
         ],
     ),
-    ("[pools.settings.load_report]", &[("how", "\"probe\""), ("fields", "[\"rif\", \"busy\"]")]),
+    (
+        "[pools.settings.load_report]",
+        &[("how", "\"probe\""), ("fields", "[\"rif\", \"busy\"]")],
+    ),
     (
         "[pools.settings.safety]",
         &[
@@ -217,7 +302,10 @@
             ("drain_grace", "100_000"),
         ],
     ),
-    ("[pools.settings.tariffs]", &[("cross_zone", "0.02"), ("probe", "0.0094")]),
+    (
+        "[pools.settings.tariffs]",
+        &[("cross_zone", "0.02"), ("probe", "0.0094")],
+    ),
     (
         "[[routes]]",
         &[
@@ -239,23 +327,54 @@
 const OTHERS: &[Table] = &[
     ("", &[("version", "1")]),
     ("[admin]", &[("listen", "\"127.0.0.1:9901\"")]),
-    ("[control]", &[("agent", "\"127.0.0.1:7070\""), ("name", "\"shop-1\"")]),
+    (
+        "[control]",
+        &[("agent", "\"127.0.0.1:7070\""), ("name", "\"shop-1\"")],
+    ),
     (
         "[control.keys]",
-        &[("authority", "\"authority.pem\""), ("certificate", "\"shop.pem\""), ("key", "\"shop.key\"")],
+        &[
+            ("authority", "\"authority.pem\""),
+            ("certificate", "\"shop.pem\""),
+            ("key", "\"shop.key\""),
+        ],
     ),
     ("[[control.fleet_limits]]", &[("name", "\"views\"")]),
     ("[control.fleet_limits.safe]", &[("divide_by", "4")]),
-    ("[[pools]]", &[("name", "\"tries\""), ("settings_file", "\"config.json\""), ("servers", "[]")]),
-    ("[[routes]]", &[("name", "\"tries\""), ("path_prefix", "\"/submit-check\"")]),
-    ("[[routes.split]]", &[("pool", "\"tries\""), ("weight", "1")]),
+    (
+        "[[pools]]",
+        &[
+            ("name", "\"tries\""),
+            ("settings_file", "\"config.json\""),
+            ("servers", "[]"),
+        ],
+    ),
+    (
+        "[[routes]]",
+        &[("name", "\"tries\""), ("path_prefix", "\"/submit-check\"")],
+    ),
+    (
+        "[[routes.split]]",
+        &[("pool", "\"tries\""), ("weight", "1")],
+    ),
 ];
 
 const fn settings(table: &'static str, keys: &'static [&'static str]) -> Keys {
-    Keys { table, keys, refusal: Refusal::Says("is no setting that is read; take it out") }
+    Keys {
+        table,
+        keys,
+        refusal: Refusal::Says("is no setting that is read; take it out"),
+    }
 }
 
-const MEMBER_LIMITS: &[&str] = &["open", "bodies", "connections", "requests_per_second", "burst", "weight"];
+const MEMBER_LIMITS: &[&str] = &[
+    "open",
+    "bodies",
+    "connections",
+    "requests_per_second",
+    "burst",
+    "weight",
+];
 const BOUNDS: &[&str] = &["guaranteed", "most"];
 
 const KEYS: &[Keys] = &[
@@ -277,7 +396,10 @@
     keys("process", &["name", "drain"]),
     keys("limits", &["descriptors", "memory", "open", "bodies"]),
     keys("admin", &["socket", "listen"]),
-    keys("timeline", &["false_alarms_a_day", "servers", "remember_left"]),
+    keys(
+        "timeline",
+        &["false_alarms_a_day", "servers", "remember_left"],
+    ),
     keys(
         "state",
         &[
@@ -292,13 +414,47 @@
             "warm_oldest",
         ],
     ),
-    keys("control", &["agent", "name", "zone", "labels", "state", "keys", "share_lists", "fleet_limits"]),
+    keys(
+        "control",
+        &[
+            "agent",
+            "name",
+            "zone",
+            "labels",
+            "state",
+            "keys",
+            "share_lists",
+            "fleet_limits",
+        ],
+    ),
     keys("control.keys", &["authority", "certificate", "key"]),
-    keys("control.fleet_limits", &["name", "pool", "class", "header", "value", "each_server", "safe"]),
-    keys("control.fleet_limits.safe", &["requests_per_second", "burst", "open", "divide_by"]),
+    keys(
+        "control.fleet_limits",
+        &[
+            "name",
+            "pool",
+            "class",
+            "header",
+            "value",
+            "each_server",
+            "safe",
+        ],
+    ),
+    keys(
+        "control.fleet_limits.safe",
+        &["requests_per_second", "burst", "open", "divide_by"],
+    ),
     keys(
         "listeners",
-        &["name", "address", "head_within", "idle_within", "body_within", "body_size", "limits"],
+        &[
+            "name",
+            "address",
+            "head_within",
+            "idle_within",
+            "body_within",
+            "body_size",
+            "limits",
+        ],
     ),
     keys("listeners.limits", MEMBER_LIMITS),
     keys("listeners.limits.open", BOUNDS),
@@ -319,13 +475,19 @@
             "warm_start",
         ],
     ),
-    keys("pools.servers", &["name", "address", "zone", "kind", "group", "weight"]),
+    keys(
+        "pools.servers",
+        &["name", "address", "zone", "kind", "group", "weight"],
+    ),
     keys("pools.limits", MEMBER_LIMITS),
     keys("pools.limits.open", BOUNDS),
     keys("pools.limits.bodies", BOUNDS),
     keys("pools.limits.connections", BOUNDS),
     keys("pools.levels", &["built_in", "damping", "level"]),
-    keys("pools.levels.damping", &["growth", "half_life", "longest_stay", "blind", "spread"]),
+    keys(
+        "pools.levels.damping",
+        &["growth", "half_life", "longest_stay", "blind", "spread"],
+    ),
     keys(
         "pools.levels.level",
         &[
@@ -355,13 +517,22 @@
             "mutations",
         ],
     ),
-    keys("pools.graphql.limits", &["bytes", "tokens", "depth", "aliases", "fields", "name"]),
+    keys(
+        "pools.graphql.limits",
+        &["bytes", "tokens", "depth", "aliases", "fields", "name"],
+    ),
     keys("pools.graphql.remember", &["persisted", "others", "bytes"]),
     keys("pools.graphql.batch", &["operations", "split"]),
     keys("pools.graphql.cost", &["field"]),
     keys("pools.graphql.operations.Board", &["class", "repeat"]),
-    keys("pools.graphql.queries.report", &["repeat", "subject", "cost"]),
-    keys("pools.graphql.mutations.fileReport", &["effect", "key", "class", "subject", "cost"]),
+    keys(
+        "pools.graphql.queries.report",
+        &["repeat", "subject", "cost"],
+    ),
+    keys(
+        "pools.graphql.mutations.fileReport",
+        &["effect", "key", "class", "subject", "cost"],
+    ),
     settings(
         "pools.settings",
         &[
@@ -409,7 +580,10 @@
         ],
     ),
     settings("pools.settings.load_report", &["how", "fields"]),
-    settings("pools.settings.safety", &["ask_within", "cold_from", "cold", "fall", "drain_grace"]),
+    settings(
+        "pools.settings.safety",
+        &["ask_within", "cold_from", "cold", "fall", "drain_grace"],
+    ),
     settings("pools.settings.tariffs", &["cross_zone", "probe"]),
     keys(
         "routes",
--- a/crates/cli/tests/file_keys/relay.rs
+++ b/crates/cli/tests/file_keys/relay.rs
@@ -29,12 +29,34 @@
             ("key", "\"shop-any.key\""),
         ],
     ),
-    ("[children]", &[("lease", "\"10s\""), ("answer", "\"2s\""), ("instances", "2000")]),
-    ("[registrations]", &[("rate", "400"), ("burst", "50"), ("horizon", "\"1m\"")]),
+    (
+        "[children]",
+        &[
+            ("lease", "\"10s\""),
+            ("answer", "\"2s\""),
+            ("instances", "2000"),
+        ],
+    ),
+    (
+        "[registrations]",
+        &[("rate", "400"), ("burst", "50"), ("horizon", "\"1m\"")],
+    ),
 ];
 
 const KEYS: &[Keys] = &[
-    keys("", &["version", "name", "listen", "connections", "keys", "parent", "children", "registrations"]),
+    keys(
+        "",
+        &[
+            "version",
+            "name",
+            "listen",
+            "connections",
+            "keys",
+            "parent",
+            "children",
+            "registrations",
+        ],
+    ),
     keys("keys", &["authority", "certificate", "key", "revoked"]),
     keys("parent", &["agents", "certificate", "key"]),
     keys("children", &["lease", "answer", "instances"]),
@@ -43,5 +65,7 @@
 
 #[test]
 fn the_keys_of_the_relay_file_are_those_of_the_list() {
-    check(&[FILE], KEYS, |text| RelayConfig::read(text, Path::new("relay.toml")).map(drop));
+    check(&[FILE], KEYS, |text| {
+        RelayConfig::read(text, Path::new("relay.toml")).map(drop)
+    });
 }
--- a/crates/cli/tests/ledger/stored_state.rs
+++ b/crates/cli/tests/ledger/stored_state.rs
@@ -21,10 +21,17 @@
 #[test]
 fn what_an_earlier_program_sent_is_not_sent_again() {
     let directory = tempfile::tempdir().expect("a directory");
-    copy("../ledger/tests/fixtures/sidecar-dd0b5ab", directory.path());
+    copy(
+        "../sidecar-state/tests/fixtures/sidecar-dd0b5ab",
+        directory.path(),
+    );
     let server = StandIn::new("s1", Manner::Serves);
     let process = Process::start(&file(directory.path(), "durable", &[&server]));
-    for (key, expected) in [("order-answered", 502), ("order-unanswered", 502), ("order-new", 200)] {
+    for (key, expected) in [
+        ("order-answered", 502),
+        ("order-unanswered", 502),
+        ("order-new", 200),
+    ] {
         assert_eq!(status(&process, key), expected, "{key}");
     }
     assert_eq!(server.seen().keys().collect::<Vec<_>>(), ["order-new"]);
@@ -34,9 +41,18 @@
 #[test]
 fn what_an_earlier_instance_had_in_effect_is_in_effect() {
     let directory = tempfile::tempdir().expect("a directory");
-    copy("tests/fixtures/instance-dd0b5ab", &directory.path().join("instance"));
-    copy("../keys/tests/fixtures/keys-dd0b5ab", &directory.path().join("keys"));
-    let servers = [StandIn::new("s1", Manner::Serves), StandIn::new("s2", Manner::Serves)];
+    copy(
+        "tests/fixtures/instance-dd0b5ab",
+        &directory.path().join("instance"),
+    );
+    copy(
+        "../pki/tests/fixtures/keys-dd0b5ab",
+        &directory.path().join("keys"),
+    );
+    let servers = [
+        StandIn::new("s1", Manner::Serves),
+        StandIn::new("s2", Manner::Serves),
+    ];
     let at = |name: &str| directory.path().join(name).display().to_string();
     let control = format!(
         "[admin]\nlisten = \"127.0.0.1:0\"\n[control]\nagent = \"127.0.0.1:1\"\nname = \"shop-0\"\nstate = \"{}\"\n\
@@ -55,14 +71,19 @@
     let view = process.status();
     let expected = json!({"weight/s1": {"weight": 500}, "drain/s2": {"drained": true}, "limit/pay/open": {"limit": 200}});
     assert_eq!(view["control"]["set"], expected, "{view:#}");
-    assert_eq!((&view["control"]["term"], &view["control"]["revision"]), (&json!(1), &json!(2)));
+    assert_eq!(
+        (&view["control"]["term"], &view["control"]["revision"]),
+        (&json!(1), &json!(2))
+    );
     assert_eq!(view["pools"][0]["limits"]["open"]["most"], json!(200));
     // Its own start has a greater incarnation than the one before, and that is kept for the next.
     let kept = || -> Value {
         let text = std::fs::read(directory.path().join("instance/instance.json")).expect("a file");
         serde_json::from_slice(&text).expect("JSON")
     };
-    until("its incarnation is kept", || kept()["incarnation"].as_u64() > Some(1_796_224_618_980_007));
+    until("its incarnation is kept", || {
+        kept()["incarnation"].as_u64() > Some(1_796_224_618_980_007)
+    });
     assert_eq!(kept()["overlay"], expected);
     for number in 0..20 {
         assert_eq!(status(&process, &format!("order-{number}")), 200);
--- a/crates/fleet/src/fleet/note.rs
+++ b/crates/control-plane/src/fleet/note.rs
@@ -19,7 +19,7 @@
     /// An instance knows of an agent of this later term; this agent gives no more orders.
     StoodDown(u64),
     /// An event of the lease server.
-    Leases(madderloom_quota::Note),
+    Leases(madderloom_quota_leases::Note),
 }
 
 impl fmt::Display for Note {
@@ -41,7 +41,10 @@
                 why.as_ref().map_or(Ok(()), |why| write!(f, ": {why}"))
             }
             Note::StoodDown(term) => {
-                write!(f, "an agent of term {term} is known to the instances: no more orders are given here")
+                write!(
+                    f,
+                    "an agent of term {term} is known to the instances: no more orders are given here"
+                )
             }
             Note::Leases(note) => note.fmt(f),
         }
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -3,7 +3,7 @@
 //! Every field has a default, so that a file with a fault is told all of its problems at once; what must not be
 //! missing is a matter of the check.
 
-use madderloom_config::Span;
+use madderloom_config_reader::Span;
 use serde::{Deserialize, Serialize};
 
 /// The format version that this build reads and writes.
@@ -326,7 +326,7 @@
     pub file: Option<String>,
     /// What that file holds, once it was read: whoever reads the experiment fills it in (`play::with_files`).
     #[serde(skip)]
-    pub recording: Option<std::sync::Arc<madderloom_timeline::Recording>>,
+    pub recording: Option<std::sync::Arc<madderloom_endpoint_history::Recording>>,
 }
 
 /// What can break.
@@ -389,7 +389,7 @@
     pub with: std::collections::BTreeMap<String, f64>,
     /// Reduced service levels, for the decision module in virtual time; none without it.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub levels: Option<madderloom_levels::section::Section>,
+    pub levels: Option<madderloom_degradation::LevelsSection>,
 }
 
 /// What must hold.
@@ -438,7 +438,12 @@
 
 impl Default for Instances {
     fn default() -> Self {
-        Instances { count: 6, tick: Span::ms(1), skew: 0.0, allow: Allow::default() }
+        Instances {
+            count: 6,
+            tick: Span::ms(1),
+            skew: 0.0,
+            allow: Allow::default(),
+        }
     }
 }
 
--- a/crates/lab/src/leveled.rs
+++ b/crates/lab/src/leveled.rs
@@ -6,21 +6,22 @@
 use crate::experiment::{Arm, Class, Effect, Experiment};
 use crate::policy::{Policy, Start};
 use foldhash::fast::FixedState;
-use madderloom_balancer::{Action, Balancer, Event, Members, Micros, Outcome, RequestId};
-use madderloom_levels::gauge::Outside;
-use madderloom_levels::keeper::{End, Keeper, LOOK};
-use madderloom_levels::section::ClassFacts;
-use madderloom_levels::{Change, place};
+use madderloom_balancer::{Action, Balancer, Event, Members, Micros, Outcome, RequestId, place};
+use madderloom_degradation::{
+    ClassTraits, EVALUATION_INTERVAL, ExternalSignals, LevelChange, LevelController, RequestEnd,
+};
 use std::collections::HashMap;
 use std::rc::Rc;
 
 /// Told of each change with the instance that it is of.
-pub type Told = Rc<dyn Fn(u32, &Change)>;
+pub type Told = Rc<dyn Fn(u32, &LevelChange)>;
 
 /// What levels need to know of an experiment's classes.
-pub fn facts(classes: &[Class]) -> Vec<ClassFacts> {
-    let facts =
-        |class: &Class| ClassFacts { name: class.name.clone(), repeatable: class.effect != Effect::Unsafe };
+pub fn facts(classes: &[Class]) -> Vec<ClassTraits> {
+    let facts = |class: &Class| ClassTraits {
+        name: class.name.clone(),
+        is_idempotent: class.effect != Effect::Unsafe,
+    };
     classes.iter().map(facts).collect()
 }
 
@@ -35,15 +36,36 @@
     start: Start,
     told: Option<Told>,
 ) -> Result<Box<dyn Policy>, String> {
-    let Some(section) = &arm.levels else { return crate::policy::own(start) };
-    let checked = section.resolve(&facts(&experiment.classes))?;
-    let names = experiment.classes.iter().map(|class| class.name.clone()).collect();
+    let Some(section) = &arm.levels else {
+        return crate::policy::own(start);
+    };
+    let checked = section
+        .resolve(&facts(&experiment.classes))
+        .map_err(|error| error.to_string())?;
+    let names = experiment
+        .classes
+        .iter()
+        .map(|class| class.name.clone())
+        .collect();
     let settings = crate::rivals::restricted(arm, start.settings)?;
-    let aims = settings.classes.iter().map(|class| (class.aim, class.aim_stretch)).collect();
-    let keeper = Keeper::new(checked, names, place(start.seed), 0);
+    let aims = settings
+        .classes
+        .iter()
+        .map(|class| (class.aim, class.aim_stretch))
+        .collect();
+    let keeper = LevelController::new(checked, names, place(start.seed), 0);
     let inner = Balancer::new(settings, start.seed).map_err(|e| e.to_string())?;
     let (open, list_failed) = (HashMap::default(), None);
-    Ok(Box::new(Leveled { inner, keeper, aims, open, list_failed, look: 0, instance: start.instance, told }))
+    Ok(Box::new(Leveled {
+        inner,
+        keeper,
+        aims,
+        open,
+        list_failed,
+        look: 0,
+        instance: start.instance,
+        told,
+    }))
 }
 
 struct Open {
@@ -54,7 +76,7 @@
 
 struct Leveled {
     inner: Balancer,
-    keeper: Keeper,
+    keeper: LevelController,
     aims: Vec<(Micros, f64)>,
     open: HashMap<RequestId, Open, FixedState>,
     /// Since when the list is out of reach.
@@ -66,24 +88,32 @@
 
 impl Leveled {
     fn look(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        self.look = now + LOOK;
-        let outside = Outside {
-            failing: self.inner.failing(now),
+        self.look = now + EVALUATION_INTERVAL;
+        let outside = ExternalSignals {
+            failing_servers: self.inner.failing(now),
             list_age: Some(self.list_failed.map_or(0, |since| now - since)),
-            ..Outside::default()
+            ..ExternalSignals::default()
         };
-        if let Some(change) = self.keeper.look(now, &outside) {
-            self.inner.handle(now, Event::Level(self.keeper.reduced()), actions);
+        if let Some(change) = self.keeper.evaluate(now, &outside) {
+            self.inner
+                .handle(now, Event::Level(self.keeper.reduced()), actions);
             if let Some(told) = &self.told {
                 told(self.instance, &change);
             }
         }
     }
 
-    fn ended(&mut self, now: Micros, id: RequestId, how: impl Fn(Micros, Micros) -> Option<End>) {
-        let Some(Open { class, came, aim }) = self.open.remove(&id) else { return };
+    fn ended(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        how: impl Fn(Micros, Micros) -> Option<RequestEnd>,
+    ) {
+        let Some(Open { class, came, aim }) = self.open.remove(&id) else {
+            return;
+        };
         if let Some(end) = how(now - came, aim) {
-            self.keeper.ended(now, class, end);
+            self.keeper.request_ended(now, class, end);
         }
     }
 }
@@ -99,16 +129,27 @@
                 let class = new.class as usize;
                 let (aim, stretch) = self.aims.get(class).copied().unwrap_or((Micros::MAX, 0.0));
                 let aim = aim.saturating_add((stretch * new.cost.unwrap_or(0) as f64) as Micros);
-                self.open.insert(new.id, Open { class, came: now, aim });
+                self.open.insert(
+                    new.id,
+                    Open {
+                        class,
+                        came: now,
+                        aim,
+                    },
+                );
             }
             Event::Closed(closed) => {
-                self.keeper.closed(now, closed);
+                self.keeper.attempt_ended(now, closed);
                 if closed.outcome == Outcome::Ok {
-                    self.ended(now, closed.request, |elapsed, aim| Some(End::served(elapsed, aim)));
+                    self.ended(now, closed.request, |elapsed, aim| {
+                        Some(RequestEnd::served(elapsed, aim))
+                    });
                 }
             }
-            Event::ClientGone(id) => self.ended(now, *id, End::left),
-            Event::Members(Members::Failed { .. }) => self.list_failed = self.list_failed.or(Some(now)),
+            Event::ClientGone(id) => self.ended(now, *id, RequestEnd::abandoned),
+            Event::Members(Members::Failed { .. }) => {
+                self.list_failed = self.list_failed.or(Some(now))
+            }
             Event::Members(_) => self.list_failed = None,
             _ => {}
         }
@@ -121,7 +162,9 @@
                 _ => continue,
             };
             // The level's own doing is none of its signals.
-            self.ended(now, id, |elapsed, aim| (!level).then(|| End::unserved(elapsed, aim, refused)));
+            self.ended(now, id, |elapsed, aim| {
+                (!level).then(|| RequestEnd::unserved(elapsed, aim, refused))
+            });
         }
     }
 }
--- a/crates/lab/src/record.rs
+++ b/crates/lab/src/record.rs
@@ -1,6 +1,6 @@
 //! What a run leaves behind: plain data, written as JSON, read by `compare` and `report`.
 
-use madderloom_config::Span;
+use madderloom_config_reader::Span;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -70,7 +70,11 @@
 impl Tally {
     /// Worth earned over worth asked for; 1 where nothing was.
     pub fn goodput(&self) -> f64 {
-        if self.worth > 0.0 { self.earned / self.worth } else { 1.0 }
+        if self.worth > 0.0 {
+            self.earned / self.worth
+        } else {
+            1.0
+        }
     }
 }
 
--- a/crates/lab/src/scale/agent.rs
+++ b/crates/lab/src/scale/agent.rs
@@ -6,11 +6,11 @@
 use super::usage;
 use crate::sockets::child::Process;
 use hyper::Method;
-use madderloom_agent::view::{Rollouts, Status};
-use madderloom_agent::{Client, Failed};
-use madderloom_fleet::Accepted;
-use madderloom_fleet::change::Change;
-use madderloom_keys::{Authority, Files, Role};
+use madderloom_agent::Client;
+use madderloom_agent::view::{RolloutView, StatusView};
+use madderloom_control_plane::Accepted;
+use madderloom_control_plane::change::Change;
+use madderloom_pki::{Authority, CertificateRequest, KeyFiles, Role};
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
@@ -41,7 +41,13 @@
 impl AgentSettings {
     /// The agent's file. `above` is a term that its own must be greater than.
     fn file(&self, listen: &str, above: u64) -> String {
-        let AgentSettings { report_ms, lease_ms, registrations, instances, limits } = self;
+        let AgentSettings {
+            report_ms,
+            lease_ms,
+            registrations,
+            instances,
+            limits,
+        } = self;
         let connections = 2 * instances + 64;
         let mut text = format!(
             "version = 1\nlisten = \"{listen}\"\nstate = \"state\"\naudit = \"audit.log\"\nterm_above = {above}\n\
@@ -82,11 +88,22 @@
         settings: AgentSettings,
     ) -> Result<Self, String> {
         make_keys(directory)?;
-        let (process, address) =
-            spawn(directory, binary.as_deref(), &settings.file("127.0.0.1:0", 0)).await?;
+        let (process, address) = spawn(
+            directory,
+            binary.as_deref(),
+            &settings.file("127.0.0.1:0", 0),
+        )
+        .await?;
         let client = Client::new(&address, files(directory, "alice"))?;
         let directory = directory.to_path_buf();
-        Ok(AgentProcess { directory, binary, settings, address, process: Some(process), client })
+        Ok(AgentProcess {
+            directory,
+            binary,
+            settings,
+            address,
+            process: Some(process),
+            client,
+        })
     }
 
     /// Where it listens, also after a restart.
@@ -119,7 +136,7 @@
     ///
     /// # Errors
     /// It does not answer.
-    pub async fn status(&self) -> Result<Status, String> {
+    pub async fn status(&self) -> Result<StatusView, String> {
         self.get("/v1/status").await
     }
 
@@ -128,7 +145,10 @@
     /// # Errors
     /// It does not answer.
     pub async fn totals(&self) -> Result<Totals, String> {
-        let usage = self.process.as_ref().map_or_else(Default::default, |process| usage::of(process.id()));
+        let usage = self
+            .process
+            .as_ref()
+            .map_or_else(Default::default, |process| usage::of(process.id()));
         let traffic = self.status().await?.traffic;
         if traffic.opened == 0 {
             // An answer came over a connection.
@@ -143,7 +163,10 @@
     /// It is declined, or the agent does not answer.
     pub async fn push(&self, change: &Change) -> Result<Accepted, String> {
         let body = serde_json::to_vec(change).map_err(|e| e.to_string())?;
-        let accepted = self.client.get::<Accepted>(Method::POST, "/v1/changes", body).await;
+        let accepted = self
+            .client
+            .request::<Accepted>(Method::POST, "/v1/changes", body)
+            .await;
         accepted.map_err(|e| e.to_string())
     }
 
@@ -151,7 +174,7 @@
     ///
     /// # Errors
     /// It does not end in time, or the agent does not answer.
-    pub async fn ended(&self, id: &str, patience: Duration) -> Result<Rollouts, String> {
+    pub async fn ended(&self, id: &str, patience: Duration) -> Result<RolloutView, String> {
         let begin = Instant::now();
         loop {
             let status = self.status().await?;
@@ -168,17 +191,23 @@
     async fn get<T: for<'a> serde::Deserialize<'a>>(&self, path: &str) -> Result<T, String> {
         let begin = Instant::now();
         loop {
-            match self.client.get(Method::GET, path, vec![]).await {
-                Err(Failed::Unheard(why)) if begin.elapsed() > PATIENCE => return Err(why),
+            match self.client.request(Method::GET, path, vec![]).await {
+                Err(error) if error.is_unanswered() && begin.elapsed() > PATIENCE => {
+                    return Err(error.to_string());
+                }
                 // An agent that is busy with many connections may be slow to answer.
-                Err(Failed::Unheard(_)) => tokio::time::sleep(LOOK).await,
+                Err(error) if error.is_unanswered() => tokio::time::sleep(LOOK).await,
                 other => return other.map_err(|e| e.to_string()),
             }
         }
     }
 }
 
-async fn spawn(directory: &Path, binary: Option<&Path>, file: &str) -> Result<(Process, String), String> {
+async fn spawn(
+    directory: &Path,
+    binary: Option<&Path>,
+    file: &str,
+) -> Result<(Process, String), String> {
     let path = directory.join("agent.toml");
     std::fs::write(&path, file).map_err(|e| format!("{}: {e}", path.display()))?;
     let mut process = start_child("agent", Program::Agent, &path, binary)?;
@@ -202,24 +231,38 @@
         Program::Sidecar => "sidecar",
     };
     let file = file.display().to_string();
-    Process::start(name, &["scale-child", program, "--file", &file], binary, None)
+    Process::start(
+        name,
+        &["scale-child", program, "--file", &file],
+        binary,
+        None,
+    )
 }
 
 fn make_keys(directory: &Path) -> Result<(), String> {
     let (own, now) = (directory.join("keys"), OffsetDateTime::now_utc());
-    Authority::init(&own, "fleet", 30, now)?;
+    Authority::create(&own, "fleet", 30, now)?;
     let mut authority = Authority::open(&own)?;
     let hosts = ["127.0.0.1".to_string()];
-    let all =
-        [("agent", Role::Agent, &hosts[..]), ("alice", Role::Operate, &[]), ("shop-*", Role::Instance, &[])];
+    let all = [
+        ("agent", Role::Agent, &hosts[..]),
+        ("alice", Role::Operate, &[]),
+        ("shop-*", Role::Instance, &[]),
+    ];
     for (name, role, hosts) in all {
-        authority.issue((name, role), hosts, DAYS, directory, now)?;
+        let request = CertificateRequest {
+            name,
+            role,
+            hosts,
+            days: DAYS,
+        };
+        authority.issue(request, directory, now)?;
     }
     Ok(())
 }
 
-fn files(directory: &Path, name: &str) -> Files {
-    Files {
+fn files(directory: &Path, name: &str) -> KeyFiles {
+    KeyFiles {
         authority: directory.join("keys/authority.pem"),
         certificate: directory.join(format!("{name}.pem")),
         key: directory.join(format!("{name}.key")),
--- a/crates/lab/src/scale/bounds.rs
+++ b/crates/lab/src/scale/bounds.rs
@@ -3,12 +3,12 @@
 
 use super::capacity::{CONNECTIONS, DAY, Reckoner, Row, exactly, reckoned};
 use crate::hop::Row as HopRow;
-use madderloom_agent::USUAL_CONNECTIONS;
-use madderloom_fleet::change::MOST_LAYERS;
-use madderloom_fleet::membership::Leases;
-use madderloom_fleet::settings::MOST_SETTINGS;
-use madderloom_fleet::spread::Pace;
-use madderloom_roster::MOST_LISTS;
+use madderloom_agent::DEFAULT_MAX_CONNECTIONS;
+use madderloom_control_plane::change::MOST_LAYERS;
+use madderloom_control_plane::membership::Leases;
+use madderloom_control_plane::settings::MOST_SETTINGS;
+use madderloom_control_plane::spread::Pace;
+use madderloom_endpoint_sharing::MAX_LISTS;
 
 /// What carries a call through a sidecar.
 const TRANSACTION: &str = "`sidecar/src/transaction.rs`";
@@ -37,7 +37,7 @@
                 Some(f64::from(Pace::default().rate)),
                 "/s",
                 "size: restarts / day, beside the usual pace",
-                "`fleet/src/spread.rs` `Pace`",
+                "`control-plane/src/spread.rs` `Pace`",
             ),
             row(
                 "agent",
@@ -46,14 +46,20 @@
                 None,
                 "days",
                 "size: sidecars / machines failing a day, all machines alike",
-                "one process, `agent/src/server.rs` `Agent`",
+                "one process, `agent/src/server/mod.rs` `Agent`",
             ),
         ]
     }
 
     /// What hops behind each other add to a call.
     fn added_by_hops(&self, hops: &HopRow) -> Row {
-        let HopRow { depth, clients, program, direct, .. } = hops;
+        let HopRow {
+            depth,
+            clients,
+            program,
+            direct,
+            ..
+        } = hops;
         let added = program.p99.saturating_sub(direct.p99) as f64 / 1e3;
         Row {
             role: "sidecar",
@@ -81,11 +87,21 @@
             from: "not measured".into(),
             carried_by,
         };
-        let hops = self.measured.hops.iter().map(|hops| self.added_by_hops(hops));
+        let hops = self
+            .measured
+            .hops
+            .iter()
+            .map(|hops| self.added_by_hops(hops));
         let mut rows: Vec<Row> = hops.collect();
         if rows.is_empty() {
             let what = "added to a call, 99 in 100, ten deep";
-            rows.push(row("sidecar", what, Some(budget.added_to_call_ms), "ms", TRANSACTION));
+            rows.push(row(
+                "sidecar",
+                what,
+                Some(budget.added_to_call_ms),
+                "ms",
+                TRANSACTION,
+            ));
         }
         rows.extend([
             row(
@@ -107,14 +123,14 @@
                 "calls and watches as lists are shared",
                 None,
                 "",
-                "`roster/src/relay.rs` `Relay`",
+                "`endpoint-sharing/src/distributor.rs` `EndpointListDistributor`",
             ),
             row(
                 "command line",
                 "`instances`, `top` and `history` at this size",
                 None,
                 "",
-                "`agent/src/view.rs`",
+                "`agent/src/view`",
             ),
         ]);
         rows
@@ -126,7 +142,14 @@
         let connections = CONNECTIONS * self.sidecars;
         let rate = f64::from(Pace::default().rate);
         let bound = |what: &str, needs: f64, budget: f64, unit, from, carried_by| {
-            reckoned("bound in code", what.into(), (needs, Some(budget)), unit, from, carried_by)
+            reckoned(
+                "bound in code",
+                what.into(),
+                (needs, Some(budget)),
+                unit,
+                from,
+                carried_by,
+            )
         };
         vec![
             bound(
@@ -135,7 +158,7 @@
                 MOST_SETTINGS as f64,
                 "",
                 "code: fixed",
-                "`fleet/src/settings.rs` `MOST_SETTINGS`",
+                "`control-plane/src/settings.rs` `MOST_SETTINGS`",
             ),
             bound(
                 "layers in effect, with one for each service",
@@ -143,15 +166,15 @@
                 MOST_LAYERS as f64,
                 "",
                 "code: fixed",
-                "`fleet/src/change.rs` `MOST_LAYERS`",
+                "`control-plane/src/change.rs` `MOST_LAYERS`",
             ),
             bound(
                 "lists that the fleet shares, with one for each service",
                 services,
-                MOST_LISTS as f64,
+                MAX_LISTS as f64,
                 "",
                 "code: fixed",
-                "`roster/src/lib.rs` `MOST_LISTS`",
+                "`endpoint-sharing/src/limits.rs` `MAX_LISTS`",
             ),
             bound(
                 "names known to an agent",
@@ -159,15 +182,15 @@
                 Leases::default().most as f64,
                 "",
                 "code: usual; `leases.instances` goes to 65,536",
-                "`fleet/src/membership.rs` `Leases`",
+                "`control-plane/src/membership.rs` `Leases`",
             ),
             bound(
                 "connections of an agent",
                 connections,
-                USUAL_CONNECTIONS as f64,
+                DEFAULT_MAX_CONNECTIONS as f64,
                 "",
                 "code: usual; `connections` has no upper bound but the system's descriptors",
-                "`agent/src/config.rs` `Config`",
+                "`agent/src/config/mod.rs` `AgentConfig`",
             ),
             bound(
                 "all register at the usual pace",
@@ -175,7 +198,7 @@
                 self.file.budget.change_seconds(),
                 "s",
                 "code: usual; sidecars / `registrations.rate`",
-                "`fleet/src/spread.rs` `Pace`",
+                "`control-plane/src/spread.rs` `Pace`",
             ),
         ]
     }
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -1,23 +1,23 @@
 //! A hollow instance: the state machines of a real one over real TLS connections, without a data path.
 //!
 //! Registration, reports, the watch and orders are those of [`madderloom_agent::Link`] and
-//! [`madderloom_fleet::Instance`], the lease of limits is [`madderloom_quota::Holder`], lists are
-//! [`madderloom_roster::Share`]. An overlay is checked and compared as the sidecar does it, and then kept.
+//! [`madderloom_control_plane::Instance`], the lease of limits is [`madderloom_quota_leases::Holder`], lists are
+//! [`madderloom_endpoint_sharing::SharedEndpointLists`]. An overlay is checked and compared as the sidecar does it, and then kept.
 
 use super::lists::{Discovery, SharedLists};
 use super::places;
 use super::protocol::Manner;
 use super::switch::{Switch, SwitchedDial};
 use super::usage;
-use madderloom_agent::traffic::Counters;
-use madderloom_agent::{Client, Link, Settings, Taking};
-use madderloom_fleet::gate::Counts;
-use madderloom_fleet::protocol::{Outcome, ToAgent, ToInstance, Who};
-use madderloom_fleet::settings::{Key, MOST_SETTINGS, Overlay, Value};
-use madderloom_fleet::{Instance, Memory, Problem};
-use madderloom_keys::Keyring;
-use madderloom_quota::{Asks, Holder, Lent, Safe};
-use madderloom_roster::{Lists, Tells};
+use madderloom_agent::traffic::TrafficCounters;
+use madderloom_agent::{ApplyFuture, Client, Link, LinkHandler};
+use madderloom_control_plane::gate::Counts;
+use madderloom_control_plane::protocol::{Outcome, ToAgent, ToInstance, Who};
+use madderloom_control_plane::settings::{Key, MOST_SETTINGS, Overlay, Value};
+use madderloom_control_plane::{Instance, Memory, Problem};
+use madderloom_endpoint_sharing::{EndpointListReports, EndpointListUpdates};
+use madderloom_pki::Keyring;
+use madderloom_quota_leases::{Asks, Holder, Lent, Safe};
 use rustix::time::{ClockId, clock_gettime};
 use std::cell::{Cell, RefCell};
 use std::hash::{BuildHasher, RandomState};
@@ -41,7 +41,7 @@
     /// What the instances are like.
     pub manner: Manner,
     /// What has passed.
-    pub counters: Arc<Counters>,
+    pub counters: Arc<TrafficCounters>,
     /// What discovery lists.
     pub discovery: Discovery,
 }
@@ -70,7 +70,13 @@
     /// One that is not started.
     pub fn new(number: usize, shared: &Rc<Shared>) -> Self {
         let switch = Switch::new(Arc::clone(&shared.counters));
-        Hollow { number, shared: Rc::clone(shared), switch, seen: Rc::default(), tasks: Vec::new() }
+        Hollow {
+            number,
+            shared: Rc::clone(shared),
+            switch,
+            seen: Rc::default(),
+            tasks: Vec::new(),
+        }
     }
 
     /// Starts it, with what the last start kept. A former start ends.
@@ -92,7 +98,8 @@
             holder: holder(&self.shared.manner),
             lists: Rc::clone(&lists),
         };
-        let link = Link::new(machine, settings, self.client()?, self.client()?, seed).told_by(lists.news());
+        let link = Link::new(machine, settings, self.client()?, self.client()?, seed)
+            .reporting_on(lists.news());
         let link = tokio::task::spawn_local(link.run());
         self.tasks = lists.follow_discovery();
         self.tasks.push(link.abort_handle());
@@ -127,21 +134,27 @@
 
     /// Since when the change of this number is in effect, where it is the newest.
     pub fn in_force(&self, marker: u32) -> Option<u64> {
-        self.seen.in_force.get().filter(|(of, _)| *of == marker).map(|(_, at)| at)
+        self.seen
+            .in_force
+            .get()
+            .filter(|(of, _)| *of == marker)
+            .map(|(_, at)| at)
     }
 
     fn client(&self) -> Result<Client, String> {
         let agents = &self.shared.agents;
         let agent = agents.get(places::zone_number(self.number) % agents.len().max(1));
         let agent = agent.ok_or("no agent is named")?;
-        let client = Client::with(agent, &self.shared.keyring)?;
-        Ok(client.dialled_by(Arc::new(SwitchedDial(Arc::clone(&self.switch)))))
+        let client = Client::with_keyring(agent, &self.shared.keyring)?;
+        Ok(client.with_dialer(Arc::new(SwitchedDial(Arc::clone(&self.switch)))))
     }
 }
 
 /// A new start of an instance, as the sidecar makes it.
 fn who(number: usize) -> Who {
-    let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let unix = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
     Who {
         name: places::name(number),
         start: RandomState::new().hash_one(number),
@@ -165,13 +178,15 @@
 pub fn boottime() -> u64 {
     let time = clock_gettime(ClockId::Boottime);
     let seconds = u64::try_from(time.tv_sec).unwrap_or(0);
-    seconds.saturating_mul(1_000_000).saturating_add(u64::try_from(time.tv_nsec / 1_000).unwrap_or(0))
+    seconds
+        .saturating_mul(1_000_000)
+        .saturating_add(u64::try_from(time.tv_nsec / 1_000).unwrap_or(0))
 }
 
 /// What the link asks of a hollow instance.
 struct HollowSettings {
     manner: Manner,
-    counters: Arc<Counters>,
+    counters: Arc<TrafficCounters>,
     seen: Rc<Seen>,
     holder: Holder,
     lists: Rc<SharedLists>,
@@ -181,14 +196,25 @@
 fn check(overlay: &Overlay) -> Result<(), Problem> {
     if overlay.0.len() > MOST_SETTINGS {
         let problem = format!("holds more than {MOST_SETTINGS} settings");
-        return Err(Problem { field: "set".into(), problem });
+        return Err(Problem {
+            field: "set".into(),
+            problem,
+        });
     }
-    let fault = overlay.0.iter().find_map(|(key, value)| Some((key, value.check(key).err()?)));
-    fault.map_or(Ok(()), |(key, problem)| Err(Problem { field: format!("set.{key}"), problem }))
+    let fault = overlay
+        .0
+        .iter()
+        .find_map(|(key, value)| Some((key, value.check(key).err()?)));
+    fault.map_or(Ok(()), |(key, problem)| {
+        Err(Problem {
+            field: format!("set.{key}"),
+            problem,
+        })
+    })
 }
 
-impl Settings for HollowSettings {
-    fn take(&mut self, overlay: &Overlay) -> Taking {
+impl LinkHandler for HollowSettings {
+    fn apply(&mut self, overlay: &Overlay) -> ApplyFuture {
         let outcome = match check(overlay) {
             Ok(()) => Outcome::Applied,
             Err(problem) => Outcome::Refused(problem),
@@ -201,16 +227,19 @@
         Box::pin(std::future::ready(outcome))
     }
 
-    fn counts(&mut self) -> Counts {
+    fn request_counts(&mut self) -> Counts {
         let ended = self.manner.requests;
-        Counts { ended, bad: ended * BAD_OF_A_THOUSAND / 1_000 }
+        Counts {
+            ended,
+            bad: ended * BAD_OF_A_THOUSAND / 1_000,
+        }
     }
 
-    fn keep(&mut self, memory: &Memory) {
+    fn persist(&mut self, memory: &Memory) {
         self.seen.memory.replace(memory.clone());
     }
 
-    fn asks(&mut self, term: u64) -> Option<Asks> {
+    fn lease_requests(&mut self, term: u64) -> Option<Asks> {
         if self.manner.requests > 0 {
             // One request a report: there is demand, and what it comes to is of no matter here.
             for limit in 0..self.manner.limits {
@@ -224,27 +253,27 @@
         (!self.holder.is_empty()).then(|| self.holder.ask(boottime()))
     }
 
-    fn lent(&mut self, lent: &Lent) -> bool {
+    fn grant_received(&mut self, lent: &Lent) -> bool {
         self.holder.take(boottime(), lent)
     }
 
-    fn tells(&mut self) -> Option<Tells> {
+    fn list_reports(&mut self) -> Option<EndpointListReports> {
         self.lists.tell()
     }
 
-    fn lists(&mut self, lists: &Lists) -> bool {
+    fn lists_received(&mut self, lists: &EndpointListUpdates) -> bool {
         self.lists.hear(lists)
     }
 
-    fn sent(&mut self, message: &ToAgent) {
-        self.counters.messages_went(1);
+    fn message_sent(&mut self, message: &ToAgent) {
+        self.counters.add_messages_out(1);
         if matches!(message, ToAgent::Report(_)) {
             self.seen.reported.set(true);
         }
     }
 
-    fn received(&mut self, message: &ToInstance) {
-        self.counters.messages_came(1);
+    fn message_received(&mut self, message: &ToInstance) {
+        self.counters.add_messages_in(1);
         let is_renewed = matches!(message, ToInstance::Renewed { .. }) && self.seen.reported.get();
         if is_renewed && self.seen.renewed.get().is_none() {
             self.seen.renewed.set(Some(usage::now()));
--- a/crates/lab/tests/every_request_ends_once.rs
+++ b/crates/lab/tests/every_request_ends_once.rs
@@ -3,14 +3,14 @@
 mod common;
 use common::*;
 use madderloom_balancer::*;
-use madderloom_config::Span;
+use madderloom_config_reader::Span;
+use madderloom_endpoint_history::{RecordedInterval, Recording};
 use madderloom_lab::experiment::{
     CancelStops, Class, Distribution, Effect, Experiment, Fault, FaultKind, Phase, ServerKind,
 };
 use madderloom_lab::policy::{self, Policy, Start};
 use madderloom_lab::record::Run;
 use madderloom_lab::seeds::{Concern, Random, stream};
-use madderloom_timeline::{Moment, Recording};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rand::RngExt;
@@ -30,11 +30,25 @@
         };
         let soon = now + self.random.random_range(0..300_000);
         actions.push(match self.random.random_range(0..12) {
-            0..6 => Action::Send { request, server, timeout_at: soon, write_by: Micros::MAX },
-            6 => Action::Refuse { request, retry_after: Some(soon - now) },
+            0..6 => Action::Send {
+                request,
+                server,
+                timeout_at: soon,
+                write_by: Micros::MAX,
+            },
+            6 => Action::Refuse {
+                request,
+                retry_after: Some(soon - now),
+            },
             7 => Action::Fail { request },
-            8 => Action::Cancel { request, attempt: self.random.random_range(0..3) },
-            9 => Action::SetTimer { at: soon.saturating_sub(100_000), timer: Timer::Request(request) },
+            8 => Action::Cancel {
+                request,
+                attempt: self.random.random_range(0..3),
+            },
+            9 => Action::SetTimer {
+                at: soon.saturating_sub(100_000),
+                timer: Timer::Request(request),
+            },
             10 => Action::Probe(server),
             _ => Action::Subscribe,
         });
@@ -66,22 +80,35 @@
 
 fn chaos(start: Start) -> Result<Box<dyn Policy>, String> {
     let random = stream(start.seed, Concern::Instance, 0);
-    Ok(Box::new(Chaos { random, servers: Vec::new(), requests: Vec::new() }))
+    Ok(Box::new(Chaos {
+        random,
+        servers: Vec::new(),
+        requests: Vec::new(),
+    }))
 }
 
 /// A server that first fails a part of what it is given, and then is slow.
 fn recording(size: f64, gap: u64) -> Recording {
-    let moment = |from_ms: u64, errors: f64, slower: f64| Moment {
-        from_ms,
-        lasts_ms: 400,
+    let interval = |start_ms: u64, error_share: f64, latency_ratio: f64| RecordedInterval {
+        start_ms,
+        duration_ms: 400,
         attempts: 1,
-        errors,
-        lost: (1.0 - errors) / 2.0,
-        refused: 0.0,
-        slower,
+        error_share,
+        lost_share: (1.0 - error_share) / 2.0,
+        rejected_share: 0.0,
+        latency_ratio,
     };
-    let moments = vec![moment(0, size, 1.0), moment(400 + gap, 0.0, 1.0 + 9.0 * size)];
-    Recording { version: Recording::VERSION, server: "s".into(), began_us: 0, usual_us: 1, moments }
+    let intervals = vec![
+        interval(0, size, 1.0),
+        interval(400 + gap, 0.0, 1.0 + 9.0 * size),
+    ];
+    Recording {
+        version: Recording::VERSION,
+        server: "s".into(),
+        started_at: 0,
+        usual_latency: 1,
+        intervals,
+    }
 }
 
 fn faults() -> impl Strategy<Value = Fault> {
@@ -105,25 +132,38 @@
         FaultKind::InstanceRestart,
         FaultKind::Replay,
     ]);
-    (kinds, 0u64..2_000, 0u64..1_500, 0.0..=1.0f64, 0.0..=1.0f64, 0u64..700, any::<(bool, bool)>()).prop_map(
-        |(kind, at, lasts, share, size, every, (one_class, one_zone))| Fault {
-            at: Span::ms(at),
-            lasts: Span::ms(lasts),
-            kind,
-            servers: if matches!(kind, FaultKind::CutZone | FaultKind::CutAnswers) {
-                vec!["zone:a".into()]
-            } else {
-                Vec::new()
-            },
-            share,
-            size: if kind == FaultKind::Slow { 1.0 + 9.0 * size } else { size },
-            every: Span::ms(every),
-            class: one_class.then(|| "one".into()),
-            seen_from: one_zone.then(|| "b".into()),
-            file: None,
-            recording: (kind == FaultKind::Replay).then(|| recording(size, every).into()),
-        },
+    (
+        kinds,
+        0u64..2_000,
+        0u64..1_500,
+        0.0..=1.0f64,
+        0.0..=1.0f64,
+        0u64..700,
+        any::<(bool, bool)>(),
     )
+        .prop_map(
+            |(kind, at, lasts, share, size, every, (one_class, one_zone))| Fault {
+                at: Span::ms(at),
+                lasts: Span::ms(lasts),
+                kind,
+                servers: if matches!(kind, FaultKind::CutZone | FaultKind::CutAnswers) {
+                    vec!["zone:a".into()]
+                } else {
+                    Vec::new()
+                },
+                share,
+                size: if kind == FaultKind::Slow {
+                    1.0 + 9.0 * size
+                } else {
+                    size
+                },
+                every: Span::ms(every),
+                class: one_class.then(|| "one".into()),
+                seen_from: one_zone.then(|| "b".into()),
+                file: None,
+                recording: (kind == FaultKind::Replay).then(|| recording(size, every).into()),
+            },
+        )
 }
 
 prop_compose! {
@@ -225,7 +265,10 @@
 fn adds_up(experiment: &Experiment, run: &Run) -> Result<(), TestCaseError> {
     // The judge counts ends and outcomes on its own books; a run where they are not one each is void.
     prop_assert_eq!(&run.void, &None);
-    let killed = experiment.faults.iter().any(|f| f.kind == FaultKind::InstanceRestart);
+    let killed = experiment
+        .faults
+        .iter()
+        .any(|f| f.kind == FaultKind::InstanceRestart);
     for tally in run.classes.values().chain([&run.total]) {
         let ended = tally.in_time + tally.late + tally.refused + tally.failed + tally.left;
         prop_assert_eq!(ended, tally.asked);
@@ -236,7 +279,11 @@
         prop_assert_eq!(latencies, tally.in_time + tally.late);
     }
     let loads = run.windows.iter().flat_map(|w| &w.load);
-    prop_assert!(loads.clone().all(|l| (0.0..=1.01).contains(l)), "{:?}", loads.collect::<Vec<_>>());
+    prop_assert!(
+        loads.clone().all(|l| (0.0..=1.01).contains(l)),
+        "{:?}",
+        loads.collect::<Vec<_>>()
+    );
     Ok(())
 }
 
--- a/crates/lab/tests/stored_results_open.rs
+++ b/crates/lab/tests/stored_results_open.rs
@@ -39,14 +39,21 @@
 fn stored() -> (TempDir, PathBuf) {
     let directory = TempDir::new().expect("a folder");
     let folder = directory.path().join("results");
-    copy(&Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/results-dd0b5ab"), &folder);
+    copy(
+        &Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/results-dd0b5ab"),
+        &folder,
+    );
     (directory, folder)
 }
 
 fn lab(arguments: &[&str], folder: &Path) -> String {
     let mut lab = Command::new(env!("CARGO_BIN_EXE_madderloom-lab"));
     let done = lab.args(arguments).arg(folder).output().expect("it runs");
-    assert!(done.status.success(), "{}", String::from_utf8_lossy(&done.stderr));
+    assert!(
+        done.status.success(),
+        "{}",
+        String::from_utf8_lossy(&done.stderr)
+    );
     String::from_utf8(done.stdout).expect("text")
 }
 
@@ -65,21 +72,34 @@
     let (_directory, folder) = stored();
     let results = Results::read(&folder).expect("results");
     assert_eq!(results.flaws(), Vec::<String>::new());
-    assert_eq!(written(&results.manifest), json_of(&folder.join("manifest.json")));
+    assert_eq!(
+        written(&results.manifest),
+        json_of(&folder.join("manifest.json"))
+    );
     assert_eq!(results.runs.len(), 4);
     for run in &results.runs {
-        let file = folder.join("runs").join(&run.arm).join(format!("{}.json", run.seed));
+        let file = folder
+            .join("runs")
+            .join(&run.arm)
+            .join(format!("{}.json", run.seed));
         assert_eq!(written(run), json_of(&file), "{}", file.display());
     }
-    let total: Vec<_> =
-        results.runs.iter().map(|run| figures(run.arm.as_str(), run.seed, &written(run))).collect();
+    let total: Vec<_> = results
+        .runs
+        .iter()
+        .map(|run| figures(run.arm.as_str(), run.seed, &written(run)))
+        .collect();
     assert_eq!(total, FIGURES);
 }
 
 /// Asked, in time, failed, attempts.
 fn figures<'r>(arm: &'r str, seed: u64, run: &Value) -> (&'r str, u64, [u64; 4]) {
     let figure = |name: &str| run["total"][name].as_u64().expect("a count");
-    (arm, seed, ["asked", "in_time", "failed", "attempts"].map(figure))
+    (
+        arm,
+        seed,
+        ["asked", "in_time", "failed", "attempts"].map(figure),
+    )
 }
 
 #[test]
@@ -104,12 +124,21 @@
     );
     let figure = |name: &str| {
         let all = pair["differences"].as_array().expect("a list");
-        let found = all.iter().find(|difference| difference["figure"] == name).expect("it is there");
-        [found["first"].as_f64().expect("a figure"), found["second"].as_f64().expect("a figure")]
+        let found = all
+            .iter()
+            .find(|difference| difference["figure"] == name)
+            .expect("it is there");
+        [
+            found["first"].as_f64().expect("a figure"),
+            found["second"].as_f64().expect("a figure"),
+        ]
     };
     for (name, expected) in COMPARED {
         let found = figure(name);
-        let near = found.iter().zip(expected).all(|(found, expected)| (found - expected).abs() < 1e-9);
+        let near = found
+            .iter()
+            .zip(expected)
+            .all(|(found, expected)| (found - expected).abs() < 1e-9);
         assert!(near, "{name}: {found:?}, not {expected:?}");
     }
 }
--- a/crates/keys/tests/stored_keys_open.rs
+++ b/crates/pki/tests/stored_keys_open.rs
@@ -1,6 +1,9 @@
 //! A directory of keys that an earlier program wrote opens: what was issued and revoked in it still is.
 
-use madderloom_keys::{Authority, Files, Keyring, Peer, Refused, Role, State};
+use madderloom_pki::{
+    Authority, CertificateRejection, CertificateRequest, CertificateState, Identity, KeyFiles,
+    Keyring, Role,
+};
 use rustls::pki_types::CertificateDer;
 use rustls::pki_types::pem::PemObject;
 use std::os::unix::fs::PermissionsExt;
@@ -16,10 +19,34 @@
 type Row = (&'static str, &'static str, Role, &'static str, Option<i64>);
 
 const ISSUED: [Row; 4] = [
-    ("3d3b172898c1cbe8447128b51731d0938ecadfef", "agent", Role::Agent, "127.0.0.1", None),
-    ("740b1811cf5858ad10b3a77843e60798e28f0573", "alice", Role::Operate, "", None),
-    ("649a7038be2011dc4538bb47a3024ec9ee2ec56a", "bob", Role::Operate, "", Some(1_796_224_618)),
-    ("4d843b635d0b5ac563309f2e9b73337a798ec1bf", "shop-*", Role::Instance, "", None),
+    (
+        "3d3b172898c1cbe8447128b51731d0938ecadfef",
+        "agent",
+        Role::Agent,
+        "127.0.0.1",
+        None,
+    ),
+    (
+        "740b1811cf5858ad10b3a77843e60798e28f0573",
+        "alice",
+        Role::Operate,
+        "",
+        None,
+    ),
+    (
+        "649a7038be2011dc4538bb47a3024ec9ee2ec56a",
+        "bob",
+        Role::Operate,
+        "",
+        Some(1_796_224_618),
+    ),
+    (
+        "4d843b635d0b5ac563309f2e9b73337a798ec1bf",
+        "shop-*",
+        Role::Instance,
+        "",
+        None,
+    ),
 ];
 
 struct Stored(TempDir);
@@ -43,7 +70,7 @@
     }
 
     fn keyring(&self, name: &str) -> std::sync::Arc<Keyring> {
-        let files = Files {
+        let files = KeyFiles {
             authority: self.at("authority.pem"),
             certificate: self.at(&format!("{name}.pem")),
             key: self.at(&format!("{name}.key")),
@@ -54,7 +81,10 @@
 
     fn certificate(&self, name: &str) -> Vec<CertificateDer<'static>> {
         let file = self.at(&format!("{name}.pem"));
-        CertificateDer::pem_file_iter(file).expect("a file").map(|c| c.expect("a certificate")).collect()
+        CertificateDer::pem_file_iter(file)
+            .expect("a file")
+            .map(|c| c.expect("a certificate"))
+            .collect()
     }
 }
 
@@ -63,8 +93,14 @@
     OffsetDateTime::from_unix_timestamp(FROM).expect("a time") + Duration::days(1)
 }
 
-fn peer(keyring: &Keyring, chain: &[CertificateDer<'_>]) -> Result<Peer, Refused> {
-    keyring.check(chain, u64::try_from(now().unix_timestamp()).expect("after 1970"))
+fn verify(
+    keyring: &Keyring,
+    chain: &[CertificateDer<'_>],
+) -> Result<Identity, CertificateRejection> {
+    keyring.verify(
+        chain,
+        u64::try_from(now().unix_timestamp()).expect("after 1970"),
+    )
 }
 
 #[test]
@@ -73,24 +109,48 @@
     let authority = Authority::open(stored.0.path()).expect("an authority");
     assert_eq!(authority.issued().len(), ISSUED.len());
     for (issued, (serial, name, role, host, revoked)) in authority.issued().iter().zip(ISSUED) {
-        assert_eq!((issued.serial.as_str(), issued.name.as_str(), issued.role), (serial, name, role));
-        assert_eq!((issued.hosts.join(" ").as_str(), issued.revoked), (host, revoked), "{name}");
-        assert_eq!((issued.from, (issued.until - issued.from) / DAY), (FROM, 36_500), "{name}");
-        let state = if revoked.is_some() { State::Revoked } else { State::Valid };
+        assert_eq!(
+            (issued.serial.as_str(), issued.name.as_str(), issued.role),
+            (serial, name, role)
+        );
+        assert_eq!(
+            (issued.hosts.join(" ").as_str(), issued.revoked_at),
+            (host, revoked),
+            "{name}"
+        );
+        assert_eq!(
+            (
+                issued.valid_from,
+                (issued.valid_until - issued.valid_from) / DAY
+            ),
+            (FROM, 36_500),
+            "{name}"
+        );
+        let state = if revoked.is_some() {
+            CertificateState::Revoked
+        } else {
+            CertificateState::Valid
+        };
         assert_eq!(issued.state(now()), state, "{name}");
     }
     let long_after = now() + Duration::days(40_000);
-    assert_eq!(authority.issued()[0].state(long_after), State::Expired);
+    assert_eq!(
+        authority.issued()[0].state(long_after),
+        CertificateState::Expired
+    );
 }
 
 #[test]
 fn a_certificate_is_known_and_a_revoked_one_is_refused() {
     let stored = Stored::copy();
     let agent = stored.keyring("agent");
-    assert_eq!(agent.own().map(|own| (own.name, own.role)), Some(("agent".to_string(), Role::Agent)));
-    let alice = peer(&agent, &stored.certificate("alice")).expect("a good certificate");
+    assert_eq!(
+        agent.own_identity().map(|own| (own.name, own.role)),
+        Some(("agent".to_string(), Role::Agent))
+    );
+    let alice = verify(&agent, &stored.certificate("alice")).expect("a good certificate");
     assert_eq!((alice.name.as_str(), alice.role), ("alice", Role::Operate));
-    let refused = peer(&agent, &stored.certificate("bob")).expect_err("a revoked certificate");
+    let refused = verify(&agent, &stored.certificate("bob")).expect_err("a revoked certificate");
     assert_eq!(refused.to_string(), "the certificate was revoked");
 }
 
@@ -99,15 +159,33 @@
     let stored = Stored::copy();
     let agent = stored.keyring("agent");
     let mut authority = Authority::open(stored.0.path()).expect("an authority");
-    authority.issue(("carol", Role::View), &[], 10, stored.0.path(), now()).expect("a certificate");
-    let carol = peer(&agent, &stored.certificate("carol")).expect("a good certificate");
+    let request = CertificateRequest {
+        name: "carol",
+        role: Role::View,
+        hosts: &[],
+        days: 10,
+    };
+    authority
+        .issue(request, stored.0.path(), now())
+        .expect("a certificate");
+    let carol = verify(&agent, &stored.certificate("carol")).expect("a good certificate");
     assert_eq!((carol.name.as_str(), carol.role), ("carol", Role::View));
     let (alice, ..) = ISSUED[1];
     let revoked = authority.revoke(alice, now()).expect("revoked");
-    assert_eq!(revoked.iter().map(|one| one.name.as_str()).collect::<Vec<_>>(), ["alice"]);
-    assert_eq!(agent.reload(), Ok(true));
+    assert_eq!(
+        revoked
+            .iter()
+            .map(|one| one.name.as_str())
+            .collect::<Vec<_>>(),
+        ["alice"]
+    );
+    assert!(agent.reload().expect("keys"));
     for name in ["alice", "bob"] {
-        assert_eq!(peer(&agent, &stored.certificate(name)), Err(Refused::Revoked), "{name}");
+        assert_eq!(
+            verify(&agent, &stored.certificate(name)),
+            Err(CertificateRejection::Revoked),
+            "{name}"
+        );
     }
-    assert!(peer(&agent, &stored.certificate("carol")).is_ok());
+    assert!(verify(&agent, &stored.certificate("carol")).is_ok());
 }
--- a/crates/sidecar/src/drain.rs
+++ b/crates/sidecar/src/drain.rs
@@ -1,7 +1,7 @@
 //! The drain of the process and its end: what the duty decides, carried out on the listeners.
 
 use super::common::Common;
-use madderloom_operations::duty::State;
+use madderloom_admin::duty::State;
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use std::rc::Rc;
 use std::time::Duration;
@@ -24,7 +24,11 @@
                 return;
             }
             if let Some(since) = duty.closes_idle_since(common.clock.now()) {
-                common.listeners.borrow().iter().for_each(|listener| listener.clients.close_idle(since));
+                common
+                    .listeners
+                    .borrow()
+                    .iter()
+                    .for_each(|listener| listener.clients.close_idle(since));
             }
         }
     });
