--- a/crates/agent/tests/common/fleet.rs
+++ b/crates/agent/tests/common/fleet.rs
@@ -72,7 +72,8 @@
         }
     }
 
-    fn config(&self) -> AgentConfig {
+    /// The agent's file.
+    pub fn config(&self) -> AgentConfig {
         let text = format!(
             "version = 1\nlisten = \"{}\"\naudit = \"audit.log\"\nterm_above = {}\n[keys]\nauthority = \"keys/authority.pem\"\n\
              certificate = \"agent.pem\"\nkey = \"agent.key\"\nrevoked = \"keys/revoked.pem\"\n\
