--- a/crates/control-plane/src/explore/relay_model/state.rs
+++ b/crates/control-plane/src/explore/relay_model/state.rs
@@ -1,25 +1,28 @@
-//! A state of the model, and its transitions by name.
+//! A state of the model: agents with their disks, relays, instances, and messages in transit.
 
-use super::super::rollout_model::{UNIT, hash_of};
+use super::step::Step;
 use crate::change::Traits;
+use crate::explore::InvariantViolation;
+use crate::explore::fixture::{TIME_UNIT, UNLIMITED_PACE};
+use crate::explore::state_hash::hash_of;
 use crate::fleet::Record;
 use crate::protocol::{Order, Stamp, ToAgent, ToInstance, Who};
 use crate::relay::{Addressed, BatchAnswer, Relay, RelayRules};
 use crate::settings::{Key, Value};
-use crate::spread::Pace;
 use crate::{Fleet, Instance, Memory};
 use std::collections::BTreeMap;
-use std::fmt;
 
-/// An agent with its disk, and the relay that each instance is behind.
+/// An agent with its disk.
 #[derive(Clone, Debug, Hash)]
 pub(super) struct AgentNode {
     pub(super) fleet: Fleet,
     pub(super) disk: BTreeMap<String, Record>,
+    /// The relay that each instance has last come through, by name.
     pub(super) routes: BTreeMap<String, usize>,
 }
 
 impl AgentNode {
+    /// Stores records on the disk.
     pub(super) fn save(&mut self, saves: BTreeMap<String, Option<Record>>) {
         for (key, record) in saves {
             match record {
@@ -34,38 +37,37 @@
 #[derive(Clone, Debug)]
 pub(super) struct RelayNode {
     pub(super) relay: Relay,
+    /// The agent that it is connected to.
     pub(super) agent: Option<usize>,
+    /// The answer to its batch, in transit.
     pub(super) answer: Option<BatchAnswer>,
-    pub(super) lines: Vec<Addressed>,
+    /// Messages in transit on its watch, oldest first.
+    pub(super) watch_messages: Vec<Addressed>,
 }
 
 impl RelayNode {
     pub(super) fn new() -> Self {
         let rules = RelayRules {
-            lease: 3 * UNIT,
-            answer_timeout: UNIT / 5,
+            lease: 3 * TIME_UNIT,
+            answer_timeout: TIME_UNIT / 5,
             max_children: 8,
-            pace: Pace {
-                rate: u32::MAX,
-                burst: u32::MAX,
-                horizon: UNIT,
-            },
+            pace: UNLIMITED_PACE,
         };
-        let (agent, answer, lines) = Default::default();
         RelayNode {
             relay: Relay::new(rules),
-            agent,
-            answer,
-            lines,
+            agent: None,
+            answer: None,
+            watch_messages: Vec::new(),
         }
     }
 
+    /// The hash of the relay and of what is in transit.
     pub(super) fn explored_hash(&self) -> u64 {
         hash_of((
             self.relay.explored_hash(),
             self.agent,
             &self.answer,
-            &self.lines,
+            &self.watch_messages,
         ))
     }
 }
@@ -74,19 +76,26 @@
 #[derive(Clone, Debug, Hash)]
 pub(super) struct InstanceNode {
     pub(super) machine: Instance,
+    /// The relay that it is connected to.
     pub(super) relay: usize,
+    /// Its next request, in transit.
     pub(super) request: Option<ToAgent>,
-    /// A request has arrived whose answer has not: the next one is sent after that.
-    pub(super) is_asking: bool,
+    /// Whether a request has arrived whose answer has not: the next one is sent after that.
+    pub(super) awaits_answer: bool,
+    /// The answer to its request, in transit.
     pub(super) answer: Option<Vec<ToInstance>>,
-    pub(super) pushes: Vec<ToInstance>,
+    /// Messages in transit on its watch, oldest first.
+    pub(super) watch_messages: Vec<ToInstance>,
+    /// The order that it carries out.
     pub(super) in_progress: Option<Order>,
     /// The settings in effect, apart from what the state machine reports.
     pub(super) effective: BTreeMap<Key, Value>,
+    /// The greatest stamp that it has obeyed.
     pub(super) obeyed: Stamp,
 }
 
 impl InstanceNode {
+    /// The instance of a number behind a relay.
     pub(super) fn new(number: usize, relay: usize) -> Self {
         let who = Who {
             name: format!("i{number}"),
@@ -94,18 +103,16 @@
             incarnation: 1,
         };
         let machine = Instance::new(0, who, Traits::default(), Memory::default()).max_unanswered(2);
-        let (request, is_asking, answer, pushes, in_progress, effective, obeyed) =
-            Default::default();
         InstanceNode {
             machine,
             relay,
-            request,
-            is_asking,
-            answer,
-            pushes,
-            in_progress,
-            effective,
-            obeyed,
+            request: None,
+            awaits_answer: false,
+            answer: None,
+            watch_messages: Vec::new(),
+            in_progress: None,
+            effective: BTreeMap::new(),
+            obeyed: Stamp::default(),
         }
     }
 
@@ -115,8 +122,10 @@
 
     /// The connection to its relay ends.
     pub(super) fn drop_messages(&mut self) {
-        (self.request, self.is_asking, self.answer) = (None, false, None);
-        self.pushes.clear();
+        self.request = None;
+        self.awaits_answer = false;
+        self.answer = None;
+        self.watch_messages.clear();
     }
 }
 
@@ -127,8 +136,8 @@
     pub(super) relay_kills: u8,
     pub(super) cuts: u8,
     pub(super) moves: u8,
-    pub(super) late: u8,
-    pub(super) passes: u8,
+    pub(super) late_messages: u8,
+    pub(super) time_advances: u8,
     pub(super) stale_connections: u8,
 }
 
@@ -141,26 +150,33 @@
     pub(super) instances: Vec<InstanceNode>,
     /// Messages that instances left behind when they moved, with the relay that they arrive at.
     pub(super) late: Vec<(usize, ToAgent)>,
+    /// Whether the change was pushed, or is none to push.
     pub(super) is_pushed: bool,
     pub(super) remaining: Remaining,
-    pub(super) violation: Option<String>,
+    /// The first violation that a transition has shown.
+    pub(super) violation: Option<InvariantViolation>,
 }
 
 impl RelayModelState {
+    /// The index of the newest agent.
+    pub(super) fn newest_agent(&self) -> usize {
+        self.agents.len() - 1
+    }
+
     /// All messages that may arrive, and orders that may be carried out.
     pub(super) fn deliveries(&self) -> Vec<Step> {
         let mut steps = Vec::new();
         for (at, instance) in self.instances.iter().enumerate() {
             if instance.in_progress.is_some() {
-                steps.push(Step::Take(at));
+                steps.push(Step::ExecuteOrder(at));
             }
-            if instance.request.is_some() && !instance.is_asking {
+            if instance.request.is_some() && !instance.awaits_answer {
                 steps.push(Step::Request(at));
             }
             if instance.answer.is_some() {
                 steps.push(Step::Answer(at));
             }
-            if !instance.pushes.is_empty() {
+            if !instance.watch_messages.is_empty() {
                 steps.push(Step::PushToInstance(at));
             }
         }
@@ -171,83 +187,10 @@
             if relay.answer.is_some() {
                 steps.push(Step::BatchAnswer(at));
             }
-            if !relay.lines.is_empty() {
-                steps.push(Step::Line(at));
+            if !relay.watch_messages.is_empty() {
+                steps.push(Step::WatchMessage(at));
             }
         }
         steps
     }
 }
-
-/// A transition.
-#[derive(Clone, Debug)]
-pub enum Step {
-    /// A request of an instance arrives at its relay.
-    Request(usize),
-    /// The answer arrives at the instance.
-    Answer(usize),
-    /// A message arrives over the instance's watch.
-    PushToInstance(usize),
-    /// An instance carries an order out.
-    Take(usize),
-    /// A batch of a relay arrives at the agent.
-    Batch(usize),
-    /// The answer arrives at the relay.
-    BatchAnswer(usize),
-    /// A line of the relay's watch arrives.
-    Line(usize),
-    /// A message arrives that an instance left behind when it moved.
-    DeliverLate(usize),
-    /// A relay connects to an agent.
-    Connect {
-        /// The relay.
-        relay: usize,
-        /// The agent.
-        agent: usize,
-    },
-    /// Its connection is cut.
-    Cut(usize),
-    /// The agent is killed and started again.
-    KillAgent {
-        /// Whether its records are lost.
-        loses_state: bool,
-    },
-    /// A relay is killed, and another one takes its place.
-    KillRelay(usize),
-    /// An instance moves to the next relay.
-    Move {
-        /// The instance.
-        instance: usize,
-        /// Whether its last message arrives at the former relay all the same.
-        leaves_request: bool,
-    },
-    /// The change is pushed.
-    Push,
-    /// Time passes until the next deadline.
-    Pass,
-}
-
-impl fmt::Display for Step {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Step::Request(at) => write!(f, "i{at}'s message arrives at its relay"),
-            Step::Answer(at) => write!(f, "the answer to it arrives at i{at}"),
-            Step::PushToInstance(at) => write!(f, "a message arrives over i{at}'s watch"),
-            Step::Take(at) => write!(f, "i{at} carries its order out"),
-            Step::Batch(at) => write!(f, "a batch of relay {at} arrives at the agent"),
-            Step::BatchAnswer(at) => write!(f, "the answer arrives at relay {at}"),
-            Step::Line(at) => write!(f, "a line arrives over the watch of relay {at}"),
-            Step::DeliverLate(_) => f.write_str("a late message arrives"),
-            Step::Connect { relay, agent } => write!(f, "relay {relay} connects to agent {agent}"),
-            Step::Cut(at) => write!(f, "the connection of relay {at} is cut"),
-            Step::KillAgent { loses_state: true } => {
-                f.write_str("the agent is killed and loses its records")
-            }
-            Step::KillAgent { .. } => f.write_str("the agent is killed"),
-            Step::KillRelay(at) => write!(f, "relay {at} is killed"),
-            Step::Move { instance, .. } => write!(f, "i{instance} moves to the next relay"),
-            Step::Push => f.write_str("the change is pushed"),
-            Step::Pass => f.write_str("time passes"),
-        }
-    }
-}
--- a/crates/control-plane/src/explore/relay_model/transitions.rs
+++ b/crates/control-plane/src/explore/relay_model/transitions.rs
@@ -1,56 +1,41 @@
 //! The effect of each transition on a state.
 
 use super::RelayModel;
-use super::rules::fleet_rules;
-use super::state::{AgentNode, RelayModelState, RelayNode, Step};
-use crate::explore::rollout_model::now;
+use super::state::{AgentNode, RelayModelState, RelayNode};
+use super::step::Step;
+use crate::explore::Invariant;
+use crate::explore::fixture::{fleet_rules, now};
 use crate::protocol::{Outcome, ToAgent, ToInstance};
 use crate::relay::{Addressed, BatchAnswer, RelayOutput};
 use crate::{Action, By, Event, Fleet, Micros, Session, Time};
 use std::collections::BTreeMap;
 
-/// The most lines of a watch that wait; more are dropped.
-const MAX_LINES: usize = 4;
-/// A request of a late message: nobody waits for its answer.
+/// The most messages in transit on a watch; more are dropped.
+const MAX_WATCH_MESSAGES: usize = 4;
+/// The number of a late request, whose answer nobody awaits.
 const NO_REQUEST: u64 = u64::MAX;
 
 impl RelayModelState {
+    /// Takes a step.
     pub(super) fn take_step(&mut self, model: &RelayModel, step: &Step) {
         match *step {
-            Step::Request(at) => {
-                if let Some(message) = self.instances[at].request.take() {
-                    let relay = self.instances[at].relay;
-                    self.instances[at].is_asking = true;
-                    self.relay_receives(relay, at as u64, message);
-                }
-            }
-            Step::Answer(at) => {
-                self.instances[at].is_asking = false;
-                for message in self.instances[at].answer.take().unwrap_or_default() {
-                    self.instance_hears(at, &message);
-                }
-            }
+            Step::Request(at) => self.deliver_request(at),
+            Step::Answer(at) => self.deliver_answer(at),
             Step::PushToInstance(at) => {
-                let message = self.instances[at].pushes.remove(0);
-                self.instance_hears(at, &message);
-            }
-            Step::Take(at) => self.carry_out(at),
-            Step::Batch(at) => self.agent_receives(at),
-            Step::BatchAnswer(at) => {
-                if let Some(answer) = self.relays[at].answer.take() {
-                    let output = self.relays[at].relay.batch_answered(0, answer);
-                    self.deliver(at, output);
-                    self.drop_lost_connection(at);
-                }
+                let message = self.instances[at].watch_messages.remove(0);
+                self.deliver_to_instance(at, &message);
             }
-            Step::Line(at) => {
-                let line = self.relays[at].lines.remove(0);
-                let output = self.relays[at].relay.parent_message(line);
+            Step::ExecuteOrder(at) => self.execute_order(at),
+            Step::Batch(at) => self.deliver_batch(at),
+            Step::BatchAnswer(at) => self.deliver_batch_answer(at),
+            Step::WatchMessage(at) => {
+                let message = self.relays[at].watch_messages.remove(0);
+                let output = self.relays[at].relay.parent_message(message);
                 self.deliver(at, output);
             }
             Step::DeliverLate(at) => {
                 let (relay, message) = self.late.remove(at);
-                self.relay_receives(relay, NO_REQUEST, message);
+                self.deliver_to_relay(relay, NO_REQUEST, message);
             }
             Step::Connect { relay, agent } => self.connect(relay, agent),
             Step::Cut(at) => {
@@ -62,35 +47,65 @@
             Step::Move {
                 instance,
                 leaves_request,
-            } => {
-                self.remaining.moves -= 1;
-                if leaves_request {
-                    self.remaining.late -= 1;
-                    let node = &mut self.instances[instance];
-                    self.late
-                        .extend(node.request.take().map(|message| (node.relay, message)));
-                }
-                let next = (self.instances[instance].relay + 1) % self.relays.len();
-                let name = self.instances[instance].name().to_string();
-                self.late
-                    .retain(|(relay, message)| *relay != next || message.who().name != name);
-                self.instances[instance].relay = next;
-                self.lose_connection(instance);
-            }
+            } => self.move_instance(instance, leaves_request),
             Step::Push => self.push(model),
-            Step::Pass => {
-                self.remaining.passes = self.remaining.passes.saturating_sub(1);
-                self.pass();
+            Step::AdvanceTime => {
+                self.remaining.time_advances = self.remaining.time_advances.saturating_sub(1);
+                self.advance_all();
             }
         }
     }
 
-    fn relay_receives(&mut self, relay: usize, request: u64, message: ToAgent) {
+    /// A request of an instance arrives at its relay.
+    fn deliver_request(&mut self, at: usize) {
+        if let Some(message) = self.instances[at].request.take() {
+            let relay = self.instances[at].relay;
+            self.instances[at].awaits_answer = true;
+            self.deliver_to_relay(relay, at as u64, message);
+        }
+    }
+
+    /// The answer to a request arrives at the instance.
+    fn deliver_answer(&mut self, at: usize) {
+        self.instances[at].awaits_answer = false;
+        for message in self.instances[at].answer.take().unwrap_or_default() {
+            self.deliver_to_instance(at, &message);
+        }
+    }
+
+    /// The answer to a batch arrives at the relay.
+    fn deliver_batch_answer(&mut self, at: usize) {
+        if let Some(answer) = self.relays[at].answer.take() {
+            let output = self.relays[at].relay.batch_answered(0, answer);
+            self.deliver(at, output);
+            self.drop_lost_connection(at);
+        }
+    }
+
+    /// An instance moves to the next relay. Its last request is lost, or arrives at the former relay all the same.
+    fn move_instance(&mut self, at: usize, leaves_request: bool) {
+        self.remaining.moves -= 1;
+        if leaves_request {
+            self.remaining.late_messages -= 1;
+            let node = &mut self.instances[at];
+            let request = node.request.take();
+            self.late
+                .extend(request.map(|message| (node.relay, message)));
+        }
+        let next = (self.instances[at].relay + 1) % self.relays.len();
+        let name = self.instances[at].name().to_string();
+        self.late
+            .retain(|(relay, message)| *relay != next || message.who().name != name);
+        self.instances[at].relay = next;
+        self.lose_connection(at);
+    }
+
+    fn deliver_to_relay(&mut self, relay: usize, request: u64, message: ToAgent) {
         let output = self.relays[relay].relay.receive(0, request, message, 0);
         self.deliver(relay, output);
     }
 
-    /// What a relay has for its instances is in transit from now on.
+    /// Puts the messages of a relay to its instances in transit.
     fn deliver(&mut self, relay: usize, output: RelayOutput) {
         for (request, messages) in output.answers {
             let instance = usize::try_from(request)
@@ -102,28 +117,29 @@
             }
         }
         for Addressed { name, message } in output.pushes {
-            let to = self
+            let addressee = self
                 .instances
                 .iter_mut()
                 .find(|instance| instance.name() == name);
-            if let Some(instance) = to.filter(|to| to.relay == relay && to.pushes.len() < MAX_LINES)
+            if let Some(instance) = addressee
+                && instance.relay == relay
+                && instance.watch_messages.len() < MAX_WATCH_MESSAGES
             {
-                instance.pushes.push(message);
+                instance.watch_messages.push(message);
             }
         }
     }
 
-    fn instance_hears(&mut self, at: usize, message: &ToInstance) {
+    fn deliver_to_instance(&mut self, at: usize, message: &ToInstance) {
         let was_in = self.instances[at].machine.session() == Session::In;
-        self.instance(at, Event::Message(message));
+        self.handle(at, Event::Message(message));
         if was_in && self.instances[at].machine.session() != Session::In {
-            self.violation = Some(format!(
-                "quiet: i{at} leaves its session because of {message:?}"
-            ));
+            let details = format!("i{at} leaves its session because of {message:?}");
+            self.violation = Some(Invariant::SessionsLast.violated(details));
         }
     }
 
-    fn instance(&mut self, at: usize, event: Event<'_>) {
+    fn handle(&mut self, at: usize, event: Event<'_>) {
         let mut actions = Vec::new();
         let instance = &mut self.instances[at];
         instance.machine.handle(0, event, 0, &mut actions);
@@ -136,21 +152,22 @@
         }
     }
 
-    fn carry_out(&mut self, at: usize) {
+    fn execute_order(&mut self, at: usize) {
         let instance = &mut self.instances[at];
         let Some(order) = instance.in_progress.take() else {
             return;
         };
         if order.stamp < instance.obeyed {
             let (stamp, obeyed) = (order.stamp, instance.obeyed);
-            self.violation = Some(format!("fenced: i{at} obeys {stamp:?} after {obeyed:?}"));
+            let details = format!("i{at} obeys {stamp:?} after {obeyed:?}");
+            self.violation = Some(Invariant::Fenced.violated(details));
         }
         instance.obeyed = order.stamp;
         instance.effective = order.overlay.0;
-        self.instance(at, Event::Taken(Outcome::Applied));
+        self.handle(at, Event::Taken(Outcome::Applied));
     }
 
-    fn agent_receives(&mut self, relay: usize) {
+    fn deliver_batch(&mut self, relay: usize) {
         let node = &mut self.relays[relay];
         let Some(at) = node.agent else { return };
         let Some(batch) = node.relay.take_batch() else {
@@ -174,14 +191,14 @@
                 continue;
             };
             let relay = &mut self.relays[*relay];
-            if relay.agent == Some(agent) && relay.lines.len() < MAX_LINES {
-                relay.lines.push(Addressed { name, message });
+            if relay.agent == Some(agent) && relay.watch_messages.len() < MAX_WATCH_MESSAGES {
+                relay.watch_messages.push(Addressed { name, message });
             }
         }
     }
 
     fn connect(&mut self, relay: usize, agent: usize) {
-        let newest = self.agents.len() - 1;
+        let newest = self.newest_agent();
         if agent < newest {
             self.remaining.stale_connections -= 1;
         }
@@ -192,7 +209,7 @@
         self.drop_lost_connection(relay);
     }
 
-    /// A relay that has found its agent to be of a former term gives the connection up.
+    /// Ends the connection of a relay that has found its agent to be of a former term.
     fn drop_lost_connection(&mut self, relay: usize) {
         if self.relays[relay].agent.is_some() && !self.relays[relay].relay.is_connected() {
             self.cut(relay);
@@ -201,15 +218,16 @@
 
     fn cut(&mut self, relay: usize) {
         let node = &mut self.relays[relay];
-        (node.agent, node.answer) = (None, None);
-        node.lines.clear();
+        node.agent = None;
+        node.answer = None;
+        node.watch_messages.clear();
         let output = node.relay.parent_lost(0);
         self.deliver(relay, output);
     }
 
     fn kill_agent(&mut self, model: &RelayModel, loses_state: bool) {
         self.remaining.agent_kills -= 1;
-        let newest = self.agents.len() - 1;
+        let newest = self.newest_agent();
         let former = self.agents[newest].clone();
         let (records, above) = if loses_state {
             (BTreeMap::new(), former.fleet.term())
@@ -218,7 +236,10 @@
         };
         let (fleet, out) = match Fleet::restore(fleet_rules(), now(), above, records.clone()) {
             Ok(restored) => restored,
-            Err(problem) => return self.violation = Some(format!("lasting: {problem}")),
+            Err(problem) => {
+                self.violation = Some(Invariant::Durable.violated(problem.to_string()));
+                return;
+            }
         };
         let mut agent = AgentNode {
             fleet,
@@ -250,12 +271,12 @@
 
     fn lose_connection(&mut self, at: usize) {
         self.instances[at].drop_messages();
-        self.instance(at, Event::Lost);
+        self.handle(at, Event::Lost);
     }
 
     fn push(&mut self, model: &RelayModel) {
         self.is_pushed = true;
-        let newest = self.agents.len() - 1;
+        let newest = self.newest_agent();
         let agent = &mut self.agents[newest];
         let change = model.change(agent.fleet.newest());
         let (_, out) = agent.fleet.push(now(), change, By::default());
@@ -263,9 +284,9 @@
         self.send(newest, out.sends);
     }
 
-    /// Time passes until the next deadline, for all alike.
-    fn pass(&mut self) {
-        let newest = self.agents.len() - 1;
+    /// All clocks advance to the next deadline of any instance, relay, or the newest agent.
+    fn advance_all(&mut self) {
+        let newest = self.newest_agent();
         let instances = self
             .instances
             .iter()
@@ -280,7 +301,7 @@
             let is_due = self.instances[at].machine.next() <= by;
             self.instances[at].machine.rebase(by);
             if is_due {
-                self.instance(at, Event::Timer);
+                self.handle(at, Event::Timer);
             }
         }
         for at in 0..self.relays.len() {
@@ -288,10 +309,10 @@
             self.relays[at].relay.rebase(by);
             self.deliver(at, output);
         }
-        self.agent_passes(newest, by);
+        self.advance_agent(newest, by);
     }
 
-    fn agent_passes(&mut self, at: usize, by: Micros) {
+    fn advance_agent(&mut self, at: usize, by: Micros) {
         let agent = &mut self.agents[at];
         let out = agent.fleet.tick(Time { now: by, wall: 0 });
         agent.fleet.rebase(by);
--- a/crates/control-plane/src/explore/relay_tests.rs
+++ b/crates/control-plane/src/explore/relay_tests.rs
@@ -1,15 +1,16 @@
 //! Relays keep the invariants in every state of the models, and the explorer finds injected bugs.
 
-use super::{explore, relay_models, with_injected_bug};
+use super::{Invariant, explore, relay_models, with_injected_bug};
 use crate::InjectedBug;
+use std::time::Instant;
 
 /// The most states of one model that a test explores; none of the models has as many.
 const MAX_STATES: usize = 400_000;
 
 #[test]
-fn no_order_of_messages_cuts_deaths_and_moves_breaks_an_invariant() {
+fn no_order_of_messages_cuts_kills_and_moves_violates_an_invariant() {
     for model in relay_models() {
-        let begin = std::time::Instant::now();
+        let begin = Instant::now();
         match explore(&model, MAX_STATES) {
             Ok(explored) => {
                 println!("{}: {explored:?} in {:?}", model.name, begin.elapsed());
@@ -24,43 +25,38 @@
                     model.name
                 );
             }
-            Err(violation) => panic!("{}: {violation}", model.name),
+            Err(counterexample) => panic!("{}: {counterexample}", model.name),
         }
     }
 }
 
-/// The invariant that a bug breaks, in the first of the models that shows it.
-fn broken_by(bug: InjectedBug) -> String {
-    let violation = with_injected_bug(Some(bug), || {
+/// The invariant that a bug violates, in the first of the models that shows it.
+fn violated_by(bug: InjectedBug) -> Invariant {
+    let violated = with_injected_bug(Some(bug), || {
         relay_models().into_iter().find_map(|model| {
-            let violation = explore(&model, MAX_STATES).err()?;
-            println!("{bug:?}, in: {}\n{violation}", model.name);
-            Some(violation.invariant)
+            let counterexample = explore(&model, MAX_STATES).err()?;
+            println!("{bug:?}, in: {}\n{counterexample}", model.name);
+            Some(counterexample.violation.invariant)
         })
     });
-    violation.unwrap_or_else(|| panic!("{bug:?} is not found"))
+    violated.unwrap_or_else(|| panic!("{bug:?} is not found"))
 }
 
 #[test]
-fn a_relay_that_does_not_register_its_children_anew_is_found() {
-    let invariant = broken_by(InjectedBug::RelayForgetsToRegister);
-    assert!(
-        invariant.starts_with("a fair continuation never comes to rest"),
-        "{invariant}"
-    );
+fn a_relay_that_does_not_register_its_children_again_is_found() {
+    let violated = violated_by(InjectedBug::RelayForgetsToRegister);
+    assert_eq!(violated, Invariant::Convergence);
 }
 
 #[test]
 fn a_relay_that_obeys_an_agent_of_a_former_term_is_found() {
-    let invariant = broken_by(InjectedBug::RelayObeysFormerTerms);
-    assert!(
-        invariant.starts_with("quiet: ") || invariant.starts_with("fenced: "),
-        "{invariant}"
-    );
+    let violated = violated_by(InjectedBug::RelayObeysFormerTerms);
+    let expected = [Invariant::SessionsLast, Invariant::Fenced];
+    assert!(expected.contains(&violated), "{violated}");
 }
 
 #[test]
 fn a_relay_whose_messages_overtake_its_answers_is_found() {
-    let invariant = broken_by(InjectedBug::RelayOvertakesAnswers);
-    assert!(invariant.starts_with("quiet: "), "{invariant}");
+    let violated = violated_by(InjectedBug::RelayOvertakesAnswers);
+    assert_eq!(violated, Invariant::SessionsLast);
 }
--- a/crates/control-plane/src/explore/rollout_model/shipped.rs
+++ b/crates/control-plane/src/explore/rollout_model/models.rs
@@ -9,9 +9,9 @@
         disconnects: 0,
         ..RolloutModel::default()
     };
-    let all = || RolloutModel {
+    let all_at_once = || RolloutModel {
         waves: vec![],
-        at_once: 3,
+        max_unanswered: 3,
         agent_ticks: 0,
         ..usual()
     };
@@ -19,20 +19,20 @@
         RolloutModel {
             name: "one instance, both killed once",
             processes: vec![0],
-            kills: 1,
+            instance_kills: 1,
             agent_kills: 1,
-            late: 1,
+            late_messages: 1,
             ..usual()
         },
         RolloutModel {
             name: "the agent killed at any step",
             agent_kills: 1,
-            late: 1,
+            late_messages: 1,
             ..usual()
         },
         RolloutModel {
             name: "an instance killed at any step",
-            kills: 1,
+            instance_kills: 1,
             ..usual()
         },
         RolloutModel {
@@ -41,20 +41,20 @@
             ..usual()
         },
         RolloutModel {
-            name: "one instance refuses, taken back",
-            refuses: vec![1],
+            name: "one instance refuses, the change undone",
+            refusing_names: vec![1],
             agent_kills: 1,
             ..usual()
         },
         RolloutModel {
-            name: "one instance refuses, stopped",
-            refuses: vec![1],
+            name: "one instance refuses, the rollout stopped",
+            refusing_names: vec![1],
             then: Then::Stop,
-            late: 1,
+            late_messages: 1,
             ..usual()
         },
         RolloutModel {
-            name: "stopped or taken back by hand at any step",
+            name: "stopped or undone by an operator at any step",
             commands: 1,
             agent_kills: 1,
             ..usual()
@@ -64,14 +64,14 @@
             processes: vec![0],
             agent_kills: 1,
             stale_agent: true,
-            late: 1,
+            late_messages: 1,
             agent_ticks: 0,
             ..usual()
         },
         RolloutModel {
             name: "two processes with one name",
             processes: vec![0, 0],
-            settled: false,
+            starts_settled: false,
             disconnects: 1,
             ..usual()
         },
@@ -79,31 +79,31 @@
             name: "two changes, made on one revision, pushed again",
             processes: vec![0],
             changes: 2,
-            repeats: 1,
-            late: 1,
+            repeated_pushes: 1,
+            late_messages: 1,
             agent_kills: 1,
             ..usual()
         },
         RolloutModel {
             name: "one at a time, the agent killed",
             waves: vec![],
-            at_once: 1,
+            max_unanswered: 1,
             agent_kills: 1,
             ..usual()
         },
         RolloutModel {
-            name: "three alike, the agent killed",
+            name: "three symmetric instances, the agent killed",
             processes: vec![0, 1, 2],
             symmetric: true,
             agent_kills: 1,
-            ..all()
+            ..all_at_once()
         },
         RolloutModel {
-            name: "three alike, one killed",
+            name: "three symmetric instances, one killed",
             processes: vec![0, 1, 2],
             symmetric: true,
-            kills: 1,
-            ..all()
+            instance_kills: 1,
+            ..all_at_once()
         },
     ]
 }
@@ -113,48 +113,48 @@
     let usual = RolloutModel::default;
     vec![
         RolloutModel {
-            name: "one instance, everything",
+            name: "one instance, all faults",
             processes: vec![0],
-            kills: 1,
+            instance_kills: 1,
             agent_kills: 1,
-            late: 1,
+            late_messages: 1,
             commands: 1,
             ..usual()
         },
         RolloutModel {
             name: "two instances, both sides killed",
-            kills: 1,
+            instance_kills: 1,
             agent_kills: 1,
-            late: 1,
+            late_messages: 1,
             disconnects: 0,
             ..usual()
         },
         RolloutModel {
-            name: "an agent that does not know that it was replaced, cuts",
+            name: "an agent that does not know that it was replaced, an instance killed",
             processes: vec![0],
             agent_kills: 1,
             stale_agent: true,
-            late: 1,
-            kills: 1,
+            late_messages: 1,
+            instance_kills: 1,
             disconnects: 0,
             ..usual()
         },
         RolloutModel {
             name: "two processes with one name, both sides killed",
             processes: vec![0, 0],
-            kills: 1,
+            instance_kills: 1,
             agent_kills: 1,
-            settled: false,
+            starts_settled: false,
             disconnects: 0,
             ..usual()
         },
         RolloutModel {
-            name: "two changes by two operators, stopped and taken back",
+            name: "two changes by two operators, stopped and undone",
             changes: 2,
-            repeats: 1,
+            repeated_pushes: 1,
             commands: 1,
             disconnects: 0,
-            late: 1,
+            late_messages: 1,
             ..usual()
         },
         RolloutModel {
--- a/crates/control-plane/src/explore/rollout_model/packet.rs
+++ b/crates/control-plane/src/explore/rollout_model/packet.rs
@@ -1,109 +1,123 @@
 //! Messages in transit between the agent and the instances.
 
-use super::hashed::hash_of;
+use crate::explore::state_hash::hash_of;
 use crate::protocol::{Outcome, Stamp, ToAgent, ToInstance, Who};
 use std::fmt;
 
+/// A connection in one direction between the newest agent and a process.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct Channel {
+    /// The index of the process.
+    pub process: usize,
+    /// Whether messages go from the process to the agent.
+    pub is_to_agent: bool,
+}
+
+/// A message in transit, with the number of the instance's name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) enum Packet {
-    Up { name: usize, message: ToAgent },
-    Down { name: usize, message: ToInstance },
+    ToAgent { name: usize, message: ToAgent },
+    ToInstance { name: usize, message: ToInstance },
 }
 
 impl Packet {
     pub(super) fn name(&self) -> usize {
         match self {
-            Packet::Up { name, .. } | Packet::Down { name, .. } => *name,
+            Packet::ToAgent { name, .. } | Packet::ToInstance { name, .. } => *name,
+        }
+    }
+
+    /// The start of the instance that it comes from or goes to.
+    pub(super) fn start(&self) -> u64 {
+        match self {
+            Packet::ToAgent { message, .. } => message.who().start,
+            Packet::ToInstance { message, .. } => message.start(),
         }
     }
 
+    /// A hash that is the same for instances that differ only by their names.
     pub(super) fn hash_without_name(&self) -> u64 {
         match self.clone() {
-            Packet::Up {
+            Packet::ToAgent {
                 message: ToAgent::Register(mut registration),
                 ..
             } => {
                 registration.who.name.clear();
                 hash_of(registration)
             }
-            Packet::Up {
+            Packet::ToAgent {
                 message: ToAgent::Report(mut report),
                 ..
             } => {
                 report.who.name.clear();
                 hash_of(report)
             }
-            Packet::Down { message, .. } => hash_of(message),
+            Packet::ToInstance { message, .. } => hash_of(message),
         }
     }
 }
 
 /// A message in transit, for display.
 #[derive(Clone, Debug)]
-pub struct PacketShown(pub(super) Packet);
+pub struct ShownPacket(pub(super) Packet);
 
-impl fmt::Display for PacketShown {
+impl fmt::Display for ShownPacket {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let outcome = |outcome: &Outcome| match outcome {
-            Outcome::Applied => "applied".to_string(),
-            Outcome::Refused(problem) => format!("refused ({problem})"),
-        };
         match &self.0 {
-            Packet::Up {
-                message: ToAgent::Register(registration),
-                ..
-            } => {
-                let Who {
-                    name,
-                    start,
-                    incarnation,
-                } = &registration.who;
-                write!(
-                    f,
-                    "{name} (start {start}, incarnation {incarnation}) -> agent: I want to be known"
-                )
-            }
-            Packet::Up {
-                message: ToAgent::Report(report),
-                ..
-            } => {
-                let Who { name, start, .. } = &report.who;
-                write!(
-                    f,
-                    "{name} (start {start}) -> agent: I have revision {}",
-                    report.holding.revision
-                )?;
-                report.answer.as_ref().map_or(Ok(()), |a| {
-                    let Stamp { term, number } = a.stamp;
-                    write!(
-                        f,
-                        ", {} order {term}.{number} (revision {})",
-                        outcome(&a.outcome),
-                        a.revision
-                    )
-                })
-            }
-            Packet::Down { name, message } => {
+            Packet::ToAgent { message, .. } => write_to_agent(f, message),
+            Packet::ToInstance { name, message } => {
                 write!(f, "agent -> i{name}: ")?;
-                match message {
-                    ToInstance::Welcome(w) => {
-                        write!(
-                            f,
-                            "welcome start {} as incarnation {}, term {}",
-                            w.start, w.incarnation, w.term
-                        )
-                    }
-                    ToInstance::Order(o) => {
-                        let Stamp { term, number } = o.stamp;
-                        write!(
-                            f,
-                            "order {term}.{number} for start {}: have revision {}",
-                            o.start, o.revision
-                        )
-                    }
-                    other => write!(f, "{other:?}"),
-                }
+                write_to_instance(f, message)
+            }
+        }
+    }
+}
+
+fn write_to_agent(f: &mut fmt::Formatter<'_>, message: &ToAgent) -> fmt::Result {
+    let Who {
+        name,
+        start,
+        incarnation,
+    } = message.who();
+    match message {
+        ToAgent::Register(_) => write!(
+            f,
+            "{name} (start {start}, incarnation {incarnation}) -> agent: registers"
+        ),
+        ToAgent::Report(report) => {
+            let revision = report.holding.revision;
+            write!(
+                f,
+                "{name} (start {start}) -> agent: reports revision {revision}"
+            )?;
+            let Some(answer) = &report.answer else {
+                return Ok(());
+            };
+            let Stamp { term, number } = answer.stamp;
+            match &answer.outcome {
+                Outcome::Applied => f.write_str(", applied")?,
+                Outcome::Refused(problem) => write!(f, ", refused ({problem})")?,
             }
+            write!(f, " order {term}.{number} (revision {})", answer.revision)
+        }
+    }
+}
+
+fn write_to_instance(f: &mut fmt::Formatter<'_>, message: &ToInstance) -> fmt::Result {
+    match message {
+        ToInstance::Welcome(welcome) => write!(
+            f,
+            "welcome start {} as incarnation {}, term {}",
+            welcome.start, welcome.incarnation, welcome.term
+        ),
+        ToInstance::Order(order) => {
+            let Stamp { term, number } = order.stamp;
+            write!(
+                f,
+                "order {term}.{number} for start {}: have revision {}",
+                order.start, order.revision
+            )
         }
+        other => write!(f, "{other:?}"),
     }
 }
--- a/crates/control-plane/src/explore/rollout_model/state.rs
+++ b/crates/control-plane/src/explore/rollout_model/state.rs
@@ -1,95 +1,31 @@
 //! A state of the model: agents with their disks, processes, and messages in transit.
 
-use super::hashed::{Hashed, hash_of};
-use super::packet::Packet;
+use super::agent::Agent;
+use super::hashed::Hashed;
+use super::packet::{Channel, Packet};
+use super::process::Process;
 use crate::change::Change;
-use crate::fleet::Record;
-use crate::instance::Memory;
-use crate::protocol::{Order, Stamp, ToAgent};
-use crate::settings::{Fingerprint, Key, Value};
-use crate::{Fleet, Instance};
+use crate::explore::InvariantViolation;
 use std::collections::BTreeMap;
-use std::sync::Arc;
 
-#[derive(Clone, Debug)]
-pub(super) struct Agent {
-    pub(super) fleet: Arc<Fleet>,
-    pub(super) disk: Arc<BTreeMap<String, Record>>,
-    /// Hashes of the disk: of the records that concern no instance, and of those of each name.
-    pub(super) lasting: Arc<(u64, BTreeMap<String, u64>)>,
-    /// Hashes of agent and disk: of the state that concerns no instance, and of that of each name.
-    pub(super) common: u64,
-    pub(super) by_name: Vec<u64>,
-}
-
-impl Agent {
-    pub(super) fn new(
-        fleet: Fleet,
-        disk: Arc<BTreeMap<String, Record>>,
-        former: Option<&Agent>,
-        names: usize,
-    ) -> Self {
-        let former = former.filter(|former| Arc::ptr_eq(&former.disk, &disk));
-        let lasting = former.map_or_else(
-            || Arc::new(lasting(&disk)),
-            |former| Arc::clone(&former.lasting),
-        );
-        let (common, by_name) = fleet.parts();
-        let of_name = |name: usize| {
-            let name = format!("i{name}");
-            hash_of((by_name.get(&name), lasting.1.get(&name)))
-        };
-        let by_name = (0..names).map(of_name).collect();
-        Agent {
-            common: hash_of((common, lasting.0)),
-            by_name,
-            fleet: Arc::new(fleet),
-            disk,
-            lasting,
-        }
-    }
+/// A change that was accepted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub(super) struct AcceptedChange {
+    /// The number of the change.
+    pub(super) change: usize,
+    pub(super) revision: u64,
 }
 
-/// Hashes of the disk: of the records that concern no instance, and of those of each name.
-fn lasting(disk: &BTreeMap<String, Record>) -> (u64, BTreeMap<String, u64>) {
-    let (mut common, mut by_name) = (Vec::new(), BTreeMap::<String, u64>::new());
-    for (key, record) in disk {
-        let place = key.rsplit_once('/').filter(|_| !key.starts_with("entry/"));
-        match (record, place) {
-            (_, Some((place, name))) => {
-                let former = by_name.entry(name.to_string()).or_default();
-                *former = hash_of((*former, place, record));
-            }
-            // The parts that contain names of instances are in the agent's memory too, and are hashed there.
-            (Record::Settled(newest, layers), None) => {
-                common.push(hash_of((key, newest, layers.0.len())))
-            }
-            (Record::Rollout(rollout), None) => {
-                common.push(hash_of((
-                    key,
-                    rollout.revision,
-                    rollout.phase,
-                    rollout.back_revision,
-                )));
-            }
-            (record, None) => common.push(hash_of((key, record))),
-        }
-    }
-    (hash_of(common), by_name)
-}
-
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(super) struct Process {
-    pub(super) name: usize,
-    pub(super) machine: Instance,
-    /// The settings in effect, apart from what the state machine reports.
-    pub(super) effective: BTreeMap<Key, Value>,
-    pub(super) in_progress: Option<Order>,
-    pub(super) memory: Memory,
-    /// The last order that was carried out.
-    pub(super) last: Option<(String, u64, Fingerprint)>,
-    pub(super) obeyed: Stamp,
-    pub(super) obeyed_term: u64,
+/// How often each fault and each command may still happen.
+#[derive(Clone, Copy, Debug, Hash)]
+pub(super) struct Remaining {
+    pub(super) agent_kills: u8,
+    pub(super) instance_kills: u8,
+    pub(super) late_messages: u8,
+    pub(super) repeated_pushes: u8,
+    pub(super) commands: u8,
+    pub(super) disconnects: u8,
+    pub(super) agent_ticks: u8,
 }
 
 /// A state of the model.
@@ -98,49 +34,56 @@
     /// The newest agent is the last.
     pub(super) agents: Vec<Agent>,
     pub(super) processes: Vec<Hashed<Process>>,
-    /// The newest message in transit by process and direction, and the messages that will arrive late.
-    pub(super) net: BTreeMap<(usize, bool), (Packet, u64)>,
+    /// The newest message in transit on each channel.
+    pub(super) in_transit: BTreeMap<Channel, Hashed<Packet>>,
+    /// The messages that will arrive late, with their hashes.
     pub(super) late: BTreeMap<Packet, u64>,
     pub(super) remaining: Remaining,
+    /// The changes that were pushed, by their numbers.
     pub(super) pushed: Vec<Option<Change>>,
-    pub(super) accepted: Vec<(usize, u64)>,
+    pub(super) accepted: Vec<AcceptedChange>,
     /// The number of starts of each name.
     pub(super) starts: Vec<u64>,
-    pub(super) violation: Option<String>,
+    /// The first violation that a transition has shown.
+    pub(super) violation: Option<InvariantViolation>,
 }
 
 impl ModelState {
+    /// The index of the newest agent.
+    pub(super) fn newest_agent(&self) -> usize {
+        self.agents.len() - 1
+    }
+
     /// Puts a message in transit. A message to a start that has ended is lost.
-    pub(super) fn insert(&mut self, packet: Packet) {
-        let start = match &packet {
-            Packet::Up {
-                message: ToAgent::Register(registration),
-                ..
-            } => registration.who.start,
-            Packet::Up {
-                message: ToAgent::Report(report),
-                ..
-            } => report.who.start,
-            Packet::Down { message, .. } => message.start(),
-        };
-        let to = |process: &Hashed<Process>| {
+    pub(super) fn send(&mut self, packet: Packet) {
+        let start = packet.start();
+        let is_endpoint = |process: &Hashed<Process>| {
             process.value.name == packet.name() && process.value.machine.who().start == start
         };
-        if let Some(at) = self.processes.iter().position(to) {
+        if let Some(process) = self.processes.iter().position(is_endpoint) {
+            let channel = Channel {
+                process,
+                is_to_agent: matches!(packet, Packet::ToAgent { .. }),
+            };
             let hash = packet.hash_without_name();
-            self.net
-                .insert((at, matches!(packet, Packet::Up { .. })), (packet, hash));
+            self.in_transit.insert(channel, Hashed::new(packet, hash));
         }
     }
-}
 
-#[derive(Clone, Copy, Debug, Hash)]
-pub(super) struct Remaining {
-    pub(super) agent_kills: u8,
-    pub(super) kills: u8,
-    pub(super) late: u8,
-    pub(super) repeats: u8,
-    pub(super) commands: u8,
-    pub(super) disconnects: u8,
-    pub(super) agent_ticks: u8,
+    /// All messages in transit, and then those that will arrive late, with the channels of the former.
+    pub(super) fn packets(&self) -> impl Iterator<Item = (&Packet, Option<Channel>)> {
+        let in_transit = self
+            .in_transit
+            .iter()
+            .map(|(channel, packet)| (&*packet.value, Some(*channel)));
+        in_transit.chain(self.late.keys().map(|packet| (packet, None)))
+    }
+
+    /// The record of an accepted change.
+    pub(super) fn acceptance(&self, change: usize) -> Option<AcceptedChange> {
+        self.accepted
+            .iter()
+            .copied()
+            .find(|accepted| accepted.change == change)
+    }
 }
--- a/crates/control-plane/src/explore/rollout_model/step.rs
+++ b/crates/control-plane/src/explore/rollout_model/step.rs
@@ -1,43 +1,54 @@
 //! The transitions of the model, as a trace shows them.
 
-use super::packet::{Packet, PacketShown};
+use super::packet::{Channel, Packet, ShownPacket};
 use std::fmt;
 
-/// A transition.
+/// A transition. Agents, processes and changes are identified by their index.
 #[derive(Clone, Debug)]
 pub enum Step {
-    #[allow(missing_docs)]
+    /// A message arrives.
     Deliver {
-        packet: Box<PacketShown>,
+        /// The message.
+        packet: Box<ShownPacket>,
+        /// The agent that a message to an agent arrives at.
         agent: usize,
-        from: Option<(usize, bool)>,
+        /// The channel that it is in transit on; `None` for a late message.
+        channel: Option<Channel>,
     },
-    #[allow(missing_docs)]
-    Keep(Box<PacketShown>),
-    #[allow(missing_docs)]
+    /// A message in transit will also arrive late.
+    Duplicate(Box<ShownPacket>),
+    /// An agent's clock advances to its next deadline.
     AgentTick(usize),
-    #[allow(missing_docs)]
+    /// A process's clock advances to its next deadline.
     InstanceTick(usize),
-    #[allow(missing_docs)]
-    Take(usize),
-    #[allow(missing_docs)]
+    /// A process carries out the order that it was given, or refuses it.
+    ExecuteOrder(usize),
+    /// The newest agent is killed and started again from its disk.
     KillAgent,
-    #[allow(missing_docs)]
-    KillUnsaved(usize),
-    #[allow(missing_docs)]
-    Kill {
+    /// An operator pushes a change; the agent is killed before its records are durable.
+    KillAgentBeforeSave(usize),
+    /// A process is killed and started again.
+    KillInstance {
+        /// The process.
         process: usize,
-        keeps: bool,
-        backwards: bool,
+        /// Whether it starts with the state that it persisted.
+        keeps_memory: bool,
+        /// Whether its incarnation begins anew, as where its clock was set back.
+        resets_incarnation: bool,
     },
-    #[allow(missing_docs)]
-    Push { change: usize, base: u64 },
-    #[allow(missing_docs)]
+    /// An operator pushes a change.
+    Push {
+        /// The change.
+        change: usize,
+        /// The revision that it is made on.
+        base: u64,
+    },
+    /// An operator stops a change.
     Stop(usize),
-    #[allow(missing_docs)]
+    /// An operator undoes a change.
     Undo(usize),
-    #[allow(missing_docs)]
-    Pass,
+    /// Time advances for all to the next deadline of any of them.
+    AdvanceTime,
 }
 
 impl fmt::Display for Step {
@@ -46,60 +57,49 @@
             Step::Deliver {
                 packet,
                 agent,
-                from,
+                channel,
             } => {
-                let late = if from.is_none() { " late" } else { "" };
-                write!(f, "comes{late}: {packet}")?;
-                if let (Packet::Up { .. }, true) = (&packet.0, *agent > 0) {
+                let late = if channel.is_none() { " late" } else { "" };
+                write!(f, "arrives{late}: {packet}")?;
+                if let (Packet::ToAgent { .. }, true) = (&packet.0, *agent > 0) {
                     write!(f, " (agent {agent})")?;
                 }
                 Ok(())
             }
-            Step::Keep(packet) => write!(f, "will come late or once more: {packet}"),
+            Step::Duplicate(packet) => write!(f, "will arrive late or a second time: {packet}"),
             Step::AgentTick(agent) => write!(f, "agent {agent}'s clock reaches its next deadline"),
             Step::InstanceTick(process) => {
                 write!(f, "process {process}'s clock reaches its next deadline")
             }
-            Step::Take(process) => write!(
+            Step::ExecuteOrder(process) => write!(f, "process {process} carries out its order"),
+            Step::KillAgent => f.write_str("the agent is killed and started again"),
+            Step::KillAgentBeforeSave(change) => write!(
                 f,
-                "process {process} carries out the order that it was given"
+                "an operator pushes change {change}; the agent is killed before it is saved"
             ),
-            Step::KillAgent => f.write_str("the agent is killed and started again"),
-            Step::KillUnsaved(change) => {
-                write!(
-                    f,
-                    "an operator pushes change {change}; the agent is killed before it is saved"
-                )
-            }
-            Step::Kill {
+            Step::KillInstance {
                 process,
-                keeps,
-                backwards,
+                keeps_memory,
+                resets_incarnation,
             } => {
-                let with = if *keeps {
-                    "what it kept"
-                } else {
-                    "nothing kept"
-                };
-                let clock = if *backwards {
+                let with = if *keeps_memory { "its" } else { "no" };
+                let clock = if *resets_incarnation {
                     ", its clock set back"
                 } else {
                     ""
                 };
                 write!(
                     f,
-                    "process {process} is killed and started again with {with}{clock}"
-                )
-            }
-            Step::Push { change, base } => {
-                write!(
-                    f,
-                    "an operator pushes change {change}, made on revision {base}"
+                    "process {process} is killed and started again with {with} persisted state{clock}"
                 )
             }
+            Step::Push { change, base } => write!(
+                f,
+                "an operator pushes change {change}, made on revision {base}"
+            ),
             Step::Stop(change) => write!(f, "an operator stops change {change}"),
-            Step::Undo(change) => write!(f, "an operator takes change {change} back"),
-            Step::Pass => f.write_str("time passes for all"),
+            Step::Undo(change) => write!(f, "an operator undoes change {change}"),
+            Step::AdvanceTime => f.write_str("time advances for all"),
         }
     }
 }
