--- a/crates/agent/src/client/error.rs
+++ b/crates/agent/src/client/error.rs
@@ -1,7 +1,7 @@
 //! Why a request to an agent, or a watch of one, has failed.
 
 use hyper::StatusCode;
-use madderloom_control_plane::Declined;
+use madderloom_control_plane::Rejection;
 use madderloom_pki::describe_handshake_error;
 use std::io;
 
@@ -78,7 +78,7 @@
     InvalidResponse(#[source] serde_json::Error),
     /// The agent declined a change.
     #[error("{0}")]
-    Declined(Box<Declined>),
+    Declined(Box<Rejection>),
     /// The agent rejected the request.
     #[error("{message}")]
     Rejected {
--- a/crates/agent/src/fleet_task/state_store.rs
+++ b/crates/agent/src/fleet_task/state_store.rs
@@ -4,13 +4,13 @@
 use crate::clock::Clock;
 use crate::storage::{RecordChanges, Storage};
 use madderloom_control_plane::fleet_limits::FleetLimitSettings;
-use madderloom_control_plane::{Fleet, Rules};
+use madderloom_control_plane::{Fleet, FleetSettings};
 
 /// Loads the state machine from the durable records, and commits changes of them. Calls of the storage run on a thread for
 /// blocking work.
 pub(super) struct StateStore {
     clock: Clock,
-    rules: Rules,
+    rules: FleetSettings,
     fleet_limits: FleetLimitSettings,
     /// The term of each load is above this one.
     term_above: u64,
@@ -21,7 +21,7 @@
 impl StateStore {
     pub(super) fn new(
         clock: Clock,
-        rules: Rules,
+        rules: FleetSettings,
         fleet_limits: FleetLimitSettings,
         term_above: u64,
         storage: Box<dyn Storage>,
@@ -43,11 +43,11 @@
             .map_err(Error::InvalidState)?;
         let limits =
             fleet.serve_fleet_limits(self.clock.time(), self.fleet_limits.clone(), rng.rand_u64());
-        output.saves.extend(limits.saves);
-        self.commit(output.saves).await?;
+        output.records.extend(limits.records);
+        self.commit(output.records).await?;
         tracing::info!(
             term = fleet.term(),
-            revision = fleet.newest(),
+            revision = fleet.newest_revision(),
             "term started"
         );
         Ok(fleet)
--- a/crates/agent/src/http/mod.rs
+++ b/crates/agent/src/http/mod.rs
@@ -7,5 +7,5 @@
 
 pub(crate) use caller::Caller;
 pub(crate) use request::{check_name_in_path, instance_permission, number_in_query, read_json};
-pub(crate) use response::{Body, Rejection, json_response, raw_json_response};
+pub(crate) use response::{Body, HttpError, json_response, raw_json_response};
 pub(crate) use watch::WatchResponder;
--- a/crates/agent/src/view/rollout.rs
+++ b/crates/agent/src/view/rollout.rs
@@ -1,7 +1,7 @@
 //! Changes, from the start of their rollout on.
 
-use madderloom_control_plane::rollout::{End, Phase, Rollout, Step, Target};
-use madderloom_control_plane::{By, Entry, Fleet, difference};
+use madderloom_control_plane::rollout::{self, Phase, Rollout, RolloutResult, Target};
+use madderloom_control_plane::{Author, Fleet, HistoryEntry, describe_operation};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
@@ -36,14 +36,14 @@
     }
 }
 
-impl From<&Step> for TargetState {
-    fn from(step: &Step) -> Self {
-        match step {
-            Step::Pending => TargetState::Pending,
-            Step::Sent => TargetState::Sent,
-            Step::Applied => TargetState::Applied,
-            Step::Refused(_) => TargetState::Rejected,
-            Step::Failed(_) => TargetState::Failed,
+impl From<&rollout::TargetState> for TargetState {
+    fn from(state: &rollout::TargetState) -> Self {
+        match state {
+            rollout::TargetState::Pending => TargetState::Pending,
+            rollout::TargetState::Sent => TargetState::Sent,
+            rollout::TargetState::Applied => TargetState::Applied,
+            rollout::TargetState::Refused(_) => TargetState::Rejected,
+            rollout::TargetState::Failed(_) => TargetState::Failed,
         }
     }
 }
@@ -64,13 +64,16 @@
 
 impl From<&Target> for TargetView {
     fn from(target: &Target) -> Self {
-        let text = target.step.to_string();
+        let text = target.state.to_string();
         let reason = text.split_once(": ").map(|(_, reason)| reason.to_string());
         TargetView {
-            wave: target.wave + 1,
-            state: TargetState::from(&target.step),
+            wave: target.stage + 1,
+            state: TargetState::from(&target.state),
             reason,
-            rollback: target.back.as_ref().map(Step::to_string),
+            rollback: target
+                .rollback
+                .as_ref()
+                .map(rollout::TargetState::to_string),
         }
     }
 }
@@ -84,11 +87,11 @@
     pub revision: u64,
     /// Who pushed it, and when.
     #[serde(rename = "by")]
-    pub author: By,
+    pub author: Author,
     /// The phase of the rollout, as a text for people.
     pub phase: String,
     /// How the rollout ended. None: it is under way.
-    pub end: Option<End>,
+    pub end: Option<RolloutResult>,
     /// When the rollout ended, in milliseconds since 1970.
     #[serde(rename = "ended")]
     pub ended_at_ms: Option<u64>,
@@ -120,7 +123,8 @@
     /// Whether the change is in effect at all its targets.
     pub fn is_applied(&self) -> bool {
         let mut states = self.target_counts.keys();
-        self.end == Some(End::Done) && states.all(|state| *state == TargetState::Applied)
+        self.end == Some(RolloutResult::Completed)
+            && states.all(|state| *state == TargetState::Applied)
     }
 
     /// Whether a target rejected the change.
@@ -156,27 +160,27 @@
             phase: phase_text(rollout),
             end: None,
             ended_at_ms: None,
-            reason: rollout.why.clone(),
+            reason: rollout.reason.clone(),
             note: rollout.change.note.clone(),
-            difference: difference(&rollout.change),
+            difference: describe_operation(&rollout.change),
             target_counts: count_by_state(&rollout.targets),
             targets: target_views(&rollout.targets, detail),
         }
     }
 
     /// A rollout that is over.
-    fn past(fleet: &Fleet, entry: &Entry, detail: Detail) -> Self {
+    fn past(fleet: &Fleet, entry: &HistoryEntry, detail: Detail) -> Self {
         let targets = fleet.results(entry.revision);
         RolloutView {
             id: entry.change.id.clone(),
             revision: entry.revision,
             author: entry.by.clone(),
-            phase: end_text(entry.end).to_string(),
-            end: Some(entry.end),
-            ended_at_ms: Some(entry.ended),
-            reason: entry.why.clone(),
+            phase: end_text(entry.result).to_string(),
+            end: Some(entry.result),
+            ended_at_ms: Some(entry.ended_at),
+            reason: entry.reason.clone(),
             note: entry.change.note.clone(),
-            difference: difference(&entry.change),
+            difference: describe_operation(&entry.change),
             target_counts: targets.map(count_by_state).unwrap_or_default(),
             targets: targets
                 .map(|targets| target_views(targets, detail))
@@ -188,7 +192,7 @@
 fn count_by_state(targets: &BTreeMap<String, Target>) -> BTreeMap<TargetState, usize> {
     let mut counts = BTreeMap::new();
     for target in targets.values() {
-        *counts.entry(TargetState::from(&target.step)).or_insert(0) += 1;
+        *counts.entry(TargetState::from(&target.state)).or_insert(0) += 1;
     }
     counts
 }
@@ -210,21 +214,21 @@
 
 /// The phase of a rollout that is under way, for people. Waves are counted from 1.
 fn phase_text(rollout: &Rollout) -> String {
-    let last_wave = rollout.targets.values().map(|target| target.wave).max();
+    let last_wave = rollout.targets.values().map(|target| target.stage).max();
     let waves = last_wave.map_or(1, |wave| wave + 1);
     match rollout.phase {
-        Phase::Forward { wave } => format!("wave {} of {waves}", wave + 1),
-        Phase::Watch { wave } => format!("watching after wave {} of {waves}", wave + 1),
+        Phase::Deploying { stage } => format!("wave {} of {waves}", stage + 1),
+        Phase::Observing { stage } => format!("watching after wave {} of {waves}", stage + 1),
         Phase::Stopping => "stopping".into(),
-        Phase::Back => "being taken back".into(),
+        Phase::RollingBack => "being taken back".into(),
         Phase::Ended(end) => end_text(end).into(),
     }
 }
 
-fn end_text(end: End) -> &'static str {
+fn end_text(end: RolloutResult) -> &'static str {
     match end {
-        End::Done => "done",
-        End::Stopped => "stopped",
-        End::TakenBack => "taken back",
+        RolloutResult::Completed => "done",
+        RolloutResult::Stopped => "stopped",
+        RolloutResult::RolledBack => "taken back",
     }
 }
--- a/crates/agent/tests/common/change.rs
+++ b/crates/agent/tests/common/change.rs
@@ -2,7 +2,9 @@
 
 use madderloom_agent::{Client, ClientError};
 use madderloom_control_plane::Accepted;
-use madderloom_control_plane::change::{Change, Policy, Selector, Share, Then, What};
+use madderloom_control_plane::change::{Change, Operation};
+use madderloom_control_plane::policy::{FailureAction, RolloutPolicy, StageSize};
+use madderloom_control_plane::selector::Selector;
 use madderloom_control_plane::settings::{Edits, Key, Value};
 
 /// A change that sets the weight of a server everywhere, in two waves without a pause.
@@ -13,16 +15,16 @@
         base,
         note: String::new(),
         select: Selector::default(),
-        rollout: Policy {
-            waves: vec![Share::Percent(20)],
-            at_once: 8,
-            pause: 0,
-            silence: 10_000_000,
-            failures: 0,
-            then: Then::TakeBack,
+        rollout: RolloutPolicy {
+            stages: vec![StageSize::Percent(20)],
+            max_in_flight: 8,
+            stage_pause: 0,
+            answer_timeout: 10_000_000,
+            max_failures: 0,
+            on_failure: FailureAction::RollBack,
             gate: None,
         },
-        what: What::Set(edits),
+        operation: Operation::Set(edits),
     }
 }
 
--- a/crates/agent/tests/configuration.rs
+++ b/crates/agent/tests/configuration.rs
@@ -11,7 +11,7 @@
     let config = AgentConfig::read(FILE, Path::new("/etc/fleet/agent.toml")).expect("sound");
     assert_eq!(config.keys.key, Path::new("/etc/fleet/agent.key"));
     assert_eq!(
-        (config.rules.leases.lease, config.state_directory),
+        (config.rules.leases.duration, config.state_directory),
         (9_000_000, None)
     );
 }
@@ -24,7 +24,7 @@
         include_str!("../../../examples/fleet/slow-w7.toml"),
         include_str!("../../../examples/fleet/calm.toml"),
     ] {
-        assert!(madderloom_control_plane::file::read(change, Some(0)).is_ok());
+        assert!(madderloom_control_plane::change_file::read(change, Some(0)).is_ok());
     }
 }
 
@@ -39,7 +39,7 @@
         .iter()
         .map(|problem| problem.field.as_str())
         .collect();
-    for field in ["lisetn", "listen", "keys.key", "leases.lease"] {
+    for field in ["lisetn", "listen", "keys.key", "leases.duration"] {
         assert!(fields.contains(&field), "{field} in {fields:?}");
     }
 }
--- a/crates/agent/tests/relays.rs
+++ b/crates/agent/tests/relays.rs
@@ -107,7 +107,7 @@
         for relay in &relays {
             let alone = |count| {
                 move |view: &RelayView| {
-                    !view.status.is_connected && view.status.answered_alone >= count
+                    !view.status.is_connected && view.status.answered_locally >= count
                 }
             };
             // Each instance has reported three times meanwhile, and was answered.
--- a/crates/cli/src/fleet/rollout.rs
+++ b/crates/cli/src/fleet/rollout.rs
@@ -134,7 +134,7 @@
                 let row = [
                     revision.to_string(),
                     id.clone(),
-                    author.who.clone(),
+                    author.name.clone(),
                     when(author.at),
                     phase.clone(),
                 ];
--- a/crates/control-plane/src/explore/fixture.rs
+++ b/crates/control-plane/src/explore/fixture.rs
@@ -1,30 +1,30 @@
 //! The time and the rules of the agents that the models of rollouts and of relays have in common.
 
-use crate::membership::Leases;
-use crate::spread::Pace;
-use crate::{Micros, Rules, Time};
+use crate::membership::LeaseSettings;
+use crate::registration_limiter::RegistrationRate;
+use crate::{FleetSettings, Micros, Time};
 
 /// The unit of all durations in the models. Its real length does not matter.
 pub(super) const TIME_UNIT: Micros = 10_000_000;
 
-/// A pace that delays no registration.
-pub(super) const UNLIMITED_PACE: Pace = Pace {
-    rate: u32::MAX,
+/// A rate that delays no registration.
+pub(super) const UNLIMITED_RATE: RegistrationRate = RegistrationRate {
+    per_second: u32::MAX,
     burst: u32::MAX,
-    horizon: TIME_UNIT,
+    max_delay: TIME_UNIT,
 };
 
 /// The rules of the agents: a lease of two reports.
-pub(super) fn fleet_rules() -> Rules {
-    Rules {
-        leases: Leases {
-            lease: 2 * TIME_UNIT,
-            grace: TIME_UNIT,
-            memory: 1_000 * TIME_UNIT,
-            most: 8,
+pub(super) fn fleet_rules() -> FleetSettings {
+    FleetSettings {
+        leases: LeaseSettings {
+            duration: 2 * TIME_UNIT,
+            grace_period: TIME_UNIT,
+            retention: 1_000 * TIME_UNIT,
+            max_members: 8,
         },
-        pace: UNLIMITED_PACE,
-        every: TIME_UNIT,
+        registration_rate: UNLIMITED_RATE,
+        report_interval: TIME_UNIT,
     }
 }
 
--- a/crates/control-plane/src/explore/invariant.rs
+++ b/crates/control-plane/src/explore/invariant.rs
@@ -15,8 +15,8 @@
     Accurate,
     /// One process at a time has a session under a name.
     UniqueName,
-    /// A rollout keeps to its waves and to the number of orders at a time.
-    Waves,
+    /// A rollout keeps to its stages and to the number of orders at a time.
+    Stages,
     /// An accepted change stays known, and no instance has a change that the agent has lost.
     Durable,
     /// A relay ends no session of an instance.
@@ -53,7 +53,7 @@
             Invariant::Once => "once",
             Invariant::Accurate => "accurate",
             Invariant::UniqueName => "unique name",
-            Invariant::Waves => "waves",
+            Invariant::Stages => "stages",
             Invariant::Durable => "durable",
             Invariant::SessionsLast => "sessions last",
             Invariant::Convergence => "convergence",
--- a/crates/control-plane/src/explore/relay_model/bounds.rs
+++ b/crates/control-plane/src/explore/relay_model/bounds.rs
@@ -1,7 +1,9 @@
 //! The bounds of a model: the number of instances and relays, the change, and the number of faults.
 
-use crate::change::{Change, Policy, Selector, Then, What};
+use crate::change::{Change, Operation};
 use crate::explore::fixture::TIME_UNIT;
+use crate::policy::{FailureAction, RolloutPolicy};
+use crate::selector::Selector;
 use crate::settings::{Edits, Key, Value};
 
 /// The bounds of a model.
@@ -41,16 +43,16 @@
             base,
             note: String::new(),
             select: Selector::default(),
-            rollout: Policy {
-                waves: vec![],
-                at_once: 4,
-                pause: TIME_UNIT,
-                silence: 3 * TIME_UNIT,
-                failures: 4,
-                then: Then::Stop,
+            rollout: RolloutPolicy {
+                stages: vec![],
+                max_in_flight: 4,
+                stage_pause: TIME_UNIT,
+                answer_timeout: 3 * TIME_UNIT,
+                max_failures: 4,
+                on_failure: FailureAction::Stop,
                 gate: None,
             },
-            what: What::Set(edits()),
+            operation: Operation::Set(edits()),
         }
     }
 }
--- a/crates/control-plane/src/explore/relay_model/invariants.rs
+++ b/crates/control-plane/src/explore/relay_model/invariants.rs
@@ -3,8 +3,8 @@
 use super::bounds::edits;
 use super::state::RelayModelState;
 use crate::explore::{Invariant, InvariantViolation};
-use crate::membership::Presence;
-use crate::protocol::{Outcome, Stamp};
+use crate::membership::MemberState;
+use crate::protocol::{FencingToken, Outcome};
 use crate::settings::{Key, Value};
 use crate::{Fleet, Session};
 use std::collections::BTreeMap;
@@ -35,19 +35,19 @@
             return Err(Invariant::Atomic.violated(details));
         }
         let Some((record, outcome)) = fleet
-            .line(name)
-            .and_then(|record| Some((record, record.answer.as_ref()?)))
+            .instance(name)
+            .and_then(|record| Some((record, record.outcome.as_ref()?)))
         else {
             continue;
         };
-        let stamp = Stamp {
+        let stamp = FencingToken {
             term: fleet.term(),
-            number: record.number,
+            number: record.last_order_number,
         };
         let answer = instance
             .machine
             .answer()
-            .filter(|answer| answer.stamp == stamp);
+            .filter(|answer| answer.fencing_token == stamp);
         if answer.is_none_or(|answer| answer.outcome != *outcome) {
             let details = format!(
                 "{outcome:?} of {name} is recorded for {stamp:?}, which it never carried out"
@@ -76,12 +76,13 @@
     for instance in &state.instances {
         let member = fleet.membership().get(instance.name())?;
         let is_alive =
-            member.presence == Presence::Alive && member.start == instance.machine.who().start;
-        let record = fleet.line(instance.name())?;
-        let record_is_current = record.holding.overlay == instance.machine.holding().overlay;
+            member.state == MemberState::Alive && member.start == instance.machine.id().start;
+        let record = fleet.instance(instance.name())?;
+        let record_is_current =
+            record.applied.fingerprint == instance.machine.applied().fingerprint;
         if !is_alive
-            || instance.machine.session() != Session::In
-            || !fleet.in_line(instance.name())?
+            || instance.machine.session() != Session::Registered
+            || !fleet.has_converged(instance.name())?
             || !record_is_current
         {
             return None;
@@ -104,8 +105,8 @@
             return Err(Invariant::DesiredState.violated(details));
         }
         let answer = fleet
-            .line(instance.name())
-            .and_then(|record| record.answer.clone());
+            .instance(instance.name())
+            .and_then(|record| record.outcome.clone());
         if matches!(answer, Some(Outcome::Refused(_))) {
             let details = format!("{} is recorded as having refused", instance.name());
             return Err(Invariant::DesiredState.violated(details));
--- a/crates/control-plane/src/explore/relay_model/mod.rs
+++ b/crates/control-plane/src/explore/relay_model/mod.rs
@@ -96,7 +96,7 @@
             disk: BTreeMap::new(),
             routes: BTreeMap::new(),
         };
-        agent.save(out.saves);
+        agent.save(out.records);
         let mut state = RelayModelState {
             agents: vec![agent],
             relays: (0..self.relays).map(|_| RelayNode::new()).collect(),
--- a/crates/control-plane/src/explore/relay_model/state.rs
+++ b/crates/control-plane/src/explore/relay_model/state.rs
@@ -1,15 +1,15 @@
 //! A state of the model: agents with their disks, relays, instances, and messages in transit.
 
 use super::step::Step;
-use crate::change::Traits;
 use crate::explore::InvariantViolation;
-use crate::explore::fixture::{TIME_UNIT, UNLIMITED_PACE};
+use crate::explore::fixture::{TIME_UNIT, UNLIMITED_RATE};
 use crate::explore::state_hash::hash_of;
 use crate::fleet::Record;
-use crate::protocol::{Order, Stamp, ToAgent, ToInstance, Who};
-use crate::relay::{Addressed, BatchAnswer, Relay, RelayRules};
+use crate::protocol::{FencingToken, InstanceId, Order, ToAgent, ToInstance};
+use crate::relay::{AddressedMessage, BatchAnswer, Relay, RelaySettings};
+use crate::selector::Attributes;
 use crate::settings::{Key, Value};
-use crate::{Fleet, Instance, Memory};
+use crate::{Fleet, Instance, PersistedInstance};
 use std::collections::BTreeMap;
 
 /// An agent with its disk.
@@ -42,16 +42,16 @@
     /// The answer to its batch, in transit.
     pub(super) answer: Option<BatchAnswer>,
     /// Messages in transit on its watch, oldest first.
-    pub(super) watch_messages: Vec<Addressed>,
+    pub(super) watch_messages: Vec<AddressedMessage>,
 }
 
 impl RelayNode {
     pub(super) fn new() -> Self {
-        let rules = RelayRules {
-            lease: 3 * TIME_UNIT,
+        let rules = RelaySettings {
+            child_lease: 3 * TIME_UNIT,
             answer_timeout: TIME_UNIT / 5,
             max_children: 8,
-            pace: UNLIMITED_PACE,
+            registration_rate: UNLIMITED_RATE,
         };
         RelayNode {
             relay: Relay::new(rules),
@@ -91,18 +91,19 @@
     /// The settings in effect, apart from what the state machine reports.
     pub(super) effective: BTreeMap<Key, Value>,
     /// The greatest stamp that it has obeyed.
-    pub(super) obeyed: Stamp,
+    pub(super) obeyed: FencingToken,
 }
 
 impl InstanceNode {
     /// The instance of a number behind a relay.
     pub(super) fn new(number: usize, relay: usize) -> Self {
-        let who = Who {
+        let who = InstanceId {
             name: format!("i{number}"),
             start: number as u64 + 1,
             incarnation: 1,
         };
-        let machine = Instance::new(0, who, Traits::default(), Memory::default()).max_unanswered(2);
+        let machine = Instance::new(0, who, Attributes::default(), PersistedInstance::default())
+            .with_max_unanswered_reports(2);
         InstanceNode {
             machine,
             relay,
@@ -112,12 +113,12 @@
             watch_messages: Vec::new(),
             in_progress: None,
             effective: BTreeMap::new(),
-            obeyed: Stamp::default(),
+            obeyed: FencingToken::default(),
         }
     }
 
     pub(super) fn name(&self) -> &str {
-        &self.machine.who().name
+        &self.machine.id().name
     }
 
     /// The connection to its relay ends.
--- a/crates/control-plane/src/explore/relay_model/transitions.rs
+++ b/crates/control-plane/src/explore/relay_model/transitions.rs
@@ -6,8 +6,8 @@
 use crate::explore::Invariant;
 use crate::explore::fixture::{fleet_rules, now};
 use crate::protocol::{Outcome, ToAgent, ToInstance};
-use crate::relay::{Addressed, BatchAnswer, RelayOutput};
-use crate::{Action, By, Event, Fleet, Micros, Session, Time};
+use crate::relay::{AddressedMessage, BatchAnswer, RelayAnswer, RelayOutput};
+use crate::{Action, Author, Event, Fleet, Micros, Session, Time};
 use std::collections::BTreeMap;
 
 /// The most messages in transit on a watch; more are dropped.
@@ -95,7 +95,7 @@
         let next = (self.instances[at].relay + 1) % self.relays.len();
         let name = self.instances[at].name().to_string();
         self.late
-            .retain(|(relay, message)| *relay != next || message.who().name != name);
+            .retain(|(relay, message)| *relay != next || message.sender().name != name);
         self.instances[at].relay = next;
         self.lose_connection(at);
     }
@@ -107,7 +107,7 @@
 
     /// Puts the messages of a relay to its instances in transit.
     fn deliver(&mut self, relay: usize, output: RelayOutput) {
-        for (request, messages) in output.answers {
+        for RelayAnswer { request, messages } in output.answers {
             let instance = usize::try_from(request)
                 .ok()
                 .and_then(|at| self.instances.get_mut(at));
@@ -116,7 +116,7 @@
                 instance.answer.get_or_insert_default().extend(messages);
             }
         }
-        for Addressed { name, message } in output.pushes {
+        for AddressedMessage { name, message } in output.pushes {
             let addressee = self
                 .instances
                 .iter_mut()
@@ -131,9 +131,9 @@
     }
 
     fn deliver_to_instance(&mut self, at: usize, message: &ToInstance) {
-        let was_in = self.instances[at].machine.session() == Session::In;
+        let was_in = self.instances[at].machine.session() == Session::Registered;
         self.handle(at, Event::Message(message));
-        if was_in && self.instances[at].machine.session() != Session::In {
+        if was_in && self.instances[at].machine.session() != Session::Registered {
             let details = format!("i{at} leaves its session because of {message:?}");
             self.violation = Some(Invariant::SessionsLast.violated(details));
         }
@@ -145,9 +145,9 @@
         instance.machine.handle(0, event, 0, &mut actions);
         for action in actions {
             match action {
-                Action::Take(order) => instance.in_progress = Some(order),
+                Action::Apply(order) => instance.in_progress = Some(order),
                 Action::Send(message) => instance.request = Some(message),
-                Action::Keep(_) | Action::Lent(_) | Action::Lists(_) => {}
+                Action::Persist(_) | Action::UseLeases(_) | Action::UseLists(_) => {}
             }
         }
     }
@@ -157,14 +157,14 @@
         let Some(order) = instance.in_progress.take() else {
             return;
         };
-        if order.stamp < instance.obeyed {
-            let (stamp, obeyed) = (order.stamp, instance.obeyed);
+        if order.fencing_token < instance.obeyed {
+            let (stamp, obeyed) = (order.fencing_token, instance.obeyed);
             let details = format!("i{at} obeys {stamp:?} after {obeyed:?}");
             self.violation = Some(Invariant::Fenced.violated(details));
         }
-        instance.obeyed = order.stamp;
+        instance.obeyed = order.fencing_token;
         instance.effective = order.overlay.0;
-        self.handle(at, Event::Taken(Outcome::Applied));
+        self.handle(at, Event::OrderCompleted(Outcome::Applied));
     }
 
     fn deliver_batch(&mut self, relay: usize) {
@@ -175,8 +175,8 @@
         };
         let agent = &mut self.agents[at];
         let out = agent.fleet.receive_batch(now(), &batch.messages, 0);
-        agent.save(out.saves);
-        let (answer, others) = BatchAnswer::new(agent.fleet.term(), &batch, out.sends);
+        agent.save(out.records);
+        let (answer, others) = BatchAnswer::new(agent.fleet.term(), &batch, out.messages);
         for (name, _) in answer.accepted() {
             agent.routes.insert(name.to_string(), relay);
         }
@@ -192,7 +192,9 @@
             };
             let relay = &mut self.relays[*relay];
             if relay.agent == Some(agent) && relay.watch_messages.len() < MAX_WATCH_MESSAGES {
-                relay.watch_messages.push(Addressed { name, message });
+                relay
+                    .watch_messages
+                    .push(AddressedMessage { name, message });
             }
         }
     }
@@ -246,7 +248,7 @@
             disk: records,
             routes: BTreeMap::new(),
         };
-        agent.save(out.saves);
+        agent.save(out.records);
         if model.stale_agent {
             self.agents.push(agent);
             return;
@@ -271,17 +273,17 @@
 
     fn lose_connection(&mut self, at: usize) {
         self.instances[at].drop_messages();
-        self.handle(at, Event::Lost);
+        self.handle(at, Event::ConnectionLost);
     }
 
     fn push(&mut self, model: &RelayModel) {
         self.is_pushed = true;
         let newest = self.newest_agent();
         let agent = &mut self.agents[newest];
-        let change = model.change(agent.fleet.newest());
-        let (_, out) = agent.fleet.push(now(), change, By::default());
-        agent.save(out.saves);
-        self.send(newest, out.sends);
+        let change = model.change(agent.fleet.newest_revision());
+        let (_, out) = agent.fleet.push(now(), change, Author::default());
+        agent.save(out.records);
+        self.send(newest, out.messages);
     }
 
     /// All clocks advance to the next deadline of any instance, relay, or the newest agent.
@@ -290,15 +292,18 @@
         let instances = self
             .instances
             .iter()
-            .map(|instance| instance.machine.next());
-        let relays = self.relays.iter().filter_map(|node| node.relay.next());
+            .map(|instance| instance.machine.next_timer());
+        let relays = self
+            .relays
+            .iter()
+            .filter_map(|node| node.relay.next_deadline());
         let next = instances
             .chain(relays)
-            .chain(self.agents[newest].fleet.next(0))
+            .chain(self.agents[newest].fleet.next_deadline(0))
             .min();
         let Some(by) = next else { return };
         for at in 0..self.instances.len() {
-            let is_due = self.instances[at].machine.next() <= by;
+            let is_due = self.instances[at].machine.next_timer() <= by;
             self.instances[at].machine.rebase(by);
             if is_due {
                 self.handle(at, Event::Timer);
@@ -316,7 +321,7 @@
         let agent = &mut self.agents[at];
         let out = agent.fleet.tick(Time { now: by, wall: 0 });
         agent.fleet.rebase(by);
-        agent.save(out.saves);
-        self.send(at, out.sends);
+        agent.save(out.records);
+        self.send(at, out.messages);
     }
 }
--- a/crates/control-plane/src/explore/rollout_model/agent.rs
+++ b/crates/control-plane/src/explore/rollout_model/agent.rs
@@ -72,7 +72,7 @@
                     key,
                     rollout.revision,
                     rollout.phase,
-                    rollout.back_revision,
+                    rollout.rollback_revision,
                 )));
             }
             (record, None) => common.push(hash_of((key, record))),
--- a/crates/control-plane/src/explore/rollout_model/bounds.rs
+++ b/crates/control-plane/src/explore/rollout_model/bounds.rs
@@ -1,7 +1,9 @@
 //! The bounds of a model: the number of processes, the changes, and the number of faults.
 
-use crate::change::{Change, Policy, Selector, Share, Then, What};
+use crate::change::{Change, Operation};
 use crate::explore::fixture::TIME_UNIT;
+use crate::policy::{FailureAction, RolloutPolicy, StageSize};
+use crate::selector::Selector;
 use crate::settings::{Edits, Key, Overlay, Value};
 use std::sync::OnceLock;
 
@@ -16,14 +18,14 @@
     pub refusing_names: Vec<usize>,
     /// The number of changes that are pushed, at most two.
     pub changes: usize,
-    /// The waves of each change.
-    pub waves: Vec<Share>,
+    /// The stages of each change.
+    pub stages: Vec<StageSize>,
     /// The most instances with an unanswered order.
     pub max_unanswered: u32,
     /// The most instances that may fail.
     pub max_failures: u32,
     /// What the rollout does when more fail.
-    pub then: Then,
+    pub on_failure: FailureAction,
     /// The number of times that the agent is killed.
     pub agent_kills: u8,
     /// Whether a killed agent continues beside the new one, with a disk of its own.
@@ -42,7 +44,7 @@
     pub agent_ticks: u8,
     /// Whether the instances are registered and alive at the beginning.
     pub starts_settled: bool,
-    /// Whether instances of different names are symmetric. This is sound where one wave contains all at once.
+    /// Whether instances of different names are symmetric. This is sound where one stage contains all at once.
     pub symmetric: bool,
     /// The result of [`RolloutModel::possible_overlays`], computed once.
     pub(super) possible: OnceLock<Vec<Overlay>>,
@@ -55,10 +57,10 @@
             processes: vec![0, 1],
             refusing_names: vec![],
             changes: 1,
-            waves: vec![Share::Count(1)],
+            stages: vec![StageSize::Count(1)],
             max_unanswered: 2,
             max_failures: 0,
-            then: Then::TakeBack,
+            on_failure: FailureAction::RollBack,
             agent_kills: 0,
             stale_agent: false,
             instance_kills: 0,
@@ -94,16 +96,16 @@
             base,
             note: String::new(),
             select: Selector::default(),
-            rollout: Policy {
-                waves: self.waves.clone(),
-                at_once: self.max_unanswered,
-                pause: TIME_UNIT,
-                silence: 2 * TIME_UNIT,
-                failures: self.max_failures,
-                then: self.then,
+            rollout: RolloutPolicy {
+                stages: self.stages.clone(),
+                max_in_flight: self.max_unanswered,
+                stage_pause: TIME_UNIT,
+                answer_timeout: 2 * TIME_UNIT,
+                max_failures: self.max_failures,
+                on_failure: self.on_failure,
                 gate: None,
             },
-            what: What::Set(edits(number)),
+            operation: Operation::Set(edits(number)),
         }
     }
 
--- a/crates/control-plane/src/explore/rollout_model/budget.rs
+++ b/crates/control-plane/src/explore/rollout_model/budget.rs
@@ -29,6 +29,6 @@
         let Step::Push { change, base } = step else {
             return false;
         };
-        state.acceptance(*change).is_some() || *base < self.newest_fleet(state).newest()
+        state.acceptance(*change).is_some() || *base < self.newest_fleet(state).newest_revision()
     }
 }
--- a/crates/control-plane/src/explore/rollout_model/faults.rs
+++ b/crates/control-plane/src/explore/rollout_model/faults.rs
@@ -7,7 +7,7 @@
 use super::state::ModelState;
 use crate::explore::Invariant;
 use crate::explore::fixture::{fleet_rules, now};
-use crate::{Fleet, InjectedBug, Memory, is_injected};
+use crate::{Fleet, InjectedBug, PersistedInstance, is_injected};
 use std::sync::Arc;
 
 impl RolloutModel {
@@ -43,7 +43,7 @@
         resets_incarnation: bool,
     ) {
         let former = Arc::clone(&state.processes[at].value);
-        let former_who = former.machine.who();
+        let former_who = former.machine.id();
         state.starts[former.name] += 1;
         let incarnation = if resets_incarnation {
             1
@@ -53,7 +53,7 @@
         let (memory, obeyed_term) = if keeps_memory {
             (former.memory.clone(), former.obeyed_term)
         } else {
-            (Memory::default(), 0)
+            (PersistedInstance::default(), 0)
         };
         let start = state.starts[former.name];
         let mut process = Process::new(former.name, start, incarnation, memory);
--- a/crates/control-plane/src/explore/rollout_model/invariants.rs
+++ b/crates/control-plane/src/explore/rollout_model/invariants.rs
@@ -4,8 +4,8 @@
 use super::process::Process;
 use super::state::ModelState;
 use crate::explore::{Invariant, InvariantViolation};
-use crate::protocol::{Outcome, Stamp};
-use crate::rollout::{Reason, Rollout, Step as TargetStep, Target};
+use crate::protocol::{FencingToken, Outcome};
+use crate::rollout::{FailureReason, Rollout, Target, TargetState};
 use crate::{Fleet, Session};
 
 impl RolloutModel {
@@ -28,7 +28,7 @@
 
     /// Checks that a process has whole changes in effect, reports them, and has none that the agent has lost.
     fn check_settings(&self, fleet: &Fleet, process: &Process) -> Result<(), InvariantViolation> {
-        let start = process.machine.who().start;
+        let start = process.machine.id().start;
         let reported = process.machine.overlay();
         if process.effective != reported.0 {
             let details = format!("start {start} reports settings that are not in effect");
@@ -43,7 +43,7 @@
             return Err(Invariant::Atomic.violated(details));
         }
         let revision = process.memory.revision;
-        if !reported.0.is_empty() && revision > fleet.newest() && !self.stale_agent {
+        if !reported.0.is_empty() && revision > fleet.newest_revision() && !self.stale_agent {
             let details =
                 format!("start {start} has revision {revision}, which the agent does not know");
             return Err(Invariant::Durable.violated(details));
@@ -51,23 +51,24 @@
         Ok(())
     }
 
-    /// Checks the number of unanswered orders, and that each wave begins after the one before it is complete.
+    /// Checks the number of unanswered orders, and that each stage begins after the one before it is complete.
     fn check_waves(&self, rollout: &Rollout) -> Result<(), InvariantViolation> {
         let targets = || rollout.targets.values();
         let unanswered = targets()
-            .filter(|target| target.step == TargetStep::Sent)
+            .filter(|target| target.state == TargetState::Sent)
             .count();
         if unanswered > self.max_unanswered as usize {
             let details = format!("{unanswered} instances have an unanswered order");
-            return Err(Invariant::Waves.violated(details));
+            return Err(Invariant::Stages.violated(details));
         }
         let is_complete =
-            |wave: u32| targets().all(|target| target.wave > wave || target.step.is_final());
-        let began_early =
-            |target: &Target| target.wave > 0 && has_begun(target) && !is_complete(target.wave - 1);
+            |stage: u32| targets().all(|target| target.stage > stage || target.state.is_final());
+        let began_early = |target: &Target| {
+            target.stage > 0 && has_begun(target) && !is_complete(target.stage - 1)
+        };
         if targets().any(began_early) {
-            let details = "a wave has begun before the one before it was complete";
-            return Err(Invariant::Waves.violated(details));
+            let details = "a stage has begun before the one before it was complete";
+            return Err(Invariant::Stages.violated(details));
         }
         Ok(())
     }
@@ -76,18 +77,18 @@
 /// Whether a target has received an order.
 fn has_begun(target: &Target) -> bool {
     !matches!(
-        target.step,
-        TargetStep::Pending | TargetStep::Failed(Reason::NotReached)
+        target.state,
+        TargetState::Pending | TargetState::Failed(FailureReason::NotReached)
     )
 }
 
 /// Checks that no other process has a session under the name and the incarnation of this one.
 fn check_unique_name(state: &ModelState, process: &Process) -> Result<(), InvariantViolation> {
-    let who = process.machine.who();
+    let who = process.machine.id();
     let has_this_session = |other: &Process| {
         other.name == process.name
-            && other.machine.session() == Session::In
-            && other.machine.who().incarnation == who.incarnation
+            && other.machine.session() == Session::Registered
+            && other.machine.id().incarnation == who.incarnation
     };
     let sessions = || {
         let processes = state.processes.iter();
@@ -107,26 +108,27 @@
 
 /// Checks that the agent's record of an answer agrees with the instance.
 fn check_record(fleet: &Fleet, process: &Process) -> Result<(), InvariantViolation> {
-    let who = process.machine.who();
+    let who = process.machine.id();
     let holds_name = fleet
         .membership()
         .get(&who.name)
         .is_some_and(|member| member.start == who.start);
-    let record = fleet.line(&who.name).filter(|_| holds_name);
-    let Some((record, outcome)) = record.and_then(|record| Some((record, record.answer.as_ref()?)))
+    let record = fleet.instance(&who.name).filter(|_| holds_name);
+    let Some((record, outcome)) =
+        record.and_then(|record| Some((record, record.outcome.as_ref()?)))
     else {
         return Ok(());
     };
-    let stamp = Stamp {
+    let stamp = FencingToken {
         term: fleet.term(),
-        number: record.number,
+        number: record.last_order_number,
     };
     let answer = process
         .machine
         .answer()
-        .filter(|answer| answer.stamp == stamp);
+        .filter(|answer| answer.fencing_token == stamp);
     let Some(answer) = answer else {
-        let known = process.machine.stamp();
+        let known = process.machine.fencing_token();
         let details = format!(
             "the agent has recorded that {} {outcome:?} order {stamp:?}, which it never carried out: it is at {known:?}",
             who.name
@@ -134,7 +136,7 @@
         return Err(Invariant::Accurate.violated(details));
     };
     let has_settings =
-        *outcome != Outcome::Applied || process.machine.holding().overlay == answer.overlay;
+        *outcome != Outcome::Applied || process.machine.applied().fingerprint == answer.fingerprint;
     if answer.outcome != *outcome || !has_settings {
         let details = format!(
             "the agent has recorded {outcome:?} of {}, which has another outcome",
--- a/crates/control-plane/src/explore/rollout_model/mod.rs
+++ b/crates/control-plane/src/explore/rollout_model/mod.rs
@@ -22,7 +22,7 @@
 //!    start of the instance.
 //! 5. *Unique name*: of all processes with one name, no two have a session under one incarnation, and only
 //!    reports of the one that the newest agent takes for the holder are accepted.
-//! 6. *Waves*: at most `max_unanswered` instances have an unanswered order, and no wave begins before the one before it is
+//! 6. *Stages*: at most `max_unanswered` instances have an unanswered order, and no stage begins before the one before it is
 //!    complete.
 //! 7. *Durable*: an instance has no revision that the agent's disk does not know; an accepted change stays known.
 //! 8. *Convergence*: a fair continuation ends every rollout and comes to rest.
@@ -54,7 +54,7 @@
 use super::fixture::{fleet_rules, now};
 use super::state_hash::{hash_of, wide_hash_of};
 use super::{InvariantViolation, Model};
-use crate::{Fleet, Memory};
+use crate::{Fleet, PersistedInstance};
 use agent::Agent;
 use hashed::Hashed;
 use process::Process;
@@ -121,7 +121,7 @@
         };
         let agent = Agent::new(fleet.clone(), Arc::default(), None, self.names());
         // Instances are symmetric only where all of them receive their orders at once.
-        let all_at_once = self.waves.is_empty() && self.max_unanswered as usize >= self.names();
+        let all_at_once = self.stages.is_empty() && self.max_unanswered as usize >= self.names();
         assert!(!self.symmetric || all_at_once);
         let mut starts = vec![0; self.names()];
         let processes: Vec<Hashed<Process>> = self
@@ -129,7 +129,7 @@
             .iter()
             .map(|name| {
                 starts[*name] += 1;
-                Process::new(*name, starts[*name], 1, Memory::default()).hashed()
+                Process::new(*name, starts[*name], 1, PersistedInstance::default()).hashed()
             })
             .collect();
         let mut state = ModelState {
@@ -178,7 +178,7 @@
                 next.late.insert(packet.0.clone(), hash);
             }
             Step::AgentTick(agent) => {
-                if let Some(by) = next.agents[*agent].fleet.next(0) {
+                if let Some(by) = next.agents[*agent].fleet.next_deadline(0) {
                     self.advance_agent(&mut next, *agent, by);
                 }
             }
--- a/crates/control-plane/src/explore/rollout_model/models.rs
+++ b/crates/control-plane/src/explore/rollout_model/models.rs
@@ -1,7 +1,7 @@
 //! The models that are explored in each test run, and larger ones.
 
 use super::RolloutModel;
-use crate::change::Then;
+use crate::policy::FailureAction;
 
 /// The models that are explored in each test run.
 pub fn rollout_models() -> Vec<RolloutModel> {
@@ -10,7 +10,7 @@
         ..RolloutModel::default()
     };
     let all_at_once = || RolloutModel {
-        waves: vec![],
+        stages: vec![],
         max_unanswered: 3,
         agent_ticks: 0,
         ..usual()
@@ -49,7 +49,7 @@
         RolloutModel {
             name: "one instance refuses, the rollout stopped",
             refusing_names: vec![1],
-            then: Then::Stop,
+            on_failure: FailureAction::Stop,
             late_messages: 1,
             ..usual()
         },
@@ -86,7 +86,7 @@
         },
         RolloutModel {
             name: "one at a time, the agent killed",
-            waves: vec![],
+            stages: vec![],
             max_unanswered: 1,
             agent_kills: 1,
             ..usual()
@@ -158,7 +158,7 @@
             ..usual()
         },
         RolloutModel {
-            name: "three instances in two waves, the agent killed twice",
+            name: "three instances in two stages, the agent killed twice",
             processes: vec![0, 1, 2],
             disconnects: 0,
             agent_kills: 2,
--- a/crates/control-plane/src/explore/rollout_model/operator.rs
+++ b/crates/control-plane/src/explore/rollout_model/operator.rs
@@ -5,7 +5,7 @@
 use crate::change::Change;
 use crate::explore::Invariant;
 use crate::explore::fixture::now;
-use crate::{Accepted, By, Fleet, Output};
+use crate::{Accepted, Author, Fleet, FleetOutput};
 
 impl RolloutModel {
     /// An operator pushes a change, perhaps again.
@@ -13,7 +13,7 @@
         let document = self.pushed_document(state, change, base);
         let agent = state.newest_agent();
         let mut fleet = (*state.agents[agent].fleet).clone();
-        let (result, out) = fleet.push(now(), document.clone(), By::default());
+        let (result, out) = fleet.push(now(), document.clone(), Author::default());
         self.commit(state, agent, fleet, out);
         if let Ok(accepted) = result {
             record_acceptance(state, change, &accepted);
@@ -23,11 +23,11 @@
 
     /// An operator pushes a change; the messages are sent, and the agent is killed before its records are durable.
     pub(super) fn push_without_save(&self, state: &mut ModelState, change: usize) {
-        let base = self.newest_fleet(state).newest();
+        let base = self.newest_fleet(state).newest_revision();
         let document = self.pushed_document(state, change, base);
         let mut fleet = self.newest_fleet(state).clone();
-        let (_, out) = fleet.push(now(), document, By::default());
-        self.send_to_instances(state, out.sends);
+        let (_, out) = fleet.push(now(), document, Author::default());
+        self.send_to_instances(state, out.messages);
     }
 
     /// The document of a change: the one that was pushed before, or a new one.
@@ -40,18 +40,22 @@
     /// An operator stops a change.
     pub(super) fn stop(&self, state: &mut ModelState, change: usize) {
         self.command(state, |fleet| {
-            fleet.stop(now(), &format!("c{change}"), &By::default()).1
+            fleet
+                .stop(now(), &format!("c{change}"), &Author::default())
+                .1
         });
     }
 
     /// An operator undoes a change.
     pub(super) fn undo(&self, state: &mut ModelState, change: usize) {
         self.command(state, |fleet| {
-            fleet.undo(now(), &format!("c{change}"), By::default()).1
+            fleet
+                .undo(now(), &format!("c{change}"), Author::default())
+                .1
         });
     }
 
-    fn command(&self, state: &mut ModelState, command: impl FnOnce(&mut Fleet) -> Output) {
+    fn command(&self, state: &mut ModelState, command: impl FnOnce(&mut Fleet) -> FleetOutput) {
         let agent = state.newest_agent();
         let mut fleet = (*state.agents[agent].fleet).clone();
         let out = command(&mut fleet);
--- a/crates/control-plane/src/explore/rollout_model/packet.rs
+++ b/crates/control-plane/src/explore/rollout_model/packet.rs
@@ -1,7 +1,7 @@
 //! Messages in transit between the agent and the instances.
 
 use crate::explore::state_hash::hash_of;
-use crate::protocol::{Outcome, Stamp, ToAgent, ToInstance, Who};
+use crate::protocol::{FencingToken, InstanceId, Outcome, ToAgent, ToInstance};
 use std::fmt;
 
 /// A connection in one direction between the newest agent and a process.
@@ -30,7 +30,7 @@
     /// The start of the instance that it comes from or goes to.
     pub(super) fn start(&self) -> u64 {
         match self {
-            Packet::ToAgent { message, .. } => message.who().start,
+            Packet::ToAgent { message, .. } => message.sender().start,
             Packet::ToInstance { message, .. } => message.start(),
         }
     }
@@ -42,14 +42,14 @@
                 message: ToAgent::Register(mut registration),
                 ..
             } => {
-                registration.who.name.clear();
+                registration.id.name.clear();
                 hash_of(registration)
             }
             Packet::ToAgent {
                 message: ToAgent::Report(mut report),
                 ..
             } => {
-                report.who.name.clear();
+                report.id.name.clear();
                 hash_of(report)
             }
             Packet::ToInstance { message, .. } => hash_of(message),
@@ -74,18 +74,18 @@
 }
 
 fn write_to_agent(f: &mut fmt::Formatter<'_>, message: &ToAgent) -> fmt::Result {
-    let Who {
+    let InstanceId {
         name,
         start,
         incarnation,
-    } = message.who();
+    } = message.sender();
     match message {
         ToAgent::Register(_) => write!(
             f,
             "{name} (start {start}, incarnation {incarnation}) -> agent: registers"
         ),
         ToAgent::Report(report) => {
-            let revision = report.holding.revision;
+            let revision = report.applied.revision;
             write!(
                 f,
                 "{name} (start {start}) -> agent: reports revision {revision}"
@@ -93,7 +93,7 @@
             let Some(answer) = &report.answer else {
                 return Ok(());
             };
-            let Stamp { term, number } = answer.stamp;
+            let FencingToken { term, number } = answer.fencing_token;
             match &answer.outcome {
                 Outcome::Applied => f.write_str(", applied")?,
                 Outcome::Refused(problem) => write!(f, ", refused ({problem})")?,
@@ -111,7 +111,7 @@
             welcome.start, welcome.incarnation, welcome.term
         ),
         ToInstance::Order(order) => {
-            let Stamp { term, number } = order.stamp;
+            let FencingToken { term, number } = order.fencing_token;
             write!(
                 f,
                 "order {term}.{number} for start {}: have revision {}",
--- a/crates/control-plane/src/explore/rollout_model/possible_steps.rs
+++ b/crates/control-plane/src/explore/rollout_model/possible_steps.rs
@@ -18,7 +18,7 @@
         self.add_instance_steps(state, &mut steps);
         if state.remaining.agent_ticks > 0 {
             let has_deadline = |agent: &usize| {
-                let deadline = state.agents[*agent].fleet.next(0);
+                let deadline = state.agents[*agent].fleet.next_deadline(0);
                 deadline.is_some_and(|deadline| deadline < MAX_DEADLINE)
             };
             let agents = (0..state.agents.len()).filter(has_deadline);
@@ -89,7 +89,7 @@
             }
             return;
         }
-        let newest = self.newest_fleet(state).newest();
+        let newest = self.newest_fleet(state).newest_revision();
         steps.push(Step::Push {
             change,
             base: newest,
--- a/crates/control-plane/src/explore/rollout_model/process.rs
+++ b/crates/control-plane/src/explore/rollout_model/process.rs
@@ -1,11 +1,11 @@
 //! A process of the model: an instance's state machine, and the settings that it has in effect.
 
 use super::hashed::Hashed;
-use crate::change::Traits;
 use crate::explore::state_hash::hash_of;
-use crate::protocol::{Order, Stamp, Who};
+use crate::protocol::{FencingToken, InstanceId, Order};
+use crate::selector::Attributes;
 use crate::settings::{Fingerprint, Key, Value};
-use crate::{Instance, Memory};
+use crate::{Instance, PersistedInstance};
 use std::collections::BTreeMap;
 
 /// An order as it was carried out: the id of its change, its revision, and the fingerprint of its settings.
@@ -22,24 +22,30 @@
     /// The order that it carries out.
     pub(super) in_progress: Option<Order>,
     /// What it has persisted.
-    pub(super) memory: Memory,
+    pub(super) memory: PersistedInstance,
     /// The last order that was carried out.
     pub(super) last_executed: Option<ExecutedOrder>,
     /// The greatest stamp that this start has obeyed.
-    pub(super) obeyed: Stamp,
+    pub(super) obeyed: FencingToken,
     /// The greatest term that this start has obeyed, or a former one whose memory it has.
     pub(super) obeyed_term: u64,
 }
 
 impl Process {
     /// A process that starts with a memory, under the name of this number.
-    pub(super) fn new(name: usize, start: u64, incarnation: u64, memory: Memory) -> Self {
-        let who = Who {
+    pub(super) fn new(
+        name: usize,
+        start: u64,
+        incarnation: u64,
+        memory: PersistedInstance,
+    ) -> Self {
+        let who = InstanceId {
             name: format!("i{name}"),
             start,
             incarnation,
         };
-        let machine = Instance::new(0, who, Traits::default(), memory.clone()).max_unanswered(1);
+        let machine = Instance::new(0, who, Attributes::default(), memory.clone())
+            .with_max_unanswered_reports(1);
         Process {
             name,
             machine,
@@ -47,7 +53,7 @@
             in_progress: None,
             memory,
             last_executed: None,
-            obeyed: Stamp::default(),
+            obeyed: FencingToken::default(),
             obeyed_term: 0,
         }
     }
--- a/crates/control-plane/src/explore/rollout_model/state.rs
+++ b/crates/control-plane/src/explore/rollout_model/state.rs
@@ -58,7 +58,7 @@
     pub(super) fn send(&mut self, packet: Packet) {
         let start = packet.start();
         let is_endpoint = |process: &Hashed<Process>| {
-            process.value.name == packet.name() && process.value.machine.who().start == start
+            process.value.name == packet.name() && process.value.machine.id().start == start
         };
         if let Some(process) = self.processes.iter().position(is_endpoint) {
             let channel = Channel {
--- a/crates/control-plane/src/explore/rollout_model/transitions.rs
+++ b/crates/control-plane/src/explore/rollout_model/transitions.rs
@@ -8,17 +8,23 @@
 use super::state::ModelState;
 use crate::explore::Invariant;
 use crate::explore::fixture::now;
-use crate::protocol::{Order, Outcome, Report, ToAgent, ToInstance, Who};
-use crate::{Action, Event, Fleet, InjectedBug, Micros, Output, Problem, Time, is_injected};
+use crate::protocol::{InstanceId, Order, Outcome, Report, ToAgent, ToInstance};
+use crate::{Action, Event, Fleet, FleetOutput, InjectedBug, Micros, Problem, Time, is_injected};
 use std::sync::Arc;
 
 impl RolloutModel {
     /// Stores the records of an agent, and sends its messages.
-    pub(super) fn commit(&self, state: &mut ModelState, agent: usize, fleet: Fleet, out: Output) {
+    pub(super) fn commit(
+        &self,
+        state: &mut ModelState,
+        agent: usize,
+        fleet: Fleet,
+        out: FleetOutput,
+    ) {
         let mut disk = Arc::clone(&state.agents[agent].disk);
-        if !out.saves.is_empty() {
+        if !out.records.is_empty() {
             let disk = Arc::make_mut(&mut disk);
-            for (key, record) in out.saves {
+            for (key, record) in out.records {
                 match record {
                     Some(record) => disk.insert(key, record),
                     None => disk.remove(&key),
@@ -27,7 +33,7 @@
         }
         let former = Some(&state.agents[agent]);
         state.agents[agent] = Agent::new(fleet, disk, former, self.names());
-        self.send_to_instances(state, out.sends);
+        self.send_to_instances(state, out.messages);
     }
 
     /// Sends messages of an agent.
@@ -76,17 +82,17 @@
         let mut fleet = (*state.agents[agent].fleet).clone();
         let out = fleet.receive(now(), message, 0);
         let renews = out
-            .sends
+            .messages
             .iter()
             .any(|(_, message)| matches!(message, ToInstance::Renewed { .. }));
-        if let ToAgent::Report(Report { who, .. }) = message
+        if let ToAgent::Report(Report { id: who, .. }) = message
             && renews
             && fleet
                 .membership()
                 .get(&who.name)
                 .is_none_or(|member| member.start != who.start)
         {
-            let Who { name, start, .. } = who;
+            let InstanceId { name, start, .. } = who;
             let details = format!("start {start} is accepted as {name}, which another one holds");
             state.violation = Some(Invariant::UniqueName.violated(details));
         }
@@ -110,11 +116,11 @@
         let name = process.name;
         for action in actions {
             match action {
-                Action::Keep(memory) => process.memory = memory,
-                Action::Take(order) => process.in_progress = Some(order),
+                Action::Persist(memory) => process.memory = memory,
+                Action::Apply(order) => process.in_progress = Some(order),
                 Action::Send(message) => state.send(Packet::ToAgent { name, message }),
                 // This model has no fleet-wide limits and no shared lists.
-                Action::Lent(_) | Action::Lists(_) => {}
+                Action::UseLeases(_) | Action::UseLists(_) => {}
             }
         }
         state.processes[at] = process.hashed();
@@ -130,11 +136,11 @@
         check_execution(state, &process, &order);
         let fingerprint = order.overlay.fingerprint();
         process.last_executed = Some((order.change.clone(), order.revision, fingerprint));
-        process.obeyed = order.stamp;
-        process.obeyed_term = process.obeyed_term.max(order.stamp.term);
+        process.obeyed = order.fencing_token;
+        process.obeyed_term = process.obeyed_term.max(order.fencing_token.term);
         let outcome = self.apply_settings(&mut process, &order);
         state.processes[at] = process.hashed();
-        self.handle(state, at, Event::Taken(outcome));
+        self.handle(state, at, Event::OrderCompleted(outcome));
     }
 
     /// Applies the settings of an order to a process, or refuses them.
@@ -166,7 +172,7 @@
     /// The clock of a process advances to its next deadline.
     pub(super) fn advance_instance(&self, state: &mut ModelState, at: usize) {
         let mut process = (*state.processes[at].value).clone();
-        process.machine.rebase(process.machine.next());
+        process.machine.rebase(process.machine.next_timer());
         state.processes[at] = process.hashed();
         self.handle(state, at, Event::Timer);
     }
@@ -177,13 +183,16 @@
         let deadlines = state
             .processes
             .iter()
-            .map(|process| process.value.machine.next());
-        let Some(by) = deadlines.chain(self.newest_fleet(state).next(0)).min() else {
+            .map(|process| process.value.machine.next_timer());
+        let Some(by) = deadlines
+            .chain(self.newest_fleet(state).next_deadline(0))
+            .min()
+        else {
             return;
         };
         for at in 0..state.processes.len() {
             let mut process = (*state.processes[at].value).clone();
-            let is_due = process.machine.next() <= by;
+            let is_due = process.machine.next_timer() <= by;
             process.machine.rebase(by);
             state.processes[at] = process.hashed();
             if is_due {
@@ -196,7 +205,7 @@
 
 /// Checks that a process may carry an order out: it is no repeat, and not older than one that it has obeyed.
 fn check_execution(state: &mut ModelState, process: &Process, order: &Order) {
-    let start = process.machine.who().start;
+    let start = process.machine.id().start;
     let execution = (
         order.change.clone(),
         order.revision,
@@ -206,13 +215,13 @@
         let details = format!("start {start} carries {} out twice", order.change);
         state.violation = Some(Invariant::Once.violated(details));
     }
-    if order.stamp < process.obeyed {
-        let (stamp, obeyed) = (order.stamp, process.obeyed);
+    if order.fencing_token < process.obeyed {
+        let (stamp, obeyed) = (order.fencing_token, process.obeyed);
         let details = format!("start {start} obeys {stamp:?} after {obeyed:?}");
         state.violation = Some(Invariant::Fenced.violated(details));
     }
-    if order.stamp.term < process.obeyed_term {
-        let (term, obeyed) = (order.stamp.term, process.obeyed_term);
+    if order.fencing_token.term < process.obeyed_term {
+        let (term, obeyed) = (order.fencing_token.term, process.obeyed_term);
         let details = format!("start {start} obeys term {term} after term {obeyed}");
         state.violation = Some(Invariant::Fenced.violated(details));
     }
--- a/crates/sidecar/src/teller.rs
+++ b/crates/sidecar/src/teller.rs
@@ -7,7 +7,8 @@
     Closed, Listed, Members, Micros, Note, Outcome, RequestId, ServerId, ServerState, Snapshot,
 };
 use madderloom_endpoint_history::{
-    Arrival, Departure, Gauge, Happening, Observed, Phase, Settings, Story, Subject,
+    Anomaly, AnomalyPhase, CompletedAttempt, EndpointEvent, EndpointGauges, EndpointHistory,
+    ListedEndpoint, ReportedLoad, Settings, Subject, WaitingAttempt,
 };
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -39,7 +40,7 @@
 
 /// Keeps the story of a service's servers.
 pub(super) struct Teller {
-    pub(super) story: Story,
+    pub(super) story: EndpointHistory,
     settings: Settings,
     pool: Rc<str>,
     /// How long a server that has started is cold at most.
@@ -54,7 +55,7 @@
 impl Teller {
     pub(super) fn new(pool: &str, settings: Settings, cold: Micros) -> Self {
         Teller {
-            story: Story::new(settings),
+            story: EndpointHistory::new(settings),
             settings,
             pool: pool.into(),
             cold,
@@ -67,7 +68,7 @@
     pub(super) fn change(&mut self, now: Micros, settings: Settings) {
         if settings != self.settings {
             self.settings = settings;
-            self.story.change(now, settings);
+            self.story.reconfigure(now, settings);
         }
     }
 
@@ -129,14 +130,14 @@
             .map(|known| (known.listed, known.address));
         let is_back = former.is_some_and(|(former, _)| former.state == ServerState::Gone);
         let restarted = former.is_some_and(|(former, _)| listed.started > former.started);
-        let cold_until = listed.started.map_or(0, |at| at.saturating_add(self.cold));
-        let arrival = Arrival {
+        let warming_up_until = listed.started.map_or(0, |at| at.saturating_add(self.cold));
+        let arrival = ListedEndpoint {
             zone: listed.zone,
-            kind: listed.kind,
+            machine_kind: listed.kind,
             restarted,
-            cold_until,
+            warming_up_until,
         };
-        self.story.listed(now, id, arrival);
+        self.story.endpoint_listed(now, id, arrival);
         let known = self.servers.entry(id).or_insert_with(|| Known {
             name: service.pool.name(id),
             listed: *listed,
@@ -153,8 +154,8 @@
         }
         let was_draining = former.is_some_and(|(former, _)| former.state == ServerState::Draining);
         match (was_draining, listed.state == ServerState::Draining) {
-            (false, true) => self.happened(service, now, id, Happening::Draining),
-            (true, false) => self.happened(service, now, id, Happening::Ready),
+            (false, true) => self.happened(service, now, id, EndpointEvent::Draining),
+            (true, false) => self.happened(service, now, id, EndpointEvent::Ready),
             _ => {}
         }
         // Whoever was found there before is not any more.
@@ -165,7 +166,7 @@
                 .iter()
                 .find(|(other, known)| **other != id && known.address == Some(address));
             if let Some(former) = former.map(|(other, _)| *other) {
-                self.happened(service, now, former, Happening::AddressTaken);
+                self.happened(service, now, former, EndpointEvent::AddressTaken);
                 if let Some(known) = self.servers.get_mut(&former) {
                     known.address = None;
                 }
@@ -183,26 +184,26 @@
         };
         known.listed.state = ServerState::Gone;
         known.is_ejected = false;
-        self.story.left(now, id);
+        self.story.endpoint_left(now, id);
         self.say(service, now, id, "left", "is gone from the list");
     }
 
     /// The module wrote a line for the operators.
     pub(super) fn noted(&mut self, service: &Service, now: Micros, note: Note) {
         let (id, what) = match note {
-            Note::Ejected(id, outcome) => (id, Happening::Ejected(outcome)),
-            Note::Restored(id) => (id, Happening::Restored),
+            Note::Ejected(id, outcome) => (id, EndpointEvent::Ejected(outcome)),
+            Note::Restored(id) => (id, EndpointEvent::Restored),
             Note::Overload(_) | Note::DiscoveryFailed => return,
         };
         if let Some(known) = self.servers.get_mut(&id) {
-            known.is_ejected = matches!(what, Happening::Ejected(_));
+            known.is_ejected = matches!(what, EndpointEvent::Ejected(_));
         }
         self.happened(service, now, id, what);
     }
 
-    fn happened(&mut self, service: &Service, now: Micros, id: ServerId, what: Happening) {
+    fn happened(&mut self, service: &Service, now: Micros, id: ServerId, what: EndpointEvent) {
         let (name, text) = words(&what);
-        self.story.note(now, id, what);
+        self.story.record_event(now, id, what);
         self.say(service, now, id, name, &text);
     }
 
@@ -233,7 +234,7 @@
         known.out.insert((now, request, attempt), class);
         // It gets nothing while it is ejected but on trial.
         if known.is_ejected {
-            self.happened(service, now, id, Happening::Trial);
+            self.happened(service, now, id, EndpointEvent::TrialSent);
         }
     }
 
@@ -251,14 +252,14 @@
             known.out.remove(&(ended.sent, request, attempt));
         }
         let size = self.size(ended.class, ended.cost);
-        let seen = Observed {
+        let seen = CompletedAttempt {
             server,
             class: ended.class,
             outcome,
             elapsed,
-            size,
+            relative_size: size,
         };
-        self.story.attempt(now, self.minute, &seen);
+        self.story.record_attempt(now, self.minute, &seen);
     }
 
     /// A request's size over its class's usual one, as clients guess them.
@@ -283,12 +284,12 @@
     pub(super) fn reported(&mut self, now: Micros, id: ServerId, held: f64) {
         let out = self.servers.get(&id).map_or(0, |known| known.out.len());
         self.story
-            .reported(now, id, held, u32::try_from(out).unwrap_or(u32::MAX));
+            .record_load_report(now, id, held, u32::try_from(out).unwrap_or(u32::MAX));
     }
 
     /// A request ended unserved, and this server had it last.
     pub(super) fn turned_away(&mut self, now: Micros, id: ServerId) {
-        self.story.turned_away(now, id);
+        self.story.record_rejection(now, id);
     }
 
     /// Looks at how all stand, and says what departs from its usual. To be called once a second.
@@ -302,37 +303,47 @@
         self.minute = minute;
         for view in &snapshot.servers {
             let id = view.listed.server;
-            let reported = view
-                .report
-                .and_then(|(at, report)| Some((report?.held, now.saturating_sub(at))));
+            let reported = view.report.and_then(|(at, report)| {
+                Some(ReportedLoad {
+                    held: report?.held,
+                    age: now.saturating_sub(at),
+                })
+            });
             let out = u32::try_from(view.out).unwrap_or(u32::MAX);
-            self.story.gauge(
+            self.story.record_gauges(
                 now,
                 id,
-                Gauge {
-                    out,
-                    region: view.share,
+                EndpointGauges {
+                    in_flight: out,
+                    region_fraction: view.share,
                     reported,
                 },
             );
             if let Some(known) = self.servers.get(&id) {
                 let oldest = known.out.iter().take(LOOKED_AT);
-                let ages = oldest.map(|((sent, ..), class)| (*class, now.saturating_sub(*sent)));
-                self.story.waiting(now, id, ages);
+                let waiting = oldest.map(|((sent, ..), class)| WaitingAttempt {
+                    class: *class,
+                    age: now.saturating_sub(*sent),
+                });
+                self.story.check_waiting_attempts(now, id, waiting);
             }
         }
-        for departure in self.story.step(now) {
+        for departure in self.story.poll_anomalies(now) {
             self.departed(service, &departure);
         }
-        let remembered: BTreeSet<ServerId> = self.story.servers().map(|(id, _)| id).collect();
+        let remembered: BTreeSet<ServerId> = self
+            .story
+            .known_endpoints()
+            .map(|known| known.server)
+            .collect();
         self.servers
             .retain(|id, known| known.listed.state != ServerState::Gone || remembered.contains(id));
     }
 
     /// A departure in a line: whom it is about by name, and for which class.
-    pub(super) fn told(&self, service: &Service, departure: &Departure) -> String {
+    pub(super) fn told(&self, service: &Service, departure: &Anomaly) -> String {
         let name = match departure.subject {
-            Subject::Server(id) => self.name(id).into_string(),
+            Subject::Endpoint(id) => self.name(id).into_string(),
             Subject::Zone(zone) => service
                 .tuned()
                 .site
@@ -344,16 +355,16 @@
         };
         let tuned = service.tuned();
         let class = departure.class.and_then(|class| tuned.at(class));
-        departure.told(&name, class.map(|class| class.name.as_str()))
+        departure.describe(&name, class.map(|class| class.name.as_str()))
     }
 
-    fn departed(&self, service: &Service, departure: &Departure) {
+    fn departed(&self, service: &Service, departure: &Anomaly) {
         let text = self.told(service, departure);
         let of = &service.label;
         let (event, is_bad) = match departure.phase {
-            Phase::Raised => ("raised", true),
-            Phase::Updated => ("updated", true),
-            Phase::Cleared => ("cleared", false),
+            AnomalyPhase::Raised => ("raised", true),
+            AnomalyPhase::Updated => ("updated", true),
+            AnomalyPhase::Cleared => ("cleared", false),
         };
         if is_bad {
             tracing::warn!(number = departure.number, "{of}{text}");
@@ -361,11 +372,11 @@
             tracing::info!(number = departure.number, "{of}{text}");
         }
         let server = match departure.subject {
-            Subject::Server(id) => Some(self.name(id)),
+            Subject::Endpoint(id) => Some(self.name(id)),
             Subject::Zone(_) | Subject::Fleet => None,
         };
         let said = Said {
-            at: departure.at,
+            at: departure.reported_at,
             pool: &self.pool,
             server: server.as_deref(),
             event,
@@ -379,28 +390,30 @@
 }
 
 /// A happening as one word for programs, and what people are told behind the server's name.
-pub(super) fn words(what: &Happening) -> (&'static str, String) {
+pub(super) fn words(what: &EndpointEvent) -> (&'static str, String) {
     match what {
-        Happening::Joined => ("joined", "is listed".to_string()),
-        Happening::Restarted => ("restarted", "has started anew".to_string()),
-        Happening::AddressTaken => (
+        EndpointEvent::Joined => ("joined", "is listed".to_string()),
+        EndpointEvent::Restarted => ("restarted", "has started anew".to_string()),
+        EndpointEvent::AddressTaken => (
             "address_taken",
             "has lost its address to another server".to_string(),
         ),
-        Happening::Draining => ("draining", "drains".to_string()),
-        Happening::Ready => ("ready", "takes new work again".to_string()),
-        Happening::Left => ("left", "is gone from the list".to_string()),
-        Happening::Ejected(outcome) => (
+        EndpointEvent::Draining => ("draining", "drains".to_string()),
+        EndpointEvent::Ready => ("ready", "takes new work again".to_string()),
+        EndpointEvent::Left => ("left", "is gone from the list".to_string()),
+        EndpointEvent::Ejected(outcome) => (
             "ejected",
             format!("is ejected, since attempts there {}", ended(*outcome)),
         ),
-        Happening::Trial => ("trial", "is sent a request on trial".to_string()),
-        Happening::Restored => ("restored", "is trusted again after its trial".to_string()),
-        Happening::Departed(number) => (
+        EndpointEvent::TrialSent => ("trial", "is sent a request on trial".to_string()),
+        EndpointEvent::Restored => ("restored", "is trusted again after its trial".to_string()),
+        EndpointEvent::AnomalyRaised(number) => (
             "raised",
             format!("departs from its usual (number {number})"),
         ),
-        Happening::Cleared(number) => ("cleared", format!("is as usual again (number {number})")),
+        EndpointEvent::AnomalyCleared(number) => {
+            ("cleared", format!("is as usual again (number {number})"))
+        }
     }
 }
 
