--- a/crates/cli/tests/file_keys/change.rs
+++ b/crates/cli/tests/file_keys/change.rs
@@ -105,6 +105,6 @@
 #[test]
 fn the_keys_of_a_change_are_those_of_the_list() {
     check(&[FILE, FLEET_WIDE], KEYS, |text| {
-        madderloom_control_plane::file::read(text, None).map(drop)
+        madderloom_control_plane::change_file::read(text, None).map(drop)
     });
 }
