--- /dev/null
+++ b/crates/balancer/tests/settings_stay_as_they_are.rs
@@ -0,0 +1,221 @@
+//! The settings object with every key there is, as literal JSON: what it is read as, and what becomes of each key that is
+//! written otherwise.
+
+use madderloom_balancer::interface::{Class, Effect, Limits, Prices, Rules, Scope, Settings, Tenant};
+use madderloom_balancer::settings::{Site, written_name};
+use serde_json::Value;
+
+const EVERY_KEY: &str = r#"{
+    "group_size": 4,
+    "my_zone": 1,
+    "period": 5000,
+    "services": [
+        {
+            "name": "submit",
+            "on_time": 600000,
+            "aim_stretch": 1.5,
+            "give_up": 1500000,
+            "effect": "keyed",
+            "key_scope": "zone",
+            "window": 4000000,
+            "worth": 10,
+            "late_worth": 0.25
+        }
+    ],
+    "tenants": [{"quota_per_s": 7.5}],
+    "discovery": "subscribe",
+    "limits": {
+        "cancel": true,
+        "conn_idle": 61000000,
+        "connect_timeout": 251000,
+        "max_open": 20001,
+        "retry_after": true,
+        "max_retry_after": 2000000,
+        "max_attempts": 6,
+        "probes": true
+    },
+    "load_report": {"how": "probe", "fields": ["busy", "rif", "fail_rate"]},
+    "safety": {
+        "ask_within": 10000001,
+        "cold_from": 0.31,
+        "cold": 8400000,
+        "fall": 2000000,
+        "drain_grace": 3000000
+    },
+    "tariffs": {"cross_zone": 0.02, "probe": 0.0094},
+    "worth_by": "work",
+    "areas": ["north", "south"],
+    "kinds": ["fast", "old"]
+}"#;
+
+fn site(text: &str) -> Site {
+    Site::from_json(text).unwrap_or_else(|problem| panic!("{problem}: {text}"))
+}
+
+/// The object with one value replaced, or with one left out.
+fn with(pointer: &str, value: Option<Value>) -> Site {
+    let mut object: Value = serde_json::from_str(EVERY_KEY).expect("JSON");
+    let (parent, key) = pointer.rsplit_once('/').expect("a pointer");
+    let parent = object.pointer_mut(parent).and_then(Value::as_object_mut).expect("an object");
+    let former = parent.remove(key);
+    assert!(former.is_some() && former != value, "{pointer}");
+    parent.extend(value.map(|value| (key.to_string(), value)));
+    site(&object.to_string())
+}
+
+#[test]
+fn every_key_is_read() {
+    let expected = Settings {
+        group_size: 4,
+        zone: 1,
+        tick: 5_000,
+        classes: vec![Class {
+            aim: 600_000,
+            aim_stretch: 1.5,
+            deadline: 1_500_000,
+            effect: Effect::Keyed { scope: Scope::Zone, window: 4_000_000 },
+            worth: 10.0,
+            late_worth: 0.25,
+        }],
+        tenants: vec![Tenant { quota: 7.5 }],
+        discovery_on_request: true,
+        limits: Limits {
+            cancel: true,
+            probes: true,
+            retry_after: true,
+            max_retry_after: 2_000_000,
+            max_attempts: 6,
+        },
+        rules: Rules {
+            cold_from: 0.31,
+            cold: 8_400_000,
+            fall: 2_000_000,
+            ask_within: 10_000_001,
+            drain_grace: 3_000_000,
+        },
+        prices: Prices { cross_zone: 0.02, probe: 0.0094 },
+        worth_by_work: true,
+    };
+    let site = site(EVERY_KEY);
+    assert_eq!(site.settings, expected);
+    assert_eq!(site.settings.validate(), Ok(()));
+    assert_eq!(
+        (&*site.classes, &*site.zones),
+        (&["submit".into()][..], &["north".into(), "south".into()][..])
+    );
+    assert_eq!(site.kinds, ["fast", "old"]);
+    assert_eq!((site.conn_idle, site.connect_timeout, site.max_open), (61_000_000, 251_000, 20_001));
+}
+
+#[test]
+fn load_reports_are_read_by_the_names_of_their_fields() {
+    let report = |fields: &str, row: &str| {
+        let fields = serde_json::from_str(fields).expect("JSON");
+        let site = with("/load_report/fields", Some(fields));
+        site.layout.report(row).map(|report| (report.held, report.errors))
+    };
+    assert_eq!(site(EVERY_KEY).layout.report("0.5,3,0.25").map(|r| (r.held, r.errors)), Some((3.0, 0.25)));
+    assert_eq!(report(r#"["fail_rate","rif"]"#, "0.25,3"), Some((3.0, 0.25)));
+    assert_eq!(report(r#"["q","busy"]"#, "4,0.5"), Some((4.0, 0.0)));
+    assert_eq!(report(r#"["q","rif"]"#, "4,5"), Some((5.0, 0.0)));
+    assert_eq!(report(r#"["busy","fail_rate"]"#, "4,5"), None);
+    // Probes are of no use where nothing that is read is reported.
+    assert!(!with("/load_report/fields", Some(serde_json::json!(["busy"]))).settings.limits.probes);
+    assert!(!with("/load_report/how", Some("none".into())).settings.limits.probes);
+    assert!(with("/load_report/how", Some("answers".into())).settings.limits.probes);
+}
+
+#[test]
+fn every_name_of_a_value_is_read() {
+    let effect = |site: Site| site.settings.classes[0].effect;
+    assert_eq!(effect(with("/services/0/effect", Some("safe".into()))), Effect::Safe);
+    assert_eq!(effect(with("/services/0/effect", Some("unsafe".into()))), Effect::Unsafe);
+    let keyed = |scope| Effect::Keyed { scope, window: 4_000_000 };
+    assert_eq!(effect(with("/services/0/key_scope", Some("all".into()))), keyed(Scope::All));
+    assert_eq!(effect(with("/services/0/key_scope", Some("cell".into()))), keyed(Scope::Cell));
+    assert_eq!(effect(with("/services/0/key_scope", None)), keyed(Scope::Cell));
+    assert!(!with("/discovery", Some("automatic".into())).settings.discovery_on_request);
+    assert!(!with("/worth_by", Some("request".into())).settings.worth_by_work);
+    for (pointer, known) in [
+        ("services[0].effect", "one of `safe`, `keyed`, `unsafe`"),
+        ("services[0].key_scope", "one of `all`, `zone`, `cell`"),
+        ("discovery", "`automatic` or `subscribe`"),
+        ("worth_by", "`request` or `work`"),
+    ] {
+        let mut object: Value = serde_json::from_str(EVERY_KEY).expect("JSON");
+        let place = format!("/{}", pointer.replace("[0].", "/0/"));
+        *object.pointer_mut(&place).expect("a value") = "odd".into();
+        let problem = Site::from_json(&object.to_string()).expect_err("no such name");
+        let expected = format!("{pointer}: unknown variant `odd`, expected {known}");
+        assert!(problem.starts_with(&expected), "{problem}");
+    }
+}
+
+#[test]
+fn what_may_be_left_out_has_its_usual_value() {
+    let usual = site(
+        r#"{
+            "group_size": 4,
+            "my_zone": 1,
+            "period": 5000,
+            "services": [{"on_time": 600000, "give_up": 1500000, "effect": "keyed", "worth": 10}],
+            "discovery": "automatic",
+            "limits": {"cancel": false, "max_attempts": 6},
+            "safety": {"cold_from": 0.31, "cold": 8400000, "fall": 2000000}
+        }"#,
+    );
+    let expected = Settings {
+        group_size: 4,
+        zone: 1,
+        tick: 5_000,
+        classes: vec![Class {
+            aim: 600_000,
+            aim_stretch: 0.0,
+            deadline: 1_500_000,
+            effect: Effect::Keyed { scope: Scope::Cell, window: 0 },
+            worth: 10.0,
+            late_worth: 0.0,
+        }],
+        tenants: vec![],
+        discovery_on_request: false,
+        limits: Limits {
+            cancel: false,
+            probes: false,
+            retry_after: false,
+            max_retry_after: 0,
+            max_attempts: 6,
+        },
+        rules: Rules {
+            cold_from: 0.31,
+            cold: 8_400_000,
+            fall: 2_000_000,
+            ask_within: 10_000_000,
+            drain_grace: 0,
+        },
+        prices: Prices { cross_zone: 0.0, probe: 0.0 },
+        worth_by_work: false,
+    };
+    assert_eq!(usual.settings, expected);
+    assert_eq!(usual.layout, with("/load_report", None).layout);
+    assert_eq!(usual.layout.report("1,2,3"), None);
+    assert_eq!((usual.zones.len(), usual.kinds.len(), &*usual.classes), (0, 0, &[String::new()][..]));
+    assert_eq!((usual.conn_idle, usual.connect_timeout, usual.max_open), (60_000_000, 250_000, 20_000));
+}
+
+#[test]
+fn a_field_at_fault_is_told_by_its_written_name() {
+    for (field, written) in [
+        ("group_size", "group_size"),
+        ("tick", "period"),
+        ("classes", "services"),
+        ("classes[2].aim", "services[2].on_time"),
+        ("classes[2].deadline", "services[2].give_up"),
+        ("classes[2].aim_stretch", "services[2].aim_stretch"),
+        ("tenants[1].quota", "tenants[1].quota_per_s"),
+        ("rules.cold_from", "safety.cold_from"),
+        ("prices.cross_zone", "tariffs.cross_zone"),
+        ("limits.max_attempts", "limits.max_attempts"),
+    ] {
+        assert_eq!(written_name(field), written);
+    }
+}
