--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -268,6 +268,10 @@
     u64::from_str_radix(&digits, 16).map_err(|e| D::Error::custom(format_args!("{e}: {digits:?}")))
 }
 
+#[cfg(test)]
+#[path = "config_keys_tests.rs"]
+mod config_keys_tests;
+
 #[cfg(test)]
 mod tests {
     use super::{Config, Keys, place};
--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -617,6 +617,10 @@
     Ok(())
 }
 
+#[cfg(test)]
+#[path = "pool_lists_tests.rs"]
+mod pool_lists_tests;
+
 #[cfg(test)]
 mod tests {
     use super::*;
--- a/crates/sidecar/src/teller.rs
+++ b/crates/sidecar/src/teller.rs
@@ -339,3 +339,7 @@
         self.push_with(said, &json!({}));
     }
 }
+
+#[cfg(test)]
+#[path = "teller_words_tests.rs"]
+mod teller_words_tests;
--- /dev/null
+++ b/crates/sidecar/src/teller_words_tests.rs
@@ -0,0 +1,40 @@
+//! What happens to a server, as the word that programs read in events and notes, and as the text for people.
+
+use super::words;
+use madderloom_balancer::Outcome;
+use madderloom_timeline::Happening;
+
+#[test]
+fn each_happening_has_its_word_and_its_text() {
+    for (happening, word, text) in [
+        (Happening::Joined, "joined", "is listed"),
+        (Happening::Restarted, "restarted", "has started anew"),
+        (Happening::AddressTaken, "address_taken", "has lost its address to another server"),
+        (Happening::Draining, "draining", "drains"),
+        (Happening::Ready, "ready", "takes new work again"),
+        (Happening::Left, "left", "is gone from the list"),
+        (Happening::Trial, "trial", "is sent a request on trial"),
+        (Happening::Restored, "restored", "is trusted again after its trial"),
+        (Happening::Departed(7), "raised", "departs from its usual (number 7)"),
+        (Happening::Cleared(7), "cleared", "is as usual again (number 7)"),
+    ] {
+        assert_eq!(words(&happening), (word, text.to_string()));
+    }
+}
+
+#[test]
+fn an_ejection_is_told_with_how_attempts_ended() {
+    for (outcome, text) in [
+        (Outcome::Ok, "were served"),
+        (Outcome::Error, "ended with errors"),
+        (Outcome::Full, "were turned away"),
+        (Outcome::Timeout, "timed out"),
+        (Outcome::ConnectFailed, "made no connection"),
+        (Outcome::Reset, "broke"),
+        (Outcome::Cancelled, "were called off"),
+        (Outcome::Moot, "were never sent"),
+    ] {
+        let expected = ("ejected", format!("is ejected, since attempts there {text}"));
+        assert_eq!(words(&Happening::Ejected(outcome)), expected);
+    }
+}
