--- a/crates/agent/tests/paths_and_views_stay_as_they_are.rs
+++ b/crates/agent/tests/paths_and_views_stay_as_they_are.rs
@@ -95,13 +95,15 @@
     })
 }
 
-/// The lines of an audit log with `0` for the serial numbers of certificates, which are drawn.
+/// The lines of an audit log with `0` for the serial numbers of certificates, which are drawn: up to 20 bytes, without
+/// those that are 0 at the beginning.
 fn without_serials(lines: &str) -> String {
     let begin = r#""serial":""#;
     let mut parts = lines.split(begin);
     let first = parts.next().unwrap_or_default().to_string();
     let rest = parts.filter_map(|part| part.split_once('"')).map(|(serial, rest)| {
-        assert!(serial.len() == 40 && serial.bytes().all(|b| b.is_ascii_hexdigit()), "{serial}");
+        let is_hex = serial.bytes().all(|digit| matches!(digit, b'0'..=b'9' | b'a'..=b'f'));
+        assert!(is_hex && (2..=40).contains(&serial.len()) && serial.len().is_multiple_of(2), "{serial}");
         format!("{begin}0\"{rest}")
     });
     rest.fold(first, |lines, part| lines + &part)
