--- a/crates/agent/src/traffic.rs
+++ b/crates/agent/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Counts of what passes over an agent's connections.
+//! Counts of what passes over the connections of an agent, a relay or a client.
 
 use serde::{Deserialize, Serialize};
 use std::io;
@@ -12,23 +12,23 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Traffic {
-    /// Connections that are open now, those of operators included.
+    /// Connections that are open now, including those of operators.
     pub connections: u64,
-    /// Connections that were opened, likewise.
+    /// Connections that were ever opened, including those of operators.
     pub opened: u64,
-    /// Bytes read from them, TLS included.
+    /// Bytes read, TLS included.
     pub bytes_in: u64,
-    /// Bytes written to them, TLS included.
+    /// Bytes written, TLS included.
     pub bytes_out: u64,
-    /// Messages from instances: registrations and reports.
+    /// Messages received: at a server registrations and reports, at a client those in answers and over watches.
     pub messages_in: u64,
-    /// Messages to instances, in answers and over watches.
+    /// Messages sent: at a server those in answers and over watches, at a client registrations and reports.
     pub messages_out: u64,
 }
 
-/// The counters behind [`Traffic`].
+/// The counters behind [`Traffic`]. Any thread may add to them.
 #[derive(Debug, Default)]
-pub struct Counters {
+pub struct TrafficCounters {
     open: AtomicU64,
     opened: AtomicU64,
     bytes_in: AtomicU64,
@@ -37,8 +37,8 @@
     messages_out: AtomicU64,
 }
 
-impl Counters {
-    /// The counts by now.
+impl TrafficCounters {
+    /// The present counts. They are read one after the other, so that they may be of slightly different times.
     pub fn read(&self) -> Traffic {
         let value = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         Traffic {
@@ -51,69 +51,72 @@
         }
     }
 
-    /// So many messages came from instances.
-    pub fn messages_came(&self, count: usize) {
+    /// Adds to the messages received.
+    pub fn add_messages_in(&self, count: usize) {
         self.messages_in.fetch_add(count as u64, Ordering::Relaxed);
     }
 
-    /// So many messages went to instances.
-    pub fn messages_went(&self, count: usize) {
+    /// Adds to the messages sent.
+    pub fn add_messages_out(&self, count: usize) {
         self.messages_out.fetch_add(count as u64, Ordering::Relaxed);
     }
 }
 
 /// A stream whose bytes are counted. It counts as an open connection until it is dropped.
 #[derive(Debug)]
-pub struct Counted<S> {
+pub struct CountedStream<S> {
     stream: S,
-    counters: Arc<Counters>,
+    counters: Arc<TrafficCounters>,
 }
 
-impl<S> Counted<S> {
-    /// Counts this stream from now on.
-    pub fn new(stream: S, counters: Arc<Counters>) -> Self {
+impl<S> CountedStream<S> {
+    /// Counts a stream from now on.
+    pub fn new(stream: S, counters: Arc<TrafficCounters>) -> Self {
         counters.open.fetch_add(1, Ordering::Relaxed);
         counters.opened.fetch_add(1, Ordering::Relaxed);
-        Counted { stream, counters }
+        CountedStream { stream, counters }
+    }
+
+    fn add_bytes_in(&self, count: usize) {
+        let counter = &self.counters.bytes_in;
+        counter.fetch_add(count as u64, Ordering::Relaxed);
+    }
+
+    fn add_bytes_out(&self, written: &Poll<io::Result<usize>>) {
+        if let Poll::Ready(Ok(count)) = written {
+            let counter = &self.counters.bytes_out;
+            counter.fetch_add(*count as u64, Ordering::Relaxed);
+        }
     }
 }
 
-impl<S> Drop for Counted<S> {
+impl<S> Drop for CountedStream<S> {
     fn drop(&mut self) {
         self.counters.open.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Counted<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for CountedStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let before = buffer.filled().len();
+        let filled_before = buffer.filled().len();
         let polled = Pin::new(&mut self.stream).poll_read(context, buffer);
-        let read = buffer.filled().len() - before;
-        self.counters.bytes_in.fetch_add(read as u64, Ordering::Relaxed);
+        self.add_bytes_in(buffer.filled().len() - filled_before);
         polled
     }
 }
 
-impl<S: AsyncWrite + Unpin> Counted<S> {
-    fn wrote(&self, polled: &Poll<io::Result<usize>>) {
-        if let Poll::Ready(Ok(written)) = polled {
-            self.counters.bytes_out.fetch_add(*written as u64, Ordering::Relaxed);
-        }
-    }
-}
-
-impl<S: AsyncWrite + Unpin> AsyncWrite for Counted<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for CountedStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_write(context, bytes);
-        self.wrote(&polled);
+        self.add_bytes_out(&polled);
         polled
     }
 
@@ -123,7 +126,7 @@
         slices: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_write_vectored(context, slices);
-        self.wrote(&polled);
+        self.add_bytes_out(&polled);
         polled
     }
 
--- a/crates/balancer/tests/settings_stay_as_they_are.rs
+++ b/crates/balancer/tests/settings_stay_as_they_are.rs
@@ -1,7 +1,9 @@
 //! The settings object with every key there is, as literal JSON: what it is read as, and what becomes of each key that is
 //! written otherwise.
 
-use madderloom_balancer::interface::{Class, Effect, Limits, Prices, Rules, Scope, Settings, Tenant};
+use madderloom_balancer::interface::{
+    Class, Effect, Limits, Prices, Rules, Scope, Settings, Tenant,
+};
 use madderloom_balancer::settings::{Site, written_name};
 use serde_json::Value;
 
@@ -56,7 +58,10 @@
 fn with(pointer: &str, value: Option<Value>) -> Site {
     let mut object: Value = serde_json::from_str(EVERY_KEY).expect("JSON");
     let (parent, key) = pointer.rsplit_once('/').expect("a pointer");
-    let parent = object.pointer_mut(parent).and_then(Value::as_object_mut).expect("an object");
+    let parent = object
+        .pointer_mut(parent)
+        .and_then(Value::as_object_mut)
+        .expect("an object");
     let former = parent.remove(key);
     assert!(former.is_some() && former != value, "{pointer}");
     parent.extend(value.map(|value| (key.to_string(), value)));
@@ -73,7 +78,10 @@
             aim: 600_000,
             aim_stretch: 1.5,
             deadline: 1_500_000,
-            effect: Effect::Keyed { scope: Scope::Zone, window: 4_000_000 },
+            effect: Effect::Keyed {
+                scope: Scope::Zone,
+                window: 4_000_000,
+            },
             worth: 10.0,
             late_worth: 0.25,
         }],
@@ -93,7 +101,10 @@
             ask_within: 10_000_001,
             drain_grace: 3_000_000,
         },
-        prices: Prices { cross_zone: 0.02, probe: 0.0094 },
+        prices: Prices {
+            cross_zone: 0.02,
+            probe: 0.0094,
+        },
         worth_by_work: true,
     };
     let site = site(EVERY_KEY);
@@ -101,10 +112,16 @@
     assert_eq!(site.settings.validate(), Ok(()));
     assert_eq!(
         (&*site.classes, &*site.zones),
-        (&["submit".into()][..], &["north".into(), "south".into()][..])
+        (
+            &["submit".into()][..],
+            &["north".into(), "south".into()][..]
+        )
     );
     assert_eq!(site.kinds, ["fast", "old"]);
-    assert_eq!((site.conn_idle, site.connect_timeout, site.max_open), (61_000_000, 251_000, 20_001));
+    assert_eq!(
+        (site.conn_idle, site.connect_timeout, site.max_open),
+        (61_000_000, 251_000, 20_001)
+    );
 }
 
 #[test]
@@ -112,30 +129,82 @@
     let report = |fields: &str, row: &str| {
         let fields = serde_json::from_str(fields).expect("JSON");
         let site = with("/load_report/fields", Some(fields));
-        site.layout.report(row).map(|report| (report.held, report.errors))
+        site.layout
+            .report(row)
+            .map(|report| (report.held, report.errors))
     };
-    assert_eq!(site(EVERY_KEY).layout.report("0.5,3,0.25").map(|r| (r.held, r.errors)), Some((3.0, 0.25)));
-    assert_eq!(report(r#"["fail_rate","rif"]"#, "0.25,3"), Some((3.0, 0.25)));
+    assert_eq!(
+        site(EVERY_KEY)
+            .layout
+            .report("0.5,3,0.25")
+            .map(|r| (r.held, r.errors)),
+        Some((3.0, 0.25))
+    );
+    assert_eq!(
+        report(r#"["fail_rate","rif"]"#, "0.25,3"),
+        Some((3.0, 0.25))
+    );
     assert_eq!(report(r#"["q","busy"]"#, "4,0.5"), Some((4.0, 0.0)));
     assert_eq!(report(r#"["q","rif"]"#, "4,5"), Some((5.0, 0.0)));
     assert_eq!(report(r#"["busy","fail_rate"]"#, "4,5"), None);
     // Probes are of no use where nothing that is read is reported.
-    assert!(!with("/load_report/fields", Some(serde_json::json!(["busy"]))).settings.limits.probes);
-    assert!(!with("/load_report/how", Some("none".into())).settings.limits.probes);
-    assert!(with("/load_report/how", Some("answers".into())).settings.limits.probes);
+    assert!(
+        !with("/load_report/fields", Some(serde_json::json!(["busy"])))
+            .settings
+            .limits
+            .probes
+    );
+    assert!(
+        !with("/load_report/how", Some("none".into()))
+            .settings
+            .limits
+            .probes
+    );
+    assert!(
+        with("/load_report/how", Some("answers".into()))
+            .settings
+            .limits
+            .probes
+    );
 }
 
 #[test]
 fn every_name_of_a_value_is_read() {
     let effect = |site: Site| site.settings.classes[0].effect;
-    assert_eq!(effect(with("/services/0/effect", Some("safe".into()))), Effect::Safe);
-    assert_eq!(effect(with("/services/0/effect", Some("unsafe".into()))), Effect::Unsafe);
-    let keyed = |scope| Effect::Keyed { scope, window: 4_000_000 };
-    assert_eq!(effect(with("/services/0/key_scope", Some("all".into()))), keyed(Scope::All));
-    assert_eq!(effect(with("/services/0/key_scope", Some("cell".into()))), keyed(Scope::Cell));
-    assert_eq!(effect(with("/services/0/key_scope", None)), keyed(Scope::Cell));
-    assert!(!with("/discovery", Some("automatic".into())).settings.discovery_on_request);
-    assert!(!with("/worth_by", Some("request".into())).settings.worth_by_work);
+    assert_eq!(
+        effect(with("/services/0/effect", Some("safe".into()))),
+        Effect::Safe
+    );
+    assert_eq!(
+        effect(with("/services/0/effect", Some("unsafe".into()))),
+        Effect::Unsafe
+    );
+    let keyed = |scope| Effect::Keyed {
+        scope,
+        window: 4_000_000,
+    };
+    assert_eq!(
+        effect(with("/services/0/key_scope", Some("all".into()))),
+        keyed(Scope::All)
+    );
+    assert_eq!(
+        effect(with("/services/0/key_scope", Some("cell".into()))),
+        keyed(Scope::Cell)
+    );
+    assert_eq!(
+        effect(with("/services/0/key_scope", None)),
+        keyed(Scope::Cell)
+    );
+    assert!(
+        !with("/discovery", Some("automatic".into()))
+            .settings
+            .discovery_on_request
+    );
+    assert!(
+        !with("/worth_by", Some("request".into()))
+            .settings
+            .worth_by_work
+    );
     for (pointer, known) in [
         ("services[0].effect", "one of `safe`, `keyed`, `unsafe`"),
         ("services[0].key_scope", "one of `all`, `zone`, `cell`"),
@@ -172,7 +241,10 @@
             aim: 600_000,
             aim_stretch: 0.0,
             deadline: 1_500_000,
-            effect: Effect::Keyed { scope: Scope::Cell, window: 0 },
+            effect: Effect::Keyed {
+                scope: Scope::Cell,
+                window: 0,
+            },
             worth: 10.0,
             late_worth: 0.0,
         }],
@@ -192,14 +264,23 @@
             ask_within: 10_000_000,
             drain_grace: 0,
         },
-        prices: Prices { cross_zone: 0.0, probe: 0.0 },
+        prices: Prices {
+            cross_zone: 0.0,
+            probe: 0.0,
+        },
         worth_by_work: false,
     };
     assert_eq!(usual.settings, expected);
     assert_eq!(usual.layout, with("/load_report", None).layout);
     assert_eq!(usual.layout.report("1,2,3"), None);
-    assert_eq!((usual.zones.len(), usual.kinds.len(), &*usual.classes), (0, 0, &[String::new()][..]));
-    assert_eq!((usual.conn_idle, usual.connect_timeout, usual.max_open), (60_000_000, 250_000, 20_000));
+    assert_eq!(
+        (usual.zones.len(), usual.kinds.len(), &*usual.classes),
+        (0, 0, &[String::new()][..])
+    );
+    assert_eq!(
+        (usual.conn_idle, usual.connect_timeout, usual.max_open),
+        (60_000_000, 250_000, 20_000)
+    );
 }
 
 #[test]
--- a/crates/cli/src/fleet/rollout.rs
+++ b/crates/cli/src/fleet/rollout.rs
@@ -7,8 +7,8 @@
 use crate::output::{Output, Table, tell};
 use clap::Subcommand;
 use hyper::Method;
-use madderloom_agent::view::Rollouts;
-use madderloom_fleet::Accepted;
+use madderloom_agent::view::RolloutView;
+use madderloom_control_plane::Accepted;
 use std::process::ExitCode;
 
 /// Shows a rollout, stops it or takes it back.
@@ -48,8 +48,9 @@
         one.connection.run(async |client| {
             let path = format!("/v1/rollouts/{}", one.id);
             if let Some(verb) = verb {
-                let accepted =
-                    client.get::<Accepted>(Method::POST, &format!("{path}/{verb}"), Vec::new()).await?;
+                let accepted = client
+                    .request::<Accepted>(Method::POST, &format!("{path}/{verb}"), Vec::new())
+                    .await?;
                 let code = follow(&client, &accepted, &one.waiting).await?;
                 // What was asked for is that it ends so.
                 return Ok(if one.waiting.no_wait || verb == "stop" {
@@ -58,15 +59,23 @@
                     undone(code)
                 });
             }
-            match get::<Rollouts>(&client, &path).await {
+            match get::<RolloutView>(&client, &path).await {
                 Err(failed) if is_missing(&failed) => {
-                    let known: Vec<Rollouts> = get(&client, "/v1/rollouts").await?;
-                    Err(unknown("change", &one.id, known.into_iter().map(|rollout| rollout.id)))
+                    let known: Vec<RolloutView> = get(&client, "/v1/rollouts").await?;
+                    Err(unknown(
+                        "change",
+                        &one.id,
+                        known.into_iter().map(|rollout| rollout.id),
+                    ))
                 }
-                Err(failed) => Err(failed),
+                Err(failed) => Err(failed.into()),
                 Ok(rollout) => {
                     tell_rollout(&rollout, one.waiting.output);
-                    Ok(if rollout.end.is_none() { ExitCode::SUCCESS } else { code(&rollout) })
+                    Ok(if rollout.end.is_none() {
+                        ExitCode::SUCCESS
+                    } else {
+                        code(&rollout)
+                    })
                 }
             }
         })
@@ -75,7 +84,11 @@
 
 /// A change that was taken back on the way counts as undone.
 fn undone(code: ExitCode) -> ExitCode {
-    if code == ExitCode::from(FAILED) { ExitCode::SUCCESS } else { code }
+    if code == ExitCode::from(FAILED) {
+        ExitCode::SUCCESS
+    } else {
+        code
+    }
 }
 
 /// Lists the changes of late, newest first.
@@ -91,20 +104,40 @@
 impl History {
     pub(crate) fn run(self) -> Result<ExitCode, String> {
         self.connection.run(async |client| {
-            let all: Vec<Rollouts> = get(&client, "/v1/rollouts").await?;
+            let all: Vec<RolloutView> = get(&client, "/v1/rollouts").await?;
             if self.output == Output::Json {
                 json(&all);
                 return Ok(ExitCode::SUCCESS);
             }
-            let mut table = Table::new(["REVISION", "CHANGE", "BY", "AT", "STATE", "INSTANCES", "WHAT"]);
+            let mut table = Table::new([
+                "REVISION",
+                "CHANGE",
+                "BY",
+                "AT",
+                "STATE",
+                "INSTANCES",
+                "WHAT",
+            ]);
             for rollout in &all {
                 let what = match rollout.difference.as_slice() {
                     [one] => one.clone(),
                     [first, ..] => format!("{first} and {} more", rollout.difference.len() - 1),
                     [] => String::new(),
                 };
-                let Rollouts { id, revision, by, phase, .. } = rollout;
-                let row = [revision.to_string(), id.clone(), by.who.clone(), when(by.at), phase.clone()];
+                let RolloutView {
+                    id,
+                    revision,
+                    author,
+                    phase,
+                    ..
+                } = rollout;
+                let row = [
+                    revision.to_string(),
+                    id.clone(),
+                    author.who.clone(),
+                    when(author.at),
+                    phase.clone(),
+                ];
                 let [revision, id, who, at, phase] = row;
                 table.row([revision, id, who, at, phase, counts(rollout), what]);
             }
--- a/crates/cli/tests/outputs/admin_view.rs
+++ b/crates/cli/tests/outputs/admin_view.rs
@@ -31,7 +31,12 @@
         let file = Site::file(&socket, &state, &server);
         let mut process = Process::start(&file);
         process.wait_for("admin view on ");
-        Site { _directory: directory, socket, server, process }
+        Site {
+            _directory: directory,
+            socket,
+            server,
+            process,
+        }
     }
 
     fn file(socket: &Path, state: &Path, server: &StandIn) -> String {
@@ -55,7 +60,10 @@
     /// `STATUS BODY` of what the admin view answers.
     fn ask(&self, request: &str, body: &str) -> String {
         let mut stream = UnixStream::connect(&self.socket).expect("it accepts");
-        let head = format!("{request} HTTP/1.1\r\nHost: x\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+        let head = format!(
+            "{request} HTTP/1.1\r\nHost: x\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        );
         stream.write_all(head.as_bytes()).expect("it is written");
         let mut answer = String::new();
         stream.read_to_string(&mut answer).expect("it is read");
@@ -72,7 +80,11 @@
 
     fn run(&self, arguments: &[&str]) -> Output {
         let mut command = Command::new(env!("CARGO_BIN_EXE_madderloom"));
-        let command = command.args(arguments).arg("--socket").arg(&self.socket).args(["--output", "json"]);
+        let command = command
+            .args(arguments)
+            .arg("--socket")
+            .arg(&self.socket)
+            .args(["--output", "json"]);
         command.output().expect("it runs")
     }
 }
@@ -94,7 +106,10 @@
     let signals = signals.as_object().expect("an object");
     for (name, value) in signals {
         let (name, class) = name.split_once('(').unwrap_or((name, "view)"));
-        assert!(NAMES.contains(&name) && ["view)", "submit)"].contains(&class), "{name}({class}");
+        assert!(
+            NAMES.contains(&name) && ["view)", "submit)"].contains(&class),
+            "{name}({class}"
+        );
         assert!(value.is_number(), "{name}: {value}");
     }
     status
@@ -244,7 +259,8 @@
     site.serve_one();
     let order = r#"{"order":"pin","level":"careful","for_us":60000000,"by":"ana"}"#;
     assert_eq!(site.ask("POST /v1/pools/a/level", order), "200 {}");
-    site.process.wait_for("service level: from full service to careful");
+    site.process
+        .wait_for("service level: from full service to careful");
     let done = site.run(&["status"]);
     assert_eq!(done.status.code(), Some(0));
     assert_shape(&without_signals(told(&done)), STATUS);
@@ -256,7 +272,11 @@
     let site = Site::start();
     let level = "POST /v1/pools/a/level";
     for (request, body, answer) in [
-        (level, r#"{"order":"bar","level":"careful","for_us":60000000}"#, "200 {}"),
+        (
+            level,
+            r#"{"order":"bar","level":"careful","for_us":60000000}"#,
+            "200 {}",
+        ),
         (level, r#"{"order":"clear","level":"careful"}"#, "200 {}"),
         (
             level,
@@ -273,13 +293,21 @@
             r#"{"order":"pin","more":1}"#,
             r#"400 {"problem":"makes no sense: unknown field `more`, expected one of `order`, `level`, `for_us`, `by` at line 1 column 21"}"#,
         ),
-        (level, r#"{"order":"pin","for_us":1}"#, r#"400 {"problem":"names no level"}"#),
+        (
+            level,
+            r#"{"order":"pin","for_us":1}"#,
+            r#"400 {"problem":"names no level"}"#,
+        ),
         (
             level,
             r#"{"order":"pin","level":"careful"}"#,
             r#"400 {"problem":"an order holds for some time, 7days at most"}"#,
         ),
-        ("POST /v1/pools/b/level", r#"{"order":"pin"}"#, r#"404 {"problem":"there is no pool b"}"#),
+        (
+            "POST /v1/pools/b/level",
+            r#"{"order":"pin"}"#,
+            r#"404 {"problem":"there is no pool b"}"#,
+        ),
         ("POST /v1/status", "", "405 {}"),
         ("DELETE /v1/status", "", "405 {}"),
         ("GET /v1/odd", "", "404 {}"),
@@ -410,19 +438,35 @@
     // A server that comes, and goes again, is told of.
     let new = StandIn::new("s-new", Manner::Serves);
     let text_of_file = std::fs::read_to_string(&site.process.file).expect("it is there");
-    let entry =
-        |server: &StandIn| format!("{{ name = \"{}\", address = \"{}\" }}", server.name, server.address);
-    let both =
-        text_of_file.replace(&entry(&site.server), &format!("{}, {}", entry(&site.server), entry(&new)));
+    let entry = |server: &StandIn| {
+        format!(
+            "{{ name = \"{}\", address = \"{}\" }}",
+            server.name, server.address
+        )
+    };
+    let both = text_of_file.replace(
+        &entry(&site.server),
+        &format!("{}, {}", entry(&site.server), entry(&new)),
+    );
     site.process.reload(&both);
     site.process.reload(&text_of_file);
     let done = site.run(&["events"]);
-    let events: Vec<Value> =
-        text(&done.stdout).lines().map(|line| serde_json::from_str(line).expect("JSON")).collect();
+    let events: Vec<Value> = text(&done.stdout)
+        .lines()
+        .map(|line| serde_json::from_str(line).expect("JSON"))
+        .collect();
     events.iter().for_each(|event| assert_shape(event, EVENT));
-    let words = |field: &str| events.iter().map(|event| event[field].clone()).collect::<Value>();
+    let words = |field: &str| {
+        events
+            .iter()
+            .map(|event| event[field].clone())
+            .collect::<Value>()
+    };
     assert_eq!(words("event"), serde_json::json!(["joined", "left"]));
-    assert_eq!(words("text"), serde_json::json!(["s-new is listed", "s-new is gone from the list"]));
+    assert_eq!(
+        words("text"),
+        serde_json::json!(["s-new is listed", "s-new is gone from the list"])
+    );
     let seen = site.seen("/v1/events");
     assert_eq!(seen["events"], Value::Array(events.clone()));
     let expected = r#"
@@ -443,7 +487,10 @@
 #[test]
 fn the_figures_at_the_second_address_have_all_that_they_had() {
     let node = crate::rig::Node::new();
-    let options = crate::rig::Options { control: true, ..crate::rig::Options::default() };
+    let options = crate::rig::Options {
+        control: true,
+        ..crate::rig::Options::default()
+    };
     let sidecar = crate::rig::Sidecar::with(&[node.address()], options);
     sidecar.serves(&[&node]);
     let info = sidecar.call("INFO\n");
@@ -468,7 +515,10 @@
         ("PING\n", "ok\n"),
         ("LAMEDUCK\n", "ok\n"),
         ("REJOIN\n", "ok\n"),
-        ("odd\n", "fail there is no such call; call PING, INFO, LAMEDUCK or REJOIN\n"),
+        (
+            "odd\n",
+            "fail there is no such call; call PING, INFO, LAMEDUCK or REJOIN\n",
+        ),
     ] {
         assert_eq!(sidecar.call(call), answer);
     }
--- a/crates/cli/tests/outputs/fleet.rs
+++ b/crates/cli/tests/outputs/fleet.rs
@@ -3,7 +3,7 @@
 use crate::fleet_rig::{Rig, found};
 use crate::shape::assert_shape;
 use crate::told;
-use madderloom_rig::{Link, Lists, Manner, Says, Server, until};
+use madderloom_fault_testing::{Link, Lists, Manner, Says, Server, until};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -23,26 +23,47 @@
         let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
         let (roads, instances) = Default::default();
         let directory = found(AGENT);
-        let mut rig = Rig { directory, agent: None, address: nowhere, roads, servers, instances };
+        let mut rig = Rig {
+            directory,
+            agent: None,
+            address: nowhere,
+            roads,
+            servers,
+            instances,
+        };
         rig.start_agent();
         rig.roads = [("north".to_string(), Link::new(rig.address))].into();
-        let manner =
-            Manner { each: Duration::ZERO, most: 100, down: Duration::from_secs(1), says: Says::List };
+        let manner = Manner {
+            each: Duration::ZERO,
+            most: 100,
+            down: Duration::from_secs(1),
+            says: Says::List,
+        };
         let lists = Lists::new(manner, &rig.servers.iter().collect::<Vec<_>>());
         let file = rig.file(0, "").replace(
             "state = \"kept-0\"\n",
             "state = \"kept-0\"\nlabels = { tier = \"canary\" }\nshare_lists = \"fleet\"\nfleet_limits = [{ name = \
              \"submissions\", pool = \"shop\", safe = { divide_by = 1 } }]\n",
         );
-        let file = file.replace("servers = [", &format!("discovery = \"{}\"\nservers = [", lists.address));
+        let file = file.replace(
+            "servers = [",
+            &format!("discovery = \"{}\"\nservers = [", lists.address),
+        );
         rig.instances = vec![rig.launch_as("shop-0", &file)];
         rig.until_alive(1);
         Site { rig, _lists: lists }
     }
 
     fn told(&self, who: &str, arguments: &[&str], code: i32) -> Value {
-        let done = self.rig.run(who, &[arguments, &["--output", "json"]].concat());
-        assert_eq!(done.status.code(), Some(code), "{}", crate::text(&done.stderr));
+        let done = self
+            .rig
+            .run(who, &[arguments, &["--output", "json"]].concat());
+        assert_eq!(
+            done.status.code(),
+            Some(code),
+            "{}",
+            crate::text(&done.stderr)
+        );
         told(&done)
     }
 }
@@ -203,7 +224,9 @@
     let site = Site::start();
     let status = until("it has a lease and a list", || {
         let status = site.rig.instances[0].status()?;
-        let has_list = status["shared_lists"].as_object().is_some_and(|lists| !lists.is_empty());
+        let has_list = status["shared_lists"]
+            .as_object()
+            .is_some_and(|lists| !lists.is_empty());
         (status["fleet_limits"]["leased"] == true && has_list).then_some(status)
     });
     assert_shape(&status["control"], CONTROL);
@@ -211,11 +234,20 @@
     assert_shape(&status["shared_lists"], LISTS);
     let change = "version = 1\nid = \"slow\"\nnote = \"late\"\n[rollout]\ngate = false\npause = \"0\"\n[set]\n\"weight/w0\" = 0.5\n";
     std::fs::write(site.rig.at("slow.toml"), change).expect("written");
-    assert_shape(&site.told("vic", &["push", "slow.toml", "--dry-run"], 0), WOULD_BE_ACCEPTED);
-    assert_shape(&site.told("alice", &["push", "slow.toml", "--no-wait"], 0), ACCEPTED);
+    assert_shape(
+        &site.told("vic", &["push", "slow.toml", "--dry-run"], 0),
+        WOULD_BE_ACCEPTED,
+    );
+    assert_shape(
+        &site.told("alice", &["push", "slow.toml", "--no-wait"], 0),
+        ACCEPTED,
+    );
     site.rig.ended("slow");
     assert_shape(&site.told("alice", &["push", "slow.toml"], 0), ROLLOUT);
-    assert_shape(&site.told("vic", &["rollout", "status", "slow"], 0), ROLLOUT);
+    assert_shape(
+        &site.told("vic", &["rollout", "status", "slow"], 0),
+        ROLLOUT,
+    );
     assert_shape(&site.told("vic", &["history"], 0), HISTORY);
     until("it is in line", || {
         let listed = site.rig.listed();
@@ -223,6 +255,9 @@
     });
     assert_shape(&site.told("vic", &["instances"], 0), INSTANCES);
     assert_shape(&site.told("vic", &["show", "shop-0"], 0), INSTANCE);
-    assert_shape(&site.told("vic", &["push", "slow.toml", "--dry-run"], 3), WOULD_BE_DECLINED);
+    assert_shape(
+        &site.told("vic", &["push", "slow.toml", "--dry-run"], 3),
+        WOULD_BE_DECLINED,
+    );
     assert_shape(&site.told("alice", &["drain", "w0", "--no-wait"], 0), DRAIN);
 }
--- a/crates/cli/tests/outputs/shape.rs
+++ b/crates/cli/tests/outputs/shape.rs
@@ -9,12 +9,18 @@
     match value {
         Value::Object(fields) if !fields.is_empty() => {
             for (name, field) in fields {
-                let path = if at.is_empty() { name.clone() } else { format!("{at}.{name}") };
+                let path = if at.is_empty() {
+                    name.clone()
+                } else {
+                    format!("{at}.{name}")
+                };
                 leaves(field, &path, all);
             }
         }
         Value::Array(entries) if !entries.is_empty() => {
-            entries.iter().for_each(|entry| leaves(entry, &format!("{at}[]"), all));
+            entries
+                .iter()
+                .for_each(|entry| leaves(entry, &format!("{at}[]"), all));
         }
         leaf => all.entry(at.to_string()).or_default().push(leaf),
     }
@@ -26,7 +32,9 @@
         "whole" => value.is_u64() || value.is_i64(),
         "fraction" => value.is_f64(),
         "text" => value.is_string(),
-        "address" => value.as_str().is_some_and(|text| text.parse::<SocketAddr>().is_ok()),
+        "address" => value
+            .as_str()
+            .is_some_and(|text| text.parse::<SocketAddr>().is_ok()),
         exact => value.to_string() == exact,
     }
 }
@@ -37,16 +45,24 @@
 pub fn assert_shape(value: &Value, expected: &str) {
     let mut actual = BTreeMap::new();
     leaves(value, "", &mut actual);
-    let lines = expected.lines().map(str::trim).filter(|line| !line.is_empty());
-    let expected: BTreeMap<&str, &str> =
-        lines.map(|line| line.split_once(' ').expect("PATH DESCRIPTION")).collect();
+    let lines = expected
+        .lines()
+        .map(str::trim)
+        .filter(|line| !line.is_empty());
+    let expected: BTreeMap<&str, &str> = lines
+        .map(|line| line.split_once(' ').expect("PATH DESCRIPTION"))
+        .collect();
     let mut problems = Vec::new();
     for (path, values) in &actual {
         let Some(description) = expected.get(path.as_str()) else {
             problems.push(format!("{path} is not expected: {}", values[0]));
             continue;
         };
-        let odd = values.iter().find(|value| !description.split(" or ").any(|one| is_described(value, one)));
+        let odd = values.iter().find(|value| {
+            !description
+                .split(" or ")
+                .any(|one| is_described(value, one))
+        });
         problems.extend(odd.map(|odd| format!("{path} is {odd} in place of {description}")));
     }
     let missing = expected.keys().filter(|path| !actual.contains_key(**path));
--- a/crates/fleet/tests/messages_stay_as_they_are.rs
+++ b/crates/control-plane/tests/messages_stay_as_they_are.rs
@@ -1,11 +1,11 @@
 //! Every message of the control protocol and every durable record of it, as literal JSON. Other versions of an agent, a
 //! relay, an instance or the command line read and write the same text: it is read here, and written byte for byte.
 
-use madderloom_fleet::change::Change;
-use madderloom_fleet::protocol::{ToAgent, ToInstance};
-use madderloom_fleet::relay::{Batch, BatchAnswer, RelayStatus, WatchLine};
-use madderloom_fleet::settings::{Overlay, Value};
-use madderloom_fleet::{Accepted, Declined, Memory, Record};
+use madderloom_control_plane::change::Change;
+use madderloom_control_plane::protocol::{ToAgent, ToInstance};
+use madderloom_control_plane::relay::{Batch, BatchAnswer, RelayStatus, WatchLine};
+use madderloom_control_plane::settings::{Overlay, Value};
+use madderloom_control_plane::{Accepted, Declined, Memory, Record};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use serde_json::Value as Json;
@@ -25,7 +25,10 @@
 #[track_caller]
 fn stays<T: Serialize + DeserializeOwned>(literal: &str) -> T {
     let value: T = read(literal);
-    assert_eq!(serde_json::to_string(&value).expect("JSON"), one_line(literal));
+    assert_eq!(
+        serde_json::to_string(&value).expect("JSON"),
+        one_line(literal)
+    );
     value
 }
 
@@ -33,7 +36,10 @@
 #[track_caller]
 fn is_completed_to<T: Serialize + DeserializeOwned>(absent: &str, complete: &str) {
     let value: T = read(absent);
-    assert_eq!(serde_json::to_string(&value).expect("JSON"), one_line(complete));
+    assert_eq!(
+        serde_json::to_string(&value).expect("JSON"),
+        one_line(complete)
+    );
 }
 
 /// Every field of the text has to be there.
@@ -44,10 +50,17 @@
     collect_pointers(&whole, String::new(), &mut pointers);
     for (object, field) in pointers {
         let mut without = whole.clone();
-        let fields = without.pointer_mut(&object).and_then(Json::as_object_mut).expect("an object");
+        let fields = without
+            .pointer_mut(&object)
+            .and_then(Json::as_object_mut)
+            .expect("an object");
         fields.remove(&field).expect("a field");
         let read = serde_json::from_value::<T>(without);
-        assert!(read.is_err(), "{}: {object}/{field} is not needed", one_line(literal));
+        assert!(
+            read.is_err(),
+            "{}: {object}/{field} is not needed",
+            one_line(literal)
+        );
     }
 }
 
@@ -56,10 +69,18 @@
 fn passes_over_unknown_fields<T: Serialize + DeserializeOwned>(literal: &str, objects: &[&str]) {
     for object in objects {
         let mut more: Json = read(literal);
-        let fields = more.pointer_mut(object).and_then(Json::as_object_mut).expect("an object");
+        let fields = more
+            .pointer_mut(object)
+            .and_then(Json::as_object_mut)
+            .expect("an object");
         fields.insert("of_a_later_version".into(), Json::Bool(true));
-        let value: T = serde_json::from_value(more).unwrap_or_else(|error| panic!("{object}: {error}"));
-        assert_eq!(serde_json::to_string(&value).expect("JSON"), one_line(literal), "{object}");
+        let value: T =
+            serde_json::from_value(more).unwrap_or_else(|error| panic!("{object}: {error}"));
+        assert_eq!(
+            serde_json::to_string(&value).expect("JSON"),
+            one_line(literal),
+            "{object}"
+        );
     }
 }
 
@@ -83,8 +104,11 @@
 /// Names all variants there are: a text for each of them stands in this file.
 #[track_caller]
 fn has_the_variants<T: DeserializeOwned>(names: &str) {
-    let error = serde_json::from_str::<T>(r#"{"of_a_later_version":{}}"#).err().expect("no such variant");
-    let expected = format!("unknown variant `of_a_later_version`, expected {names} at line 1 column 21");
+    let error = serde_json::from_str::<T>(r#"{"of_a_later_version":{}}"#)
+        .err()
+        .expect("no such variant");
+    let expected =
+        format!("unknown variant `of_a_later_version`, expected {names} at line 1 column 21");
     assert_eq!(error.to_string(), expected);
 }
 
@@ -139,8 +163,14 @@
     has_the_variants::<ToAgent>("`register` or `report`");
     let register: ToAgent = stays(REGISTER);
     assert_eq!(register.who().name, "edge-1");
-    assert_eq!((register.who().start, register.who().incarnation), (u64::MAX, 3));
-    passes_over_unknown_fields::<ToAgent>(REGISTER, &["/register", "/register/who", "/register/traits"]);
+    assert_eq!(
+        (register.who().start, register.who().incarnation),
+        (u64::MAX, 3)
+    );
+    passes_over_unknown_fields::<ToAgent>(
+        REGISTER,
+        &["/register", "/register/who", "/register/traits"],
+    );
 
     let report: ToAgent = stays(REPORT);
     assert_eq!(report.who().name, "edge-1");
@@ -168,17 +198,26 @@
 #[test]
 fn a_refusal_of_an_order_stays() {
     let applied = r#""outcome":"applied"}"#;
-    let refused = r#""outcome":{"refused":{"field":"set.weight/w7","problem":"a weight is from 0 to 100"}}}"#;
+    let refused =
+        r#""outcome":{"refused":{"field":"set.weight/w7","problem":"a weight is from 0 to 100"}}}"#;
     let report = one_line(REPORT).replace(applied, refused);
     assert_ne!(report, one_line(REPORT));
     stays::<ToAgent>(&report);
-    for field in [r#""field":"set.weight/w7","#, r#","problem":"a weight is from 0 to 100""#] {
+    for field in [
+        r#""field":"set.weight/w7","#,
+        r#","problem":"a weight is from 0 to 100""#,
+    ] {
         let without = report.replace(field, "");
         assert_ne!(without, report);
-        assert!(serde_json::from_str::<ToAgent>(&without).is_err(), "{without}");
+        assert!(
+            serde_json::from_str::<ToAgent>(&without).is_err(),
+            "{without}"
+        );
     }
     let odd = report.replace(r#"{"refused":"#, r#"{"of_a_later_version":"#);
-    let error = serde_json::from_str::<ToAgent>(&odd).expect_err("no such outcome").to_string();
+    let error = serde_json::from_str::<ToAgent>(&odd)
+        .expect_err("no such outcome")
+        .to_string();
     let expected = "unknown variant `of_a_later_version`, expected `applied` or `refused`";
     assert!(error.starts_with(expected), "{error}");
 }
@@ -192,7 +231,8 @@
         "term":0}}"#;
     is_completed_to::<ToAgent>(register, complete);
     needs_every_field::<ToAgent>(register);
-    let without_traits = r#"{"register":{"who":{"name":"edge-1","start":17,"incarnation":3},"traits":{}}}"#;
+    let without_traits =
+        r#"{"register":{"who":{"name":"edge-1","start":17,"incarnation":3},"traits":{}}}"#;
     is_completed_to::<ToAgent>(without_traits, complete);
 
     let report = r#"{"report":{"who":{"name":"edge-1","start":17,"incarnation":3}}}"#;
@@ -248,14 +288,21 @@
         ("/report/answer", "overlay"),
         ("/report/answer", "outcome"),
     ] {
-        let fields = whole.pointer_mut(object).and_then(Json::as_object_mut).expect("an object");
+        let fields = whole
+            .pointer_mut(object)
+            .and_then(Json::as_object_mut)
+            .expect("an object");
         fields.remove(field).expect("a field");
-        assert!(serde_json::from_value::<ToAgent>(whole.clone()).is_err(), "{object}/{field}");
+        assert!(
+            serde_json::from_value::<ToAgent>(whole.clone()).is_err(),
+            "{object}/{field}"
+        );
         whole["report"]["answer"] = answer.clone();
     }
 }
 
-const WELCOME: &str = r#"{"welcome":{"start":17,"incarnation":3,"term":4,"every":1000000,"spread":2000000}}"#;
+const WELCOME: &str =
+    r#"{"welcome":{"start":17,"incarnation":3,"term":4,"every":1000000,"spread":2000000}}"#;
 const SUPERSEDED: &str = r#"{"superseded":{"start":17,"by":5,"again":6000000}}"#;
 const LATER: &str = r#"{"later":{"start":17,"again":6000000}}"#;
 const UNKNOWN: &str = r#"{"unknown":{"start":17}}"#;
@@ -290,7 +337,9 @@
         {"list":"workers","version":{"index":16,"digest":17},"ago":18,"text":"[]","wanted":true,"call":false,"enough":true},
         {"list":"others","version":{"index":0,"digest":0},"ago":0,"wanted":false,"call":true,"enough":false}]}}"#;
 
-const TO_INSTANCE: [&str; 8] = [WELCOME, SUPERSEDED, LATER, UNKNOWN, RENEWED, ORDER, LENT, LISTS];
+const TO_INSTANCE: [&str; 8] = [
+    WELCOME, SUPERSEDED, LATER, UNKNOWN, RENEWED, ORDER, LENT, LISTS,
+];
 
 #[test]
 fn messages_to_an_instance_stay() {
@@ -300,14 +349,29 @@
     for message in TO_INSTANCE {
         let value: ToInstance = stays(message);
         assert_eq!(value.start(), 17, "{message}");
-        assert_eq!(value.is_acceptance(), [WELCOME, RENEWED].contains(&message), "{message}");
-        let (kind, _) = message.trim_start_matches("{\"").split_once('"').expect("a kind");
+        assert_eq!(
+            value.is_acceptance(),
+            [WELCOME, RENEWED].contains(&message),
+            "{message}"
+        );
+        let (kind, _) = message
+            .trim_start_matches("{\"")
+            .split_once('"')
+            .expect("a kind");
         passes_over_unknown_fields::<ToInstance>(message, &[&format!("/{kind}")]);
     }
     passes_over_unknown_fields::<ToInstance>(ORDER, &["/order/stamp"]);
-    let objects = ["/lent/by", "/lent/of/0", "/lent/of/0/amount", "/lent/of/0/whole"];
+    let objects = [
+        "/lent/by",
+        "/lent/of/0",
+        "/lent/of/0/amount",
+        "/lent/of/0/whole",
+    ];
     passes_over_unknown_fields::<ToInstance>(LENT, &objects);
-    passes_over_unknown_fields::<ToInstance>(LISTS, &["/lists/stamp", "/lists/of/0", "/lists/of/0/version"]);
+    passes_over_unknown_fields::<ToInstance>(
+        LISTS,
+        &["/lists/stamp", "/lists/of/0", "/lists/of/0/version"],
+    );
 }
 
 #[test]
@@ -331,7 +395,10 @@
             "whole":{"rate":0,"burst":0,"open":0}}]}}"#;
     is_completed_to::<ToInstance>(r#"{"lent":{"of":[{"amount":{}}]}}"#, lent);
     needs_every_field::<ToInstance>(r#"{"lent":{}}"#);
-    for by in [r#"{"lent":{"by":{"term":1}}}"#, r#"{"lent":{"by":{"id":1}}}"#] {
+    for by in [
+        r#"{"lent":{"by":{"term":1}}}"#,
+        r#"{"lent":{"by":{"id":1}}}"#,
+    ] {
         assert!(serde_json::from_str::<ToInstance>(by).is_err(), "{by}");
     }
     let lists = r#"{"lists":{
@@ -355,25 +422,35 @@
     for level in ["off", "error", "warn", "info", "debug", "trace"] {
         stays::<Value>(&format!(r#"{{"level":"{level}"}}"#));
     }
-    let error = serde_json::from_str::<Value>(r#"{"level":"loud"}"#).expect_err("no level").to_string();
-    let expected = "unknown variant `loud`, expected one of `off`, `error`, `warn`, `info`, `debug`, `trace`";
+    let error = serde_json::from_str::<Value>(r#"{"level":"loud"}"#)
+        .expect_err("no level")
+        .to_string();
+    let expected =
+        "unknown variant `loud`, expected one of `off`, `error`, `warn`, `info`, `debug`, `trace`";
     assert!(error.starts_with(expected), "{error}");
     has_the_variants::<Value>("one of `weight`, `drained`, `limit`, `route`, `level`");
 }
 
 #[test]
 fn batches_of_a_relay_stay() {
-    let batch = format!(r#"{{"messages":[{},{}]}}"#, one_line(REGISTER), one_line(REPORT));
+    let batch = format!(
+        r#"{{"messages":[{},{}]}}"#,
+        one_line(REGISTER),
+        one_line(REPORT)
+    );
     stays::<Batch>(&batch);
     stays::<Batch>(r#"{"messages":[]}"#);
     needs_every_field::<Batch>(r#"{"messages":[]}"#);
     passes_over_unknown_fields::<Batch>(&batch, &[""]);
 
-    let messages =
-        TO_INSTANCE.map(|message| format!(r#"{{"name":"edge-1","message":{}}}"#, one_line(message)));
+    let messages = TO_INSTANCE
+        .map(|message| format!(r#"{{"name":"edge-1","message":{}}}"#, one_line(message)));
     let answer = format!(r#"{{"term":4,"messages":[{}]}}"#, messages.join(","));
     let value: BatchAnswer = stays(&answer);
-    assert_eq!(value.accepted().into_iter().collect::<Vec<_>>(), [("edge-1", 17)]);
+    assert_eq!(
+        value.accepted().into_iter().collect::<Vec<_>>(),
+        [("edge-1", 17)]
+    );
     passes_over_unknown_fields::<BatchAnswer>(&answer, &["", "/messages/0"]);
     needs_every_field::<BatchAnswer>(
         r#"{"term":4,"messages":[{"name":"edge-1","message":{"unknown":{"start":17}}}]}"#,
@@ -387,7 +464,10 @@
     needs_every_field::<WatchLine>(r#"{"connected":{"term":4}}"#);
     passes_over_unknown_fields::<WatchLine>(r#"{"connected":{"term":4}}"#, &["/connected"]);
     for message in TO_INSTANCE {
-        let line = format!(r#"{{"message":{{"name":"edge-1","message":{}}}}}"#, one_line(message));
+        let line = format!(
+            r#"{{"message":{{"name":"edge-1","message":{}}}}}"#,
+            one_line(message)
+        );
         stays::<WatchLine>(&line);
         passes_over_unknown_fields::<WatchLine>(&line, &["/message"]);
     }
@@ -464,24 +544,56 @@
 #[test]
 fn a_change_with_an_unknown_field_is_not_read() {
     for (object, known) in [
-        ("", "one of `id`, `base`, `note`, `select`, `rollout`, `what`"),
+        (
+            "",
+            "one of `id`, `base`, `note`, `select`, `rollout`, `what`",
+        ),
         ("/select", "one of `names`, `labels`, `zones`"),
-        ("/rollout", "one of `waves`, `at_once`, `pause`, `silence`, `failures`, `then`, `gate`"),
-        ("/rollout/gate", "one of `worse`, `evidence`, `sure`, `patience`, `unproven`"),
+        (
+            "/rollout",
+            "one of `waves`, `at_once`, `pause`, `silence`, `failures`, `then`, `gate`",
+        ),
+        (
+            "/rollout/gate",
+            "one of `worse`, `evidence`, `sure`, `patience`, `unproven`",
+        ),
     ] {
         let mut more: Json = read(CHANGE);
-        let fields = more.pointer_mut(object).and_then(Json::as_object_mut).expect("an object");
+        let fields = more
+            .pointer_mut(object)
+            .and_then(Json::as_object_mut)
+            .expect("an object");
         fields.insert("of_a_later_version".into(), Json::Bool(true));
-        let error = serde_json::from_value::<Change>(more).expect_err("an unknown field").to_string();
-        assert_eq!(error, format!("unknown field `of_a_later_version`, expected {known}"), "{object}");
+        let error = serde_json::from_value::<Change>(more)
+            .expect_err("an unknown field")
+            .to_string();
+        assert_eq!(
+            error,
+            format!("unknown field `of_a_later_version`, expected {known}"),
+            "{object}"
+        );
     }
     for (known, unknown, variants) in [
-        (r#"{"count":1}"#, r#"{"of_a_later_version":1}"#, "`count` or `percent`"),
-        (r#""stop""#, r#""of_a_later_version""#, "`stop` or `take-back`"),
-        (r#""what":{"set""#, r#""what":{"of_a_later_version""#, "`set` or `undo`"),
+        (
+            r#"{"count":1}"#,
+            r#"{"of_a_later_version":1}"#,
+            "`count` or `percent`",
+        ),
+        (
+            r#""stop""#,
+            r#""of_a_later_version""#,
+            "`stop` or `take-back`",
+        ),
+        (
+            r#""what":{"set""#,
+            r#""what":{"of_a_later_version""#,
+            "`set` or `undo`",
+        ),
     ] {
         let odd = one_line(CHANGE).replace(known, unknown);
-        let error = serde_json::from_str::<Change>(&odd).expect_err("an unknown variant").to_string();
+        let error = serde_json::from_str::<Change>(&odd)
+            .expect_err("an unknown variant")
+            .to_string();
         let expected = format!("unknown variant `of_a_later_version`, expected {variants}");
         assert!(error.starts_with(&expected), "{error}");
     }
@@ -490,10 +602,19 @@
 #[test]
 fn fingerprints_stay() {
     let change: Change = read(CHANGE);
-    assert_eq!(change.fingerprint().to_string(), "e91de8ab19dfe0d21b79a6fe84e66d01");
+    assert_eq!(
+        change.fingerprint().to_string(),
+        "e91de8ab19dfe0d21b79a6fe84e66d01"
+    );
     let overlay = r#"{"weight/w7":{"weight":200},"drain/w9":{"drained":true}}"#;
-    assert_eq!(stays::<Overlay>(overlay).fingerprint().to_string(), "31591a09ccf5af112106c80462e9c131");
-    assert_eq!(stays::<Overlay>("{}").fingerprint().to_string(), "44136fa355b3678a1146ad16f7e8649e");
+    assert_eq!(
+        stays::<Overlay>(overlay).fingerprint().to_string(),
+        "31591a09ccf5af112106c80462e9c131"
+    );
+    assert_eq!(
+        stays::<Overlay>("{}").fingerprint().to_string(),
+        "44136fa355b3678a1146ad16f7e8649e"
+    );
 }
 
 #[test]
@@ -505,7 +626,8 @@
     has_the_variants::<Declined>(
         "one of `invalid`, `conflict`, `busy`, `id_used`, `impossible`, `stood_down`",
     );
-    let invalid = r#"{"invalid":[{"field":"set.weight/w7","problem":"a weight is from 0 to 100"}]}"#;
+    let invalid =
+        r#"{"invalid":[{"field":"set.weight/w7","problem":"a weight is from 0 to 100"}]}"#;
     let conflict = r#"{"conflict":{
         "base":40,
         "newest":42,
@@ -538,7 +660,9 @@
 
 #[test]
 fn durable_records_of_an_agent_stay() {
-    has_the_variants::<Record>("one of `term`, `settled`, `rollout`, `target`, `member`, `entry`, `lending`");
+    has_the_variants::<Record>(
+        "one of `term`, `settled`, `rollout`, `target`, `member`, `entry`, `lending`",
+    );
     stays::<Record>(r#"{"term":4}"#);
     stays::<Record>(r#"{"lending":30000000}"#);
     let settled = r#"{"settled":[42,[{
@@ -593,10 +717,18 @@
         .replace(r#""why":"it hurts""#, r#""why":null"#);
     stays::<Record>(&begun);
     for (odd, variants) in [
-        (rollout(r#""of_a_later_version""#), "one of `forward`, `watch`, `stopping`, `back`, `ended`"),
-        (rollout(r#"{"ended":"of_a_later_version"}"#), "one of `done`, `stopped`, `taken_back`"),
+        (
+            rollout(r#""of_a_later_version""#),
+            "one of `forward`, `watch`, `stopping`, `back`, `ended`",
+        ),
+        (
+            rollout(r#"{"ended":"of_a_later_version"}"#),
+            "one of `done`, `stopped`, `taken_back`",
+        ),
     ] {
-        let error = serde_json::from_str::<Record>(&odd).expect_err("an unknown variant").to_string();
+        let error = serde_json::from_str::<Record>(&odd)
+            .expect_err("an unknown variant")
+            .to_string();
         let expected = format!("unknown variant `of_a_later_version`, expected {variants}");
         assert!(error.starts_with(&expected), "{error}");
     }
@@ -605,7 +737,9 @@
 #[test]
 fn the_durable_record_of_a_target_stays() {
     let target = |step: &str, back: &str| {
-        format!(r#"{{"target":{{"wave":1,"step":{step},"back":{back},"before":{{"ended":1000,"bad":7}}}}}}"#)
+        format!(
+            r#"{{"target":{{"wave":1,"step":{step},"back":{back},"before":{{"ended":1000,"bad":7}}}}}}"#
+        )
     };
     let steps = [
         r#""pending""#,
@@ -630,7 +764,9 @@
             "one of `unreachable`, `not_reached`, `overtaken`",
         ),
     ] {
-        let error = serde_json::from_str::<Record>(&odd).expect_err("an unknown variant").to_string();
+        let error = serde_json::from_str::<Record>(&odd)
+            .expect_err("an unknown variant")
+            .to_string();
         let expected = format!("unknown variant `of_a_later_version`, expected {variants}");
         assert!(error.starts_with(&expected), "{error}");
     }
--- a/crates/lab/examples/night.rs
+++ b/crates/lab/examples/night.rs
@@ -5,12 +5,16 @@
 //! cargo run --release -p madderloom-lab --example night
 //! ```
 
-use madderloom_balancer::{Action, Event, Members, Micros, Note, Outcome, RequestId, ServerId, ServerState};
+use madderloom_balancer::{
+    Action, Event, Members, Micros, Note, Outcome, RequestId, ServerId, ServerState,
+};
+use madderloom_endpoint_history::{
+    Anomaly, CompletedAttempt, EndpointEvent, EndpointHistory, ListedEndpoint, Settings, Subject,
+};
 use madderloom_lab::experiment::Experiment;
 use madderloom_lab::policy::{self, Policy, Start};
 use madderloom_lab::virtual_time;
 use madderloom_lab::world::World;
-use madderloom_timeline::{Arrival, Departure, Happening, Observed, Settings, Story, Subject};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::ops::ControlFlow;
@@ -21,7 +25,7 @@
 
 /// What is told, and what it is told of.
 struct Night {
-    story: Story,
+    story: EndpointHistory,
     /// Open requests: their class and their hinted size.
     open: BTreeMap<RequestId, (u32, Option<Micros>)>,
     hints: (f64, f64),
@@ -34,22 +38,30 @@
 
 impl Night {
     fn name(&self, id: ServerId) -> String {
-        self.names.get(&id).cloned().unwrap_or_else(|| format!("{:016x}", id.0))
+        self.names
+            .get(&id)
+            .cloned()
+            .unwrap_or_else(|| format!("{:016x}", id.0))
     }
 
-    fn say(&mut self, said: &Departure) {
+    fn say(&mut self, said: &Anomaly) {
         let name = match said.subject {
-            Subject::Server(id) => self.name(id),
+            Subject::Endpoint(id) => self.name(id),
             Subject::Zone(zone) => self.zones.get(zone as usize).cloned().unwrap_or_default(),
             Subject::Fleet => String::new(),
         };
-        let class = said.class.and_then(|class| self.classes.get(class as usize));
-        self.told.push((said.at, said.told(&name, class.map(String::as_str))));
+        let class = said
+            .class
+            .and_then(|class| self.classes.get(class as usize));
+        self.told.push((
+            said.reported_at,
+            said.describe(&name, class.map(String::as_str)),
+        ));
     }
 
     fn hear(&mut self, now: Micros, event: &Event<'_>) {
         while self.next <= now {
-            for said in self.story.step(self.next) {
+            for said in self.story.poll_anomalies(self.next) {
                 self.say(&said);
             }
             self.next += S;
@@ -58,10 +70,14 @@
             Event::Members(Members::Full(all) | Members::Changes(all)) => {
                 for server in *all {
                     if server.state == ServerState::Gone {
-                        self.story.left(now, server.server);
+                        self.story.endpoint_left(now, server.server);
                     } else {
-                        let arrival = Arrival { zone: server.zone, kind: server.kind, ..Arrival::default() };
-                        self.story.listed(now, server.server, arrival);
+                        let arrival = ListedEndpoint {
+                            zone: server.zone,
+                            machine_kind: server.kind,
+                            ..ListedEndpoint::default()
+                        };
+                        self.story.endpoint_listed(now, server.server, arrival);
                     }
                 }
             }
@@ -71,30 +87,49 @@
             Event::Closed(closed) => {
                 let (class, hint) = self.open.get(&closed.request).copied().unwrap_or((0, None));
                 let (mean, count) = &mut self.hints;
-                let size = hint.map_or(1.0, |hint| if *count > 0.0 { hint as f64 / *mean } else { 1.0 });
+                let size = hint.map_or(1.0, |hint| {
+                    if *count > 0.0 {
+                        hint as f64 / *mean
+                    } else {
+                        1.0
+                    }
+                });
                 if let Some(hint) = hint {
                     *count = (*count + 1.0).min(1_000.0);
                     *mean += (hint as f64 - *mean) / *count;
                 }
                 let (server, outcome) = (closed.server, closed.outcome);
-                let seen = Observed { server, class, outcome, elapsed: closed.elapsed, size };
-                self.story.attempt(now, (now / (60 * S) % 1_440) as u16, &seen);
+                let seen = CompletedAttempt {
+                    server,
+                    class,
+                    outcome,
+                    elapsed: closed.elapsed,
+                    relative_size: size,
+                };
+                self.story
+                    .record_attempt(now, (now / (60 * S) % 1_440) as u16, &seen);
                 if closed.ended {
                     self.open.remove(&closed.request);
                 }
             }
-            Event::Probed(server, Some(report)) => self.story.reported(now, *server, report.held, 0),
+            Event::Probed(server, Some(report)) => {
+                self.story.record_load_report(now, *server, report.held, 0)
+            }
             _ => {}
         }
     }
 
     fn noted(&mut self, now: Micros, note: Note) {
         let (id, what, words) = match note {
-            Note::Ejected(id, outcome) => (id, Happening::Ejected(outcome), ejected(outcome)),
-            Note::Restored(id) => (id, Happening::Restored, "is trusted again after its trial"),
+            Note::Ejected(id, outcome) => (id, EndpointEvent::Ejected(outcome), ejected(outcome)),
+            Note::Restored(id) => (
+                id,
+                EndpointEvent::Restored,
+                "is trusted again after its trial",
+            ),
             Note::Overload(_) | Note::DiscoveryFailed => return,
         };
-        self.story.note(now, id, what);
+        self.story.record_event(now, id, what);
         self.told.push((now, format!("{} {words}", self.name(id))));
     }
 }
@@ -136,20 +171,32 @@
     let experiment = Experiment::read(&text).map_err(|problems| problems[0].to_string())?;
     let world = World::of(&experiment, 1);
     let night = Rc::new(RefCell::new(Night {
-        story: Story::new(Settings::default()),
+        story: EndpointHistory::new(Settings::default()),
         open: BTreeMap::new(),
         hints: (0.0, 0.0),
         told: Vec::new(),
         next: 0,
-        names: world.servers.iter().map(|server| (server.id, server.name.clone())).collect(),
+        names: world
+            .servers
+            .iter()
+            .map(|server| (server.id, server.name.clone()))
+            .collect(),
         zones: experiment.network.zones.clone(),
-        classes: experiment.classes.iter().map(|class| class.name.clone()).collect(),
+        classes: experiment
+            .classes
+            .iter()
+            .map(|class| class.name.clone())
+            .collect(),
     }));
     let arm = experiment.arms.first().ok_or("it has no arm")?;
     let make = |start: Start| -> Result<Box<dyn Policy>, String> {
         let (is_first, inner) = (start.instance == 0, policy::own(start)?);
         let night = Rc::clone(&night);
-        Ok(if is_first { Box::new(Listened { inner, night }) } else { inner })
+        Ok(if is_first {
+            Box::new(Listened { inner, night })
+        } else {
+            inner
+        })
     };
     let run = virtual_time::run(&experiment, arm, 1, &make, &|_| ControlFlow::Continue(()));
     for (at, text) in &night.borrow().told {
--- a/crates/lab/src/scale/with_relays.rs
+++ b/crates/lab/src/scale/with_relays.rs
@@ -30,20 +30,35 @@
                 factor: 1.0 / zones,
                 budget,
                 unit,
-                carried_by: "`agent/src/relay/core.rs` `Driver`, one thread",
+                carried_by: "`agent/src/relay/task.rs` `RelayTask`, one thread",
             })
         };
         vec![
-            row("ordinary day: processor time of each", Figure::RelaysProcessor, Some(100.0), "% of a core"),
-            row("ordinary day: memory of each", Figure::RelaysMemory, None, "MB"),
-            row("start of all at once: processor time of each", Figure::RelaysStartProcessor, None, "s"),
+            row(
+                "ordinary day: processor time of each",
+                Figure::RelaysProcessor,
+                Some(100.0),
+                "% of a core",
+            ),
+            row(
+                "ordinary day: memory of each",
+                Figure::RelaysMemory,
+                None,
+                "MB",
+            ),
+            row(
+                "start of all at once: processor time of each",
+                Figure::RelaysStartProcessor,
+                None,
+                "s",
+            ),
             reckoned(
                 "relay",
                 "connections of each".into(),
                 (CONNECTIONS * (self.sidecars / zones + 1.0).round(), None),
                 "",
                 "code: two of each instance of a zone, and two to the agent",
-                "`agent/src/relay/paths.rs` `Relay`",
+                "`agent/src/relay/server.rs` `Relay`",
             ),
             reckoned(
                 "relay",
@@ -51,7 +66,7 @@
                 (zones + AGENTS, Some(f64::from(self.file.budget.machines))),
                 "",
                 "size: one relay in each zone, one agent above",
-                "`agent/src/relay/paths.rs` `Relay`",
+                "`agent/src/relay/server.rs` `Relay`",
             ),
         ]
     }
@@ -59,7 +74,11 @@
     fn agent_above_relays(&self) -> Vec<Row> {
         let role = "agent above relays";
         let mut rows = self.ordinary_day(RELAYS, role).to_vec();
-        rows.extend(self.pushes(RELAYS, role, "`fleet/src/fleet/registry.rs` `Fleet::report_all`"));
+        rows.extend(self.pushes(
+            RELAYS,
+            role,
+            "`control-plane/src/fleet/registry.rs` `Fleet::report_all`",
+        ));
         rows
     }
 
@@ -77,19 +96,47 @@
                 carried_by,
             })
         };
-        let (agent, relay) = ("agent above relays", "`fleet/src/relay/mod.rs` `Relay`");
+        let (agent, relay) = (
+            "agent above relays",
+            "`control-plane/src/relay/mod.rs` `Relay`",
+        );
         vec![
-            row(agent, "start of all at once: last registered", Figure::StartLast, relay),
-            row(agent, "restarted with its state: has all of them", Figure::RestartLast, relay),
+            row(
+                agent,
+                "start of all at once: last registered",
+                Figure::StartLast,
+                relay,
+            ),
+            row(
+                agent,
+                "restarted with its state: has all of them",
+                Figure::RestartLast,
+                relay,
+            ),
             row(
                 agent,
                 "restarted without its state: has all of them",
                 Figure::RestartWithoutStateLast,
                 relay,
             ),
-            row(agent, "zone back: its last instance back", Figure::ZoneLast, relay),
-            row(agent, "rack back: its last instance back", Figure::RackLast, relay),
-            row(agent, "region's cut over: it has all of them", Figure::RegionLast, relay),
+            row(
+                agent,
+                "zone back: its last instance back",
+                Figure::ZoneLast,
+                relay,
+            ),
+            row(
+                agent,
+                "rack back: its last instance back",
+                Figure::RackLast,
+                relay,
+            ),
+            row(
+                agent,
+                "region's cut over: it has all of them",
+                Figure::RegionLast,
+                relay,
+            ),
             row(
                 agent,
                 "region's cut over: change made meanwhile in force at its last",
@@ -100,7 +147,7 @@
                 "command line, relays",
                 "push while a region is cut: rollout ended",
                 Figure::RegionRollout,
-                "`fleet/src/rollout.rs` `Rollout`",
+                "`control-plane/src/rollout.rs` `Rollout`",
             ),
         ]
     }
--- a/crates/lab/tests/levels.rs
+++ b/crates/lab/tests/levels.rs
@@ -1,12 +1,12 @@
 //! Reduced service levels on whole days in virtual time: they do not swing with the servers, and a storm ends.
 
-use madderloom_config::Span;
+use madderloom_config_reader::Span;
+use madderloom_degradation::LevelsSection;
 use madderloom_lab::experiment::{Arm, Experiment, Fault, FaultKind};
 use madderloom_lab::leveled::{self, Told};
 use madderloom_lab::policy::Start;
 use madderloom_lab::record::Run;
 use madderloom_lab::{shipped, virtual_time};
-use madderloom_levels::section::Section;
 use proptest::prelude::*;
 use std::cell::RefCell;
 use std::ops::ControlFlow;
@@ -17,26 +17,47 @@
 }
 
 /// Plays it with levels or without, and gives the changes of each instance.
-fn play(experiment: &Experiment, levels: Option<Section>, seed: u64) -> (Run, Vec<u64>) {
+fn play(experiment: &Experiment, levels: Option<LevelsSection>, seed: u64) -> (Run, Vec<u64>) {
     let changes = Rc::new(RefCell::new(vec![0; experiment.instances.count as usize]));
     let log = Rc::clone(&changes);
     let told: Told = Rc::new(move |instance, _| log.borrow_mut()[instance as usize] += 1);
-    let arm = Arm { name: "arm".into(), policy: "madderloom".into(), levels, ..Arm::default() };
+    let arm = Arm {
+        name: "arm".into(),
+        policy: "madderloom".into(),
+        levels,
+        ..Arm::default()
+    };
     let make = |start: Start| leveled::make(experiment, &arm, start, Some(Rc::clone(&told)));
-    let run = virtual_time::run(experiment, &arm, seed, &make, &|_| ControlFlow::Continue(()));
+    let run = virtual_time::run(
+        experiment,
+        &arm,
+        seed,
+        &make,
+        &|_| ControlFlow::Continue(()),
+    );
     assert_eq!(run.void, None);
-    assert_eq!(run.breaches.values().sum::<u64>(), 0, "a rule is broken: {:?}", run.breaches);
+    assert_eq!(
+        run.breaches.values().sum::<u64>(),
+        0,
+        "a rule is broken: {:?}",
+        run.breaches
+    );
     let changes = changes.take();
     (run, changes)
 }
 
-fn built_in() -> Section {
-    Section { built_in: true, ..Section::default() }
+fn built_in() -> LevelsSection {
+    LevelsSection {
+        built_in: true,
+        ..LevelsSection::default()
+    }
 }
 
 fn bound(experiment: &Experiment) -> u64 {
-    let checked = built_in().resolve(&leveled::facts(&experiment.classes)).expect("they are sound");
-    checked.changes_in_ten_minutes
+    let plan = built_in()
+        .resolve(&leveled::facts(&experiment.classes))
+        .expect("they are sound");
+    plan.max_changes_in_ten_minutes
 }
 
 /// Of the submissions, the share that was served in time.
@@ -110,7 +131,16 @@
     let (without, _) = play(&experiment, None, 1);
     let (with, changes) = play(&experiment, Some(built_in()), 1);
     let (without, with) = (served(&without), served(&with));
-    assert!(without < 0.6, "it is well without: {without} of submissions at the end");
-    assert!(with > 0.85, "it is not back: {with} of submissions at the end");
-    assert!(changes.iter().all(|changes| *changes <= bound(&experiment)), "{changes:?}");
+    assert!(
+        without < 0.6,
+        "it is well without: {without} of submissions at the end"
+    );
+    assert!(
+        with > 0.85,
+        "it is not back: {with} of submissions at the end"
+    );
+    assert!(
+        changes.iter().all(|changes| *changes <= bound(&experiment)),
+        "{changes:?}"
+    );
 }
--- a/crates/operator/src/admin.rs
+++ b/crates/operator-config/src/admin.rs
@@ -1,6 +1,6 @@
 //! `[admin]`: where the admin view is served.
 
-use madderloom_config::Document;
+use madderloom_config_reader::Document;
 use serde::Deserialize;
 use std::fmt;
 use std::net::SocketAddr;
@@ -51,7 +51,8 @@
                 return Admin::Socket(path);
             }
             (None, Some(address)) => {
-                let problem = "is not on the loopback interface; write one such as \"127.0.0.1:9901\"";
+                let problem =
+                    "is not on the loopback interface; write one such as \"127.0.0.1:9901\"";
                 document.require(address.ip().is_loopback(), "admin.listen", problem);
                 return Admin::Listen(address);
             }
--- a/crates/operator/src/state.rs
+++ b/crates/operator-config/src/state.rs
@@ -1,7 +1,7 @@
 //! `[state]`: what outlasts the process, and where. Without the section nothing does.
 
-use madderloom_config::{Document, Span};
-use madderloom_ledger::{Aging, Mode, Rules};
+use madderloom_config_reader::{Document, Span};
+use madderloom_sidecar_state::{IdempotencyLimits, IdempotencyMode, SnapshotDecay};
 use serde::Deserialize;
 use std::path::PathBuf;
 
@@ -10,7 +10,7 @@
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Section {
     dir: Option<PathBuf>,
-    ledger: Option<Mode>,
+    ledger: Option<IdempotencyMode>,
     warm_start: bool,
     ids: Option<Vec<String>>,
     window: Option<Span>,
@@ -31,18 +31,18 @@
     /// identity. Usually `Idempotency-Key`, then `X-Trace-Id`.
     pub ids: Vec<String>,
     /// How long entries of the ledger last, and how many there may be. Usually 5 minutes and 200,000.
-    pub rules: Rules,
+    pub rules: IdempotencyLimits,
     /// Between two snapshots for the warm start. Usually 5 s.
     pub warm_every: Span,
     /// How what was measured loses weight. Usually half of it in 30 s, and all beyond 5 minutes.
-    pub aging: Aging,
+    pub aging: SnapshotDecay,
 }
 
 /// What is kept of a pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Kept {
     /// Of submissions.
-    pub ledger: Mode,
+    pub ledger: IdempotencyMode,
     /// Whether what was measured of its servers is.
     pub warm_start: bool,
 }
@@ -50,7 +50,7 @@
 /// What a pool says of it.
 #[derive(Clone, Copy)]
 pub(crate) struct PoolSection {
-    pub(crate) ledger: Option<Mode>,
+    pub(crate) ledger: Option<IdempotencyMode>,
     pub(crate) warm_start: Option<bool>,
 }
 
@@ -58,13 +58,27 @@
 
 impl Section {
     pub(crate) fn check(self, document: &mut Document<'_>) -> State {
-        let Section { dir, ledger, warm_start, ids, .. } = self;
+        let Section {
+            dir,
+            ledger,
+            warm_start,
+            ids,
+            ..
+        } = self;
         if !document.has("state.dir") {
-            document.problem("state", "names no directory; write one such as dir = \"/var/lib/madderloom\"");
+            document.problem(
+                "state",
+                "names no directory; write one such as dir = \"/var/lib/madderloom\"",
+            );
         } else if let Some(dir) = &dir {
-            document.require(!dir.as_os_str().is_empty(), "state.dir", "is empty; write a directory");
+            document.require(
+                !dir.as_os_str().is_empty(),
+                "state.dir",
+                "is empty; write a directory",
+            );
         }
-        let ids = ids.unwrap_or_else(|| ["Idempotency-Key", "X-Trace-Id"].map(String::from).to_vec());
+        let ids =
+            ids.unwrap_or_else(|| ["Idempotency-Key", "X-Trace-Id"].map(String::from).to_vec());
         document.require(
             (1..=8).contains(&ids.len()),
             "state.ids",
@@ -77,7 +91,11 @@
         let mut span = |field: &str, given: Option<Span>, usual: Span, least: Span, most: Span| {
             let span = given.unwrap_or(usual);
             let sound = (least..=most).contains(&span);
-            document.require(sound, &format!("state.{field}"), format_args!("must lie in {least} to {most}"));
+            document.require(
+                sound,
+                &format!("state.{field}"),
+                format_args!("must lie in {least} to {most}"),
+            );
             span
         };
         let (s, ms) = (Span::s, Span::ms);
@@ -93,11 +111,20 @@
         );
         State {
             dir: dir.unwrap_or_default(),
-            usual: Kept { ledger: ledger.unwrap_or_default(), warm_start },
+            usual: Kept {
+                ledger: ledger.unwrap_or_default(),
+                warm_start,
+            },
             ids: ids.iter().map(|name| name.to_ascii_lowercase()).collect(),
-            rules: Rules { window: window.micros(), most: entries as usize },
+            rules: IdempotencyLimits {
+                retention: window.micros(),
+                max_records: entries as usize,
+            },
             warm_every,
-            aging: Aging { half: half.micros(), oldest: oldest.micros() },
+            aging: SnapshotDecay {
+                half_life: half.micros(),
+                max_age: oldest.micros(),
+            },
         }
     }
 }
@@ -108,26 +135,39 @@
 impl State {
     /// Whether what is held in memory of it fits into what the file grants.
     pub(crate) fn check_memory(&self, document: &mut Document<'_>, memory: Option<u64>) {
-        let bytes = (self.rules.most as u64).saturating_mul(ENTRY);
+        let bytes = (self.rules.max_records as u64).saturating_mul(ENTRY);
         document.require(
             memory.is_none_or(|memory| bytes <= memory / 2),
             "state.entries",
-            format_args!("may take {} MiB, over half of limits.memory; write less", bytes >> 20),
+            format_args!(
+                "may take {} MiB, over half of limits.memory; write less",
+                bytes >> 20
+            ),
         );
     }
 }
 
 impl PoolSection {
     /// What a pool keeps, where the file has the section `[state]` or not.
-    pub(crate) fn check(self, document: &mut Document<'_>, at: &str, state: Option<&State>) -> Kept {
+    pub(crate) fn check(
+        self,
+        document: &mut Document<'_>,
+        at: &str,
+        state: Option<&State>,
+    ) -> Kept {
         let usual = state.map(|state| state.usual).unwrap_or_default();
         let kept = Kept {
             ledger: self.ledger.unwrap_or(usual.ledger),
             warm_start: self.warm_start.unwrap_or(usual.warm_start),
         };
         let there = |on: bool| !on || state.is_some();
-        let problem = "needs a directory; write one in [state], such as dir = \"/var/lib/madderloom\"";
-        document.require(there(kept.ledger != Mode::Off), &format!("{at}.ledger"), problem);
+        let problem =
+            "needs a directory; write one in [state], such as dir = \"/var/lib/madderloom\"";
+        document.require(
+            there(kept.ledger != IdempotencyMode::Off),
+            &format!("{at}.ledger"),
+            problem,
+        );
         document.require(there(kept.warm_start), &format!("{at}.warm_start"), problem);
         kept
     }
--- a/crates/sidecar/src/agent_link/connection.rs
+++ b/crates/sidecar/src/agent_link/connection.rs
@@ -3,15 +3,15 @@
 use super::window::Window;
 use crate::pool;
 use crate::process::Sidecar;
-use madderloom_agent::{Client, Link, Settings, Taking};
-use madderloom_fleet::change::Traits;
-use madderloom_fleet::gate::Counts;
-use madderloom_fleet::protocol::Who;
-use madderloom_fleet::settings::Overlay;
-use madderloom_fleet::{Instance, Memory};
-use madderloom_keys::{Files, Keyring, Role};
-use madderloom_quota::{Grant, LeaseRequests};
-use madderloom_roster::{Lists, Offer, Tells};
+use madderloom_agent::{ApplyFuture, Client, Link, LinkHandler};
+use madderloom_control_plane::change::Traits;
+use madderloom_control_plane::gate::Counts;
+use madderloom_control_plane::protocol::Who;
+use madderloom_control_plane::settings::Overlay;
+use madderloom_control_plane::{Instance, Memory};
+use madderloom_endpoint_sharing::{EndpointListReports, EndpointListUpdates, Offer};
+use madderloom_pki::{KeyFiles, Keyring, Role};
+use madderloom_quota_leases::{Grant, LeaseRequests};
 use std::hash::{BuildHasher, RandomState};
 use std::rc::Weak;
 use std::sync::Arc;
@@ -23,9 +23,9 @@
 const KEY_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Loads the keys, and makes a client for reports and one for the watch.
-fn clients(agent: &str, files: &Files) -> Result<(Arc<Keyring>, Client, Client), String> {
+fn clients(agent: &str, files: &KeyFiles) -> Result<(Arc<Keyring>, Client, Client), String> {
     let keyring = Keyring::load(files.clone())?;
-    let client = || Client::with(agent, &keyring);
+    let client = || Client::with_keyring(agent, &keyring);
     let (reports, watch) = (client()?, client()?);
     Ok((keyring, reports, watch))
 }
@@ -33,10 +33,10 @@
 /// Keeps the link to one agent for as long as it is polled.
 pub(super) async fn keep_link(
     sidecar: Weak<Sidecar>,
-    control: madderloom_operator::Control,
+    control: madderloom_operator_config::Control,
     traits: watch::Receiver<Traits>,
 ) {
-    let files = Files {
+    let files = KeyFiles {
         authority: control.authority.clone(),
         certificate: control.certificate.clone(),
         key: control.key.clone(),
@@ -48,20 +48,27 @@
             Ok(made) => break made,
             Err(problem) if last.as_ref() == Some(&problem) => {}
             Err(problem) => {
-                tracing::warn!("control: no agent is asked until its keys can be read and used: {problem}");
+                tracing::warn!(
+                    "control: no agent is asked until its keys can be read and used: {problem}"
+                );
                 last = Some(problem);
             }
         }
         tokio::time::sleep(KEY_CHECK_INTERVAL).await;
     };
-    if keyring.own().is_none_or(|own| own.role != Role::Instance) {
+    if keyring
+        .own_identity()
+        .is_none_or(|own| own.role != Role::Instance)
+    {
         tracing::warn!(
             "control: {}: is not for an instance; the agent will turn it away",
             files.certificate.display()
         );
     }
     let Some(own) = sidecar.upgrade() else { return };
-    let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+    let unix = SystemTime::now()
+        .duration_since(SystemTime::UNIX_EPOCH)
+        .unwrap_or_default();
     let who = Who {
         name: control.name.clone(),
         start: RandomState::new().hash_one(&control.name),
@@ -70,13 +77,25 @@
     let memory = own.agent_link.memory.borrow().clone();
     let machine = Instance::new(0, who, traits.borrow().clone(), memory.clone());
     // Persisted before it is used, so that no two starts have the same incarnation.
-    own.agent_link.persist(&Memory { incarnation: machine.who().incarnation, ..memory });
-    tracing::info!("control: {} registers with the agent at {}", control.name, control.agent);
+    own.agent_link.persist(&Memory {
+        incarnation: machine.who().incarnation,
+        ..memory
+    });
+    tracing::info!(
+        "control: {} registers with the agent at {}",
+        control.name,
+        control.agent
+    );
     let seed = u128::from(RandomState::new().hash_one(0));
     let report_now = own.common.shared_lists.news();
     drop(own);
-    let settings = LinkHost { sidecar, window: Window::default() };
-    let link = Link::new(machine, settings, reports, watch, seed).following(traits).told_by(report_now);
+    let settings = LinkHost {
+        sidecar,
+        window: Window::default(),
+    };
+    let link = Link::new(machine, settings, reports, watch, seed)
+        .with_traits(traits)
+        .reporting_on(report_now);
     tokio::select! {
         () = link.run() => {}
         () = follow_files(&keyring, &files) => {}
@@ -84,10 +103,14 @@
 }
 
 /// Loads renewed keys. They are read only where a file has changed.
-async fn follow_files(keyring: &Keyring, files: &Files) {
+async fn follow_files(keyring: &Keyring, files: &KeyFiles) {
     let stamp = || {
         let all = [&files.authority, &files.certificate, &files.key];
-        all.map(|file| std::fs::metadata(file).and_then(|about| about.modified()).ok())
+        all.map(|file| {
+            std::fs::metadata(file)
+                .and_then(|about| about.modified())
+                .ok()
+        })
     };
     let mut former = stamp();
     loop {
@@ -111,8 +134,8 @@
     window: Window,
 }
 
-impl Settings for LinkHost {
-    fn take(&mut self, overlay: &Overlay) -> Taking {
+impl LinkHandler for LinkHost {
+    fn apply(&mut self, overlay: &Overlay) -> ApplyFuture {
         let (sidecar, overlay) = (self.sidecar.upgrade(), overlay.clone());
         Box::pin(async move {
             match sidecar {
@@ -122,29 +145,38 @@
         })
     }
 
-    fn counts(&mut self) -> Counts {
-        let Some(sidecar) = self.sidecar.upgrade() else { return Counts::default() };
+    fn request_counts(&mut self) -> Counts {
+        let Some(sidecar) = self.sidecar.upgrade() else {
+            return Counts::default();
+        };
         self.window.sample(Instant::now(), &sidecar.common)
     }
 
-    fn asks(&mut self, term: u64) -> Option<LeaseRequests> {
+    fn lease_requests(&mut self, term: u64) -> Option<LeaseRequests> {
         self.sidecar.upgrade()?.common.fleet_limits.ask(term)
     }
 
-    fn lent(&mut self, grant: &Grant) -> bool {
-        self.sidecar.upgrade().is_some_and(|sidecar| sidecar.common.fleet_limits.take(grant))
+    fn grant_received(&mut self, grant: &Grant) -> bool {
+        self.sidecar
+            .upgrade()
+            .is_some_and(|sidecar| sidecar.common.fleet_limits.take(grant))
     }
 
-    fn tells(&mut self) -> Option<Tells> {
+    fn list_reports(&mut self) -> Option<EndpointListReports> {
         self.sidecar.upgrade()?.common.shared_lists.tell()
     }
 
-    fn lists(&mut self, lists: &Lists) -> bool {
-        let Some(sidecar) = self.sidecar.upgrade() else { return false };
+    fn lists_received(&mut self, lists: &EndpointListUpdates) -> bool {
+        let Some(sidecar) = self.sidecar.upgrade() else {
+            return false;
+        };
         let common = &sidecar.common;
         let service = |pool: &str| {
             let services = common.services.borrow();
-            services.iter().find(|service| service.name == pool).cloned()
+            services
+                .iter()
+                .find(|service| service.name == pool)
+                .cloned()
         };
         let apply = |pool: &str, offer: &Offer, age| {
             let service = service(pool).ok_or("no such pool is there any more")?;
@@ -155,7 +187,7 @@
         common.shared_lists.hear(lists, apply, call, rest)
     }
 
-    fn keep(&mut self, memory: &Memory) {
+    fn persist(&mut self, memory: &Memory) {
         if let Some(sidecar) = self.sidecar.upgrade() {
             sidecar.agent_link.persist(memory);
         }
--- a/crates/sidecar/src/agent_link/overlay.rs
+++ b/crates/sidecar/src/agent_link/overlay.rs
@@ -1,7 +1,7 @@
 //! The parts of an overlay: those that change the operator file, and those that steer servers.
 
 use crate::pool::Steering;
-use madderloom_fleet::settings::{Key, Overlay, Value};
+use madderloom_control_plane::settings::{Key, Overlay, Value};
 
 /// Whether an overlay changes a part of the operator file.
 pub(super) fn changes_file(overlay: &Overlay) -> bool {
@@ -23,7 +23,9 @@
     let mut steering = Steering::default();
     for (key, value) in &overlay.0 {
         match (key, value) {
-            (Key::Weight(server), Value::Weight(thousandths)) => steering.weigh(server, *thousandths),
+            (Key::Weight(server), Value::Weight(thousandths)) => {
+                steering.weigh(server, *thousandths)
+            }
             (Key::Drain(server), Value::Drained(drained)) => steering.drain(server, *drained),
             _ => {}
         }
--- a/crates/sidecar/src/pool_lists_tests.rs
+++ b/crates/sidecar/src/pool_lists_tests.rs
@@ -48,12 +48,19 @@
         {"name": "c", "address": "10.0.0.3:5000", "status": "in_service"}]}"#;
     take_in(&pool, changes);
     let shared = pool.shared();
-    assert!(shared.ends_with(r#"["c","10.0.0.3:5000","","",0,"in_service",1.0,0]]"#), "{shared}");
+    assert!(
+        shared.ends_with(r#"["c","10.0.0.3:5000","","",0,"in_service",1.0,0]]"#),
+        "{shared}"
+    );
 }
 
 #[test]
 fn a_shared_list_is_read_as_it_is_written() {
-    for text in [SHARED, "[]", r#"[["c","10.0.0.3:5000","","",0,"terminated",1.0,0]]"#] {
+    for text in [
+        SHARED,
+        "[]",
+        r#"[["c","10.0.0.3:5000","","",0,"terminated",1.0,0]]"#,
+    ] {
         let rows: Vec<Row> = serde_json::from_str(text).expect("a list");
         assert_eq!(serde_json::to_string(&rows).expect("JSON"), text);
     }
@@ -77,26 +84,51 @@
         ("status", "missing field `status`"),
     ] {
         let text = LISTING.replacen(&format!("\"{key}\""), "\"odd\"", 1);
-        let told = serde_json::from_str::<Listing>(&text).err().expect("a problem").to_string();
+        let told = serde_json::from_str::<Listing>(&text)
+            .err()
+            .expect("a problem")
+            .to_string();
         assert!(told.starts_with(problem), "{told}");
     }
     let text = LISTING.replacen("in_service", "odd", 1);
-    let told = serde_json::from_str::<Listing>(&text).err().expect("a problem").to_string();
-    let expected = "unknown variant `odd`, expected one of `in_service`, `terminating`, `terminated`";
+    let told = serde_json::from_str::<Listing>(&text)
+        .err()
+        .expect("a problem")
+        .to_string();
+    let expected =
+        "unknown variant `odd`, expected one of `in_service`, `terminating`, `terminated`";
     assert!(told.starts_with(expected), "{told}");
 }
 
 #[test]
 fn each_key_of_a_server_that_may_be_left_out_has_its_usual_value() {
     for (key, usual) in [
-        ("zone", r#"[["a","10.0.0.1:5000","","old",3,"in_service",2.5,1700000000000],"#),
-        ("type", r#"[["a","10.0.0.1:5000","south","",3,"in_service",2.5,1700000000000],"#),
-        ("group", r#"[["a","10.0.0.1:5000","south","old",0,"in_service",2.5,1700000000000],"#),
-        ("weight", r#"[["a","10.0.0.1:5000","south","old",3,"in_service",1.0,1700000000000],"#),
-        ("since_ms", r#"[["a","10.0.0.1:5000","south","old",3,"in_service",2.5,0],"#),
+        (
+            "zone",
+            r#"[["a","10.0.0.1:5000","","old",3,"in_service",2.5,1700000000000],"#,
+        ),
+        (
+            "type",
+            r#"[["a","10.0.0.1:5000","south","",3,"in_service",2.5,1700000000000],"#,
+        ),
+        (
+            "group",
+            r#"[["a","10.0.0.1:5000","south","old",0,"in_service",2.5,1700000000000],"#,
+        ),
+        (
+            "weight",
+            r#"[["a","10.0.0.1:5000","south","old",3,"in_service",1.0,1700000000000],"#,
+        ),
+        (
+            "since_ms",
+            r#"[["a","10.0.0.1:5000","south","old",3,"in_service",2.5,0],"#,
+        ),
     ] {
         let pool = pool();
-        take_in(&pool, &LISTING.replacen(&format!("\"{key}\""), "\"odd\"", 1));
+        take_in(
+            &pool,
+            &LISTING.replacen(&format!("\"{key}\""), "\"odd\"", 1),
+        );
         let shared = pool.shared();
         assert!(shared.starts_with(usual), "{key}: {shared}");
     }
--- a/crates/sidecar/src/service.rs
+++ b/crates/sidecar/src/service.rs
@@ -14,18 +14,18 @@
 use super::transaction::{Step, Steps};
 use super::tuned::Tuned;
 use super::turns::Charged;
-use super::warm::Remembered;
+use super::warm_start::WarmStart;
 use foldhash::quality::FixedState;
 use hyper::header::HeaderValue;
 use madderloom_balancer::settings::Site;
 use madderloom_balancer::{
-    Action, Balancer, Event, Members, Memory, Micros, NewRequest, Note, RequestId, ServerId, Snapshot, Timer,
+    Action, Balancer, Event, Members, Memory, Micros, NewRequest, Note, RequestId, ServerId,
+    Snapshot, Timer,
 };
+use madderloom_degradation::{LevelController, LevelPlan};
 use madderloom_graphql::{Front, Policy};
-use madderloom_levels::keeper::Keeper;
-use madderloom_levels::section::Checked;
-use madderloom_operator::{Kept, MemberLimits};
-use madderloom_services::shares::Part;
+use madderloom_operator_config::{Kept, MemberLimits};
+use madderloom_routing::shares::Part;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -45,7 +45,7 @@
     /// The servers as they are known at the start, or for good.
     pub(super) known: Listing,
     pub(super) limits: MemberLimits,
-    pub(super) levels: Option<Checked>,
+    pub(super) levels: Option<LevelPlan>,
     /// How its GraphQL operations are classed, if it has any.
     pub(super) graphql: Option<Policy>,
     pub(super) kept: Kept,
@@ -67,7 +67,7 @@
     pub(super) common: Rc<Common>,
     balancer: RefCell<Balancer>,
     /// None where the file has no levels for it.
-    pub(super) keeper: RefCell<Option<Keeper>>,
+    pub(super) keeper: RefCell<Option<LevelController>>,
     /// Its part of the spread by which the instances of a fleet come back apart, from 0 to 1.
     pub(super) place: f64,
     pub(super) pool: Pool,
@@ -89,7 +89,7 @@
     /// What of it outlasts the process.
     pub(super) kept: Cell<Kept>,
     /// What an earlier process measured of servers that are not listed yet.
-    remembered: RefCell<Remembered>,
+    warm_start: RefCell<WarmStart>,
     /// A request has ended.
     idle: Notify,
     leaving: Cell<bool>,
@@ -107,18 +107,34 @@
 impl Service {
     /// A service at work. To be called in a local set.
     pub(super) fn new(common: &Rc<Common>, spec: Spec, parts: Parts) -> Result<Rc<Self>, String> {
-        let Spec { name, label, site, discovery, known, limits, levels, graphql, kept, seed } = spec;
+        let Spec {
+            name,
+            label,
+            site,
+            discovery,
+            known,
+            limits,
+            levels,
+            graphql,
+            kept,
+            seed,
+        } = spec;
         let counts = Registry::default();
-        let balancer =
-            Balancer::new(site.settings.clone(), seed).map_err(|e| format!("{label}configuration: {e}"))?;
+        let balancer = Balancer::new(site.settings.clone(), seed)
+            .map_err(|e| format!("{label}configuration: {e}"))?;
         let charged = Rc::new(Charged::new(common.account(limits.weight)));
         let bounds = &common.bounds;
         let seats = bounds.servers.join(parts.connections);
         let service = Rc::new(Service {
             balancer: RefCell::new(balancer),
             keeper: RefCell::default(),
-            place: madderloom_levels::place(seed),
-            pool: Pool::new(discovery, site.zones.clone(), site.kinds.clone(), common.clock.now()),
+            place: madderloom_balancer::place(seed),
+            pool: Pool::new(
+                discovery,
+                site.zones.clone(),
+                site.kinds.clone(),
+                common.clock.now(),
+            ),
             connections: Connections::new(common, seats, site.conn_idle, site.connect_timeout),
             tuned: RefCell::new(Rc::new(Tuned::new(site, &counts))),
             graphql: RefCell::new(graphql.map(Front::new)),
@@ -133,7 +149,7 @@
             charged,
             counts,
             kept: Cell::new(kept),
-            remembered: RefCell::default(),
+            warm_start: RefCell::default(),
             idle: Notify::new(),
             leaving: Cell::new(false),
             tasks: RefCell::default(),
@@ -155,7 +171,7 @@
 
     /// Takes over other limits, its servers or its discovery where these are others, and how its GraphQL
     /// operations are classed: what it learned of documents holds for the same policy alone.
-    pub(super) fn change(self: &Rc<Self>, pool: &madderloom_operator::Pool, parts: Parts) {
+    pub(super) fn change(self: &Rc<Self>, pool: &madderloom_operator_config::Pool, parts: Parts) {
         self.change_limits(pool.limits, parts);
         self.kept.set(pool.kept);
         let mut front = self.graphql.borrow_mut();
@@ -174,7 +190,9 @@
     /// How old its list may be, by discovery's word or the fleet's; none where it is fixed.
     pub(super) fn list_age(&self, now: Micros) -> Option<Micros> {
         let shared = self.common.shared_lists.age(&self.name);
-        self.pool.age(now).map(|age| shared.map_or(age, |shared| shared.min(age)))
+        self.pool
+            .age(now)
+            .map(|age| shared.map_or(age, |shared| shared.min(age)))
     }
 
     pub(super) fn change_limits(&self, limits: MemberLimits, parts: Parts) {
@@ -202,8 +220,14 @@
         if drained.is_err() {
             idle.await;
         }
-        self.tasks.borrow_mut().drain(..).for_each(|task| task.abort());
-        self.common.services.borrow_mut().retain(|other| !Rc::ptr_eq(other, &self));
+        self.tasks
+            .borrow_mut()
+            .drain(..)
+            .for_each(|task| task.abort());
+        self.common
+            .services
+            .borrow_mut()
+            .retain(|other| !Rc::ptr_eq(other, &self));
         tracing::info!(pool = %of, "{of}: gone");
     }
 
@@ -220,7 +244,9 @@
     /// The counts of a class by its place in the settings.
     pub(super) fn class_counts(&self, class: u32) -> Rc<Counts> {
         let tuned = self.tuned();
-        tuned.at(class).map_or_else(|| self.counts.unclassed(), |class| Rc::clone(&class.counts))
+        tuned
+            .at(class)
+            .map_or_else(|| self.counts.unclassed(), |class| Rc::clone(&class.counts))
     }
 
     /// The settings that hold now.
@@ -232,7 +258,8 @@
     pub(super) fn retune(self: &Rc<Self>, site: Site) {
         let former = self.tuned();
         let (tuned, retuned) = former.turn_to(site, &self.counts);
-        self.connections.change(tuned.site.conn_idle, tuned.site.connect_timeout);
+        self.connections
+            .change(tuned.site.conn_idle, tuned.site.connect_timeout);
         pool::rename(self, &tuned.site);
         self.tuned.replace(Rc::new(tuned));
         self.handle(self.common.clock.now(), Event::Settings(&retuned));
@@ -275,27 +302,36 @@
 
     /// Begins with what an earlier process measured of classes, and keeps the rest until servers are listed.
     fn recall_classes(&self) {
-        let Some(keeper) = self.common.keeper.get().filter(|_| self.kept.get().warm_start) else { return };
-        let remembered = Remembered::of(keeper, &self.name);
+        let Some(writer) = self
+            .common
+            .state_writer
+            .get()
+            .filter(|_| self.kept.get().warm_start)
+        else {
+            return;
+        };
+        let warm_start = WarmStart::of(writer, &self.name);
         let begun = self.memory(self.common.clock.now());
-        if let Some(memory) = remembered.classes(keeper, self, &begun) {
+        if let Some(memory) = warm_start.classes(writer, self, &begun) {
             self.balancer.borrow_mut().recall_classes(&memory);
         }
-        self.remembered.replace(remembered);
+        self.warm_start.replace(warm_start);
     }
 
     /// Servers were listed: what was measured of them before is given to the module.
     pub(super) fn recall_servers(&self, now: Micros) {
-        if let Some(keeper) = self.common.keeper.get() {
+        if let Some(writer) = self.common.state_writer.get() {
             let take = |memory: &_| self.balancer.borrow_mut().recall_server(now, memory);
-            self.remembered.borrow_mut().servers(keeper, take);
+            self.warm_start.borrow_mut().servers(writer, take);
         }
     }
 
     /// The servers as an earlier process knew them.
-    pub(super) fn remembered_servers(&self) -> Vec<madderloom_ledger::ServerMemory> {
-        let keeper = self.common.keeper.get();
-        keeper.map(|keeper| self.remembered.borrow().listed(keeper)).unwrap_or_default()
+    pub(super) fn remembered_servers(&self) -> Vec<madderloom_sidecar_state::ServerSnapshot> {
+        let writer = self.common.state_writer.get();
+        writer
+            .map(|writer| self.warm_start.borrow().listed(writer))
+            .unwrap_or_default()
     }
 
     /// A request has its answer, or its client has gone.
@@ -318,11 +354,14 @@
             _ => {}
         }
         if let (Event::Closed(closed), Some(keeper)) = (&event, self.keeper.borrow_mut().as_mut()) {
-            keeper.closed(now, closed);
+            keeper.attempt_ended(now, closed);
         }
         trail::event(self, now, &event);
         let within = self.handling.replace(true);
-        debug_assert!(!within, "the module is told of something while what it said is carried out");
+        debug_assert!(
+            !within,
+            "the module is told of something while what it said is carried out"
+        );
         let mut actions = self.actions.take();
         self.balancer.borrow_mut().handle(now, event, &mut actions);
         for action in actions.drain(..) {
@@ -341,14 +380,21 @@
     }
 
     /// Keeps the story of its servers by these settings from now on, or no more.
-    pub(super) fn keep_story(&self, settings: Option<madderloom_timeline::Settings>) {
+    pub(super) fn keep_story(&self, settings: Option<madderloom_endpoint_history::Settings>) {
         let now = self.common.clock.now();
-        let Some(settings) = settings else { return drop(self.teller.take()) };
+        let Some(settings) = settings else {
+            return drop(self.teller.take());
+        };
         let mut teller = self.teller.borrow_mut();
         match teller.as_mut() {
             Some(teller) => teller.change(now, settings),
             None => {
-                let listed: Vec<_> = self.snapshot().servers.iter().map(|server| server.listed).collect();
+                let listed: Vec<_> = self
+                    .snapshot()
+                    .servers
+                    .iter()
+                    .map(|server| server.listed)
+                    .collect();
                 let cold = self.tuned().site.settings.rules.cold;
                 let new = teller.insert(Box::new(Teller::new(&self.name, settings, cold)));
                 new.listed(self, now, &Members::Full(&listed));
@@ -363,10 +409,17 @@
             return;
         }
         let snapshot = self.snapshot();
-        let moved = if logged { self.moves.borrow_mut().look(&snapshot.servers) } else { None };
+        let moved = if logged {
+            self.moves.borrow_mut().look(&snapshot.servers)
+        } else {
+            None
+        };
         if let Some(moved) = moved {
             let of = &self.label;
-            tracing::info!("{of}regions moved: {}", moved.told(|server| self.pool.name(server)));
+            tracing::info!(
+                "{of}regions moved: {}",
+                moved.told(|server| self.pool.name(server))
+            );
         }
         // The local day is looked up where a story wants it alone.
         self.tell(|teller| {
@@ -375,7 +428,13 @@
         });
     }
 
-    pub(super) fn attempt_begun(&self, now: Micros, server: ServerId, begun: (RequestId, u32), class: u32) {
+    pub(super) fn attempt_begun(
+        &self,
+        now: Micros,
+        server: ServerId,
+        begun: (RequestId, u32),
+        class: u32,
+    ) {
         self.tell(|teller| teller.begun(self, now, server, begun, class));
     }
 
@@ -385,15 +444,33 @@
 
     fn dispatch(self: &Rc<Self>, now: Micros, action: Action) {
         match action {
-            Action::Send { request, server, timeout_at, write_by } => {
-                let told = self.instruct(request, Step::Send { server, timeout_at, write_by });
+            Action::Send {
+                request,
+                server,
+                timeout_at,
+                write_by,
+            } => {
+                let told = self.instruct(
+                    request,
+                    Step::Send {
+                        server,
+                        timeout_at,
+                        write_by,
+                    },
+                );
                 // However a transaction ends, its request is settled in the module before it is gone from here.
-                debug_assert!(told, "request {request} is sent on, and its transaction is over");
+                debug_assert!(
+                    told,
+                    "request {request} is sent on, and its transaction is over"
+                );
             }
             Action::Cancel { request, attempt } => {
                 self.instruct(request, Step::Cancel { attempt });
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Refuse {
+                request,
+                retry_after,
+            } => {
                 self.instruct(request, Step::Refuse { retry_after });
             }
             Action::Fail { request } => {
@@ -407,7 +484,11 @@
     }
 
     fn instruct(&self, request: RequestId, step: Step) -> bool {
-        self.transactions.borrow().get(&request).map(|steps| steps.push(step)).is_some()
+        self.transactions
+            .borrow()
+            .get(&request)
+            .map(|steps| steps.push(step))
+            .is_some()
     }
 
     /// A request's timers end with it.
--- a/crates/sidecar/src/teller.rs
+++ b/crates/sidecar/src/teller.rs
@@ -6,7 +6,10 @@
 use madderloom_balancer::{
     Closed, Listed, Members, Micros, Note, Outcome, RequestId, ServerId, ServerState, Snapshot,
 };
-use madderloom_timeline::{Arrival, Departure, Gauge, Happening, Observed, Phase, Settings, Story, Subject};
+use madderloom_endpoint_history::{
+    Anomaly, AnomalyPhase, CompletedAttempt, EndpointEvent, EndpointGauges, EndpointHistory,
+    ListedEndpoint, ReportedLoad, Settings, Subject, WaitingAttempt,
+};
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -37,7 +40,7 @@
 
 /// Keeps the story of a service's servers.
 pub(super) struct Teller {
-    pub(super) story: Story,
+    pub(super) story: EndpointHistory,
     settings: Settings,
     pool: Rc<str>,
     /// How long a server that has started is cold at most.
@@ -52,7 +55,7 @@
 impl Teller {
     pub(super) fn new(pool: &str, settings: Settings, cold: Micros) -> Self {
         Teller {
-            story: Story::new(settings),
+            story: EndpointHistory::new(settings),
             settings,
             pool: pool.into(),
             cold,
@@ -65,23 +68,30 @@
     pub(super) fn change(&mut self, now: Micros, settings: Settings) {
         if settings != self.settings {
             self.settings = settings;
-            self.story.change(now, settings);
+            self.story.reconfigure(now, settings);
         }
     }
 
     /// The name of a server that is listed or remembered.
     pub(super) fn name(&self, id: ServerId) -> Box<str> {
-        self.servers.get(&id).map_or_else(|| id.to_string().into(), |known| known.name.clone())
+        self.servers
+            .get(&id)
+            .map_or_else(|| id.to_string().into(), |known| known.name.clone())
     }
 
     /// Where a server is, or was last, and how it was listed.
     pub(super) fn known(&self, id: ServerId) -> Option<(&Listed, Option<SocketAddr>)> {
-        self.servers.get(&id).map(|known| (&known.listed, known.address))
+        self.servers
+            .get(&id)
+            .map(|known| (&known.listed, known.address))
     }
 
     /// The server of a name, if it is listed or remembered.
     pub(super) fn find(&self, name: &str) -> Option<ServerId> {
-        self.servers.iter().find(|(_, known)| *known.name == *name).map(|(id, _)| *id)
+        self.servers
+            .iter()
+            .find(|(_, known)| *known.name == *name)
+            .map(|(id, _)| *id)
     }
 
     /// The list of servers, or changes of it.
@@ -95,7 +105,12 @@
         let is_first = self.servers.is_empty();
         if full {
             let there: BTreeSet<ServerId> = listed.iter().map(|server| server.server).collect();
-            let gone: Vec<ServerId> = self.servers.keys().filter(|id| !there.contains(id)).copied().collect();
+            let gone: Vec<ServerId> = self
+                .servers
+                .keys()
+                .filter(|id| !there.contains(id))
+                .copied()
+                .collect();
             gone.into_iter().for_each(|id| self.left(service, now, id));
         }
         for server in listed {
@@ -109,12 +124,20 @@
     fn arrived(&mut self, service: &Service, now: Micros, listed: &Listed, is_first: bool) {
         let id = listed.server;
         let address = service.pool.address(id);
-        let former = self.servers.get(&id).map(|known| (known.listed, known.address));
+        let former = self
+            .servers
+            .get(&id)
+            .map(|known| (known.listed, known.address));
         let is_back = former.is_some_and(|(former, _)| former.state == ServerState::Gone);
         let restarted = former.is_some_and(|(former, _)| listed.started > former.started);
-        let cold_until = listed.started.map_or(0, |at| at.saturating_add(self.cold));
-        let arrival = Arrival { zone: listed.zone, kind: listed.kind, restarted, cold_until };
-        self.story.listed(now, id, arrival);
+        let warming_up_until = listed.started.map_or(0, |at| at.saturating_add(self.cold));
+        let arrival = ListedEndpoint {
+            zone: listed.zone,
+            machine_kind: listed.kind,
+            restarted,
+            warming_up_until,
+        };
+        self.story.endpoint_listed(now, id, arrival);
         let known = self.servers.entry(id).or_insert_with(|| Known {
             name: service.pool.name(id),
             listed: *listed,
@@ -131,17 +154,19 @@
         }
         let was_draining = former.is_some_and(|(former, _)| former.state == ServerState::Draining);
         match (was_draining, listed.state == ServerState::Draining) {
-            (false, true) => self.happened(service, now, id, Happening::Draining),
-            (true, false) => self.happened(service, now, id, Happening::Ready),
+            (false, true) => self.happened(service, now, id, EndpointEvent::Draining),
+            (true, false) => self.happened(service, now, id, EndpointEvent::Ready),
             _ => {}
         }
         // Whoever was found there before is not any more.
         let moved = former.is_none_or(|(_, at)| at != address);
         if moved && let Some(address) = address {
-            let former =
-                self.servers.iter().find(|(other, known)| **other != id && known.address == Some(address));
+            let former = self
+                .servers
+                .iter()
+                .find(|(other, known)| **other != id && known.address == Some(address));
             if let Some(former) = former.map(|(other, _)| *other) {
-                self.happened(service, now, former, Happening::AddressTaken);
+                self.happened(service, now, former, EndpointEvent::AddressTaken);
                 if let Some(known) = self.servers.get_mut(&former) {
                     known.address = None;
                 }
@@ -150,32 +175,35 @@
     }
 
     fn left(&mut self, service: &Service, now: Micros, id: ServerId) {
-        let Some(known) = self.servers.get_mut(&id).filter(|known| known.listed.state != ServerState::Gone)
+        let Some(known) = self
+            .servers
+            .get_mut(&id)
+            .filter(|known| known.listed.state != ServerState::Gone)
         else {
             return;
         };
         known.listed.state = ServerState::Gone;
         known.is_ejected = false;
-        self.story.left(now, id);
+        self.story.endpoint_left(now, id);
         self.say(service, now, id, "left", "is gone from the list");
     }
 
     /// The module wrote a line for the operators.
     pub(super) fn noted(&mut self, service: &Service, now: Micros, note: Note) {
         let (id, what) = match note {
-            Note::Ejected(id, outcome) => (id, Happening::Ejected(outcome)),
-            Note::Restored(id) => (id, Happening::Restored),
+            Note::Ejected(id, outcome) => (id, EndpointEvent::Ejected(outcome)),
+            Note::Restored(id) => (id, EndpointEvent::Restored),
             Note::Overload(_) | Note::DiscoveryFailed => return,
         };
         if let Some(known) = self.servers.get_mut(&id) {
-            known.is_ejected = matches!(what, Happening::Ejected(_));
+            known.is_ejected = matches!(what, EndpointEvent::Ejected(_));
         }
         self.happened(service, now, id, what);
     }
 
-    fn happened(&mut self, service: &Service, now: Micros, id: ServerId, what: Happening) {
+    fn happened(&mut self, service: &Service, now: Micros, id: ServerId, what: EndpointEvent) {
         let (name, text) = words(&what);
-        self.story.note(now, id, what);
+        self.story.record_event(now, id, what);
         self.say(service, now, id, name, &text);
     }
 
@@ -200,23 +228,38 @@
         (request, attempt): (RequestId, u32),
         class: u32,
     ) {
-        let Some(known) = self.servers.get_mut(&id) else { return };
+        let Some(known) = self.servers.get_mut(&id) else {
+            return;
+        };
         known.out.insert((now, request, attempt), class);
         // It gets nothing while it is ejected but on trial.
         if known.is_ejected {
-            self.happened(service, now, id, Happening::Trial);
+            self.happened(service, now, id, EndpointEvent::TrialSent);
         }
     }
 
     /// An attempt ended.
     pub(super) fn ended(&mut self, now: Micros, ended: &EndedAttempt) {
-        let Closed { request, attempt, server, outcome, elapsed, .. } = ended.closed;
+        let Closed {
+            request,
+            attempt,
+            server,
+            outcome,
+            elapsed,
+            ..
+        } = ended.closed;
         if let Some(known) = self.servers.get_mut(&server) {
             known.out.remove(&(ended.sent, request, attempt));
         }
         let size = self.size(ended.class, ended.cost);
-        let seen = Observed { server, class: ended.class, outcome, elapsed, size };
-        self.story.attempt(now, self.minute, &seen);
+        let seen = CompletedAttempt {
+            server,
+            class: ended.class,
+            outcome,
+            elapsed,
+            relative_size: size,
+        };
+        self.story.record_attempt(now, self.minute, &seen);
     }
 
     /// A request's size over its class's usual one, as clients guess them.
@@ -227,7 +270,11 @@
             self.guesses.resize(place + 1, (0.0, 0.0));
         }
         let (mean, weight) = &mut self.guesses[place];
-        let size = if *weight > 0.0 && *mean > 0.0 { guess as f64 / *mean } else { 1.0 };
+        let size = if *weight > 0.0 && *mean > 0.0 {
+            guess as f64 / *mean
+        } else {
+            1.0
+        };
         *weight = (*weight + 1.0).min(GUESSES);
         *mean += (guess as f64 - *mean) / *weight;
         size
@@ -236,56 +283,88 @@
     /// A server has told how much it holds.
     pub(super) fn reported(&mut self, now: Micros, id: ServerId, held: f64) {
         let out = self.servers.get(&id).map_or(0, |known| known.out.len());
-        self.story.reported(now, id, held, u32::try_from(out).unwrap_or(u32::MAX));
+        self.story
+            .record_load_report(now, id, held, u32::try_from(out).unwrap_or(u32::MAX));
     }
 
     /// A request ended unserved, and this server had it last.
     pub(super) fn turned_away(&mut self, now: Micros, id: ServerId) {
-        self.story.turned_away(now, id);
+        self.story.record_rejection(now, id);
     }
 
     /// Looks at how all stand, and says what departs from its usual. To be called once a second.
-    pub(super) fn second(&mut self, service: &Service, now: Micros, minute: u16, snapshot: &Snapshot) {
+    pub(super) fn second(
+        &mut self,
+        service: &Service,
+        now: Micros,
+        minute: u16,
+        snapshot: &Snapshot,
+    ) {
         self.minute = minute;
         for view in &snapshot.servers {
             let id = view.listed.server;
-            let reported = view.report.and_then(|(at, report)| Some((report?.held, now.saturating_sub(at))));
+            let reported = view.report.and_then(|(at, report)| {
+                Some(ReportedLoad {
+                    held: report?.held,
+                    age: now.saturating_sub(at),
+                })
+            });
             let out = u32::try_from(view.out).unwrap_or(u32::MAX);
-            self.story.gauge(now, id, Gauge { out, region: view.share, reported });
+            self.story.record_gauges(
+                now,
+                id,
+                EndpointGauges {
+                    in_flight: out,
+                    region_fraction: view.share,
+                    reported,
+                },
+            );
             if let Some(known) = self.servers.get(&id) {
                 let oldest = known.out.iter().take(LOOKED_AT);
-                let ages = oldest.map(|((sent, ..), class)| (*class, now.saturating_sub(*sent)));
-                self.story.waiting(now, id, ages);
+                let waiting = oldest.map(|((sent, ..), class)| WaitingAttempt {
+                    class: *class,
+                    age: now.saturating_sub(*sent),
+                });
+                self.story.check_waiting_attempts(now, id, waiting);
             }
         }
-        for departure in self.story.step(now) {
+        for departure in self.story.poll_anomalies(now) {
             self.departed(service, &departure);
         }
-        let remembered: BTreeSet<ServerId> = self.story.servers().map(|(id, _)| id).collect();
-        self.servers.retain(|id, known| known.listed.state != ServerState::Gone || remembered.contains(id));
+        let remembered: BTreeSet<ServerId> = self
+            .story
+            .known_endpoints()
+            .map(|known| known.server)
+            .collect();
+        self.servers
+            .retain(|id, known| known.listed.state != ServerState::Gone || remembered.contains(id));
     }
 
     /// A departure in a line: whom it is about by name, and for which class.
-    pub(super) fn told(&self, service: &Service, departure: &Departure) -> String {
+    pub(super) fn told(&self, service: &Service, departure: &Anomaly) -> String {
         let name = match departure.subject {
-            Subject::Server(id) => self.name(id).into_string(),
-            Subject::Zone(zone) => {
-                service.tuned().site.zones.get(zone as usize).cloned().unwrap_or_else(|| zone.to_string())
-            }
+            Subject::Endpoint(id) => self.name(id).into_string(),
+            Subject::Zone(zone) => service
+                .tuned()
+                .site
+                .zones
+                .get(zone as usize)
+                .cloned()
+                .unwrap_or_else(|| zone.to_string()),
             Subject::Fleet => String::new(),
         };
         let tuned = service.tuned();
         let class = departure.class.and_then(|class| tuned.at(class));
-        departure.told(&name, class.map(|class| class.name.as_str()))
+        departure.describe(&name, class.map(|class| class.name.as_str()))
     }
 
-    fn departed(&self, service: &Service, departure: &Departure) {
+    fn departed(&self, service: &Service, departure: &Anomaly) {
         let text = self.told(service, departure);
         let of = &service.label;
         let (event, is_bad) = match departure.phase {
-            Phase::Raised => ("raised", true),
-            Phase::Updated => ("updated", true),
-            Phase::Cleared => ("cleared", false),
+            AnomalyPhase::Raised => ("raised", true),
+            AnomalyPhase::Updated => ("updated", true),
+            AnomalyPhase::Cleared => ("cleared", false),
         };
         if is_bad {
             tracing::warn!(number = departure.number, "{of}{text}");
@@ -293,30 +372,48 @@
             tracing::info!(number = departure.number, "{of}{text}");
         }
         let server = match departure.subject {
-            Subject::Server(id) => Some(self.name(id)),
+            Subject::Endpoint(id) => Some(self.name(id)),
             Subject::Zone(_) | Subject::Fleet => None,
         };
-        let said = Said { at: departure.at, pool: &self.pool, server: server.as_deref(), event, text: &text };
-        service.common.feed.push_with(said, &json!({"departure": departure}));
+        let said = Said {
+            at: departure.reported_at,
+            pool: &self.pool,
+            server: server.as_deref(),
+            event,
+            text: &text,
+        };
+        service
+            .common
+            .feed
+            .push_with(said, &json!({"departure": departure}));
     }
 }
 
 /// A happening as one word for programs, and what people are told behind the server's name.
-pub(super) fn words(what: &Happening) -> (&'static str, String) {
+pub(super) fn words(what: &EndpointEvent) -> (&'static str, String) {
     match what {
-        Happening::Joined => ("joined", "is listed".to_string()),
-        Happening::Restarted => ("restarted", "has started anew".to_string()),
-        Happening::AddressTaken => ("address_taken", "has lost its address to another server".to_string()),
-        Happening::Draining => ("draining", "drains".to_string()),
-        Happening::Ready => ("ready", "takes new work again".to_string()),
-        Happening::Left => ("left", "is gone from the list".to_string()),
-        Happening::Ejected(outcome) => {
-            ("ejected", format!("is ejected, since attempts there {}", ended(*outcome)))
+        EndpointEvent::Joined => ("joined", "is listed".to_string()),
+        EndpointEvent::Restarted => ("restarted", "has started anew".to_string()),
+        EndpointEvent::AddressTaken => (
+            "address_taken",
+            "has lost its address to another server".to_string(),
+        ),
+        EndpointEvent::Draining => ("draining", "drains".to_string()),
+        EndpointEvent::Ready => ("ready", "takes new work again".to_string()),
+        EndpointEvent::Left => ("left", "is gone from the list".to_string()),
+        EndpointEvent::Ejected(outcome) => (
+            "ejected",
+            format!("is ejected, since attempts there {}", ended(*outcome)),
+        ),
+        EndpointEvent::TrialSent => ("trial", "is sent a request on trial".to_string()),
+        EndpointEvent::Restored => ("restored", "is trusted again after its trial".to_string()),
+        EndpointEvent::AnomalyRaised(number) => (
+            "raised",
+            format!("departs from its usual (number {number})"),
+        ),
+        EndpointEvent::AnomalyCleared(number) => {
+            ("cleared", format!("is as usual again (number {number})"))
         }
-        Happening::Trial => ("trial", "is sent a request on trial".to_string()),
-        Happening::Restored => ("restored", "is trusted again after its trial".to_string()),
-        Happening::Departed(number) => ("raised", format!("departs from its usual (number {number})")),
-        Happening::Cleared(number) => ("cleared", format!("is as usual again (number {number})")),
     }
 }
 
--- a/crates/sidecar/src/teller_words_tests.rs
+++ b/crates/sidecar/src/teller_words_tests.rs
@@ -2,21 +2,41 @@
 
 use super::words;
 use madderloom_balancer::Outcome;
-use madderloom_timeline::Happening;
+use madderloom_endpoint_history::EndpointEvent;
 
 #[test]
 fn each_happening_has_its_word_and_its_text() {
     for (happening, word, text) in [
-        (Happening::Joined, "joined", "is listed"),
-        (Happening::Restarted, "restarted", "has started anew"),
-        (Happening::AddressTaken, "address_taken", "has lost its address to another server"),
-        (Happening::Draining, "draining", "drains"),
-        (Happening::Ready, "ready", "takes new work again"),
-        (Happening::Left, "left", "is gone from the list"),
-        (Happening::Trial, "trial", "is sent a request on trial"),
-        (Happening::Restored, "restored", "is trusted again after its trial"),
-        (Happening::Departed(7), "raised", "departs from its usual (number 7)"),
-        (Happening::Cleared(7), "cleared", "is as usual again (number 7)"),
+        (EndpointEvent::Joined, "joined", "is listed"),
+        (EndpointEvent::Restarted, "restarted", "has started anew"),
+        (
+            EndpointEvent::AddressTaken,
+            "address_taken",
+            "has lost its address to another server",
+        ),
+        (EndpointEvent::Draining, "draining", "drains"),
+        (EndpointEvent::Ready, "ready", "takes new work again"),
+        (EndpointEvent::Left, "left", "is gone from the list"),
+        (
+            EndpointEvent::TrialSent,
+            "trial",
+            "is sent a request on trial",
+        ),
+        (
+            EndpointEvent::Restored,
+            "restored",
+            "is trusted again after its trial",
+        ),
+        (
+            EndpointEvent::AnomalyRaised(7),
+            "raised",
+            "departs from its usual (number 7)",
+        ),
+        (
+            EndpointEvent::AnomalyCleared(7),
+            "cleared",
+            "is as usual again (number 7)",
+        ),
     ] {
         assert_eq!(words(&happening), (word, text.to_string()));
     }
@@ -34,7 +54,10 @@
         (Outcome::Cancelled, "were called off"),
         (Outcome::Moot, "were never sent"),
     ] {
-        let expected = ("ejected", format!("is ejected, since attempts there {text}"));
-        assert_eq!(words(&Happening::Ejected(outcome)), expected);
+        let expected = (
+            "ejected",
+            format!("is ejected, since attempts there {text}"),
+        );
+        assert_eq!(words(&EndpointEvent::Ejected(outcome)), expected);
     }
 }
--- a/crates/sidecar/src/view.rs
+++ b/crates/sidecar/src/view.rs
@@ -10,9 +10,9 @@
 use super::teller::{Teller, words};
 use super::turns::charged_to;
 use madderloom_balancer::{Effect, Micros, Outcome, ServerId, ServerState, ServerView};
-use madderloom_services::shares::Held;
-use madderloom_services::turns::Spent;
-use madderloom_timeline::{Line, Recording, Sketch, Step, Subject};
+use madderloom_endpoint_history::{Interval, LatencySketch, Recording, Subject, Timeline};
+use madderloom_routing::shares::Held;
+use madderloom_routing::turns::Spent;
 use serde_json::{Value, json};
 use std::rc::Rc;
 
@@ -31,7 +31,10 @@
     /// The pool of this name that serves.
     pub(super) fn pool(&self, name: &str) -> Option<Rc<Service>> {
         let services = self.common.services.borrow();
-        services.iter().find(|service| service.name == name && !service.is_leaving()).cloned()
+        services
+            .iter()
+            .find(|service| service.name == name && !service.is_leaving())
+            .cloned()
     }
 
     /// Everything there is to see.
@@ -60,7 +63,7 @@
                 "open": all(&bounds.open_by_pool),
                 "bodies": all(&bounds.bodies_by_pool),
             },
-            "state": common.keeper.get().map(|keeper| keeper.view()),
+            "state": common.state_writer.get().map(|writer| writer.view()),
             "connections": {
                 "parked": common.clients.get() - common.served_clients.get(),
                 "served": common.served_clients.get(),
@@ -116,7 +119,11 @@
     let snapshot = service.snapshot();
     let ago = |at: Micros| now.saturating_sub(at);
     let tuned = service.tuned();
-    let classes = tuned.places.iter().zip(&snapshot.classes).filter(|(place, _)| !place.retired);
+    let classes = tuned
+        .places
+        .iter()
+        .zip(&snapshot.classes)
+        .filter(|(place, _)| !place.retired);
     let classes = classes.map(|(place, seen)| {
         let class = &place.entry;
         json!({
@@ -130,7 +137,8 @@
             "served_per_s": seen.served, "refused_ago_us": seen.refused.map(ago),
         })
     });
-    let account = charged_to(&service.charged).map_or_else(Spent::default, |account| account.spent());
+    let account =
+        charged_to(&service.charged).map_or_else(Spent::default, |account| account.spent());
     json!({
         "name": service.name,
         "state": if service.is_leaving() { "leaving" } else { "serving" },
@@ -188,11 +196,19 @@
             let snapshot = service.snapshot();
             let teller = service.teller.borrow();
             let story = teller.as_deref();
-            let mut rows: Vec<Value> =
-                snapshot.servers.iter().map(|seen| row(service, seen, story, now)).collect();
+            let mut rows: Vec<Value> = snapshot
+                .servers
+                .iter()
+                .map(|seen| row(service, seen, story, now))
+                .collect();
             if let Some(teller) = story {
-                let left = teller.story.servers().filter_map(|(id, left)| Some((id, left?)));
-                rows.extend(left.map(|(id, at)| left_row(service, teller, id, now.saturating_sub(at))));
+                let left = teller
+                    .story
+                    .known_endpoints()
+                    .filter_map(|known| Some((known.server, known.left_at?)));
+                rows.extend(
+                    left.map(|(id, at)| left_row(service, teller, id, now.saturating_sub(at))),
+                );
             }
             rows
         });
@@ -202,7 +218,7 @@
             let teller = service.teller.borrow();
             let story = teller.as_deref();
             let all = story.into_iter().flat_map(|teller| {
-                let all = teller.story.departures().filter(|d| !matches!(d.subject, Subject::Server(_)));
+                let all = teller.story.active_anomalies().filter(|d| !matches!(d.subject, Subject::Endpoint(_)));
                 all.map(|d| json!({"pool": service.name, "departure": d, "text": teller.told(service, d)}))
             });
             all.collect::<Vec<Value>>()
@@ -215,22 +231,28 @@
 
     /// Whether the story of any servers is kept.
     pub(super) fn keeps_stories(&self) -> bool {
-        self.common.services.borrow().iter().any(|service| service.teller.borrow().is_some())
+        self.common
+            .services
+            .borrow()
+            .iter()
+            .any(|service| service.teller.borrow().is_some())
     }
 
     /// The stories of the servers of this name, one for each pool that has one; of one pool alone where it is named.
     pub(super) fn stories(&self, name: &str, pool: Option<&str>) -> Vec<Value> {
         let now = self.common.clock.now();
         let services = self.common.services.borrow();
-        let found = services.iter().filter(|service| pool.is_none_or(|pool| service.name == pool));
+        let found = services
+            .iter()
+            .filter(|service| pool.is_none_or(|pool| service.name == pool));
         let found = found.filter_map(|service| {
             let teller = service.teller.borrow();
             let teller = teller.as_deref()?;
             let id = teller.find(name)?;
-            let line = teller.story.line(id)?;
+            let line = teller.story.timeline(id)?;
             let snapshot = service.snapshot();
             let seen = snapshot.servers.iter().find(|seen| seen.listed.server == id);
-            let left = teller.story.servers().find(|(other, _)| *other == id).and_then(|(_, left)| left);
+            let left = teller.story.known_endpoints().find(|known| known.server == id).and_then(|known| known.left_at);
             let mut told = match seen {
                 Some(seen) => row(service, seen, Some(teller), now),
                 None => {
@@ -238,13 +260,13 @@
                     left_row(service, teller, id, ago)
                 }
             };
-            let notes = line.notes().map(|note| {
-                let (event, text) = words(&note.what);
-                json!({"at_us": note.at, "last_us": note.last, "times": note.times, "event": event, "text": text})
+            let notes = line.events().map(|note| {
+                let (event, text) = words(&note.event);
+                json!({"at_us": note.first_at, "last_us": note.last_at, "times": note.count, "event": event, "text": text})
             });
             told["now_us"] = now.into();
             told["notes"] = notes.collect();
-            told["steps"] = line.story().iter().map(|(width, s)| step(*width, s)).collect();
+            told["steps"] = line.finest_entries().iter().map(|entry| step(entry.width, &entry.interval)).collect();
             let evidence = teller.story.evidence().find(|evidence| evidence.server == id);
             told["evidence"] = json!(evidence);
             told["recording"] = json!(Recording::of(name, line));
@@ -257,10 +279,15 @@
     pub(super) fn events(&self, after: u64) -> Vec<u8> {
         let feed = &self.common.feed;
         let (oldest, lines) = feed.from(after);
-        let mut told =
-            format!("{{\"version\":{VERSION},\"oldest\":{oldest},\"next\":{},\"events\":[", feed.next());
-        let lines: Vec<&str> =
-            lines.iter().filter_map(|l| std::str::from_utf8(l).ok()).map(str::trim_end).collect();
+        let mut told = format!(
+            "{{\"version\":{VERSION},\"oldest\":{oldest},\"next\":{},\"events\":[",
+            feed.next()
+        );
+        let lines: Vec<&str> = lines
+            .iter()
+            .filter_map(|l| std::str::from_utf8(l).ok())
+            .map(str::trim_end)
+            .collect();
         told += &lines.join(",");
         told += "]}";
         told.into_bytes()
@@ -290,45 +317,60 @@
 }
 
 fn add_story(told: &mut Value, service: &Service, teller: &Teller, id: ServerId) {
-    if let Some(line) = teller.story.line(id) {
+    if let Some(line) = teller.story.timeline(id) {
         told["lately"] = lately(line);
     }
-    let own = teller.story.departures().filter(|d| d.subject == Subject::Server(id));
-    told["departures"] =
-        own.map(|d| json!({"departure": d, "text": teller.told(service, d)})).collect::<Vec<Value>>().into();
+    let own = teller
+        .story
+        .active_anomalies()
+        .filter(|d| d.subject == Subject::Endpoint(id));
+    told["departures"] = own
+        .map(|d| json!({"departure": d, "text": teller.told(service, d)}))
+        .collect::<Vec<Value>>()
+        .into();
 }
 
 /// The outcomes of steps, summed up, and the latencies of what was served.
-fn lately(line: &Line) -> Value {
-    let mut steps: Vec<&Step> = line.steps(LATELY).collect();
+fn lately(line: &Timeline) -> Value {
+    let mut steps: Vec<&Interval> = line.intervals(LATELY).collect();
     let steps = steps.split_off(steps.len().saturating_sub(2));
     let sum = |outcomes: &[Outcome]| -> u64 {
-        steps.iter().flat_map(|step| outcomes.iter().map(|o| u64::from(step.ended(*o)))).sum()
+        steps
+            .iter()
+            .flat_map(|step| outcomes.iter().map(|o| u64::from(step.ended(*o))))
+            .sum()
     };
-    let mut latency = Sketch::default();
-    steps.iter().filter_map(|step| step.latency.as_ref()).for_each(|part| latency.merge(part));
+    let mut latency = LatencySketch::default();
+    steps
+        .iter()
+        .filter_map(|step| step.latencies.as_ref())
+        .for_each(|part| latency.merge(part));
     json!({
-        "from_us": steps.first().map(|step| step.from),
+        "from_us": steps.first().map(|step| step.start),
         "served": sum(&[Outcome::Ok]),
         "lost": sum(&[Outcome::Error, Outcome::Timeout, Outcome::Reset]),
         "refused": sum(&[Outcome::Full, Outcome::ConnectFailed]),
-        "turned_away": steps.iter().map(|step| u64::from(step.turned_away)).sum::<u64>(),
+        "turned_away": steps.iter().map(|step| u64::from(step.rejected_requests)).sum::<u64>(),
         "p50_us": latency.quantile(0.5), "p99_us": latency.quantile(0.99),
     })
 }
 
-fn step(width: Micros, step: &Step) -> Value {
+fn step(width: Micros, step: &Interval) -> Value {
     let served = step.ended(Outcome::Ok);
-    let quantile = |part: f64| step.latency.as_ref().and_then(|latency| latency.quantile(part));
+    let quantile = |part: f64| {
+        step.latencies
+            .as_ref()
+            .and_then(|latency| latency.quantile(part))
+    };
     json!({
-        "from_us": step.from, "width_us": width,
+        "from_us": step.start, "width_us": width,
         "served": served, "error": step.ended(Outcome::Error), "full": step.ended(Outcome::Full),
         "timeout": step.ended(Outcome::Timeout), "connect_failed": step.ended(Outcome::ConnectFailed),
         "reset": step.ended(Outcome::Reset), "cancelled": step.ended(Outcome::Cancelled),
         "moot": step.ended(Outcome::Moot),
         "mean_us": step.latency_sum.checked_div(u64::from(served)),
         "p50_us": quantile(0.5), "p99_us": quantile(0.99),
-        "most_out": step.most_out, "region": step.region, "turned_away": step.turned_away,
-        "reported": step.reported.map(|(held, age)| json!({"held": held, "age_us": age})),
+        "most_out": step.max_in_flight, "region": step.region_fraction, "turned_away": step.rejected_requests,
+        "reported": step.reported.map(|load| json!({"held": load.held, "age_us": load.age})),
     })
 }
--- a/crates/simhost/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,6 +1,6 @@
 //! Drives decision modules from lines on standard input, with replies on standard output.
 
-use madderloom_simhost::Adapter;
+use madderloom_simulator_adapter::Adapter;
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
@@ -42,7 +42,10 @@
         }
     }
     if adapter.in_batch() {
-        return Err(io::Error::new(io::ErrorKind::UnexpectedEof, "input ends inside a batch"));
+        return Err(io::Error::new(
+            io::ErrorKind::UnexpectedEof,
+            "input ends inside a batch",
+        ));
     }
     Ok(())
 }
--- a/crates/simhost/tests/lines_stay_as_they_are.rs
+++ b/crates/simulator-adapter/tests/lines_stay_as_they_are.rs
@@ -25,7 +25,12 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("it starts");
-    child.stdin.take().expect("piped").write_all(input.as_bytes()).expect("it reads");
+    child
+        .stdin
+        .take()
+        .expect("piped")
+        .write_all(input.as_bytes())
+        .expect("it reads");
     let done = child.wait_with_output().expect("it ends");
     assert_eq!(done.status.code(), Some(0));
     let text = |bytes| String::from_utf8(bytes).expect("text");
@@ -34,7 +39,10 @@
 
 /// The lines of a literal without their indentation.
 fn lines(literal: &str) -> String {
-    let lines = literal.lines().map(str::trim).filter(|line| !line.is_empty());
+    let lines = literal
+        .lines()
+        .map(str::trim)
+        .filter(|line| !line.is_empty());
     lines.map(|line| format!("{line}\n")).collect()
 }
 
@@ -46,8 +54,14 @@
 
 #[track_caller]
 fn converse_with(settings: &str, batches: &[(&str, &str)]) {
-    let input = batches.iter().map(|(batch, _)| lines(batch) + "eob\n").collect::<String>();
-    let expected = batches.iter().map(|(_, reply)| lines(reply) + "finished\n").collect::<String>();
+    let input = batches
+        .iter()
+        .map(|(batch, _)| lines(batch) + "eob\n")
+        .collect::<String>();
+    let expected = batches
+        .iter()
+        .map(|(_, reply)| lines(reply) + "finished\n")
+        .collect::<String>();
     let (output, errors) = simulate(&input.replace("SETTINGS", settings));
     assert_eq!(errors, "");
     assert_eq!(output, expected);
@@ -600,15 +614,26 @@
     }
     let (output, errors) = simulate(&input);
     assert_eq!(errors, "");
-    let remarks: Vec<&str> = output.lines().filter(|line| line.starts_with("remark ")).collect();
+    let remarks: Vec<&str> = output
+        .lines()
+        .filter(|line| line.starts_with("remark "))
+        .collect();
     assert_eq!(remarks, ["remark 0 overload: refusing class 0 early"]);
 }
 
 #[test]
 fn settings_that_make_no_sense_are_an_exception_and_a_line_on_standard_error() {
     for (from, to, problem) in [
-        (r#""group_size":1"#, r#""group_size":0"#, "setting group_size: must be at least 1"),
-        (r#""on_time":400000"#, r#""on_time":0"#, "setting classes[0].aim: must be above 0"),
+        (
+            r#""group_size":1"#,
+            r#""group_size":0"#,
+            "setting group_size: must be at least 1",
+        ),
+        (
+            r#""on_time":400000"#,
+            r#""on_time":0"#,
+            "setting classes[0].aim: must be above 0",
+        ),
         (
             r#""safe""#,
             r#""odd""#,
@@ -667,7 +692,10 @@
         ],
     ),
     ("elapsed", &[("sidecar_id", "0"), ("handle", "ask")]),
-    ("begun", &[("sidecar_id", "0"), ("call", "5"), ("send_no", "0")]),
+    (
+        "begun",
+        &[("sidecar_id", "0"), ("call", "5"), ("send_no", "0")],
+    ),
     ("timed_out_client", &[("sidecar_id", "0"), ("call", "5")]),
     (
         "probed",
@@ -679,15 +707,22 @@
             ("health_info", "7,3,0.5"),
         ],
     ),
-    ("backends_changed", &[("sidecar_id", "0"), ("scope", "SAVED"), ("table", "0")]),
+    (
+        "backends_changed",
+        &[("sidecar_id", "0"), ("scope", "SAVED"), ("table", "0")],
+    ),
 ];
 
 /// What is told of the last of these lines, which comes after an open instance and the begin of a list.
 fn problem_of(line: &str) -> Option<String> {
     let before = lines(&OPENED.replace("SETTINGS", SETTINGS));
-    let (output, errors) = simulate(&format!("{before}eob\ntick 2000000\ndirectory 1 1\n{line}\neob\n"));
+    let (output, errors) = simulate(&format!(
+        "{before}eob\ntick 2000000\ndirectory 1 1\n{line}\neob\n"
+    ));
     assert_eq!(output.matches("finished\n").count(), 2, "{line}");
-    let problem = errors.strip_prefix("line 9: ").and_then(|rest| rest.strip_suffix('\n'));
+    let problem = errors
+        .strip_prefix("line 9: ")
+        .and_then(|rest| rest.strip_suffix('\n'));
     assert_eq!(problem.is_none(), errors.is_empty(), "{errors}");
     problem.map(str::to_string)
 }
@@ -702,12 +737,20 @@
         let values: Vec<&str> = fields.iter().map(|(_, value)| *value).collect();
         for (at, (field, _)) in fields.iter().enumerate() {
             let line = written(kind, &values[..at]);
-            assert_eq!(problem_of(&line), Some(format!("{field} is missing")), "{line}");
+            assert_eq!(
+                problem_of(&line),
+                Some(format!("{field} is missing")),
+                "{line}"
+            );
         }
         if kind != "open_instance" {
             assert_eq!(problem_of(&written(kind, &values)), None, "{kind}");
             // A later version may say more.
-            assert_eq!(problem_of(&written(kind, &[&values[..], &["more"]].concat())), None, "{kind}");
+            assert_eq!(
+                problem_of(&written(kind, &[&values[..], &["more"]].concat())),
+                None,
+                "{kind}"
+            );
         }
     }
     assert_eq!(
--- a/crates/timers/examples/hundred_thousand.rs
+++ b/crates/timer-wheel/examples/hundred_thousand.rs
@@ -1,9 +1,9 @@
 //! What a timer costs, by how many there are: time to set one and take it back among the others, time to hand one out
 //! where all are due in one second, the longest turn of that, and memory.
 //!
-//! `cargo run --release -p madderloom-timers --example hundred_thousand`
+//! `cargo run --release -p madderloom-timer-wheel --example hundred_thousand`
 
-use madderloom_timers::{Poll, Wheel};
+use madderloom_timer_wheel::{Poll, Wheel};
 use std::hint::black_box;
 use std::time::Instant;
 
@@ -12,7 +12,11 @@
 
 fn resident() -> u64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
-    text.split(' ').nth(1).and_then(|pages| pages.parse::<u64>().ok()).unwrap_or(0) * 4_096
+    text.split(' ')
+        .nth(1)
+        .and_then(|pages| pages.parse::<u64>().ok())
+        .unwrap_or(0)
+        * 4_096
 }
 
 fn main() {
