--- a/crates/control-plane/tests/messages_stay_as_they_are.rs
+++ b/crates/control-plane/tests/messages_stay_as_they_are.rs
@@ -5,7 +5,7 @@
 use madderloom_control_plane::protocol::{ToAgent, ToInstance};
 use madderloom_control_plane::relay::{Batch, BatchAnswer, RelayStatus, WatchLine};
 use madderloom_control_plane::settings::{Overlay, Value};
-use madderloom_control_plane::{Accepted, Declined, Memory, Record};
+use madderloom_control_plane::{Accepted, PersistedInstance, Record, Rejection};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use serde_json::Value as Json;
@@ -162,9 +162,9 @@
 fn messages_of_an_instance_stay() {
     has_the_variants::<ToAgent>("`register` or `report`");
     let register: ToAgent = stays(REGISTER);
-    assert_eq!(register.who().name, "edge-1");
+    assert_eq!(register.sender().name, "edge-1");
     assert_eq!(
-        (register.who().start, register.who().incarnation),
+        (register.sender().start, register.sender().incarnation),
         (u64::MAX, 3)
     );
     passes_over_unknown_fields::<ToAgent>(
@@ -173,8 +173,11 @@
     );
 
     let report: ToAgent = stays(REPORT);
-    assert_eq!(report.who().name, "edge-1");
-    assert_eq!((report.who().start, report.who().incarnation), (17, 3));
+    assert_eq!(report.sender().name, "edge-1");
+    assert_eq!(
+        (report.sender().start, report.sender().incarnation),
+        (17, 3)
+    );
     let objects = [
         "/report",
         "/report/who",
@@ -623,7 +626,7 @@
     stays::<Accepted>(accepted);
     needs_every_field::<Accepted>(accepted);
 
-    has_the_variants::<Declined>(
+    has_the_variants::<Rejection>(
         "one of `invalid`, `conflict`, `busy`, `id_used`, `impossible`, `stood_down`",
     );
     let invalid =
@@ -641,8 +644,8 @@
     let impossible = r#"{"impossible":"no change x is in effect"}"#;
     let stood_down = r#"{"stood_down":{"term":5}}"#;
     for declined in [invalid, conflict, busy, id_used, impossible, stood_down] {
-        stays::<Declined>(declined);
-        needs_every_field::<Declined>(
+        stays::<Rejection>(declined);
+        needs_every_field::<Rejection>(
             &declined
                 .replace(r#""end":"done","#, "")
                 .replace(r#""end":"stopped","#, "")
@@ -654,8 +657,8 @@
         "newest":42,
         "since":[{"revision":41,"id":"a","by":{"who":"ann","at":1700000000000},"end":null,"difference":["x"]}],
         "more":true}}"#;
-    stays::<Declined>(under_way);
-    is_completed_to::<Declined>(&under_way.replace(r#""end":null,"#, ""), under_way);
+    stays::<Rejection>(under_way);
+    is_completed_to::<Rejection>(&under_way.replace(r#""end":null,"#, ""), under_way);
 }
 
 #[test]
@@ -779,6 +782,8 @@
         "term":4,
         "revision":42,
         "overlay":{"weight/w7":{"weight":200},"log_level":{"level":"info"}}}"#;
-    stays::<Memory>(memory);
-    needs_every_field::<Memory>(r#"{"incarnation":3,"term":4,"revision":42,"overlay":{}}"#);
+    stays::<PersistedInstance>(memory);
+    needs_every_field::<PersistedInstance>(
+        r#"{"incarnation":3,"term":4,"revision":42,"overlay":{}}"#,
+    );
 }
