--- a/crates/agent/tests/paths_and_views_stay_as_they_are.rs
+++ b/crates/agent/tests/paths_and_views_stay_as_they_are.rs
@@ -202,6 +202,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "literal text reads better whole")]
 fn an_instance_registers_reports_and_watches() {
     run(async {
         let fleet = TestFleet::with_paces(SLOW).await;
@@ -310,6 +311,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "literal text reads better whole")]
 fn a_change_is_pushed_seen_stopped_and_undone() {
     run(async {
         let fleet = TestFleet::with_paces(SLOW).await;
@@ -461,6 +463,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "literal text reads better whole")]
 fn a_change_that_rolls_out_is_stopped_and_its_instance_shown_with_its_rival() {
     run(async {
         let fleet = TestFleet::with_paces(SLOW).await;
@@ -526,6 +529,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "literal text reads better whole")]
 fn requests_that_are_refused_say_why() {
     run(async {
         let fleet = TestFleet::with_paces(SLOW).await;
@@ -699,6 +703,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "literal text reads better whole")]
 fn a_relay_answers_its_instances_and_shows_itself() {
     run(async {
         let fleet = TestFleet::with_paces(SLOW).await;
--- a/crates/endpoint-history/tests/stories_stay_as_they_are.rs
+++ b/crates/endpoint-history/tests/stories_stay_as_they_are.rs
@@ -23,6 +23,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "literal text reads better whole")]
 fn an_anomaly_is_told_as_ever() {
     let server = Subject::Endpoint(ServerId(0x1f));
     for (subject, named) in [
--- a/crates/simulator-adapter/tests/lines_stay_as_they_are.rs
+++ b/crates/simulator-adapter/tests/lines_stay_as_they_are.rs
@@ -68,6 +68,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "literal text reads better whole")]
 fn the_server_list_is_asked_for_and_told() {
     converse(&[
         (
@@ -518,6 +519,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "literal text reads better whole")]
 fn servers_are_asked_for_their_load() {
     let settings = SETTINGS.replace(r#""group_size":1,"#, r#""group_size":100,"#);
     converse_with(
