--- a/crates/control-plane/src/explore/lease_model/models.rs
+++ b/crates/control-plane/src/explore/lease_model/models.rs
@@ -3,6 +3,7 @@
 use super::{LeaseModel, WholeRequests};
 
 /// The models that are explored in each test run.
+#[expect(clippy::too_many_lines, reason = "a list of models")]
 pub fn lease_models() -> Vec<LeaseModel> {
     let base = base();
     vec![
--- a/crates/control-plane/src/explore/rollout_model/models.rs
+++ b/crates/control-plane/src/explore/rollout_model/models.rs
@@ -4,6 +4,7 @@
 use crate::policy::FailureAction;
 
 /// The models that are explored in each test run.
+#[expect(clippy::too_many_lines, reason = "a list of models")]
 pub fn rollout_models() -> Vec<RolloutModel> {
     let usual = || RolloutModel {
         disconnects: 0,
