--- a/crates/quota-leases/tests/simulation/mod.rs
+++ b/crates/quota-leases/tests/simulation/mod.rs
@@ -212,16 +212,7 @@
                 self.send(Event::ReportArrives(at, requests));
                 self.after(REPORT_INTERVAL, Event::SendReport(at));
             }
-            Event::ReportArrives(at, requests) => {
-                let (name, start) = (self.instances[at].name.clone(), self.instances[at].start);
-                let agent_time = self.agent_clock.at(now);
-                let grant = self.server.as_mut().and_then(|server| {
-                    server.handle_report(agent_time, &name, "", start, &requests)
-                });
-                grant
-                    .into_iter()
-                    .for_each(|grant| self.send(Event::GrantArrives(at, grant)));
-            }
+            Event::ReportArrives(at, requests) => self.report_arrives(at, &requests),
             Event::GrantArrives(at, grant) => {
                 let instance = &mut self.instances[at];
                 if instance.holder.apply_grant(instance.clock.at(now), &grant) && !instance.replaced
@@ -230,35 +221,8 @@
                     self.send(Event::ReportArrives(at, requests));
                 }
             }
-            Event::AgentTick => {
-                let agent_time = self.agent_clock.at(now);
-                let grants = self
-                    .server
-                    .as_mut()
-                    .map(|server| server.tick(agent_time))
-                    .unwrap_or_default();
-                for AddressedGrant { grant, .. } in grants {
-                    let at = self
-                        .instances
-                        .iter()
-                        .position(|instance| instance.start == grant.start)
-                        .expect("a grant to a known start");
-                    self.send(Event::GrantArrives(at, grant));
-                }
-                self.after(REPORT_INTERVAL / 4, Event::AgentTick);
-            }
-            Event::Request(at) => {
-                let instance = &mut self.instances[at];
-                if instance.holder.admit(instance.clock.at(now), LIMIT).is_ok() {
-                    self.admitted.push(now);
-                    self.in_flight += 1;
-                    self.max_in_flight = self.max_in_flight.max(self.in_flight);
-                    let request_duration = self.random.rand_range(1..MAX_REQUEST_DURATION);
-                    self.after(request_duration, Event::EndRequest(at));
-                }
-                let gap = -(1.0 - self.random.rand_float()).ln() / self.instances[at].load;
-                self.after((gap * 1e6) as Micros, Event::Request(at));
-            }
+            Event::AgentTick => self.agent_tick(),
+            Event::Request(at) => self.request(at),
             Event::EndRequest(at) => {
                 self.instances[at].holder.release(LIMIT);
                 self.in_flight -= 1;
@@ -278,6 +242,52 @@
         }
     }
 
+    fn agent_tick(&mut self) {
+        let now = self.now;
+        let agent_time = self.agent_clock.at(now);
+        let grants = self
+            .server
+            .as_mut()
+            .map(|server| server.tick(agent_time))
+            .unwrap_or_default();
+        for AddressedGrant { grant, .. } in grants {
+            let at = self
+                .instances
+                .iter()
+                .position(|instance| instance.start == grant.start)
+                .expect("a grant to a known start");
+            self.send(Event::GrantArrives(at, grant));
+        }
+        self.after(REPORT_INTERVAL / 4, Event::AgentTick);
+    }
+
+    fn report_arrives(&mut self, at: usize, requests: &LeaseRequests) {
+        let now = self.now;
+        let (name, start) = (self.instances[at].name.clone(), self.instances[at].start);
+        let agent_time = self.agent_clock.at(now);
+        let grant = self
+            .server
+            .as_mut()
+            .and_then(|server| server.handle_report(agent_time, &name, "", start, requests));
+        grant
+            .into_iter()
+            .for_each(|grant| self.send(Event::GrantArrives(at, grant)));
+    }
+
+    fn request(&mut self, at: usize) {
+        let now = self.now;
+        let instance = &mut self.instances[at];
+        if instance.holder.admit(instance.clock.at(now), LIMIT).is_ok() {
+            self.admitted.push(now);
+            self.in_flight += 1;
+            self.max_in_flight = self.max_in_flight.max(self.in_flight);
+            let request_duration = self.random.rand_range(1..MAX_REQUEST_DURATION);
+            self.after(request_duration, Event::EndRequest(at));
+        }
+        let gap = -(1.0 - self.random.rand_float()).ln() / self.instances[at].load;
+        self.after((gap * 1e6) as Micros, Event::Request(at));
+    }
+
     /// Schedules faults at random times.
     pub fn draw_faults(&mut self, instances: u64, over: Micros, count: usize) {
         for _ in 0..count {
