--- a/crates/cli/tests/fleet/limits.rs
+++ b/crates/cli/tests/fleet/limits.rs
@@ -6,6 +6,7 @@
 use madderloom_fault_testing::{
     Act, Arrivals, Direction, Fault, Got, Link, Menu, Plan, Server, served, shrink, until,
 };
+use madderloom_quota_leases::LeaseServerEvent;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -118,6 +119,7 @@
             "{served} of {} served prove nothing",
             got.len()
         );
+        let overcommitted = overcommitted_line();
         for slot in self
             .stage
             .slots
@@ -127,12 +129,24 @@
             let log = slot.log();
             let odd = log
                 .iter()
-                .find(|line| line.contains("panicked") || line.contains("beyond itself"));
+                .find(|line| line.contains("panicked") || line.contains(&overcommitted));
             assert!(odd.is_none(), "{odd:?}");
         }
     }
 }
 
+/// The end of the line that an agent logs where it has granted more than a limit allows, whichever limit it is.
+fn overcommitted_line() -> String {
+    let limit = "LIMIT";
+    let event = LeaseServerEvent::Overcommitted {
+        limit: limit.to_string(),
+    };
+    let line = event.to_string();
+    let (_, end) = line.split_once(limit).expect("the line names the limit");
+    assert!(end.contains("bug"), "{line}");
+    end.to_string()
+}
+
 const SITE: &str = r#"{"group_size": 1, "my_zone": 0, "period": 5000, "discovery": "automatic",
     "services": [{"name": "submit", "effect": "unsafe", "on_time": 2000000, "give_up": 6000000, "worth": 10,
     "key_scope": "all", "window": 4000000}],
