--- a/crates/cli/tests/fleet/limits.rs
+++ b/crates/cli/tests/fleet/limits.rs
@@ -445,7 +445,7 @@
     fleet
         .stage
         .program("agent")
-        .wait_for("an agent of term 10 is known");
+        .wait_for("superseded by an agent of term 10");
     std::thread::sleep(OUT);
     let one = Instant::now();
     std::thread::sleep(millis(2_500));
