--- a/crates/control-plane/tests/messages_stay_as_they_are.rs
+++ b/crates/control-plane/tests/messages_stay_as_they_are.rs
@@ -226,6 +226,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "a literal transcript")]
 fn messages_of_an_instance_are_read_where_fields_are_absent() {
     let register = r#"{"register":{"who":{"name":"edge-1","start":17,"incarnation":3}}}"#;
     let complete = r#"{"register":{
