--- a/crates/cli/tests/outputs/shape.rs
+++ b/crates/cli/tests/outputs/shape.rs
@@ -35,7 +35,10 @@
         "address" => value
             .as_str()
             .is_some_and(|text| text.parse::<SocketAddr>().is_ok()),
-        exact => value.to_string() == exact,
+        exact => {
+            let text = value.to_string();
+            text == exact
+        }
     }
 }
 
