--- a/crates/cli/src/level.rs
+++ b/crates/cli/src/level.rs
@@ -9,6 +9,10 @@
 ///
 /// The process's admin view must be on a Unix socket: `socket = "..."` in [admin] of the operator file. Orders are told
 /// in its log with who gave them, and end by themselves. Exits with 0 where the order was taken, with 1 where not.
+#[allow(
+    rustdoc::broken_intra_doc_links,
+    reason = "help text: the brackets are those of a section of the file"
+)]
 #[derive(clap::Subcommand)]
 #[command(
     after_help = "Example:\n  madderloom level pin reports reduced --for 30m --operator operator.toml"
--- a/crates/cli/src/stories.rs
+++ b/crates/cli/src/stories.rs
@@ -15,6 +15,10 @@
 ///
 /// The admin view must be on, and for more than the present so must the time lines: [admin] and [timeline] in the
 /// operator file. Exits with 0 where no server departs from its usual, else with 1.
+#[allow(
+    rustdoc::broken_intra_doc_links,
+    reason = "help text: the brackets are those of a section of the file"
+)]
 #[derive(clap::Args)]
 #[command(after_help = "Example:\n  madderloom servers --operator operator.toml")]
 pub(crate) struct Servers {
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -1,6 +1,6 @@
 //! What many instances cost: thousands of hollow ones around a real agent, counted at both sides.
 //!
-//! [`hollow`] is an instance without a data path, [`worker`] a process of many, [`conductor`] takes an agent and its
+//! `hollow` is an instance without a data path, `worker` a process of many, [`conductor`] takes an agent and its
 //! instances through [`steps`], [`record`] holds what came of it.
 
 pub mod agent;
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! One TOML file, in sections with a module each. A module has the section as it is written (its fields are the
 //! file's) and a check, which notes every problem at its place in the [`Document`] and gives the section as it is
-//! used. A later subsystem adds a module with its section, a field in [`File`], and a line in [`Operator::parse`].
+//! used. A later subsystem adds a module with its section, a field in `File`, and a line in [`Operator::parse`].
 //!
 //! Beside the file there may be the platform's own configuration (`RELAY_CONFIG`). It stands for one listener and
 //! one pool, both named [`PLATFORM`], which routes of the file may name like those of its own.
