--- a/crates/cli/tests/lint_exceptions.rs
+++ b/crates/cli/tests/lint_exceptions.rs
@@ -9,7 +9,7 @@
 fn message(level: &str, lint: &str, file: &str, line: u32) -> String {
     let span = serde_json::json!({"file_name": file, "line_start": line, "is_primary": true});
     let message = serde_json::json!({
-        "level": level, "code": {"code": lint}, "spans": [span], "rendered": format!("{lint} at {file}:{line}"),
+        "level": level, "code": {"code": lint}, "spans": [span], "message": lint, "rendered": format!("{lint} at {file}:{line}"),
     });
     serde_json::json!({"reason": "compiler-message", "message": message}).to_string()
 }
@@ -31,6 +31,14 @@
     (done.status.success(), text.into_owned())
 }
 
+/// A message that names no place in a file.
+fn without_place(level: &str, text: &str) -> String {
+    let message = serde_json::json!({
+        "level": level, "code": null, "spans": [], "message": text, "rendered": text,
+    });
+    serde_json::json!({"reason": "compiler-message", "message": message}).to_string()
+}
+
 const LONG: &str = "clippy::too_many_lines";
 
 #[rstest]
@@ -45,6 +53,8 @@
 #[case::a_lint_that_is_never_excused("cli clippy::needless_return 1\n", &[], 0, false, "write `crate lint count`")]
 #[case::a_crate_that_is_not_there("no-such-crate clippy::too_many_lines 1\n", &[], 0, false, "write `crate lint count`")]
 #[case::an_error("", &[message("error", "E0308", "crates/cli/src/main.rs", 7)], 101, false, "E0308 at")]
+#[case::a_warning_without_a_place("", &[without_place("warning", "the linker complains")], 0, false, "the linker complains")]
+#[case::a_summary_of_warnings("", &[without_place("warning", "2 warnings emitted")], 0, true, "0 failures")]
 #[case::a_run_that_failed_without_a_message("", &[], 101, false, "")]
 fn each_warning_is_excused_by_its_line_or_fails(
     #[case] list: &str,
