--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -52,7 +52,7 @@
         } else {
             let summary = |c: Config| (c.summary(), Vec::new(), Vec::new(), Vec::new());
             Config::from_json(&text).map(summary).map_err(|problem| {
-                let madderloom_sidecar::Problem {
+                let madderloom_sidecar::ConfigError {
                     field,
                     line,
                     column,
--- a/crates/sidecar/src/tuned.rs
+++ b/crates/sidecar/src/active_settings.rs
@@ -14,77 +14,77 @@
 pub(super) struct ClassEntry {
     pub(super) name: String,
     /// Its place in the module's settings.
-    pub(super) place: u32,
+    pub(super) index: u32,
     pub(super) class: Class,
     pub(super) counts: Rc<Counts>,
 }
 
 impl ClassEntry {
-    pub(super) fn effect(&self) -> Effect {
+    pub(super) fn retry_safety(&self) -> Effect {
         self.class.effect
     }
 }
 
 /// A place among the classes.
 #[derive(Clone)]
-pub(super) struct Place {
+pub(super) struct ClassSlot {
     pub(super) entry: Rc<ClassEntry>,
     /// No new request names it.
     pub(super) retired: bool,
 }
 
 /// Settings that hold.
-pub(super) struct Tuned {
+pub(super) struct ActiveSettings {
     /// As the file has them, but for the classes, which are by their places.
     pub(super) site: Site,
     /// As the file has them.
-    pub(super) file: Site,
-    pub(super) places: Vec<Place>,
+    pub(super) configured_site: Site,
+    pub(super) class_slots: Vec<ClassSlot>,
     /// The advice on when to come back for requests that do not reach the module.
     pub(super) retry_after: Option<Micros>,
     /// The longest that a client waits.
-    pub(super) longest: Duration,
+    pub(super) max_deadline: Duration,
 }
 
-impl Tuned {
+impl ActiveSettings {
     /// Those that a service begins with.
     pub(super) fn new(site: Site, counts: &Registry) -> Self {
         let classes = site.classes.iter().zip(&site.settings.classes).enumerate();
-        let place = |(at, (name, class)): (usize, (&String, &Class))| Place {
+        let place = |(at, (name, class)): (usize, (&String, &Class))| ClassSlot {
             entry: Rc::new(ClassEntry {
                 name: name.clone(),
-                place: at as u32,
+                index: at as u32,
                 class: class.clone(),
                 counts: counts.class(name),
             }),
             retired: false,
         };
         let places = classes.map(place).collect();
-        Tuned::of(site.clone(), site, places)
+        ActiveSettings::of(site.clone(), site, places)
     }
 
-    fn of(file: Site, site: Site, places: Vec<Place>) -> Self {
+    fn of(file: Site, site: Site, places: Vec<ClassSlot>) -> Self {
         let limits = &site.settings.limits;
-        let longest = site
+        let max_deadline = site
             .settings
             .classes
             .iter()
             .map(|c| c.deadline)
             .max()
             .unwrap_or(0);
-        Tuned {
+        ActiveSettings {
             retry_after: limits.retry_after.then_some(limits.max_retry_after),
-            longest: Duration::from_micros(longest),
+            max_deadline: Duration::from_micros(max_deadline),
             site,
-            file,
-            places,
+            configured_site: file,
+            class_slots: places,
         }
     }
 
     /// Newer ones, and what the module is to be told of them.
-    pub(super) fn turn_to(&self, mut site: Site, counts: &Registry) -> (Tuned, Retuned) {
+    pub(super) fn updated(&self, mut site: Site, counts: &Registry) -> (ActiveSettings, Retuned) {
         let file = site.clone();
-        let mut places: Vec<Place> = Vec::with_capacity(self.places.len());
+        let mut places: Vec<ClassSlot> = Vec::with_capacity(self.class_slots.len());
         let mut learned: Vec<Option<u32>> = Vec::new();
         let asked: Vec<(String, Class)> = site
             .classes
@@ -93,13 +93,13 @@
             .zip(site.settings.classes.iter().cloned())
             .collect();
         // What stays as it is keeps its place; all else is on its way out.
-        for place in &self.places {
+        for place in &self.class_slots {
             let entry = &place.entry;
             let stays = asked
                 .iter()
                 .any(|(name, class)| *name == entry.name && *class == entry.class);
-            learned.push(Some(entry.place));
-            places.push(Place {
+            learned.push(Some(entry.index));
+            places.push(ClassSlot {
                 entry: Rc::clone(entry),
                 retired: place.retired || !stays,
             });
@@ -112,22 +112,22 @@
                 continue;
             }
             let former = self
-                .places
+                .class_slots
                 .iter()
                 .find(|place| !place.retired && place.entry.name == name);
-            let from = former.map(|place| place.entry.place);
+            let from = former.map(|place| place.entry.index);
             // One here and one in the settings that hold: nobody else has it.
             let free = places
                 .iter()
                 .position(|place| place.retired && Rc::strong_count(&place.entry) == 2);
             let at = free.unwrap_or(places.len());
             let entry = ClassEntry {
-                place: at as u32,
+                index: at as u32,
                 class,
                 counts: counts.class(&name),
                 name,
             };
-            let place = Place {
+            let place = ClassSlot {
                 entry: Rc::new(entry),
                 retired: false,
             };
@@ -152,21 +152,23 @@
             learned,
             retired,
         };
-        (Tuned::of(file, site, places), retuned)
+        (ActiveSettings::of(file, site, places), retuned)
     }
 
     /// The class that new requests name so.
-    pub(super) fn named(&self, name: &str) -> Option<Rc<ClassEntry>> {
+    pub(super) fn class_named(&self, name: &str) -> Option<Rc<ClassEntry>> {
         let place = self
-            .places
+            .class_slots
             .iter()
             .find(|place| !place.retired && place.entry.name == name);
         place.map(|place| Rc::clone(&place.entry))
     }
 
     /// The class at this place.
-    pub(super) fn at(&self, place: u32) -> Option<&Rc<ClassEntry>> {
-        self.places.get(place as usize).map(|place| &place.entry)
+    pub(super) fn class_at(&self, place: u32) -> Option<&Rc<ClassEntry>> {
+        self.class_slots
+            .get(place as usize)
+            .map(|place| &place.entry)
     }
 }
 
@@ -192,13 +194,13 @@
     #[test]
     fn a_class_keeps_its_place_while_a_request_of_it_is_open() {
         let counts = Registry::default();
-        let first = Tuned::new(
+        let first = ActiveSettings::new(
             site(&[("read", "safe", 900_000), ("file", "unsafe", 900_000)]),
             &counts,
         );
-        let open = first.named("file").expect("it is there");
+        let open = first.class_named("file").expect("it is there");
         // "file" changes its effect, "read" stays, "late" is new.
-        let (second, told) = first.turn_to(
+        let (second, told) = first.updated(
             site(&[
                 ("late", "safe", 500_000),
                 ("read", "safe", 900_000),
@@ -206,21 +208,21 @@
             ]),
             &counts,
         );
-        assert_eq!((open.place, open.effect()), (1, Effect::Unsafe));
+        assert_eq!((open.index, open.retry_safety()), (1, Effect::Unsafe));
         assert_eq!(told.retired, [false, true, false, false]);
         assert_eq!(told.learned, [Some(0), Some(1), None, Some(1)]);
         assert_eq!(told.settings.classes[1].effect, Effect::Unsafe);
-        assert_eq!(second.named("file").map(|c| c.place), Some(3));
+        assert_eq!(second.class_named("file").map(|c| c.index), Some(3));
         drop(first);
         // Nobody asks for "late" any more; its place, and that of the request that has ended, are free again.
         drop(open);
-        let (third, told) = second.turn_to(
+        let (third, told) = second.updated(
             site(&[("read", "safe", 900_000), ("new", "safe", 1)]),
             &counts,
         );
-        assert_eq!(third.named("new").map(|c| c.place), Some(1));
+        assert_eq!(third.class_named("new").map(|c| c.index), Some(1));
         assert_eq!(told.retired, [false, false, true, true]);
         assert_eq!(told.learned[1], None);
-        assert!(third.named("late").is_none() && third.named("file").is_none());
+        assert!(third.class_named("late").is_none() && third.class_named("file").is_none());
     }
 }
--- a/crates/sidecar/src/admin.rs
+++ b/crates/sidecar/src/admin.rs
@@ -360,7 +360,7 @@
             if !viewer.keeps_stories() {
                 return whole(StatusCode::NOT_FOUND, JSON, "{}");
             }
-            let feed = &viewer.common.feed;
+            let feed = &viewer.process.feed;
             let Some(follow) = feed.follow(after.unwrap_or(feed.next())) else {
                 return whole(
                     StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/sidecar/src/agent_link/apply.rs
+++ b/crates/sidecar/src/agent_link/apply.rs
@@ -3,7 +3,7 @@
 use super::overlay::{same_in_file, steering};
 use crate::pool;
 use crate::process::Sidecar;
-use crate::reload::aside;
+use crate::reload::run_on_thread;
 use madderloom_control_plane::Problem;
 use madderloom_control_plane::bounds::MAX_SETTINGS;
 use madderloom_control_plane::protocol::Outcome;
@@ -46,22 +46,22 @@
             None
         } else {
             // The check of a long file takes a good part of a second, during which requests are served.
-            match aside(move || source.with(&edited)).await {
+            match run_on_thread(move || source.with(&edited)).await {
                 Ok(Ok(operator)) => Some(operator),
                 Ok(Err(problem)) => return Outcome::Refused(problem),
                 Err(problem) => return refused("set", &problem),
             }
         };
-        if self.common.is_stopping() {
+        if self.process.is_stopping() {
             return refused("set", "the instance is stopping");
         }
         // There is no await from here on, so that no request sees a part of the change.
-        self.common.steering.replace(steering(&overlay));
+        self.process.server_overrides.replace(steering(&overlay));
         if let Some(operator) = operator {
             match self.apply(operator) {
                 Ok(summary) => tracing::info!("control: {summary}"),
                 Err(problem) => {
-                    self.common.steering.replace(steering(&former));
+                    self.process.server_overrides.replace(steering(&former));
                     return refused("set", &problem);
                 }
             }
@@ -77,9 +77,9 @@
 
     pub(super) fn apply_steering(&self, former: &Overlay, overlay: &Overlay) {
         let (former, present) = (steering(former), steering(overlay));
-        for service in self.common.services.borrow().iter() {
+        for service in self.process.services.borrow().iter() {
             pool::steer(service, &former, &present);
         }
-        self.common.steering.replace(present);
+        self.process.server_overrides.replace(present);
     }
 }
--- a/crates/sidecar/src/agent_link/connection.rs
+++ b/crates/sidecar/src/agent_link/connection.rs
@@ -88,7 +88,7 @@
         control.agent
     );
     let seed = u128::from(RandomState::new().hash_one(0));
-    let report_now = own.common.shared_lists.news();
+    let report_now = own.process.shared_lists.news();
     drop(own);
     let settings = LinkHost {
         sidecar,
@@ -150,30 +150,30 @@
         let Some(sidecar) = self.sidecar.upgrade() else {
             return RequestCounts::default();
         };
-        self.window.sample(Instant::now(), &sidecar.common)
+        self.window.sample(Instant::now(), &sidecar.process)
     }
 
     fn lease_requests(&mut self, term: u64) -> Option<LeaseRequests> {
-        self.sidecar.upgrade()?.common.fleet_limits.ask(term)
+        self.sidecar.upgrade()?.process.fleet_limits.ask(term)
     }
 
     fn grant_received(&mut self, grant: &Grant) -> bool {
         self.sidecar
             .upgrade()
-            .is_some_and(|sidecar| sidecar.common.fleet_limits.take(grant))
+            .is_some_and(|sidecar| sidecar.process.fleet_limits.take(grant))
     }
 
     fn list_reports(&mut self) -> Option<EndpointListReports> {
-        self.sidecar.upgrade()?.common.shared_lists.tell()
+        self.sidecar.upgrade()?.process.shared_lists.tell()
     }
 
     fn lists_received(&mut self, lists: &EndpointListUpdates) -> bool {
         let Some(sidecar) = self.sidecar.upgrade() else {
             return false;
         };
-        let common = &sidecar.common;
+        let process = &sidecar.process;
         let service = |pool: &str| {
-            let services = common.services.borrow();
+            let services = process.services.borrow();
             services
                 .iter()
                 .find(|service| service.name == pool)
@@ -185,7 +185,7 @@
         };
         let call = |pool: &str| service(pool).iter().for_each(discovery_watch::call_for_all);
         let rest = |pool: &str| service(pool).iter().for_each(discovery_watch::rest);
-        common.shared_lists.hear(lists, apply, call, rest)
+        process.shared_lists.hear(lists, apply, call, rest)
     }
 
     fn persist(&mut self, memory: &PersistedInstance) {
--- a/crates/sidecar/src/agent_link/mod.rs
+++ b/crates/sidecar/src/agent_link/mod.rs
@@ -14,7 +14,7 @@
 
 use super::kept::keep_going;
 use super::process::Sidecar;
-use super::reload::aside;
+use super::reload::run_on_thread;
 use connection::keep_link;
 use madderloom_control_plane::PersistedInstance;
 use madderloom_control_plane::selector::Attributes;
@@ -95,7 +95,7 @@
     /// Reads a file, and applies the overlay to it where the file names an agent.
     pub(super) async fn read(&self, file: PathBuf) -> Result<Read, String> {
         let overlay = self.memory.borrow().overlay.clone();
-        aside(move || {
+        run_on_thread(move || {
             let (source, operator) = Source::load(&file).map_err(|faults| faults.to_string())?;
             if operator.control.is_none() {
                 return Ok(Read {
@@ -193,7 +193,9 @@
                 operator
             }
         };
-        self.common.steering.replace(steering(&memory.overlay));
+        self.process
+            .server_overrides
+            .replace(steering(&memory.overlay));
         self.agent_link.memory.replace(memory);
         self.agent_link.file.replace(Some(ConfiguredAgent {
             control,
--- a/crates/sidecar/src/agent_link/window.rs
+++ b/crates/sidecar/src/agent_link/window.rs
@@ -1,6 +1,6 @@
 //! The request counts of the last window, over all services.
 
-use crate::common::Common;
+use crate::process_state::ProcessState;
 use crate::service::Service;
 use madderloom_control_plane::health_gate::RequestCounts;
 use std::collections::VecDeque;
@@ -22,10 +22,10 @@
 }
 
 impl Window {
-    pub(super) fn sample(&mut self, now: Instant, common: &Common) -> RequestCounts {
+    pub(super) fn sample(&mut self, now: Instant, process: &ProcessState) -> RequestCounts {
         self.services
             .retain(|(service, _)| service.strong_count() > 0);
-        for service in common.services.borrow().iter() {
+        for service in process.services.borrow().iter() {
             let counts = service.counts.sum();
             let away = counts.refused.get() + counts.failed.get() + counts.turned_away.get();
             let present = RequestCounts {
--- a/crates/sidecar/src/client.rs
+++ b/crates/sidecar/src/client.rs
@@ -286,7 +286,7 @@
     fn new(of: &'a Listener, stream: TcpStream, charged: Rc<Charged>) -> Self {
         let clients = &of.clients;
         let number = clients.entered.replace(clients.entered.get() + 1);
-        let now = of.common.clock.now();
+        let now = of.process.clock.now();
         let client = Rc::new(Client {
             number,
             stream,
@@ -303,7 +303,9 @@
             flushed: Cell::new(true),
         });
         clients.park(&client, now);
-        of.common.clients.set(of.common.clients.get() + 1);
+        of.process
+            .client_connections
+            .set(of.process.client_connections.get() + 1);
         Entered { of, client }
     }
 }
@@ -318,7 +320,10 @@
                 .remove(&(since, self.client.number));
         }
         clients.served.borrow_mut().remove(&self.client.number);
-        self.of.common.clients.set(self.of.common.clients.get() - 1);
+        self.of
+            .process
+            .client_connections
+            .set(self.of.process.client_connections.get() - 1);
     }
 }
 
@@ -376,7 +381,7 @@
     if shutdown(&client.stream, Shutdown::Write).is_err() {
         return;
     }
-    let short = listener.is_crowded() || listener.common.is_exhausted();
+    let short = listener.is_crowded() || listener.process.descriptors_exhausted();
     let within = if short { LINGERS_IN_A_CROWD } else { LINGERS };
     let to_its_end = async {
         let mut left = LINGERS_OVER;
@@ -389,7 +394,7 @@
             }
         }
     };
-    let _ = listener.common.within(within, to_its_end).await;
+    let _ = listener.process.timeout(within, to_its_end).await;
 }
 
 /// Waits for a first byte. False where the connection is to end.
@@ -397,8 +402,8 @@
     let since = client.idle_since.get().unwrap_or_default();
     let mut alarm = pin!(
         listener
-            .common
-            .alarm(since + listener.manner.get().idle_within)
+            .process
+            .sleep_until(since + listener.manner.get().idle_within)
     );
     poll_fn(|context| {
         // What has come before the close is served.
@@ -420,13 +425,15 @@
 
 /// Serves requests. Gives the connection back once it has been idle for a moment.
 async fn served(listener: &Rc<Listener>, client: &Rc<Client>, io: ClientIo) -> Served {
-    let common = &listener.common;
+    let process = &listener.process;
     listener.clients.wake(client);
-    common.served_clients.set(common.served_clients.get() + 1);
-    let _served = Counted(&common.served_clients);
-    common.keep_to_memory(2);
+    process
+        .active_client_connections
+        .set(process.active_client_connections.get() + 1);
+    let _served = Counted(&process.active_client_connections);
+    process.enforce_connection_memory(2);
     listener.clients.woken.set(listener.clients.woken.get() + 1);
-    let woken = common.clock.now();
+    let woken = process.clock.now();
     let service =
         hyper::service::service_fn(|request: hyper::Request<hyper::body::Incoming>| async {
             client.idle_since.set(None);
@@ -434,12 +441,12 @@
             let mut response = virtual_server::answer(listener, client, request).await;
             client.charged.set(listener.account());
             // One that is passed on is idle when it has gone, and not when it begins.
-            let (now, passing) = (common.clock.now(), response.body().is_passing());
+            let (now, passing) = (process.clock.now(), response.body().is_passing());
             client.passing.set(passing);
             client.wrote.set(now);
             client.idle_since.set((!passing).then_some(now));
             client.read.set(false);
-            if common.duty.borrow().ends_connections()
+            if process.lifecycle.borrow().ends_connections()
                 || listener.is_leaving()
                 || listener.is_crowded()
             {
@@ -452,7 +459,7 @@
     let mut connection = http1::Builder::new()
         .max_buf_size(HEAD)
         .serve_connection(io, service);
-    let mut alarm = common.alarm(woken + PARKED_AFTER);
+    let mut alarm = process.sleep_until(woken + PARKED_AFTER);
     // When it was told to close.
     let mut told: Option<Micros> = None;
     let end = poll_fn(|context| {
@@ -468,9 +475,9 @@
             return Poll::Ready(End::Lost);
         }
         if client.is_told(context) && told.is_none() {
-            let now = common.clock.now();
+            let now = process.clock.now();
             told = Some(now);
-            alarm = common.alarm(now + YOUNG);
+            alarm = process.sleep_until(now + YOUNG);
             // Closes at once where it lies idle, else with its answer.
             Pin::new(&mut connection).graceful_shutdown();
             if Pin::new(&mut connection).poll(context).is_ready() {
@@ -478,7 +485,7 @@
             }
         }
         while Pin::new(&mut alarm).poll(context).is_ready() {
-            let now = common.clock.now();
+            let now = process.clock.now();
             let (idle, passing) = (client.idle_since.get(), client.passing.get());
             // A reader that has stopped holds what others need.
             if idle.is_none() && passing && now.saturating_sub(client.wrote.get()) >= STOPPED {
@@ -516,7 +523,7 @@
                     until.min(now + PARKED_AFTER)
                 }
             };
-            alarm = common.alarm(next);
+            alarm = process.sleep_until(next);
         }
         Poll::Pending
     })
@@ -540,10 +547,10 @@
 
 /// How long an answer that was begun may take, and be read for.
 fn longest_answer(listener: &Listener) -> Micros {
-    let services = listener.common.services.borrow();
+    let services = listener.process.services.borrow();
     let longest = services
         .iter()
-        .map(|service| service.tuned().longest)
+        .map(|service| service.active_settings().max_deadline)
         .max()
         .unwrap_or_default();
     (longest + LAME_DUCK).as_micros() as Micros
@@ -575,7 +582,7 @@
 impl ClientIo {
     fn note(&self, written: &Poll<io::Result<usize>>) {
         if matches!(written, Poll::Ready(Ok(_))) {
-            self.client.wrote.set(self.listener.common.clock.now());
+            self.client.wrote.set(self.listener.process.clock.now());
         }
     }
 }
--- a/crates/sidecar/src/clock.rs
+++ b/crates/sidecar/src/clock.rs
@@ -57,7 +57,7 @@
     }
 
     /// One turn of a task.
-    pub(super) fn turn<T>(&self, work: impl FnOnce() -> T) -> T {
+    pub(super) fn with_cached_time<T>(&self, work: impl FnOnce() -> T) -> T {
         let outer = self.turn.replace(Turn::Unasked);
         let done = work();
         self.turn.set(outer);
@@ -66,7 +66,7 @@
 
     /// How far the wall clock is ahead of this one by now, in microseconds: it was put forward, or time went by in which
     /// this machine was suspended. Below 0 where it was put back.
-    pub(super) fn behind(&self) -> i64 {
+    pub(super) fn wall_clock_offset(&self) -> i64 {
         let (wall, own) = (micros(unix()), self.now());
         i64::try_from(wall)
             .unwrap_or(i64::MAX)
@@ -74,7 +74,7 @@
     }
 
     /// Since the start.
-    pub(super) fn up(&self) -> Micros {
+    pub(super) fn uptime(&self) -> Micros {
         micros(self.start.elapsed())
     }
 
@@ -98,12 +98,12 @@
 }
 
 /// The day of the place where this process runs, as its people know it: what comes every night comes by their clock.
-pub(super) struct LocalDay(TimeZone);
+pub(super) struct LocalTimeZone(TimeZone);
 
-impl LocalDay {
+impl LocalTimeZone {
     /// By the system's own time zone; by UTC where none can be read.
     pub(super) fn read() -> Self {
-        LocalDay(TimeZone::local().unwrap_or_else(|_| TimeZone::utc()))
+        LocalTimeZone(TimeZone::local().unwrap_or_else(|_| TimeZone::utc()))
     }
 
     /// The minute of the day now, by the wall clock, from 0 to 1,439.
@@ -129,7 +129,7 @@
     #[test]
     fn days_of_23_and_25_hours_have_the_minutes_that_their_clock_shows() {
         let rule = TimeZone::from_posix_tz("CET-1CEST,M3.5.0,M10.5.0/3").expect("a rule");
-        let day = LocalDay(rule);
+        let day = LocalTimeZone(rule);
         let seen = |midnight: i64, hours: i64| -> Vec<u16> {
             (0..hours)
                 .map(|hour| day.minute_at(midnight + hour * 3_600) / 60)
--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -25,7 +25,7 @@
     pub control: Option<SocketAddr>,
     /// The clients' listening socket, where the platform holds it and has left it open for this process.
     #[serde(skip)]
-    pub(super) inherited: Option<TcpListener>,
+    pub(super) inherited_socket: Option<TcpListener>,
     /// For random numbers; new with each start.
     #[serde(deserialize_with = "hex")]
     pub seed: u64,
@@ -39,28 +39,28 @@
     pub settings: Site,
     /// Which keys the file has.
     #[serde(skip)]
-    pub(super) keys: Keys,
+    pub(super) keys: ConfigKeys,
 }
 
 /// The keys of a configuration's file.
 #[derive(Default)]
-pub(super) struct Keys(serde_json::Value);
+pub(super) struct ConfigKeys(serde_json::Value);
 
 /// What a file may leave out that another had: figures that are told only where they mean something.
 const MAY_BE_ABSENT: [&str; 4] = ["known", "control", "aim_stretch", "domain"];
 
-impl Keys {
+impl ConfigKeys {
     fn of(text: &str) -> Self {
         let mut keys: serde_json::Value = serde_json::from_str(text).unwrap_or_default();
         // By far the longest, and never compared.
         if let Some(keys) = keys.as_object_mut() {
             keys.remove("known");
         }
-        Keys(keys)
+        ConfigKeys(keys)
     }
 
     /// The first key of the former file that is not here.
-    fn lacks(&self, former: &Keys) -> Option<String> {
+    fn lacks(&self, former: &ConfigKeys) -> Option<String> {
         lacks(&self.0, &former.0, "")
     }
 }
@@ -85,16 +85,16 @@
         // Entries may be others; each has what all of the former had.
         (Array(present), Array(former)) => {
             let (first, rest) = former.split_first()?;
-            let mut common = first.as_object()?.clone();
-            common.retain(|key, _| rest.iter().all(|other| other.get(key).is_some()));
-            common
+            let mut shared_keys = first.as_object()?.clone();
+            shared_keys.retain(|key, _| rest.iter().all(|other| other.get(key).is_some()));
+            shared_keys
                 .values_mut()
                 .for_each(|value| *value = serde_json::Value::Null);
-            let common = Object(common);
+            let shared_keys = Object(shared_keys);
             present
                 .iter()
                 .enumerate()
-                .find_map(|(place, entry)| lacks(entry, &common, &format!("{at}[{place}]")))
+                .find_map(|(place, entry)| lacks(entry, &shared_keys, &format!("{at}[{place}]")))
         }
         (_, Object(_)) => Some(at.to_string()),
         _ => None,
@@ -113,7 +113,7 @@
 }
 
 /// What the system lets this process have: it may be less than the platform says.
-pub(super) fn allowed_descriptors() -> usize {
+pub(super) fn descriptor_limit() -> usize {
     let limits = std::fs::read_to_string("/proc/self/limits").unwrap_or_default();
     let line = limits
         .lines()
@@ -162,9 +162,9 @@
         }
         if let Some(number) = variable_set("RELAY_ACCEPT_FD")? {
             let socket = madderloom_socket_activation::listener(&number, config.listen);
-            config.inherited = Some(socket.map_err(|e| format!("RELAY_ACCEPT_FD: {e}"))?);
+            config.inherited_socket = Some(socket.map_err(|e| format!("RELAY_ACCEPT_FD: {e}"))?);
         }
-        config.limits.sockets = config.limits.sockets.min(allowed_descriptors());
+        config.limits.sockets = config.limits.sockets.min(descriptor_limit());
         config.name = variable_set("RELAY_NAME")?.unwrap_or(config.name);
         Ok(config)
     }
@@ -174,13 +174,13 @@
         let text =
             std::fs::read_to_string(&path).map_err(|e| format!("RELAY_CONFIG: {path}: {e}"))?;
         let mut config = Config::from_json(&text).map_err(|e| e.to_string())?;
-        config.keys = Keys::of(&text);
+        config.keys = ConfigKeys::of(&text);
         Ok(config)
     }
 
     /// Reads the file alone, in place of one that was read before. It is newer than the variables, which stay as they
     /// were. A key that the former one had must be there: a file that lacks one was not written to its end.
-    pub(super) fn read_again(former: &Keys) -> Result<Self, String> {
+    pub(super) fn reload(former: &ConfigKeys) -> Result<Self, String> {
         let config = Config::read()?;
         match config.keys.lacks(former) {
             Some(field) => Err(format!(
@@ -191,15 +191,15 @@
     }
 
     /// Reads the file's text.
-    pub fn from_json(text: &str) -> Result<Self, Problem> {
+    pub fn from_json(text: &str) -> Result<Self, ConfigError> {
         let mut reader = serde_json::Deserializer::from_str(text);
         let config: Config = serde_path_to_error::deserialize(&mut reader).map_err(|e| {
             let (line, column) = (e.inner().line(), e.inner().column());
-            Problem::at(e.path().to_string(), line, column, e.inner())
+            ConfigError::at(e.path().to_string(), line, column, e.inner())
         })?;
         reader
             .end()
-            .map_err(|e| Problem::at(".".into(), e.line(), e.column(), &e))?;
+            .map_err(|e| ConfigError::at(".".into(), e.line(), e.column(), &e))?;
         let mut names = std::collections::BTreeSet::new();
         if let Some(at) = config
             .settings
@@ -210,7 +210,7 @@
             let field = format!("settings.services[{at}].name");
             let (line, column) = place(text, &field);
             let problem = "another class has this name".to_string();
-            return Err(Problem {
+            return Err(ConfigError {
                 field,
                 line,
                 column,
@@ -220,7 +220,7 @@
         config.settings.settings.validate().map_err(|e| {
             let field = format!("settings.{}", written_name(&e.field));
             let (line, column) = place(text, &field);
-            Problem {
+            ConfigError {
                 field,
                 line,
                 column,
@@ -252,7 +252,7 @@
 
 /// Why a configuration makes no sense, and where.
 #[derive(Debug, Serialize)]
-pub struct Problem {
+pub struct ConfigError {
     /// The field at fault, from the top of the file; `.` for the whole of it.
     pub field: String,
     /// Its line, counted from 1, or that where reading stopped.
@@ -263,7 +263,7 @@
     pub problem: String,
 }
 
-impl Problem {
+impl ConfigError {
     fn at(field: String, line: usize, column: usize, problem: &serde_json::Error) -> Self {
         let problem = problem.to_string().replace(['\n', '\r'], " ");
         // The place is told apart from the words.
@@ -272,7 +272,7 @@
             .next()
             .unwrap_or_default()
             .to_string();
-        Problem {
+        ConfigError {
             field,
             line,
             column,
@@ -281,9 +281,9 @@
     }
 }
 
-impl fmt::Display for Problem {
+impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Problem {
+        let ConfigError {
             field,
             line,
             column,
@@ -337,7 +337,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::{Config, Keys, place};
+    use super::{Config, ConfigKeys, place};
 
     const SOUND: &str = include_str!("../../../examples/operations/config.json");
 
@@ -353,8 +353,8 @@
 
     #[test]
     fn a_key_that_the_former_file_had_is_missed_and_named() {
-        let former = Keys::of(SOUND);
-        assert_eq!(Keys::of(SOUND).lacks(&former), None);
+        let former = ConfigKeys::of(SOUND);
+        assert_eq!(ConfigKeys::of(SOUND).lacks(&former), None);
         for (key, field) in [
             ("seed", "seed"),
             ("settings", "settings"),
@@ -364,14 +364,17 @@
             ("give_up", "settings.services[0].give_up"),
         ] {
             let present = SOUND.replacen(&format!("\"{key}\""), "\"other\"", 1);
-            assert_eq!(Keys::of(&present).lacks(&former).as_deref(), Some(field));
+            assert_eq!(
+                ConfigKeys::of(&present).lacks(&former).as_deref(),
+                Some(field)
+            );
         }
         // What only some of the former had, and what need not be told.
         let present =
             SOUND
                 .replacen("\"key_scope\"", "\"other\"", 1)
                 .replacen("\"known\"", "\"other\"", 1);
-        assert_eq!(Keys::of(&present).lacks(&former), None);
+        assert_eq!(ConfigKeys::of(&present).lacks(&former), None);
     }
 
     #[test]
--- a/crates/sidecar/src/config_keys_tests.rs
+++ b/crates/sidecar/src/config_keys_tests.rs
@@ -1,7 +1,7 @@
 //! The platform's configuration with every key there is, as literal JSON: what it is read as, and what is told of each
 //! key that is misspelled, in the first file of a process and in one that is read again.
 
-use super::{Config, Keys};
+use super::{Config, ConfigKeys};
 use madderloom_balancer::settings::Site;
 use serde_json::Value;
 
@@ -449,13 +449,17 @@
     keys.sort_unstable();
     listed.sort_unstable();
     assert_eq!(keys, listed);
-    let former = Keys::of(EVERY_KEY);
+    let former = ConfigKeys::of(EVERY_KEY);
     for Misspelled { key, first, again } in MISSPELLED {
         let text = misspelled(key);
         let problem = Config::from_json(&text)
             .err()
             .map(|problem| problem.to_string());
         assert_eq!(problem.as_deref(), first, "{key}");
-        assert_eq!(Keys::of(&text).lacks(&former).as_deref(), again, "{key}");
+        assert_eq!(
+            ConfigKeys::of(&text).lacks(&former).as_deref(),
+            again,
+            "{key}"
+        );
     }
 }
--- a/crates/sidecar/src/connections.rs
+++ b/crates/sidecar/src/connections.rs
@@ -5,8 +5,8 @@
 //! and some 80 bytes: no task, no buffer, no timer of its own. All of a pool may be idle for equally long, so the order
 //! in which they were put by is that in which they grow too old.
 
-use super::common::Common;
 use super::limits::{Held, Member};
+use super::process_state::ProcessState;
 use super::readiness::is_quiet;
 use foldhash::quality::FixedState;
 use madderloom_balancer::{Micros, ServerId};
@@ -182,7 +182,7 @@
     heard: RefCell<HashMap<ServerId, Micros, FixedState>>,
     /// When one last broke.
     broke: Cell<Option<Micros>>,
-    common: Rc<Common>,
+    process: Rc<ProcessState>,
     /// What this pool may have open.
     pub(super) seats: Member,
     idle_for: Cell<Micros>,
@@ -193,7 +193,7 @@
 
 impl Connections {
     pub(super) fn new(
-        common: &Rc<Common>,
+        process: &Rc<ProcessState>,
         seats: Member,
         idle: Micros,
         connect_timeout: Micros,
@@ -203,7 +203,7 @@
             servers: RefCell::default(),
             heard: RefCell::default(),
             broke: Cell::new(None),
-            common: Rc::clone(common),
+            process: Rc::clone(process),
             seats,
             idle_for: Cell::new(stays_for(idle)),
             connect_timeout: Cell::new(connect_timeout),
@@ -233,7 +233,7 @@
     /// Costs little more however many are idle: they lie in the order in which they were put by, so what is too old
     /// is at the front, and what is still to be seen quiet at the back.
     fn take_idle(&self, server: ServerId) -> Option<Lease> {
-        let now = self.common.clock.now();
+        let now = self.process.clock.now();
         let waiting = &mut *self.waiting.borrow_mut();
         let of_server = waiting.by_server.get_mut(&server)?;
         let is_old = |idle: &Idle| now.saturating_sub(idle.since) >= self.idle_for.get();
@@ -262,13 +262,17 @@
             .map_err(|_| NoConnection::Failed)?;
         let (seat, place) = self.seat(&of_server).ok_or(NoConnection::Exhausted)?;
         let came = self
-            .common
-            .within(self.connect_timeout.get(), self.common.connect(address))
+            .process
+            .timeout(self.connect_timeout.get(), self.process.connect(address))
             .await;
-        super::trail::opened(self.common.clock.now(), server, matches!(came, Some(Ok(_))));
+        super::event_log::opened(
+            self.process.clock.now(),
+            server,
+            matches!(came, Some(Ok(_))),
+        );
         let stream = match came {
             Some(Ok(stream)) => stream,
-            None if self.common.is_exhausted() => {
+            None if self.process.descriptors_exhausted() => {
                 tracing::warn!(%server, "no descriptor or no memory for a connection to {address}");
                 return Err(NoConnection::Exhausted);
             }
@@ -307,7 +311,7 @@
         }
         let seat = self.seats.take(1).ok().or_else(|| {
             if !self.drop_oldest() {
-                self.common.return_borrowed();
+                self.process.reclaim_server_connection();
             }
             self.seats.take(1).ok()
         })?;
@@ -320,14 +324,14 @@
         lease.used = true;
         self.waiting
             .borrow_mut()
-            .put(lease, self.common.clock.now());
+            .put(lease, self.process.clock.now());
     }
 
     /// An answer has come from there.
     pub(super) fn heard(&self, server: ServerId) {
         self.heard
             .borrow_mut()
-            .insert(server, self.common.clock.now());
+            .insert(server, self.process.clock.now());
     }
 
     /// Nothing came for a flow that was sent then. If nothing has come from there at all since, the machine may
@@ -346,13 +350,13 @@
 
     /// A connection broke under a request. For a while others are held to break as well.
     pub(super) fn broke(&self) {
-        self.broke.set(Some(self.common.clock.now()));
+        self.broke.set(Some(self.process.clock.now()));
     }
 
     pub(super) fn are_breaking(&self) -> bool {
         self.broke
             .get()
-            .is_some_and(|at| self.common.clock.now().saturating_sub(at) < BREAKING)
+            .is_some_and(|at| self.process.clock.now().saturating_sub(at) < BREAKING)
     }
 
     /// Drops what lies idle for a server that gets nothing new any more.
@@ -363,7 +367,7 @@
 
     /// Drops what has been idle for too long, some of it: true where more is left.
     pub(super) fn drop_old(&self) -> bool {
-        let now = self.common.clock.now();
+        let now = self.process.clock.now();
         let old = |since: Micros| now.saturating_sub(since) >= self.idle_for.get();
         let mut waiting = self.waiting.borrow_mut();
         for _ in 0..AT_ONCE {
@@ -378,7 +382,7 @@
     /// Drops of a bounded number of idle connections what the other side has closed, and forgets servers that nobody
     /// asks for. To be called once a second.
     pub(super) fn sweep(&self) {
-        let now = self.common.clock.now();
+        let now = self.process.clock.now();
         let old = |since: Micros| now.saturating_sub(since) >= self.idle_for.get();
         let mut waiting = self.waiting.borrow_mut();
         waiting.look();
--- a/crates/sidecar/src/second_address.rs
+++ b/crates/sidecar/src/control_address.rs
@@ -2,8 +2,8 @@
 //! closed. Its callers have descriptors of their own, and none waits for another: where too many hold a connection
 //! without a whole call, the one that has done so for longest goes.
 
-use super::common::Common;
 use super::drain;
+use super::process_state::ProcessState;
 use madderloom_admin::call::{self, Call, Fault};
 use madderloom_admin::figures::{Ended, Figures};
 use madderloom_balancer::{Micros, ServerState};
@@ -17,11 +17,11 @@
 use tokio::task::AbortHandle;
 
 /// Callers that are there at once.
-pub(super) const CALLERS: usize = 24;
+pub(super) const MAX_CALLERS: usize = 24;
 /// The descriptors that are set aside for it: its callers, one that is being taken, and its listening socket.
-pub(super) const DESCRIPTORS: usize = CALLERS + 2;
+pub(super) const RESERVED_DESCRIPTORS: usize = MAX_CALLERS + 2;
 /// A caller may take this long to say what it wants.
-pub(super) const CALL_WITHIN: Micros = 5_000_000;
+pub(super) const CALL_TIMEOUT: Micros = 5_000_000;
 /// And this long to take the answer, and to end its side then.
 const TAKEN_WITHIN: Micros = 1_000_000;
 /// Before a caller is taken again where there was no descriptor.
@@ -33,7 +33,7 @@
 }
 
 /// Answers callers for as long as the process lives.
-pub(super) async fn serve(common: Rc<Common>, socket: TcpListener) {
+pub(super) async fn serve(process: Rc<ProcessState>, socket: TcpListener) {
     let mut callers: VecDeque<AbortHandle> = VecDeque::new();
     loop {
         let stream = match socket.accept().await {
@@ -41,34 +41,34 @@
             Err(problem) => {
                 tracing::warn!("at the second address no caller can be taken: {problem}");
                 if super::connections::is_exhausted(&problem) {
-                    common.drop_oldest();
+                    process.close_oldest_server_connection();
                 }
                 tokio::time::sleep(AGAIN).await;
                 continue;
             }
         };
         callers.retain(|caller| !caller.is_finished());
-        if callers.len() >= CALLERS
+        if callers.len() >= MAX_CALLERS
             && let Some(oldest) = callers.pop_front()
         {
             oldest.abort();
         }
-        let common = Rc::clone(&common);
+        let process = Rc::clone(&process);
         let caller = watchdog::spawn(TaskKind::ControlConnection, async move {
-            answer(&common, stream).await
+            answer(&process, stream).await
         });
         callers.push_back(caller.abort_handle());
     }
 }
 
 /// One caller, from its line to its end. It may have gone at any time, and that is its own affair.
-async fn answer(common: &Rc<Common>, mut stream: TcpStream) {
-    let asked = common
-        .within(CALL_WITHIN, line(&mut stream))
+async fn answer(process: &Rc<ProcessState>, mut stream: TcpStream) {
+    let asked = process
+        .timeout(CALL_TIMEOUT, line(&mut stream))
         .await
         .unwrap_or(Err(Fault::Cut));
     let text = match asked {
-        Ok(call) => carry_out(common, call),
+        Ok(call) => carry_out(process, call),
         Err(fault) => format!("fail {fault}\n"),
     };
     let told = async {
@@ -84,7 +84,7 @@
         }
         Ok::<_, std::io::Error>(())
     };
-    let _ = common.within(TAKEN_WITHIN, told).await;
+    let _ = process.timeout(TAKEN_WITHIN, told).await;
 }
 
 /// Reads a call.
@@ -102,37 +102,37 @@
     }
 }
 
-fn carry_out(common: &Rc<Common>, call: Call) -> String {
+fn carry_out(process: &Rc<ProcessState>, call: Call) -> String {
     match call {
-        Call::Ping if common.can_serve() => "ok\n".to_string(),
+        Call::Ping if process.can_serve() => "ok\n".to_string(),
         Call::Ping => "fail no server is known yet\n".to_string(),
-        Call::Info => figures(common).to_string(),
-        Call::LameDuck | Call::Rejoin if common.is_stopping() => {
+        Call::Info => figures(process).to_string(),
+        Call::LameDuck | Call::Rejoin if process.is_stopping() => {
             "fail the process is stopping\n".to_string()
         }
         Call::LameDuck => {
-            drain::begin(common);
+            drain::begin(process);
             "ok\n".to_string()
         }
         Call::Rejoin => {
-            drain::end(common);
+            drain::end(process);
             "ok\n".to_string()
         }
     }
 }
 
 /// What the process reports, over all its services.
-fn figures(common: &Common) -> Figures {
+fn figures(process: &ProcessState) -> Figures {
     let turns = watchdog::counts();
     let mut all = Figures {
         busy_turns: turns.busy,
         stalled_turns: turns.stalled,
-        cfg_accepted: common.files_taken.get(),
-        cfg_invalid: common.files_refused.get(),
+        cfg_accepted: process.configs_accepted.get(),
+        cfg_invalid: process.configs_rejected.get(),
         ..Figures::default()
     };
     let mut operations = BTreeMap::<String, Ended>::new();
-    for service in common.services.borrow().iter() {
+    for service in process.services.borrow().iter() {
         for (name, ended) in service.counts.operations() {
             *operations.entry(name).or_default() += ended;
         }
--- a/crates/sidecar/src/discovery_watch.rs
+++ b/crates/sidecar/src/discovery_watch.rs
@@ -36,33 +36,33 @@
 /// do with those of the former, so it is asked from the beginning.
 pub(super) fn turn_to(service: &Rc<Service>, discovery: SocketAddr) {
     let former = service.pool.follow(discovery);
-    let of = &service.label;
+    let of = &service.log_prefix;
     tracing::info!(%discovery, "{of}configuration read again: discovery is at {discovery}");
     if former != Some(discovery) {
         service.pool.calls.end_all();
         service.pool.forget_version();
-        service.common.shared_lists.forget(&service.name);
+        service.process.shared_lists.forget(&service.name);
         open_watch(service, true);
     }
 }
 
 /// Opens the watch, in place of one that is open, as the module says. One that the fleet called for meanwhile stays.
 pub(super) fn subscribe(service: &Rc<Service>) {
-    if !(service.pool.is_called() && service.common.shared_lists.shares(&service.name)) {
+    if !(service.pool.is_called() && service.process.shared_lists.shares(&service.name)) {
         open_watch(service, true);
     }
 }
 
 /// Calls discovery now, for all of the fleet, where this instance does not watch it already.
 pub(super) fn call_for_all(service: &Rc<Service>) {
-    if !service.pool.is_called() && !service.is_leaving() {
+    if !service.pool.is_called() && !service.is_draining() {
         open_watch(service, false);
     }
 }
 
 /// Ends the watch, since enough others of the fleet watch: discovery is called again when what they tell is too old.
 pub(super) fn rest(service: &Rc<Service>) {
-    if service.pool.is_called() && !service.is_leaving() {
+    if service.pool.is_called() && !service.is_draining() {
         open_watch(service, true);
     }
 }
@@ -79,26 +79,26 @@
             wait_to_call(&own).await;
         }
         own.pool.set_called(true);
-        let mut call = Call::begin(id, own.common.clock.now());
+        let mut call = Call::begin(id, own.process.clock.now());
         let Err(problem) = follow(&own, discovery, &mut call).await;
         call_ended(&own, discovery, &call, &problem);
     });
     service.pool.set_called(false);
-    service.common.shared_lists.ended(&service.name);
+    service.process.shared_lists.ended(&service.name);
     service.pool.calls.begin(id, task.abort_handle());
 }
 
 /// Whoever is told by its fleet spares discovery the call.
 async fn wait_to_call(service: &Service) {
-    let ask_within = service.tuned().site.settings.rules.ask_within;
+    let ask_within = service.active_settings().site.settings.rules.ask_within;
     // Without any server a request may be waiting for the list.
     let first = if service.pool.is_known() {
-        first_discovery_wait(service.common.clock.up(), ask_within)
+        first_discovery_wait(service.process.clock.uptime(), ask_within)
     } else {
         0
     };
     service
-        .common
+        .process
         .shared_lists
         .wait_to_call(&service.name, ask_within, first)
         .await;
@@ -106,7 +106,7 @@
 
 fn call_ended(service: &Rc<Service>, discovery: SocketAddr, call: &Call, problem: &str) {
     service.pool.calls.ended(call.id);
-    let now = service.common.clock.now();
+    let now = service.process.clock.now();
     log_failure(service, discovery, problem, call.began, now);
     if !call.fell_silent {
         not_called(service);
@@ -126,8 +126,8 @@
     call.fell_silent = true;
     service.pool.calls.fell_silent(call.id);
     not_called(service);
-    let now = service.common.clock.now();
-    let of = &service.label;
+    let now = service.process.clock.now();
+    let of = &service.log_prefix;
     let lasted_ms = now.saturating_sub(call.began) / MILLISECOND;
     tracing::info!(
         lasted_ms,
@@ -147,7 +147,7 @@
 /// No call of this instance is held to be answered.
 fn not_called(service: &Service) {
     service.pool.set_called(false);
-    service.common.shared_lists.ended(&service.name);
+    service.process.shared_lists.ended(&service.name);
 }
 
 /// Says what ended a call or its watch, how long that lasted, and how old the list is that is still in use.
@@ -158,7 +158,7 @@
     began: Micros,
     now: Micros,
 ) {
-    let of = &service.label;
+    let of = &service.log_prefix;
     let lasted_ms = now.saturating_sub(began) / MILLISECOND;
     let list_age_ms = service.pool.age(now).unwrap_or(0) / MILLISECOND;
     tracing::warn!(
@@ -171,14 +171,14 @@
 
 /// Says when discovery is called next.
 pub(super) fn log_next_call(service: &Service, now: Micros, at: Micros) {
-    let of = &service.label;
+    let of = &service.log_prefix;
     let due_ms = at.saturating_sub(now) / MILLISECOND;
     tracing::info!(due_ms, "{of}next call to discovery in {due_ms} ms");
 }
 
 /// Says that the first list of a call has come.
 fn log_first_list(service: &Service, began: Micros, now: Micros) {
-    let of = &service.label;
+    let of = &service.log_prefix;
     let version = service.pool.version();
     let servers = service.pool.count();
     let lasted_ms = now.saturating_sub(began) / MILLISECOND;
@@ -250,11 +250,11 @@
     call: &mut Call,
 ) -> Result<Infallible, String> {
     let pool = &service.pool;
-    let stream = timeout(CONNECTS, service.common.connect(discovery))
+    let stream = timeout(CONNECTS, service.process.connect(discovery))
         .await
         .map_err(no_word)?;
     let stream = stream.map_err(|e| e.to_string())?;
-    call.asked = service.common.clock.now();
+    call.asked = service.process.clock.now();
     call.state = CallState::Waiting;
     let made = http1::handshake(TokioIo::new(stream)).await;
     let (mut sender, connection) = made.map_err(|e| e.to_string())?;
@@ -315,7 +315,7 @@
         let frame = frame
             .ok_or("the watch has ended")?
             .map_err(|e| e.to_string())?;
-        let now = service.common.clock.now();
+        let now = service.process.clock.now();
         let was_within = reader.is_within();
         reader.push(frame.data_ref().map_or(&[], |d| d.as_ref()));
         while let Some(object) = reader.next()? {
@@ -333,7 +333,7 @@
         }
         if !reader.is_within() {
             // Where a list is on its way, something has changed.
-            service.common.shared_lists.beat(&service.name);
+            service.process.shared_lists.beat(&service.name);
         }
     }
 }
@@ -345,8 +345,8 @@
     if listing.len() > SERVERS {
         return Err(format!("lists {} servers", listing.len()));
     }
-    let ask_within = service.tuned().site.settings.rules.ask_within;
-    let shared = &service.common.shared_lists;
+    let ask_within = service.active_settings().site.settings.rules.ask_within;
+    let shared = &service.process.shared_lists;
     if listing.is_whole() && !shared.allows(&service.name, listing.version(), ask_within) {
         return Err(format!(
             "lists version {}, which is older than the fleet's",
--- a/crates/sidecar/src/exchange.rs
+++ b/crates/sidecar/src/exchange.rs
@@ -13,7 +13,7 @@
 //! | neither | with the connection |
 //! | 1xx but for 101 | it is passed over; the answer is yet to come |
 
-use super::BODY;
+use super::MAX_BUFFERED_BODY_BYTES;
 use super::flow::HOP;
 use super::readiness::{Unblocked, is_quiet, unblocked};
 use bytes::{Buf, Bytes, BytesMut};
@@ -417,7 +417,7 @@
         let mut patience = std::pin::pin!(patience);
         let mut unwrapper = Unwrapper::new(head.framing);
         let mut body = BytesMut::new();
-        if matches!(head.framing, Framing::Length(length) if length > BODY) {
+        if matches!(head.framing, Framing::Length(length) if length > MAX_BUFFERED_BODY_BYTES) {
             return Ok(Taken::Long {
                 first: Bytes::new(),
                 unwrapper,
@@ -431,7 +431,7 @@
             if unwrapper.is_over() {
                 return Ok(Taken::Whole(self.end(head, body.freeze())));
             }
-            if body.len() > BODY || (impatient && !body.is_empty()) {
+            if body.len() > MAX_BUFFERED_BODY_BYTES || (impatient && !body.is_empty()) {
                 return Ok(Taken::Long {
                     first: body.freeze(),
                     unwrapper,
@@ -493,7 +493,7 @@
         // No room is made before there is something for it.
         poll_fn(|context| stream.poll_read_ready(context)).await?;
         let there = self.unread.len();
-        let room = there + wanted.clamp(READ, BODY);
+        let room = there + wanted.clamp(READ, MAX_BUFFERED_BODY_BYTES);
         let unread = &mut self.unread;
         poll_fn(|context| {
             // Without unsafe code the room must be zeroed before it is read into.
--- a/crates/sidecar/src/flow.rs
+++ b/crates/sidecar/src/flow.rs
@@ -116,14 +116,14 @@
     /// connection came up. It is not written then: nothing has run, and its client can be told so. The time of a body that
     /// is passed on begins with its last byte.
     fn is_out_of_time(&self, onward: &Onward) -> bool {
-        onward.body.passing().is_none() && self.service.common.clock.now() >= self.timeout_at
+        onward.body.passing().is_none() && self.service.process.clock.now() >= self.timeout_at
     }
 
     fn close(&mut self, outcome: Outcome) {
         if std::mem::replace(&mut self.closed, true) {
             return;
         }
-        let now = self.service.common.clock.now();
+        let now = self.service.process.clock.now();
         // What is served goes to the client: the transaction is over with it.
         if outcome == Outcome::Ok {
             self.over.set(true);
@@ -142,7 +142,7 @@
             cost: self.cost,
             sent: self.sent.get(),
         };
-        self.service.attempt_ended(now, &ended);
+        self.service.record_attempt_end(now, &ended);
         self.service.handle(now, Event::Closed(closed));
     }
 }
@@ -170,7 +170,7 @@
             });
         }
         // What the disk took is no server's time.
-        attempt.sent.set(attempt.service.common.clock.now());
+        attempt.sent.set(attempt.service.process.clock.now());
     }
     let (outcome, answer) = {
         let progress = Progress::default();
@@ -198,9 +198,9 @@
     onward: &Onward,
     exchange: impl Future<Output = T>,
 ) -> Option<T> {
-    let common = &attempt.service.common;
+    let process = &attempt.service.process;
     let Some(passing) = onward.body.passing() else {
-        return common.until(attempt.timeout_at, exchange).await;
+        return process.timeout_at(attempt.timeout_at, exchange).await;
     };
     let wait = attempt.timeout_at.saturating_sub(attempt.sent.get());
     let mut exchange = pin!(exchange);
@@ -212,7 +212,7 @@
         let Some(whole) = passing.whole.get() else {
             return Poll::Pending;
         };
-        let alarm = alarm.get_or_insert_with(|| common.alarm(whole.saturating_add(wait)));
+        let alarm = alarm.get_or_insert_with(|| process.sleep_until(whole.saturating_add(wait)));
         Pin::new(alarm).poll(context).map(|()| None)
     })
     .await
@@ -233,7 +233,7 @@
         return (Outcome::Moot, None);
     }
     // What this fleet may send to the server is spent: nothing was sent, and the module may choose another.
-    let limits = &service.common.fleet_limits;
+    let limits = &service.process.fleet_limits;
     let Ok(_open) = limits.admit_at(&service.name, || service.pool.name(attempt.server)) else {
         return (Outcome::Moot, None);
     };
@@ -249,16 +249,21 @@
     let message = message(onward, address, left);
     let (mut lease, mut answer, head) = loop {
         let open = service.connections.take(attempt.server, address);
-        let mut lease = match service.common.before(attempt.write_by, open).await {
+        let mut lease = match service
+            .process
+            .strict_timeout_at(attempt.write_by, open)
+            .await
+        {
             Some(Ok(lease)) => lease,
             Some(Err(NoConnection::Failed)) => return (Outcome::ConnectFailed, None),
             // Or its idempotency window ends: servers that have forgotten the first attempt would run this one.
             Some(Err(NoConnection::Exhausted)) | None => return (Outcome::Moot, None),
         };
-        if !service
-            .pool
-            .takes_new(attempt.server, address, &service.common.steering.borrow())
-        {
+        if !service.pool.takes_new(
+            attempt.server,
+            address,
+            &service.process.server_overrides.borrow(),
+        ) {
             return (Outcome::Moot, None);
         }
         onward.while_asked_for().await;
@@ -266,9 +271,13 @@
             service.connections.keep(lease);
             return (Outcome::Moot, None);
         }
-        let hold = held.then(|| service.common.alarm_in(HOLD));
+        let hold = held.then(|| service.process.sleep(HOLD));
         let send = exchange::send(&lease.stream, &message, hold, progress);
-        let Some(mut sent) = service.common.before(attempt.write_by, send).await else {
+        let Some(mut sent) = service
+            .process
+            .strict_timeout_at(attempt.write_by, send)
+            .await
+        else {
             if !progress.begun.get() {
                 service.connections.keep(lease);
             }
@@ -313,8 +322,8 @@
     let taken = match answer.body_at_hand(&head) {
         Some(body) => Taken::Whole(body),
         None => {
-            let patience = service.common.alarm_in(PATIENCE);
-            let stalls = || service.common.alarm_in(STALLED);
+            let patience = service.process.sleep(PATIENCE);
+            let stalls = || service.process.sleep(STALLED);
             let rest = answer.beginning(&head, &mut lease.stream, patience, stalls);
             match rest.await {
                 Ok(taken) => taken,
@@ -381,7 +390,7 @@
     let whole = loop {
         let piece = {
             let (mut next, mut speaks) = (
-                pin!(reader.next(&service.common)),
+                pin!(reader.next(&service.process)),
                 pin!(readiness::peer_spoke(stream)),
             );
             poll_fn(|context| match next.as_mut().poll(context) {
@@ -395,7 +404,7 @@
             Ok(Some(data)) => {
                 // Nothing of it is kept, so it can't be sent again.
                 if !passing.spent.replace(true) {
-                    service.handle(service.common.clock.now(), Event::Spent(attempt.request));
+                    service.handle(service.process.clock.now(), Event::Spent(attempt.request));
                 }
                 (if chunked { chunk(&data) } else { data }, false)
             }
@@ -411,8 +420,8 @@
             }
         };
         let written = service
-            .common
-            .within(TAKES_WITHIN, exchange::write_on(stream, &bytes))
+            .process
+            .timeout(TAKES_WITHIN, exchange::write_on(stream, &bytes))
             .await;
         match written.unwrap_or(Err(Broken::Connection)) {
             Ok(true) if last => break true,
@@ -425,7 +434,7 @@
         }
     };
     if whole {
-        let now = service.common.clock.now();
+        let now = service.process.clock.now();
         progress.whole.set(true);
         passing.whole.set(Some(now));
         attempt.sent.set(now);
--- a/crates/sidecar/src/graphql.rs
+++ b/crates/sidecar/src/graphql.rs
@@ -63,7 +63,7 @@
             .map(|id| OpenId::new(service, id))
             .transpose()?;
         let body = if size > 0 {
-            whole(&listener.common, body.take(), manner.body_within).await?
+            whole(&listener.process, body.take(), manner.body_within).await?
         } else {
             Bytes::new()
         };
@@ -167,22 +167,22 @@
         part: Option<usize>,
     ) -> Result<Response<Body>, Fault> {
         let (service, classed) = (self.service, &message.classed);
-        if service.transactions.borrow().len() >= service.tuned().site.max_open {
+        if service.transactions.borrow().len() >= service.active_settings().site.max_open {
             count(&service.class_counts(classed.class).turned_away);
             return Err(Fault::refused(service.retry_after()));
         }
         let _open = service.counts.open();
-        let now = service.common.clock.now();
+        let now = service.process.clock.now();
         let usual = service
-            .tuned()
-            .at(classed.class)
+            .active_settings()
+            .class_at(classed.class)
             .map_or(0, |entry| entry.class.deadline);
         let new = NewRequest {
             id: next_request(service),
             class: classed.class,
             tenant: 0,
             key: classed.key.or_else(|| subject(&headers)),
-            time_left: service.common.time_left(
+            time_left: service.process.cap_time_left(
                 now,
                 self.left
                     .unwrap_or(usual)
--- a/crates/sidecar/src/levels.rs
+++ b/crates/sidecar/src/levels.rs
@@ -50,23 +50,23 @@
 
 /// Gives a service the levels of a file, or none. The level that holds goes on where the file has one of its name.
 pub(super) fn set(service: &Rc<Service>, checked: Option<LevelPlan>) {
-    let now = service.common.clock.now();
-    let mut keeper = service.keeper.borrow_mut();
+    let now = service.process.clock.now();
+    let mut keeper = service.level_controller.borrow_mut();
     let change = match (keeper.as_mut(), checked) {
         (Some(keeper), Some(checked)) => keeper.reconfigure(checked, now),
         (None, Some(checked)) => {
-            let names = service.tuned().site.classes.clone();
-            let mut fresh = LevelController::new(checked, names, service.place, now);
+            let names = service.active_settings().site.classes.clone();
+            let mut fresh = LevelController::new(checked, names, service.spread_position, now);
             for order in kept_orders(service, now) {
                 // The level may be of an older file.
                 if let Err(problem) = fresh.apply_order(order) {
-                    let of = &service.label;
+                    let of = &service.log_prefix;
                     tracing::warn!("{of}an order from before the restart is left out: {problem}");
                 }
             }
             *keeper = Some(fresh);
             let task = watchdog::spawn(TaskKind::Levels, run(Rc::clone(service)));
-            service.keep(task.abort_handle());
+            service.track_task(task.abort_handle());
             None
         }
         (Some(_), None) => {
@@ -80,28 +80,28 @@
 }
 
 async fn run(service: Rc<Service>) {
-    while service.keeper.borrow().is_some() {
+    while service.level_controller.borrow().is_some() {
         tokio::time::sleep(Duration::from_micros(EVALUATION_INTERVAL)).await;
         look(&service);
     }
 }
 
 fn look(service: &Rc<Service>) {
-    let now = service.common.clock.now();
+    let now = service.process.clock.now();
     let numbers = service.allowance.open();
     let part = |used: f64, most: f64| if most > 0.0 { used / most } else { 1.0 };
     let own = part(
         service.transactions.borrow().len() as f64,
-        service.tuned().site.max_open as f64,
+        service.active_settings().site.max_open as f64,
     );
     let outside = ExternalSignals {
-        failing_servers: service.failing(now),
+        failing_servers: service.failing_server_share(now),
         open_requests: Some(part(numbers.used as f64, numbers.part.most as f64).max(own)),
-        cpu: service.common.processor.share(now),
+        cpu: service.process.processor.share(now),
         list_age: service.list_age(now),
     };
     let change = service
-        .keeper
+        .level_controller
         .borrow_mut()
         .as_mut()
         .and_then(|keeper| keeper.evaluate(now, &outside));
@@ -113,13 +113,13 @@
 /// Tells the module what to give up from now on, and the log why.
 fn tell(service: &Rc<Service>, change: Option<&LevelChange>) {
     let reduced = service
-        .keeper
+        .level_controller
         .borrow()
         .as_ref()
         .map_or_else(Reduced::default, |k| k.reduced().clone());
-    service.handle(service.common.clock.now(), Event::Level(&reduced));
+    service.handle(service.process.clock.now(), Event::Level(&reduced));
     if let Some(change) = change {
-        let (of, pool) = (&service.label, &service.name);
+        let (of, pool) = (&service.log_prefix, &service.name);
         match change.to {
             Some(_) => tracing::warn!(%pool, "{of}{change}"),
             None => tracing::info!(%pool, "{of}{change}"),
@@ -152,8 +152,8 @@
 
 /// Takes an order of a user with this number. An error says why it is not taken.
 pub(super) fn order(service: &Service, asked: Asked, user: Option<u32>) -> Result<(), String> {
-    let now = service.common.clock.now();
-    let mut keeper = service.keeper.borrow_mut();
+    let now = service.process.clock.now();
+    let mut keeper = service.level_controller.borrow_mut();
     let keeper = keeper
         .as_mut()
         .ok_or_else(|| format!("the file has no levels for {}", service.name))?;
@@ -165,7 +165,7 @@
     } = asked;
     let by: String = by.chars().filter(|c| !c.is_control()).take(NAME).collect();
     let by = user.map_or_else(|| by.clone(), |user| format!("{by} (user {user})"));
-    let (of, pool) = (&service.label, &service.name);
+    let (of, pool) = (&service.log_prefix, &service.name);
     if order == Kind::Clear {
         let what = level.as_ref().map_or_else(
             || "the pin".to_string(),
@@ -205,7 +205,7 @@
 
 /// The orders on a service's level that were written down and have not ended. What can't be read is told and left.
 fn kept_orders(service: &Service, now: Micros) -> Vec<OperatorOrder> {
-    let Some(state) = service.common.state_writer.get() else {
+    let Some(state) = service.process.state_writer.get() else {
         return Vec::new();
     };
     let read = state
@@ -218,7 +218,7 @@
         .unwrap_or_else(|problem| {
             tracing::warn!(
                 "{}orders from before the restart can't be read: {problem}",
-                service.label
+                service.log_prefix
             );
             None
         })
@@ -230,11 +230,11 @@
 
 /// Writes a pool's orders down, where the file has a `[state]`.
 pub(super) async fn keep_orders(service: &Service) -> Result<(), String> {
-    let Some(state) = service.common.state_writer.get() else {
+    let Some(state) = service.process.state_writer.get() else {
         return Ok(());
     };
     let orders = service
-        .keeper
+        .level_controller
         .borrow()
         .as_ref()
         .map_or_else(Vec::new, |k| k.levels().orders().to_vec());
@@ -260,7 +260,7 @@
 
 /// What there is to see of a pool's levels; null where it has none.
 pub(super) fn view(service: &Service, now: Micros) -> Value {
-    let keeper = service.keeper.borrow();
+    let keeper = service.level_controller.borrow();
     let Some(keeper) = keeper.as_ref() else {
         return Value::Null;
     };
@@ -285,6 +285,6 @@
         "orders": orders.collect::<Value>(),
         "signals": signals.collect::<serde_json::Map<_, _>>(),
         "changes_in_ten_minutes": keeper.max_changes_in_ten_minutes(),
-        "given_up": service.given_up(),
+        "given_up": service.shed_requests(),
     })
 }
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -1,23 +1,24 @@
 //! The real sidecar: sockets around the decision module. Nothing is decided here but what malformed
 //! input and hard limits leave no choice in.
 //!
-//! One thread. What belongs to the process is in `common`, what belongs to a listener in `listener`, and what belongs
+//! One thread. What belongs to the process is in `process`, what belongs to a listener in `listener`, and what belongs
 //! to one pool of servers in `service`: its instance of the decision module, its list, its connections, its timers
 //! and its open requests. Every task holds the service that it works for and hands it events; the actions that come
 //! back are dispatched there, to the transaction, the pool, the probes or the timers they name.
 
+mod active_settings;
 pub mod admin;
 mod agent_link;
-mod alarms;
 mod client;
 mod clock;
-mod common;
 mod config;
 mod connections;
+mod control_address;
 mod counts;
 mod discovery_calls;
 mod discovery_watch;
 mod drain;
+mod event_log;
 mod exchange;
 mod feed;
 mod fleet_limits;
@@ -39,6 +40,7 @@
 mod pool;
 mod probe;
 mod process;
+mod process_state;
 #[cfg(test)]
 mod promises;
 mod readiness;
@@ -46,33 +48,31 @@
 mod readiness_tests;
 mod reload;
 mod routing;
-mod second_address;
 mod service;
 mod shared_lists;
 mod state_writer;
 mod teller;
-mod trail;
+mod timers;
 mod transaction;
-mod tuned;
 mod turns;
 mod upload;
 mod view;
 mod virtual_server;
 mod warm_start;
 
-pub use config::{Config, Limits, Problem};
+pub use config::{Config, ConfigError, Limits};
 pub use process::Sidecar;
 
 /// An answer of up to this much is taken whole before any of it is passed on, so that one that breaks off can be asked
 /// for elsewhere. So is a GraphQL message.
-const BODY: usize = 64 << 10;
+const MAX_BUFFERED_BODY_BYTES: usize = 64 << 10;
 /// The longest body of a request, where no operator file says otherwise.
-const LONGEST_BODY: usize = 256 << 20;
+const DEFAULT_MAX_BODY_BYTES: usize = 256 << 20;
 
 // Where the answer to what may overlap is that one thread serves and decides, the compiler is asked.
 #[cfg(test)]
 static_assertions::assert_not_impl_any!(service::Service: Send, Sync);
 #[cfg(test)]
-static_assertions::assert_not_impl_any!(common::Common: Send, Sync);
+static_assertions::assert_not_impl_any!(process_state::ProcessState: Send, Sync);
 #[cfg(test)]
 static_assertions::assert_not_impl_any!(process::Sidecar: Send, Sync);
--- a/crates/sidecar/src/listener.rs
+++ b/crates/sidecar/src/listener.rs
@@ -1,12 +1,12 @@
 //! A listener: where clients connect, and the connections that they have there.
 
 use super::client::{self, Clients, YOUNG};
-use super::common::Common;
 use super::connections::is_exhausted;
 use super::counts::Counts;
 use super::limits::{Allowance, Member};
+use super::process_state::ProcessState;
 use super::routing::Routing;
-use super::service::{Parts, Service};
+use super::service::{ResourceShares, Service};
 use super::turns::{self, Account, Charged, InTurn};
 use madderloom_balancer::Micros;
 use madderloom_operator_config::MemberLimits;
@@ -55,8 +55,8 @@
             head_within: 2_600_000,
             idle_within: 2_000_000,
             body_within: 900_000,
-            body_size: super::LONGEST_BODY,
-            message_size: super::BODY,
+            body_size: super::DEFAULT_MAX_BODY_BYTES,
+            message_size: super::MAX_BUFFERED_BODY_BYTES,
             drains: false,
         }
     }
@@ -73,7 +73,7 @@
 /// One listener.
 pub(super) struct Listener {
     pub(super) name: RefCell<String>,
-    pub(super) common: Rc<Common>,
+    pub(super) process: Rc<ProcessState>,
     /// Where it was told to listen, and where it does.
     pub(super) wanted: SocketAddr,
     pub(super) address: SocketAddr,
@@ -109,7 +109,7 @@
 }
 
 /// A crowd is half of what a listener may hold; without a file, the process's own count alone tells.
-fn crowd(limits: Option<MemberLimits>, parts: Parts) -> usize {
+fn crowd(limits: Option<MemberLimits>, parts: ResourceShares) -> usize {
     let half = usize::try_from(parts.connections.most / 2).unwrap_or(usize::MAX);
     limits.map_or(usize::MAX, |_| half.max(1))
 }
@@ -117,7 +117,7 @@
 impl Listener {
     /// A listener at work. To be called in a local set. Without limits it has all that there is.
     pub(super) fn start(
-        common: &Rc<Common>,
+        process: &Rc<ProcessState>,
         name: &str,
         Socket {
             wanted,
@@ -125,25 +125,25 @@
             shared,
         }: Socket,
         (manner, routing): (Manner, Routing),
-        (limits, parts): (Option<MemberLimits>, Parts),
+        (limits, parts): (Option<MemberLimits>, ResourceShares),
     ) -> Rc<Self> {
         // A socket that is bound knows where.
         let address = socket.local_addr().unwrap_or(wanted);
-        let bounds = &common.bounds;
+        let bounds = &process.shared_limits;
         let listener = Rc::new(Listener {
-            common: Rc::clone(common),
+            process: Rc::clone(process),
             wanted,
             address,
             shared,
             manner: Cell::new(manner),
             routing: RefCell::new(Rc::new(routing)),
-            seats: bounds.clients.join(parts.connections),
+            seats: bounds.client_connections.join(parts.connections),
             allowance: Allowance::new(
-                bounds.open_by_listener.join(parts.open),
-                bounds.bodies_by_listener.join(parts.bodies),
+                bounds.requests_by_listener.join(parts.requests),
+                bounds.body_bytes_by_listener.join(parts.body_bytes),
                 limits.and_then(|l| l.rate),
             ),
-            account: common.account(limits.map_or(1, |l| l.weight)),
+            account: process.account(limits.map_or(1, |l| l.weight)),
             many: Cell::new(crowd(limits, parts)),
             clients: Clients::default(),
             counts: Counts::default(),
@@ -152,7 +152,7 @@
             freed: Notify::new(),
             name: RefCell::new(name.to_string()),
         });
-        common.listeners.borrow_mut().push(Rc::clone(&listener));
+        process.listeners.borrow_mut().push(Rc::clone(&listener));
         let own = Rc::clone(&listener);
         let of = own.label();
         tracing::info!(at = %address, "{of}listening on {address}");
@@ -167,13 +167,14 @@
         manner: Manner,
         routing: Routing,
         limits: MemberLimits,
-        parts: Parts,
+        parts: ResourceShares,
     ) {
         self.leaving.send_replace(false);
         self.manner.set(manner);
         self.set_routing(routing);
         self.seats.change(parts.connections);
-        self.allowance.change(parts.open, parts.bodies, limits.rate);
+        self.allowance
+            .change(parts.requests, parts.body_bytes, limits.rate);
         self.many.set(crowd(Some(limits), parts));
         if let Some(account) = self.account.as_ref() {
             account.change(limits.weight);
@@ -240,7 +241,7 @@
         };
         let charged = Rc::new(Charged::new(self.account.clone()));
         tokio::select! {
-            () = InTurn::new(&self.common, charged, self.accept_loop(&socket)) => {}
+            () = InTurn::new(&self.process, charged, self.accept_loop(&socket)) => {}
             () = told => {}
         }
         self.closed.set(true);
@@ -256,36 +257,36 @@
         while self.seats.numbers().used > 0 {
             self.freed.notified().await;
         }
-        self.common
+        self.process
             .listeners
             .borrow_mut()
             .retain(|other| !Rc::ptr_eq(other, &self));
-        self.common.ended.notify_one();
+        self.process.listener_ended.notify_one();
     }
 
     /// Takes connections for as long as it is asked to.
     async fn accept_loop(self: &Rc<Self>, socket: &TcpListener) {
         // Until it can serve, the process that it is to replace takes all.
-        while self.shared && !self.common.can_serve() {
-            self.common.alarm_in(AGAIN).await;
+        while self.shared && !self.process.can_serve() {
+            self.process.sleep(AGAIN).await;
         }
         let mut pause = AGAIN;
         loop {
-            self.common.keep_to_memory(2);
+            self.process.enforce_connection_memory(2);
             // A connection that waits in the backlog has been taken as far as its client can tell, so the one that
             // lies idle for longest makes room before there is none.
             let numbers = self.seats.numbers();
             let room = self.seats.room();
             // Of what it may have now: what others hold of the common part is nothing that it could make room in.
             if self.is_crowded() || room <= (numbers.used + room) / 8 {
-                self.clients.make_room(self.common.clock.now());
+                self.clients.make_room(self.process.clock.now());
             }
             let Ok(seat) = self.seats.take(1) else {
                 if numbers.used < numbers.part.most {
-                    self.common.return_borrowed_client();
+                    self.process.reclaim_client_connection();
                 }
                 // With no room, one that was too young to go is old enough a little later.
-                let _ = self.common.within(YOUNG, self.freed.notified()).await;
+                let _ = self.process.timeout(YOUNG, self.freed.notified()).await;
                 continue;
             };
             match socket.accept().await {
@@ -294,7 +295,7 @@
                     let own = Rc::clone(self);
                     let charged = Rc::new(Charged::new(self.account.clone()));
                     let to_charge = Rc::clone(&charged);
-                    let serving = InTurn::new(&self.common, charged, async move {
+                    let serving = InTurn::new(&self.process, charged, async move {
                         client::serve(&own, stream, to_charge).await;
                         drop(seat);
                         own.freed.notify_one();
@@ -304,7 +305,7 @@
                 Err(problem) if is_exhausted(&problem) => {
                     let of = self.label();
                     tracing::warn!("{of}no descriptor for a client: {problem}");
-                    self.common.no_descriptor().await;
+                    self.process.free_descriptor().await;
                 }
                 // The client has gone between its coming and its being taken.
                 Err(problem) if problem.kind() == ErrorKind::ConnectionAborted => {}
@@ -312,7 +313,7 @@
                 Err(problem) => {
                     let of = self.label();
                     tracing::warn!("{of}no client can be taken: {problem}");
-                    self.common.alarm_in(pause).await;
+                    self.process.sleep(pause).await;
                     pause = (2 * pause).min(LONGEST_PAUSE);
                 }
             }
@@ -323,8 +324,9 @@
     /// they are near that, what some keep idle is what others lack: answers then end their connections. Those of
     /// a listener that keeps to what is guaranteed to it lack nothing to others.
     pub(super) fn is_crowded(&self) -> bool {
-        let all =
-            self.common.clients.get() > self.common.many_clients.get() && self.seats.borrows();
+        let all = self.process.client_connections.get()
+            > self.process.client_connections_high_watermark.get()
+            && self.seats.borrows();
         all || self.clients.count() > self.many.get()
     }
 
--- a/crates/sidecar/src/passing.rs
+++ b/crates/sidecar/src/passing.rs
@@ -4,10 +4,10 @@
 //! here at any time. Where the server breaks off, the client's connection ends without the end of the answer.
 
 use super::client::Client;
-use super::common::Common;
 use super::connections::Lease;
 use super::counts::{Counts, count};
 use super::exchange::{Broken, Unwrapper};
+use super::process_state::ProcessState;
 use super::readiness;
 use super::service::Service;
 use bytes::{Bytes, BytesMut};
@@ -51,7 +51,7 @@
     pub(super) counts: Rc<Counts>,
     /// Its client, which is not idle before.
     pub(super) client: Rc<Client>,
-    pub(super) common: Rc<Common>,
+    pub(super) process: Rc<ProcessState>,
     pub(super) _rest: Box<dyn Any>,
 }
 
@@ -114,7 +114,7 @@
 
 impl Drop for HeldByAnswer {
     fn drop(&mut self) {
-        self.client.answered(self.common.clock.now());
+        self.client.answered(self.process.clock.now());
     }
 }
 
--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -504,7 +504,7 @@
     let changes = changes.join(", ");
     let version = listing.index;
     let unnamed = listing.len().saturating_sub(MAX_LOGGED_CHANGES);
-    let of = &service.label;
+    let of = &service.log_prefix;
     tracing::info!(
         version,
         unnamed,
@@ -521,7 +521,7 @@
         .get()
         .filter(|_| listing.endpoints.is_empty());
     let listing = remembered.map_or(listing, |_| {
-        Listing::remembered(service.remembered_servers())
+        Listing::remembered(service.persisted_servers())
     });
     known(service, listing);
 }
@@ -530,7 +530,7 @@
 pub(super) fn known(service: &Rc<Service>, listing: Listing) {
     apply_update(
         service,
-        service.common.clock.now(),
+        service.process.clock.now(),
         Listing {
             snapshot: true,
             ..listing
@@ -562,7 +562,7 @@
         .collect();
     service.connections.clear();
     service.handle(
-        service.common.clock.now(),
+        service.process.clock.now(),
         Event::Members(Members::Full(&listed)),
     );
 }
@@ -588,11 +588,11 @@
             moved(&former.0, zones, listed.zone),
             moved(&former.1, kinds, listed.kind),
         );
-        changes.push(service.common.steering.borrow().of(*listed));
+        changes.push(service.process.server_overrides.borrow().of(*listed));
     }
     changes.sort_unstable_by_key(|listed| listed.server);
     service.handle(
-        service.common.clock.now(),
+        service.process.clock.now(),
         Event::Members(Members::Changes(&changes)),
     );
 }
@@ -603,7 +603,7 @@
     let mut changes: Vec<Listed> = Vec::new();
     for (was, is) in service.pool.members.borrow().values().map(pairs) {
         // A pool that goes may lose servers, and gets none back.
-        if was != is && (is.state == ServerState::Draining || !service.is_leaving()) {
+        if was != is && (is.state == ServerState::Draining || !service.is_draining()) {
             changes.push(is);
         }
     }
@@ -616,7 +616,7 @@
         .filter(|listed| listed.state == ServerState::Draining);
     drained.for_each(|listed| service.connections.forget(listed.server));
     service.handle(
-        service.common.clock.now(),
+        service.process.clock.now(),
         Event::Members(Members::Changes(&changes)),
     );
 }
@@ -632,7 +632,7 @@
     if rows.len() > SERVERS {
         return Err(format!("holds {} servers", rows.len()));
     }
-    if service.pool.discovery.get().is_none() || service.is_leaving() {
+    if service.pool.discovery.get().is_none() || service.is_draining() {
         return Err("the pool follows no discovery any more".to_string());
     }
     let endpoint = |Row(name, address, zone, kind, group, status, weight, since_ms)| Endpoint {
@@ -646,7 +646,7 @@
         since_ms,
     };
     let endpoints = rows.into_iter().map(endpoint).collect();
-    let now = service.common.clock.now();
+    let now = service.process.clock.now();
     apply_update(
         service,
         now,
@@ -670,10 +670,11 @@
         return;
     }
     log_changes(service, &listing);
-    let times = (now, service.common.clock.behind());
-    let (listed, left) = service
-        .pool
-        .take_in(listing, &service.common.steering.borrow(), times);
+    let times = (now, service.process.clock.wall_clock_offset());
+    let (listed, left) =
+        service
+            .pool
+            .take_in(listing, &service.process.server_overrides.borrow(), times);
     left.into_iter()
         .for_each(|server| service.connections.forget(server));
     let members = if full {
@@ -682,7 +683,7 @@
         Members::Changes(&listed)
     };
     service.handle(now, Event::Members(members));
-    service.recall_servers(now);
+    service.restore_server_measurements(now);
 }
 
 #[cfg(test)]
--- a/crates/sidecar/src/probe.rs
+++ b/crates/sidecar/src/probe.rs
@@ -17,8 +17,8 @@
 pub(super) fn start(service: &Rc<Service>, server: ServerId) {
     let own = Rc::clone(service);
     watchdog::spawn(TaskKind::LoadProbe, async move {
-        let report = own.common.within(WAIT, ask(&own, server)).await.flatten();
-        let now = own.common.clock.now();
+        let report = own.process.timeout(WAIT, ask(&own, server)).await.flatten();
+        let now = own.process.clock.now();
         own.handle(now, Event::Probed(server, report));
     });
 }
--- a/crates/sidecar/src/process.rs
+++ b/crates/sidecar/src/process.rs
@@ -2,17 +2,17 @@
 
 use super::admin::AdminServer;
 use super::agent_link::AgentLink;
-use super::alarms;
-use super::common::{Common, Totals};
-use super::config::{Config, Keys, allowed_descriptors};
+use super::config::{Config, ConfigKeys, descriptor_limit};
+use super::control_address;
 use super::feed::FOLLOWERS;
 use super::kept::keep_going;
 use super::listener::{Listener, Manner, Socket, bind};
 use super::ordinal::ordinal_in_name;
+use super::process_state::{ProcessState, ResourceTotals};
 use super::routing::Routing;
-use super::second_address;
-use super::service::{Parts, Service, Spec};
+use super::service::{ResourceShares, Service, ServiceSpec};
 use super::state_writer::StateWriter;
+use super::timers;
 use super::warm_start;
 use madderloom_balancer::Micros;
 use madderloom_operator_config::{Kept, MemberLimits, Operator, PLATFORM};
@@ -42,18 +42,18 @@
 
 /// One sidecar.
 pub struct Sidecar {
-    pub(super) common: Rc<Common>,
+    pub(super) process: Rc<ProcessState>,
     /// What the platform lets it have.
     pub(super) descriptors: usize,
-    pub(super) memory: u64,
+    pub(super) memory_bytes: u64,
     pub(super) seed: u64,
     pub(super) name: String,
     /// What the platform's configuration stands for.
     pub(super) platform: Option<(Rc<Service>, Rc<Listener>)>,
     /// Which keys the platform's configuration had when it was last taken.
-    pub(super) keys: RefCell<Keys>,
+    pub(super) config_keys: RefCell<ConfigKeys>,
     /// Where the operator file is.
-    pub(super) file: Option<PathBuf>,
+    pub(super) operator_file: Option<PathBuf>,
     /// The services of the operator file as it was last read, by their places.
     pub(super) services: RefCell<Vec<Rc<Service>>>,
     pub(super) listeners: RefCell<Vec<Rc<Listener>>>,
@@ -81,24 +81,24 @@
         // Without the platform's word, the file's holds.
         let by_file = config.is_none() && own.is_some_and(|own| own.limits.descriptors.is_some());
         let sockets = if by_file { usize::MAX } else { limits.sockets };
-        let descriptors = sockets.min(allowed_descriptors());
+        let descriptors = sockets.min(descriptor_limit());
         let (descriptors, memory) = config
             .as_ref()
             .map_or((descriptors, memory), |c| own_part(c, descriptors, memory));
-        let totals = totals(descriptors, memory, own, config.is_some());
-        let common = Common::new(totals, operator.is_some());
+        let totals = resource_totals(descriptors, memory, own, config.is_some());
+        let process = ProcessState::new(totals, operator.is_some());
         // Before anything is served: where it cannot be asked, the start fails.
         if let Some(at) = config.as_ref().and_then(|config| config.control) {
-            let socket = second_address::bind(at)?;
+            let socket = control_address::bind(at)?;
             let at = socket.local_addr().unwrap_or(at);
             tracing::info!(%at, "asked on {at}");
-            let serving = second_address::serve(Rc::clone(&common), socket);
+            let serving = control_address::serve(Rc::clone(&process), socket);
             watchdog::spawn(TaskKind::ControlListener, serving);
         }
-        let alarmed = Rc::clone(&common);
+        let alarmed = Rc::clone(&process);
         watchdog::spawn(TaskKind::Timers, async move {
             keep_going(TaskKind::Timers, "timers", || {
-                Some(alarms::run(Rc::clone(&alarmed)))
+                Some(timers::run(Rc::clone(&alarmed)))
             })
             .await;
         });
@@ -108,7 +108,7 @@
             let writer = StateWriter::open(state)
                 .map_err(|problem| format!("{}: {problem}", file.display()))?;
             watchdog::spawn(TaskKind::State, Rc::clone(&writer).process_withdrawals());
-            common.state_writer.get_or_init(|| writer);
+            process.state_writer.get_or_init(|| writer);
         }
         let name = match (&config, own) {
             (_, Some(operator)) if !operator.process.name.is_empty() => {
@@ -122,17 +122,17 @@
             .map(|config| std::mem::take(&mut config.keys))
             .unwrap_or_default();
         let platform = config
-            .map(|config| platform(&common, config, own.is_some(), kept))
+            .map(|config| platform(&process, config, own.is_some(), kept))
             .transpose()?;
         let sidecar = Rc::new(Sidecar {
-            common,
+            process,
             descriptors,
-            memory,
+            memory_bytes: memory,
             seed,
             name,
-            keys: RefCell::new(keys),
+            config_keys: RefCell::new(keys),
             platform,
-            file: operator.as_ref().map(|(file, _)| file.clone()),
+            operator_file: operator.as_ref().map(|(file, _)| file.clone()),
             services: RefCell::default(),
             listeners: RefCell::default(),
             admin: RefCell::default(),
@@ -150,40 +150,40 @@
     /// Serves until `stop` ends, then finishes what was taken.
     pub async fn serve(self: Rc<Self>, stop: impl Future<Output = ()>) -> Result<(), String> {
         self.follow_agent();
-        let common = Rc::clone(&self.common);
+        let process = Rc::clone(&self.process);
         watchdog::spawn(TaskKind::Upkeep, async move {
             keep_going(TaskKind::Upkeep, "upkeep", || {
-                Some(look_after(Rc::clone(&common)))
+                Some(look_after(Rc::clone(&process)))
             })
             .await
         });
-        if let Some(scheduler) = &self.common.scheduler {
+        if let Some(scheduler) = &self.process.scheduler {
             watchdog::spawn(TaskKind::FairQueue, Rc::clone(scheduler).run());
         }
-        let warm = self.common.state_writer.get().map(|writer| {
-            let writing = warm_start::run(Rc::clone(&self.common), Rc::clone(writer));
+        let warm = self.process.state_writer.get().map(|writer| {
+            let writing = warm_start::run(Rc::clone(&self.process), Rc::clone(writer));
             watchdog::spawn(TaskKind::WarmState, writing).abort_handle()
         });
         stop.await;
         tracing::info!("stopping");
-        self.common.duty.borrow_mut().stop();
+        self.process.lifecycle.borrow_mut().stop();
         if let Some((service, _)) = &self.platform {
-            self.common
-                .stops_on_the_platform(service.tuned().longest.as_micros() as Micros);
+            self.process
+                .set_answer_deadline(service.active_settings().max_deadline.as_micros() as Micros);
         }
         self.end_control();
-        self.common
+        self.process
             .listeners
             .borrow()
             .iter()
             .for_each(|listener| listener.leave());
-        while !self.common.listeners.borrow().is_empty() {
-            self.common.ended.notified().await;
+        while !self.process.listeners.borrow().is_empty() {
+            self.process.listener_ended.notified().await;
         }
         self.admin.take();
-        if let Some(writer) = self.common.state_writer.get() {
+        if let Some(writer) = self.process.state_writer.get() {
             warm.inspect(AbortHandle::abort);
-            warm_start::write(&self.common, writer).await;
+            warm_start::write(&self.process, writer).await;
             writer.close();
         }
         Ok(())
@@ -193,9 +193,13 @@
 /// What of the platform's limits this process keeps to. Where it shares its clients' socket, the process that it replaces
 /// or that replaces it has the other half; callers at the second address have theirs besides.
 fn own_part(config: &Config, descriptors: usize, memory: u64) -> (usize, u64) {
-    let parts = if config.inherited.is_some() { 2 } else { 1 };
+    let parts = if config.inherited_socket.is_some() {
+        2
+    } else {
+        1
+    };
     let asked = if config.control.is_some() {
-        second_address::DESCRIPTORS
+        control_address::RESERVED_DESCRIPTORS
     } else {
         0
     };
@@ -206,14 +210,14 @@
 }
 
 /// How much there is to share.
-pub(super) fn totals(
+pub(super) fn resource_totals(
     descriptors: usize,
     memory: u64,
     operator: Option<&Operator>,
     platform: bool,
-) -> Totals {
+) -> ResourceTotals {
     let Some(operator) = operator else {
-        return Totals::new(descriptors, 0, memory, UNBOUNDED, None);
+        return ResourceTotals::new(descriptors, 0, memory, UNBOUNDED, None);
     };
     let limits = &operator.limits;
     let given = |given: Option<u64>, there: u64| given.map_or(there, |given| given.min(there));
@@ -250,12 +254,12 @@
     };
     let more = operator.listeners.len() + watches + admin + control + state;
     let bodies = limits.bodies.map(|size| size.0.min(memory / 2));
-    Totals::new(descriptors, more, memory, limits.open, bodies)
+    ResourceTotals::new(descriptors, more, memory, limits.open, bodies)
 }
 
 /// What the platform's configuration stands for: one service, and one listener whose requests all go to it.
 fn platform(
-    common: &Rc<Common>,
+    process: &Rc<ProcessState>,
     config: Config,
     named: bool,
     kept: Kept,
@@ -269,59 +273,59 @@
         guaranteed: 0,
         most: total,
     };
-    let bounds = &common.bounds;
-    let parts = |connections: u64| Parts {
+    let bounds = &process.shared_limits;
+    let parts = |connections: u64| ResourceShares {
         connections: all(connections),
-        open: all(bounds.open_by_pool.total()),
-        bodies: all(bounds.bodies_by_pool.total()),
+        requests: all(bounds.requests_by_pool.total()),
+        body_bytes: all(bounds.body_bytes_by_pool.total()),
     };
-    let spec = Spec {
+    let spec = ServiceSpec {
         name: PLATFORM.to_string(),
-        label,
+        log_prefix: label,
         site: config.settings,
         discovery: Some(config.discovery),
-        known: config.known,
+        initial_list: config.known,
         limits: MemberLimits::default(),
         levels: None,
         graphql: None,
-        kept,
+        persistence: kept,
         seed: config.seed,
         ordinal: ordinal_in_name(&config.name),
     };
-    let service = Service::new(common, spec, parts(bounds.servers.total()))?;
+    let service = Service::new(process, spec, parts(bounds.server_connections.total()))?;
     let listen: SocketAddr = config.listen;
-    let shared = config.inherited.is_some();
-    let socket = match config.inherited {
+    let shared = config.inherited_socket.is_some();
+    let socket = match config.inherited_socket {
         Some(socket) => {
             TcpListener::from_std(socket).map_err(|e| format!("RELAY_ACCEPT_FD: {e}"))?
         }
         None => bind(listen).map_err(|e| format!("RELAY_LISTEN: {listen}: {e}"))?,
     };
     let routing = Routing::One(Rc::clone(&service));
-    let limits = (None, parts(bounds.clients.total()));
+    let limits = (None, parts(bounds.client_connections.total()));
     let place = Socket {
         wanted: listen,
         socket,
         shared,
     };
     let name = if named { PLATFORM } else { "" };
-    let listener = Listener::start(common, name, place, (Manner::usual(), routing), limits);
+    let listener = Listener::start(process, name, place, (Manner::usual(), routing), limits);
     Ok((service, listener))
 }
 
 /// Looks every now and then after what no event brings about.
-async fn look_after(common: Rc<Common>) {
+async fn look_after(process: Rc<ProcessState>) {
     loop {
         tokio::time::sleep(SWEEP).await;
-        let services = common.services.borrow().clone();
+        let services = process.services.borrow().clone();
         for service in services {
             while service.connections.drop_old() {
                 tokio::task::yield_now().await;
             }
             service.connections.sweep();
-            service.second();
+            service.sample_servers();
         }
-        common.keep_to_memory(CLOSED_AT_ONCE);
-        common.fleet_limits.look();
+        process.enforce_connection_memory(CLOSED_AT_ONCE);
+        process.fleet_limits.look();
     }
 }
--- a/crates/sidecar/src/common.rs
+++ b/crates/sidecar/src/process_state.rs
@@ -1,7 +1,6 @@
 //! What belongs to the process: its clock, its limits, the turns on its thread, and who is there.
 
-use super::alarms::Alarms;
-use super::clock::{Clock, LocalDay};
+use super::clock::{Clock, LocalTimeZone};
 use super::connections::is_exhausted;
 use super::feed::Feed;
 use super::fleet_limits::FleetLimits;
@@ -12,6 +11,7 @@
 use super::service::Service;
 use super::shared_lists::SharedLists;
 use super::state_writer::StateWriter;
+use super::timers::Timers;
 use super::turns::{Account, Scheduler};
 use madderloom_admin::duty::Duty;
 use madderloom_balancer::Micros;
@@ -24,7 +24,7 @@
 /// Descriptors that are neither a client's nor a server's; the rest is shared out equally.
 const OWN_DESCRIPTORS: usize = 16;
 /// Of the most connections to one side, which is more than one process can use.
-pub(super) const MOST_CONNECTIONS: usize = 1 << 16;
+pub(super) const MAX_CONNECTIONS_PER_SIDE: usize = 1 << 16;
 /// The bodies of open requests together hold this part of the memory at most, where nothing else is said.
 const BODIES: u64 = 4;
 
@@ -43,41 +43,41 @@
 const HELD: u64 = 4;
 
 /// What belongs to the process.
-pub(super) struct Common {
+pub(super) struct ProcessState {
     pub(super) clock: Clock,
-    pub(super) alarms: Alarms,
+    pub(super) timers: Timers,
     /// Whether it serves, drains or stops.
-    pub(super) duty: RefCell<Duty>,
+    pub(super) lifecycle: RefCell<Duty>,
     /// Once the process stops: by when all that comes from then on is to be answered, as the platform ends it soon after.
     answers_by: Cell<Option<Micros>>,
     /// When this process last had no descriptor for what it wanted to open.
     exhausted: Cell<Option<Micros>>,
     /// Files taken at SIGHUP, and those turned down.
-    pub(super) files_taken: Cell<u64>,
-    pub(super) files_refused: Cell<u64>,
-    pub(super) bounds: Bounds,
+    pub(super) configs_accepted: Cell<u64>,
+    pub(super) configs_rejected: Cell<u64>,
+    pub(super) shared_limits: SharedLimits,
     /// Connections of clients that are there, and how many of them are a crowd.
-    pub(super) clients: Cell<usize>,
-    pub(super) many_clients: Cell<usize>,
+    pub(super) client_connections: Cell<usize>,
+    pub(super) client_connections_high_watermark: Cell<usize>,
     /// Of the connections of clients those that are not parked.
-    pub(super) served_clients: Cell<usize>,
+    pub(super) active_client_connections: Cell<usize>,
     /// What connections may hold together, in bytes.
-    pub(super) most_held: Cell<u64>,
+    pub(super) max_connection_bytes: Cell<u64>,
     /// None where there is but one service on one listener, and nobody to take turns with.
     pub(super) scheduler: Option<Rc<Scheduler>>,
     /// All that live, those that are on their way out as well.
     pub(super) services: RefCell<Vec<Rc<Service>>>,
     pub(super) listeners: RefCell<Vec<Rc<Listener>>>,
     /// A listener has ended.
-    pub(super) ended: Notify,
+    pub(super) listener_ended: Notify,
     /// How many routes there are, and how many operator files have taken effect.
-    pub(super) routes: Cell<usize>,
-    pub(super) files: Cell<u64>,
+    pub(super) route_count: Cell<usize>,
+    pub(super) operator_files_applied: Cell<u64>,
     /// What happened to servers of late, where their stories are kept.
     pub(super) feed: Rc<Feed>,
-    day: OnceCell<LocalDay>,
+    day: OnceCell<LocalTimeZone>,
     /// What is set of servers beside their lists.
-    pub(super) steering: RefCell<Steering>,
+    pub(super) server_overrides: RefCell<Steering>,
     /// What outlasts the process, where the operator file names a place for it.
     pub(super) state_writer: OnceCell<Rc<StateWriter>>,
     pub(super) processor: Processor,
@@ -88,25 +88,25 @@
 }
 
 /// What all services and listeners share.
-pub(super) struct Bounds {
-    pub(super) clients: Rc<Bound>,
-    pub(super) servers: Rc<Bound>,
-    pub(super) open_by_pool: Rc<Bound>,
-    pub(super) open_by_listener: Rc<Bound>,
-    pub(super) bodies_by_pool: Rc<Bound>,
-    pub(super) bodies_by_listener: Rc<Bound>,
+pub(super) struct SharedLimits {
+    pub(super) client_connections: Rc<Bound>,
+    pub(super) server_connections: Rc<Bound>,
+    pub(super) requests_by_pool: Rc<Bound>,
+    pub(super) requests_by_listener: Rc<Bound>,
+    pub(super) body_bytes_by_pool: Rc<Bound>,
+    pub(super) body_bytes_by_listener: Rc<Bound>,
 }
 
 /// How much there is of what is shared.
 #[derive(Clone, Copy)]
-pub(super) struct Totals {
+pub(super) struct ResourceTotals {
     pub(super) descriptors: usize,
     /// Connections of clients, and as many to servers.
     pub(super) connections: u64,
-    pub(super) open: u64,
-    pub(super) bodies: u64,
+    pub(super) requests: u64,
+    pub(super) body_bytes: u64,
     /// Bytes that connections hold, bodies not counted.
-    pub(super) held: u64,
+    pub(super) connection_bytes: u64,
 }
 
 /// What connections are counted as holding, in bytes. Measured, and rounded up: see docs/connections.md.
@@ -116,65 +116,65 @@
 /// Of a connection to a server.
 pub(super) const SERVER_BYTES: u64 = 1 << 10;
 
-impl Totals {
+impl ResourceTotals {
     /// By what the platform gives. `more` descriptors are taken up by further listeners and watches.
     pub(super) fn new(
         descriptors: usize,
         more: usize,
         memory: u64,
-        open: u64,
-        bodies: Option<u64>,
+        requests: u64,
+        body_bytes: Option<u64>,
     ) -> Self {
-        let share =
-            (descriptors.saturating_sub(OWN_DESCRIPTORS + more) / 2).clamp(1, MOST_CONNECTIONS);
-        Totals {
+        let share = (descriptors.saturating_sub(OWN_DESCRIPTORS + more) / 2)
+            .clamp(1, MAX_CONNECTIONS_PER_SIDE);
+        ResourceTotals {
             descriptors,
             connections: share as u64,
-            open,
-            bodies: bodies.unwrap_or(memory / BODIES),
-            held: memory / HELD,
+            requests,
+            body_bytes: body_bytes.unwrap_or(memory / BODIES),
+            connection_bytes: memory / HELD,
         }
     }
 }
 
-impl Bounds {
-    fn new(totals: Totals) -> Self {
-        Bounds {
-            clients: Bound::new(totals.connections),
-            servers: Bound::new(totals.connections),
-            open_by_pool: Bound::new(totals.open),
-            open_by_listener: Bound::new(totals.open),
-            bodies_by_pool: Bound::new(totals.bodies),
-            bodies_by_listener: Bound::new(totals.bodies),
+impl SharedLimits {
+    fn new(totals: ResourceTotals) -> Self {
+        SharedLimits {
+            client_connections: Bound::new(totals.connections),
+            server_connections: Bound::new(totals.connections),
+            requests_by_pool: Bound::new(totals.requests),
+            requests_by_listener: Bound::new(totals.requests),
+            body_bytes_by_pool: Bound::new(totals.body_bytes),
+            body_bytes_by_listener: Bound::new(totals.body_bytes),
         }
     }
 }
 
-impl Common {
-    pub(super) fn new(totals: Totals, in_turn: bool) -> Rc<Self> {
+impl ProcessState {
+    pub(super) fn new(totals: ResourceTotals, in_turn: bool) -> Rc<Self> {
         let clock = Clock::start();
-        Rc::new(Common {
-            alarms: Alarms::new(&clock),
+        Rc::new(ProcessState {
+            timers: Timers::new(&clock),
             clock,
-            duty: RefCell::default(),
+            lifecycle: RefCell::default(),
             answers_by: Cell::new(None),
             exhausted: Cell::new(None),
-            files_taken: Cell::new(0),
-            files_refused: Cell::new(0),
-            bounds: Bounds::new(totals),
-            clients: Cell::new(0),
-            many_clients: Cell::new(totals.descriptors / 4),
-            served_clients: Cell::new(0),
-            most_held: Cell::new(totals.held),
+            configs_accepted: Cell::new(0),
+            configs_rejected: Cell::new(0),
+            shared_limits: SharedLimits::new(totals),
+            client_connections: Cell::new(0),
+            client_connections_high_watermark: Cell::new(totals.descriptors / 4),
+            active_client_connections: Cell::new(0),
+            max_connection_bytes: Cell::new(totals.connection_bytes),
             scheduler: in_turn.then(Scheduler::new),
             services: RefCell::default(),
             listeners: RefCell::default(),
-            ended: Notify::new(),
-            routes: Cell::new(0),
-            files: Cell::new(0),
+            listener_ended: Notify::new(),
+            route_count: Cell::new(0),
+            operator_files_applied: Cell::new(0),
             feed: Rc::default(),
             day: OnceCell::new(),
-            steering: RefCell::default(),
+            server_overrides: RefCell::default(),
             state_writer: OnceCell::new(),
             processor: Processor::default(),
             fleet_limits: Rc::default(),
@@ -191,39 +191,40 @@
     }
 
     /// The process stops now, under the platform's rules, where clients wait no longer than this.
-    pub(super) fn stops_on_the_platform(&self, longest: Micros) {
+    pub(super) fn set_answer_deadline(&self, longest: Micros) {
         let within = longest.min(LONGEST_COUNTED) + KILLED_AFTER - ON_ITS_WAY;
         self.answers_by.set(Some(self.clock.now() + within));
     }
 
     /// What is left for a request that comes now and whose client waits for so long: no more than the process has itself.
     /// Else it would be killed with the request unanswered.
-    pub(super) fn time_left(&self, now: Micros, left: Micros) -> Micros {
+    pub(super) fn cap_time_left(&self, now: Micros, left: Micros) -> Micros {
         self.answers_by
             .get()
             .map_or(left, |by| left.min(by.saturating_sub(now)))
     }
 
     pub(super) fn is_stopping(&self) -> bool {
-        self.duty.borrow().is_stopping()
+        self.lifecycle.borrow().is_stopping()
     }
 
     /// The minute of the local day, from 0 to 1,439.
     pub(super) fn minute_of_day(&self) -> u16 {
-        self.day.get_or_init(LocalDay::read).minute()
+        self.day.get_or_init(LocalTimeZone::read).minute()
     }
 
-    pub(super) fn set_totals(&self, totals: Totals) {
-        self.most_held.set(totals.held);
-        self.many_clients.set(totals.descriptors / 4);
-        let bounds = &self.bounds;
+    pub(super) fn set_totals(&self, totals: ResourceTotals) {
+        self.max_connection_bytes.set(totals.connection_bytes);
+        self.client_connections_high_watermark
+            .set(totals.descriptors / 4);
+        let bounds = &self.shared_limits;
         for (bound, total) in [
-            (&bounds.clients, totals.connections),
-            (&bounds.servers, totals.connections),
-            (&bounds.open_by_pool, totals.open),
-            (&bounds.open_by_listener, totals.open),
-            (&bounds.bodies_by_pool, totals.bodies),
-            (&bounds.bodies_by_listener, totals.bodies),
+            (&bounds.client_connections, totals.connections),
+            (&bounds.server_connections, totals.connections),
+            (&bounds.requests_by_pool, totals.requests),
+            (&bounds.requests_by_listener, totals.requests),
+            (&bounds.body_bytes_by_pool, totals.body_bytes),
+            (&bounds.body_bytes_by_listener, totals.body_bytes),
         ] {
             bound.set_total(total);
         }
@@ -237,7 +238,7 @@
     }
 
     /// What connections hold, by what each is counted as: parked, served, and to servers.
-    pub(super) fn held(&self) -> [u64; 3] {
+    pub(super) fn connection_bytes(&self) -> [u64; 3] {
         // One that has been told to go is not parked any more.
         let parked: usize = self
             .listeners
@@ -245,22 +246,22 @@
             .iter()
             .map(|listener| listener.clients.parked())
             .sum();
-        let served = self.served_clients.get();
+        let served = self.active_client_connections.get();
         [
             parked as u64 * PARKED_BYTES,
             served as u64 * SERVED_BYTES,
-            self.bounds.servers.used() * SERVER_BYTES,
+            self.shared_limits.server_connections.used() * SERVER_BYTES,
         ]
     }
 
     /// Has those parked connections closed that have been idle for longest, so many at most, where connections hold
     /// too much.
-    pub(super) fn keep_to_memory(&self, at_once: u64) {
+    pub(super) fn enforce_connection_memory(&self, at_once: u64) {
         let excess = self
-            .held()
+            .connection_bytes()
             .iter()
             .sum::<u64>()
-            .saturating_sub(self.most_held.get());
+            .saturating_sub(self.max_connection_bytes.get());
         for _ in 0..excess.div_ceil(PARKED_BYTES).min(at_once) {
             self.drop_oldest_parked();
         }
@@ -279,7 +280,7 @@
     /// There was no descriptor for something that is wanted now: others than this program's count hold some. The client that
     /// has been idle for longest goes, or else the connection to a server; it may be tried again once this ends, which nobody
     /// is kept spinning by.
-    pub(super) async fn no_descriptor(&self) {
+    pub(super) async fn free_descriptor(&self) {
         self.exhausted.set(Some(self.clock.now()));
         let now = self.clock.now();
         let made = self
@@ -288,9 +289,9 @@
             .iter()
             .any(|listener| listener.clients.make_room(now));
         if !made {
-            self.drop_oldest();
+            self.close_oldest_server_connection();
         }
-        self.alarm_in(OPENED_AGAIN).await;
+        self.sleep(OPENED_AGAIN).await;
     }
 
     /// A connection to this address; for as long as there is no descriptor for it, room is made and it is tried again. Whoever
@@ -298,21 +299,21 @@
     pub(super) async fn connect(&self, address: SocketAddr) -> std::io::Result<TcpStream> {
         loop {
             match TcpStream::connect(address).await {
-                Err(problem) if is_exhausted(&problem) => self.no_descriptor().await,
+                Err(problem) if is_exhausted(&problem) => self.free_descriptor().await,
                 came => return came,
             }
         }
     }
 
     /// Whether there was no descriptor for something of late.
-    pub(super) fn is_exhausted(&self) -> bool {
+    pub(super) fn descriptors_exhausted(&self) -> bool {
         self.exhausted
             .get()
             .is_some_and(|at| self.clock.now().saturating_sub(at) < EXHAUSTED)
     }
 
     /// Closes the connection to a server that has been idle for longest.
-    pub(super) fn drop_oldest(&self) {
+    pub(super) fn close_oldest_server_connection(&self) {
         let services = self.services.borrow();
         let oldest = services
             .iter()
@@ -323,7 +324,7 @@
     }
 
     /// Has a connection to a server closed that lies idle beyond what is guaranteed to its pool.
-    pub(super) fn return_borrowed(&self) {
+    pub(super) fn reclaim_server_connection(&self) {
         let services = self.services.borrow();
         let borrowing = services.iter().filter(|s| s.connections.seats.borrows());
         let oldest = borrowing.filter_map(|s| Some((s.connections.oldest()?, s)));
@@ -333,7 +334,7 @@
     }
 
     /// Has a client's connection closed that lies idle beyond what is guaranteed to its listener.
-    pub(super) fn return_borrowed_client(&self) {
+    pub(super) fn reclaim_client_connection(&self) {
         for listener in self.listeners.borrow().iter().filter(|l| l.seats.borrows()) {
             listener.clients.make_room(self.clock.now());
         }
--- a/crates/sidecar/src/promises.rs
+++ b/crates/sidecar/src/promises.rs
@@ -2,7 +2,8 @@
 
 use super::listener::{LAME_DUCK, Manner};
 use super::{
-    client, common, connections, counts, feed, list_reader, listener, pool, second_address, upload,
+    client, connections, control_address, counts, feed, list_reader, listener, pool, process_state,
+    upload,
 };
 use madderloom_control_plane::{bounds, protocol};
 
@@ -23,11 +24,14 @@
     for (page, told) in [
         (
             on_call,
-            format!("{} callers are answered at once", second_address::CALLERS),
+            format!(
+                "{} callers are answered at once",
+                control_address::MAX_CALLERS
+            ),
         ),
         (
             on_call,
-            format!("each is after {}", seconds(second_address::CALL_WITHIN)),
+            format!("each is after {}", seconds(control_address::CALL_TIMEOUT)),
         ),
         (
             on_call,
@@ -66,7 +70,10 @@
         (on_call, format!("with {} to spare", seconds(upload::LAG))),
         (
             on_call,
-            format!("Answers over {} go on", kib(super::BODY as u64)),
+            format!(
+                "Answers over {} go on",
+                kib(super::MAX_BUFFERED_BODY_BYTES as u64)
+            ),
         ),
         (
             on_call,
@@ -107,7 +114,10 @@
         ),
         (
             architecture,
-            format!("the second address has {} of", second_address::DESCRIPTORS),
+            format!(
+                "the second address has {} of",
+                control_address::RESERVED_DESCRIPTORS
+            ),
         ),
     ] {
         let words = |text: &str| text.split_whitespace().collect::<Vec<_>>().join(" ");
@@ -196,10 +206,18 @@
             "MAX_ORDER_BYTES",
             protocol::MAX_ORDER_BYTES,
         ),
-        count("sidecar/src/common.rs", "Totals", common::MOST_CONNECTIONS),
+        count(
+            "sidecar/src/common.rs",
+            "Totals",
+            process_state::MAX_CONNECTIONS_PER_SIDE,
+        ),
         bytes("sidecar/src/upload.rs", "KEPT", upload::KEPT),
-        bytes("sidecar/src/lib.rs", "LONGEST_BODY", super::LONGEST_BODY),
-        bytes("sidecar/src/lib.rs", "BODY", super::BODY),
+        bytes(
+            "sidecar/src/lib.rs",
+            "LONGEST_BODY",
+            super::DEFAULT_MAX_BODY_BYTES,
+        ),
+        bytes("sidecar/src/lib.rs", "BODY", super::MAX_BUFFERED_BODY_BYTES),
         count(
             "sidecar/src/listener.rs",
             "BACKLOG",
--- a/crates/sidecar/src/reload.rs
+++ b/crates/sidecar/src/reload.rs
@@ -7,9 +7,9 @@
 use super::listener::{Listener, Manner, Socket, bind};
 use super::ordinal::ordinal_in_name;
 use super::pool::Listing;
-use super::process::{Sidecar, totals};
+use super::process::{Sidecar, resource_totals};
 use super::routing::{Routed, Routing};
-use super::service::{Parts, Service, Spec};
+use super::service::{ResourceShares, Service, ServiceSpec};
 use madderloom_balancer::settings::Site;
 use madderloom_operator_config::{Bounds, MemberLimits, Operator, PLATFORM, Pool, parts};
 use madderloom_routing::routes::{Route, Table};
@@ -33,26 +33,28 @@
     pub async fn reload(self: &Rc<Self>) {
         let _turn = self.agent_link.turn.lock().await;
         if let Some((service, _)) = &self.platform {
-            let read = Config::read_again(&self.keys.borrow());
+            let read = Config::reload(&self.config_keys.borrow());
             match read {
                 Ok(config) => {
-                    count(&self.common.files_taken);
-                    self.keys.replace(config.keys);
-                    if config.settings != service.tuned().file {
+                    count(&self.process.configs_accepted);
+                    self.config_keys.replace(config.keys);
+                    if config.settings != service.active_settings().configured_site {
                         tracing::info!("settings taken over");
-                        service.retune(config.settings);
+                        service.update_settings(config.settings);
                     }
                     discovery_watch::turn_to(service, config.discovery);
                 }
                 Err(problem) => {
-                    count(&self.common.files_refused);
+                    count(&self.process.configs_rejected);
                     tracing::warn!("not read again: {problem}");
                 }
             }
         }
-        let Some(file) = &self.file else { return };
+        let Some(file) = &self.operator_file else {
+            return;
+        };
         let read = self.agent_link.read(file.clone()).await;
-        if self.common.is_stopping() {
+        if self.process.is_stopping() {
             return;
         }
         let applied = read.and_then(|read| {
@@ -74,7 +76,7 @@
         if self.platform.is_none() {
             stands_alone(&operator)?;
         }
-        match (self.common.state_writer.get(), &operator.state) {
+        match (self.process.state_writer.get(), &operator.state) {
             (None, None) => {}
             (None, Some(_)) => {
                 return Err(
@@ -92,7 +94,7 @@
             .zip(pool_parts.iter().skip(self.first_place()))
         {
             if self.kept(pool).is_none() {
-                match Service::new(&self.common, self.spec(pool), *parts) {
+                match Service::new(&self.process, self.spec(pool), *parts) {
                     Ok(service) => made.push(service),
                     Err(problem) => {
                         made.into_iter()
@@ -144,14 +146,14 @@
         operator: Operator,
         prepared: Prepared,
         mut made: Vec<Rc<Service>>,
-        pool_parts: &[Parts],
+        pool_parts: &[ResourceShares],
     ) -> String {
         let first = self.first_place();
         let limits = operator
             .control
             .as_ref()
             .map(|control| control.fleet_limits.as_slice());
-        self.common.fleet_limits.follow(limits.unwrap_or_default());
+        self.process.fleet_limits.follow(limits.unwrap_or_default());
         let shared = operator
             .control
             .as_ref()
@@ -160,16 +162,16 @@
             .pools
             .iter()
             .filter(|pool| pool.discovery.is_some());
-        self.common
+        self.process
             .shared_lists
             .follow(shared, followed.map(|pool| pool.name.clone()));
-        self.common.set_totals(totals(
+        self.process.set_totals(resource_totals(
             self.descriptors,
-            self.memory,
+            self.memory_bytes,
             Some(&operator),
             self.platform.is_some(),
         ));
-        if let Some((writer, state)) = self.common.state_writer.get().zip(operator.state.clone()) {
+        if let Some((writer, state)) = self.process.state_writer.get().zip(operator.state.clone()) {
             writer.reconfigure(state);
         }
         made.reverse();
@@ -177,7 +179,7 @@
         for (pool, parts) in operator.pools.iter().zip(pool_parts.iter().skip(first)) {
             let service = match self.kept(pool) {
                 Some(service) => {
-                    service.change(pool, *parts);
+                    service.reconfigure(pool, *parts);
                     service
                 }
                 None => match made.pop() {
@@ -198,8 +200,8 @@
             .collect();
         if let Some((service, listener)) = &self.platform {
             let (all, limits) = (MemberLimits::default(), listener_parts[0]);
-            service.change_limits(all, pool_parts[0]);
-            service.kept.set(
+            service.set_limits(all, pool_parts[0]);
+            service.persistence.set(
                 operator
                     .state
                     .as_ref()
@@ -248,7 +250,7 @@
                         socket,
                         shared: false,
                     };
-                    Listener::start(&self.common, &spec.name, place, (manner, routing), limits)
+                    Listener::start(&self.process, &spec.name, place, (manner, routing), limits)
                 }
             };
             listeners.push(listener);
@@ -271,11 +273,13 @@
         services
             .iter()
             .chain(platform)
-            .for_each(|service| service.keep_story(operator.timeline));
+            .for_each(|service| service.set_history_settings(operator.timeline));
         self.services.replace(services);
         self.listeners.replace(listeners);
-        self.common.routes.set(operator.routes.len());
-        self.common.files.set(self.common.files.get() + 1);
+        self.process.route_count.set(operator.routes.len());
+        self.process
+            .operator_files_applied
+            .set(self.process.operator_files_applied.get() + 1);
         if let Some(socket) = prepared.admin {
             // The former one goes first, which takes its socket's file with it only where that is still its own.
             self.admin.replace(None);
@@ -286,7 +290,7 @@
     }
 
     fn retire(&self, service: Rc<Service>, drain: Duration) {
-        watchdog::spawn(TaskKind::PoolRemoval, service.leave(drain));
+        watchdog::spawn(TaskKind::PoolRemoval, service.drain_and_remove(drain));
     }
 
     /// The place of the file's first pool and listener among the members.
@@ -300,7 +304,7 @@
         self.services
             .borrow()
             .iter()
-            .find(|s| s.name == pool.name && s.tuned().file == site)
+            .find(|s| s.name == pool.name && s.active_settings().configured_site == site)
             .cloned()
     }
 
@@ -310,7 +314,7 @@
         let mut free = self.listeners.borrow().clone();
         // Those that an earlier file has told to leave still hold their addresses for a moment.
         free.extend(
-            self.common
+            self.process
                 .listeners
                 .borrow()
                 .iter()
@@ -333,24 +337,24 @@
         kept
     }
 
-    fn spec(&self, pool: &Pool) -> Spec {
-        Spec {
+    fn spec(&self, pool: &Pool) -> ServiceSpec {
+        ServiceSpec {
             name: pool.name.clone(),
-            label: format!("{}: ", pool.name),
+            log_prefix: format!("{}: ", pool.name),
             site: site_of(pool),
             discovery: pool.discovery,
-            known: Listing::fixed(&pool.servers),
+            initial_list: Listing::fixed(&pool.servers),
             limits: pool.limits,
             levels: pool.levels.clone(),
             graphql: pool.graphql.clone(),
-            kept: pool.kept,
+            persistence: pool.kept,
             seed: foldhash::quality::FixedState::with_seed(self.seed).hash_one(&pool.name),
             ordinal: ordinal_in_name(&self.name),
         }
     }
 
     /// What each member may hold: of the pools, or of the listeners; the platform's is the first.
-    fn parts(&self, operator: &Operator, pools: bool) -> Vec<Parts> {
+    fn parts(&self, operator: &Operator, pools: bool) -> Vec<ResourceShares> {
         let mut members: Vec<MemberLimits> = Vec::new();
         members.extend(self.platform.is_some().then(MemberLimits::default));
         if pools {
@@ -358,9 +362,9 @@
         } else {
             members.extend(operator.listeners.iter().map(|listener| listener.limits));
         }
-        let totals = totals(
+        let totals = resource_totals(
             self.descriptors,
-            self.memory,
+            self.memory_bytes,
             Some(operator),
             self.platform.is_some(),
         );
@@ -368,12 +372,15 @@
             parts(total, &members.iter().map(pick).collect::<Vec<Bounds>>())
         };
         let connections = of(totals.connections, |m| m.connections);
-        let (open, bodies) = (of(totals.open, |m| m.open), of(totals.bodies, |m| m.bodies));
+        let (open, bodies) = (
+            of(totals.requests, |m| m.open),
+            of(totals.body_bytes, |m| m.bodies),
+        );
         let all = connections.into_iter().zip(open).zip(bodies);
-        all.map(|((connections, open), bodies)| Parts {
+        all.map(|((connections, open), bodies)| ResourceShares {
             connections,
-            open,
-            bodies,
+            requests: open,
+            body_bytes: bodies,
         })
         .collect()
     }
@@ -398,9 +405,9 @@
     }
 
     fn viewer(&self) -> super::view::Viewer {
-        let (common, agent_link) = (Rc::clone(&self.common), Rc::clone(&self.agent_link));
+        let (process, agent_link) = (Rc::clone(&self.process), Rc::clone(&self.agent_link));
         super::view::Viewer {
-            common,
+            process,
             agent_link,
             name: self.name.clone(),
         }
@@ -408,7 +415,7 @@
 }
 
 /// Reads on a thread of its own: a long file takes a good part of a second, in which requests go on.
-pub(super) async fn aside<T: Send + 'static>(
+pub(super) async fn run_on_thread<T: Send + 'static>(
     read: impl FnOnce() -> T + Send + 'static,
 ) -> Result<T, String> {
     let (done, end) = oneshot::channel();
--- a/crates/sidecar/src/service.rs
+++ b/crates/sidecar/src/service.rs
@@ -1,19 +1,19 @@
 //! A service: one pool of servers with an instance of the decision module of its own, and all that belongs to it
 //! alone. Nothing of one service is seen by another but through what the process limits.
 
-use super::common::Common;
+use super::active_settings::ActiveSettings;
 use super::connections::Connections;
 use super::counts::{Counts, Registry};
 use super::discovery_watch;
+use super::event_log;
 use super::levels;
 use super::limits::Allowance;
 use super::moves::Moves;
 use super::pool::{self, Listing, Pool};
 use super::probe;
+use super::process_state::ProcessState;
 use super::teller::{EndedAttempt, Teller};
-use super::trail;
 use super::transaction::{Step, Steps};
-use super::tuned::Tuned;
 use super::turns::Charged;
 use super::warm_start::WarmStart;
 use foldhash::quality::FixedState;
@@ -36,20 +36,20 @@
 use tokio::task::AbortHandle;
 
 /// What a service is made of.
-pub(super) struct Spec {
+pub(super) struct ServiceSpec {
     pub(super) name: String,
     /// Goes before what it logs; empty where there is but one service.
-    pub(super) label: String,
+    pub(super) log_prefix: String,
     pub(super) site: Site,
     /// None where the list is fixed.
     pub(super) discovery: Option<SocketAddr>,
     /// The servers as they are known at the start, or for good.
-    pub(super) known: Listing,
+    pub(super) initial_list: Listing,
     pub(super) limits: MemberLimits,
     pub(super) levels: Option<LevelPlan>,
     /// How its GraphQL operations are classed, if it has any.
     pub(super) graphql: Option<Policy>,
-    pub(super) kept: Kept,
+    pub(super) persistence: Kept,
     pub(super) seed: u64,
     /// The number of this instance among those of its fleet, where its name tells it.
     pub(super) ordinal: Option<u32>,
@@ -57,40 +57,40 @@
 
 /// What a service, or the clients of a listener, may hold.
 #[derive(Clone, Copy)]
-pub(super) struct Parts {
+pub(super) struct ResourceShares {
     pub(super) connections: Part,
-    pub(super) open: Part,
-    pub(super) bodies: Part,
+    pub(super) requests: Part,
+    pub(super) body_bytes: Part,
 }
 
 /// One service.
 pub(super) struct Service {
     pub(super) name: String,
-    pub(super) label: String,
-    pub(super) common: Rc<Common>,
+    pub(super) log_prefix: String,
+    pub(super) process: Rc<ProcessState>,
     balancer: RefCell<Balancer>,
     /// None where the file has no levels for it.
-    pub(super) keeper: RefCell<Option<LevelController>>,
+    pub(super) level_controller: RefCell<Option<LevelController>>,
     /// Its part of the spread by which the instances of a fleet come back apart, from 0 to 1.
-    pub(super) place: f64,
+    pub(super) spread_position: f64,
     pub(super) pool: Pool,
     pub(super) connections: Connections,
     /// The settings that hold.
-    tuned: RefCell<Rc<Tuned>>,
+    active_settings: RefCell<Rc<ActiveSettings>>,
     /// What it knows of the GraphQL documents that it has seen, if it serves any.
     pub(super) graphql: RefCell<Option<Front>>,
     /// The ids of open requests: no two have the same.
-    pub(super) ids: RefCell<HashSet<HeaderValue, FixedState>>,
+    pub(super) request_ids: RefCell<HashSet<HeaderValue, FixedState>>,
     /// The transactions that are not over, and where each hears what it is to do.
     pub(super) transactions: RefCell<HashMap<RequestId, Rc<Steps>, FixedState>>,
-    pub(super) last_request: Cell<RequestId>,
+    pub(super) last_request_id: Cell<RequestId>,
     /// What its requests may hold together.
     pub(super) allowance: Allowance,
     /// Its account of the thread's time, for its connections and for the requests that it has.
     pub(super) charged: Rc<Charged>,
     pub(super) counts: Registry,
     /// What of it outlasts the process.
-    pub(super) kept: Cell<Kept>,
+    pub(super) persistence: Cell<Kept>,
     /// What an earlier process measured of servers that are not listed yet.
     warm_start: RefCell<WarmStart>,
     /// A request has ended.
@@ -98,7 +98,7 @@
     leaving: Cell<bool>,
     tasks: RefCell<Vec<AbortHandle>>,
     /// The story of its servers, where it is kept.
-    pub(super) teller: RefCell<Option<Box<Teller>>>,
+    pub(super) history_recorder: RefCell<Option<Box<Teller>>>,
     /// Kept for its capacity.
     actions: Cell<Vec<Action>>,
     /// What the module said is being carried out.
@@ -107,9 +107,9 @@
     moves: RefCell<Moves>,
 }
 
-fn numbered_balancer(spec: &Spec) -> Result<Balancer, String> {
+fn numbered_balancer(spec: &ServiceSpec) -> Result<Balancer, String> {
     let balancer = Balancer::new(spec.site.settings.clone(), spec.seed);
-    let mut balancer = balancer.map_err(|e| format!("{}configuration: {e}", spec.label))?;
+    let mut balancer = balancer.map_err(|e| format!("{}configuration: {e}", spec.log_prefix))?;
     if let Some(ordinal) = spec.ordinal {
         balancer.set_ordinal(ordinal);
     }
@@ -118,74 +118,82 @@
 
 impl Service {
     /// A service at work. To be called in a local set.
-    pub(super) fn new(common: &Rc<Common>, spec: Spec, parts: Parts) -> Result<Rc<Self>, String> {
+    pub(super) fn new(
+        process: &Rc<ProcessState>,
+        spec: ServiceSpec,
+        parts: ResourceShares,
+    ) -> Result<Rc<Self>, String> {
         let balancer = numbered_balancer(&spec)?;
-        let Spec {
+        let ServiceSpec {
             name,
-            label,
+            log_prefix,
             site,
             discovery,
-            known,
+            initial_list,
             limits,
             levels,
             graphql,
-            kept,
+            persistence,
             seed,
             ..
         } = spec;
         let counts = Registry::default();
-        let charged = Rc::new(Charged::new(common.account(limits.weight)));
-        let bounds = &common.bounds;
-        let seats = bounds.servers.join(parts.connections);
+        let charged = Rc::new(Charged::new(process.account(limits.weight)));
+        let bounds = &process.shared_limits;
+        let seats = bounds.server_connections.join(parts.connections);
         let service = Rc::new(Service {
             balancer: RefCell::new(balancer),
-            keeper: RefCell::default(),
-            place: madderloom_balancer::place(seed),
+            level_controller: RefCell::default(),
+            spread_position: madderloom_balancer::place(seed),
             pool: Pool::new(
                 discovery,
                 site.zones.clone(),
                 site.kinds.clone(),
-                common.clock.now(),
+                process.clock.now(),
             ),
-            connections: Connections::new(common, seats, site.conn_idle, site.connect_timeout),
-            tuned: RefCell::new(Rc::new(Tuned::new(site, &counts))),
+            connections: Connections::new(process, seats, site.conn_idle, site.connect_timeout),
+            active_settings: RefCell::new(Rc::new(ActiveSettings::new(site, &counts))),
             graphql: RefCell::new(graphql.map(Front::new)),
-            ids: RefCell::default(),
+            request_ids: RefCell::default(),
             transactions: RefCell::default(),
-            last_request: Cell::new(0),
+            last_request_id: Cell::new(0),
             allowance: Allowance::new(
-                bounds.open_by_pool.join(parts.open),
-                bounds.bodies_by_pool.join(parts.bodies),
+                bounds.requests_by_pool.join(parts.requests),
+                bounds.body_bytes_by_pool.join(parts.body_bytes),
                 limits.rate,
             ),
             charged,
             counts,
-            kept: Cell::new(kept),
+            persistence: Cell::new(persistence),
             warm_start: RefCell::default(),
             idle: Notify::new(),
             leaving: Cell::new(false),
             tasks: RefCell::default(),
-            teller: RefCell::default(),
+            history_recorder: RefCell::default(),
             actions: Cell::default(),
             handling: Cell::new(false),
             moves: RefCell::default(),
-            common: Rc::clone(common),
+            process: Rc::clone(process),
             name,
-            label,
+            log_prefix,
         });
-        common.services.borrow_mut().push(Rc::clone(&service));
-        trail::started(common.clock.now());
+        process.services.borrow_mut().push(Rc::clone(&service));
+        event_log::started(process.clock.now());
         service.recall_classes();
-        pool::begin(&service, known);
+        pool::begin(&service, initial_list);
         levels::set(&service, levels);
         Ok(service)
     }
 
     /// Takes over other limits, its servers or its discovery where these are others, and how its GraphQL
     /// operations are classed: what it learned of documents holds for the same policy alone.
-    pub(super) fn change(self: &Rc<Self>, pool: &madderloom_operator_config::Pool, parts: Parts) {
-        self.change_limits(pool.limits, parts);
-        self.kept.set(pool.kept);
+    pub(super) fn reconfigure(
+        self: &Rc<Self>,
+        pool: &madderloom_operator_config::Pool,
+        parts: ResourceShares,
+    ) {
+        self.set_limits(pool.limits, parts);
+        self.persistence.set(pool.kept);
         let mut front = self.graphql.borrow_mut();
         if front.as_ref().map(Front::policy) != pool.graphql.as_ref() {
             *front = pool.graphql.clone().map(Front::new);
@@ -203,15 +211,16 @@
 
     /// How old its list may be, by discovery's word or the fleet's; none where it is fixed.
     pub(super) fn list_age(&self, now: Micros) -> Option<Micros> {
-        let shared = self.common.shared_lists.age(&self.name);
+        let shared = self.process.shared_lists.age(&self.name);
         self.pool
             .age(now)
             .map(|age| shared.map_or(age, |shared| shared.min(age)))
     }
 
-    pub(super) fn change_limits(&self, limits: MemberLimits, parts: Parts) {
+    pub(super) fn set_limits(&self, limits: MemberLimits, parts: ResourceShares) {
         self.connections.seats.change(parts.connections);
-        self.allowance.change(parts.open, parts.bodies, limits.rate);
+        self.allowance
+            .change(parts.requests, parts.body_bytes, limits.rate);
         if let Some(account) = super::turns::charged_to(&self.charged) {
             account.change(limits.weight);
         }
@@ -219,12 +228,12 @@
 
     /// Ends once it has no request any more, which its clients' patience bounds. It gets no new ones; those that it
     /// has may have new attempts until the drain is over.
-    pub(super) async fn leave(self: Rc<Self>, drain: Duration) {
+    pub(super) async fn drain_and_remove(self: Rc<Self>, drain: Duration) {
         self.leaving.set(true);
         let of = &self.name;
         tracing::info!(pool = %of, "{of}: leaving");
         let idle = async {
-            while !self.ids.borrow().is_empty() {
+            while !self.request_ids.borrow().is_empty() {
                 self.idle.notified().await;
             }
         };
@@ -238,7 +247,7 @@
             .borrow_mut()
             .drain(..)
             .for_each(|task| task.abort());
-        self.common
+        self.process
             .services
             .borrow_mut()
             .retain(|other| !Rc::ptr_eq(other, &self));
@@ -246,9 +255,9 @@
     }
 
     /// The time within which an answer is of full worth.
-    pub(super) fn aim(&self, request: &NewRequest) -> Micros {
-        let tuned = self.tuned();
-        tuned.at(request.class).map_or(Micros::MAX, |entry| {
+    pub(super) fn latency_objective(&self, request: &NewRequest) -> Micros {
+        let tuned = self.active_settings();
+        tuned.class_at(request.class).map_or(Micros::MAX, |entry| {
             let class = &entry.class;
             let stretch = class.aim_stretch * request.cost.unwrap_or(0) as f64;
             class.aim.saturating_add(stretch as Micros)
@@ -257,75 +266,75 @@
 
     /// The counts of a class by its place in the settings.
     pub(super) fn class_counts(&self, class: u32) -> Rc<Counts> {
-        let tuned = self.tuned();
+        let tuned = self.active_settings();
         tuned
-            .at(class)
+            .class_at(class)
             .map_or_else(|| self.counts.unclassed(), |class| Rc::clone(&class.counts))
     }
 
     /// The settings that hold now.
-    pub(super) fn tuned(&self) -> Rc<Tuned> {
-        Rc::clone(&self.tuned.borrow())
+    pub(super) fn active_settings(&self) -> Rc<ActiveSettings> {
+        Rc::clone(&self.active_settings.borrow())
     }
 
     /// Other settings hold from now on, which make sense.
-    pub(super) fn retune(self: &Rc<Self>, site: Site) {
-        let former = self.tuned();
-        let (tuned, retuned) = former.turn_to(site, &self.counts);
+    pub(super) fn update_settings(self: &Rc<Self>, site: Site) {
+        let former = self.active_settings();
+        let (tuned, retuned) = former.updated(site, &self.counts);
         self.connections
             .change(tuned.site.conn_idle, tuned.site.connect_timeout);
         pool::rename(self, &tuned.site);
-        self.tuned.replace(Rc::new(tuned));
-        self.handle(self.common.clock.now(), Event::Settings(&retuned));
+        self.active_settings.replace(Rc::new(tuned));
+        self.handle(self.process.clock.now(), Event::Settings(&retuned));
     }
 
     pub(super) fn retry_after(&self) -> Option<Micros> {
-        self.tuned.borrow().retry_after
+        self.active_settings.borrow().retry_after
     }
 
-    pub(super) fn is_leaving(&self) -> bool {
+    pub(super) fn is_draining(&self) -> bool {
         self.leaving.get()
     }
 
     /// What the module knows.
     pub(super) fn snapshot(&self) -> Snapshot {
-        self.balancer.borrow().snapshot(self.common.clock.now())
+        self.balancer.borrow().snapshot(self.process.clock.now())
     }
 
     /// The share of its servers that fails, where it has any.
-    pub(super) fn failing(&self, now: Micros) -> Option<f64> {
+    pub(super) fn failing_server_share(&self, now: Micros) -> Option<f64> {
         self.balancer.borrow().failing(now)
     }
 
     /// Requests that levels have turned away.
-    pub(super) fn given_up(&self) -> u64 {
+    pub(super) fn shed_requests(&self) -> u64 {
         self.balancer.borrow().given_up()
     }
 
     /// Takes a task that ends with the service at the latest.
-    pub(super) fn keep(&self, task: AbortHandle) {
+    pub(super) fn track_task(&self, task: AbortHandle) {
         let mut tasks = self.tasks.borrow_mut();
         tasks.retain(|task| !task.is_finished());
         tasks.push(task);
     }
 
     /// What the module has measured.
-    pub(super) fn memory(&self, now: Micros) -> Memory {
+    pub(super) fn measurements(&self, now: Micros) -> Memory {
         self.balancer.borrow().memory(now)
     }
 
     /// Begins with what an earlier process measured of classes, and keeps the rest until servers are listed.
     fn recall_classes(&self) {
         let Some(writer) = self
-            .common
+            .process
             .state_writer
             .get()
-            .filter(|_| self.kept.get().warm_start)
+            .filter(|_| self.persistence.get().warm_start)
         else {
             return;
         };
         let warm_start = WarmStart::of(writer, &self.name);
-        let begun = self.memory(self.common.clock.now());
+        let begun = self.measurements(self.process.clock.now());
         if let Some(memory) = warm_start.classes(writer, self, &begun) {
             self.balancer.borrow_mut().recall_classes(&memory);
         }
@@ -333,24 +342,24 @@
     }
 
     /// Servers were listed: what was measured of them before is given to the module.
-    pub(super) fn recall_servers(&self, now: Micros) {
-        if let Some(writer) = self.common.state_writer.get() {
+    pub(super) fn restore_server_measurements(&self, now: Micros) {
+        if let Some(writer) = self.process.state_writer.get() {
             let take = |memory: &_| self.balancer.borrow_mut().recall_server(now, memory);
             self.warm_start.borrow_mut().servers(writer, take);
         }
     }
 
     /// The servers as an earlier process knew them.
-    pub(super) fn remembered_servers(&self) -> Vec<madderloom_sidecar_state::ServerSnapshot> {
-        let writer = self.common.state_writer.get();
+    pub(super) fn persisted_servers(&self) -> Vec<madderloom_sidecar_state::ServerSnapshot> {
+        let writer = self.process.state_writer.get();
         writer
             .map(|writer| self.warm_start.borrow().listed(writer))
             .unwrap_or_default()
     }
 
     /// A request has its answer, or its client has gone.
-    pub(super) fn forget(&self, id: &HeaderValue) {
-        self.ids.borrow_mut().remove(id);
+    pub(super) fn release_request_id(&self, id: &HeaderValue) {
+        self.request_ids.borrow_mut().remove(id);
         self.idle.notify_one();
     }
 
@@ -361,16 +370,20 @@
     /// carried out in their order. Tests see to it by the assertion here.
     pub(super) fn handle(self: &Rc<Self>, now: Micros, event: Event<'_>) {
         match &event {
-            Event::Members(members) => self.tell(|teller| teller.listed(self, now, members)),
+            Event::Members(members) => {
+                self.record_history(|teller| teller.listed(self, now, members))
+            }
             Event::Probed(server, Some(report)) => {
-                self.tell(|teller| teller.reported(now, *server, report.held));
+                self.record_history(|teller| teller.reported(now, *server, report.held));
             }
             _ => {}
         }
-        if let (Event::Closed(closed), Some(keeper)) = (&event, self.keeper.borrow_mut().as_mut()) {
+        if let (Event::Closed(closed), Some(keeper)) =
+            (&event, self.level_controller.borrow_mut().as_mut())
+        {
             keeper.attempt_ended(now, closed);
         }
-        trail::event(self, now, &event);
+        event_log::event(self, now, &event);
         let within = self.handling.replace(true);
         debug_assert!(
             !within,
@@ -379,7 +392,7 @@
         let mut actions = self.actions.take();
         self.balancer.borrow_mut().handle(now, event, &mut actions);
         for action in actions.drain(..) {
-            trail::action(now, &action);
+            event_log::action(now, &action);
             self.dispatch(now, action);
         }
         self.actions.set(actions);
@@ -387,19 +400,22 @@
     }
 
     /// Lets the story hear of something, where it is kept.
-    pub(super) fn tell(&self, what: impl FnOnce(&mut Teller)) {
-        if let Some(teller) = self.teller.borrow_mut().as_mut() {
+    pub(super) fn record_history(&self, what: impl FnOnce(&mut Teller)) {
+        if let Some(teller) = self.history_recorder.borrow_mut().as_mut() {
             what(teller);
         }
     }
 
     /// Keeps the story of its servers by these settings from now on, or no more.
-    pub(super) fn keep_story(&self, settings: Option<madderloom_endpoint_history::Settings>) {
-        let now = self.common.clock.now();
+    pub(super) fn set_history_settings(
+        &self,
+        settings: Option<madderloom_endpoint_history::Settings>,
+    ) {
+        let now = self.process.clock.now();
         let Some(settings) = settings else {
-            return drop(self.teller.take());
+            return drop(self.history_recorder.take());
         };
-        let mut teller = self.teller.borrow_mut();
+        let mut teller = self.history_recorder.borrow_mut();
         match teller.as_mut() {
             Some(teller) => teller.change(now, settings),
             None => {
@@ -409,7 +425,7 @@
                     .iter()
                     .map(|server| server.listed)
                     .collect();
-                let cold = self.tuned().site.settings.rules.cold;
+                let cold = self.active_settings().site.settings.rules.cold;
                 let new = teller.insert(Box::new(Teller::new(&self.name, settings, cold)));
                 new.listed(self, now, &Members::Full(&listed));
             }
@@ -417,9 +433,9 @@
     }
 
     /// Once a second: what the story is to know, and whose regions have moved.
-    pub(super) fn second(&self) {
+    pub(super) fn sample_servers(&self) {
         let logged = tracing::enabled!(tracing::Level::INFO);
-        if !logged && self.teller.borrow().is_none() {
+        if !logged && self.history_recorder.borrow().is_none() {
             return;
         }
         let snapshot = self.snapshot();
@@ -429,31 +445,31 @@
             None
         };
         if let Some(moved) = moved {
-            let of = &self.label;
+            let of = &self.log_prefix;
             tracing::info!(
                 "{of}regions moved: {}",
                 moved.told(|server| self.pool.name(server))
             );
         }
         // The local day is looked up where a story wants it alone.
-        self.tell(|teller| {
-            let (now, minute) = (self.common.clock.now(), self.common.minute_of_day());
+        self.record_history(|teller| {
+            let (now, minute) = (self.process.clock.now(), self.process.minute_of_day());
             teller.second(self, now, minute, &snapshot);
         });
     }
 
-    pub(super) fn attempt_begun(
+    pub(super) fn record_attempt_start(
         &self,
         now: Micros,
         server: ServerId,
         begun: (RequestId, u32),
         class: u32,
     ) {
-        self.tell(|teller| teller.begun(self, now, server, begun, class));
+        self.record_history(|teller| teller.begun(self, now, server, begun, class));
     }
 
-    pub(super) fn attempt_ended(&self, now: Micros, ended: &EndedAttempt) {
-        self.tell(|teller| teller.ended(now, ended));
+    pub(super) fn record_attempt_end(&self, now: Micros, ended: &EndedAttempt) {
+        self.record_history(|teller| teller.ended(now, ended));
     }
 
     fn dispatch(self: &Rc<Self>, now: Micros, action: Action) {
@@ -509,25 +525,25 @@
     fn set_timer(self: &Rc<Self>, at: Micros, timer: Timer) {
         match timer {
             Timer::Discovery => {
-                discovery_watch::log_next_call(self, self.common.clock.now(), at);
-                self.common.alarms.set_for(self, at, timer);
+                discovery_watch::log_next_call(self, self.process.clock.now(), at);
+                self.process.timers.set_balancer_timer(self, at, timer);
             }
             Timer::Request(id) => {
                 if let Some(steps) = self.transactions.borrow().get(&id) {
-                    let alarms = &self.common.alarms;
-                    steps.add_timer(alarms, alarms.set_for(self, at, timer));
+                    let timers = &self.process.timers;
+                    steps.add_timer(timers, timers.set_balancer_timer(self, at, timer));
                 }
             }
         }
     }
 
     fn note(&self, now: Micros, note: Note) {
-        let of = &self.label;
-        self.tell(|teller| teller.noted(self, now, note));
+        let of = &self.log_prefix;
+        self.record_history(|teller| teller.noted(self, now, note));
         match note {
             Note::Overload(class) => {
-                let tuned = self.tuned();
-                let class = tuned.at(class).map_or("?", |c| &c.name);
+                let tuned = self.active_settings();
+                let class = tuned.class_at(class).map_or("?", |c| &c.name);
                 tracing::warn!(class, "{of}overload: refusing {class} early");
             }
             Note::Ejected(server, outcome) => {
--- a/crates/sidecar/src/state_writer/idempotency_record.rs
+++ b/crates/sidecar/src/state_writer/idempotency_record.rs
@@ -66,8 +66,8 @@
         headers: &HeaderMap,
         part: Option<usize>,
     ) -> Result<Option<Self>, KeyError> {
-        let mode = service.kept.get().ledger;
-        let writer = service.common.state_writer.get();
+        let mode = service.persistence.get().ledger;
+        let writer = service.process.state_writer.get();
         let Some(writer) = writer.filter(|_| mode != IdempotencyMode::Off) else {
             return Ok(None);
         };
--- a/crates/sidecar/src/teller.rs
+++ b/crates/sidecar/src/teller.rs
@@ -210,7 +210,7 @@
     fn say(&self, service: &Service, now: Micros, id: ServerId, event: &str, text: &str) {
         let server = self.name(id);
         let text = format!("{server} {text}");
-        service.common.feed.push(Said {
+        service.process.feed.push(Said {
             at: now,
             pool: &self.pool,
             server: Some(&server),
@@ -345,7 +345,7 @@
         let name = match departure.subject {
             Subject::Endpoint(id) => self.name(id).into_string(),
             Subject::Zone(zone) => service
-                .tuned()
+                .active_settings()
                 .site
                 .zones
                 .get(zone as usize)
@@ -353,14 +353,14 @@
                 .unwrap_or_else(|| zone.to_string()),
             Subject::Fleet => String::new(),
         };
-        let tuned = service.tuned();
-        let class = departure.class.and_then(|class| tuned.at(class));
+        let tuned = service.active_settings();
+        let class = departure.class.and_then(|class| tuned.class_at(class));
         departure.describe(&name, class.map(|class| class.name.as_str()))
     }
 
     fn departed(&self, service: &Service, departure: &Anomaly) {
         let text = self.told(service, departure);
-        let of = &service.label;
+        let of = &service.log_prefix;
         let (event, is_bad) = match departure.phase {
             AnomalyPhase::Raised => ("raised", true),
             AnomalyPhase::Updated => ("updated", true),
@@ -383,7 +383,7 @@
             text: &text,
         };
         service
-            .common
+            .process
             .feed
             .push_with(said, &json!({"departure": departure}));
     }
--- a/crates/sidecar/src/alarms.rs
+++ b/crates/sidecar/src/timers.rs
@@ -2,7 +2,7 @@
 //! first of them.
 
 use super::clock::Clock;
-use super::common::Common;
+use super::process_state::ProcessState;
 use super::service::Service;
 use madderloom_balancer::{Event, Micros, Timer};
 use madderloom_timer_wheel::{Poll as Found, TimerKey, Wheel};
@@ -21,41 +21,41 @@
 const AFTER: Micros = 1_000;
 
 /// Whom a timer is for.
-enum Bell {
+enum TimerTarget {
     Task(Waker),
-    Module(Weak<Service>, Timer),
+    Balancer(Weak<Service>, Timer),
 }
 
 /// The timers of the process.
-pub(super) struct Alarms {
-    wheel: RefCell<Wheel<Bell>>,
+pub(super) struct Timers {
+    wheel: RefCell<Wheel<TimerTarget>>,
     /// What is slept to.
     slept_to: Cell<Micros>,
     earlier: Notify,
     /// Handed out since the start, and of the turns those that ended with the budget.
-    rung: Cell<u64>,
-    full_turns: Cell<u64>,
+    fired: Cell<u64>,
+    budget_exhausted_runs: Cell<u64>,
 }
 
 /// Timers, as the admin view shows them.
-pub(super) struct Counted {
-    pub(super) set: usize,
-    pub(super) rung: u64,
-    pub(super) full_turns: u64,
+pub(super) struct TimerStats {
+    pub(super) pending: usize,
+    pub(super) fired: u64,
+    pub(super) budget_exhausted_runs: u64,
 }
 
-impl Alarms {
+impl Timers {
     pub(super) fn new(clock: &Clock) -> Self {
-        Alarms {
+        Timers {
             wheel: RefCell::new(Wheel::new(clock.now())),
             slept_to: Cell::new(0),
             earlier: Notify::new(),
-            rung: Cell::new(0),
-            full_turns: Cell::new(0),
+            fired: Cell::new(0),
+            budget_exhausted_runs: Cell::new(0),
         }
     }
 
-    fn set(&self, at: Micros, bell: Bell) -> TimerKey {
+    fn set(&self, at: Micros, bell: TimerTarget) -> TimerKey {
         if at < self.slept_to.get() {
             self.slept_to.set(at);
             self.earlier.notify_one();
@@ -64,10 +64,15 @@
     }
 
     /// Sets a module's timer.
-    pub(super) fn set_for(&self, service: &Rc<Service>, at: Micros, timer: Timer) -> TimerKey {
+    pub(super) fn set_balancer_timer(
+        &self,
+        service: &Rc<Service>,
+        at: Micros,
+        timer: Timer,
+    ) -> TimerKey {
         self.set(
             at.saturating_add(AFTER),
-            Bell::Module(Rc::downgrade(service), timer),
+            TimerTarget::Balancer(Rc::downgrade(service), timer),
         )
     }
 
@@ -75,46 +80,46 @@
         self.wheel.borrow_mut().cancel(key);
     }
 
-    /// Whether it has neither rung nor been cancelled.
+    /// Whether it has neither fired nor been cancelled.
     pub(super) fn is_set(&self, key: TimerKey) -> bool {
         self.wheel.borrow().is_set(key)
     }
 
-    pub(super) fn counted(&self) -> Counted {
-        Counted {
-            set: self.wheel.borrow().len(),
-            rung: self.rung.get(),
-            full_turns: self.full_turns.get(),
+    pub(super) fn stats(&self) -> TimerStats {
+        TimerStats {
+            pending: self.wheel.borrow().len(),
+            fired: self.fired.get(),
+            budget_exhausted_runs: self.budget_exhausted_runs.get(),
         }
     }
 }
 
 /// Rings as timers come due. To be run in a task of its own.
-pub(super) async fn run(common: Rc<Common>) {
-    let alarms = &common.alarms;
+pub(super) async fn run(process: Rc<ProcessState>) {
+    let timers = &process.timers;
     loop {
-        let mut now = common.clock.now();
+        let mut now = process.clock.now();
         let mut budget = BUDGET;
         let mut woken = false;
         let spent = loop {
             // The wheel is free again before the bell rings: what hears it may set a timer.
-            let found = alarms.wheel.borrow_mut().poll(now, &mut budget);
+            let found = timers.wheel.borrow_mut().poll(now, &mut budget);
             let bell = match found {
                 Found::Due(bell) => bell,
                 Found::Spent => break true,
                 Found::Idle => break false,
             };
-            alarms.rung.set(alarms.rung.get() + 1);
+            timers.fired.set(timers.fired.get() + 1);
             match bell {
-                Bell::Task(waker) => {
+                TimerTarget::Task(waker) => {
                     waker.wake();
                     woken = true;
                 }
-                Bell::Module(service, timer) => {
+                TimerTarget::Balancer(service, timer) => {
                     // A task that was woken for an earlier time has its say first, also where both are late.
                     if std::mem::take(&mut woken) {
                         tokio::task::yield_now().await;
-                        now = common.clock.now();
+                        now = process.clock.now();
                     }
                     if let Some(service) = service.upgrade() {
                         service.handle(now, Event::Timer(timer));
@@ -123,43 +128,45 @@
             }
         };
         if spent {
-            alarms.full_turns.set(alarms.full_turns.get() + 1);
+            timers
+                .budget_exhausted_runs
+                .set(timers.budget_exhausted_runs.get() + 1);
             tokio::task::yield_now().await;
             continue;
         }
-        let next = alarms.wheel.borrow().next_at();
-        alarms.slept_to.set(next.unwrap_or(Micros::MAX));
+        let next = timers.wheel.borrow().next_at();
+        timers.slept_to.set(next.unwrap_or(Micros::MAX));
         match next {
             Some(at) => tokio::select! {
-                () = tokio::time::sleep_until(common.clock.instant(at)) => {}
-                () = alarms.earlier.notified() => {}
+                () = tokio::time::sleep_until(process.clock.instant(at)) => {}
+                () = timers.earlier.notified() => {}
             },
-            None => alarms.earlier.notified().await,
+            None => timers.earlier.notified().await,
         }
     }
 }
 
 /// Ends at its time, up to 2 ms late and never early.
-pub(super) struct Alarm<'a> {
-    common: &'a Common,
+pub(super) struct Sleep<'a> {
+    process: &'a ProcessState,
     at: Micros,
     key: Option<TimerKey>,
 }
 
-impl Future for Alarm<'_> {
+impl Future for Sleep<'_> {
     type Output = ();
 
     fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<()> {
-        let alarms = &self.common.alarms;
+        let timers = &self.process.timers;
         let Some(key) = self.key else {
-            if self.at <= self.common.clock.now() {
+            if self.at <= self.process.clock.now() {
                 return Poll::Ready(());
             }
-            self.key = Some(alarms.set(self.at, Bell::Task(context.waker().clone())));
+            self.key = Some(timers.set(self.at, TimerTarget::Task(context.waker().clone())));
             return Poll::Pending;
         };
-        match alarms.wheel.borrow_mut().get_mut(key) {
-            Some(Bell::Task(waker)) => {
+        match timers.wheel.borrow_mut().get_mut(key) {
+            Some(TimerTarget::Task(waker)) => {
                 waker.clone_from(context.waker());
                 Poll::Pending
             }
@@ -168,33 +175,37 @@
     }
 }
 
-impl Drop for Alarm<'_> {
+impl Drop for Sleep<'_> {
     fn drop(&mut self) {
         if let Some(key) = self.key {
-            self.common.alarms.cancel(key);
+            self.process.timers.cancel(key);
         }
     }
 }
 
-impl Common {
+impl ProcessState {
     /// Ends at this time.
-    pub(super) fn alarm(&self, at: Micros) -> Alarm<'_> {
-        Alarm {
-            common: self,
+    pub(super) fn sleep_until(&self, at: Micros) -> Sleep<'_> {
+        Sleep {
+            process: self,
             at,
             key: None,
         }
     }
 
     /// Ends this long from now.
-    pub(super) fn alarm_in(&self, span: Micros) -> Alarm<'_> {
-        self.alarm(self.clock.now().saturating_add(span))
+    pub(super) fn sleep(&self, span: Micros) -> Sleep<'_> {
+        self.sleep_until(self.clock.now().saturating_add(span))
     }
 
     /// What the work comes to; none where it has not ended by then. No timer is set for work that need not wait.
-    pub(super) async fn until<T>(&self, at: Micros, work: impl Future<Output = T>) -> Option<T> {
+    pub(super) async fn timeout_at<T>(
+        &self,
+        at: Micros,
+        work: impl Future<Output = T>,
+    ) -> Option<T> {
         let mut work = pin!(work);
-        let mut alarm = self.alarm(at);
+        let mut alarm = self.sleep_until(at);
         poll_fn(|context| {
             if let Poll::Ready(done) = work.as_mut().poll(context) {
                 return Poll::Ready(Some(done));
@@ -206,12 +217,16 @@
 
     /// What the work comes to; none from this time on, also where it could end in the turn in which that is noticed: nothing
     /// of it is begun too late. At the end of time no timer is set.
-    pub(super) async fn before<T>(&self, at: Micros, work: impl Future<Output = T>) -> Option<T> {
+    pub(super) async fn strict_timeout_at<T>(
+        &self,
+        at: Micros,
+        work: impl Future<Output = T>,
+    ) -> Option<T> {
         if at == Micros::MAX {
             return Some(work.await);
         }
         let mut work = pin!(work);
-        let mut alarm = self.alarm(at);
+        let mut alarm = self.sleep_until(at);
         poll_fn(|context| match Pin::new(&mut alarm).poll(context) {
             Poll::Ready(()) => Poll::Ready(None),
             Poll::Pending => work.as_mut().poll(context).map(Some),
@@ -219,9 +234,13 @@
         .await
     }
 
-    /// As [`Common::until`], this long from now.
-    pub(super) async fn within<T>(&self, span: Micros, work: impl Future<Output = T>) -> Option<T> {
-        self.until(self.clock.now().saturating_add(span), work)
+    /// As [`ProcessState::timeout_at`], this long from now.
+    pub(super) async fn timeout<T>(
+        &self,
+        span: Micros,
+        work: impl Future<Output = T>,
+    ) -> Option<T> {
+        self.timeout_at(self.clock.now().saturating_add(span), work)
             .await
     }
 }
@@ -235,16 +254,19 @@
     #[test]
     fn a_request_keeps_none_of_its_timers_that_have_rung() {
         let clock = Clock::start();
-        let (alarms, steps) = (Alarms::new(&clock), Steps::default());
+        let (timers, steps) = (Timers::new(&clock), Steps::default());
         let mut now = clock.now();
         for _ in 0..1_000 {
-            steps.add_timer(&alarms, alarms.set(now, Bell::Task(Waker::noop().clone())));
             steps.add_timer(
-                &alarms,
-                alarms.set(now + 1_000, Bell::Task(Waker::noop().clone())),
+                &timers,
+                timers.set(now, TimerTarget::Task(Waker::noop().clone())),
+            );
+            steps.add_timer(
+                &timers,
+                timers.set(now + 1_000, TimerTarget::Task(Waker::noop().clone())),
             );
             now += 25_000;
-            while let Found::Due(_) = alarms.wheel.borrow_mut().poll(now, &mut u32::MAX.clone()) {}
+            while let Found::Due(_) = timers.wheel.borrow_mut().poll(now, &mut u32::MAX.clone()) {}
             assert!(steps.timers() <= 2, "{} are kept", steps.timers());
         }
     }
--- a/crates/sidecar/src/transaction.rs
+++ b/crates/sidecar/src/transaction.rs
@@ -1,9 +1,9 @@
 //! A transaction: the life of one client's request, from the module's first word on it to its final answer.
 
-use super::alarms::Alarms;
 use super::flow::{self, Attempt, Onward};
 use super::passing::Reply;
 use super::service::Service;
+use super::timers::Timers;
 use hyper::Response;
 use madderloom_balancer::{Event, Micros, NewRequest, RequestId, ServerId};
 use madderloom_degradation::RequestEnd;
@@ -50,9 +50,9 @@
     }
 
     /// Those that have rung go: a request that is held is looked at many times a second, for as long as its client waits.
-    pub(super) fn add_timer(&self, alarms: &Alarms, key: TimerKey) {
+    pub(super) fn add_timer(&self, process_timers: &Timers, key: TimerKey) {
         let mut timers = self.timers.borrow_mut();
-        timers.retain(|key| alarms.is_set(*key));
+        timers.retain(|key| process_timers.is_set(*key));
         timers.push(key);
     }
 
@@ -128,9 +128,9 @@
     let mut transaction = Transaction::begin(service, now, &new);
 
     // The module takes it in, and says what to do first: send it, refuse it, or nothing yet.
-    let before = service.given_up();
+    let before = service.shed_requests();
     service.handle(now, Event::Request(new));
-    transaction.given_up = service.given_up() > before;
+    transaction.given_up = service.shed_requests() > before;
     if onward.body.passing().is_some() {
         service.handle(now, Event::Coming(transaction.id));
     }
@@ -169,7 +169,7 @@
             id: new.id,
             class: new.class as usize,
             came: now,
-            aim: service.aim(new),
+            aim: service.latency_objective(new),
             given_up: false,
             cost: new.cost,
             last: None,
@@ -185,10 +185,10 @@
         server: ServerId,
         (timeout_at, write_by): (Micros, Micros),
     ) {
-        let (sent, number) = (self.service.common.clock.now(), self.flows.len() as u32);
+        let (sent, number) = (self.service.process.clock.now(), self.flows.len() as u32);
         self.last = Some(server);
         self.service
-            .attempt_begun(sent, server, (self.id, number), self.class as u32);
+            .record_attempt_start(sent, server, (self.id, number), self.class as u32);
         let attempt = Attempt {
             service: Rc::clone(&self.service),
             request: self.id,
@@ -238,8 +238,9 @@
         self.over.set(true);
         // What ends unserved behind an attempt does so because of the server that had it last.
         if let Some(server) = self.last.filter(|_| !matches!(answer, Answer::Served(_))) {
-            self.service
-                .tell(|teller| teller.turned_away(self.service.common.clock.now(), server));
+            self.service.record_history(|teller| {
+                teller.turned_away(self.service.process.clock.now(), server)
+            });
         }
         if let Some(record) = &onward.idempotency_record {
             record.answered(&answer);
@@ -257,8 +258,8 @@
 
     /// Tells the service's level how it ended, by how long it took.
     fn tell(&self, how: impl Fn(Micros) -> Option<RequestEnd>) {
-        if let Some(keeper) = self.service.keeper.borrow_mut().as_mut() {
-            let now = self.service.common.clock.now();
+        if let Some(keeper) = self.service.level_controller.borrow_mut().as_mut() {
+            let now = self.service.process.clock.now();
             if let Some(end) = how(now.saturating_sub(self.came)) {
                 keeper.request_ended(now, self.class, end);
             }
@@ -272,13 +273,13 @@
     fn drop(&mut self) {
         if !self.over.replace(true) {
             self.tell(|elapsed| RequestEnd::abandoned(elapsed, self.aim));
-            let now = self.service.common.clock.now();
+            let now = self.service.process.clock.now();
             self.service.handle(now, Event::ClientGone(self.id));
         }
         self.flows.clear();
         self.service.transactions.borrow_mut().remove(&self.id);
         for key in self.steps.timers.take() {
-            self.service.common.alarms.cancel(key);
+            self.service.process.timers.cancel(key);
         }
     }
 }
--- a/crates/sidecar/src/turns.rs
+++ b/crates/sidecar/src/turns.rs
@@ -1,6 +1,6 @@
 //! Work taken in turn: tasks that are held back when their account has had its slice of the thread.
 
-use super::common::Common;
+use super::process_state::ProcessState;
 use madderloom_routing::turns::{AccountId, Spent, Turns};
 use std::cell::{Cell, RefCell};
 use std::pin::Pin;
@@ -91,24 +91,26 @@
 /// A task whose steps wait for the turn of the account that it is put down to.
 pub(super) struct InTurn<F> {
     task: Pin<Box<F>>,
-    common: Rc<Common>,
+    process: Rc<ProcessState>,
     charged: Rc<Charged>,
     waiter: Option<Rc<Waiter>>,
 }
 
 impl<F: Future> InTurn<F> {
-    pub(super) fn new(common: &Rc<Common>, charged: Rc<Charged>, task: F) -> Self {
+    pub(super) fn new(process: &Rc<ProcessState>, charged: Rc<Charged>, task: F) -> Self {
         InTurn {
             task: Box::pin(task),
-            common: Rc::clone(common),
+            process: Rc::clone(process),
             charged,
             waiter: None,
         }
     }
 
     fn step(&mut self, context: &mut Context<'_>) -> Poll<F::Output> {
-        let InTurn { task, common, .. } = self;
-        common.clock.turn(|| task.as_mut().poll(context))
+        let InTurn { task, process, .. } = self;
+        process
+            .clock
+            .with_cached_time(|| task.as_mut().poll(context))
     }
 }
 
@@ -152,7 +154,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::super::common::Totals;
+    use super::super::process_state::ResourceTotals;
     use super::*;
 
     /// Work of so many steps, each of which takes a while and then lets others go.
@@ -176,7 +178,7 @@
             .build()
             .expect("a runtime");
         tokio::task::LocalSet::new().block_on(&runtime, async {
-            let common = Common::new(Totals::new(64, 0, 1 << 20, 8, None), true);
+            let process = ProcessState::new(ResourceTotals::new(64, 0, 1 << 20, 8, None), true);
             let scheduler = Scheduler::new();
             tokio::task::spawn_local(Rc::clone(&scheduler).run());
             let (loud, quiet) = (Rc::new(scheduler.open(1)), Rc::new(scheduler.open(1)));
@@ -184,11 +186,12 @@
             let mut flood = Vec::new();
             for _ in 0..FLOOD {
                 let charged = Rc::new(Charged::new(Some(Rc::clone(&loud))));
-                let task = InTurn::new(&common, charged, work(usize::MAX, cost, Rc::clone(&steps)));
+                let task =
+                    InTurn::new(&process, charged, work(usize::MAX, cost, Rc::clone(&steps)));
                 flood.push(tokio::task::spawn_local(task).abort_handle());
             }
             let charged = Rc::new(Charged::new(Some(Rc::clone(&quiet))));
-            let task = InTurn::new(&common, charged, work(100, Duration::ZERO, Rc::default()));
+            let task = InTurn::new(&process, charged, work(100, Duration::ZERO, Rc::default()));
             tokio::task::spawn_local(task).await.expect("it ends");
             // Taken in the order of coming, each of its steps would wait for one of each of the others.
             assert!(
--- a/crates/sidecar/src/upload.rs
+++ b/crates/sidecar/src/upload.rs
@@ -4,9 +4,9 @@
 //! longer one the beginning is kept, and the rest is read from the client as the server takes it: neither side is read
 //! faster than the other is written. Once any of that rest has been read, the request cannot be sent again.
 
-use super::common::Common;
 use super::limits::Held;
 use super::listener::Listener;
+use super::process_state::ProcessState;
 use super::service::Service;
 use super::virtual_server::{Reject, senseless};
 use bytes::{Bytes, BytesMut};
@@ -79,20 +79,20 @@
 }
 
 impl Reader {
-    pub(super) fn new(common: &Common, body: Incoming, most: usize) -> Self {
+    pub(super) fn new(process: &ProcessState, body: Incoming, most: usize) -> Self {
         Reader {
             body,
-            begun: common.clock.now(),
+            begun: process.clock.now(),
             read: 0,
             most: most as u64,
         }
     }
 
     /// The next piece; none at the end. A client has its time by what it has sent.
-    pub(super) async fn next(&mut self, common: &Common) -> Result<Option<Bytes>, Reject> {
+    pub(super) async fn next(&mut self, process: &ProcessState) -> Result<Option<Bytes>, Reject> {
         loop {
             let until = self.begun + LAG + self.read.saturating_mul(1_000_000) / SLOWEST;
-            let frame = match common.until(until, self.body.frame()).await {
+            let frame = match process.timeout_at(until, self.body.frame()).await {
                 None => {
                     return Err(Reject::Senseless(
                         StatusCode::REQUEST_TIMEOUT,
@@ -202,7 +202,7 @@
     most: usize,
     room: &mut Room,
 ) -> Result<Upload, Reject> {
-    let common = &listener.common;
+    let process = &listener.process;
     let mut kept = BytesMut::new();
     // Where it is known to be too long to be kept, no more is than its beginning.
     let (fits, mut held) = match length {
@@ -221,9 +221,9 @@
     let Some(body) = body.take() else {
         return Ok(Upload::Kept(Bytes::new()));
     };
-    let mut reader = Reader::new(common, body, most);
+    let mut reader = Reader::new(process, body, most);
     loop {
-        let Some(piece) = reader.next(common).await? else {
+        let Some(piece) = reader.next(process).await? else {
             return Ok(Upload::Kept(kept.freeze()));
         };
         let size = kept.len() + piece.len();
--- a/crates/sidecar/src/view.rs
+++ b/crates/sidecar/src/view.rs
@@ -1,11 +1,11 @@
 //! What the admin view shows: the process, its listeners, its pools and their servers, as one JSON object.
 
 use super::agent_link::AgentLink;
-use super::common::Common;
 use super::counts::Counts;
 use super::levels;
 use super::limits::Bound;
 use super::listener::Listener;
+use super::process_state::ProcessState;
 use super::service::Service;
 use super::teller::{Teller, words};
 use super::turns::charged_to;
@@ -22,7 +22,7 @@
 /// Where the view looks.
 #[derive(Clone)]
 pub(super) struct Viewer {
-    pub(super) common: Rc<Common>,
+    pub(super) process: Rc<ProcessState>,
     pub(super) agent_link: Rc<AgentLink>,
     pub(super) name: String,
 }
@@ -30,49 +30,49 @@
 impl Viewer {
     /// The pool of this name that serves.
     pub(super) fn pool(&self, name: &str) -> Option<Rc<Service>> {
-        let services = self.common.services.borrow();
+        let services = self.process.services.borrow();
         services
             .iter()
-            .find(|service| service.name == name && !service.is_leaving())
+            .find(|service| service.name == name && !service.is_draining())
             .cloned()
     }
 
     /// Everything there is to see.
     pub(super) fn status(&self) -> Value {
-        let common = &self.common;
-        let now = common.clock.now();
-        let bounds = &common.bounds;
-        let [parked, served, servers] = common.held();
-        let timers = common.alarms.counted();
+        let process = &self.process;
+        let now = process.clock.now();
+        let bounds = &process.shared_limits;
+        let [parked, served, servers] = process.connection_bytes();
+        let timers = process.timers.stats();
         let turns = madderloom_watchdog::counts();
         let all = |bound: &Rc<Bound>| json!({"used": bound.used(), "total": bound.total()});
         json!({
             "version": VERSION,
             "name": self.name,
             "build": env!("CARGO_PKG_VERSION"),
-            "up_us": common.clock.up(),
-            "stopping": common.is_stopping(),
-            "routes": common.routes.get(),
-            "files_read": common.files.get(),
+            "up_us": process.clock.uptime(),
+            "stopping": process.is_stopping(),
+            "routes": process.route_count.get(),
+            "files_read": process.operator_files_applied.get(),
             "control": self.agent_link.view(),
-            "fleet_limits": common.fleet_limits.view(),
-            "shared_lists": common.shared_lists.view(),
+            "fleet_limits": process.fleet_limits.view(),
+            "shared_lists": process.shared_lists.view(),
             "limits": {
-                "client_connections": all(&bounds.clients),
-                "server_connections": all(&bounds.servers),
-                "open": all(&bounds.open_by_pool),
-                "bodies": all(&bounds.bodies_by_pool),
+                "client_connections": all(&bounds.client_connections),
+                "server_connections": all(&bounds.server_connections),
+                "open": all(&bounds.requests_by_pool),
+                "bodies": all(&bounds.body_bytes_by_pool),
             },
-            "state": common.state_writer.get().map(|writer| writer.view()),
+            "state": process.state_writer.get().map(|writer| writer.view()),
             "connections": {
-                "parked": common.clients.get() - common.served_clients.get(),
-                "served": common.served_clients.get(),
-                "held": {"parked": parked, "served": served, "servers": servers, "most": common.most_held.get()},
+                "parked": process.client_connections.get() - process.active_client_connections.get(),
+                "served": process.active_client_connections.get(),
+                "held": {"parked": parked, "served": served, "servers": servers, "most": process.max_connection_bytes.get()},
             },
-            "timers": {"set": timers.set, "rung": timers.rung, "full_turns": timers.full_turns},
+            "timers": {"set": timers.pending, "rung": timers.fired, "full_turns": timers.budget_exhausted_runs},
             "event_loop": {"busy_turns": turns.busy, "stalled_turns": turns.stalled},
-            "listeners": common.listeners.borrow().iter().map(|l| listener(l)).collect::<Value>(),
-            "pools": common.services.borrow().iter().map(|s| pool(s, now)).collect::<Value>(),
+            "listeners": process.listeners.borrow().iter().map(|l| listener(l)).collect::<Value>(),
+            "pools": process.services.borrow().iter().map(|s| pool(s, now)).collect::<Value>(),
         })
     }
 }
@@ -118,9 +118,9 @@
 fn pool(service: &Service, now: Micros) -> Value {
     let snapshot = service.snapshot();
     let ago = |at: Micros| now.saturating_sub(at);
-    let tuned = service.tuned();
+    let tuned = service.active_settings();
     let classes = tuned
-        .places
+        .class_slots
         .iter()
         .zip(&snapshot.classes)
         .filter(|(place, _)| !place.retired);
@@ -128,7 +128,7 @@
         let class = &place.entry;
         json!({
             "name": class.name,
-            "effect": match class.effect() {
+            "effect": match class.retry_safety() {
                 Effect::Safe => "safe",
                 Effect::Keyed { .. } => "keyed",
                 Effect::Unsafe => "unsafe",
@@ -141,7 +141,7 @@
         charged_to(&service.charged).map_or_else(Spent::default, |account| account.spent());
     json!({
         "name": service.name,
-        "state": if service.is_leaving() { "leaving" } else { "serving" },
+        "state": if service.is_draining() { "leaving" } else { "serving" },
         "ready": service.pool.is_known(),
         "discovery": service.pool.discovery().map(|at| at.to_string()),
         "list_version": service.pool.version(),
@@ -163,7 +163,7 @@
 
 fn server(service: &Service, seen: &ServerView, now: Micros) -> Value {
     let listed = &seen.listed;
-    let tuned = service.tuned();
+    let tuned = service.active_settings();
     let zone = tuned.site.zones.get(listed.zone as usize);
     let kind = tuned.site.kinds.get(listed.kind as usize);
     let ejected = seen.ejected_until.map(|until| until.saturating_sub(now));
@@ -190,11 +190,11 @@
 impl Viewer {
     /// All servers that are listed, and those that left and are remembered, each with what happened lately.
     pub(super) fn servers(&self) -> Value {
-        let now = self.common.clock.now();
-        let services = self.common.services.borrow();
+        let now = self.process.clock.now();
+        let services = self.process.services.borrow();
         let rows = services.iter().flat_map(|service| {
             let snapshot = service.snapshot();
-            let teller = service.teller.borrow();
+            let teller = service.history_recorder.borrow();
             let story = teller.as_deref();
             let mut rows: Vec<Value> = snapshot
                 .servers
@@ -215,7 +215,7 @@
         let rows: Vec<Value> = rows.collect();
         let on = self.keeps_stories();
         let shared = services.iter().flat_map(|service| {
-            let teller = service.teller.borrow();
+            let teller = service.history_recorder.borrow();
             let story = teller.as_deref();
             let all = story.into_iter().flat_map(|teller| {
                 let all = teller.story.active_anomalies().filter(|d| !matches!(d.subject, Subject::Endpoint(_)));
@@ -231,22 +231,22 @@
 
     /// Whether the story of any servers is kept.
     pub(super) fn keeps_stories(&self) -> bool {
-        self.common
+        self.process
             .services
             .borrow()
             .iter()
-            .any(|service| service.teller.borrow().is_some())
+            .any(|service| service.history_recorder.borrow().is_some())
     }
 
     /// The stories of the servers of this name, one for each pool that has one; of one pool alone where it is named.
     pub(super) fn stories(&self, name: &str, pool: Option<&str>) -> Vec<Value> {
-        let now = self.common.clock.now();
-        let services = self.common.services.borrow();
+        let now = self.process.clock.now();
+        let services = self.process.services.borrow();
         let found = services
             .iter()
             .filter(|service| pool.is_none_or(|pool| service.name == pool));
         let found = found.filter_map(|service| {
-            let teller = service.teller.borrow();
+            let teller = service.history_recorder.borrow();
             let teller = teller.as_deref()?;
             let id = teller.find(name)?;
             let line = teller.story.timeline(id)?;
@@ -277,7 +277,7 @@
 
     /// What happened of late: lines of the feed from this number on, of one pool or of all.
     pub(super) fn events(&self, after: u64) -> Vec<u8> {
-        let feed = &self.common.feed;
+        let feed = &self.process.feed;
         let (oldest, lines) = feed.from(after);
         let mut told = format!(
             "{{\"version\":{VERSION},\"oldest\":{oldest},\"next\":{},\"events\":[",
@@ -305,7 +305,7 @@
 
 fn left_row(service: &Service, teller: &Teller, id: ServerId, ago: Micros) -> Value {
     let known = teller.known(id);
-    let tuned = service.tuned();
+    let tuned = service.active_settings();
     let zone = known.and_then(|(listed, _)| tuned.site.zones.get(listed.zone as usize));
     let kind = known.and_then(|(listed, _)| tuned.site.kinds.get(listed.kind as usize));
     let mut told = json!({
--- a/crates/sidecar/src/virtual_server.rs
+++ b/crates/sidecar/src/virtual_server.rs
@@ -1,8 +1,8 @@
 //! The virtual server: the client's side of one request. It reads it, finds the service that it is for, makes room
 //! for it, and gives the answer back.
 
+use super::active_settings::ClassEntry;
 use super::client::Client;
-use super::common::Common;
 use super::counts::count;
 use super::fleet_limits::LetIn;
 use super::flow::{Onward, Reading};
@@ -10,11 +10,11 @@
 use super::limits::Full;
 use super::listener::{Listener, Manner};
 use super::passing::{HeldByAnswer, Reply};
+use super::process_state::ProcessState;
 use super::routing::{ClassFrom, Routing};
 use super::service::Service;
 use super::state_writer::IdempotencyRecord;
 use super::transaction::{self, Answer};
-use super::tuned::ClassEntry;
 use super::upload::{self, Length, Room};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full as Whole};
@@ -43,7 +43,7 @@
 
 impl<'a> OpenId<'a> {
     pub(super) fn new(of: &'a Service, id: &HeaderValue) -> Result<Self, Reject> {
-        if !of.ids.borrow_mut().insert(id.clone()) {
+        if !of.request_ids.borrow_mut().insert(id.clone()) {
             return Err(Reject::Senseless(
                 StatusCode::CONFLICT,
                 "a request with this X-Trace-Id is open",
@@ -55,7 +55,7 @@
 
 impl Drop for OpenId<'_> {
     fn drop(&mut self) {
-        self.of.forget(&self.id);
+        self.of.release_request_id(&self.id);
     }
 }
 
@@ -82,7 +82,7 @@
     client: &Rc<Client>,
     request: Request<Incoming>,
 ) -> Response<Reply> {
-    let came = listener.common.clock.now();
+    let came = listener.process.clock.now();
     if client.ambiguous.get() {
         count(&listener.counts.senseless);
         return rejected(senseless("it is not certain where the message ends"));
@@ -132,7 +132,7 @@
             &mut room,
         )
         .await?;
-        if service.transactions.borrow().len() >= service.tuned().site.max_open {
+        if service.transactions.borrow().len() >= service.active_settings().site.max_open {
             return Err(Reject::Refused(
                 "too many requests are open",
                 service.retry_after(),
@@ -150,18 +150,18 @@
     client.body_read.set(body.passing().is_none());
     let open = service.counts.open();
     let counts = service.class_counts(new.class);
-    let now = listener.common.clock.now();
+    let now = listener.process.clock.now();
     // Its time counts from its last byte, and what its client took to write it is not the answer's.
     new.time_left = listener
-        .common
-        .time_left(now, new.time_left.saturating_sub(MARGIN));
+        .process
+        .cap_time_left(now, new.time_left.saturating_sub(MARGIN));
     // An absolute target names this sidecar; the node is to see the path alone.
     let path = head.uri.into_parts().path_and_query;
     let uri = path.map_or_else(|| Uri::from_static("/"), Uri::from);
     let unsafe_to_repeat = entry
         .as_ref()
-        .is_none_or(|class| class.effect() == Effect::Unsafe);
-    let aim = service.aim(&new);
+        .is_none_or(|class| class.retry_safety() == Effect::Unsafe);
+    let aim = service.latency_objective(&new);
     let reading = Reading::Plain;
     let idempotency_record = if unsafe_to_repeat {
         IdempotencyRecord::for_request(&service, &head.headers, None)
@@ -194,7 +194,7 @@
         // What is left of it is read and dropped behind the answer, so that the answer arrives.
         match passing.unread() {
             Some(unread) if passing.whole.get().is_none() => {
-                drain(&service.common, unread, DRAINED_FOR)
+                drain(&service.process, unread, DRAINED_FOR)
             }
             _ => onward.client.body_read.set(passing.whole.get().is_some()),
         }
@@ -205,7 +205,7 @@
     }
     match answer {
         Answer::Served(mut response) => {
-            if listener.common.clock.now() - came > aim {
+            if listener.process.clock.now() - came > aim {
                 count(&counts.late);
             }
             match response.body_mut() {
@@ -217,7 +217,7 @@
                     passing.held = Some(HeldByAnswer {
                         counts,
                         client: Rc::clone(&onward.client),
-                        common: Rc::clone(&listener.common),
+                        process: Rc::clone(&listener.process),
                         _rest,
                     });
                 }
@@ -257,7 +257,7 @@
         &counts.senseless
     });
     if let Some(unread) = unread.filter(|_| turned_away && manner.drains) {
-        drain(&service.common, unread, manner.body_within);
+        drain(&service.process, unread, manner.body_within);
     }
 }
 
@@ -271,7 +271,7 @@
         .iter()
         .filter(|service| named.is_none_or(|name| service.name == name));
     let ready = wanted.any(|service| service.pool.is_known());
-    let wanted = listener.common.duty.borrow().is_serving() && !listener.is_leaving();
+    let wanted = listener.process.lifecycle.borrow().is_serving() && !listener.is_leaving();
     plain(
         if ready && wanted {
             StatusCode::OK
@@ -333,7 +333,7 @@
 ) -> Result<Option<LetIn>, Reject> {
     let class = class.map(|class| &*class.name);
     service
-        .common
+        .process
         .fleet_limits
         .admit(&service.name, class, headers)
         .map_err(|denied| {
@@ -354,12 +354,12 @@
 
 /// Reads the body of a request that is answered already. Left unread, it would have the connection reset, and the
 /// answer lost on the way.
-fn drain(common: &Rc<Common>, mut body: Incoming, within: Micros) {
-    let common = Rc::clone(common);
+fn drain(process: &Rc<ProcessState>, mut body: Incoming, within: Micros) {
+    let process = Rc::clone(process);
     watchdog::spawn(TaskKind::BodyDrain, async move {
         let read = async { while body.frame().await.is_some_and(|frame| frame.is_ok()) {} };
         // What has not come by then never will, and the connection ends with it.
-        let _ = common.within(within, read).await;
+        let _ = process.timeout(within, read).await;
     });
 }
 
@@ -411,7 +411,7 @@
         .and_then(|body| body.size_hint().exact())
         .and_then(|size| usize::try_from(size).ok());
     let problem = match most {
-        super::BODY => "the body holds more than 64 KiB",
+        super::MAX_BUFFERED_BODY_BYTES => "the body holds more than 64 KiB",
         _ => "the body is longer than this listener takes",
     };
     size.filter(|size| *size <= most)
@@ -419,14 +419,14 @@
 }
 
 pub(super) async fn whole(
-    common: &Common,
+    process: &ProcessState,
     body: Option<Incoming>,
     within: Micros,
 ) -> Result<Bytes, Reject> {
     let Some(body) = body else {
         return Ok(Bytes::new());
     };
-    match common.within(within, body.collect()).await {
+    match process.timeout(within, body.collect()).await {
         Some(Ok(body)) => Ok(body.to_bytes()),
         Some(Err(_)) => Err(senseless("the body has broken off")),
         None => Err(Reject::Senseless(
@@ -439,7 +439,7 @@
 /// The class that a request names. A route's class goes before that of the path.
 fn class_of(service: &Service, class: Option<&str>, head: &Parts) -> Option<Rc<ClassEntry>> {
     let class = class.unwrap_or_else(|| head.uri.path().split('/').nth(1).unwrap_or_default());
-    service.tuned().named(class)
+    service.active_settings().class_named(class)
 }
 
 /// Takes out of a request what the module needs of it.
@@ -456,7 +456,7 @@
         StatusCode::NOT_FOUND,
         "there is no such class",
     ))?;
-    let effect = class.effect();
+    let effect = class.retry_safety();
     if head.method
         != if effect == Effect::Safe {
             Method::GET
@@ -484,7 +484,7 @@
     ))?;
     Ok(NewRequest {
         id: next_request(service),
-        class: class.place,
+        class: class.index,
         tenant: 0,
         key: subject(headers),
         time_left: left,
@@ -516,8 +516,8 @@
 
 /// The number of the next request.
 pub(super) fn next_request(service: &Service) -> RequestId {
-    let id = service.last_request.get() + 1;
-    service.last_request.set(id);
+    let id = service.last_request_id.get() + 1;
+    service.last_request_id.set(id);
     id
 }
 
--- a/crates/sidecar/src/warm_start.rs
+++ b/crates/sidecar/src/warm_start.rs
@@ -1,7 +1,7 @@
 //! The warm start: what the balancer has measured is written to the store every few seconds and at a graceful shutdown, and
 //! is used after a restart, weighted by its age.
 
-use super::common::Common;
+use super::process_state::ProcessState;
 use super::service::Service;
 use super::state_writer::StateWriter;
 use madderloom_balancer::{Memory, Micros, ServerId, ServerMemory};
@@ -86,7 +86,11 @@
         } = self.decayed(writer)?;
         let blended = |assumed: f64, stored: f64| blend(assumed, stored, weight);
         let mut memory = assumed.clone();
-        for (class, name) in memory.classes.iter_mut().zip(&service.tuned().site.classes) {
+        for (class, name) in memory
+            .classes
+            .iter_mut()
+            .zip(&service.active_settings().site.classes)
+        {
             if let Some(stored) = classes.iter().find(|stored| stored.name == *name) {
                 class.usual = blended(class.usual, stored.usual_work);
                 class.slow = blended(class.slow, stored.slow_time);
@@ -122,25 +126,25 @@
 }
 
 /// Writes snapshots for as long as the process serves.
-pub(super) async fn run(common: Rc<Common>, writer: Rc<StateWriter>) {
-    delete_unused(&common, &writer).await;
+pub(super) async fn run(process: Rc<ProcessState>, writer: Rc<StateWriter>) {
+    delete_unused(&process, &writer).await;
     loop {
         tokio::time::sleep(Duration::from_micros(writer.state().warm_every.micros())).await;
-        write(&common, &writer).await;
+        write(&process, &writer).await;
     }
 }
 
 /// Deletes the snapshots of services that have no warm start any more.
-async fn delete_unused(common: &Common, writer: &StateWriter) {
+async fn delete_unused(process: &ProcessState, writer: &StateWriter) {
     let mut batches = Vec::new();
     writer
         .restored_services
         .borrow_mut()
         .retain(|name, restored| {
-            let services = common.services.borrow();
+            let services = process.services.borrow();
             let is_used = services
                 .iter()
-                .any(|service| service.name == *name && service.kept.get().warm_start);
+                .any(|service| service.name == *name && service.persistence.get().warm_start);
             if !is_used {
                 batches.push(restored.writer.delete_batch());
             }
@@ -153,11 +157,11 @@
 }
 
 /// Writes one snapshot of each service that has a warm start.
-pub(super) async fn write(common: &Common, writer: &StateWriter) {
-    let services = common.services.borrow().clone();
+pub(super) async fn write(process: &ProcessState, writer: &StateWriter) {
+    let services = process.services.borrow().clone();
     for service in services
         .iter()
-        .filter(|service| service.kept.get().warm_start && !service.is_leaving())
+        .filter(|service| service.persistence.get().warm_start && !service.is_draining())
     {
         let mut pending = prepare(writer, service);
         let batch = std::mem::take(&mut pending.batch);
@@ -183,8 +187,8 @@
 }
 
 fn take_snapshot(service: &Service) -> WarmStartSnapshot {
-    let now: Micros = service.common.clock.now();
-    let memory = service.memory(now);
+    let now: Micros = service.process.clock.now();
+    let memory = service.measurements(now);
     let measured: BTreeMap<ServerId, &ServerMemory> =
         memory.servers.iter().map(|s| (s.server, s)).collect();
     let mut servers = service.pool.server_snapshots();
@@ -198,8 +202,8 @@
             server.ejection_time = measured.ejection;
         }
     }
-    let tuned = service.tuned();
-    let places = tuned.places.iter().zip(&memory.classes);
+    let tuned = service.active_settings();
+    let places = tuned.class_slots.iter().zip(&memory.classes);
     let classes = places
         .filter(|(place, _)| !place.retired)
         .map(|(place, class)| ClassSnapshot {
