--- a/crates/sidecar/src/admin.rs
+++ b/crates/sidecar/src/admin.rs
@@ -432,13 +432,13 @@
     };
     let read = Limited::new(request.into_body(), ORDER).collect().await;
     let asked = read.map_err(|e| e.to_string()).and_then(|body| {
-        serde_json::from_slice::<levels::Asked>(&body.to_bytes())
+        serde_json::from_slice::<levels::OrderRequest>(&body.to_bytes())
             .map_err(|e| format!("makes no sense: {e}"))
     });
-    if let Err(problem) = asked.and_then(|asked| levels::order(&service, asked, user)) {
+    if let Err(problem) = asked.and_then(|asked| levels::apply_order(&service, asked, user)) {
         return refused(StatusCode::BAD_REQUEST, problem);
     }
-    match levels::keep_orders(&service).await {
+    match levels::store_orders(&service).await {
         Ok(()) => (StatusCode::OK, json!({})),
         Err(problem) => refused(StatusCode::INTERNAL_SERVER_ERROR, problem),
     }
--- a/crates/sidecar/src/agent_link/connection.rs
+++ b/crates/sidecar/src/agent_link/connection.rs
@@ -154,13 +154,17 @@
     }
 
     fn lease_requests(&mut self, term: u64) -> Option<LeaseRequests> {
-        self.sidecar.upgrade()?.common.fleet_limits.ask(term)
+        self.sidecar
+            .upgrade()?
+            .common
+            .fleet_limits
+            .lease_requests(term)
     }
 
     fn grant_received(&mut self, grant: &Grant) -> bool {
         self.sidecar
             .upgrade()
-            .is_some_and(|sidecar| sidecar.common.fleet_limits.take(grant))
+            .is_some_and(|sidecar| sidecar.common.fleet_limits.apply_grant(grant))
     }
 
     fn list_reports(&mut self) -> Option<EndpointListReports> {
--- a/crates/sidecar/src/agent_link/window.rs
+++ b/crates/sidecar/src/agent_link/window.rs
@@ -26,8 +26,8 @@
         self.services
             .retain(|(service, _)| service.strong_count() > 0);
         for service in common.services.borrow().iter() {
-            let counts = service.counts.sum();
-            let away = counts.refused.get() + counts.failed.get() + counts.turned_away.get();
+            let counts = service.counts.total();
+            let away = counts.rejected.get() + counts.failed.get() + counts.rejected_by_limit.get();
             let present = RequestCounts {
                 ended: counts.served.get() + away,
                 bad: counts.late.get() + away,
--- a/crates/sidecar/src/flow.rs
+++ b/crates/sidecar/src/attempt.rs
@@ -1,9 +1,9 @@
 //! One server-side flow: an attempt at a server, from its connection to its one outcome.
 
 use super::client::Client;
-use super::connections::NoConnection;
-use super::counts::count;
-use super::exchange::{self, Broken, Message, Progress, Taken, Whole};
+use super::connections::ConnectError;
+use super::counts::increment;
+use super::exchange::{self, BodyRead, CompleteBody, ExchangeError, RequestMessage, SendProgress};
 use super::passing::{Passing, Reply};
 use super::readiness;
 use super::service::Service;
@@ -39,7 +39,7 @@
 const NEVER_RAN: HeaderName = HeaderName::from_static("x-never-ran");
 
 /// Headers that are about one connection and go no further.
-pub(super) const HOP: [HeaderName; 8] = [
+pub(super) const HOP_BY_HOP_HEADERS: [HeaderName; 8] = [
     header::CONNECTION,
     header::TRANSFER_ENCODING,
     header::CONTENT_LENGTH,
@@ -51,23 +51,23 @@
 ];
 
 /// What of a client's request goes on to a server.
-pub(super) struct Onward {
+pub(super) struct ForwardedRequest {
     /// Who asked.
     pub(super) client: Rc<Client>,
     pub(super) method: Method,
     pub(super) uri: Uri,
     pub(super) headers: HeaderMap,
     pub(super) body: Upload,
-    pub(super) unsafe_to_repeat: bool,
-    pub(super) reading: Reading,
+    pub(super) non_idempotent: bool,
+    pub(super) protocol: ResponseProtocol,
     /// Where its pool keeps a ledger of what must not run twice.
     pub(super) idempotency_record: Option<IdempotencyRecord>,
 }
 
-impl Onward {
+impl ForwardedRequest {
     /// Ends at once while the client is there. Where it has gone this never ends, and all that was begun for it is dropped in
     /// a moment: to be asked just before something begins that nobody wants any more.
-    pub(super) async fn while_asked_for(&self) {
+    pub(super) async fn wait_forever_if_client_gone(&self) {
         if self.client.has_gone() {
             std::future::pending().await
         }
@@ -76,9 +76,9 @@
 
 /// How a server's answer is understood.
 #[derive(Clone, Copy)]
-pub(super) enum Reading {
+pub(super) enum ResponseProtocol {
     /// 200 is served.
-    Plain,
+    Http,
     /// By what it says in GraphQL.
     Graphql {
         /// The request held hashes of persisted queries alone.
@@ -86,10 +86,10 @@
     },
 }
 
-impl Reading {
+impl ResponseProtocol {
     /// Whether a long answer goes to the client as it comes; in GraphQL it is read first.
-    fn passes_on(self) -> bool {
-        matches!(self, Reading::Plain)
+    fn allows_streaming(self) -> bool {
+        matches!(self, ResponseProtocol::Http)
     }
 }
 
@@ -101,46 +101,46 @@
     pub(super) server: ServerId,
     pub(super) class: u32,
     /// The client's guess of its work.
-    pub(super) cost: Option<Micros>,
-    pub(super) sent: Cell<Micros>,
+    pub(super) cost_hint: Option<Micros>,
+    pub(super) sent_at: Cell<Micros>,
     pub(super) timeout_at: Micros,
     /// Its last byte is not written from then on.
     pub(super) write_by: Micros,
     /// The transaction has had its final answer.
-    pub(super) over: Rc<Cell<bool>>,
-    pub(super) closed: bool,
+    pub(super) transaction_ended: Rc<Cell<bool>>,
+    pub(super) outcome_reported: bool,
 }
 
 impl Attempt {
     /// Whether its request's time is over before anything of it was written, as where the process stood still while the
     /// connection came up. It is not written then: nothing has run, and its client can be told so. The time of a body that
     /// is passed on begins with its last byte.
-    fn is_out_of_time(&self, onward: &Onward) -> bool {
+    fn is_out_of_time(&self, onward: &ForwardedRequest) -> bool {
         onward.body.passing().is_none() && self.service.common.clock.now() >= self.timeout_at
     }
 
     fn close(&mut self, outcome: Outcome) {
-        if std::mem::replace(&mut self.closed, true) {
+        if std::mem::replace(&mut self.outcome_reported, true) {
             return;
         }
         let now = self.service.common.clock.now();
         // What is served goes to the client: the transaction is over with it.
         if outcome == Outcome::Ok {
-            self.over.set(true);
+            self.transaction_ended.set(true);
         }
         let closed = Closed {
             request: self.request,
             attempt: self.number,
             server: self.server,
             outcome,
-            elapsed: now.saturating_sub(self.sent.get()),
-            ended: self.over.get(),
+            elapsed: now.saturating_sub(self.sent_at.get()),
+            ended: self.transaction_ended.get(),
         };
         let ended = EndedAttempt {
             closed,
             class: self.class,
-            cost: self.cost,
-            sent: self.sent.get(),
+            cost: self.cost_hint,
+            sent: self.sent_at.get(),
         };
         self.service.attempt_ended(now, &ended);
         self.service.handle(now, Event::Closed(closed));
@@ -156,11 +156,11 @@
 
 /// Makes the attempt. An answer is there if its outcome was that it was served, or where the ledger does not let it be
 /// sent; else the module has been told, and says what follows.
-pub(super) async fn run(mut attempt: Attempt, onward: Rc<Onward>) -> Option<Answer> {
+pub(super) async fn run(mut attempt: Attempt, onward: Rc<ForwardedRequest>) -> Option<Answer> {
     if let Some(record) = &onward.idempotency_record {
         let barrier = record.pass_barrier().await;
         if barrier != WriteBarrier::Open {
-            attempt.over.set(true);
+            attempt.transaction_ended.set(true);
             attempt.close(Outcome::Moot);
             return Some(match barrier {
                 WriteBarrier::MayHaveRun => Answer::Failed,
@@ -170,18 +170,18 @@
             });
         }
         // What the disk took is no server's time.
-        attempt.sent.set(attempt.service.common.clock.now());
+        attempt.sent_at.set(attempt.service.common.clock.now());
     }
     let (outcome, answer) = {
-        let progress = Progress::default();
+        let progress = SendProgress::default();
         let service = &attempt.service;
         let exchange = exchange(&attempt, &onward, &progress);
         match limited(&attempt, &onward, exchange).await {
             Some(done) => done,
-            None if progress.whole.get() => {
+            None if progress.complete.get() => {
                 service
                     .connections
-                    .suspect(attempt.server, attempt.sent.get());
+                    .drop_idle_if_silent(attempt.server, attempt.sent_at.get());
                 (Outcome::Timeout, None)
             }
             // It has not been written whole, and never will be: nothing can have run.
@@ -195,14 +195,14 @@
 /// The time of a request whose body is passed on runs from its last byte on.
 async fn limited<T>(
     attempt: &Attempt,
-    onward: &Onward,
+    onward: &ForwardedRequest,
     exchange: impl Future<Output = T>,
 ) -> Option<T> {
     let common = &attempt.service.common;
     let Some(passing) = onward.body.passing() else {
         return common.until(attempt.timeout_at, exchange).await;
     };
-    let wait = attempt.timeout_at.saturating_sub(attempt.sent.get());
+    let wait = attempt.timeout_at.saturating_sub(attempt.sent_at.get());
     let mut exchange = pin!(exchange);
     let mut alarm = None;
     poll_fn(|context| {
@@ -220,7 +220,7 @@
 
 type Ended = (Outcome, Option<Response<Reply>>);
 
-async fn exchange(attempt: &Attempt, onward: &Onward, progress: &Progress) -> Ended {
+async fn exchange(attempt: &Attempt, onward: &ForwardedRequest, progress: &SendProgress) -> Ended {
     let service = &attempt.service;
     let Some(address) = service.pool.address(attempt.server) else {
         return (Outcome::Moot, None);
@@ -234,26 +234,27 @@
     }
     // What this fleet may send to the server is spent: nothing was sent, and the module may choose another.
     let limits = &service.common.fleet_limits;
-    let Ok(_open) = limits.admit_at(&service.name, || service.pool.name(attempt.server)) else {
+    let Ok(_open) = limits.admit_to_server(&service.name, || service.pool.name(attempt.server))
+    else {
         return (Outcome::Moot, None);
     };
     let left = attempt
         .timeout_at
-        .saturating_sub(attempt.sent.get())
+        .saturating_sub(attempt.sent_at.get())
         .div_ceil(1_000);
     // What may have run must not run twice: a break that comes before the last byte proves that it has not.
-    let held = onward.unsafe_to_repeat
-        && service.connections.are_breaking()
+    let held = onward.non_idempotent
+        && service.connections.recently_broke()
         && !onward.body.at_hand().is_empty();
     let held = held && onward.body.passing().is_none();
     let message = message(onward, address, left);
     let (mut lease, mut answer, head) = loop {
-        let open = service.connections.take(attempt.server, address);
+        let open = service.connections.acquire(attempt.server, address);
         let mut lease = match service.common.before(attempt.write_by, open).await {
             Some(Ok(lease)) => lease,
-            Some(Err(NoConnection::Failed)) => return (Outcome::ConnectFailed, None),
+            Some(Err(ConnectError::Failed)) => return (Outcome::ConnectFailed, None),
             // Or its idempotency window ends: servers that have forgotten the first attempt would run this one.
-            Some(Err(NoConnection::Exhausted)) | None => return (Outcome::Moot, None),
+            Some(Err(ConnectError::NoCapacity)) | None => return (Outcome::Moot, None),
         };
         if !service
             .pool
@@ -261,44 +262,44 @@
         {
             return (Outcome::Moot, None);
         }
-        onward.while_asked_for().await;
+        onward.wait_forever_if_client_gone().await;
         if attempt.is_out_of_time(onward) {
-            service.connections.keep(lease);
+            service.connections.release(lease);
             return (Outcome::Moot, None);
         }
         let hold = held.then(|| service.common.alarm_in(HOLD));
         let send = exchange::send(&lease.stream, &message, hold, progress);
         let Some(mut sent) = service.common.before(attempt.write_by, send).await else {
-            if !progress.begun.get() {
-                service.connections.keep(lease);
+            if !progress.started.get() {
+                service.connections.release(lease);
             }
             return (Outcome::Moot, None);
         };
         if let (Some(passing), Ok(())) = (onward.body.passing(), &sent) {
-            let at_hand = progress.whole.replace(false);
+            let at_hand = progress.complete.replace(false);
             if at_hand {
                 sent = pass_on(attempt, passing, &lease.stream, progress).await;
             }
         }
-        if progress.whole.get() {
-            count(&service.counts.relayed);
+        if progress.complete.get() {
+            increment(&service.counts.attempts_sent);
         }
-        let mut answer = exchange::Answer::default();
+        let mut answer = exchange::ResponseReader::default();
         let head = match sent {
-            Ok(_) => answer.head(&mut lease.stream).await,
+            Ok(_) => answer.read_head(&mut lease.stream).await,
             Err(broken) => Err(broken),
         };
         match head {
             Ok(head) => break (lease, answer, head),
             // It was closed while it lay idle, and not one byte has gone out: this is still the same attempt.
-            Err(_) if lease.used && !progress.begun.get() => {}
+            Err(_) if lease.reused && !progress.started.get() => {}
             Err(broken) => {
                 // An answer that cannot be read says nothing of the connections.
-                if broken == Broken::Connection && progress.begun.get() {
-                    service.connections.broke();
+                if broken == ExchangeError::Connection && progress.started.get() {
+                    service.connections.record_break();
                 }
                 // With the last byte on its way it may have run: an unsafe request must not go out again.
-                let whole = progress.whole.get();
+                let whole = progress.complete.get();
                 return (
                     if whole {
                         Outcome::Reset
@@ -310,12 +311,12 @@
             }
         }
     };
-    let taken = match answer.body_at_hand(&head) {
-        Some(body) => Taken::Whole(body),
+    let taken = match answer.take_buffered_body(&head) {
+        Some(body) => BodyRead::Complete(body),
         None => {
             let patience = service.common.alarm_in(PATIENCE);
             let stalls = || service.common.alarm_in(STALLED);
-            let rest = answer.beginning(&head, &mut lease.stream, patience, stalls);
+            let rest = answer.read_body_start(&head, &mut lease.stream, patience, stalls);
             match rest.await {
                 Ok(taken) => taken,
                 // Broken off, or shorter than its head says.
@@ -323,21 +324,21 @@
             }
         }
     };
-    service.connections.heard(attempt.server);
-    let whole = progress.whole.get();
+    service.connections.record_response(attempt.server);
+    let whole = progress.complete.get();
     match taken {
-        Taken::Whole(Whole { body, reusable }) => {
+        BodyRead::Complete(CompleteBody { body, reusable }) => {
             // A server that has left or moved meanwhile gets nothing more over it, nor does one that has not had all.
             if reusable && whole && service.pool.address(attempt.server) == Some(address) {
-                service.connections.keep(lease);
+                service.connections.release(lease);
             }
-            judge(head.status, head.headers, body, onward.reading)
+            judge(head.status, head.headers, body, onward.protocol)
         }
         // Read to its end by whoever is the client; of one that is no answer nothing is wanted.
-        Taken::Long { first, unwrapper }
-            if head.status == StatusCode::OK && onward.reading.passes_on() =>
+        BodyRead::Partial { first, unwrapper }
+            if head.status == StatusCode::OK && onward.protocol.allows_streaming() =>
         {
-            let reusable = head.stays && whole;
+            let reusable = head.keep_alive && whole;
             let unread = answer.into_unread();
             let (service, server) = (Rc::clone(service), attempt.server);
             let lease = Some(lease);
@@ -356,11 +357,11 @@
             *response.headers_mut() = head.headers;
             (Outcome::Ok, Some(response))
         }
-        Taken::Long { .. } if onward.reading.passes_on() => {
-            judge(head.status, head.headers, Bytes::new(), onward.reading)
+        BodyRead::Partial { .. } if onward.protocol.allows_streaming() => {
+            judge(head.status, head.headers, Bytes::new(), onward.protocol)
         }
         // Longer than an answer may be.
-        Taken::Long { .. } => (Outcome::Reset, None),
+        BodyRead::Partial { .. } => (Outcome::Reset, None),
     }
 }
 
@@ -370,8 +371,8 @@
     attempt: &Attempt,
     passing: &upload::Passing,
     stream: &TcpStream,
-    progress: &Progress,
-) -> Result<(), Broken> {
+    progress: &SendProgress,
+) -> Result<(), ExchangeError> {
     let service = &attempt.service;
     let Some(mut reader) = passing.take() else {
         return Ok(());
@@ -406,15 +407,15 @@
             Err(reject) => {
                 passing.broken.replace(Some(reject));
                 // With its client's part missing there is nothing to wait for.
-                result = Err(Broken::Senseless);
+                result = Err(ExchangeError::Malformed);
                 break false;
             }
         };
         let written = service
             .common
-            .within(TAKES_WITHIN, exchange::write_on(stream, &bytes))
+            .within(TAKES_WITHIN, exchange::write_body(stream, &bytes))
             .await;
-        match written.unwrap_or(Err(Broken::Connection)) {
+        match written.unwrap_or(Err(ExchangeError::Connection)) {
             Ok(true) if last => break true,
             Ok(true) => {}
             Ok(false) => break false,
@@ -426,9 +427,9 @@
     };
     if whole {
         let now = service.common.clock.now();
-        progress.whole.set(true);
+        progress.complete.set(true);
         passing.whole.set(Some(now));
-        attempt.sent.set(now);
+        attempt.sent_at.set(now);
         service.handle(now, Event::Came(attempt.request));
     } else {
         passing.give_back(reader);
@@ -444,48 +445,48 @@
     chunk.freeze()
 }
 
-fn message(onward: &Onward, address: SocketAddr, left_ms: u64) -> Message {
+fn message(onward: &ForwardedRequest, address: SocketAddr, left_ms: u64) -> RequestMessage {
     let target = onward
         .uri
         .path_and_query()
         .map_or("/", PathAndQuery::as_str);
-    let mut message = Message::new(&onward.method, target);
+    let mut message = RequestMessage::new(&onward.method, target);
     for (name, value) in &onward.headers {
-        if *name != EXPIRES && !HOP.contains(name) {
-            message.header(name, value);
+        if *name != EXPIRES && !HOP_BY_HOP_HEADERS.contains(name) {
+            message.add_header(name, value);
         }
     }
-    message.number(&EXPIRES, left_ms);
+    message.add_number_header(&EXPIRES, left_ms);
     if !onward.headers.contains_key(header::HOST)
         && let Ok(host) = HeaderValue::from_maybe_shared(Bytes::from(address.to_string()))
     {
-        message.header(&header::HOST, &host);
+        message.add_header(&header::HOST, &host);
     }
     let body = onward.body.at_hand().clone();
     match onward.body.passing().map(|passing| passing.length) {
-        Some(Length::Known(length)) => message.number(&header::CONTENT_LENGTH, length),
+        Some(Length::Known(length)) => message.add_number_header(&header::CONTENT_LENGTH, length),
         Some(Length::Chunked) => {
-            message.header(
+            message.add_header(
                 &header::TRANSFER_ENCODING,
                 &HeaderValue::from_static("chunked"),
             );
-            message.end(chunk(&body));
+            message.finish(chunk(&body));
             return message;
         }
         None if onward.method != Method::GET || !body.is_empty() => {
-            message.number(&header::CONTENT_LENGTH, body.len() as u64);
+            message.add_number_header(&header::CONTENT_LENGTH, body.len() as u64);
         }
         None => {}
     }
-    message.end(body);
+    message.finish(body);
     message
 }
 
-fn judge(status: StatusCode, headers: HeaderMap, body: Bytes, reading: Reading) -> Ended {
+fn judge(status: StatusCode, headers: HeaderMap, body: Bytes, protocol: ResponseProtocol) -> Ended {
     let never_ran = headers.get(NEVER_RAN).is_some_and(|v| v == "1");
-    let is_answer = match reading {
-        Reading::Plain => status == StatusCode::OK,
-        Reading::Graphql { hash_only } => {
+    let is_answer = match protocol {
+        ResponseProtocol::Http => status == StatusCode::OK,
+        ResponseProtocol::Graphql { hash_only } => {
             let media = headers
                 .get(header::CONTENT_TYPE)
                 .and_then(|media| media.to_str().ok());
--- a/crates/sidecar/src/client.rs
+++ b/crates/sidecar/src/client.rs
@@ -9,10 +9,10 @@
 //! A client that has closed its side has gone. `hyper` hears of that by itself where it waits for the next bytes; where some
 //! lie unread before the end, nobody reads, and so the system is asked before each attempt begins ([`Client::has_gone`]).
 
+use super::fair_scheduler::ChargedAccount;
 use super::heads::Heads;
 use super::listener::{LAME_DUCK, Listener};
 use super::readiness::{self, peek_now};
-use super::turns::Charged;
 use super::virtual_server;
 use bytes::Bytes;
 use hyper::body::Body;
@@ -66,7 +66,7 @@
     /// Its task.
     waiting: RefCell<Option<Waker>>,
     /// Whose work it is.
-    pub(super) charged: Rc<Charged>,
+    pub(super) charged: Rc<ChargedAccount>,
     /// The body of the last request has been read whole. Left unread, what follows on the connection is not the next
     /// request, and must never be taken for it.
     pub(super) body_read: Cell<bool>,
@@ -283,7 +283,7 @@
 }
 
 impl<'a> Entered<'a> {
-    fn new(of: &'a Listener, stream: TcpStream, charged: Rc<Charged>) -> Self {
+    fn new(of: &'a Listener, stream: TcpStream, charged: Rc<ChargedAccount>) -> Self {
         let clients = &of.clients;
         let number = clients.entered.replace(clients.entered.get() + 1);
         let now = of.common.clock.now();
@@ -349,7 +349,7 @@
 }
 
 /// Serves one connection from its beginning to its end.
-pub(super) async fn serve(listener: &Rc<Listener>, stream: TcpStream, charged: Rc<Charged>) {
+pub(super) async fn serve(listener: &Rc<Listener>, stream: TcpStream, charged: Rc<ChargedAccount>) {
     // Only a delay is lost where this cannot be set.
     let _ = stream.set_nodelay(true);
     let entered = Entered::new(listener, stream, charged);
--- a/crates/sidecar/src/common.rs
+++ b/crates/sidecar/src/common.rs
@@ -2,17 +2,17 @@
 
 use super::alarms::Alarms;
 use super::clock::{Clock, LocalDay};
-use super::connections::is_exhausted;
+use super::connections::is_resource_exhaustion;
+use super::fair_scheduler::{Scheduler, SchedulerAccount};
 use super::feed::Feed;
 use super::fleet_limits::FleetLimits;
-use super::levels::Processor;
+use super::levels::CpuUsage;
 use super::limits::Bound;
 use super::listener::Listener;
 use super::pool::Steering;
 use super::service::Service;
 use super::shared_lists::SharedLists;
 use super::state_writer::StateWriter;
-use super::turns::{Account, Scheduler};
 use madderloom_admin::duty::Duty;
 use madderloom_balancer::Micros;
 use std::cell::{Cell, OnceCell, RefCell};
@@ -80,7 +80,7 @@
     pub(super) steering: RefCell<Steering>,
     /// What outlasts the process, where the operator file names a place for it.
     pub(super) state_writer: OnceCell<Rc<StateWriter>>,
-    pub(super) processor: Processor,
+    pub(super) processor: CpuUsage,
     /// Fleet-wide limits, where the operator file has any.
     pub(super) fleet_limits: Rc<FleetLimits>,
     /// Lists of servers that the fleet shares, where the operator file says so.
@@ -176,7 +176,7 @@
             day: OnceCell::new(),
             steering: RefCell::default(),
             state_writer: OnceCell::new(),
-            processor: Processor::default(),
+            processor: CpuUsage::default(),
             fleet_limits: Rc::default(),
             shared_lists: SharedLists::default(),
         })
@@ -230,10 +230,10 @@
     }
 
     /// An account of this weight, where work is taken in turn.
-    pub(super) fn account(&self, weight: u32) -> Option<Rc<Account>> {
+    pub(super) fn account(&self, weight: u32) -> Option<Rc<SchedulerAccount>> {
         self.scheduler
             .as_ref()
-            .map(|scheduler| Rc::new(scheduler.open(weight)))
+            .map(|scheduler| Rc::new(scheduler.open_account(weight)))
     }
 
     /// What connections hold, by what each is counted as: parked, served, and to servers.
@@ -298,7 +298,7 @@
     pub(super) async fn connect(&self, address: SocketAddr) -> std::io::Result<TcpStream> {
         loop {
             match TcpStream::connect(address).await {
-                Err(problem) if is_exhausted(&problem) => self.no_descriptor().await,
+                Err(problem) if is_resource_exhaustion(&problem) => self.no_descriptor().await,
                 came => return came,
             }
         }
@@ -316,19 +316,19 @@
         let services = self.services.borrow();
         let oldest = services
             .iter()
-            .filter_map(|s| Some((s.connections.oldest()?, s)));
+            .filter_map(|s| Some((s.connections.oldest_idle_since()?, s)));
         if let Some((_, service)) = oldest.min_by_key(|(since, _)| *since) {
-            service.connections.drop_oldest();
+            service.connections.close_oldest_idle();
         }
     }
 
     /// Has a connection to a server closed that lies idle beyond what is guaranteed to its pool.
     pub(super) fn return_borrowed(&self) {
         let services = self.services.borrow();
-        let borrowing = services.iter().filter(|s| s.connections.seats.borrows());
-        let oldest = borrowing.filter_map(|s| Some((s.connections.oldest()?, s)));
+        let borrowing = services.iter().filter(|s| s.connections.slots.borrows());
+        let oldest = borrowing.filter_map(|s| Some((s.connections.oldest_idle_since()?, s)));
         if let Some((_, service)) = oldest.min_by_key(|(since, _)| *since) {
-            service.connections.drop_oldest();
+            service.connections.close_oldest_idle();
         }
     }
 
--- a/crates/sidecar/src/connections.rs
+++ b/crates/sidecar/src/connections.rs
@@ -28,7 +28,7 @@
 
 /// Connections that are opened to one server at once. After a restart all that wait for it would come together, and each
 /// costs it work; those beyond wait for one to be open, and their time goes on.
-pub(super) const OPENING: usize = 32;
+pub(super) const MAX_CONNECTING_PER_SERVER: usize = 32;
 
 /// What there is to one server.
 struct Server {
@@ -45,11 +45,11 @@
     }
 }
 
-/// A connection in the hands of one flow. Dropped, it is closed; only [`Connections::keep`] saves it.
-pub(super) struct Lease {
+/// A connection in the hands of one flow. Dropped, it is closed; only [`Connections::release`] saves it.
+pub(super) struct PooledConnection {
     pub(super) stream: TcpStream,
     /// It has carried a request before, so it may have been closed from the other side meanwhile.
-    pub(super) used: bool,
+    pub(super) reused: bool,
     /// Whose it is. An address may be given to another server while this one's connections stand.
     server: ServerId,
     /// Its place among those that may be open.
@@ -58,7 +58,7 @@
 }
 
 struct Idle {
-    lease: Lease,
+    lease: PooledConnection,
     since: Micros,
     number: u64,
 }
@@ -77,7 +77,7 @@
 }
 
 impl Waiting {
-    fn put(&mut self, lease: Lease, since: Micros) {
+    fn put(&mut self, lease: PooledConnection, since: Micros) {
         self.numbered += 1;
         let (number, server) = (self.numbered, lease.server);
         self.by_server.entry(server).or_default().push_back(Idle {
@@ -167,11 +167,11 @@
 }
 
 /// Why there is no connection.
-pub(super) enum NoConnection {
+pub(super) enum ConnectError {
     /// The server is not reached.
     Failed,
     /// This sidecar has no descriptor left for it.
-    Exhausted,
+    NoCapacity,
 }
 
 /// All connections to the servers of a pool.
@@ -184,7 +184,7 @@
     broke: Cell<Option<Micros>>,
     common: Rc<Common>,
     /// What this pool may have open.
-    pub(super) seats: Member,
+    pub(super) slots: Member,
     idle_for: Cell<Micros>,
     connect_timeout: Cell<Micros>,
     /// Opened since the start.
@@ -194,7 +194,7 @@
 impl Connections {
     pub(super) fn new(
         common: &Rc<Common>,
-        seats: Member,
+        slots: Member,
         idle: Micros,
         connect_timeout: Micros,
     ) -> Self {
@@ -204,7 +204,7 @@
             heard: RefCell::default(),
             broke: Cell::new(None),
             common: Rc::clone(common),
-            seats,
+            slots,
             idle_for: Cell::new(stays_for(idle)),
             connect_timeout: Cell::new(connect_timeout),
             opened: Cell::new(0),
@@ -212,18 +212,18 @@
     }
 
     /// Takes over other times.
-    pub(super) fn change(&self, idle: Micros, connect_timeout: Micros) {
+    pub(super) fn set_timeouts(&self, idle: Micros, connect_timeout: Micros) {
         self.idle_for.set(stays_for(idle));
         self.connect_timeout.set(connect_timeout);
     }
 
     /// A connection to this server: of those seen quiet the one used last, since the others may then grow old,
     /// or a new one.
-    pub(super) async fn take(
+    pub(super) async fn acquire(
         &self,
         server: ServerId,
         address: SocketAddr,
-    ) -> Result<Lease, NoConnection> {
+    ) -> Result<PooledConnection, ConnectError> {
         match self.take_idle(server) {
             Some(lease) => Ok(lease),
             None => self.open(server, address).await,
@@ -232,7 +232,7 @@
 
     /// Costs little more however many are idle: they lie in the order in which they were put by, so what is too old
     /// is at the front, and what is still to be seen quiet at the back.
-    fn take_idle(&self, server: ServerId) -> Option<Lease> {
+    fn take_idle(&self, server: ServerId) -> Option<PooledConnection> {
         let now = self.common.clock.now();
         let waiting = &mut *self.waiting.borrow_mut();
         let of_server = waiting.by_server.get_mut(&server)?;
@@ -252,15 +252,19 @@
         None
     }
 
-    async fn open(&self, server: ServerId, address: SocketAddr) -> Result<Lease, NoConnection> {
+    async fn open(
+        &self,
+        server: ServerId,
+        address: SocketAddr,
+    ) -> Result<PooledConnection, ConnectError> {
         let of_server = self.server(server);
         // Not to fail: nobody closes it.
         let opening = of_server
             .opening
             .acquire()
             .await
-            .map_err(|_| NoConnection::Failed)?;
-        let (seat, place) = self.seat(&of_server).ok_or(NoConnection::Exhausted)?;
+            .map_err(|_| ConnectError::Failed)?;
+        let (seat, place) = self.seat(&of_server).ok_or(ConnectError::NoCapacity)?;
         let came = self
             .common
             .within(self.connect_timeout.get(), self.common.connect(address))
@@ -270,17 +274,17 @@
             Some(Ok(stream)) => stream,
             None if self.common.is_exhausted() => {
                 tracing::warn!(%server, "no descriptor or no memory for a connection to {address}");
-                return Err(NoConnection::Exhausted);
+                return Err(ConnectError::NoCapacity);
             }
-            _ => return Err(NoConnection::Failed),
+            _ => return Err(ConnectError::Failed),
         };
         // Only a delay is lost where this cannot be set.
         let _ = stream.set_nodelay(true);
         self.opened.set(self.opened.get() + 1);
         drop(opening);
-        Ok(Lease {
+        Ok(PooledConnection {
             stream,
-            used: false,
+            reused: false,
             server,
             _seat: seat,
             _place: place,
@@ -292,7 +296,7 @@
         let new = || {
             Rc::new(Server {
                 open: Cell::new(0),
-                opening: Semaphore::new(OPENING),
+                opening: Semaphore::new(MAX_CONNECTING_PER_SERVER),
             })
         };
         Rc::clone(servers.entry(server).or_insert_with(new))
@@ -301,30 +305,30 @@
     /// A place for a new connection; what lies idle for longest makes room for it, here or where it is borrowed. One
     /// server alone never has more than three quarters of all, so one that hangs leaves some to the others.
     fn seat(&self, server: &Rc<Server>) -> Option<(Held, Place)> {
-        let most = usize::try_from(self.seats.numbers().part.most).unwrap_or(usize::MAX);
+        let most = usize::try_from(self.slots.numbers().part.most).unwrap_or(usize::MAX);
         if server.open.get() >= (most - most / 4).max(1) {
             return None;
         }
-        let seat = self.seats.take(1).ok().or_else(|| {
-            if !self.drop_oldest() {
+        let seat = self.slots.take(1).ok().or_else(|| {
+            if !self.close_oldest_idle() {
                 self.common.return_borrowed();
             }
-            self.seats.take(1).ok()
+            self.slots.take(1).ok()
         })?;
         server.open.set(server.open.get() + 1);
         Some((seat, Place(Rc::clone(server))))
     }
 
     /// Puts a connection by for the next flow. Its answer must have been read whole, and nothing behind it.
-    pub(super) fn keep(&self, mut lease: Lease) {
-        lease.used = true;
+    pub(super) fn release(&self, mut lease: PooledConnection) {
+        lease.reused = true;
         self.waiting
             .borrow_mut()
             .put(lease, self.common.clock.now());
     }
 
     /// An answer has come from there.
-    pub(super) fn heard(&self, server: ServerId) {
+    pub(super) fn record_response(&self, server: ServerId) {
         self.heard
             .borrow_mut()
             .insert(server, self.common.clock.now());
@@ -333,7 +337,7 @@
     /// Nothing came for a flow that was sent then. If nothing has come from there at all since, the machine may
     /// be cut off: open connections stay open and silent then, and each would cost a request its whole time.
     /// A new one that does not come up proves at once that nothing ran.
-    pub(super) fn suspect(&self, server: ServerId, sent: Micros) {
+    pub(super) fn drop_idle_if_silent(&self, server: ServerId, sent: Micros) {
         if self
             .heard
             .borrow()
@@ -345,24 +349,24 @@
     }
 
     /// A connection broke under a request. For a while others are held to break as well.
-    pub(super) fn broke(&self) {
+    pub(super) fn record_break(&self) {
         self.broke.set(Some(self.common.clock.now()));
     }
 
-    pub(super) fn are_breaking(&self) -> bool {
+    pub(super) fn recently_broke(&self) -> bool {
         self.broke
             .get()
             .is_some_and(|at| self.common.clock.now().saturating_sub(at) < BREAKING)
     }
 
     /// Drops what lies idle for a server that gets nothing new any more.
-    pub(super) fn forget(&self, server: ServerId) {
+    pub(super) fn remove_server(&self, server: ServerId) {
         self.waiting.borrow_mut().remove_server(server);
         self.heard.borrow_mut().remove(&server);
     }
 
     /// Drops what has been idle for too long, some of it: true where more is left.
-    pub(super) fn drop_old(&self) -> bool {
+    pub(super) fn close_expired(&self) -> bool {
         let now = self.common.clock.now();
         let old = |since: Micros| now.saturating_sub(since) >= self.idle_for.get();
         let mut waiting = self.waiting.borrow_mut();
@@ -393,27 +397,27 @@
     }
 
     /// Makes room for a new connection. False where none is idle.
-    pub(super) fn drop_oldest(&self) -> bool {
+    pub(super) fn close_oldest_idle(&self) -> bool {
         self.waiting.borrow_mut().drop_oldest()
     }
 
     /// Since when the one has been idle that has been so for longest.
-    pub(super) fn oldest(&self) -> Option<Micros> {
+    pub(super) fn oldest_idle_since(&self) -> Option<Micros> {
         self.waiting.borrow_mut().oldest().map(|idle| idle.since)
     }
 
     /// Drops all that is idle.
-    pub(super) fn clear(&self) {
+    pub(super) fn close_all_idle(&self) {
         *self.waiting.borrow_mut() = Waiting::default();
     }
 
     /// How many are idle.
-    pub(super) fn idle(&self) -> usize {
+    pub(super) fn idle_count(&self) -> usize {
         self.waiting.borrow().count
     }
 
     /// How many have been opened since the start.
-    pub(super) fn opened(&self) -> u64 {
+    pub(super) fn opened_count(&self) -> u64 {
         self.opened.get()
     }
 }
@@ -425,7 +429,7 @@
 
 /// Whether an error tells that this process or machine has no descriptor left, or no memory for its sockets: that is its
 /// own want, and says nothing of whoever is at the other end.
-pub(super) fn is_exhausted(problem: &std::io::Error) -> bool {
+pub(super) fn is_resource_exhaustion(problem: &std::io::Error) -> bool {
     const ENOMEM: i32 = 12;
     const ENFILE: i32 = 23;
     const EMFILE: i32 = 24;
@@ -438,7 +442,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::is_exhausted;
+    use super::is_resource_exhaustion;
     use std::io::Error;
 
     /// A want of one's own says nothing of whoever is at the other end.
@@ -454,7 +458,7 @@
             (111, false),
         ] {
             assert_eq!(
-                is_exhausted(&Error::from_raw_os_error(number)),
+                is_resource_exhaustion(&Error::from_raw_os_error(number)),
                 own,
                 "{number}"
             );
--- a/crates/sidecar/src/promises.rs
+++ b/crates/sidecar/src/documented_figures_tests.rs
@@ -31,7 +31,10 @@
         ),
         (
             on_call,
-            format!("{} classes are counted apart at most", counts::CLASSES),
+            format!(
+                "{} classes are counted apart at most",
+                counts::MAX_COUNTED_CLASSES
+            ),
         ),
         (
             on_call,
@@ -207,10 +210,14 @@
         ),
         count(
             "sidecar/src/connections.rs",
-            "OPENING",
-            connections::OPENING,
+            "MAX_CONNECTING_PER_SERVER",
+            connections::MAX_CONNECTING_PER_SERVER,
+        ),
+        count(
+            "sidecar/src/counts.rs",
+            "MAX_COUNTED_CLASSES",
+            counts::MAX_COUNTED_CLASSES,
         ),
-        count("sidecar/src/counts.rs", "CLASSES", counts::CLASSES),
     ]);
     for (place, value) in bounds {
         let row = page.lines().find(|line| line.contains(&place));
--- a/crates/sidecar/src/exchange.rs
+++ b/crates/sidecar/src/exchange.rs
@@ -14,7 +14,7 @@
 //! | 1xx but for 101 | it is passed over; the answer is yet to come |
 
 use super::BODY;
-use super::flow::HOP;
+use super::attempt::HOP_BY_HOP_HEADERS;
 use super::readiness::{Unblocked, is_quiet, unblocked};
 use bytes::{Buf, Bytes, BytesMut};
 use hyper::header::{self, HeaderName, HeaderValue};
@@ -37,45 +37,45 @@
 
 /// Why there is no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Broken {
+pub(super) enum ExchangeError {
     /// The connection broke or ended.
     Connection,
     /// What came is no answer, or one that holds too much.
-    Senseless,
+    Malformed,
 }
 
-impl From<io::Error> for Broken {
+impl From<io::Error> for ExchangeError {
     fn from(_: io::Error) -> Self {
-        Broken::Connection
+        ExchangeError::Connection
     }
 }
 
 /// A request as it goes out.
-pub(super) struct Message {
+pub(super) struct RequestMessage {
     head: Vec<u8>,
     body: Bytes,
 }
 
-impl Message {
+impl RequestMessage {
     /// A request without headers.
     pub(super) fn new(method: &Method, target: &str) -> Self {
         let mut head = Vec::with_capacity(512);
         for part in [method.as_str(), " ", target, " HTTP/1.1\r\n"] {
             head.extend_from_slice(part.as_bytes());
         }
-        Message {
+        RequestMessage {
             head,
             body: Bytes::new(),
         }
     }
 
     /// Adds a header. The types see to it that neither holds the end of a line.
-    pub(super) fn header(&mut self, name: &HeaderName, value: &HeaderValue) {
+    pub(super) fn add_header(&mut self, name: &HeaderName, value: &HeaderValue) {
         self.line(name, value.as_bytes());
     }
 
     /// Adds a header that holds a number.
-    pub(super) fn number(&mut self, name: &HeaderName, mut value: u64) {
+    pub(super) fn add_number_header(&mut self, name: &HeaderName, mut value: u64) {
         let mut digits = [0; 20];
         let mut first = digits.len();
         loop {
@@ -96,7 +96,7 @@
     }
 
     /// Ends the head, with this body behind it.
-    pub(super) fn end(&mut self, body: Bytes) {
+    pub(super) fn finish(&mut self, body: Bytes) {
         self.head.extend_from_slice(b"\r\n");
         self.body = body;
     }
@@ -124,21 +124,21 @@
 
 /// How far the writing of a request has come.
 #[derive(Default)]
-pub(super) struct Progress {
+pub(super) struct SendProgress {
     /// Not one byte has left as long as this is false.
-    pub(super) begun: Cell<bool>,
+    pub(super) started: Cell<bool>,
     /// Its last byte has left.
-    pub(super) whole: Cell<bool>,
+    pub(super) complete: Cell<bool>,
 }
 
 /// Writes a request. With a hold, its last byte leaves only after that, and only if the connection has stood until
 /// then. A server that answers or closes before it has had all gets no more; what it says is there to be read.
 pub(super) async fn send(
     stream: &TcpStream,
-    message: &Message,
+    message: &RequestMessage,
     hold: Option<impl Future<Output = ()>>,
-    progress: &Progress,
-) -> Result<(), Broken> {
+    progress: &SendProgress,
+) -> Result<(), ExchangeError> {
     let length = message.len();
     let mut sent = 0;
     if let Some(hold) = hold {
@@ -151,13 +151,13 @@
         }
     }
     progress
-        .whole
+        .complete
         .set(write_up_to(stream, message, &mut sent, length, progress).await?);
     Ok(())
 }
 
 /// Writes bytes behind what has gone out already. False where the server has answered or closed before that.
-pub(super) async fn write_on(stream: &TcpStream, bytes: &[u8]) -> Result<bool, Broken> {
+pub(super) async fn write_body(stream: &TcpStream, bytes: &[u8]) -> Result<bool, ExchangeError> {
     write_all(stream, &mut 0, bytes.len(), |from| {
         stream.try_write(&bytes[from..])
     })
@@ -167,15 +167,15 @@
 /// False where the server has answered or closed before that.
 async fn write_up_to(
     stream: &TcpStream,
-    message: &Message,
+    message: &RequestMessage,
     sent: &mut usize,
     end: usize,
-    progress: &Progress,
-) -> Result<bool, Broken> {
+    progress: &SendProgress,
+) -> Result<bool, ExchangeError> {
     let write = |from| {
         let written = message.write(stream, from, end);
         if matches!(written, Ok(count) if count > 0) {
-            progress.begun.set(true);
+            progress.started.set(true);
         }
         written
     };
@@ -188,10 +188,10 @@
     sent: &mut usize,
     end: usize,
     write: impl Fn(usize) -> io::Result<usize>,
-) -> Result<bool, Broken> {
+) -> Result<bool, ExchangeError> {
     while *sent < end {
         match write(*sent) {
-            Ok(0) => return Err(Broken::Connection),
+            Ok(0) => return Err(ExchangeError::Connection),
             Ok(count) => {
                 *sent += count;
                 if *sent < end {
@@ -204,7 +204,7 @@
                     return Ok(false);
                 }
             }
-            Err(_) => return Err(Broken::Connection),
+            Err(_) => return Err(ExchangeError::Connection),
         }
     }
     Ok(true)
@@ -220,7 +220,7 @@
 
 /// Takes a body out of its wrapping, piece by piece.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Unwrapper {
+pub(super) enum BodyDecoder {
     /// So many bytes are to come.
     Length(u64),
     /// Of the present chunk; behind it comes the end of its line.
@@ -228,96 +228,96 @@
     /// The end of a chunk's line.
     ChunkEnd,
     /// The line with a chunk's size.
-    ChunkLine,
+    ChunkSizeLine,
     /// Lines behind the last chunk.
     Trailers,
     /// All that comes, to the end of the connection.
     Close,
     /// It has ended.
-    Over,
+    Complete,
 }
 
-impl Unwrapper {
+impl BodyDecoder {
     fn new(framing: Framing) -> Self {
         match framing {
-            Framing::Length(0) => Unwrapper::Over,
-            Framing::Length(length) => Unwrapper::Length(length as u64),
-            Framing::Chunked => Unwrapper::ChunkLine,
-            Framing::Close => Unwrapper::Close,
+            Framing::Length(0) => BodyDecoder::Complete,
+            Framing::Length(length) => BodyDecoder::Length(length as u64),
+            Framing::Chunked => BodyDecoder::ChunkSizeLine,
+            Framing::Close => BodyDecoder::Close,
         }
     }
 
-    pub(super) fn is_over(self) -> bool {
-        self == Unwrapper::Over
+    pub(super) fn is_complete(self) -> bool {
+        self == BodyDecoder::Complete
     }
 
     pub(super) fn ends_with_connection(self) -> bool {
-        self == Unwrapper::Close
+        self == BodyDecoder::Close
     }
 
     /// How much is to come, where that is known.
-    pub(super) fn left(self) -> Option<u64> {
+    pub(super) fn remaining(self) -> Option<u64> {
         match self {
-            Unwrapper::Length(left) => Some(left),
-            Unwrapper::Over => Some(0),
+            BodyDecoder::Length(left) => Some(left),
+            BodyDecoder::Complete => Some(0),
             _ => None,
         }
     }
 
     /// The next piece out of what was read; none where more must be read, or where it has ended.
-    pub(super) fn next(&mut self, unread: &mut BytesMut) -> Result<Option<Bytes>, Broken> {
+    pub(super) fn decode(&mut self, unread: &mut BytesMut) -> Result<Option<Bytes>, ExchangeError> {
         loop {
             if unread.is_empty() {
                 return Ok(None);
             }
             match *self {
-                Unwrapper::Over => return Ok(None),
-                Unwrapper::Close => return Ok(Some(unread.split().freeze())),
-                Unwrapper::Length(left) | Unwrapper::Chunk(left) => {
+                BodyDecoder::Complete => return Ok(None),
+                BodyDecoder::Close => return Ok(Some(unread.split().freeze())),
+                BodyDecoder::Length(left) | BodyDecoder::Chunk(left) => {
                     let size = unread
                         .len()
                         .min(usize::try_from(left).unwrap_or(usize::MAX));
                     let left = left - size as u64;
                     *self = match *self {
-                        Unwrapper::Chunk(_) if left == 0 => Unwrapper::ChunkEnd,
-                        Unwrapper::Chunk(_) => Unwrapper::Chunk(left),
-                        _ if left == 0 => Unwrapper::Over,
-                        _ => Unwrapper::Length(left),
+                        BodyDecoder::Chunk(_) if left == 0 => BodyDecoder::ChunkEnd,
+                        BodyDecoder::Chunk(_) => BodyDecoder::Chunk(left),
+                        _ if left == 0 => BodyDecoder::Complete,
+                        _ => BodyDecoder::Length(left),
                     };
                     return Ok(Some(unread.split_to(size).freeze()));
                 }
-                Unwrapper::ChunkEnd => {
+                BodyDecoder::ChunkEnd => {
                     if unread.len() < 2 {
                         return Ok(None);
                     }
                     if &unread[..2] != b"\r\n" {
-                        return Err(Broken::Senseless);
+                        return Err(ExchangeError::Malformed);
                     }
                     unread.advance(2);
-                    *self = Unwrapper::ChunkLine;
+                    *self = BodyDecoder::ChunkSizeLine;
                 }
-                Unwrapper::ChunkLine => match httparse::parse_chunk_size(unread) {
+                BodyDecoder::ChunkSizeLine => match httparse::parse_chunk_size(unread) {
                     Ok(httparse::Status::Complete((line, size))) => {
                         unread.advance(line);
                         *self = if size == 0 {
-                            Unwrapper::Trailers
+                            BodyDecoder::Trailers
                         } else {
-                            Unwrapper::Chunk(size)
+                            BodyDecoder::Chunk(size)
                         };
                     }
                     Ok(httparse::Status::Partial) if unread.len() < HEAD => return Ok(None),
-                    _ => return Err(Broken::Senseless),
+                    _ => return Err(ExchangeError::Malformed),
                 },
                 // Trailers are about the message itself and go no further.
-                Unwrapper::Trailers => match unread.iter().position(|byte| *byte == b'\n') {
+                BodyDecoder::Trailers => match unread.iter().position(|byte| *byte == b'\n') {
                     Some(end) => {
                         let line = unread.split_to(end + 1);
                         if line.trim_ascii().is_empty() {
-                            *self = Unwrapper::Over;
+                            *self = BodyDecoder::Complete;
                         }
                     }
                     None if unread.len() < HEAD => return Ok(None),
-                    None => return Err(Broken::Senseless),
+                    None => return Err(ExchangeError::Malformed),
                 },
             }
         }
@@ -326,23 +326,23 @@
 
 /// The head of an answer.
 #[derive(Debug)]
-pub(super) struct Head {
+pub(super) struct ResponseHead {
     pub(super) status: StatusCode,
     pub(super) headers: HeaderMap,
     framing: Framing,
     /// The server keeps the connection.
-    pub(super) stays: bool,
+    pub(super) keep_alive: bool,
 }
 
 /// An answer on its way.
 #[derive(Default)]
-pub(super) struct Answer {
+pub(super) struct ResponseReader {
     unread: BytesMut,
 }
 
 /// A body, read whole.
 #[derive(Debug)]
-pub(super) struct Whole {
+pub(super) struct CompleteBody {
     pub(super) body: Bytes,
     /// The connection may carry another request.
     pub(super) reusable: bool,
@@ -350,38 +350,41 @@
 
 /// What was read of a body.
 #[derive(Debug)]
-pub(super) enum Taken {
-    Whole(Whole),
+pub(super) enum BodyRead {
+    Complete(CompleteBody),
     /// It goes on: its beginning, and how the rest is to be read.
-    Long {
+    Partial {
         first: Bytes,
-        unwrapper: Unwrapper,
+        unwrapper: BodyDecoder,
     },
 }
 
-impl Answer {
+impl ResponseReader {
     /// Reads the head.
-    pub(super) async fn head(&mut self, stream: &mut TcpStream) -> Result<Head, Broken> {
+    pub(super) async fn read_head(
+        &mut self,
+        stream: &mut TcpStream,
+    ) -> Result<ResponseHead, ExchangeError> {
         loop {
             while !self.unread.is_empty() {
                 match parse(&mut self.unread)? {
                     Some(head) if !head.status.is_informational() => return Ok(head),
                     Some(head) if head.status == StatusCode::SWITCHING_PROTOCOLS => {
-                        return Err(Broken::Senseless);
+                        return Err(ExchangeError::Malformed);
                     }
                     Some(_) => {}
-                    None if self.unread.len() >= HEAD => return Err(Broken::Senseless),
+                    None if self.unread.len() >= HEAD => return Err(ExchangeError::Malformed),
                     None => break,
                 }
             }
             if !self.more(stream, READ).await? {
-                return Err(Broken::Connection);
+                return Err(ExchangeError::Connection);
             }
         }
     }
 
     /// The body, if all of it is here already.
-    pub(super) fn body_at_hand(&mut self, head: &Head) -> Option<Whole> {
+    pub(super) fn take_buffered_body(&mut self, head: &ResponseHead) -> Option<CompleteBody> {
         match head.framing {
             Framing::Length(length) if self.unread.len() >= length => {
                 let body = self.unread.split_to(length).freeze();
@@ -392,52 +395,52 @@
     }
 
     /// Reads the body, as much of it as is taken whole.
-    pub(super) async fn body(
+    pub(super) async fn read_complete_body(
         &mut self,
-        head: &Head,
+        head: &ResponseHead,
         stream: &mut TcpStream,
-    ) -> Result<Whole, Broken> {
+    ) -> Result<CompleteBody, ExchangeError> {
         let never = std::future::pending::<()>;
-        match self.beginning(head, stream, never(), never).await? {
-            Taken::Whole(whole) => Ok(whole),
-            Taken::Long { .. } => Err(Broken::Senseless),
+        match self.read_body_start(head, stream, never(), never).await? {
+            BodyRead::Complete(whole) => Ok(whole),
+            BodyRead::Partial { .. } => Err(ExchangeError::Malformed),
         }
     }
 
     /// Reads the body whole, or so much of it as shows that it is too long for that, or as has come until `patience`
     /// ends: a body of unknown length may be a long one that comes slowly. One of which nothing comes until what `stalls`
     /// makes has ended is given up.
-    pub(super) async fn beginning<S: Future<Output = ()>>(
+    pub(super) async fn read_body_start<S: Future<Output = ()>>(
         &mut self,
-        head: &Head,
+        head: &ResponseHead,
         stream: &mut TcpStream,
         patience: impl Future<Output = ()>,
         stalls: impl Fn() -> S,
-    ) -> Result<Taken, Broken> {
+    ) -> Result<BodyRead, ExchangeError> {
         let mut patience = std::pin::pin!(patience);
-        let mut unwrapper = Unwrapper::new(head.framing);
+        let mut unwrapper = BodyDecoder::new(head.framing);
         let mut body = BytesMut::new();
         if matches!(head.framing, Framing::Length(length) if length > BODY) {
-            return Ok(Taken::Long {
+            return Ok(BodyRead::Partial {
                 first: Bytes::new(),
                 unwrapper,
             });
         }
         let mut impatient = false;
         loop {
-            while let Some(piece) = unwrapper.next(&mut self.unread)? {
+            while let Some(piece) = unwrapper.decode(&mut self.unread)? {
                 body.extend_from_slice(&piece);
             }
-            if unwrapper.is_over() {
-                return Ok(Taken::Whole(self.end(head, body.freeze())));
+            if unwrapper.is_complete() {
+                return Ok(BodyRead::Complete(self.end(head, body.freeze())));
             }
             if body.len() > BODY || (impatient && !body.is_empty()) {
-                return Ok(Taken::Long {
+                return Ok(BodyRead::Partial {
                     first: body.freeze(),
                     unwrapper,
                 });
             }
-            let wanted = unwrapper.left().map_or(READ, |left| left as usize);
+            let wanted = unwrapper.remaining().map_or(READ, |left| left as usize);
             let mut at_end = true;
             let more = {
                 let mut more = std::pin::pin!(self.more(stream, wanted));
@@ -464,10 +467,10 @@
                     if !more? {
                         // Where nothing but the end of the connection tells, a stall is no end.
                         return match unwrapper {
-                            Unwrapper::Close if at_end => {
-                                Ok(Taken::Whole(self.end(head, body.freeze())))
+                            BodyDecoder::Close if at_end => {
+                                Ok(BodyRead::Complete(self.end(head, body.freeze())))
                             }
-                            _ => Err(Broken::Connection),
+                            _ => Err(ExchangeError::Connection),
                         };
                     }
                 }
@@ -475,11 +478,11 @@
         }
     }
 
-    fn end(&self, head: &Head, body: Bytes) -> Whole {
+    fn end(&self, head: &ResponseHead, body: Bytes) -> CompleteBody {
         // What comes behind an answer would be taken for the next one.
-        Whole {
+        CompleteBody {
             body,
-            reusable: head.stays && self.unread.is_empty(),
+            reusable: head.keep_alive && self.unread.is_empty(),
         }
     }
 
@@ -518,30 +521,30 @@
 
 impl Frame {
     /// Takes in a header. False where it is to be passed on.
-    fn take_in(&mut self, name: &HeaderName, value: &[u8]) -> Result<bool, Broken> {
+    fn take_in(&mut self, name: &HeaderName, value: &[u8]) -> Result<bool, ExchangeError> {
         if *name == header::CONTENT_LENGTH {
             let digits = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
             let text = std::str::from_utf8(value).ok().filter(|_| digits);
             let length = text
                 .and_then(|text| text.parse().ok())
-                .ok_or(Broken::Senseless)?;
+                .ok_or(ExchangeError::Malformed)?;
             if self
                 .length
                 .replace(length)
                 .is_some_and(|other| other != length)
             {
-                return Err(Broken::Senseless);
+                return Err(ExchangeError::Malformed);
             }
         } else if *name == header::TRANSFER_ENCODING {
             if self.chunked || !value.trim_ascii().eq_ignore_ascii_case(b"chunked") {
-                return Err(Broken::Senseless);
+                return Err(ExchangeError::Malformed);
             }
             self.chunked = true;
         } else if *name == header::CONNECTION {
             let mut words = value.split(|byte| *byte == b',');
             self.close |= words.any(|word| word.trim_ascii().eq_ignore_ascii_case(b"close"));
         }
-        Ok(HOP.contains(name))
+        Ok(HOP_BY_HOP_HEADERS.contains(name))
     }
 
     fn framing(&self, status: StatusCode) -> Framing {
@@ -557,7 +560,7 @@
 }
 
 /// Takes a head from the beginning of what was read; none where it is not there whole.
-fn parse(unread: &mut BytesMut) -> Result<Option<Head>, Broken> {
+fn parse(unread: &mut BytesMut) -> Result<Option<ResponseHead>, ExchangeError> {
     let mut headers = [const { std::mem::MaybeUninit::uninit() }; HEADERS];
     let mut response = httparse::Response::new(&mut []);
     let parsed = httparse::ParserConfig::default().parse_response_with_uninit_headers(
@@ -568,19 +571,20 @@
     let length = match parsed {
         Ok(httparse::Status::Complete(length)) => length,
         Ok(httparse::Status::Partial) => return Ok(None),
-        Err(_) => return Err(Broken::Senseless),
+        Err(_) => return Err(ExchangeError::Malformed),
     };
     let status = response
         .code
         .and_then(|code| StatusCode::from_u16(code).ok())
-        .ok_or(Broken::Senseless)?;
+        .ok_or(ExchangeError::Malformed)?;
     let newer = response.version == Some(1);
     let start = unread.as_ptr() as usize;
     let mut frame = Frame::default();
     // Names, and where the values stand, so that these need not be copied.
     let mut found: SmallVec<[(HeaderName, usize, usize); 12]> = SmallVec::new();
     for one in response.headers.iter() {
-        let name = HeaderName::from_bytes(one.name.as_bytes()).map_err(|_| Broken::Senseless)?;
+        let name =
+            HeaderName::from_bytes(one.name.as_bytes()).map_err(|_| ExchangeError::Malformed)?;
         if !frame.take_in(&name, one.value)? {
             // That of an empty value need not lie here at all.
             let at = if one.value.is_empty() {
@@ -595,14 +599,14 @@
     let mut headers = HeaderMap::with_capacity(found.len());
     for (name, at, length) in found {
         let value = HeaderValue::from_maybe_shared(bytes.slice(at..at + length));
-        headers.append(name, value.map_err(|_| Broken::Senseless)?);
+        headers.append(name, value.map_err(|_| ExchangeError::Malformed)?);
     }
     let framing = frame.framing(status);
-    let stays = newer && framing != Framing::Close && !frame.close;
-    Ok(Some(Head {
+    let keep_alive = newer && framing != Framing::Close && !frame.close;
+    Ok(Some(ResponseHead {
         status,
         headers,
         framing,
-        stays,
+        keep_alive,
     }))
 }
--- a/crates/sidecar/src/turns.rs
+++ b/crates/sidecar/src/fair_scheduler.rs
@@ -25,7 +25,7 @@
 }
 
 /// An account; closed when it is dropped.
-pub(super) struct Account {
+pub(super) struct SchedulerAccount {
     of: Rc<Scheduler>,
     id: AccountId,
 }
@@ -39,8 +39,8 @@
         })
     }
 
-    pub(super) fn open(self: &Rc<Self>, weight: u32) -> Account {
-        Account {
+    pub(super) fn open_account(self: &Rc<Self>, weight: u32) -> SchedulerAccount {
+        SchedulerAccount {
             of: Rc::clone(self),
             id: self.turns.borrow_mut().join(weight),
         }
@@ -63,42 +63,42 @@
     }
 }
 
-impl Account {
-    pub(super) fn change(&self, weight: u32) {
+impl SchedulerAccount {
+    pub(super) fn set_weight(&self, weight: u32) {
         self.of.turns.borrow_mut().change(self.id, weight);
     }
 
-    pub(super) fn spent(&self) -> Spent {
+    pub(super) fn usage(&self) -> Spent {
         self.of.turns.borrow().account(self.id)
     }
 }
 
-impl Drop for Account {
+impl Drop for SchedulerAccount {
     fn drop(&mut self) {
         self.of.turns.borrow_mut().leave(self.id);
     }
 }
 
 /// The account that a task's work is put down to; none where work is not taken in turn.
-pub(super) type Charged = Cell<Option<Rc<Account>>>;
+pub(super) type ChargedAccount = Cell<Option<Rc<SchedulerAccount>>>;
 
-pub(super) fn charged_to(charged: &Charged) -> Option<Rc<Account>> {
+pub(super) fn charged_account(charged: &ChargedAccount) -> Option<Rc<SchedulerAccount>> {
     let account = charged.take();
     charged.set(account.clone());
     account
 }
 
 /// A task whose steps wait for the turn of the account that it is put down to.
-pub(super) struct InTurn<F> {
+pub(super) struct FairTask<F> {
     task: Pin<Box<F>>,
     common: Rc<Common>,
-    charged: Rc<Charged>,
+    charged: Rc<ChargedAccount>,
     waiter: Option<Rc<Waiter>>,
 }
 
-impl<F: Future> InTurn<F> {
-    pub(super) fn new(common: &Rc<Common>, charged: Rc<Charged>, task: F) -> Self {
-        InTurn {
+impl<F: Future> FairTask<F> {
+    pub(super) fn new(common: &Rc<Common>, charged: Rc<ChargedAccount>, task: F) -> Self {
+        FairTask {
             task: Box::pin(task),
             common: Rc::clone(common),
             charged,
@@ -107,16 +107,16 @@
     }
 
     fn step(&mut self, context: &mut Context<'_>) -> Poll<F::Output> {
-        let InTurn { task, common, .. } = self;
+        let FairTask { task, common, .. } = self;
         common.clock.turn(|| task.as_mut().poll(context))
     }
 }
 
-impl<F: Future> Future for InTurn<F> {
+impl<F: Future> Future for FairTask<F> {
     type Output = F::Output;
 
     fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<F::Output> {
-        let Some(account) = charged_to(&self.charged) else {
+        let Some(account) = charged_account(&self.charged) else {
             return self.step(context);
         };
         if let Some(waiter) = self.waiter.take_if(|waiter| waiter.released.get()) {
@@ -143,7 +143,7 @@
         let began = Instant::now();
         let done = self.step(context);
         // What it turned out to be work for may have shown only now.
-        let account = charged_to(&self.charged).unwrap_or(account);
+        let account = charged_account(&self.charged).unwrap_or(account);
         let nanos = u64::try_from(began.elapsed().as_nanos()).unwrap_or(u64::MAX);
         account.of.turns.borrow_mut().spent(account.id, nanos);
         done
@@ -179,16 +179,20 @@
             let common = Common::new(Totals::new(64, 0, 1 << 20, 8, None), true);
             let scheduler = Scheduler::new();
             tokio::task::spawn_local(Rc::clone(&scheduler).run());
-            let (loud, quiet) = (Rc::new(scheduler.open(1)), Rc::new(scheduler.open(1)));
+            let (loud, quiet) = (
+                Rc::new(scheduler.open_account(1)),
+                Rc::new(scheduler.open_account(1)),
+            );
             let (steps, cost) = (Rc::<Cell<usize>>::default(), Duration::from_micros(50));
             let mut flood = Vec::new();
             for _ in 0..FLOOD {
-                let charged = Rc::new(Charged::new(Some(Rc::clone(&loud))));
-                let task = InTurn::new(&common, charged, work(usize::MAX, cost, Rc::clone(&steps)));
+                let charged = Rc::new(ChargedAccount::new(Some(Rc::clone(&loud))));
+                let task =
+                    FairTask::new(&common, charged, work(usize::MAX, cost, Rc::clone(&steps)));
                 flood.push(tokio::task::spawn_local(task).abort_handle());
             }
-            let charged = Rc::new(Charged::new(Some(Rc::clone(&quiet))));
-            let task = InTurn::new(&common, charged, work(100, Duration::ZERO, Rc::default()));
+            let charged = Rc::new(ChargedAccount::new(Some(Rc::clone(&quiet))));
+            let task = FairTask::new(&common, charged, work(100, Duration::ZERO, Rc::default()));
             tokio::task::spawn_local(task).await.expect("it ends");
             // Taken in the order of coming, each of its steps would wait for one of each of the others.
             assert!(
@@ -197,9 +201,9 @@
                 steps.get()
             );
             assert!(
-                loud.spent().waits > 0 && quiet.spent().waits == 0,
+                loud.usage().waits > 0 && quiet.usage().waits == 0,
                 "{:?}",
-                quiet.spent()
+                quiet.usage()
             );
             flood.iter().for_each(tokio::task::AbortHandle::abort);
         });
--- a/crates/sidecar/src/fleet_limits.rs
+++ b/crates/sidecar/src/fleet_limits.rs
@@ -25,12 +25,12 @@
 }
 
 /// What was let in; it is open until this is dropped.
-pub(super) struct LetIn {
+pub(super) struct FleetPermit {
     by: Rc<FleetLimits>,
     limits: SmallVec<[Box<str>; 2]>,
 }
 
-impl Drop for LetIn {
+impl Drop for FleetPermit {
     fn drop(&mut self) {
         let mut holder = self.by.holder.borrow_mut();
         self.limits.iter().for_each(|limit| holder.release(limit));
@@ -39,7 +39,7 @@
 
 impl FleetLimits {
     /// Takes part in these from now on. A lease that holds stays, and what is open stays counted.
-    pub(super) fn follow(&self, limits: &[FleetLimit]) {
+    pub(super) fn set_limits(&self, limits: &[FleetLimit]) {
         let named = limits.iter().map(|limit| (limit.name.clone(), limit.safe));
         self.holder.borrow_mut().set_limits(now(), named);
         self.limits.replace(limits.into());
@@ -54,7 +54,7 @@
         pool: &str,
         class: Option<&str>,
         headers: &HeaderMap,
-    ) -> Result<Option<LetIn>, Rejection> {
+    ) -> Result<Option<FleetPermit>, Rejection> {
         let limits = Rc::clone(&self.limits.borrow());
         let is_for = |limit: &&FleetLimit| {
             !limit.each_server
@@ -70,9 +70,9 @@
                         .is_some_and(|value| of.fits(value))
                 })
         };
-        let mut let_in: Option<LetIn> = None;
+        let mut let_in: Option<FleetPermit> = None;
         for limit in limits.iter().filter(is_for) {
-            let all = let_in.get_or_insert_with(|| LetIn {
+            let all = let_in.get_or_insert_with(|| FleetPermit {
                 by: Rc::clone(self),
                 limits: SmallVec::new(),
             });
@@ -86,18 +86,18 @@
     ///
     /// # Errors
     /// The server may have no more of this fleet now.
-    pub(super) fn admit_at(
+    pub(super) fn admit_to_server(
         self: &Rc<Self>,
         pool: &str,
         server: impl Fn() -> Box<str>,
-    ) -> Result<Option<LetIn>, Rejection> {
+    ) -> Result<Option<FleetPermit>, Rejection> {
         let limits = Rc::clone(&self.limits.borrow());
-        let mut let_in: Option<LetIn> = None;
+        let mut let_in: Option<FleetPermit> = None;
         for limit in limits
             .iter()
             .filter(|limit| limit.each_server && limit.pool.fits(pool))
         {
-            let all = let_in.get_or_insert_with(|| LetIn {
+            let all = let_in.get_or_insert_with(|| FleetPermit {
                 by: Rc::clone(self),
                 limits: SmallVec::new(),
             });
@@ -111,21 +111,21 @@
     }
 
     /// What goes with a report that is made now; none where this instance takes part in no limit.
-    pub(super) fn ask(&self, term: u64) -> Option<LeaseRequests> {
+    pub(super) fn lease_requests(&self, term: u64) -> Option<LeaseRequests> {
         let mut holder = self.holder.borrow_mut();
         holder.observe_term(term);
         (!holder.is_empty()).then(|| holder.make_report(now()))
     }
 
     /// The agent's word has come. Gives whether it is to be told at once that it is obeyed.
-    pub(super) fn take(&self, grant: &Grant) -> bool {
+    pub(super) fn apply_grant(&self, grant: &Grant) -> bool {
         let lowered = self.holder.borrow_mut().apply_grant(now(), grant);
-        self.look();
+        self.log_lease_changes();
         lowered
     }
 
     /// Tells the log of leases that were lost or won.
-    pub(super) fn look(&self) {
+    pub(super) fn log_lease_changes(&self) {
         let mut holder = self.holder.borrow_mut();
         if holder.is_empty() {
             return;
--- a/crates/sidecar/src/graphql.rs
+++ b/crates/sidecar/src/graphql.rs
@@ -1,9 +1,9 @@
 //! The virtual server of GraphQL routes: it has a request's class follow from what it asks, takes batches apart where
 //! the operator wants that, and answers in GraphQL. Transactions, flows and decisions are those of every request.
 
+use super::attempt::{ForwardedRequest, ResponseProtocol};
 use super::client::Client;
-use super::counts::count;
-use super::flow::{Onward, Reading};
+use super::counts::increment;
 use super::listener::Listener;
 use super::passing::Reply as Body;
 use super::service::Service;
@@ -81,7 +81,7 @@
         Ok(to_send) => to_send,
         Err(None) => return rejected(NO_ROUTE, media),
         Err(Some(rejection)) => {
-            count(&service.counts.unclassed().senseless);
+            increment(&service.counts.unclassed().client_errors);
             return response(rejection.reply(media));
         }
     };
@@ -168,10 +168,10 @@
     ) -> Result<Response<Body>, Fault> {
         let (service, classed) = (self.service, &message.classed);
         if service.transactions.borrow().len() >= service.tuned().site.max_open {
-            count(&service.class_counts(classed.class).turned_away);
+            increment(&service.class_counts(classed.class).rejected_by_limit);
             return Err(Fault::refused(service.retry_after()));
         }
-        let _open = service.counts.open();
+        let _open = service.counts.track_request();
         let now = service.common.clock.now();
         let usual = service
             .tuned()
@@ -201,29 +201,29 @@
         };
         let idempotency_record = idempotency_record
             .map_err(|_| Fault::bad("the id of what must not run twice is over 1,024 bytes"))?;
-        let onward = Onward {
+        let onward = ForwardedRequest {
             client: Rc::clone(self.client),
             method: self.head.method.clone(),
             uri: self.head.uri.clone(),
             headers,
             body: Upload::Kept(message.body.clone()),
-            unsafe_to_repeat: is_unsafe,
-            reading: Reading::Graphql {
+            non_idempotent: is_unsafe,
+            protocol: ResponseProtocol::Graphql {
                 hash_only: message.hash_only,
             },
             idempotency_record,
         };
         match transaction::run(service, now, new, Rc::new(onward)).await {
             Answer::Served(response) => {
-                count(&service.class_counts(classed.class).served);
+                increment(&service.class_counts(classed.class).served);
                 Ok(response)
             }
             Answer::Refused { retry_after } => {
-                count(&service.class_counts(classed.class).refused);
+                increment(&service.class_counts(classed.class).rejected);
                 Err(Fault::refused(retry_after))
             }
             Answer::Failed => {
-                count(&service.class_counts(classed.class).failed);
+                increment(&service.class_counts(classed.class).failed);
                 Err(Fault::failed())
             }
         }
--- a/crates/sidecar/src/heads.rs
+++ b/crates/sidecar/src/heads.rs
@@ -2,7 +2,7 @@
 //! drops the length without a word; another reader further on may go by it, and read a part of the body as a request of
 //! its own. What two readers may read differently is to be refused, so the heads are looked at here as they came.
 
-use super::exchange::Unwrapper;
+use super::exchange::BodyDecoder;
 use bytes::BytesMut;
 
 /// Headers of a request, at most: hyper takes as many.
@@ -16,7 +16,7 @@
     /// A body of which so much is to come.
     Length(u64),
     /// A body in chunks.
-    Chunks(Unwrapper),
+    Chunks(BodyDecoder),
     /// What comes is not understood here, and so it is not to be served.
     Lost,
 }
@@ -58,7 +58,7 @@
                     self.unread.extend_from_slice(bytes);
                     bytes = &[];
                     loop {
-                        match unwrapper.next(&mut self.unread) {
+                        match unwrapper.decode(&mut self.unread) {
                             Ok(Some(_)) => {}
                             Ok(None) => break,
                             Err(_) => {
@@ -67,7 +67,7 @@
                             }
                         }
                     }
-                    if !unwrapper.is_over() {
+                    if !unwrapper.is_complete() {
                         return true;
                     }
                     self.at = At::Head;
@@ -131,7 +131,7 @@
     match (&lengths[..], &codings[..]) {
         ([], []) => Ok(Some((length, At::Head))),
         ([], [coding]) if coding.eq_ignore_ascii_case(b"chunked") && request.version == Some(1) => {
-            Ok(Some((length, At::Chunks(Unwrapper::ChunkLine))))
+            Ok(Some((length, At::Chunks(BodyDecoder::ChunkSizeLine))))
         }
         ([one], []) if !one.is_empty() && one.iter().all(u8::is_ascii_digit) => {
             let left = std::str::from_utf8(one)
--- a/crates/sidecar/src/levels.rs
+++ b/crates/sidecar/src/levels.rs
@@ -27,13 +27,13 @@
 
 /// How busy the one thread is.
 #[derive(Default)]
-pub(super) struct Processor {
+pub(super) struct CpuUsage {
     /// When it was last looked at, and the thread's time then.
     seen: Cell<Option<(Micros, Micros)>>,
     share: Cell<Option<f64>>,
 }
 
-impl Processor {
+impl CpuUsage {
     /// The share of the last second, about, that the thread was at work. None until that is known.
     fn share(&self, now: Micros) -> Option<f64> {
         if self.seen.get().is_none_or(|(at, _)| now >= at + PROCESSOR) {
@@ -49,7 +49,7 @@
 }
 
 /// Gives a service the levels of a file, or none. The level that holds goes on where the file has one of its name.
-pub(super) fn set(service: &Rc<Service>, checked: Option<LevelPlan>) {
+pub(super) fn configure(service: &Rc<Service>, checked: Option<LevelPlan>) {
     let now = service.common.clock.now();
     let mut keeper = service.keeper.borrow_mut();
     let change = match (keeper.as_mut(), checked) {
@@ -129,8 +129,9 @@
 
 /// What an operator asks of a pool's levels.
 #[derive(Deserialize)]
-#[serde(deny_unknown_fields)]
-pub(super) struct Asked {
+// Answers to malformed orders show this name.
+#[serde(deny_unknown_fields, rename = "Asked")]
+pub(super) struct OrderRequest {
     order: Kind,
     /// [`FULL_SERVICE`] stands for full service.
     level: Option<String>,
@@ -151,13 +152,17 @@
 }
 
 /// Takes an order of a user with this number. An error says why it is not taken.
-pub(super) fn order(service: &Service, asked: Asked, user: Option<u32>) -> Result<(), String> {
+pub(super) fn apply_order(
+    service: &Service,
+    asked: OrderRequest,
+    user: Option<u32>,
+) -> Result<(), String> {
     let now = service.common.clock.now();
     let mut keeper = service.keeper.borrow_mut();
     let keeper = keeper
         .as_mut()
         .ok_or_else(|| format!("the file has no levels for {}", service.name))?;
-    let Asked {
+    let OrderRequest {
         order,
         level,
         for_us,
@@ -229,7 +234,7 @@
 }
 
 /// Writes a pool's orders down, where the file has a `[state]`.
-pub(super) async fn keep_orders(service: &Service) -> Result<(), String> {
+pub(super) async fn store_orders(service: &Service) -> Result<(), String> {
     let Some(state) = service.common.state_writer.get() else {
         return Ok(());
     };
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -9,6 +9,7 @@
 pub mod admin;
 mod agent_link;
 mod alarms;
+mod attempt;
 mod client;
 mod clock;
 mod common;
@@ -17,11 +18,13 @@
 mod counts;
 mod discovery_calls;
 mod discovery_watch;
+#[cfg(test)]
+mod documented_figures_tests;
 mod drain;
 mod exchange;
+mod fair_scheduler;
 mod feed;
 mod fleet_limits;
-mod flow;
 mod graphql;
 mod heads;
 mod kept;
@@ -39,8 +42,6 @@
 mod pool;
 mod probe;
 mod process;
-#[cfg(test)]
-mod promises;
 mod readiness;
 #[cfg(test)]
 mod readiness_tests;
@@ -54,7 +55,6 @@
 mod trail;
 mod transaction;
 mod tuned;
-mod turns;
 mod upload;
 mod view;
 mod virtual_server;
--- a/crates/sidecar/src/listener.rs
+++ b/crates/sidecar/src/listener.rs
@@ -2,12 +2,12 @@
 
 use super::client::{self, Clients, YOUNG};
 use super::common::Common;
-use super::connections::is_exhausted;
-use super::counts::Counts;
+use super::connections::is_resource_exhaustion;
+use super::counts::OutcomeCounts;
+use super::fair_scheduler::{self, ChargedAccount, FairTask, SchedulerAccount};
 use super::limits::{Allowance, Member};
 use super::routing::Routing;
 use super::service::{Parts, Service};
-use super::turns::{self, Account, Charged, InTurn};
 use madderloom_balancer::Micros;
 use madderloom_operator_config::MemberLimits;
 use madderloom_watchdog::{self as watchdog, TaskKind};
@@ -84,11 +84,11 @@
     /// What its clients may hold: connections, and requests with their bodies.
     pub(super) seats: Member,
     pub(super) allowance: Allowance,
-    account: Option<Rc<Account>>,
+    account: Option<Rc<SchedulerAccount>>,
     /// So many connections of its own are a crowd.
     many: Cell<usize>,
     pub(super) clients: Clients,
-    pub(super) counts: Counts,
+    pub(super) counts: OutcomeCounts,
     leaving: watch::Sender<bool>,
     /// It takes no clients any more.
     closed: Cell<bool>,
@@ -146,7 +146,7 @@
             account: common.account(limits.map_or(1, |l| l.weight)),
             many: Cell::new(crowd(limits, parts)),
             clients: Clients::default(),
-            counts: Counts::default(),
+            counts: OutcomeCounts::default(),
             leaving: watch::channel(false).0,
             closed: Cell::new(false),
             freed: Notify::new(),
@@ -176,7 +176,7 @@
         self.allowance.change(parts.open, parts.bodies, limits.rate);
         self.many.set(crowd(Some(limits), parts));
         if let Some(account) = self.account.as_ref() {
-            account.change(limits.weight);
+            account.set_weight(limits.weight);
         }
     }
 
@@ -216,7 +216,7 @@
     pub(super) fn spent(&self) -> madderloom_routing::turns::Spent {
         self.account
             .as_ref()
-            .map_or_else(Default::default, |account| account.spent())
+            .map_or_else(Default::default, |account| account.usage())
     }
 
     /// Serves clients until it is told to leave and what was taken is answered.
@@ -238,9 +238,9 @@
                 }
             }
         };
-        let charged = Rc::new(Charged::new(self.account.clone()));
+        let charged = Rc::new(ChargedAccount::new(self.account.clone()));
         tokio::select! {
-            () = InTurn::new(&self.common, charged, self.accept_loop(&socket)) => {}
+            () = FairTask::new(&self.common, charged, self.accept_loop(&socket)) => {}
             () = told => {}
         }
         self.closed.set(true);
@@ -292,16 +292,16 @@
                 Ok((stream, peer)) => {
                     pause = AGAIN;
                     let own = Rc::clone(self);
-                    let charged = Rc::new(Charged::new(self.account.clone()));
+                    let charged = Rc::new(ChargedAccount::new(self.account.clone()));
                     let to_charge = Rc::clone(&charged);
-                    let serving = InTurn::new(&self.common, charged, async move {
+                    let serving = FairTask::new(&self.common, charged, async move {
                         client::serve(&own, stream, to_charge).await;
                         drop(seat);
                         own.freed.notify_one();
                     });
                     watchdog::spawn(TaskKind::ClientConnection.of_peer(peer), serving);
                 }
-                Err(problem) if is_exhausted(&problem) => {
+                Err(problem) if is_resource_exhaustion(&problem) => {
                     let of = self.label();
                     tracing::warn!("{of}no descriptor for a client: {problem}");
                     self.common.no_descriptor().await;
@@ -328,12 +328,12 @@
         all || self.clients.count() > self.many.get()
     }
 
-    pub(super) fn account(&self) -> Option<Rc<Account>> {
+    pub(super) fn account(&self) -> Option<Rc<SchedulerAccount>> {
         self.account.clone()
     }
 
     /// What a request's work is put down to, once it is known whose it is.
-    pub(super) fn charge(&self, charged: &Charged, service: &Service) {
-        charged.set(turns::charged_to(&service.charged));
+    pub(super) fn charge(&self, charged: &ChargedAccount, service: &Service) {
+        charged.set(fair_scheduler::charged_account(&service.charged));
     }
 }
--- a/crates/sidecar/src/passing.rs
+++ b/crates/sidecar/src/passing.rs
@@ -5,9 +5,9 @@
 
 use super::client::Client;
 use super::common::Common;
-use super::connections::Lease;
-use super::counts::{Counts, count};
-use super::exchange::{Broken, Unwrapper};
+use super::connections::PooledConnection;
+use super::counts::{OutcomeCounts, increment};
+use super::exchange::{BodyDecoder, ExchangeError};
 use super::readiness;
 use super::service::Service;
 use bytes::{Bytes, BytesMut};
@@ -35,11 +35,11 @@
     pub(super) service: Rc<Service>,
     pub(super) server: ServerId,
     pub(super) address: SocketAddr,
-    pub(super) lease: Option<Lease>,
+    pub(super) lease: Option<PooledConnection>,
     /// The server keeps the connection, and has had the whole request.
     pub(super) reusable: bool,
     pub(super) unread: BytesMut,
-    pub(super) unwrapper: Unwrapper,
+    pub(super) unwrapper: BodyDecoder,
     /// Taken out of its wrapping already.
     pub(super) first: Bytes,
     /// The request's class, and what it holds until its answer has ended.
@@ -48,7 +48,7 @@
 
 /// What an answer holds until its end.
 pub(super) struct HeldByAnswer {
-    pub(super) counts: Rc<Counts>,
+    pub(super) counts: Rc<OutcomeCounts>,
     /// Its client, which is not idle before.
     pub(super) client: Rc<Client>,
     pub(super) common: Rc<Common>,
@@ -62,19 +62,19 @@
 }
 
 impl Passing {
-    fn poll(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Bytes, Broken>>> {
+    fn poll(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Bytes, ExchangeError>>> {
         if !self.first.is_empty() {
             return Poll::Ready(Some(Ok(std::mem::take(&mut self.first))));
         }
         loop {
-            match self.unwrapper.next(&mut self.unread) {
+            match self.unwrapper.decode(&mut self.unread) {
                 Err(broken) => return Poll::Ready(Some(Err(broken))),
                 Ok(Some(data)) => return Poll::Ready(Some(Ok(data))),
-                Ok(None) if self.unwrapper.is_over() => return Poll::Ready(None),
+                Ok(None) if self.unwrapper.is_complete() => return Poll::Ready(None),
                 Ok(None) => {}
             }
             let Some(lease) = self.lease.as_mut() else {
-                return Poll::Ready(Some(Err(Broken::Connection)));
+                return Poll::Ready(Some(Err(ExchangeError::Connection)));
             };
             let unread = &mut self.unread;
             let read = readiness::poll_read(&lease.stream, context, |stream| {
@@ -83,7 +83,7 @@
             });
             match ready!(read) {
                 Ok(0) if self.unwrapper.ends_with_connection() => return Poll::Ready(None),
-                Ok(0) | Err(_) => return Poll::Ready(Some(Err(Broken::Connection))),
+                Ok(0) | Err(_) => return Poll::Ready(Some(Err(ExchangeError::Connection))),
                 Ok(_) => {}
             }
         }
@@ -93,15 +93,15 @@
     fn end(&mut self, whole: bool) {
         let lease = self.lease.take();
         if whole {
-            self.service.connections.heard(self.server);
+            self.service.connections.record_response(self.server);
             let there = self.service.pool.address(self.server) == Some(self.address);
             if let Some(lease) = lease.filter(|_| self.reusable && there && self.unread.is_empty())
             {
-                self.service.connections.keep(lease);
+                self.service.connections.release(lease);
             }
         }
         if let Some(held) = &self.held {
-            count(if whole {
+            increment(if whole {
                 &held.counts.served
             } else {
                 &held.counts.failed
@@ -134,7 +134,7 @@
             Reply::Passing(passing) => Poll::Ready(match ready!(passing.poll(context)) {
                 Some(Ok(data)) => {
                     // Of a known length the last piece is the end: nobody asks for another.
-                    if passing.unwrapper.is_over() && passing.first.is_empty() {
+                    if passing.unwrapper.is_complete() && passing.first.is_empty() {
                         passing.end(true);
                     }
                     Some(Ok(Frame::data(data)))
@@ -157,14 +157,14 @@
     fn is_end_stream(&self) -> bool {
         match self {
             Reply::Whole(body) => body.is_end_stream(),
-            Reply::Passing(passing) => passing.first.is_empty() && passing.unwrapper.is_over(),
+            Reply::Passing(passing) => passing.first.is_empty() && passing.unwrapper.is_complete(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
             Reply::Whole(body) => body.size_hint(),
-            Reply::Passing(passing) => match passing.unwrapper.left() {
+            Reply::Passing(passing) => match passing.unwrapper.remaining() {
                 Some(left) => SizeHint::with_exact(left + passing.first.len() as u64),
                 None => SizeHint::default(),
             },
--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -560,7 +560,7 @@
         .values()
         .map(draining)
         .collect();
-    service.connections.clear();
+    service.connections.close_all_idle();
     service.handle(
         service.common.clock.now(),
         Event::Members(Members::Full(&listed)),
@@ -614,7 +614,7 @@
     let drained = changes
         .iter()
         .filter(|listed| listed.state == ServerState::Draining);
-    drained.for_each(|listed| service.connections.forget(listed.server));
+    drained.for_each(|listed| service.connections.remove_server(listed.server));
     service.handle(
         service.common.clock.now(),
         Event::Members(Members::Changes(&changes)),
@@ -675,7 +675,7 @@
         .pool
         .take_in(listing, &service.common.steering.borrow(), times);
     left.into_iter()
-        .for_each(|server| service.connections.forget(server));
+        .for_each(|server| service.connections.remove_server(server));
     let members = if full {
         Members::Full(&listed)
     } else {
--- a/crates/sidecar/src/probe.rs
+++ b/crates/sidecar/src/probe.rs
@@ -1,6 +1,6 @@
 //! Load probes: a server is asked for its load report.
 
-use super::exchange::{self, Answer, Message, Progress, Whole};
+use super::exchange::{self, CompleteBody, RequestMessage, ResponseReader, SendProgress};
 use super::service::Service;
 use bytes::Bytes;
 use hyper::header::{self, HeaderValue};
@@ -25,23 +25,26 @@
 
 async fn ask(service: &Rc<Service>, server: ServerId) -> Option<Report> {
     let address = service.pool.address(server)?;
-    let mut message = Message::new(&Method::GET, "/status/load");
-    message.header(
+    let mut message = RequestMessage::new(&Method::GET, "/status/load");
+    message.add_header(
         &header::HOST,
         &HeaderValue::from_maybe_shared(Bytes::from(address.to_string())).ok()?,
     );
-    message.end(Bytes::new());
-    let mut lease = service.connections.take(server, address).await.ok()?;
-    let progress = Progress::default();
+    message.finish(Bytes::new());
+    let mut lease = service.connections.acquire(server, address).await.ok()?;
+    let progress = SendProgress::default();
     exchange::send(&lease.stream, &message, None::<Ready<()>>, &progress)
         .await
         .ok()?;
-    let mut answer = Answer::default();
-    let head = answer.head(&mut lease.stream).await.ok()?;
-    let Whole { body, reusable } = answer.body(&head, &mut lease.stream).await.ok()?;
-    service.connections.heard(server);
-    if reusable && progress.whole.get() {
-        service.connections.keep(lease);
+    let mut answer = ResponseReader::default();
+    let head = answer.read_head(&mut lease.stream).await.ok()?;
+    let CompleteBody { body, reusable } = answer
+        .read_complete_body(&head, &mut lease.stream)
+        .await
+        .ok()?;
+    service.connections.record_response(server);
+    if reusable && progress.complete.get() {
+        service.connections.release(lease);
     }
     std::str::from_utf8(&body)
         .ok()
--- a/crates/sidecar/src/process.rs
+++ b/crates/sidecar/src/process.rs
@@ -161,7 +161,8 @@
             watchdog::spawn(TaskKind::FairQueue, Rc::clone(scheduler).run());
         }
         let warm = self.common.state_writer.get().map(|writer| {
-            let writing = warm_start::run(Rc::clone(&self.common), Rc::clone(writer));
+            let writing =
+                warm_start::write_periodically(Rc::clone(&self.common), Rc::clone(writer));
             watchdog::spawn(TaskKind::WarmState, writing).abort_handle()
         });
         stop.await;
@@ -183,7 +184,7 @@
         self.admin.take();
         if let Some(writer) = self.common.state_writer.get() {
             warm.inspect(AbortHandle::abort);
-            warm_start::write(&self.common, writer).await;
+            warm_start::write_snapshots(&self.common, writer).await;
             writer.close();
         }
         Ok(())
@@ -315,13 +316,13 @@
         tokio::time::sleep(SWEEP).await;
         let services = common.services.borrow().clone();
         for service in services {
-            while service.connections.drop_old() {
+            while service.connections.close_expired() {
                 tokio::task::yield_now().await;
             }
             service.connections.sweep();
             service.second();
         }
         common.keep_to_memory(CLOSED_AT_ONCE);
-        common.fleet_limits.look();
+        common.fleet_limits.log_lease_changes();
     }
 }
--- a/crates/sidecar/src/reload.rs
+++ b/crates/sidecar/src/reload.rs
@@ -2,7 +2,7 @@
 
 use super::admin::{self, AdminServer};
 use super::config::Config;
-use super::counts::count;
+use super::counts::increment;
 use super::discovery_watch;
 use super::listener::{Listener, Manner, Socket, bind};
 use super::ordinal::ordinal_in_name;
@@ -36,7 +36,7 @@
             let read = Config::read_again(&self.keys.borrow());
             match read {
                 Ok(config) => {
-                    count(&self.common.files_taken);
+                    increment(&self.common.files_taken);
                     self.keys.replace(config.keys);
                     if config.settings != service.tuned().file {
                         tracing::info!("settings taken over");
@@ -45,7 +45,7 @@
                     discovery_watch::turn_to(service, config.discovery);
                 }
                 Err(problem) => {
-                    count(&self.common.files_refused);
+                    increment(&self.common.files_refused);
                     tracing::warn!("not read again: {problem}");
                 }
             }
@@ -151,7 +151,9 @@
             .control
             .as_ref()
             .map(|control| control.fleet_limits.as_slice());
-        self.common.fleet_limits.follow(limits.unwrap_or_default());
+        self.common
+            .fleet_limits
+            .set_limits(limits.unwrap_or_default());
         let shared = operator
             .control
             .as_ref()
--- a/crates/sidecar/src/second_address.rs
+++ b/crates/sidecar/src/second_address.rs
@@ -40,7 +40,7 @@
             Ok((stream, _)) => stream,
             Err(problem) => {
                 tracing::warn!("at the second address no caller can be taken: {problem}");
-                if super::connections::is_exhausted(&problem) {
+                if super::connections::is_resource_exhaustion(&problem) {
                     common.drop_oldest();
                 }
                 tokio::time::sleep(AGAIN).await;
@@ -133,11 +133,11 @@
     };
     let mut operations = BTreeMap::<String, Ended>::new();
     for service in common.services.borrow().iter() {
-        for (name, ended) in service.counts.operations() {
+        for (name, ended) in service.counts.by_class() {
             *operations.entry(name).or_default() += ended;
         }
-        all.relayed += service.counts.relayed.get();
-        all.open_requests += service.counts.opened();
+        all.relayed += service.counts.attempts_sent.get();
+        all.open_requests += service.counts.open_requests();
         let servers = service.snapshot().servers;
         let listed = servers
             .iter()
--- a/crates/sidecar/src/service.rs
+++ b/crates/sidecar/src/service.rs
@@ -3,8 +3,9 @@
 
 use super::common::Common;
 use super::connections::Connections;
-use super::counts::{Counts, Registry};
+use super::counts::{OutcomeCounts, ServiceCounts};
 use super::discovery_watch;
+use super::fair_scheduler::ChargedAccount;
 use super::levels;
 use super::limits::Allowance;
 use super::moves::Moves;
@@ -14,7 +15,6 @@
 use super::trail;
 use super::transaction::{Step, Steps};
 use super::tuned::Tuned;
-use super::turns::Charged;
 use super::warm_start::WarmStart;
 use foldhash::quality::FixedState;
 use hyper::header::HeaderValue;
@@ -87,8 +87,8 @@
     /// What its requests may hold together.
     pub(super) allowance: Allowance,
     /// Its account of the thread's time, for its connections and for the requests that it has.
-    pub(super) charged: Rc<Charged>,
-    pub(super) counts: Registry,
+    pub(super) charged: Rc<ChargedAccount>,
+    pub(super) counts: ServiceCounts,
     /// What of it outlasts the process.
     pub(super) kept: Cell<Kept>,
     /// What an earlier process measured of servers that are not listed yet.
@@ -133,8 +133,8 @@
             seed,
             ..
         } = spec;
-        let counts = Registry::default();
-        let charged = Rc::new(Charged::new(common.account(limits.weight)));
+        let counts = ServiceCounts::default();
+        let charged = Rc::new(ChargedAccount::new(common.account(limits.weight)));
         let bounds = &common.bounds;
         let seats = bounds.servers.join(parts.connections);
         let service = Rc::new(Service {
@@ -177,7 +177,7 @@
         trail::started(common.clock.now());
         service.recall_classes();
         pool::begin(&service, known);
-        levels::set(&service, levels);
+        levels::configure(&service, levels);
         Ok(service)
     }
 
@@ -198,7 +198,7 @@
             Some(_) => {}
             None => pool::fix(self, Listing::fixed(&pool.servers)),
         }
-        levels::set(self, pool.levels.clone());
+        levels::configure(self, pool.levels.clone());
     }
 
     /// How old its list may be, by discovery's word or the fleet's; none where it is fixed.
@@ -210,10 +210,10 @@
     }
 
     pub(super) fn change_limits(&self, limits: MemberLimits, parts: Parts) {
-        self.connections.seats.change(parts.connections);
+        self.connections.slots.change(parts.connections);
         self.allowance.change(parts.open, parts.bodies, limits.rate);
-        if let Some(account) = super::turns::charged_to(&self.charged) {
-            account.change(limits.weight);
+        if let Some(account) = super::fair_scheduler::charged_account(&self.charged) {
+            account.set_weight(limits.weight);
         }
     }
 
@@ -256,7 +256,7 @@
     }
 
     /// The counts of a class by its place in the settings.
-    pub(super) fn class_counts(&self, class: u32) -> Rc<Counts> {
+    pub(super) fn class_counts(&self, class: u32) -> Rc<OutcomeCounts> {
         let tuned = self.tuned();
         tuned
             .at(class)
@@ -273,7 +273,7 @@
         let former = self.tuned();
         let (tuned, retuned) = former.turn_to(site, &self.counts);
         self.connections
-            .change(tuned.site.conn_idle, tuned.site.connect_timeout);
+            .set_timeouts(tuned.site.conn_idle, tuned.site.connect_timeout);
         pool::rename(self, &tuned.site);
         self.tuned.replace(Rc::new(tuned));
         self.handle(self.common.clock.now(), Event::Settings(&retuned));
@@ -324,9 +324,9 @@
         else {
             return;
         };
-        let warm_start = WarmStart::of(writer, &self.name);
+        let warm_start = WarmStart::from_store(writer, &self.name);
         let begun = self.memory(self.common.clock.now());
-        if let Some(memory) = warm_start.classes(writer, self, &begun) {
+        if let Some(memory) = warm_start.restore_classes(writer, self, &begun) {
             self.balancer.borrow_mut().recall_classes(&memory);
         }
         self.warm_start.replace(warm_start);
@@ -336,7 +336,7 @@
     pub(super) fn recall_servers(&self, now: Micros) {
         if let Some(writer) = self.common.state_writer.get() {
             let take = |memory: &_| self.balancer.borrow_mut().recall_server(now, memory);
-            self.warm_start.borrow_mut().servers(writer, take);
+            self.warm_start.borrow_mut().restore_servers(writer, take);
         }
     }
 
@@ -344,7 +344,7 @@
     pub(super) fn remembered_servers(&self) -> Vec<madderloom_sidecar_state::ServerSnapshot> {
         let writer = self.common.state_writer.get();
         writer
-            .map(|writer| self.warm_start.borrow().listed(writer))
+            .map(|writer| self.warm_start.borrow().stored_servers(writer))
             .unwrap_or_default()
     }
 
--- a/crates/sidecar/src/transaction.rs
+++ b/crates/sidecar/src/transaction.rs
@@ -1,7 +1,7 @@
 //! A transaction: the life of one client's request, from the module's first word on it to its final answer.
 
 use super::alarms::Alarms;
-use super::flow::{self, Attempt, Onward};
+use super::attempt::{self, Attempt, ForwardedRequest};
 use super::passing::Reply;
 use super::service::Service;
 use hyper::Response;
@@ -123,7 +123,7 @@
     service: &Rc<Service>,
     now: Micros,
     new: NewRequest,
-    onward: Rc<Onward>,
+    onward: Rc<ForwardedRequest>,
 ) -> Answer {
     let mut transaction = Transaction::begin(service, now, &new);
 
@@ -142,7 +142,7 @@
                 timeout_at,
                 write_by,
             }) => {
-                onward.while_asked_for().await;
+                onward.wait_forever_if_client_gone().await;
                 transaction.send(&onward, server, (timeout_at, write_by));
             }
             Next::Step(Step::Cancel { attempt }) => transaction.cancel(attempt),
@@ -181,7 +181,7 @@
 
     fn send(
         &mut self,
-        onward: &Rc<Onward>,
+        onward: &Rc<ForwardedRequest>,
         server: ServerId,
         (timeout_at, write_by): (Micros, Micros),
     ) {
@@ -195,15 +195,15 @@
             number,
             server,
             class: self.class as u32,
-            cost: self.cost,
-            sent: Cell::new(sent),
+            cost_hint: self.cost,
+            sent_at: Cell::new(sent),
             timeout_at,
             write_by,
-            over: Rc::clone(&self.over),
-            closed: false,
+            transaction_ended: Rc::clone(&self.over),
+            outcome_reported: false,
         };
         self.flows
-            .push(Some(Box::pin(flow::run(attempt, Rc::clone(onward)))));
+            .push(Some(Box::pin(attempt::run(attempt, Rc::clone(onward)))));
     }
 
     /// A flow that is dropped closes its connection and tells the module that it was called off.
@@ -234,7 +234,7 @@
         .await
     }
 
-    fn end(&mut self, onward: &Onward, answer: Answer) -> Answer {
+    fn end(&mut self, onward: &ForwardedRequest, answer: Answer) -> Answer {
         self.over.set(true);
         // What ends unserved behind an attempt does so because of the server that had it last.
         if let Some(server) = self.last.filter(|_| !matches!(answer, Answer::Served(_))) {
--- a/crates/sidecar/src/tuned.rs
+++ b/crates/sidecar/src/tuned.rs
@@ -4,7 +4,7 @@
 //! or changes a class leaves the old one its place until then; what changed gets another, and goes on with what was
 //! learned. So the rules of a request are those that it came under, to its end.
 
-use super::counts::{Counts, Registry};
+use super::counts::{OutcomeCounts, ServiceCounts};
 use madderloom_balancer::settings::Site;
 use madderloom_balancer::{Class, Effect, Micros, Retuned};
 use std::rc::Rc;
@@ -16,7 +16,7 @@
     /// Its place in the module's settings.
     pub(super) place: u32,
     pub(super) class: Class,
-    pub(super) counts: Rc<Counts>,
+    pub(super) counts: Rc<OutcomeCounts>,
 }
 
 impl ClassEntry {
@@ -48,7 +48,7 @@
 
 impl Tuned {
     /// Those that a service begins with.
-    pub(super) fn new(site: Site, counts: &Registry) -> Self {
+    pub(super) fn new(site: Site, counts: &ServiceCounts) -> Self {
         let classes = site.classes.iter().zip(&site.settings.classes).enumerate();
         let place = |(at, (name, class)): (usize, (&String, &Class))| Place {
             entry: Rc::new(ClassEntry {
@@ -82,7 +82,7 @@
     }
 
     /// Newer ones, and what the module is to be told of them.
-    pub(super) fn turn_to(&self, mut site: Site, counts: &Registry) -> (Tuned, Retuned) {
+    pub(super) fn turn_to(&self, mut site: Site, counts: &ServiceCounts) -> (Tuned, Retuned) {
         let file = site.clone();
         let mut places: Vec<Place> = Vec::with_capacity(self.places.len());
         let mut learned: Vec<Option<u32>> = Vec::new();
@@ -191,7 +191,7 @@
 
     #[test]
     fn a_class_keeps_its_place_while_a_request_of_it_is_open() {
-        let counts = Registry::default();
+        let counts = ServiceCounts::default();
         let first = Tuned::new(
             site(&[("read", "safe", 900_000), ("file", "unsafe", 900_000)]),
             &counts,
--- a/crates/sidecar/src/view.rs
+++ b/crates/sidecar/src/view.rs
@@ -2,13 +2,13 @@
 
 use super::agent_link::AgentLink;
 use super::common::Common;
-use super::counts::Counts;
+use super::counts::OutcomeCounts;
+use super::fair_scheduler::charged_account;
 use super::levels;
 use super::limits::Bound;
 use super::listener::Listener;
 use super::service::Service;
 use super::teller::{Teller, words};
-use super::turns::charged_to;
 use madderloom_balancer::{Effect, Micros, Outcome, ServerId, ServerState, ServerView};
 use madderloom_endpoint_history::{Interval, LatencySketch, Recording, Subject, Timeline};
 use madderloom_routing::shares::Held;
@@ -84,11 +84,11 @@
     })
 }
 
-fn counts(counts: &Counts) -> Value {
+fn counts(counts: &OutcomeCounts) -> Value {
     json!({
-        "served": counts.served.get(), "late": counts.late.get(), "refused": counts.refused.get(), "failed": counts.failed.get(),
-        "turned_away": counts.turned_away.get(), "over_rate": counts.over_rate.get(),
-        "senseless": counts.senseless.get(),
+        "served": counts.served.get(), "late": counts.late.get(), "refused": counts.rejected.get(), "failed": counts.failed.get(),
+        "turned_away": counts.rejected_by_limit.get(), "over_rate": counts.over_rate_limit.get(),
+        "senseless": counts.client_errors.get(),
     })
 }
 
@@ -105,7 +105,7 @@
         "connections": {
             "parked": listener.clients.parked(), "served": listener.clients.served(), "woken": listener.clients.woken(),
         },
-        "requests": {"senseless": listener.counts.senseless.get()},
+        "requests": {"senseless": listener.counts.client_errors.get()},
         "limits": {
             "connections": held(listener.seats.numbers()),
             "open": held(listener.allowance.open()),
@@ -138,7 +138,7 @@
         })
     });
     let account =
-        charged_to(&service.charged).map_or_else(Spent::default, |account| account.spent());
+        charged_account(&service.charged).map_or_else(Spent::default, |account| account.usage());
     json!({
         "name": service.name,
         "state": if service.is_leaving() { "leaving" } else { "serving" },
@@ -147,13 +147,13 @@
         "list_version": service.pool.version(),
         "classes": classes.collect::<Value>(),
         "servers": snapshot.servers.iter().map(|s| server(service, s, now)).collect::<Value>(),
-        "requests": counts(&service.counts.sum()),
+        "requests": counts(&service.counts.total()),
         "open": service.transactions.borrow().len(),
         "retry_budget": snapshot.retry_budget,
         "service_level": levels::view(service, now),
-        "connections": {"idle": service.connections.idle(), "opened": service.connections.opened()},
+        "connections": {"idle": service.connections.idle_count(), "opened": service.connections.opened_count()},
         "limits": {
-            "connections": held(service.connections.seats.numbers()),
+            "connections": held(service.connections.slots.numbers()),
             "open": held(service.allowance.open()),
             "bodies": held(service.allowance.bodies()),
         },
--- a/crates/sidecar/src/virtual_server.rs
+++ b/crates/sidecar/src/virtual_server.rs
@@ -1,11 +1,11 @@
 //! The virtual server: the client's side of one request. It reads it, finds the service that it is for, makes room
 //! for it, and gives the answer back.
 
+use super::attempt::{ForwardedRequest, ResponseProtocol};
 use super::client::Client;
 use super::common::Common;
-use super::counts::count;
-use super::fleet_limits::LetIn;
-use super::flow::{Onward, Reading};
+use super::counts::increment;
+use super::fleet_limits::FleetPermit;
 use super::graphql;
 use super::limits::Full;
 use super::listener::{Listener, Manner};
@@ -84,7 +84,7 @@
 ) -> Response<Reply> {
     let came = listener.common.clock.now();
     if client.ambiguous.get() {
-        count(&listener.counts.senseless);
+        increment(&listener.counts.client_errors);
         return rejected(senseless("it is not certain where the message ends"));
     }
     if request.uri().path() == "/ready" && request.method() == Method::GET {
@@ -94,7 +94,7 @@
     let (service, class) = match find(listener, &head) {
         Ok(found) => found,
         Err(reject) => {
-            count(&listener.counts.senseless);
+            increment(&listener.counts.client_errors);
             return rejected(reject);
         }
     };
@@ -148,7 +148,7 @@
         }
     };
     client.body_read.set(body.passing().is_none());
-    let open = service.counts.open();
+    let open = service.counts.track_request();
     let counts = service.class_counts(new.class);
     let now = listener.common.clock.now();
     // Its time counts from its last byte, and what its client took to write it is not the answer's.
@@ -158,30 +158,30 @@
     // An absolute target names this sidecar; the node is to see the path alone.
     let path = head.uri.into_parts().path_and_query;
     let uri = path.map_or_else(|| Uri::from_static("/"), Uri::from);
-    let unsafe_to_repeat = entry
+    let non_idempotent = entry
         .as_ref()
         .is_none_or(|class| class.effect() == Effect::Unsafe);
     let aim = service.aim(&new);
-    let reading = Reading::Plain;
-    let idempotency_record = if unsafe_to_repeat {
+    let protocol = ResponseProtocol::Http;
+    let idempotency_record = if non_idempotent {
         IdempotencyRecord::for_request(&service, &head.headers, None)
     } else {
         Ok(None)
     };
     let Ok(idempotency_record) = idempotency_record else {
-        count(&counts.senseless);
+        increment(&counts.client_errors);
         return rejected(LONG_ID);
     };
     let (method, headers) = (head.method, head.headers);
     let client = Rc::clone(client);
-    let onward = Onward {
+    let onward = ForwardedRequest {
         client,
         method,
         uri,
         headers,
         body,
-        unsafe_to_repeat,
-        reading,
+        non_idempotent,
+        protocol,
         idempotency_record,
     };
     let onward = Rc::new(onward);
@@ -199,17 +199,17 @@
             _ => onward.client.body_read.set(passing.whole.get().is_some()),
         }
         if let Some(reject) = passing.broken.take() {
-            count(&counts.senseless);
+            increment(&counts.client_errors);
             return rejected(reject);
         }
     }
     match answer {
         Answer::Served(mut response) => {
             if listener.common.clock.now() - came > aim {
-                count(&counts.late);
+                increment(&counts.late);
             }
             match response.body_mut() {
-                Reply::Whole(_) => count(&counts.served),
+                Reply::Whole(_) => increment(&counts.served),
                 // It is open to its last byte, and so is all that it holds.
                 Reply::Passing(passing) => {
                     let _rest = Box::new((open, room, entry, held));
@@ -225,11 +225,11 @@
             response
         }
         Answer::Refused { retry_after } => {
-            count(&counts.refused);
+            increment(&counts.rejected);
             refusal("refused", retry_after)
         }
         Answer::Failed => {
-            count(&counts.failed);
+            increment(&counts.failed);
             plain(StatusCode::BAD_GATEWAY, "failed")
         }
     }
@@ -251,10 +251,10 @@
         || service.counts.unclassed(),
         |class| Rc::clone(&class.counts),
     );
-    count(if turned_away {
-        &counts.turned_away
+    increment(if turned_away {
+        &counts.rejected_by_limit
     } else {
-        &counts.senseless
+        &counts.client_errors
     });
     if let Some(unread) = unread.filter(|_| turned_away && manner.drains) {
         drain(&service.common, unread, manner.body_within);
@@ -314,7 +314,7 @@
             Full::Open => Reject::Refused("too many requests are open", usual),
             Full::Bodies => Reject::Refused("too much is open", usual),
             Full::Rate(wait) => {
-                count(&service.counts.unclassed().over_rate);
+                increment(&service.counts.unclassed().over_rate_limit);
                 // Clients honour no longer advice than the settings say.
                 Reject::Refused(
                     "too many requests have come",
@@ -330,14 +330,14 @@
     service: &Service,
     class: Option<&ClassEntry>,
     headers: &HeaderMap,
-) -> Result<Option<LetIn>, Reject> {
+) -> Result<Option<FleetPermit>, Reject> {
     let class = class.map(|class| &*class.name);
     service
         .common
         .fleet_limits
         .admit(&service.name, class, headers)
         .map_err(|denied| {
-            count(&service.counts.unclassed().over_rate);
+            increment(&service.counts.unclassed().over_rate_limit);
             let problem = if denied.without_lease {
                 "a fleet limit lets no more in, and no lease of it holds"
             } else {
--- a/crates/sidecar/src/warm_start.rs
+++ b/crates/sidecar/src/warm_start.rs
@@ -45,7 +45,7 @@
 
 impl WarmStart {
     /// What an earlier process has stored of a pool that has a warm start. Each snapshot is handed out once.
-    pub(super) fn of(writer: &StateWriter, pool: &str) -> Self {
+    pub(super) fn from_store(writer: &StateWriter, pool: &str) -> Self {
         let mut restored_services = writer.restored_services.borrow_mut();
         let snapshot = restored_services
             .get_mut(pool)
@@ -65,14 +65,14 @@
     }
 
     /// The servers as they were listed; none if the snapshot is too old.
-    pub(super) fn listed(&self, writer: &StateWriter) -> Vec<ServerSnapshot> {
+    pub(super) fn stored_servers(&self, writer: &StateWriter) -> Vec<ServerSnapshot> {
         self.decayed(writer)
             .map(|decayed| decayed.servers)
             .unwrap_or_default()
     }
 
     /// What was measured of request classes and over all requests, blended into what the balancer assumes at a start.
-    pub(super) fn classes(
+    pub(super) fn restore_classes(
         &self,
         writer: &StateWriter,
         service: &Service,
@@ -100,7 +100,7 @@
     }
 
     /// Passes each server that was not listed yet to `recall`, which returns whether it has taken the server.
-    pub(super) fn servers(
+    pub(super) fn restore_servers(
         &mut self,
         writer: &StateWriter,
         mut recall: impl FnMut(&ServerMemory) -> bool,
@@ -122,11 +122,11 @@
 }
 
 /// Writes snapshots for as long as the process serves.
-pub(super) async fn run(common: Rc<Common>, writer: Rc<StateWriter>) {
+pub(super) async fn write_periodically(common: Rc<Common>, writer: Rc<StateWriter>) {
     delete_unused(&common, &writer).await;
     loop {
         tokio::time::sleep(Duration::from_micros(writer.state().warm_every.micros())).await;
-        write(&common, &writer).await;
+        write_snapshots(&common, &writer).await;
     }
 }
 
@@ -153,7 +153,7 @@
 }
 
 /// Writes one snapshot of each service that has a warm start.
-pub(super) async fn write(common: &Common, writer: &StateWriter) {
+pub(super) async fn write_snapshots(common: &Common, writer: &StateWriter) {
     let services = common.services.borrow().clone();
     for service in services
         .iter()
