--- a/crates/sidecar/src/listener.rs
+++ b/crates/sidecar/src/listener.rs
@@ -1,21 +1,21 @@
 //! A listener: where clients connect, and the connections that they have there.
 
-use super::client::{self, Clients, YOUNG};
-use super::connections::is_exhausted;
-use super::counts::Counts;
-use super::limits::{Allowance, Member};
-use super::process_state::ProcessState;
-use super::routing::Routing;
-use super::service::{ResourceShares, Service};
-use super::turns::{self, Account, Charged, InTurn};
 use madderloom_balancer::Micros;
 use madderloom_operator_config::MemberLimits;
-use madderloom_watchdog::{self as watchdog, TaskKind};
+use madderloom_watchdog::{TaskKind, self as watchdog};
 use std::cell::{Cell, RefCell};
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
+use super::client::{Clients, YOUNG, self};
+use super::connections::is_resource_exhaustion;
+use super::counts::OutcomeCounts;
+use super::fair_scheduler::{ChargedAccount, FairTask, SchedulerAccount, self};
+use super::limits::{Allowance, Member};
+use super::process_state::ProcessState;
+use super::routing::Routing;
+use super::service::{ResourceShares, Service};
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::sync::{Notify, watch};
 
@@ -84,11 +84,11 @@
     /// What its clients may hold: connections, and requests with their bodies.
     pub(super) seats: Member,
     pub(super) allowance: Allowance,
-    account: Option<Rc<Account>>,
+    account: Option<Rc<SchedulerAccount>>,
     /// So many connections of its own are a crowd.
     many: Cell<usize>,
     pub(super) clients: Clients,
-    pub(super) counts: Counts,
+    pub(super) counts: OutcomeCounts,
     leaving: watch::Sender<bool>,
     /// It takes no clients any more.
     closed: Cell<bool>,
@@ -146,7 +146,7 @@
             account: process.account(limits.map_or(1, |l| l.weight)),
             many: Cell::new(crowd(limits, parts)),
             clients: Clients::default(),
-            counts: Counts::default(),
+            counts: OutcomeCounts::default(),
             leaving: watch::channel(false).0,
             closed: Cell::new(false),
             freed: Notify::new(),
@@ -177,7 +177,7 @@
             .change(parts.requests, parts.body_bytes, limits.rate);
         self.many.set(crowd(Some(limits), parts));
         if let Some(account) = self.account.as_ref() {
-            account.change(limits.weight);
+            account.set_weight(limits.weight);
         }
     }
 
@@ -217,7 +217,7 @@
     pub(super) fn spent(&self) -> madderloom_routing::turns::Spent {
         self.account
             .as_ref()
-            .map_or_else(Default::default, |account| account.spent())
+            .map_or_else(Default::default, |account| account.usage())
     }
 
     /// Serves clients until it is told to leave and what was taken is answered.
@@ -239,9 +239,9 @@
                 }
             }
         };
-        let charged = Rc::new(Charged::new(self.account.clone()));
+        let charged = Rc::new(ChargedAccount::new(self.account.clone()));
         tokio::select! {
-            () = InTurn::new(&self.process, charged, self.accept_loop(&socket)) => {}
+            () = FairTask::new(&self.process, charged, self.accept_loop(&socket)) => {}
             () = told => {}
         }
         self.closed.set(true);
@@ -293,16 +293,16 @@
                 Ok((stream, peer)) => {
                     pause = AGAIN;
                     let own = Rc::clone(self);
-                    let charged = Rc::new(Charged::new(self.account.clone()));
+                    let charged = Rc::new(ChargedAccount::new(self.account.clone()));
                     let to_charge = Rc::clone(&charged);
-                    let serving = InTurn::new(&self.process, charged, async move {
+                    let serving = FairTask::new(&self.process, charged, async move {
                         client::serve(&own, stream, to_charge).await;
                         drop(seat);
                         own.freed.notify_one();
                     });
                     watchdog::spawn(TaskKind::ClientConnection.of_peer(peer), serving);
                 }
-                Err(problem) if is_exhausted(&problem) => {
+                Err(problem) if is_resource_exhaustion(&problem) => {
                     let of = self.label();
                     tracing::warn!("{of}no descriptor for a client: {problem}");
                     self.process.free_descriptor().await;
@@ -330,12 +330,12 @@
         all || self.clients.count() > self.many.get()
     }
 
-    pub(super) fn account(&self) -> Option<Rc<Account>> {
+    pub(super) fn account(&self) -> Option<Rc<SchedulerAccount>> {
         self.account.clone()
     }
 
     /// What a request's work is put down to, once it is known whose it is.
-    pub(super) fn charge(&self, charged: &Charged, service: &Service) {
-        charged.set(turns::charged_to(&service.charged));
+    pub(super) fn charge(&self, charged: &ChargedAccount, service: &Service) {
+        charged.set(fair_scheduler::charged_account(&service.charged));
     }
 }
--- a/crates/sidecar/src/process.rs
+++ b/crates/sidecar/src/process.rs
@@ -161,7 +161,8 @@
             watchdog::spawn(TaskKind::FairQueue, Rc::clone(scheduler).run());
         }
         let warm = self.process.state_writer.get().map(|writer| {
-            let writing = warm_start::run(Rc::clone(&self.process), Rc::clone(writer));
+            let writing =
+                warm_start::write_periodically(Rc::clone(&self.process), Rc::clone(writer));
             watchdog::spawn(TaskKind::WarmState, writing).abort_handle()
         });
         stop.await;
@@ -183,7 +184,7 @@
         self.admin.take();
         if let Some(writer) = self.process.state_writer.get() {
             warm.inspect(AbortHandle::abort);
-            warm_start::write(&self.process, writer).await;
+            warm_start::write_snapshots(&self.process, writer).await;
             writer.close();
         }
         Ok(())
@@ -319,13 +320,13 @@
         tokio::time::sleep(SWEEP).await;
         let services = process.services.borrow().clone();
         for service in services {
-            while service.connections.drop_old() {
+            while service.connections.close_expired() {
                 tokio::task::yield_now().await;
             }
             service.connections.sweep();
             service.sample_servers();
         }
         process.enforce_connection_memory(CLOSED_AT_ONCE);
-        process.fleet_limits.look();
+        process.fleet_limits.log_lease_changes();
     }
 }
--- a/crates/sidecar/src/service.rs
+++ b/crates/sidecar/src/service.rs
@@ -1,28 +1,10 @@
 //! A service: one pool of servers with an instance of the decision module of its own, and all that belongs to it
 //! alone. Nothing of one service is seen by another but through what the process limits.
 
-use super::active_settings::ActiveSettings;
-use super::connections::Connections;
-use super::counts::{Counts, Registry};
-use super::discovery_watch;
-use super::event_log;
-use super::levels;
-use super::limits::Allowance;
-use super::moves::Moves;
-use super::pool::{self, Listing, Pool};
-use super::probe;
-use super::process_state::ProcessState;
-use super::teller::{EndedAttempt, Teller};
-use super::transaction::{Step, Steps};
-use super::turns::Charged;
-use super::warm_start::WarmStart;
 use foldhash::quality::FixedState;
 use hyper::header::HeaderValue;
+use madderloom_balancer::{Action, Balancer, Event, Members, Memory, Micros, NewRequest, Note, RequestId, ServerId, Snapshot, Timer};
 use madderloom_balancer::settings::Site;
-use madderloom_balancer::{
-    Action, Balancer, Event, Members, Memory, Micros, NewRequest, Note, RequestId, ServerId,
-    Snapshot, Timer,
-};
 use madderloom_degradation::{LevelController, LevelPlan};
 use madderloom_graphql::{Front, Policy};
 use madderloom_operator_config::{Kept, MemberLimits};
@@ -32,6 +14,18 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
+use super::{discovery_watch, event_log, levels, probe};
+use super::active_settings::ActiveSettings;
+use super::connections::Connections;
+use super::counts::{OutcomeCounts, ServiceCounts};
+use super::fair_scheduler::ChargedAccount;
+use super::limits::Allowance;
+use super::moves::Moves;
+use super::pool::{Listing, Pool, self};
+use super::process_state::ProcessState;
+use super::teller::{EndedAttempt, Teller};
+use super::transaction::{Step, Steps};
+use super::warm_start::WarmStart;
 use tokio::sync::Notify;
 use tokio::task::AbortHandle;
 
@@ -87,8 +81,8 @@
     /// What its requests may hold together.
     pub(super) allowance: Allowance,
     /// Its account of the thread's time, for its connections and for the requests that it has.
-    pub(super) charged: Rc<Charged>,
-    pub(super) counts: Registry,
+    pub(super) charged: Rc<ChargedAccount>,
+    pub(super) counts: ServiceCounts,
     /// What of it outlasts the process.
     pub(super) persistence: Cell<Kept>,
     /// What an earlier process measured of servers that are not listed yet.
@@ -137,8 +131,8 @@
             seed,
             ..
         } = spec;
-        let counts = Registry::default();
-        let charged = Rc::new(Charged::new(process.account(limits.weight)));
+        let counts = ServiceCounts::default();
+        let charged = Rc::new(ChargedAccount::new(process.account(limits.weight)));
         let bounds = &process.shared_limits;
         let seats = bounds.server_connections.join(parts.connections);
         let service = Rc::new(Service {
@@ -181,7 +175,7 @@
         event_log::started(process.clock.now());
         service.recall_classes();
         pool::begin(&service, initial_list);
-        levels::set(&service, levels);
+        levels::configure(&service, levels);
         Ok(service)
     }
 
@@ -206,7 +200,7 @@
             Some(_) => {}
             None => pool::fix(self, Listing::fixed(&pool.servers)),
         }
-        levels::set(self, pool.levels.clone());
+        levels::configure(self, pool.levels.clone());
     }
 
     /// How old its list may be, by discovery's word or the fleet's; none where it is fixed.
@@ -218,11 +212,11 @@
     }
 
     pub(super) fn set_limits(&self, limits: MemberLimits, parts: ResourceShares) {
-        self.connections.seats.change(parts.connections);
+        self.connections.slots.change(parts.connections);
         self.allowance
             .change(parts.requests, parts.body_bytes, limits.rate);
-        if let Some(account) = super::turns::charged_to(&self.charged) {
-            account.change(limits.weight);
+        if let Some(account) = super::fair_scheduler::charged_account(&self.charged) {
+            account.set_weight(limits.weight);
         }
     }
 
@@ -265,7 +259,7 @@
     }
 
     /// The counts of a class by its place in the settings.
-    pub(super) fn class_counts(&self, class: u32) -> Rc<Counts> {
+    pub(super) fn class_counts(&self, class: u32) -> Rc<OutcomeCounts> {
         let tuned = self.active_settings();
         tuned
             .class_at(class)
@@ -282,7 +276,7 @@
         let former = self.active_settings();
         let (tuned, retuned) = former.updated(site, &self.counts);
         self.connections
-            .change(tuned.site.conn_idle, tuned.site.connect_timeout);
+            .set_timeouts(tuned.site.conn_idle, tuned.site.connect_timeout);
         pool::rename(self, &tuned.site);
         self.active_settings.replace(Rc::new(tuned));
         self.handle(self.process.clock.now(), Event::Settings(&retuned));
@@ -333,9 +327,9 @@
         else {
             return;
         };
-        let warm_start = WarmStart::of(writer, &self.name);
+        let warm_start = WarmStart::from_store(writer, &self.name);
         let begun = self.measurements(self.process.clock.now());
-        if let Some(memory) = warm_start.classes(writer, self, &begun) {
+        if let Some(memory) = warm_start.restore_classes(writer, self, &begun) {
             self.balancer.borrow_mut().recall_classes(&memory);
         }
         self.warm_start.replace(warm_start);
@@ -345,7 +339,7 @@
     pub(super) fn restore_server_measurements(&self, now: Micros) {
         if let Some(writer) = self.process.state_writer.get() {
             let take = |memory: &_| self.balancer.borrow_mut().recall_server(now, memory);
-            self.warm_start.borrow_mut().servers(writer, take);
+            self.warm_start.borrow_mut().restore_servers(writer, take);
         }
     }
 
@@ -353,7 +347,7 @@
     pub(super) fn persisted_servers(&self) -> Vec<madderloom_sidecar_state::ServerSnapshot> {
         let writer = self.process.state_writer.get();
         writer
-            .map(|writer| self.warm_start.borrow().listed(writer))
+            .map(|writer| self.warm_start.borrow().stored_servers(writer))
             .unwrap_or_default()
     }
 
