--- a/crates/sidecar/src/active_settings.rs
+++ b/crates/sidecar/src/active_settings.rs
@@ -82,7 +82,11 @@
     }
 
     /// Newer ones, and what the module is to be told of them.
-    pub(super) fn updated(&self, mut site: Site, counts: &ServiceCounts) -> (ActiveSettings, Retuned) {
+    pub(super) fn updated(
+        &self,
+        mut site: Site,
+        counts: &ServiceCounts,
+    ) -> (ActiveSettings, Retuned) {
         let file = site.clone();
         let mut places: Vec<ClassSlot> = Vec::with_capacity(self.class_slots.len());
         let mut learned: Vec<Option<u32>> = Vec::new();
--- a/crates/sidecar/src/passing.rs
+++ b/crates/sidecar/src/passing.rs
@@ -3,23 +3,23 @@
 //! What is passed on is read from the server when the client's side has room for it, so that one buffer's worth of it is
 //! here at any time. Where the server breaks off, the client's connection ends without the end of the answer.
 
+use super::client::Client;
+use super::connections::PooledConnection;
+use super::counts::{OutcomeCounts, increment};
+use super::exchange::{BodyDecoder, ExchangeError};
+use super::process_state::ProcessState;
+use super::readiness;
+use super::service::Service;
 use bytes::{Bytes, BytesMut};
 use http_body_util::Full;
 use hyper::body::{Body, Frame, SizeHint};
 use madderloom_balancer::ServerId;
-use std::io;
 use std::any::Any;
+use std::io;
 use std::net::SocketAddr;
 use std::pin::Pin;
 use std::rc::Rc;
 use std::task::{Context, Poll, ready};
-use super::readiness;
-use super::client::Client;
-use super::connections::PooledConnection;
-use super::counts::{OutcomeCounts, increment};
-use super::exchange::{BodyDecoder, ExchangeError};
-use super::process_state::ProcessState;
-use super::service::Service;
 
 /// What is read at once.
 const READ: usize = 32 << 10;
