--- a/crates/sidecar/src/alarms.rs
+++ b/crates/sidecar/src/alarms.rs
@@ -228,14 +228,14 @@
 
 #[cfg(test)]
 mod tests {
-    use super::super::transaction::Steps;
+    use super::super::transaction::StepQueue;
     use super::*;
 
     /// A request that is held is looked at every 25 ms, and its client may wait for a day.
     #[test]
     fn a_request_keeps_none_of_its_timers_that_have_rung() {
         let clock = Clock::start();
-        let (alarms, steps) = (Alarms::new(&clock), Steps::default());
+        let (alarms, steps) = (Alarms::new(&clock), StepQueue::default());
         let mut now = clock.now();
         for _ in 0..1_000 {
             steps.add_timer(&alarms, alarms.set(now, Bell::Task(Waker::noop().clone())));
--- a/crates/sidecar/src/client.rs
+++ b/crates/sidecar/src/client.rs
@@ -7,11 +7,11 @@
 //! answer with it. Nothing that is read so is served: a client that hears the end before any answer sends again.
 //!
 //! A client that has closed its side has gone. `hyper` hears of that by itself where it waits for the next bytes; where some
-//! lie unread before the end, nobody reads, and so the system is asked before each attempt begins ([`Client::has_gone`]).
+//! lie unread before the end, nobody reads, and so the system is asked before each attempt begins ([`Client::has_disconnected`]).
 
-use super::heads::Heads;
-use super::listener::{LAME_DUCK, Listener};
-use super::readiness::{self, peek_now};
+use super::listener::{CLOSE_GRACE_PERIOD, Listener};
+use super::readiness::{self, peek_nonblocking};
+use super::request_framing::RequestFraming;
 use super::turns::Charged;
 use super::virtual_server;
 use bytes::Bytes;
@@ -34,11 +34,11 @@
 use tokio::net::TcpStream;
 
 /// A connection that was opened, or whose last answer went, so little ago may have a request on the way.
-pub(super) const YOUNG: Micros = 50_000;
+pub(super) const MIN_IDLE_BEFORE_EVICTION: Micros = 50_000;
 /// A connection is parked once it has been idle for so long, and looked after as often while it is not.
 const PARKED_AFTER: Micros = 250_000;
 /// A client that takes nothing of an answer for so long has stopped.
-pub(super) const STOPPED: Micros = 30_000_000;
+pub(super) const WRITE_STALL_TIMEOUT: Micros = 30_000_000;
 /// How long a client's own end is waited for at a close, and how much is read meanwhile: after that the connection may be
 /// reset under what still comes.
 const LINGERS: Micros = 1_000_000;
@@ -103,8 +103,8 @@
 
     /// Whether it has closed its side, by the system's word of this moment, also behind bytes that nobody has read. Once this
     /// was found true the connection ends as soon as its task gives way, and its open request with it.
-    pub(super) fn has_gone(&self) -> bool {
-        let gone = match peek_now(&self.stream) {
+    pub(super) fn has_disconnected(&self) -> bool {
+        let gone = match peek_nonblocking(&self.stream) {
             Ok(0) => true,
             Ok(_) => self.has_ended_behind_what_is_unread(),
             Err(error) => !matches!(error, Errno::AGAIN | Errno::INTR),
@@ -124,7 +124,7 @@
     }
 
     fn holds_a_byte(&self) -> bool {
-        peek_now(&self.stream).is_ok_and(|count| count > 0)
+        peek_nonblocking(&self.stream).is_ok_and(|count| count > 0)
     }
 
     fn poll_read(&self, context: &mut Context<'_>, into: &mut [u8]) -> Poll<io::Result<usize>> {
@@ -148,7 +148,7 @@
 
     /// The last byte of an answer that is passed on has been read from its server.
     /// Told before the next request on the connection is read.
-    pub(super) fn answered(&self, now: Micros) {
+    pub(super) fn response_ended(&self, now: Micros) {
         self.passing.set(false);
         self.idle_since.set(Some(now));
     }
@@ -167,46 +167,46 @@
     /// Parked, by since when they are idle.
     parked: RefCell<BTreeMap<(Micros, u64), Rc<Client>>>,
     /// All others.
-    served: RefCell<HashMap<u64, Rc<Client>, foldhash::quality::FixedState>>,
-    entered: Cell<u64>,
+    active: RefCell<HashMap<u64, Rc<Client>, foldhash::quality::FixedState>>,
+    accepted: Cell<u64>,
     /// How often one that was parked has been woken by its client.
-    woken: Cell<u64>,
+    wakeups: Cell<u64>,
 }
 
 impl Clients {
     /// How many have come, since the start.
-    pub(super) fn entered(&self) -> u64 {
-        self.entered.get()
+    pub(super) fn accepted(&self) -> u64 {
+        self.accepted.get()
     }
 
-    pub(super) fn woken(&self) -> u64 {
-        self.woken.get()
+    pub(super) fn wakeups(&self) -> u64 {
+        self.wakeups.get()
     }
 
     /// How many are there.
     pub(super) fn count(&self) -> usize {
-        self.parked() + self.served()
+        self.parked() + self.active()
     }
 
     pub(super) fn parked(&self) -> usize {
         self.parked.borrow().len()
     }
 
-    pub(super) fn served(&self) -> usize {
-        self.served.borrow().len()
+    pub(super) fn active(&self) -> usize {
+        self.active.borrow().len()
     }
 
     /// Has the connection closed that lies idle for longest. One with a request open stays, and so does one so
     /// young that its request may be on the way: what was never read would have failed by that. False where none goes.
-    pub(super) fn make_room(&self, now: Micros) -> bool {
-        let old = |since: Micros| now.saturating_sub(since) >= YOUNG;
+    pub(super) fn evict_idle(&self, now: Micros) -> bool {
+        let old = |since: Micros| now.saturating_sub(since) >= MIN_IDLE_BEFORE_EVICTION;
         let parked = self
             .parked
             .borrow()
             .first_key_value()
             .map(|((since, _), client)| (*since, Rc::clone(client)));
         // Those that are served and idle have sent a part of a request, or are about to be parked.
-        let served = self.served.borrow();
+        let served = self.active.borrow();
         let staying = served.values().filter(|client| !client.closing.get());
         let idle = staying.filter_map(|client| Some((client.idle_since.get()?, client)));
         let idle = idle.min_by_key(|(since, client)| (*since, client.number));
@@ -226,7 +226,7 @@
     }
 
     /// Since when the one has been parked that has been idle for longest.
-    pub(super) fn oldest_parked(&self) -> Option<Micros> {
+    pub(super) fn oldest_parked_since(&self) -> Option<Micros> {
         self.parked
             .borrow()
             .first_key_value()
@@ -241,7 +241,7 @@
             .map(|(_, client)| Rc::clone(client));
         let mut old: Vec<Rc<Client>> = old.collect();
         drop(parked);
-        let served = self.served.borrow();
+        let served = self.active.borrow();
         let idle = |client: &&Rc<Client>| {
             client.may_be_parked() && client.idle_since.get().is_some_and(|at| at <= since)
         };
@@ -253,14 +253,14 @@
     pub(super) fn close_all(&self) {
         let parked: Vec<Rc<Client>> = self.parked.borrow().values().cloned().collect();
         parked.iter().for_each(|client| client.tell_to_close());
-        self.served
+        self.active
             .borrow()
             .values()
             .for_each(|client| client.tell_to_close());
     }
 
     fn park(&self, client: &Rc<Client>, since: Micros) {
-        self.served.borrow_mut().remove(&client.number);
+        self.active.borrow_mut().remove(&client.number);
         self.parked
             .borrow_mut()
             .insert((since, client.number), Rc::clone(client));
@@ -270,7 +270,7 @@
         if let Some(since) = client.idle_since.get() {
             self.parked.borrow_mut().remove(&(since, client.number));
         }
-        self.served
+        self.active
             .borrow_mut()
             .insert(client.number, Rc::clone(client));
     }
@@ -285,7 +285,7 @@
 impl<'a> Entered<'a> {
     fn new(of: &'a Listener, stream: TcpStream, charged: Rc<Charged>) -> Self {
         let clients = &of.clients;
-        let number = clients.entered.replace(clients.entered.get() + 1);
+        let number = clients.accepted.replace(clients.accepted.get() + 1);
         let now = of.common.clock.now();
         let client = Rc::new(Client {
             number,
@@ -317,7 +317,7 @@
                 .borrow_mut()
                 .remove(&(since, self.client.number));
         }
-        clients.served.borrow_mut().remove(&self.client.number);
+        clients.active.borrow_mut().remove(&self.client.number);
         self.of.common.clients.set(self.of.common.clients.get() - 1);
     }
 }
@@ -358,7 +358,7 @@
         before: Bytes::new(),
         client: Rc::clone(client),
         listener: Rc::clone(listener),
-        heads: Heads::default(),
+        framing: RequestFraming::default(),
     };
     while parked(listener, client).await {
         // In a box, as it holds all that a request needs: what is parked is to be small.
@@ -376,7 +376,7 @@
     if shutdown(&client.stream, Shutdown::Write).is_err() {
         return;
     }
-    let short = listener.is_crowded() || listener.common.is_exhausted();
+    let short = listener.is_near_connection_limit() || listener.common.is_exhausted();
     let within = if short { LINGERS_IN_A_CROWD } else { LINGERS };
     let to_its_end = async {
         let mut left = LINGERS_OVER;
@@ -398,7 +398,7 @@
     let mut alarm = pin!(
         listener
             .common
-            .alarm(since + listener.manner.get().idle_within)
+            .alarm(since + listener.settings.get().idle_timeout)
     );
     poll_fn(|context| {
         // What has come before the close is served.
@@ -425,23 +425,26 @@
     common.served_clients.set(common.served_clients.get() + 1);
     let _served = Counted(&common.served_clients);
     common.keep_to_memory(2);
-    listener.clients.woken.set(listener.clients.woken.get() + 1);
+    listener
+        .clients
+        .wakeups
+        .set(listener.clients.wakeups.get() + 1);
     let woken = common.clock.now();
     let service =
         hyper::service::service_fn(|request: hyper::Request<hyper::body::Incoming>| async {
             client.idle_since.set(None);
             client.body_read.set(request.body().is_end_stream());
-            let mut response = virtual_server::answer(listener, client, request).await;
+            let mut response = virtual_server::handle_request(listener, client, request).await;
             client.charged.set(listener.account());
             // One that is passed on is idle when it has gone, and not when it begins.
-            let (now, passing) = (common.clock.now(), response.body().is_passing());
+            let (now, passing) = (common.clock.now(), response.body().is_streamed());
             client.passing.set(passing);
             client.wrote.set(now);
             client.idle_since.set((!passing).then_some(now));
             client.read.set(false);
             if common.duty.borrow().ends_connections()
-                || listener.is_leaving()
-                || listener.is_crowded()
+                || listener.is_draining()
+                || listener.is_near_connection_limit()
             {
                 response
                     .headers_mut()
@@ -470,7 +473,7 @@
         if client.is_told(context) && told.is_none() {
             let now = common.clock.now();
             told = Some(now);
-            alarm = common.alarm(now + YOUNG);
+            alarm = common.alarm(now + MIN_IDLE_BEFORE_EVICTION);
             // Closes at once where it lies idle, else with its answer.
             Pin::new(&mut connection).graceful_shutdown();
             if Pin::new(&mut connection).poll(context).is_ready() {
@@ -481,7 +484,10 @@
             let now = common.clock.now();
             let (idle, passing) = (client.idle_since.get(), client.passing.get());
             // A reader that has stopped holds what others need.
-            if idle.is_none() && passing && now.saturating_sub(client.wrote.get()) >= STOPPED {
+            if idle.is_none()
+                && passing
+                && now.saturating_sub(client.wrote.get()) >= WRITE_STALL_TIMEOUT
+            {
                 return Poll::Ready(End::Lost);
             }
             let next = match (idle, told) {
@@ -492,7 +498,7 @@
                     let moment = idle.is_some() && client.flushed.get();
                     let ends = at
                         + if moment {
-                            YOUNG
+                            MIN_IDLE_BEFORE_EVICTION
                         } else {
                             longest_answer(listener)
                         };
@@ -546,20 +552,20 @@
         .map(|service| service.tuned().longest)
         .max()
         .unwrap_or_default();
-    (longest + LAME_DUCK).as_micros() as Micros
+    (longest + CLOSE_GRACE_PERIOD).as_micros() as Micros
 }
 
 /// Until when a connection may be without an open request, and yet not be parked.
 fn longest_idle(listener: &Listener, client: &Client, since: Micros, woken: Micros) -> Micros {
-    let manner = listener.manner.get();
+    let settings = listener.settings.get();
     if !client.flushed.get() {
         // Its answer is being read; a client that reads slowly loses no more than one that waits.
-        since.max(client.wrote.get()) + longest_answer(listener).max(manner.head_within)
+        since.max(client.wrote.get()) + longest_answer(listener).max(settings.head_timeout)
     } else if !client.body_read.get() {
-        since + virtual_server::DRAINED_FOR.max(manner.body_within)
+        since + virtual_server::BODY_DRAIN_TIMEOUT.max(settings.body_timeout)
     } else {
         // The head of a request is on its way, or was when it woke.
-        since.max(woken) + manner.head_within
+        since.max(woken) + settings.head_timeout
     }
 }
 
@@ -569,7 +575,7 @@
     before: Bytes,
     client: Rc<Client>,
     listener: Rc<Listener>,
-    heads: Heads,
+    framing: RequestFraming,
 }
 
 impl ClientIo {
@@ -599,7 +605,7 @@
             let count = ready!(io.client.poll_read(context, &mut scratch[..room]))?;
             let read = &scratch[..count];
             io.client.read.set(true);
-            if !io.heads.follow(read) {
+            if !io.framing.follow(read) {
                 io.client.ambiguous.set(true);
             }
             buffer.put_slice(read);
--- a/crates/sidecar/src/common.rs
+++ b/crates/sidecar/src/common.rs
@@ -6,7 +6,7 @@
 use super::feed::Feed;
 use super::fleet_limits::FleetLimits;
 use super::levels::Processor;
-use super::limits::Bound;
+use super::limits::SharedLimit;
 use super::listener::Listener;
 use super::pool::Steering;
 use super::service::Service;
@@ -89,12 +89,12 @@
 
 /// What all services and listeners share.
 pub(super) struct Bounds {
-    pub(super) clients: Rc<Bound>,
-    pub(super) servers: Rc<Bound>,
-    pub(super) open_by_pool: Rc<Bound>,
-    pub(super) open_by_listener: Rc<Bound>,
-    pub(super) bodies_by_pool: Rc<Bound>,
-    pub(super) bodies_by_listener: Rc<Bound>,
+    pub(super) clients: Rc<SharedLimit>,
+    pub(super) servers: Rc<SharedLimit>,
+    pub(super) open_by_pool: Rc<SharedLimit>,
+    pub(super) open_by_listener: Rc<SharedLimit>,
+    pub(super) bodies_by_pool: Rc<SharedLimit>,
+    pub(super) bodies_by_listener: Rc<SharedLimit>,
 }
 
 /// How much there is of what is shared.
@@ -140,12 +140,12 @@
 impl Bounds {
     fn new(totals: Totals) -> Self {
         Bounds {
-            clients: Bound::new(totals.connections),
-            servers: Bound::new(totals.connections),
-            open_by_pool: Bound::new(totals.open),
-            open_by_listener: Bound::new(totals.open),
-            bodies_by_pool: Bound::new(totals.bodies),
-            bodies_by_listener: Bound::new(totals.bodies),
+            clients: SharedLimit::new(totals.connections),
+            servers: SharedLimit::new(totals.connections),
+            open_by_pool: SharedLimit::new(totals.open),
+            open_by_listener: SharedLimit::new(totals.open),
+            bodies_by_pool: SharedLimit::new(totals.bodies),
+            bodies_by_listener: SharedLimit::new(totals.bodies),
         }
     }
 }
@@ -270,9 +270,9 @@
         let listeners = self.listeners.borrow();
         let oldest = listeners
             .iter()
-            .filter_map(|listener| Some((listener.clients.oldest_parked()?, listener)));
+            .filter_map(|listener| Some((listener.clients.oldest_parked_since()?, listener)));
         if let Some((_, listener)) = oldest.min_by_key(|(since, _)| *since) {
-            listener.clients.make_room(self.clock.now());
+            listener.clients.evict_idle(self.clock.now());
         }
     }
 
@@ -286,7 +286,7 @@
             .listeners
             .borrow()
             .iter()
-            .any(|listener| listener.clients.make_room(now));
+            .any(|listener| listener.clients.evict_idle(now));
         if !made {
             self.drop_oldest();
         }
@@ -325,7 +325,9 @@
     /// Has a connection to a server closed that lies idle beyond what is guaranteed to its pool.
     pub(super) fn return_borrowed(&self) {
         let services = self.services.borrow();
-        let borrowing = services.iter().filter(|s| s.connections.seats.borrows());
+        let borrowing = services
+            .iter()
+            .filter(|s| s.connections.seats.exceeds_guarantee());
         let oldest = borrowing.filter_map(|s| Some((s.connections.oldest()?, s)));
         if let Some((_, service)) = oldest.min_by_key(|(since, _)| *since) {
             service.connections.drop_oldest();
@@ -334,8 +336,13 @@
 
     /// Has a client's connection closed that lies idle beyond what is guaranteed to its listener.
     pub(super) fn return_borrowed_client(&self) {
-        for listener in self.listeners.borrow().iter().filter(|l| l.seats.borrows()) {
-            listener.clients.make_room(self.clock.now());
+        for listener in self
+            .listeners
+            .borrow()
+            .iter()
+            .filter(|l| l.connection_limit.exceeds_guarantee())
+        {
+            listener.clients.evict_idle(self.clock.now());
         }
     }
 }
--- a/crates/sidecar/src/connections.rs
+++ b/crates/sidecar/src/connections.rs
@@ -6,8 +6,8 @@
 //! in which they were put by is that in which they grow too old.
 
 use super::common::Common;
-use super::limits::{Held, Member};
-use super::readiness::is_quiet;
+use super::limits::{LimitShare, Reservation};
+use super::readiness::is_open_and_silent;
 use foldhash::quality::FixedState;
 use madderloom_balancer::{Micros, ServerId};
 use std::cell::{Cell, RefCell};
@@ -53,7 +53,7 @@
     /// Whose it is. An address may be given to another server while this one's connections stand.
     server: ServerId,
     /// Its place among those that may be open.
-    _seat: Held,
+    _seat: Reservation,
     _place: Place,
 }
 
@@ -144,7 +144,7 @@
                 .by_server
                 .get(&server)
                 .and_then(|waiting| waiting.get(at));
-            if idle.is_some_and(|idle| !is_quiet(&idle.lease.stream)) {
+            if idle.is_some_and(|idle| !is_open_and_silent(&idle.lease.stream)) {
                 self.remove(server, at);
             }
         }
@@ -184,7 +184,7 @@
     broke: Cell<Option<Micros>>,
     common: Rc<Common>,
     /// What this pool may have open.
-    pub(super) seats: Member,
+    pub(super) seats: LimitShare,
     idle_for: Cell<Micros>,
     connect_timeout: Cell<Micros>,
     /// Opened since the start.
@@ -194,7 +194,7 @@
 impl Connections {
     pub(super) fn new(
         common: &Rc<Common>,
-        seats: Member,
+        seats: LimitShare,
         idle: Micros,
         connect_timeout: Micros,
     ) -> Self {
@@ -245,7 +245,7 @@
         // What is too old or has broken beyond so many is left to the sweep.
         for at in (old..quiet).rev().take(AT_ONCE) {
             let found = waiting.remove(server, at)?;
-            if is_quiet(&found.lease.stream) {
+            if is_open_and_silent(&found.lease.stream) {
                 return Some(found.lease);
             }
         }
@@ -300,16 +300,16 @@
 
     /// A place for a new connection; what lies idle for longest makes room for it, here or where it is borrowed. One
     /// server alone never has more than three quarters of all, so one that hangs leaves some to the others.
-    fn seat(&self, server: &Rc<Server>) -> Option<(Held, Place)> {
-        let most = usize::try_from(self.seats.numbers().part.most).unwrap_or(usize::MAX);
+    fn seat(&self, server: &Rc<Server>) -> Option<(Reservation, Place)> {
+        let most = usize::try_from(self.seats.usage().part.most).unwrap_or(usize::MAX);
         if server.open.get() >= (most - most / 4).max(1) {
             return None;
         }
-        let seat = self.seats.take(1).ok().or_else(|| {
+        let seat = self.seats.reserve(1).ok().or_else(|| {
             if !self.drop_oldest() {
                 self.common.return_borrowed();
             }
-            self.seats.take(1).ok()
+            self.seats.reserve(1).ok()
         })?;
         server.open.set(server.open.get() + 1);
         Some((seat, Place(Rc::clone(server))))
--- a/crates/sidecar/src/exchange.rs
+++ b/crates/sidecar/src/exchange.rs
@@ -15,7 +15,7 @@
 
 use super::BODY;
 use super::flow::HOP;
-use super::readiness::{Unblocked, is_quiet, unblocked};
+use super::readiness::{SocketEvent, is_open_and_silent, writable_or_peer_readable};
 use bytes::{Buf, Bytes, BytesMut};
 use hyper::header::{self, HeaderName, HeaderValue};
 use hyper::{HeaderMap, Method, StatusCode};
@@ -146,7 +146,7 @@
             return Ok(());
         }
         hold.await;
-        if !is_quiet(stream) {
+        if !is_open_and_silent(stream) {
             return Ok(());
         }
     }
@@ -200,7 +200,7 @@
             }
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             Err(e) if e.kind() == ErrorKind::WouldBlock => {
-                if unblocked(stream).await? == Unblocked::PeerSpoke {
+                if writable_or_peer_readable(stream).await? == SocketEvent::PeerReadable {
                     return Ok(false);
                 }
             }
--- a/crates/sidecar/src/flow.rs
+++ b/crates/sidecar/src/flow.rs
@@ -4,13 +4,13 @@
 use super::connections::NoConnection;
 use super::counts::count;
 use super::exchange::{self, Broken, Message, Progress, Taken, Whole};
-use super::passing::{Passing, Reply};
 use super::readiness;
+use super::response_body::{ResponseBody, StreamedResponseBody};
 use super::service::Service;
 use super::state_writer::{IdempotencyRecord, WriteBarrier};
 use super::teller::EndedAttempt;
-use super::transaction::Answer;
-use super::upload::{self, Length, Upload};
+use super::transaction::FinalResponse;
+use super::upload::{self, BodyLength, RequestBody};
 use bytes::{Bytes, BytesMut};
 use http_body_util::Full;
 use hyper::header::{HeaderName, HeaderValue};
@@ -57,7 +57,7 @@
     pub(super) method: Method,
     pub(super) uri: Uri,
     pub(super) headers: HeaderMap,
-    pub(super) body: Upload,
+    pub(super) body: RequestBody,
     pub(super) unsafe_to_repeat: bool,
     pub(super) reading: Reading,
     /// Where its pool keeps a ledger of what must not run twice.
@@ -68,7 +68,7 @@
     /// Ends at once while the client is there. Where it has gone this never ends, and all that was begun for it is dropped in
     /// a moment: to be asked just before something begins that nobody wants any more.
     pub(super) async fn while_asked_for(&self) {
-        if self.client.has_gone() {
+        if self.client.has_disconnected() {
             std::future::pending().await
         }
     }
@@ -116,7 +116,7 @@
     /// connection came up. It is not written then: nothing has run, and its client can be told so. The time of a body that
     /// is passed on begins with its last byte.
     fn is_out_of_time(&self, onward: &Onward) -> bool {
-        onward.body.passing().is_none() && self.service.common.clock.now() >= self.timeout_at
+        onward.body.streamed().is_none() && self.service.common.clock.now() >= self.timeout_at
     }
 
     fn close(&mut self, outcome: Outcome) {
@@ -156,15 +156,15 @@
 
 /// Makes the attempt. An answer is there if its outcome was that it was served, or where the ledger does not let it be
 /// sent; else the module has been told, and says what follows.
-pub(super) async fn run(mut attempt: Attempt, onward: Rc<Onward>) -> Option<Answer> {
+pub(super) async fn run(mut attempt: Attempt, onward: Rc<Onward>) -> Option<FinalResponse> {
     if let Some(record) = &onward.idempotency_record {
         let barrier = record.pass_barrier().await;
         if barrier != WriteBarrier::Open {
             attempt.over.set(true);
             attempt.close(Outcome::Moot);
             return Some(match barrier {
-                WriteBarrier::MayHaveRun => Answer::Failed,
-                _ => Answer::Refused {
+                WriteBarrier::MayHaveRun => FinalResponse::Failed,
+                _ => FinalResponse::Rejected {
                     retry_after: attempt.service.retry_after(),
                 },
             });
@@ -189,7 +189,7 @@
         }
     };
     attempt.close(outcome);
-    answer.map(Answer::Served)
+    answer.map(FinalResponse::Served)
 }
 
 /// The time of a request whose body is passed on runs from its last byte on.
@@ -199,7 +199,7 @@
     exchange: impl Future<Output = T>,
 ) -> Option<T> {
     let common = &attempt.service.common;
-    let Some(passing) = onward.body.passing() else {
+    let Some(passing) = onward.body.streamed() else {
         return common.until(attempt.timeout_at, exchange).await;
     };
     let wait = attempt.timeout_at.saturating_sub(attempt.sent.get());
@@ -209,7 +209,7 @@
         if let Poll::Ready(done) = exchange.as_mut().poll(context) {
             return Poll::Ready(Some(done));
         }
-        let Some(whole) = passing.whole.get() else {
+        let Some(whole) = passing.completed_at.get() else {
             return Poll::Pending;
         };
         let alarm = alarm.get_or_insert_with(|| common.alarm(whole.saturating_add(wait)));
@@ -218,7 +218,7 @@
     .await
 }
 
-type Ended = (Outcome, Option<Response<Reply>>);
+type Ended = (Outcome, Option<Response<ResponseBody>>);
 
 async fn exchange(attempt: &Attempt, onward: &Onward, progress: &Progress) -> Ended {
     let service = &attempt.service;
@@ -227,7 +227,7 @@
     };
     if onward
         .body
-        .passing()
+        .streamed()
         .is_some_and(|passing| !passing.can_be_sent())
     {
         return (Outcome::Moot, None);
@@ -244,8 +244,8 @@
     // What may have run must not run twice: a break that comes before the last byte proves that it has not.
     let held = onward.unsafe_to_repeat
         && service.connections.are_breaking()
-        && !onward.body.at_hand().is_empty();
-    let held = held && onward.body.passing().is_none();
+        && !onward.body.buffered().is_empty();
+    let held = held && onward.body.streamed().is_none();
     let message = message(onward, address, left);
     let (mut lease, mut answer, head) = loop {
         let open = service.connections.take(attempt.server, address);
@@ -274,7 +274,7 @@
             }
             return (Outcome::Moot, None);
         };
-        if let (Some(passing), Ok(())) = (onward.body.passing(), &sent) {
+        if let (Some(passing), Ok(())) = (onward.body.streamed(), &sent) {
             let at_hand = progress.whole.replace(false);
             if at_hand {
                 sent = pass_on(attempt, passing, &lease.stream, progress).await;
@@ -341,18 +341,18 @@
             let unread = answer.into_unread();
             let (service, server) = (Rc::clone(service), attempt.server);
             let lease = Some(lease);
-            let passing = Passing {
+            let passing = StreamedResponseBody {
                 service,
                 server,
                 address,
                 lease,
                 reusable,
-                unread,
+                undecoded: unread,
                 unwrapper,
-                first,
-                held: None,
+                decoded: first,
+                resources: None,
             };
-            let mut response = Response::new(Reply::Passing(Box::new(passing)));
+            let mut response = Response::new(ResponseBody::Streamed(Box::new(passing)));
             *response.headers_mut() = head.headers;
             (Outcome::Ok, Some(response))
         }
@@ -368,21 +368,21 @@
 /// more.
 async fn pass_on(
     attempt: &Attempt,
-    passing: &upload::Passing,
+    passing: &upload::StreamedRequestBody,
     stream: &TcpStream,
     progress: &Progress,
 ) -> Result<(), Broken> {
     let service = &attempt.service;
-    let Some(mut reader) = passing.take() else {
+    let Some(mut reader) = passing.take_remainder() else {
         return Ok(());
     };
-    let chunked = passing.length == Length::Chunked;
+    let chunked = passing.length == BodyLength::Chunked;
     let mut result = Ok(());
     let whole = loop {
         let piece = {
             let (mut next, mut speaks) = (
                 pin!(reader.next(&service.common)),
-                pin!(readiness::peer_spoke(stream)),
+                pin!(readiness::peer_readable(stream)),
             );
             poll_fn(|context| match next.as_mut().poll(context) {
                 Poll::Ready(piece) => Poll::Ready(Some(piece)),
@@ -394,7 +394,7 @@
         let (bytes, last) = match piece {
             Ok(Some(data)) => {
                 // Nothing of it is kept, so it can't be sent again.
-                if !passing.spent.replace(true) {
+                if !passing.consumed.replace(true) {
                     service.handle(service.common.clock.now(), Event::Spent(attempt.request));
                 }
                 (if chunked { chunk(&data) } else { data }, false)
@@ -404,7 +404,7 @@
                 true,
             ),
             Err(reject) => {
-                passing.broken.replace(Some(reject));
+                passing.failure.replace(Some(reject));
                 // With its client's part missing there is nothing to wait for.
                 result = Err(Broken::Senseless);
                 break false;
@@ -427,11 +427,11 @@
     if whole {
         let now = service.common.clock.now();
         progress.whole.set(true);
-        passing.whole.set(Some(now));
+        passing.completed_at.set(Some(now));
         attempt.sent.set(now);
         service.handle(now, Event::Came(attempt.request));
     } else {
-        passing.give_back(reader);
+        passing.return_remainder(reader);
     }
     result
 }
@@ -461,10 +461,10 @@
     {
         message.header(&header::HOST, &host);
     }
-    let body = onward.body.at_hand().clone();
-    match onward.body.passing().map(|passing| passing.length) {
-        Some(Length::Known(length)) => message.number(&header::CONTENT_LENGTH, length),
-        Some(Length::Chunked) => {
+    let body = onward.body.buffered().clone();
+    match onward.body.streamed().map(|passing| passing.length) {
+        Some(BodyLength::Known(length)) => message.number(&header::CONTENT_LENGTH, length),
+        Some(BodyLength::Chunked) => {
             message.header(
                 &header::TRANSFER_ENCODING,
                 &HeaderValue::from_static("chunked"),
@@ -498,7 +498,7 @@
             (Outcome::Full, None)
         }
         _ if is_answer => {
-            let mut answer = Response::new(Reply::Whole(Full::new(body)));
+            let mut answer = Response::new(ResponseBody::Buffered(Full::new(body)));
             *answer.status_mut() = status;
             *answer.headers_mut() = headers;
             (Outcome::Ok, Some(answer))
--- a/crates/sidecar/src/graphql.rs
+++ b/crates/sidecar/src/graphql.rs
@@ -5,14 +5,15 @@
 use super::counts::count;
 use super::flow::{Onward, Reading};
 use super::listener::Listener;
-use super::passing::Reply as Body;
+use super::response_body::ResponseBody as Body;
 use super::service::Service;
 use super::state_writer::IdempotencyRecord;
-use super::transaction::{self, Answer};
-use super::upload::Upload;
+use super::transaction::{self, FinalResponse};
+use super::upload::RequestBody;
 use super::virtual_server::{
-    MARGIN, OpenId, Reject, TRACE_ID, admit, length, let_in, next_request, note, seconds,
-    senseless, time_left, whole,
+    CLIENT_DEADLINE_MARGIN, InFlightRequestId, RequestError, TRACE_ID, admit,
+    admit_by_fleet_limits, bad_request, client_time_left, declared_length, next_request_id,
+    read_complete_body, record_rejection, retry_after_value,
 };
 use bytes::Bytes;
 use http_body_util::Full;
@@ -40,7 +41,7 @@
 }
 
 /// One GraphQL request and its answer.
-pub(super) async fn answer(
+pub(super) async fn handle_request(
     listener: &Rc<Listener>,
     client: &Rc<Client>,
     service: &Rc<Service>,
@@ -48,22 +49,22 @@
     mut head: Parts,
     body: Incoming,
 ) -> Response<Body> {
-    let manner = listener.manner.get();
+    let settings = listener.settings.get();
     let media = Media::accepted(&head.headers);
     let mut body = Some(body);
     let taken = async {
-        let left = time_left(&head.headers)?;
-        let size = length(body.as_ref(), &head.headers, manner.message_size)?;
+        let left = client_time_left(&head.headers)?;
+        let size = declared_length(body.as_ref(), &head.headers, settings.max_message_size)?;
         // Its operations have their classes only once it is read: limits of classes are not for it.
         let held = (
             admit(listener, service, came, size as u64)?,
-            let_in(service, None, &head.headers)?,
+            admit_by_fleet_limits(service, None, &head.headers)?,
         );
         let id = id(&head.headers)?
-            .map(|id| OpenId::new(service, id))
+            .map(|id| InFlightRequestId::new(service, id))
             .transpose()?;
         let body = if size > 0 {
-            whole(&listener.common, body.take(), manner.body_within).await?
+            read_complete_body(&listener.common, body.take(), settings.body_timeout).await?
         } else {
             Bytes::new()
         };
@@ -72,7 +73,7 @@
     let (left, bytes, _held) = match taken.await {
         Ok(taken) => taken,
         Err(reject) => {
-            note(service, None, &reject, body.take(), manner);
+            record_rejection(service, None, &reject, body.take(), settings);
             return rejected(reject, media);
         }
     };
@@ -108,7 +109,7 @@
 }
 
 /// A newer file has taken the section away, and with it the route of a request that was on its way.
-const NO_ROUTE: Reject = Reject::Senseless(StatusCode::NOT_FOUND, "no route takes it");
+const NO_ROUTE: RequestError = RequestError::Invalid(StatusCode::NOT_FOUND, "no route takes it");
 
 /// What goes to a server in one piece.
 struct ToServer {
@@ -178,7 +179,7 @@
             .at(classed.class)
             .map_or(0, |entry| entry.class.deadline);
         let new = NewRequest {
-            id: next_request(service),
+            id: next_request_id(service),
             class: classed.class,
             tenant: 0,
             key: classed.key.or_else(|| subject(&headers)),
@@ -186,7 +187,7 @@
                 now,
                 self.left
                     .unwrap_or(usual)
-                    .saturating_sub(MARGIN + (now - self.came)),
+                    .saturating_sub(CLIENT_DEADLINE_MARGIN + (now - self.came)),
             ),
             cost: classed.cost,
             repeat: headers
@@ -206,7 +207,7 @@
             method: self.head.method.clone(),
             uri: self.head.uri.clone(),
             headers,
-            body: Upload::Kept(message.body.clone()),
+            body: RequestBody::Buffered(message.body.clone()),
             unsafe_to_repeat: is_unsafe,
             reading: Reading::Graphql {
                 hash_only: message.hash_only,
@@ -214,15 +215,15 @@
             idempotency_record,
         };
         match transaction::run(service, now, new, Rc::new(onward)).await {
-            Answer::Served(response) => {
+            FinalResponse::Served(response) => {
                 count(&service.class_counts(classed.class).served);
                 Ok(response)
             }
-            Answer::Refused { retry_after } => {
+            FinalResponse::Rejected { retry_after } => {
                 count(&service.class_counts(classed.class).refused);
                 Err(Fault::refused(retry_after))
             }
-            Answer::Failed => {
+            FinalResponse::Failed => {
                 count(&service.class_counts(classed.class).failed);
                 Err(Fault::failed())
             }
@@ -285,11 +286,11 @@
 }
 
 /// The id of a request; clients of GraphQL need not give one.
-fn id(headers: &HeaderMap) -> Result<Option<&HeaderValue>, Reject> {
+fn id(headers: &HeaderMap) -> Result<Option<&HeaderValue>, RequestError> {
     let mut ids = headers.get_all(&TRACE_ID).iter();
     match (ids.next(), ids.next()) {
         (id, None) => Ok(id.filter(|id| !id.is_empty())),
-        _ => Err(senseless("there are several X-Trace-Id")),
+        _ => Err(bad_request("there are several X-Trace-Id")),
     }
 }
 
@@ -326,12 +327,12 @@
     done.into_iter().flatten().collect()
 }
 
-fn rejected(reject: Reject, media: Media) -> Response<Body> {
+fn rejected(reject: RequestError, media: Media) -> Response<Body> {
     match reject {
-        Reject::Refused(_, retry_after) => {
+        RequestError::LimitReached(_, retry_after) => {
             response(Reply::of(&Fault::refused(retry_after), None, media))
         }
-        Reject::Senseless(status, problem) => {
+        RequestError::Invalid(status, problem) => {
             let reply = Reply {
                 status: status.as_u16(),
                 ..Reply::of(&Fault::bad(problem), None, media)
@@ -347,7 +348,7 @@
 }
 
 fn response(reply: Reply) -> Response<Body> {
-    let mut response = Response::new(Body::Whole(Full::new(Bytes::from(reply.body))));
+    let mut response = Response::new(Body::Buffered(Full::new(Bytes::from(reply.body))));
     *response.status_mut() =
         StatusCode::from_u16(reply.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let headers = response.headers_mut();
@@ -358,7 +359,7 @@
     if let Some(allow) = reply.allow {
         headers.insert(header::ALLOW, HeaderValue::from_static(allow));
     }
-    if let Some(wait) = reply.retry_after.and_then(seconds) {
+    if let Some(wait) = reply.retry_after.and_then(retry_after_value) {
         headers.insert(header::RETRY_AFTER, wait);
     }
     response
--- a/crates/sidecar/src/levels.rs
+++ b/crates/sidecar/src/levels.rs
@@ -88,7 +88,7 @@
 
 fn look(service: &Rc<Service>) {
     let now = service.common.clock.now();
-    let numbers = service.allowance.open();
+    let numbers = service.request_limits.in_flight();
     let part = |used: f64, most: f64| if most > 0.0 { used / most } else { 1.0 };
     let own = part(
         service.transactions.borrow().len() as f64,
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -23,7 +23,6 @@
 mod fleet_limits;
 mod flow;
 mod graphql;
-mod heads;
 mod kept;
 mod levels;
 mod limits;
@@ -34,7 +33,6 @@
 #[cfg(test)]
 mod ordinal_tests;
 mod page;
-mod passing;
 mod plot;
 mod pool;
 mod probe;
@@ -45,6 +43,8 @@
 #[cfg(test)]
 mod readiness_tests;
 mod reload;
+mod request_framing;
+mod response_body;
 mod routing;
 mod second_address;
 mod service;
--- a/crates/sidecar/src/limits.rs
+++ b/crates/sidecar/src/limits.rs
@@ -3,29 +3,29 @@
 use madderloom_balancer::Micros;
 use madderloom_operator_config::RateLimit;
 use madderloom_routing::rate::Rate;
-use madderloom_routing::shares::{Denied, Held as Numbers, MemberId, Part, Shares};
+use madderloom_routing::shares::{Denied, Held as Usage, MemberId, Part, Shares};
 use std::cell::RefCell;
 use std::rc::Rc;
 
 /// Something limited, shared by its members.
-pub(super) struct Bound(RefCell<Shares>);
+pub(super) struct SharedLimit(RefCell<Shares>);
 
-/// A member of a bound; it leaves when it is dropped, and what it holds is given back as that is dropped.
-pub(super) struct Member {
-    bound: Rc<Bound>,
+/// A member of a limit; it leaves when it is dropped, and what it holds is given back as that is dropped.
+pub(super) struct LimitShare {
+    limit: Rc<SharedLimit>,
     id: MemberId,
 }
 
 /// Units that are held; given back when it is dropped.
-pub(super) struct Held {
-    bound: Rc<Bound>,
+pub(super) struct Reservation {
+    limit: Rc<SharedLimit>,
     id: MemberId,
     units: u64,
 }
 
-impl Bound {
+impl SharedLimit {
     pub(super) fn new(total: u64) -> Rc<Self> {
-        Rc::new(Bound(RefCell::new(Shares::new(total))))
+        Rc::new(SharedLimit(RefCell::new(Shares::new(total))))
     }
 
     pub(super) fn set_total(&self, total: u64) {
@@ -40,86 +40,90 @@
         self.0.borrow().used()
     }
 
-    pub(super) fn join(self: &Rc<Self>, part: Part) -> Member {
-        Member {
-            bound: Rc::clone(self),
+    pub(super) fn join(self: &Rc<Self>, part: Part) -> LimitShare {
+        LimitShare {
+            limit: Rc::clone(self),
             id: self.0.borrow_mut().join(part),
         }
     }
 }
 
-impl Member {
-    pub(super) fn change(&self, part: Part) {
-        self.bound.0.borrow_mut().change(self.id, part);
+impl LimitShare {
+    pub(super) fn update(&self, part: Part) {
+        self.limit.0.borrow_mut().change(self.id, part);
     }
 
-    pub(super) fn take(&self, units: u64) -> Result<Held, Denied> {
-        self.bound.0.borrow_mut().take(self.id, units)?;
-        Ok(Held {
-            bound: Rc::clone(&self.bound),
+    pub(super) fn reserve(&self, units: u64) -> Result<Reservation, Denied> {
+        self.limit.0.borrow_mut().take(self.id, units)?;
+        Ok(Reservation {
+            limit: Rc::clone(&self.limit),
             id: self.id,
             units,
         })
     }
 
-    pub(super) fn room(&self) -> u64 {
-        self.bound.0.borrow().room(self.id)
+    pub(super) fn available(&self) -> u64 {
+        self.limit.0.borrow().room(self.id)
     }
 
-    pub(super) fn numbers(&self) -> Numbers {
-        self.bound.0.borrow().held(self.id)
+    pub(super) fn usage(&self) -> Usage {
+        self.limit.0.borrow().held(self.id)
     }
 
     /// Whether it holds more than is guaranteed to it.
-    pub(super) fn borrows(&self) -> bool {
-        let numbers = self.numbers();
-        numbers.used > numbers.part.guaranteed
+    pub(super) fn exceeds_guarantee(&self) -> bool {
+        let usage = self.usage();
+        usage.used > usage.part.guaranteed
     }
 }
 
-impl Drop for Member {
+impl Drop for LimitShare {
     fn drop(&mut self) {
-        self.bound.0.borrow_mut().leave(self.id);
+        self.limit.0.borrow_mut().leave(self.id);
     }
 }
 
-impl Drop for Held {
+impl Drop for Reservation {
     fn drop(&mut self) {
-        self.bound.0.borrow_mut().give_back(self.id, self.units);
+        self.limit.0.borrow_mut().give_back(self.id, self.units);
     }
 }
 
 /// Why there is no room for a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) enum Full {
+pub(super) enum LimitExceeded {
     /// Too many are open.
-    Open,
+    InFlight,
     /// Their bodies are too long together.
-    Bodies,
+    BodyBytes,
     /// Too many have come; one may come after this time.
     Rate(Micros),
 }
 
 /// What the requests of a service, or those of a listener's clients, may hold together.
-pub(super) struct Allowance {
-    open: Member,
-    bodies: Member,
+pub(super) struct RequestLimits {
+    in_flight: LimitShare,
+    body_bytes: LimitShare,
     rate: RefCell<Option<Rate>>,
 }
 
-impl Allowance {
-    pub(super) fn new(open: Member, bodies: Member, rate: Option<RateLimit>) -> Self {
-        Allowance {
-            open,
-            bodies,
+impl RequestLimits {
+    pub(super) fn new(
+        in_flight: LimitShare,
+        body_bytes: LimitShare,
+        rate: Option<RateLimit>,
+    ) -> Self {
+        RequestLimits {
+            in_flight,
+            body_bytes,
             rate: RefCell::new(rate.map(|rate| rate.bucket())),
         }
     }
 
     /// Takes over other limits; what is held stays held.
-    pub(super) fn change(&self, open: Part, bodies: Part, rate: Option<RateLimit>) {
-        self.open.change(open);
-        self.bodies.change(bodies);
+    pub(super) fn update(&self, in_flight: Part, body_bytes: Part, rate: Option<RateLimit>) {
+        self.in_flight.update(in_flight);
+        self.body_bytes.update(body_bytes);
         let bucket = rate.map(|rate| rate.bucket());
         let mut rate = self.rate.borrow_mut();
         match (rate.as_mut(), &bucket) {
@@ -129,27 +133,31 @@
     }
 
     /// Makes room for a request with a body of this size, or says why there is none.
-    pub(super) fn admit(&self, now: Micros, size: u64) -> Result<[Held; 2], Full> {
+    pub(super) fn admit(&self, now: Micros, size: u64) -> Result<[Reservation; 2], LimitExceeded> {
         let held = [
-            self.open.take(1).map_err(|_| Full::Open)?,
-            self.bodies.take(size).map_err(|_| Full::Bodies)?,
+            self.in_flight
+                .reserve(1)
+                .map_err(|_| LimitExceeded::InFlight)?,
+            self.body_bytes
+                .reserve(size)
+                .map_err(|_| LimitExceeded::BodyBytes)?,
         ];
         if let Some(rate) = self.rate.borrow_mut().as_mut() {
-            rate.take(now).map_err(Full::Rate)?;
+            rate.take(now).map_err(LimitExceeded::Rate)?;
         }
         Ok(held)
     }
 
     /// Room for so much more of a body, where there is any.
-    pub(super) fn room_for(&self, size: u64) -> Option<Held> {
-        self.bodies.take(size).ok()
+    pub(super) fn reserve_body(&self, size: u64) -> Option<Reservation> {
+        self.body_bytes.reserve(size).ok()
     }
 
-    pub(super) fn open(&self) -> Numbers {
-        self.open.numbers()
+    pub(super) fn in_flight(&self) -> Usage {
+        self.in_flight.usage()
     }
 
-    pub(super) fn bodies(&self) -> Numbers {
-        self.bodies.numbers()
+    pub(super) fn body_bytes(&self) -> Usage {
+        self.body_bytes.usage()
     }
 }
--- a/crates/sidecar/src/listener.rs
+++ b/crates/sidecar/src/listener.rs
@@ -1,10 +1,10 @@
 //! A listener: where clients connect, and the connections that they have there.
 
-use super::client::{self, Clients, YOUNG};
+use super::client::{self, Clients, MIN_IDLE_BEFORE_EVICTION};
 use super::common::Common;
 use super::connections::is_exhausted;
 use super::counts::Counts;
-use super::limits::{Allowance, Member};
+use super::limits::{LimitShare, RequestLimits};
 use super::routing::Routing;
 use super::service::{Parts, Service};
 use super::turns::{self, Account, Charged, InTurn};
@@ -22,49 +22,49 @@
 /// How long after it is told to leave a listener still takes what comes, or, on a shared socket, where it takes no clients any
 /// more, waits for those that it has to come once more. Clients connect for 0.4 s after a SIGTERM, and what comes within
 /// 0.7 s of it still has its whole time before the platform ends the process.
-pub(super) const LAME_DUCK: Duration = Duration::from_millis(650);
+pub(super) const CLOSE_GRACE_PERIOD: Duration = Duration::from_millis(650);
 /// Before a socket on which clients are about to be taken by another process is looked at again.
-const AGAIN: Micros = 10_000;
+const ACCEPT_RETRY_DELAY: Micros = 10_000;
 /// And at most, where it fails again and again for another reason.
-const LONGEST_PAUSE: Micros = 1_000_000;
+const MAX_ACCEPT_RETRY_DELAY: Micros = 1_000_000;
 /// Connections that wait to be taken.
-pub(super) const BACKLOG: u32 = 1_024;
+pub(super) const LISTEN_BACKLOG: u32 = 1_024;
 
 /// How a listener treats its clients.
 #[derive(Clone, Copy)]
-pub(super) struct Manner {
+pub(super) struct ListenerSettings {
     /// A client that has sent no whole head for this long since it connected, or since its last answer, is silent,
     /// idle or hostile: its descriptor goes to others. A connection with a request open is never closed by this.
-    pub(super) head_within: Micros,
+    pub(super) head_timeout: Micros,
     /// A client that has sent nothing at all for this long may have been silent for longer than a head may take.
-    pub(super) idle_within: Micros,
+    pub(super) idle_timeout: Micros,
     /// How long the rest of a request may take behind its head.
-    pub(super) body_within: Micros,
+    pub(super) body_timeout: Micros,
     /// The longest body.
-    pub(super) body_size: usize,
+    pub(super) max_body_size: usize,
     /// The longest GraphQL message, which is read whole.
-    pub(super) message_size: usize,
+    pub(super) max_message_size: usize,
     /// What a limit turns away has its body read and dropped behind the answer, so that the answer arrives.
-    pub(super) drains: bool,
+    pub(super) drains_rejected_bodies: bool,
 }
 
-impl Manner {
+impl ListenerSettings {
     /// That of a sidecar without an operator file.
-    pub(super) fn usual() -> Self {
-        Manner {
-            head_within: 2_600_000,
-            idle_within: 2_000_000,
-            body_within: 900_000,
-            body_size: super::LONGEST_BODY,
-            message_size: super::BODY,
-            drains: false,
+    pub(super) fn defaults() -> Self {
+        ListenerSettings {
+            head_timeout: 2_600_000,
+            idle_timeout: 2_000_000,
+            body_timeout: 900_000,
+            max_body_size: super::LONGEST_BODY,
+            max_message_size: super::BODY,
+            drains_rejected_bodies: false,
         }
     }
 }
 
 /// A bound socket, and where it was told to be.
-pub(super) struct Socket {
-    pub(super) wanted: SocketAddr,
+pub(super) struct BoundSocket {
+    pub(super) configured_address: SocketAddr,
     pub(super) socket: TcpListener,
     /// Another process has it too.
     pub(super) shared: bool,
@@ -75,15 +75,15 @@
     pub(super) name: RefCell<String>,
     pub(super) common: Rc<Common>,
     /// Where it was told to listen, and where it does.
-    pub(super) wanted: SocketAddr,
+    pub(super) configured_address: SocketAddr,
     pub(super) address: SocketAddr,
     /// Its socket is shared with the process that this one replaces, or that will replace it.
     shared: bool,
-    pub(super) manner: Cell<Manner>,
+    pub(super) settings: Cell<ListenerSettings>,
     pub(super) routing: RefCell<Rc<Routing>>,
     /// What its clients may hold: connections, and requests with their bodies.
-    pub(super) seats: Member,
-    pub(super) allowance: Allowance,
+    pub(super) connection_limit: LimitShare,
+    pub(super) request_limits: RequestLimits,
     account: Option<Rc<Account>>,
     /// So many connections of its own are a crowd.
     many: Cell<usize>,
@@ -105,11 +105,11 @@
     }?;
     socket.set_reuseaddr(true)?;
     socket.bind(at)?;
-    socket.listen(BACKLOG)
+    socket.listen(LISTEN_BACKLOG)
 }
 
 /// A crowd is half of what a listener may hold; without a file, the process's own count alone tells.
-fn crowd(limits: Option<MemberLimits>, parts: Parts) -> usize {
+fn congestion_threshold(limits: Option<MemberLimits>, parts: Parts) -> usize {
     let half = usize::try_from(parts.connections.most / 2).unwrap_or(usize::MAX);
     limits.map_or(usize::MAX, |_| half.max(1))
 }
@@ -119,32 +119,32 @@
     pub(super) fn start(
         common: &Rc<Common>,
         name: &str,
-        Socket {
-            wanted,
+        BoundSocket {
+            configured_address,
             socket,
             shared,
-        }: Socket,
-        (manner, routing): (Manner, Routing),
+        }: BoundSocket,
+        (settings, routing): (ListenerSettings, Routing),
         (limits, parts): (Option<MemberLimits>, Parts),
     ) -> Rc<Self> {
         // A socket that is bound knows where.
-        let address = socket.local_addr().unwrap_or(wanted);
+        let address = socket.local_addr().unwrap_or(configured_address);
         let bounds = &common.bounds;
         let listener = Rc::new(Listener {
             common: Rc::clone(common),
-            wanted,
+            configured_address,
             address,
             shared,
-            manner: Cell::new(manner),
+            settings: Cell::new(settings),
             routing: RefCell::new(Rc::new(routing)),
-            seats: bounds.clients.join(parts.connections),
-            allowance: Allowance::new(
+            connection_limit: bounds.clients.join(parts.connections),
+            request_limits: RequestLimits::new(
                 bounds.open_by_listener.join(parts.open),
                 bounds.bodies_by_listener.join(parts.bodies),
                 limits.and_then(|l| l.rate),
             ),
             account: common.account(limits.map_or(1, |l| l.weight)),
-            many: Cell::new(crowd(limits, parts)),
+            many: Cell::new(congestion_threshold(limits, parts)),
             clients: Clients::default(),
             counts: Counts::default(),
             leaving: watch::channel(false).0,
@@ -160,27 +160,28 @@
         listener
     }
 
-    /// Takes over another manner, other limits and other routes; what is open goes on as it began. One that was
+    /// Takes over another settings, other limits and other routes; what is open goes on as it began. One that was
     /// about to leave stays.
-    pub(super) fn change(
+    pub(super) fn update(
         &self,
-        manner: Manner,
+        settings: ListenerSettings,
         routing: Routing,
         limits: MemberLimits,
         parts: Parts,
     ) {
         self.leaving.send_replace(false);
-        self.manner.set(manner);
+        self.settings.set(settings);
         self.set_routing(routing);
-        self.seats.change(parts.connections);
-        self.allowance.change(parts.open, parts.bodies, limits.rate);
-        self.many.set(crowd(Some(limits), parts));
+        self.connection_limit.update(parts.connections);
+        self.request_limits
+            .update(parts.open, parts.bodies, limits.rate);
+        self.many.set(congestion_threshold(Some(limits), parts));
         if let Some(account) = self.account.as_ref() {
             account.change(limits.weight);
         }
     }
 
-    pub(super) fn rename(&self, name: &str) {
+    pub(super) fn set_name(&self, name: &str) {
         self.name.replace(name.to_string());
     }
 
@@ -199,21 +200,21 @@
     }
 
     /// It stops taking clients in a moment, and ends once those that it has are answered.
-    pub(super) fn leave(&self) {
+    pub(super) fn start_draining(&self) {
         self.leaving.send_replace(true);
     }
 
     /// Whether it could stay if it were told to.
-    pub(super) fn may_stay(&self) -> bool {
-        self.is_leaving() && !self.closed.get()
+    pub(super) fn can_cancel_draining(&self) -> bool {
+        self.is_draining() && !self.closed.get()
     }
 
-    pub(super) fn is_leaving(&self) -> bool {
+    pub(super) fn is_draining(&self) -> bool {
         *self.leaving.borrow()
     }
 
     /// What it spent of the thread's time: on taking connections, reading heads, and what it turned away.
-    pub(super) fn spent(&self) -> madderloom_routing::turns::Spent {
+    pub(super) fn cpu_time_used(&self) -> madderloom_routing::turns::Spent {
         self.account
             .as_ref()
             .map_or_else(Default::default, |account| account.spent())
@@ -232,7 +233,7 @@
                     return;
                 }
                 tokio::select! {
-                    () = tokio::time::sleep(LAME_DUCK) => return,
+                    () = tokio::time::sleep(CLOSE_GRACE_PERIOD) => return,
                     // A newer file has it stay.
                     _ = leaving.wait_for(|leaving| !*leaving) => {}
                 }
@@ -249,11 +250,11 @@
         tracing::info!("{of}closed to new clients");
         if self.shared {
             // What comes on open connections meanwhile ends them with its answer, which no close can cross.
-            tokio::time::sleep(LAME_DUCK).await;
+            tokio::time::sleep(CLOSE_GRACE_PERIOD).await;
         }
         self.clients.close_all();
         // No connection is left, so no answer is owed.
-        while self.seats.numbers().used > 0 {
+        while self.connection_limit.usage().used > 0 {
             self.freed.notified().await;
         }
         self.common
@@ -267,30 +268,33 @@
     async fn accept_loop(self: &Rc<Self>, socket: &TcpListener) {
         // Until it can serve, the process that it is to replace takes all.
         while self.shared && !self.common.can_serve() {
-            self.common.alarm_in(AGAIN).await;
+            self.common.alarm_in(ACCEPT_RETRY_DELAY).await;
         }
-        let mut pause = AGAIN;
+        let mut pause = ACCEPT_RETRY_DELAY;
         loop {
             self.common.keep_to_memory(2);
             // A connection that waits in the backlog has been taken as far as its client can tell, so the one that
             // lies idle for longest makes room before there is none.
-            let numbers = self.seats.numbers();
-            let room = self.seats.room();
+            let numbers = self.connection_limit.usage();
+            let room = self.connection_limit.available();
             // Of what it may have now: what others hold of the common part is nothing that it could make room in.
-            if self.is_crowded() || room <= (numbers.used + room) / 8 {
-                self.clients.make_room(self.common.clock.now());
+            if self.is_near_connection_limit() || room <= (numbers.used + room) / 8 {
+                self.clients.evict_idle(self.common.clock.now());
             }
-            let Ok(seat) = self.seats.take(1) else {
+            let Ok(seat) = self.connection_limit.reserve(1) else {
                 if numbers.used < numbers.part.most {
                     self.common.return_borrowed_client();
                 }
                 // With no room, one that was too young to go is old enough a little later.
-                let _ = self.common.within(YOUNG, self.freed.notified()).await;
+                let _ = self
+                    .common
+                    .within(MIN_IDLE_BEFORE_EVICTION, self.freed.notified())
+                    .await;
                 continue;
             };
             match socket.accept().await {
                 Ok((stream, peer)) => {
-                    pause = AGAIN;
+                    pause = ACCEPT_RETRY_DELAY;
                     let own = Rc::clone(self);
                     let charged = Rc::new(Charged::new(self.account.clone()));
                     let to_charge = Rc::clone(&charged);
@@ -313,7 +317,7 @@
                     let of = self.label();
                     tracing::warn!("{of}no client can be taken: {problem}");
                     self.common.alarm_in(pause).await;
-                    pause = (2 * pause).min(LONGEST_PAUSE);
+                    pause = (2 * pause).min(MAX_ACCEPT_RETRY_DELAY);
                 }
             }
         }
@@ -322,9 +326,9 @@
     /// All clients together hold a third of the descriptors at most. Each keeps its connections to itself, so once
     /// they are near that, what some keep idle is what others lack: answers then end their connections. Those of
     /// a listener that keeps to what is guaranteed to it lack nothing to others.
-    pub(super) fn is_crowded(&self) -> bool {
-        let all =
-            self.common.clients.get() > self.common.many_clients.get() && self.seats.borrows();
+    pub(super) fn is_near_connection_limit(&self) -> bool {
+        let all = self.common.clients.get() > self.common.many_clients.get()
+            && self.connection_limit.exceeds_guarantee();
         all || self.clients.count() > self.many.get()
     }
 
--- a/crates/sidecar/src/process.rs
+++ b/crates/sidecar/src/process.rs
@@ -7,7 +7,7 @@
 use super::config::{Config, Keys, allowed_descriptors};
 use super::feed::FOLLOWERS;
 use super::kept::keep_going;
-use super::listener::{Listener, Manner, Socket, bind};
+use super::listener::{BoundSocket, Listener, ListenerSettings, bind};
 use super::ordinal::ordinal_in_name;
 use super::routing::Routing;
 use super::second_address;
@@ -176,7 +176,7 @@
             .listeners
             .borrow()
             .iter()
-            .for_each(|listener| listener.leave());
+            .for_each(|listener| listener.start_draining());
         while !self.common.listeners.borrow().is_empty() {
             self.common.ended.notified().await;
         }
@@ -297,15 +297,21 @@
         }
         None => bind(listen).map_err(|e| format!("RELAY_LISTEN: {listen}: {e}"))?,
     };
-    let routing = Routing::One(Rc::clone(&service));
+    let routing = Routing::SingleService(Rc::clone(&service));
     let limits = (None, parts(bounds.clients.total()));
-    let place = Socket {
-        wanted: listen,
+    let place = BoundSocket {
+        configured_address: listen,
         socket,
         shared,
     };
     let name = if named { PLATFORM } else { "" };
-    let listener = Listener::start(common, name, place, (Manner::usual(), routing), limits);
+    let listener = Listener::start(
+        common,
+        name,
+        place,
+        (ListenerSettings::defaults(), routing),
+        limits,
+    );
     Ok((service, listener))
 }
 
--- a/crates/sidecar/src/promises.rs
+++ b/crates/sidecar/src/promises.rs
@@ -1,6 +1,6 @@
 //! The figures that the pages name, against the constants of the code.
 
-use super::listener::{LAME_DUCK, Manner};
+use super::listener::{CLOSE_GRACE_PERIOD, ListenerSettings};
 use super::{
     client, common, connections, counts, feed, list_reader, listener, pool, second_address, upload,
 };
@@ -16,10 +16,10 @@
     let on_call = include_str!("../../../docs/on-call.md");
     let readme = include_str!("../../../README.md");
     let architecture = include_str!("../../../docs/architecture.md");
-    let manner = Manner::usual();
+    let settings = ListenerSettings::defaults();
     let mib = |bytes: u64| format!("{} MiB", bytes >> 20);
     let kib = |bytes: u64| format!("{} KiB", bytes >> 10);
-    let lame_duck = LAME_DUCK.as_micros() as u64;
+    let lame_duck = CLOSE_GRACE_PERIOD.as_micros() as u64;
     for (page, told) in [
         (
             on_call,
@@ -53,17 +53,26 @@
         ),
         (
             on_call,
-            format!("Bodies up to {} are kept", mib(upload::KEPT as u64)),
+            format!(
+                "Bodies up to {} are kept",
+                mib(upload::MAX_BUFFERED_BYTES as u64)
+            ),
         ),
         (
             on_call,
-            format!("A client has {} for a head", seconds(manner.head_within)),
+            format!("A client has {} for a head", seconds(settings.head_timeout)),
         ),
         (
             on_call,
-            format!("must write {} kB of body a second", upload::SLOWEST / 1_000),
+            format!(
+                "must write {} kB of body a second",
+                upload::MIN_BYTES_PER_SECOND / 1_000
+            ),
+        ),
+        (
+            on_call,
+            format!("with {} to spare", seconds(upload::READ_DELAY_ALLOWANCE)),
         ),
-        (on_call, format!("with {} to spare", seconds(upload::LAG))),
         (
             on_call,
             format!("Answers over {} go on", kib(super::BODY as u64)),
@@ -72,7 +81,7 @@
             on_call,
             format!(
                 "takes nothing of one for {} is closed",
-                seconds(client::STOPPED)
+                seconds(client::WRITE_STALL_TIMEOUT)
             ),
         ),
         (
@@ -86,24 +95,27 @@
             readme,
             format!(
                 "for {} it still takes what comes",
-                seconds(LAME_DUCK.as_micros() as u64)
+                seconds(CLOSE_GRACE_PERIOD.as_micros() as u64)
             ),
         ),
         (
             readme,
-            format!("or is over {}", mib(manner.body_size as u64)),
+            format!("or is over {}", mib(settings.max_body_size as u64)),
         ),
         (
             readme,
-            format!("as it is {} after an answer", seconds(manner.idle_within)),
+            format!(
+                "as it is {} after an answer",
+                seconds(settings.idle_timeout)
+            ),
         ),
         (
             architecture,
-            format!("A client has {} for a head", seconds(manner.head_within)),
+            format!("A client has {} for a head", seconds(settings.head_timeout)),
         ),
         (
             architecture,
-            format!("silent or idle for {}", seconds(manner.idle_within)),
+            format!("silent or idle for {}", seconds(settings.idle_timeout)),
         ),
         (
             architecture,
@@ -197,13 +209,17 @@
             protocol::MAX_ORDER_BYTES,
         ),
         count("sidecar/src/common.rs", "Totals", common::MOST_CONNECTIONS),
-        bytes("sidecar/src/upload.rs", "KEPT", upload::KEPT),
+        bytes(
+            "sidecar/src/upload.rs",
+            "MAX_BUFFERED_BYTES",
+            upload::MAX_BUFFERED_BYTES,
+        ),
         bytes("sidecar/src/lib.rs", "LONGEST_BODY", super::LONGEST_BODY),
         bytes("sidecar/src/lib.rs", "BODY", super::BODY),
         count(
             "sidecar/src/listener.rs",
-            "BACKLOG",
-            listener::BACKLOG as usize,
+            "LISTEN_BACKLOG",
+            listener::LISTEN_BACKLOG as usize,
         ),
         count(
             "sidecar/src/connections.rs",
--- a/crates/sidecar/src/readiness.rs
+++ b/crates/sidecar/src/readiness.rs
@@ -25,7 +25,7 @@
 /// How long the first unread bytes are, up to one, and 0 at the end of the connection: asked of the system, and not of
 /// what the runtime remembers. Reads nothing and does not wait. Not to be called in a loop that awaits readiness: what
 /// the runtime remembers stays as it is.
-pub(super) fn peek_now(stream: &TcpStream) -> Result<usize, Errno> {
+pub(super) fn peek_nonblocking(stream: &TcpStream) -> Result<usize, Errno> {
     rustix::net::recv(
         stream,
         &mut [0_u8; 1],
@@ -35,44 +35,44 @@
 }
 
 /// Whether nothing has come and the connection stands, by the system's word of this moment: what came while the process
-/// stood still is there before the runtime has heard of it. Reads nothing; for single looks, as [`peek_now`].
-pub(super) fn is_quiet(stream: &TcpStream) -> bool {
-    matches!(peek_now(stream), Err(Errno::AGAIN | Errno::INTR))
+/// stood still is there before the runtime has heard of it. Reads nothing; for single looks, as [`peek_nonblocking`].
+pub(super) fn is_open_and_silent(stream: &TcpStream) -> bool {
+    matches!(peek_nonblocking(stream), Err(Errno::AGAIN | Errno::INTR))
 }
 
 /// What a writer that was blocked goes on by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Unblocked {
+pub(super) enum SocketEvent {
     /// There may be room for more.
     Writable,
     /// The peer has sent something or closed. What it sent is still to be read.
-    PeerSpoke,
+    PeerReadable,
 }
 
 /// Waits until there may be room to write, or the peer has sent something or closed.
 ///
 /// # Errors
 /// The runtime ends.
-pub(super) async fn unblocked(stream: &TcpStream) -> io::Result<Unblocked> {
+pub(super) async fn writable_or_peer_readable(stream: &TcpStream) -> io::Result<SocketEvent> {
     loop {
         // `ready` takes nothing of the budget.
         consume_budget().await;
         let ready = stream
             .ready(Interest::READABLE | Interest::WRITABLE)
             .await?;
-        if ready.is_readable() && has_spoken(stream) {
-            return Ok(Unblocked::PeerSpoke);
+        if ready.is_readable() && is_really_readable(stream) {
+            return Ok(SocketEvent::PeerReadable);
         }
         if ready.is_writable() {
-            return Ok(Unblocked::Writable);
+            return Ok(SocketEvent::Writable);
         }
     }
 }
 
 /// Whether a socket that is remembered as readable really is. Where it is not, that is forgotten.
-fn has_spoken(stream: &TcpStream) -> bool {
+fn is_really_readable(stream: &TcpStream) -> bool {
     let looked = stream.try_io(Interest::READABLE, || {
-        peek_now(stream).map_err(io::Error::from)
+        peek_nonblocking(stream).map_err(io::Error::from)
     });
     !matches!(looked, Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted))
 }
@@ -83,7 +83,7 @@
 }
 
 /// Waits until the peer has sent something or closed. Nothing is read.
-pub(super) async fn peer_spoke(stream: &TcpStream) {
+pub(super) async fn peer_readable(stream: &TcpStream) {
     // An error is the end of the connection too.
     let _ = poll_fn(|context| poll_peek(stream, context)).await;
 }
--- a/crates/sidecar/src/readiness_tests.rs
+++ b/crates/sidecar/src/readiness_tests.rs
@@ -1,6 +1,6 @@
 //! The waits of [`super::readiness`] over sockets of this process.
 
-use super::readiness::{Unblocked, poll_read, unblocked};
+use super::readiness::{SocketEvent, poll_read, writable_or_peer_readable};
 use std::future::poll_fn;
 use std::pin::pin;
 use std::sync::mpsc;
@@ -63,23 +63,25 @@
 fn a_blocked_writer_is_not_woken_by_what_was_readable_before() {
     run(async {
         let (own, mut peer) = blocked_and_remembered_as_readable().await;
-        let mut waits = Box::pin(unblocked(&own));
+        let mut waits = Box::pin(writable_or_peer_readable(&own));
         let mut waited = 0;
         for _ in 0..2 * BUDGET {
             match poll_fn(|context| Poll::Ready(waits.as_mut().poll(context))).await {
                 Poll::Pending => waited += 1,
                 Poll::Ready(by) => {
                     // The system may still move bytes on to the peer's end, and have room here again.
-                    assert_eq!(by.expect("it stands"), Unblocked::Writable);
+                    assert_eq!(by.expect("it stands"), SocketEvent::Writable);
                     fill(&own);
-                    waits = Box::pin(unblocked(&own));
+                    waits = Box::pin(writable_or_peer_readable(&own));
                 }
             }
             tokio::task::yield_now().await;
         }
         assert!(waited > BUDGET, "it waited {waited} times");
         peer.write_all(b"x").await.expect("there is room");
-        while unblocked(&own).await.expect("it stands") != Unblocked::PeerSpoke {}
+        while writable_or_peer_readable(&own).await.expect("it stands") != SocketEvent::PeerReadable
+        {
+        }
     });
 }
 
@@ -88,7 +90,7 @@
     run(async {
         let (own, peer) = blocked_and_remembered_as_readable().await;
         let mut taken = vec![0; 64 << 20];
-        let mut waits = pin!(unblocked(&own));
+        let mut waits = pin!(writable_or_peer_readable(&own));
         let unblocked_by = loop {
             if let Poll::Ready(by) =
                 poll_fn(|context| Poll::Ready(waits.as_mut().poll(context))).await
@@ -98,10 +100,12 @@
             let _ = peer.try_read(&mut taken);
             tokio::task::yield_now().await;
         };
-        assert_eq!(unblocked_by, Unblocked::Writable);
+        assert_eq!(unblocked_by, SocketEvent::Writable);
         fill(&own);
         drop(peer);
-        while unblocked(&own).await.expect("it stands") != Unblocked::PeerSpoke {}
+        while writable_or_peer_readable(&own).await.expect("it stands") != SocketEvent::PeerReadable
+        {
+        }
     });
 }
 
--- a/crates/sidecar/src/reload.rs
+++ b/crates/sidecar/src/reload.rs
@@ -4,11 +4,11 @@
 use super::config::Config;
 use super::counts::count;
 use super::discovery_watch;
-use super::listener::{Listener, Manner, Socket, bind};
+use super::listener::{BoundSocket, Listener, ListenerSettings, bind};
 use super::ordinal::ordinal_in_name;
 use super::pool::Listing;
 use super::process::{Sidecar, totals};
-use super::routing::{Routed, Routing};
+use super::routing::{ListenerRoutes, Routing};
 use super::service::{Parts, Service, Spec};
 use madderloom_balancer::settings::Site;
 use madderloom_operator_config::{Bounds, MemberLimits, Operator, PLATFORM, Pool, parts};
@@ -206,10 +206,10 @@
                     .map(|state| state.usual)
                     .unwrap_or_default(),
             );
-            listener.change(
-                Manner {
-                    drains: true,
-                    ..Manner::usual()
+            listener.update(
+                ListenerSettings {
+                    drains_rejected_bodies: true,
+                    ..ListenerSettings::defaults()
                 },
                 self.routing(&table, 0, &by_place),
                 all,
@@ -220,13 +220,13 @@
         let mut sockets = prepared.sockets.into_iter();
         let mut listeners = Vec::new();
         for (at, spec) in operator.listeners.iter().enumerate() {
-            let manner = Manner {
-                head_within: spec.head_within.micros(),
-                idle_within: spec.idle_within.micros(),
-                body_within: spec.body_within.micros(),
-                body_size: spec.body_size.0 as usize,
-                message_size: spec.body_size.0 as usize,
-                drains: true,
+            let settings = ListenerSettings {
+                head_timeout: spec.head_within.micros(),
+                idle_timeout: spec.idle_within.micros(),
+                body_timeout: spec.body_within.micros(),
+                max_body_size: spec.body_size.0 as usize,
+                max_message_size: spec.body_size.0 as usize,
+                drains_rejected_bodies: true,
             };
             let (routing, parts) = (
                 self.routing(&table, at + 1, &by_place),
@@ -234,8 +234,8 @@
             );
             let listener = match &kept[at] {
                 Some(listener) => {
-                    listener.rename(&spec.name);
-                    listener.change(manner, routing, spec.limits, parts);
+                    listener.set_name(&spec.name);
+                    listener.update(settings, routing, spec.limits, parts);
                     Rc::clone(listener)
                 }
                 None => {
@@ -243,12 +243,12 @@
                         continue;
                     };
                     let limits = (Some(spec.limits), parts);
-                    let place = Socket {
-                        wanted: spec.address,
+                    let place = BoundSocket {
+                        configured_address: spec.address,
                         socket,
                         shared: false,
                     };
-                    Listener::start(&self.common, &spec.name, place, (manner, routing), limits)
+                    Listener::start(&self.common, &spec.name, place, (settings, routing), limits)
                 }
             };
             listeners.push(listener);
@@ -263,7 +263,7 @@
             gone.len(),
             operator.routes.len()
         );
-        closed.iter().for_each(|listener| listener.leave());
+        closed.iter().for_each(|listener| listener.start_draining());
         let drain = Duration::from_micros(operator.process.drain.micros());
         gone.into_iter()
             .for_each(|service| self.retire(service, drain));
@@ -314,7 +314,7 @@
                 .listeners
                 .borrow()
                 .iter()
-                .filter(|listener| listener.may_stay())
+                .filter(|listener| listener.can_cancel_draining())
                 .cloned(),
         );
         let mut kept = vec![None; operator.listeners.len()];
@@ -325,7 +325,8 @@
                 .filter(|(place, _)| place.is_none())
             {
                 let alike = |l: &Rc<Listener>| {
-                    l.wanted == spec.address && (!by_name || *l.name.borrow() == spec.name)
+                    l.configured_address == spec.address
+                        && (!by_name || *l.name.borrow() == spec.name)
                 };
                 *place = free.iter().position(alike).map(|at| free.remove(at));
             }
@@ -392,8 +393,8 @@
             .filter(|_| place == 0)
             .map(|(service, _)| Rc::clone(service));
         match otherwise {
-            Some(service) if !table.routes().iter().any(here) => Routing::One(service),
-            otherwise => Routing::Table(Routed::new(table, place, services, otherwise)),
+            Some(service) if !table.routes().iter().any(here) => Routing::SingleService(service),
+            otherwise => Routing::Routes(ListenerRoutes::new(table, place, services, otherwise)),
         }
     }
 
--- a/crates/sidecar/src/heads.rs
+++ b/crates/sidecar/src/request_framing.rs
@@ -22,22 +22,22 @@
 }
 
 /// Where a client's connection stands.
-pub(super) struct Heads {
+pub(super) struct RequestFraming {
     at: At,
     /// What has come of a head or of a line between chunks.
     unread: BytesMut,
 }
 
-impl Default for Heads {
+impl Default for RequestFraming {
     fn default() -> Self {
-        Heads {
+        RequestFraming {
             at: At::Head,
             unread: BytesMut::new(),
         }
     }
 }
 
-impl Heads {
+impl RequestFraming {
     /// Takes in what was read. False once it is not certain how all of it is to be read.
     pub(super) fn follow(&mut self, mut bytes: &[u8]) -> bool {
         loop {
@@ -161,7 +161,7 @@
         let all = [PLAIN, CHUNKS, NONE, CHUNKS, PLAIN].concat();
         let hidden = all.clone() + &both("Transfer-Encoding: chunked", "Content-Length: 5");
         for size in 1..hidden.len() {
-            let (mut sound, mut odd) = (Heads::default(), Heads::default());
+            let (mut sound, mut odd) = (RequestFraming::default(), RequestFraming::default());
             assert!(
                 all.as_bytes().chunks(size).all(|piece| sound.follow(piece)),
                 "in {size}s"
@@ -187,14 +187,14 @@
             ("Transfer-Encoding: gzip, chunked", "X-B: 1"),
             ("Content-Length: +5", "X-B: 1"),
         ] {
-            let mut heads = Heads::default();
+            let mut heads = RequestFraming::default();
             assert!(
                 !heads.follow(both(first, second).as_bytes()),
                 "{first}, {second}"
             );
             assert!(!heads.follow(PLAIN.as_bytes()), "it was forgotten");
         }
-        let mut heads = Heads::default();
+        let mut heads = RequestFraming::default();
         assert!(!heads.follow(&[b'x'; 40_000]));
     }
 }
--- a/crates/sidecar/src/passing.rs
+++ b/crates/sidecar/src/response_body.rs
@@ -22,32 +22,32 @@
 use std::task::{Context, Poll, ready};
 
 /// What is read at once.
-const READ: usize = 32 << 10;
+const READ_SIZE: usize = 32 << 10;
 
 /// An answer's body.
-pub(super) enum Reply {
-    Whole(Full<Bytes>),
-    Passing(Box<Passing>),
+pub(super) enum ResponseBody {
+    Buffered(Full<Bytes>),
+    Streamed(Box<StreamedResponseBody>),
 }
 
 /// A body that is passed on.
-pub(super) struct Passing {
+pub(super) struct StreamedResponseBody {
     pub(super) service: Rc<Service>,
     pub(super) server: ServerId,
     pub(super) address: SocketAddr,
     pub(super) lease: Option<Lease>,
     /// The server keeps the connection, and has had the whole request.
     pub(super) reusable: bool,
-    pub(super) unread: BytesMut,
+    pub(super) undecoded: BytesMut,
     pub(super) unwrapper: Unwrapper,
     /// Taken out of its wrapping already.
-    pub(super) first: Bytes,
+    pub(super) decoded: Bytes,
     /// The request's class, and what it holds until its answer has ended.
-    pub(super) held: Option<HeldByAnswer>,
+    pub(super) resources: Option<ResponseResources>,
 }
 
 /// What an answer holds until its end.
-pub(super) struct HeldByAnswer {
+pub(super) struct ResponseResources {
     pub(super) counts: Rc<Counts>,
     /// Its client, which is not idle before.
     pub(super) client: Rc<Client>,
@@ -55,19 +55,19 @@
     pub(super) _rest: Box<dyn Any>,
 }
 
-impl Reply {
-    pub(super) fn is_passing(&self) -> bool {
-        matches!(self, Reply::Passing(_))
+impl ResponseBody {
+    pub(super) fn is_streamed(&self) -> bool {
+        matches!(self, ResponseBody::Streamed(_))
     }
 }
 
-impl Passing {
+impl StreamedResponseBody {
     fn poll(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Bytes, Broken>>> {
-        if !self.first.is_empty() {
-            return Poll::Ready(Some(Ok(std::mem::take(&mut self.first))));
+        if !self.decoded.is_empty() {
+            return Poll::Ready(Some(Ok(std::mem::take(&mut self.decoded))));
         }
         loop {
-            match self.unwrapper.next(&mut self.unread) {
+            match self.unwrapper.next(&mut self.undecoded) {
                 Err(broken) => return Poll::Ready(Some(Err(broken))),
                 Ok(Some(data)) => return Poll::Ready(Some(Ok(data))),
                 Ok(None) if self.unwrapper.is_over() => return Poll::Ready(None),
@@ -76,10 +76,10 @@
             let Some(lease) = self.lease.as_mut() else {
                 return Poll::Ready(Some(Err(Broken::Connection)));
             };
-            let unread = &mut self.unread;
+            let undecoded = &mut self.undecoded;
             let read = readiness::poll_read(&lease.stream, context, |stream| {
-                unread.reserve(READ);
-                stream.try_read_buf(unread)
+                undecoded.reserve(READ_SIZE);
+                stream.try_read_buf(undecoded)
             });
             match ready!(read) {
                 Ok(0) if self.unwrapper.ends_with_connection() => return Poll::Ready(None),
@@ -95,30 +95,31 @@
         if whole {
             self.service.connections.heard(self.server);
             let there = self.service.pool.address(self.server) == Some(self.address);
-            if let Some(lease) = lease.filter(|_| self.reusable && there && self.unread.is_empty())
+            if let Some(lease) =
+                lease.filter(|_| self.reusable && there && self.undecoded.is_empty())
             {
                 self.service.connections.keep(lease);
             }
         }
-        if let Some(held) = &self.held {
+        if let Some(resources) = &self.resources {
             count(if whole {
-                &held.counts.served
+                &resources.counts.served
             } else {
-                &held.counts.failed
+                &resources.counts.failed
             });
         }
         // What it holds goes with the answer's last byte, and not with the connection.
-        self.held = None;
+        self.resources = None;
     }
 }
 
-impl Drop for HeldByAnswer {
+impl Drop for ResponseResources {
     fn drop(&mut self) {
-        self.client.answered(self.common.clock.now());
+        self.client.response_ended(self.common.clock.now());
     }
 }
 
-impl Body for Reply {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -127,27 +128,26 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         match self.get_mut() {
-            Reply::Whole(body) => match ready!(Pin::new(body).poll_frame(context)) {
+            ResponseBody::Buffered(body) => match ready!(Pin::new(body).poll_frame(context)) {
                 Some(Ok(frame)) => Poll::Ready(Some(Ok(frame))),
                 _ => Poll::Ready(None),
             },
-            Reply::Passing(passing) => Poll::Ready(match ready!(passing.poll(context)) {
+            ResponseBody::Streamed(body) => Poll::Ready(match ready!(body.poll(context)) {
                 Some(Ok(data)) => {
                     // Of a known length the last piece is the end: nobody asks for another.
-                    if passing.unwrapper.is_over() && passing.first.is_empty() {
-                        passing.end(true);
+                    if body.unwrapper.is_over() && body.decoded.is_empty() {
+                        body.end(true);
                     }
                     Some(Ok(Frame::data(data)))
                 }
                 Some(Err(broken)) => {
-                    let (left, server) =
-                        (passing.unwrapper, passing.service.pool.name(passing.server));
+                    let (left, server) = (body.unwrapper, body.service.pool.name(body.server));
                     tracing::warn!(%server, "a long answer of {server} broke off: {broken:?}, {left:?} to come");
-                    passing.end(false);
+                    body.end(false);
                     Some(Err(io::Error::other("the server has broken off")))
                 }
                 None => {
-                    passing.end(true);
+                    body.end(true);
                     None
                 }
             }),
@@ -156,16 +156,16 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Reply::Whole(body) => body.is_end_stream(),
-            Reply::Passing(passing) => passing.first.is_empty() && passing.unwrapper.is_over(),
+            ResponseBody::Buffered(body) => body.is_end_stream(),
+            ResponseBody::Streamed(body) => body.decoded.is_empty() && body.unwrapper.is_over(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Reply::Whole(body) => body.size_hint(),
-            Reply::Passing(passing) => match passing.unwrapper.left() {
-                Some(left) => SizeHint::with_exact(left + passing.first.len() as u64),
+            ResponseBody::Buffered(body) => body.size_hint(),
+            ResponseBody::Streamed(body) => match body.unwrapper.left() {
+                Some(left) => SizeHint::with_exact(left + body.decoded.len() as u64),
                 None => SizeHint::default(),
             },
         }
--- a/crates/sidecar/src/service.rs
+++ b/crates/sidecar/src/service.rs
@@ -6,13 +6,13 @@
 use super::counts::{Counts, Registry};
 use super::discovery_watch;
 use super::levels;
-use super::limits::Allowance;
+use super::limits::RequestLimits;
 use super::moves::Moves;
 use super::pool::{self, Listing, Pool};
 use super::probe;
 use super::teller::{EndedAttempt, Teller};
 use super::trail;
-use super::transaction::{Step, Steps};
+use super::transaction::{Step, StepQueue};
 use super::tuned::Tuned;
 use super::turns::Charged;
 use super::warm_start::WarmStart;
@@ -82,10 +82,10 @@
     /// The ids of open requests: no two have the same.
     pub(super) ids: RefCell<HashSet<HeaderValue, FixedState>>,
     /// The transactions that are not over, and where each hears what it is to do.
-    pub(super) transactions: RefCell<HashMap<RequestId, Rc<Steps>, FixedState>>,
+    pub(super) transactions: RefCell<HashMap<RequestId, Rc<StepQueue>, FixedState>>,
     pub(super) last_request: Cell<RequestId>,
     /// What its requests may hold together.
-    pub(super) allowance: Allowance,
+    pub(super) request_limits: RequestLimits,
     /// Its account of the thread's time, for its connections and for the requests that it has.
     pub(super) charged: Rc<Charged>,
     pub(super) counts: Registry,
@@ -153,7 +153,7 @@
             ids: RefCell::default(),
             transactions: RefCell::default(),
             last_request: Cell::new(0),
-            allowance: Allowance::new(
+            request_limits: RequestLimits::new(
                 bounds.open_by_pool.join(parts.open),
                 bounds.bodies_by_pool.join(parts.bodies),
                 limits.rate,
@@ -210,8 +210,9 @@
     }
 
     pub(super) fn change_limits(&self, limits: MemberLimits, parts: Parts) {
-        self.connections.seats.change(parts.connections);
-        self.allowance.change(parts.open, parts.bodies, limits.rate);
+        self.connections.seats.update(parts.connections);
+        self.request_limits
+            .update(parts.open, parts.bodies, limits.rate);
         if let Some(account) = super::turns::charged_to(&self.charged) {
             account.change(limits.weight);
         }
@@ -485,7 +486,7 @@
                 request,
                 retry_after,
             } => {
-                self.instruct(request, Step::Refuse { retry_after });
+                self.instruct(request, Step::Reject { retry_after });
             }
             Action::Fail { request } => {
                 self.instruct(request, Step::Fail);
--- a/crates/sidecar/src/state_writer/idempotency_record.rs
+++ b/crates/sidecar/src/state_writer/idempotency_record.rs
@@ -3,7 +3,7 @@
 
 use super::{StateWriter, Withdrawal};
 use crate::service::Service;
-use crate::transaction::Answer;
+use crate::transaction::FinalResponse;
 use hyper::HeaderMap;
 use madderloom_sidecar_state::{
     Admission, Error as KeyError, IdempotencyKey, IdempotencyMode, WriteVerdict,
@@ -136,20 +136,20 @@
     }
 
     /// Takes in the final answer to the request.
-    pub(crate) fn answered(&self, answer: &Answer) {
+    pub(crate) fn answered(&self, answer: &FinalResponse) {
         if !self.is_open() {
             return;
         }
         match answer {
-            Answer::Served(_) => {
+            FinalResponse::Served(_) => {
                 self.progress.set(RecordProgress::Ended);
                 let batch = self.writer.tracker.borrow_mut().answered(&self.key);
                 // If this is lost, the request counts as one that may have run, which has the same effect.
                 let _ = batch.map(|batch| self.writer.submit(batch, Durability::Relaxed, drop));
             }
             // A request is only answered as refused if it has not run.
-            Answer::Refused { .. } => self.withdraw(),
-            Answer::Failed => self.abandon(),
+            FinalResponse::Rejected { .. } => self.withdraw(),
+            FinalResponse::Failed => self.abandon(),
         }
     }
 
--- a/crates/sidecar/src/transaction.rs
+++ b/crates/sidecar/src/transaction.rs
@@ -2,7 +2,7 @@
 
 use super::alarms::Alarms;
 use super::flow::{self, Attempt, Onward};
-use super::passing::Reply;
+use super::response_body::ResponseBody;
 use super::service::Service;
 use hyper::Response;
 use madderloom_balancer::{Event, Micros, NewRequest, RequestId, ServerId};
@@ -25,15 +25,15 @@
     },
     /// End a flow.
     Cancel { attempt: u32 },
-    /// Answer that the request is refused.
-    Refuse { retry_after: Option<Micros> },
-    /// Answer that it has failed.
+    /// FinalResponse that the request is refused.
+    Reject { retry_after: Option<Micros> },
+    /// FinalResponse that it has failed.
     Fail,
 }
 
 /// Where a transaction hears of its steps. The module gives a request only so many of them.
 #[derive(Default)]
-pub(super) struct Steps {
+pub(super) struct StepQueue {
     queue: RefCell<SmallVec<[Step; 2]>>,
     /// The task that waits for one.
     waiting: RefCell<Option<Waker>>,
@@ -41,7 +41,7 @@
     timers: RefCell<SmallVec<[TimerKey; 2]>>,
 }
 
-impl Steps {
+impl StepQueue {
     pub(super) fn push(&self, step: Step) {
         self.queue.borrow_mut().push(step);
         if let Some(waiting) = self.waiting.borrow().as_ref() {
@@ -82,16 +82,16 @@
 }
 
 /// The final answer.
-pub(super) enum Answer {
+pub(super) enum FinalResponse {
     /// What a server made of it.
-    Served(Response<Reply>),
+    Served(Response<ResponseBody>),
     /// Another try can do no harm.
-    Refused { retry_after: Option<Micros> },
+    Rejected { retry_after: Option<Micros> },
     /// Nothing is promised.
     Failed,
 }
 
-type Flow = Pin<Box<dyn Future<Output = Option<Answer>>>>;
+type Flow = Pin<Box<dyn Future<Output = Option<FinalResponse>>>>;
 
 struct Transaction {
     service: Rc<Service>,
@@ -104,7 +104,7 @@
     aim: Micros,
     /// A level of reduced service has turned it away.
     given_up: bool,
-    steps: Rc<Steps>,
+    steps: Rc<StepQueue>,
     /// Set with the final answer.
     over: Rc<Cell<bool>>,
     /// By their numbers; one that has ended leaves its place empty.
@@ -115,7 +115,7 @@
 enum Next {
     Step(Step),
     /// A flow has ended.
-    Ended(Option<Answer>),
+    Ended(Option<FinalResponse>),
 }
 
 /// Serves one request: the module's words go in from the top, and the final answer comes out.
@@ -124,14 +124,14 @@
     now: Micros,
     new: NewRequest,
     onward: Rc<Onward>,
-) -> Answer {
+) -> FinalResponse {
     let mut transaction = Transaction::begin(service, now, &new);
 
     // The module takes it in, and says what to do first: send it, refuse it, or nothing yet.
     let before = service.given_up();
     service.handle(now, Event::Request(new));
     transaction.given_up = service.given_up() > before;
-    if onward.body.passing().is_some() {
+    if onward.body.streamed().is_some() {
         service.handle(now, Event::Coming(transaction.id));
     }
 
@@ -146,10 +146,10 @@
                 transaction.send(&onward, server, (timeout_at, write_by));
             }
             Next::Step(Step::Cancel { attempt }) => transaction.cancel(attempt),
-            Next::Step(Step::Refuse { retry_after }) => {
-                return transaction.end(&onward, Answer::Refused { retry_after });
+            Next::Step(Step::Reject { retry_after }) => {
+                return transaction.end(&onward, FinalResponse::Rejected { retry_after });
             }
-            Next::Step(Step::Fail) => return transaction.end(&onward, Answer::Failed),
+            Next::Step(Step::Fail) => return transaction.end(&onward, FinalResponse::Failed),
             // A flow has told the module its outcome before it ends: what follows is another step.
             Next::Ended(Some(answer)) => return transaction.end(&onward, answer),
             Next::Ended(None) => {}
@@ -159,7 +159,7 @@
 
 impl Transaction {
     fn begin(service: &Rc<Service>, now: Micros, new: &NewRequest) -> Self {
-        let steps = Rc::<Steps>::default();
+        let steps = Rc::<StepQueue>::default();
         service
             .transactions
             .borrow_mut()
@@ -213,7 +213,7 @@
         }
     }
 
-    /// Waits for the next step, or until some flow ends. Steps go first.
+    /// Waits for the next step, or until some flow ends. StepQueue go first.
     async fn next(&mut self) -> Next {
         poll_fn(|context: &mut Context<'_>| {
             if let Some(step) = self.steps.pop() {
@@ -234,10 +234,13 @@
         .await
     }
 
-    fn end(&mut self, onward: &Onward, answer: Answer) -> Answer {
+    fn end(&mut self, onward: &Onward, answer: FinalResponse) -> FinalResponse {
         self.over.set(true);
         // What ends unserved behind an attempt does so because of the server that had it last.
-        if let Some(server) = self.last.filter(|_| !matches!(answer, Answer::Served(_))) {
+        if let Some(server) = self
+            .last
+            .filter(|_| !matches!(answer, FinalResponse::Served(_)))
+        {
             self.service
                 .tell(|teller| teller.turned_away(self.service.common.clock.now(), server));
         }
@@ -246,11 +249,11 @@
         }
         let (aim, given_up) = (self.aim, self.given_up);
         self.tell(|elapsed| match &answer {
-            Answer::Served(_) => Some(RequestEnd::served(elapsed, aim)),
+            FinalResponse::Served(_) => Some(RequestEnd::served(elapsed, aim)),
             // The level's own doing is none of its signals.
-            Answer::Refused { .. } if given_up => None,
-            Answer::Refused { .. } => Some(RequestEnd::unserved(elapsed, aim, true)),
-            Answer::Failed => Some(RequestEnd::unserved(elapsed, aim, false)),
+            FinalResponse::Rejected { .. } if given_up => None,
+            FinalResponse::Rejected { .. } => Some(RequestEnd::unserved(elapsed, aim, true)),
+            FinalResponse::Failed => Some(RequestEnd::unserved(elapsed, aim, false)),
         });
         answer
     }
--- a/crates/sidecar/src/upload.rs
+++ b/crates/sidecar/src/upload.rs
@@ -1,14 +1,14 @@
 //! A client's body: kept whole where it fits, so that it can be sent again, or passed on as it comes.
 //!
-//! A body is kept up to [`KEPT`] bytes as long as all bodies together stay within what is set aside for them. Of a
+//! A body is kept up to [`MAX_BUFFERED_BYTES`] bytes as long as all bodies together stay within what is set aside for them. Of a
 //! longer one the beginning is kept, and the rest is read from the client as the server takes it: neither side is read
 //! faster than the other is written. Once any of that rest has been read, the request cannot be sent again.
 
 use super::common::Common;
-use super::limits::Held;
+use super::limits::Reservation;
 use super::listener::Listener;
 use super::service::Service;
-use super::virtual_server::{Reject, senseless};
+use super::virtual_server::{RequestError, bad_request};
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::StatusCode;
@@ -18,38 +18,38 @@
 use std::cell::{Cell, RefCell};
 
 /// The longest body that is kept.
-pub(super) const KEPT: usize = 1 << 20;
+pub(super) const MAX_BUFFERED_BYTES: usize = 1 << 20;
 /// Before a longer one is passed on, so much of it is there.
-const BEGINNING: usize = 16 << 10;
+const STREAM_PREFIX_BYTES: usize = 16 << 10;
 /// The slowest client, in bytes a second, and what it may lag behind that. Clients write 64,000 a second.
-pub(super) const SLOWEST: u64 = 32_000;
-pub(super) const LAG: Micros = 3_000_000;
+pub(super) const MIN_BYTES_PER_SECOND: u64 = 32_000;
+pub(super) const READ_DELAY_ALLOWANCE: Micros = 3_000_000;
 
-const TOO_LONG: Reject = Reject::Senseless(
+const BODY_TOO_LONG: RequestError = RequestError::Invalid(
     StatusCode::PAYLOAD_TOO_LARGE,
     "the body is longer than this listener takes",
 );
 
 /// How long a body is, as its head tells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Length {
+pub(super) enum BodyLength {
     Known(u64),
     /// In chunks.
     Chunked,
 }
 
-impl Length {
+impl BodyLength {
     /// By the head of a request. Where it has both a length and chunks, one reader sees a request where another sees
     /// a body, so it is refused; hyper has refused several lengths that differ.
-    pub(super) fn of(
+    pub(super) fn from_head(
         body: Option<&Incoming>,
         headers: &HeaderMap,
         most: usize,
-    ) -> Result<Self, Reject> {
+    ) -> Result<Self, RequestError> {
         let mut codings = headers.get_all(header::TRANSFER_ENCODING).iter();
         if let Some(coding) = codings.next() {
             if headers.contains_key(header::CONTENT_LENGTH) {
-                return Err(senseless(
+                return Err(bad_request(
                     "there are both a Content-Length and a Transfer-Encoding",
                 ));
             }
@@ -59,28 +59,28 @@
                     .trim_ascii()
                     .eq_ignore_ascii_case(b"chunked")
             {
-                return Err(senseless("the Transfer-Encoding is not just chunked"));
+                return Err(bad_request("the Transfer-Encoding is not just chunked"));
             }
-            return Ok(Length::Chunked);
+            return Ok(BodyLength::Chunked);
         }
         let size = body.and_then(|body| body.size_hint().exact());
         size.filter(|size| *size <= most as u64)
-            .map(Length::Known)
-            .ok_or(TOO_LONG)
+            .map(BodyLength::Known)
+            .ok_or(BODY_TOO_LONG)
     }
 }
 
 /// A client's body as it is read.
-pub(super) struct Reader {
+pub(super) struct BodyReader {
     body: Incoming,
     begun: Micros,
     read: u64,
     most: u64,
 }
 
-impl Reader {
+impl BodyReader {
     pub(super) fn new(common: &Common, body: Incoming, most: usize) -> Self {
-        Reader {
+        BodyReader {
             body,
             begun: common.clock.now(),
             read: 0,
@@ -89,18 +89,20 @@
     }
 
     /// The next piece; none at the end. A client has its time by what it has sent.
-    pub(super) async fn next(&mut self, common: &Common) -> Result<Option<Bytes>, Reject> {
+    pub(super) async fn next(&mut self, common: &Common) -> Result<Option<Bytes>, RequestError> {
         loop {
-            let until = self.begun + LAG + self.read.saturating_mul(1_000_000) / SLOWEST;
+            let until = self.begun
+                + READ_DELAY_ALLOWANCE
+                + self.read.saturating_mul(1_000_000) / MIN_BYTES_PER_SECOND;
             let frame = match common.until(until, self.body.frame()).await {
                 None => {
-                    return Err(Reject::Senseless(
+                    return Err(RequestError::Invalid(
                         StatusCode::REQUEST_TIMEOUT,
                         "the body has not come",
                     ));
                 }
                 Some(None) => return Ok(None),
-                Some(Some(Err(_))) => return Err(senseless("the body has broken off")),
+                Some(Some(Err(_))) => return Err(bad_request("the body has broken off")),
                 Some(Some(Ok(frame))) => frame,
             };
             // Trailers are about the message itself and go no further.
@@ -109,7 +111,7 @@
             };
             self.read += data.len() as u64;
             if self.read > self.most {
-                return Err(TOO_LONG);
+                return Err(BODY_TOO_LONG);
             }
             if !data.is_empty() {
                 return Ok(Some(data));
@@ -118,118 +120,121 @@
     }
 
     /// The rest, of which nothing is wanted any more.
-    pub(super) fn into_rest(self) -> Incoming {
+    pub(super) fn into_inner(self) -> Incoming {
         self.body
     }
 }
 
 /// A body as it goes to a server.
-pub(super) enum Upload {
+pub(super) enum RequestBody {
     /// All of it.
-    Kept(Bytes),
+    Buffered(Bytes),
     /// Its beginning, and the rest as it comes.
-    Passing(Passing),
+    Streamed(StreamedRequestBody),
 }
 
-impl Upload {
+impl RequestBody {
     /// What is there of it.
-    pub(super) fn at_hand(&self) -> &Bytes {
+    pub(super) fn buffered(&self) -> &Bytes {
         match self {
-            Upload::Kept(body) => body,
-            Upload::Passing(passing) => &passing.beginning,
+            RequestBody::Buffered(body) => body,
+            RequestBody::Streamed(streamed) => &streamed.prefix,
         }
     }
 
-    pub(super) fn passing(&self) -> Option<&Passing> {
+    pub(super) fn streamed(&self) -> Option<&StreamedRequestBody> {
         match self {
-            Upload::Kept(_) => None,
-            Upload::Passing(passing) => Some(passing),
+            RequestBody::Buffered(_) => None,
+            RequestBody::Streamed(streamed) => Some(streamed),
         }
     }
 }
 
 /// A body that is passed on as it comes.
-pub(super) struct Passing {
-    pub(super) length: Length,
-    beginning: Bytes,
+pub(super) struct StreamedRequestBody {
+    pub(super) length: BodyLength,
+    prefix: Bytes,
     /// In the hands of the attempt that sends it.
-    rest: RefCell<Option<Reader>>,
+    remainder: RefCell<Option<BodyReader>>,
     /// Something of the rest has been read: it can't be sent again.
-    pub(super) spent: Cell<bool>,
+    pub(super) consumed: Cell<bool>,
     /// When its last byte had come.
-    pub(super) whole: Cell<Option<Micros>>,
+    pub(super) completed_at: Cell<Option<Micros>>,
     /// Why it will never be whole.
-    pub(super) broken: RefCell<Option<Reject>>,
+    pub(super) failure: RefCell<Option<RequestError>>,
 }
 
-impl Passing {
+impl StreamedRequestBody {
     /// The rest, for an attempt, where it can still be sent.
-    pub(super) fn take(&self) -> Option<Reader> {
-        if self.spent.get() {
+    pub(super) fn take_remainder(&self) -> Option<BodyReader> {
+        if self.consumed.get() {
             None
         } else {
-            self.rest.take()
+            self.remainder.take()
         }
     }
 
     /// Whether an attempt could send it.
     pub(super) fn can_be_sent(&self) -> bool {
         // Behind the error of a body that broke off comes what looks like its end.
-        !self.spent.get() && self.broken.borrow().is_none() && self.rest.borrow().is_some()
+        !self.consumed.get() && self.failure.borrow().is_none() && self.remainder.borrow().is_some()
     }
 
     /// An attempt has ended before it had sent it all.
-    pub(super) fn give_back(&self, reader: Reader) {
-        self.rest.replace(Some(reader));
+    pub(super) fn return_remainder(&self, reader: BodyReader) {
+        self.remainder.replace(Some(reader));
     }
 
     /// What nobody has read and nobody will.
-    pub(super) fn unread(&self) -> Option<Incoming> {
-        self.rest.take().map(Reader::into_rest)
+    pub(super) fn take_unread(&self) -> Option<Incoming> {
+        self.remainder.take().map(BodyReader::into_inner)
     }
 }
 
 /// What a body takes of the room for all bodies together.
-pub(super) type Room = Vec<[Held; 2]>;
+pub(super) type BodyReservations = Vec<[Reservation; 2]>;
 
 /// Reads a body whole where it fits, else its beginning. `room` gets what it takes. One that is turned away before it
 /// was read is left where it is.
-pub(super) async fn take(
+pub(super) async fn read_body(
     listener: &Listener,
     service: &Service,
     body: &mut Option<Incoming>,
-    length: Length,
+    length: BodyLength,
     most: usize,
-    room: &mut Room,
-) -> Result<Upload, Reject> {
+    room: &mut BodyReservations,
+) -> Result<RequestBody, RequestError> {
     let common = &listener.common;
     let mut kept = BytesMut::new();
     // Where it is known to be too long to be kept, no more is than its beginning.
     let (fits, mut held) = match length {
-        Length::Known(0) => return Ok(Upload::Kept(Bytes::new())),
-        Length::Known(size) if size <= KEPT as u64 => {
+        BodyLength::Known(0) => return Ok(RequestBody::Buffered(Bytes::new())),
+        BodyLength::Known(size) if size <= MAX_BUFFERED_BYTES as u64 => {
             let fits = hold(listener, service, size, room);
             // An operator file's limits on bodies turn away what finds no room.
-            if !fits && listener.manner.get().drains {
-                return Err(Reject::Refused("too much is open", service.retry_after()));
+            if !fits && listener.settings.get().drains_rejected_bodies {
+                return Err(RequestError::LimitReached(
+                    "too much is open",
+                    service.retry_after(),
+                ));
             }
             (fits, size as usize)
         }
-        Length::Known(_) => (false, 0),
-        Length::Chunked => (true, 0),
+        BodyLength::Known(_) => (false, 0),
+        BodyLength::Chunked => (true, 0),
     };
     let Some(body) = body.take() else {
-        return Ok(Upload::Kept(Bytes::new()));
+        return Ok(RequestBody::Buffered(Bytes::new()));
     };
-    let mut reader = Reader::new(common, body, most);
+    let mut reader = BodyReader::new(common, body, most);
     loop {
         let Some(piece) = reader.next(common).await? else {
-            return Ok(Upload::Kept(kept.freeze()));
+            return Ok(RequestBody::Buffered(kept.freeze()));
         };
         let size = kept.len() + piece.len();
-        if fits && size > held && size <= KEPT {
+        if fits && size > held && size <= MAX_BUFFERED_BYTES {
             // Chunks tell nothing of what is to come: room is made as they do.
-            let more = size.next_power_of_two().max(BEGINNING) - held;
+            let more = size.next_power_of_two().max(STREAM_PREFIX_BYTES) - held;
             if hold(listener, service, more as u64, room) {
                 held += more;
             }
@@ -242,26 +247,26 @@
         let enough = if fits {
             kept.len() > held
         } else {
-            kept.len() >= BEGINNING
+            kept.len() >= STREAM_PREFIX_BYTES
         };
-        if enough && !matches!(length, Length::Known(size) if size == kept.len() as u64) {
-            let passing = Passing {
+        if enough && !matches!(length, BodyLength::Known(size) if size == kept.len() as u64) {
+            let streamed = StreamedRequestBody {
                 length,
-                beginning: kept.freeze(),
-                rest: RefCell::new(Some(reader)),
-                spent: Cell::new(false),
-                whole: Cell::new(None),
-                broken: RefCell::default(),
+                prefix: kept.freeze(),
+                remainder: RefCell::new(Some(reader)),
+                consumed: Cell::new(false),
+                completed_at: Cell::new(None),
+                failure: RefCell::default(),
             };
-            return Ok(Upload::Passing(passing));
+            return Ok(RequestBody::Streamed(streamed));
         }
     }
 }
 
-fn hold(listener: &Listener, service: &Service, size: u64, room: &mut Room) -> bool {
+fn hold(listener: &Listener, service: &Service, size: u64, room: &mut BodyReservations) -> bool {
     let held = service
-        .allowance
-        .room_for(size)
-        .and_then(|own| Some([own, listener.allowance.room_for(size)?]));
+        .request_limits
+        .reserve_body(size)
+        .and_then(|own| Some([own, listener.request_limits.reserve_body(size)?]));
     held.map(|held| room.push(held)).is_some()
 }
--- a/crates/sidecar/src/view.rs
+++ b/crates/sidecar/src/view.rs
@@ -4,7 +4,7 @@
 use super::common::Common;
 use super::counts::Counts;
 use super::levels;
-use super::limits::Bound;
+use super::limits::SharedLimit;
 use super::listener::Listener;
 use super::service::Service;
 use super::teller::{Teller, words};
@@ -45,7 +45,7 @@
         let [parked, served, servers] = common.held();
         let timers = common.alarms.counted();
         let turns = madderloom_watchdog::counts();
-        let all = |bound: &Rc<Bound>| json!({"used": bound.used(), "total": bound.total()});
+        let all = |bound: &Rc<SharedLimit>| json!({"used": bound.used(), "total": bound.total()});
         json!({
             "version": VERSION,
             "name": self.name,
@@ -100,18 +100,18 @@
     json!({
         "name": *listener.name.borrow(),
         "address": listener.address.to_string(),
-        "state": if listener.is_leaving() { "leaving" } else { "serving" },
-        "connections_taken": listener.clients.entered(),
+        "state": if listener.is_draining() { "leaving" } else { "serving" },
+        "connections_taken": listener.clients.accepted(),
         "connections": {
-            "parked": listener.clients.parked(), "served": listener.clients.served(), "woken": listener.clients.woken(),
+            "parked": listener.clients.parked(), "served": listener.clients.active(), "woken": listener.clients.wakeups(),
         },
         "requests": {"senseless": listener.counts.senseless.get()},
         "limits": {
-            "connections": held(listener.seats.numbers()),
-            "open": held(listener.allowance.open()),
-            "bodies": held(listener.allowance.bodies()),
+            "connections": held(listener.connection_limit.usage()),
+            "open": held(listener.request_limits.in_flight()),
+            "bodies": held(listener.request_limits.body_bytes()),
         },
-        "thread": spent(listener.spent()),
+        "thread": spent(listener.cpu_time_used()),
     })
 }
 
@@ -153,9 +153,9 @@
         "service_level": levels::view(service, now),
         "connections": {"idle": service.connections.idle(), "opened": service.connections.opened()},
         "limits": {
-            "connections": held(service.connections.seats.numbers()),
-            "open": held(service.allowance.open()),
-            "bodies": held(service.allowance.bodies()),
+            "connections": held(service.connections.seats.usage()),
+            "open": held(service.request_limits.in_flight()),
+            "bodies": held(service.request_limits.body_bytes()),
         },
         "thread": spent(account),
     })
--- a/crates/sidecar/src/virtual_server.rs
+++ b/crates/sidecar/src/virtual_server.rs
@@ -7,15 +7,15 @@
 use super::fleet_limits::LetIn;
 use super::flow::{Onward, Reading};
 use super::graphql;
-use super::limits::Full;
-use super::listener::{Listener, Manner};
-use super::passing::{HeldByAnswer, Reply};
-use super::routing::{ClassFrom, Routing};
+use super::limits::LimitExceeded;
+use super::listener::{Listener, ListenerSettings};
+use super::response_body::{ResponseBody, ResponseResources};
+use super::routing::{ClassSource, Routing};
 use super::service::Service;
 use super::state_writer::IdempotencyRecord;
-use super::transaction::{self, Answer};
+use super::transaction::{self, FinalResponse};
 use super::tuned::ClassEntry;
-use super::upload::{self, Length, Room};
+use super::upload::{self, BodyLength, BodyReservations};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full as Whole};
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
@@ -27,7 +27,7 @@
 use std::rc::Rc;
 
 /// A client counts its time from the sending, which is a little before the reading.
-pub(super) const MARGIN: Micros = 1_000;
+pub(super) const CLIENT_DEADLINE_MARGIN: Micros = 1_000;
 
 pub(super) const TRACE_ID: HeaderName = HeaderName::from_static("x-trace-id");
 const EXPIRES: HeaderName = HeaderName::from_static("x-expires-in-ms");
@@ -36,56 +36,56 @@
 const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
 /// One request's id among those that are open at its service; free again when this is dropped.
-pub(super) struct OpenId<'a> {
+pub(super) struct InFlightRequestId<'a> {
     of: &'a Service,
     id: HeaderValue,
 }
 
-impl<'a> OpenId<'a> {
-    pub(super) fn new(of: &'a Service, id: &HeaderValue) -> Result<Self, Reject> {
+impl<'a> InFlightRequestId<'a> {
+    pub(super) fn new(of: &'a Service, id: &HeaderValue) -> Result<Self, RequestError> {
         if !of.ids.borrow_mut().insert(id.clone()) {
-            return Err(Reject::Senseless(
+            return Err(RequestError::Invalid(
                 StatusCode::CONFLICT,
                 "a request with this X-Trace-Id is open",
             ));
         }
-        Ok(OpenId { of, id: id.clone() })
+        Ok(InFlightRequestId { of, id: id.clone() })
     }
 }
 
-impl Drop for OpenId<'_> {
+impl Drop for InFlightRequestId<'_> {
     fn drop(&mut self) {
         self.of.forget(&self.id);
     }
 }
 
 /// Why a request goes no further than here.
-pub(super) enum Reject {
+pub(super) enum RequestError {
     /// It makes no sense. What else comes on its connection may be a part of it, so the connection is closed.
-    Senseless(StatusCode, &'static str),
+    Invalid(StatusCode, &'static str),
     /// There is no room for it now.
-    Refused(&'static str, Option<Micros>),
+    LimitReached(&'static str, Option<Micros>),
 }
 
 /// Too long to be recorded, so that it could never be sent.
-const LONG_ID: Reject = senseless(
+const LONG_ID: RequestError = bad_request(
     "the id of a request that must not run twice is over 1,024 bytes with its header's name",
 );
 
-pub(super) const fn senseless(problem: &'static str) -> Reject {
-    Reject::Senseless(StatusCode::BAD_REQUEST, problem)
+pub(super) const fn bad_request(problem: &'static str) -> RequestError {
+    RequestError::Invalid(StatusCode::BAD_REQUEST, problem)
 }
 
 /// One request and its answer.
-pub(super) async fn answer(
+pub(super) async fn handle_request(
     listener: &Rc<Listener>,
     client: &Rc<Client>,
     request: Request<Incoming>,
-) -> Response<Reply> {
+) -> Response<ResponseBody> {
     let came = listener.common.clock.now();
     if client.ambiguous.get() {
         count(&listener.counts.senseless);
-        return rejected(senseless("it is not certain where the message ends"));
+        return rejected(bad_request("it is not certain where the message ends"));
     }
     if request.uri().path() == "/ready" && request.method() == Method::GET {
         return ready(listener, request.uri().query());
@@ -100,40 +100,40 @@
     };
     listener.charge(&client.charged, &service);
     let class = match class {
-        ClassFrom::Graphql => {
-            return graphql::answer(listener, client, &service, came, head, body).await;
+        ClassSource::Graphql => {
+            return graphql::handle_request(listener, client, &service, came, head, body).await;
         }
-        ClassFrom::Route(class) => Some(class),
-        ClassFrom::Path => None,
+        ClassSource::Route(class) => Some(class),
+        ClassSource::Path => None,
     };
-    let manner = listener.manner.get();
+    let settings = listener.settings.get();
     let mut body = Some(body);
     // Held to the end of the request: until then its rules stay those that it came under.
     let entry = class_of(&service, class.as_deref(), &head);
-    let mut room = Room::new();
+    let mut room = BodyReservations::new();
     let taken = async {
         let new = read(&service, entry.as_deref(), &head)?;
-        let length = Length::of(body.as_ref(), &head.headers, manner.body_size)?;
+        let length = BodyLength::from_head(body.as_ref(), &head.headers, settings.max_body_size)?;
         let id = head
             .headers
             .get(TRACE_ID)
-            .ok_or(senseless("X-Trace-Id is missing"))?;
+            .ok_or(bad_request("X-Trace-Id is missing"))?;
         let held = (
             admit(listener, &service, came, 0)?,
-            let_in(&service, entry.as_deref(), &head.headers)?,
+            admit_by_fleet_limits(&service, entry.as_deref(), &head.headers)?,
         );
-        let id = OpenId::new(&service, id)?;
-        let upload = upload::take(
+        let id = InFlightRequestId::new(&service, id)?;
+        let upload = upload::read_body(
             listener,
             &service,
             &mut body,
             length,
-            manner.body_size,
+            settings.max_body_size,
             &mut room,
         )
         .await?;
         if service.transactions.borrow().len() >= service.tuned().site.max_open {
-            return Err(Reject::Refused(
+            return Err(RequestError::LimitReached(
                 "too many requests are open",
                 service.retry_after(),
             ));
@@ -143,18 +143,18 @@
     let (mut new, body, (held, id)) = match taken.await {
         Ok(taken) => taken,
         Err(reject) => {
-            note(&service, entry.as_deref(), &reject, body.take(), manner);
+            record_rejection(&service, entry.as_deref(), &reject, body.take(), settings);
             return rejected(reject);
         }
     };
-    client.body_read.set(body.passing().is_none());
+    client.body_read.set(body.streamed().is_none());
     let open = service.counts.open();
     let counts = service.class_counts(new.class);
     let now = listener.common.clock.now();
     // Its time counts from its last byte, and what its client took to write it is not the answer's.
     new.time_left = listener
         .common
-        .time_left(now, new.time_left.saturating_sub(MARGIN));
+        .time_left(now, new.time_left.saturating_sub(CLIENT_DEADLINE_MARGIN));
     // An absolute target names this sidecar; the node is to see the path alone.
     let path = head.uri.into_parts().path_and_query;
     let uri = path.map_or_else(|| Uri::from_static("/"), Uri::from);
@@ -188,33 +188,36 @@
     let answer = transaction::run(&service, now, new, Rc::clone(&onward)).await;
     let came = onward
         .body
-        .passing()
-        .map_or(now, |passing| passing.whole.get().unwrap_or(came));
-    if let Some(passing) = onward.body.passing() {
+        .streamed()
+        .map_or(now, |streamed| streamed.completed_at.get().unwrap_or(came));
+    if let Some(streamed) = onward.body.streamed() {
         // What is left of it is read and dropped behind the answer, so that the answer arrives.
-        match passing.unread() {
-            Some(unread) if passing.whole.get().is_none() => {
-                drain(&service.common, unread, DRAINED_FOR)
+        match streamed.take_unread() {
+            Some(unread) if streamed.completed_at.get().is_none() => {
+                drain(&service.common, unread, BODY_DRAIN_TIMEOUT)
             }
-            _ => onward.client.body_read.set(passing.whole.get().is_some()),
+            _ => onward
+                .client
+                .body_read
+                .set(streamed.completed_at.get().is_some()),
         }
-        if let Some(reject) = passing.broken.take() {
+        if let Some(reject) = streamed.failure.take() {
             count(&counts.senseless);
             return rejected(reject);
         }
     }
     match answer {
-        Answer::Served(mut response) => {
+        FinalResponse::Served(mut response) => {
             if listener.common.clock.now() - came > aim {
                 count(&counts.late);
             }
             match response.body_mut() {
-                Reply::Whole(_) => count(&counts.served),
+                ResponseBody::Buffered(_) => count(&counts.served),
                 // It is open to its last byte, and so is all that it holds.
-                Reply::Passing(passing) => {
+                ResponseBody::Streamed(streamed) => {
                     let _rest = Box::new((open, room, entry, held));
                     drop(id);
-                    passing.held = Some(HeldByAnswer {
+                    streamed.resources = Some(ResponseResources {
                         counts,
                         client: Rc::clone(&onward.client),
                         common: Rc::clone(&listener.common),
@@ -224,11 +227,11 @@
             }
             response
         }
-        Answer::Refused { retry_after } => {
+        FinalResponse::Rejected { retry_after } => {
             count(&counts.refused);
             refusal("refused", retry_after)
         }
-        Answer::Failed => {
+        FinalResponse::Failed => {
             count(&counts.failed);
             plain(StatusCode::BAD_GATEWAY, "failed")
         }
@@ -236,17 +239,17 @@
 }
 
 /// How long what is left of a body is read behind an answer that did not need it.
-pub(super) const DRAINED_FOR: Micros = 5_000_000;
+pub(super) const BODY_DRAIN_TIMEOUT: Micros = 5_000_000;
 
 /// Counts a request that goes no further, and reads the body that it came with where that is wanted.
-pub(super) fn note(
+pub(super) fn record_rejection(
     service: &Service,
     class: Option<&ClassEntry>,
-    reject: &Reject,
+    reject: &RequestError,
     unread: Option<Incoming>,
-    manner: Manner,
+    settings: ListenerSettings,
 ) {
-    let turned_away = matches!(reject, Reject::Refused(..));
+    let turned_away = matches!(reject, RequestError::LimitReached(..));
     let counts = class.map_or_else(
         || service.counts.unclassed(),
         |class| Rc::clone(&class.counts),
@@ -256,22 +259,22 @@
     } else {
         &counts.senseless
     });
-    if let Some(unread) = unread.filter(|_| turned_away && manner.drains) {
-        drain(&service.common, unread, manner.body_within);
+    if let Some(unread) = unread.filter(|_| turned_away && settings.drains_rejected_bodies) {
+        drain(&service.common, unread, settings.body_timeout);
     }
 }
 
 /// Whether the listener leads to a service that knows a server, or, where one is named, whether that one does.
-fn ready(listener: &Listener, query: Option<&str>) -> Response<Reply> {
+fn ready(listener: &Listener, query: Option<&str>) -> Response<ResponseBody> {
     let routing = Rc::clone(&listener.routing.borrow());
     let named =
         query.and_then(|query| query.split('&').find_map(|pair| pair.strip_prefix("pool=")));
     let mut wanted = routing
-        .reached()
+        .reachable_services()
         .iter()
         .filter(|service| named.is_none_or(|name| service.name == name));
     let ready = wanted.any(|service| service.pool.is_known());
-    let wanted = listener.common.duty.borrow().is_serving() && !listener.is_leaving();
+    let wanted = listener.common.duty.borrow().is_serving() && !listener.is_draining();
     plain(
         if ready && wanted {
             StatusCode::OK
@@ -283,17 +286,17 @@
 }
 
 /// The service that a request is for, and what its class follows from.
-fn find(listener: &Listener, head: &Parts) -> Result<(Rc<Service>, ClassFrom), Reject> {
+fn find(listener: &Listener, head: &Parts) -> Result<(Rc<Service>, ClassSource), RequestError> {
     let routing = Rc::clone(&listener.routing.borrow());
     let routed = match &*routing {
-        Routing::One(service) => return Ok((Rc::clone(service), ClassFrom::Path)),
-        Routing::Table(routed) => routed,
+        Routing::SingleService(service) => return Ok((Rc::clone(service), ClassSource::Path)),
+        Routing::Routes(routed) => routed,
     };
     let asked = Asked::read(&head.method, &head.uri, head.version, &head.headers);
-    let asked = asked.map_err(|fault: Fault| senseless(fault.text()))?;
+    let asked = asked.map_err(|fault: Fault| bad_request(fault.text()))?;
     // What has no key is split by chance: its count is as good as that.
-    let key = split_key(&head.headers).unwrap_or_else(|| listener.clients.entered());
-    let none = Reject::Senseless(StatusCode::NOT_FOUND, "no route takes it");
+    let key = split_key(&head.headers).unwrap_or_else(|| listener.clients.accepted());
+    let none = RequestError::Invalid(StatusCode::NOT_FOUND, "no route takes it");
     routed.find(&asked, key).ok_or(none)
 }
 
@@ -303,20 +306,22 @@
     service: &Service,
     now: Micros,
     size: u64,
-) -> Result<[[super::limits::Held; 2]; 2], Reject> {
+) -> Result<[[super::limits::Reservation; 2]; 2], RequestError> {
     let held = service
-        .allowance
+        .request_limits
         .admit(now, size)
-        .and_then(|held| Ok([held, listener.allowance.admit(now, size)?]));
+        .and_then(|held| Ok([held, listener.request_limits.admit(now, size)?]));
     held.map_err(|full| {
         let usual = service.retry_after();
         match full {
-            Full::Open => Reject::Refused("too many requests are open", usual),
-            Full::Bodies => Reject::Refused("too much is open", usual),
-            Full::Rate(wait) => {
+            LimitExceeded::InFlight => {
+                RequestError::LimitReached("too many requests are open", usual)
+            }
+            LimitExceeded::BodyBytes => RequestError::LimitReached("too much is open", usual),
+            LimitExceeded::Rate(wait) => {
                 count(&service.counts.unclassed().over_rate);
                 // Clients honour no longer advice than the settings say.
-                Reject::Refused(
+                RequestError::LimitReached(
                     "too many requests have come",
                     usual.map(|most| wait.min(most)),
                 )
@@ -326,11 +331,11 @@
 }
 
 /// Lets a request in under the fleet-wide limits that are for it.
-pub(super) fn let_in(
+pub(super) fn admit_by_fleet_limits(
     service: &Service,
     class: Option<&ClassEntry>,
     headers: &HeaderMap,
-) -> Result<Option<LetIn>, Reject> {
+) -> Result<Option<LetIn>, RequestError> {
     let class = class.map(|class| &*class.name);
     service
         .common
@@ -345,7 +350,7 @@
             };
             // Clients honour no longer advice than the settings say.
             let usual = service.retry_after();
-            Reject::Refused(
+            RequestError::LimitReached(
                 problem,
                 usual.map(|most| denied.retry_after.map_or(most, |after| after.min(most))),
             )
@@ -363,10 +368,10 @@
     });
 }
 
-fn rejected(reject: Reject) -> Response<Reply> {
+fn rejected(reject: RequestError) -> Response<ResponseBody> {
     match reject {
-        Reject::Refused(problem, retry_after) => refusal(problem, retry_after),
-        Reject::Senseless(status, problem) => {
+        RequestError::LimitReached(problem, retry_after) => refusal(problem, retry_after),
+        RequestError::Invalid(status, problem) => {
             let mut response = plain(status, problem);
             response
                 .headers_mut()
@@ -376,33 +381,33 @@
     }
 }
 
-fn plain(status: StatusCode, text: &'static str) -> Response<Reply> {
-    let mut response = Response::new(Reply::Whole(Whole::from(text)));
+fn plain(status: StatusCode, text: &'static str) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::Buffered(Whole::from(text)));
     *response.status_mut() = status;
     response
 }
 
-fn refusal(text: &'static str, retry_after: Option<Micros>) -> Response<Reply> {
+fn refusal(text: &'static str, retry_after: Option<Micros>) -> Response<ResponseBody> {
     let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, text);
-    if let Some(wait) = retry_after.and_then(seconds) {
+    if let Some(wait) = retry_after.and_then(retry_after_value) {
         response.headers_mut().insert(header::RETRY_AFTER, wait);
     }
     response
 }
 
-pub(super) fn seconds(span: Micros) -> Option<HeaderValue> {
+pub(super) fn retry_after_value(span: Micros) -> Option<HeaderValue> {
     HeaderValue::from_maybe_shared(Bytes::from((span as f64 / 1e6).to_string())).ok()
 }
 
 /// How long the body is, known before any of it is read. Where a request has both a length and chunks, hyper
 /// shows the chunks alone, while to another reader the rest may hide a request: so a length must be given.
-pub(super) fn length(
+pub(super) fn declared_length(
     body: Option<&Incoming>,
     headers: &HeaderMap,
     most: usize,
-) -> Result<usize, Reject> {
+) -> Result<usize, RequestError> {
     if headers.contains_key(header::TRANSFER_ENCODING) {
-        return Err(Reject::Senseless(
+        return Err(RequestError::Invalid(
             StatusCode::LENGTH_REQUIRED,
             "Content-Length is missing",
         ));
@@ -415,21 +420,24 @@
         _ => "the body is longer than this listener takes",
     };
     size.filter(|size| *size <= most)
-        .ok_or(Reject::Senseless(StatusCode::PAYLOAD_TOO_LARGE, problem))
+        .ok_or(RequestError::Invalid(
+            StatusCode::PAYLOAD_TOO_LARGE,
+            problem,
+        ))
 }
 
-pub(super) async fn whole(
+pub(super) async fn read_complete_body(
     common: &Common,
     body: Option<Incoming>,
     within: Micros,
-) -> Result<Bytes, Reject> {
+) -> Result<Bytes, RequestError> {
     let Some(body) = body else {
         return Ok(Bytes::new());
     };
     match common.within(within, body.collect()).await {
         Some(Ok(body)) => Ok(body.to_bytes()),
-        Some(Err(_)) => Err(senseless("the body has broken off")),
-        None => Err(Reject::Senseless(
+        Some(Err(_)) => Err(bad_request("the body has broken off")),
+        None => Err(RequestError::Invalid(
             StatusCode::REQUEST_TIMEOUT,
             "the body has not come",
         )),
@@ -443,7 +451,11 @@
 }
 
 /// Takes out of a request what the module needs of it.
-fn read(service: &Service, class: Option<&ClassEntry>, head: &Parts) -> Result<NewRequest, Reject> {
+fn read(
+    service: &Service,
+    class: Option<&ClassEntry>,
+    head: &Parts,
+) -> Result<NewRequest, RequestError> {
     let headers = &head.headers;
     let text = |name: &HeaderName| {
         headers
@@ -452,7 +464,7 @@
             .map(str::trim)
     };
     let several = |name: &HeaderName| headers.get_all(name).iter().nth(1).is_some();
-    let class = class.ok_or(Reject::Senseless(
+    let class = class.ok_or(RequestError::Invalid(
         StatusCode::NOT_FOUND,
         "there is no such class",
     ))?;
@@ -464,26 +476,26 @@
             Method::POST
         }
     {
-        return Err(Reject::Senseless(
+        return Err(RequestError::Invalid(
             StatusCode::METHOD_NOT_ALLOWED,
             "the class wants another method",
         ));
     }
     if text(&TRACE_ID).is_none_or(str::is_empty) || several(&TRACE_ID) {
-        return Err(senseless("X-Trace-Id is missing, or there are several"));
+        return Err(bad_request("X-Trace-Id is missing, or there are several"));
     }
     // Without one key that all servers read alike, they could not tell a repeat from another request.
     let keyed = matches!(effect, Effect::Keyed { .. });
     if keyed && (text(&IDEMPOTENCY_KEY).is_none_or(str::is_empty) || several(&IDEMPOTENCY_KEY)) {
-        return Err(senseless(
+        return Err(bad_request(
             "Idempotency-Key is missing, or there are several",
         ));
     }
-    let left = time_left(headers)?.ok_or(senseless(
+    let left = client_time_left(headers)?.ok_or(bad_request(
         "X-Expires-In-Ms is missing, or there are several",
     ))?;
     Ok(NewRequest {
-        id: next_request(service),
+        id: next_request_id(service),
         class: class.place,
         tenant: 0,
         key: subject(headers),
@@ -494,13 +506,13 @@
 }
 
 /// How long the client waits, if it says so.
-pub(super) fn time_left(headers: &HeaderMap) -> Result<Option<Micros>, Reject> {
+pub(super) fn client_time_left(headers: &HeaderMap) -> Result<Option<Micros>, RequestError> {
     let mut given = headers.get_all(&EXPIRES).iter();
     let Some(left) = given.next() else {
         return Ok(None);
     };
     if given.next().is_some() {
-        return Err(senseless(
+        return Err(bad_request(
             "X-Expires-In-Ms is missing, or there are several",
         ));
     }
@@ -510,12 +522,12 @@
         .map(str::trim)
         .filter(|left| left.bytes().all(|b| b.is_ascii_digit()));
     let left: Option<Micros> = left.and_then(|left| left.parse().ok());
-    let left = left.ok_or(senseless("X-Expires-In-Ms is not a whole number"))?;
+    let left = left.ok_or(bad_request("X-Expires-In-Ms is not a whole number"))?;
     Ok(Some(left.min(DAY_MS) * 1_000))
 }
 
 /// The number of the next request.
-pub(super) fn next_request(service: &Service) -> RequestId {
+pub(super) fn next_request_id(service: &Service) -> RequestId {
     let id = service.last_request.get() + 1;
     service.last_request.set(id);
     id
