--- a/crates/sidecar/src/attempt.rs
+++ b/crates/sidecar/src/attempt.rs
@@ -1,21 +1,10 @@
 //! One server-side flow: an attempt at a server, from its connection to its one outcome.
 
-use super::client::Client;
-use super::connections::ConnectError;
-use super::counts::increment;
-use super::exchange::{self, BodyRead, CompleteBody, ExchangeError, RequestMessage, SendProgress};
-use super::passing::{Passing, Reply};
-use super::readiness;
-use super::service::Service;
-use super::state_writer::{IdempotencyRecord, WriteBarrier};
-use super::teller::EndedAttempt;
-use super::transaction::Answer;
-use super::upload::{self, Length, Upload};
 use bytes::{Bytes, BytesMut};
 use http_body_util::Full;
-use hyper::header::{HeaderName, HeaderValue};
+use hyper::{HeaderMap, Method, Response, StatusCode, Uri};
+use hyper::header::{HeaderName, HeaderValue, self};
 use hyper::http::uri::PathAndQuery;
-use hyper::{HeaderMap, Method, Response, StatusCode, Uri, header};
 use madderloom_balancer::{Closed, Event, Micros, Outcome, RequestId, ServerId};
 use madderloom_graphql::Verdict;
 use std::cell::Cell;
@@ -24,6 +13,17 @@
 use std::pin::{Pin, pin};
 use std::rc::Rc;
 use std::task::Poll;
+use super::readiness;
+use super::client::Client;
+use super::connections::ConnectError;
+use super::counts::increment;
+use super::exchange::{BodyRead, CompleteBody, ExchangeError, RequestMessage, SendProgress, self};
+use super::response_body::{ResponseBody, StreamedResponseBody};
+use super::service::Service;
+use super::state_writer::{IdempotencyRecord, WriteBarrier};
+use super::teller::EndedAttempt;
+use super::transaction::FinalResponse;
+use super::upload::{BodyLength, RequestBody, self};
 use tokio::net::TcpStream;
 
 /// An answer of unknown length is passed on as it comes once it has gone on for so long.
@@ -57,7 +57,7 @@
     pub(super) method: Method,
     pub(super) uri: Uri,
     pub(super) headers: HeaderMap,
-    pub(super) body: Upload,
+    pub(super) body: RequestBody,
     pub(super) non_idempotent: bool,
     pub(super) protocol: ResponseProtocol,
     /// Where its pool keeps a ledger of what must not run twice.
@@ -68,7 +68,7 @@
     /// Ends at once while the client is there. Where it has gone this never ends, and all that was begun for it is dropped in
     /// a moment: to be asked just before something begins that nobody wants any more.
     pub(super) async fn wait_forever_if_client_gone(&self) {
-        if self.client.has_gone() {
+        if self.client.has_disconnected() {
             std::future::pending().await
         }
     }
@@ -116,7 +116,7 @@
     /// connection came up. It is not written then: nothing has run, and its client can be told so. The time of a body that
     /// is passed on begins with its last byte.
     fn is_out_of_time(&self, onward: &ForwardedRequest) -> bool {
-        onward.body.passing().is_none() && self.service.process.clock.now() >= self.timeout_at
+        onward.body.streamed().is_none() && self.service.process.clock.now() >= self.timeout_at
     }
 
     fn close(&mut self, outcome: Outcome) {
@@ -156,15 +156,15 @@
 
 /// Makes the attempt. An answer is there if its outcome was that it was served, or where the ledger does not let it be
 /// sent; else the module has been told, and says what follows.
-pub(super) async fn run(mut attempt: Attempt, onward: Rc<ForwardedRequest>) -> Option<Answer> {
+pub(super) async fn run(mut attempt: Attempt, onward: Rc<ForwardedRequest>) -> Option<FinalResponse> {
     if let Some(record) = &onward.idempotency_record {
         let barrier = record.pass_barrier().await;
         if barrier != WriteBarrier::Open {
             attempt.transaction_ended.set(true);
             attempt.close(Outcome::Moot);
             return Some(match barrier {
-                WriteBarrier::MayHaveRun => Answer::Failed,
-                _ => Answer::Refused {
+                WriteBarrier::MayHaveRun => FinalResponse::Failed,
+                _ => FinalResponse::Rejected {
                     retry_after: attempt.service.retry_after(),
                 },
             });
@@ -189,7 +189,7 @@
         }
     };
     attempt.close(outcome);
-    answer.map(Answer::Served)
+    answer.map(FinalResponse::Served)
 }
 
 /// The time of a request whose body is passed on runs from its last byte on.
@@ -199,7 +199,7 @@
     exchange: impl Future<Output = T>,
 ) -> Option<T> {
     let process = &attempt.service.process;
-    let Some(passing) = onward.body.passing() else {
+    let Some(passing) = onward.body.streamed() else {
         return process.timeout_at(attempt.timeout_at, exchange).await;
     };
     let wait = attempt.timeout_at.saturating_sub(attempt.sent_at.get());
@@ -209,7 +209,7 @@
         if let Poll::Ready(done) = exchange.as_mut().poll(context) {
             return Poll::Ready(Some(done));
         }
-        let Some(whole) = passing.whole.get() else {
+        let Some(whole) = passing.completed_at.get() else {
             return Poll::Pending;
         };
         let alarm = alarm.get_or_insert_with(|| process.sleep_until(whole.saturating_add(wait)));
@@ -218,7 +218,7 @@
     .await
 }
 
-type Ended = (Outcome, Option<Response<Reply>>);
+type Ended = (Outcome, Option<Response<ResponseBody>>);
 
 async fn exchange(attempt: &Attempt, onward: &ForwardedRequest, progress: &SendProgress) -> Ended {
     let service = &attempt.service;
@@ -227,7 +227,7 @@
     };
     if onward
         .body
-        .passing()
+        .streamed()
         .is_some_and(|passing| !passing.can_be_sent())
     {
         return (Outcome::Moot, None);
@@ -245,8 +245,8 @@
     // What may have run must not run twice: a break that comes before the last byte proves that it has not.
     let held = onward.non_idempotent
         && service.connections.recently_broke()
-        && !onward.body.at_hand().is_empty();
-    let held = held && onward.body.passing().is_none();
+        && !onward.body.buffered().is_empty();
+    let held = held && onward.body.streamed().is_none();
     let message = message(onward, address, left);
     let (mut lease, mut answer, head) = loop {
         let open = service.connections.acquire(attempt.server, address);
@@ -284,7 +284,7 @@
             }
             return (Outcome::Moot, None);
         };
-        if let (Some(passing), Ok(())) = (onward.body.passing(), &sent) {
+        if let (Some(passing), Ok(())) = (onward.body.streamed(), &sent) {
             let at_hand = progress.complete.replace(false);
             if at_hand {
                 sent = pass_on(attempt, passing, &lease.stream, progress).await;
@@ -351,18 +351,18 @@
             let unread = answer.into_unread();
             let (service, server) = (Rc::clone(service), attempt.server);
             let lease = Some(lease);
-            let passing = Passing {
+            let passing = StreamedResponseBody {
                 service,
                 server,
                 address,
                 lease,
                 reusable,
-                unread,
+                undecoded: unread,
                 unwrapper,
-                first,
-                held: None,
+                decoded: first,
+                resources: None,
             };
-            let mut response = Response::new(Reply::Passing(Box::new(passing)));
+            let mut response = Response::new(ResponseBody::Streamed(Box::new(passing)));
             *response.headers_mut() = head.headers;
             (Outcome::Ok, Some(response))
         }
@@ -378,21 +378,21 @@
 /// more.
 async fn pass_on(
     attempt: &Attempt,
-    passing: &upload::Passing,
+    passing: &upload::StreamedRequestBody,
     stream: &TcpStream,
     progress: &SendProgress,
 ) -> Result<(), ExchangeError> {
     let service = &attempt.service;
-    let Some(mut reader) = passing.take() else {
+    let Some(mut reader) = passing.take_remainder() else {
         return Ok(());
     };
-    let chunked = passing.length == Length::Chunked;
+    let chunked = passing.length == BodyLength::Chunked;
     let mut result = Ok(());
     let whole = loop {
         let piece = {
             let (mut next, mut speaks) = (
                 pin!(reader.next(&service.process)),
-                pin!(readiness::peer_spoke(stream)),
+                pin!(readiness::peer_readable(stream)),
             );
             poll_fn(|context| match next.as_mut().poll(context) {
                 Poll::Ready(piece) => Poll::Ready(Some(piece)),
@@ -404,7 +404,7 @@
         let (bytes, last) = match piece {
             Ok(Some(data)) => {
                 // Nothing of it is kept, so it can't be sent again.
-                if !passing.spent.replace(true) {
+                if !passing.consumed.replace(true) {
                     service.handle(service.process.clock.now(), Event::Spent(attempt.request));
                 }
                 (if chunked { chunk(&data) } else { data }, false)
@@ -414,7 +414,7 @@
                 true,
             ),
             Err(reject) => {
-                passing.broken.replace(Some(reject));
+                passing.failure.replace(Some(reject));
                 // With its client's part missing there is nothing to wait for.
                 result = Err(ExchangeError::Malformed);
                 break false;
@@ -437,11 +437,11 @@
     if whole {
         let now = service.process.clock.now();
         progress.complete.set(true);
-        passing.whole.set(Some(now));
+        passing.completed_at.set(Some(now));
         attempt.sent_at.set(now);
         service.handle(now, Event::Came(attempt.request));
     } else {
-        passing.give_back(reader);
+        passing.return_remainder(reader);
     }
     result
 }
@@ -471,10 +471,10 @@
     {
         message.add_header(&header::HOST, &host);
     }
-    let body = onward.body.at_hand().clone();
-    match onward.body.passing().map(|passing| passing.length) {
-        Some(Length::Known(length)) => message.add_number_header(&header::CONTENT_LENGTH, length),
-        Some(Length::Chunked) => {
+    let body = onward.body.buffered().clone();
+    match onward.body.streamed().map(|passing| passing.length) {
+        Some(BodyLength::Known(length)) => message.add_number_header(&header::CONTENT_LENGTH, length),
+        Some(BodyLength::Chunked) => {
             message.add_header(
                 &header::TRANSFER_ENCODING,
                 &HeaderValue::from_static("chunked"),
@@ -508,7 +508,7 @@
             (Outcome::Full, None)
         }
         _ if is_answer => {
-            let mut answer = Response::new(Reply::Whole(Full::new(body)));
+            let mut answer = Response::new(ResponseBody::Buffered(Full::new(body)));
             *answer.status_mut() = status;
             *answer.headers_mut() = headers;
             (Outcome::Ok, Some(answer))
--- a/crates/sidecar/src/process.rs
+++ b/crates/sidecar/src/process.rs
@@ -1,29 +1,27 @@
 //! The sidecar as a whole: made of the platform's configuration, of the operator file, or of both.
 
+use madderloom_balancer::Micros;
+use madderloom_operator_config::{Kept, MemberLimits, Operator, PLATFORM};
+use madderloom_routing::shares::Part;
+use madderloom_watchdog::{TaskKind, self as watchdog};
+use std::cell::RefCell;
+use std::hash::{BuildHasher, RandomState};
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::rc::Rc;
+use std::time::Duration;
+use super::{control_address, timers, warm_start};
 use super::admin::AdminServer;
 use super::agent_link::AgentLink;
 use super::config::{Config, ConfigKeys, descriptor_limit};
-use super::control_address;
 use super::feed::FOLLOWERS;
 use super::kept::keep_going;
-use super::listener::{Listener, Manner, Socket, bind};
+use super::listener::{BoundSocket, Listener, ListenerSettings, bind};
 use super::ordinal::ordinal_in_name;
 use super::process_state::{ProcessState, ResourceTotals};
 use super::routing::Routing;
 use super::service::{ResourceShares, Service, ServiceSpec};
 use super::state_writer::StateWriter;
-use super::timers;
-use super::warm_start;
-use madderloom_balancer::Micros;
-use madderloom_operator_config::{Kept, MemberLimits, Operator, PLATFORM};
-use madderloom_routing::shares::Part;
-use madderloom_watchdog::{self as watchdog, TaskKind};
-use std::cell::RefCell;
-use std::hash::{BuildHasher, RandomState};
-use std::net::SocketAddr;
-use std::path::PathBuf;
-use std::rc::Rc;
-use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::task::AbortHandle;
 
@@ -177,7 +175,7 @@
             .listeners
             .borrow()
             .iter()
-            .for_each(|listener| listener.leave());
+            .for_each(|listener| listener.start_draining());
         while !self.process.listeners.borrow().is_empty() {
             self.process.listener_ended.notified().await;
         }
@@ -302,15 +300,21 @@
         }
         None => bind(listen).map_err(|e| format!("RELAY_LISTEN: {listen}: {e}"))?,
     };
-    let routing = Routing::One(Rc::clone(&service));
+    let routing = Routing::SingleService(Rc::clone(&service));
     let limits = (None, parts(bounds.client_connections.total()));
-    let place = Socket {
-        wanted: listen,
+    let place = BoundSocket {
+        configured_address: listen,
         socket,
         shared,
     };
     let name = if named { PLATFORM } else { "" };
-    let listener = Listener::start(process, name, place, (Manner::usual(), routing), limits);
+    let listener = Listener::start(
+        process,
+        name,
+        place,
+        (ListenerSettings::defaults(), routing),
+        limits,
+    );
     Ok((service, listener))
 }
 
--- a/crates/sidecar/src/process_state.rs
+++ b/crates/sidecar/src/process_state.rs
@@ -1,23 +1,23 @@
 //! What belongs to the process: its clock, its limits, the turns on its thread, and who is there.
 
+use madderloom_admin::duty::Duty;
+use madderloom_balancer::Micros;
+use std::cell::{Cell, OnceCell, RefCell};
+use std::net::SocketAddr;
+use std::rc::Rc;
 use super::clock::{Clock, LocalTimeZone};
 use super::connections::is_resource_exhaustion;
 use super::fair_scheduler::{Scheduler, SchedulerAccount};
 use super::feed::Feed;
 use super::fleet_limits::FleetLimits;
 use super::levels::CpuUsage;
-use super::limits::Bound;
+use super::limits::SharedLimit;
 use super::listener::Listener;
 use super::pool::Steering;
 use super::service::Service;
 use super::shared_lists::SharedLists;
 use super::state_writer::StateWriter;
 use super::timers::Timers;
-use madderloom_admin::duty::Duty;
-use madderloom_balancer::Micros;
-use std::cell::{Cell, OnceCell, RefCell};
-use std::net::SocketAddr;
-use std::rc::Rc;
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
@@ -89,12 +89,12 @@
 
 /// What all services and listeners share.
 pub(super) struct SharedLimits {
-    pub(super) client_connections: Rc<Bound>,
-    pub(super) server_connections: Rc<Bound>,
-    pub(super) requests_by_pool: Rc<Bound>,
-    pub(super) requests_by_listener: Rc<Bound>,
-    pub(super) body_bytes_by_pool: Rc<Bound>,
-    pub(super) body_bytes_by_listener: Rc<Bound>,
+    pub(super) client_connections: Rc<SharedLimit>,
+    pub(super) server_connections: Rc<SharedLimit>,
+    pub(super) requests_by_pool: Rc<SharedLimit>,
+    pub(super) requests_by_listener: Rc<SharedLimit>,
+    pub(super) body_bytes_by_pool: Rc<SharedLimit>,
+    pub(super) body_bytes_by_listener: Rc<SharedLimit>,
 }
 
 /// How much there is of what is shared.
@@ -140,12 +140,12 @@
 impl SharedLimits {
     fn new(totals: ResourceTotals) -> Self {
         SharedLimits {
-            client_connections: Bound::new(totals.connections),
-            server_connections: Bound::new(totals.connections),
-            requests_by_pool: Bound::new(totals.requests),
-            requests_by_listener: Bound::new(totals.requests),
-            body_bytes_by_pool: Bound::new(totals.body_bytes),
-            body_bytes_by_listener: Bound::new(totals.body_bytes),
+            client_connections: SharedLimit::new(totals.connections),
+            server_connections: SharedLimit::new(totals.connections),
+            requests_by_pool: SharedLimit::new(totals.requests),
+            requests_by_listener: SharedLimit::new(totals.requests),
+            body_bytes_by_pool: SharedLimit::new(totals.body_bytes),
+            body_bytes_by_listener: SharedLimit::new(totals.body_bytes),
         }
     }
 }
@@ -271,9 +271,9 @@
         let listeners = self.listeners.borrow();
         let oldest = listeners
             .iter()
-            .filter_map(|listener| Some((listener.clients.oldest_parked()?, listener)));
+            .filter_map(|listener| Some((listener.clients.oldest_parked_since()?, listener)));
         if let Some((_, listener)) = oldest.min_by_key(|(since, _)| *since) {
-            listener.clients.make_room(self.clock.now());
+            listener.clients.evict_idle(self.clock.now());
         }
     }
 
@@ -287,7 +287,7 @@
             .listeners
             .borrow()
             .iter()
-            .any(|listener| listener.clients.make_room(now));
+            .any(|listener| listener.clients.evict_idle(now));
         if !made {
             self.close_oldest_server_connection();
         }
@@ -326,7 +326,9 @@
     /// Has a connection to a server closed that lies idle beyond what is guaranteed to its pool.
     pub(super) fn reclaim_server_connection(&self) {
         let services = self.services.borrow();
-        let borrowing = services.iter().filter(|s| s.connections.slots.borrows());
+        let borrowing = services
+            .iter()
+            .filter(|s| s.connections.slots.exceeds_guarantee());
         let oldest = borrowing.filter_map(|s| Some((s.connections.oldest_idle_since()?, s)));
         if let Some((_, service)) = oldest.min_by_key(|(since, _)| *since) {
             service.connections.close_oldest_idle();
@@ -335,8 +337,13 @@
 
     /// Has a client's connection closed that lies idle beyond what is guaranteed to its listener.
     pub(super) fn reclaim_client_connection(&self) {
-        for listener in self.listeners.borrow().iter().filter(|l| l.seats.borrows()) {
-            listener.clients.make_room(self.clock.now());
+        for listener in self
+            .listeners
+            .borrow()
+            .iter()
+            .filter(|l| l.connection_limit.exceeds_guarantee())
+        {
+            listener.clients.evict_idle(self.clock.now());
         }
     }
 }
--- a/crates/sidecar/src/service.rs
+++ b/crates/sidecar/src/service.rs
@@ -1,25 +1,10 @@
 //! A service: one pool of servers with an instance of the decision module of its own, and all that belongs to it
 //! alone. Nothing of one service is seen by another but through what the process limits.
 
-use super::active_settings::ActiveSettings;
-use super::connections::Connections;
-use super::counts::{OutcomeCounts, ServiceCounts};
-use super::fair_scheduler::ChargedAccount;
-use super::limits::Allowance;
-use super::moves::Moves;
-use super::pool::{self, Listing, Pool};
-use super::process_state::ProcessState;
-use super::teller::{EndedAttempt, Teller};
-use super::transaction::{Step, Steps};
-use super::warm_start::WarmStart;
-use super::{discovery_watch, event_log, levels, probe};
 use foldhash::quality::FixedState;
 use hyper::header::HeaderValue;
+use madderloom_balancer::{Action, Balancer, Event, Members, Memory, Micros, NewRequest, Note, RequestId, ServerId, Snapshot, Timer};
 use madderloom_balancer::settings::Site;
-use madderloom_balancer::{
-    Action, Balancer, Event, Members, Memory, Micros, NewRequest, Note, RequestId, ServerId,
-    Snapshot, Timer,
-};
 use madderloom_degradation::{LevelController, LevelPlan};
 use madderloom_graphql::{Front, Policy};
 use madderloom_operator_config::{Kept, MemberLimits};
@@ -29,6 +14,18 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
+use super::{discovery_watch, event_log, levels, probe};
+use super::active_settings::ActiveSettings;
+use super::connections::Connections;
+use super::counts::{OutcomeCounts, ServiceCounts};
+use super::fair_scheduler::ChargedAccount;
+use super::limits::RequestLimits;
+use super::moves::Moves;
+use super::pool::{Listing, Pool, self};
+use super::process_state::ProcessState;
+use super::teller::{EndedAttempt, Teller};
+use super::transaction::{Step, StepQueue};
+use super::warm_start::WarmStart;
 use tokio::sync::Notify;
 use tokio::task::AbortHandle;
 
@@ -79,10 +76,10 @@
     /// The ids of open requests: no two have the same.
     pub(super) request_ids: RefCell<HashSet<HeaderValue, FixedState>>,
     /// The transactions that are not over, and where each hears what it is to do.
-    pub(super) transactions: RefCell<HashMap<RequestId, Rc<Steps>, FixedState>>,
+    pub(super) transactions: RefCell<HashMap<RequestId, Rc<StepQueue>, FixedState>>,
     pub(super) last_request_id: Cell<RequestId>,
     /// What its requests may hold together.
-    pub(super) allowance: Allowance,
+    pub(super) request_limits: RequestLimits,
     /// Its account of the thread's time, for its connections and for the requests that it has.
     pub(super) charged: Rc<ChargedAccount>,
     pub(super) counts: ServiceCounts,
@@ -154,7 +151,7 @@
             request_ids: RefCell::default(),
             transactions: RefCell::default(),
             last_request_id: Cell::new(0),
-            allowance: Allowance::new(
+            request_limits: RequestLimits::new(
                 bounds.requests_by_pool.join(parts.requests),
                 bounds.body_bytes_by_pool.join(parts.body_bytes),
                 limits.rate,
@@ -215,9 +212,9 @@
     }
 
     pub(super) fn set_limits(&self, limits: MemberLimits, parts: ResourceShares) {
-        self.connections.slots.change(parts.connections);
-        self.allowance
-            .change(parts.requests, parts.body_bytes, limits.rate);
+        self.connections.slots.update(parts.connections);
+        self.request_limits
+            .update(parts.requests, parts.body_bytes, limits.rate);
         if let Some(account) = super::fair_scheduler::charged_account(&self.charged) {
             account.set_weight(limits.weight);
         }
@@ -498,7 +495,7 @@
                 request,
                 retry_after,
             } => {
-                self.instruct(request, Step::Refuse { retry_after });
+                self.instruct(request, Step::Reject { retry_after });
             }
             Action::Fail { request } => {
                 self.instruct(request, Step::Fail);
