--- a/crates/balancer/src/decide.rs
+++ b/crates/balancer/src/decide.rs
@@ -5,7 +5,7 @@
 //! A server's region is proportional to its measured size over elapsed time. Everything else is an
 //! exception of one kind: a server that may not take this request now (see [`Bar`]) counts as empty space.
 
-use crate::discovery_evidence::Failure;
+use crate::discovery_evidence::CallFailure;
 use crate::discovery_poll::FailedCall;
 use crate::interface::*;
 use crate::state::*;
@@ -153,8 +153,8 @@
     pub fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
         if !std::mem::replace(&mut self.started, true) && self.settings.discovery_on_request {
             let missed = FailedCall {
-                since: now.saturating_sub(Rules::DOWN),
-                failure: Failure::Unreached,
+                list_known_at: now.saturating_sub(Rules::DOWN),
+                reason: CallFailure::Unreachable,
             };
             self.schedule_poll(now, missed, actions);
         }
@@ -171,7 +171,7 @@
             Event::ClientGone(id) => self.settle(id, actions),
             Event::Timer(Timer::Request(id)) => self.review(now, id, actions),
             Event::Timer(Timer::Discovery) => {
-                if self.discovery_poll.call_begins(now) {
+                if self.discovery_poll.on_timer(now) {
                     actions.push(Action::Subscribe);
                 }
             }
@@ -192,7 +192,7 @@
         let fleet = (&self.settings.rules, self.settings.group_size);
         let due = self
             .discovery_poll
-            .schedule(now, failed, fleet, &mut self.random);
+            .schedule_after_failure(now, failed, fleet, &mut self.random);
         actions.extend(due.map(|at| Action::SetTimer {
             at,
             timer: Timer::Discovery,
@@ -207,14 +207,28 @@
                 broken_off,
             } => {
                 actions.push(Action::Log(Note::DiscoveryFailed));
-                let failure = Failure::of_ended_call(waited, broken_off);
-                self.schedule_poll(now, FailedCall { since, failure }, actions);
+                let reason = CallFailure::from_ended_call(waited, broken_off);
+                self.schedule_poll(
+                    now,
+                    FailedCall {
+                        list_known_at: since,
+                        reason,
+                    },
+                    actions,
+                );
             }
             Members::Silent { since } => {
-                let failure = Failure::Silent;
-                self.schedule_poll(now, FailedCall { since, failure }, actions);
+                let reason = CallFailure::Unanswered;
+                self.schedule_poll(
+                    now,
+                    FailedCall {
+                        list_known_at: since,
+                        reason,
+                    },
+                    actions,
+                );
             }
-            Members::Watching => self.discovery_poll.watch_opened(now),
+            Members::Watching => self.discovery_poll.on_watch_opened(now),
             Members::Full(list) => {
                 self.servers
                     .values_mut()
@@ -226,7 +240,7 @@
     }
 
     fn list_came(&mut self, now: Micros, list: &[Listed]) {
-        self.discovery_poll.list_came();
+        self.discovery_poll.on_list_update();
         let all = list.len().max(self.ready.len()).max(1);
         let users =
             f64::from(self.settings.group_size) * self.reach(now).min(all) as f64 / all as f64;
--- a/crates/balancer/src/discovery_evidence.rs
+++ b/crates/balancer/src/discovery_evidence.rs
@@ -28,34 +28,34 @@
 
 /// How a call for the list has failed, or its watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Failure {
+pub(crate) enum CallFailure {
     /// A watch ended, or a call did not reach discovery.
-    Unreached,
+    Unreachable,
     /// Discovery answered that it takes no call.
-    Refused {
+    Rejected {
         /// How long the call waited for that.
         waited: Micros,
     },
     /// The connection broke before an answer.
-    BrokenOff {
+    ConnectionBroken {
         /// How long the call had waited.
         waited: Micros,
     },
     /// No answer so far. The call still waits.
-    Silent,
+    Unanswered,
     /// It is not known how.
     Unspecified,
 }
 
-impl Failure {
+impl CallFailure {
     /// How a call failed that waited for so long, which is [`Micros::MAX`] where it is not known, and whose connection broke or
     /// not; see [`crate::Members::Failed`].
-    pub(crate) fn of_ended_call(waited: Micros, broken_off: bool) -> Self {
+    pub(crate) fn from_ended_call(waited: Micros, broken_off: bool) -> Self {
         match waited {
-            Micros::MAX => Failure::Unspecified,
-            _ if broken_off => Failure::BrokenOff { waited },
-            0 => Failure::Unreached,
-            _ => Failure::Refused { waited },
+            Micros::MAX => CallFailure::Unspecified,
+            _ if broken_off => CallFailure::ConnectionBroken { waited },
+            0 => CallFailure::Unreachable,
+            _ => CallFailure::Rejected { waited },
         }
     }
 }
@@ -118,12 +118,12 @@
 
 impl Evidence {
     /// A call was answered, and its watch is open.
-    pub(crate) fn watch_opened(&mut self, now: Micros) {
+    pub(crate) fn on_watch_opened(&mut self, now: Micros) {
         self.watch_opened_at = Some(now);
     }
 
     /// A list has come.
-    pub(crate) fn list_came(&mut self) {
+    pub(crate) fn on_list_update(&mut self) {
         self.unspecified = false;
         self.calls = FailedCalls::default();
     }
@@ -139,12 +139,12 @@
     }
 
     /// A call has failed.
-    pub(crate) fn call_failed(&mut self, now: Micros, failure: Failure) {
-        self.unspecified = failure == Failure::Unspecified;
+    pub(crate) fn call_failed(&mut self, now: Micros, failure: CallFailure) {
+        self.unspecified = failure == CallFailure::Unspecified;
         match failure {
-            Failure::Silent | Failure::Unspecified => {}
-            Failure::Unreached => self.out_of_order(),
-            Failure::Refused { waited } => {
+            CallFailure::Unanswered | CallFailure::Unspecified => {}
+            CallFailure::Unreachable => self.out_of_order(),
+            CallFailure::Rejected { waited } => {
                 self.dies = false;
                 if waited < WAITED_FOR_ITS_TURN {
                     self.out_of_order();
@@ -153,7 +153,7 @@
                     self.calls.refused_in_turn += u32::from(self.calls.waited_in_queue);
                 }
             }
-            Failure::BrokenOff { waited } => self.broken_off(now, waited),
+            CallFailure::ConnectionBroken { waited } => self.broken_off(now, waited),
         }
     }
 
--- a/crates/balancer/src/discovery_poll.rs
+++ b/crates/balancer/src/discovery_poll.rs
@@ -12,7 +12,7 @@
 //! lets it answer anybody. What costs it its time is a call that is made, and not one that waits: while a call waits in a
 //! queue, no other one is made.
 
-use crate::discovery_evidence::{Evidence, Failure, Verdict};
+use crate::discovery_evidence::{CallFailure, Evidence, Verdict};
 use crate::interface::{Micros, Rules};
 use oorandom::Rand64;
 
@@ -42,8 +42,8 @@
 pub(crate) struct FailedCall {
     /// What discovery had then is known, or discovery could not be reached for it. The beginning of a call tells which of
     /// them it is.
-    pub(crate) since: Micros,
-    pub(crate) failure: Failure,
+    pub(crate) list_known_at: Micros,
+    pub(crate) reason: CallFailure,
 }
 
 /// When one instance calls discovery.
@@ -165,7 +165,7 @@
     }
 
     /// The timer of a call fires. False where that call was put off, or is not wanted any more.
-    pub(crate) fn call_begins(&mut self, now: Micros) -> bool {
+    pub(crate) fn on_timer(&mut self, now: Micros) -> bool {
         if !self.timer.fires(now) {
             return false;
         }
@@ -177,21 +177,21 @@
     }
 
     /// A list has come.
-    pub(crate) fn list_came(&mut self) {
+    pub(crate) fn on_list_update(&mut self) {
         self.answered = true;
         self.is_silent = false;
-        self.evidence.list_came();
+        self.evidence.on_list_update();
     }
 
     /// A call was answered and its watch is open: a call that is due is not wanted any more.
-    pub(crate) fn watch_opened(&mut self, now: Micros) {
-        self.list_came();
-        self.evidence.watch_opened(now);
+    pub(crate) fn on_watch_opened(&mut self, now: Micros) {
+        self.on_list_update();
+        self.evidence.on_watch_opened(now);
         self.timer.due = None;
     }
 
     /// When the next call begins. None where that stands already, or another call still waits.
-    pub(crate) fn schedule(
+    pub(crate) fn schedule_after_failure(
         &mut self,
         now: Micros,
         failed: FailedCall,
@@ -202,12 +202,12 @@
         if self.answered {
             self.evidence.watch_lost(now);
         } else {
-            self.evidence.call_failed(now, failed.failure);
+            self.evidence.call_failed(now, failed.reason);
         }
         if self.stands(now, failed, spans) {
             return None;
         }
-        self.is_silent = failed.failure == Failure::Silent;
+        self.is_silent = failed.reason == CallFailure::Unanswered;
         let due = match self.evidence.verdict(now) {
             verdict if self.is_silent => {
                 self.behind_silence(now, failed, verdict, (rules, spans), random)
@@ -225,7 +225,8 @@
 
     /// Whether the call that is due, or still waits, stays as it is.
     fn stands(&self, now: Micros, failed: FailedCall, spans: Spans) -> bool {
-        let is_older_call = failed.failure != Failure::Silent && failed.since < self.last_call;
+        let is_older_call =
+            failed.reason != CallFailure::Unanswered && failed.list_known_at < self.last_call;
         let Some(due) = self.timer.due else {
             return is_older_call && !self.answered;
         };
@@ -256,7 +257,7 @@
             return self.in_time(now, failed, (rules, spans), random);
         }
         match verdict {
-            Verdict::Unknown => failed.since + 2 * spans.bound,
+            Verdict::Unknown => failed.list_known_at + 2 * spans.bound,
             _ => now + spans.bound_of_overrun,
         }
     }
@@ -272,8 +273,8 @@
         let former_span = self.span;
         let grown = (2 * former_span).min(spans.longest).min(spans.bound);
         let was_refused = matches!(
-            failed.failure,
-            Failure::Refused { .. } | Failure::BrokenOff { .. }
+            failed.reason,
+            CallFailure::Rejected { .. } | CallFailure::ConnectionBroken { .. }
         );
         self.span = if was_refused && !self.answered && former_span > 0 {
             grown
@@ -284,7 +285,7 @@
         let allowed = (ALLOWED_PART * rules.ask_within as f64).max(1.0) as Micros;
         let latest = now
             .saturating_add(allowed)
-            .min(failed.since.saturating_add(spans.bound))
+            .min(failed.list_known_at.saturating_add(spans.bound))
             .max(now.saturating_add(MIN_SPAN));
         if !self.has_called {
             return self.draw_first(now, latest, random);
--- a/crates/sidecar/src/agent_link/apply.rs
+++ b/crates/sidecar/src/agent_link/apply.rs
@@ -78,7 +78,7 @@
     pub(super) fn apply_steering(&self, former: &Overlay, overlay: &Overlay) {
         let (former, present) = (steering(former), steering(overlay));
         for service in self.common.services.borrow().iter() {
-            pool::steer(service, &former, &present);
+            pool::update_overrides(service, &former, &present);
         }
         self.common.steering.replace(present);
     }
--- a/crates/sidecar/src/agent_link/connection.rs
+++ b/crates/sidecar/src/agent_link/connection.rs
@@ -88,7 +88,7 @@
         control.agent
     );
     let seed = u128::from(RandomState::new().hash_one(0));
-    let report_now = own.common.shared_lists.news();
+    let report_now = own.common.shared_lists.report_signal();
     drop(own);
     let settings = LinkHost {
         sidecar,
@@ -164,7 +164,7 @@
     }
 
     fn list_reports(&mut self) -> Option<EndpointListReports> {
-        self.sidecar.upgrade()?.common.shared_lists.tell()
+        self.sidecar.upgrade()?.common.shared_lists.report()
     }
 
     fn lists_received(&mut self, lists: &EndpointListUpdates) -> bool {
@@ -181,11 +181,19 @@
         };
         let apply = |pool: &str, offer: &Offer, age| {
             let service = service(pool).ok_or("no such pool is there any more")?;
-            pool::passed_on(&service, offer.version.index, &offer.text, age)
+            pool::apply_shared_list(&service, offer.version.index, &offer.text, age)
         };
-        let call = |pool: &str| service(pool).iter().for_each(discovery_watch::call_for_all);
-        let rest = |pool: &str| service(pool).iter().for_each(discovery_watch::rest);
-        common.shared_lists.hear(lists, apply, call, rest)
+        let call = |pool: &str| {
+            service(pool)
+                .iter()
+                .for_each(discovery_watch::call_for_fleet)
+        };
+        let rest = |pool: &str| {
+            service(pool)
+                .iter()
+                .for_each(discovery_watch::stop_watching)
+        };
+        common.shared_lists.agent_updated(lists, apply, call, rest)
     }
 
     fn persist(&mut self, memory: &PersistedInstance) {
--- a/crates/sidecar/src/agent_link/mod.rs
+++ b/crates/sidecar/src/agent_link/mod.rs
@@ -12,9 +12,9 @@
 mod persisted;
 mod window;
 
-use super::kept::keep_going;
 use super::process::Sidecar;
 use super::reload::aside;
+use super::supervision::supervise;
 use connection::keep_link;
 use madderloom_control_plane::PersistedInstance;
 use madderloom_control_plane::selector::Attributes;
@@ -279,7 +279,7 @@
                     .upgrade()
                     .map(|_| keep_link(sidecar.clone(), own.clone(), receiver.clone()))
             };
-            keep_going(TaskKind::AgentLink, "the agent's link", begin).await;
+            supervise(TaskKind::AgentLink, "the agent's link", begin).await;
         });
         *link = Some(ActiveLink {
             control,
--- a/crates/sidecar/src/agent_link/overlay.rs
+++ b/crates/sidecar/src/agent_link/overlay.rs
@@ -1,6 +1,6 @@
 //! The parts of an overlay: those that change the operator file, and those that steer servers.
 
-use crate::pool::Steering;
+use crate::pool::ServerOverrides;
 use madderloom_control_plane::settings::{Key, Overlay, Value};
 
 /// Whether an overlay changes a part of the operator file.
@@ -19,14 +19,14 @@
     of_file(one).eq(of_file(other))
 }
 
-pub(super) fn steering(overlay: &Overlay) -> Steering {
-    let mut steering = Steering::default();
+pub(super) fn steering(overlay: &Overlay) -> ServerOverrides {
+    let mut steering = ServerOverrides::default();
     for (key, value) in &overlay.0 {
         match (key, value) {
             (Key::Weight(server), Value::Weight(thousandths)) => {
-                steering.weigh(server, *thousandths)
+                steering.set_weight(server, *thousandths)
             }
-            (Key::Drain(server), Value::Drained(drained)) => steering.drain(server, *drained),
+            (Key::Drain(server), Value::Drained(drained)) => steering.set_drained(server, *drained),
             _ => {}
         }
     }
--- a/crates/sidecar/src/common.rs
+++ b/crates/sidecar/src/common.rs
@@ -8,7 +8,7 @@
 use super::levels::Processor;
 use super::limits::Bound;
 use super::listener::Listener;
-use super::pool::Steering;
+use super::pool::ServerOverrides;
 use super::service::Service;
 use super::shared_lists::SharedLists;
 use super::state_writer::StateWriter;
@@ -77,7 +77,7 @@
     pub(super) feed: Rc<Feed>,
     day: OnceCell<LocalDay>,
     /// What is set of servers beside their lists.
-    pub(super) steering: RefCell<Steering>,
+    pub(super) steering: RefCell<ServerOverrides>,
     /// What outlasts the process, where the operator file names a place for it.
     pub(super) state_writer: OnceCell<Rc<StateWriter>>,
     pub(super) processor: Processor,
@@ -187,7 +187,7 @@
         self.services
             .borrow()
             .iter()
-            .any(|service| service.pool.is_known())
+            .any(|service| service.pool.has_servers())
     }
 
     /// The process stops now, under the platform's rules, where clients wait no longer than this.
--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -1,6 +1,6 @@
 //! What a sidecar is told at its start: the `RELAY_*` variables and the JSON file that one of them names.
 
-use super::pool::Listing;
+use super::pool::ListUpdate;
 use madderloom_balancer::settings::{Site, written_name};
 use serde::{Deserialize, Deserializer, Serialize, de::Error};
 use serde_json::value::RawValue;
@@ -34,7 +34,7 @@
     pub limits: Limits,
     /// The server list as this sidecar had it last; it may be old.
     #[serde(default)]
-    pub(super) known: Listing,
+    pub(super) known: ListUpdate,
     /// The site.
     pub settings: Site,
     /// Which keys the file has.
--- a/crates/sidecar/src/discovery_watch.rs
+++ b/crates/sidecar/src/discovery_watch.rs
@@ -1,10 +1,10 @@
 //! Calls to discovery and the watch on changes of the endpoint list: opening it, reading it, and giving it up.
 
 use super::discovery_calls::CallId;
-use super::kept::OwnedTask;
 use super::list_reader::ListReader;
-use super::pool::{Listing, SERVERS, apply_update};
+use super::pool::{ListUpdate, MAX_LISTED_SERVERS, apply_update};
 use super::service::Service;
+use super::supervision::AbortOnDrop;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
 use hyper::{Request, Response, StatusCode, body::Incoming, client::conn::http1, header};
@@ -34,35 +34,35 @@
 
 /// Follows another discovery from now on. The list is kept until that one speaks; its versions have nothing to
 /// do with those of the former, so it is asked from the beginning.
-pub(super) fn turn_to(service: &Rc<Service>, discovery: SocketAddr) {
-    let former = service.pool.follow(discovery);
+pub(super) fn switch_discovery(service: &Rc<Service>, discovery: SocketAddr) {
+    let former = service.pool.set_discovery(discovery);
     let of = &service.label;
     tracing::info!(%discovery, "{of}configuration read again: discovery is at {discovery}");
     if former != Some(discovery) {
         service.pool.calls.end_all();
-        service.pool.forget_version();
+        service.pool.reset_list_version();
         service.common.shared_lists.forget(&service.name);
         open_watch(service, true);
     }
 }
 
 /// Opens the watch, in place of one that is open, as the module says. One that the fleet called for meanwhile stays.
-pub(super) fn subscribe(service: &Rc<Service>) {
-    if !(service.pool.is_called() && service.common.shared_lists.shares(&service.name)) {
+pub(super) fn poll_discovery(service: &Rc<Service>) {
+    if !(service.pool.is_calling_discovery() && service.common.shared_lists.shares(&service.name)) {
         open_watch(service, true);
     }
 }
 
 /// Calls discovery now, for all of the fleet, where this instance does not watch it already.
-pub(super) fn call_for_all(service: &Rc<Service>) {
-    if !service.pool.is_called() && !service.is_leaving() {
+pub(super) fn call_for_fleet(service: &Rc<Service>) {
+    if !service.pool.is_calling_discovery() && !service.is_leaving() {
         open_watch(service, false);
     }
 }
 
 /// Ends the watch, since enough others of the fleet watch: discovery is called again when what they tell is too old.
-pub(super) fn rest(service: &Rc<Service>) {
-    if service.pool.is_called() && !service.is_leaving() {
+pub(super) fn stop_watching(service: &Rc<Service>) {
+    if service.pool.is_calling_discovery() && !service.is_leaving() {
         open_watch(service, true);
     }
 }
@@ -76,23 +76,23 @@
     let own = Rc::clone(service);
     let task = watchdog::spawn(TaskKind::DiscoveryWatch, async move {
         if waits {
-            wait_to_call(&own).await;
+            wait_until_call_due(&own).await;
         }
-        own.pool.set_called(true);
+        own.pool.set_calling_discovery(true);
         let mut call = Call::begin(id, own.common.clock.now());
         let Err(problem) = follow(&own, discovery, &mut call).await;
         call_ended(&own, discovery, &call, &problem);
     });
-    service.pool.set_called(false);
-    service.common.shared_lists.ended(&service.name);
+    service.pool.set_calling_discovery(false);
+    service.common.shared_lists.watch_ended(&service.name);
     service.pool.calls.begin(id, task.abort_handle());
 }
 
 /// Whoever is told by its fleet spares discovery the call.
-async fn wait_to_call(service: &Service) {
+async fn wait_until_call_due(service: &Service) {
     let ask_within = service.tuned().site.settings.rules.ask_within;
     // Without any server a request may be waiting for the list.
-    let first = if service.pool.is_known() {
+    let first = if service.pool.has_servers() {
         first_discovery_wait(service.common.clock.up(), ask_within)
     } else {
         0
@@ -100,7 +100,7 @@
     service
         .common
         .shared_lists
-        .wait_to_call(&service.name, ask_within, first)
+        .wait_until_call_due(&service.name, ask_within, first)
         .await;
 }
 
@@ -146,8 +146,8 @@
 
 /// No call of this instance is held to be answered.
 fn not_called(service: &Service) {
-    service.pool.set_called(false);
-    service.common.shared_lists.ended(&service.name);
+    service.pool.set_calling_discovery(false);
+    service.common.shared_lists.watch_ended(&service.name);
 }
 
 /// Says what ended a call or its watch, how long that lasted, and how old the list is that is still in use.
@@ -160,7 +160,7 @@
 ) {
     let of = &service.label;
     let lasted_ms = now.saturating_sub(began) / MILLISECOND;
-    let list_age_ms = service.pool.age(now).unwrap_or(0) / MILLISECOND;
+    let list_age_ms = service.pool.list_age(now).unwrap_or(0) / MILLISECOND;
     tracing::warn!(
         %discovery,
         lasted_ms,
@@ -179,8 +179,8 @@
 /// Says that the first list of a call has come.
 fn log_first_list(service: &Service, began: Micros, now: Micros) {
     let of = &service.label;
-    let version = service.pool.version();
-    let servers = service.pool.count();
+    let version = service.pool.list_version();
+    let servers = service.pool.server_count();
     let lasted_ms = now.saturating_sub(began) / MILLISECOND;
     tracing::info!(
         version,
@@ -258,14 +258,17 @@
     call.state = CallState::Waiting;
     let made = http1::handshake(TokioIo::new(stream)).await;
     let (mut sender, connection) = made.map_err(|e| e.to_string())?;
-    let _task = OwnedTask(watchdog::spawn(TaskKind::DiscoveryConnection, async move {
+    let _task = AbortOnDrop(watchdog::spawn(TaskKind::DiscoveryConnection, async move {
         // How it ended shows in the body that is read from it.
         let _ = connection.await;
     }));
-    let request = Request::get(format!("/v1/endpoints?watch=1&after={}", pool.version()))
-        .header(header::HOST, discovery.to_string())
-        .body(Empty::<Bytes>::new())
-        .map_err(|e| e.to_string())?;
+    let request = Request::get(format!(
+        "/v1/endpoints?watch=1&after={}",
+        pool.list_version()
+    ))
+    .header(header::HOST, discovery.to_string())
+    .body(Empty::<Bytes>::new())
+    .map_err(|e| e.to_string())?;
     let answer = wait_for_answer(service, sender.send_request(request), call).await?;
     if answer.status() != StatusCode::OK {
         call.state = CallState::Refused;
@@ -273,7 +276,7 @@
     }
     call.state = CallState::Answered;
     if std::mem::take(&mut call.fell_silent) {
-        pool.set_called(true);
+        pool.set_calling_discovery(true);
     }
     read_lines(service, answer.into_body(), call).await
 }
@@ -328,34 +331,39 @@
         }
         // Until a list is whole nothing is known of what was to be told since it began.
         if !was_within || !reader.is_within() {
-            service.pool.heard_at(now);
+            service.pool.set_list_known_at(now);
             call.since = now;
         }
         if !reader.is_within() {
             // Where a list is on its way, something has changed.
-            service.common.shared_lists.beat(&service.name);
+            service
+                .common
+                .shared_lists
+                .discovery_confirmed(&service.name);
         }
     }
 }
 
 /// Takes in one object of a watch, and tells the fleet of it.
 fn apply_line(service: &Rc<Service>, now: Micros, object: &[u8]) -> Result<(), String> {
-    let listing: Listing =
+    let listing: ListUpdate =
         serde_json::from_slice(object).map_err(|e| format!("makes no sense: {e}"))?;
-    if listing.len() > SERVERS {
+    if listing.len() > MAX_LISTED_SERVERS {
         return Err(format!("lists {} servers", listing.len()));
     }
     let ask_within = service.tuned().site.settings.rules.ask_within;
     let shared = &service.common.shared_lists;
-    if listing.is_whole() && !shared.allows(&service.name, listing.version(), ask_within) {
+    if listing.is_full_list()
+        && !shared.accepts_from_discovery(&service.name, listing.version(), ask_within)
+    {
         return Err(format!(
             "lists version {}, which is older than the fleet's",
             listing.version()
         ));
     }
     apply_update(service, now, listing);
-    shared.told(&service.name, service.pool.version(), || {
-        service.pool.shared()
+    shared.discovery_updated(&service.name, service.pool.list_version(), || {
+        service.pool.shared_text()
     });
     Ok(())
 }
--- a/crates/sidecar/src/flow.rs
+++ b/crates/sidecar/src/flow.rs
@@ -255,10 +255,11 @@
             // Or its idempotency window ends: servers that have forgotten the first attempt would run this one.
             Some(Err(NoConnection::Exhausted)) | None => return (Outcome::Moot, None),
         };
-        if !service
-            .pool
-            .takes_new(attempt.server, address, &service.common.steering.borrow())
-        {
+        if !service.pool.accepts_new_attempts(
+            attempt.server,
+            address,
+            &service.common.steering.borrow(),
+        ) {
             return (Outcome::Moot, None);
         }
         onward.while_asked_for().await;
--- a/crates/sidecar/src/list_reader.rs
+++ b/crates/sidecar/src/list_reader.rs
@@ -3,7 +3,7 @@
 use bytes::{Bytes, BytesMut};
 
 /// The longest object that is read, in bytes: some 6,000 servers as discovery lists them.
-pub(super) const LONGEST: usize = 1 << 20;
+pub(super) const MAX_OBJECT_BYTES: usize = 1 << 20;
 
 const NO_OBJECT: &str = "makes no sense: no object begins";
 
@@ -39,7 +39,7 @@
         self.skip_between();
         while let Some(byte) = self.unread.get(self.seen).copied() {
             self.seen += 1;
-            if self.seen > LONGEST {
+            if self.seen > MAX_OBJECT_BYTES {
                 return Err("a list is too long");
             }
             if self.ends_object(byte)? {
--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -15,7 +15,7 @@
 use std::rc::Rc;
 
 /// The most servers of one list.
-pub(super) const SERVERS: usize = 4_096;
+pub(super) const MAX_LISTED_SERVERS: usize = 4_096;
 /// Weights that can be compared. One beyond them counts as one that makes no sense: as the usual.
 const WEIGHTS: RangeInclusive<f64> = 1e-6..=1e6;
 /// Changes of one list that the log names.
@@ -25,15 +25,15 @@
 
 /// One answer of discovery, a line of its watch, or the list that a configuration holds.
 #[derive(Deserialize, Default)]
-pub(super) struct Listing {
+pub(super) struct ListUpdate {
     index: u64,
     snapshot: bool,
     endpoints: Vec<Endpoint>,
 }
 
-impl Listing {
+impl ListUpdate {
     /// Servers that the operator file names.
-    pub(super) fn fixed(servers: &[Server]) -> Self {
+    pub(super) fn from_static_servers(servers: &[Server]) -> Self {
         let endpoint = |s: &Server| Endpoint {
             name: s.name.as_str().into(),
             address: s.address,
@@ -44,7 +44,7 @@
             weight: s.weight,
             since_ms: 0,
         };
-        Listing {
+        ListUpdate {
             index: 0,
             snapshot: true,
             endpoints: servers.iter().map(endpoint).collect(),
@@ -71,9 +71,9 @@
         let endpoints = servers
             .into_iter()
             .filter_map(endpoint)
-            .take(SERVERS)
+            .take(MAX_LISTED_SERVERS)
             .collect();
-        Listing {
+        ListUpdate {
             index: 0,
             snapshot: true,
             endpoints,
@@ -90,7 +90,7 @@
     }
 
     /// Whether servers that it does not name are gone.
-    pub(super) fn is_whole(&self) -> bool {
+    pub(super) fn is_full_list(&self) -> bool {
         self.snapshot
     }
 }
@@ -188,25 +188,25 @@
 
 /// What is set of servers beside their lists. Empty, it costs a look into an empty map for each server of a list.
 #[derive(Default)]
-pub(super) struct Steering {
+pub(super) struct ServerOverrides {
     /// What the listed capacity is multiplied by, in thousandths.
     weights: HashMap<ServerId, u32, FixedState>,
     drained: HashSet<ServerId, FixedState>,
 }
 
-impl Steering {
-    pub(super) fn weigh(&mut self, server: &str, thousandths: u32) {
+impl ServerOverrides {
+    pub(super) fn set_weight(&mut self, server: &str, thousandths: u32) {
         self.weights.insert(ServerId::named(server), thousandths);
     }
 
-    pub(super) fn drain(&mut self, server: &str, drained: bool) {
+    pub(super) fn set_drained(&mut self, server: &str, drained: bool) {
         if drained {
             self.drained.insert(ServerId::named(server));
         }
     }
 
     /// A server as the module is to be told of it. One of no weight is drained: no capacity is too little to send by.
-    fn of(&self, listed: Listed) -> Listed {
+    fn apply_to(&self, listed: Listed) -> Listed {
         let weight = self.weights.get(&listed.server).copied().unwrap_or(1_000);
         let drains = weight == 0 || self.drained.contains(&listed.server);
         let state = if drains && listed.state == ServerState::Ready {
@@ -269,14 +269,14 @@
 
     /// Whether new attempts may still begin at this server and this address of it. Asked once more when a connection has come
     /// up: what was chosen before that may have begun to drain, left or moved meanwhile.
-    pub(super) fn takes_new(
+    pub(super) fn accepts_new_attempts(
         &self,
         server: ServerId,
         address: SocketAddr,
-        steering: &Steering,
+        steering: &ServerOverrides,
     ) -> bool {
         let members = self.members.borrow();
-        let ready = |listed| steering.of(listed).state == ServerState::Ready;
+        let ready = |listed| steering.apply_to(listed).state == ServerState::Ready;
         members
             .get(&server)
             .is_some_and(|m| m.address == address && ready(m.listed))
@@ -290,7 +290,7 @@
     }
 
     /// Whether its list comes from there.
-    pub(super) fn follows(&self, discovery: SocketAddr) -> bool {
+    pub(super) fn uses_discovery(&self, discovery: SocketAddr) -> bool {
         self.discovery.get() == Some(discovery)
     }
 
@@ -299,47 +299,47 @@
     }
 
     /// How old the list may be; none where it is fixed.
-    pub(super) fn age(&self, now: Micros) -> Option<Micros> {
+    pub(super) fn list_age(&self, now: Micros) -> Option<Micros> {
         self.discovery
             .get()
             .map(|_| now.saturating_sub(self.heard.get()))
     }
 
-    pub(super) fn version(&self) -> u64 {
+    pub(super) fn list_version(&self) -> u64 {
         self.index.get()
     }
 
     /// The next list is read whole, whatever its version.
-    pub(super) fn forget_version(&self) {
+    pub(super) fn reset_list_version(&self) {
         self.index.set(0);
     }
 
     /// Follows this discovery from now on; returns the former one.
-    pub(super) fn follow(&self, discovery: SocketAddr) -> Option<SocketAddr> {
+    pub(super) fn set_discovery(&self, discovery: SocketAddr) -> Option<SocketAddr> {
         self.discovery.replace(Some(discovery))
     }
 
     /// Whether a call to discovery, or the watch that it became, is under way.
-    pub(super) fn is_called(&self) -> bool {
+    pub(super) fn is_calling_discovery(&self) -> bool {
         self.called.get()
     }
 
-    pub(super) fn set_called(&self, called: bool) {
+    pub(super) fn set_calling_discovery(&self, called: bool) {
         self.called.set(called);
     }
 
     /// All that discovery had at this time is known.
-    pub(super) fn heard_at(&self, now: Micros) {
+    pub(super) fn set_list_known_at(&self, now: Micros) {
         self.heard.set(now);
     }
 
     /// How many servers are in the list.
-    pub(super) fn count(&self) -> usize {
+    pub(super) fn server_count(&self) -> usize {
         self.members.borrow().len()
     }
 
     /// Whether there is a server to send to at all.
-    pub(super) fn is_known(&self) -> bool {
+    pub(super) fn has_servers(&self) -> bool {
         !self.members.borrow().is_empty()
     }
 
@@ -374,7 +374,7 @@
     }
 
     /// All of the list as it is shared with the fleet: the same text for the same list.
-    pub(super) fn shared(&self) -> String {
+    pub(super) fn shared_text(&self) -> String {
         let (members, names) = (self.members.borrow(), self.names.borrow());
         let row = |member: &Member| {
             let listed = &member.listed;
@@ -431,8 +431,8 @@
     /// an address and get nothing new there any more.
     fn take_in(
         &self,
-        listing: Listing,
-        steering: &Steering,
+        listing: ListUpdate,
+        steering: &ServerOverrides,
         (now, behind): (Micros, i64),
     ) -> (Vec<Listed>, Vec<ServerId>) {
         let mut members = self.members.borrow_mut();
@@ -448,7 +448,7 @@
         for (endpoint, listed) in listing.endpoints.into_iter().zip(&listed) {
             if listed.state == ServerState::Gone {
                 members.remove(&listed.server);
-            } else if members.len() < SERVERS || members.contains_key(&listed.server) {
+            } else if members.len() < MAX_LISTED_SERVERS || members.contains_key(&listed.server) {
                 let Endpoint {
                     name,
                     address,
@@ -474,7 +474,7 @@
         self.index.set(listing.index);
         let listed: Vec<Listed> = listed
             .into_iter()
-            .map(|listed| steering.of(listed))
+            .map(|listed| steering.apply_to(listed))
             .collect();
         let draining = |id| {
             listed
@@ -493,7 +493,7 @@
 }
 
 /// Says which servers discovery tells of; of a whole list only how many, since it repeats what is known.
-fn log_changes(service: &Service, listing: &Listing) {
+fn log_changes(service: &Service, listing: &ListUpdate) {
     if listing.snapshot || !tracing::enabled!(tracing::Level::INFO) {
         return;
     }
@@ -514,24 +514,24 @@
 
 /// Tells the module of the servers that are known at its start. The list of the configuration goes before what an
 /// earlier process left, and discovery's before both.
-pub(super) fn begin(service: &Rc<Service>, listing: Listing) {
+pub(super) fn load_initial_list(service: &Rc<Service>, listing: ListUpdate) {
     let remembered = service
         .pool
         .discovery
         .get()
         .filter(|_| listing.endpoints.is_empty());
     let listing = remembered.map_or(listing, |_| {
-        Listing::remembered(service.remembered_servers())
+        ListUpdate::remembered(service.remembered_servers())
     });
-    known(service, listing);
+    apply_static_list(service, listing);
 }
 
 /// Tells the module of the list that the configuration holds.
-pub(super) fn known(service: &Rc<Service>, listing: Listing) {
+pub(super) fn apply_static_list(service: &Rc<Service>, listing: ListUpdate) {
     apply_update(
         service,
         service.common.clock.now(),
-        Listing {
+        ListUpdate {
             snapshot: true,
             ..listing
         },
@@ -539,14 +539,14 @@
 }
 
 /// Its list is this one from now on, whatever discovery it followed.
-pub(super) fn fix(service: &Rc<Service>, listing: Listing) {
+pub(super) fn use_static_list(service: &Rc<Service>, listing: ListUpdate) {
     service.pool.discovery.set(None);
     service.pool.calls.end_all();
-    known(service, listing);
+    apply_static_list(service, listing);
 }
 
 /// The pool goes: its servers get no new attempts any more, whatever discovery says from now on.
-pub(super) fn drain(service: &Rc<Service>) {
+pub(super) fn drain_servers(service: &Rc<Service>) {
     service.pool.calls.end_all();
     service.pool.discovery.set(None);
     let draining = |member: &Member| Listed {
@@ -568,7 +568,7 @@
 }
 
 /// The settings name zones and kinds otherwise from now on. Servers are told of anew where their places have changed.
-pub(super) fn rename(service: &Rc<Service>, site: &Site) {
+pub(super) fn update_names(service: &Rc<Service>, site: &Site) {
     let pool = &service.pool;
     let names = (site.zones.clone(), site.kinds.clone());
     let former = pool.names.replace(names);
@@ -588,7 +588,7 @@
             moved(&former.0, zones, listed.zone),
             moved(&former.1, kinds, listed.kind),
         );
-        changes.push(service.common.steering.borrow().of(*listed));
+        changes.push(service.common.steering.borrow().apply_to(*listed));
     }
     changes.sort_unstable_by_key(|listed| listed.server);
     service.handle(
@@ -598,8 +598,17 @@
 }
 
 /// Tells the module of the servers that are now set otherwise beside their list.
-pub(super) fn steer(service: &Rc<Service>, former: &Steering, present: &Steering) {
-    let pairs = |member: &Member| (former.of(member.listed), present.of(member.listed));
+pub(super) fn update_overrides(
+    service: &Rc<Service>,
+    former: &ServerOverrides,
+    present: &ServerOverrides,
+) {
+    let pairs = |member: &Member| {
+        (
+            former.apply_to(member.listed),
+            present.apply_to(member.listed),
+        )
+    };
     let mut changes: Vec<Listed> = Vec::new();
     for (was, is) in service.pool.members.borrow().values().map(pairs) {
         // A pool that goes may lose servers, and gets none back.
@@ -622,14 +631,14 @@
 }
 
 /// The fleet goes by this list, which is so old: as if discovery had told it then.
-pub(super) fn passed_on(
+pub(super) fn apply_shared_list(
     service: &Rc<Service>,
     index: u64,
     text: &str,
     age: Micros,
 ) -> Result<(), String> {
     let rows: Vec<Row> = serde_json::from_str(text).map_err(|e| format!("makes no sense: {e}"))?;
-    if rows.len() > SERVERS {
+    if rows.len() > MAX_LISTED_SERVERS {
         return Err(format!("holds {} servers", rows.len()));
     }
     if service.pool.discovery.get().is_none() || service.is_leaving() {
@@ -650,7 +659,7 @@
     apply_update(
         service,
         now,
-        Listing {
+        ListUpdate {
             index,
             snapshot: true,
             endpoints,
@@ -663,7 +672,7 @@
     Ok(())
 }
 
-pub(super) fn apply_update(service: &Rc<Service>, now: Micros, listing: Listing) {
+pub(super) fn apply_update(service: &Rc<Service>, now: Micros, listing: ListUpdate) {
     let full = listing.snapshot;
     if !full && listing.index < service.pool.index.get() {
         // Changes older than the list that is held would undo newer ones.
@@ -701,7 +710,7 @@
             "since_ms": since_ms});
         let listing = serde_json::json!({"index": 1, "snapshot": true, "endpoints": [endpoint]});
         let listing = serde_json::from_value(listing).expect("a list");
-        let (listed, _) = pool.take_in(listing, &Steering::default(), (now, behind));
+        let (listed, _) = pool.take_in(listing, &ServerOverrides::default(), (now, behind));
         listed[0].started.expect("it started")
     }
 
@@ -761,8 +770,8 @@
             let names = |names: &[&str]| names.iter().map(|name| name.to_string()).collect();
             let pool = Pool::new(None, names(zones), names(&["m1", "m2"]), 0);
             let listing = serde_json::from_value(listing.clone()).expect("a list");
-            pool.take_in(listing, &Steering::default(), (9_000_000, 0));
-            pool.shared()
+            pool.take_in(listing, &ServerOverrides::default(), (9_000_000, 0));
+            pool.shared_text()
         };
         assert_eq!(shared(&["a"]), shared(&["a", "b"]));
         assert_eq!(
--- a/crates/sidecar/src/pool_lists_tests.rs
+++ b/crates/sidecar/src/pool_lists_tests.rs
@@ -1,6 +1,6 @@
 //! Lists of servers as literal JSON: those that discovery and a configuration write, and those that instances share.
 
-use super::{Listing, Pool, Row, Steering};
+use super::{ListUpdate, Pool, Row, ServerOverrides};
 
 const ZONES: [&str; 2] = ["north", "south"];
 const KINDS: [&str; 2] = ["fast", "old"];
@@ -34,20 +34,24 @@
 }
 
 fn take_in(pool: &Pool, listing: &str) {
-    let listing: Listing = serde_json::from_str(listing).expect("a list");
-    pool.take_in(listing, &Steering::default(), (1_800_000_000_000_000, 0));
+    let listing: ListUpdate = serde_json::from_str(listing).expect("a list");
+    pool.take_in(
+        listing,
+        &ServerOverrides::default(),
+        (1_800_000_000_000_000, 0),
+    );
 }
 
 #[test]
 fn a_list_of_discovery_is_read_and_shared_as_it_stands() {
     let pool = pool();
     take_in(&pool, LISTING);
-    assert_eq!(pool.shared(), SHARED);
+    assert_eq!(pool.shared_text(), SHARED);
     let changes = r#"{"index": 8, "snapshot": false, "endpoints": [
         {"name": "a", "address": "10.0.0.1:5000", "status": "terminated"},
         {"name": "c", "address": "10.0.0.3:5000", "status": "in_service"}]}"#;
     take_in(&pool, changes);
-    let shared = pool.shared();
+    let shared = pool.shared_text();
     assert!(
         shared.ends_with(r#"["c","10.0.0.3:5000","","",0,"in_service",1.0,0]]"#),
         "{shared}"
@@ -84,14 +88,14 @@
         ("status", "missing field `status`"),
     ] {
         let text = LISTING.replacen(&format!("\"{key}\""), "\"odd\"", 1);
-        let told = serde_json::from_str::<Listing>(&text)
+        let told = serde_json::from_str::<ListUpdate>(&text)
             .err()
             .expect("a problem")
             .to_string();
         assert!(told.starts_with(problem), "{told}");
     }
     let text = LISTING.replacen("in_service", "odd", 1);
-    let told = serde_json::from_str::<Listing>(&text)
+    let told = serde_json::from_str::<ListUpdate>(&text)
         .err()
         .expect("a problem")
         .to_string();
@@ -129,7 +133,7 @@
             &pool,
             &LISTING.replacen(&format!("\"{key}\""), "\"odd\"", 1),
         );
-        let shared = pool.shared();
+        let shared = pool.shared_text();
         assert!(shared.starts_with(usual), "{key}: {shared}");
     }
 }
--- a/crates/sidecar/src/process.rs
+++ b/crates/sidecar/src/process.rs
@@ -6,13 +6,13 @@
 use super::common::{Common, Totals};
 use super::config::{Config, Keys, allowed_descriptors};
 use super::feed::FOLLOWERS;
-use super::kept::keep_going;
 use super::listener::{Listener, Manner, Socket, bind};
 use super::ordinal::ordinal_in_name;
 use super::routing::Routing;
 use super::second_address;
 use super::service::{Parts, Service, Spec};
 use super::state_writer::StateWriter;
+use super::supervision::supervise;
 use super::warm_start;
 use madderloom_balancer::Micros;
 use madderloom_operator_config::{Kept, MemberLimits, Operator, PLATFORM};
@@ -97,7 +97,7 @@
         }
         let alarmed = Rc::clone(&common);
         watchdog::spawn(TaskKind::Timers, async move {
-            keep_going(TaskKind::Timers, "timers", || {
+            supervise(TaskKind::Timers, "timers", || {
                 Some(alarms::run(Rc::clone(&alarmed)))
             })
             .await;
@@ -152,7 +152,7 @@
         self.follow_agent();
         let common = Rc::clone(&self.common);
         watchdog::spawn(TaskKind::Upkeep, async move {
-            keep_going(TaskKind::Upkeep, "upkeep", || {
+            supervise(TaskKind::Upkeep, "upkeep", || {
                 Some(look_after(Rc::clone(&common)))
             })
             .await
--- a/crates/sidecar/src/promises.rs
+++ b/crates/sidecar/src/promises.rs
@@ -142,7 +142,11 @@
         (format!("`{place}` `{name}`"), size)
     };
     let lists = [
-        ("sidecar/src/pool.rs", "SERVERS", pool::SERVERS),
+        (
+            "sidecar/src/pool.rs",
+            "MAX_LISTED_SERVERS",
+            pool::MAX_LISTED_SERVERS,
+        ),
         (
             "control-plane/src/bounds.rs",
             "MAX_SELECTED_NAMES",
@@ -168,8 +172,8 @@
     bounds.extend([
         bytes(
             "sidecar/src/list_reader.rs",
-            "LONGEST",
-            list_reader::LONGEST,
+            "MAX_OBJECT_BYTES",
+            list_reader::MAX_OBJECT_BYTES,
         ),
         bytes(
             "endpoint-sharing/src/limits.rs",
--- a/crates/sidecar/src/reload.rs
+++ b/crates/sidecar/src/reload.rs
@@ -6,7 +6,7 @@
 use super::discovery_watch;
 use super::listener::{Listener, Manner, Socket, bind};
 use super::ordinal::ordinal_in_name;
-use super::pool::Listing;
+use super::pool::ListUpdate;
 use super::process::{Sidecar, totals};
 use super::routing::{Routed, Routing};
 use super::service::{Parts, Service, Spec};
@@ -42,7 +42,7 @@
                         tracing::info!("settings taken over");
                         service.retune(config.settings);
                     }
-                    discovery_watch::turn_to(service, config.discovery);
+                    discovery_watch::switch_discovery(service, config.discovery);
                 }
                 Err(problem) => {
                     count(&self.common.files_refused);
@@ -162,7 +162,7 @@
             .filter(|pool| pool.discovery.is_some());
         self.common
             .shared_lists
-            .follow(shared, followed.map(|pool| pool.name.clone()));
+            .set_pools(shared, followed.map(|pool| pool.name.clone()));
         self.common.set_totals(totals(
             self.descriptors,
             self.memory,
@@ -339,7 +339,7 @@
             label: format!("{}: ", pool.name),
             site: site_of(pool),
             discovery: pool.discovery,
-            known: Listing::fixed(&pool.servers),
+            known: ListUpdate::from_static_servers(&pool.servers),
             limits: pool.limits,
             levels: pool.levels.clone(),
             graphql: pool.graphql.clone(),
--- a/crates/sidecar/src/second_address.rs
+++ b/crates/sidecar/src/second_address.rs
@@ -142,7 +142,7 @@
         let listed = servers
             .iter()
             .filter(|server| server.listed.state != ServerState::Gone);
-        all.registry_entries += service.pool.count() as u64;
+        all.registry_entries += service.pool.server_count() as u64;
         all.out_of_rotation += listed
             .filter(|server| {
                 server.listed.state != ServerState::Ready || server.ejected_until.is_some()
--- a/crates/sidecar/src/service.rs
+++ b/crates/sidecar/src/service.rs
@@ -7,10 +7,10 @@
 use super::discovery_watch;
 use super::levels;
 use super::limits::Allowance;
-use super::moves::Moves;
-use super::pool::{self, Listing, Pool};
+use super::pool::{self, ListUpdate, Pool};
 use super::probe;
 use super::teller::{EndedAttempt, Teller};
+use super::traffic_shares::TrafficShares;
 use super::trail;
 use super::transaction::{Step, Steps};
 use super::tuned::Tuned;
@@ -44,7 +44,7 @@
     /// None where the list is fixed.
     pub(super) discovery: Option<SocketAddr>,
     /// The servers as they are known at the start, or for good.
-    pub(super) known: Listing,
+    pub(super) known: ListUpdate,
     pub(super) limits: MemberLimits,
     pub(super) levels: Option<LevelPlan>,
     /// How its GraphQL operations are classed, if it has any.
@@ -104,7 +104,7 @@
     /// What the module said is being carried out.
     handling: Cell<bool>,
     /// The parts of its servers as the log told of them last.
-    moves: RefCell<Moves>,
+    moves: RefCell<TrafficShares>,
 }
 
 fn numbered_balancer(spec: &Spec) -> Result<Balancer, String> {
@@ -176,7 +176,7 @@
         common.services.borrow_mut().push(Rc::clone(&service));
         trail::started(common.clock.now());
         service.recall_classes();
-        pool::begin(&service, known);
+        pool::load_initial_list(&service, known);
         levels::set(&service, levels);
         Ok(service)
     }
@@ -192,20 +192,20 @@
         }
         drop(front);
         match pool.discovery {
-            Some(discovery) if !self.pool.follows(discovery) => {
-                discovery_watch::turn_to(self, discovery)
+            Some(discovery) if !self.pool.uses_discovery(discovery) => {
+                discovery_watch::switch_discovery(self, discovery)
             }
             Some(_) => {}
-            None => pool::fix(self, Listing::fixed(&pool.servers)),
+            None => pool::use_static_list(self, ListUpdate::from_static_servers(&pool.servers)),
         }
         levels::set(self, pool.levels.clone());
     }
 
     /// How old its list may be, by discovery's word or the fleet's; none where it is fixed.
     pub(super) fn list_age(&self, now: Micros) -> Option<Micros> {
-        let shared = self.common.shared_lists.age(&self.name);
+        let shared = self.common.shared_lists.evidence_age(&self.name);
         self.pool
-            .age(now)
+            .list_age(now)
             .map(|age| shared.map_or(age, |shared| shared.min(age)))
     }
 
@@ -230,7 +230,7 @@
         };
         tokio::pin!(idle);
         let drained = tokio::time::timeout(drain, idle.as_mut()).await;
-        pool::drain(&self);
+        pool::drain_servers(&self);
         if drained.is_err() {
             idle.await;
         }
@@ -274,7 +274,7 @@
         let (tuned, retuned) = former.turn_to(site, &self.counts);
         self.connections
             .change(tuned.site.conn_idle, tuned.site.connect_timeout);
-        pool::rename(self, &tuned.site);
+        pool::update_names(self, &tuned.site);
         self.tuned.replace(Rc::new(tuned));
         self.handle(self.common.clock.now(), Event::Settings(&retuned));
     }
@@ -424,7 +424,7 @@
         }
         let snapshot = self.snapshot();
         let moved = if logged {
-            self.moves.borrow_mut().look(&snapshot.servers)
+            self.moves.borrow_mut().update(&snapshot.servers)
         } else {
             None
         };
@@ -432,7 +432,7 @@
             let of = &self.label;
             tracing::info!(
                 "{of}regions moved: {}",
-                moved.told(|server| self.pool.name(server))
+                moved.describe(|server| self.pool.name(server))
             );
         }
         // The local day is looked up where a story wants it alone.
@@ -491,7 +491,7 @@
                 self.instruct(request, Step::Fail);
             }
             Action::SetTimer { at, timer } => self.set_timer(at, timer),
-            Action::Subscribe => discovery_watch::subscribe(self),
+            Action::Subscribe => discovery_watch::poll_discovery(self),
             Action::Probe(server) => probe::start(self, server),
             Action::Log(note) => self.note(now, note),
         }
--- a/crates/sidecar/src/shared_lists.rs
+++ b/crates/sidecar/src/shared_lists.rs
@@ -34,7 +34,7 @@
 
 impl SharedLists {
     /// Shares the lists of these pools under this name from now on. What is known of those that stay so is kept.
-    pub(super) fn follow(&self, name: Option<&str>, pools: impl Iterator<Item = String>) {
+    pub(super) fn set_pools(&self, name: Option<&str>, pools: impl Iterator<Item = String>) {
         let all = pools.filter_map(|pool| Some(format!("{}/{pool}", name?)));
         self.share.borrow_mut().follow(all);
         self.name.replace(name.map(str::to_string));
@@ -52,12 +52,12 @@
     }
 
     /// Is notified where the agent is to hear of news at once.
-    pub(super) fn news(&self) -> Rc<Notify> {
+    pub(super) fn report_signal(&self) -> Rc<Notify> {
         Rc::clone(&self.news)
     }
 
     /// Discovery has told this pool's list, all of which is this now.
-    pub(super) fn told(&self, pool: &str, index: u64, text: impl FnOnce() -> String) {
+    pub(super) fn discovery_updated(&self, pool: &str, index: u64, text: impl FnOnce() -> String) {
         let Some(list) = self.list(pool) else { return };
         let now = boottime();
         let mut share = self.share.borrow_mut();
@@ -76,7 +76,7 @@
     }
 
     /// Discovery has said that it is there and that nothing has changed.
-    pub(super) fn beat(&self, pool: &str) {
+    pub(super) fn discovery_confirmed(&self, pool: &str) {
         if let Some(list) = self.list(pool) {
             self.share
                 .borrow_mut()
@@ -85,7 +85,7 @@
     }
 
     /// The watch of this pool's list has ended, or is ended.
-    pub(super) fn ended(&self, pool: &str) {
+    pub(super) fn watch_ended(&self, pool: &str) {
         if let Some(list) = self.list(pool) {
             self.share.borrow_mut().watch_ended(&list);
         }
@@ -99,7 +99,12 @@
     }
 
     /// Whether a whole list of this version from discovery may be taken; see [`SharedEndpointLists::accepts_from_discovery`].
-    pub(super) fn allows(&self, pool: &str, index: u64, ask_within: Micros) -> bool {
+    pub(super) fn accepts_from_discovery(
+        &self,
+        pool: &str,
+        index: u64,
+        ask_within: Micros,
+    ) -> bool {
         self.list(pool).is_none_or(|list| {
             self.share
                 .borrow()
@@ -108,14 +113,14 @@
     }
 
     /// How old the evidence for this pool's list is; none where it is not shared, or nobody has told of it.
-    pub(super) fn age(&self, pool: &str) -> Option<Micros> {
+    pub(super) fn evidence_age(&self, pool: &str) -> Option<Micros> {
         let evidence_at = self.share.borrow().evidence_at(&self.list(pool)?)?;
         Some(boottime().saturating_sub(evidence_at))
     }
 
     /// Waits until discovery has to be called for this pool: for the first so many microseconds where nobody has told of its
     /// list yet, so that the fleet may.
-    pub(super) async fn wait_to_call(&self, pool: &str, ask_within: Micros, first: Micros) {
+    pub(super) async fn wait_until_call_due(&self, pool: &str, ask_within: Micros, first: Micros) {
         let Some(list) = self.list(pool) else { return };
         let first = boottime().saturating_add(first);
         let schedule = DiscoveryCallSchedule::within(ask_within);
@@ -139,7 +144,7 @@
     }
 
     /// What goes with a report that is made now; none where no list is shared.
-    pub(super) fn tell(&self) -> Option<EndpointListReports> {
+    pub(super) fn report(&self) -> Option<EndpointListReports> {
         let mut share = self.share.borrow_mut();
         (!share.is_empty()).then(|| share.report(boottime()))
     }
@@ -147,7 +152,7 @@
     /// The agent's word has come. What goes before what is held is given to `apply`, with the pool's name and its age,
     /// which says whether it makes sense; `call` and `rest` are told of pools for which discovery is to be called, and of
     /// those for which it need not be watched. Gives whether the agent wants a report at once.
-    pub(super) fn hear(
+    pub(super) fn agent_updated(
         &self,
         lists: &EndpointListUpdates,
         mut apply: impl FnMut(&str, &Offer, Micros) -> Result<(), String>,
--- a/crates/sidecar/src/kept.rs
+++ b/crates/sidecar/src/supervision.rs
@@ -11,9 +11,9 @@
 const RECOVERED: Duration = Duration::from_secs(30);
 
 /// A task that ends with whoever has this.
-pub(super) struct OwnedTask(pub(super) JoinHandle<()>);
+pub(super) struct AbortOnDrop(pub(super) JoinHandle<()>);
 
-impl Drop for OwnedTask {
+impl Drop for AbortOnDrop {
     fn drop(&mut self) {
         self.0.abort();
     }
@@ -21,14 +21,14 @@
 
 /// Runs a task in the present local set and begins it again whenever it ends or panics, 50 ms later at first and 5 s at
 /// most, until there is none to begin. What it had in hand is lost; what it is to look after must be kept elsewhere.
-pub(super) async fn keep_going<F>(kind: TaskKind, what: &str, mut begin: impl FnMut() -> Option<F>)
+pub(super) async fn supervise<F>(kind: TaskKind, what: &str, mut begin: impl FnMut() -> Option<F>)
 where
     F: Future<Output = ()> + 'static,
 {
     let mut wait = WAITS.0;
     while let Some(task) = begin() {
         let began = Instant::now();
-        let mut task = OwnedTask(watchdog::spawn(kind, task));
+        let mut task = AbortOnDrop(watchdog::spawn(kind, task));
         let how = match (&mut task.0).await {
             Ok(()) => "ended".to_string(),
             Err(problem) => problem.to_string(),
@@ -58,7 +58,7 @@
         tokio::task::LocalSet::new().block_on(&runtime, async {
             let (own, held) = (Rc::clone(&begun), Rc::clone(&dropped));
             let keeper = tokio::task::spawn_local(async move {
-                keep_going(TaskKind::Upkeep, "a test's task", || {
+                supervise(TaskKind::Upkeep, "a test's task", || {
                     own.set(own.get() + 1);
                     let (turn, held) = (own.get(), Rc::clone(&held));
                     Some(async move {
--- a/crates/sidecar/src/moves.rs
+++ b/crates/sidecar/src/traffic_shares.rs
@@ -15,7 +15,7 @@
 
 /// The parts that servers had of the requests when the log last told of them. Holds those that are listed and no others.
 #[derive(Default)]
-pub(super) struct Moves {
+pub(super) struct TrafficShares {
     told: BTreeMap<ServerId, f64>,
 }
 
@@ -30,11 +30,11 @@
 }
 
 /// The parts that have moved, the furthest first.
-pub(super) struct Moved(Vec<Move>);
+pub(super) struct TrafficShareChanges(Vec<Move>);
 
-impl Moves {
+impl TrafficShares {
     /// Looks at all servers. A server that is new has not moved: the list tells of it.
-    pub(super) fn look(&mut self, servers: &[ServerView]) -> Option<Moved> {
+    pub(super) fn update(&mut self, servers: &[ServerView]) -> Option<TrafficShareChanges> {
         let mut moved = Vec::new();
         let mut told = BTreeMap::new();
         for view in servers {
@@ -55,13 +55,13 @@
         }
         self.told = told;
         moved.sort_by(|a, b| (b.to - b.from).abs().total_cmp(&(a.to - a.from).abs()));
-        (!moved.is_empty()).then_some(Moved(moved))
+        (!moved.is_empty()).then_some(TrafficShareChanges(moved))
     }
 }
 
-impl Moved {
+impl TrafficShareChanges {
     /// In words, with the names that servers have.
-    pub(super) fn told(&self, name: impl Fn(ServerId) -> Box<str>) -> String {
+    pub(super) fn describe(&self, name: impl Fn(ServerId) -> Box<str>) -> String {
         let mut text = String::new();
         for Move {
             server,
@@ -131,49 +131,49 @@
 
     #[test]
     fn what_moved_noticeably_is_told_once_with_its_figures_and_the_rest_is_not() {
-        let mut moves = Moves::default();
+        let mut moves = TrafficShares::default();
         let name = |server: ServerId| format!("n{}", server.0).into();
         assert!(
             moves
-                .look(&[view(1, 0.5, 9.0), view(2, 0.5, 9.0)])
+                .update(&[view(1, 0.5, 9.0), view(2, 0.5, 9.0)])
                 .is_none(),
             "they are new"
         );
         assert!(
             moves
-                .look(&[view(1, 0.55, 9.0), view(2, 0.45, 9.0)])
+                .update(&[view(1, 0.55, 9.0), view(2, 0.45, 9.0)])
                 .is_none(),
             "a little"
         );
         let moved = moves
-            .look(&[view(1, 0.8, 9.0), view(2, 0.2, 0.1)])
+            .update(&[view(1, 0.8, 9.0), view(2, 0.2, 0.1)])
             .expect("they moved");
         assert_eq!(
-            moved.told(name),
+            moved.describe(name),
             "n1 from 50.0% to 80.0% (work 2.000 s over time 4.000 s, 9 answers of late); \
              n2 from 50.0% to 20.0% (work 2.000 s over time 4.000 s, kept for want of answers)"
         );
         assert!(
             moves
-                .look(&[view(1, 0.8, 9.0), view(2, 0.2, 9.0)])
+                .update(&[view(1, 0.8, 9.0), view(2, 0.2, 9.0)])
                 .is_none(),
             "it was told"
         );
         // Slow moves add up, and what left is forgotten.
-        assert!(moves.look(&[view(1, 0.65, 9.0)]).is_none());
-        assert!(moves.look(&[view(1, 0.5, 9.0)]).is_some());
+        assert!(moves.update(&[view(1, 0.65, 9.0)]).is_none());
+        assert!(moves.update(&[view(1, 0.5, 9.0)]).is_some());
         assert_eq!(moves.told.len(), 1);
     }
 
     #[test]
     fn a_line_names_a_few_and_counts_the_rest() {
-        let mut moves = Moves::default();
+        let mut moves = TrafficShares::default();
         let all = |share: f64| (0..10).map(|at| view(at, share, 9.0)).collect::<Vec<_>>();
-        assert!(moves.look(&all(0.1)).is_none());
+        assert!(moves.update(&all(0.1)).is_none());
         let text = moves
-            .look(&all(0.0))
+            .update(&all(0.0))
             .expect("all moved")
-            .told(|server| server.to_string().into());
+            .describe(|server| server.to_string().into());
         assert!(text.ends_with("; and 7 more") && text.len() < 400, "{text}");
     }
 }
--- a/crates/sidecar/src/view.rs
+++ b/crates/sidecar/src/view.rs
@@ -142,9 +142,9 @@
     json!({
         "name": service.name,
         "state": if service.is_leaving() { "leaving" } else { "serving" },
-        "ready": service.pool.is_known(),
+        "ready": service.pool.has_servers(),
         "discovery": service.pool.discovery().map(|at| at.to_string()),
-        "list_version": service.pool.version(),
+        "list_version": service.pool.list_version(),
         "classes": classes.collect::<Value>(),
         "servers": snapshot.servers.iter().map(|s| server(service, s, now)).collect::<Value>(),
         "requests": counts(&service.counts.sum()),
--- a/crates/sidecar/src/virtual_server.rs
+++ b/crates/sidecar/src/virtual_server.rs
@@ -270,7 +270,7 @@
         .reached()
         .iter()
         .filter(|service| named.is_none_or(|name| service.name == name));
-    let ready = wanted.any(|service| service.pool.is_known());
+    let ready = wanted.any(|service| service.pool.has_servers());
     let wanted = listener.common.duty.borrow().is_serving() && !listener.is_leaving();
     plain(
         if ready && wanted {
