--- a/crates/sidecar/src/agent_link/mod.rs
+++ b/crates/sidecar/src/agent_link/mod.rs
@@ -11,16 +11,12 @@
 mod overlay;
 mod persisted;
 mod window;
-
-use super::process::Sidecar;
-use super::reload::aside;
-use super::supervision::supervise;
 use connection::keep_link;
 use madderloom_control_plane::PersistedInstance;
 use madderloom_control_plane::selector::Attributes;
 use madderloom_control_plane::settings::{Key, LogLevel, Overlay, Value};
 use madderloom_operator_config::{Operator, Source};
-use madderloom_watchdog::{self as watchdog, TaskKind};
+use madderloom_watchdog::{TaskKind, self as watchdog};
 use overlay::{changes_file, steering};
 use persisted::{load, write};
 use serde_json::json;
@@ -28,6 +24,9 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::sync::Arc;
+use super::process::Sidecar;
+use super::reload::run_on_thread;
+use super::supervision::supervise;
 use tokio::sync::{Mutex, watch};
 use tokio::task::AbortHandle;
 
@@ -95,7 +94,7 @@
     /// Reads a file, and applies the overlay to it where the file names an agent.
     pub(super) async fn read(&self, file: PathBuf) -> Result<Read, String> {
         let overlay = self.memory.borrow().overlay.clone();
-        aside(move || {
+        run_on_thread(move || {
             let (source, operator) = Source::load(&file).map_err(|faults| faults.to_string())?;
             if operator.control.is_none() {
                 return Ok(Read {
@@ -193,7 +192,9 @@
                 operator
             }
         };
-        self.common.steering.replace(steering(&memory.overlay));
+        self.process
+            .server_overrides
+            .replace(steering(&memory.overlay));
         self.agent_link.memory.replace(memory);
         self.agent_link.file.replace(Some(ConfiguredAgent {
             control,
--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -504,7 +504,7 @@
     let changes = changes.join(", ");
     let version = listing.index;
     let unnamed = listing.len().saturating_sub(MAX_LOGGED_CHANGES);
-    let of = &service.label;
+    let of = &service.log_prefix;
     tracing::info!(
         version,
         unnamed,
@@ -521,7 +521,7 @@
         .get()
         .filter(|_| listing.endpoints.is_empty());
     let listing = remembered.map_or(listing, |_| {
-        ListUpdate::remembered(service.remembered_servers())
+        ListUpdate::remembered(service.persisted_servers())
     });
     apply_static_list(service, listing);
 }
@@ -530,7 +530,7 @@
 pub(super) fn apply_static_list(service: &Rc<Service>, listing: ListUpdate) {
     apply_update(
         service,
-        service.common.clock.now(),
+        service.process.clock.now(),
         ListUpdate {
             snapshot: true,
             ..listing
@@ -560,9 +560,9 @@
         .values()
         .map(draining)
         .collect();
-    service.connections.clear();
+    service.connections.close_all_idle();
     service.handle(
-        service.common.clock.now(),
+        service.process.clock.now(),
         Event::Members(Members::Full(&listed)),
     );
 }
@@ -588,11 +588,11 @@
             moved(&former.0, zones, listed.zone),
             moved(&former.1, kinds, listed.kind),
         );
-        changes.push(service.common.steering.borrow().apply_to(*listed));
+        changes.push(service.process.server_overrides.borrow().apply_to(*listed));
     }
     changes.sort_unstable_by_key(|listed| listed.server);
     service.handle(
-        service.common.clock.now(),
+        service.process.clock.now(),
         Event::Members(Members::Changes(&changes)),
     );
 }
@@ -612,7 +612,7 @@
     let mut changes: Vec<Listed> = Vec::new();
     for (was, is) in service.pool.members.borrow().values().map(pairs) {
         // A pool that goes may lose servers, and gets none back.
-        if was != is && (is.state == ServerState::Draining || !service.is_leaving()) {
+        if was != is && (is.state == ServerState::Draining || !service.is_draining()) {
             changes.push(is);
         }
     }
@@ -623,9 +623,9 @@
     let drained = changes
         .iter()
         .filter(|listed| listed.state == ServerState::Draining);
-    drained.for_each(|listed| service.connections.forget(listed.server));
+    drained.for_each(|listed| service.connections.remove_server(listed.server));
     service.handle(
-        service.common.clock.now(),
+        service.process.clock.now(),
         Event::Members(Members::Changes(&changes)),
     );
 }
@@ -641,7 +641,7 @@
     if rows.len() > MAX_LISTED_SERVERS {
         return Err(format!("holds {} servers", rows.len()));
     }
-    if service.pool.discovery.get().is_none() || service.is_leaving() {
+    if service.pool.discovery.get().is_none() || service.is_draining() {
         return Err("the pool follows no discovery any more".to_string());
     }
     let endpoint = |Row(name, address, zone, kind, group, status, weight, since_ms)| Endpoint {
@@ -655,7 +655,7 @@
         since_ms,
     };
     let endpoints = rows.into_iter().map(endpoint).collect();
-    let now = service.common.clock.now();
+    let now = service.process.clock.now();
     apply_update(
         service,
         now,
@@ -679,19 +679,20 @@
         return;
     }
     log_changes(service, &listing);
-    let times = (now, service.common.clock.behind());
-    let (listed, left) = service
-        .pool
-        .take_in(listing, &service.common.steering.borrow(), times);
+    let times = (now, service.process.clock.wall_clock_offset());
+    let (listed, left) =
+        service
+            .pool
+            .take_in(listing, &service.process.server_overrides.borrow(), times);
     left.into_iter()
-        .for_each(|server| service.connections.forget(server));
+        .for_each(|server| service.connections.remove_server(server));
     let members = if full {
         Members::Full(&listed)
     } else {
         Members::Changes(&listed)
     };
     service.handle(now, Event::Members(members));
-    service.recall_servers(now);
+    service.restore_server_measurements(now);
 }
 
 #[cfg(test)]
