--- a/crates/sidecar/src/agent_link/mod.rs
+++ b/crates/sidecar/src/agent_link/mod.rs
@@ -11,16 +11,12 @@
 mod overlay;
 mod persisted;
 mod window;
-
-use super::kept::keep_going;
-use super::process::Sidecar;
-use super::reload::run_on_thread;
 use connection::keep_link;
 use madderloom_control_plane::PersistedInstance;
 use madderloom_control_plane::selector::Attributes;
 use madderloom_control_plane::settings::{Key, LogLevel, Overlay, Value};
 use madderloom_operator_config::{Operator, Source};
-use madderloom_watchdog::{self as watchdog, TaskKind};
+use madderloom_watchdog::{TaskKind, self as watchdog};
 use overlay::{changes_file, steering};
 use persisted::{load, write};
 use serde_json::json;
@@ -28,6 +24,9 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::sync::Arc;
+use super::process::Sidecar;
+use super::reload::run_on_thread;
+use super::supervision::supervise;
 use tokio::sync::{Mutex, watch};
 use tokio::task::AbortHandle;
 
@@ -281,7 +280,7 @@
                     .upgrade()
                     .map(|_| keep_link(sidecar.clone(), own.clone(), receiver.clone()))
             };
-            keep_going(TaskKind::AgentLink, "the agent's link", begin).await;
+            supervise(TaskKind::AgentLink, "the agent's link", begin).await;
         });
         *link = Some(ActiveLink {
             control,
--- a/crates/sidecar/src/attempt.rs
+++ b/crates/sidecar/src/attempt.rs
@@ -263,7 +263,7 @@
             // Or its idempotency window ends: servers that have forgotten the first attempt would run this one.
             Some(Err(ConnectError::NoCapacity)) | None => return (Outcome::Moot, None),
         };
-        if !service.pool.takes_new(
+        if !service.pool.accepts_new_attempts(
             attempt.server,
             address,
             &service.process.server_overrides.borrow(),
--- a/crates/sidecar/src/reload.rs
+++ b/crates/sidecar/src/reload.rs
@@ -1,22 +1,22 @@
 //! The operator file read again while the process serves: it takes effect whole or not at all.
 
-use super::admin::{self, AdminServer};
+use madderloom_balancer::settings::Site;
+use madderloom_operator_config::{Bounds, MemberLimits, Operator, PLATFORM, Pool, parts};
+use madderloom_routing::routes::{Route, Table};
+use madderloom_watchdog::{TaskKind, self as watchdog};
+use std::hash::BuildHasher;
+use std::rc::Rc;
+use std::time::Duration;
+use super::discovery_watch;
+use super::admin::{AdminServer, self};
 use super::config::Config;
 use super::counts::increment;
-use super::discovery_watch;
 use super::listener::{BoundSocket, Listener, ListenerSettings, bind};
 use super::ordinal::ordinal_in_name;
-use super::pool::Listing;
+use super::pool::ListUpdate;
 use super::process::{Sidecar, resource_totals};
 use super::routing::{ListenerRoutes, Routing};
 use super::service::{ResourceShares, Service, ServiceSpec};
-use madderloom_balancer::settings::Site;
-use madderloom_operator_config::{Bounds, MemberLimits, Operator, PLATFORM, Pool, parts};
-use madderloom_routing::routes::{Route, Table};
-use madderloom_watchdog::{self as watchdog, TaskKind};
-use std::hash::BuildHasher;
-use std::rc::Rc;
-use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::sync::oneshot;
 
@@ -42,7 +42,7 @@
                         tracing::info!("settings taken over");
                         service.update_settings(config.settings);
                     }
-                    discovery_watch::turn_to(service, config.discovery);
+                    discovery_watch::switch_discovery(service, config.discovery);
                 }
                 Err(problem) => {
                     increment(&self.process.configs_rejected);
@@ -166,7 +166,7 @@
             .filter(|pool| pool.discovery.is_some());
         self.process
             .shared_lists
-            .follow(shared, followed.map(|pool| pool.name.clone()));
+            .set_pools(shared, followed.map(|pool| pool.name.clone()));
         self.process.set_totals(resource_totals(
             self.descriptors,
             self.memory_bytes,
@@ -352,7 +352,7 @@
             log_prefix: format!("{}: ", pool.name),
             site: site_of(pool),
             discovery: pool.discovery,
-            initial_list: Listing::fixed(&pool.servers),
+            initial_list: ListUpdate::from_static_servers(&pool.servers),
             limits: pool.limits,
             levels: pool.levels.clone(),
             graphql: pool.graphql.clone(),
--- a/crates/sidecar/src/service.rs
+++ b/crates/sidecar/src/service.rs
@@ -1,25 +1,10 @@
 //! A service: one pool of servers with an instance of the decision module of its own, and all that belongs to it
 //! alone. Nothing of one service is seen by another but through what the process limits.
 
-use super::active_settings::ActiveSettings;
-use super::connections::Connections;
-use super::counts::{OutcomeCounts, ServiceCounts};
-use super::fair_scheduler::ChargedAccount;
-use super::limits::RequestLimits;
-use super::moves::Moves;
-use super::pool::{self, Listing, Pool};
-use super::process_state::ProcessState;
-use super::teller::{EndedAttempt, Teller};
-use super::transaction::{Step, StepQueue};
-use super::warm_start::WarmStart;
-use super::{discovery_watch, event_log, levels, probe};
 use foldhash::quality::FixedState;
 use hyper::header::HeaderValue;
+use madderloom_balancer::{Action, Balancer, Event, Members, Memory, Micros, NewRequest, Note, RequestId, ServerId, Snapshot, Timer};
 use madderloom_balancer::settings::Site;
-use madderloom_balancer::{
-    Action, Balancer, Event, Members, Memory, Micros, NewRequest, Note, RequestId, ServerId,
-    Snapshot, Timer,
-};
 use madderloom_degradation::{LevelController, LevelPlan};
 use madderloom_graphql::{Front, Policy};
 use madderloom_operator_config::{Kept, MemberLimits};
@@ -29,6 +14,18 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
+use super::{discovery_watch, event_log, levels, probe};
+use super::active_settings::ActiveSettings;
+use super::connections::Connections;
+use super::counts::{OutcomeCounts, ServiceCounts};
+use super::fair_scheduler::ChargedAccount;
+use super::limits::RequestLimits;
+use super::pool::{ListUpdate, Pool, self};
+use super::process_state::ProcessState;
+use super::teller::{EndedAttempt, Teller};
+use super::traffic_shares::TrafficShares;
+use super::transaction::{Step, StepQueue};
+use super::warm_start::WarmStart;
 use tokio::sync::Notify;
 use tokio::task::AbortHandle;
 
@@ -41,7 +38,7 @@
     /// None where the list is fixed.
     pub(super) discovery: Option<SocketAddr>,
     /// The servers as they are known at the start, or for good.
-    pub(super) initial_list: Listing,
+    pub(super) initial_list: ListUpdate,
     pub(super) limits: MemberLimits,
     pub(super) levels: Option<LevelPlan>,
     /// How its GraphQL operations are classed, if it has any.
@@ -101,7 +98,7 @@
     /// What the module said is being carried out.
     handling: Cell<bool>,
     /// The parts of its servers as the log told of them last.
-    moves: RefCell<Moves>,
+    moves: RefCell<TrafficShares>,
 }
 
 fn numbered_balancer(spec: &ServiceSpec) -> Result<Balancer, String> {
@@ -177,7 +174,7 @@
         process.services.borrow_mut().push(Rc::clone(&service));
         event_log::started(process.clock.now());
         service.recall_classes();
-        pool::begin(&service, initial_list);
+        pool::load_initial_list(&service, initial_list);
         levels::configure(&service, levels);
         Ok(service)
     }
@@ -197,20 +194,20 @@
         }
         drop(front);
         match pool.discovery {
-            Some(discovery) if !self.pool.follows(discovery) => {
-                discovery_watch::turn_to(self, discovery)
+            Some(discovery) if !self.pool.uses_discovery(discovery) => {
+                discovery_watch::switch_discovery(self, discovery)
             }
             Some(_) => {}
-            None => pool::fix(self, Listing::fixed(&pool.servers)),
+            None => pool::use_static_list(self, ListUpdate::from_static_servers(&pool.servers)),
         }
         levels::configure(self, pool.levels.clone());
     }
 
     /// How old its list may be, by discovery's word or the fleet's; none where it is fixed.
     pub(super) fn list_age(&self, now: Micros) -> Option<Micros> {
-        let shared = self.process.shared_lists.age(&self.name);
+        let shared = self.process.shared_lists.evidence_age(&self.name);
         self.pool
-            .age(now)
+            .list_age(now)
             .map(|age| shared.map_or(age, |shared| shared.min(age)))
     }
 
@@ -236,7 +233,7 @@
         };
         tokio::pin!(idle);
         let drained = tokio::time::timeout(drain, idle.as_mut()).await;
-        pool::drain(&self);
+        pool::drain_servers(&self);
         if drained.is_err() {
             idle.await;
         }
@@ -280,7 +277,7 @@
         let (tuned, retuned) = former.updated(site, &self.counts);
         self.connections
             .set_timeouts(tuned.site.conn_idle, tuned.site.connect_timeout);
-        pool::rename(self, &tuned.site);
+        pool::update_names(self, &tuned.site);
         self.active_settings.replace(Rc::new(tuned));
         self.handle(self.process.clock.now(), Event::Settings(&retuned));
     }
@@ -437,7 +434,7 @@
         }
         let snapshot = self.snapshot();
         let moved = if logged {
-            self.moves.borrow_mut().look(&snapshot.servers)
+            self.moves.borrow_mut().update(&snapshot.servers)
         } else {
             None
         };
@@ -445,7 +442,7 @@
             let of = &self.log_prefix;
             tracing::info!(
                 "{of}regions moved: {}",
-                moved.told(|server| self.pool.name(server))
+                moved.describe(|server| self.pool.name(server))
             );
         }
         // The local day is looked up where a story wants it alone.
@@ -504,7 +501,7 @@
                 self.instruct(request, Step::Fail);
             }
             Action::SetTimer { at, timer } => self.set_timer(at, timer),
-            Action::Subscribe => discovery_watch::subscribe(self),
+            Action::Subscribe => discovery_watch::poll_discovery(self),
             Action::Probe(server) => probe::start(self, server),
             Action::Log(note) => self.note(now, note),
         }
