--- a/crates/sidecar/src/discovery_watch.rs
+++ b/crates/sidecar/src/discovery_watch.rs
@@ -48,7 +48,8 @@
 
 /// Opens the watch, in place of one that is open, as the module says. One that the fleet called for meanwhile stays.
 pub(super) fn poll_discovery(service: &Rc<Service>) {
-    if !(service.pool.is_calling_discovery() && service.process.shared_lists.shares(&service.name)) {
+    if !(service.pool.is_calling_discovery() && service.process.shared_lists.shares(&service.name))
+    {
         open_watch(service, true);
     }
 }
