--- a/crates/balancer/examples/embed.rs
+++ b/crates/balancer/examples/embed.rs
@@ -11,12 +11,12 @@
         zone: 0,
         tick: MS,
         classes: vec![Class {
-            aim: 200 * MS,
-            aim_stretch: 0.0,
+            latency_objective: 200 * MS,
+            latency_objective_stretch: 0.0,
             deadline: 500 * MS,
-            effect: Effect::Safe,
-            worth: 1.0,
-            late_worth: 0.0,
+            retry_safety: RetrySafety::Idempotent,
+            priority_weight: 1.0,
+            late_weight_share: 0.0,
         }],
         tenants: Vec::new(),
         discovery_on_request: true,
@@ -27,25 +27,25 @@
             max_retry_after: 1_000 * MS,
             max_attempts: 3,
         },
-        rules: Rules {
-            cold_from: 0.2,
-            cold: 10_000 * MS,
-            fall: 1_000 * MS,
-            ask_within: 10_000 * MS,
+        rules: SafetyRules {
+            slow_start_min_share: 0.2,
+            slow_start_window: 10_000 * MS,
+            overload_window: 1_000 * MS,
+            max_poll_interval: 10_000 * MS,
             drain_grace: 3_000 * MS,
         },
         prices: Prices::default(),
-        worth_by_work: false,
+        weight_per_work: false,
     }
 }
 
-fn listed(server: u64, state: ServerState) -> Listed {
-    Listed {
+fn listed(server: u64, state: ServerState) -> ServerEntry {
+    ServerEntry {
         server: ServerId(server),
         zone: 0,
         cell: 0,
         kind: 0,
-        started: None,
+        started_at: None,
         capacity: 1.0,
         state,
     }
@@ -53,27 +53,27 @@
 
 fn request(id: RequestId) -> Event<'static> {
     let time_left = 500 * MS;
-    Event::Request(NewRequest {
+    Event::RequestReceived(NewRequest {
         id,
         class: 0,
         tenant: 0,
         key: None,
         time_left,
-        cost: None,
-        repeat: false,
+        cost_hint: None,
+        client_retry: false,
     })
 }
 
 fn closed(request: RequestId, attempt: u32, server: ServerId, outcome: Outcome) -> Event<'static> {
     // The embedder hands an answer to the client itself; `ended` says that it did.
     let ended = outcome == Outcome::Ok;
-    Event::Closed(Closed {
+    Event::AttemptEnded(AttemptResult {
         request,
         attempt,
         server,
         outcome,
         elapsed: 20 * MS,
-        ended,
+        request_ended: ended,
     })
 }
 
@@ -103,7 +103,11 @@
     let mut now: Micros = 1_000_000;
 
     let both = [listed(1, ServerState::Ready), listed(2, ServerState::Ready)];
-    balancer.handle(now, Event::Members(Members::Full(&both)), &mut actions);
+    balancer.handle(
+        now,
+        Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&both)),
+        &mut actions,
+    );
 
     // A request: its attempt, and a timer to be handed back when it is due.
     balancer.handle(now, request(1), &mut actions);
@@ -124,7 +128,7 @@
     let drained = [listed(second.0, ServerState::Draining)];
     balancer.handle(
         now,
-        Event::Members(Members::Changes(&drained)),
+        Event::DiscoveryUpdated(DiscoveryUpdate::ListChanges(&drained)),
         &mut actions,
     );
     for id in 2..20 {
--- a/crates/balancer/src/decide.rs
+++ b/crates/balancer/src/decide.rs
@@ -1,9 +1,10 @@
-//! Every decision of the balancer and every tunable, to be read aloud from top to bottom.
-//! The types, events and actions it speaks in are in `interface.rs`.
-//! The ordinary path: a request's key, else a random number, is hashed onto a unit interval of which
-//! one half is covered, and hashed again with the next function of the family while it meets empty space.
-//! A server's region is proportional to its measured size over elapsed time. Everything else is an
-//! exception of one kind: a server that may not take this request now (see [`Bar`]) counts as empty space.
+//! All decisions of the balancer, and all its constants. The types, events and actions are in `interface.rs`.
+//!
+//! Selection of a server: the request's key, or a random number if it has none, is hashed onto a unit
+//! interval of which one half is covered by the regions of the servers. If it hits an uncovered point, it is
+//! hashed again with the next function of the hash family. A server's region is proportional to its measured
+//! service rate: work done per unit of time. All exceptions work in one way: a server that may not receive
+//! the request now (see [`Eligibility`]) is skipped, as if its region were uncovered.
 
 use crate::discovery_evidence::Failure;
 use crate::discovery_poll::FailedCall;
@@ -14,174 +15,274 @@
 use std::collections::BTreeMap;
 use std::hash::BuildHasher;
 
-// ---- Tunables; times and spans in microseconds ----
-
-const PERIOD: Micros = 250_000; // an interval is retuned at its first use after this...
-const STRETCH: usize = 16; // ...for so many servers: among more, one answer says less and tuning costs more
-const KEEP: f64 = 0.9; // what a period with answers leaves of older sums: quiet instances see few answers
-const PRIOR: f64 = 2.0; // usual answers at its kind's mean mixed into each server's measurement
-pub(crate) const POOL: usize = 8; // intervals kept
-const SUBREGIONS: usize = 8; // of an interval for each server, at least: so shares are exact enough
-const HASHES: u32 = 64; // functions of the hash family tried for one selection
-const CHOICES: usize = 5; // regions so met first, of which a request goes to the first...
-const FIT: f64 = 0.3; // of the aim
-const TRIALS: f64 = 0.05; // of them go to the first all the same: what is held to be slow is measured again
-const BETTER: f64 = 0.75; // ...but for one that would serve it in this part of the time
-const CROSSING: f64 = 33.0; // requests that a crossing of zones weighs as, times its price in worth
-const FAILURES: u32 = 6; // ejects a server: time-outs count 1, errors 2, lost connections 3, in a row
-const ALIVE: f64 = 10.0; // times later, by the part of its answers that a server loses: it is known to live
-pub(crate) const LOSSES: f64 = 10e6; // over which what a server loses is counted...
-pub(crate) const DOUBT: f64 = 1.0; // ...but for so many, which a whole one loses too
-const LOSS: f64 = 2.0; // aims that a loss is worth waiting to avoid, where it can't be sent again
-const EJECTION: (Micros, Micros) = (1_000_000, 8_000_000); // first, and last after doubling at failed trials
-const LOOK: Micros = 25_000; // between looks at a request that is held or waits for probes
-pub(crate) const BLIND: u32 = 16; // from so many instances on, own work out tells too little of a queue
-pub(crate) const PROBES: (f64, f64) = (3.0, 0.02); // servers asked first, and part of the worth spent on it
-pub(crate) const FRESH: Micros = 30_000; // how long a probe's answer holds
-pub(crate) const FAILING: f64 = 1.0; // requests that an error a second weighs as
-pub(crate) const OVERDUE: f64 = 2.0; // an attempt is overdue after this multiple of its class's slow answers
-pub(crate) const RETRY_BUDGET: (f64, f64) = (0.5, 10.0); // earned by each first attempt, and saved at most
-pub(crate) const RATE_SPAN: f64 = 3e6; // over which arrivals and served work are counted...
-pub(crate) const AIMS: f64 = 3.0; // ...or, for a class's answers, this many aims, where that is longer
-pub(crate) const COST: (f64, f64) = (0.125, 0.3); // a class's usual work: first by its aim, then a quantile
-pub(crate) const SLOW: (f64, f64) = (0.5, 0.95); // its slow answers, likewise
-pub(crate) const STEPS: (f64, f64, f64) = (0.5, 0.9, 0.1); // of a quantile: first, shrinking by, to the last
-pub(crate) const WEIGHT: f64 = 0.02; // of the latest value in a mean
-pub(crate) const DELAY_SPAN: f64 = 1e6; // a class's delay is that of its answers in this time...
-pub(crate) const DELAYS: (f64, f64) = (10.0, 200.0); // ...of so many at least, and at most
-const DELAY: f64 = 0.45; // a class may have open what it serves in this part of its aim...
-const WORKS: (f64, f64) = (2.0, 0.75); // ...or so many times its work, up to this part: work is no queue...
-const HINTS: f64 = 0.004; // of the latest hint in the mean of those: they are rough
-const OPENING: i32 = 3; // ...and more by this power as its delay is shorter; less, too, of what is to spare
-const QUEUE: f64 = 0.6; // but never more than it serves in this part: answers tell of a delay late
-const SPARE: f64 = 3.0; // requests beyond a rate or a share, whose noise would refuse what is rare
-const REPEATS: f64 = 0.5; // part of all that for clients' repeats, of which some are past the aim
-const CALM: Micros = 5_000_000; // without early refusal, after which the next is logged
-const LONG: f64 = 0.8; // a class is long when its usual work is over this part of the shortest aim
-const LONG_PART: f64 = 0.8; // servers for long classes, by their part of the work: they have time to queue
-pub(crate) const LANE_SPAN: f64 = 60e6; // over which that part is counted
-pub(crate) const HEARD: (f64, f64) = (4e6, 20e6); // a server is to be heard from in this, by arrivals over...
-const MET: f64 = 0.5e6; // ...that; one of many that asks nobody meets each in this
-const REACH: usize = 8; // but so many servers are used at least
-const SAVED: f64 = 0.5; // of a cold server's budget for a `fall`: more would let a burst spend it at once
-const AT_ONCE: f64 = 24.0; // instances that may give a cold server a request as it starts
-const PACE: f64 = 1.5; // of what a cold server would bear of a warm one's usual work is given to it at most
-
-/// Why a server counts as empty space for a request. Up to `Tried`, the least barred of those met is
-/// taken when no function of the family finds a free one; the rest are never taken.
+// ---- Constants. Those of type `Micros`, and those that end in `_US`, are in microseconds. ----
+
+/// Minimum time between two tunings of an interval, for each [`SERVERS_PER_TUNING_PERIOD`] of its servers.
+/// Also the minimum time between two assignments of lanes.
+const TUNING_PERIOD: Micros = 250_000;
+/// Number of servers by which the tuning period grows: with more servers, one response says less and tuning
+/// costs more.
+const SERVERS_PER_TUNING_PERIOD: usize = 16;
+/// Fraction of a server's measured sums that is kept at a tuning after new results. Without new results the
+/// sums stay, because an instance with little traffic receives few responses.
+const MEASUREMENT_DECAY: f64 = 0.9;
+/// Weight of the prior in a server's measurement: this many mean response times, at the mean speed of the
+/// server's machine kind.
+const PRIOR_RESPONSES: f64 = 2.0;
+/// Number of intervals kept.
+pub(crate) const MAX_INTERVALS: usize = 8;
+/// Minimum number of an interval's subregions per server, so that the shares are accurate enough.
+const SUBREGIONS_PER_SERVER: usize = 8;
+/// Number of functions of the hash family tried for one selection.
+const HASHES_PER_SELECTION: u32 = 64;
+/// Number of eligible servers compared in one selection.
+const MAX_CANDIDATES: usize = 5;
+/// A server whose expected response time is within this fraction of the time left until the latency
+/// objective ends the comparison.
+const FAST_ENOUGH_SHARE: f64 = 0.3;
+/// Fraction of selections without comparison: the first eligible server gets the request. This measures
+/// servers again that are estimated as slow.
+const UNCOMPARED_SHARE: f64 = 0.05;
+/// A later candidate replaces the best one so far only if its expected response time is below this fraction
+/// of the other's.
+const FASTER_CANDIDATE_RATIO: f64 = 0.75;
+/// Load that a cross-zone attempt adds to a server in comparisons, in requests of mean work, at a cross-zone
+/// price of one priority weight. It is multiplied by the price.
+const CROSS_ZONE_LOAD_REQUESTS: f64 = 33.0;
+/// Score of failures in a row that ejects a server: a timeout scores 1, an error 2, a lost connection 3.
+const EJECTION_SCORE: u32 = 6;
+/// The ejection score grows by this multiple of the server's loss share: a server that loses only a part of
+/// its attempts is known to be alive.
+const EJECTION_SCORE_LOSS_FACTOR: f64 = 10.0;
+/// Time constant of the counts of ended and lost attempts.
+pub(crate) const LOSS_TIME_CONSTANT_US: f64 = 10e6;
+/// Lost attempts within that time constant that do not count, because a healthy server has them as well.
+pub(crate) const NORMAL_LOSSES: f64 = 1.0;
+/// Cost of losing a non-idempotent request, which cannot be retried, in latency objectives: how much longer
+/// it is worth waiting at another server.
+const LOSS_COST_OBJECTIVES: f64 = 2.0;
+/// Duration of a server's first ejection. It doubles with each failed trial request.
+const FIRST_EJECTION: Micros = 1_000_000;
+/// Maximum duration of an ejection.
+const MAX_EJECTION: Micros = 8_000_000;
+/// Time between checks of a request that is queued or waits for probes.
+const REQUEST_CHECK_PERIOD: Micros = 25_000;
+/// Group size from which the instance's own requests in flight say too little about a server's load.
+pub(crate) const PROBING_GROUP_SIZE: u32 = 16;
+/// Maximum number of servers probed before a first attempt.
+pub(crate) const MAX_PROBES: f64 = 3.0;
+/// Maximum fraction of a request's priority weight spent on probes.
+pub(crate) const PROBE_PRICE_LIMIT: f64 = 0.02;
+/// How long the result of a probe is used.
+pub(crate) const PROBE_VALIDITY: Micros = 30_000;
+/// Number of requests in flight that a reported error rate of one per second counts as.
+pub(crate) const REQUESTS_PER_ERROR_RATE: f64 = 1.0;
+/// An attempt is overdue after this multiple of its class's tail latency.
+pub(crate) const OVERDUE_FACTOR: f64 = 2.0;
+/// Retries that each accepted request adds to the retry budget.
+pub(crate) const RETRY_BUDGET_PER_REQUEST: f64 = 0.5;
+/// Maximum number of retries saved in the retry budget.
+pub(crate) const MAX_RETRY_BUDGET: f64 = 10.0;
+/// Time constant of the counts of tenants' arrivals and of served requests and work.
+pub(crate) const RATE_TIME_CONSTANT_US: f64 = 3e6;
+/// Minimum time constant of a class's served requests, in multiples of its latency objective.
+pub(crate) const RATE_TIME_CONSTANT_OBJECTIVES: f64 = 3.0;
+/// Initial estimate of a class's service time, as a fraction of its latency objective.
+pub(crate) const INITIAL_SERVICE_TIME_SHARE: f64 = 0.125;
+/// Quantile of a class's response times that estimates its service time, which excludes queueing.
+pub(crate) const SERVICE_TIME_QUANTILE: f64 = 0.3;
+/// Initial estimate of a class's tail latency, as a fraction of its latency objective.
+pub(crate) const INITIAL_TAIL_LATENCY_SHARE: f64 = 0.5;
+/// Quantile of a class's response times that is its tail latency.
+pub(crate) const TAIL_LATENCY_QUANTILE: f64 = 0.95;
+/// First relative step of a quantile estimate.
+pub(crate) const QUANTILE_INITIAL_STEP: f64 = 0.5;
+/// Factor by which the step shrinks with each sample.
+pub(crate) const QUANTILE_STEP_DECAY: f64 = 0.9;
+/// Minimum step of a quantile estimate.
+pub(crate) const QUANTILE_MIN_STEP: f64 = 0.1;
+/// Weight of the latest sample in a moving mean.
+pub(crate) const MEAN_STEP: f64 = 0.02;
+/// A class's latency ratio is the mean over the responses of about this time.
+pub(crate) const LATENCY_RATIO_SPAN_US: f64 = 1e6;
+/// Minimum number of responses in that mean.
+pub(crate) const LATENCY_RATIO_MIN_RESPONSES: f64 = 10.0;
+/// Maximum number of responses in that mean.
+pub(crate) const LATENCY_RATIO_MAX_RESPONSES: f64 = 200.0;
+/// Admission: a class may have in flight what it serves in this fraction of its latency objective.
+const ADMITTED_OBJECTIVE_SHARE: f64 = 0.45;
+/// Admission: the fraction above is at least this multiple of the class's hinted work, because work is not
+/// queueing.
+const ADMITTED_WORK_FACTOR: f64 = 2.0;
+/// Admission: the limit of that extension, as a fraction of the latency objective.
+const MAX_ADMITTED_OBJECTIVE_SHARE: f64 = 0.75;
+/// Minimum weight of the latest hint in a class's mean hinted work. It is low because hints are imprecise.
+const HINT_MEAN_STEP: f64 = 0.004;
+/// Admission: the limit rises by this power of the ratio of the admitted to the measured latency. If that
+/// ratio is below 1, the limit falls in proportion to it, and the spare requests fall by the power.
+const ADMISSION_EXPONENT: i32 = 3;
+/// Admission: a class never has in flight more than it serves in this fraction of its latency objective,
+/// because responses report queueing late.
+const MAX_QUEUE_OBJECTIVE_SHARE: f64 = 0.6;
+/// Requests admitted beyond a rate or a share, whose noise would otherwise reject rare requests.
+const SPARE_REQUESTS: f64 = 3.0;
+/// Fraction of the admission limit that applies to clients' retries, some of which are past the objective.
+const CLIENT_RETRY_ADMISSION: f64 = 0.5;
+/// Time without rejections for overload after which the next one is logged.
+const OVERLOAD_LOG_QUIET_TIME: Micros = 5_000_000;
+/// A class is long if its service time exceeds this fraction of the shortest latency objective.
+const LONG_CLASS_OBJECTIVE_SHARE: f64 = 0.8;
+/// Size of the long classes' lane, as a fraction of their share of the work: long classes have time to queue.
+const LONG_LANE_SHARE: f64 = 0.8;
+/// Time constant of the arrived work that gives that share.
+pub(crate) const LANE_TIME_CONSTANT_US: f64 = 60e6;
+/// Lane size of an instance that may not probe: its arrivals within this time, so that each server responds
+/// to it about once in this time.
+const LANE_PERIOD_US: f64 = 4e6;
+/// The same for an instance that may probe, but does not because probes are too expensive.
+const LANE_PERIOD_IN_LARGE_GROUP_US: f64 = 0.5e6;
+/// Time constant of the arrivals that determine the lane size.
+pub(crate) const ARRIVAL_TIME_CONSTANT_US: f64 = 20e6;
+/// Minimum number of servers in a lane.
+const MIN_LANE_SERVERS: usize = 8;
+/// Slow start: fraction of the budget for one overload window that a warming server can accumulate. A burst
+/// would spend a larger one at once.
+const SLOW_START_SAVED_SHARE: f64 = 0.5;
+/// Slow start: number of instances that may send a request to a server as soon as it starts.
+const SLOW_START_FIRST_INSTANCES: f64 = 24.0;
+/// Slow start: a warming server receives at most this multiple of the work that it is estimated to handle.
+const SLOW_START_PACE: f64 = 1.5;
+
+/// Whether a server may receive a request, or why not, in the order of preference. If no function of the hash
+/// family yields an eligible server, the request goes to the best server met, up to `AlreadyTried`. The
+/// others never receive it.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Bar {
-    Free,         // it does not: it may take the request
-    Ejected,      // it failed and awaits its trial
-    Tried,        // an attempt of this request was there already
-    Cold,         // the work it may be given while it is cold is spent
-    OutsideGroup, // it would not discard a repeat of this request
+enum Eligibility {
+    /// It may receive the request.
+    Eligible,
+    /// It is ejected and waits for its trial request.
+    Ejected,
+    /// An earlier attempt of this request went to it.
+    AlreadyTried,
+    /// It is warming up and its slow-start budget is spent.
+    SlowStartBudgetSpent,
+    /// It would not recognize a retry of this request as a duplicate.
+    OutsideDeduplicationScope,
 }
 
-/// A unit interval of equal subregions, half of it covered. A server owns whole subregions and the
-/// beginning of at most one more, so it grows and shrinks without moving others.
+/// A unit interval of equal subregions, one half of it covered. A server owns whole subregions and the start
+/// of at most one more, so its region grows and shrinks without moving those of others.
 pub(crate) struct Interval {
-    ids: Vec<ServerId>,
-    tuned: Micros,
-    /// For each subregion: the place of its owner in `ids`, and how much of it is covered.
-    cells: Vec<(u32, u32)>,
+    servers: Vec<ServerId>,
+    tuned_at: Micros,
+    /// For each subregion: the index of its owner in `servers`, and the length of its covered part.
+    subregions: Vec<(u32, u32)>,
 }
 
 impl Interval {
-    const CELL: u32 = 1 << 16;
+    /// Length of a subregion.
+    const SUBREGION_LENGTH: u32 = 1 << 16;
 
-    pub(crate) fn new(ids: Vec<ServerId>) -> Self {
-        let cells = (SUBREGIONS * ids.len().max(1)).next_power_of_two();
+    pub(crate) fn new(servers: Vec<ServerId>) -> Self {
+        let subregions = (SUBREGIONS_PER_SERVER * servers.len().max(1)).next_power_of_two();
         Interval {
-            ids,
-            tuned: 0,
-            cells: vec![(0, 0); cells],
+            servers,
+            tuned_at: 0,
+            subregions: vec![(0, 0); subregions],
         }
     }
 
+    /// The server at a point of the interval, given as a fraction of 2^64; None if the point is uncovered.
     pub(crate) fn lookup(&self, offset: u64) -> Option<ServerId> {
-        let bits = self.cells.len().trailing_zeros();
-        let (owner, covered) = self.cells[(offset >> (64 - bits)) as usize];
-        let within = (offset << bits >> 48) as u32;
-        (within < covered).then(|| self.ids[owner as usize])
+        let bits = self.subregions.len().trailing_zeros();
+        let (owner, covered) = self.subregions[(offset >> (64 - bits)) as usize];
+        let offset_in_subregion = (offset << bits >> 48) as u32;
+        (offset_in_subregion < covered).then(|| self.servers[owner as usize])
     }
 
-    /// Resizes the regions in place to the weights' proportions: first all that shrink, then all that grow,
-    /// each from the subregion that it covers in part, so that it keeps one such at the most.
+    /// Resizes the regions in place to the proportions of the weights. First all regions that shrink, then
+    /// all that grow, each starting with its partly covered subregion, so that it keeps at most one.
     pub(crate) fn tune(&mut self, weights: &[f64]) {
         let total: f64 = weights.iter().sum();
-        let half = self.cells.len() as i64 / 2 * i64::from(Self::CELL);
+        let half = self.subregions.len() as i64 / 2 * i64::from(Self::SUBREGION_LENGTH);
         let mut change: Vec<i64> = weights
             .iter()
-            .map(|w| (w / total * half as f64) as i64)
+            .map(|weight| (weight / total * half as f64) as i64)
             .collect();
         change[0] += half - change.iter().sum::<i64>();
-        self.cells
+        self.subregions
             .iter()
             .for_each(|(owner, covered)| change[*owner as usize] -= i64::from(*covered));
-        for whole in [false, true] {
+        for fully_covered in [false, true] {
             for (owner, covered) in self
-                .cells
+                .subregions
                 .iter_mut()
-                .filter(|c| (c.1 == Self::CELL) == whole)
+                .filter(|subregion| (subregion.1 == Self::SUBREGION_LENGTH) == fully_covered)
             {
-                let cut = (-change[*owner as usize]).clamp(0, i64::from(*covered));
-                *covered -= cut as u32;
-                change[*owner as usize] += cut;
+                let removed = (-change[*owner as usize]).clamp(0, i64::from(*covered));
+                *covered -= removed as u32;
+                change[*owner as usize] += removed;
             }
         }
         let mut growing = 0;
-        for free in [false, true] {
-            for (owner, covered) in self.cells.iter_mut().filter(|c| (c.1 == 0) == free) {
-                if free {
-                    let Some(next) = change[growing..].iter().position(|c| *c > 0) else {
+        for uncovered in [false, true] {
+            for (owner, covered) in self
+                .subregions
+                .iter_mut()
+                .filter(|subregion| (subregion.1 == 0) == uncovered)
+            {
+                if uncovered {
+                    let Some(next) = change[growing..].iter().position(|change| *change > 0) else {
                         return;
                     };
                     growing += next;
                     *owner = growing as u32;
                 }
-                let add = change[*owner as usize].clamp(0, i64::from(Self::CELL - *covered));
-                *covered += add as u32;
-                change[*owner as usize] -= add;
+                let added =
+                    change[*owner as usize].clamp(0, i64::from(Self::SUBREGION_LENGTH - *covered));
+                *covered += added as u32;
+                change[*owner as usize] -= added;
             }
         }
     }
 }
 
 impl Balancer {
-    /// Takes one event and appends what is to be done.
+    /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
         if !std::mem::replace(&mut self.started, true) && self.settings.discovery_on_request {
-            let missed = FailedCall {
-                since: now.saturating_sub(Rules::DOWN),
+            let missed_while_down = FailedCall {
+                since: now.saturating_sub(SafetyRules::MAX_RESTART_GAP),
                 failure: Failure::Unreached,
             };
-            self.schedule_poll(now, missed, actions);
+            self.schedule_poll(now, missed_while_down, actions);
         }
         match event {
-            Event::Members(news) => self.members(now, news, actions),
-            Event::Request(new) => self.request(now, new, actions),
-            Event::Closed(closed) => self.closed(now, closed, actions),
-            Event::Begun { request, .. } => self.conclude(request, true, actions),
-            Event::Probed(server, report) => {
+            Event::DiscoveryUpdated(update) => self.discovery_updated(now, update, actions),
+            Event::RequestReceived(request) => self.request_received(now, request, actions),
+            Event::AttemptEnded(result) => self.attempt_ended(now, result, actions),
+            Event::ResponseStreamStarted { request, .. } => self.conclude(request, true, actions),
+            Event::ProbeCompleted(server, report) => {
                 self.servers
                     .entry(server)
-                    .and_modify(|s| s.report = Some((now, report)));
+                    .and_modify(|server| server.last_probe = Some((now, report)));
             }
-            Event::ClientGone(id) => self.settle(id, actions),
-            Event::Timer(Timer::Request(id)) => self.review(now, id, actions),
-            Event::Timer(Timer::Discovery) => {
+            Event::ClientDisconnected(id) => self.close_request(id, actions),
+            Event::TimerFired(Timer::Request(id)) => self.check_request(now, id, actions),
+            Event::TimerFired(Timer::Discovery) => {
                 if self.discovery_poll.call_begins(now) {
-                    actions.push(Action::Subscribe);
+                    actions.push(Action::PollDiscovery);
                 }
             }
-            Event::Coming(id) => self.coming(id),
-            Event::Came(id) => self.came(now, id, actions),
-            Event::Spent(id) => self.spent(id),
-            Event::Settings(new) => self.retune(now, new),
-            Event::Level(reduced) => {
-                self.reduced = reduced.clone();
-                self.retry_budget = self.retry_budget.min(RETRY_BUDGET.1 * reduced.retries);
+            Event::RequestBodyStarted(id) => self.request_body_started(id),
+            Event::RequestBodyReceived(id) => self.request_body_received(now, id, actions),
+            Event::RetriesDisabled(id) => self.disable_retries(id),
+            Event::SettingsChanged(change) => self.apply_settings(now, change),
+            Event::DegradationChanged(effects) => {
+                self.degradation = effects.clone();
+                self.retry_budget = self
+                    .retry_budget
+                    .min(MAX_RETRY_BUDGET * effects.retry_budget_factor);
             }
         }
     }
@@ -190,288 +291,341 @@
 
     fn schedule_poll(&mut self, now: Micros, failed: FailedCall, actions: &mut Vec<Action>) {
         let fleet = (&self.settings.rules, self.settings.group_size);
-        let due = self
+        let due_at = self
             .discovery_poll
             .schedule(now, failed, fleet, &mut self.random);
-        actions.extend(due.map(|at| Action::SetTimer {
+        actions.extend(due_at.map(|at| Action::SetTimer {
             at,
             timer: Timer::Discovery,
         }));
     }
 
-    fn members(&mut self, now: Micros, news: Members<'_>, actions: &mut Vec<Action>) {
-        match news {
-            Members::Failed {
-                since,
+    fn discovery_updated(
+        &mut self,
+        now: Micros,
+        update: DiscoveryUpdate<'_>,
+        actions: &mut Vec<Action>,
+    ) {
+        match update {
+            DiscoveryUpdate::CallFailed {
+                list_known_at: since,
                 waited,
-                broken_off,
+                connection_broken,
             } => {
-                actions.push(Action::Log(Note::DiscoveryFailed));
-                let failure = Failure::of_ended_call(waited, broken_off);
+                actions.push(Action::Log(LogEvent::DiscoveryFailed));
+                let failure = Failure::of_ended_call(waited, connection_broken);
                 self.schedule_poll(now, FailedCall { since, failure }, actions);
             }
-            Members::Silent { since } => {
+            DiscoveryUpdate::CallUnanswered {
+                call_started_at: since,
+            } => {
                 let failure = Failure::Silent;
                 self.schedule_poll(now, FailedCall { since, failure }, actions);
             }
-            Members::Watching => self.discovery_poll.watch_opened(now),
-            Members::Full(list) => {
+            DiscoveryUpdate::WatchOpened => self.discovery_poll.watch_opened(now),
+            DiscoveryUpdate::FullList(list) => {
                 self.servers
                     .values_mut()
-                    .for_each(|s| s.listed.state = ServerState::Gone);
-                self.list_came(now, list);
+                    .for_each(|server| server.entry.state = ServerState::Gone);
+                self.server_list_received(now, list);
             }
-            Members::Changes(list) => self.list_came(now, list),
+            DiscoveryUpdate::ListChanges(list) => self.server_list_received(now, list),
         }
     }
 
-    fn list_came(&mut self, now: Micros, list: &[Listed]) {
+    fn server_list_received(&mut self, now: Micros, list: &[ServerEntry]) {
         self.discovery_poll.list_came();
-        let all = list.len().max(self.ready.len()).max(1);
-        let users =
-            f64::from(self.settings.group_size) * self.reach(now).min(all) as f64 / all as f64;
-        let at_once = AT_ONCE / users;
-        for listed in list {
-            // Where each instance may give a cold server less than one request in all, some give one at once
-            // and some late, by chance: all together give what it bears from the first moment on.
-            let by_chance = |_| (self.random.rand_float() - at_once) * self.mean_size.at;
-            let owed = listed.started.map_or(0.0, by_chance);
+        let all_servers = list.len().max(self.ready.len()).max(1);
+        let instances_per_server = f64::from(self.settings.group_size)
+            * self.lane_size_limit(now).min(all_servers) as f64
+            / all_servers as f64;
+        let first_request_probability = SLOW_START_FIRST_INSTANCES / instances_per_server;
+        for entry in list {
+            // If each instance's part of a warming server's budget is less than one request, a random few
+            // send one immediately and the others later. Together they use the budget from the start.
+            let random_debt =
+                |_| (self.random.rand_float() - first_request_probability) * self.mean_work.value;
+            let slow_start_debt = entry.started_at.map_or(0.0, random_debt);
             let server = self
                 .servers
-                .entry(listed.server)
-                .or_insert_with(|| Server::new(*listed, now, owed));
-            if listed.started > server.listed.started {
-                // A crashed server comes back cold: nothing measured of its last life holds.
-                let out = std::mem::take(&mut server.out);
+                .entry(entry.server)
+                .or_insert_with(|| Server::new(*entry, now, slow_start_debt));
+            if entry.started_at > server.entry.started_at {
+                // A restarted server is cold: measurements of its former incarnation do not apply.
+                let in_flight = std::mem::take(&mut server.in_flight);
                 *server = Server {
-                    out,
-                    out_size: server.out_size,
-                    ..Server::new(*listed, now, owed)
+                    in_flight,
+                    in_flight_work: server.in_flight_work,
+                    ..Server::new(*entry, now, slow_start_debt)
                 };
             }
-            server.listed = *listed;
+            server.entry = *entry;
         }
-        self.servers
-            .retain(|_, s| s.listed.state != ServerState::Gone || !s.out.is_empty());
+        self.servers.retain(|_, server| {
+            server.entry.state != ServerState::Gone || !server.in_flight.is_empty()
+        });
         let ready = self
             .servers
             .values()
-            .map(|s| s.listed)
-            .filter(|l| l.state == ServerState::Ready);
-        self.ready = ready.map(|l| l.server).collect();
-        self.set_lanes(now);
+            .map(|server| server.entry)
+            .filter(|entry| entry.state == ServerState::Ready);
+        self.ready = ready.map(|entry| entry.server).collect();
+        self.assign_lanes(now);
     }
 
     // ---- Requests ----
 
-    fn request(&mut self, now: Micros, new: NewRequest, actions: &mut Vec<Action>) {
-        let at = new.class as usize;
-        if at >= self.classes.len() || self.turned_away(&new) {
-            return self.refuse(new.id, actions);
+    fn request_received(&mut self, now: Micros, new: NewRequest, actions: &mut Vec<Action>) {
+        let class_index = new.class as usize;
+        if class_index >= self.classes.len() || self.is_shed_by_degradation(&new) {
+            return self.reject(new.id, actions);
         }
-        if self.too_old(&new) || self.overloaded(now, &new, actions) {
-            return self.refuse(new.id, actions);
+        if self.is_stale_retry(&new) || self.is_overloaded(now, &new, actions) {
+            return self.reject(new.id, actions);
         }
-        let class = &self.settings.classes[at];
-        // From outside: one hint beyond all reason would give a server the whole interval for minutes.
-        let hint = new.cost.unwrap_or(0).min(class.deadline) as f64;
-        let size = if hint > 0.0 {
+        let class = &self.settings.classes[class_index];
+        // Hints come from clients: an absurdly large one would give a server the whole interval for minutes.
+        let hint = new.cost_hint.unwrap_or(0).min(class.deadline) as f64;
+        let work = if hint > 0.0 {
             hint
         } else {
-            self.classes[at].cost.at
+            self.classes[class_index].service_time.value
         };
-        self.mean_size.add(size);
+        self.mean_work.add(work);
         self.arrivals.add(now, 1.0);
-        let aim = class
-            .aim
-            .saturating_add((class.aim_stretch * hint) as Micros);
-        // Past the aim nothing is earned, so no wait; an unsafe request may have run, and its client is told.
-        let worthless = class.late_worth <= 0.0 && class.effect != Effect::Unsafe;
-        let wait = if worthless {
-            aim.min(new.time_left)
+        let objective = class
+            .latency_objective
+            .saturating_add((class.latency_objective_stretch * hint) as Micros);
+        // A response after the objective earns nothing, so waiting ends there. Non-idempotent requests wait
+        // longer: one may have been executed, and its client needs the result.
+        let late_is_worthless =
+            class.late_weight_share <= 0.0 && class.retry_safety != RetrySafety::NonIdempotent;
+        let timeout = if late_is_worthless {
+            objective.min(new.time_left)
         } else {
             new.time_left
         };
-        let wait = (self.reduced.patience * wait as f64) as Micros;
+        let timeout = (self.degradation.timeout_factor * timeout as f64) as Micros;
         let key = new.key.unwrap_or_else(|| self.random.rand_u64());
-        let give_up = now + wait.saturating_sub(self.settings.tick);
-        let most = self.settings.limits.max_attempts as usize;
-        let request = Request::new(at, key, size, now, give_up, most);
-        // Answers alone do not tell work from queue: only hints, of many requests, may widen what is let in.
-        let work = &mut self.classes[at].work;
-        work.step = (work.step / (1.0 + work.step)).max(HINTS);
-        work.add((hint / class.aim as f64).min(1.0));
-        self.classes[at].open += 1;
+        let timeout_at = now + timeout.saturating_sub(self.settings.tick);
+        let max_attempts = self.settings.limits.max_attempts as usize;
+        let request = Request::new(class_index, key, work, now, timeout_at, max_attempts);
+        // Response times alone do not distinguish work from queueing: only hints, averaged over many
+        // requests, may raise the admission limit.
+        let hinted_work = &mut self.classes[class_index].hinted_work;
+        hinted_work.step = (hinted_work.step / (1.0 + hinted_work.step)).max(HINT_MEAN_STEP);
+        hinted_work.add((hint / class.latency_objective as f64).min(1.0));
+        self.classes[class_index].in_flight += 1;
         self.requests.insert(new.id, request);
-        let (earned, most) = RETRY_BUDGET;
-        let most = (self.reduced.retries * most).max(1.0); // less than one would be none
-        self.retry_budget = (self.retry_budget + self.reduced.retries * earned).min(most);
-        self.review(now, new.id, actions);
+        let (earned, max_budget) = (RETRY_BUDGET_PER_REQUEST, MAX_RETRY_BUDGET);
+        // At least 1: with less, no retry could ever be made.
+        let max_budget = (self.degradation.retry_budget_factor * max_budget).max(1.0);
+        self.retry_budget =
+            (self.retry_budget + self.degradation.retry_budget_factor * earned).min(max_budget);
+        self.check_request(now, new.id, actions);
     }
 
-    /// Of the servers that were asked for this request's first attempt, the one that holds least.
-    fn least_held(&self, now: Micros, request: &Request) -> Option<ServerId> {
-        let asked = request.looked.iter().filter_map(|id| self.servers.get(id));
-        let rated = asked.filter(|s| s.long.is_some()).map(|s| {
-            let (bar, time) = self.bar(now, s, request);
-            (bar, time, s.listed.server)
-        });
+    /// The least loaded of the servers probed for this request's first attempt.
+    fn least_loaded_probed(&self, now: Micros, request: &Request) -> Option<ServerId> {
+        let probed = request.probed.iter().filter_map(|id| self.servers.get(id));
+        let rated = probed
+            .filter(|server| server.in_long_lane.is_some())
+            .map(|server| {
+                let (eligibility, time) = self.rate_server(now, server, request);
+                (eligibility, time, server.entry.server)
+            });
         let best = rated.min_by(|a, b| {
             (a.0, a.1)
                 .partial_cmp(&(b.0, b.1))
                 .unwrap_or(Ordering::Equal)
         });
-        best.filter(|(bar, ..)| *bar <= Bar::Tried)
+        best.filter(|(eligibility, ..)| *eligibility <= Eligibility::AlreadyTried)
             .map(|(.., id)| id)
     }
 
-    /// Whether the level of service that holds turns this away: whom it befalls it befalls everywhere and at
-    /// each try. It does not count as arrived, so that its class's servers go to the others.
-    fn turned_away(&mut self, new: &NewRequest) -> bool {
+    /// Whether the active degradation level sheds this request. All instances shed the same keys, at every
+    /// try. A shed request does not count as arrived, so the servers of its class go to the other classes.
+    fn is_shed_by_degradation(&mut self, new: &NewRequest) -> bool {
         let class = new.class as usize;
-        let share = self.reduced.away.get(class).copied().unwrap_or(0.0);
-        let worthy = self.settings.classes[class].worth >= self.reduced.spare_worth;
-        let away = share > 0.0 && !worthy && {
+        let share = self
+            .degradation
+            .rejected_shares
+            .get(class)
+            .copied()
+            .unwrap_or(0.0);
+        let is_exempt =
+            self.settings.classes[class].priority_weight >= self.degradation.exempt_weight;
+        let is_shed = share > 0.0 && !is_exempt && {
             let key = new.key.unwrap_or_else(|| self.random.rand_u64());
-            place(key) < share
+            key_position(key) < share
         };
-        self.classes[class].given_up += u64::from(away);
-        away
+        self.classes[class].shed_requests += u64::from(is_shed);
+        is_shed
     }
 
-    /// A client's repeat with less time left than first tries have tells its age by that. Past the aim it is
-    /// worth nothing; in overload such repeats took a tenth of all that was served.
-    fn too_old(&mut self, new: &NewRequest) -> bool {
+    /// Whether this is a client's retry whose response would come after the latency objective and so earn
+    /// nothing. Its age follows from having less time left than first tries have. In overload such retries
+    /// took a tenth of all served work.
+    fn is_stale_retry(&mut self, new: &NewRequest) -> bool {
         let class = &self.settings.classes[new.class as usize];
-        let seen = &mut self.classes[new.class as usize];
-        if !new.repeat {
-            seen.first_try(new.time_left.min(class.deadline));
+        let state = &mut self.classes[new.class as usize];
+        if !new.client_retry {
+            state.record_first_try(new.time_left.min(class.deadline));
         }
-        let past_aim = new.time_left.saturating_add(class.aim) <= class.deadline;
-        let old = new.time_left < seen.first_left && past_aim;
-        new.repeat && class.late_worth <= 0.0 && old
+        let past_objective =
+            new.time_left.saturating_add(class.latency_objective) <= class.deadline;
+        let is_old = new.time_left < state.max_first_timeout && past_objective;
+        new.client_retry && class.late_weight_share <= 0.0 && is_old
     }
 
-    /// Queues of an aim's worth of work serve nobody in time, and clients that come again keep them full.
-    /// Once answers are slow, no more is taken in than is served, least of tenants over their share.
-    fn overloaded(&mut self, now: Micros, new: &NewRequest, actions: &mut Vec<Action>) -> bool {
+    /// Whether to reject this request for overload. Once a queue holds work for a whole latency objective,
+    /// every response is late, and clients' retries keep the queue full. So when responses become slow, a
+    /// class admits no more than it serves, and least from tenants over their share.
+    fn is_overloaded(&mut self, now: Micros, new: &NewRequest, actions: &mut Vec<Action>) -> bool {
         let (class, tenant) = (new.class as usize, new.tenant as usize);
-        // Counted before any refusal: a class that is refused must not lose its servers by that.
-        let seen = &mut self.classes[class];
-        seen.arrived.add(now, seen.cost.at);
-        let mut part = self.standing(class) * if new.repeat { REPEATS } else { 1.0 };
-        if let Some(seen) = self.tenants.get_mut(tenant) {
-            seen.add(now, 1.0);
-            let mine = seen.get(now);
-            let all: f64 = self.tenants.iter().map(|t| t.get(now)).sum();
-            let quotas: f64 = self.settings.tenants.iter().map(|t| t.quota).sum();
-            part *= ((all * self.settings.tenants[tenant].quota / quotas + SPARE) / mine).min(1.0);
-        }
-        let seen = &mut self.classes[class];
-        let served = seen.served.rate(now) * self.settings.classes[class].aim as f64;
-        // A wave fills the queues before the first slow answer comes: what is open is bounded at once. The
-        // gate opens by degrees: a flood let in by a few fast answers starts the next overload. In parts of
-        // a request, by chance: one open at each of a thousand instances jams a fleet of a hundred.
-        let delay = (WORKS.0 * seen.work.at).clamp(DELAY, WORKS.1);
-        let slack = delay / seen.delay;
-        let (gate, part) = (slack.powi(OPENING), delay * part);
-        let room =
-            (part * gate.max(slack.min(1.0))).min(QUEUE) * served + (part * gate).min(1.0) * SPARE;
-        let over = f64::from(seen.open) + self.random.rand_float() >= room;
-        if over
-            && seen
-                .refused
+        // Counted before any rejection, so that a class does not lose its servers by being rejected.
+        let state = &mut self.classes[class];
+        state.arrived_work.add(now, state.service_time.value);
+        let mut share = self.relative_priority(class)
+            * if new.client_retry {
+                CLIENT_RETRY_ADMISSION
+            } else {
+                1.0
+            };
+        if let Some(arrivals) = self.tenant_arrivals.get_mut(tenant) {
+            arrivals.add(now, 1.0);
+            let own = arrivals.value_at(now);
+            let all: f64 = self
+                .tenant_arrivals
+                .iter()
+                .map(|arrivals| arrivals.value_at(now))
+                .sum();
+            let quotas: f64 = self
+                .settings
+                .tenants
+                .iter()
+                .map(|tenant| tenant.quota)
+                .sum();
+            share *= ((all * self.settings.tenants[tenant].quota / quotas + SPARE_REQUESTS) / own)
+                .min(1.0);
+        }
+        let state = &mut self.classes[class];
+        let served_per_objective =
+            state.served.rate_at(now) * self.settings.classes[class].latency_objective as f64;
+        // A burst fills the queues before its first slow response, so the requests in flight are limited from
+        // the start. The limit rises gradually: a flood admitted after a few fast responses would cause the
+        // next overload. Fractions of a request are admitted at random: one request in flight at each of a
+        // thousand instances overloads a hundred servers.
+        let admitted_ratio = (ADMITTED_WORK_FACTOR * state.hinted_work.value)
+            .clamp(ADMITTED_OBJECTIVE_SHARE, MAX_ADMITTED_OBJECTIVE_SHARE);
+        let slack = admitted_ratio / state.latency_ratio;
+        let (opening, share) = (slack.powi(ADMISSION_EXPONENT), admitted_ratio * share);
+        let limit = (share * opening.max(slack.min(1.0))).min(MAX_QUEUE_OBJECTIVE_SHARE)
+            * served_per_objective
+            + (share * opening).min(1.0) * SPARE_REQUESTS;
+        let is_over = f64::from(state.in_flight) + self.random.rand_float() >= limit;
+        if is_over
+            && state
+                .last_rejected
                 .replace(now)
-                .is_none_or(|last| now > last + CALM)
+                .is_none_or(|last| now > last + OVERLOAD_LOG_QUIET_TIME)
         {
-            actions.push(Action::Log(Note::Overload(new.class)));
+            actions.push(Action::Log(LogEvent::ClassOverloaded(new.class)));
         }
-        over
+        is_over
     }
 
-    /// What a class's work is worth, as a part of the worthiest that the same servers do.
-    fn standing(&self, class: usize) -> f64 {
-        let work = |at: usize| {
-            if self.settings.worth_by_work {
+    /// Priority weight of a class per unit of work, as a fraction of the highest among the classes that use
+    /// the same servers.
+    fn relative_priority(&self, class: usize) -> f64 {
+        let work = |index: usize| {
+            if self.settings.weight_per_work {
                 1.0
             } else {
-                self.classes[at].cost.at
+                self.classes[index].service_time.value
             }
         };
-        let worth = |at: usize| self.settings.classes[at].worth / work(at);
-        let beside = |at: &usize| !self.classes[*at].retired && self.long(*at) == self.long(class);
-        let sharing = (0..self.classes.len()).filter(beside).map(worth);
-        worth(class) / sharing.fold(f64::MIN_POSITIVE, f64::max)
+        let weight = |index: usize| self.settings.classes[index].priority_weight / work(index);
+        let shares_servers = |index: &usize| {
+            !self.classes[*index].retired && self.is_long(*index) == self.is_long(class)
+        };
+        let weights = (0..self.classes.len()).filter(shares_servers).map(weight);
+        weight(class) / weights.fold(f64::MIN_POSITIVE, f64::max)
     }
 
-    /// Whether a further attempt may go out: never where one may have run that must not run twice.
-    fn may_resend(&self, now: Micros, request: &Request) -> bool {
-        let harmless = now
+    /// Whether a further attempt may be sent. Never if an earlier one may have been executed and the request
+    /// must not be executed twice.
+    fn may_send_attempt(&self, now: Micros, request: &Request) -> bool {
+        let is_safe = now
             < request.write_by(
-                self.settings.classes[request.class].effect,
+                self.settings.classes[request.class].retry_safety,
                 self.settings.tick,
             );
-        let more = request.attempts.len() < request.most_attempts;
-        harmless && more && now < self.over_at(request)
+        let attempts_left = request.attempts.len() < request.max_attempts;
+        is_safe && attempts_left && now < self.abandon_at(request)
     }
 
-    /// Sends the request's next attempt to the server that the interval gives, if any may take it.
-    fn send(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) -> bool {
+    /// Sends the request's next attempt to a server that may receive it. Returns false if nothing was sent.
+    fn send_attempt(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) -> bool {
         if !self
             .requests
             .get(&id)
-            .is_some_and(|r| self.may_resend(now, r))
+            .is_some_and(|request| self.may_send_attempt(now, request))
         {
             return false;
         }
         let Some(mut request) = self.requests.remove(&id) else {
             return false;
         };
-        // Where each of many instances sees little, own work out tells nothing of a queue: the first servers
-        // that the hash family names are asked, and the one that holds least for its weight is taken.
+        // In a large group, the instance's own requests in flight say nothing about a server's queue. The
+        // first servers that the hash family yields are probed, and the one with the least load for its
+        // service rate gets the attempt.
         if request.attempts.is_empty()
-            && request.looked.is_empty()
-            && self.asks > 1
-            && self.reduced.probes
+            && request.probed.is_empty()
+            && self.probe_count > 1
+            && self.degradation.allows_probes
         {
-            for _ in 0..self.asks {
-                let Some(server) = self.choose(now, &mut request) else {
+            for _ in 0..self.probe_count {
+                let Some(server) = self.choose_server(now, &mut request) else {
                     break;
                 };
-                request.looked.push(server);
+                request.probed.push(server);
                 actions.push(Action::Probe(server));
             }
             self.requests.insert(id, request);
             return false;
         }
         let chosen = self
-            .least_held(now, &request)
-            .or_else(|| self.choose(now, &mut request));
-        if let Some(server) = chosen.and_then(|to| self.servers.get_mut(&to)) {
-            let seen = &self.classes[request.class];
-            let long_by = (request.size / seen.cost.at.max(self.mean_size.at)).max(1.0);
-            let due = now + (OVERDUE * seen.slow.at * long_by) as Micros;
+            .least_loaded_probed(now, &request)
+            .or_else(|| self.choose_server(now, &mut request));
+        if let Some(server) = chosen.and_then(|id| self.servers.get_mut(&id)) {
+            let class = &self.classes[request.class];
+            let relative_work =
+                (request.work / class.service_time.value.max(self.mean_work.value)).max(1.0);
+            let due_at =
+                now + (OVERDUE_FACTOR * class.tail_latency.value * relative_work) as Micros;
             let attempt = request.attempts.len() as u32;
             let write_by = request.write_by(
-                self.settings.classes[request.class].effect,
+                self.settings.classes[request.class].retry_safety,
                 self.settings.tick,
             );
-            server.out.push(Out {
+            server.in_flight.push(InFlightAttempt {
                 request: id,
                 attempt,
-                size: request.size,
-                sent: now,
-                due,
+                work: request.work,
+                sent_at: now,
+                due_at,
             });
-            server.out_size += request.size;
-            (server.cold_budget, server.cold_filled) = (server.cold_left(now) - request.size, now);
-            request.looked.clear();
+            server.in_flight_work += request.work;
+            (server.slow_start_budget, server.slow_start_refilled_at) =
+                (server.slow_start_budget_at(now) - request.work, now);
+            request.probed.clear();
             request.attempts.push(Attempt {
-                to: server.listed,
-                sent: now,
+                entry: server.entry,
+                sent_at: now,
                 outcome: None,
             });
-            let (server, timeout_at) = (server.listed.server, request.give_up);
+            let (server, timeout_at) = (server.entry.server, request.timeout_at);
             actions.push(Action::Send {
                 request: id,
                 server,
@@ -483,413 +637,495 @@
         chosen.is_some()
     }
 
-    /// The ordinary path: hash, and hash again while on empty space.
-    fn choose(&mut self, now: Micros, request: &mut Request) -> Option<ServerId> {
-        let (reach, had) = (self.reach(now), self.reached);
-        let unfit = self.classes.len() > 1 || reach > had || reach < had / 2;
-        if unfit && now >= self.lanes_set + PERIOD {
-            self.set_lanes(now);
-        }
-        let long = self.long(request.class) && !self.lanes[1].is_empty();
-        let lane = std::mem::take(&mut self.lanes[usize::from(long)]);
-        self.tune(now, &lane);
-        let interval = self.pool.get(&lane);
-        // Servers that are asked are compared by what they tell, not here.
-        let trial = !request.looked.is_empty() || self.random.rand_float() < TRIALS;
-        let choices = if trial { 1 } else { CHOICES };
+    /// Chooses a server by the unit interval: hashes the request's key with one function of the hash family
+    /// after the other, and compares the first few eligible servers.
+    fn choose_server(&mut self, now: Micros, request: &mut Request) -> Option<ServerId> {
+        let (lane_limit, former_limit) = (self.lane_size_limit(now), self.lane_limit);
+        let lanes_outdated =
+            self.classes.len() > 1 || lane_limit > former_limit || lane_limit < former_limit / 2;
+        if lanes_outdated && now >= self.lanes_assigned_at + TUNING_PERIOD {
+            self.assign_lanes(now);
+        }
+        let is_long = self.is_long(request.class) && !self.lanes[1].is_empty();
+        let lane = std::mem::take(&mut self.lanes[usize::from(is_long)]);
+        self.tune_interval(now, &lane);
+        let interval = self.intervals.get(&lane);
+        // Servers to probe are not compared here, but later by their load reports.
+        let is_uncompared =
+            !request.probed.is_empty() || self.random.rand_float() < UNCOMPARED_SHARE;
+        let max_candidates = if is_uncompared { 1 } else { MAX_CANDIDATES };
         let class = &self.settings.classes[request.class];
-        let in_time = FIT * (request.came + class.aim).saturating_sub(now) as f64;
-        let (mut met, mut taken): (usize, Option<(f64, ServerId)>) = (0, None);
-        let mut best: Option<(Bar, f64, ServerId)> = None;
-        for hash in request.next_hash..request.next_hash + HASHES {
+        let fast_enough = FAST_ENOUGH_SHARE
+            * (request.received_at + class.latency_objective).saturating_sub(now) as f64;
+        let (mut candidates, mut chosen): (usize, Option<(f64, ServerId)>) = (0, None);
+        let mut fallback: Option<(Eligibility, f64, ServerId)> = None;
+        for hash in request.next_hash..request.next_hash + HASHES_PER_SELECTION {
             let offset = FixedState::with_seed(u64::from(hash)).hash_one(request.key);
-            let owner = interval.and_then(|i| i.lookup(offset));
-            let Some(id) = owner.filter(|id| !request.looked.contains(id)) else {
+            let owner = interval.and_then(|interval| interval.lookup(offset));
+            let Some(id) = owner.filter(|id| !request.probed.contains(id)) else {
                 continue;
             };
-            let (bar, time) = self.bar(now, &self.servers[&id], request);
-            if bar <= Bar::Tried && best.is_none_or(|(b, t, _)| (bar, time) < (b, t)) {
-                best = Some((bar, time, id));
+            let (eligibility, time) = self.rate_server(now, &self.servers[&id], request);
+            if eligibility <= Eligibility::AlreadyTried
+                && fallback.is_none_or(|(best, least, _)| (eligibility, time) < (best, least))
+            {
+                fallback = Some((eligibility, time, id));
             }
-            if bar == Bar::Free {
-                taken = taken
-                    .filter(|(least, _)| time >= BETTER * least)
+            if eligibility == Eligibility::Eligible {
+                chosen = chosen
+                    .filter(|(least, _)| time >= FASTER_CANDIDATE_RATIO * least)
                     .or(Some((time, id)));
-                met += 1;
-                if met == choices || time <= in_time {
+                candidates += 1;
+                if candidates == max_candidates || time <= fast_enough {
                     request.next_hash = hash + 1;
                     break;
                 }
             }
         }
-        self.lanes[usize::from(long)] = lane;
-        taken.map(|(_, id)| id).or(best.map(|(.., id)| id))
+        self.lanes[usize::from(is_long)] = lane;
+        chosen.map(|(_, id)| id).or(fallback.map(|(.., id)| id))
     }
 
-    /// Why this server counts as empty space for this request, and how long it would take for it, by its
-    /// weight and what it holds.
-    fn bar(&self, now: Micros, server: &Server, request: &Request) -> (Bar, f64) {
-        let listed = &server.listed;
-        let crossing = if listed.zone == self.settings.zone {
+    /// Whether this server may receive this request, and the expected response time in microseconds, from the
+    /// server's service rate and load.
+    fn rate_server(&self, now: Micros, server: &Server, request: &Request) -> (Eligibility, f64) {
+        let entry = &server.entry;
+        let cross_zone_price = if entry.zone == self.settings.zone {
             0.0
         } else {
             self.settings.prices.cross_zone
         };
-        let held = server
-            .out_size
-            .max(server.reported(now) * self.mean_size.at);
-        let work = held + CROSSING * crossing * self.mean_size.at;
+        let load = server
+            .in_flight_work
+            .max(server.reported_in_flight(now) * self.mean_work.value);
+        let work = load + CROSS_ZONE_LOAD_REQUESTS * cross_zone_price * self.mean_work.value;
         let class = &self.settings.classes[request.class];
-        // What may be repeated is left to the servers that lose a part: a loss costs it little.
-        let risk = if class.effect == Effect::Unsafe {
-            LOSS * server.loses * class.aim as f64
+        // Servers that lose some of their attempts are left to requests that can be retried, for which a loss
+        // costs little.
+        let loss_cost = if class.retry_safety == RetrySafety::NonIdempotent {
+            LOSS_COST_OBJECTIVES * server.loss_share * class.latency_objective as f64
         } else {
             0.0
         };
-        let time = (work + request.size) / server.value.max(f64::MIN_POSITIVE) + risk;
-        let outside = match (request.first_run(), class.effect) {
+        let time = (work + request.work) / server.service_rate.max(f64::MIN_POSITIVE) + loss_cost;
+        let outside_scope = match (request.first_possible_execution(), class.retry_safety) {
             (
                 Some(first),
-                Effect::Keyed {
-                    scope: Scope::Zone, ..
+                RetrySafety::IdempotentWithKey {
+                    scope: DeduplicationScope::Zone,
+                    ..
                 },
-            ) => first.to.zone != listed.zone,
+            ) => first.entry.zone != entry.zone,
             (
                 Some(first),
-                Effect::Keyed {
-                    scope: Scope::Cell, ..
+                RetrySafety::IdempotentWithKey {
+                    scope: DeduplicationScope::Cell,
+                    ..
                 },
-            ) => first.to.cell != listed.cell,
+            ) => first.entry.cell != entry.cell,
             _ => false,
         };
-        let cold = server.warmth(now, &self.settings.rules) < 1.0 && server.cold_left(now) <= 0.0;
-        let on_trial = server
+        let budget_spent = server.slow_start_factor(now, &self.settings.rules) < 1.0
+            && server.slow_start_budget_at(now) <= 0.0;
+        let is_ejected = server
             .ejected_until
-            .is_some_and(|until| now < until || !server.out.is_empty());
-        let bars = [
-            (outside, Bar::OutsideGroup),
-            (cold, Bar::Cold),
+            .is_some_and(|until| now < until || !server.in_flight.is_empty());
+        let exclusions = [
+            (outside_scope, Eligibility::OutsideDeduplicationScope),
+            (budget_spent, Eligibility::SlowStartBudgetSpent),
             (
                 request
                     .attempts
                     .iter()
-                    .any(|a| a.to.server == listed.server),
-                Bar::Tried,
+                    .any(|attempt| attempt.entry.server == entry.server),
+                Eligibility::AlreadyTried,
             ),
-            (on_trial, Bar::Ejected),
+            (is_ejected, Eligibility::Ejected),
         ];
         (
-            bars.iter()
-                .find(|(holds, _)| *holds)
-                .map_or(Bar::Free, |(_, bar)| *bar),
+            exclusions
+                .iter()
+                .find(|(applies, _)| *applies)
+                .map_or(Eligibility::Eligible, |(_, eligibility)| *eligibility),
             time,
         )
     }
 
-    /// Nothing more is decided: an attempt still out is called off unless it streams.
+    /// Makes no further decisions for this request. An attempt in flight is cancelled unless it streams its
+    /// response.
     fn conclude(&mut self, id: RequestId, streams: bool, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let open = !std::mem::replace(&mut request.settled, true) && request.coming.is_none();
-        self.classes[request.class].open -= u32::from(open);
-        let cancels = !streams && self.settings.limits.cancel;
-        let useless = request
+        let was_in_flight =
+            !std::mem::replace(&mut request.concluded, true) && request.paused_timeout.is_none();
+        self.classes[request.class].in_flight -= u32::from(was_in_flight);
+        let may_cancel = !streams && self.settings.limits.cancel;
+        let unneeded = request
             .attempts
             .iter()
-            .position(|a| a.outcome.is_none() && cancels);
-        actions.extend(useless.map(|at| Action::Cancel {
+            .position(|attempt| attempt.outcome.is_none() && may_cancel);
+        actions.extend(unneeded.map(|index| Action::Cancel {
             request: id,
-            attempt: at as u32,
+            attempt: index as u32,
         }));
     }
 
-    /// The request is over, and forgotten once its attempts are.
-    fn settle(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+    /// Ends the request and removes it once none of its attempts is in flight.
+    fn close_request(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         self.conclude(id, false, actions);
-        if self.requests.get(&id).is_some_and(|r| r.live() == 0) {
+        if self
+            .requests
+            .get(&id)
+            .is_some_and(|request| request.attempts_in_flight() == 0)
+        {
             self.requests.remove(&id);
         }
     }
 
-    fn refuse(&self, request: RequestId, actions: &mut Vec<Action>) {
+    fn reject(&self, request: RequestId, actions: &mut Vec<Action>) {
         let retry_after = self
             .settings
             .limits
             .retry_after
             .then_some(self.settings.limits.max_retry_after);
-        actions.push(Action::Refuse {
+        actions.push(Action::Reject {
             request,
             retry_after,
         });
     }
 
-    /// The final answer: a refusal where another try can do no harm, else a failure.
-    fn finish(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
+    /// Ends a request without a response from a server: rejects it if the client can safely retry it, and
+    /// fails it otherwise.
+    fn end_unserved(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let safe = self.settings.classes[request.class].effect == Effect::Safe;
-        if safe || request.first_run().is_none() {
-            self.refuse(id, actions);
+        let is_idempotent =
+            self.settings.classes[request.class].retry_safety == RetrySafety::Idempotent;
+        if is_idempotent || request.first_possible_execution().is_none() {
+            self.reject(id, actions);
         } else {
             actions.push(Action::Fail { request: id });
         }
-        // A failure is no queue: to take it for one would refuse what idle servers can do.
-        let last = request.attempts.last().and_then(|a| a.outcome);
+        // A failed attempt is no sign of queueing: counted as one, it would reject requests that idle servers
+        // could serve.
+        let last_outcome = request.attempts.last().and_then(|attempt| attempt.outcome);
         if !matches!(
-            last,
+            last_outcome,
             Some(Outcome::Error | Outcome::Reset | Outcome::ConnectFailed)
         ) {
-            self.classes[request.class].delayed(now, 1.0);
+            self.classes[request.class].record_latency(now, 1.0);
         }
-        self.settle(id, actions);
+        self.close_request(id, actions);
     }
 
-    /// A look at one request: when it is held or waits for probes, and when nothing is to be had any more.
-    fn review(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(request) = self.requests.get(&id).filter(|r| !r.settled) else {
+    /// Sends the next attempt if none is in flight, or abandons the request if its time has passed, and sets
+    /// the timer for the next check. Called on arrival, while the request is queued or waits for probes, and
+    /// at its timeout.
+    fn check_request(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(&id).filter(|request| !request.concluded) else {
             return;
         };
-        if now >= self.over_at(request) {
-            return self.finish(now, id, actions);
+        if now >= self.abandon_at(request) {
+            return self.end_unserved(now, id, actions);
         }
-        let at = if request.live() == 0 && !self.send(now, id, actions) {
-            now + LOOK
+        let check_at = if request.attempts_in_flight() == 0 && !self.send_attempt(now, id, actions)
+        {
+            now + REQUEST_CHECK_PERIOD
         } else {
             Micros::MAX
         };
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let at = at.min(self.over_at(request));
-        if at < Micros::MAX {
+        let check_at = check_at.min(self.abandon_at(request));
+        if check_at < Micros::MAX {
             actions.push(Action::SetTimer {
-                at,
+                at: check_at,
                 timer: Timer::Request(id),
             });
         }
     }
 
-    // ---- Answers ----
+    // ---- Responses ----
 
-    fn closed(&mut self, now: Micros, closed: Closed, actions: &mut Vec<Action>) {
-        let Some(request) = self.requests.get_mut(&closed.request) else {
+    fn attempt_ended(&mut self, now: Micros, result: AttemptResult, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get_mut(&result.request) else {
             return;
         };
-        let attempt = request.attempts.get_mut(closed.attempt as usize);
-        let Some(attempt) = attempt.filter(|a| a.outcome.is_none()) else {
+        let attempt = request.attempts.get_mut(result.attempt as usize);
+        let Some(attempt) = attempt.filter(|attempt| attempt.outcome.is_none()) else {
             return;
         };
-        attempt.outcome = Some(closed.outcome);
-        let (class, size, came) = (request.class, request.size, request.came);
-        let (settled, live) = (request.settled, request.live());
-        self.measure(now, class, size, closed, actions);
-        if closed.outcome == Outcome::Ok && !settled {
-            let (seen, aim) = (
+        attempt.outcome = Some(result.outcome);
+        let (class, work, received_at) = (request.class, request.work, request.received_at);
+        let (concluded, in_flight) = (request.concluded, request.attempts_in_flight());
+        self.record_result(now, class, work, result, actions);
+        if result.outcome == Outcome::Ok && !concluded {
+            let (state, objective) = (
                 &mut self.classes[class],
-                self.settings.classes[class].aim as f64,
+                self.settings.classes[class].latency_objective as f64,
             );
-            let part = now.saturating_sub(came) as f64 / aim;
-            seen.delayed(now, part.min(1.0)); // more would shut the class
-            seen.served.add(now, 1.0);
-            self.served.add(now, size);
-        }
-        if closed.ended || settled || closed.outcome == Outcome::Ok {
-            self.settle(closed.request, actions);
-        } else if live == 0 && self.retry_budget >= 1.0 && self.send(now, closed.request, actions) {
-            // Retries come out of a budget: overload must not feed on itself.
+            let latency_ratio = now.saturating_sub(received_at) as f64 / objective;
+            // At most 1: a higher ratio would reject all requests of the class.
+            state.record_latency(now, latency_ratio.min(1.0));
+            state.served.add(now, 1.0);
+            self.served_work.add(now, work);
+        }
+        if result.request_ended || concluded || result.outcome == Outcome::Ok {
+            self.close_request(result.request, actions);
+        } else if in_flight == 0
+            && self.retry_budget >= 1.0
+            && self.send_attempt(now, result.request, actions)
+        {
+            // Retries are limited by a budget, so that they do not amplify an overload.
             self.retry_budget -= 1.0;
-        } else if live == 0 {
-            self.finish(now, closed.request, actions);
+        } else if in_flight == 0 {
+            self.end_unserved(now, result.request, actions);
         }
     }
 
-    fn measure(
+    /// Updates the measurements of the server and the class, and ejects or restores the server.
+    fn record_result(
         &mut self,
         now: Micros,
         class: usize,
-        size: f64,
-        closed: Closed,
+        work: f64,
+        result: AttemptResult,
         actions: &mut Vec<Action>,
     ) {
-        let Some(server) = self.servers.get_mut(&closed.server) else {
+        let Some(server) = self.servers.get_mut(&result.server) else {
             return;
         };
-        server
-            .out
-            .retain(|o| (o.request, o.attempt) != (closed.request, closed.attempt));
-        server.out_size = server.out.iter().map(|o| o.size).sum();
-        let elapsed = closed.elapsed as f64;
-        match closed.outcome {
+        server.in_flight.retain(|attempt| {
+            (attempt.request, attempt.attempt) != (result.request, result.attempt)
+        });
+        server.in_flight_work = server.in_flight.iter().map(|attempt| attempt.work).sum();
+        let elapsed = result.elapsed as f64;
+        match result.outcome {
             Outcome::Moot => return,
             Outcome::Ok => {
-                server.size_sum += size;
+                server.work_sum += work;
                 server.time_sum += elapsed.max(1.0);
-                server.last_answer = now;
-                server.failures = 0;
-                server.ejection = 0;
-                let lost = std::mem::take(&mut server.in_a_row);
-                server.lost.add(now, lost);
-                server.ended.add(now, lost + 1.0);
+                server.last_response = now;
+                server.failure_score = 0;
+                server.ejection_duration = 0;
+                let lost = std::mem::take(&mut server.losses_in_a_row);
+                server.lost_attempts.add(now, lost);
+                server.ended_attempts.add(now, lost + 1.0);
                 if server.ejected_until.take().is_some() {
-                    actions.push(Action::Log(Note::Restored(closed.server)));
+                    actions.push(Action::Log(LogEvent::ServerRestored(result.server)));
                 }
-                self.classes[class].cost.add(elapsed);
-                self.classes[class].slow.add(elapsed);
-                self.mean_time.add(elapsed);
+                self.classes[class].service_time.add(elapsed);
+                self.classes[class].tail_latency.add(elapsed);
+                self.mean_response_time.add(elapsed);
             }
-            // Fast failures add almost no time, so a failing server would keep its region and draw traffic.
-            _ => server.time_sum += elapsed.max(self.mean_time.at),
+            // A fast failure counts as a mean response time: by its own time, a failing server would keep its
+            // region and attract traffic.
+            _ => server.time_sum += elapsed.max(self.mean_response_time.value),
         }
-        server.answered = true;
-        let weight = match closed.outcome {
+        server.has_new_results = true;
+        let score = match result.outcome {
             Outcome::Timeout => 1,
             Outcome::Error => 2,
             Outcome::ConnectFailed | Outcome::Reset => 3,
             _ => 0,
         };
-        server.failures = server.failures.saturating_add(weight);
-        if weight > 0 && !closed.outcome.proves_not_run() {
-            server.in_a_row += 1.0;
+        server.failure_score = server.failure_score.saturating_add(score);
+        if score > 0 && !result.outcome.proves_not_executed() {
+            server.losses_in_a_row += 1.0;
         }
-        let most = f64::from(FAILURES) * (1.0 + ALIVE * server.loses);
-        let failed = server
+        let ejection_score =
+            f64::from(EJECTION_SCORE) * (1.0 + EJECTION_SCORE_LOSS_FACTOR * server.loss_share);
+        let is_failing = server
             .ejected_until
-            .map_or(f64::from(server.failures) >= most, |until| now >= until);
-        if weight > 0 && failed {
-            server.ejection = (2 * server.ejection).clamp(EJECTION.0, EJECTION.1);
-            server.ejected_until = Some(now + server.ejection);
-            actions.push(Action::Log(Note::Ejected(closed.server, closed.outcome)));
+            .map_or(f64::from(server.failure_score) >= ejection_score, |until| {
+                now >= until
+            });
+        if score > 0 && is_failing {
+            server.ejection_duration =
+                (2 * server.ejection_duration).clamp(FIRST_EJECTION, MAX_EJECTION);
+            server.ejected_until = Some(now + server.ejection_duration);
+            actions.push(Action::Log(LogEvent::ServerEjected(
+                result.server,
+                result.outcome,
+            )));
         }
     }
 
     // ---- Measurement and tuning ----
 
-    /// A short request behind a long one misses its aim. Where the usual work of some class is a large part
-    /// of another's aim, each sort has servers of its own: the long ones as many of them, in an order that
-    /// all instances agree on, as is their part of the work.
-    pub(crate) fn set_lanes(&mut self, now: Micros) {
-        self.lanes_set = now;
-        let work = |seen: &ClassSeen| seen.arrived.get(now);
-        let all: f64 = self.classes.iter().map(work).sum();
-        let longs = (0..self.classes.len()).filter(|at| self.long(*at));
-        let part = longs.map(|at| work(&self.classes[at])).sum::<f64>() / all.max(1.0);
-        let (mut order, mut long) = (self.ready.clone(), Vec::new());
-        if order.len() > 1 && part > 0.0 && part < 1.0 {
-            // A server that hangs or is ejected serves neither sort: the parts are counted without it.
-            let fit = |s: &Server| !s.stalled(now) && s.ejected_until.is_none();
-            let count = self
+    /// Assigns the ready servers to lanes. A short request behind a long one misses its latency objective. So
+    /// if the service time of some classes is a large part of another class's objective, long and short
+    /// classes get separate servers. The long lane's number of servers follows the long classes' share of the
+    /// work, and all instances pick them in the same order.
+    pub(crate) fn assign_lanes(&mut self, now: Micros) {
+        self.lanes_assigned_at = now;
+        let work = |class: &ClassState| class.arrived_work.value_at(now);
+        let total_work: f64 = self.classes.iter().map(work).sum();
+        let long_classes = (0..self.classes.len()).filter(|index| self.is_long(*index));
+        let long_share = long_classes
+            .map(|index| work(&self.classes[index]))
+            .sum::<f64>()
+            / total_work.max(1.0);
+        let (mut short_lane, mut long_lane) = (self.ready.clone(), Vec::new());
+        if short_lane.len() > 1 && long_share > 0.0 && long_share < 1.0 {
+            // Stalled and ejected servers serve neither lane, so they do not count.
+            let is_serving =
+                |server: &Server| !server.is_stalled(now) && server.ejected_until.is_none();
+            let serving = self
                 .ready
                 .iter()
-                .filter(|id| fit(&self.servers[id]))
+                .filter(|id| is_serving(&self.servers[id]))
                 .count();
-            let wanted = (LONG_PART * part * count as f64).round() as usize;
-            let mut missing = wanted.clamp(1, count.max(2) - 1);
-            order.sort_by_cached_key(|id| FixedState::with_seed(u64::MAX).hash_one(id));
+            let wanted = (LONG_LANE_SHARE * long_share * serving as f64).round() as usize;
+            let mut missing = wanted.clamp(1, serving.max(2) - 1);
+            short_lane.sort_by_cached_key(|id| FixedState::with_seed(u64::MAX).hash_one(id));
             while missing > 0
-                && let Some(id) = order.pop()
+                && let Some(id) = short_lane.pop()
             {
-                missing -= usize::from(fit(&self.servers[&id]));
-                long.push(id);
+                missing -= usize::from(is_serving(&self.servers[&id]));
+                long_lane.push(id);
             }
         }
-        self.reached = self.reach(now);
-        let own = FixedState::with_seed(self.seed);
-        for lane in [&mut order, &mut long] {
-            lane.sort_by_cached_key(|id| own.hash_one(id));
-            lane.truncate(self.reached);
+        self.lane_limit = self.lane_size_limit(now);
+        let own_order = FixedState::with_seed(self.seed);
+        for lane in [&mut short_lane, &mut long_lane] {
+            lane.sort_by_cached_key(|id| own_order.hash_one(id));
+            lane.truncate(self.lane_limit);
             lane.sort_unstable();
         }
         for (id, server) in &mut self.servers {
-            let is_long = long.binary_search(id).is_ok();
-            server.long = (is_long || order.binary_search(id).is_ok()).then_some(is_long);
+            let is_long = long_lane.binary_search(id).is_ok();
+            server.in_long_lane =
+                (is_long || short_lane.binary_search(id).is_ok()).then_some(is_long);
         }
-        self.lanes = [order, long];
+        self.lanes = [short_lane, long_lane];
     }
 
-    /// What answers seldom cannot be measured: hung and slow servers are met again and again. An instance
-    /// that does not ask keeps to as many as it hears from, of its own choice: together they use all. Of a
-    /// hundred that all use a server, each sends it one more before its first late answer, and jams it; few
-    /// that meet it often hold back at once, since what they have out there themselves is its queue.
-    fn reach(&self, now: Micros) -> usize {
-        let may_ask = self.settings.limits.probes;
-        if may_ask && (self.asks > 1 || self.settings.group_size < BLIND) {
+    /// Maximum number of servers in a lane. A server that rarely responds to this instance cannot be
+    /// measured, so hung and slow servers would be tried again and again. An instance that does not probe
+    /// therefore uses only as many servers as respond often enough. Each instance chooses its own, so that
+    /// the group uses all of them. If a hundred instances all used one server, each would send it another
+    /// request before its first late response, and overload it. A few instances that use it often stop soon,
+    /// because their own requests in flight show its queue.
+    fn lane_size_limit(&self, now: Micros) -> usize {
+        let may_probe = self.settings.limits.probes;
+        if may_probe && (self.probe_count > 1 || self.settings.group_size < PROBING_GROUP_SIZE) {
             return usize::MAX;
         }
-        let span = if may_ask { MET } else { HEARD.0 };
-        let heard = (self.arrivals.get(now) / HEARD.1 * span) as usize;
-        heard.max(REACH).next_power_of_two()
+        let period = if may_probe {
+            LANE_PERIOD_IN_LARGE_GROUP_US
+        } else {
+            LANE_PERIOD_US
+        };
+        let arrivals = (self.arrivals.value_at(now) / ARRIVAL_TIME_CONSTANT_US * period) as usize;
+        arrivals.max(MIN_LANE_SERVERS).next_power_of_two()
     }
 
-    fn long(&self, class: usize) -> bool {
-        self.classes[class].cost.at > LONG * self.shortest_aim
+    fn is_long(&self, class: usize) -> bool {
+        self.classes[class].service_time.value
+            > LONG_CLASS_OBJECTIVE_SHARE * self.shortest_objective
     }
 
-    /// Brings the interval of these servers up to date, or makes one.
-    fn tune(&mut self, now: Micros, lane: &[ServerId]) {
-        let period = PERIOD * lane.len().div_ceil(STRETCH) as Micros;
-        if lane.is_empty() || self.pool.get(lane).is_some_and(|i| now < i.tuned + period) {
+    /// Creates the interval of this lane, or updates it if its tuning period has passed.
+    fn tune_interval(&mut self, now: Micros, lane: &[ServerId]) {
+        let period = TUNING_PERIOD * lane.len().div_ceil(SERVERS_PER_TUNING_PERIOD) as Micros;
+        if lane.is_empty()
+            || self
+                .intervals
+                .get(lane)
+                .is_some_and(|interval| now < interval.tuned_at + period)
+        {
             return;
         }
         let rules = self.settings.rules;
-        // Where the whole fleet is cold nothing was served: all instances together begin at one a `fall`.
-        let first =
-            self.mean_size.at / rules.fall.max(1) as f64 / f64::from(self.settings.group_size);
-        // Over the whole span also where this instance is younger: a cold server's budget errs low.
-        let used = lane.len() + self.lanes.iter().map(Vec::len).sum::<usize>(); // this one is not in there
-        let per_server = self.served.get(now) / RATE_SPAN / used as f64;
-        let long = self.servers.get(&lane[0]).and_then(|s| s.long);
-        let prior = PRIOR * self.mean_time.at;
-        // A quiet instance hears from few of many servers: what it has measured of a kind tells of the rest.
-        let (mut all, mut kinds) = (Seen::default(), BTreeMap::<u32, Seen>::new());
-        for server in self.servers.values().filter(|s| s.long == long) {
+        // Slow start of a fleet that has served nothing yet: all instances together start with one request
+        // per server and overload window.
+        let min_slow_start_rate = self.mean_work.value
+            / rules.overload_window.max(1) as f64
+            / f64::from(self.settings.group_size);
+        // The lane to tune has been taken out of `self.lanes`.
+        let servers_in_use = lane.len() + self.lanes.iter().map(Vec::len).sum::<usize>();
+        // Divided by the whole time constant even if this instance is younger: the slow-start budget is then
+        // too low rather than too high.
+        let served_per_server =
+            self.served_work.value_at(now) / RATE_TIME_CONSTANT_US / servers_in_use as f64;
+        let in_long_lane = self
+            .servers
+            .get(&lane[0])
+            .and_then(|server| server.in_long_lane);
+        let prior_time = PRIOR_RESPONSES * self.mean_response_time.value;
+        // An instance with little traffic receives responses from few of many servers: it assumes that the
+        // other servers of a machine kind are as fast as those it has measured.
+        let (mut all, mut kinds) = (
+            ServerTotals::default(),
+            BTreeMap::<u32, ServerTotals>::new(),
+        );
+        for server in self
+            .servers
+            .values()
+            .filter(|server| server.in_long_lane == in_long_lane)
+        {
             all.add(server);
-            kinds.entry(server.listed.kind).or_default().add(server);
-        }
-        let mean = (1.0 + all.size) / (1.0 + all.time);
-        let mut weights = Vec::with_capacity(lane.len());
-        for server in self.servers.values_mut().filter(|s| s.long == long) {
-            // A hung server completes nothing: the age of what is overdue there counts against it.
-            let overdue = server
-                .out
+            kinds.entry(server.entry.kind).or_default().add(server);
+        }
+        let mean_rate = (1.0 + all.work) / (1.0 + all.time);
+        let mut service_rates = Vec::with_capacity(lane.len());
+        for server in self
+            .servers
+            .values_mut()
+            .filter(|server| server.in_long_lane == in_long_lane)
+        {
+            // A hung server completes nothing, so the age of its overdue attempts counts as time taken.
+            let overdue_times = server
+                .in_flight
                 .iter()
-                .filter(|o| now > o.due)
-                .map(|o| (now - o.sent) as f64);
-            let time = server.time_sum + overdue.sum::<f64>() + prior;
-            let kind = kinds.entry(server.listed.kind).or_default();
-            let usual = (kind.size + mean * prior) / (kind.time + prior);
-            let own = usual * server.listed.capacity / (kind.capacity / kind.servers);
-            server.loses = server.share_lost(now);
-            let warmth = server.warmth(now, &rules);
-            server.value = ((server.size_sum + own * prior) / time) * warmth;
-            weights.push(server.value);
-            let kept = if std::mem::take(&mut server.answered) {
-                KEEP
+                .filter(|attempt| now > attempt.due_at)
+                .map(|attempt| (now - attempt.sent_at) as f64);
+            let time = server.time_sum + overdue_times.sum::<f64>() + prior_time;
+            let kind = kinds.entry(server.entry.kind).or_default();
+            let kind_rate = (kind.work + mean_rate * prior_time) / (kind.time + prior_time);
+            let expected_rate = kind_rate * server.entry.capacity / (kind.capacity / kind.servers);
+            server.loss_share = server.current_loss_share(now);
+            let slow_start_factor = server.slow_start_factor(now, &rules);
+            server.service_rate =
+                ((server.work_sum + expected_rate * prior_time) / time) * slow_start_factor;
+            service_rates.push(server.service_rate);
+            let decay = if std::mem::take(&mut server.has_new_results) {
+                MEASUREMENT_DECAY
             } else {
                 1.0
             };
-            (server.size_sum, server.time_sum) = (kept * server.size_sum, kept * server.time_sum);
-            // A cold server is given what it would bear of a warm one's usual work and a part more: the warm
-            // can't do it all. Hardly any is saved up. A request takes the budget below nothing, so that an
-            // instance whose part is less than one request in all that time sends some too.
-            (server.cold_budget, server.cold_filled) = (server.cold_left(now), now);
-            server.cold_rate = (PACE * warmth * per_server * (own / mean)).max(first);
-            server.cold_most = server.cold_rate * rules.fall as f64 * SAVED;
-        }
-        if self.pool.len() >= POOL && !self.pool.contains_key(lane) {
+            (server.work_sum, server.time_sum) = (decay * server.work_sum, decay * server.time_sum);
+            // A warming server receives somewhat more than its share of a warm server's work, because the
+            // warm servers cannot do it all. It can save up little of that. A request may overdraw the
+            // budget, so that instances with a share of less than one request in all that time also send
+            // some.
+            (server.slow_start_budget, server.slow_start_refilled_at) =
+                (server.slow_start_budget_at(now), now);
+            server.slow_start_rate = (SLOW_START_PACE
+                * slow_start_factor
+                * served_per_server
+                * (expected_rate / mean_rate))
+                .max(min_slow_start_rate);
+            server.slow_start_max_budget =
+                server.slow_start_rate * rules.overload_window as f64 * SLOW_START_SAVED_SHARE;
+        }
+        if self.intervals.len() >= MAX_INTERVALS && !self.intervals.contains_key(lane) {
             let oldest = self
-                .pool
+                .intervals
                 .iter()
-                .min_by_key(|(_, i)| i.tuned)
-                .map(|(key, _)| key.clone());
-            oldest.and_then(|key| self.pool.remove(&key));
+                .min_by_key(|(_, interval)| interval.tuned_at)
+                .map(|(servers, _)| servers.clone());
+            oldest.and_then(|servers| self.intervals.remove(&servers));
         }
         let interval = self
-            .pool
+            .intervals
             .entry(lane.to_vec())
             .or_insert_with(|| Interval::new(lane.to_vec()));
-        interval.tune(&weights);
-        interval.tuned = now;
+        interval.tune(&service_rates);
+        interval.tuned_at = now;
     }
 }
--- a/crates/balancer/src/discovery_evidence.rs
+++ b/crates/balancer/src/discovery_evidence.rs
@@ -49,7 +49,7 @@
 
 impl Failure {
     /// How a call failed that waited for so long, which is [`Micros::MAX`] where it is not known, and whose connection broke or
-    /// not; see [`crate::Members::Failed`].
+    /// not; see [`crate::DiscoveryUpdate::CallFailed`].
     pub(crate) fn of_ended_call(waited: Micros, broken_off: bool) -> Self {
         match waited {
             Micros::MAX => Failure::Unspecified,
--- a/crates/balancer/src/discovery_poll.rs
+++ b/crates/balancer/src/discovery_poll.rs
@@ -5,7 +5,7 @@
 //!
 //! The list has to be fresh at the same time. A change counts as told 6 s after discovery had it and could be reached, whatever
 //! became of calls, and once the grace is over nothing may go to a server that drains. So however often calls fail, the next one
-//! begins [`Rules::ask_anew`] behind the beginning of the one before at the latest: 8 s at a grace of 3 s. At N calls in 8 s a
+//! begins [`SafetyRules::poll_again_within`] behind the beginning of the one before at the latest: 8 s at a grace of 3 s. At N calls in 8 s a
 //! discovery that needs up to 8 s / N for a call catches up by itself.
 //!
 //! Where what was seen of discovery ([`Verdict`]) tells that it is slower than that, calls come less often, since nothing else
@@ -13,7 +13,7 @@
 //! queue, no other one is made.
 
 use crate::discovery_evidence::{Evidence, Failure, Verdict};
-use crate::interface::{Micros, Rules};
+use crate::interface::{Micros, SafetyRules};
 use oorandom::Rand64;
 
 /// The span in which an instance calls once: this for each instance of the fleet, which is what a call may take discovery...
@@ -116,10 +116,10 @@
 }
 
 impl Spans {
-    fn new(rules: &Rules, group_size: u32) -> Self {
+    fn new(rules: &SafetyRules, group_size: u32) -> Self {
         let instances = Micros::from(group_size);
-        let part = |part: f64| (part * rules.ask_within as f64).max(1.0) as Micros;
-        let bound = rules.ask_anew();
+        let part = |part: f64| (part * rules.max_poll_interval as f64).max(1.0) as Micros;
+        let bound = rules.poll_again_within();
         let usual = MIN_SPAN.max(SPAN_PER_INSTANCE * instances);
         let longest = MAX_SPAN_OF_SMALL_FLEET.max(MAX_SPAN_PER_INSTANCE * instances);
         let bound_of_overrun = part(ALLOWED_PART_BEHIND_REFUSALS);
@@ -195,7 +195,7 @@
         &mut self,
         now: Micros,
         failed: FailedCall,
-        (rules, group_size): (&Rules, u32),
+        (rules, group_size): (&SafetyRules, u32),
         random: &mut Rand64,
     ) -> Option<Micros> {
         let spans = Spans::new(rules, group_size);
@@ -249,7 +249,7 @@
         now: Micros,
         failed: FailedCall,
         verdict: Verdict,
-        (rules, spans): (&Rules, Spans),
+        (rules, spans): (&SafetyRules, Spans),
         random: &mut Rand64,
     ) -> Micros {
         if !self.evidence.was_reached() {
@@ -266,7 +266,7 @@
         &mut self,
         now: Micros,
         failed: FailedCall,
-        (rules, spans): (&Rules, Spans),
+        (rules, spans): (&SafetyRules, Spans),
         random: &mut Rand64,
     ) -> Micros {
         let former_span = self.span;
@@ -281,7 +281,7 @@
             spans.usual
         };
         self.has_phase &= self.span == former_span;
-        let allowed = (ALLOWED_PART * rules.ask_within as f64).max(1.0) as Micros;
+        let allowed = (ALLOWED_PART * rules.max_poll_interval as f64).max(1.0) as Micros;
         let latest = now
             .saturating_add(allowed)
             .min(failed.since.saturating_add(spans.bound))
@@ -298,7 +298,7 @@
         &mut self,
         now: Micros,
         failed: FailedCall,
-        (rules, spans): (&Rules, Spans),
+        (rules, spans): (&SafetyRules, Spans),
         random: &mut Rand64,
     ) -> Micros {
         let longest = if self.evidence.was_out_of_order() {
--- a/crates/balancer/src/interface.rs
+++ b/crates/balancer/src/interface.rs
@@ -1,474 +1,478 @@
-//! The words in which an embedder and the decision module speak: settings, events and actions.
+//! Interface between an embedder and the decision module: settings, events and actions.
 
 use foldhash::quality::FixedState;
 use std::fmt;
 use std::hash::BuildHasher;
 
-/// A time, or a span of time, in microseconds. Times only ever grow; their zero means nothing.
+/// A point in time or a duration, in microseconds. Points in time never decrease; their origin has no meaning.
 pub type Micros = u64;
 
-/// A request as the embedder numbers it. No number is used twice.
+/// Number of a client request, assigned by the embedder. No number is used twice.
 pub type RequestId = u64;
 
-/// A server. The number is the same at every instance, so that instances agree on hashes of it.
+/// Number of a server. It is the same at every instance, so that instances agree on hashes of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId(pub u64);
 
 impl ServerId {
-    /// The number of a server of this name: its hash, the same at every instance.
-    pub fn named(name: &str) -> Self {
+    /// The number of the server with this name: a hash of the name, the same at every instance.
+    pub fn from_name(name: &str) -> Self {
         ServerId(FixedState::with_seed(0).hash_one(name))
     }
 }
 
-/// The number in 16 hexadecimal digits, as logs and events name a server whose name is not known.
+/// The number in 16 hexadecimal digits. Logs and events identify a server by it when its name is unknown.
 impl fmt::Display for ServerId {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(to, "{:016x}", self.0)
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(formatter, "{:016x}", self.0)
     }
 }
 
-/// What a balancer is told at its start.
+/// Settings of one balancer instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Instances that send to the same servers, this one included.
+    /// Number of instances that send to the same servers, including this one.
     pub group_size: u32,
-    /// The zone this instance is in.
+    /// Zone of this instance.
     pub zone: u32,
-    /// The shortest gap between two calls of [`crate::Balancer::handle`] at different times.
+    /// The shortest time between two calls of [`crate::Balancer::handle`] with different times.
     pub tick: Micros,
-    /// Request classes; a request names its class by its place here.
+    /// Request classes. A request refers to its class by the index in this list.
     pub classes: Vec<Class>,
-    /// Tenants; may be empty. A request names its tenant by its place here.
+    /// Tenants; may be empty. A request refers to its tenant by the index in this list.
     pub tenants: Vec<Tenant>,
-    /// Whether server lists come only when asked for.
+    /// Whether discovery sends the server list only after [`Action::PollDiscovery`].
     pub discovery_on_request: bool,
-    /// What the site allows.
+    /// Which features the site permits, and their limits.
     pub limits: Limits,
-    /// Figures of the safety rules.
-    pub rules: Rules,
-    /// What things cost, as parts of a request's worth.
+    /// Parameters of the safety rules.
+    pub rules: SafetyRules,
+    /// Prices of operations, as fractions of a request's priority weight.
     pub prices: Prices,
-    /// Whether a class's worth is for each unit of work instead of for each request.
-    pub worth_by_work: bool,
+    /// Whether a class's priority weight applies to each unit of work instead of each request.
+    pub weight_per_work: bool,
 }
 
 /// A request class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// An answer within this time earns the full worth.
-    pub aim: Micros,
-    /// Extra time on the aim, as a multiple of the request's hinted work.
-    pub aim_stretch: f64,
-    /// How long a client waits in all.
+    /// Latency objective: a response within this time earns the full priority weight.
+    pub latency_objective: Micros,
+    /// Additional latency objective, as a multiple of the request's hinted work.
+    pub latency_objective_stretch: f64,
+    /// How long a client waits for a response in total, retries included.
     pub deadline: Micros,
-    /// What may be done twice.
-    pub effect: Effect,
-    /// Worth of a request.
-    pub worth: f64,
-    /// Part of the worth that an answer earns past the aim.
-    pub late_worth: f64,
+    /// Whether requests may be executed more than once.
+    pub retry_safety: RetrySafety,
+    /// Priority weight of a request.
+    pub priority_weight: f64,
+    /// Fraction of the priority weight, from 0 to 1, that a response earns after the latency objective.
+    pub late_weight_share: f64,
 }
 
-/// Whether an attempt that may have run can be sent again.
+/// Whether a request can be retried after an attempt that may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
-    /// Freely.
-    Safe,
-    /// Within the servers of a scope that discard repeats, for a time after the first send.
-    Keyed {
-        /// Which servers discard each other's repeats.
-        scope: Scope,
-        /// How long they remember.
+pub enum RetrySafety {
+    /// Idempotent: retries are always safe.
+    Idempotent,
+    /// Idempotent with a key: servers of one scope discard duplicates for some time after the first attempt was sent.
+    IdempotentWithKey {
+        /// Servers that recognize each other's duplicates.
+        scope: DeduplicationScope,
+        /// How long servers recognize a duplicate.
         window: Micros,
     },
-    /// Never.
-    Unsafe,
+    /// Non-idempotent: retries are never safe.
+    NonIdempotent,
 }
 
-/// Servers that discard each other's repeats.
+/// The servers that recognize and discard duplicates of each other's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
-    /// All of them.
+pub enum DeduplicationScope {
+    /// All servers.
     All,
-    /// Those of one zone.
+    /// The servers of one zone.
     Zone,
-    /// Those of one cell.
+    /// The servers of one cell.
     Cell,
 }
 
-/// A tenant's part of the service.
+/// A tenant's share of the service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests a second, over all instances, within its share.
+    /// Guaranteed requests per second, summed over all instances.
     pub quota: f64,
 }
 
-/// What the site allows.
+/// Which features the site permits, and their limits.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Attempts that may be called off.
+    /// Whether attempts may be cancelled.
     pub cancel: bool,
-    /// Servers may be asked for their load.
+    /// Whether servers may be probed for their load.
     pub probes: bool,
-    /// Clients are told when to come back.
+    /// Whether rejections carry a `Retry-After` time.
     pub retry_after: bool,
-    /// The longest wait a client honours.
+    /// The longest `Retry-After` time that clients honour.
     pub max_retry_after: Micros,
-    /// Attempts a request may have.
+    /// Maximum number of attempts of a request.
     pub max_attempts: u32,
 }
 
-/// Figures of the safety rules.
+/// Parameters of the safety rules.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Rules {
-    /// A server starts at this share of its capacity or more.
-    pub cold_from: f64,
-    /// And is warm after this time at most.
-    pub cold: Micros,
-    /// A cold server sent a multiple of its present capacity for this long falls over.
-    pub fall: Micros,
-    /// An instance that follows no list and has not asked for it for this long, or four times this after a call that
-    /// failed, is held to know what the list said then. Above 0.
-    pub ask_within: Micros,
-    /// What is sent to a server that drains or left, this long after that was told, breaks the rules.
+pub struct SafetyRules {
+    /// Slow start: the least fraction of its capacity that a server has when it starts.
+    pub slow_start_min_share: f64,
+    /// Slow start: the longest time until a started server has its full capacity.
+    pub slow_start_window: Micros,
+    /// A warming server collapses if it receives a multiple of its present capacity for this long.
+    pub overload_window: Micros,
+    /// An instance without a watch that has not polled discovery for this long, or for four times this after a failed call, is
+    /// assumed to know the server list of that moment. Above 0.
+    pub max_poll_interval: Micros,
+    /// How long after the notification that a server drains or was removed requests may still be sent to it. Later requests
+    /// break the safety rules.
     pub drain_grace: Micros,
 }
 
-impl Rules {
-    /// What discovery has to tell counts as told after this, whether or not it has arrived.
-    pub const TOLD: Micros = 6_000_000;
-    /// A process that starts may take the place of one that ended this long ago, and the list of its configuration is as
-    /// old: what changed since then it has missed.
-    pub const DOWN: Micros = 5_000_000;
-    /// A call for the list is answered in this time where discovery can be reached and is not overrun.
-    pub const ANSWERED: Micros = 1_000_000;
-
-    /// So long after a list was last known whole another call has to begin: what changed since counts as told 6 s after
-    /// discovery had it, and once the grace is over nothing may go to a server that has left.
-    pub fn ask_anew(&self) -> Micros {
-        (Self::TOLD - Self::ANSWERED).saturating_add(self.drain_grace)
+impl SafetyRules {
+    /// An instance is assumed to know a change of the server list this long after discovery has it, whether or not the update
+    /// has arrived.
+    pub const ASSUMED_NOTIFIED_AFTER: Micros = 6_000_000;
+    /// A process may replace one that ended up to this long before, and the server list in its configuration is as old: it
+    /// has missed the changes since then.
+    pub const MAX_RESTART_GAP: Micros = 5_000_000;
+    /// Discovery answers a call within this time if it is reachable and not overloaded.
+    pub const DISCOVERY_RESPONSE_TIME: Micros = 1_000_000;
+
+    /// The longest time between the moment for which the server list is known and the start of the next discovery call.
+    /// Changes count as known 6 s after discovery has them, and after the drain grace no request may go to a removed server.
+    pub fn poll_again_within(&self) -> Micros {
+        (Self::ASSUMED_NOTIFIED_AFTER - Self::DISCOVERY_RESPONSE_TIME)
+            .saturating_add(self.drain_grace)
     }
 }
 
-/// What things cost, in parts of a request's worth for each time they are done.
+/// Price of each use of an operation, as a fraction of a request's priority weight.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Prices {
-    /// An attempt that crosses zones.
+    /// An attempt to a server in another zone.
     pub cross_zone: f64,
-    /// A probe.
+    /// A load probe.
     pub probe: f64,
 }
 
-/// What has happened.
+/// Something that has happened.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event<'a> {
-    /// News of the server list.
-    Members(Members<'a>),
-    /// A client's request has come; it is owed one final answer.
-    Request(NewRequest),
-    /// A stream has begun to flow; the request is bound to this attempt and has no deadline now.
-    Begun {
+    /// Discovery has sent the server list or a change of it, or a call to it has failed.
+    DiscoveryUpdated(DiscoveryUpdate<'a>),
+    /// A client has sent a request. It must receive exactly one final response.
+    RequestReceived(NewRequest),
+    /// A streaming response has started. The request stays with this attempt and no longer has a deadline.
+    ResponseStreamStarted {
         /// The request.
         request: RequestId,
-        /// Which of its attempts.
+        /// Index of the attempt.
         attempt: u32,
     },
-    /// An attempt is over.
-    Closed(Closed),
-    /// A server has answered a probe; without a report where it did not.
-    Probed(ServerId, Option<Report>),
-    /// The client has left; the request is over.
-    ClientGone(RequestId),
-    /// A timer asked for has come due.
-    Timer(Timer),
-    /// Another level of service holds from now on.
-    Level(&'a Reduced),
-    /// A request's body is on its way and goes to its server as it comes. Until it is whole the request's time stands
-    /// still, and nothing of it counts as open or overdue: what it waits for is its client.
-    Coming(RequestId),
-    /// Its last byte has come: its time runs from now on.
-    Came(RequestId),
-    /// Nothing of it can be sent again: it has no more attempts than it has had.
-    Spent(RequestId),
-    /// Other settings hold from now on. What is open goes on by the class that it came with.
-    Settings(&'a Retuned),
+    /// An attempt has ended.
+    AttemptEnded(AttemptResult),
+    /// A probe has ended; without a load report if the server did not answer it.
+    ProbeCompleted(ServerId, Option<LoadReport>),
+    /// The client has disconnected, which ends the request.
+    ClientDisconnected(RequestId),
+    /// A timer set by [`Action::SetTimer`] has fired.
+    TimerFired(Timer),
+    /// The active degradation level has changed.
+    DegradationChanged(&'a DegradationEffects),
+    /// A request's body is streamed to its server while the client still sends it. Until the body is complete, the request's
+    /// deadline does not run and the request counts as neither in flight nor overdue, since only the client causes the delay.
+    RequestBodyStarted(RequestId),
+    /// The last byte of the request's body has arrived. The request's deadline runs from now on.
+    RequestBodyReceived(RequestId),
+    /// The request cannot be sent again: it gets no further attempts.
+    RetriesDisabled(RequestId),
+    /// New settings apply from now on. Requests in flight keep the class that they were received with.
+    SettingsChanged(&'a SettingsChange),
 }
 
-/// Other settings for an instance that goes on. A class keeps its place for as long as a request of it is open, so that
-/// its effect and times bind that request to its end; a class that has changed gets a place of its own.
+/// New settings for a running instance. A class keeps its index for as long as one of its requests is in flight, so that its
+/// retry safety and times apply to that request until it ends. A class whose settings change gets a new index.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Retuned {
-    /// All settings; as many classes as before, or more.
+pub struct SettingsChange {
+    /// The complete new settings, with at least as many classes as before.
     pub settings: Settings,
-    /// For each class, its place before: what was learned there holds for it. None for one that is new.
-    pub learned: Vec<Option<u32>>,
-    /// For each class, whether no new request names it: it stands for those that are open alone.
+    /// For each class, the former index of the class whose measurements it inherits. None for a new class.
+    pub inherited_from: Vec<Option<u32>>,
+    /// For each class, whether it is retired: it serves requests in flight, and new requests do not use it.
     pub retired: Vec<bool>,
 }
 
-/// What is given up for now. The default gives up nothing.
+/// What the active degradation level restricts. The default restricts nothing.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Reduced {
-    /// For each class, by its place, the share of its keys from 0 to 1 whose requests are refused at once; 0 where
-    /// the list ends before it. A request goes by the [`place`] of its key, one without a key by chance.
-    pub away: Vec<f64>,
-    /// Classes of at least this worth are spared that.
-    pub spare_worth: f64,
-    /// Whether servers may be asked for their load, where the site allows it.
-    pub probes: bool,
-    /// The part of the usual retry budget that is left, from 0 to 1.
-    pub retries: f64,
-    /// The part of the usual time that is waited for an answer, from 0 to 1.
-    pub patience: f64,
+pub struct DegradationEffects {
+    /// For each class, by index, the share of its keys, from 0 to 1, whose requests are shed on arrival; 0 for classes beyond
+    /// the end of the list. The key's [`key_position`] decides; a request without a key gets a random one.
+    pub rejected_shares: Vec<f64>,
+    /// Classes of at least this priority weight are exempt from shedding.
+    pub exempt_weight: f64,
+    /// Whether servers may be probed for their load, if the site permits it.
+    pub allows_probes: bool,
+    /// Remaining fraction of the normal retry budget, from 0 to 1.
+    pub retry_budget_factor: f64,
+    /// Remaining fraction of the normal time that a request waits for a response, from 0 to 1.
+    pub timeout_factor: f64,
 }
 
-impl Default for Reduced {
+impl Default for DegradationEffects {
     fn default() -> Self {
-        Reduced {
-            away: Vec::new(),
-            spare_worth: f64::INFINITY,
-            probes: true,
-            retries: 1.0,
-            patience: 1.0,
+        DegradationEffects {
+            rejected_shares: Vec::new(),
+            exempt_weight: f64::INFINITY,
+            allows_probes: true,
+            retry_budget_factor: 1.0,
+            timeout_factor: 1.0,
         }
     }
 }
 
-/// Where a key lies from 0 to 1, the same at every instance. Its hash is another than those by which servers are
-/// chosen: else the keys that are turned away would be those of some of the servers.
-pub fn place(key: u64) -> f64 {
+/// Position of a key between 0 and 1, the same at every instance. Its hash differs from those that choose servers: otherwise
+/// the keys that are shed would all belong to the same few servers.
+pub fn key_position(key: u64) -> f64 {
     (FixedState::with_seed(0x6c65_7665_6c73).hash_one(key) >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// What a server tells of itself.
+/// A server's report of its own load.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Report {
-    /// Requests it holds, or where that is not told, that wait there.
-    pub held: f64,
-    /// Errors a second.
-    pub errors: f64,
+pub struct LoadReport {
+    /// Requests in flight at the server, or only those queued there if it does not report more.
+    pub in_flight: f64,
+    /// Errors per second.
+    pub errors_per_second: f64,
 }
 
-/// News of the server list.
+/// Outcome of a discovery call, or an update of its watch.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Members<'a> {
-    /// The whole list; servers absent from it are gone.
-    Full(&'a [Listed]),
-    /// Only what has changed.
-    Changes(&'a [Listed]),
-    /// A call for the list, or the subscription, has failed.
-    Failed {
-        /// What was listed then is known: the subscription's last word, or the beginning of a call that told nothing.
-        since: Micros,
-        /// How long discovery, once reached, let the call wait before it failed. 0 where it was not reached, or a subscription
-        /// has ended; [`Micros::MAX`] where that is not known.
+pub enum DiscoveryUpdate<'a> {
+    /// The complete server list; servers that are not in it are gone.
+    FullList(&'a [ServerEntry]),
+    /// Only the entries that have changed.
+    ListChanges(&'a [ServerEntry]),
+    /// A discovery call or its watch has failed.
+    CallFailed {
+        /// The moment whose server list is known: the last update of the watch, or the start of a call that returned nothing.
+        list_known_at: Micros,
+        /// How long the call waited, after it had reached discovery, until it failed. 0 if discovery was not reached or a watch
+        /// ended; [`Micros::MAX`] if this is unknown.
         waited: Micros,
-        /// Its connection broke while it waited, so that discovery may have died of its callers; also where that is not known.
-        /// False where discovery answered that it takes no call, was not reached, or was silent.
-        broken_off: bool,
+        /// Whether the connection broke while the call waited, so that discovery may have crashed under the load of its
+        /// callers; true also if this is unknown. False if discovery refused the call, was not reached or did not answer.
+        connection_broken: bool,
     },
-    /// A call for the list was answered, and its watch is open. Another call that is due is not wanted any more.
-    Watching,
-    /// A call for the list was not answered for so long that another one has to be made in time. It goes on waiting and may
-    /// still bring the list, or fail.
-    Silent {
-        /// The beginning of the call.
-        since: Micros,
+    /// A discovery call was answered and its watch is open. It replaces a call that is still due.
+    WatchOpened,
+    /// A discovery call has waited so long without an answer that another one is needed to keep the list up to date. It
+    /// continues to wait, and may still return the list or fail.
+    CallUnanswered {
+        /// Start of the call.
+        call_started_at: Micros,
     },
 }
 
-/// A server as it is listed.
+/// A server's entry in the server list.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Listed {
-    /// Which server.
+pub struct ServerEntry {
+    /// The server.
     pub server: ServerId,
     /// Its zone.
     pub zone: u32,
     /// Its cell.
     pub cell: u32,
-    /// The kind of machine it is. Servers of one kind are held to be alike until measured.
+    /// Machine kind. Servers of one kind are assumed to be equally fast until they have been measured.
     pub kind: u32,
-    /// When it last started, if that was not long ago.
-    pub started: Option<Micros>,
-    /// Listed capacity, to compare servers by.
+    /// Start of its current incarnation, if that was recent.
+    pub started_at: Option<Micros>,
+    /// Listed capacity, relative to that of other servers.
     pub capacity: f64,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub state: ServerState,
 }
 
-/// Whether a listed server takes new work.
+/// Whether a listed server accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerState {
-    /// It does.
+    /// It accepts new requests.
     Ready,
-    /// It finishes what it has.
+    /// It only completes its requests in flight.
     Draining,
-    /// It is gone.
+    /// It has been removed from the list.
     Gone,
 }
 
-/// A client's request.
+/// A request received from a client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NewRequest {
     /// Its number.
     pub id: RequestId,
-    /// Its class.
+    /// Index of its class.
     pub class: u32,
-    /// Its tenant.
+    /// Index of its tenant.
     pub tenant: u32,
-    /// Its subject, if it has one.
+    /// Affinity key, if it has one: requests with the same key go to the same server where possible.
     pub key: Option<u64>,
-    /// How long the client waits for this try.
+    /// How long the client waits for a response to this try.
     pub time_left: Micros,
-    /// A guess of its work, if there is one.
-    pub cost: Option<Micros>,
-    /// The client has said that it tried before.
-    pub repeat: bool,
+    /// Estimate of its work, if it comes with one.
+    pub cost_hint: Option<Micros>,
+    /// Whether the client marked it as a retry of an earlier request.
+    pub client_retry: bool,
 }
 
-/// An attempt that is over.
+/// The end of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Closed {
+pub struct AttemptResult {
     /// The request.
     pub request: RequestId,
-    /// Which of its attempts, counted from 0 in the order of sending.
+    /// Index of the attempt among those of the request, from 0 in the order of sending.
     pub attempt: u32,
-    /// Where it was sent.
+    /// The server that it was sent to.
     pub server: ServerId,
     /// How it ended.
     pub outcome: Outcome,
     /// How long it took.
     pub elapsed: Micros,
-    /// Whether the request is over with it.
-    pub ended: bool,
+    /// Whether the request ended together with the attempt.
+    pub request_ended: bool,
 }
 
-/// How an attempt ended.
+/// How an attempt ended. Logs contain these names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The server returned a successful response.
     Ok,
-    /// Answered with an error; it may have run.
+    /// The server returned an error; it may have executed the request.
     Error,
-    /// Turned away unseen.
+    /// The server rejected the request without executing it.
     Full,
-    /// No answer in time; it may have run.
+    /// No response in time; the server may have executed the request.
     Timeout,
-    /// No connection was made.
+    /// No connection to the server was established.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the server may have executed the request.
     Reset,
-    /// Called off; it may have run.
+    /// This instance cancelled the attempt; the server may have executed the request.
     Cancelled,
-    /// Never sent.
+    /// The attempt was not sent.
     Moot,
 }
 
 impl Outcome {
-    /// Whether this outcome proves that the attempt had no effect.
-    pub fn proves_not_run(self) -> bool {
+    /// Whether this outcome proves that the server did not execute the request.
+    pub fn proves_not_executed(self) -> bool {
         matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)
     }
 }
 
-/// What a timer was set for.
+/// Purpose of a timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Timer {
-    /// Asking for the server list again.
+    /// The next discovery call.
     Discovery,
-    /// A look at one request.
+    /// The next check of one request.
     Request(RequestId),
 }
 
-/// What is to be done.
+/// Something for the embedder to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send the request's next attempt.
     Send {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// The server to send it to.
         server: ServerId,
         /// When the attempt times out.
         timeout_at: Micros,
-        /// Its last byte may not be written from then on: where the connection comes up later, nothing may go out, and the
-        /// outcome is [`Outcome::Moot`]. The end of a repeat's idempotency window; without one, the end of time.
+        /// The last byte of the attempt must be written before this time. If the connection is established later, send nothing
+        /// and report [`Outcome::Moot`]. It is the end of the idempotency window for a retry with an idempotency key, and
+        /// [`Micros::MAX`] if there is no limit.
         write_by: Micros,
     },
-    /// Ask a server for its load.
+    /// Probe a server for its load.
     Probe(ServerId),
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     Cancel {
         /// The request.
         request: RequestId,
-        /// Which of its attempts.
+        /// Index of the attempt.
         attempt: u32,
     },
-    /// End the request unserved; the client may safely try again.
-    Refuse {
+    /// End the request without a response from a server; the client may safely retry it.
+    Reject {
         /// The request.
         request: RequestId,
-        /// Advice on when to come back.
+        /// How long the client should wait before it retries.
         retry_after: Option<Micros>,
     },
-    /// End the request as failed; nothing is promised.
+    /// End the request as failed. The request may have been executed.
     Fail {
         /// The request.
         request: RequestId,
     },
-    /// Call back at this time.
+    /// Return [`Event::TimerFired`] at a given time.
     SetTimer {
-        /// When.
+        /// When the timer fires.
         at: Micros,
-        /// What for.
+        /// The timer's purpose.
         timer: Timer,
     },
-    /// Open (or renew) the subscription to list changes.
-    Subscribe,
-    /// Write a line for the operators.
-    Log(Note),
+    /// Call discovery for the server list and open, or renew, the watch on its changes.
+    PollDiscovery,
+    /// Write a log line for operators.
+    Log(LogEvent),
 }
 
-/// A line for the operators.
+/// An event to log for operators.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Note {
-    /// Requests of a class are refused early, for the first time in a while.
-    Overload(u32),
-    /// A server has been ejected.
-    Ejected(ServerId, Outcome),
-    /// A server is back after a trial.
-    Restored(ServerId),
-    /// The server list is out of reach.
+pub enum LogEvent {
+    /// Requests of the class at this index are rejected for overload, for the first time in a while.
+    ClassOverloaded(u32),
+    /// A server has been ejected after an attempt that ended this way.
+    ServerEjected(ServerId, Outcome),
+    /// An ejected server has passed its trial request and receives requests again.
+    ServerRestored(ServerId),
+    /// A discovery call or watch has failed.
     DiscoveryFailed,
 }
 
-/// The longest span that settings may hold: added to any time that a clock shows in a thousand years, it is still one.
-pub const LONGEST: Micros = 1 << 62;
-const TOO_LONG: &str = "must be 2^62 microseconds at most";
+/// The longest duration that settings may contain. Its sum with any clock time of the next thousand years does not overflow.
+pub const MAX_DURATION: Micros = 1 << 62;
+const DURATION_TOO_LONG: &str = "must be 2^62 microseconds at most";
 
-/// Settings that make no sense.
+/// Invalid settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
-    /// The field at fault.
+    /// Path of the invalid field.
     pub field: String,
-    /// What is wrong with it.
+    /// Why its value is invalid.
     pub problem: String,
 }
 
 impl fmt::Display for SettingsError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "setting {}: {}", self.field, self.problem)
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(formatter, "setting {}: {}", self.field, self.problem)
     }
 }
 
 impl std::error::Error for SettingsError {}
 
 impl Settings {
-    /// Checks every field and names the first that makes no sense.
+    /// Checks every field and reports the first invalid one.
     pub fn validate(&self) -> Result<(), SettingsError> {
-        let check = |good: bool, field: &str, problem: &str| {
-            if good {
+        let check = |valid: bool, field: &str, problem: &str| {
+            if valid {
                 Ok(())
             } else {
                 Err(SettingsError {
@@ -483,56 +487,69 @@
             "classes",
             "must name at least one class",
         )?;
-        for (i, class) in self.classes.iter().enumerate() {
+        for (index, class) in self.classes.iter().enumerate() {
             check(
-                class.aim > 0,
-                &format!("classes[{i}].aim"),
+                class.latency_objective > 0,
+                &format!("classes[{index}].aim"),
                 "must be above 0",
             )?;
             check(
                 class.deadline > 0,
-                &format!("classes[{i}].deadline"),
+                &format!("classes[{index}].deadline"),
                 "must be above 0",
             )?;
-            let window = if let Effect::Keyed { window, .. } = class.effect {
+            let window = if let RetrySafety::IdempotentWithKey { window, .. } = class.retry_safety {
                 window
             } else {
                 0
             };
-            for (span, field) in [
-                (class.aim, "aim"),
+            for (duration, field) in [
+                (class.latency_objective, "aim"),
                 (class.deadline, "deadline"),
                 (window, "window"),
             ] {
-                check(span <= LONGEST, &format!("classes[{i}].{field}"), TOO_LONG)?;
+                check(
+                    duration <= MAX_DURATION,
+                    &format!("classes[{index}].{field}"),
+                    DURATION_TOO_LONG,
+                )?;
             }
-            let worth = class.worth.is_finite() && class.worth >= 0.0;
-            check(worth, &format!("classes[{i}].worth"), "must be 0 or more")?;
-            let late = (0.0..=1.0).contains(&class.late_worth);
+            let valid_weight = class.priority_weight.is_finite() && class.priority_weight >= 0.0;
+            check(
+                valid_weight,
+                &format!("classes[{index}].worth"),
+                "must be 0 or more",
+            )?;
+            let valid_share = (0.0..=1.0).contains(&class.late_weight_share);
             check(
-                late,
-                &format!("classes[{i}].late_worth"),
+                valid_share,
+                &format!("classes[{index}].late_worth"),
                 "must lie in 0..=1",
             )?;
-            let stretch = class.aim_stretch.is_finite() && class.aim_stretch >= 0.0;
+            let valid_stretch = class.latency_objective_stretch.is_finite()
+                && class.latency_objective_stretch >= 0.0;
             check(
-                stretch,
-                &format!("classes[{i}].aim_stretch"),
+                valid_stretch,
+                &format!("classes[{index}].aim_stretch"),
                 "must be 0 or more",
             )?;
         }
-        for (i, tenant) in self.tenants.iter().enumerate() {
-            let quota = tenant.quota.is_finite() && tenant.quota >= 0.0;
-            check(quota, &format!("tenants[{i}].quota"), "must be 0 or more")?;
+        for (index, tenant) in self.tenants.iter().enumerate() {
+            let valid_quota = tenant.quota.is_finite() && tenant.quota >= 0.0;
+            check(
+                valid_quota,
+                &format!("tenants[{index}].quota"),
+                "must be 0 or more",
+            )?;
         }
-        for (span, field) in [
+        for (duration, field) in [
             (self.tick, "tick"),
             (self.limits.max_retry_after, "limits.max_retry_after"),
-            (self.rules.cold, "rules.cold"),
-            (self.rules.fall, "rules.fall"),
-            (self.rules.ask_within, "rules.ask_within"),
+            (self.rules.slow_start_window, "rules.cold"),
+            (self.rules.overload_window, "rules.fall"),
+            (self.rules.max_poll_interval, "rules.ask_within"),
         ] {
-            check(span <= LONGEST, field, TOO_LONG)?;
+            check(duration <= MAX_DURATION, field, DURATION_TOO_LONG)?;
         }
         check(
             self.limits.max_attempts > 0,
@@ -540,13 +557,13 @@
             "must be at least 1",
         )?;
         check(
-            self.rules.ask_within > 0,
+            self.rules.max_poll_interval > 0,
             "rules.ask_within",
             "must be above 0",
         )?;
-        let from = self.rules.cold_from;
+        let min_share = self.rules.slow_start_min_share;
         check(
-            from > 0.0 && from <= 1.0,
+            min_share > 0.0 && min_share <= 1.0,
             "rules.cold_from",
             "must lie above 0 and at most at 1",
         )?;
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,10 +1,10 @@
 //! The decision module of madderloom, a client-side load balancer.
 //!
-//! It is a pure state machine without clock, threads or I/O: the embedder hands [`Balancer::handle`] one
-//! [`Event`] at a time with the present time and carries out the [`Action`]s it gets back. See the README
-//! for an example and `docs/design.md` for the mechanism.
+//! It is a pure state machine without clock, threads or I/O: the embedder passes [`Balancer::handle`] one
+//! [`Event`] at a time with the current time, and carries out the [`Action`]s that it returns. The README has
+//! an example, and `docs/design.md` describes the mechanism.
 
-// The tests inside share their driver with those outside, which names the crate.
+// The unit tests share their test driver with the integration tests, which refer to the crate by its name.
 #[cfg(test)]
 extern crate self as madderloom_balancer;
 
@@ -17,17 +17,17 @@
 pub mod interface;
 #[cfg(test)]
 mod interval_tests;
-mod memory;
+mod measurements;
 pub mod settings;
 mod snapshot;
 mod state;
 
 pub use interface::*;
-pub use memory::{ClassMemory, Memory, ServerMemory};
+pub use measurements::{ClassMeasurements, Measurements, ServerMeasurements};
 pub use snapshot::{ClassView, ServerView, Snapshot};
 pub use state::Balancer;
 
-/// The README's example is compiled with the tests.
+/// Compiles the example in the README with the documentation tests.
 #[cfg(doctest)]
 #[doc = include_str!("../../../README.md")]
 struct Readme;
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -1,11 +1,11 @@
-//! The settings object: what an instance is told of its site. The simulator's first message and a
-//! sidecar's configuration hold the same object, and both are read here.
+//! Reads the settings object, which describes an instance's site. The simulator's first message and a
+//! sidecar's configuration file contain the same object.
 
 use crate::interface::*;
 use serde::Deserialize;
 
-/// What holds where a site is silent.
-mod usual {
+/// Defaults for fields that a site omits.
+mod defaults {
     use crate::interface::Micros;
 
     pub fn conn_idle() -> Micros {
@@ -22,24 +22,24 @@
     }
 }
 
-/// Start-up settings as the dialect words them. Unknown keys are skipped.
+/// The settings object with its own field names. Unknown keys are ignored.
 #[derive(Deserialize)]
-struct Profile {
+struct SettingsObject {
     group_size: u32,
     my_zone: u32,
     period: Micros,
-    services: Vec<Service>,
+    services: Vec<ServiceSettings>,
     #[serde(default)]
-    tenants: Vec<ClientGroup>,
-    discovery: Discovery,
-    limits: SiteLimits,
+    tenants: Vec<TenantSettings>,
+    discovery: DiscoveryMode,
+    limits: LimitSettings,
     #[serde(default)]
-    load_report: LoadReport,
-    safety: Safety,
+    load_report: LoadReportFormat,
+    safety: SafetySettings,
     #[serde(default)]
-    tariffs: Tariffs,
+    tariffs: PriceSettings,
     #[serde(default)]
-    worth_by: WorthBy,
+    worth_by: WeightBasis,
     #[serde(default)]
     areas: Vec<String>,
     #[serde(default)]
@@ -47,14 +47,14 @@
 }
 
 #[derive(Deserialize)]
-struct Service {
+struct ServiceSettings {
     #[serde(default)]
     name: String,
     on_time: Micros,
     #[serde(default)]
     aim_stretch: f64,
     give_up: Micros,
-    effect: EffectName,
+    effect: RetrySafetyName,
     #[serde(default)]
     key_scope: ScopeName,
     #[serde(default)]
@@ -66,7 +66,7 @@
 
 #[derive(Deserialize, Default, PartialEq)]
 #[serde(rename_all = "lowercase")]
-enum WorthBy {
+enum WeightBasis {
     #[default]
     Request,
     Work,
@@ -74,7 +74,7 @@
 
 #[derive(Deserialize, Clone, Copy)]
 #[serde(rename_all = "lowercase")]
-enum EffectName {
+enum RetrySafetyName {
     Safe,
     Keyed,
     Unsafe,
@@ -90,26 +90,26 @@
 }
 
 #[derive(Deserialize)]
-struct ClientGroup {
+struct TenantSettings {
     #[serde(default)]
     quota_per_s: f64,
 }
 
 #[derive(Deserialize, PartialEq)]
 #[serde(rename_all = "lowercase")]
-enum Discovery {
+enum DiscoveryMode {
     Automatic,
     Subscribe,
 }
 
 #[derive(Deserialize)]
-struct SiteLimits {
+struct LimitSettings {
     cancel: bool,
-    #[serde(default = "usual::conn_idle")]
+    #[serde(default = "defaults::conn_idle")]
     conn_idle: Micros,
-    #[serde(default = "usual::connect_timeout")]
+    #[serde(default = "defaults::connect_timeout")]
     connect_timeout: Micros,
-    #[serde(default = "usual::max_open")]
+    #[serde(default = "defaults::max_open")]
     max_open: usize,
     #[serde(default)]
     retry_after: bool,
@@ -121,171 +121,175 @@
 }
 
 #[derive(Deserialize, Default)]
-struct LoadReport {
+struct LoadReportFormat {
     #[serde(default)]
     how: String,
     #[serde(default)]
     fields: Vec<String>,
 }
 
-/// Where in a load report the values stand that are read.
+/// Positions of the values in a load report that the balancer uses.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Layout {
-    held: Option<usize>,
-    errors: Option<usize>,
+pub struct LoadReportLayout {
+    in_flight: Option<usize>,
+    errors_per_second: Option<usize>,
 }
 
-impl Layout {
-    fn of(report: &LoadReport) -> Self {
-        let place = |name: &str| report.fields.iter().position(|f| f == name);
-        Layout {
-            held: place("rif").or(place("q")),
-            errors: place("fail_rate"),
+impl LoadReportLayout {
+    fn from_format(format: &LoadReportFormat) -> Self {
+        let position = |name: &str| format.fields.iter().position(|field| field == name);
+        LoadReportLayout {
+            in_flight: position("rif").or(position("q")),
+            errors_per_second: position("fail_rate"),
         }
     }
 
-    /// Reads a report whose values come in the order of the settings.
-    pub fn report(self, row: &str) -> Option<Report> {
-        let value = |place: usize| {
+    /// Reads a load report: values separated by commas, in the order of the settings' fields.
+    pub fn parse_report(self, row: &str) -> Option<LoadReport> {
+        let value = |position: usize| {
             row.split(',')
-                .nth(place)?
+                .nth(position)?
                 .parse()
                 .ok()
-                .filter(|v| *v >= 0.0)
+                .filter(|value| *value >= 0.0)
         };
-        let held = self.held.and_then(value)?;
-        Some(Report {
-            held,
-            errors: self.errors.and_then(value).unwrap_or(0.0),
+        let in_flight = self.in_flight.and_then(value)?;
+        Some(LoadReport {
+            in_flight,
+            errors_per_second: self.errors_per_second.and_then(value).unwrap_or(0.0),
         })
     }
 }
 
 #[derive(Deserialize)]
-struct Safety {
-    #[serde(default = "usual::ask_within")]
+struct SafetySettings {
+    #[serde(default = "defaults::ask_within")]
     ask_within: Micros,
     cold_from: f64,
     cold: Micros,
     fall: Micros,
-    /// Where a site is silent, there is no grace.
+    /// No drain grace if the site omits it.
     #[serde(default)]
     drain_grace: Micros,
 }
 
 #[derive(Deserialize, Default)]
-struct Tariffs {
+struct PriceSettings {
     #[serde(default)]
     cross_zone: f64,
     #[serde(default)]
     probe: f64,
 }
 
-/// A site, as its settings object tells of it.
+/// Settings of a site, read from its settings object.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
-#[serde(from = "Profile")]
+#[serde(from = "SettingsObject")]
 pub struct Site {
-    /// What the balancer is told.
+    /// Settings of the balancer.
     pub settings: Settings,
-    /// How a load report is laid out.
-    pub layout: Layout,
-    /// The names of the classes, by their place in the settings.
+    /// Layout of the servers' load reports.
+    pub layout: LoadReportLayout,
+    /// Names of the classes, in the order of their indexes.
     pub classes: Vec<String>,
-    /// The names of the zones, likewise.
+    /// Names of the zones, in the order of their indexes.
     pub zones: Vec<String>,
-    /// The names of the machine kinds, likewise.
+    /// Names of the machine kinds, in the order of their indexes.
     pub kinds: Vec<String>,
-    /// A connection that has stood idle for this long is closed by the other side.
+    /// The other side closes a connection that has been idle for this long.
     pub conn_idle: Micros,
-    /// A connection that has not come up within this time is taken not to come.
+    /// Connection timeout.
     pub connect_timeout: Micros,
-    /// Requests that may be open at once.
+    /// Maximum number of requests in flight.
     pub max_open: usize,
 }
 
 impl Site {
-    /// Reads a settings object and names the field that makes no sense.
+    /// Reads a settings object. The error message contains the path of the invalid field.
     pub fn from_json(json: &str) -> Result<Self, String> {
-        let mut reader = serde_json::Deserializer::from_str(json);
-        serde_path_to_error::deserialize(&mut reader).map_err(|e| e.to_string())
+        let mut deserializer = serde_json::Deserializer::from_str(json);
+        serde_path_to_error::deserialize(&mut deserializer).map_err(|error| error.to_string())
     }
 }
 
-impl From<Profile> for Site {
-    fn from(profile: Profile) -> Self {
-        let layout = Layout::of(&profile.load_report);
-        let reports = profile.load_report.how != "none" && layout.held.is_some();
+impl From<SettingsObject> for Site {
+    fn from(object: SettingsObject) -> Self {
+        let layout = LoadReportLayout::from_format(&object.load_report);
+        let reports_load = object.load_report.how != "none" && layout.in_flight.is_some();
         Site {
             layout,
-            classes: profile.services.iter().map(|s| s.name.clone()).collect(),
-            zones: profile.areas.clone(),
-            kinds: profile.kinds.clone(),
-            conn_idle: profile.limits.conn_idle,
-            connect_timeout: profile.limits.connect_timeout,
-            max_open: profile.limits.max_open,
-            settings: balancer_settings(profile, reports),
+            classes: object
+                .services
+                .iter()
+                .map(|service| service.name.clone())
+                .collect(),
+            zones: object.areas.clone(),
+            kinds: object.kinds.clone(),
+            conn_idle: object.limits.conn_idle,
+            connect_timeout: object.limits.connect_timeout,
+            max_open: object.limits.max_open,
+            settings: balancer_settings(object, reports_load),
         }
     }
 }
 
-fn balancer_settings(profile: Profile, reports: bool) -> Settings {
-    let class = |s: &Service| Class {
-        aim: s.on_time,
-        aim_stretch: s.aim_stretch,
-        deadline: s.give_up,
-        effect: match s.effect {
-            EffectName::Safe => Effect::Safe,
-            EffectName::Unsafe => Effect::Unsafe,
-            EffectName::Keyed => Effect::Keyed {
-                scope: match s.key_scope {
-                    ScopeName::All => Scope::All,
-                    ScopeName::Zone => Scope::Zone,
-                    ScopeName::Cell => Scope::Cell,
+fn balancer_settings(object: SettingsObject, reports_load: bool) -> Settings {
+    let class = |service: &ServiceSettings| Class {
+        latency_objective: service.on_time,
+        latency_objective_stretch: service.aim_stretch,
+        deadline: service.give_up,
+        retry_safety: match service.effect {
+            RetrySafetyName::Safe => RetrySafety::Idempotent,
+            RetrySafetyName::Unsafe => RetrySafety::NonIdempotent,
+            RetrySafetyName::Keyed => RetrySafety::IdempotentWithKey {
+                scope: match service.key_scope {
+                    ScopeName::All => DeduplicationScope::All,
+                    ScopeName::Zone => DeduplicationScope::Zone,
+                    ScopeName::Cell => DeduplicationScope::Cell,
                 },
-                window: s.window,
+                window: service.window,
             },
         },
-        worth: s.worth,
-        late_worth: s.late_worth,
+        priority_weight: service.worth,
+        late_weight_share: service.late_worth,
     };
     Settings {
-        group_size: profile.group_size,
-        zone: profile.my_zone,
-        tick: profile.period,
-        classes: profile.services.iter().map(class).collect(),
-        tenants: profile
+        group_size: object.group_size,
+        zone: object.my_zone,
+        tick: object.period,
+        classes: object.services.iter().map(class).collect(),
+        tenants: object
             .tenants
             .iter()
-            .map(|t| Tenant {
-                quota: t.quota_per_s,
+            .map(|tenant| Tenant {
+                quota: tenant.quota_per_s,
             })
             .collect(),
-        discovery_on_request: profile.discovery == Discovery::Subscribe,
+        discovery_on_request: object.discovery == DiscoveryMode::Subscribe,
         limits: Limits {
-            cancel: profile.limits.cancel,
-            // A probe that tells no load is of no use.
-            probes: profile.limits.probes && reports,
-            retry_after: profile.limits.retry_after,
-            max_retry_after: profile.limits.max_retry_after,
-            max_attempts: profile.limits.max_attempts,
+            cancel: object.limits.cancel,
+            // A probe is useless if servers do not report their load.
+            probes: object.limits.probes && reports_load,
+            retry_after: object.limits.retry_after,
+            max_retry_after: object.limits.max_retry_after,
+            max_attempts: object.limits.max_attempts,
         },
-        rules: Rules {
-            cold_from: profile.safety.cold_from,
-            cold: profile.safety.cold,
-            fall: profile.safety.fall,
-            ask_within: profile.safety.ask_within,
-            drain_grace: profile.safety.drain_grace,
+        rules: SafetyRules {
+            slow_start_min_share: object.safety.cold_from,
+            slow_start_window: object.safety.cold,
+            overload_window: object.safety.fall,
+            max_poll_interval: object.safety.ask_within,
+            drain_grace: object.safety.drain_grace,
         },
         prices: Prices {
-            cross_zone: profile.tariffs.cross_zone,
-            probe: profile.tariffs.probe,
+            cross_zone: object.tariffs.cross_zone,
+            probe: object.tariffs.probe,
         },
-        worth_by_work: profile.worth_by == WorthBy::Work,
+        weight_per_work: object.worth_by == WeightBasis::Work,
     }
 }
 
-/// The name that a field of [`Settings`] has in the settings object, for errors that name it.
-pub fn written_name(field: &str) -> String {
+/// The path in the settings object of the field at this path in [`Settings`], for error messages.
+pub fn settings_key(field: &str) -> String {
     let names = [
         ("classes", "services"),
         ("tenants", "tenants"),
@@ -296,13 +300,17 @@
         ("quota", "quota_per_s"),
         ("tick", "period"),
     ];
-    let written = |part: &str| {
+    let external_part = |part: &str| {
         let (name, index) = part.split_at(part.find('[').unwrap_or(part.len()));
         let name = names
             .iter()
-            .find(|(ours, _)| *ours == name)
-            .map_or(name, |(_, theirs)| theirs);
+            .find(|(internal, _)| *internal == name)
+            .map_or(name, |(_, external)| external);
         format!("{name}{index}")
     };
-    field.split('.').map(written).collect::<Vec<_>>().join(".")
+    field
+        .split('.')
+        .map(external_part)
+        .collect::<Vec<_>>()
+        .join(".")
 }
--- a/crates/balancer/src/snapshot.rs
+++ b/crates/balancer/src/snapshot.rs
@@ -1,127 +1,130 @@
-//! What an instance knows, to be shown. Nothing here changes what it will decide.
+//! A view of an instance's state for display. Taking a snapshot does not affect later decisions.
 
-use crate::interface::{Listed, Micros, Report, ServerId};
+use crate::interface::{LoadReport, Micros, ServerEntry, ServerId};
 use crate::state::Balancer;
 
-/// An instance as it stands.
+/// State of an instance.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Snapshot {
-    /// By their places in the settings.
+    /// Classes, by their index in the settings.
     pub classes: Vec<ClassView>,
-    /// In the order of their ids.
+    /// Servers, ordered by id.
     pub servers: Vec<ServerView>,
-    /// Requests that are not forgotten: open ones, and those with an attempt that is still out.
-    pub requests: usize,
-    /// Repeats that may be sent now beyond first attempts.
+    /// Requests in flight, and concluded ones with an attempt still in flight.
+    pub tracked_requests: usize,
+    /// Number of retries that may be sent now.
     pub retry_budget: f64,
 }
 
-/// A class as it stands.
+/// State of a class.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClassView {
-    /// Its requests that are open.
-    pub open: u32,
-    /// Its usual work, in microseconds: a low quantile of its answers' times.
-    pub usual: f64,
-    /// Its slow answers, in microseconds: a high quantile of their times.
-    pub slow: f64,
-    /// The mean time to the end of its requests, as a part of the aim.
-    pub delay: f64,
-    /// Requests lately served in a second; none until two moments are known.
-    pub served: Option<f64>,
-    /// When one was last refused early.
-    pub refused: Option<Micros>,
-    /// Requests that a level of reduced service has turned away.
-    pub given_up: u64,
+    /// Requests in flight.
+    pub in_flight: u32,
+    /// Service time in microseconds: a low quantile of the response times.
+    pub service_time: f64,
+    /// Tail latency in microseconds: a high quantile of the response times.
+    pub tail_latency: f64,
+    /// Mean time until its requests end, as a fraction of the latency objective.
+    pub latency_ratio: f64,
+    /// Recent rate of served requests. None until some time has passed since the first one.
+    pub served_per_second: Option<f64>,
+    /// When a request was last rejected for overload.
+    pub last_rejected: Option<Micros>,
+    /// Number of requests shed by a degradation level.
+    pub shed_requests: u64,
 }
 
-/// A server as it stands.
+/// State of a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerView {
-    /// As it is listed.
-    pub listed: Listed,
-    /// Its part of the requests of its lane, by its weight beside the others'; 0 for one that gets none.
-    pub share: f64,
-    /// What it serves, in work over time; 0 until it was first weighed.
-    pub value: f64,
-    /// The sums that it is weighed by, both in microseconds and faded: the work that it answered, and the time that all
-    /// attempts there took.
-    pub measured: (f64, f64),
-    /// Attempts that ended there of late and may have run: of what it was sent, what told something of it.
-    pub answers: f64,
-    /// Attempts of this instance that are out there.
-    pub out: usize,
-    /// Failures in a row, by their weight.
-    pub failures: u32,
-    /// Until when it gets nothing, if it was ejected and has not come back.
+    /// Its entry in the server list.
+    pub entry: ServerEntry,
+    /// Its share of the requests of its lane, from 0 to 1, by its service rate; 0 if it is in no lane.
+    pub traffic_share: f64,
+    /// Service rate: work done per unit of time; 0 before the first tuning.
+    pub service_rate: f64,
+    /// The decaying sums behind the service rate, in microseconds: the work of successful attempts, and the time that all
+    /// attempts took.
+    pub work_and_time: (f64, f64),
+    /// Number of recent attempts that ended and may have been executed: the observations of its loss share.
+    pub recent_attempts: f64,
+    /// Number of this instance's attempts in flight.
+    pub in_flight: usize,
+    /// Score of the failures in a row.
+    pub failure_score: u32,
+    /// End of its ejection. It stays set until a trial request succeeds.
     pub ejected_until: Option<Micros>,
-    /// The share of its capacity that it is held to have; 1 for one that is warm.
-    pub warmth: f64,
-    /// When it last answered, or was first listed.
-    pub last_answer: Micros,
-    /// When it was last asked for its load, and what it told.
-    pub report: Option<(Micros, Option<Report>)>,
+    /// Slow start: the fraction of its capacity that the server is assumed to have. 1 once it is warm.
+    pub slow_start_factor: f64,
+    /// When it last responded, or was first listed.
+    pub last_response: Micros,
+    /// When its last probe ended, and the load report if it answered.
+    pub last_probe: Option<(Micros, Option<LoadReport>)>,
 }
 
 impl Balancer {
-    /// Requests that levels of reduced service have turned away, of all classes.
-    pub fn given_up(&self) -> u64 {
-        self.classes.iter().map(|seen| seen.given_up).sum()
+    /// Number of requests, of all classes, shed by degradation levels.
+    pub fn shed_requests(&self) -> u64 {
+        self.classes.iter().map(|class| class.shed_requests).sum()
     }
 
-    /// The share of the servers that take new work which fail: that are ejected, or silent past what was due. None
-    /// where there is no such server.
-    pub fn failing(&self, now: Micros) -> Option<f64> {
+    /// Fraction of the ready servers that are ejected or stalled. None if no server is ready.
+    pub fn failing_server_share(&self, now: Micros) -> Option<f64> {
         let ready = self.ready.iter().filter_map(|id| self.servers.get(id));
         let failing = ready
-            .filter(|s| s.ejected_until.is_some() || s.stalled(now))
+            .filter(|server| server.ejected_until.is_some() || server.is_stalled(now))
             .count();
         (!self.ready.is_empty()).then(|| failing as f64 / self.ready.len() as f64)
     }
 
-    /// What it knows at this time.
+    /// The state at this time.
     pub fn snapshot(&self, now: Micros) -> Snapshot {
-        let class = |seen: &crate::state::ClassSeen| ClassView {
-            open: seen.open,
-            usual: seen.cost.at,
-            slow: seen.slow.at,
-            delay: seen.delay,
-            served: Some(seen.served.rate(now) * 1e6).filter(|rate| rate.is_finite()),
-            refused: seen.refused,
-            given_up: seen.given_up,
+        let class_view = |class: &crate::state::ClassState| ClassView {
+            in_flight: class.in_flight,
+            service_time: class.service_time.value,
+            tail_latency: class.tail_latency.value,
+            latency_ratio: class.latency_ratio,
+            served_per_second: Some(class.served.rate_at(now) * 1e6)
+                .filter(|rate| rate.is_finite()),
+            last_rejected: class.last_rejected,
+            shed_requests: class.shed_requests,
         };
-        let lane = |long: Option<bool>| {
-            let of = self
-                .servers
-                .values()
-                .filter(move |s| long.is_some() && s.long == long);
-            of.map(|s| s.value).sum::<f64>()
+        let lane_rate = |in_long_lane: Option<bool>| {
+            let lane = self.servers.values().filter(move |server| {
+                in_long_lane.is_some() && server.in_long_lane == in_long_lane
+            });
+            lane.map(|server| server.service_rate).sum::<f64>()
         };
-        let (short, long) = (lane(Some(false)), lane(Some(true)));
-        let server = |(_, s): (&ServerId, &crate::state::Server)| {
-            let whole = if s.long == Some(true) { long } else { short };
+        let (short_rate, long_rate) = (lane_rate(Some(false)), lane_rate(Some(true)));
+        let server_view = |(_, server): (&ServerId, &crate::state::Server)| {
+            let total_rate = if server.in_long_lane == Some(true) {
+                long_rate
+            } else {
+                short_rate
+            };
             ServerView {
-                listed: s.listed,
-                share: if s.long.is_some() && whole > 0.0 {
-                    s.value / whole
+                entry: server.entry,
+                traffic_share: if server.in_long_lane.is_some() && total_rate > 0.0 {
+                    server.service_rate / total_rate
                 } else {
                     0.0
                 },
-                value: s.value,
-                measured: (s.size_sum, s.time_sum),
-                answers: s.ended.get(now),
-                out: s.out.len(),
-                failures: s.failures,
-                ejected_until: s.ejected_until,
-                warmth: s.warmth(now, &self.settings.rules),
-                last_answer: s.last_answer,
-                report: s.report,
+                service_rate: server.service_rate,
+                work_and_time: (server.work_sum, server.time_sum),
+                recent_attempts: server.ended_attempts.value_at(now),
+                in_flight: server.in_flight.len(),
+                failure_score: server.failure_score,
+                ejected_until: server.ejected_until,
+                slow_start_factor: server.slow_start_factor(now, &self.settings.rules),
+                last_response: server.last_response,
+                last_probe: server.last_probe,
             }
         };
         Snapshot {
-            classes: self.classes.iter().map(class).collect(),
-            servers: self.servers.iter().map(server).collect(),
-            requests: self.requests.len(),
+            classes: self.classes.iter().map(class_view).collect(),
+            servers: self.servers.iter().map(server_view).collect(),
+            tracked_requests: self.requests.len(),
             retry_budget: self.retry_budget,
         }
     }
