--- a/crates/balancer/src/state.rs
+++ b/crates/balancer/src/state.rs
@@ -1,5 +1,5 @@
-//! What an instance remembers of servers, classes and requests. Plain data and what follows from it at
-//! once, by the tunables of `decide.rs`, where all else is concluded.
+//! The state of one balancer instance: what it has measured of servers and classes, and its requests in flight. This file
+//! holds the data and simple derived values; the constants and the decisions are in `decide.rs`.
 
 use crate::decide::*;
 use crate::discovery_poll::DiscoveryPoll;
@@ -9,582 +9,656 @@
 use smallvec::SmallVec;
 use std::collections::{BTreeMap, HashMap};
 
-/// A quantile followed by multiplicative steps, large ones at first.
+/// Streaming estimate of a quantile. Each sample moves it by a relative step; the step shrinks as samples arrive.
 #[derive(Clone, Copy)]
-pub(crate) struct Quantile {
-    pub at: f64,
-    part: f64,
+pub(crate) struct QuantileEstimate {
+    pub value: f64,
+    fraction: f64,
     step: f64,
 }
 
-impl Quantile {
-    /// Begins at a guess.
-    pub fn new(guess: f64, part: f64) -> Self {
-        Quantile {
-            at: guess,
-            part,
-            step: STEPS.0,
+impl QuantileEstimate {
+    /// Starts from an initial estimate. `fraction` is the quantile to estimate, from 0 to 1.
+    pub fn new(initial: f64, fraction: f64) -> Self {
+        QuantileEstimate {
+            value: initial,
+            fraction,
+            step: QUANTILE_INITIAL_STEP,
         }
     }
 
-    pub fn add(&mut self, x: f64) {
-        self.step = (STEPS.1 * self.step).max(STEPS.2);
-        self.at *= if x > self.at {
-            1.0 + self.step * self.part
+    pub fn add(&mut self, sample: f64) {
+        self.step = (QUANTILE_STEP_DECAY * self.step).max(QUANTILE_MIN_STEP);
+        self.value *= if sample > self.value {
+            1.0 + self.step * self.fraction
         } else {
-            1.0 - self.step * (1.0 - self.part)
+            1.0 - self.step * (1.0 - self.fraction)
         };
     }
 }
 
-/// A mean in which the latest value weighs `step`.
+/// Exponential moving average in which the latest sample has the weight `step`.
 #[derive(Clone, Copy)]
-pub(crate) struct Mean {
-    pub at: f64,
+pub(crate) struct MovingMean {
+    pub value: f64,
     pub step: f64,
 }
 
-impl Mean {
-    pub fn add(&mut self, x: f64) {
-        self.at += self.step * (x - self.at);
+impl MovingMean {
+    pub fn add(&mut self, sample: f64) {
+        self.value += self.step * (sample - self.value);
     }
 }
 
-/// A sum that fades: it stands for what was added over about one span.
+/// Exponentially decaying sum: approximately what was added within the last time constant.
 #[derive(Clone, Copy)]
-pub(crate) struct Fading {
+pub(crate) struct DecayingSum {
     sum: f64,
-    at: Micros,
-    span: f64,
-    since: Option<Micros>,
+    updated_at: Micros,
+    /// In microseconds.
+    time_constant: f64,
+    first_added_at: Option<Micros>,
 }
 
-impl Fading {
-    pub fn over(span: f64) -> Self {
-        Fading {
+impl DecayingSum {
+    pub fn new(time_constant: f64) -> Self {
+        DecayingSum {
             sum: 0.0,
-            at: 0,
-            span,
-            since: None,
+            updated_at: 0,
+            time_constant,
+            first_added_at: None,
         }
     }
 
-    pub fn add(&mut self, now: Micros, x: f64) {
-        self.since = self.since.or(Some(now));
-        self.sum = self.get(now) + x;
-        self.at = now;
+    pub fn add(&mut self, now: Micros, amount: f64) {
+        self.first_added_at = self.first_added_at.or(Some(now));
+        self.sum = self.value_at(now) + amount;
+        self.updated_at = now;
     }
 
-    pub fn get(&self, now: Micros) -> f64 {
-        self.sum * (-(now.saturating_sub(self.at) as f64) / self.span).exp()
+    pub fn value_at(&self, now: Micros) -> f64 {
+        self.sum * (-(now.saturating_sub(self.updated_at) as f64) / self.time_constant).exp()
     }
 
-    /// What was added in a microsecond, without end until that is known. A sum younger than its span stands
-    /// for its age alone: else every start would look like a service that answers little.
-    pub fn rate(&self, now: Micros) -> f64 {
-        match self.since {
-            Some(since) if since < now => {
-                let age = (now - since) as f64;
-                self.get(now) / (self.span * (1.0 - (-age / self.span).exp()))
+    /// Amount added per microsecond; infinite until it is known. A sum younger than its time constant covers only its own
+    /// age: otherwise every service would appear to serve little after a start.
+    pub fn rate_at(&self, now: Micros) -> f64 {
+        match self.first_added_at {
+            Some(first_added_at) if first_added_at < now => {
+                let age = (now - first_added_at) as f64;
+                self.value_at(now)
+                    / (self.time_constant * (1.0 - (-age / self.time_constant).exp()))
             }
             _ => f64::INFINITY,
         }
     }
 }
 
-/// First tries over which the longest that was left for one fades.
-const FIRST_TRIES: Micros = 1_024;
-
-/// What is learned of a class.
-pub(crate) struct ClassSeen {
-    /// A low quantile of its answers' times: its work, where requests carry no hint.
-    pub cost: Quantile,
-    /// A high quantile of its answers' times.
-    pub slow: Quantile,
-    /// Its requests that are not settled.
-    pub open: u32,
-    /// Mean work of its requests, by their hints, as a part of the aim.
-    pub work: Mean,
-    /// Lately served requests, arrived work, and mean time to the end as a part of the aim.
-    pub served: Fading,
-    pub arrived: Fading,
-    pub delay: f64,
-    /// When one was last refused for overload.
-    pub refused: Option<Micros>,
-    /// The longest time that clients of late left for a first try.
-    pub first_left: Micros,
-    /// Its requests that a level has turned away.
-    pub given_up: u64,
-    /// No new request names it.
+/// The longest client timeout seen in a class decays towards shorter ones over this many first tries.
+const TIMEOUT_DECAY_TRIES: Micros = 1_024;
+
+/// Measurements of a class.
+pub(crate) struct ClassState {
+    /// A low quantile of its response times, in microseconds. It estimates the work of requests that carry no hint.
+    pub service_time: QuantileEstimate,
+    /// A high quantile of its response times, in microseconds.
+    pub tail_latency: QuantileEstimate,
+    /// Requests that are not concluded and whose body is not being streamed.
+    pub in_flight: u32,
+    /// Mean hinted work of its requests, as a fraction of the latency objective.
+    pub hinted_work: MovingMean,
+    /// Requests served recently.
+    pub served: DecayingSum,
+    /// Work, in microseconds, of the requests that arrived recently.
+    pub arrived_work: DecayingSum,
+    /// Mean time until its requests end, as a fraction of the latency objective.
+    pub latency_ratio: f64,
+    /// When a request was last rejected for overload.
+    pub last_rejected: Option<Micros>,
+    /// The longest timeout that clients recently set for a first try.
+    pub max_first_timeout: Micros,
+    /// Number of its requests shed by a degradation level.
+    pub shed_requests: u64,
+    /// Whether new requests no longer use this class.
     pub retired: bool,
 }
 
-impl ClassSeen {
-    /// A class that nothing is known of but its settings.
-    pub fn new(c: &Class) -> Self {
-        let aim = c.aim as f64;
-        ClassSeen {
-            cost: Quantile::new(COST.0 * aim, COST.1),
-            slow: Quantile::new(SLOW.0 * aim, SLOW.1),
-            work: Mean { at: 0.0, step: 1.0 },
-            open: 0,
-            // Answers that take seconds are few: over a short span a slow class would look unserved.
-            served: Fading::over(RATE_SPAN.max(AIMS * aim)),
-            arrived: Fading::over(LANE_SPAN),
-            delay: 0.0,
-            refused: None,
-            first_left: 0,
-            given_up: 0,
+impl ClassState {
+    /// State of a class of which only the settings are known.
+    pub fn new(class: &Class) -> Self {
+        let objective = class.latency_objective as f64;
+        ClassState {
+            service_time: QuantileEstimate::new(
+                INITIAL_SERVICE_TIME_SHARE * objective,
+                SERVICE_TIME_QUANTILE,
+            ),
+            tail_latency: QuantileEstimate::new(
+                INITIAL_TAIL_LATENCY_SHARE * objective,
+                TAIL_LATENCY_QUANTILE,
+            ),
+            hinted_work: MovingMean {
+                value: 0.0,
+                step: 1.0,
+            },
+            in_flight: 0,
+            // Responses that take seconds are rare: with a short time constant a slow class would appear unserved.
+            served: DecayingSum::new(
+                RATE_TIME_CONSTANT_US.max(RATE_TIME_CONSTANT_OBJECTIVES * objective),
+            ),
+            arrived_work: DecayingSum::new(LANE_TIME_CONSTANT_US),
+            latency_ratio: 0.0,
+            last_rejected: None,
+            max_first_timeout: 0,
+            shed_requests: 0,
             retired: false,
         }
     }
 
-    /// What was learned of a class under other settings. The work stays what it was, parts of the aim do not.
-    fn under(&self, was: &Class, is: &Class) -> Self {
-        let scale = was.aim as f64 / is.aim.max(1) as f64;
-        let work = Mean {
-            at: (self.work.at * scale).min(1.0),
-            step: self.work.step,
+    /// These measurements, made under the old settings, converted to the new ones: fractions of the latency objective are
+    /// rescaled, times stay as they are.
+    fn rescaled(&self, old: &Class, new: &Class) -> Self {
+        let scale = old.latency_objective as f64 / new.latency_objective.max(1) as f64;
+        let hinted_work = MovingMean {
+            value: (self.hinted_work.value * scale).min(1.0),
+            step: self.hinted_work.step,
         };
-        ClassSeen {
-            work,
-            open: 0,
-            // As an answer's, for more would shut the class: while it is refused, nothing brings it down again.
-            delay: (self.delay * scale).min(1.0),
-            refused: None,
-            first_left: 0,
-            given_up: 0,
+        ClassState {
+            hinted_work,
+            in_flight: 0,
+            // At most 1, as for a response. A higher ratio would reject every request, and then no response could lower it.
+            latency_ratio: (self.latency_ratio * scale).min(1.0),
+            last_rejected: None,
+            max_first_timeout: 0,
+            shed_requests: 0,
             retired: false,
             ..*self
         }
     }
 
-    /// A first try has come for which its client leaves this much. The longest fades: one client that waits longer
-    /// than all others must not have their repeats taken for old from then on.
-    pub fn first_try(&mut self, left: Micros) {
-        let fading = self.first_left.saturating_sub(left).div_ceil(FIRST_TRIES);
-        self.first_left = left.max(self.first_left - fading);
+    /// Records the client's timeout of a first try. The longest one decays: otherwise, after one client with a longer timeout
+    /// than all others, every retry of the others would look stale.
+    pub fn record_first_try(&mut self, timeout: Micros) {
+        let decay = self
+            .max_first_timeout
+            .saturating_sub(timeout)
+            .div_ceil(TIMEOUT_DECAY_TRIES);
+        self.max_first_timeout = timeout.max(self.max_first_timeout - decay);
     }
 
-    /// Takes a request's time to the end into the mean. It is one over time: over a few answers, one slow server
-    /// would look like a slow service where answers are many.
-    pub fn delayed(&mut self, now: Micros, part_of_aim: f64) {
-        let answers = (self.served.rate(now) * DELAY_SPAN).clamp(DELAYS.0, DELAYS.1);
-        self.delay += (part_of_aim - self.delay) / answers;
+    /// Adds a request's time until its end, as a fraction of the latency objective, to the mean. The mean covers a duration
+    /// and not a number of responses: at high rates a few responses may come from one slow server.
+    pub fn record_latency(&mut self, now: Micros, latency_ratio: f64) {
+        let responses = (self.served.rate_at(now) * LATENCY_RATIO_SPAN_US)
+            .clamp(LATENCY_RATIO_MIN_RESPONSES, LATENCY_RATIO_MAX_RESPONSES);
+        self.latency_ratio += (latency_ratio - self.latency_ratio) / responses;
     }
 }
 
-/// An attempt that is out at a server.
-pub(crate) struct Out {
+/// An attempt in flight at a server.
+pub(crate) struct InFlightAttempt {
     pub request: RequestId,
     pub attempt: u32,
-    pub size: f64,
-    pub sent: Micros,
-    pub due: Micros,
+    /// Estimated work, in microseconds.
+    pub work: f64,
+    pub sent_at: Micros,
+    /// When the attempt becomes overdue.
+    pub due_at: Micros,
 }
 
-/// Sums over some servers.
+/// Totals over several servers.
 #[derive(Default)]
-pub(crate) struct Seen {
+pub(crate) struct ServerTotals {
     pub servers: f64,
-    pub size: f64,
+    pub work: f64,
     pub time: f64,
     pub capacity: f64,
 }
 
-impl Seen {
+impl ServerTotals {
     pub fn add(&mut self, server: &Server) {
         self.servers += 1.0;
-        self.size += server.size_sum;
+        self.work += server.work_sum;
         self.time += server.time_sum;
-        self.capacity += server.listed.capacity;
+        self.capacity += server.entry.capacity;
     }
 }
 
+/// What the instance knows of a server.
 pub(crate) struct Server {
-    pub listed: Listed,
-    pub out: Vec<Out>,
-    pub out_size: f64,
-    /// Sums over answers: what was served, and the time that all attempts took.
-    pub size_sum: f64,
+    pub entry: ServerEntry,
+    pub in_flight: Vec<InFlightAttempt>,
+    /// Work of the attempts in flight, in microseconds.
+    pub in_flight_work: f64,
+    /// Decaying sum of the work of successful attempts, in microseconds.
+    pub work_sum: f64,
+    /// Decaying sum of the time that all attempts took, in microseconds.
     pub time_sum: f64,
-    /// Whether an answer came since the value was last computed.
-    pub answered: bool,
-    pub value: f64,
-    pub last_answer: Micros,
-    pub failures: u32,
-    /// Attempts that lately ended and may have run, and those of them that were lost. Losses in a row wait for the
-    /// answer that shows that the server lives: till then it may be dead, which is another matter.
-    pub ended: Fading,
-    pub lost: Fading,
-    pub in_a_row: f64,
-    /// The part that it loses of what it is sent, as of the last tuning.
-    pub loses: f64,
+    /// Whether an attempt has ended since the service rate was last computed.
+    pub has_new_results: bool,
+    /// Work served per unit of time, as of the last tuning.
+    pub service_rate: f64,
+    pub last_response: Micros,
+    /// Score of the failures in a row: a timeout scores 1, an error 2, a lost connection 3.
+    pub failure_score: u32,
+    /// Attempts that ended recently and may have been executed.
+    pub ended_attempts: DecayingSum,
+    /// Those of them that were lost. Losses in a row are added only once a response shows that the server is alive: until
+    /// then it may be dead, which ejection handles.
+    pub lost_attempts: DecayingSum,
+    pub losses_in_a_row: f64,
+    /// Fraction of its attempts that it loses, as of the last tuning.
+    pub loss_share: f64,
     pub ejected_until: Option<Micros>,
-    pub ejection: Micros,
-    pub cold_budget: f64,
-    pub cold_filled: Micros,
-    pub cold_rate: f64,
-    pub cold_most: f64,
-    /// When a probe of it last ended, and what it told.
-    pub report: Option<(Micros, Option<Report>)>,
-    /// Which lane it is in, if it is ready: that of the long classes, or the other.
-    pub long: Option<bool>,
+    /// Duration of the last ejection; 0 after a successful response.
+    pub ejection_duration: Micros,
+    /// Work, in microseconds, that a warming server may receive: a token bucket, which may be overdrawn.
+    pub slow_start_budget: f64,
+    pub slow_start_refilled_at: Micros,
+    pub slow_start_rate: f64,
+    pub slow_start_max_budget: f64,
+    /// When its last probe ended, and the load report if it answered.
+    pub last_probe: Option<(Micros, Option<LoadReport>)>,
+    /// Whether it is in the lane of the long classes. None if it is in no lane.
+    pub in_long_lane: Option<bool>,
 }
 
 impl Server {
-    pub fn new(listed: Listed, now: Micros, owed: f64) -> Self {
+    pub fn new(entry: ServerEntry, now: Micros, slow_start_debt: f64) -> Self {
         Server {
-            listed,
-            out: Vec::new(),
-            out_size: 0.0,
-            size_sum: 0.0,
+            entry,
+            in_flight: Vec::new(),
+            in_flight_work: 0.0,
+            work_sum: 0.0,
             time_sum: 0.0,
-            answered: false,
-            value: 0.0,
-            last_answer: now,
-            failures: 0,
-            ended: Fading::over(LOSSES),
-            lost: Fading::over(LOSSES),
-            in_a_row: 0.0,
-            loses: 0.0,
+            has_new_results: false,
+            service_rate: 0.0,
+            last_response: now,
+            failure_score: 0,
+            ended_attempts: DecayingSum::new(LOSS_TIME_CONSTANT_US),
+            lost_attempts: DecayingSum::new(LOSS_TIME_CONSTANT_US),
+            losses_in_a_row: 0.0,
+            loss_share: 0.0,
             ejected_until: None,
-            ejection: 0,
-            cold_budget: -owed,
-            cold_filled: now,
-            cold_rate: 0.0,
-            cold_most: 0.0,
-            report: None,
-            long: None,
+            ejection_duration: 0,
+            slow_start_budget: -slow_start_debt,
+            slow_start_refilled_at: now,
+            slow_start_rate: 0.0,
+            slow_start_max_budget: 0.0,
+            last_probe: None,
+            in_long_lane: None,
         }
     }
 
-    /// Requests that a fresh probe told of: no end of them where it was not answered.
-    pub fn reported(&self, now: Micros) -> f64 {
-        match self.report {
-            Some((at, report)) if now <= at + FRESH => {
-                report.map_or(f64::INFINITY, |r| r.held + FAILING * r.errors)
-            }
+    /// Requests in flight according to a recent probe, with its error rate converted to requests. Infinite if the probe was
+    /// not answered, 0 without a recent probe.
+    pub fn reported_in_flight(&self, now: Micros) -> f64 {
+        match self.last_probe {
+            Some((probed_at, report)) if now <= probed_at + PROBE_VALIDITY => report
+                .map_or(f64::INFINITY, |report| {
+                    report.in_flight + REQUESTS_PER_ERROR_RATE * report.errors_per_second
+                }),
             _ => 0.0,
         }
     }
 
-    /// The part that it loses of what it is sent, as far as there is no doubt.
-    pub fn share_lost(&self, now: Micros) -> f64 {
-        (self.lost.get(now) - DOUBT).max(0.0) / self.ended.get(now).max(1.0)
+    /// Fraction of its attempts that it loses, beyond what a healthy server loses as well.
+    pub fn current_loss_share(&self, now: Micros) -> f64 {
+        (self.lost_attempts.value_at(now) - NORMAL_LOSSES).max(0.0)
+            / self.ended_attempts.value_at(now).max(1.0)
     }
 
-    /// What it may still be given while it is cold.
-    pub fn cold_left(&self, now: Micros) -> f64 {
-        let filled = now.saturating_sub(self.cold_filled) as f64;
-        (self.cold_budget + self.cold_rate * filled).min(self.cold_most)
+    /// Work that it may receive now while it warms up, in microseconds; negative if overdrawn.
+    pub fn slow_start_budget_at(&self, now: Micros) -> f64 {
+        let since_refill = now.saturating_sub(self.slow_start_refilled_at) as f64;
+        (self.slow_start_budget + self.slow_start_rate * since_refill)
+            .min(self.slow_start_max_budget)
     }
 
-    /// A hung server completes nothing, so its last value would stand: silence past a due answer tells.
-    pub fn stalled(&self, now: Micros) -> bool {
-        self.out
-            .iter()
-            .any(|o| now > o.due && now.saturating_sub(self.last_answer) > o.due - o.sent)
+    /// Whether it appears to hang: an attempt is overdue, and no response came for as long as that attempt was expected to
+    /// take. A hung server completes nothing, so its measured service rate alone would not change.
+    pub fn is_stalled(&self, now: Micros) -> bool {
+        self.in_flight.iter().any(|attempt| {
+            now > attempt.due_at
+                && now.saturating_sub(self.last_response) > attempt.due_at - attempt.sent_at
+        })
     }
 
-    /// The share of its capacity that a young server is held to have.
-    pub fn warmth(&self, now: Micros, rules: &Rules) -> f64 {
-        let Some(started) = self.listed.started else {
+    /// Slow start: the fraction of its capacity that the server is assumed to have. 1 once it is warm.
+    pub fn slow_start_factor(&self, now: Micros, rules: &SafetyRules) -> f64 {
+        let Some(started_at) = self.entry.started_at else {
             return 1.0;
         };
-        let age = now.saturating_sub(started) as f64 / rules.cold.max(1) as f64;
-        (rules.cold_from + (1.0 - rules.cold_from) * age).min(1.0)
+        let age = now.saturating_sub(started_at) as f64 / rules.slow_start_window.max(1) as f64;
+        (rules.slow_start_min_share + (1.0 - rules.slow_start_min_share) * age).min(1.0)
     }
 }
 
 #[derive(Clone, Copy)]
 pub(crate) struct Attempt {
-    /// The server, as it was listed when this was sent.
-    pub to: Listed,
-    pub sent: Micros,
+    /// The server's list entry when the attempt was sent.
+    pub entry: ServerEntry,
+    pub sent_at: Micros,
+    /// None while the attempt is in flight.
     pub outcome: Option<Outcome>,
 }
 
 impl Attempt {
-    pub fn may_have_run(&self) -> bool {
-        !self.outcome.is_some_and(Outcome::proves_not_run)
+    pub fn may_have_executed(&self) -> bool {
+        !self.outcome.is_some_and(Outcome::proves_not_executed)
     }
 }
 
 pub(crate) struct Request {
     pub class: usize,
     pub key: u64,
-    pub size: f64,
-    pub came: Micros,
-    /// When the answer is no longer waited for.
-    pub give_up: Micros,
+    /// Estimated work, in microseconds.
+    pub work: f64,
+    /// When it arrived, or when its streamed body was complete.
+    pub received_at: Micros,
+    /// When the balancer stops waiting for a response.
+    pub timeout_at: Micros,
+    /// First function of the hash family for the next selection of a server.
     pub next_hash: u32,
-    /// Servers asked for their load before the first attempt.
-    pub looked: SmallVec<[ServerId; 4]>,
+    /// Servers probed before the first attempt.
+    pub probed: SmallVec<[ServerId; 4]>,
     pub attempts: SmallVec<[Attempt; 4]>,
-    /// How many it may have.
-    pub most_attempts: usize,
-    /// While its body is on its way: how long is waited for an answer once it has come.
-    pub coming: Option<Micros>,
-    /// The client has its answer, or a stream is bound: nothing more is decided.
-    pub settled: bool,
+    pub max_attempts: usize,
+    /// While the body is streamed: how long to wait for a response after the body is complete.
+    pub paused_timeout: Option<Micros>,
+    /// Whether the client has its response, or a streaming response has started: no further decision is made.
+    pub concluded: bool,
 }
 
 impl Request {
     pub fn new(
         class: usize,
         key: u64,
-        size: f64,
-        came: Micros,
-        give_up: Micros,
-        most_attempts: usize,
+        work: f64,
+        received_at: Micros,
+        timeout_at: Micros,
+        max_attempts: usize,
     ) -> Self {
         Request {
             class,
             key,
-            size,
-            came,
-            give_up,
+            work,
+            received_at,
+            timeout_at,
             next_hash: 0,
-            looked: SmallVec::new(),
+            probed: SmallVec::new(),
             attempts: SmallVec::new(),
-            most_attempts,
-            coming: None,
-            settled: false,
+            max_attempts,
+            paused_timeout: None,
+            concluded: false,
         }
     }
 
-    pub fn live(&self) -> usize {
-        self.attempts.iter().filter(|a| a.outcome.is_none()).count()
+    pub fn attempts_in_flight(&self) -> usize {
+        self.attempts
+            .iter()
+            .filter(|attempt| attempt.outcome.is_none())
+            .count()
     }
 
-    pub fn first_run(&self) -> Option<&Attempt> {
-        self.attempts.iter().find(|a| a.may_have_run())
+    /// The first attempt that may have been executed.
+    pub fn first_possible_execution(&self) -> Option<&Attempt> {
+        self.attempts
+            .iter()
+            .find(|attempt| attempt.may_have_executed())
     }
 
-    /// Until when an attempt may begin. One that must not run twice and has less time than a slow answer takes may run and yet be
-    /// told as failed, whereas a refusal tells its client that another try does no harm. So that none is refused as it comes,
-    /// no more is kept back than half of its time.
-    fn begin_by(&self, effect: Effect, slow_answer: f64) -> Micros {
-        let whole = self.give_up.saturating_sub(self.came);
-        let kept_back = if effect == Effect::Unsafe {
-            (slow_answer as Micros).min(whole / 2)
+    /// When an attempt may start at the latest. A non-idempotent attempt with less time left than a slow response takes may be
+    /// executed and still be reported as failed, whereas a rejection tells the client that a retry is safe. At most half of
+    /// the request's time is reserved for this, so that no request is rejected on arrival.
+    fn last_attempt_start(&self, retry_safety: RetrySafety, tail_latency: f64) -> Micros {
+        let total_time = self.timeout_at.saturating_sub(self.received_at);
+        let reserved = if retry_safety == RetrySafety::NonIdempotent {
+            (tail_latency as Micros).min(total_time / 2)
         } else {
             0
         };
-        self.give_up - kept_back
-    }
-
-    /// Until when a further attempt does no harm. An idempotency window counts from the send of the first attempt that may
-    /// have run. That is taken to be its choice, which comes before any of its bytes, and a tick is left to spare, so that
-    /// what is written before this arrives within the window however late connections come up.
-    pub fn write_by(&self, effect: Effect, tick: Micros) -> Micros {
-        match (self.first_run(), effect) {
-            (None, _) | (_, Effect::Safe) => Micros::MAX,
-            (Some(_), Effect::Unsafe) => 0,
-            (Some(first), Effect::Keyed { window, .. }) => {
-                (first.sent + window).saturating_sub(tick)
+        self.timeout_at - reserved
+    }
+
+    /// Until when a further attempt is safe. An idempotency window starts when the first attempt that may have been executed
+    /// was sent. That is taken as the time when its server was chosen, before any byte was written, and one tick is kept in
+    /// reserve. So whatever is written before the returned time arrives within the window, even if connecting takes long.
+    pub fn write_by(&self, retry_safety: RetrySafety, tick: Micros) -> Micros {
+        match (self.first_possible_execution(), retry_safety) {
+            (None, _) | (_, RetrySafety::Idempotent) => Micros::MAX,
+            (Some(_), RetrySafety::NonIdempotent) => 0,
+            (Some(first), RetrySafety::IdempotentWithKey { window, .. }) => {
+                (first.sent_at + window).saturating_sub(tick)
             }
         }
     }
 }
 
-/// One instance of the balancer. It decides in `decide.rs`.
+/// One instance of the balancer. Its decisions are in `decide.rs`.
 pub struct Balancer {
     pub(crate) settings: Settings,
-    pub(crate) shortest_aim: f64,
+    /// The shortest latency objective among the classes in use, in microseconds.
+    pub(crate) shortest_objective: f64,
     pub(crate) random: Rand64,
+    /// Whether the first event has been handled.
     pub(crate) started: bool,
     pub(crate) seed: u64,
-    /// Servers that a lane may hold, as it stood when the lanes were last set.
-    pub(crate) reached: usize,
-    /// Requests taken in lately.
-    pub(crate) arrivals: Fading,
+    /// Maximum number of servers in a lane, as of the last assignment of lanes.
+    pub(crate) lane_limit: usize,
+    /// Requests accepted recently.
+    pub(crate) arrivals: DecayingSum,
     pub(crate) servers: BTreeMap<ServerId, Server>,
-    /// The servers that take new work, sorted: the key into the pool.
+    /// The servers that accept new requests, sorted.
     pub(crate) ready: Vec<ServerId>,
-    /// The ready servers, or where long classes have servers of their own: those of the short, of the long.
+    /// The servers of the short and of the long classes, sorted. All are in the first lane unless long classes have servers of
+    /// their own.
     pub(crate) lanes: [Vec<ServerId>; 2],
-    pub(crate) lanes_set: Micros,
-    pub(crate) pool: BTreeMap<Vec<ServerId>, Interval>,
+    pub(crate) lanes_assigned_at: Micros,
+    /// The intervals used last, by the servers of their lane.
+    pub(crate) intervals: BTreeMap<Vec<ServerId>, Interval>,
     pub(crate) requests: HashMap<RequestId, Request, FixedState>,
-    /// How many servers to ask for their load: where it may, and is one of so many that what it has out itself
-    /// tells little of a server.
-    pub(crate) asks: usize,
-    pub(crate) classes: Vec<ClassSeen>,
-    /// Requests lately come, for each tenant.
-    pub(crate) tenants: Vec<Fading>,
-    pub(crate) mean_size: Mean,
-    pub(crate) mean_time: Mean,
-    /// Work lately served.
-    pub(crate) served: Fading,
+    /// How many servers to probe before a first attempt, see [`probe_count`].
+    pub(crate) probe_count: usize,
+    pub(crate) classes: Vec<ClassState>,
+    /// Requests that arrived recently, for each tenant.
+    pub(crate) tenant_arrivals: Vec<DecayingSum>,
+    /// Mean work of a request, in microseconds.
+    pub(crate) mean_work: MovingMean,
+    /// Mean time of a successful attempt, in microseconds.
+    pub(crate) mean_response_time: MovingMean,
+    /// Work served recently, in microseconds.
+    pub(crate) served_work: DecayingSum,
     pub(crate) retry_budget: f64,
-    /// What the level of service that holds gives up.
-    pub(crate) reduced: Reduced,
+    /// What the active degradation level restricts.
+    pub(crate) degradation: DegradationEffects,
     pub(crate) discovery_poll: DiscoveryPoll,
 }
 
 impl Balancer {
-    /// A balancer that knows its settings and no server yet.
+    /// Creates a balancer that knows no servers yet.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
-        let shortest_aim = shortest_aim(&settings, |_| false);
-        let mean = Mean {
-            at: COST.0 * settings.classes[0].aim as f64,
-            step: WEIGHT,
+        let shortest_objective = shortest_objective(&settings, |_| false);
+        let initial_mean = MovingMean {
+            value: INITIAL_SERVICE_TIME_SHARE * settings.classes[0].latency_objective as f64,
+            step: MEAN_STEP,
         };
         Ok(Balancer {
-            shortest_aim,
+            shortest_objective,
             random: Rand64::new(u128::from(seed)),
             started: false,
             seed,
-            reached: 0,
-            arrivals: Fading::over(HEARD.1),
+            lane_limit: 0,
+            arrivals: DecayingSum::new(ARRIVAL_TIME_CONSTANT_US),
             servers: BTreeMap::new(),
             ready: Vec::new(),
             lanes: [Vec::new(), Vec::new()],
-            lanes_set: 0,
-            pool: BTreeMap::new(),
+            lanes_assigned_at: 0,
+            intervals: BTreeMap::new(),
             requests: HashMap::with_hasher(FixedState::default()),
-            asks: asks(&settings),
-            classes: settings.classes.iter().map(ClassSeen::new).collect(),
-            mean_size: mean,
-            mean_time: mean,
-            tenants: vec![Fading::over(RATE_SPAN); settings.tenants.len()],
-            served: Fading::over(RATE_SPAN),
-            retry_budget: RETRY_BUDGET.1,
-            reduced: Reduced::default(),
+            probe_count: probe_count(&settings),
+            classes: settings.classes.iter().map(ClassState::new).collect(),
+            mean_work: initial_mean,
+            mean_response_time: initial_mean,
+            tenant_arrivals: vec![DecayingSum::new(RATE_TIME_CONSTANT_US); settings.tenants.len()],
+            served_work: DecayingSum::new(RATE_TIME_CONSTANT_US),
+            retry_budget: MAX_RETRY_BUDGET,
+            degradation: DegradationEffects::default(),
             discovery_poll: DiscoveryPoll::new(),
             settings,
         })
     }
 
-    /// Tells that the instances of the fleet are numbered from 0, and the number of this one. They then call discovery at times
-    /// that are spread evenly, and not by chance.
+    /// Sets this instance's number, if the instances of the fleet are numbered from 0. The instances then call discovery at
+    /// evenly spaced times instead of random ones.
     pub fn set_ordinal(&mut self, ordinal: u32) {
         self.discovery_poll.set_ordinal(ordinal);
     }
 
-    /// A request's body is on its way, and goes on as it comes.
-    pub(crate) fn coming(&mut self, id: RequestId) {
+    /// The request's body is streamed: stops its timeout until the body is complete.
+    pub(crate) fn request_body_started(&mut self, id: RequestId) {
         let Some(request) = self
             .requests
             .get_mut(&id)
-            .filter(|r| !r.settled && r.coming.is_none())
+            .filter(|request| !request.concluded && request.paused_timeout.is_none())
         else {
             return;
         };
-        request.coming = Some(request.give_up.saturating_sub(request.came));
-        request.give_up = Micros::MAX;
-        self.classes[request.class].open -= 1;
-        for out in self
+        request.paused_timeout = Some(request.timeout_at.saturating_sub(request.received_at));
+        request.timeout_at = Micros::MAX;
+        self.classes[request.class].in_flight -= 1;
+        for attempt in self
             .servers
             .values_mut()
-            .flat_map(|s| &mut s.out)
-            .filter(|out| out.request == id)
+            .flat_map(|server| &mut server.in_flight)
+            .filter(|attempt| attempt.request == id)
         {
-            out.due = Micros::MAX;
+            attempt.due_at = Micros::MAX;
         }
     }
 
-    /// A request's body has come whole.
-    pub(crate) fn came(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(request) = self.requests.get_mut(&id).filter(|r| !r.settled) else {
+    /// The request's body is complete: starts its timeout.
+    pub(crate) fn request_body_received(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(request) = self
+            .requests
+            .get_mut(&id)
+            .filter(|request| !request.concluded)
+        else {
             return;
         };
-        let Some(wait) = request.coming.take() else {
+        let Some(timeout) = request.paused_timeout.take() else {
             return;
         };
-        (request.came, request.give_up) = (now, now.saturating_add(wait));
-        let seen = &mut self.classes[request.class];
-        seen.open += 1;
-        let due = now.saturating_add((OVERDUE * seen.slow.at) as Micros);
-        for out in self
+        (request.received_at, request.timeout_at) = (now, now.saturating_add(timeout));
+        let class = &mut self.classes[request.class];
+        class.in_flight += 1;
+        let due_at = now.saturating_add((OVERDUE_FACTOR * class.tail_latency.value) as Micros);
+        for attempt in self
             .servers
             .values_mut()
-            .flat_map(|s| &mut s.out)
-            .filter(|out| out.request == id)
+            .flat_map(|server| &mut server.in_flight)
+            .filter(|attempt| attempt.request == id)
         {
-            (out.sent, out.due) = (now, due);
+            (attempt.sent_at, attempt.due_at) = (now, due_at);
         }
         actions.push(Action::SetTimer {
-            at: request.give_up,
+            at: request.timeout_at,
             timer: Timer::Request(id),
         });
     }
 
-    /// Nothing of a request can be sent again.
-    pub(crate) fn spent(&mut self, id: RequestId) {
+    /// The request cannot be sent again.
+    pub(crate) fn disable_retries(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
-            request.most_attempts = request.attempts.len();
+            request.max_attempts = request.attempts.len();
         }
     }
 
-    /// Other settings hold from now on. Of servers and of classes that are still there all that was learned stays.
-    pub(crate) fn retune(&mut self, now: Micros, new: &Retuned) {
-        let former = std::mem::replace(&mut self.settings, new.settings.clone());
+    /// Applies new settings. Measurements of servers stay, and those of classes go to the classes that inherit them.
+    pub(crate) fn apply_settings(&mut self, now: Micros, change: &SettingsChange) {
+        let former = std::mem::replace(&mut self.settings, change.settings.clone());
         let mut classes = Vec::with_capacity(self.settings.classes.len());
-        for (at, class) in self.settings.classes.iter().enumerate() {
-            let learned = new
-                .learned
-                .get(at)
+        for (index, class) in self.settings.classes.iter().enumerate() {
+            let former_index = change
+                .inherited_from
+                .get(index)
                 .copied()
                 .flatten()
-                .map(|from| from as usize);
-            let known =
-                learned.and_then(|from| Some((self.classes.get(from)?, former.classes.get(from)?)));
-            let mut seen = known.map_or_else(
-                || ClassSeen::new(class),
-                |(seen, was)| seen.under(was, class),
+                .map(|former_index| former_index as usize);
+            let known = former_index.and_then(|former_index| {
+                Some((
+                    self.classes.get(former_index)?,
+                    former.classes.get(former_index)?,
+                ))
+            });
+            let mut state = known.map_or_else(
+                || ClassState::new(class),
+                |(state, former_class)| state.rescaled(former_class, class),
             );
-            if learned == Some(at) {
-                // Its own place: what is open and what clients were seen to do is its own too.
-                seen = ClassSeen {
-                    open: self.classes[at].open,
-                    ..seen
+            if former_index == Some(index) {
+                // The class keeps its index, and so its requests in flight and what was observed of its clients.
+                state = ClassState {
+                    in_flight: self.classes[index].in_flight,
+                    ..state
                 };
-                (seen.refused, seen.first_left) =
-                    (self.classes[at].refused, self.classes[at].first_left);
-                seen.given_up = self.classes[at].given_up;
+                (state.last_rejected, state.max_first_timeout) = (
+                    self.classes[index].last_rejected,
+                    self.classes[index].max_first_timeout,
+                );
+                state.shed_requests = self.classes[index].shed_requests;
             }
-            seen.retired = new.retired.get(at).copied().unwrap_or(false);
-            classes.push(seen);
+            state.retired = change.retired.get(index).copied().unwrap_or(false);
+            classes.push(state);
         }
         self.classes = classes;
-        self.shortest_aim = shortest_aim(&self.settings, |at| self.classes[at].retired);
-        self.asks = asks(&self.settings);
-        self.tenants
-            .resize(self.settings.tenants.len(), Fading::over(RATE_SPAN));
+        self.shortest_objective =
+            shortest_objective(&self.settings, |index| self.classes[index].retired);
+        self.probe_count = probe_count(&self.settings);
+        self.tenant_arrivals.resize(
+            self.settings.tenants.len(),
+            DecayingSum::new(RATE_TIME_CONSTANT_US),
+        );
         if !self.ready.is_empty() {
-            self.set_lanes(now);
+            self.assign_lanes(now);
         }
     }
 }
 
 impl Balancer {
-    /// When a request is over that has had no answer: with its time, or where no attempt is out, once none may begin.
-    pub(crate) fn over_at(&self, request: &Request) -> Micros {
-        let effect = self.settings.classes[request.class].effect;
-        match request.live() {
-            0 => request.begin_by(effect, self.classes[request.class].slow.at),
-            _ => request.give_up,
+    /// When to abandon a request that has no response: at its timeout, or if no attempt is in flight, when none may start
+    /// any more.
+    pub(crate) fn abandon_at(&self, request: &Request) -> Micros {
+        let retry_safety = self.settings.classes[request.class].retry_safety;
+        match request.attempts_in_flight() {
+            0 => request
+                .last_attempt_start(retry_safety, self.classes[request.class].tail_latency.value),
+            _ => request.timeout_at,
         }
     }
 }
 
-fn shortest_aim(settings: &Settings, retired: impl Fn(usize) -> bool) -> f64 {
-    let live = settings
+fn shortest_objective(settings: &Settings, is_retired: impl Fn(usize) -> bool) -> f64 {
+    let in_use = settings
         .classes
         .iter()
         .enumerate()
-        .filter(|(at, _)| !retired(*at));
-    live.map(|(_, c)| c.aim).min().unwrap_or(0) as f64
+        .filter(|(index, _)| !is_retired(*index));
+    in_use
+        .map(|(_, class)| class.latency_objective)
+        .min()
+        .unwrap_or(0) as f64
 }
 
-/// How many servers to ask for their load: where it may, and is one of so many that what it has out itself tells little.
-fn asks(settings: &Settings) -> usize {
-    if settings.limits.probes && settings.group_size >= BLIND {
-        (PROBES.1 / settings.prices.probe).min(PROBES.0) as usize
+/// How many servers to probe before a first attempt. More than 0 only if probes are permitted and the group is so large that
+/// the instance's own requests in flight say little about a server's load.
+fn probe_count(settings: &Settings) -> usize {
+    if settings.limits.probes && settings.group_size >= PROBING_GROUP_SIZE {
+        (PROBE_PRICE_LIMIT / settings.prices.probe).min(MAX_PROBES) as usize
     } else {
         0
     }
--- a/crates/balancer/tests/alone.rs
+++ b/crates/balancer/tests/alone.rs
@@ -8,7 +8,7 @@
 /// A hint says how much work a request is. One server would have the whole interval for minutes, by one request.
 #[test]
 fn one_hint_beyond_all_reason_moves_no_region() {
-    let mut rig = Rig::new(settings(&[Effect::Safe]), &fleet(4));
+    let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(4));
     rig.hint = Some(10 * MS);
     rig.spread(400, |_| 10 * MS);
     for hint in [u64::MAX, 1 << 53, 3_600 * S] {
@@ -35,10 +35,10 @@
         tenant: 0,
         key: None,
         time_left,
-        cost: None,
-        repeat,
+        cost_hint: None,
+        client_retry: repeat,
     };
-    let actions = rig.event(Event::Request(new));
+    let actions = rig.event(Event::RequestReceived(new));
     if let Some(server) = sent(&actions) {
         rig.now += 5 * MS;
         rig.close(id, 0, server, Outcome::Ok, 5 * MS);
@@ -54,7 +54,7 @@
 fn one_client_that_waits_longer_than_all_others_does_not_shut_out_their_repeats(
     #[case] longest: Micros,
 ) {
-    let mut rig = Rig::new(settings(&[Effect::Safe]), &fleet(4));
+    let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(4));
     tried(&mut rig, 1, longest, false);
     for id in 2..10_000 {
         tried(&mut rig, id, 600 * MS, false);
@@ -73,18 +73,21 @@
 /// nothing, so that nothing could show that it was well.
 #[test]
 fn a_class_whose_aim_is_cut_to_a_hundredth_serves_again() {
-    let mut long = settings(&[Effect::Safe]);
-    (long.classes[0].aim, long.classes[0].deadline) = (10 * S, 30 * S);
+    let mut long = settings(&[RetrySafety::Idempotent]);
+    (long.classes[0].latency_objective, long.classes[0].deadline) = (10 * S, 30 * S);
     let mut rig = Rig::new(long.clone(), &fleet(4));
     rig.spread(100, |_| 9 * S);
     let mut short = long;
-    (short.classes[0].aim, short.classes[0].deadline) = (100 * MS, 1_200 * MS);
-    let retuned = Retuned {
+    (
+        short.classes[0].latency_objective,
+        short.classes[0].deadline,
+    ) = (100 * MS, 1_200 * MS);
+    let retuned = SettingsChange {
         settings: short,
-        learned: vec![Some(0)],
+        inherited_from: vec![Some(0)],
         retired: vec![false],
     };
-    rig.event(Event::Settings(&retuned));
+    rig.event(Event::SettingsChanged(&retuned));
     rig.now += 60 * S;
     let refused = rig.stream(6_000, 10 * MS, 20 * MS, |_| (0, 0));
     let late = refused[3_000..].iter().filter(|refused| **refused).count();
@@ -97,37 +100,42 @@
 /// A server that fails for months.
 #[test]
 fn a_count_of_failures_stops_at_its_end() {
-    let mut rig = Rig::new(settings(&[Effect::Safe]), &fleet(1));
-    let memory = ServerMemory {
+    let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(1));
+    let memory = ServerMeasurements {
         server: ServerId(0),
-        started: None,
+        started_at: None,
         work: 1.0,
-        time: 1.0,
-        failures: u32::MAX - 1,
-        ejected: 0,
-        ejection: 0,
+        attempt_time: 1.0,
+        failure_score: u32::MAX - 1,
+        ejection_remaining: 0,
+        ejection_duration: 0,
     };
-    assert!(rig.balancer.recall_server(rig.now, &memory));
+    assert!(rig.balancer.restore_server_measurements(rig.now, &memory));
     for _ in 0..4 {
         let (id, actions) = rig.request(0);
         let server = sent(&actions).expect("the only one there is");
         rig.close(id, 0, server, Outcome::Reset, MS);
         rig.now += 10 * S;
     }
-    assert_eq!(rig.balancer.snapshot(rig.now).servers[0].failures, u32::MAX);
+    assert_eq!(
+        rig.balancer.snapshot(rig.now).servers[0].failure_score,
+        u32::MAX
+    );
 }
 
 /// Spans that could not be added to a time.
 #[test]
 fn a_span_beyond_all_clocks_is_an_error_that_names_its_field() {
-    let forever = LONGEST + 1;
-    let keyed = Effect::Keyed {
-        scope: Scope::All,
+    let forever = MAX_DURATION + 1;
+    let keyed = RetrySafety::IdempotentWithKey {
+        scope: DeduplicationScope::All,
         window: forever,
     };
     type Set = fn(&mut Settings, Micros);
     let cases: [(&str, Set); 7] = [
-        ("classes[0].aim", |s, span| s.classes[0].aim = span),
+        ("classes[0].aim", |s, span| {
+            s.classes[0].latency_objective = span
+        }),
         ("classes[0].deadline", |s, span| {
             s.classes[0].deadline = span
         }),
@@ -135,13 +143,15 @@
         ("limits.max_retry_after", |s, span| {
             s.limits.max_retry_after = span
         }),
-        ("rules.cold", |s, span| s.rules.cold = span),
-        ("rules.fall", |s, span| s.rules.fall = span),
-        ("rules.ask_within", |s, span| s.rules.ask_within = span),
+        ("rules.cold", |s, span| s.rules.slow_start_window = span),
+        ("rules.fall", |s, span| s.rules.overload_window = span),
+        ("rules.ask_within", |s, span| {
+            s.rules.max_poll_interval = span
+        }),
     ];
     for (field, set) in cases {
-        let mut settings = settings(&[Effect::Safe]);
-        set(&mut settings, LONGEST);
+        let mut settings = settings(&[RetrySafety::Idempotent]);
+        set(&mut settings, MAX_DURATION);
         assert!(Balancer::new(settings.clone(), 1).is_ok(), "{field}");
         set(&mut settings, forever);
         assert_eq!(
@@ -158,17 +168,17 @@
         Some("classes[0].window")
     );
     // The longest that are sound break nothing.
-    let mut long = settings(&[Effect::Keyed {
-        scope: Scope::All,
-        window: LONGEST,
+    let mut long = settings(&[RetrySafety::IdempotentWithKey {
+        scope: DeduplicationScope::All,
+        window: MAX_DURATION,
     }]);
-    (long.classes[0].aim, long.classes[0].deadline) = (LONGEST, LONGEST);
-    (long.rules.cold, long.rules.fall) = (LONGEST, LONGEST);
+    (long.classes[0].latency_objective, long.classes[0].deadline) = (MAX_DURATION, MAX_DURATION);
+    (long.rules.slow_start_window, long.rules.overload_window) = (MAX_DURATION, MAX_DURATION);
     let mut rig = Rig::new(
         long,
         &[
-            Listed {
-                started: Some(1_000 * S),
+            ServerEntry {
+                started_at: Some(1_000 * S),
                 ..listed(0)
             },
             listed(1),
--- a/crates/balancer/tests/asks.rs
+++ b/crates/balancer/tests/asks.rs
@@ -16,7 +16,7 @@
 fn all_have_it(instances: u32) -> Option<Micros> {
     let settings = Settings {
         group_size: instances,
-        ..settings(&[Effect::Safe])
+        ..settings(&[RetrySafety::Idempotent])
     };
     let known = fleet(4);
     let mut all: Vec<Balancer> = (0..instances)
@@ -25,21 +25,22 @@
     // At this time: this instance calls, or hears whether its call has failed.
     let mut queue: BinaryHeap<Reverse<(Micros, usize, Option<bool>)>> = BinaryHeap::new();
     let (mut actions, mut busy, mut missing) = (Vec::new(), 0, instances);
-    let mut tell = |at: usize, now: Micros, members: Members<'_>, queue: &mut BinaryHeap<_>| {
-        all[at].handle(now, Event::Members(members), &mut actions);
-        for action in actions.drain(..) {
-            if let Action::SetTimer {
-                at: due,
-                timer: Timer::Discovery,
-            } = action
-            {
-                all[at].handle(due, Event::Timer(Timer::Discovery), &mut Vec::new());
-                queue.push(Reverse((due, at, None)));
+    let mut tell =
+        |at: usize, now: Micros, members: DiscoveryUpdate<'_>, queue: &mut BinaryHeap<_>| {
+            all[at].handle(now, Event::DiscoveryUpdated(members), &mut actions);
+            for action in actions.drain(..) {
+                if let Action::SetTimer {
+                    at: due,
+                    timer: Timer::Discovery,
+                } = action
+                {
+                    all[at].handle(due, Event::TimerFired(Timer::Discovery), &mut Vec::new());
+                    queue.push(Reverse((due, at, None)));
+                }
             }
-        }
-    };
+        };
     for at in 0..instances as usize {
-        tell(at, S, Members::Full(&known), &mut queue);
+        tell(at, S, DiscoveryUpdate::FullList(&known), &mut queue);
     }
     while let Some(Reverse((now, at, heard))) = queue.pop() {
         match heard {
@@ -59,10 +60,10 @@
                 tell(
                     at,
                     now,
-                    Members::Failed {
-                        since: now - PATIENCE,
+                    DiscoveryUpdate::CallFailed {
+                        list_known_at: now - PATIENCE,
                         waited: PATIENCE,
-                        broken_off: false,
+                        connection_broken: false,
                     },
                     &mut queue,
                 );
@@ -105,15 +106,15 @@
         waits.push(at - rig.now);
         rig.now = at;
         assert!(
-            rig.event(Event::Timer(Timer::Discovery))
-                .contains(&Action::Subscribe)
+            rig.event(Event::TimerFired(Timer::Discovery))
+                .contains(&Action::PollDiscovery)
         );
         let since = rig.now;
         rig.now += waited;
-        rig.event(Event::Members(Members::Failed {
-            since,
+        rig.event(Event::DiscoveryUpdated(DiscoveryUpdate::CallFailed {
+            list_known_at: since,
             waited,
-            broken_off: false,
+            connection_broken: false,
         }));
     }
     waits
@@ -126,9 +127,9 @@
     for group_size in [1, 100, 300, 2_000, 100_000] {
         let settings = Settings {
             group_size,
-            ..settings(&[Effect::Safe])
+            ..settings(&[RetrySafety::Idempotent])
         };
-        let within = settings.rules.ask_within;
+        let within = settings.rules.max_poll_interval;
         for seed in 0..40 {
             let waits = waits(&settings, seed, PATIENCE);
             assert!(
@@ -158,12 +159,12 @@
     ] {
         let settings = Settings {
             group_size,
-            ..settings(&[Effect::Safe])
+            ..settings(&[RetrySafety::Idempotent])
         };
-        let told = Rules::TOLD + settings.rules.drain_grace;
+        let told = SafetyRules::ASSUMED_NOTIFIED_AFTER + settings.rules.drain_grace;
         for seed in 0..40 {
             for wait in waits(&settings, seed, waited) {
-                let known = waited + wait + Rules::ANSWERED;
+                let known = waited + wait + SafetyRules::DISCOVERY_RESPONSE_TIME;
                 assert!(
                     known <= told,
                     "{group_size} instances, {waited}: known {known} us behind a call"
@@ -182,7 +183,7 @@
 fn calls(instances: u32, waited: Micros, mut fails: impl FnMut() -> bool) -> Vec<Micros> {
     let settings = Settings {
         group_size: instances,
-        ..settings(&[Effect::Safe])
+        ..settings(&[RetrySafety::Idempotent])
     };
     let mut calls = Vec::new();
     for seed in 0..instances {
@@ -193,16 +194,18 @@
         {
             calls.push(at - began);
             rig.now = at;
-            rig.event(Event::Timer(Timer::Discovery));
+            rig.event(Event::TimerFired(Timer::Discovery));
             rig.actions.clear();
             let (since, failed) = (rig.now, fails());
             if !failed {
-                rig.event(Event::Members(Members::Full(&fleet(4))));
+                rig.event(Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&fleet(
+                    4,
+                ))));
             }
-            rig.event(Event::Members(Members::Failed {
-                since,
+            rig.event(Event::DiscoveryUpdated(DiscoveryUpdate::CallFailed {
+                list_known_at: since,
                 waited: if failed { waited } else { 0 },
-                broken_off: false,
+                connection_broken: false,
             }));
         }
     }
@@ -271,28 +274,30 @@
     for group_size in [1, 30, 300] {
         let settings = Settings {
             group_size,
-            ..settings(&[Effect::Safe])
+            ..settings(&[RetrySafety::Idempotent])
         };
-        let told = Rules::TOLD + settings.rules.drain_grace;
+        let told = SafetyRules::ASSUMED_NOTIFIED_AFTER + settings.rules.drain_grace;
         let mut asked: Vec<Micros> = Vec::new();
         for seed in 0..u64::from(group_size.max(20)) {
             let mut rig = Rig::seeded(settings.clone(), seed, &fleet(4));
             rig.now += S;
-            rig.event(Event::Timer(Timer::Discovery));
-            rig.event(Event::Members(Members::Full(&fleet(4))));
+            rig.event(Event::TimerFired(Timer::Discovery));
+            rig.event(Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&fleet(
+                4,
+            ))));
             rig.actions.clear();
             // Its last word goes by, and the span in which this instance has called.
             rig.now += 20 * S;
             let since = rig.now;
             rig.now += 3 * S;
-            rig.event(Event::Members(Members::Failed {
-                since,
+            rig.event(Event::DiscoveryUpdated(DiscoveryUpdate::CallFailed {
+                list_known_at: since,
                 waited: 0,
-                broken_off: false,
+                connection_broken: false,
             }));
             let at = asks_at(&mut rig).expect("it will ask") - since;
             assert!(
-                at + Rules::ANSWERED <= told,
+                at + SafetyRules::DISCOVERY_RESPONSE_TIME <= told,
                 "{group_size} instances: asked {at} us behind the last word"
             );
             asked.push(at - 3 * S);
@@ -318,13 +323,13 @@
     for group_size in [1, 60, 300] {
         let settings = Settings {
             group_size,
-            ..settings(&[Effect::Safe])
+            ..settings(&[RetrySafety::Idempotent])
         };
-        let allowed = Rules::TOLD + settings.rules.drain_grace - DOWN;
+        let allowed = SafetyRules::ASSUMED_NOTIFIED_AFTER + settings.rules.drain_grace - DOWN;
         for seed in 0..40 {
             let first = waits(&settings, seed, 0)[0];
             assert!(
-                first + Rules::ANSWERED <= allowed,
+                first + SafetyRules::DISCOVERY_RESPONSE_TIME <= allowed,
                 "{group_size} instances: the first call {first} us behind a start"
             );
         }
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -7,18 +7,18 @@
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000_000;
 
-pub fn class(effect: Effect) -> Class {
+pub fn class(effect: RetrySafety) -> Class {
     Class {
-        aim: 400 * MS,
-        aim_stretch: 0.0,
+        latency_objective: 400 * MS,
+        latency_objective_stretch: 0.0,
         deadline: 1_200 * MS,
-        effect,
-        worth: 1.0,
-        late_worth: 0.0,
+        retry_safety: effect,
+        priority_weight: 1.0,
+        late_weight_share: 0.0,
     }
 }
 
-pub fn settings(effects: &[Effect]) -> Settings {
+pub fn settings(effects: &[RetrySafety]) -> Settings {
     Settings {
         group_size: 4,
         zone: 0,
@@ -33,32 +33,32 @@
             max_retry_after: 2 * S,
             max_attempts: 4,
         },
-        rules: Rules {
-            cold_from: 0.2,
-            cold: 10 * S,
-            fall: S,
-            ask_within: 10 * S,
+        rules: SafetyRules {
+            slow_start_min_share: 0.2,
+            slow_start_window: 10 * S,
+            overload_window: S,
+            max_poll_interval: 10 * S,
             drain_grace: 3 * S,
         },
         prices: Prices::default(),
-        worth_by_work: false,
+        weight_per_work: false,
     }
 }
 
-pub fn listed(server: u64) -> Listed {
+pub fn listed(server: u64) -> ServerEntry {
     let zone = (server % 2) as u32;
-    Listed {
+    ServerEntry {
         server: ServerId(server),
         zone,
         cell: zone,
         kind: 0,
-        started: None,
+        started_at: None,
         capacity: 1.0,
         state: ServerState::Ready,
     }
 }
 
-pub fn fleet(servers: u64) -> Vec<Listed> {
+pub fn fleet(servers: u64) -> Vec<ServerEntry> {
     (0..servers).map(listed).collect()
 }
 
@@ -73,11 +73,11 @@
 }
 
 impl Rig {
-    pub fn new(settings: Settings, servers: &[Listed]) -> Self {
+    pub fn new(settings: Settings, servers: &[ServerEntry]) -> Self {
         Rig::seeded(settings, 7, servers)
     }
 
-    pub fn seeded(settings: Settings, seed: u64, servers: &[Listed]) -> Self {
+    pub fn seeded(settings: Settings, seed: u64, servers: &[ServerEntry]) -> Self {
         let balancer = Balancer::new(settings, seed).expect("settings are sound");
         let mut rig = Rig {
             balancer,
@@ -86,7 +86,7 @@
             hint: None,
             next: 0,
         };
-        rig.event(Event::Members(Members::Full(servers)));
+        rig.event(Event::DiscoveryUpdated(DiscoveryUpdate::FullList(servers)));
         rig
     }
 
@@ -110,10 +110,10 @@
             tenant,
             key: None,
             time_left,
-            cost: self.hint,
-            repeat: false,
+            cost_hint: self.hint,
+            client_retry: false,
         };
-        (id, self.event(Event::Request(new)))
+        (id, self.event(Event::RequestReceived(new)))
     }
 
     pub fn close(
@@ -125,13 +125,13 @@
         elapsed: Micros,
     ) -> Vec<Action> {
         let ended = outcome == Outcome::Ok;
-        self.event(Event::Closed(Closed {
+        self.event(Event::AttemptEnded(AttemptResult {
             request,
             attempt,
             server,
             outcome,
             elapsed,
-            ended,
+            request_ended: ended,
         }))
     }
 
@@ -192,7 +192,7 @@
 
     pub fn timer(&mut self, at: Micros, request: RequestId) -> Vec<Action> {
         self.now = self.now.max(at);
-        self.event(Event::Timer(Timer::Request(request)))
+        self.event(Event::TimerFired(Timer::Request(request)))
     }
 }
 
@@ -215,7 +215,7 @@
 }
 
 pub fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
+    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
 pub fn failed(actions: &[Action]) -> bool {
--- a/crates/balancer/tests/discovery_outages.rs
+++ b/crates/balancer/tests/discovery_outages.rs
@@ -88,12 +88,12 @@
     }
 
     fn list_fails(&mut self, now: Micros, at: usize, failure: Failure) {
-        let failed = Members::Failed {
-            since: failure.since,
+        let failed = DiscoveryUpdate::CallFailed {
+            list_known_at: failure.since,
             waited: failure.waited,
-            broken_off: failure.broken_off,
+            connection_broken: failure.broken_off,
         };
-        self.tell(now, at, Event::Members(failed));
+        self.tell(now, at, Event::DiscoveryUpdated(failed));
     }
 }
 
@@ -101,7 +101,7 @@
 fn fleet_at_the_break(instances: u32, seed: u64) -> (Fleet, Micros) {
     let settings = Settings {
         group_size: instances,
-        ..settings(&[Effect::Safe])
+        ..settings(&[RetrySafety::Idempotent])
     };
     let known = servers(4);
     let instance = |number: u32| {
@@ -114,9 +114,17 @@
     };
     let broke = 60 * S;
     for at in 0..instances as usize {
-        fleet.tell(S, at, Event::Members(Members::Full(&known)));
-        fleet.tell(30 * S, at, Event::Timer(Timer::Discovery));
-        fleet.tell(30 * S, at, Event::Members(Members::Full(&known)));
+        fleet.tell(
+            S,
+            at,
+            Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&known)),
+        );
+        fleet.tell(30 * S, at, Event::TimerFired(Timer::Discovery));
+        fleet.tell(
+            30 * S,
+            at,
+            Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&known)),
+        );
     }
     fleet.queue.clear();
     for at in 0..instances as usize {
@@ -142,7 +150,7 @@
         }
         match step {
             Step::Call => {
-                fleet.tell(now, at, Event::Timer(Timer::Discovery));
+                fleet.tell(now, at, Event::TimerFired(Timer::Discovery));
                 let (ends, step) = if now < back {
                     outage.refusal.of_call(now)
                 } else {
@@ -157,7 +165,11 @@
             }
             Step::Refused(failure) => fleet.list_fails(now, at, failure),
             Step::Answered => {
-                fleet.tell(now, at, Event::Members(Members::Full(&known)));
+                fleet.tell(
+                    now,
+                    at,
+                    Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&known)),
+                );
                 missing -= 1;
                 if missing == 0 {
                     return Some(now - back);
@@ -170,7 +182,7 @@
 
 /// A change counts as told 6 s after discovery had it and could be reached, and the grace is 3 s.
 fn told_and_grace() -> Micros {
-    Rules::TOLD + settings(&[Effect::Safe]).rules.drain_grace
+    SafetyRules::ASSUMED_NOTIFIED_AFTER + settings(&[RetrySafety::Idempotent]).rules.drain_grace
 }
 
 fn longest(outage: Outage) -> Option<Micros> {
@@ -248,29 +260,39 @@
 /// Whatever an instance of a fleet of any size is told, its next call begins in time for a list to be fresh when the grace is over.
 #[test]
 fn no_refusal_puts_the_next_call_off_beyond_what_counts_as_told() {
-    let bound = settings(&[Effect::Safe]).rules.ask_anew();
+    let bound = settings(&[RetrySafety::Idempotent])
+        .rules
+        .poll_again_within();
     for instances in [1, 15, 16, 40, 99, 100, 169, 300, 900, 100_000] {
         for seed in 0..20 {
             let settings = Settings {
                 group_size: instances,
-                ..settings(&[Effect::Safe])
+                ..settings(&[RetrySafety::Idempotent])
             };
             let mut instance = Balancer::new(settings, seed).expect("they make sense");
             let mut actions = Vec::new();
             let known = servers(4);
-            instance.handle(S, Event::Members(Members::Full(&known)), &mut actions);
-            instance.handle(9 * S, Event::Timer(Timer::Discovery), &mut actions);
-            instance.handle(10 * S, Event::Members(Members::Full(&known)), &mut actions);
+            instance.handle(
+                S,
+                Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&known)),
+                &mut actions,
+            );
+            instance.handle(9 * S, Event::TimerFired(Timer::Discovery), &mut actions);
+            instance.handle(
+                10 * S,
+                Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&known)),
+                &mut actions,
+            );
             let mut since = 100 * S;
             let (mut now, mut waited) = (since, 0);
             while now < 160 * S {
                 actions.clear();
-                let failed = Members::Failed {
-                    since,
+                let failed = DiscoveryUpdate::CallFailed {
+                    list_known_at: since,
                     waited,
-                    broken_off: false,
+                    connection_broken: false,
                 };
-                instance.handle(now, Event::Members(failed), &mut actions);
+                instance.handle(now, Event::DiscoveryUpdated(failed), &mut actions);
                 let due = actions.iter().find_map(|action| match action {
                     Action::SetTimer { at, .. } => Some(*at),
                     _ => None,
@@ -281,7 +303,7 @@
                     "{instances} instances: {} us from call to call",
                     due - since
                 );
-                instance.handle(due, Event::Timer(Timer::Discovery), &mut actions);
+                instance.handle(due, Event::TimerFired(Timer::Discovery), &mut actions);
                 (since, waited) = (due, PATIENCE);
                 now = due + waited;
             }
--- a/crates/balancer/tests/discovery_queues.rs
+++ b/crates/balancer/tests/discovery_queues.rs
@@ -126,7 +126,7 @@
     fn new(case: Case, seed: u64) -> Self {
         let settings = Settings {
             group_size: case.instances,
-            ..settings(&[Effect::Safe])
+            ..settings(&[RetrySafety::Idempotent])
         };
         let balancer = |number: u32| {
             let seed = seed << 32 | u64::from(number);
@@ -157,10 +157,18 @@
         };
         let known = servers(4);
         for at in 0..case.instances as usize {
-            play.tell(STARTED, at, Event::Members(Members::Full(&known)));
+            play.tell(
+                STARTED,
+                at,
+                Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&known)),
+            );
             if case.had_answer {
-                play.tell(30 * S, at, Event::Timer(Timer::Discovery));
-                play.tell(30 * S, at, Event::Members(Members::Full(&known)));
+                play.tell(30 * S, at, Event::TimerFired(Timer::Discovery));
+                play.tell(
+                    30 * S,
+                    at,
+                    Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&known)),
+                );
             }
         }
         if case.had_answer {
@@ -176,7 +184,7 @@
     fn tell(&mut self, now: Micros, at: usize, event: Event<'_>) -> bool {
         let mut actions = Vec::new();
         self.instances[at].balancer.handle(now, event, &mut actions);
-        let calls = actions.contains(&Action::Subscribe);
+        let calls = actions.contains(&Action::PollDiscovery);
         for action in actions {
             if let Action::SetTimer {
                 at: due,
@@ -190,16 +198,16 @@
     }
 
     fn fails(&mut self, now: Micros, at: usize, since: Micros, waited: Micros, broken_off: bool) {
-        let failed = Members::Failed {
-            since,
+        let failed = DiscoveryUpdate::CallFailed {
+            list_known_at: since,
             waited,
-            broken_off,
+            connection_broken: broken_off,
         };
-        self.tell(now, at, Event::Members(failed));
+        self.tell(now, at, Event::DiscoveryUpdated(failed));
     }
 
     fn begin_call(&mut self, now: Micros, at: usize) {
-        if !self.tell(now, at, Event::Timer(Timer::Discovery)) {
+        if !self.tell(now, at, Event::TimerFired(Timer::Discovery)) {
             return;
         }
         let (ends, ending) = self.discovery.call(now);
@@ -224,8 +232,16 @@
             instance.has_list = true;
             self.missing -= 1;
             let known = servers(4);
-            self.tell(now, at, Event::Members(Members::Watching));
-            self.tell(now, at, Event::Members(Members::Full(&known)));
+            self.tell(
+                now,
+                at,
+                Event::DiscoveryUpdated(DiscoveryUpdate::WatchOpened),
+            );
+            self.tell(
+                now,
+                at,
+                Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&known)),
+            );
             return;
         }
         if instance.newest_call == began {
@@ -252,7 +268,13 @@
                     let instance = &mut self.instances[at];
                     if !instance.has_list && !instance.reported && instance.newest_call == began {
                         instance.reported = true;
-                        self.tell(now, at, Event::Members(Members::Silent { since: began }));
+                        self.tell(
+                            now,
+                            at,
+                            Event::DiscoveryUpdated(DiscoveryUpdate::CallUnanswered {
+                                call_started_at: began,
+                            }),
+                        );
                     }
                 }
                 Step::Ends(began, ending) => self.call_ends(now, at, began, ending),
@@ -330,7 +352,7 @@
 
 /// A change counts as told 6 s after discovery had it and could be reached, and the grace is 3 s.
 fn told_and_grace() -> Micros {
-    Rules::TOLD + settings(&[Effect::Safe]).rules.drain_grace
+    SafetyRules::ASSUMED_NOTIFIED_AFTER + settings(&[RetrySafety::Idempotent]).rules.drain_grace
 }
 
 fn work_and_half_as_much((instances, work): Size) -> Micros {
@@ -455,23 +477,23 @@
     for (group_size, ordinal) in [(6, 3), (60, 7), (300, 99), (900, 400)] {
         let settings = Settings {
             group_size,
-            ..settings(&[Effect::Safe])
+            ..settings(&[RetrySafety::Idempotent])
         };
-        let bound = settings.rules.ask_anew();
+        let bound = settings.rules.poll_again_within();
         let mut rig = common::Rig::seeded(settings, 7, &known);
         rig.balancer.set_ordinal(ordinal);
         for _ in 0..10 {
-            rig.event(Event::Timer(Timer::Discovery));
+            rig.event(Event::TimerFired(Timer::Discovery));
             rig.now += 3 * S;
-            rig.event(Event::Members(Members::Watching));
-            rig.event(Event::Members(Members::Full(&known)));
+            rig.event(Event::DiscoveryUpdated(DiscoveryUpdate::WatchOpened));
+            rig.event(Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&known)));
             rig.now += 3 * S;
             rig.actions.clear();
             let since = rig.now;
-            rig.event(Event::Members(Members::Failed {
-                since,
+            rig.event(Event::DiscoveryUpdated(DiscoveryUpdate::CallFailed {
+                list_known_at: since,
                 waited: 0,
-                broken_off: false,
+                connection_broken: false,
             }));
             let due = rig.actions.iter().find_map(|action| match action {
                 Action::SetTimer { at, .. } => Some(*at),
--- a/crates/balancer/tests/every_sequence.rs
+++ b/crates/balancer/tests/every_sequence.rs
@@ -83,9 +83,13 @@
 impl Answered {
     fn told(&mut self, now: Micros, event: &Event<'_>) {
         match event {
-            Event::Request(new) => _ = self.requests.insert(new.id, (now + new.time_left, false)),
-            Event::ClientGone(id) => self.over(*id),
-            Event::Closed(closed) if closed.outcome == Outcome::Ok => self.over(closed.request),
+            Event::RequestReceived(new) => {
+                _ = self.requests.insert(new.id, (now + new.time_left, false))
+            }
+            Event::ClientDisconnected(id) => self.over(*id),
+            Event::AttemptEnded(closed) if closed.outcome == Outcome::Ok => {
+                self.over(closed.request)
+            }
             _ => {}
         }
     }
@@ -98,7 +102,7 @@
 
     fn did(&mut self, now: Micros, action: &Action) -> Broken {
         match action {
-            Action::Refuse { request, .. } | Action::Fail { request } => {
+            Action::Reject { request, .. } | Action::Fail { request } => {
                 let (deadline, over) = self.requests[request];
                 rule(!over, || format!("dropped: {request} was answered twice"))?;
                 rule(now <= deadline, || {
@@ -131,7 +135,7 @@
 /// attempts at once, nor more than a request may have.
 #[derive(Default)]
 struct Repeated {
-    requests: BTreeMap<RequestId, (Effect, usize, Vec<Tried>)>,
+    requests: BTreeMap<RequestId, (RetrySafety, usize, Vec<Tried>)>,
 }
 
 struct Tried {
@@ -143,14 +147,14 @@
 impl Repeated {
     fn told(&mut self, event: &Event<'_>, settings: &Settings) {
         match event {
-            Event::Request(new) => {
-                let effect = settings.classes[new.class as usize].effect;
+            Event::RequestReceived(new) => {
+                let effect = settings.classes[new.class as usize].retry_safety;
                 self.requests.insert(
                     new.id,
                     (effect, settings.limits.max_attempts as usize, Vec::new()),
                 );
             }
-            Event::Closed(closed) => {
+            Event::AttemptEnded(closed) => {
                 let (.., tried) = self.requests.get_mut(&closed.request).expect("it came");
                 // The first word on an attempt holds.
                 let outcome = &mut tried[closed.attempt as usize].outcome;
@@ -161,7 +165,8 @@
     }
 
     fn did(&mut self, now: Micros, action: &Action, zone: impl Fn(ServerId) -> u32) -> Broken {
-        let may_have_run = |tried: &&Tried| !tried.outcome.is_some_and(Outcome::proves_not_run);
+        let may_have_run =
+            |tried: &&Tried| !tried.outcome.is_some_and(Outcome::proves_not_executed);
         match action {
             Action::Send {
                 request,
@@ -173,9 +178,9 @@
                 let zone = zone(*server);
                 let first = tried.iter().find(may_have_run);
                 let allowed = match (first, *effect) {
-                    (None, _) | (_, Effect::Safe) => true,
-                    (Some(_), Effect::Unsafe) => false,
-                    (Some(first), Effect::Keyed { window, .. }) => {
+                    (None, _) | (_, RetrySafety::Idempotent) => true,
+                    (Some(_), RetrySafety::NonIdempotent) => false,
+                    (Some(first), RetrySafety::IdempotentWithKey { window, .. }) => {
                         first.zone == zone && now <= first.at + window
                     }
                 };
@@ -184,7 +189,9 @@
                 })?;
                 // Its connection may come up as late as that.
                 let harmless_until = match (first, *effect) {
-                    (Some(first), Effect::Keyed { window, .. }) => first.at + window,
+                    (Some(first), RetrySafety::IdempotentWithKey { window, .. }) => {
+                        first.at + window
+                    }
                     _ => Micros::MAX,
                 };
                 rule(*write_by <= harmless_until, || {
@@ -202,9 +209,10 @@
                     outcome: None,
                 });
             }
-            Action::Refuse { request, .. } => {
+            Action::Reject { request, .. } => {
                 let (effect, _, tried) = &self.requests[request];
-                let harmless = *effect == Effect::Safe || tried.iter().find(may_have_run).is_none();
+                let harmless =
+                    *effect == RetrySafety::Idempotent || tried.iter().find(may_have_run).is_none();
                 rule(harmless, || {
                     format!("repeated: {request} was refused and may have run")
                 })?;
@@ -227,10 +235,13 @@
 
 impl Drained {
     fn told(&mut self, now: Micros, event: &Event<'_>) {
-        let Event::Members(Members::Full(list) | Members::Changes(list)) = event else {
+        let Event::DiscoveryUpdated(
+            DiscoveryUpdate::FullList(list) | DiscoveryUpdate::ListChanges(list),
+        ) = event
+        else {
             return;
         };
-        if let Event::Members(Members::Full(_)) = event {
+        if let Event::DiscoveryUpdated(DiscoveryUpdate::FullList(_)) = event {
             let absent = self
                 .since
                 .iter_mut()
@@ -266,7 +277,7 @@
 struct Cold {
     server: ServerId,
     started: Micros,
-    rules: Rules,
+    rules: SafetyRules,
     /// What a warm server does, in work a microsecond.
     warm: f64,
     sent: Vec<(Micros, f64)>,
@@ -285,10 +296,10 @@
             return Ok(());
         }
         self.sent.push((now, size));
-        let Rules {
-            cold_from,
-            cold,
-            fall,
+        let SafetyRules {
+            slow_start_min_share: cold_from,
+            slow_start_window: cold,
+            overload_window: fall,
             ..
         } = self.rules;
         let warmth = cold_from + (1.0 - cold_from) * (now - self.started) as f64 / cold as f64;
@@ -310,8 +321,8 @@
 
 // ---- Two requests of different effects, two servers ----
 
-const KEYED: Effect = Effect::Keyed {
-    scope: Scope::Zone,
+const KEYED: RetrySafety = RetrySafety::IdempotentWithKey {
+    scope: DeduplicationScope::Zone,
     window: 300 * MS,
 };
 
@@ -355,7 +366,7 @@
 
 /// An attempt that is out.
 struct Flight {
-    closed: Closed,
+    closed: AttemptResult,
     sent: Micros,
     timeout_at: Micros,
     called_off: bool,
@@ -367,7 +378,7 @@
     now: Micros,
     timers: Vec<(Micros, Timer)>,
     out: Vec<Flight>,
-    last: Option<Closed>,
+    last: Option<AttemptResult>,
     come: Vec<RequestId>,
     retuned: bool,
     answered: Answered,
@@ -375,10 +386,10 @@
     drained: Drained,
 }
 
-fn as_listed(server: u64, state: ServerState, started: Option<Micros>) -> Listed {
-    Listed {
+fn as_listed(server: u64, state: ServerState, started: Option<Micros>) -> ServerEntry {
+    ServerEntry {
         state,
-        started,
+        started_at: started,
         ..listed(server)
     }
 }
@@ -405,13 +416,13 @@
                 } => {
                     let attempt = self.repeated.requests[&request].2.len() as u32 - 1;
                     let (outcome, sent) = (Outcome::Timeout, self.now);
-                    let closed = Closed {
+                    let closed = AttemptResult {
                         request,
                         attempt,
                         server,
                         outcome,
                         elapsed: 0,
-                        ended: false,
+                        request_ended: false,
                     };
                     self.out.push(Flight {
                         closed,
@@ -439,14 +450,14 @@
     fn ends(&mut self, flight: usize, outcome: Outcome) -> Broken {
         let Flight { closed, sent, .. } = self.out.swap_remove(flight);
         let over = self.answered.requests[&closed.request].1 || outcome == Outcome::Ok;
-        let closed = Closed {
+        let closed = AttemptResult {
             outcome,
             elapsed: self.now - sent,
-            ended: over,
+            request_ended: over,
             ..closed
         };
         self.last = Some(closed);
-        self.event(Event::Closed(closed))
+        self.event(Event::AttemptEnded(closed))
     }
 
     /// What is due next: attempts that were called off end at once, a time-out goes before an alarm of the same time.
@@ -484,7 +495,7 @@
                 Ok(flight) => self.ends(flight, Outcome::Timeout)?,
                 Err(timer) => {
                     let (_, timer) = self.timers.swap_remove(timer);
-                    self.event(Event::Timer(timer))?;
+                    self.event(Event::TimerFired(timer))?;
                 }
             }
         }
@@ -492,14 +503,14 @@
         self.answered.look(self.now)
     }
 
-    fn other_settings(&self) -> Retuned {
+    fn other_settings(&self) -> SettingsChange {
         let mut settings = self.settings.clone();
-        settings.classes.push(class(Effect::Safe));
+        settings.classes.push(class(RetrySafety::Idempotent));
         settings.limits.max_attempts = 2;
         let learned = vec![Some(0), Some(1), Some(0)];
-        Retuned {
+        SettingsChange {
             settings,
-            learned,
+            inherited_from: learned,
             retired: vec![true, false, false],
         }
     }
@@ -510,7 +521,7 @@
 
     /// One server is warm; the other has just started.
     fn new() -> Self {
-        let mut settings = settings(&[Effect::Unsafe, KEYED]);
+        let mut settings = settings(&[RetrySafety::NonIdempotent, KEYED]);
         settings.limits.max_attempts = 3;
         let now = 1_000 * S;
         let mut pair = Pair {
@@ -527,7 +538,7 @@
             drained: Drained::default(),
         };
         let fleet = [listed(0), as_listed(1, ServerState::Ready, Some(now))];
-        pair.event(Event::Members(Members::Full(&fleet)))
+        pair.event(Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&fleet)))
             .expect("it is a beginning");
         pair
     }
@@ -580,10 +591,10 @@
                     tenant: 0,
                     key,
                     time_left,
-                    cost: None,
-                    repeat: false,
+                    cost_hint: None,
+                    client_retry: false,
                 };
-                self.event(Event::Request(new))
+                self.event(Event::RequestReceived(new))
             }
             Move::Ends(id, outcome) => {
                 let flight = self
@@ -593,9 +604,9 @@
                     .expect("it is out");
                 self.ends(flight, outcome)
             }
-            Move::ToldTwice => self.event(Event::Closed(self.last.expect("one has ended"))),
-            Move::ClientLeaves(id) => self.event(Event::ClientGone(id)),
-            Move::ProbeUnanswered => self.event(Event::Probed(ServerId(0), None)),
+            Move::ToldTwice => self.event(Event::AttemptEnded(self.last.expect("one has ended"))),
+            Move::ClientLeaves(id) => self.event(Event::ClientDisconnected(id)),
+            Move::ProbeUnanswered => self.event(Event::ProbeCompleted(ServerId(0), None)),
             Move::News(news) => {
                 let anew = Some(self.now);
                 let list = match news {
@@ -604,25 +615,25 @@
                     News::BackAnew => vec![as_listed(0, ServerState::Ready, anew)],
                     News::OthersInPlace => vec![listed(1), as_listed(2, ServerState::Ready, anew)],
                     News::Failed => {
-                        return self.event(Event::Members(Members::Failed {
-                            since: self.now,
+                        return self.event(Event::DiscoveryUpdated(DiscoveryUpdate::CallFailed {
+                            list_known_at: self.now,
                             waited: 0,
-                            broken_off: false,
+                            connection_broken: false,
                         }));
                     }
                 };
                 let whole = news == News::OthersInPlace;
-                self.event(Event::Members(if whole {
-                    Members::Full(&list)
+                self.event(Event::DiscoveryUpdated(if whole {
+                    DiscoveryUpdate::FullList(&list)
                 } else {
-                    Members::Changes(&list)
+                    DiscoveryUpdate::ListChanges(&list)
                 }))
             }
             Move::Retune => {
                 let retuned = self.other_settings();
                 self.retuned = true;
                 self.settings = retuned.settings.clone();
-                self.event(Event::Settings(&retuned))
+                self.event(Event::SettingsChanged(&retuned))
             }
             Move::ToNextAlarm => self.pass(self.due().map_or(self.now, |(at, _)| at)),
             Move::Past(span) => self.pass(self.now + span),
@@ -635,10 +646,10 @@
             "an attempt is out for ever".to_string()
         })?;
         let snapshot = self.balancer.snapshot(self.now);
-        rule(snapshot.requests == 0, || {
-            format!("{} requests are never forgotten", snapshot.requests)
+        rule(snapshot.tracked_requests == 0, || {
+            format!("{} requests are never forgotten", snapshot.tracked_requests)
         })?;
-        let open: u32 = snapshot.classes.iter().map(|class| class.open).sum();
+        let open: u32 = snapshot.classes.iter().map(|class| class.in_flight).sum();
         rule(open == 0, || {
             format!("{open} requests count as open for ever")
         })
@@ -713,31 +724,37 @@
             tenant: 0,
             key: None,
             time_left,
-            cost,
-            repeat: false,
+            cost_hint: cost,
+            client_retry: false,
         };
-        self.event(instance, Event::Request(new))
+        self.event(instance, Event::RequestReceived(new))
     }
 
     fn all_end(&mut self, instance: usize, outcome: Outcome) -> Broken {
         for (request, attempt, server, sent) in std::mem::take(&mut self.out[instance]) {
             let (elapsed, ended) = (self.now - sent, outcome == Outcome::Ok);
-            let closed = Closed {
+            let closed = AttemptResult {
                 request,
                 attempt,
                 server,
                 outcome,
                 elapsed,
-                ended,
+                request_ended: ended,
             };
-            self.event(instance, Event::Closed(closed))?;
+            self.event(instance, Event::AttemptEnded(closed))?;
         }
         Ok(())
     }
 
-    fn both(&mut self, list: &[Listed]) -> Broken {
-        self.event(0, Event::Members(Members::Changes(list)))?;
-        self.event(1, Event::Members(Members::Changes(list)))
+    fn both(&mut self, list: &[ServerEntry]) -> Broken {
+        self.event(
+            0,
+            Event::DiscoveryUpdated(DiscoveryUpdate::ListChanges(list)),
+        )?;
+        self.event(
+            1,
+            Event::DiscoveryUpdated(DiscoveryUpdate::ListChanges(list)),
+        )
     }
 
     fn pass(&mut self, until: Micros) -> Broken {
@@ -752,7 +769,7 @@
             };
             self.now = self.now.max(*when);
             let (_, instance, timer) = self.timers.swap_remove(at);
-            self.event(instance, Event::Timer(timer))?;
+            self.event(instance, Event::TimerFired(timer))?;
         }
         self.now = until;
         Ok(())
@@ -764,12 +781,12 @@
 
     /// Both instances have served a while on two warm servers that were busy all the time; then one started anew.
     fn new() -> Self {
-        let mut settings = settings(&[Effect::Safe]);
+        let mut settings = settings(&[RetrySafety::Idempotent]);
         settings.group_size = 2;
-        settings.rules = Rules {
-            cold_from: 0.3,
-            cold: 800 * MS,
-            fall: 100 * MS,
+        settings.rules = SafetyRules {
+            slow_start_min_share: 0.3,
+            slow_start_window: 800 * MS,
+            overload_window: 100 * MS,
             ..settings.rules
         };
         let instances = [11, 12].map(|seed| Balancer::new(settings.clone(), seed).expect("sound"));
--- a/crates/balancer/tests/levels.rs
+++ b/crates/balancer/tests/levels.rs
@@ -6,34 +6,34 @@
 
 fn asked_with(rig: &mut Rig, id: RequestId, class: u32, key: Option<u64>) -> Vec<Action> {
     let time_left = 1_200 * MS;
-    rig.event(Event::Request(NewRequest {
+    rig.event(Event::RequestReceived(NewRequest {
         id,
         class,
         tenant: 0,
         key,
         time_left,
-        cost: None,
-        repeat: false,
+        cost_hint: None,
+        client_retry: false,
     }))
 }
 
 fn two_classes() -> Settings {
-    let mut set = settings(&[Effect::Safe, Effect::Safe]);
-    set.classes[1].worth = 5.0;
+    let mut set = settings(&[RetrySafety::Idempotent, RetrySafety::Idempotent]);
+    set.classes[1].priority_weight = 5.0;
     set
 }
 
 #[test]
 fn a_class_is_turned_away_by_its_keys_the_same_at_every_instance() {
-    let reduced = Reduced {
-        away: vec![0.3],
-        ..Reduced::default()
+    let reduced = DegradationEffects {
+        rejected_shares: vec![0.3],
+        ..DegradationEffects::default()
     };
     let away = |seed: usize| {
         let mut rig = Rig::new(two_classes(), &fleet(4));
         // Another past, and so other random numbers.
         rig.spread(seed as u32 * 7, |_| 20 * MS);
-        rig.event(Event::Level(&reduced));
+        rig.event(Event::DegradationChanged(&reduced));
         let mut away = Vec::new();
         for key in 0..2_000 {
             let id = 100_000 + key;
@@ -45,7 +45,7 @@
                     let retry_after = Some(2 * S);
                     assert_eq!(
                         actions,
-                        [Action::Refuse {
+                        [Action::Reject {
                             request: id,
                             retry_after
                         }]
@@ -54,7 +54,7 @@
                 }
             }
         }
-        assert_eq!(rig.balancer.given_up(), away.len() as u64);
+        assert_eq!(rig.balancer.shed_requests(), away.len() as u64);
         away
     };
     let first = away(0);
@@ -69,10 +69,10 @@
 #[test]
 fn requests_without_a_key_go_by_chance_and_other_classes_and_the_worthy_stay() {
     let mut rig = Rig::new(two_classes(), &fleet(4));
-    rig.event(Event::Level(&Reduced {
-        away: vec![0.5, 1.0],
-        spare_worth: 5.0,
-        ..Reduced::default()
+    rig.event(Event::DegradationChanged(&DegradationEffects {
+        rejected_shares: vec![0.5, 1.0],
+        exempt_weight: 5.0,
+        ..DegradationEffects::default()
     }));
     let served = |rig: &mut Rig, class| {
         let served = (0..1_000).filter(|_| {
@@ -84,22 +84,22 @@
     let first = served(&mut rig, 0);
     assert!((450..550).contains(&first), "{first} of 1,000");
     assert_eq!(served(&mut rig, 1), 1_000, "it is worthy");
-    rig.event(Event::Level(&Reduced {
-        away: vec![0.0, 1.0],
-        ..Reduced::default()
+    rig.event(Event::DegradationChanged(&DegradationEffects {
+        rejected_shares: vec![0.0, 1.0],
+        ..DegradationEffects::default()
     }));
     assert_eq!((served(&mut rig, 0), served(&mut rig, 1)), (1_000, 0));
-    rig.event(Event::Level(&Reduced::default()));
+    rig.event(Event::DegradationChanged(&DegradationEffects::default()));
     assert_eq!(served(&mut rig, 1), 1_000, "all is well again at once");
 }
 
 #[test]
 fn what_is_left_of_the_retry_budget_is_what_the_level_says() {
     for (retries, least, most) in [(1.0, 15, 200), (0.1, 1, 5), (0.0, 0, 0)] {
-        let mut rig = Rig::new(settings(&[Effect::Safe]), &fleet(8));
-        rig.event(Event::Level(&Reduced {
-            retries,
-            ..Reduced::default()
+        let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(8));
+        rig.event(Event::DegradationChanged(&DegradationEffects {
+            retry_budget_factor: retries,
+            ..DegradationEffects::default()
         }));
         let mut again = 0;
         for _ in 0..100 {
@@ -123,14 +123,14 @@
 
 #[test]
 fn a_level_may_stop_probes_and_shorten_what_is_waited_for() {
-    let mut set = settings(&[Effect::Unsafe]);
+    let mut set = settings(&[RetrySafety::NonIdempotent]);
     (set.limits.probes, set.group_size) = (true, 40);
     let mut rig = Rig::new(set, &fleet(8));
     assert!(!asked(&rig.request(0).1).is_empty(), "usually it asks");
-    rig.event(Event::Level(&Reduced {
-        probes: false,
-        patience: 0.5,
-        ..Reduced::default()
+    rig.event(Event::DegradationChanged(&DegradationEffects {
+        allows_probes: false,
+        timeout_factor: 0.5,
+        ..DegradationEffects::default()
     }));
     let start = rig.now;
     let (id, mut actions) = rig.request(0);
--- a/crates/balancer/tests/mechanism.rs
+++ b/crates/balancer/tests/mechanism.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn shares_follow_the_measured_speed() {
-    let mut rig = Rig::new(settings(&[Effect::Safe]), &fleet(4));
+    let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(4));
     let elapsed = |s: ServerId| if s.0 == 0 { 80 * MS } else { 20 * MS };
     rig.spread(600, elapsed);
     let spread = rig.spread(600, elapsed);
@@ -19,7 +19,7 @@
 
 #[test]
 fn the_same_key_keeps_its_server_while_nothing_changes() {
-    let mut rig = Rig::new(settings(&[Effect::Safe]), &fleet(6));
+    let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(6));
     let mut servers = std::collections::BTreeSet::new();
     for id in 1_000..1_020 {
         let new = NewRequest {
@@ -28,10 +28,10 @@
             tenant: 0,
             key: Some(42),
             time_left: S,
-            cost: None,
-            repeat: false,
+            cost_hint: None,
+            client_retry: false,
         };
-        let server = sent(&rig.event(Event::Request(new))).expect("sent");
+        let server = sent(&rig.event(Event::RequestReceived(new))).expect("sent");
         rig.close(id, 0, server, Outcome::Ok, 20 * MS);
         servers.insert(server);
     }
@@ -41,7 +41,7 @@
 #[test]
 fn the_same_events_give_the_same_actions() {
     let run = || {
-        let mut rig = Rig::new(settings(&[Effect::Safe]), &fleet(5));
+        let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(5));
         rig.spread(200, |s| (10 + s.0) * MS);
         rig.actions
     };
@@ -50,7 +50,7 @@
 
 #[test]
 fn a_hung_server_is_left_alone_after_silence() {
-    let mut rig = Rig::new(settings(&[Effect::Safe]), &fleet(4));
+    let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(4));
     rig.spread(300, |_| 20 * MS);
     let mut hung = Vec::new();
     let mut later = 0;
@@ -73,7 +73,7 @@
 
 #[test]
 fn a_server_that_fails_fast_does_not_draw_traffic() {
-    let mut rig = Rig::new(settings(&[Effect::Safe]), &fleet(4));
+    let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(4));
     rig.spread(200, |_| 20 * MS);
     let mut bad = 0;
     for _ in 0..200 {
@@ -95,8 +95,8 @@
 
 #[test]
 fn long_requests_keep_to_servers_of_their_own() {
-    let mut set = settings(&[Effect::Safe, Effect::Unsafe]);
-    set.classes[1].aim = 1_200 * MS;
+    let mut set = settings(&[RetrySafety::Idempotent, RetrySafety::NonIdempotent]);
+    set.classes[1].latency_objective = 1_200 * MS;
     let mut rig = Rig::new(set, &fleet(8));
     let (mut short, mut long) = (
         std::collections::BTreeSet::new(),
@@ -125,13 +125,13 @@
 
 #[test]
 fn overload_is_refused_before_it_is_queued() {
-    let mut rig = Rig::new(settings(&[Effect::Safe]), &fleet(4));
+    let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(4));
     rig.spread(100, |_| 170 * MS);
     let early = (0..100).filter(|_| refused(&rig.request(0).1)).count();
     let logged = rig
         .actions
         .iter()
-        .filter(|a| **a == Action::Log(Note::Overload(0)))
+        .filter(|a| **a == Action::Log(LogEvent::ClassOverloaded(0)))
         .count();
     assert_eq!(logged, 1, "one line for the stretch");
     assert!(
@@ -142,7 +142,7 @@
 
 #[test]
 fn a_start_is_not_taken_for_overload() {
-    let mut rig = Rig::new(settings(&[Effect::Safe]), &fleet(4));
+    let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(4));
     let early = rig.stream(200, 10 * MS, 150 * MS, |_| (0, 0));
     assert!(
         !early.contains(&true),
@@ -152,8 +152,8 @@
 
 #[test]
 fn in_overload_the_class_that_is_worth_less_for_its_work_is_refused_first() {
-    let mut settings = settings(&[Effect::Safe, Effect::Safe]);
-    settings.classes[0].worth = 5.0;
+    let mut settings = settings(&[RetrySafety::Idempotent, RetrySafety::Idempotent]);
+    settings.classes[0].priority_weight = 5.0;
     let mut rig = Rig::new(settings, &fleet(4));
     let early = rig.stream(1_000, 10 * MS, 170 * MS, |i| (i as u32 % 2, 0));
     let lost = |class| early.iter().skip(class).step_by(2).filter(|e| **e).count();
@@ -169,8 +169,8 @@
 #[test]
 fn work_that_takes_much_of_the_aim_is_no_queue_but_a_queue_on_top_of_it_is_one() {
     let lost = |elapsed| {
-        let mut settings = settings(&[Effect::Safe, Effect::Safe]);
-        settings.classes[0].worth = 3.0;
+        let mut settings = settings(&[RetrySafety::Idempotent, RetrySafety::Idempotent]);
+        settings.classes[0].priority_weight = 3.0;
         let mut rig = Rig::new(settings, &fleet(8));
         rig.hint = Some(150 * MS);
         rig.stream(1_000, 10 * MS, elapsed, |i| (i as u32 % 2, 0))
@@ -188,7 +188,10 @@
 /// An embedder whose requests tell nothing of their work is not let off: what is slow may be a queue.
 #[test]
 fn without_hints_slow_answers_are_held_for_a_queue() {
-    let mut rig = Rig::new(settings(&[Effect::Safe, Effect::Safe]), &fleet(8));
+    let mut rig = Rig::new(
+        settings(&[RetrySafety::Idempotent, RetrySafety::Idempotent]),
+        &fleet(8),
+    );
     let early = rig.stream(1_000, 10 * MS, 300 * MS, |i| (i as u32 % 2, 0));
     let lost = early.iter().filter(|e| **e).count();
     assert!(lost > 200, "{lost} of 1000");
@@ -196,7 +199,7 @@
 
 #[test]
 fn a_tenant_just_over_its_share_loses_little() {
-    let mut settings = settings(&[Effect::Safe]);
+    let mut settings = settings(&[RetrySafety::Idempotent]);
     settings.tenants = vec![Tenant { quota: 100.0 }, Tenant { quota: 100.0 }];
     let lost = |of_ten: usize, elapsed| {
         let mut rig = Rig::new(settings.clone(), &fleet(4));
@@ -216,7 +219,7 @@
 
 #[test]
 fn a_wave_is_refused_before_the_first_slow_answer() {
-    let mut rig = Rig::new(settings(&[Effect::Safe]), &fleet(4));
+    let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(4));
     let early = rig.stream(300, 10 * MS, 80 * MS, |_| (0, 0));
     assert!(!early.contains(&true));
     let taken = (0..200).filter(|_| !refused(&rig.request(0).1)).count();
@@ -245,7 +248,7 @@
 /// Servers that broke a part of their connections had idle ones refused: a failure counted as a full wait.
 #[test]
 fn failures_are_not_taken_for_a_queue() {
-    let mut rig = Rig::new(settings(&[Effect::Unsafe]), &fleet(4));
+    let mut rig = Rig::new(settings(&[RetrySafety::NonIdempotent]), &fleet(4));
     let end = |place| {
         if place % 4 == 0 {
             Outcome::Reset
@@ -263,7 +266,7 @@
 /// The delay was a mean over ten answers: among hundreds a second, a pause of one server closed the gate.
 #[test]
 fn some_late_answers_among_many_are_no_slow_service() {
-    let mut rig = Rig::new(settings(&[Effect::Unsafe]), &fleet(4));
+    let mut rig = Rig::new(settings(&[RetrySafety::NonIdempotent]), &fleet(4));
     in_batches(&mut rig, 40, |_| Outcome::Ok);
     in_batches(&mut rig, 1, |place| {
         if place < 4 {
@@ -282,7 +285,7 @@
 /// A heavy request went to a slow server, which answers it after the aim, as soon as light ones did.
 #[test]
 fn where_the_first_server_would_be_late_the_quickest_of_the_next_is_taken() {
-    let mut rig = Rig::new(settings(&[Effect::Unsafe]), &fleet(4));
+    let mut rig = Rig::new(settings(&[RetrySafety::NonIdempotent]), &fleet(4));
     let slow = ServerId(0);
     let mut ids = 10_000..;
     let mut at_slow = |work: Micros, times: usize| {
@@ -293,10 +296,10 @@
                 tenant: 0,
                 key: None,
                 time_left: 1_200 * MS,
-                cost: Some(work),
-                repeat: false,
+                cost_hint: Some(work),
+                client_retry: false,
             };
-            let server = sent(&rig.event(Event::Request(new))).expect("it is sent");
+            let server = sent(&rig.event(Event::RequestReceived(new))).expect("it is sent");
             let elapsed = if server == slow { 4 * work } else { work };
             rig.now += elapsed;
             rig.close(*id, 0, server, Outcome::Ok, elapsed);
@@ -314,7 +317,10 @@
 
 #[test]
 fn a_slow_request_gets_no_copy_while_its_server_answers_others() {
-    let mut rig = Rig::new(settings(&[Effect::Safe]), &[listed(0), listed(1)]);
+    let mut rig = Rig::new(
+        settings(&[RetrySafety::Idempotent]),
+        &[listed(0), listed(1)],
+    );
     rig.spread(100, |_| 20 * MS);
     let (slow, actions) = rig.request(0);
     let server = sent(&actions).expect("sent");
@@ -339,7 +345,7 @@
 
 #[test]
 fn a_repeat_that_is_past_the_aim_is_refused() {
-    let mut rig = Rig::new(settings(&[Effect::Safe]), &fleet(4));
+    let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(4));
     let mut ask = |id, time_left, repeat| {
         let new = NewRequest {
             id,
@@ -347,10 +353,10 @@
             tenant: 0,
             key: None,
             time_left,
-            cost: None,
-            repeat,
+            cost_hint: None,
+            client_retry: repeat,
         };
-        refused(&rig.event(Event::Request(new)))
+        refused(&rig.event(Event::RequestReceived(new)))
     };
     assert!(!ask(1, 900 * MS, false));
     assert!(!ask(2, 900 * MS, true), "its age is not known");
@@ -368,7 +374,7 @@
 #[test]
 fn errors_now_and_then_cost_a_server_its_region() {
     // Too few in a row to eject it, and so fast that their time alone would hardly count.
-    let mut rig = Rig::new(settings(&[Effect::Safe]), &fleet(4));
+    let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(4));
     let (mut bad, mut all) = (0, 0);
     for round in 0..1_200 {
         let (id, actions) = rig.request(0);
@@ -396,11 +402,11 @@
 
 /// Eight servers, and a second class with time for long work.
 fn short_and_long() -> Rig {
-    let mut settings = settings(&[Effect::Safe, Effect::Safe]);
+    let mut settings = settings(&[RetrySafety::Idempotent, RetrySafety::Idempotent]);
     settings.classes[1] = Class {
-        aim: 2 * S,
+        latency_objective: 2 * S,
         deadline: 4 * S,
-        ..class(Effect::Safe)
+        ..class(RetrySafety::Idempotent)
     };
     Rig::new(settings, &fleet(8))
 }
@@ -469,7 +475,7 @@
 
 /// One of a hundred instances, which may probe eight servers at this price.
 fn one_of_many_that_ask(price: f64) -> Rig {
-    let mut set = settings(&[Effect::Safe]);
+    let mut set = settings(&[RetrySafety::Idempotent]);
     (set.limits.probes, set.group_size, set.prices.probe) = (true, 100, price);
     Rig::new(set, &fleet(8))
 }
@@ -482,7 +488,13 @@
     assert!(probed.len() > 1 && sent(&actions).is_none(), "{actions:?}");
     for (at, server) in probed.iter().enumerate() {
         let held = if at == 1 { 2.0 } else { 9.0 };
-        rig.event(Event::Probed(*server, Some(Report { held, errors: 0.0 })));
+        rig.event(Event::ProbeCompleted(
+            *server,
+            Some(LoadReport {
+                in_flight: held,
+                errors_per_second: 0.0,
+            }),
+        ));
     }
     let at = timer_at(&actions).expect("held until the probes are in");
     assert_eq!(sent(&rig.timer(at, id)), Some(probed[1]));
@@ -493,20 +505,20 @@
     let mut rig = one_of_many_that_ask(0.0);
     let (id, actions) = rig.request(0);
     let probed = asked(&actions);
-    rig.event(Event::Probed(
+    rig.event(Event::ProbeCompleted(
         probed[0],
-        Some(Report {
-            held: 0.0,
-            errors: 30.0,
+        Some(LoadReport {
+            in_flight: 0.0,
+            errors_per_second: 30.0,
         }),
     ));
-    rig.event(Event::Probed(probed[1], None));
+    rig.event(Event::ProbeCompleted(probed[1], None));
     for server in &probed[2..] {
-        rig.event(Event::Probed(
+        rig.event(Event::ProbeCompleted(
             *server,
-            Some(Report {
-                held: 5.0,
-                errors: 0.0,
+            Some(LoadReport {
+                in_flight: 5.0,
+                errors_per_second: 0.0,
             }),
         ));
     }
@@ -518,7 +530,7 @@
 #[test]
 fn a_quiet_instance_that_may_not_ask_keeps_to_few_servers_and_a_busy_one_uses_more() {
     let used = |gap: Micros| {
-        let mut rig = Rig::new(settings(&[Effect::Safe]), &fleet(200));
+        let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(200));
         rig.stream(400, gap, 20 * MS, |_| (0, 0));
         let sends = rig.actions.iter().filter_map(|a| match a {
             Action::Send { server, .. } => Some(*server),
@@ -533,22 +545,24 @@
 
 #[test]
 fn a_kind_of_machine_that_was_slow_elsewhere_gets_less_before_it_was_tried() {
-    let kinds = |servers: std::ops::Range<u64>| -> Vec<Listed> {
+    let kinds = |servers: std::ops::Range<u64>| -> Vec<ServerEntry> {
         servers
-            .map(|n| Listed {
+            .map(|n| ServerEntry {
                 kind: (n % 2) as u32,
                 ..listed(n)
             })
             .collect()
     };
-    let mut rig = Rig::new(settings(&[Effect::Safe]), &kinds(0..4));
+    let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &kinds(0..4));
     rig.spread(
         200,
         |server| if server.0 % 2 == 0 { 20 * MS } else { 100 * MS },
     );
     // Others of the same kinds take their place; all take the same time from now on.
     rig.now += S;
-    rig.event(Event::Members(Members::Changes(&kinds(4..20))));
+    rig.event(Event::DiscoveryUpdated(DiscoveryUpdate::ListChanges(
+        &kinds(4..20),
+    )));
     let count = rig.spread(60, |_| 20 * MS);
     let new = |odd: u64| -> u32 {
         count
@@ -567,7 +581,7 @@
 
 #[test]
 fn a_quiet_instance_does_not_hold_one_request_against_a_small_tenant() {
-    let mut set = settings(&[Effect::Safe]);
+    let mut set = settings(&[RetrySafety::Idempotent]);
     set.tenants = vec![Tenant { quota: 95.0 }, Tenant { quota: 5.0 }];
     let mut rig = Rig::new(set, &fleet(8));
     // Some of the small tenant's in a row: over its share of what is seen here, which tells nothing.
@@ -577,7 +591,7 @@
 
 #[test]
 fn with_answers_at_the_aim_even_an_idle_instance_refuses_some() {
-    let mut rig = Rig::new(settings(&[Effect::Safe]), &fleet(8));
+    let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(8));
     let early = rig.stream(100, 700 * MS, 390 * MS, |_| (0, 0));
     let refused = early[20..].iter().filter(|e| **e).count();
     assert!(
@@ -588,7 +602,7 @@
 
 #[test]
 fn a_heavy_request_avoids_servers_too_slow_for_it() {
-    let mut rig = Rig::new(settings(&[Effect::Safe]), &fleet(4));
+    let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(4));
     rig.spread(200, |server| if server.0 == 0 { 20 * MS } else { 60 * MS });
     let heavy = |rig: &mut Rig, id| {
         let new = NewRequest {
@@ -597,10 +611,10 @@
             tenant: 0,
             key: None,
             time_left: 1_200 * MS,
-            cost: Some(250 * MS),
-            repeat: false,
+            cost_hint: Some(250 * MS),
+            client_retry: false,
         };
-        let to = sent(&rig.event(Event::Request(new))).expect("sent");
+        let to = sent(&rig.event(Event::RequestReceived(new))).expect("sent");
         rig.now += 250 * MS;
         rig.close(id, 0, to, Outcome::Ok, 250 * MS);
         to
@@ -624,7 +638,10 @@
 }
 
 /// Four servers, of which those named lose every third answer; how many of the last 600 went to each.
-fn with_losses(effect: Effect, lossy: &[u64]) -> (Rig, std::collections::BTreeMap<ServerId, u32>) {
+fn with_losses(
+    effect: RetrySafety,
+    lossy: &[u64],
+) -> (Rig, std::collections::BTreeMap<ServerId, u32>) {
     let mut rig = Rig::new(settings(&[effect]), &fleet(4));
     let (mut count, mut sends) = (std::collections::BTreeMap::new(), 0);
     for round in 0..1_200 {
@@ -653,7 +670,10 @@
             .map(|(_, n)| *n)
             .sum::<u32>()
     };
-    let (never, again) = (at_lossy(Effect::Unsafe), at_lossy(Effect::Safe));
+    let (never, again) = (
+        at_lossy(RetrySafety::NonIdempotent),
+        at_lossy(RetrySafety::Idempotent),
+    );
     assert!(
         never < 60 && again > 120,
         "{never} and {again} of 600 went where a third is lost"
@@ -662,7 +682,7 @@
 
 #[test]
 fn where_all_lose_alike_none_is_avoided() {
-    let count = with_losses(Effect::Unsafe, &[0, 1, 2, 3]).1;
+    let count = with_losses(RetrySafety::NonIdempotent, &[0, 1, 2, 3]).1;
     assert!(
         count.len() == 4 && count.values().all(|n| *n > 30),
         "{count:?} of 600"
@@ -674,7 +694,7 @@
 #[test]
 fn a_server_that_is_known_to_lose_a_part_is_not_ejected_for_two_in_a_row_but_for_silence() {
     let ejected = |lossy: &[u64], losses| {
-        let mut rig = with_losses(Effect::Safe, lossy).0;
+        let mut rig = with_losses(RetrySafety::Idempotent, lossy).0;
         let before = rig.actions.len();
         let mut run = 0;
         while run < losses {
@@ -691,7 +711,7 @@
                 rig.close(id, 1, other, Outcome::Ok, 40 * MS);
             }
         }
-        let logged = |a: &Action| matches!(a, Action::Log(Note::Ejected(ServerId(3), _)));
+        let logged = |a: &Action| matches!(a, Action::Log(LogEvent::ServerEjected(ServerId(3), _)));
         rig.actions[before..].iter().any(logged)
     };
     assert!(ejected(&[], 2), "a whole server that fails twice");
@@ -702,12 +722,12 @@
 /// Losses that no answer follows are no part: a quiet instance would wait for a dead server ten times as long.
 #[test]
 fn a_server_that_never_answered_is_not_held_for_one_that_loses_a_part() {
-    let mut rig = Rig::new(settings(&[Effect::Safe]), &fleet(4));
+    let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(4));
     let mut errors = 0;
     while !rig
         .actions
         .iter()
-        .any(|a| matches!(a, Action::Log(Note::Ejected(ServerId(3), _))))
+        .any(|a| matches!(a, Action::Log(LogEvent::ServerEjected(ServerId(3), _))))
     {
         let (id, actions) = rig.request(0);
         let server = sent(&actions).expect("sent");
@@ -725,7 +745,7 @@
 /// With a fifth of a retry earned by each request, every fifth was turned away where all servers lose a third.
 #[test]
 fn where_a_third_is_lost_everywhere_repeats_do_not_starve() {
-    let mut rig = Rig::new(settings(&[Effect::Safe]), &fleet(4));
+    let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(4));
     let (mut sends, mut unserved) = (0, 0);
     for _ in 0..600 {
         let (id, mut actions) = rig.request(0);
@@ -748,7 +768,7 @@
 /// A hundred instances that all use a server send it a hundred requests before any of them has seen it answer late.
 #[test]
 fn one_of_many_instances_that_asks_nobody_keeps_to_few_servers_and_all_together_use_all() {
-    let mut settings = settings(&[Effect::Safe]);
+    let mut settings = settings(&[RetrySafety::Idempotent]);
     (
         settings.group_size,
         settings.limits.probes,
--- a/crates/balancer/tests/memory.rs
+++ b/crates/balancer/tests/memory.rs
@@ -6,7 +6,7 @@
 
 /// One of four servers fails all that it gets, another is four times slower than the rest.
 fn experienced() -> Rig {
-    let mut rig = Rig::new(settings(&[Effect::Safe]), &fleet(4));
+    let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(4));
     for _ in 0..300 {
         let (id, actions) = rig.request(0);
         let Some(server) = sent(&actions) else {
@@ -29,23 +29,23 @@
     rig
 }
 
-fn next(memory: &Memory, servers: &[Listed], now: Micros) -> Rig {
-    let mut rig = Rig::new(settings(&[Effect::Safe]), &[]);
+fn next(memory: &Measurements, servers: &[ServerEntry], now: Micros) -> Rig {
+    let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &[]);
     rig.now = now;
-    rig.balancer.recall_classes(memory);
+    rig.balancer.restore_class_measurements(memory);
     assert!(
         memory
             .servers
             .iter()
-            .all(|server| !rig.balancer.recall_server(now, server)),
+            .all(|server| !rig.balancer.restore_server_measurements(now, server)),
         "none is listed yet"
     );
-    rig.event(Event::Members(Members::Full(servers)));
+    rig.event(Event::DiscoveryUpdated(DiscoveryUpdate::FullList(servers)));
     assert!(
         memory
             .servers
             .iter()
-            .all(|server| rig.balancer.recall_server(now, server))
+            .all(|server| rig.balancer.restore_server_measurements(now, server))
     );
     rig
 }
@@ -53,53 +53,61 @@
 #[test]
 fn the_next_instance_knows_what_the_last_one_measured() {
     let rig = experienced();
-    let memory = rig.balancer.memory(rig.now);
+    let memory = rig.balancer.measurements(rig.now);
     assert!(
-        memory.servers[0].failures > 0 && memory.servers[0].ejection > 0,
+        memory.servers[0].failure_score > 0 && memory.servers[0].ejection_duration > 0,
         "{memory:?}"
     );
     let mut warm = next(&memory, &fleet(4), rig.now);
-    assert_eq!(warm.balancer.memory(rig.now), memory);
+    assert_eq!(warm.balancer.measurements(rig.now), memory);
     // Once more changes nothing.
-    assert!(warm.balancer.recall_server(
+    assert!(warm.balancer.restore_server_measurements(
         rig.now,
-        &ServerMemory {
+        &ServerMeasurements {
             work: 1.0,
             ..memory.servers[1]
         }
     ));
-    assert_eq!(warm.balancer.memory(rig.now), memory);
+    assert_eq!(warm.balancer.measurements(rig.now), memory);
     let spread = warm.spread(100, |_| 5 * MS);
     let got = |server: u64| spread.get(&ServerId(server)).copied().unwrap_or(0);
     assert!(
         got(0) <= 5 && got(1) < got(2) && got(1) < got(3),
         "{spread:?}"
     );
-    let mut cold = Rig::new(settings(&[Effect::Safe]), &fleet(4));
+    let mut cold = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(4));
     assert!(cold.spread(100, |_| 5 * MS)[&ServerId(0)] > 10);
 }
 
 #[test]
 fn of_another_life_and_of_what_makes_no_sense_nothing_holds() {
     let rig = experienced();
-    let mut memory = rig.balancer.memory(rig.now);
+    let mut memory = rig.balancer.measurements(rig.now);
     let mut servers = fleet(4);
-    servers[0].started = Some(rig.now - S);
+    servers[0].started_at = Some(rig.now - S);
     memory.servers[1].work = f64::NAN;
-    memory.servers[2].time = -1.0;
-    memory.servers[3].ejected = u64::MAX;
-    memory.classes[0] = ClassMemory {
-        usual: 0.0,
-        slow: f64::INFINITY,
+    memory.servers[2].attempt_time = -1.0;
+    memory.servers[3].ejection_remaining = u64::MAX;
+    memory.classes[0] = ClassMeasurements {
+        service_time: 0.0,
+        tail_latency: f64::INFINITY,
     };
-    memory.means = (f64::NAN, -1.0);
+    memory.mean_work_and_time = (f64::NAN, -1.0);
     let next = next(&memory, &servers, rig.now);
-    let kept = next.balancer.memory(rig.now);
+    let kept = next.balancer.measurements(rig.now);
     assert_eq!(
         kept.servers.iter().map(|s| s.server.0).collect::<Vec<_>>(),
         [3]
     );
-    assert!(kept.servers[0].ejected <= 60 * S, "no ejection is for good");
-    let fresh = Rig::new(settings(&[Effect::Safe]), &[]).balancer.memory(0);
-    assert_eq!((kept.classes, kept.means), (fresh.classes, fresh.means));
+    assert!(
+        kept.servers[0].ejection_remaining <= 60 * S,
+        "no ejection is for good"
+    );
+    let fresh = Rig::new(settings(&[RetrySafety::Idempotent]), &[])
+        .balancer
+        .measurements(0);
+    assert_eq!(
+        (kept.classes, kept.mean_work_and_time),
+        (fresh.classes, fresh.mean_work_and_time)
+    );
 }
--- a/crates/balancer/tests/random.rs
+++ b/crates/balancer/tests/random.rs
@@ -24,7 +24,7 @@
 }
 
 struct Open {
-    effect: Effect,
+    effect: RetrySafety,
     deadline: Micros,
     sends: Vec<Sent>,
     over: bool,
@@ -35,7 +35,7 @@
     fn run(&self) -> Option<&Sent> {
         self.sends
             .iter()
-            .find(|s| !s.outcome.is_some_and(Outcome::proves_not_run))
+            .find(|s| !s.outcome.is_some_and(Outcome::proves_not_executed))
     }
 }
 
@@ -48,7 +48,7 @@
     timers: Vec<(Micros, Timer)>,
     ready: BTreeMap<ServerId, bool>,
     served: u32,
-    reduced: Reduced,
+    reduced: DegradationEffects,
     levels: u32,
 }
 
@@ -74,14 +74,19 @@
                         "two attempts out"
                     );
                     if let Some(first) = open.run() {
-                        assert!(self.reduced.retries > 0.0, "a retry where none is left");
+                        assert!(
+                            self.reduced.retry_budget_factor > 0.0,
+                            "a retry where none is left"
+                        );
                         match open.effect {
-                            Effect::Safe => {}
-                            Effect::Unsafe => panic!("an unsafe request went out twice"),
-                            Effect::Keyed { scope, window } => {
+                            RetrySafety::Idempotent => {}
+                            RetrySafety::NonIdempotent => {
+                                panic!("an unsafe request went out twice")
+                            }
+                            RetrySafety::IdempotentWithKey { scope, window } => {
                                 assert!(now < first.at + window, "the window was past");
                                 let same = first.server.0 % 2 == server.0 % 2;
-                                assert!(scope == Scope::All || same, "left its group");
+                                assert!(scope == DeduplicationScope::All || same, "left its group");
                             }
                         }
                     }
@@ -93,14 +98,14 @@
                     });
                     assert!(open.sends.len() <= 4);
                 }
-                Action::Refuse { request, .. } => {
+                Action::Reject { request, .. } => {
                     let open = self.open.get_mut(&request).expect("known");
                     assert!(
                         !std::mem::replace(&mut open.over, true),
                         "two final answers"
                     );
                     assert!(now <= open.deadline);
-                    let safe = open.effect == Effect::Safe;
+                    let safe = open.effect == RetrySafety::Idempotent;
                     assert!(safe || open.run().is_none(), "refused what may have run");
                 }
                 Action::Fail { request } => {
@@ -119,7 +124,7 @@
                 Action::SetTimer { at, timer } => self.timers.push((at, timer)),
                 Action::Probe(server) => {
                     assert!(
-                        self.probes && self.reduced.probes && self.ready[&server],
+                        self.probes && self.reduced.allows_probes && self.ready[&server],
                         "probed where that is not allowed"
                     );
                     self.probed.push(server);
@@ -129,24 +134,29 @@
         }
     }
 
-    fn step(&mut self, effects: &[Effect]) {
+    fn step(&mut self, effects: &[RetrySafety]) {
         self.rig.now += 5 * MS;
         let now = self.rig.now;
         let (due, later) = self.timers.drain(..).partition(|(at, _)| *at <= now);
         self.timers = later;
         for (_, timer) in due {
-            let actions = self.rig.event(Event::Timer(timer));
+            let actions = self.rig.event(Event::TimerFired(timer));
             self.carry_out(actions);
         }
         // Some probes are answered at once, some late, some not at all.
         for server in std::mem::take(&mut self.probed) {
             match self.random.rand_range(0..4) {
                 0 => self.probed.push(server),
-                1 => drop(self.rig.event(Event::Probed(server, None))),
+                1 => drop(self.rig.event(Event::ProbeCompleted(server, None))),
                 _ => {
                     let held = self.random.rand_range(0..20) as f64;
-                    self.rig
-                        .event(Event::Probed(server, Some(Report { held, errors: 0.0 })));
+                    self.rig.event(Event::ProbeCompleted(
+                        server,
+                        Some(LoadReport {
+                            in_flight: held,
+                            errors_per_second: 0.0,
+                        }),
+                    ));
                 }
             }
         }
@@ -162,11 +172,12 @@
             // The driver numbers requests in the order they come.
             self.open.insert(self.open.len() as u64 + 1, open);
             let (id, actions) = self.rig.request(class);
-            if self.reduced.away.get(class as usize) == Some(&1.0) && self.reduced.spare_worth > 1.0
+            if self.reduced.rejected_shares.get(class as usize) == Some(&1.0)
+                && self.reduced.exempt_weight > 1.0
             {
                 assert_eq!(
                     actions,
-                    [Action::Refuse {
+                    [Action::Reject {
                         request: id,
                         retry_after: Some(2 * S)
                     }]
@@ -192,15 +203,15 @@
                 open.over |= ended;
                 open.sends[at].outcome = Some(outcome);
                 let attempt = at as u32;
-                let closed = Closed {
+                let closed = AttemptResult {
                     request: id,
                     attempt,
                     server,
                     outcome,
                     elapsed,
-                    ended,
+                    request_ended: ended,
                 };
-                let actions = self.rig.event(Event::Closed(closed));
+                let actions = self.rig.event(Event::AttemptEnded(closed));
                 self.carry_out(actions);
             }
         }
@@ -217,14 +228,14 @@
             let away = (0..self.random.rand_range(0..7))
                 .map(|_| share(&mut self.random))
                 .collect();
-            self.reduced = Reduced {
-                away,
-                spare_worth: [0.0, 1.0, f64::INFINITY][self.random.rand_range(0..3) as usize],
-                probes: self.random.rand_range(0..2) == 0,
-                retries: share(&mut self.random),
-                patience: share(&mut self.random),
+            self.reduced = DegradationEffects {
+                rejected_shares: away,
+                exempt_weight: [0.0, 1.0, f64::INFINITY][self.random.rand_range(0..3) as usize],
+                allows_probes: self.random.rand_range(0..2) == 0,
+                retry_budget_factor: share(&mut self.random),
+                timeout_factor: share(&mut self.random),
             };
-            let actions = self.rig.event(Event::Level(&self.reduced));
+            let actions = self.rig.event(Event::DegradationChanged(&self.reduced));
             assert_eq!(actions, [], "a level does nothing to what is open");
         }
         if self.random.rand_range(0..40) == 0 {
@@ -235,12 +246,16 @@
             let started = (self.random.rand_range(0..2) == 0).then_some(now);
             self.ready
                 .insert(ServerId(server), state == ServerState::Ready);
-            let change = Listed {
+            let change = ServerEntry {
                 state,
-                started,
+                started_at: started,
                 ..listed(server)
             };
-            let actions = self.rig.event(Event::Members(Members::Changes(&[change])));
+            let actions = self
+                .rig
+                .event(Event::DiscoveryUpdated(DiscoveryUpdate::ListChanges(&[
+                    change,
+                ])));
             self.carry_out(actions);
         }
     }
@@ -258,16 +273,16 @@
 
 /// With a change of level every so many steps; 0 for none.
 fn the_rules_hold(levels: u32) {
-    let keyed = |scope| Effect::Keyed {
+    let keyed = |scope| RetrySafety::IdempotentWithKey {
         scope,
         window: 300 * MS,
     };
     let effects = [
-        Effect::Safe,
-        Effect::Unsafe,
-        keyed(Scope::All),
-        keyed(Scope::Zone),
-        keyed(Scope::Cell),
+        RetrySafety::Idempotent,
+        RetrySafety::NonIdempotent,
+        keyed(DeduplicationScope::All),
+        keyed(DeduplicationScope::Zone),
+        keyed(DeduplicationScope::Cell),
     ];
     let mut served = 0;
     for seed in 0..24 {
@@ -276,7 +291,7 @@
         let probes = seed % 2 == 0;
         (set.limits.probes, set.group_size) = (probes, 40);
         if seed % 5 == 0 {
-            set.classes[1].aim = 100 * MS;
+            set.classes[1].latency_objective = 100 * MS;
         }
         let servers = fleet(seed % 7);
         let rig = Rig::new(set, &servers);
@@ -284,7 +299,7 @@
         ready.extend(servers.iter().map(|s| (s.server, true)));
         let random = Rand64::new(u128::from(seed));
         let (probed, open, timers) = (Vec::new(), BTreeMap::new(), Vec::new());
-        let reduced = Reduced::default();
+        let reduced = DegradationEffects::default();
         let mut world = World {
             rig,
             random,
--- a/crates/balancer/tests/retuned.rs
+++ b/crates/balancer/tests/retuned.rs
@@ -4,8 +4,8 @@
 use common::*;
 use madderloom_balancer::*;
 
-const KEYED: Effect = Effect::Keyed {
-    scope: Scope::All,
+const KEYED: RetrySafety = RetrySafety::IdempotentWithKey {
+    scope: DeduplicationScope::All,
     window: 4 * S,
 };
 
@@ -14,30 +14,33 @@
     learned: &[Option<u32>],
     retired: &[bool],
     max_attempts: u32,
-) -> Retuned {
+) -> SettingsChange {
     let mut settings = settings(&[]);
     settings.classes = classes;
     settings.limits.max_attempts = max_attempts;
-    Retuned {
+    SettingsChange {
         settings,
-        learned: learned.to_vec(),
+        inherited_from: learned.to_vec(),
         retired: retired.to_vec(),
     }
 }
 
 #[test]
 fn an_open_request_ends_under_the_class_and_the_attempts_that_it_came_under() {
-    let mut rig = Rig::new(settings(&[Effect::Unsafe]), &fleet(3));
+    let mut rig = Rig::new(settings(&[RetrySafety::NonIdempotent]), &fleet(3));
     let (open, actions) = rig.request(0);
     let server = sent(&actions).expect("sent");
     // The class is to be repeated freely from now on, under another number, and never more than once.
     let new = retuned(
-        vec![class(Effect::Unsafe), class(Effect::Safe)],
+        vec![
+            class(RetrySafety::NonIdempotent),
+            class(RetrySafety::Idempotent),
+        ],
         &[Some(0), Some(0)],
         &[true, false],
         2,
     );
-    rig.event(Event::Settings(&new));
+    rig.event(Event::SettingsChanged(&new));
     rig.now += 10 * MS;
     let actions = rig.close(open, 0, server, Outcome::Error, 10 * MS);
     assert!(
@@ -54,13 +57,13 @@
 
 #[test]
 fn what_was_learned_of_servers_outlasts_the_settings() {
-    let mut rig = Rig::new(settings(&[Effect::Safe]), &fleet(4));
+    let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(4));
     let elapsed = |s: ServerId| if s.0 == 0 { 80 * MS } else { 20 * MS };
     rig.spread(600, elapsed);
-    let mut changed = class(Effect::Safe);
-    changed.worth = 3.0;
-    rig.event(Event::Settings(&retuned(
-        vec![class(Effect::Safe), changed],
+    let mut changed = class(RetrySafety::Idempotent);
+    changed.priority_weight = 3.0;
+    rig.event(Event::SettingsChanged(&retuned(
+        vec![class(RetrySafety::Idempotent), changed],
         &[Some(0), Some(0)],
         &[true, false],
         4,
@@ -82,13 +85,13 @@
     let mut rig = Rig::new(settings(&[KEYED]), &fleet(2));
     let (id, actions) = rig.request(0);
     let server = sent(&actions).expect("sent");
-    rig.event(Event::Coming(id));
+    rig.event(Event::RequestBodyStarted(id));
     // Long past all that its class allows.
     rig.now += 20 * S;
-    let actions = rig.event(Event::Timer(Timer::Request(id)));
+    let actions = rig.event(Event::TimerFired(Timer::Request(id)));
     assert!(actions.is_empty(), "{actions:?}");
     let whole = rig.now;
-    let actions = rig.event(Event::Came(id));
+    let actions = rig.event(Event::RequestBodyReceived(id));
     let Some(Action::SetTimer {
         at,
         timer: Timer::Request(_),
@@ -101,7 +104,7 @@
         "{at} after {whole}"
     );
     rig.now = *at;
-    let actions = rig.event(Event::Timer(Timer::Request(id)));
+    let actions = rig.event(Event::TimerFired(Timer::Request(id)));
     assert!(
         actions.contains(&Action::Fail { request: id }),
         "{actions:?}"
@@ -111,15 +114,15 @@
 
 #[test]
 fn what_cannot_be_sent_again_is_not() {
-    let mut rig = Rig::new(settings(&[Effect::Safe]), &fleet(3));
+    let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(3));
     let (id, actions) = rig.request(0);
     let server = sent(&actions).expect("sent");
-    rig.event(Event::Coming(id));
-    rig.event(Event::Spent(id));
+    rig.event(Event::RequestBodyStarted(id));
+    rig.event(Event::RetriesDisabled(id));
     let actions = rig.close(id, 0, server, Outcome::Full, 10 * MS);
     assert!(sent(&actions).is_none());
     assert!(
-        matches!(actions[..], [.., Action::Refuse { .. }]),
+        matches!(actions[..], [.., Action::Reject { .. }]),
         "{actions:?}"
     );
 }
--- a/crates/balancer/tests/rules.rs
+++ b/crates/balancer/tests/rules.rs
@@ -4,14 +4,14 @@
 use common::*;
 use madderloom_balancer::*;
 
-const KEYED: Effect = Effect::Keyed {
-    scope: Scope::Zone,
+const KEYED: RetrySafety = RetrySafety::IdempotentWithKey {
+    scope: DeduplicationScope::Zone,
     window: 6 * S,
 };
 
 #[test]
 fn a_silent_server_costs_one_final_answer_before_the_deadline_and_nothing_follows() {
-    for effect in [Effect::Safe, KEYED, Effect::Unsafe] {
+    for effect in [RetrySafety::Idempotent, KEYED, RetrySafety::NonIdempotent] {
         let mut rig = Rig::new(settings(&[effect]), &fleet(4));
         let start = rig.now;
         let (id, mut actions) = rig.request(0);
@@ -19,9 +19,9 @@
         while let Some(at) = timer_at(&actions) {
             actions = rig.timer(at, id);
             finals += u32::from(refused(&actions)) + u32::from(failed(&actions));
-            assert!(!(failed(&actions) && effect == Effect::Safe));
+            assert!(!(failed(&actions) && effect == RetrySafety::Idempotent));
             assert!(
-                !(refused(&actions) && effect != Effect::Safe),
+                !(refused(&actions) && effect != RetrySafety::Idempotent),
                 "it may have run"
             );
         }
@@ -34,7 +34,7 @@
 
 #[test]
 fn with_no_server_listed_a_request_is_held_and_refused_in_time() {
-    let mut rig = Rig::new(settings(&[Effect::Unsafe]), &[]);
+    let mut rig = Rig::new(settings(&[RetrySafety::NonIdempotent]), &[]);
     let start = rig.now;
     let (id, mut actions) = rig.request(0);
     assert_eq!(sent(&actions), None);
@@ -47,9 +47,11 @@
 
 #[test]
 fn a_held_request_is_sent_once_the_list_arrives() {
-    let mut rig = Rig::new(settings(&[Effect::Safe]), &[]);
+    let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &[]);
     let (id, actions) = rig.request(0);
-    rig.event(Event::Members(Members::Full(&fleet(4))));
+    rig.event(Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&fleet(
+        4,
+    ))));
     let at = timer_at(&actions).expect("a held request is looked at again");
     assert!(sent(&rig.timer(at, id)).is_some());
 }
@@ -58,14 +60,14 @@
 #[test]
 fn a_held_request_that_must_not_run_twice_is_refused_while_it_could_still_be_answered() {
     for (effect, left, is_sent) in [
-        (Effect::Unsafe, 800 * MS, true),
-        (Effect::Unsafe, 100 * MS, false),
-        (Effect::Unsafe, 10 * MS, false),
-        (Effect::Safe, 100 * MS, true),
-        (Effect::Safe, 10 * MS, true),
+        (RetrySafety::NonIdempotent, 800 * MS, true),
+        (RetrySafety::NonIdempotent, 100 * MS, false),
+        (RetrySafety::NonIdempotent, 10 * MS, false),
+        (RetrySafety::Idempotent, 100 * MS, true),
+        (RetrySafety::Idempotent, 10 * MS, true),
     ] {
         let mut settings = settings(&[effect]);
-        settings.classes[0].late_worth = 1.0; // or else nothing waits past the aim
+        settings.classes[0].late_weight_share = 1.0; // or else nothing waits past the aim
         let mut rig = Rig::new(settings, &[]);
         let (id, mut actions) = rig.request(0);
         let over = rig.now + 1_200 * MS;
@@ -74,9 +76,11 @@
         }
         let refused = actions
             .iter()
-            .any(|action| matches!(action, Action::Refuse { .. }));
+            .any(|action| matches!(action, Action::Reject { .. }));
         rig.now = over - left;
-        rig.event(Event::Members(Members::Full(&fleet(4))));
+        rig.event(Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&fleet(
+            4,
+        ))));
         let then = rig.timer(over - left, id);
         assert_eq!(
             (sent(&then).is_some(), refused),
@@ -89,8 +93,11 @@
 /// A slow answer is taken for half of the aim at first, which is more than all the time of these requests.
 #[test]
 fn a_request_is_never_refused_as_it_comes_for_answers_that_are_slow() {
-    let mut settings = settings(&[Effect::Unsafe]);
-    (settings.classes[0].aim, settings.classes[0].deadline) = (6 * S, 8 * S);
+    let mut settings = settings(&[RetrySafety::NonIdempotent]);
+    (
+        settings.classes[0].latency_objective,
+        settings.classes[0].deadline,
+    ) = (6 * S, 8 * S);
     let mut rig = Rig::new(settings, &fleet(4));
     let (_, actions) = rig.request(0);
     assert!(sent(&actions).is_some(), "{actions:?}");
@@ -98,10 +105,10 @@
 
 #[test]
 fn a_client_that_left_is_owed_nothing() {
-    let mut rig = Rig::new(settings(&[Effect::Safe]), &fleet(4));
+    let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(4));
     let (id, actions) = rig.request(0);
     let server = sent(&actions).expect("sent");
-    let gone = rig.event(Event::ClientGone(id));
+    let gone = rig.event(Event::ClientDisconnected(id));
     assert_eq!(
         gone,
         vec![Action::Cancel {
@@ -123,7 +130,7 @@
         (Outcome::Reset, false),
         (Outcome::Cancelled, false),
     ] {
-        let mut rig = Rig::new(settings(&[Effect::Unsafe]), &fleet(4));
+        let mut rig = Rig::new(settings(&[RetrySafety::NonIdempotent]), &fleet(4));
         let (id, actions) = rig.request(0);
         let server = sent(&actions).expect("sent");
         let next = rig.close(id, 0, server, outcome, MS);
@@ -146,8 +153,8 @@
             "the repeat crossed to another zone"
         );
     }
-    let short = Effect::Keyed {
-        scope: Scope::Zone,
+    let short = RetrySafety::IdempotentWithKey {
+        scope: DeduplicationScope::Zone,
         window: 100 * MS,
     };
     let mut rig = Rig::new(settings(&[short]), &fleet(4));
@@ -168,7 +175,7 @@
 
 #[test]
 fn a_slow_attempt_gets_no_second_one_beside_it() {
-    let mut rig = Rig::new(settings(&[Effect::Safe]), &fleet(4));
+    let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(4));
     let (id, mut actions) = rig.request(0);
     let server = sent(&actions).expect("sent");
     while let Some(at) = timer_at(&actions) {
@@ -184,19 +191,23 @@
 
 #[test]
 fn nothing_new_goes_to_a_server_that_drains_or_is_gone() {
-    let mut rig = Rig::new(settings(&[Effect::Safe]), &fleet(4));
-    let draining = Listed {
+    let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(4));
+    let draining = ServerEntry {
         state: ServerState::Draining,
         ..listed(1)
     };
-    let gone = Listed {
+    let gone = ServerEntry {
         state: ServerState::Gone,
         ..listed(2)
     };
-    rig.event(Event::Members(Members::Changes(&[draining, gone])));
+    rig.event(Event::DiscoveryUpdated(DiscoveryUpdate::ListChanges(&[
+        draining, gone,
+    ])));
     let spread = rig.spread(300, |_| 20 * MS);
     assert!(!spread.contains_key(&ServerId(1)) && !spread.contains_key(&ServerId(2)));
-    rig.event(Event::Members(Members::Full(&[listed(0)])));
+    rig.event(Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&[
+        listed(0),
+    ])));
     let spread = rig.spread(50, |_| 20 * MS);
     assert_eq!(
         spread.keys().collect::<Vec<_>>(),
@@ -208,13 +219,15 @@
 #[test]
 fn a_cold_server_gets_at_most_its_warmth_of_a_usual_share() {
     // Every instance may send at once: each keeps to its own part, in a step and in a burst.
-    let mut rig = Rig::new(settings(&[Effect::Safe]), &fleet(4));
+    let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(4));
     rig.spread(400, |_| 20 * MS);
-    let young = Listed {
-        started: Some(rig.now),
+    let young = ServerEntry {
+        started_at: Some(rig.now),
         ..listed(9)
     };
-    rig.event(Event::Members(Members::Changes(&[young])));
+    rig.event(Event::DiscoveryUpdated(DiscoveryUpdate::ListChanges(&[
+        young,
+    ])));
     let mut cold = 0;
     let mut ids = Vec::new();
     for _ in 0..200 {
@@ -238,7 +251,7 @@
 
 #[test]
 fn a_lost_subscription_is_asked_for_again() {
-    let mut rig = Rig::new(settings(&[Effect::Safe]), &fleet(4));
+    let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(4));
     let ask = |actions: &[Action]| {
         actions.iter().any(|a| {
             matches!(
@@ -252,13 +265,13 @@
     };
     assert!(ask(&rig.actions), "the list must be asked for");
     assert_eq!(
-        rig.event(Event::Timer(Timer::Discovery)),
-        [Action::Subscribe]
+        rig.event(Event::TimerFired(Timer::Discovery)),
+        [Action::PollDiscovery]
     );
-    let failed = rig.event(Event::Members(Members::Failed {
-        since: rig.now,
+    let failed = rig.event(Event::DiscoveryUpdated(DiscoveryUpdate::CallFailed {
+        list_known_at: rig.now,
         waited: 0,
-        broken_off: false,
+        connection_broken: false,
     }));
     assert!(ask(&failed));
     let spread = rig.spread(20, |_| 20 * MS);
@@ -268,12 +281,12 @@
 #[test]
 fn a_fleet_that_is_all_cold_is_neither_flooded_nor_left_idle() {
     let now = 1_000 * S;
-    let young = |at| Listed {
-        started: Some(now),
+    let young = |at| ServerEntry {
+        started_at: Some(now),
         ..listed(at)
     };
     let mut rig = Rig::new(
-        settings(&[Effect::Safe]),
+        settings(&[RetrySafety::Idempotent]),
         &(0..4).map(young).collect::<Vec<_>>(),
     );
     assert_eq!(rig.now, now);
@@ -322,11 +335,11 @@
 /// until it owed a whole one, the server would stand idle and the warm ones would bear its work.
 #[test]
 fn a_hundred_quiet_instances_together_use_a_cold_server_and_do_not_push_it_over() {
-    let mut settings = settings(&[Effect::Safe]);
-    (settings.group_size, settings.rules.fall) = (100, 2 * S);
+    let mut settings = settings(&[RetrySafety::Idempotent]);
+    (settings.group_size, settings.rules.overload_window) = (100, 2 * S);
     let start = 1_020 * S;
-    let young = Listed {
-        started: Some(start),
+    let young = ServerEntry {
+        started_at: Some(start),
         ..listed(0)
     };
     let warm: Vec<_> = (1..8).map(listed).collect();
@@ -335,7 +348,9 @@
         let mut rig = Rig::seeded(settings.clone(), seed, &warm);
         rig.hint = Some(50 * MS);
         rig.stream(20, S, 10 * MS, |_| (0, 0));
-        rig.event(Event::Members(Members::Changes(&[young])));
+        rig.event(Event::DiscoveryUpdated(DiscoveryUpdate::ListChanges(&[
+            young,
+        ])));
         // One request a second for 8 s: its part is one of eight, of which a cold server is to have less.
         for second in 0..8 {
             rig.now = start + second * S;
--- a/crates/balancer/tests/settings_stay_as_they_are.rs
+++ b/crates/balancer/tests/settings_stay_as_they_are.rs
@@ -2,9 +2,9 @@
 //! written otherwise.
 
 use madderloom_balancer::interface::{
-    Class, Effect, Limits, Prices, Rules, Scope, Settings, Tenant,
+    Class, DeduplicationScope, Limits, Prices, RetrySafety, SafetyRules, Settings, Tenant,
 };
-use madderloom_balancer::settings::{Site, written_name};
+use madderloom_balancer::settings::{Site, settings_key};
 use serde_json::Value;
 
 const EVERY_KEY: &str = r#"{
@@ -75,15 +75,15 @@
         zone: 1,
         tick: 5_000,
         classes: vec![Class {
-            aim: 600_000,
-            aim_stretch: 1.5,
+            latency_objective: 600_000,
+            latency_objective_stretch: 1.5,
             deadline: 1_500_000,
-            effect: Effect::Keyed {
-                scope: Scope::Zone,
+            retry_safety: RetrySafety::IdempotentWithKey {
+                scope: DeduplicationScope::Zone,
                 window: 4_000_000,
             },
-            worth: 10.0,
-            late_worth: 0.25,
+            priority_weight: 10.0,
+            late_weight_share: 0.25,
         }],
         tenants: vec![Tenant { quota: 7.5 }],
         discovery_on_request: true,
@@ -94,18 +94,18 @@
             max_retry_after: 2_000_000,
             max_attempts: 6,
         },
-        rules: Rules {
-            cold_from: 0.31,
-            cold: 8_400_000,
-            fall: 2_000_000,
-            ask_within: 10_000_001,
+        rules: SafetyRules {
+            slow_start_min_share: 0.31,
+            slow_start_window: 8_400_000,
+            overload_window: 2_000_000,
+            max_poll_interval: 10_000_001,
             drain_grace: 3_000_000,
         },
         prices: Prices {
             cross_zone: 0.02,
             probe: 0.0094,
         },
-        worth_by_work: true,
+        weight_per_work: true,
     };
     let site = site(EVERY_KEY);
     assert_eq!(site.settings, expected);
@@ -130,14 +130,14 @@
         let fields = serde_json::from_str(fields).expect("JSON");
         let site = with("/load_report/fields", Some(fields));
         site.layout
-            .report(row)
-            .map(|report| (report.held, report.errors))
+            .parse_report(row)
+            .map(|report| (report.in_flight, report.errors_per_second))
     };
     assert_eq!(
         site(EVERY_KEY)
             .layout
-            .report("0.5,3,0.25")
-            .map(|r| (r.held, r.errors)),
+            .parse_report("0.5,3,0.25")
+            .map(|r| (r.in_flight, r.errors_per_second)),
         Some((3.0, 0.25))
     );
     assert_eq!(
@@ -170,30 +170,30 @@
 
 #[test]
 fn every_name_of_a_value_is_read() {
-    let effect = |site: Site| site.settings.classes[0].effect;
+    let effect = |site: Site| site.settings.classes[0].retry_safety;
     assert_eq!(
         effect(with("/services/0/effect", Some("safe".into()))),
-        Effect::Safe
+        RetrySafety::Idempotent
     );
     assert_eq!(
         effect(with("/services/0/effect", Some("unsafe".into()))),
-        Effect::Unsafe
+        RetrySafety::NonIdempotent
     );
-    let keyed = |scope| Effect::Keyed {
+    let keyed = |scope| RetrySafety::IdempotentWithKey {
         scope,
         window: 4_000_000,
     };
     assert_eq!(
         effect(with("/services/0/key_scope", Some("all".into()))),
-        keyed(Scope::All)
+        keyed(DeduplicationScope::All)
     );
     assert_eq!(
         effect(with("/services/0/key_scope", Some("cell".into()))),
-        keyed(Scope::Cell)
+        keyed(DeduplicationScope::Cell)
     );
     assert_eq!(
         effect(with("/services/0/key_scope", None)),
-        keyed(Scope::Cell)
+        keyed(DeduplicationScope::Cell)
     );
     assert!(
         !with("/discovery", Some("automatic".into()))
@@ -203,7 +203,7 @@
     assert!(
         !with("/worth_by", Some("request".into()))
             .settings
-            .worth_by_work
+            .weight_per_work
     );
     for (pointer, known) in [
         ("services[0].effect", "one of `safe`, `keyed`, `unsafe`"),
@@ -238,15 +238,15 @@
         zone: 1,
         tick: 5_000,
         classes: vec![Class {
-            aim: 600_000,
-            aim_stretch: 0.0,
+            latency_objective: 600_000,
+            latency_objective_stretch: 0.0,
             deadline: 1_500_000,
-            effect: Effect::Keyed {
-                scope: Scope::Cell,
+            retry_safety: RetrySafety::IdempotentWithKey {
+                scope: DeduplicationScope::Cell,
                 window: 0,
             },
-            worth: 10.0,
-            late_worth: 0.0,
+            priority_weight: 10.0,
+            late_weight_share: 0.0,
         }],
         tenants: vec![],
         discovery_on_request: false,
@@ -257,22 +257,22 @@
             max_retry_after: 0,
             max_attempts: 6,
         },
-        rules: Rules {
-            cold_from: 0.31,
-            cold: 8_400_000,
-            fall: 2_000_000,
-            ask_within: 10_000_000,
+        rules: SafetyRules {
+            slow_start_min_share: 0.31,
+            slow_start_window: 8_400_000,
+            overload_window: 2_000_000,
+            max_poll_interval: 10_000_000,
             drain_grace: 0,
         },
         prices: Prices {
             cross_zone: 0.0,
             probe: 0.0,
         },
-        worth_by_work: false,
+        weight_per_work: false,
     };
     assert_eq!(usual.settings, expected);
     assert_eq!(usual.layout, with("/load_report", None).layout);
-    assert_eq!(usual.layout.report("1,2,3"), None);
+    assert_eq!(usual.layout.parse_report("1,2,3"), None);
     assert_eq!(
         (usual.zones.len(), usual.kinds.len(), &*usual.classes),
         (0, 0, &[String::new()][..])
@@ -297,6 +297,6 @@
         ("prices.cross_zone", "tariffs.cross_zone"),
         ("limits.max_attempts", "limits.max_attempts"),
     ] {
-        assert_eq!(written_name(field), written);
+        assert_eq!(settings_key(field), written);
     }
 }
--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -159,7 +159,7 @@
         .iter()
         .filter(|pool| shares && pool.discovery.is_some());
     let told = pools.map(|pool| {
-        let ask_within = pool.site.settings.rules.ask_within;
+        let ask_within = pool.site.settings.rules.max_poll_interval;
         let schedule = DiscoveryCallSchedule::within(ask_within);
         let (name, seconds) = (&pool.name, |micros: u64| micros as f64 / 1e6);
         let (after, spread) = (seconds(schedule.earliest_age), seconds(schedule.spread));
--- a/crates/degradation/examples/cost.rs
+++ b/crates/degradation/examples/cost.rs
@@ -5,7 +5,7 @@
 //! cargo run --release -p madderloom-degradation --example cost
 //! ```
 
-use madderloom_balancer::{Closed, Outcome, ServerId, place};
+use madderloom_balancer::{AttemptResult, Outcome, ServerId, key_position};
 use madderloom_degradation::{
     ClassTraits, EVALUATION_INTERVAL, ExternalSignals, LevelController, LevelsSection, RequestEnd,
 };
@@ -53,14 +53,14 @@
     );
 }
 
-fn served_attempt(request: u64) -> Closed {
-    Closed {
+fn served_attempt(request: u64) -> AttemptResult {
+    AttemptResult {
         request,
         attempt: 0,
         server: ServerId(1),
         outcome: Outcome::Ok,
         elapsed: LATENCY,
-        ended: true,
+        request_ended: true,
     }
 }
 
@@ -97,8 +97,13 @@
         "a key's place, beside a share of none",
         10_000_000,
         |_, key| {
-            black_box(reduced.away.first().is_some_and(|share| *share > 0.0));
-            black_box(place(key));
+            black_box(
+                reduced
+                    .rejected_shares
+                    .first()
+                    .is_some_and(|share| *share > 0.0),
+            );
+            black_box(key_position(key));
         },
     );
 }
--- a/crates/degradation/src/effects.rs
+++ b/crates/degradation/src/effects.rs
@@ -1,6 +1,6 @@
 //! What a level gives up.
 
-use madderloom_balancer::{Reduced, place};
+use madderloom_balancer::{DegradationEffects, key_position};
 use std::collections::BTreeMap;
 
 /// What is given up while a level is active. The default gives up nothing.
@@ -48,23 +48,23 @@
     }
 
     /// The same for the decision module, whose settings have these classes in this order.
-    pub fn for_classes(&self, classes: &[String]) -> Reduced {
-        Reduced {
-            away: classes
+    pub fn for_classes(&self, classes: &[String]) -> DegradationEffects {
+        DegradationEffects {
+            rejected_shares: classes
                 .iter()
                 .map(|class| self.rejected_share(class))
                 .collect(),
-            spare_worth: self.exempt_weight,
-            probes: self.allows_probes,
-            retries: self.retry_budget_factor,
-            patience: self.timeout_factor,
+            exempt_weight: self.exempt_weight,
+            allows_probes: self.allows_probes,
+            retry_budget_factor: self.retry_budget_factor,
+            timeout_factor: self.timeout_factor,
         }
     }
 
     /// Whether a request is rejected. The decision depends on its key: requests of one key are rejected, or served, for
     /// as long as the level is active and at every instance. A request without a key is to be given a random one.
     pub fn rejects(&self, class: &str, key: u64, weight: f64) -> bool {
-        weight < self.exempt_weight && place(key) < self.rejected_share(class)
+        weight < self.exempt_weight && key_position(key) < self.rejected_share(class)
     }
 
     fn rejected_share(&self, class: &str) -> f64 {
--- a/crates/degradation/src/level_controller.rs
+++ b/crates/degradation/src/level_controller.rs
@@ -4,7 +4,7 @@
     ExternalSignals, LevelChange, LevelPlan, LevelStateMachine, Micros, OperatorOrder, OrderError,
     RequestEnd, Signals, WindowedCounters,
 };
-use madderloom_balancer::{Closed, Reduced};
+use madderloom_balancer::{AttemptResult, DegradationEffects};
 
 /// Interval between two evaluations of the conditions, in microseconds.
 pub const EVALUATION_INTERVAL: Micros = 100_000;
@@ -15,7 +15,7 @@
     counters: WindowedCounters,
     levels: LevelStateMachine,
     max_changes_in_ten_minutes: u64,
-    reduced: Reduced,
+    reduced: DegradationEffects,
     signals: Signals,
 }
 
@@ -33,7 +33,7 @@
             levels: LevelStateMachine::new(levels, damping, jitter, now),
             max_changes_in_ten_minutes,
             classes,
-            reduced: Reduced::default(),
+            reduced: DegradationEffects::default(),
             signals: Signals::default(),
         }
     }
@@ -52,7 +52,7 @@
     }
 
     /// Counts an attempt that ended.
-    pub fn attempt_ended(&mut self, now: Micros, closed: &Closed) {
+    pub fn attempt_ended(&mut self, now: Micros, closed: &AttemptResult) {
         self.counters.attempt_ended(now, closed);
     }
 
@@ -70,7 +70,7 @@
     }
 
     /// What the decision module is to give up now.
-    pub fn reduced(&self) -> &Reduced {
+    pub fn reduced(&self) -> &DegradationEffects {
         &self.reduced
     }
 
--- a/crates/degradation/src/windowed_counters.rs
+++ b/crates/degradation/src/windowed_counters.rs
@@ -8,7 +8,7 @@
 //! level would keep itself active by what it does.
 
 use crate::{Micros, SECOND, Signal, Signals};
-use madderloom_balancer::{Closed, Outcome};
+use madderloom_balancer::{AttemptResult, Outcome};
 use std::collections::VecDeque;
 
 /// Length of the slots that counts are kept in, in microseconds.
@@ -199,12 +199,12 @@
     }
 
     /// Counts an attempt that ended. Attempts that were cancelled or never sent aren't counted.
-    pub fn attempt_ended(&mut self, now: Micros, closed: &Closed) {
+    pub fn attempt_ended(&mut self, now: Micros, closed: &AttemptResult) {
         let outcome = closed.outcome;
         if matches!(outcome, Outcome::Moot | Outcome::Cancelled) {
             return;
         }
-        let is_known = outcome == Outcome::Ok || outcome.proves_not_run();
+        let is_known = outcome == Outcome::Ok || outcome.proves_not_executed();
         if let Some(slot) = self.slot(now) {
             slot.attempts += 1;
             slot.retries += u32::from(closed.attempt > 0);
--- a/crates/degradation/tests/windowed_counters.rs
+++ b/crates/degradation/tests/windowed_counters.rs
@@ -1,6 +1,6 @@
 //! Signals hold what was measured recently, and nothing without measurements.
 
-use madderloom_balancer::{Closed, Outcome, ServerId};
+use madderloom_balancer::{AttemptResult, Outcome, ServerId};
 use madderloom_degradation::{
     ExternalSignals, MAX_WINDOW, MIN_COUNT, RequestEnd, Signal, Signals, WindowedCounters,
 };
@@ -21,14 +21,14 @@
     )
 }
 
-fn closed(attempt: u32, outcome: Outcome) -> Closed {
-    Closed {
+fn closed(attempt: u32, outcome: Outcome) -> AttemptResult {
+    AttemptResult {
         request: 1,
         attempt,
         server: ServerId(1),
         outcome,
         elapsed: 1,
-        ended: true,
+        request_ended: true,
     }
 }
 
--- a/crates/graphql/benches/classing.rs
+++ b/crates/graphql/benches/classing.rs
@@ -2,7 +2,7 @@
 
 use criterion::{BatchSize, Criterion, Throughput, criterion_group, criterion_main};
 use http::{HeaderMap, HeaderValue, Method, header};
-use madderloom_balancer::Effect;
+use madderloom_balancer::RetrySafety;
 use madderloom_graphql::{ClassInfo, Front, Message, Policy, Section};
 use std::fmt::Write;
 
@@ -12,7 +12,10 @@
         effect,
         aim: 400_000,
     };
-    let classes = [class("read", Effect::Safe), class("file", Effect::Unsafe)];
+    let classes = [
+        class("read", RetrySafety::Idempotent),
+        class("file", RetrySafety::NonIdempotent),
+    ];
     let mut section = Section {
         query: "read".into(),
         mutation: "file".into(),
--- a/crates/graphql/src/batch.rs
+++ b/crates/graphql/src/batch.rs
@@ -2,7 +2,7 @@
 
 use crate::answer::{Media, Reply, error_object};
 use crate::fault::{Code, Fault};
-use madderloom_balancer::Effect;
+use madderloom_balancer::RetrySafety;
 use std::ops::Range;
 
 /// The answer to one operation of a batch that was taken apart.
@@ -102,11 +102,14 @@
 /// Which operations of a batch may run at once: safe ones beside each other, each other one by itself, in the order
 /// of the batch, so that a query behind a mutation sees what the mutation did, as it would at a server that runs a
 /// batch in its order.
-pub fn stages(effects: &[Effect]) -> Vec<Range<usize>> {
+pub fn stages(effects: &[RetrySafety]) -> Vec<Range<usize>> {
     let mut stages: Vec<Range<usize>> = Vec::new();
     for (place, effect) in effects.iter().enumerate() {
         match stages.last_mut() {
-            Some(last) if *effect == Effect::Safe && effects[last.start] == Effect::Safe => {
+            Some(last)
+                if *effect == RetrySafety::Idempotent
+                    && effects[last.start] == RetrySafety::Idempotent =>
+            {
                 last.end += 1
             }
             _ => stages.push(place..place + 1),
--- a/crates/graphql/src/class.rs
+++ b/crates/graphql/src/class.rs
@@ -4,7 +4,7 @@
 use crate::fault::{Code, Fault};
 use crate::json::{Found, Pairs, Scalar, find};
 use crate::policy::{FieldRule, Policy};
-use madderloom_balancer::{Effect, Micros};
+use madderloom_balancer::{Micros, RetrySafety};
 
 /// What is known of an operation, or of a batch, before it is sent.
 #[derive(Clone, Debug, PartialEq)]
@@ -12,7 +12,7 @@
     /// Its class, by its place among the site's.
     pub class: u32,
     /// What may be done twice: the class's own effect.
-    pub effect: Effect,
+    pub effect: RetrySafety,
     /// What it is about, if an argument tells: the same number for the same subject at every instance.
     pub key: Option<u64>,
     /// A guess of its work, where the operator gives fields a cost.
--- a/crates/graphql/src/policy.rs
+++ b/crates/graphql/src/policy.rs
@@ -2,7 +2,7 @@
 
 use crate::limits::Limits;
 use crate::section::{EffectName, Mutation, Section};
-use madderloom_balancer::{Effect, Micros, Scope};
+use madderloom_balancer::{DeduplicationScope, Micros, RetrySafety};
 use std::collections::BTreeMap;
 
 /// A class of the site, as far as it matters here.
@@ -11,7 +11,7 @@
     /// Its name.
     pub name: String,
     /// What may be done twice.
-    pub effect: Effect,
+    pub effect: RetrySafety,
     /// An answer within this time earns the full worth.
     pub aim: Micros,
 }
@@ -67,9 +67,9 @@
         };
         let limits = check.limits(section);
         let query = check.class("query", &section.query, "safe", |effect| {
-            effect == Effect::Safe
+            effect == RetrySafety::Idempotent
         });
-        let unsafe_only = |effect| effect == Effect::Unsafe;
+        let unsafe_only = |effect| effect == RetrySafety::NonIdempotent;
         let mutation = check.class("mutation", &section.mutation, "unsafe", unsafe_only);
         check.names("operations", section.operations.keys());
         check.names("queries", section.queries.keys());
@@ -122,34 +122,34 @@
     }
 
     /// Whether what may be done twice in `class` may be done twice with what needs `needed`.
-    pub(crate) fn covers(&self, class: usize, needed: Effect) -> bool {
+    pub(crate) fn covers(&self, class: usize, needed: RetrySafety) -> bool {
         self.classes
             .get(class)
             .is_some_and(|class| is_as_strict(class.effect, needed))
     }
 
-    pub(crate) fn effect(&self, class: usize) -> Effect {
+    pub(crate) fn effect(&self, class: usize) -> RetrySafety {
         self.classes
             .get(class)
-            .map_or(Effect::Unsafe, |class| class.effect)
+            .map_or(RetrySafety::NonIdempotent, |class| class.effect)
     }
 }
 
 /// Whether `a` allows no repeat that `b` forbids.
-pub(crate) fn is_as_strict(a: Effect, b: Effect) -> bool {
+pub(crate) fn is_as_strict(a: RetrySafety, b: RetrySafety) -> bool {
     let breadth = |scope| match scope {
-        Scope::Cell => 0,
-        Scope::Zone => 1,
-        Scope::All => 2,
+        DeduplicationScope::Cell => 0,
+        DeduplicationScope::Zone => 1,
+        DeduplicationScope::All => 2,
     };
     match (a, b) {
-        (Effect::Unsafe, _) | (_, Effect::Safe) => true,
+        (RetrySafety::NonIdempotent, _) | (_, RetrySafety::Idempotent) => true,
         (
-            Effect::Keyed {
+            RetrySafety::IdempotentWithKey {
                 scope: a,
                 window: short,
             },
-            Effect::Keyed {
+            RetrySafety::IdempotentWithKey {
                 scope: b,
                 window: long,
             },
@@ -173,7 +173,7 @@
         field: &str,
         name: &str,
         wanted: &str,
-        fits: fn(Effect) -> bool,
+        fits: fn(RetrySafety) -> bool,
     ) -> Option<usize> {
         let place = self.classes.iter().position(|class| class.name == name);
         match place {
@@ -202,7 +202,7 @@
 
     fn mutation(&mut self, name: &str, rule: &Mutation) -> FieldRule {
         let at = |which: &str| format!("mutations.{name}.{which}");
-        let is_keyed = |effect| matches!(effect, Effect::Keyed { .. });
+        let is_keyed = |effect| matches!(effect, RetrySafety::IdempotentWithKey { .. });
         let keyed = match rule.effect {
             EffectName::Keyed => self.class(&at("class"), &rule.class, "keyed", is_keyed),
             EffectName::Unsafe => None,
--- a/crates/graphql/tests/a_batch_is_answered_in_its_order.rs
+++ b/crates/graphql/tests/a_batch_is_answered_in_its_order.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use madderloom_balancer::Effect;
+use madderloom_balancer::RetrySafety;
 use madderloom_graphql::*;
 use proptest::prelude::*;
 use serde_json::{Value, json};
@@ -51,12 +51,12 @@
 fn keyed_operations_that_no_one_class_covers_make_a_batch_unsafe() {
     // One class discards repeats in fewer servers but for longer than the other.
     let effects = [
-        (madderloom_balancer::Scope::Cell, 9),
-        (madderloom_balancer::Scope::All, 5),
+        (madderloom_balancer::DeduplicationScope::Cell, 9),
+        (madderloom_balancer::DeduplicationScope::All, 5),
     ];
     let mut classes = classes();
     for (class, (scope, window)) in classes[4..].iter_mut().zip(effects) {
-        class.effect = Effect::Keyed { scope, window };
+        class.effect = RetrySafety::IdempotentWithKey { scope, window };
     }
     let mut section = Section {
         query: "read".into(),
@@ -76,12 +76,12 @@
     assert_eq!(classed(&mut front, &batch(&[PAY])).class, 5);
     assert_eq!(
         classed(&mut front, &batch(&[KEYED, PAY])).effect,
-        Effect::Unsafe
+        RetrySafety::NonIdempotent
     );
     let both = text("mutation { pay(key: 1) fileReport(input: {clientMutationId: 1}) }");
     assert_eq!(
         classed(&mut front, &Sent::post(both)).effect,
-        Effect::Unsafe
+        RetrySafety::NonIdempotent
     );
 }
 
@@ -142,9 +142,9 @@
     assert_eq!(
         told,
         [
-            Ok((Effect::Safe, elements[0].clone().into_bytes())),
+            Ok((RetrySafety::Idempotent, elements[0].clone().into_bytes())),
             Err(Code::SubscriptionUnsupported),
-            Ok((Effect::Unsafe, elements[2].clone().into_bytes())),
+            Ok((RetrySafety::NonIdempotent, elements[2].clone().into_bytes())),
             Err(Code::BadRequest),
         ]
     );
@@ -169,11 +169,11 @@
 
 #[test]
 fn safe_operations_run_beside_each_other_and_others_alone() {
-    let keyed = Effect::Keyed {
-        scope: madderloom_balancer::Scope::All,
+    let keyed = RetrySafety::IdempotentWithKey {
+        scope: madderloom_balancer::DeduplicationScope::All,
         window: 1,
     };
-    let (s, u) = (Effect::Safe, Effect::Unsafe);
+    let (s, u) = (RetrySafety::Idempotent, RetrySafety::NonIdempotent);
     assert_eq!(
         stages(&[s, s, u, s, keyed, u, s, s]),
         [0..2, 2..3, 3..4, 4..5, 5..6, 6..8]
@@ -311,7 +311,7 @@
                 }
             };
             prop_assert_eq!(std::str::from_utf8(part.body), Ok(bytes.as_str()));
-            let wanted = if *document == "{a}" { Effect::Safe } else { Effect::Unsafe };
+            let wanted = if *document == "{a}" { RetrySafety::Idempotent } else { RetrySafety::NonIdempotent };
             prop_assert_eq!(part.classed.effect, wanted);
             let (answer, told) = match fate {
                 Fate::Answered(status, body) => {
--- a/crates/graphql/tests/common/mod.rs
+++ b/crates/graphql/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)] // each test file uses a part of it
 
 use http::{HeaderMap, HeaderName, HeaderValue, Method, header};
-use madderloom_balancer::{Effect, Scope};
+use madderloom_balancer::{DeduplicationScope, RetrySafety};
 use madderloom_config_reader::Document;
 use madderloom_graphql::*;
 use proptest::prelude::ProptestConfig;
@@ -51,14 +51,18 @@
 "#;
 
 pub fn classes() -> Vec<ClassInfo> {
-    let keyed = |scope, window| Effect::Keyed { scope, window };
+    let keyed = |scope, window| RetrySafety::IdempotentWithKey { scope, window };
     let classes = [
-        ("read", Effect::Safe, 400_000),
-        ("board", Effect::Safe, 5_000_000),
-        ("file", Effect::Unsafe, 800_000),
-        ("file-slow", Effect::Unsafe, 9_000_000),
-        ("keyed", keyed(Scope::All, 10_000_000), 800_000),
-        ("keyed-cell", keyed(Scope::Cell, 5_000_000), 800_000),
+        ("read", RetrySafety::Idempotent, 400_000),
+        ("board", RetrySafety::Idempotent, 5_000_000),
+        ("file", RetrySafety::NonIdempotent, 800_000),
+        ("file-slow", RetrySafety::NonIdempotent, 9_000_000),
+        ("keyed", keyed(DeduplicationScope::All, 10_000_000), 800_000),
+        (
+            "keyed-cell",
+            keyed(DeduplicationScope::Cell, 5_000_000),
+            800_000,
+        ),
     ];
     classes
         .map(|(name, effect, aim)| ClassInfo {
--- a/crates/graphql/tests/common/probe.rs
+++ b/crates/graphql/tests/common/probe.rs
@@ -2,7 +2,7 @@
 
 use crate::oracle::{self, Kind};
 use http::{HeaderMap, HeaderValue, Method, header};
-use madderloom_balancer::{Effect, Scope};
+use madderloom_balancer::{DeduplicationScope, RetrySafety};
 use madderloom_graphql::section::{EffectName, Mutation};
 use madderloom_graphql::{
     ClassInfo, Front, Media, Message, PartAnswer, Plan, Policy, Section, join, judge,
@@ -15,13 +15,13 @@
         effect,
         aim: 1,
     };
-    let keyed = Effect::Keyed {
-        scope: Scope::All,
+    let keyed = RetrySafety::IdempotentWithKey {
+        scope: DeduplicationScope::All,
         window: 1,
     };
     let classes = [
-        class("read", Effect::Safe),
-        class("file", Effect::Unsafe),
+        class("read", RetrySafety::Idempotent),
+        class("file", RetrySafety::NonIdempotent),
         class("keyed", keyed),
     ];
     let mut section = Section {
@@ -108,12 +108,12 @@
         }
     };
     match front(split).take(&message) {
-        Ok(Plan::Whole { classed, .. }) if classed.effect == Effect::Safe => safe(body),
+        Ok(Plan::Whole { classed, .. }) if classed.effect == RetrySafety::Idempotent => safe(body),
         Ok(Plan::Split(parts)) => {
             for part in parts
                 .into_iter()
                 .flatten()
-                .filter(|part| part.classed.effect == Effect::Safe)
+                .filter(|part| part.classed.effect == RetrySafety::Idempotent)
             {
                 safe(part.body);
             }
--- a/crates/graphql/tests/what_is_not_certain_is_unsafe.rs
+++ b/crates/graphql/tests/what_is_not_certain_is_unsafe.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use http::header;
-use madderloom_balancer::Effect;
+use madderloom_balancer::RetrySafety;
 use madderloom_graphql::*;
 use serde_json::json;
 
@@ -673,5 +673,5 @@
 #[test]
 fn a_class_has_its_own_effect() {
     let mutation = classed(&mut front(), &Sent::post(text("mutation { a }")));
-    assert_eq!(mutation.effect, Effect::Unsafe);
+    assert_eq!(mutation.effect, RetrySafety::NonIdempotent);
 }
--- a/crates/lab/examples/night.rs
+++ b/crates/lab/examples/night.rs
@@ -6,7 +6,7 @@
 //! ```
 
 use madderloom_balancer::{
-    Action, Event, Members, Micros, Note, Outcome, RequestId, ServerId, ServerState,
+    Action, DiscoveryUpdate, Event, LogEvent, Micros, Outcome, RequestId, ServerId, ServerState,
 };
 use madderloom_endpoint_history::{
     Anomaly, CompletedAttempt, EndpointEvent, EndpointHistory, ListedEndpoint, Settings, Subject,
@@ -67,7 +67,9 @@
             self.next += S;
         }
         match event {
-            Event::Members(Members::Full(all) | Members::Changes(all)) => {
+            Event::DiscoveryUpdated(
+                DiscoveryUpdate::FullList(all) | DiscoveryUpdate::ListChanges(all),
+            ) => {
                 for server in *all {
                     if server.state == ServerState::Gone {
                         self.story.endpoint_left(now, server.server);
@@ -81,10 +83,10 @@
                     }
                 }
             }
-            Event::Request(new) => {
-                self.open.insert(new.id, (new.class, new.cost));
+            Event::RequestReceived(new) => {
+                self.open.insert(new.id, (new.class, new.cost_hint));
             }
-            Event::Closed(closed) => {
+            Event::AttemptEnded(closed) => {
                 let (class, hint) = self.open.get(&closed.request).copied().unwrap_or((0, None));
                 let (mean, count) = &mut self.hints;
                 let size = hint.map_or(1.0, |hint| {
@@ -108,26 +110,29 @@
                 };
                 self.story
                     .record_attempt(now, (now / (60 * S) % 1_440) as u16, &seen);
-                if closed.ended {
+                if closed.request_ended {
                     self.open.remove(&closed.request);
                 }
             }
-            Event::Probed(server, Some(report)) => {
-                self.story.record_load_report(now, *server, report.held, 0)
+            Event::ProbeCompleted(server, Some(report)) => {
+                self.story
+                    .record_load_report(now, *server, report.in_flight, 0)
             }
             _ => {}
         }
     }
 
-    fn noted(&mut self, now: Micros, note: Note) {
+    fn noted(&mut self, now: Micros, note: LogEvent) {
         let (id, what, words) = match note {
-            Note::Ejected(id, outcome) => (id, EndpointEvent::Ejected(outcome), ejected(outcome)),
-            Note::Restored(id) => (
+            LogEvent::ServerEjected(id, outcome) => {
+                (id, EndpointEvent::Ejected(outcome), ejected(outcome))
+            }
+            LogEvent::ServerRestored(id) => (
                 id,
                 EndpointEvent::Restored,
                 "is trusted again after its trial",
             ),
-            Note::Overload(_) | Note::DiscoveryFailed => return,
+            LogEvent::ClassOverloaded(_) | LogEvent::DiscoveryFailed => return,
         };
         self.story.record_event(now, id, what);
         self.told.push((now, format!("{} {words}", self.name(id))));
--- a/crates/lab/examples/throughput.rs
+++ b/crates/lab/examples/throughput.rs
@@ -3,7 +3,7 @@
 //! `cargo run --release -p madderloom-lab --example throughput [fleet]`. With `fleet`, 2,000 instances and 200 servers
 //! get 20,000 requests a second for 60 virtual seconds.
 
-use madderloom_balancer::{Action, Event, Members, Micros, ServerId};
+use madderloom_balancer::{Action, DiscoveryUpdate, Event, Micros, ServerId};
 use madderloom_config_reader::Span;
 use madderloom_lab::experiment::{Arm, Class, Experiment, ServerKind};
 use madderloom_lab::policy::{self, Maker, Policy, Start};
@@ -20,10 +20,10 @@
 impl Policy for InTurn {
     fn handle(&mut self, _now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
         match event {
-            Event::Members(Members::Full(list)) => {
+            Event::DiscoveryUpdated(DiscoveryUpdate::FullList(list)) => {
                 self.servers = list.iter().map(|l| l.server).collect()
             }
-            Event::Request(new) => {
+            Event::RequestReceived(new) => {
                 self.next = (self.next + 1) % self.servers.len();
                 let server = self.servers[self.next];
                 actions.push(Action::Send {
@@ -33,8 +33,8 @@
                     write_by: Micros::MAX,
                 });
             }
-            Event::Closed(closed) if !closed.ended => {
-                actions.push(Action::Refuse {
+            Event::AttemptEnded(closed) if !closed.request_ended => {
+                actions.push(Action::Reject {
                     request: closed.request,
                     retry_after: None,
                 });
--- a/crates/lab/examples/warm_restart.rs
+++ b/crates/lab/examples/warm_restart.rs
@@ -7,7 +7,7 @@
 //! are ill from 5 s on and stay so. At 40 s all instances are killed; they come back after 0.5 s. Arms are paired by
 //! seed. A snapshot is taken every 5 s, as `[state] warm_every` has it by default, and weighed as it is there.
 
-use madderloom_balancer::{Action, Balancer, Event, Memory, Micros, ServerMemory};
+use madderloom_balancer::{Action, Balancer, Event, Measurements, Micros, ServerMeasurements};
 use madderloom_config_reader::Span;
 use madderloom_lab::experiment::{Arm, Experiment, Fault, FaultKind};
 use madderloom_lab::policy::{Policy, Start};
@@ -30,7 +30,7 @@
 const SEEDS: u64 = 30;
 
 /// The last snapshot of each instance.
-type Store = Rc<RefCell<BTreeMap<u32, (WarmStartSnapshot, Vec<ServerMemory>)>>>;
+type Store = Rc<RefCell<BTreeMap<u32, (WarmStartSnapshot, Vec<ServerMeasurements>)>>>;
 
 /// The decision module with what a sidecar does of the warm start around it.
 struct Warmed {
@@ -39,12 +39,12 @@
     store: Store,
     /// A snapshot counts as so much older than it is.
     older: Micros,
-    left: Option<Vec<ServerMemory>>,
+    left: Option<Vec<ServerMeasurements>>,
     next: Micros,
 }
 
 impl Warmed {
-    fn begin(&mut self, now: Micros) -> Vec<ServerMemory> {
+    fn begin(&mut self, now: Micros) -> Vec<ServerMeasurements> {
         let store = self.store.borrow();
         let Some((warm, servers)) = store.get(&self.instance) else {
             return Vec::new();
@@ -53,59 +53,60 @@
         if recalled.weight == 0.0 {
             return Vec::new();
         }
-        let guess = self.inner.memory(now);
+        let guess = self.inner.measurements(now);
         let mixed = |guess: f64, kept: f64| blend(guess, kept, recalled.weight);
-        let mut memory = Memory {
+        let mut memory = Measurements {
             servers: Vec::new(),
             ..guess.clone()
         };
         for (class, kept) in memory.classes.iter_mut().zip(&recalled.classes) {
-            (class.usual, class.slow) = (
-                mixed(class.usual, kept.usual_work),
-                mixed(class.slow, kept.slow_time),
+            (class.service_time, class.tail_latency) = (
+                mixed(class.service_time, kept.usual_work),
+                mixed(class.tail_latency, kept.slow_time),
             );
         }
-        memory.means = (
-            mixed(guess.means.0, recalled.means.work),
-            mixed(guess.means.1, recalled.means.answer_time),
+        memory.mean_work_and_time = (
+            mixed(guess.mean_work_and_time.0, recalled.means.work),
+            mixed(guess.mean_work_and_time.1, recalled.means.answer_time),
         );
-        self.inner.recall_classes(&memory);
-        let faded = servers
-            .iter()
-            .zip(&recalled.servers)
-            .map(|(server, kept)| ServerMemory {
-                work: kept.work,
-                time: kept.attempt_time,
-                failures: kept.consecutive_failures,
-                ejected: kept.ejection_left,
-                ejection: kept.ejection_time,
-                ..*server
-            });
+        self.inner.restore_class_measurements(&memory);
+        let faded =
+            servers
+                .iter()
+                .zip(&recalled.servers)
+                .map(|(server, kept)| ServerMeasurements {
+                    work: kept.work,
+                    attempt_time: kept.attempt_time,
+                    failure_score: kept.consecutive_failures,
+                    ejection_remaining: kept.ejection_left,
+                    ejection_duration: kept.ejection_time,
+                    ..*server
+                });
         faded.collect()
     }
 
     fn write(&self, now: Micros) {
-        let memory = self.inner.memory(now);
-        let server = |s: &ServerMemory| ServerSnapshot {
+        let memory = self.inner.measurements(now);
+        let server = |s: &ServerMeasurements| ServerSnapshot {
             name: s.server.0.to_string(),
             work: s.work,
-            attempt_time: s.time,
-            consecutive_failures: s.failures,
-            ejection_left: s.ejected,
-            ejection_time: s.ejection,
+            attempt_time: s.attempt_time,
+            consecutive_failures: s.failure_score,
+            ejection_left: s.ejection_remaining,
+            ejection_time: s.ejection_duration,
             ..ServerSnapshot::default()
         };
         let warm = WarmStartSnapshot {
             taken_at: now,
-            means: Means::from(memory.means),
+            means: Means::from(memory.mean_work_and_time),
             servers: memory.servers.iter().map(server).collect(),
             classes: memory
                 .classes
                 .iter()
                 .map(|class| ClassSnapshot {
                     name: String::new(),
-                    usual_work: class.usual,
-                    slow_time: class.slow,
+                    usual_work: class.service_time,
+                    slow_time: class.tail_latency,
                 })
                 .collect(),
         };
@@ -121,10 +122,10 @@
             Some(left) => left,
             None => self.begin(now),
         };
-        let listed = matches!(event, Event::Members(_));
+        let listed = matches!(event, Event::DiscoveryUpdated(_));
         self.inner.handle(now, event, actions);
         if listed {
-            left.retain(|server| !self.inner.recall_server(now, server));
+            left.retain(|server| !self.inner.restore_server_measurements(now, server));
         }
         self.left = Some(left);
         if now >= self.next {
--- a/crates/lab/src/judge.rs
+++ b/crates/lab/src/judge.rs
@@ -18,7 +18,7 @@
 use crate::record::Breach;
 use crate::world::{ASK_WITHIN, World};
 use foldhash::fast::FixedState;
-use madderloom_balancer::{Listed, Micros, Outcome, RequestId, ServerId, ServerState};
+use madderloom_balancer::{Micros, Outcome, RequestId, ServerEntry, ServerId, ServerState};
 use madderloom_config_reader::Span;
 use smallvec::SmallVec;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -232,7 +232,7 @@
             self.breach_of(now, DROPPED, id);
         }
         let book = &self.books[&id];
-        let may_have_run = |s: &&Sent| !s.outcome.is_some_and(Outcome::proves_not_run);
+        let may_have_run = |s: &&Sent| !s.outcome.is_some_and(Outcome::proves_not_executed);
         if let Some(first) = book.sent.iter().find(may_have_run) {
             let (_, effect, window) = self.classes[class as usize];
             let repeats = match effect {
@@ -348,7 +348,7 @@
     pub fn refused(&mut self, now: Micros, id: RequestId) {
         let harmful = self.books.get(&id).is_some_and(|book| {
             let effect = self.classes[book.class as usize].1;
-            let may_have_run = |s: &Sent| !s.outcome.is_some_and(Outcome::proves_not_run);
+            let may_have_run = |s: &Sent| !s.outcome.is_some_and(Outcome::proves_not_executed);
             effect == Effect::Unsafe && book.sent.iter().any(may_have_run)
         });
         if harmful {
@@ -395,7 +395,7 @@
     // ---- Servers ----
 
     /// Discovery lists this of a server from now on.
-    pub fn published(&mut self, now: Micros, listed: &Listed) {
+    pub fn published(&mut self, now: Micros, listed: &ServerEntry) {
         let Some(server) = self.places.get(&listed.server) else {
             return;
         };
@@ -406,7 +406,7 @@
         } else {
             None
         };
-        if let Some(started) = listed.started
+        if let Some(started) = listed.started_at
             && book.started.is_none_or(|(last, _)| last != started)
         {
             book.started = Some((started, now));
@@ -414,7 +414,7 @@
     }
 
     /// An instance was told this of servers; of all of them where it is a whole list.
-    pub fn told(&mut self, now: Micros, instance: u32, listed: &[Listed], whole: bool) {
+    pub fn told(&mut self, now: Micros, instance: u32, listed: &[ServerEntry], whole: bool) {
         let mut missing = whole.then(|| vec![true; self.servers.len()]);
         for entry in listed {
             let Some(server) = self.places.get(&entry.server).copied() else {
@@ -424,7 +424,7 @@
                 missing[server as usize] = false;
             }
             let leaves = entry.state != ServerState::Ready;
-            if !leaves && entry.started.is_none() {
+            if !leaves && entry.started_at.is_none() {
                 self.told.remove(&(instance, server));
                 continue;
             }
@@ -434,7 +434,7 @@
             } else {
                 None
             };
-            told.started = entry.started.or(told.started);
+            told.started = entry.started_at.or(told.started);
         }
         for server in missing
             .into_iter()
--- a/crates/lab/src/leveled.rs
+++ b/crates/lab/src/leveled.rs
@@ -6,7 +6,9 @@
 use crate::experiment::{Arm, Class, Effect, Experiment};
 use crate::policy::{Policy, Start};
 use foldhash::fast::FixedState;
-use madderloom_balancer::{Action, Balancer, Event, Members, Micros, Outcome, RequestId, place};
+use madderloom_balancer::{
+    Action, Balancer, DiscoveryUpdate, Event, Micros, Outcome, RequestId, key_position,
+};
 use madderloom_degradation::{
     ClassTraits, EVALUATION_INTERVAL, ExternalSignals, LevelChange, LevelController, RequestEnd,
 };
@@ -51,9 +53,9 @@
     let aims = settings
         .classes
         .iter()
-        .map(|class| (class.aim, class.aim_stretch))
+        .map(|class| (class.latency_objective, class.latency_objective_stretch))
         .collect();
-    let keeper = LevelController::new(checked, names, place(start.seed), 0);
+    let keeper = LevelController::new(checked, names, key_position(start.seed), 0);
     let inner = Balancer::new(settings, start.seed).map_err(|e| e.to_string())?;
     let (open, list_failed) = (HashMap::default(), None);
     Ok(Box::new(Leveled {
@@ -90,13 +92,16 @@
     fn look(&mut self, now: Micros, actions: &mut Vec<Action>) {
         self.look = now + EVALUATION_INTERVAL;
         let outside = ExternalSignals {
-            failing_servers: self.inner.failing(now),
+            failing_servers: self.inner.failing_server_share(now),
             list_age: Some(self.list_failed.map_or(0, |since| now - since)),
             ..ExternalSignals::default()
         };
         if let Some(change) = self.keeper.evaluate(now, &outside) {
-            self.inner
-                .handle(now, Event::Level(self.keeper.reduced()), actions);
+            self.inner.handle(
+                now,
+                Event::DegradationChanged(self.keeper.reduced()),
+                actions,
+            );
             if let Some(told) = &self.told {
                 told(self.instance, &change);
             }
@@ -123,12 +128,13 @@
         if now >= self.look {
             self.look(now, actions);
         }
-        let (done, given_up) = (actions.len(), self.inner.given_up());
+        let (done, given_up) = (actions.len(), self.inner.shed_requests());
         match &event {
-            Event::Request(new) => {
+            Event::RequestReceived(new) => {
                 let class = new.class as usize;
                 let (aim, stretch) = self.aims.get(class).copied().unwrap_or((Micros::MAX, 0.0));
-                let aim = aim.saturating_add((stretch * new.cost.unwrap_or(0) as f64) as Micros);
+                let aim =
+                    aim.saturating_add((stretch * new.cost_hint.unwrap_or(0) as f64) as Micros);
                 self.open.insert(
                     new.id,
                     Open {
@@ -138,7 +144,7 @@
                     },
                 );
             }
-            Event::Closed(closed) => {
+            Event::AttemptEnded(closed) => {
                 self.keeper.attempt_ended(now, closed);
                 if closed.outcome == Outcome::Ok {
                     self.ended(now, closed.request, |elapsed, aim| {
@@ -146,19 +152,19 @@
                     });
                 }
             }
-            Event::ClientGone(id) => self.ended(now, *id, RequestEnd::abandoned),
-            Event::Members(Members::Failed { .. }) => {
+            Event::ClientDisconnected(id) => self.ended(now, *id, RequestEnd::abandoned),
+            Event::DiscoveryUpdated(DiscoveryUpdate::CallFailed { .. }) => {
                 self.list_failed = self.list_failed.or(Some(now))
             }
-            Event::Members(Members::Silent { .. }) => {}
-            Event::Members(_) => self.list_failed = None,
+            Event::DiscoveryUpdated(DiscoveryUpdate::CallUnanswered { .. }) => {}
+            Event::DiscoveryUpdated(_) => self.list_failed = None,
             _ => {}
         }
         self.inner.handle(now, event, actions);
-        let level = self.inner.given_up() > given_up;
+        let level = self.inner.shed_requests() > given_up;
         for action in actions.get(done..).unwrap_or_default() {
             let (id, refused) = match action {
-                Action::Refuse { request, .. } => (*request, true),
+                Action::Reject { request, .. } => (*request, true),
                 Action::Fail { request } => (*request, false),
                 _ => continue,
             };
--- a/crates/lab/src/model/discovery.rs
+++ b/crates/lab/src/model/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery: the list of servers, known late; calls that wait their turn; watches that end when it goes down.
 
 use crate::experiment;
-use madderloom_balancer::{Listed, Micros};
+use madderloom_balancer::{Micros, ServerEntry};
 
 /// One way between an instance and discovery.
 pub const HOP: Micros = 500;
@@ -32,8 +32,8 @@
 /// The discovery service of a run.
 pub struct Discovery {
     spec: experiment::Discovery,
-    base: Vec<Listed>,
-    log: Vec<Listed>,
+    base: Vec<ServerEntry>,
+    log: Vec<ServerEntry>,
     /// When the call that was last taken in will have been worked off.
     busy_until: Micros,
     down: bool,
@@ -46,7 +46,7 @@
 
 impl Discovery {
     /// One that lists these servers, for so many instances, all of which hold this list.
-    pub fn new(spec: &experiment::Discovery, servers: Vec<Listed>, instances: usize) -> Self {
+    pub fn new(spec: &experiment::Discovery, servers: Vec<ServerEntry>, instances: usize) -> Self {
         Discovery {
             spec: spec.clone(),
             base: servers,
@@ -69,12 +69,12 @@
     }
 
     /// A change is known now. Whoever watches is to be told.
-    pub fn change(&mut self, listed: Listed) {
+    pub fn change(&mut self, listed: ServerEntry) {
         self.log.push(listed);
     }
 
     /// The list entry of a server as it stands.
-    pub fn listed(&self, at: usize) -> Listed {
+    pub fn listed(&self, at: usize) -> ServerEntry {
         let first = self.base[at];
         self.log
             .iter()
@@ -143,7 +143,7 @@
 
     /// What an instance is to be told, and that it now holds it. For `Full` the whole list, for `Changes` the entries
     /// that changed.
-    pub fn news(&mut self, instance: u32, news: News) -> std::borrow::Cow<'_, [Listed]> {
+    pub fn news(&mut self, instance: u32, news: News) -> std::borrow::Cow<'_, [ServerEntry]> {
         let held = &mut self.held[instance as usize];
         let (epoch, version) = std::mem::replace(held, (self.epoch, self.log.len()));
         match news {
@@ -157,7 +157,7 @@
     }
 
     /// What an instance holds from its last life, for its start.
-    pub fn saved(&self, instance: u32) -> Vec<Listed> {
+    pub fn saved(&self, instance: u32) -> Vec<ServerEntry> {
         let (epoch, version) = self.held[instance as usize];
         self.list(if epoch == self.epoch {
             version
@@ -202,7 +202,7 @@
         ended
     }
 
-    fn list(&self, version: usize) -> Vec<Listed> {
+    fn list(&self, version: usize) -> Vec<ServerEntry> {
         let mut list = self.base.clone();
         let at: std::collections::BTreeMap<_, _> =
             list.iter().zip(0..).map(|(l, at)| (l.server, at)).collect();
--- a/crates/lab/src/model/server.rs
+++ b/crates/lab/src/model/server.rs
@@ -8,7 +8,7 @@
 use crate::policy::ServerTruth;
 use crate::seeds::Random;
 use foldhash::fast::FixedState;
-use madderloom_balancer::{Micros, Report};
+use madderloom_balancer::{LoadReport, Micros};
 use rand::RngExt;
 use rand_distr::{Distribution, LogNormal};
 use std::collections::{HashMap, VecDeque};
@@ -284,7 +284,7 @@
     cold_sum: f64,
     keys: HashMap<u64, Micros, FixedState>,
     key_order: VecDeque<(Micros, u64)>,
-    snapshots: VecDeque<(Micros, Report)>,
+    snapshots: VecDeque<(Micros, LoadReport)>,
     next_snapshot: Micros,
     errors: u32,
     done: Done,
@@ -545,7 +545,7 @@
     }
 
     /// It is asked for its load; none where it does not answer or keeps no reports.
-    pub fn probe(&mut self, now: Micros, out: &mut Vec<Output>) -> Option<Report> {
+    pub fn probe(&mut self, now: Micros, out: &mut Vec<Output>) -> Option<LoadReport> {
         self.catch_up(now, out);
         if !self.is_up() || self.hung {
             return None;
@@ -574,9 +574,9 @@
             Some(noise) => noise.sample(&mut self.random),
             None => 1.0,
         };
-        Some(Report {
-            held: report.held * factor,
-            errors: report.errors * factor,
+        Some(LoadReport {
+            in_flight: report.in_flight * factor,
+            errors_per_second: report.errors_per_second * factor,
         })
     }
 
@@ -1039,9 +1039,9 @@
             let first = due.saturating_sub(SNAPSHOTS as u64 - 1);
             for number in first..=due {
                 let errors = if number == 0 { errors } else { 0.0 };
-                let report = Report {
-                    held: f64::from(self.held),
-                    errors,
+                let report = LoadReport {
+                    in_flight: f64::from(self.held),
+                    errors_per_second: errors,
                 };
                 self.snapshots
                     .push_back((self.next_snapshot + number * every, report));
--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/play.rs
@@ -115,7 +115,7 @@
 
 impl Policy for Panics {
     fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
-        if let Event::Request(_) = event {
+        if let Event::RequestReceived(_) = event {
             assert!(self.left > 0, "the policy `{PANICS}` panics on purpose");
             self.left -= 1;
         }
