--- a/crates/lab/src/rivals/chassis.rs
+++ b/crates/lab/src/rivals/chassis.rs
@@ -59,17 +59,17 @@
     fn sent(&mut self, _now: Micros, _server: ServerId, _attempt: (RequestId, u32)) {}
 
     /// An attempt is over. `class` is that of its request.
-    fn closed(&mut self, _now: Micros, _class: u32, _closed: &Closed, _fleet: &Fleet) {}
+    fn closed(&mut self, _now: Micros, _class: u32, _closed: &AttemptResult, _fleet: &Fleet) {}
 
     /// A probe has ended.
-    fn probed(&mut self, _now: Micros, _server: ServerId, _report: Option<Report>) {}
+    fn probed(&mut self, _now: Micros, _server: ServerId, _report: Option<LoadReport>) {}
 }
 
 /// A server as an instance knows it.
 #[derive(Clone, Copy, Debug)]
 pub struct Member {
     /// As it was last listed.
-    pub listed: Listed,
+    pub listed: ServerEntry,
     /// Own attempts that are out there.
     pub out: u32,
 }
@@ -122,7 +122,7 @@
     }
 
     /// Takes over news; gives back the servers that are gone or have started again.
-    fn update(&mut self, whole: bool, list: &[Listed]) -> Vec<ServerId> {
+    fn update(&mut self, whole: bool, list: &[ServerEntry]) -> Vec<ServerId> {
         let mut forget = Vec::new();
         if whole {
             self.members
@@ -134,7 +134,7 @@
                 listed: *listed,
                 out: 0,
             });
-            if listed.started > member.listed.started {
+            if listed.started_at > member.listed.started_at {
                 forget.push(listed.server);
             }
             member.listed = *listed;
@@ -198,14 +198,14 @@
 }
 
 struct Attempt {
-    to: Listed,
+    to: ServerEntry,
     sent: Micros,
     outcome: Option<Outcome>,
 }
 
 impl Attempt {
     fn may_have_run(&self) -> bool {
-        !self.outcome.is_some_and(Outcome::proves_not_run)
+        !self.outcome.is_some_and(Outcome::proves_not_executed)
     }
 }
 
@@ -268,21 +268,23 @@
             self.ask_later(now, actions);
         }
         match event {
-            Event::Members(news) => self.members(now, news, actions),
-            Event::Request(new) => self.request(now, new, actions),
-            Event::Begun { request, .. } => self.conclude(request),
-            Event::Closed(closed) => self.closed(now, closed, actions),
-            Event::Probed(server, report) => self.choice.probed(now, server, report),
-            Event::ClientGone(id) => self.settle(id, actions),
-            Event::Timer(Timer::Request(id)) => self.due(now, id, actions),
-            Event::Timer(Timer::Discovery) => {
+            Event::DiscoveryUpdated(news) => self.members(now, news, actions),
+            Event::RequestReceived(new) => self.request(now, new, actions),
+            Event::ResponseStreamStarted { request, .. } => self.conclude(request),
+            Event::AttemptEnded(closed) => self.closed(now, closed, actions),
+            Event::ProbeCompleted(server, report) => self.choice.probed(now, server, report),
+            Event::ClientDisconnected(id) => self.settle(id, actions),
+            Event::TimerFired(Timer::Request(id)) => self.due(now, id, actions),
+            Event::TimerFired(Timer::Discovery) => {
                 self.asking = false;
-                actions.push(Action::Subscribe);
+                actions.push(Action::PollDiscovery);
             }
             // Rivals know no levels: the check lets no arm of theirs have any.
-            Event::Level(_) | Event::Settings(_) => {}
+            Event::DegradationChanged(_) | Event::SettingsChanged(_) => {}
             // The lab's bodies are whole when they come.
-            Event::Coming(_) | Event::Came(_) | Event::Spent(_) => {}
+            Event::RequestBodyStarted(_)
+            | Event::RequestBodyReceived(_)
+            | Event::RetriesDisabled(_) => {}
         }
     }
 }
@@ -324,16 +326,16 @@
         }
     }
 
-    fn members(&mut self, now: Micros, news: Members<'_>, actions: &mut Vec<Action>) {
+    fn members(&mut self, now: Micros, news: DiscoveryUpdate<'_>, actions: &mut Vec<Action>) {
         let (whole, list) = match news {
-            Members::Failed { .. } => {
-                actions.push(Action::Log(Note::DiscoveryFailed));
+            DiscoveryUpdate::CallFailed { .. } => {
+                actions.push(Action::Log(LogEvent::DiscoveryFailed));
                 return self.ask_later(now, actions);
             }
             // It is told how calls end, and by lists.
-            Members::Silent { .. } | Members::Watching => return,
-            Members::Full(list) => (true, list),
-            Members::Changes(list) => (false, list),
+            DiscoveryUpdate::CallUnanswered { .. } | DiscoveryUpdate::WatchOpened => return,
+            DiscoveryUpdate::FullList(list) => (true, list),
+            DiscoveryUpdate::ListChanges(list) => (false, list),
         };
         self.ask_wait = ASK_AGAIN.0;
         self.known = true;
@@ -396,11 +398,11 @@
     fn may_send(&self, now: Micros, open: &Open) -> bool {
         let harmless = match (
             open.first_run(),
-            self.settings.classes[open.new.class as usize].effect,
+            self.settings.classes[open.new.class as usize].retry_safety,
         ) {
-            (None, _) | (_, Effect::Safe) => true,
-            (Some(_), Effect::Unsafe) => false,
-            (Some(first), Effect::Keyed { window, .. }) => {
+            (None, _) | (_, RetrySafety::Idempotent) => true,
+            (Some(_), RetrySafety::NonIdempotent) => false,
+            (Some(first), RetrySafety::IdempotentWithKey { window, .. }) => {
                 now.saturating_add(self.settings.tick) < first.sent.saturating_add(window)
             }
         };
@@ -412,7 +414,7 @@
     /// The servers that may have a request's next attempt: of its group, if it has one, those not yet tried, or if
     /// there are none left, those tried.
     fn candidates(&self, open: &Open) -> Vec<ServerId> {
-        let effect = self.settings.classes[open.new.class as usize].effect;
+        let effect = self.settings.classes[open.new.class as usize].retry_safety;
         let in_group = |id: &ServerId| {
             let Some(listed) = self.fleet.get(*id).map(|m| m.listed) else {
                 return false;
@@ -420,14 +422,16 @@
             match (open.first_run().map(|a| a.to), effect) {
                 (
                     Some(first),
-                    Effect::Keyed {
-                        scope: Scope::Zone, ..
+                    RetrySafety::IdempotentWithKey {
+                        scope: DeduplicationScope::Zone,
+                        ..
                     },
                 ) => first.zone == listed.zone,
                 (
                     Some(first),
-                    Effect::Keyed {
-                        scope: Scope::Cell, ..
+                    RetrySafety::IdempotentWithKey {
+                        scope: DeduplicationScope::Cell,
+                        ..
                     },
                 ) => first.cell == listed.cell,
                 _ => true,
@@ -481,7 +485,7 @@
         });
     }
 
-    fn closed(&mut self, now: Micros, closed: Closed, actions: &mut Vec<Action>) {
+    fn closed(&mut self, now: Micros, closed: AttemptResult, actions: &mut Vec<Action>) {
         let Some(open) = self.requests.get_mut(&closed.request) else {
             return;
         };
@@ -502,7 +506,7 @@
         let Some(open) = self.requests.get(&closed.request) else {
             return;
         };
-        if closed.ended || open.stage == Stage::Settled || closed.outcome == Outcome::Ok {
+        if closed.request_ended || open.stage == Stage::Settled || closed.outcome == Outcome::Ok {
             self.settle(closed.request, actions);
         } else if !open.live() {
             self.retry(now, closed.request, actions);
@@ -573,7 +577,7 @@
     fn refuse(&self, request: RequestId, actions: &mut Vec<Action>) {
         let limits = self.settings.limits;
         let advised = limits.retry_after && self.stakes.retry_after;
-        actions.push(Action::Refuse {
+        actions.push(Action::Reject {
             request,
             retry_after: advised.then_some(limits.max_retry_after),
         });
@@ -584,7 +588,8 @@
         let Some(open) = self.requests.get(&id) else {
             return;
         };
-        let safe = self.settings.classes[open.new.class as usize].effect == Effect::Safe;
+        let safe =
+            self.settings.classes[open.new.class as usize].retry_safety == RetrySafety::Idempotent;
         if safe || open.first_run().is_none() {
             self.refuse(id, actions);
         } else {
--- a/crates/lab/src/rivals/envoy.rs
+++ b/crates/lab/src/rivals/envoy.rs
@@ -3,7 +3,7 @@
 use super::chassis::{Choice, Fleet};
 use super::figures::Figures;
 use super::random::draw;
-use madderloom_balancer::{Closed, Micros, NewRequest, Outcome, Report, ServerId};
+use madderloom_balancer::{AttemptResult, LoadReport, Micros, NewRequest, Outcome, ServerId};
 use oorandom::Rand64;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -51,7 +51,7 @@
 
     /// What a host weighs in the schedule.
     pub fn weight(&self, now: Micros, server: ServerId, fleet: &Fleet) -> f64 {
-        let started = fleet.get(server).and_then(|m| m.listed.started);
+        let started = fleet.get(server).and_then(|m| m.listed.started_at);
         let warmth = match started.map(|at| now.saturating_sub(at) as f64) {
             Some(age) if age < self.slow_start => (age / self.slow_start)
                 .powf(1.0 / self.aggression)
@@ -102,7 +102,7 @@
         self.unequal = weights.any(|w| Some(w) != first);
         let started = ready
             .iter()
-            .filter_map(|id| fleet.get(*id)?.listed.started)
+            .filter_map(|id| fleet.get(*id)?.listed.started_at)
             .max();
         let window = |at: Micros| {
             if self.slow_start > 0.0 {
@@ -304,7 +304,7 @@
         self.inner.sent(now, server, attempt);
     }
 
-    fn closed(&mut self, now: Micros, class: u32, closed: &Closed, fleet: &Fleet) {
+    fn closed(&mut self, now: Micros, class: u32, closed: &AttemptResult, fleet: &Fleet) {
         self.inner.closed(now, class, closed, fleet);
         self.check(now, fleet);
         if matches!(closed.outcome, Outcome::Moot | Outcome::Cancelled)
@@ -322,7 +322,7 @@
         }
     }
 
-    fn probed(&mut self, now: Micros, server: ServerId, report: Option<Report>) {
+    fn probed(&mut self, now: Micros, server: ServerId, report: Option<LoadReport>) {
         self.inner.probed(now, server, report);
     }
 }
--- a/crates/lab/src/rivals/mod.rs
+++ b/crates/lab/src/rivals/mod.rs
@@ -165,18 +165,18 @@
 
 /// Settings of some sound site.
 fn sound() -> Settings {
-    use madderloom_balancer::{Class, Effect, Limits, Prices, Rules};
+    use madderloom_balancer::{Class, Limits, Prices, RetrySafety, SafetyRules};
     Settings {
         group_size: 1,
         zone: 0,
         tick: 1_000,
         classes: vec![Class {
-            aim: 1_000_000,
-            aim_stretch: 0.0,
+            latency_objective: 1_000_000,
+            latency_objective_stretch: 0.0,
             deadline: 1_000_000,
-            effect: Effect::Safe,
-            worth: 1.0,
-            late_worth: 0.0,
+            retry_safety: RetrySafety::Idempotent,
+            priority_weight: 1.0,
+            late_weight_share: 0.0,
         }],
         tenants: Vec::new(),
         discovery_on_request: true,
@@ -187,14 +187,14 @@
             max_retry_after: 0,
             max_attempts: 1,
         },
-        rules: Rules {
-            cold_from: 1.0,
-            cold: 0,
-            fall: 0,
-            ask_within: ASK_WITHIN,
+        rules: SafetyRules {
+            slow_start_min_share: 1.0,
+            slow_start_window: 0,
+            overload_window: 0,
+            max_poll_interval: ASK_WITHIN,
             drain_grace: 0,
         },
         prices: Prices::default(),
-        worth_by_work: false,
+        weight_per_work: false,
     }
 }
--- a/crates/lab/src/rivals/peak_ewma.rs
+++ b/crates/lab/src/rivals/peak_ewma.rs
@@ -3,7 +3,7 @@
 use super::chassis::{Choice, Fleet};
 use super::figures::Figures;
 use super::random::draw;
-use madderloom_balancer::{Closed, Micros, NewRequest, Outcome, ServerId};
+use madderloom_balancer::{AttemptResult, Micros, NewRequest, Outcome, ServerId};
 use oorandom::Rand64;
 use std::collections::BTreeMap;
 
@@ -98,7 +98,7 @@
         self.estimates.remove(&server);
     }
 
-    fn closed(&mut self, now: Micros, _: u32, closed: &Closed, _: &Fleet) {
+    fn closed(&mut self, now: Micros, _: u32, closed: &AttemptResult, _: &Fleet) {
         // A server that is gone has no entry, and gets none.
         if let Some(estimate) = self
             .estimates
--- a/crates/lab/src/rivals/prequal.rs
+++ b/crates/lab/src/rivals/prequal.rs
@@ -3,7 +3,7 @@
 use super::chassis::{Choice, Fleet};
 use super::figures::Figures;
 use super::random::draw;
-use madderloom_balancer::{Closed, Micros, NewRequest, Outcome, Report, ServerId};
+use madderloom_balancer::{AttemptResult, LoadReport, Micros, NewRequest, Outcome, ServerId};
 use oorandom::Rand64;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -270,7 +270,7 @@
         }
     }
 
-    fn closed(&mut self, _: Micros, _: u32, closed: &Closed, fleet: &Fleet) {
+    fn closed(&mut self, _: Micros, _: u32, closed: &AttemptResult, fleet: &Fleet) {
         let sent = self.sent.remove(&(closed.request, closed.attempt));
         let counts = matches!(closed.outcome, Outcome::Ok | Outcome::Timeout);
         if let Some(in_flight) = sent.filter(|_| counts && fleet.get(closed.server).is_some()) {
@@ -283,9 +283,9 @@
         }
     }
 
-    fn probed(&mut self, now: Micros, server: ServerId, report: Option<Report>) {
+    fn probed(&mut self, now: Micros, server: ServerId, report: Option<LoadReport>) {
         self.pool.retain(|p| p.server != server);
-        let Some(in_flight) = report.map(|r| r.held).filter(|held| held.is_finite()) else {
+        let Some(in_flight) = report.map(|r| r.in_flight).filter(|held| held.is_finite()) else {
             return;
         };
         self.seen.push_back(in_flight);
--- a/crates/lab/src/rivals/sighted.rs
+++ b/crates/lab/src/rivals/sighted.rs
@@ -3,7 +3,7 @@
 use super::chassis::{Choice, Fleet};
 use super::figures::Figures;
 use crate::policy::Truth;
-use madderloom_balancer::{Closed, Micros, NewRequest, Outcome, ServerId, Settings};
+use madderloom_balancer::{AttemptResult, Micros, NewRequest, Outcome, ServerId, Settings};
 use oorandom::Rand64;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -42,7 +42,11 @@
 impl Sighted {
     /// `centralized`, with a seed of its own.
     pub fn centralized(truth: Rc<dyn Truth>, settings: &Settings, seed: u64) -> Self {
-        let aims: Vec<f64> = settings.classes.iter().map(|c| c.aim as f64).collect();
+        let aims: Vec<f64> = settings
+            .classes
+            .iter()
+            .map(|c| c.latency_objective as f64)
+            .collect();
         Sighted {
             random: Rand64::new(u128::from(seed)),
             truth,
@@ -96,7 +100,7 @@
     ) -> ServerId {
         let class = request.class as usize;
         let hint = request
-            .cost
+            .cost_hint
             .filter(|cost| *cost > 0)
             .map(|cost| cost as f64);
         let work = hint.unwrap_or(self.works[class]);
@@ -128,7 +132,7 @@
         }
     }
 
-    fn closed(&mut self, _: Micros, class: u32, closed: &Closed, _: &Fleet) {
+    fn closed(&mut self, _: Micros, class: u32, closed: &AttemptResult, _: &Fleet) {
         let Some((wait, speed)) = self.sent.remove(&(closed.request, closed.attempt)) else {
             return;
         };
--- a/crates/lab/src/sockets/books.rs
+++ b/crates/lab/src/sockets/books.rs
@@ -15,7 +15,7 @@
 use crate::world::World;
 use foldhash::fast::FixedState;
 use hdrhistogram::Histogram;
-use madderloom_balancer::{Listed, Micros, Outcome, RequestId};
+use madderloom_balancer::{Micros, Outcome, RequestId, ServerEntry};
 use madderloom_config_reader::Span;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -376,7 +376,7 @@
     }
 
     /// An instance was told of servers.
-    pub fn told(&self, now: Micros, instance: u32, listed: &[Listed], whole: bool) {
+    pub fn told(&self, now: Micros, instance: u32, listed: &[ServerEntry], whole: bool) {
         self.judge(|judge| judge.told(now, instance, listed, whole));
     }
 
--- a/crates/lab/src/sockets/config.rs
+++ b/crates/lab/src/sockets/config.rs
@@ -2,7 +2,7 @@
 
 use crate::experiment::{Effect, Experiment};
 use crate::world::{self, ASK_WITHIN, World};
-use madderloom_balancer::{Listed, ServerState};
+use madderloom_balancer::{ServerEntry, ServerState};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
@@ -38,7 +38,7 @@
             "retry_after": limits.retry_after, "max_retry_after": limits.max_retry_after,
             "probes": limits.probes},
         "load_report": {"how": "probe", "fields": ["rif", "fail_rate"]},
-        "safety": {"ask_within": ASK_WITHIN, "cold_from": rules.cold_from, "cold": rules.cold, "fall": rules.fall,
+        "safety": {"ask_within": ASK_WITHIN, "cold_from": rules.slow_start_min_share, "cold": rules.slow_start_window, "fall": rules.overload_window,
             "drain_grace": rules.drain_grace},
         "tariffs": {"cross_zone": prices.cross_zone, "probe": prices.probe}})
 }
@@ -50,7 +50,7 @@
     world: &World,
     index: u64,
     whole: bool,
-    listed: &[Listed],
+    listed: &[ServerEntry],
     address: impl Fn(u32) -> SocketAddr,
     unix: impl Fn(u64) -> u64,
 ) -> Value {
@@ -64,7 +64,7 @@
         Some(json!({"name": place.name, "address": address(at).to_string(),
             "zone": experiment.network.zones.get(entry.zone as usize).map_or("", String::as_str),
             "type": experiment.servers[place.kind as usize].name, "group": entry.cell, "status": status,
-            "weight": entry.capacity, "since_ms": entry.started.map_or(0, |at| unix(at) / 1_000)}))
+            "weight": entry.capacity, "since_ms": entry.started_at.map_or(0, |at| unix(at) / 1_000)}))
     });
     json!({"index": index, "snapshot": whole, "endpoints": endpoints.collect::<Vec<_>>()})
 }
--- a/crates/lab/src/sockets/stage.rs
+++ b/crates/lab/src/sockets/stage.rs
@@ -16,7 +16,7 @@
 use crate::standin::discovery;
 use crate::standin::server::{Around, News, Stand};
 use crate::world::{ServerPlace, World};
-use madderloom_balancer::{Listed, Micros, ServerState};
+use madderloom_balancer::{Micros, ServerEntry, ServerState};
 use rustix::process::Signal;
 use std::cell::{Cell, RefCell};
 use std::ops::ControlFlow;
@@ -793,7 +793,7 @@
             // A silent end may be found out after the next start is known: it is past then.
             let overtaken =
                 news < own.courses[server as usize].news.get() && state == ServerState::Gone;
-            if overtaken && own.discovery.listed(server).started > entry.started {
+            if overtaken && own.discovery.listed(server).started_at > entry.started_at {
                 return;
             }
             own.books
@@ -828,13 +828,13 @@
     }
 }
 
-fn listed(place: &ServerPlace, started: Option<Micros>, state: ServerState) -> Listed {
-    Listed {
+fn listed(place: &ServerPlace, started: Option<Micros>, state: ServerState) -> ServerEntry {
+    ServerEntry {
         server: place.id,
         zone: place.zone,
         cell: place.zone,
         kind: place.kind,
-        started,
+        started_at: started,
         capacity: place.weight,
         state,
     }
--- a/crates/lab/src/standin/discovery.rs
+++ b/crates/lab/src/standin/discovery.rs
@@ -14,7 +14,7 @@
 use hyper::service::service_fn;
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use madderloom_balancer::Listed;
+use madderloom_balancer::ServerEntry;
 use std::borrow::Cow;
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
@@ -115,12 +115,12 @@
     }
 
     /// What is listed of a server.
-    pub fn listed(&self, server: u32) -> Listed {
+    pub fn listed(&self, server: u32) -> ServerEntry {
         self.model.borrow().listed(server as usize)
     }
 
     /// A change is known now: whoever watches is told.
-    pub fn change(&self, listed: Listed) {
+    pub fn change(&self, listed: ServerEntry) {
         self.model.borrow_mut().change(listed);
         let watchers: Vec<u32> = self.model.borrow().watchers().collect();
         watchers
@@ -289,7 +289,7 @@
         Bytes::from(format!("{}\n", self.listing(instance, whole, &list)))
     }
 
-    fn listing(&self, instance: u32, whole: bool, list: &[Listed]) -> serde_json::Value {
+    fn listing(&self, instance: u32, whole: bool, list: &[ServerEntry]) -> serde_json::Value {
         let index = self.followers[instance as usize].index.get();
         let address = |server| (self.address)(instance, server);
         let unix = |at| self.clock.unix(at);
--- a/crates/lab/src/standin/server.rs
+++ b/crates/lab/src/standin/server.rs
@@ -619,7 +619,10 @@
             pending().await
         };
         self.travel(instance, Way::Back).await;
-        let text = format!("TEXT inflight={:.3}, eps={:.3}", report.held, report.errors);
+        let text = format!(
+            "TEXT inflight={:.3}, eps={:.3}",
+            report.in_flight, report.errors_per_second
+        );
         let mut answer = Response::new(Full::from(if health { String::new() } else { text }));
         answer
             .headers_mut()
--- a/crates/lab/src/virtual_time/mod.rs
+++ b/crates/lab/src/virtual_time/mod.rs
@@ -29,8 +29,8 @@
 use crate::world::{self, GRACE, World};
 use foldhash::fast::FixedState;
 use madderloom_balancer::{
-    Action, Closed, Event, Listed, Members, Micros, NewRequest, Outcome, Report, RequestId,
-    ServerId, ServerState, Timer,
+    Action, AttemptResult, DiscoveryUpdate, Event, LoadReport, Micros, NewRequest, Outcome,
+    RequestId, ServerEntry, ServerId, ServerState, Timer,
 };
 use madderloom_config_reader::Span;
 use queue::Queue;
@@ -186,9 +186,9 @@
 enum In {
     /// With the end of its client's patience.
     Request(NewRequest, Micros),
-    Closed(Closed),
+    Closed(AttemptResult),
     Gone(RequestId),
-    Probed(ServerId, Option<Report>),
+    Probed(ServerId, Option<LoadReport>),
     Timer(Timer),
     /// Whether it answers a call.
     News(News, bool),
@@ -265,8 +265,8 @@
     network: Network,
     clients: Clients,
     faults: Vec<(Micros, Change)>,
-    publications: Vec<(Listed, u32, u32)>,
-    probes: Vec<Option<(u32, Option<Report>)>>,
+    publications: Vec<(ServerEntry, u32, u32)>,
+    probes: Vec<Option<(u32, Option<LoadReport>)>>,
     free_probes: Vec<u32>,
     asks: SlotMap<AskKey, AskState>,
     calls: SlotMap<CallKey, Call>,
@@ -602,8 +602,8 @@
             tenant: 0,
             key: ask.key,
             time_left: 0,
-            cost: ask.hint,
-            repeat: tries > 1 && self.clients.marks_retry(),
+            cost_hint: ask.hint,
+            client_retry: tries > 1 && self.clients.marks_retry(),
         };
         self.tell(instance, In::Request(new, deadline));
     }
@@ -726,35 +726,39 @@
         match what {
             In::Request(mut new, deadline) => {
                 new.time_left = deadline.saturating_sub(now);
-                policy.handle(now, Event::Request(new), actions);
+                policy.handle(now, Event::RequestReceived(new), actions);
             }
             In::Closed(closed) => {
-                if closed.ended {
+                if closed.request_ended {
                     self.judge.told_over(now, closed.request);
                 }
-                policy.handle(now, Event::Closed(closed), actions);
+                policy.handle(now, Event::AttemptEnded(closed), actions);
             }
             In::Gone(id) => {
                 self.judge.told_over(now, id);
-                policy.handle(now, Event::ClientGone(id), actions);
+                policy.handle(now, Event::ClientDisconnected(id), actions);
             }
             In::Probed(server, report) => {
-                policy.handle(now, Event::Probed(server, report), actions)
+                policy.handle(now, Event::ProbeCompleted(server, report), actions)
             }
-            In::Timer(timer) => policy.handle(now, Event::Timer(timer), actions),
+            In::Timer(timer) => policy.handle(now, Event::TimerFired(timer), actions),
             In::Saved => {
                 let list = self.discovery.saved(instance.at);
                 self.judge.told(now, instance.at, &list, true);
-                policy.handle(now, Event::Members(Members::Full(&list)), actions);
+                policy.handle(
+                    now,
+                    Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&list)),
+                    actions,
+                );
             }
             In::News(News::Failed, _) => {
                 self.judge.contact(now, instance.at, false, true);
                 policy.handle(
                     now,
-                    Event::Members(Members::Failed {
-                        since: now,
+                    Event::DiscoveryUpdated(DiscoveryUpdate::CallFailed {
+                        list_known_at: now,
                         waited: Micros::MAX,
-                        broken_off: true,
+                        connection_broken: true,
                     }),
                     actions,
                 );
@@ -770,11 +774,11 @@
                     self.judge.contact(now, instance.at, true, false);
                 }
                 let members = if whole {
-                    Members::Full(&list)
+                    DiscoveryUpdate::FullList(&list)
                 } else {
-                    Members::Changes(&list)
+                    DiscoveryUpdate::ListChanges(&list)
                 };
-                policy.handle(now, Event::Members(members), actions);
+                policy.handle(now, Event::DiscoveryUpdated(members), actions);
             }
         }
     }
@@ -789,7 +793,7 @@
             } => self.send(instance, request, server, timeout_at),
             Action::Probe(server) => self.probe(instance, server),
             Action::Cancel { request, attempt } => self.cancel(instance, request, attempt),
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after,
             } => {
@@ -808,7 +812,7 @@
                 // Never in the turn that sets it.
                 self.push(at.max(self.now + 1), What::Timer(instance, id));
             }
-            Action::Subscribe => {
+            Action::PollDiscovery => {
                 let watches = self.discovery.watches(instance.at);
                 self.judge.contact(self.now, instance.at, watches, false);
                 self.push(self.now + HOP, What::CallReachesDiscovery(instance));
@@ -859,13 +863,13 @@
                 self.recorder.closed(call.due, call.class, Outcome::Moot);
             }
             let ended = call.is_none_or(|key| self.calls[key].ended);
-            let closed = Closed {
+            let closed = AttemptResult {
                 request,
                 attempt: number,
                 server: id,
                 outcome: Outcome::Moot,
                 elapsed: 0,
-                ended,
+                request_ended: ended,
             };
             return self.tell(instance, In::Closed(closed));
         };
@@ -1185,13 +1189,13 @@
             self.calls.remove(call);
         }
         let server = self.servers.slots.borrow()[server as usize].place.id;
-        let closed = Closed {
+        let closed = AttemptResult {
             request: id,
             attempt: number,
             server,
             outcome,
             elapsed,
-            ended,
+            request_ended: ended,
         };
         self.tell(instance, In::Closed(closed));
     }
@@ -1260,7 +1264,7 @@
         at: Micros,
         instance: Instance,
         server: u32,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     ) {
         let place = self.free_probes.pop().unwrap_or_else(|| {
             self.probes.push(None);
@@ -1537,7 +1541,7 @@
         // A silent end may be found out after the next start is known: it is past then.
         let last = self.servers.slots.borrow()[server as usize].news;
         let overtaken = news < last && listed.state == ServerState::Gone;
-        if overtaken && self.discovery.listed(server as usize).started > listed.started {
+        if overtaken && self.discovery.listed(server as usize).started_at > listed.started_at {
             return;
         }
         self.discovery.change(listed);
@@ -1547,13 +1551,13 @@
     }
 }
 
-fn listed(slot: &Slot, state: ServerState) -> Listed {
-    Listed {
+fn listed(slot: &Slot, state: ServerState) -> ServerEntry {
+    ServerEntry {
         server: slot.place.id,
         zone: slot.place.zone,
         cell: slot.place.zone,
         kind: slot.place.kind,
-        started: slot.started,
+        started_at: slot.started,
         capacity: slot.place.weight,
         state,
     }
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -57,7 +57,7 @@
                     f64::from(kind.cores) * kind.speed
                 };
                 servers.push(ServerPlace {
-                    id: ServerId::named(&name),
+                    id: ServerId::from_name(&name),
                     kind: at as u32,
                     zone: number % zones,
                     speed: kind.speed * factor,
@@ -96,19 +96,19 @@
 pub fn settings(experiment: &Experiment, zone: u32) -> Settings {
     let allow = &experiment.instances.allow;
     let class = |class: &crate::experiment::Class| balancer::Class {
-        aim: class.aim.micros(),
-        aim_stretch: 0.0,
+        latency_objective: class.aim.micros(),
+        latency_objective_stretch: 0.0,
         deadline: class.deadline.micros(),
-        effect: match class.effect {
-            Effect::Safe => balancer::Effect::Safe,
-            Effect::Unsafe => balancer::Effect::Unsafe,
-            Effect::Keyed => balancer::Effect::Keyed {
-                scope: balancer::Scope::All,
+        retry_safety: match class.effect {
+            Effect::Safe => balancer::RetrySafety::Idempotent,
+            Effect::Unsafe => balancer::RetrySafety::NonIdempotent,
+            Effect::Keyed => balancer::RetrySafety::IdempotentWithKey {
+                scope: balancer::DeduplicationScope::All,
                 window: class.window.micros(),
             },
         },
-        worth: class.worth,
-        late_worth: class.late_worth,
+        priority_weight: class.worth,
+        late_weight_share: class.late_worth,
     };
     // Told as one figure for all kinds: the coldest start and the longest warming that any of them has.
     let cold_from = experiment
@@ -140,17 +140,17 @@
             max_retry_after: allow.retry_after.micros(),
             max_attempts: allow.max_attempts.max(1),
         },
-        rules: balancer::Rules {
-            cold_from: cold_from.clamp(0.001, 1.0),
-            cold,
-            fall: allow.fall.micros(),
-            ask_within: ASK_WITHIN,
+        rules: balancer::SafetyRules {
+            slow_start_min_share: cold_from.clamp(0.001, 1.0),
+            slow_start_window: cold,
+            overload_window: allow.fall.micros(),
+            max_poll_interval: ASK_WITHIN,
             drain_grace: allow.drain_grace.micros(),
         },
         prices: balancer::Prices {
             cross_zone: allow.cross_zone_price,
             probe: allow.probe_price,
         },
-        worth_by_work: false,
+        weight_per_work: false,
     }
 }
--- a/crates/lab/tests/attempts.rs
+++ b/crates/lab/tests/attempts.rs
@@ -127,10 +127,10 @@
             write_by: Micros::MAX,
         };
         match event {
-            Event::Members(Members::Full(list)) => {
+            Event::DiscoveryUpdated(DiscoveryUpdate::FullList(list)) => {
                 self.servers = list.iter().map(|l| l.server).collect()
             }
-            Event::Request(new) => {
+            Event::RequestReceived(new) => {
                 let count = 1 + usize::from(self.hedges);
                 actions.extend(
                     self.servers
@@ -139,7 +139,7 @@
                         .map(|server| send(new.id, *server)),
                 );
             }
-            Event::Closed(Closed {
+            Event::AttemptEnded(AttemptResult {
                 request,
                 outcome: Outcome::Ok,
                 ..
@@ -149,13 +149,13 @@
                     timer: Timer::Request(request),
                 });
             }
-            Event::Closed(Closed {
+            Event::AttemptEnded(AttemptResult {
                 request,
                 outcome: Outcome::Ok,
-                ended: true,
+                request_ended: true,
                 ..
             })
-            | Event::Timer(Timer::Request(request)) => {
+            | Event::TimerFired(Timer::Request(request)) => {
                 actions.extend(self.servers.first().map(|server| send(request, *server)));
             }
             _ => {}
--- a/crates/lab/tests/common/mod.rs
+++ b/crates/lab/tests/common/mod.rs
@@ -54,7 +54,7 @@
 /// Sends every request once, to the listed servers in turn, and fails what is not served.
 #[derive(Default)]
 pub struct Simple {
-    pub servers: BTreeMap<ServerId, Listed>,
+    pub servers: BTreeMap<ServerId, ServerEntry>,
     pub next: usize,
     pub held: BTreeMap<RequestId, Micros>,
     /// Which of the four ways it goes wrong.
@@ -98,8 +98,8 @@
             .filter(|l| l.state == ServerState::Ready);
         let started = ready
             .clone()
-            .filter(|l| l.started.is_some())
-            .max_by_key(|l| l.started);
+            .filter(|l| l.started_at.is_some())
+            .max_by_key(|l| l.started_at);
         if let (Wrong::Rushes, Some(last)) = (self.wrong, started) {
             return Some(last.server);
         }
@@ -112,19 +112,23 @@
 impl Policy for Simple {
     fn handle(&mut self, _now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
         match event {
-            Event::Members(Members::Full(list)) => {
+            Event::DiscoveryUpdated(DiscoveryUpdate::FullList(list)) => {
                 if self.servers.is_empty() || self.wrong != Wrong::Deaf {
                     self.servers = list.iter().map(|l| (l.server, *l)).collect();
                 }
                 if self.wrong != Wrong::Hermit {
-                    actions.push(Action::Subscribe);
+                    actions.push(Action::PollDiscovery);
                 }
             }
-            Event::Members(Members::Changes(list)) if self.wrong != Wrong::Deaf => {
+            Event::DiscoveryUpdated(DiscoveryUpdate::ListChanges(list))
+                if self.wrong != Wrong::Deaf =>
+            {
                 self.servers.extend(list.iter().map(|l| (l.server, *l)));
             }
-            Event::Members(Members::Failed { .. }) => actions.push(Action::Subscribe),
-            Event::Request(new) => {
+            Event::DiscoveryUpdated(DiscoveryUpdate::CallFailed { .. }) => {
+                actions.push(Action::PollDiscovery)
+            }
+            Event::RequestReceived(new) => {
                 if self.wrong == Wrong::Forgets && self.next.is_multiple_of(10) {
                     self.next += 1;
                     return;
@@ -138,13 +142,13 @@
                             write_by: Micros::MAX,
                         });
                     }
-                    None => actions.push(Action::Refuse {
+                    None => actions.push(Action::Reject {
                         request: new.id,
                         retry_after: None,
                     }),
                 }
             }
-            Event::Closed(closed) if !closed.ended => {
+            Event::AttemptEnded(closed) if !closed.request_ended => {
                 let request = closed.request;
                 match self.wrong {
                     Wrong::Repeats => {
@@ -156,7 +160,7 @@
                             write_by: Micros::MAX,
                         });
                     }
-                    Wrong::Refuses => actions.push(Action::Refuse {
+                    Wrong::Refuses => actions.push(Action::Reject {
                         request,
                         retry_after: None,
                     }),
--- a/crates/lab/tests/every_request_ends_once.rs
+++ b/crates/lab/tests/every_request_ends_once.rs
@@ -36,7 +36,7 @@
                 timeout_at: soon,
                 write_by: Micros::MAX,
             },
-            6 => Action::Refuse {
+            6 => Action::Reject {
                 request,
                 retry_after: Some(soon - now),
             },
@@ -50,7 +50,7 @@
                 timer: Timer::Request(request),
             },
             10 => Action::Probe(server),
-            _ => Action::Subscribe,
+            _ => Action::PollDiscovery,
         });
     }
 }
@@ -58,17 +58,19 @@
 impl Policy for Chaos {
     fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
         match event {
-            Event::Members(Members::Full(list) | Members::Changes(list)) => {
+            Event::DiscoveryUpdated(
+                DiscoveryUpdate::FullList(list) | DiscoveryUpdate::ListChanges(list),
+            ) => {
                 self.servers.extend(list.iter().map(|l| l.server));
                 self.servers.sort_unstable();
                 self.servers.dedup();
             }
-            Event::Request(new) => {
+            Event::RequestReceived(new) => {
                 self.requests.push(new.id);
                 (0..2).for_each(|_| self.act(now, new.id, actions));
             }
             // Old requests are acted for again and again, long after their end.
-            Event::Closed(_) | Event::Timer(_) if self.random.random_bool(0.7) => {
+            Event::AttemptEnded(_) | Event::TimerFired(_) if self.random.random_bool(0.7) => {
                 let at = self.random.random_range(0..self.requests.len().max(1));
                 let request = self.requests.get(at).copied().unwrap_or(7);
                 self.act(now, request, actions);
--- a/crates/lab/tests/models.rs
+++ b/crates/lab/tests/models.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::fault;
-use madderloom_balancer::{Listed, Micros, ServerId, ServerState};
+use madderloom_balancer::{Micros, ServerEntry, ServerId, ServerState};
 use madderloom_config_reader::Span;
 use madderloom_lab::experiment::{
     Allow, CancelStops, Class, Effect, Experiment, FaultKind, Network as Between, Phase, ServerKind,
@@ -461,7 +461,7 @@
     };
     let (mut server, mut out) = (server(&reports), Vec::new());
     ask_of(&mut server, 15 * MS, job(0, 500.0));
-    let mut held = |server: &mut Server, now| server.probe(now, &mut out).map(|r| r.held);
+    let mut held = |server: &mut Server, now| server.probe(now, &mut out).map(|r| r.in_flight);
     // The first refresh that knows of it is at 20 ms, and is told from 40 ms on.
     assert_eq!(held(&mut server, 39 * MS), Some(0.0));
     assert_eq!(held(&mut server, 41 * MS), Some(1.0));
@@ -562,13 +562,13 @@
 
 // ---- Discovery ----
 
-fn entry(server: u64, state: ServerState) -> Listed {
-    Listed {
+fn entry(server: u64, state: ServerState) -> ServerEntry {
+    ServerEntry {
         server: ServerId(server),
         zone: 0,
         cell: 0,
         kind: 0,
-        started: None,
+        started_at: None,
         capacity: 1.0,
         state,
     }
--- a/crates/lab/tests/rivals/chassis.rs
+++ b/crates/lab/tests/rivals/chassis.rs
@@ -3,7 +3,7 @@
 use crate::rig::*;
 use madderloom_balancer::*;
 
-fn open(effect: Effect, with: &[(&str, f64)]) -> (Rig, RequestId, ServerId) {
+fn open(effect: RetrySafety, with: &[(&str, f64)]) -> (Rig, RequestId, ServerId) {
     let mut rig = Rig::new("random", with, settings(&[effect]), 8);
     let (id, actions) = rig.request(0);
     let server = sent(&actions).expect("sent");
@@ -12,7 +12,7 @@
 
 #[test]
 fn requests_are_held_until_a_list_comes_and_refused_where_it_is_empty() {
-    let mut rig = Rig::bare("random", &[], settings(&[Effect::Unsafe]), 1);
+    let mut rig = Rig::bare("random", &[], settings(&[RetrySafety::NonIdempotent]), 1);
     let held: Vec<RequestId> = (0..3).map(|_| rig.request(0).0).collect();
     let sent_to: Vec<RequestId> = rig
         .list(&[listed(1)])
@@ -28,7 +28,7 @@
     assert_eq!(sent_to, held, "in the order in which they came");
     rig.list(&[]);
     assert!(refused(&rig.request(0).1), "no healthy upstream");
-    let draining = Listed {
+    let draining = ServerEntry {
         state: ServerState::Draining,
         ..listed(1)
     };
@@ -38,7 +38,7 @@
 
 #[test]
 fn what_no_list_ever_comes_for_is_refused_a_tick_before_its_time_is_up() {
-    let mut rig = Rig::bare("random", &[], settings(&[Effect::Unsafe]), 1);
+    let mut rig = Rig::bare("random", &[], settings(&[RetrySafety::NonIdempotent]), 1);
     let start = rig.now;
     let (id, actions) = rig.request(0);
     assert!(refused(&rig.wait(id, &actions)));
@@ -59,23 +59,27 @@
             )
         })
     };
-    let mut rig = Rig::bare("random", &[], settings(&[Effect::Safe]), 1);
+    let mut rig = Rig::bare("random", &[], settings(&[RetrySafety::Idempotent]), 1);
     assert!(ask(&rig.list(&[listed(1)])));
     assert_eq!(
-        rig.event(Event::Timer(Timer::Discovery)),
-        [Action::Subscribe]
+        rig.event(Event::TimerFired(Timer::Discovery)),
+        [Action::PollDiscovery]
     );
-    assert!(ask(&rig.event(Event::Members(Members::Failed {
-        since: 0,
-        waited: Micros::MAX,
-        broken_off: false
-    }))));
-    assert!(
-        !ask(&rig.event(Event::Members(Members::Failed {
-            since: 0,
+    assert!(ask(&rig.event(Event::DiscoveryUpdated(
+        DiscoveryUpdate::CallFailed {
+            list_known_at: 0,
             waited: Micros::MAX,
-            broken_off: false
-        }))),
+            connection_broken: false
+        }
+    ))));
+    assert!(
+        !ask(
+            &rig.event(Event::DiscoveryUpdated(DiscoveryUpdate::CallFailed {
+                list_known_at: 0,
+                waited: Micros::MAX,
+                connection_broken: false
+            }))
+        ),
         "it is about to ask as it is"
     );
     assert!(sent(&rig.request(0).1).is_some());
@@ -85,24 +89,24 @@
 fn the_waits_between_calls_for_the_list_double_until_news_comes() {
     let longest = |failures: u32, news: bool| {
         let wait = |seed| {
-            let mut rig = Rig::bare("random", &[], settings(&[Effect::Safe]), seed);
+            let mut rig = Rig::bare("random", &[], settings(&[RetrySafety::Idempotent]), seed);
             rig.request(0);
             for _ in 0..failures {
-                rig.event(Event::Timer(Timer::Discovery));
-                rig.event(Event::Members(Members::Failed {
-                    since: 0,
+                rig.event(Event::TimerFired(Timer::Discovery));
+                rig.event(Event::DiscoveryUpdated(DiscoveryUpdate::CallFailed {
+                    list_known_at: 0,
                     waited: Micros::MAX,
-                    broken_off: false,
+                    connection_broken: false,
                 }));
             }
-            rig.event(Event::Timer(Timer::Discovery));
+            rig.event(Event::TimerFired(Timer::Discovery));
             if news {
                 rig.list(&[listed(1)]);
             }
-            let asked = rig.event(Event::Members(Members::Failed {
-                since: 0,
+            let asked = rig.event(Event::DiscoveryUpdated(DiscoveryUpdate::CallFailed {
+                list_known_at: 0,
                 waited: Micros::MAX,
-                broken_off: false,
+                connection_broken: false,
             }));
             let at = asked.iter().find_map(|a| match a {
                 Action::SetTimer {
@@ -125,7 +129,7 @@
 fn a_failed_attempt_is_followed_by_one_elsewhere_after_a_wait_that_doubles() {
     let mut longest = 0;
     for seed in 0..20 {
-        let mut rig = Rig::bare("random", &[], settings(&[Effect::Safe]), seed);
+        let mut rig = Rig::bare("random", &[], settings(&[RetrySafety::Idempotent]), seed);
         rig.list(&(0..3).map(listed).collect::<Vec<_>>());
         let (id, mut actions) = rig.request(0);
         let mut tried = Vec::new();
@@ -155,7 +159,7 @@
 fn a_wait_that_would_outlast_the_time_ends_the_request_at_once() {
     for seed in 0..50 {
         let with = [("backoff_ms", 2_000.0), ("backoff_most_ms", 2_000.0)];
-        let mut rig = Rig::bare("random", &with, settings(&[Effect::Safe]), seed);
+        let mut rig = Rig::bare("random", &with, settings(&[RetrySafety::Idempotent]), seed);
         rig.list(&[listed(0), listed(1)]);
         let (id, actions) = rig.request(0);
         let give_up = rig.now + 1_195 * MS;
@@ -170,7 +174,7 @@
 
 #[test]
 fn an_answer_takes_the_attempt_off_the_books_of_its_server() {
-    let mut rig = Rig::new("least_of_two", &[], settings(&[Effect::Safe]), 2);
+    let mut rig = Rig::new("least_of_two", &[], settings(&[RetrySafety::Idempotent]), 2);
     let busy = sent(&rig.request(0).1);
     for _ in 0..20 {
         let (id, actions) = rig.request(0);
@@ -184,7 +188,7 @@
     let mut rig = Rig::new(
         "envoy_outlier",
         &[("backoff_ms", 0.0)],
-        settings(&[Effect::Unsafe]),
+        settings(&[RetrySafety::NonIdempotent]),
         2,
     );
     let bad = |rig: &mut Rig| {
@@ -207,13 +211,17 @@
         failures
     };
     assert_eq!(bad(&mut rig), 5);
-    let again = Listed {
-        started: Some(rig.now),
+    let again = ServerEntry {
+        started_at: Some(rig.now),
         ..listed(0)
     };
-    rig.event(Event::Members(Members::Changes(&[again])));
+    rig.event(Event::DiscoveryUpdated(DiscoveryUpdate::ListChanges(&[
+        again,
+    ])));
     assert_eq!(bad(&mut rig), 5, "a clean slate for a new process");
-    rig.event(Event::Members(Members::Changes(&[again])));
+    rig.event(Event::DiscoveryUpdated(DiscoveryUpdate::ListChanges(&[
+        again,
+    ])));
     assert_eq!(bad(&mut rig), 0, "told again, it is still the same one");
 }
 
@@ -223,7 +231,7 @@
         let mut rig = Rig::new(
             "random",
             &[("backoff_ms", 0.0)],
-            settings(&[Effect::Safe]),
+            settings(&[RetrySafety::Idempotent]),
             8,
         );
         let opened: Vec<(RequestId, Vec<Action>)> = (0..requests).map(|_| rig.request(0)).collect();
@@ -244,7 +252,7 @@
     let mut rig = Rig::new(
         "random",
         &[("backoff_ms", 0.0)],
-        settings(&[Effect::Safe]),
+        settings(&[RetrySafety::Idempotent]),
         8,
     );
     for _ in 0..200 {
@@ -265,7 +273,7 @@
         ("retry_floor", 1.0),
         ("retry_share", 0.0),
     ];
-    let mut rig = Rig::new("random", &with, settings(&[Effect::Safe]), 8);
+    let mut rig = Rig::new("random", &with, settings(&[RetrySafety::Idempotent]), 8);
     for _ in 0..50 {
         let (id, actions) = rig.request(0);
         let next = rig.close(id, 0, sent(&actions).expect("sent"), Outcome::Full);
@@ -273,7 +281,7 @@
         let (id, actions) = rig.request(0);
         let next = rig.close(id, 0, sent(&actions).expect("sent"), Outcome::Full);
         assert!(sent(&next).is_some());
-        rig.event(Event::ClientGone(id));
+        rig.event(Event::ClientDisconnected(id));
         rig.close(id, 1, sent(&next).expect("sent"), Outcome::Cancelled);
     }
 }
@@ -289,7 +297,7 @@
         (Outcome::Reset, false),
         (Outcome::Cancelled, false),
     ] {
-        let (mut rig, id, server) = open(Effect::Unsafe, &[("backoff_ms", 0.0)]);
+        let (mut rig, id, server) = open(RetrySafety::NonIdempotent, &[("backoff_ms", 0.0)]);
         let next = rig.close(id, 0, server, outcome);
         assert_eq!(sent(&next).is_some(), again, "{outcome:?}");
         assert_eq!(failed(&next), !again, "{outcome:?}");
@@ -298,9 +306,12 @@
 
 #[test]
 fn a_keyed_request_keeps_to_its_group_and_window() {
-    let keyed = |scope, window| Effect::Keyed { scope, window };
+    let keyed = |scope, window| RetrySafety::IdempotentWithKey { scope, window };
     for _ in 0..20 {
-        let (mut rig, id, server) = open(keyed(Scope::Zone, 6 * S), &[("backoff_ms", 0.0)]);
+        let (mut rig, id, server) = open(
+            keyed(DeduplicationScope::Zone, 6 * S),
+            &[("backoff_ms", 0.0)],
+        );
         let next = rig.close(id, 0, server, Outcome::Error);
         assert_eq!(
             sent(&next).expect("sent").0 % 2,
@@ -308,14 +319,22 @@
             "the repeat left its zone"
         );
     }
-    let (mut rig, id, server) = open(keyed(Scope::All, 100 * MS), &[("backoff_ms", 0.0)]);
+    let (mut rig, id, server) = open(
+        keyed(DeduplicationScope::All, 100 * MS),
+        &[("backoff_ms", 0.0)],
+    );
     rig.now += 95 * MS;
     assert!(
         failed(&rig.close(id, 0, server, Outcome::Error)),
         "they will have forgotten it within a tick"
     );
-    let (mut rig, id, server) = open(keyed(Scope::Cell, 6 * S), &[("backoff_ms", 0.0)]);
-    rig.event(Event::Members(Members::Full(&[listed(server.0 + 1)])));
+    let (mut rig, id, server) = open(
+        keyed(DeduplicationScope::Cell, 6 * S),
+        &[("backoff_ms", 0.0)],
+    );
+    rig.event(Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&[
+        listed(server.0 + 1),
+    ])));
     assert!(
         failed(&rig.close(id, 0, server, Outcome::Error)),
         "its cell has no server left"
@@ -325,9 +344,9 @@
 #[test]
 fn a_silent_server_costs_one_answer_in_time_and_the_attempt_is_called_off_where_that_is_allowed() {
     for (effect, cancel) in [
-        (Effect::Safe, true),
-        (Effect::Safe, false),
-        (Effect::Unsafe, true),
+        (RetrySafety::Idempotent, true),
+        (RetrySafety::Idempotent, false),
+        (RetrySafety::NonIdempotent, true),
     ] {
         let mut site = settings(&[effect]);
         site.limits.cancel = cancel;
@@ -341,7 +360,10 @@
         let last = rig.wait(id, &actions);
         assert_eq!(
             (refused(&last), failed(&last)),
-            (effect == Effect::Safe, effect != Effect::Safe)
+            (
+                effect == RetrySafety::Idempotent,
+                effect != RetrySafety::Idempotent
+            )
         );
         assert_eq!(
             last.contains(&Action::Cancel {
@@ -351,7 +373,7 @@
             cancel
         );
         assert!(
-            rig.event(Event::Timer(Timer::Request(id))).is_empty(),
+            rig.event(Event::TimerFired(Timer::Request(id))).is_empty(),
             "one answer"
         );
     }
@@ -359,7 +381,10 @@
 
 #[test]
 fn a_part_of_the_time_for_each_try_leaves_room_for_the_next() {
-    let (mut rig, id, server) = open(Effect::Safe, &[("try_share", 0.5), ("backoff_ms", 0.0)]);
+    let (mut rig, id, server) = open(
+        RetrySafety::Idempotent,
+        &[("try_share", 0.5), ("backoff_ms", 0.0)],
+    );
     rig.now += 600 * MS;
     let next = rig.close(id, 0, server, Outcome::Timeout);
     let Some(Action::Send { timeout_at, .. }) = next.first() else {
@@ -370,18 +395,18 @@
 
 #[test]
 fn a_client_that_left_and_a_stream_that_flows_are_owed_nothing() {
-    let (mut rig, id, server) = open(Effect::Safe, &[]);
+    let (mut rig, id, server) = open(RetrySafety::Idempotent, &[]);
     assert_eq!(
-        rig.event(Event::ClientGone(id)),
+        rig.event(Event::ClientDisconnected(id)),
         [Action::Cancel {
             request: id,
             attempt: 0
         }]
     );
     assert!(rig.close(id, 0, server, Outcome::Error).is_empty());
-    let (mut rig, id, server) = open(Effect::Safe, &[]);
+    let (mut rig, id, server) = open(RetrySafety::Idempotent, &[]);
     assert!(
-        rig.event(Event::Begun {
+        rig.event(Event::ResponseStreamStarted {
             request: id,
             attempt: 0
         })
@@ -389,7 +414,7 @@
     );
     rig.now += 10 * S;
     assert!(
-        rig.event(Event::Timer(Timer::Request(id))).is_empty(),
+        rig.event(Event::TimerFired(Timer::Request(id))).is_empty(),
         "it has no deadline now"
     );
     assert!(rig.close(id, 0, server, Outcome::Reset).is_empty());
@@ -402,13 +427,13 @@
         (true, 0.0, None),
         (false, 1.0, None),
     ] {
-        let mut site = settings(&[Effect::Safe]);
+        let mut site = settings(&[RetrySafety::Idempotent]);
         site.limits.retry_after = allowed;
         let mut rig = Rig::new("random", &[("retry_after", figure)], site, 0);
         let (request, actions) = rig.request(0);
         assert_eq!(
             actions,
-            [Action::Refuse {
+            [Action::Reject {
                 request,
                 retry_after: advice
             }]
@@ -433,17 +458,19 @@
         let mut rig = Rig::bare(
             "random",
             &[("subset", 4.0)],
-            settings(&[Effect::Safe]),
+            settings(&[RetrySafety::Idempotent]),
             seed,
         );
         rig.list(&(0..20).map(listed).collect::<Vec<_>>());
         let first = used(&mut rig);
         assert_eq!(first.len(), 4);
         let gone = *first.first().expect("four");
-        rig.event(Event::Members(Members::Changes(&[Listed {
-            state: ServerState::Draining,
-            ..listed(gone.0)
-        }])));
+        rig.event(Event::DiscoveryUpdated(DiscoveryUpdate::ListChanges(&[
+            ServerEntry {
+                state: ServerState::Draining,
+                ..listed(gone.0)
+            },
+        ])));
         let second = used(&mut rig);
         assert!(second.len() == 4 && !second.contains(&gone));
         assert_eq!(first.intersection(&second).count(), 3, "the others stay");
--- a/crates/lab/tests/rivals/choices.rs
+++ b/crates/lab/tests/rivals/choices.rs
@@ -217,7 +217,7 @@
         // The first look makes an entry for each, which the answers then fill.
         choice.choose(0, &request(0, 0), fleet.ready(), &fleet);
         for (server, elapsed) in [(0, latencies.0), (1, latencies.1)] {
-            let closed = Closed { request: 1, attempt: 0, server: ServerId(server), outcome: Outcome::Ok, elapsed, ended: true };
+            let closed = AttemptResult { request: 1, attempt: 0, server: ServerId(server), outcome: Outcome::Ok, elapsed, request_ended: true };
             choice.closed(0, 0, &closed, &fleet);
         }
         let costs = (latencies.0 * u64::from(out.0 + 1), latencies.1 * u64::from(out.1 + 1));
@@ -234,13 +234,13 @@
     let fleet = loaded(&[0, 0]);
     let mut taken = || choice.choose(0, &request(0, 0), fleet.ready(), &fleet);
     taken();
-    let closed = |elapsed| Closed {
+    let closed = |elapsed| AttemptResult {
         request: 1,
         attempt: 0,
         server: ServerId(1),
         outcome: Outcome::Ok,
         elapsed,
-        ended: true,
+        request_ended: true,
     };
     // A second without news: the default of server 0 and the start of server 1 fade alike, then 1 answers fast.
     choice.closed(10 * S, 0, &closed(5 * MS), &fleet);
--- a/crates/lab/tests/rivals/envoy.rs
+++ b/crates/lab/tests/rivals/envoy.rs
@@ -55,8 +55,8 @@
 #[test]
 fn slow_start_gives_a_young_server_its_part_and_is_off_unless_asked_for() {
     let young = Member {
-        listed: Listed {
-            started: Some(100 * S),
+        listed: ServerEntry {
+            started_at: Some(100 * S),
             ..listed(1)
         },
         out: 0,
@@ -113,13 +113,13 @@
     fn close(&mut self, now: Micros, server: u64, outcome: Outcome, times: usize) {
         for _ in 0..times {
             let server = ServerId(server);
-            let closed = Closed {
+            let closed = AttemptResult {
                 request: 1,
                 attempt: 0,
                 server,
                 outcome,
                 elapsed: MS,
-                ended: false,
+                request_ended: false,
             };
             self.outliers.closed(now, 0, &closed, &self.fleet);
         }
--- a/crates/lab/tests/rivals/figures.rs
+++ b/crates/lab/tests/rivals/figures.rs
@@ -63,7 +63,14 @@
 #[test]
 fn what_sees_the_truth_is_refused_where_there_is_none() {
     for policy in ["centralized", "oracle"] {
-        let problem = make(policy, &figures(&[]), settings(&[Effect::Safe]), 1, None).err();
+        let problem = make(
+            policy,
+            &figures(&[]),
+            settings(&[RetrySafety::Idempotent]),
+            1,
+            None,
+        )
+        .err();
         assert!(problem.is_some_and(|p| p.contains("virtual driver")));
     }
 }
@@ -72,7 +79,7 @@
 fn settings_that_make_no_sense_are_refused() {
     let settings = Settings {
         classes: Vec::new(),
-        ..settings(&[Effect::Safe])
+        ..settings(&[RetrySafety::Idempotent])
     };
     assert!(make("random", &figures(&[]), settings, 1, None).is_err());
 }
@@ -81,7 +88,7 @@
 fn a_site_is_narrowed_by_figures_and_never_widened() {
     for (figure, attempts) in [(2.0, 2), (4.0, 4), (9.0, 4)] {
         let with = [("max_attempts", figure), ("backoff_ms", 0.0)];
-        let mut rig = Rig::new("random", &with, settings(&[Effect::Safe]), 8);
+        let mut rig = Rig::new("random", &with, settings(&[RetrySafety::Idempotent]), 8);
         let (id, mut actions) = rig.request(0);
         let mut sends = 0;
         while let Some(server) = sent(&actions) {
@@ -90,9 +97,12 @@
         }
         assert_eq!(sends, attempts);
     }
-    let mut closed = settings(&[Effect::Safe]);
+    let mut closed = settings(&[RetrySafety::Idempotent]);
     closed.limits.probes = false;
-    for (site, figure, probes) in [(settings(&[Effect::Safe]), 0.0, 0), (closed, 1.0, 0)] {
+    for (site, figure, probes) in [
+        (settings(&[RetrySafety::Idempotent]), 0.0, 0),
+        (closed, 1.0, 0),
+    ] {
         let mut rig = Rig::new("prequal", &[("probes", figure)], site, 8);
         assert_eq!(asked(&rig.request(0).1).len(), probes);
     }
--- a/crates/lab/tests/rivals/prequal.rs
+++ b/crates/lab/tests/rivals/prequal.rs
@@ -26,7 +26,14 @@
 }
 
 fn answer(prequal: &mut Prequal, now: Micros, server: u64, held: f64) {
-    prequal.probed(now, ServerId(server), Some(Report { held, errors: 0.0 }));
+    prequal.probed(
+        now,
+        ServerId(server),
+        Some(LoadReport {
+            in_flight: held,
+            errors_per_second: 0.0,
+        }),
+    );
 }
 
 fn servers(prequal: &Prequal) -> Vec<u64> {
@@ -86,7 +93,7 @@
 
 #[test]
 fn each_request_has_so_many_different_servers_probed() {
-    let mut rig = Rig::new("prequal", &[], settings(&[Effect::Safe]), 20);
+    let mut rig = Rig::new("prequal", &[], settings(&[RetrySafety::Idempotent]), 20);
     let mut counts = vec![0.0; 20];
     for _ in 0..4_000 {
         let mut asked = asked(&rig.request(0).1);
@@ -100,7 +107,7 @@
     let mut rig = Rig::new(
         "prequal",
         &[("probe_rate", 0.25)],
-        settings(&[Effect::Safe]),
+        settings(&[RetrySafety::Idempotent]),
         20,
     );
     let asked: usize = (0..400).map(|_| asked(&rig.request(0).1).len()).sum();
@@ -114,13 +121,13 @@
     let only = [ServerId(server)];
     prequal.choose(0, &request(id, 0), &only, &fleet);
     prequal.sent(0, only[0], (id, 0));
-    let closed = Closed {
+    let closed = AttemptResult {
         request: id,
         attempt: 0,
         server: only[0],
         outcome: Outcome::Ok,
         elapsed,
-        ended: true,
+        request_ended: true,
     };
     prequal.closed(0, 0, &closed, &fleet);
 }
@@ -246,7 +253,7 @@
 
 #[test]
 fn without_probes_it_is_random() {
-    let mut site = settings(&[Effect::Safe]);
+    let mut site = settings(&[RetrySafety::Idempotent]);
     site.limits.probes = false;
     let mut rig = Rig::new("prequal", &[], site, 10);
     let mut counts = BTreeMap::<ServerId, f64>::new();
--- a/crates/lab/tests/rivals/rig.rs
+++ b/crates/lab/tests/rivals/rig.rs
@@ -10,18 +10,18 @@
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000_000;
 
-pub fn class(effect: Effect) -> Class {
+pub fn class(effect: RetrySafety) -> Class {
     Class {
-        aim: 400 * MS,
-        aim_stretch: 0.0,
+        latency_objective: 400 * MS,
+        latency_objective_stretch: 0.0,
         deadline: 1_200 * MS,
-        effect,
-        worth: 1.0,
-        late_worth: 0.0,
+        retry_safety: effect,
+        priority_weight: 1.0,
+        late_weight_share: 0.0,
     }
 }
 
-pub fn settings(effects: &[Effect]) -> Settings {
+pub fn settings(effects: &[RetrySafety]) -> Settings {
     Settings {
         group_size: 4,
         zone: 0,
@@ -36,30 +36,30 @@
             max_retry_after: 2 * S,
             max_attempts: 4,
         },
-        rules: Rules {
-            cold_from: 0.2,
-            cold: 10 * S,
-            fall: S,
-            ask_within: 10 * S,
+        rules: SafetyRules {
+            slow_start_min_share: 0.2,
+            slow_start_window: 10 * S,
+            overload_window: S,
+            max_poll_interval: 10 * S,
             drain_grace: 3 * S,
         },
         prices: Prices {
             cross_zone: 0.02,
             probe: 0.01,
         },
-        worth_by_work: false,
+        weight_per_work: false,
     }
 }
 
-pub fn listed(server: u64) -> Listed {
+pub fn listed(server: u64) -> ServerEntry {
     let zone = (server % 2) as u32;
     let state = ServerState::Ready;
-    Listed {
+    ServerEntry {
         server: ServerId(server),
         zone,
         cell: zone,
         kind: 0,
-        started: None,
+        started_at: None,
         capacity: 1.0,
         state,
     }
@@ -73,7 +73,7 @@
 /// The same with listed capacities.
 pub fn weighted(servers: &[(f64, u32)]) -> Fleet {
     let member = |(at, (capacity, out)): (usize, &(f64, u32))| Member {
-        listed: Listed {
+        listed: ServerEntry {
             capacity: *capacity,
             ..listed(at as u64)
         },
@@ -107,8 +107,8 @@
         tenant: 0,
         key: None,
         time_left: 1_200 * MS,
-        cost: None,
-        repeat: false,
+        cost_hint: None,
+        client_retry: false,
     }
 }
 
@@ -145,8 +145,8 @@
         rig
     }
 
-    pub fn list(&mut self, servers: &[Listed]) -> Vec<Action> {
-        self.event(Event::Members(Members::Full(servers)))
+    pub fn list(&mut self, servers: &[ServerEntry]) -> Vec<Action> {
+        self.event(Event::DiscoveryUpdated(DiscoveryUpdate::FullList(servers)))
     }
 
     pub fn event(&mut self, event: Event<'_>) -> Vec<Action> {
@@ -159,7 +159,7 @@
         self.next += 1;
         (
             self.next,
-            self.event(Event::Request(request(self.next, class))),
+            self.event(Event::RequestReceived(request(self.next, class))),
         )
     }
 
@@ -171,13 +171,13 @@
         outcome: Outcome,
     ) -> Vec<Action> {
         let ended = outcome == Outcome::Ok;
-        self.event(Event::Closed(Closed {
+        self.event(Event::AttemptEnded(AttemptResult {
             request: id,
             attempt,
             server,
             outcome,
             elapsed: MS,
-            ended,
+            request_ended: ended,
         }))
     }
 
@@ -188,7 +188,7 @@
             _ => None,
         });
         self.now = self.now.max(timers.min().expect("a timer was set"));
-        self.event(Event::Timer(Timer::Request(id)))
+        self.event(Event::TimerFired(Timer::Request(id)))
     }
 }
 
@@ -216,7 +216,7 @@
 }
 
 pub fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
+    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
 pub fn failed(actions: &[Action]) -> bool {
--- a/crates/lab/tests/rivals/rules.rs
+++ b/crates/lab/tests/rivals/rules.rs
@@ -24,7 +24,7 @@
 }
 
 struct Open {
-    effect: Effect,
+    effect: RetrySafety,
     deadline: Micros,
     sends: Vec<Sent>,
     over: bool,
@@ -35,7 +35,7 @@
     fn run(&self) -> Option<&Sent> {
         self.sends
             .iter()
-            .find(|s| !s.outcome.is_some_and(Outcome::proves_not_run))
+            .find(|s| !s.outcome.is_some_and(Outcome::proves_not_executed))
     }
 
     /// The final answer.
@@ -100,12 +100,12 @@
                 );
                 if let Some(first) = open.run() {
                     match open.effect {
-                        Effect::Safe => {}
-                        Effect::Unsafe => panic!("an unsafe request went out twice"),
-                        Effect::Keyed { scope, window } => {
+                        RetrySafety::Idempotent => {}
+                        RetrySafety::NonIdempotent => panic!("an unsafe request went out twice"),
+                        RetrySafety::IdempotentWithKey { scope, window } => {
                             assert!(now < first.at + window, "the window was past");
                             let same = first.server.0 % 2 == server.0 % 2;
-                            assert!(scope == Scope::All || same, "left its group");
+                            assert!(scope == DeduplicationScope::All || same, "left its group");
                         }
                     }
                 }
@@ -117,7 +117,7 @@
                 });
                 assert!(open.sends.len() <= most, "more attempts than allowed");
             }
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after,
             } => {
@@ -126,7 +126,7 @@
                 open.end();
                 assert!(now <= open.deadline);
                 assert!(
-                    open.effect == Effect::Safe || open.run().is_none(),
+                    open.effect == RetrySafety::Idempotent || open.run().is_none(),
                     "refused what may have run"
                 );
             }
@@ -156,7 +156,7 @@
                 );
                 self.probed.push(server);
             }
-            Action::Subscribe | Action::Log(_) => {}
+            Action::PollDiscovery | Action::Log(_) => {}
         }
     }
 
@@ -172,13 +172,13 @@
         let state = states[self.random.rand_range(0..4) as usize];
         self.servers.insert(server, state);
         let started = self.chance(2).then_some(self.rig.now);
-        let one = |id: ServerId, state| Listed {
+        let one = |id: ServerId, state| ServerEntry {
             state,
-            started,
+            started_at: started,
             capacity: 1.0 + id.0 as f64,
             ..listed(id.0)
         };
-        let news: Vec<Listed> = if whole {
+        let news: Vec<ServerEntry> = if whole {
             let there = self
                 .servers
                 .iter()
@@ -187,10 +187,10 @@
         } else {
             vec![one(server, state)]
         };
-        self.event(Event::Members(if whole {
-            Members::Full(&news)
+        self.event(Event::DiscoveryUpdated(if whole {
+            DiscoveryUpdate::FullList(&news)
         } else {
-            Members::Changes(&news)
+            DiscoveryUpdate::ListChanges(&news)
         }));
     }
 
@@ -200,28 +200,34 @@
         let (due, later) = self.timers.drain(..).partition(|(at, _)| *at <= now);
         self.timers = later;
         for (_, timer) in due {
-            self.event(Event::Timer(timer));
+            self.event(Event::TimerFired(timer));
             if timer == Timer::Discovery && self.chance(2) {
-                self.event(Event::Members(Members::Failed {
-                    since: 0,
+                self.event(Event::DiscoveryUpdated(DiscoveryUpdate::CallFailed {
+                    list_known_at: 0,
                     waited: Micros::MAX,
-                    broken_off: false,
+                    connection_broken: false,
                 }));
             }
         }
         for server in std::mem::take(&mut self.probed) {
             match self.random.rand_range(0..4) {
                 0 => self.probed.push(server),
-                1 => self.event(Event::Probed(server, None)),
+                1 => self.event(Event::ProbeCompleted(server, None)),
                 _ => {
                     let held = self.random.rand_range(0..20) as f64;
-                    self.event(Event::Probed(server, Some(Report { held, errors: 0.0 })));
+                    self.event(Event::ProbeCompleted(
+                        server,
+                        Some(LoadReport {
+                            in_flight: held,
+                            errors_per_second: 0.0,
+                        }),
+                    ));
                 }
             }
         }
         for _ in 0..self.random.rand_range(0..4) {
             let class = self.random.rand_range(0..self.site.classes.len() as u64) as u32;
-            let effect = self.site.classes[class as usize].effect;
+            let effect = self.site.classes[class as usize].retry_safety;
             let time_left = (1_200 * MS) >> self.random.rand_range(0..12);
             let deadline = now + time_left.max(self.site.tick);
             let sends = Vec::new();
@@ -237,7 +243,7 @@
                     streams: false,
                 },
             );
-            self.event(Event::Request(NewRequest {
+            self.event(Event::RequestReceived(NewRequest {
                 time_left,
                 ..request(id, class)
             }));
@@ -264,7 +270,7 @@
         let now = self.rig.now;
         if !self.open[&id].over && self.chance(200) {
             self.open.get_mut(&id).expect("known").over = true;
-            self.event(Event::ClientGone(id));
+            self.event(Event::ClientDisconnected(id));
         }
         for at in 0..self.open[&id].sends.len() {
             let (over, streams) = (self.open[&id].over, self.open[&id].streams);
@@ -276,7 +282,7 @@
             }
             if !over && !streams && !late && self.chance(100) {
                 self.open.get_mut(&id).expect("known").streams = true;
-                self.event(Event::Begun {
+                self.event(Event::ResponseStreamStarted {
                     request: id,
                     attempt,
                 });
@@ -289,15 +295,15 @@
                 open.over |= ended;
                 open.sends[at].outcome = Some(outcome);
                 let elapsed = now - sent_at;
-                let closed = Closed {
+                let closed = AttemptResult {
                     request: id,
                     attempt,
                     server,
                     outcome,
                     elapsed,
-                    ended,
+                    request_ended: ended,
                 };
-                self.event(Event::Closed(closed));
+                self.event(Event::AttemptEnded(closed));
             }
         }
     }
@@ -305,16 +311,16 @@
 
 #[test]
 fn the_rules_hold_under_random_events() {
-    let keyed = |scope| Effect::Keyed {
+    let keyed = |scope| RetrySafety::IdempotentWithKey {
         scope,
         window: 300 * MS,
     };
     let effects = [
-        Effect::Safe,
-        Effect::Unsafe,
-        keyed(Scope::All),
-        keyed(Scope::Zone),
-        keyed(Scope::Cell),
+        RetrySafety::Idempotent,
+        RetrySafety::NonIdempotent,
+        keyed(DeduplicationScope::All),
+        keyed(DeduplicationScope::Zone),
+        keyed(DeduplicationScope::Cell),
     ];
     for ((policy, _), seed) in KNOWN
         .iter()
--- a/crates/lab/tests/rivals/sighted.rs
+++ b/crates/lab/tests/rivals/sighted.rs
@@ -22,7 +22,7 @@
     let known: BTreeMap<_, _> = (0..).map(ServerId).zip(servers.iter().copied()).collect();
     let (known, site, with) = (
         Rc::new(Known(known)),
-        settings(&[Effect::Safe]),
+        settings(&[RetrySafety::Idempotent]),
         figures(&[]),
     );
     let mut choice = if oracle {
@@ -34,7 +34,7 @@
     let mut shares = vec![0.0; servers.len()];
     for id in 0..1_000 {
         let new = NewRequest {
-            cost: Some(cost),
+            cost_hint: Some(cost),
             ..request(id, 0)
         };
         shares[choice.choose(0, &new, fleet.ready(), &fleet).0 as usize] += 0.001;
@@ -91,8 +91,11 @@
         (ServerId(0), Some(truth(2e4, 4.0))),
         (ServerId(1), Some(truth(0.0, 1.0))),
     ];
-    let mut choice =
-        Sighted::centralized(Rc::new(Known(known.into())), &settings(&[Effect::Safe]), 1);
+    let mut choice = Sighted::centralized(
+        Rc::new(Known(known.into())),
+        &settings(&[RetrySafety::Idempotent]),
+        1,
+    );
     let fleet = loaded(&[0, 0]);
     // 50 ms are first held to be usual: 17.5 on the fast one with its queue. Then 2 ms: 5.5 against 2.
     for id in 0..400 {
@@ -100,13 +103,13 @@
         assert!(id > 0 || server == ServerId(0));
         choice.sent(0, server, (id, 0));
         let elapsed = if server == ServerId(0) { 5_500 } else { 2_000 };
-        let closed = Closed {
+        let closed = AttemptResult {
             request: id,
             attempt: 0,
             server,
             outcome: Outcome::Ok,
             elapsed,
-            ended: true,
+            request_ended: true,
         };
         choice.closed(0, 0, &closed, &fleet);
     }
--- a/crates/lab/tests/stand_ins_speak_the_protocol.rs
+++ b/crates/lab/tests/stand_ins_speak_the_protocol.rs
@@ -1,6 +1,6 @@
 //! The stand-ins of the sockets driver, spoken to by a scripted peer.
 
-use madderloom_balancer::{Listed, Micros, ServerId, ServerState};
+use madderloom_balancer::{Micros, ServerEntry, ServerId, ServerState};
 use madderloom_config_reader::Span;
 use madderloom_lab::experiment::{Arm, Class, Effect, Experiment, ServerKind};
 use madderloom_lab::model::clients::{Ask, Clients, End};
@@ -598,14 +598,14 @@
 }
 
 /// One server as it is listed.
-fn listed(state: ServerState) -> Listed {
-    let server = ServerId::named("s-0");
-    Listed {
+fn listed(state: ServerState) -> ServerEntry {
+    let server = ServerId::from_name("s-0");
+    ServerEntry {
         server,
         zone: 0,
         cell: 0,
         kind: 0,
-        started: None,
+        started_at: None,
         capacity: 3.0,
         state,
     }
--- a/crates/operator-config/src/pools.rs
+++ b/crates/operator-config/src/pools.rs
@@ -3,8 +3,8 @@
 use crate::limits::{MemberLimits, MemberSection};
 use crate::names::is_name;
 use crate::state::{Kept, PoolSection, State};
-use madderloom_balancer::Effect;
-use madderloom_balancer::settings::{Site, written_name};
+use madderloom_balancer::RetrySafety;
+use madderloom_balancer::settings::{Site, settings_key};
 use madderloom_config_reader::Document;
 use madderloom_degradation::{ClassTraits, LevelPlan, LevelsSection};
 use madderloom_graphql::{ClassInfo, Policy};
@@ -161,7 +161,7 @@
     let classes = site.classes.iter().zip(&site.settings.classes);
     let facts = classes.map(|(name, class)| ClassTraits {
         name: name.clone(),
-        is_idempotent: class.effect != Effect::Unsafe,
+        is_idempotent: class.retry_safety != RetrySafety::NonIdempotent,
     });
     facts.collect()
 }
@@ -264,7 +264,7 @@
         }
     };
     if let Err(problem) = site.settings.validate() {
-        let inner = written_name(&problem.field);
+        let inner = settings_key(&problem.field);
         let (at, inner) = if prefix.is_empty() {
             (format!("{field}.{inner}"), String::new())
         } else {
@@ -281,8 +281,8 @@
     let classes = site.classes.iter().zip(&site.settings.classes);
     let info = |(name, class): (&String, &madderloom_balancer::Class)| ClassInfo {
         name: name.clone(),
-        effect: class.effect,
-        aim: class.aim,
+        effect: class.retry_safety,
+        aim: class.latency_objective,
     };
     classes.map(info).collect()
 }
--- a/crates/sidecar/src/alarms.rs
+++ b/crates/sidecar/src/alarms.rs
@@ -117,7 +117,7 @@
                         now = common.clock.now();
                     }
                     if let Some(service) = service.upgrade() {
-                        service.handle(now, Event::Timer(timer));
+                        service.handle(now, Event::TimerFired(timer));
                     }
                 }
             }
--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -1,7 +1,7 @@
 //! What a sidecar is told at its start: the `RELAY_*` variables and the JSON file that one of them names.
 
 use super::pool::Listing;
-use madderloom_balancer::settings::{Site, written_name};
+use madderloom_balancer::settings::{Site, settings_key};
 use serde::{Deserialize, Deserializer, Serialize, de::Error};
 use serde_json::value::RawValue;
 use std::borrow::Cow;
@@ -218,7 +218,7 @@
             });
         }
         config.settings.settings.validate().map_err(|e| {
-            let field = format!("settings.{}", written_name(&e.field));
+            let field = format!("settings.{}", settings_key(&e.field));
             let (line, column) = place(text, &field);
             Problem {
                 field,
--- a/crates/sidecar/src/discovery_watch.rs
+++ b/crates/sidecar/src/discovery_watch.rs
@@ -9,7 +9,7 @@
 use http_body_util::{BodyExt, Empty};
 use hyper::{Request, Response, StatusCode, body::Incoming, client::conn::http1, header};
 use hyper_util::rt::TokioIo;
-use madderloom_balancer::{Event, Members, Micros};
+use madderloom_balancer::{DiscoveryUpdate, Event, Micros};
 use madderloom_endpoint_sharing::first_discovery_wait;
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use std::convert::Infallible;
@@ -90,7 +90,7 @@
 
 /// Whoever is told by its fleet spares discovery the call.
 async fn wait_to_call(service: &Service) {
-    let ask_within = service.tuned().site.settings.rules.ask_within;
+    let ask_within = service.tuned().site.settings.rules.max_poll_interval;
     // Without any server a request may be waiting for the list.
     let first = if service.pool.is_known() {
         first_discovery_wait(service.common.clock.up(), ask_within)
@@ -112,12 +112,12 @@
         not_called(service);
     }
     if call.state != CallState::GivenUp {
-        let failed = Members::Failed {
-            since: call.since,
+        let failed = DiscoveryUpdate::CallFailed {
+            list_known_at: call.since,
             waited: call.waited(now),
-            broken_off: call.state == CallState::Waiting,
+            connection_broken: call.state == CallState::Waiting,
         };
-        service.handle(now, Event::Members(failed));
+        service.handle(now, Event::DiscoveryUpdated(failed));
     }
 }
 
@@ -134,13 +134,18 @@
         "{of}no answer of discovery after {lasted_ms} ms; the call goes on waiting"
     );
     let since = call.began;
-    service.handle(now, Event::Members(Members::Silent { since }));
+    service.handle(
+        now,
+        Event::DiscoveryUpdated(DiscoveryUpdate::CallUnanswered {
+            call_started_at: since,
+        }),
+    );
 }
 
 /// The first list of a call makes it the watch, and ends all other calls.
 fn watch_opened(service: &Rc<Service>, call: &Call, now: Micros) {
     service.pool.calls.answered(call.id);
-    service.handle(now, Event::Members(Members::Watching));
+    service.handle(now, Event::DiscoveryUpdated(DiscoveryUpdate::WatchOpened));
     log_first_list(service, call.began, now);
 }
 
@@ -345,7 +350,7 @@
     if listing.len() > SERVERS {
         return Err(format!("lists {} servers", listing.len()));
     }
-    let ask_within = service.tuned().site.settings.rules.ask_within;
+    let ask_within = service.tuned().site.settings.rules.max_poll_interval;
     let shared = &service.common.shared_lists;
     if listing.is_whole() && !shared.allows(&service.name, listing.version(), ask_within) {
         return Err(format!(
--- a/crates/sidecar/src/flow.rs
+++ b/crates/sidecar/src/flow.rs
@@ -16,7 +16,7 @@
 use hyper::header::{HeaderName, HeaderValue};
 use hyper::http::uri::PathAndQuery;
 use hyper::{HeaderMap, Method, Response, StatusCode, Uri, header};
-use madderloom_balancer::{Closed, Event, Micros, Outcome, RequestId, ServerId};
+use madderloom_balancer::{AttemptResult, Event, Micros, Outcome, RequestId, ServerId};
 use madderloom_graphql::Verdict;
 use std::cell::Cell;
 use std::future::poll_fn;
@@ -128,13 +128,13 @@
         if outcome == Outcome::Ok {
             self.over.set(true);
         }
-        let closed = Closed {
+        let closed = AttemptResult {
             request: self.request,
             attempt: self.number,
             server: self.server,
             outcome,
             elapsed: now.saturating_sub(self.sent.get()),
-            ended: self.over.get(),
+            request_ended: self.over.get(),
         };
         let ended = EndedAttempt {
             closed,
@@ -143,7 +143,7 @@
             sent: self.sent.get(),
         };
         self.service.attempt_ended(now, &ended);
-        self.service.handle(now, Event::Closed(closed));
+        self.service.handle(now, Event::AttemptEnded(closed));
     }
 }
 
@@ -395,7 +395,10 @@
             Ok(Some(data)) => {
                 // Nothing of it is kept, so it can't be sent again.
                 if !passing.spent.replace(true) {
-                    service.handle(service.common.clock.now(), Event::Spent(attempt.request));
+                    service.handle(
+                        service.common.clock.now(),
+                        Event::RetriesDisabled(attempt.request),
+                    );
                 }
                 (if chunked { chunk(&data) } else { data }, false)
             }
@@ -429,7 +432,7 @@
         progress.whole.set(true);
         passing.whole.set(Some(now));
         attempt.sent.set(now);
-        service.handle(now, Event::Came(attempt.request));
+        service.handle(now, Event::RequestBodyReceived(attempt.request));
     } else {
         passing.give_back(reader);
     }
--- a/crates/sidecar/src/graphql.rs
+++ b/crates/sidecar/src/graphql.rs
@@ -19,7 +19,7 @@
 use hyper::header::{self, HeaderMap, HeaderValue};
 use hyper::http::request::Parts;
 use hyper::{Response, StatusCode, Uri, body::Incoming};
-use madderloom_balancer::{Effect, Micros, NewRequest};
+use madderloom_balancer::{Micros, NewRequest, RetrySafety};
 use madderloom_graphql::{
     Classed, Fault, Media, Message, Part, PartAnswer, Plan, Rejection, Reply, join, stages,
 };
@@ -188,12 +188,12 @@
                     .unwrap_or(usual)
                     .saturating_sub(MARGIN + (now - self.came)),
             ),
-            cost: classed.cost,
-            repeat: headers
+            cost_hint: classed.cost,
+            client_retry: headers
                 .get("x-second-try")
                 .is_some_and(|second| second == "1"),
         };
-        let is_unsafe = classed.effect == Effect::Unsafe;
+        let is_unsafe = classed.effect == RetrySafety::NonIdempotent;
         let idempotency_record = if is_unsafe {
             IdempotencyRecord::for_request(service, &headers, part)
         } else {
@@ -231,11 +231,11 @@
 
     /// A transaction for each operation of a batch, and one answer of all of theirs.
     async fn run_apart(&self, parts: Vec<Result<ToServer, Fault>>) -> Response<Body> {
-        let effects: Vec<Effect> = parts
+        let effects: Vec<RetrySafety> = parts
             .iter()
             .map(|part| {
                 part.as_ref()
-                    .map_or(Effect::Safe, |part| part.classed.effect)
+                    .map_or(RetrySafety::Idempotent, |part| part.classed.effect)
             })
             .collect();
         let mut answers = Vec::with_capacity(parts.len());
--- a/crates/sidecar/src/levels.rs
+++ b/crates/sidecar/src/levels.rs
@@ -3,7 +3,7 @@
 
 use super::service::Service;
 use super::state_writer::LEVEL_ORDERS_PREFIX;
-use madderloom_balancer::{Event, Micros, Reduced};
+use madderloom_balancer::{DegradationEffects, Event, Micros};
 use madderloom_config_reader::Span;
 use madderloom_degradation::{
     EVALUATION_INTERVAL, ExternalSignals, FULL_SERVICE, LevelChange, LevelController, LevelPlan,
@@ -116,8 +116,11 @@
         .keeper
         .borrow()
         .as_ref()
-        .map_or_else(Reduced::default, |k| k.reduced().clone());
-    service.handle(service.common.clock.now(), Event::Level(&reduced));
+        .map_or_else(DegradationEffects::default, |k| k.reduced().clone());
+    service.handle(
+        service.common.clock.now(),
+        Event::DegradationChanged(&reduced),
+    );
     if let Some(change) = change {
         let (of, pool) = (&service.label, &service.name);
         match change.to {
--- a/crates/sidecar/src/moves.rs
+++ b/crates/sidecar/src/moves.rs
@@ -38,7 +38,7 @@
         let mut moved = Vec::new();
         let mut told = BTreeMap::new();
         for view in servers {
-            let (server, to) = (view.listed.server, view.share);
+            let (server, to) = (view.entry.server, view.traffic_share);
             let from = self.told.get(&server).copied().unwrap_or(to);
             let (less, more) = (from.min(to), from.max(to));
             let noticed = more - less >= LEAST && more >= FACTOR * less;
@@ -47,8 +47,8 @@
                     server,
                     from,
                     to,
-                    measured: view.measured,
-                    answers: view.answers,
+                    measured: view.work_and_time,
+                    answers: view.recent_attempts,
                 });
             }
             told.insert(server, if noticed { to } else { from });
@@ -102,30 +102,30 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use madderloom_balancer::{Listed, ServerState};
+    use madderloom_balancer::{ServerEntry, ServerState};
 
     fn view(server: u64, share: f64, answers: f64) -> ServerView {
-        let listed = Listed {
+        let listed = ServerEntry {
             server: ServerId(server),
             zone: 0,
             cell: 0,
             kind: 0,
-            started: None,
+            started_at: None,
             capacity: 1.0,
             state: ServerState::Ready,
         };
         ServerView {
-            listed,
-            share,
-            value: 1.0,
-            measured: (2e6, 4e6),
-            answers,
-            out: 0,
-            failures: 0,
+            entry: listed,
+            traffic_share: share,
+            service_rate: 1.0,
+            work_and_time: (2e6, 4e6),
+            recent_attempts: answers,
+            in_flight: 0,
+            failure_score: 0,
             ejected_until: None,
-            warmth: 1.0,
-            last_answer: 0,
-            report: None,
+            slow_start_factor: 1.0,
+            last_response: 0,
+            last_probe: None,
         }
     }
 
--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -4,7 +4,7 @@
 use super::service::Service;
 use foldhash::quality::FixedState;
 use madderloom_balancer::settings::Site;
-use madderloom_balancer::{Event, Listed, Members, Micros, ServerId, ServerState};
+use madderloom_balancer::{DiscoveryUpdate, Event, Micros, ServerEntry, ServerId, ServerState};
 use madderloom_operator_config::Server;
 use madderloom_sidecar_state::{ListedServer, ServerSnapshot};
 use serde::{Deserialize, Serialize};
@@ -144,7 +144,7 @@
     /// When discovery says it started.
     since_ms: u64,
     /// As it was listed.
-    listed: Listed,
+    listed: ServerEntry,
     /// Its zone and kind by name, where the settings hold one of these not: whom the list is shared with may.
     foreign: Option<Box<(String, String)>>,
 }
@@ -155,7 +155,7 @@
 }
 
 /// Its zone and kind by name, empty where the settings hold none of that place.
-fn places(names: &(Vec<String>, Vec<String>), listed: &Listed) -> (String, String) {
+fn places(names: &(Vec<String>, Vec<String>), listed: &ServerEntry) -> (String, String) {
     let name = |names: &[String], at: u32| names.get(at as usize).cloned().unwrap_or_default();
     (name(&names.0, listed.zone), name(&names.1, listed.kind))
 }
@@ -167,7 +167,7 @@
 fn started(since_ms: u64, former: Option<&Member>, now: Micros, behind: i64) -> Option<Micros> {
     let since = unix(since_ms)?;
     if let Some(known) = former.filter(|former| former.since_ms == since_ms) {
-        return known.listed.started;
+        return known.listed.started_at;
     }
     let parted = behind.unsigned_abs() >= PARTED;
     let since = if parted {
@@ -178,7 +178,7 @@
     // A later life starts later, whatever became of the clocks meanwhile.
     let after = former
         .filter(|former| former.since_ms < since_ms)
-        .and_then(|former| former.listed.started);
+        .and_then(|former| former.listed.started_at);
     Some(
         since
             .max(after.map_or(1, |after| after.saturating_add(1)))
@@ -196,17 +196,18 @@
 
 impl Steering {
     pub(super) fn weigh(&mut self, server: &str, thousandths: u32) {
-        self.weights.insert(ServerId::named(server), thousandths);
+        self.weights
+            .insert(ServerId::from_name(server), thousandths);
     }
 
     pub(super) fn drain(&mut self, server: &str, drained: bool) {
         if drained {
-            self.drained.insert(ServerId::named(server));
+            self.drained.insert(ServerId::from_name(server));
         }
     }
 
     /// A server as the module is to be told of it. One of no weight is drained: no capacity is too little to send by.
-    fn of(&self, listed: Listed) -> Listed {
+    fn of(&self, listed: ServerEntry) -> ServerEntry {
         let weight = self.weights.get(&listed.server).copied().unwrap_or(1_000);
         let drains = weight == 0 || self.drained.contains(&listed.server);
         let state = if drains && listed.state == ServerState::Ready {
@@ -219,7 +220,7 @@
         } else {
             listed.capacity * f64::from(weight) / 1e3
         };
-        Listed {
+        ServerEntry {
             state,
             capacity,
             ..listed
@@ -405,19 +406,19 @@
         serde_json::to_string(&rows).unwrap_or_default()
     }
 
-    fn listed(&self, endpoint: &Endpoint, started: Option<Micros>) -> Listed {
+    fn listed(&self, endpoint: &Endpoint, started: Option<Micros>) -> ServerEntry {
         // A name that the settings do not hold stands for one place of its own.
         let place = |names: &[String], name: &str| {
             names.iter().position(|n| n == name).unwrap_or(names.len())
         };
         let (zones, kinds) = &*self.names.borrow();
         let sound = WEIGHTS.contains(&endpoint.weight);
-        Listed {
-            server: ServerId::named(&endpoint.name),
+        ServerEntry {
+            server: ServerId::from_name(&endpoint.name),
             zone: place(zones, &endpoint.zone) as u32,
             cell: endpoint.group,
             kind: place(kinds, &endpoint.kind) as u32,
-            started,
+            started_at: started,
             capacity: if sound { endpoint.weight } else { 1.0 },
             state: match endpoint.status {
                 Status::InService => ServerState::Ready,
@@ -434,13 +435,13 @@
         listing: Listing,
         steering: &Steering,
         (now, behind): (Micros, i64),
-    ) -> (Vec<Listed>, Vec<ServerId>) {
+    ) -> (Vec<ServerEntry>, Vec<ServerId>) {
         let mut members = self.members.borrow_mut();
         let as_listed = |endpoint: &Endpoint| {
-            let former = members.get(&ServerId::named(&endpoint.name));
+            let former = members.get(&ServerId::from_name(&endpoint.name));
             self.listed(endpoint, started(endpoint.since_ms, former, now, behind))
         };
-        let listed: Vec<Listed> = listing.endpoints.iter().map(as_listed).collect();
+        let listed: Vec<ServerEntry> = listing.endpoints.iter().map(as_listed).collect();
         let former: Vec<_> = members.iter().map(|(id, m)| (*id, m.address)).collect();
         if listing.snapshot {
             members.clear();
@@ -472,7 +473,7 @@
             }
         }
         self.index.set(listing.index);
-        let listed: Vec<Listed> = listed
+        let listed: Vec<ServerEntry> = listed
             .into_iter()
             .map(|listed| steering.of(listed))
             .collect();
@@ -549,11 +550,11 @@
 pub(super) fn drain(service: &Rc<Service>) {
     service.pool.calls.end_all();
     service.pool.discovery.set(None);
-    let draining = |member: &Member| Listed {
+    let draining = |member: &Member| ServerEntry {
         state: ServerState::Draining,
         ..member.listed
     };
-    let listed: Vec<Listed> = service
+    let listed: Vec<ServerEntry> = service
         .pool
         .members
         .borrow()
@@ -563,7 +564,7 @@
     service.connections.clear();
     service.handle(
         service.common.clock.now(),
-        Event::Members(Members::Full(&listed)),
+        Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&listed)),
     );
 }
 
@@ -593,14 +594,14 @@
     changes.sort_unstable_by_key(|listed| listed.server);
     service.handle(
         service.common.clock.now(),
-        Event::Members(Members::Changes(&changes)),
+        Event::DiscoveryUpdated(DiscoveryUpdate::ListChanges(&changes)),
     );
 }
 
 /// Tells the module of the servers that are now set otherwise beside their list.
 pub(super) fn steer(service: &Rc<Service>, former: &Steering, present: &Steering) {
     let pairs = |member: &Member| (former.of(member.listed), present.of(member.listed));
-    let mut changes: Vec<Listed> = Vec::new();
+    let mut changes: Vec<ServerEntry> = Vec::new();
     for (was, is) in service.pool.members.borrow().values().map(pairs) {
         // A pool that goes may lose servers, and gets none back.
         if was != is && (is.state == ServerState::Draining || !service.is_leaving()) {
@@ -617,7 +618,7 @@
     drained.for_each(|listed| service.connections.forget(listed.server));
     service.handle(
         service.common.clock.now(),
-        Event::Members(Members::Changes(&changes)),
+        Event::DiscoveryUpdated(DiscoveryUpdate::ListChanges(&changes)),
     );
 }
 
@@ -677,11 +678,11 @@
     left.into_iter()
         .for_each(|server| service.connections.forget(server));
     let members = if full {
-        Members::Full(&listed)
+        DiscoveryUpdate::FullList(&listed)
     } else {
-        Members::Changes(&listed)
+        DiscoveryUpdate::ListChanges(&listed)
     };
-    service.handle(now, Event::Members(members));
+    service.handle(now, Event::DiscoveryUpdated(members));
     service.recall_servers(now);
 }
 
@@ -702,7 +703,7 @@
         let listing = serde_json::json!({"index": 1, "snapshot": true, "endpoints": [endpoint]});
         let listing = serde_json::from_value(listing).expect("a list");
         let (listed, _) = pool.take_in(listing, &Steering::default(), (now, behind));
-        listed[0].started.expect("it started")
+        listed[0].started_at.expect("it started")
     }
 
     /// A machine that was suspended for eight hours, one whose clock was set only after the start, and one that was set
--- a/crates/sidecar/src/probe.rs
+++ b/crates/sidecar/src/probe.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use hyper::header::{self, HeaderValue};
 use hyper::{Method, StatusCode};
-use madderloom_balancer::{Event, Micros, Report, ServerId};
+use madderloom_balancer::{Event, LoadReport, Micros, ServerId};
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use std::future::Ready;
 use std::rc::Rc;
@@ -19,11 +19,11 @@
     watchdog::spawn(TaskKind::LoadProbe, async move {
         let report = own.common.within(WAIT, ask(&own, server)).await.flatten();
         let now = own.common.clock.now();
-        own.handle(now, Event::Probed(server, report));
+        own.handle(now, Event::ProbeCompleted(server, report));
     });
 }
 
-async fn ask(service: &Rc<Service>, server: ServerId) -> Option<Report> {
+async fn ask(service: &Rc<Service>, server: ServerId) -> Option<LoadReport> {
     let address = service.pool.address(server)?;
     let mut message = Message::new(&Method::GET, "/status/load");
     message.header(
@@ -50,7 +50,7 @@
 }
 
 /// Reads `TEXT inflight=7, queue=2, util=0.61`; names that are not known are passed over.
-fn report(text: &str) -> Option<Report> {
+fn report(text: &str) -> Option<LoadReport> {
     let text = text.trim().strip_prefix("TEXT ")?;
     let value = |wanted: &str| {
         let mut pairs = text
@@ -65,8 +65,8 @@
     // The protocol's words, or those of the settings: nodes have been seen to use the latter.
     let either = |one, other| value(one).or_else(|| value(other));
     let held = either("inflight", "rif").or_else(|| either("queue", "q"))?;
-    Some(Report {
-        held,
-        errors: either("eps", "fail_rate").unwrap_or(0.0),
+    Some(LoadReport {
+        in_flight: held,
+        errors_per_second: either("eps", "fail_rate").unwrap_or(0.0),
     })
 }
--- a/crates/sidecar/src/second_address.rs
+++ b/crates/sidecar/src/second_address.rs
@@ -141,11 +141,11 @@
         let servers = service.snapshot().servers;
         let listed = servers
             .iter()
-            .filter(|server| server.listed.state != ServerState::Gone);
+            .filter(|server| server.entry.state != ServerState::Gone);
         all.registry_entries += service.pool.count() as u64;
         all.out_of_rotation += listed
             .filter(|server| {
-                server.listed.state != ServerState::Ready || server.ejected_until.is_some()
+                server.entry.state != ServerState::Ready || server.ejected_until.is_some()
             })
             .count() as u64;
     }
--- a/crates/sidecar/src/service.rs
+++ b/crates/sidecar/src/service.rs
@@ -20,8 +20,8 @@
 use hyper::header::HeaderValue;
 use madderloom_balancer::settings::Site;
 use madderloom_balancer::{
-    Action, Balancer, Event, Members, Memory, Micros, NewRequest, Note, RequestId, ServerId,
-    Snapshot, Timer,
+    Action, Balancer, DiscoveryUpdate, Event, LogEvent, Measurements, Micros, NewRequest,
+    RequestId, ServerId, Snapshot, Timer,
 };
 use madderloom_degradation::{LevelController, LevelPlan};
 use madderloom_graphql::{Front, Policy};
@@ -140,7 +140,7 @@
         let service = Rc::new(Service {
             balancer: RefCell::new(balancer),
             keeper: RefCell::default(),
-            place: madderloom_balancer::place(seed),
+            place: madderloom_balancer::key_position(seed),
             pool: Pool::new(
                 discovery,
                 site.zones.clone(),
@@ -250,8 +250,8 @@
         let tuned = self.tuned();
         tuned.at(request.class).map_or(Micros::MAX, |entry| {
             let class = &entry.class;
-            let stretch = class.aim_stretch * request.cost.unwrap_or(0) as f64;
-            class.aim.saturating_add(stretch as Micros)
+            let stretch = class.latency_objective_stretch * request.cost_hint.unwrap_or(0) as f64;
+            class.latency_objective.saturating_add(stretch as Micros)
         })
     }
 
@@ -276,7 +276,7 @@
             .change(tuned.site.conn_idle, tuned.site.connect_timeout);
         pool::rename(self, &tuned.site);
         self.tuned.replace(Rc::new(tuned));
-        self.handle(self.common.clock.now(), Event::Settings(&retuned));
+        self.handle(self.common.clock.now(), Event::SettingsChanged(&retuned));
     }
 
     pub(super) fn retry_after(&self) -> Option<Micros> {
@@ -294,12 +294,12 @@
 
     /// The share of its servers that fails, where it has any.
     pub(super) fn failing(&self, now: Micros) -> Option<f64> {
-        self.balancer.borrow().failing(now)
+        self.balancer.borrow().failing_server_share(now)
     }
 
     /// Requests that levels have turned away.
     pub(super) fn given_up(&self) -> u64 {
-        self.balancer.borrow().given_up()
+        self.balancer.borrow().shed_requests()
     }
 
     /// Takes a task that ends with the service at the latest.
@@ -310,8 +310,8 @@
     }
 
     /// What the module has measured.
-    pub(super) fn memory(&self, now: Micros) -> Memory {
-        self.balancer.borrow().memory(now)
+    pub(super) fn memory(&self, now: Micros) -> Measurements {
+        self.balancer.borrow().measurements(now)
     }
 
     /// Begins with what an earlier process measured of classes, and keeps the rest until servers are listed.
@@ -327,7 +327,9 @@
         let warm_start = WarmStart::of(writer, &self.name);
         let begun = self.memory(self.common.clock.now());
         if let Some(memory) = warm_start.classes(writer, self, &begun) {
-            self.balancer.borrow_mut().recall_classes(&memory);
+            self.balancer
+                .borrow_mut()
+                .restore_class_measurements(&memory);
         }
         self.warm_start.replace(warm_start);
     }
@@ -335,7 +337,11 @@
     /// Servers were listed: what was measured of them before is given to the module.
     pub(super) fn recall_servers(&self, now: Micros) {
         if let Some(writer) = self.common.state_writer.get() {
-            let take = |memory: &_| self.balancer.borrow_mut().recall_server(now, memory);
+            let take = |memory: &_| {
+                self.balancer
+                    .borrow_mut()
+                    .restore_server_measurements(now, memory)
+            };
             self.warm_start.borrow_mut().servers(writer, take);
         }
     }
@@ -361,13 +367,17 @@
     /// carried out in their order. Tests see to it by the assertion here.
     pub(super) fn handle(self: &Rc<Self>, now: Micros, event: Event<'_>) {
         match &event {
-            Event::Members(members) => self.tell(|teller| teller.listed(self, now, members)),
-            Event::Probed(server, Some(report)) => {
-                self.tell(|teller| teller.reported(now, *server, report.held));
+            Event::DiscoveryUpdated(members) => {
+                self.tell(|teller| teller.listed(self, now, members))
+            }
+            Event::ProbeCompleted(server, Some(report)) => {
+                self.tell(|teller| teller.reported(now, *server, report.in_flight));
             }
             _ => {}
         }
-        if let (Event::Closed(closed), Some(keeper)) = (&event, self.keeper.borrow_mut().as_mut()) {
+        if let (Event::AttemptEnded(closed), Some(keeper)) =
+            (&event, self.keeper.borrow_mut().as_mut())
+        {
             keeper.attempt_ended(now, closed);
         }
         trail::event(self, now, &event);
@@ -407,11 +417,11 @@
                     .snapshot()
                     .servers
                     .iter()
-                    .map(|server| server.listed)
+                    .map(|server| server.entry)
                     .collect();
-                let cold = self.tuned().site.settings.rules.cold;
+                let cold = self.tuned().site.settings.rules.slow_start_window;
                 let new = teller.insert(Box::new(Teller::new(&self.name, settings, cold)));
-                new.listed(self, now, &Members::Full(&listed));
+                new.listed(self, now, &DiscoveryUpdate::FullList(&listed));
             }
         }
     }
@@ -481,7 +491,7 @@
             Action::Cancel { request, attempt } => {
                 self.instruct(request, Step::Cancel { attempt });
             }
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after,
             } => {
@@ -491,7 +501,7 @@
                 self.instruct(request, Step::Fail);
             }
             Action::SetTimer { at, timer } => self.set_timer(at, timer),
-            Action::Subscribe => discovery_watch::subscribe(self),
+            Action::PollDiscovery => discovery_watch::subscribe(self),
             Action::Probe(server) => probe::start(self, server),
             Action::Log(note) => self.note(now, note),
         }
@@ -521,24 +531,24 @@
         }
     }
 
-    fn note(&self, now: Micros, note: Note) {
+    fn note(&self, now: Micros, note: LogEvent) {
         let of = &self.label;
         self.tell(|teller| teller.noted(self, now, note));
         match note {
-            Note::Overload(class) => {
+            LogEvent::ClassOverloaded(class) => {
                 let tuned = self.tuned();
                 let class = tuned.at(class).map_or("?", |c| &c.name);
                 tracing::warn!(class, "{of}overload: refusing {class} early");
             }
-            Note::Ejected(server, outcome) => {
+            LogEvent::ServerEjected(server, outcome) => {
                 let server = self.pool.name(server);
                 tracing::warn!(%server, ?outcome, "{of}ejected {server}: {outcome:?}");
             }
-            Note::Restored(server) => {
+            LogEvent::ServerRestored(server) => {
                 let server = self.pool.name(server);
                 tracing::info!(%server, "{of}restored {server}");
             }
-            Note::DiscoveryFailed => tracing::warn!("{of}server list out of reach"),
+            LogEvent::DiscoveryFailed => tracing::warn!("{of}server list out of reach"),
         }
     }
 }
--- a/crates/sidecar/src/teller.rs
+++ b/crates/sidecar/src/teller.rs
@@ -4,7 +4,8 @@
 use super::service::Service;
 use foldhash::quality::FixedState;
 use madderloom_balancer::{
-    Closed, Listed, Members, Micros, Note, Outcome, RequestId, ServerId, ServerState, Snapshot,
+    AttemptResult, DiscoveryUpdate, LogEvent, Micros, Outcome, RequestId, ServerEntry, ServerId,
+    ServerState, Snapshot,
 };
 use madderloom_endpoint_history::{
     Anomaly, AnomalyPhase, CompletedAttempt, EndpointEvent, EndpointGauges, EndpointHistory,
@@ -22,7 +23,7 @@
 
 /// An attempt that ended, with what the module is not told of it.
 pub(super) struct EndedAttempt {
-    pub(super) closed: Closed,
+    pub(super) closed: AttemptResult,
     pub(super) class: u32,
     pub(super) cost: Option<Micros>,
     pub(super) sent: Micros,
@@ -31,7 +32,7 @@
 /// A server as it was last listed.
 struct Known {
     name: Box<str>,
-    listed: Listed,
+    listed: ServerEntry,
     address: Option<SocketAddr>,
     is_ejected: bool,
     /// Attempts that are out there, the oldest first, with their classes.
@@ -80,7 +81,7 @@
     }
 
     /// Where a server is, or was last, and how it was listed.
-    pub(super) fn known(&self, id: ServerId) -> Option<(&Listed, Option<SocketAddr>)> {
+    pub(super) fn known(&self, id: ServerId) -> Option<(&ServerEntry, Option<SocketAddr>)> {
         self.servers
             .get(&id)
             .map(|known| (&known.listed, known.address))
@@ -95,11 +96,13 @@
     }
 
     /// The list of servers, or changes of it.
-    pub(super) fn listed(&mut self, service: &Service, now: Micros, members: &Members<'_>) {
+    pub(super) fn listed(&mut self, service: &Service, now: Micros, members: &DiscoveryUpdate<'_>) {
         let (listed, full) = match members {
-            Members::Full(listed) => (*listed, true),
-            Members::Changes(listed) => (*listed, false),
-            Members::Failed { .. } | Members::Silent { .. } | Members::Watching => return,
+            DiscoveryUpdate::FullList(listed) => (*listed, true),
+            DiscoveryUpdate::ListChanges(listed) => (*listed, false),
+            DiscoveryUpdate::CallFailed { .. }
+            | DiscoveryUpdate::CallUnanswered { .. }
+            | DiscoveryUpdate::WatchOpened => return,
         };
         // The first list tells of nothing that happened.
         let is_first = self.servers.is_empty();
@@ -121,7 +124,7 @@
         }
     }
 
-    fn arrived(&mut self, service: &Service, now: Micros, listed: &Listed, is_first: bool) {
+    fn arrived(&mut self, service: &Service, now: Micros, listed: &ServerEntry, is_first: bool) {
         let id = listed.server;
         let address = service.pool.address(id);
         let former = self
@@ -129,8 +132,10 @@
             .get(&id)
             .map(|known| (known.listed, known.address));
         let is_back = former.is_some_and(|(former, _)| former.state == ServerState::Gone);
-        let restarted = former.is_some_and(|(former, _)| listed.started > former.started);
-        let warming_up_until = listed.started.map_or(0, |at| at.saturating_add(self.cold));
+        let restarted = former.is_some_and(|(former, _)| listed.started_at > former.started_at);
+        let warming_up_until = listed
+            .started_at
+            .map_or(0, |at| at.saturating_add(self.cold));
         let arrival = ListedEndpoint {
             zone: listed.zone,
             machine_kind: listed.kind,
@@ -189,11 +194,11 @@
     }
 
     /// The module wrote a line for the operators.
-    pub(super) fn noted(&mut self, service: &Service, now: Micros, note: Note) {
+    pub(super) fn noted(&mut self, service: &Service, now: Micros, note: LogEvent) {
         let (id, what) = match note {
-            Note::Ejected(id, outcome) => (id, EndpointEvent::Ejected(outcome)),
-            Note::Restored(id) => (id, EndpointEvent::Restored),
-            Note::Overload(_) | Note::DiscoveryFailed => return,
+            LogEvent::ServerEjected(id, outcome) => (id, EndpointEvent::Ejected(outcome)),
+            LogEvent::ServerRestored(id) => (id, EndpointEvent::Restored),
+            LogEvent::ClassOverloaded(_) | LogEvent::DiscoveryFailed => return,
         };
         if let Some(known) = self.servers.get_mut(&id) {
             known.is_ejected = matches!(what, EndpointEvent::Ejected(_));
@@ -240,7 +245,7 @@
 
     /// An attempt ended.
     pub(super) fn ended(&mut self, now: Micros, ended: &EndedAttempt) {
-        let Closed {
+        let AttemptResult {
             request,
             attempt,
             server,
@@ -302,20 +307,20 @@
     ) {
         self.minute = minute;
         for view in &snapshot.servers {
-            let id = view.listed.server;
-            let reported = view.report.and_then(|(at, report)| {
+            let id = view.entry.server;
+            let reported = view.last_probe.and_then(|(at, report)| {
                 Some(ReportedLoad {
-                    held: report?.held,
+                    held: report?.in_flight,
                     age: now.saturating_sub(at),
                 })
             });
-            let out = u32::try_from(view.out).unwrap_or(u32::MAX);
+            let out = u32::try_from(view.in_flight).unwrap_or(u32::MAX);
             self.story.record_gauges(
                 now,
                 id,
                 EndpointGauges {
                     in_flight: out,
-                    region_fraction: view.share,
+                    region_fraction: view.traffic_share,
                     reported,
                 },
             );
--- a/crates/sidecar/src/trail.rs
+++ b/crates/sidecar/src/trail.rs
@@ -18,7 +18,9 @@
 //! instance.
 
 use super::service::Service;
-use madderloom_balancer::{Action, Closed, Event, Listed, Members, Micros, ServerId};
+use madderloom_balancer::{
+    Action, AttemptResult, DiscoveryUpdate, Event, Micros, ServerEntry, ServerId,
+};
 use tracing::{Level, debug, enabled};
 
 /// A pool has begun to serve, with nothing measured yet.
@@ -30,12 +32,14 @@
 pub(super) fn event(service: &Service, now: Micros, event: &Event<'_>) {
     match event {
         // Names are looked up where they are written alone.
-        Event::Members(Members::Full(list) | Members::Changes(list)) if enabled!(Level::DEBUG) => {
-            for Listed {
+        Event::DiscoveryUpdated(
+            DiscoveryUpdate::FullList(list) | DiscoveryUpdate::ListChanges(list),
+        ) if enabled!(Level::DEBUG) => {
+            for ServerEntry {
                 server,
                 state,
                 kind,
-                started,
+                started_at: started,
                 ..
             } in *list
             {
@@ -43,7 +47,7 @@
                 debug!(t = now, what = "listed", %server, %name, ?state, kind, started, "listed {name}: {state:?}");
             }
         }
-        Event::Request(new) => {
+        Event::RequestReceived(new) => {
             let (request, class) = (new.id, new.class);
             debug!(
                 t = now,
@@ -53,7 +57,7 @@
                 "request {request}"
             );
         }
-        Event::Closed(Closed {
+        Event::AttemptEnded(AttemptResult {
             request,
             server,
             outcome,
@@ -75,11 +79,11 @@
             debug!(t = now, what = "send", request, %server, "send {request}")
         }
         Action::Probe(server) => debug!(t = now, what = "probe", %server, "probe"),
-        Action::Refuse { request, .. } => {
+        Action::Reject { request, .. } => {
             debug!(t = now, what = "refuse", request, "refuse {request}")
         }
         Action::Fail { request } => debug!(t = now, what = "fail", request, "fail {request}"),
-        Action::Subscribe => debug!(t = now, what = "ask", "ask discovery"),
+        Action::PollDiscovery => debug!(t = now, what = "ask", "ask discovery"),
         _ => {}
     }
 }
--- a/crates/sidecar/src/transaction.rs
+++ b/crates/sidecar/src/transaction.rs
@@ -129,10 +129,10 @@
 
     // The module takes it in, and says what to do first: send it, refuse it, or nothing yet.
     let before = service.given_up();
-    service.handle(now, Event::Request(new));
+    service.handle(now, Event::RequestReceived(new));
     transaction.given_up = service.given_up() > before;
     if onward.body.passing().is_some() {
-        service.handle(now, Event::Coming(transaction.id));
+        service.handle(now, Event::RequestBodyStarted(transaction.id));
     }
 
     loop {
@@ -171,7 +171,7 @@
             came: now,
             aim: service.aim(new),
             given_up: false,
-            cost: new.cost,
+            cost: new.cost_hint,
             last: None,
             steps,
             over: Rc::default(),
@@ -273,7 +273,7 @@
         if !self.over.replace(true) {
             self.tell(|elapsed| RequestEnd::abandoned(elapsed, self.aim));
             let now = self.service.common.clock.now();
-            self.service.handle(now, Event::ClientGone(self.id));
+            self.service.handle(now, Event::ClientDisconnected(self.id));
         }
         self.flows.clear();
         self.service.transactions.borrow_mut().remove(&self.id);
--- a/crates/sidecar/src/tuned.rs
+++ b/crates/sidecar/src/tuned.rs
@@ -6,7 +6,7 @@
 
 use super::counts::{Counts, Registry};
 use madderloom_balancer::settings::Site;
-use madderloom_balancer::{Class, Effect, Micros, Retuned};
+use madderloom_balancer::{Class, Micros, RetrySafety, SettingsChange};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -20,8 +20,8 @@
 }
 
 impl ClassEntry {
-    pub(super) fn effect(&self) -> Effect {
-        self.class.effect
+    pub(super) fn effect(&self) -> RetrySafety {
+        self.class.retry_safety
     }
 }
 
@@ -82,7 +82,7 @@
     }
 
     /// Newer ones, and what the module is to be told of them.
-    pub(super) fn turn_to(&self, mut site: Site, counts: &Registry) -> (Tuned, Retuned) {
+    pub(super) fn turn_to(&self, mut site: Site, counts: &Registry) -> (Tuned, SettingsChange) {
         let file = site.clone();
         let mut places: Vec<Place> = Vec::with_capacity(self.places.len());
         let mut learned: Vec<Option<u32>> = Vec::new();
@@ -147,9 +147,9 @@
             .map(|place| place.entry.class.clone())
             .collect();
         let retired = places.iter().map(|place| place.retired).collect();
-        let retuned = Retuned {
+        let retuned = SettingsChange {
             settings: site.settings.clone(),
-            learned,
+            inherited_from: learned,
             retired,
         };
         (Tuned::of(file, site, places), retuned)
@@ -206,10 +206,13 @@
             ]),
             &counts,
         );
-        assert_eq!((open.place, open.effect()), (1, Effect::Unsafe));
+        assert_eq!((open.place, open.effect()), (1, RetrySafety::NonIdempotent));
         assert_eq!(told.retired, [false, true, false, false]);
-        assert_eq!(told.learned, [Some(0), Some(1), None, Some(1)]);
-        assert_eq!(told.settings.classes[1].effect, Effect::Unsafe);
+        assert_eq!(told.inherited_from, [Some(0), Some(1), None, Some(1)]);
+        assert_eq!(
+            told.settings.classes[1].retry_safety,
+            RetrySafety::NonIdempotent
+        );
         assert_eq!(second.named("file").map(|c| c.place), Some(3));
         drop(first);
         // Nobody asks for "late" any more; its place, and that of the request that has ended, are free again.
@@ -220,7 +223,7 @@
         );
         assert_eq!(third.named("new").map(|c| c.place), Some(1));
         assert_eq!(told.retired, [false, false, true, true]);
-        assert_eq!(told.learned[1], None);
+        assert_eq!(told.inherited_from[1], None);
         assert!(third.named("late").is_none() && third.named("file").is_none());
     }
 }
--- a/crates/sidecar/src/view.rs
+++ b/crates/sidecar/src/view.rs
@@ -9,7 +9,7 @@
 use super::service::Service;
 use super::teller::{Teller, words};
 use super::turns::charged_to;
-use madderloom_balancer::{Effect, Micros, Outcome, ServerId, ServerState, ServerView};
+use madderloom_balancer::{Micros, Outcome, RetrySafety, ServerId, ServerState, ServerView};
 use madderloom_endpoint_history::{Interval, LatencySketch, Recording, Subject, Timeline};
 use madderloom_routing::shares::Held;
 use madderloom_routing::turns::Spent;
@@ -129,12 +129,12 @@
         json!({
             "name": class.name,
             "effect": match class.effect() {
-                Effect::Safe => "safe",
-                Effect::Keyed { .. } => "keyed",
-                Effect::Unsafe => "unsafe",
+                RetrySafety::Idempotent => "safe",
+                RetrySafety::IdempotentWithKey { .. } => "keyed",
+                RetrySafety::NonIdempotent => "unsafe",
             },
-            "open": seen.open, "usual_us": seen.usual, "slow_us": seen.slow, "delay": seen.delay,
-            "served_per_s": seen.served, "refused_ago_us": seen.refused.map(ago),
+            "open": seen.in_flight, "usual_us": seen.service_time, "slow_us": seen.tail_latency, "delay": seen.latency_ratio,
+            "served_per_s": seen.served_per_second, "refused_ago_us": seen.last_rejected.map(ago),
         })
     });
     let account =
@@ -162,7 +162,7 @@
 }
 
 fn server(service: &Service, seen: &ServerView, now: Micros) -> Value {
-    let listed = &seen.listed;
+    let listed = &seen.entry;
     let tuned = service.tuned();
     let zone = tuned.site.zones.get(listed.zone as usize);
     let kind = tuned.site.kinds.get(listed.kind as usize);
@@ -176,10 +176,10 @@
             ServerState::Draining => "draining",
             ServerState::Gone => "gone",
         },
-        "share": seen.share, "out": seen.out, "failures": seen.failures, "ejected_for_us": ejected,
-        "warmth": seen.warmth, "last_answer_ago_us": now.saturating_sub(seen.last_answer),
-        "report": seen.report.map(|(at, report)| json!({
-            "ago_us": now.saturating_sub(at), "held": report.map(|r| r.held), "errors_per_s": report.map(|r| r.errors),
+        "share": seen.traffic_share, "out": seen.in_flight, "failures": seen.failure_score, "ejected_for_us": ejected,
+        "warmth": seen.slow_start_factor, "last_answer_ago_us": now.saturating_sub(seen.last_response),
+        "report": seen.last_probe.map(|(at, report)| json!({
+            "ago_us": now.saturating_sub(at), "held": report.map(|r| r.in_flight), "errors_per_s": report.map(|r| r.errors_per_second),
         })),
     })
 }
@@ -251,7 +251,7 @@
             let id = teller.find(name)?;
             let line = teller.story.timeline(id)?;
             let snapshot = service.snapshot();
-            let seen = snapshot.servers.iter().find(|seen| seen.listed.server == id);
+            let seen = snapshot.servers.iter().find(|seen| seen.entry.server == id);
             let left = teller.story.known_endpoints().find(|known| known.server == id).and_then(|known| known.left_at);
             let mut told = match seen {
                 Some(seen) => row(service, seen, Some(teller), now),
@@ -298,7 +298,7 @@
     let mut told = server(service, seen, now);
     told["pool"] = service.name.as_str().into();
     if let Some(teller) = teller {
-        add_story(&mut told, service, teller, seen.listed.server);
+        add_story(&mut told, service, teller, seen.entry.server);
     }
     told
 }
--- a/crates/sidecar/src/virtual_server.rs
+++ b/crates/sidecar/src/virtual_server.rs
@@ -21,7 +21,7 @@
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::http::request::Parts;
 use hyper::{Method, Request, Response, StatusCode, Uri, body::Body, body::Incoming};
-use madderloom_balancer::{Effect, Micros, NewRequest, RequestId};
+use madderloom_balancer::{Micros, NewRequest, RequestId, RetrySafety};
 use madderloom_routing::request::{Asked, Fault, split_key, subject};
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use std::rc::Rc;
@@ -160,7 +160,7 @@
     let uri = path.map_or_else(|| Uri::from_static("/"), Uri::from);
     let unsafe_to_repeat = entry
         .as_ref()
-        .is_none_or(|class| class.effect() == Effect::Unsafe);
+        .is_none_or(|class| class.effect() == RetrySafety::NonIdempotent);
     let aim = service.aim(&new);
     let reading = Reading::Plain;
     let idempotency_record = if unsafe_to_repeat {
@@ -458,7 +458,7 @@
     ))?;
     let effect = class.effect();
     if head.method
-        != if effect == Effect::Safe {
+        != if effect == RetrySafety::Idempotent {
             Method::GET
         } else {
             Method::POST
@@ -473,7 +473,7 @@
         return Err(senseless("X-Trace-Id is missing, or there are several"));
     }
     // Without one key that all servers read alike, they could not tell a repeat from another request.
-    let keyed = matches!(effect, Effect::Keyed { .. });
+    let keyed = matches!(effect, RetrySafety::IdempotentWithKey { .. });
     if keyed && (text(&IDEMPOTENCY_KEY).is_none_or(str::is_empty) || several(&IDEMPOTENCY_KEY)) {
         return Err(senseless(
             "Idempotency-Key is missing, or there are several",
@@ -488,8 +488,8 @@
         tenant: 0,
         key: subject(headers),
         time_left: left,
-        cost: text(&SIZE_HINT).and_then(|hint| hint.parse().ok()),
-        repeat: text(&SECOND_TRY) == Some("1"),
+        cost_hint: text(&SIZE_HINT).and_then(|hint| hint.parse().ok()),
+        client_retry: text(&SECOND_TRY) == Some("1"),
     })
 }
 
--- a/crates/sidecar/src/warm_start.rs
+++ b/crates/sidecar/src/warm_start.rs
@@ -4,7 +4,7 @@
 use super::common::Common;
 use super::service::Service;
 use super::state_writer::StateWriter;
-use madderloom_balancer::{Memory, Micros, ServerId, ServerMemory};
+use madderloom_balancer::{Measurements, Micros, ServerId, ServerMeasurements};
 use madderloom_sidecar_state::{
     ClassSnapshot, DecayedSnapshot, Means, PendingSnapshot, RestoredService, ServerSnapshot,
     SnapshotWriter, WarmStartSnapshot, blend,
@@ -31,15 +31,15 @@
 }
 
 /// What the balancer takes in of a server's snapshot.
-fn memory_of(server: ServerId, snapshot: &ServerSnapshot) -> ServerMemory {
-    ServerMemory {
+fn memory_of(server: ServerId, snapshot: &ServerSnapshot) -> ServerMeasurements {
+    ServerMeasurements {
         server,
-        started: snapshot.incarnation_started_at,
+        started_at: snapshot.incarnation_started_at,
         work: snapshot.work,
-        time: snapshot.attempt_time,
-        failures: snapshot.consecutive_failures,
-        ejected: snapshot.ejection_left,
-        ejection: snapshot.ejection_time,
+        attempt_time: snapshot.attempt_time,
+        failure_score: snapshot.consecutive_failures,
+        ejection_remaining: snapshot.ejection_left,
+        ejection_duration: snapshot.ejection_time,
     }
 }
 
@@ -52,7 +52,7 @@
             .and_then(|restored| restored.snapshot.take());
         let servers = snapshot.iter().flat_map(|snapshot| &snapshot.servers);
         let unlisted = servers
-            .map(|server| ServerId::named(&server.name))
+            .map(|server| ServerId::from_name(&server.name))
             .collect();
         WarmStart { snapshot, unlisted }
     }
@@ -76,8 +76,8 @@
         &self,
         writer: &StateWriter,
         service: &Service,
-        assumed: &Memory,
-    ) -> Option<Memory> {
+        assumed: &Measurements,
+    ) -> Option<Measurements> {
         let DecayedSnapshot {
             weight,
             classes,
@@ -88,13 +88,13 @@
         let mut memory = assumed.clone();
         for (class, name) in memory.classes.iter_mut().zip(&service.tuned().site.classes) {
             if let Some(stored) = classes.iter().find(|stored| stored.name == *name) {
-                class.usual = blended(class.usual, stored.usual_work);
-                class.slow = blended(class.slow, stored.slow_time);
+                class.service_time = blended(class.service_time, stored.usual_work);
+                class.tail_latency = blended(class.tail_latency, stored.slow_time);
             }
         }
-        memory.means = (
-            blended(assumed.means.0, means.work),
-            blended(assumed.means.1, means.answer_time),
+        memory.mean_work_and_time = (
+            blended(assumed.mean_work_and_time.0, means.work),
+            blended(assumed.mean_work_and_time.1, means.answer_time),
         );
         Some(memory)
     }
@@ -103,7 +103,7 @@
     pub(super) fn servers(
         &mut self,
         writer: &StateWriter,
-        mut recall: impl FnMut(&ServerMemory) -> bool,
+        mut recall: impl FnMut(&ServerMeasurements) -> bool,
     ) {
         if self.unlisted.is_empty() {
             return;
@@ -113,7 +113,7 @@
             return;
         };
         for server in &servers {
-            let id = ServerId::named(&server.name);
+            let id = ServerId::from_name(&server.name);
             if self.unlisted.contains(&id) && recall(&memory_of(id, server)) {
                 self.unlisted.remove(&id);
             }
@@ -185,17 +185,17 @@
 fn take_snapshot(service: &Service) -> WarmStartSnapshot {
     let now: Micros = service.common.clock.now();
     let memory = service.memory(now);
-    let measured: BTreeMap<ServerId, &ServerMemory> =
+    let measured: BTreeMap<ServerId, &ServerMeasurements> =
         memory.servers.iter().map(|s| (s.server, s)).collect();
     let mut servers = service.pool.server_snapshots();
     for (id, server) in &mut servers {
         if let Some(measured) = measured.get(id) {
-            server.incarnation_started_at = measured.started;
+            server.incarnation_started_at = measured.started_at;
             server.work = measured.work;
-            server.attempt_time = measured.time;
-            server.consecutive_failures = measured.failures;
-            server.ejection_left = measured.ejected;
-            server.ejection_time = measured.ejection;
+            server.attempt_time = measured.attempt_time;
+            server.consecutive_failures = measured.failure_score;
+            server.ejection_left = measured.ejection_remaining;
+            server.ejection_time = measured.ejection_duration;
         }
     }
     let tuned = service.tuned();
@@ -204,12 +204,12 @@
         .filter(|(place, _)| !place.retired)
         .map(|(place, class)| ClassSnapshot {
             name: place.entry.name.clone(),
-            usual_work: class.usual,
-            slow_time: class.slow,
+            usual_work: class.service_time,
+            slow_time: class.tail_latency,
         });
     WarmStartSnapshot {
         taken_at: unix_now(),
-        means: Means::from(memory.means),
+        means: Means::from(memory.mean_work_and_time),
         servers: servers.into_values().collect(),
         classes: classes.collect(),
     }
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -2,7 +2,7 @@
 //! module, and its actions become lines.
 
 use foldhash::quality::FixedState;
-use madderloom_balancer::settings::{Layout, Site};
+use madderloom_balancer::settings::{LoadReportLayout, Site};
 use madderloom_balancer::{Action, Balancer, interface::*};
 use std::collections::HashMap;
 use std::io::Write;
@@ -13,7 +13,7 @@
 /// One instance: its balancer and its own numbering of server names.
 struct Instance {
     balancer: Balancer,
-    layout: Layout,
+    layout: LoadReportLayout,
     ids: HashMap<Box<str>, ServerId, FixedState>,
     names: HashMap<ServerId, Box<str>, FixedState>,
 }
@@ -24,7 +24,7 @@
         if let Some(id) = self.ids.get(name) {
             return *id;
         }
-        let mut id = ServerId::named(name);
+        let mut id = ServerId::from_name(name);
         while self.names.contains_key(&id) {
             id = ServerId(id.0.wrapping_add(1));
         }
@@ -53,7 +53,7 @@
     tables: [Vec<Row>; TABLES],
     /// The list being read, and how many entries it still lacks.
     reading: (usize, usize),
-    listed: Vec<Listed>,
+    listed: Vec<ServerEntry>,
     actions: Vec<Action>,
 }
 
@@ -256,14 +256,14 @@
                 let marks: u32 = fields.optional("marks")?.unwrap_or(0);
                 let cost = cost.filter(|_| marks & 1 != 0);
                 let repeat = marks & 2 != 0;
-                Event::Request(NewRequest {
+                Event::RequestReceived(NewRequest {
                     id,
                     class,
                     tenant,
                     key,
                     time_left,
-                    cost,
-                    repeat,
+                    cost_hint: cost,
+                    client_retry: repeat,
                 })
             }
             "closed_attempt" => {
@@ -273,35 +273,38 @@
                 let outcome = outcome(fields.text("code")?)?;
                 let elapsed = fields.get("time_taken")?;
                 let ended = fields.get::<u8>("ended")? != 0;
-                Event::Closed(Closed {
+                Event::AttemptEnded(AttemptResult {
                     request,
                     attempt,
                     server,
                     outcome,
                     elapsed,
-                    ended,
+                    request_ended: ended,
                 })
             }
-            "elapsed" => Event::Timer(timer(fields.text("handle")?)?),
-            "begun" => Event::Begun {
+            "elapsed" => Event::TimerFired(timer(fields.text("handle")?)?),
+            "begun" => Event::ResponseStreamStarted {
                 request: fields.get("call")?,
                 attempt: fields.get("send_no")?,
             },
-            "timed_out_client" => Event::ClientGone(fields.get("call")?),
+            "timed_out_client" => Event::ClientDisconnected(fields.get("call")?),
             "probed" => {
                 let server = instance.intern(fields.text("upstream")?);
                 let code = fields.text("code")?;
                 fields.text("time_taken")?;
                 let row = fields.text("health_info")?;
-                Event::Probed(server, instance.layout.report(row).filter(|_| code == "ok"))
+                Event::ProbeCompleted(
+                    server,
+                    instance.layout.parse_report(row).filter(|_| code == "ok"),
+                )
             }
             "backends_changed" => {
                 let scope = fields.text("scope")?;
                 if scope == "FAILED" {
-                    Event::Members(Members::Failed {
-                        since: now,
+                    Event::DiscoveryUpdated(DiscoveryUpdate::CallFailed {
+                        list_known_at: now,
                         waited: Micros::MAX,
-                        broken_off: true,
+                        connection_broken: true,
                     })
                 } else {
                     let table: usize = fields.get("table")?;
@@ -311,19 +314,19 @@
                         .ok_or_else(|| format!("table makes no sense: {table}"))?;
                     self.listed.clear();
                     for row in rows {
-                        self.listed.push(Listed {
+                        self.listed.push(ServerEntry {
                             server: instance.intern(&row.name),
                             zone: row.zone,
                             cell: row.cell,
                             kind: row.kind,
-                            started: row.started,
+                            started_at: row.started,
                             capacity: row.capacity,
                             state: row.state,
                         });
                     }
-                    Event::Members(match scope {
-                        "SAVED" | "FULL" => Members::Full(&self.listed),
-                        "INCREMENTAL" => Members::Changes(&self.listed),
+                    Event::DiscoveryUpdated(match scope {
+                        "SAVED" | "FULL" => DiscoveryUpdate::FullList(&self.listed),
+                        "INCREMENTAL" => DiscoveryUpdate::ListChanges(&self.listed),
                         other => return Err(format!("scope is unknown: {other}")),
                     })
                 }
@@ -362,13 +365,13 @@
         Action::Cancel { request, attempt } => {
             writeln!(to, "drop_attempt {sidecar} {request} {attempt}")
         }
-        Action::Refuse {
+        Action::Reject {
             request,
             retry_after: Some(wait),
         } => {
             writeln!(to, "shed {sidecar} {request} {wait}")
         }
-        Action::Refuse {
+        Action::Reject {
             request,
             retry_after: None,
         } => writeln!(to, "shed {sidecar} {request} -"),
@@ -377,17 +380,19 @@
             Timer::Discovery => writeln!(to, "sleep {sidecar} {at} ask"),
             Timer::Request(id) => writeln!(to, "sleep {sidecar} {at} {id}"),
         },
-        Action::Subscribe => writeln!(to, "stream_changes {sidecar} 1"),
+        Action::PollDiscovery => writeln!(to, "stream_changes {sidecar} 1"),
         Action::Log(note) => match note {
-            Note::Ejected(server, outcome) => {
+            LogEvent::ServerEjected(server, outcome) => {
                 writeln!(to, "remark {sidecar} ejected {} {outcome:?}", name(server))
             }
-            Note::Restored(server) => writeln!(to, "remark {sidecar} restored {}", name(server)),
-            Note::Overload(class) => writeln!(
+            LogEvent::ServerRestored(server) => {
+                writeln!(to, "remark {sidecar} restored {}", name(server))
+            }
+            LogEvent::ClassOverloaded(class) => writeln!(
                 to,
                 "remark {sidecar} overload: refusing class {class} early"
             ),
-            Note::DiscoveryFailed => writeln!(to, "remark {sidecar} server list out of reach"),
+            LogEvent::DiscoveryFailed => writeln!(to, "remark {sidecar} server list out of reach"),
         },
     }
 }
