--- a/crates/sidecar/src/attempt.rs
+++ b/crates/sidecar/src/attempt.rs
@@ -1,22 +1,11 @@
 //! One server-side flow: an attempt at a server, from its connection to its one outcome.
 
-use super::client::Client;
-use super::connections::ConnectError;
-use super::counts::increment;
-use super::exchange::{self, BodyRead, CompleteBody, ExchangeError, RequestMessage, SendProgress};
-use super::readiness;
-use super::response_body::{ResponseBody, StreamedResponseBody};
-use super::service::Service;
-use super::state_writer::{IdempotencyRecord, WriteBarrier};
-use super::teller::EndedAttempt;
-use super::transaction::FinalResponse;
-use super::upload::{self, BodyLength, RequestBody};
 use bytes::{Bytes, BytesMut};
 use http_body_util::Full;
-use hyper::header::{self, HeaderName, HeaderValue};
-use hyper::http::uri::PathAndQuery;
 use hyper::{HeaderMap, Method, Response, StatusCode, Uri};
-use madderloom_balancer::{Closed, Event, Micros, Outcome, RequestId, ServerId};
+use hyper::header::{HeaderName, HeaderValue, self};
+use hyper::http::uri::PathAndQuery;
+use madderloom_balancer::{AttemptResult, Event, Micros, Outcome, RequestId, ServerId};
 use madderloom_graphql::Verdict;
 use std::cell::Cell;
 use std::future::poll_fn;
@@ -24,6 +13,17 @@
 use std::pin::{Pin, pin};
 use std::rc::Rc;
 use std::task::Poll;
+use super::readiness;
+use super::client::Client;
+use super::connections::ConnectError;
+use super::counts::increment;
+use super::exchange::{BodyRead, CompleteBody, ExchangeError, RequestMessage, SendProgress, self};
+use super::response_body::{ResponseBody, StreamedResponseBody};
+use super::service::Service;
+use super::state_writer::{IdempotencyRecord, WriteBarrier};
+use super::teller::EndedAttempt;
+use super::transaction::FinalResponse;
+use super::upload::{BodyLength, RequestBody, self};
 use tokio::net::TcpStream;
 
 /// An answer of unknown length is passed on as it comes once it has gone on for so long.
@@ -128,13 +128,13 @@
         if outcome == Outcome::Ok {
             self.transaction_ended.set(true);
         }
-        let closed = Closed {
+        let closed = AttemptResult {
             request: self.request,
             attempt: self.number,
             server: self.server,
             outcome,
             elapsed: now.saturating_sub(self.sent_at.get()),
-            ended: self.transaction_ended.get(),
+            request_ended: self.transaction_ended.get(),
         };
         let ended = EndedAttempt {
             closed,
@@ -143,7 +143,7 @@
             sent: self.sent_at.get(),
         };
         self.service.record_attempt_end(now, &ended);
-        self.service.handle(now, Event::Closed(closed));
+        self.service.handle(now, Event::AttemptEnded(closed));
     }
 }
 
@@ -408,7 +408,10 @@
             Ok(Some(data)) => {
                 // Nothing of it is kept, so it can't be sent again.
                 if !passing.consumed.replace(true) {
-                    service.handle(service.process.clock.now(), Event::Spent(attempt.request));
+                    service.handle(
+                        service.process.clock.now(),
+                        Event::RetriesDisabled(attempt.request),
+                    );
                 }
                 (if chunked { chunk(&data) } else { data }, false)
             }
@@ -442,7 +445,7 @@
         progress.complete.set(true);
         passing.completed_at.set(Some(now));
         attempt.sent_at.set(now);
-        service.handle(now, Event::Came(attempt.request));
+        service.handle(now, Event::RequestBodyReceived(attempt.request));
     } else {
         passing.return_remainder(reader);
     }
--- a/crates/sidecar/src/service.rs
+++ b/crates/sidecar/src/service.rs
@@ -1,25 +1,10 @@
 //! A service: one pool of servers with an instance of the decision module of its own, and all that belongs to it
 //! alone. Nothing of one service is seen by another but through what the process limits.
 
-use super::active_settings::ActiveSettings;
-use super::connections::Connections;
-use super::counts::{OutcomeCounts, ServiceCounts};
-use super::fair_scheduler::ChargedAccount;
-use super::limits::RequestLimits;
-use super::pool::{self, ListUpdate, Pool};
-use super::process_state::ProcessState;
-use super::teller::{EndedAttempt, Teller};
-use super::traffic_shares::TrafficShares;
-use super::transaction::{Step, StepQueue};
-use super::warm_start::WarmStart;
-use super::{discovery_watch, event_log, levels, probe};
 use foldhash::quality::FixedState;
 use hyper::header::HeaderValue;
+use madderloom_balancer::{Action, Balancer, DiscoveryUpdate, Event, LogEvent, Measurements, Micros, NewRequest, RequestId, ServerId, Snapshot, Timer};
 use madderloom_balancer::settings::Site;
-use madderloom_balancer::{
-    Action, Balancer, Event, Members, Memory, Micros, NewRequest, Note, RequestId, ServerId,
-    Snapshot, Timer,
-};
 use madderloom_degradation::{LevelController, LevelPlan};
 use madderloom_graphql::{Front, Policy};
 use madderloom_operator_config::{Kept, MemberLimits};
@@ -29,6 +14,18 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
+use super::{discovery_watch, event_log, levels, probe};
+use super::active_settings::ActiveSettings;
+use super::connections::Connections;
+use super::counts::{OutcomeCounts, ServiceCounts};
+use super::fair_scheduler::ChargedAccount;
+use super::limits::RequestLimits;
+use super::pool::{ListUpdate, Pool, self};
+use super::process_state::ProcessState;
+use super::teller::{EndedAttempt, Teller};
+use super::traffic_shares::TrafficShares;
+use super::transaction::{Step, StepQueue};
+use super::warm_start::WarmStart;
 use tokio::sync::Notify;
 use tokio::task::AbortHandle;
 
@@ -141,7 +138,7 @@
         let service = Rc::new(Service {
             balancer: RefCell::new(balancer),
             level_controller: RefCell::default(),
-            spread_position: madderloom_balancer::place(seed),
+            spread_position: madderloom_balancer::key_position(seed),
             pool: Pool::new(
                 discovery,
                 site.zones.clone(),
@@ -256,8 +253,8 @@
         let tuned = self.active_settings();
         tuned.class_at(request.class).map_or(Micros::MAX, |entry| {
             let class = &entry.class;
-            let stretch = class.aim_stretch * request.cost.unwrap_or(0) as f64;
-            class.aim.saturating_add(stretch as Micros)
+            let stretch = class.latency_objective_stretch * request.cost_hint.unwrap_or(0) as f64;
+            class.latency_objective.saturating_add(stretch as Micros)
         })
     }
 
@@ -282,7 +279,7 @@
             .set_timeouts(tuned.site.conn_idle, tuned.site.connect_timeout);
         pool::update_names(self, &tuned.site);
         self.active_settings.replace(Rc::new(tuned));
-        self.handle(self.process.clock.now(), Event::Settings(&retuned));
+        self.handle(self.process.clock.now(), Event::SettingsChanged(&retuned));
     }
 
     pub(super) fn retry_after(&self) -> Option<Micros> {
@@ -300,12 +297,12 @@
 
     /// The share of its servers that fails, where it has any.
     pub(super) fn failing_server_share(&self, now: Micros) -> Option<f64> {
-        self.balancer.borrow().failing(now)
+        self.balancer.borrow().failing_server_share(now)
     }
 
     /// Requests that levels have turned away.
     pub(super) fn shed_requests(&self) -> u64 {
-        self.balancer.borrow().given_up()
+        self.balancer.borrow().shed_requests()
     }
 
     /// Takes a task that ends with the service at the latest.
@@ -316,8 +313,8 @@
     }
 
     /// What the module has measured.
-    pub(super) fn measurements(&self, now: Micros) -> Memory {
-        self.balancer.borrow().memory(now)
+    pub(super) fn measurements(&self, now: Micros) -> Measurements {
+        self.balancer.borrow().measurements(now)
     }
 
     /// Begins with what an earlier process measured of classes, and keeps the rest until servers are listed.
@@ -333,7 +330,9 @@
         let warm_start = WarmStart::from_store(writer, &self.name);
         let begun = self.measurements(self.process.clock.now());
         if let Some(memory) = warm_start.restore_classes(writer, self, &begun) {
-            self.balancer.borrow_mut().recall_classes(&memory);
+            self.balancer
+                .borrow_mut()
+                .restore_class_measurements(&memory);
         }
         self.warm_start.replace(warm_start);
     }
@@ -341,7 +340,11 @@
     /// Servers were listed: what was measured of them before is given to the module.
     pub(super) fn restore_server_measurements(&self, now: Micros) {
         if let Some(writer) = self.process.state_writer.get() {
-            let take = |memory: &_| self.balancer.borrow_mut().recall_server(now, memory);
+            let take = |memory: &_| {
+                self.balancer
+                    .borrow_mut()
+                    .restore_server_measurements(now, memory)
+            };
             self.warm_start.borrow_mut().restore_servers(writer, take);
         }
     }
@@ -367,15 +370,15 @@
     /// carried out in their order. Tests see to it by the assertion here.
     pub(super) fn handle(self: &Rc<Self>, now: Micros, event: Event<'_>) {
         match &event {
-            Event::Members(members) => {
+            Event::DiscoveryUpdated(members) => {
                 self.record_history(|teller| teller.listed(self, now, members))
             }
-            Event::Probed(server, Some(report)) => {
-                self.record_history(|teller| teller.reported(now, *server, report.held));
+            Event::ProbeCompleted(server, Some(report)) => {
+                self.record_history(|teller| teller.reported(now, *server, report.in_flight));
             }
             _ => {}
         }
-        if let (Event::Closed(closed), Some(keeper)) =
+        if let (Event::AttemptEnded(closed), Some(keeper)) =
             (&event, self.level_controller.borrow_mut().as_mut())
         {
             keeper.attempt_ended(now, closed);
@@ -420,11 +423,11 @@
                     .snapshot()
                     .servers
                     .iter()
-                    .map(|server| server.listed)
+                    .map(|server| server.entry)
                     .collect();
-                let cold = self.active_settings().site.settings.rules.cold;
+                let cold = self.active_settings().site.settings.rules.slow_start_window;
                 let new = teller.insert(Box::new(Teller::new(&self.name, settings, cold)));
-                new.listed(self, now, &Members::Full(&listed));
+                new.listed(self, now, &DiscoveryUpdate::FullList(&listed));
             }
         }
     }
@@ -494,7 +497,7 @@
             Action::Cancel { request, attempt } => {
                 self.instruct(request, Step::Cancel { attempt });
             }
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after,
             } => {
@@ -504,7 +507,7 @@
                 self.instruct(request, Step::Fail);
             }
             Action::SetTimer { at, timer } => self.set_timer(at, timer),
-            Action::Subscribe => discovery_watch::poll_discovery(self),
+            Action::PollDiscovery => discovery_watch::poll_discovery(self),
             Action::Probe(server) => probe::start(self, server),
             Action::Log(note) => self.note(now, note),
         }
@@ -534,24 +537,24 @@
         }
     }
 
-    fn note(&self, now: Micros, note: Note) {
+    fn note(&self, now: Micros, note: LogEvent) {
         let of = &self.log_prefix;
         self.record_history(|teller| teller.noted(self, now, note));
         match note {
-            Note::Overload(class) => {
+            LogEvent::ClassOverloaded(class) => {
                 let tuned = self.active_settings();
                 let class = tuned.class_at(class).map_or("?", |c| &c.name);
                 tracing::warn!(class, "{of}overload: refusing {class} early");
             }
-            Note::Ejected(server, outcome) => {
+            LogEvent::ServerEjected(server, outcome) => {
                 let server = self.pool.name(server);
                 tracing::warn!(%server, ?outcome, "{of}ejected {server}: {outcome:?}");
             }
-            Note::Restored(server) => {
+            LogEvent::ServerRestored(server) => {
                 let server = self.pool.name(server);
                 tracing::info!(%server, "{of}restored {server}");
             }
-            Note::DiscoveryFailed => tracing::warn!("{of}server list out of reach"),
+            LogEvent::DiscoveryFailed => tracing::warn!("{of}server list out of reach"),
         }
     }
 }
--- a/crates/sidecar/src/virtual_server.rs
+++ b/crates/sidecar/src/virtual_server.rs
@@ -1,12 +1,22 @@
 //! The virtual server: the client's side of one request. It reads it, finds the service that it is for, makes room
 //! for it, and gives the answer back.
 
+use bytes::Bytes;
+use http_body_util::{BodyExt, Full as Whole};
+use hyper::{Method, Request, Response, StatusCode, Uri};
+use hyper::body::{Body, Incoming};
+use hyper::header::{HeaderMap, HeaderName, HeaderValue, self};
+use hyper::http::request::Parts;
+use madderloom_balancer::{Micros, NewRequest, RequestId, RetrySafety};
+use madderloom_routing::request::{Asked, Fault, split_key, subject};
+use madderloom_watchdog::{TaskKind, self as watchdog};
+use std::rc::Rc;
+use super::graphql;
 use super::active_settings::ClassEntry;
 use super::attempt::{ForwardedRequest, ResponseProtocol};
 use super::client::Client;
 use super::counts::increment;
 use super::fleet_limits::FleetPermit;
-use super::graphql;
 use super::limits::LimitExceeded;
 use super::listener::{Listener, ListenerSettings};
 use super::process_state::ProcessState;
@@ -14,18 +24,8 @@
 use super::routing::{ClassSource, Routing};
 use super::service::Service;
 use super::state_writer::IdempotencyRecord;
-use super::transaction::{self, FinalResponse};
-use super::upload::{self, BodyLength, BodyReservations};
-use bytes::Bytes;
-use http_body_util::{BodyExt, Full as Whole};
-use hyper::body::{Body, Incoming};
-use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
-use hyper::http::request::Parts;
-use hyper::{Method, Request, Response, StatusCode, Uri};
-use madderloom_balancer::{Effect, Micros, NewRequest, RequestId};
-use madderloom_routing::request::{Asked, Fault, split_key, subject};
-use madderloom_watchdog::{self as watchdog, TaskKind};
-use std::rc::Rc;
+use super::transaction::{FinalResponse, self};
+use super::upload::{BodyLength, BodyReservations, self};
 
 /// A client counts its time from the sending, which is a little before the reading.
 pub(super) const CLIENT_DEADLINE_MARGIN: Micros = 1_000;
@@ -161,7 +161,7 @@
     let uri = path.map_or_else(|| Uri::from_static("/"), Uri::from);
     let non_idempotent = entry
         .as_ref()
-        .is_none_or(|class| class.retry_safety() == Effect::Unsafe);
+        .is_none_or(|class| class.retry_safety() == RetrySafety::NonIdempotent);
     let aim = service.latency_objective(&new);
     let protocol = ResponseProtocol::Http;
     let idempotency_record = if non_idempotent {
@@ -471,7 +471,7 @@
     ))?;
     let effect = class.retry_safety();
     if head.method
-        != if effect == Effect::Safe {
+        != if effect == RetrySafety::Idempotent {
             Method::GET
         } else {
             Method::POST
@@ -486,7 +486,7 @@
         return Err(bad_request("X-Trace-Id is missing, or there are several"));
     }
     // Without one key that all servers read alike, they could not tell a repeat from another request.
-    let keyed = matches!(effect, Effect::Keyed { .. });
+    let keyed = matches!(effect, RetrySafety::IdempotentWithKey { .. });
     if keyed && (text(&IDEMPOTENCY_KEY).is_none_or(str::is_empty) || several(&IDEMPOTENCY_KEY)) {
         return Err(bad_request(
             "Idempotency-Key is missing, or there are several",
@@ -501,8 +501,8 @@
         tenant: 0,
         key: subject(headers),
         time_left: left,
-        cost: text(&SIZE_HINT).and_then(|hint| hint.parse().ok()),
-        repeat: text(&SECOND_TRY) == Some("1"),
+        cost_hint: text(&SIZE_HINT).and_then(|hint| hint.parse().ok()),
+        client_retry: text(&SECOND_TRY) == Some("1"),
     })
 }
 
