--- a/crates/balancer/src/decide.rs
+++ b/crates/balancer/src/decide.rs
@@ -291,9 +291,9 @@
 
     fn schedule_poll(&mut self, now: Micros, failed: FailedCall, actions: &mut Vec<Action>) {
         let fleet = (&self.settings.rules, self.settings.group_size);
-        let due_at = self
-            .discovery_poll
-            .schedule_after_failure(now, failed, fleet, &mut self.random);
+        let due_at =
+            self.discovery_poll
+                .schedule_after_failure(now, failed, fleet, &mut self.random);
         actions.extend(due_at.map(|at| Action::SetTimer {
             at,
             timer: Timer::Discovery,
--- a/crates/sidecar/src/active_settings.rs
+++ b/crates/sidecar/src/active_settings.rs
@@ -4,11 +4,11 @@
 //! or changes a class leaves the old one its place until then; what changed gets another, and goes on with what was
 //! learned. So the rules of a request are those that it came under, to its end.
 
-use madderloom_balancer::{Class, Micros, RetrySafety, SettingsChange};
+use super::counts::{OutcomeCounts, ServiceCounts};
 use madderloom_balancer::settings::Site;
+use madderloom_balancer::{Class, Micros, RetrySafety, SettingsChange};
 use std::rc::Rc;
 use std::time::Duration;
-use super::counts::{OutcomeCounts, ServiceCounts};
 
 /// A class as requests name it. Held by each request of it that is open.
 pub(super) struct ClassEntry {
@@ -212,7 +212,10 @@
             ]),
             &counts,
         );
-        assert_eq!((open.index, open.retry_safety()), (1, RetrySafety::NonIdempotent));
+        assert_eq!(
+            (open.index, open.retry_safety()),
+            (1, RetrySafety::NonIdempotent)
+        );
         assert_eq!(told.retired, [false, true, false, false]);
         assert_eq!(told.inherited_from, [Some(0), Some(1), None, Some(1)]);
         assert_eq!(
--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -1,15 +1,15 @@
 //! What a sidecar is told at its start: the `RELAY_*` variables and the JSON file that one of them names.
 
+use super::pool::ListUpdate;
 use madderloom_balancer::settings::{Site, settings_key};
-use serde::{Deserialize, Deserializer, Serialize};
 use serde::de::Error;
+use serde::{Deserialize, Deserializer, Serialize};
 use serde_json::value::RawValue;
-use std::fmt;
 use std::borrow::Cow;
 use std::collections::BTreeMap;
 use std::env::VarError;
+use std::fmt;
 use std::net::{SocketAddr, TcpListener};
-use super::pool::ListUpdate;
 
 /// A sidecar's configuration.
 #[derive(Deserialize)]
--- a/crates/sidecar/src/discovery_watch.rs
+++ b/crates/sidecar/src/discovery_watch.rs
@@ -1,25 +1,25 @@
 //! Calls to discovery and the watch on changes of the endpoint list: opening it, reading it, and giving it up.
 
+use super::discovery_calls::CallId;
+use super::list_reader::ListReader;
+use super::pool::{ListUpdate, MAX_LISTED_SERVERS, apply_update};
+use super::service::Service;
+use super::supervision::AbortOnDrop;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
-use hyper::{Request, Response, StatusCode, header};
 use hyper::body::Incoming;
 use hyper::client::conn::http1;
+use hyper::{Request, Response, StatusCode, header};
 use hyper_util::rt::TokioIo;
 use madderloom_balancer::{DiscoveryUpdate, Event, Micros};
 use madderloom_endpoint_sharing::first_discovery_wait;
-use madderloom_watchdog::{TaskKind, self as watchdog};
+use madderloom_watchdog::{self as watchdog, TaskKind};
 use std::convert::Infallible;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use super::discovery_calls::CallId;
-use super::list_reader::ListReader;
-use super::pool::{ListUpdate, MAX_LISTED_SERVERS, apply_update};
-use super::service::Service;
-use super::supervision::AbortOnDrop;
-use tokio::time::timeout;
 use tokio::time::error::Elapsed;
+use tokio::time::timeout;
 
 /// A watch that says nothing for this long, no heartbeat either, is stalled: it is given up and opened anew. Discovery beats
 /// every 2 s; what it has to tell counts as told after 6 s whether it came or not.
@@ -93,7 +93,12 @@
 
 /// Whoever is told by its fleet spares discovery the call.
 async fn wait_until_call_due(service: &Service) {
-    let ask_within = service.active_settings().site.settings.rules.max_poll_interval;
+    let ask_within = service
+        .active_settings()
+        .site
+        .settings
+        .rules
+        .max_poll_interval;
     // Without any server a request may be waiting for the list.
     let first = if service.pool.has_servers() {
         first_discovery_wait(service.process.clock.uptime(), ask_within)
@@ -359,7 +364,12 @@
     if listing.len() > MAX_LISTED_SERVERS {
         return Err(format!("lists {} servers", listing.len()));
     }
-    let ask_within = service.active_settings().site.settings.rules.max_poll_interval;
+    let ask_within = service
+        .active_settings()
+        .site
+        .settings
+        .rules
+        .max_poll_interval;
     let shared = &service.process.shared_lists;
     if listing.is_full_list()
         && !shared.accepts_from_discovery(&service.name, listing.version(), ask_within)
--- a/crates/sidecar/src/probe.rs
+++ b/crates/sidecar/src/probe.rs
@@ -1,14 +1,14 @@
 //! Load probes: a server is asked for its load report.
 
+use super::exchange::{self, CompleteBody, RequestMessage, ResponseReader, SendProgress};
+use super::service::Service;
 use bytes::Bytes;
+use hyper::header::{self, HeaderValue};
 use hyper::{Method, StatusCode};
-use hyper::header::{HeaderValue, self};
 use madderloom_balancer::{Event, LoadReport, Micros, ServerId};
-use madderloom_watchdog::{TaskKind, self as watchdog};
+use madderloom_watchdog::{self as watchdog, TaskKind};
 use std::future::Ready;
 use std::rc::Rc;
-use super::exchange::{CompleteBody, RequestMessage, ResponseReader, SendProgress, self};
-use super::service::Service;
 
 /// A server that has not answered by then has nothing to tell that is still true.
 const WAIT: Micros = 300_000;
--- a/crates/sidecar/src/warm_start.rs
+++ b/crates/sidecar/src/warm_start.rs
@@ -1,15 +1,18 @@
 //! The warm start: what the balancer has measured is written to the store every few seconds and at a graceful shutdown, and
 //! is used after a restart, weighted by its age.
 
+use super::process_state::ProcessState;
+use super::service::Service;
+use super::state_writer::StateWriter;
 use madderloom_balancer::{Measurements, Micros, ServerId, ServerMeasurements};
-use madderloom_sidecar_state::{ClassSnapshot, DecayedSnapshot, Means, PendingSnapshot, RestoredService, ServerSnapshot, SnapshotWriter, WarmStartSnapshot, blend};
+use madderloom_sidecar_state::{
+    ClassSnapshot, DecayedSnapshot, Means, PendingSnapshot, RestoredService, ServerSnapshot,
+    SnapshotWriter, WarmStartSnapshot, blend,
+};
 use madderloom_store::Durability;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
-use super::process_state::ProcessState;
-use super::service::Service;
-use super::state_writer::StateWriter;
 
 /// The snapshot of an earlier process, as far as it is not used yet.
 #[derive(Default)]
