--- a/crates/sidecar/src/active_settings.rs
+++ b/crates/sidecar/src/active_settings.rs
@@ -1,8 +1,8 @@
-//! The settings that hold, as the sockets need them, and how newer ones take their place.
+//! The settings in effect, in the form that the socket code needs, and how newer settings replace them.
 //!
-//! A class has a place, by which the module knows it, for as long as any request of it is open. A newer file that drops
-//! or changes a class leaves the old one its place until then; what changed gets another, and goes on with what was
-//! learned. So the rules of a request are those that it came under, to its end.
+//! A class keeps its slot, whose index the balancer knows it by, as long as any request of the class is in flight. When a
+//! newer file drops or changes a class, the old one keeps its slot until then. A changed class gets another slot and inherits
+//! what was measured of the old one. A request is thus handled to its end by the rules under which it arrived.
 
 use super::counts::{Counts, Registry};
 use madderloom_balancer::settings::Site;
@@ -10,10 +10,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A class as requests name it. Held by each request of it that is open.
+/// A request class. Each request of the class that is in flight holds a reference.
 pub(super) struct ClassEntry {
     pub(super) name: String,
-    /// Its place in the module's settings.
+    /// Its index in the balancer's settings.
     pub(super) index: u32,
     pub(super) class: Class,
     pub(super) counts: Rc<Counts>,
@@ -25,45 +25,45 @@
     }
 }
 
-/// A place among the classes.
+/// A slot for a class.
 #[derive(Clone)]
 pub(super) struct ClassSlot {
     pub(super) entry: Rc<ClassEntry>,
-    /// No new request names it.
+    /// Whether new requests can no longer use the class.
     pub(super) retired: bool,
 }
 
-/// Settings that hold.
+/// The settings in effect.
 pub(super) struct ActiveSettings {
-    /// As the file has them, but for the classes, which are by their places.
+    /// The settings as configured, except that classes are in the order of their slots.
     pub(super) site: Site,
-    /// As the file has them.
+    /// The settings as configured.
     pub(super) configured_site: Site,
     pub(super) class_slots: Vec<ClassSlot>,
-    /// The advice on when to come back for requests that do not reach the module.
+    /// The `Retry-After` time for requests that are rejected before they reach the balancer.
     pub(super) retry_after: Option<Micros>,
-    /// The longest that a client waits.
+    /// The longest client deadline of all classes.
     pub(super) max_deadline: Duration,
 }
 
 impl ActiveSettings {
-    /// Those that a service begins with.
+    /// The settings that a service starts with.
     pub(super) fn new(site: Site, counts: &Registry) -> Self {
         let classes = site.classes.iter().zip(&site.settings.classes).enumerate();
-        let place = |(at, (name, class)): (usize, (&String, &Class))| ClassSlot {
+        let slot = |(index, (name, class)): (usize, (&String, &Class))| ClassSlot {
             entry: Rc::new(ClassEntry {
                 name: name.clone(),
-                index: at as u32,
+                index: index as u32,
                 class: class.clone(),
                 counts: counts.class(name),
             }),
             retired: false,
         };
-        let places = classes.map(place).collect();
-        ActiveSettings::of(site.clone(), site, places)
+        let class_slots = classes.map(slot).collect();
+        ActiveSettings::of(site.clone(), site, class_slots)
     }
 
-    fn of(file: Site, site: Site, places: Vec<ClassSlot>) -> Self {
+    fn of(configured_site: Site, site: Site, class_slots: Vec<ClassSlot>) -> Self {
         let limits = &site.settings.limits;
         let max_deadline = site
             .settings
@@ -76,99 +76,100 @@
             retry_after: limits.retry_after.then_some(limits.max_retry_after),
             max_deadline: Duration::from_micros(max_deadline),
             site,
-            configured_site: file,
-            class_slots: places,
+            configured_site,
+            class_slots,
         }
     }
 
-    /// Newer ones, and what the module is to be told of them.
+    /// The settings after an update to `site`, and the change to pass to the balancer.
     pub(super) fn updated(&self, mut site: Site, counts: &Registry) -> (ActiveSettings, Retuned) {
-        let file = site.clone();
-        let mut places: Vec<ClassSlot> = Vec::with_capacity(self.class_slots.len());
+        let configured_site = site.clone();
+        let mut class_slots: Vec<ClassSlot> = Vec::with_capacity(self.class_slots.len());
         let mut learned: Vec<Option<u32>> = Vec::new();
-        let asked: Vec<(String, Class)> = site
+        let configured_classes: Vec<(String, Class)> = site
             .classes
             .iter()
             .cloned()
             .zip(site.settings.classes.iter().cloned())
             .collect();
-        // What stays as it is keeps its place; all else is on its way out.
-        for place in &self.class_slots {
-            let entry = &place.entry;
-            let stays = asked
+        // Unchanged classes keep their slots; all others are retired.
+        for slot in &self.class_slots {
+            let entry = &slot.entry;
+            let unchanged = configured_classes
                 .iter()
                 .any(|(name, class)| *name == entry.name && *class == entry.class);
             learned.push(Some(entry.index));
-            places.push(ClassSlot {
+            class_slots.push(ClassSlot {
                 entry: Rc::clone(entry),
-                retired: place.retired || !stays,
+                retired: slot.retired || !unchanged,
             });
         }
-        for (name, class) in asked {
-            if places
+        for (name, class) in configured_classes {
+            if class_slots
                 .iter()
-                .any(|place| !place.retired && place.entry.name == name)
+                .any(|slot| !slot.retired && slot.entry.name == name)
             {
                 continue;
             }
             let former = self
                 .class_slots
                 .iter()
-                .find(|place| !place.retired && place.entry.name == name);
-            let from = former.map(|place| place.entry.index);
-            // One here and one in the settings that hold: nobody else has it.
-            let free = places
+                .find(|slot| !slot.retired && slot.entry.name == name);
+            let former_index = former.map(|slot| slot.entry.index);
+            // The only references left are the one here and the one in the settings that are being replaced.
+            let free = class_slots
                 .iter()
-                .position(|place| place.retired && Rc::strong_count(&place.entry) == 2);
-            let at = free.unwrap_or(places.len());
+                .position(|slot| slot.retired && Rc::strong_count(&slot.entry) == 2);
+            let index = free.unwrap_or(class_slots.len());
             let entry = ClassEntry {
-                index: at as u32,
+                index: index as u32,
                 class,
                 counts: counts.class(&name),
                 name,
             };
-            let place = ClassSlot {
+            let slot = ClassSlot {
                 entry: Rc::new(entry),
                 retired: false,
             };
-            if at < places.len() {
-                (places[at], learned[at]) = (place, from);
+            if index < class_slots.len() {
+                (class_slots[index], learned[index]) = (slot, former_index);
             } else {
-                places.push(place);
-                learned.push(from);
+                class_slots.push(slot);
+                learned.push(former_index);
             }
         }
-        site.classes = places
+        site.classes = class_slots
             .iter()
-            .map(|place| place.entry.name.clone())
+            .map(|slot| slot.entry.name.clone())
             .collect();
-        site.settings.classes = places
+        site.settings.classes = class_slots
             .iter()
-            .map(|place| place.entry.class.clone())
+            .map(|slot| slot.entry.class.clone())
             .collect();
-        let retired = places.iter().map(|place| place.retired).collect();
-        let retuned = Retuned {
+        let retired = class_slots.iter().map(|slot| slot.retired).collect();
+        let change = Retuned {
             settings: site.settings.clone(),
             learned,
             retired,
         };
-        (ActiveSettings::of(file, site, places), retuned)
+        (
+            ActiveSettings::of(configured_site, site, class_slots),
+            change,
+        )
     }
 
-    /// The class that new requests name so.
+    /// The class of this name for new requests.
     pub(super) fn class_named(&self, name: &str) -> Option<Rc<ClassEntry>> {
-        let place = self
+        let slot = self
             .class_slots
             .iter()
-            .find(|place| !place.retired && place.entry.name == name);
-        place.map(|place| Rc::clone(&place.entry))
+            .find(|slot| !slot.retired && slot.entry.name == name);
+        slot.map(|slot| Rc::clone(&slot.entry))
     }
 
-    /// The class at this place.
-    pub(super) fn class_at(&self, place: u32) -> Option<&Rc<ClassEntry>> {
-        self.class_slots
-            .get(place as usize)
-            .map(|place| &place.entry)
+    /// The class with this index, which may be retired.
+    pub(super) fn class_at(&self, index: u32) -> Option<&Rc<ClassEntry>> {
+        self.class_slots.get(index as usize).map(|slot| &slot.entry)
     }
 }
 
@@ -192,15 +193,15 @@
     }
 
     #[test]
-    fn a_class_keeps_its_place_while_a_request_of_it_is_open() {
+    fn a_class_keeps_its_slot_while_a_request_of_it_is_in_flight() {
         let counts = Registry::default();
         let first = ActiveSettings::new(
             site(&[("read", "safe", 900_000), ("file", "unsafe", 900_000)]),
             &counts,
         );
-        let open = first.class_named("file").expect("it is there");
-        // "file" changes its effect, "read" stays, "late" is new.
-        let (second, told) = first.updated(
+        let held_by_request = first.class_named("file").expect("the class exists");
+        // "file" changes its retry safety, "read" stays as it is, "late" is new.
+        let (second, change) = first.updated(
             site(&[
                 ("late", "safe", 500_000),
                 ("read", "safe", 900_000),
@@ -208,21 +209,24 @@
             ]),
             &counts,
         );
-        assert_eq!((open.index, open.retry_safety()), (1, Effect::Unsafe));
-        assert_eq!(told.retired, [false, true, false, false]);
-        assert_eq!(told.learned, [Some(0), Some(1), None, Some(1)]);
-        assert_eq!(told.settings.classes[1].effect, Effect::Unsafe);
+        assert_eq!(
+            (held_by_request.index, held_by_request.retry_safety()),
+            (1, Effect::Unsafe)
+        );
+        assert_eq!(change.retired, [false, true, false, false]);
+        assert_eq!(change.learned, [Some(0), Some(1), None, Some(1)]);
+        assert_eq!(change.settings.classes[1].effect, Effect::Unsafe);
         assert_eq!(second.class_named("file").map(|c| c.index), Some(3));
         drop(first);
-        // Nobody asks for "late" any more; its place, and that of the request that has ended, are free again.
-        drop(open);
-        let (third, told) = second.updated(
+        // "late" is no longer configured. Its slot, and that of the request that has ended, are free again.
+        drop(held_by_request);
+        let (third, change) = second.updated(
             site(&[("read", "safe", 900_000), ("new", "safe", 1)]),
             &counts,
         );
         assert_eq!(third.class_named("new").map(|c| c.index), Some(1));
-        assert_eq!(told.retired, [false, false, true, true]);
-        assert_eq!(told.learned[1], None);
+        assert_eq!(change.retired, [false, false, true, true]);
+        assert_eq!(change.learned[1], None);
         assert!(third.class_named("late").is_none() && third.class_named("file").is_none());
     }
 }
--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -1,4 +1,4 @@
-//! What a sidecar is told at its start: the `RELAY_*` variables and the JSON file that one of them names.
+//! The platform's configuration of a sidecar: the `RELAY_*` variables and the JSON file that one of them names.
 
 use super::pool::Listing;
 use madderloom_balancer::settings::{Site, written_name};
@@ -10,34 +10,34 @@
 use std::fmt;
 use std::net::{SocketAddr, TcpListener};
 
-/// A sidecar's configuration.
+/// A sidecar's configuration from the platform.
 #[derive(Deserialize)]
 pub struct Config {
-    /// Its name, the same after a restart.
+    /// The sidecar's name, which stays the same after a restart.
     #[serde(default)]
     pub name: String,
-    /// Where clients connect.
+    /// The address for clients.
     pub listen: SocketAddr,
-    /// Where discovery is.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// Where on-call staff and the platform ask it, if they do.
+    /// The control address for on-call staff and the platform, if there is one.
     #[serde(default)]
     pub control: Option<SocketAddr>,
-    /// The clients' listening socket, where the platform holds it and has left it open for this process.
+    /// The listening socket for clients, where the platform holds it and passes it to this process.
     #[serde(skip)]
     pub(super) inherited_socket: Option<TcpListener>,
-    /// For random numbers; new with each start.
+    /// Seed for random numbers; different at each start.
     #[serde(deserialize_with = "hex")]
     pub seed: u64,
-    /// What the platform lets it have.
+    /// The platform's limits on the sidecar's resources.
     #[serde(default)]
     pub limits: Limits,
-    /// The server list as this sidecar had it last; it may be old.
+    /// The last server list that this sidecar had, which may be out of date.
     #[serde(default)]
     pub(super) known: Listing,
-    /// The site.
+    /// The settings of the site.
     pub settings: Site,
-    /// Which keys the file has.
+    /// The keys of the file.
     #[serde(skip)]
     pub(super) keys: ConfigKeys,
 }
@@ -46,43 +46,47 @@
 #[derive(Default)]
 pub(super) struct ConfigKeys(serde_json::Value);
 
-/// What a file may leave out that another had: figures that are told only where they mean something.
-const MAY_BE_ABSENT: [&str; 4] = ["known", "control", "aim_stretch", "domain"];
+/// Keys that a reloaded file may omit although the former file had them: they are written only where they apply.
+const OPTIONAL_KEYS: [&str; 4] = ["known", "control", "aim_stretch", "domain"];
 
 impl ConfigKeys {
     fn of(text: &str) -> Self {
         let mut keys: serde_json::Value = serde_json::from_str(text).unwrap_or_default();
-        // By far the longest, and never compared.
+        // The longest value by far, and never compared.
         if let Some(keys) = keys.as_object_mut() {
             keys.remove("known");
         }
         ConfigKeys(keys)
     }
 
-    /// The first key of the former file that is not here.
-    fn lacks(&self, former: &ConfigKeys) -> Option<String> {
-        lacks(&self.0, &former.0, "")
+    /// The first key of the former file that this one lacks.
+    fn missing_key(&self, former: &ConfigKeys) -> Option<String> {
+        missing_key(&self.0, &former.0, "")
     }
 }
 
-fn lacks(present: &serde_json::Value, former: &serde_json::Value, at: &str) -> Option<String> {
+fn missing_key(
+    present: &serde_json::Value,
+    former: &serde_json::Value,
+    path: &str,
+) -> Option<String> {
     use serde_json::Value::{Array, Object};
     match (present, former) {
         (Object(present), Object(former)) => former.iter().find_map(|(key, value)| {
-            if MAY_BE_ABSENT.contains(&key.as_str()) {
+            if OPTIONAL_KEYS.contains(&key.as_str()) {
                 return None;
             }
-            let field = if at.is_empty() {
+            let field = if path.is_empty() {
                 key.clone()
             } else {
-                format!("{at}.{key}")
+                format!("{path}.{key}")
             };
             match present.get(key) {
-                Some(present) => lacks(present, value, &field),
+                Some(present) => missing_key(present, value, &field),
                 None => Some(field),
             }
         }),
-        // Entries may be others; each has what all of the former had.
+        // The entries may differ from the former ones, but each must have the keys that all of those had.
         (Array(present), Array(former)) => {
             let (first, rest) = former.split_first()?;
             let mut shared_keys = first.as_object()?.clone();
@@ -91,28 +95,27 @@
                 .values_mut()
                 .for_each(|value| *value = serde_json::Value::Null);
             let shared_keys = Object(shared_keys);
-            present
-                .iter()
-                .enumerate()
-                .find_map(|(place, entry)| lacks(entry, &shared_keys, &format!("{at}[{place}]")))
+            present.iter().enumerate().find_map(|(index, entry)| {
+                missing_key(entry, &shared_keys, &format!("{path}[{index}]"))
+            })
         }
-        (_, Object(_)) => Some(at.to_string()),
+        (_, Object(_)) => Some(path.to_string()),
         _ => None,
     }
 }
 
-/// What the platform lets a sidecar have.
+/// The platform's limits on a sidecar's resources.
 #[derive(Deserialize)]
 pub struct Limits {
     /// File descriptors.
-    #[serde(default = "usual_sockets")]
+    #[serde(default = "default_sockets")]
     pub sockets: usize,
-    /// Memory.
-    #[serde(default = "usual_memory")]
+    /// Memory in MiB.
+    #[serde(default = "default_memory_mb")]
     pub memory_mb: usize,
 }
 
-/// What the system lets this process have: it may be less than the platform says.
+/// The system's limit on file descriptors of this process, which may be lower than the platform's.
 pub(super) fn descriptor_limit() -> usize {
     let limits = std::fs::read_to_string("/proc/self/limits").unwrap_or_default();
     let line = limits
@@ -122,50 +125,50 @@
         .unwrap_or(usize::MAX)
 }
 
-fn usual_sockets() -> usize {
+fn default_sockets() -> usize {
     1024
 }
 
-fn usual_memory() -> usize {
+fn default_memory_mb() -> usize {
     64
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Limits {
-            sockets: usual_sockets(),
-            memory_mb: usual_memory(),
+            sockets: default_sockets(),
+            memory_mb: default_memory_mb(),
         }
     }
 }
 
 impl Config {
-    /// Reads the file that `RELAY_CONFIG` names. Other `RELAY_*` variables go before what it says. To be called before
-    /// the process listens anywhere: `RELAY_ACCEPT_FD` names a socket that was left open for it by its number.
+    /// Reads the file that `RELAY_CONFIG` names. Other `RELAY_*` variables override the file. To be called before the
+    /// process opens any socket, because `RELAY_ACCEPT_FD` gives the number of an inherited one.
     pub fn load() -> Result<Self, String> {
         let mut config = Config::read()?;
         for (variable, address) in [
             ("RELAY_LISTEN", &mut config.listen),
             ("RELAY_DISCOVERY", &mut config.discovery),
         ] {
-            if let Some(value) = variable_set(variable)? {
+            if let Some(value) = environment_variable(variable)? {
                 *address = value
                     .parse()
                     .map_err(|e| format!("{variable}: {e}: {value}"))?;
             }
         }
-        if let Some(value) = variable_set("RELAY_CONTROL")? {
+        if let Some(value) = environment_variable("RELAY_CONTROL")? {
             let address = value
                 .parse()
                 .map_err(|e| format!("RELAY_CONTROL: {e}: {value}"))?;
             config.control = Some(address);
         }
-        if let Some(number) = variable_set("RELAY_ACCEPT_FD")? {
+        if let Some(number) = environment_variable("RELAY_ACCEPT_FD")? {
             let socket = madderloom_socket_activation::listener(&number, config.listen);
             config.inherited_socket = Some(socket.map_err(|e| format!("RELAY_ACCEPT_FD: {e}"))?);
         }
         config.limits.sockets = config.limits.sockets.min(descriptor_limit());
-        config.name = variable_set("RELAY_NAME")?.unwrap_or(config.name);
+        config.name = environment_variable("RELAY_NAME")?.unwrap_or(config.name);
         Ok(config)
     }
 
@@ -178,37 +181,37 @@
         Ok(config)
     }
 
-    /// Reads the file alone, in place of one that was read before. It is newer than the variables, which stay as they
-    /// were. A key that the former one had must be there: a file that lacks one was not written to its end.
+    /// Reads the file again, without the variables, because the file is newer than they are. The file must have all keys
+    /// that the former one had: otherwise it has not been written completely.
     pub(super) fn reload(former: &ConfigKeys) -> Result<Self, String> {
         let config = Config::read()?;
-        match config.keys.lacks(former) {
+        match config.keys.missing_key(former) {
             Some(field) => Err(format!(
-                "configuration: {field}: is missing, and was there before"
+                "configuration: {field}: is missing, but the former file had it"
             )),
             None => Ok(config),
         }
     }
 
-    /// Reads the file's text.
+    /// Parses and validates the text of the file.
     pub fn from_json(text: &str) -> Result<Self, ConfigError> {
         let mut reader = serde_json::Deserializer::from_str(text);
         let config: Config = serde_path_to_error::deserialize(&mut reader).map_err(|e| {
             let (line, column) = (e.inner().line(), e.inner().column());
-            ConfigError::at(e.path().to_string(), line, column, e.inner())
+            ConfigError::from_json(e.path().to_string(), line, column, e.inner())
         })?;
         reader
             .end()
-            .map_err(|e| ConfigError::at(".".into(), e.line(), e.column(), &e))?;
+            .map_err(|e| ConfigError::from_json(".".into(), e.line(), e.column(), &e))?;
         let mut names = std::collections::BTreeSet::new();
-        if let Some(at) = config
+        if let Some(index) = config
             .settings
             .classes
             .iter()
             .position(|name| !names.insert(name))
         {
-            let field = format!("settings.services[{at}].name");
-            let (line, column) = place(text, &field);
+            let field = format!("settings.services[{index}].name");
+            let (line, column) = line_and_column(text, &field);
             let problem = "another class has this name".to_string();
             return Err(ConfigError {
                 field,
@@ -219,7 +222,7 @@
         }
         config.settings.settings.validate().map_err(|e| {
             let field = format!("settings.{}", written_name(&e.field));
-            let (line, column) = place(text, &field);
+            let (line, column) = line_and_column(text, &field);
             ConfigError {
                 field,
                 line,
@@ -230,7 +233,7 @@
         Ok(config)
     }
 
-    /// What it configures, in a few words.
+    /// A one-line summary of the classes, zones and servers.
     pub fn summary(&self) -> String {
         let site = &self.settings;
         let (classes, zones) = (site.classes.join(", "), site.zones.join(", "));
@@ -241,8 +244,8 @@
     }
 }
 
-/// What a variable of the environment says; none where it is not set. One that cannot be read is not as good as absent.
-fn variable_set(name: &str) -> Result<Option<String>, String> {
+/// The value of an environment variable; `None` if it is not set. A value that is not Unicode is an error.
+fn environment_variable(name: &str) -> Result<Option<String>, String> {
     match std::env::var(name) {
         Ok(value) => Ok(Some(value)),
         Err(VarError::NotPresent) => Ok(None),
@@ -250,23 +253,23 @@
     }
 }
 
-/// Why a configuration makes no sense, and where.
+/// Why a configuration is invalid, and where.
 #[derive(Debug, Serialize)]
 pub struct ConfigError {
-    /// The field at fault, from the top of the file; `.` for the whole of it.
+    /// The path of the invalid field from the top of the file; `.` for the whole file.
     pub field: String,
-    /// Its line, counted from 1, or that where reading stopped.
+    /// The line of the field, or the line where reading stopped, counted from 1.
     pub line: usize,
-    /// Its column in bytes, counted from 1.
+    /// The column in bytes, counted from 1.
     pub column: usize,
-    /// What is wrong with it.
+    /// What is wrong with the field.
     pub problem: String,
 }
 
 impl ConfigError {
-    fn at(field: String, line: usize, column: usize, problem: &serde_json::Error) -> Self {
-        let problem = problem.to_string().replace(['\n', '\r'], " ");
-        // The place is told apart from the words.
+    fn from_json(field: String, line: usize, column: usize, error: &serde_json::Error) -> Self {
+        let problem = error.to_string().replace(['\n', '\r'], " ");
+        // The line and column are separate fields, so they are cut from the text.
         let problem = problem
             .split(" at line ")
             .next()
@@ -296,27 +299,27 @@
     }
 }
 
-/// Line and column, from 1, at which the value of a field such as `a.b[2].c` begins, or the last of those above
-/// it that is there.
-fn place(text: &str, field: &str) -> (usize, usize) {
-    let mut at = text;
+/// The line and column, counted from 1, at which the value of a field such as `a.b[2].c` begins. If the field is missing,
+/// those of the innermost parent that is present.
+fn line_and_column(text: &str, field: &str) -> (usize, usize) {
+    let mut value = text;
     for step in field
         .split(['.', '['])
         .map(|step| step.trim_end_matches(']'))
     {
         let inner = match step.parse::<usize>() {
-            Ok(number) => serde_json::from_str::<Vec<&RawValue>>(at)
+            Ok(index) => serde_json::from_str::<Vec<&RawValue>>(value)
                 .ok()
-                .and_then(|list| Some(list.get(number)?.get())),
-            Err(_) => serde_json::from_str::<BTreeMap<Cow<'_, str>, &RawValue>>(at)
+                .and_then(|list| Some(list.get(index)?.get())),
+            Err(_) => serde_json::from_str::<BTreeMap<Cow<'_, str>, &RawValue>>(value)
                 .ok()
                 .and_then(|object| Some(object.get(step)?.get())),
         };
         let Some(inner) = inner else { break };
-        at = inner;
+        value = inner;
     }
-    // The innermost value is a part of the text itself.
-    let offset = at.as_ptr() as usize - text.as_ptr() as usize;
+    // The innermost value is a slice of the text.
+    let offset = value.as_ptr() as usize - text.as_ptr() as usize;
     let before = &text[..offset.min(text.len())];
     let line_start = before.rfind('\n').map_or(0, |end| end + 1);
     (
@@ -325,7 +328,7 @@
     )
 }
 
-/// A number that is written as hex digits.
+/// Reads a number that is written in hexadecimal digits.
 fn hex<'a, D: Deserializer<'a>>(reader: D) -> Result<u64, D::Error> {
     let digits = String::deserialize(reader)?;
     u64::from_str_radix(&digits, 16).map_err(|e| D::Error::custom(format_args!("{e}: {digits:?}")))
@@ -337,24 +340,27 @@
 
 #[cfg(test)]
 mod tests {
-    use super::{Config, ConfigKeys, place};
+    use super::{Config, ConfigKeys, line_and_column};
 
-    const SOUND: &str = include_str!("../../../examples/operations/config.json");
+    const VALID: &str = include_str!("../../../examples/operations/config.json");
 
-    /// A file that is caught while it is written.
+    /// The file may be read while it is still being written.
     #[test]
-    fn a_file_that_is_cut_at_any_byte_is_turned_down() {
-        let text = SOUND.trim_end();
+    fn a_file_truncated_at_any_byte_is_rejected() {
+        let text = VALID.trim_end();
         assert!(Config::from_json(text).is_ok());
         for end in 0..text.len() {
-            assert!(Config::from_json(&text[..end]).is_err(), "cut at {end}");
+            assert!(
+                Config::from_json(&text[..end]).is_err(),
+                "truncated at {end}"
+            );
         }
     }
 
     #[test]
-    fn a_key_that_the_former_file_had_is_missed_and_named() {
-        let former = ConfigKeys::of(SOUND);
-        assert_eq!(ConfigKeys::of(SOUND).lacks(&former), None);
+    fn a_missing_key_that_the_former_file_had_is_named() {
+        let former = ConfigKeys::of(VALID);
+        assert_eq!(ConfigKeys::of(VALID).missing_key(&former), None);
         for (key, field) in [
             ("seed", "seed"),
             ("settings", "settings"),
@@ -363,22 +369,22 @@
             ("max_attempts", "settings.limits.max_attempts"),
             ("give_up", "settings.services[0].give_up"),
         ] {
-            let present = SOUND.replacen(&format!("\"{key}\""), "\"other\"", 1);
+            let present = VALID.replacen(&format!("\"{key}\""), "\"other\"", 1);
             assert_eq!(
-                ConfigKeys::of(&present).lacks(&former).as_deref(),
+                ConfigKeys::of(&present).missing_key(&former).as_deref(),
                 Some(field)
             );
         }
-        // What only some of the former had, and what need not be told.
+        // A key that only some of the former entries had, and an optional key.
         let present =
-            SOUND
+            VALID
                 .replacen("\"key_scope\"", "\"other\"", 1)
                 .replacen("\"known\"", "\"other\"", 1);
-        assert_eq!(ConfigKeys::of(&present).lacks(&former), None);
+        assert_eq!(ConfigKeys::of(&present).missing_key(&former), None);
     }
 
     #[test]
-    fn the_place_of_a_field_is_where_its_value_begins() {
+    fn the_line_and_column_of_a_field_are_where_its_value_begins() {
         let text = "{\"a\": 1,\n \"b\": [{\"c\": 2},\n  {\"c\": 3, \"\\u0064\": 4}]}";
         for (field, expected) in [
             ("a", (1, 7)),
@@ -386,9 +392,9 @@
             ("b[1].c", (3, 9)),
             ("b[1].d", (3, 22)),
         ] {
-            assert_eq!(place(text, field), expected, "{field}");
+            assert_eq!(line_and_column(text, field), expected, "{field}");
         }
-        // Of what is not there, the innermost that is.
-        assert_eq!(place(text, "b[1].x"), (3, 3));
+        // A missing field has the position of the innermost parent that is present.
+        assert_eq!(line_and_column(text, "b[1].x"), (3, 3));
     }
 }
--- a/crates/sidecar/src/config_keys_tests.rs
+++ b/crates/sidecar/src/config_keys_tests.rs
@@ -1,5 +1,5 @@
-//! The platform's configuration with every key there is, as literal JSON: what it is read as, and what is told of each
-//! key that is misspelled, in the first file of a process and in one that is read again.
+//! Tests of the platform's configuration with every key as literal JSON: the values that are read, and the error for each
+//! misspelled key, both in the first file of a process and in a reloaded one.
 
 use super::{Config, ConfigKeys};
 use madderloom_balancer::settings::Site;
@@ -86,51 +86,51 @@
  }
 }"#;
 
-/// What is told of a file with one key misspelled.
+/// The expected errors for a file with one key misspelled.
 struct Misspelled {
-    /// The key, by its parents.
+    /// The path of the key.
     key: &'static str,
-    /// What the first file of a process is refused with; none where it is accepted.
-    first: Option<&'static str>,
-    /// The field that a file lacks which is read again; none where that is not missed.
-    again: Option<&'static str>,
+    /// The error for the first file of a process; `None` if it is accepted.
+    first_error: Option<&'static str>,
+    /// The key reported missing in a reloaded file; `None` if none is.
+    missing_on_reload: Option<&'static str>,
 }
 
-const fn accepted(key: &'static str, again: Option<&'static str>) -> Misspelled {
+const fn accepted(key: &'static str, missing_on_reload: Option<&'static str>) -> Misspelled {
     Misspelled {
         key,
-        first: None,
-        again,
+        first_error: None,
+        missing_on_reload,
     }
 }
 
-const fn refused(
+const fn rejected(
     key: &'static str,
-    first: &'static str,
-    again: Option<&'static str>,
+    first_error: &'static str,
+    missing_on_reload: Option<&'static str>,
 ) -> Misspelled {
     Misspelled {
         key,
-        first: Some(first),
-        again,
+        first_error: Some(first_error),
+        missing_on_reload,
     }
 }
 
-/// In the order of the file.
+/// All keys, in the order of the file.
 const MISSPELLED: [Misspelled; 62] = [
     accepted("name", Some("name")),
-    refused(
+    rejected(
         "listen",
         "configuration: .: missing field `listen` at line 80 column 1",
         Some("listen"),
     ),
     accepted("control", None),
-    refused(
+    rejected(
         "discovery",
         "configuration: .: missing field `discovery` at line 80 column 1",
         Some("discovery"),
     ),
-    refused(
+    rejected(
         "seed",
         "configuration: .: missing field `seed` at line 80 column 1",
         Some("seed"),
@@ -140,27 +140,27 @@
     accepted("limits.memory_mb", Some("limits.memory_mb")),
     accepted("limits.sockets", Some("limits.sockets")),
     accepted("known", None),
-    refused(
+    rejected(
         "known.index",
         "configuration: known: missing field `index` at line 27 column 2",
         None,
     ),
-    refused(
+    rejected(
         "known.snapshot",
         "configuration: known: missing field `snapshot` at line 27 column 2",
         None,
     ),
-    refused(
+    rejected(
         "known.endpoints",
         "configuration: known: missing field `endpoints` at line 27 column 2",
         None,
     ),
-    refused(
+    rejected(
         "known.endpoints[0].name",
         "configuration: known.endpoints[0]: missing field `name` at line 25 column 4",
         None,
     ),
-    refused(
+    rejected(
         "known.endpoints[0].address",
         "configuration: known.endpoints[0]: missing field `address` at line 25 column 4",
         None,
@@ -168,41 +168,41 @@
     accepted("known.endpoints[0].zone", None),
     accepted("known.endpoints[0].type", None),
     accepted("known.endpoints[0].group", None),
-    refused(
+    rejected(
         "known.endpoints[0].status",
         "configuration: known.endpoints[0]: missing field `status` at line 25 column 4",
         None,
     ),
     accepted("known.endpoints[0].weight", None),
     accepted("known.endpoints[0].since_ms", None),
-    refused(
+    rejected(
         "settings",
         "configuration: .: missing field `settings` at line 80 column 1",
         Some("settings"),
     ),
-    refused(
+    rejected(
         "settings.group_size",
         "configuration: settings: missing field `group_size` at line 79 column 2",
         Some("settings.group_size"),
     ),
-    refused(
+    rejected(
         "settings.my_zone",
         "configuration: settings: missing field `my_zone` at line 79 column 2",
         Some("settings.my_zone"),
     ),
-    refused(
+    rejected(
         "settings.period",
         "configuration: settings: missing field `period` at line 79 column 2",
         Some("settings.period"),
     ),
-    refused(
+    rejected(
         "settings.discovery",
         "configuration: settings: missing field `discovery` at line 79 column 2",
         Some("settings.discovery"),
     ),
     accepted("settings.areas", Some("settings.areas")),
     accepted("settings.kinds", Some("settings.kinds")),
-    refused(
+    rejected(
         "settings.services",
         "configuration: settings: missing field `services` at line 79 column 2",
         Some("settings.services"),
@@ -211,7 +211,7 @@
         "settings.services[0].name",
         Some("settings.services[0].name"),
     ),
-    refused(
+    rejected(
         "settings.services[0].effect",
         "configuration: settings.services[0]: missing field `effect` at line 46 column 4",
         Some("settings.services[0].effect"),
@@ -224,18 +224,18 @@
         "settings.services[0].window",
         Some("settings.services[0].window"),
     ),
-    refused(
+    rejected(
         "settings.services[0].on_time",
         "configuration: settings.services[0]: missing field `on_time` at line 46 column 4",
         Some("settings.services[0].on_time"),
     ),
     accepted("settings.services[0].aim_stretch", None),
-    refused(
+    rejected(
         "settings.services[0].give_up",
         "configuration: settings.services[0]: missing field `give_up` at line 46 column 4",
         Some("settings.services[0].give_up"),
     ),
-    refused(
+    rejected(
         "settings.services[0].worth",
         "configuration: settings.services[0]: missing field `worth` at line 46 column 4",
         Some("settings.services[0].worth"),
@@ -249,12 +249,12 @@
         "settings.tenants[0].quota_per_s",
         Some("settings.tenants[0].quota_per_s"),
     ),
-    refused(
+    rejected(
         "settings.limits",
         "configuration: settings: missing field `limits` at line 79 column 2",
         Some("settings.limits"),
     ),
-    refused(
+    rejected(
         "settings.limits.cancel",
         "configuration: settings.limits: missing field `cancel` at line 62 column 3",
         Some("settings.limits.cancel"),
@@ -267,7 +267,7 @@
         "settings.limits.connect_timeout",
         Some("settings.limits.connect_timeout"),
     ),
-    refused(
+    rejected(
         "settings.limits.max_attempts",
         "configuration: settings.limits: missing field `max_attempts` at line 62 column 3",
         Some("settings.limits.max_attempts"),
@@ -288,7 +288,7 @@
         "settings.load_report.fields",
         Some("settings.load_report.fields"),
     ),
-    refused(
+    rejected(
         "settings.safety",
         "configuration: settings: missing field `safety` at line 79 column 2",
         Some("settings.safety"),
@@ -297,17 +297,17 @@
         "settings.safety.ask_within",
         Some("settings.safety.ask_within"),
     ),
-    refused(
+    rejected(
         "settings.safety.cold",
         "configuration: settings.safety: missing field `cold` at line 73 column 3",
         Some("settings.safety.cold"),
     ),
-    refused(
+    rejected(
         "settings.safety.cold_from",
         "configuration: settings.safety: missing field `cold_from` at line 73 column 3",
         Some("settings.safety.cold_from"),
     ),
-    refused(
+    rejected(
         "settings.safety.fall",
         "configuration: settings.safety: missing field `fall` at line 73 column 3",
         Some("settings.safety.fall"),
@@ -325,31 +325,31 @@
     accepted("settings.worth_by", Some("settings.worth_by")),
 ];
 
-/// The file with one key misspelled, at the same length.
+/// The file with one key misspelled but of the same length, so that lines and columns do not change.
 fn misspelled(key: &str) -> String {
-    let mut place = 0;
+    let mut offset = 0;
     let mut last = "";
     for step in key.split('.').map(|step| step.trim_end_matches("[0]")) {
         let quoted = format!("\"{step}\":");
-        place += EVERY_KEY[place..]
+        offset += EVERY_KEY[offset..]
             .find(&quoted)
             .unwrap_or_else(|| panic!("{key}"))
             + 1;
         last = step;
     }
     let changed = if last.ends_with('z') { "y" } else { "z" };
-    let end = place + last.len();
+    let end = offset + last.len();
     format!("{}{changed}{}", &EVERY_KEY[..end - 1], &EVERY_KEY[end..])
 }
 
-fn all_keys(value: &Value, at: &str, keys: &mut Vec<String>) {
+fn all_keys(value: &Value, path: &str, keys: &mut Vec<String>) {
     match value {
         Value::Object(fields) => {
             for (key, value) in fields {
-                let key = if at.is_empty() {
+                let key = if path.is_empty() {
                     key.clone()
                 } else {
-                    format!("{at}.{key}")
+                    format!("{path}.{key}")
                 };
                 keys.push(key.clone());
                 all_keys(value, &key, keys);
@@ -357,7 +357,7 @@
         }
         Value::Array(values) => values
             .iter()
-            .for_each(|value| all_keys(value, &format!("{at}[0]"), keys)),
+            .for_each(|value| all_keys(value, &format!("{path}[0]"), keys)),
         Value::Null | Value::Bool(_) | Value::Number(_) | Value::String(_) => {}
     }
 }
@@ -386,14 +386,14 @@
         config.summary(),
         "classes submit; zones north, south; 1 servers known"
     );
-    let file: Value = serde_json::from_str(EVERY_KEY).expect("JSON");
-    let site = Site::from_json(&file["settings"].to_string()).expect("a site");
+    let file: Value = serde_json::from_str(EVERY_KEY).expect("valid JSON");
+    let site = Site::from_json(&file["settings"].to_string()).expect("valid settings");
     assert_eq!(config.settings, site);
 }
 
 #[test]
-fn what_may_be_left_out_has_its_usual_value() {
-    let mut file: Value = serde_json::from_str(EVERY_KEY).expect("JSON");
+fn omitted_keys_have_their_defaults() {
+    let mut file: Value = serde_json::from_str(EVERY_KEY).expect("valid JSON");
     for key in ["name", "control", "limits", "known"] {
         file.as_object_mut()
             .expect("an object")
@@ -415,7 +415,7 @@
 }
 
 #[test]
-fn a_seed_is_hex_digits() {
+fn a_seed_that_is_not_a_hexadecimal_string_is_rejected() {
     for (seed, problem) in [
         (
             r#""z""#,
@@ -430,7 +430,7 @@
         assert_eq!(
             Config::from_json(&text)
                 .err()
-                .expect("a problem")
+                .expect("an error")
                 .to_string(),
             problem
         );
@@ -438,10 +438,10 @@
 }
 
 #[test]
-fn each_misspelled_key_is_told_as_ever() {
+fn each_misspelled_key_is_reported() {
     let mut keys = Vec::new();
     all_keys(
-        &serde_json::from_str(EVERY_KEY).expect("JSON"),
+        &serde_json::from_str(EVERY_KEY).expect("valid JSON"),
         "",
         &mut keys,
     );
@@ -450,15 +450,20 @@
     listed.sort_unstable();
     assert_eq!(keys, listed);
     let former = ConfigKeys::of(EVERY_KEY);
-    for Misspelled { key, first, again } in MISSPELLED {
+    for Misspelled {
+        key,
+        first_error,
+        missing_on_reload,
+    } in MISSPELLED
+    {
         let text = misspelled(key);
         let problem = Config::from_json(&text)
             .err()
             .map(|problem| problem.to_string());
-        assert_eq!(problem.as_deref(), first, "{key}");
+        assert_eq!(problem.as_deref(), first_error, "{key}");
         assert_eq!(
-            ConfigKeys::of(&text).lacks(&former).as_deref(),
-            again,
+            ConfigKeys::of(&text).missing_key(&former).as_deref(),
+            missing_on_reload,
             "{key}"
         );
     }
--- a/crates/sidecar/src/control_address.rs
+++ b/crates/sidecar/src/control_address.rs
@@ -1,6 +1,6 @@
-//! The second address, at which on-call staff and the platform ask the process: one call to a connection, answered and
-//! closed. Its callers have descriptors of their own, and none waits for another: where too many hold a connection
-//! without a whole call, the one that has done so for longest goes.
+//! The control address, at which on-call staff and the platform send commands to the process: one call per connection, which
+//! is answered and closed. File descriptors are reserved for its callers, and no caller waits for another: when too many
+//! hold a connection, the oldest connection is closed.
 
 use super::drain;
 use super::process_state::ProcessState;
@@ -16,34 +16,34 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::AbortHandle;
 
-/// Callers that are there at once.
+/// The most callers connected at once.
 pub(super) const MAX_CALLERS: usize = 24;
-/// The descriptors that are set aside for it: its callers, one that is being taken, and its listening socket.
+/// File descriptors reserved for the control address: its callers, one connection being accepted, and the listening socket.
 pub(super) const RESERVED_DESCRIPTORS: usize = MAX_CALLERS + 2;
-/// A caller may take this long to say what it wants.
+/// The time in which a caller must send its call.
 pub(super) const CALL_TIMEOUT: Micros = 5_000_000;
-/// And this long to take the answer, and to end its side then.
-const TAKEN_WITHIN: Micros = 1_000_000;
-/// Before a caller is taken again where there was no descriptor.
-const AGAIN: Duration = Duration::from_millis(10);
+/// The time in which a caller must read the answer and close its side.
+const ANSWER_TIMEOUT: Micros = 1_000_000;
+/// Delay before connections are accepted again after accepting one has failed.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Binds the second address.
+/// Binds the control address.
 pub(super) fn bind(at: SocketAddr) -> Result<TcpListener, String> {
     super::listener::bind(at).map_err(|e| format!("RELAY_CONTROL: {at}: {e}"))
 }
 
-/// Answers callers for as long as the process lives.
+/// Answers callers until the process ends.
 pub(super) async fn serve(process: Rc<ProcessState>, socket: TcpListener) {
     let mut callers: VecDeque<AbortHandle> = VecDeque::new();
     loop {
         let stream = match socket.accept().await {
             Ok((stream, _)) => stream,
             Err(problem) => {
-                tracing::warn!("at the second address no caller can be taken: {problem}");
+                tracing::warn!("control address: cannot accept a connection: {problem}");
                 if super::connections::is_exhausted(&problem) {
                     process.close_oldest_server_connection();
                 }
-                tokio::time::sleep(AGAIN).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
@@ -61,21 +61,22 @@
     }
 }
 
-/// One caller, from its line to its end. It may have gone at any time, and that is its own affair.
+/// Handles one connection: reads the call, answers and closes. Errors of the connection are ignored, because the caller may
+/// disconnect at any time.
 async fn answer(process: &Rc<ProcessState>, mut stream: TcpStream) {
-    let asked = process
-        .timeout(CALL_TIMEOUT, line(&mut stream))
+    let call = process
+        .timeout(CALL_TIMEOUT, read_call(&mut stream))
         .await
         .unwrap_or(Err(Fault::Cut));
-    let text = match asked {
-        Ok(call) => carry_out(process, call),
+    let text = match call {
+        Ok(call) => execute(process, call),
         Err(fault) => format!("fail {fault}\n"),
     };
-    let told = async {
+    let send = async {
         stream.write_all(text.as_bytes()).await?;
         stream.shutdown().await?;
-        // What it has sent beyond its call is read and dropped: closed over it, the connection would be reset and the
-        // answer lost on the way.
+        // Input beyond the call is read and discarded: closing the socket with unread input would reset the connection, and
+        // the answer could be lost.
         let mut rest = [0; 256];
         for _ in 0..64 {
             if stream.read(&mut rest).await? == 0 {
@@ -84,25 +85,26 @@
         }
         Ok::<_, std::io::Error>(())
     };
-    let _ = process.timeout(TAKEN_WITHIN, told).await;
+    let _ = process.timeout(ANSWER_TIMEOUT, send).await;
 }
 
 /// Reads a call.
-async fn line(stream: &mut TcpStream) -> Result<Call, Fault> {
-    let mut come = [0; call::LONGEST + 2];
+async fn read_call(stream: &mut TcpStream) -> Result<Call, Fault> {
+    let mut buffer = [0; call::LONGEST + 2];
     let mut length = 0;
     loop {
-        match stream.read(&mut come[length..]).await {
+        match stream.read(&mut buffer[length..]).await {
             Ok(0) | Err(_) => return Err(Fault::Cut),
             Ok(count) => length += count,
         }
-        if let Some(call) = call::read(&come[..length]) {
+        if let Some(call) = call::read(&buffer[..length]) {
             return call;
         }
     }
 }
 
-fn carry_out(process: &Rc<ProcessState>, call: Call) -> String {
+/// Executes a call and returns the answer.
+fn execute(process: &Rc<ProcessState>, call: Call) -> String {
     match call {
         Call::Ping if process.can_serve() => "ok\n".to_string(),
         Call::Ping => "fail no server is known yet\n".to_string(),
@@ -121,10 +123,10 @@
     }
 }
 
-/// What the process reports, over all its services.
+/// The figures that the process reports, over all its services.
 fn figures(process: &ProcessState) -> Figures {
     let turns = watchdog::counts();
-    let mut all = Figures {
+    let mut figures = Figures {
         busy_turns: turns.busy,
         stalled_turns: turns.stalled,
         cfg_accepted: process.configs_accepted.get(),
@@ -136,19 +138,19 @@
         for (name, ended) in service.counts.operations() {
             *operations.entry(name).or_default() += ended;
         }
-        all.relayed += service.counts.relayed.get();
-        all.open_requests += service.counts.opened();
+        figures.relayed += service.counts.relayed.get();
+        figures.open_requests += service.counts.opened();
         let servers = service.snapshot().servers;
         let listed = servers
             .iter()
             .filter(|server| server.listed.state != ServerState::Gone);
-        all.registry_entries += service.pool.count() as u64;
-        all.out_of_rotation += listed
+        figures.registry_entries += service.pool.count() as u64;
+        figures.out_of_rotation += listed
             .filter(|server| {
                 server.listed.state != ServerState::Ready || server.ejected_until.is_some()
             })
             .count() as u64;
     }
-    all.operations = operations.into_iter().collect();
-    all
+    figures.operations = operations.into_iter().collect();
+    figures
 }
--- a/crates/sidecar/src/event_log.rs
+++ b/crates/sidecar/src/event_log.rs
@@ -1,35 +1,35 @@
-//! The trail: what this instance does to servers and to discovery, a line each at the log's level `debug`, so that the
-//! logs of a whole fleet can be counted together (`madderloom-lab count`). At any other level a request costs a look at
-//! the level and nothing else.
+//! The event log: one line at log level `debug` for each thing that this instance does with servers and discovery, so that
+//! the logs of a whole fleet can be evaluated together (`madderloom-lab count`). At any other level, a request costs only
+//! the check of the level.
 //!
-//! | `what` | the values beside it |
+//! | `what` | other fields |
 //! | --- | --- |
-//! | `start` | none: a process has begun to serve |
+//! | `start` | none: a pool has started to serve |
 //! | `listed` | `server` with its `name`, `state`, `kind`, `started` |
 //! | `request` | `request`, `class` |
 //! | `send` | `request`, `server` |
 //! | `probe` | `server` |
-//! | `open` | `server`, `up`: a connection was asked for, and whether it came up |
-//! | `ended` | `request`, `server`, `outcome`, `us`: how long the attempt took |
+//! | `open` | `server`, `up`: the result of a connection attempt |
+//! | `ended` | `request`, `server`, `outcome`, `us`: the duration of the attempt in microseconds |
 //! | `refuse`, `fail` | `request` |
-//! | `ask` | none |
+//! | `ask` | none: discovery is polled |
 //!
-//! `t` is the time in microseconds since 1970 by the sidecar's own clock; a `server` is its id, the same at every
-//! instance.
+//! `t` is the time in microseconds since 1970 on the sidecar's own clock. `server` is the server's id, which is the same at
+//! every instance.
 
 use super::service::Service;
 use madderloom_balancer::{Action, Closed, Event, Listed, Members, Micros, ServerId};
 use tracing::{Level, debug, enabled};
 
-/// A pool has begun to serve, with nothing measured yet.
+/// Logs that a pool has started to serve, with nothing measured yet.
 pub(super) fn started(now: Micros) {
     debug!(t = now, what = "start", "start");
 }
 
-/// What the module is told.
+/// Logs an event that the balancer receives.
 pub(super) fn event(service: &Service, now: Micros, event: &Event<'_>) {
     match event {
-        // Names are looked up where they are written alone.
+        // Names are looked up only if they are logged.
         Event::Members(Members::Full(list) | Members::Changes(list)) if enabled!(Level::DEBUG) => {
             for Listed {
                 server,
@@ -66,7 +66,7 @@
     }
 }
 
-/// What the module has done.
+/// Logs an action of the balancer.
 pub(super) fn action(now: Micros, action: &Action) {
     match action {
         Action::Send {
@@ -84,7 +84,7 @@
     }
 }
 
-/// A connection to a server was asked for.
+/// Logs the result of a connection attempt to a server.
 pub(super) fn opened(now: Micros, server: ServerId, up: bool) {
     debug!(t = now, what = "open", %server, up, "open: up {up}");
 }
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -1,10 +1,10 @@
-//! The real sidecar: sockets around the decision module. Nothing is decided here but what malformed
-//! input and hard limits leave no choice in.
+//! The sidecar: the socket code around the balancer. The balancer makes all decisions except those that follow directly from
+//! malformed input and hard limits.
 //!
-//! One thread. What belongs to the process is in `process`, what belongs to a listener in `listener`, and what belongs
-//! to one pool of servers in `service`: its instance of the decision module, its list, its connections, its timers
-//! and its open requests. Every task holds the service that it works for and hands it events; the actions that come
-//! back are dispatched there, to the transaction, the pool, the probes or the timers they name.
+//! Everything runs on one thread. State of the process is in `process_state`, state of a listener in `listener`, and state of
+//! one pool of servers in `service`: its balancer, server list, connections, timers and requests in flight. Every task holds
+//! the service that it works for and passes events to it. The service dispatches the resulting actions to the transactions,
+//! the pool, the probes or the timers.
 
 mod active_settings;
 pub mod admin;
@@ -63,13 +63,13 @@
 pub use config::{Config, ConfigError, Limits};
 pub use process::Sidecar;
 
-/// An answer of up to this much is taken whole before any of it is passed on, so that one that breaks off can be asked
-/// for elsewhere. So is a GraphQL message.
+/// Answers of up to this many bytes are buffered completely before they are forwarded, so that one that breaks off can be
+/// retried on another server. GraphQL messages are buffered up to the same size.
 const MAX_BUFFERED_BODY_BYTES: usize = 64 << 10;
-/// The longest body of a request, where no operator file says otherwise.
+/// The longest request body in bytes, unless an operator file sets another limit.
 const DEFAULT_MAX_BODY_BYTES: usize = 256 << 20;
 
-// Where the answer to what may overlap is that one thread serves and decides, the compiler is asked.
+// The code relies on running on one thread, so these types must not be sent to or shared with other threads.
 #[cfg(test)]
 static_assertions::assert_not_impl_any!(service::Service: Send, Sync);
 #[cfg(test)]
--- a/crates/sidecar/src/process.rs
+++ b/crates/sidecar/src/process.rs
@@ -1,4 +1,4 @@
-//! The sidecar as a whole: made of the platform's configuration, of the operator file, or of both.
+//! The sidecar as a whole, created from the platform's configuration, the operator file, or both.
 
 use super::admin::AdminServer;
 use super::agent_link::AgentLink;
@@ -27,43 +27,45 @@
 use tokio::net::TcpListener;
 use tokio::task::AbortHandle;
 
-/// Between looks after what lies idle.
-const SWEEP: Duration = Duration::from_secs(1);
-/// Connections that one look closes, at most, where they hold too much.
-const CLOSED_AT_ONCE: u64 = 512;
-/// Descriptors of the admin view, beside those of listeners and watches.
+/// Interval of the upkeep of services and connections.
+const UPKEEP_INTERVAL: Duration = Duration::from_secs(1);
+/// Connections that one round of upkeep closes at most when connections take too much memory.
+const MAX_CLOSED_PER_UPKEEP: u64 = 512;
+/// File descriptors reserved for the admin view.
 const ADMIN_DESCRIPTORS: usize = 8;
-/// Of the link to an agent.
+/// File descriptors reserved for the link to an agent.
 const AGENT_DESCRIPTORS: usize = 4;
-/// Of the store: its directory, segments of its log, and what a compaction writes.
+/// File descriptors reserved for the state store: its directory, segments of its log, and the output of a compaction.
 const STATE_DESCRIPTORS: usize = 16;
-/// Of requests that are open, where the settings of the one service alone bound them.
-const UNBOUNDED: u64 = 1 << 40;
+/// Limit on requests in flight where only the settings of the single service bound them.
+const UNBOUNDED_REQUESTS: u64 = 1 << 40;
 
-/// One sidecar.
+/// A sidecar.
 pub struct Sidecar {
     pub(super) process: Rc<ProcessState>,
-    /// What the platform lets it have.
+    /// The limit on file descriptors, from the platform or, without it, the operator file.
     pub(super) descriptors: usize,
+    /// The platform's memory limit.
     pub(super) memory_bytes: u64,
     pub(super) seed: u64,
     pub(super) name: String,
-    /// What the platform's configuration stands for.
+    /// The service and the listener of the platform's configuration.
     pub(super) platform: Option<(Rc<Service>, Rc<Listener>)>,
-    /// Which keys the platform's configuration had when it was last taken.
+    /// The keys of the platform's configuration that was last accepted.
     pub(super) config_keys: RefCell<ConfigKeys>,
-    /// Where the operator file is.
+    /// The path of the operator file.
     pub(super) operator_file: Option<PathBuf>,
-    /// The services of the operator file as it was last read, by their places.
+    /// The services of the operator file that is in effect, in the order of the file.
     pub(super) services: RefCell<Vec<Rc<Service>>>,
+    /// The listeners of the operator file that is in effect, in the order of the file.
     pub(super) listeners: RefCell<Vec<Rc<Listener>>>,
     pub(super) admin: RefCell<Option<AdminServer>>,
     pub(super) agent_link: Rc<AgentLink>,
 }
 
 impl Sidecar {
-    /// A sidecar that listens. Without an operator file it is what the platform's configuration says and nothing
-    /// more. To be called in a local set. One of the two must be there.
+    /// Creates a sidecar and starts its listeners. Without an operator file, only the platform's configuration applies. At
+    /// least one of the two must be given. To be called in a local set.
     pub fn new(
         mut config: Option<Config>,
         operator: Option<(PathBuf, Operator)>,
@@ -71,23 +73,28 @@
         if config.is_none() && operator.is_none() {
             return Err("RELAY_CONFIG: is not set, and no operator file is named".to_string());
         }
-        let usual = super::Limits::default();
-        let limits = config.as_ref().map_or(&usual, |c| &c.limits);
+        let default_limits = super::Limits::default();
+        let limits = config.as_ref().map_or(&default_limits, |c| &c.limits);
         let memory = (limits.memory_mb as u64).saturating_mul(1 << 20);
         let seed = config
             .as_ref()
             .map_or_else(|| RandomState::new().hash_one(0), |c| c.seed);
-        let own = operator.as_ref().map(|(_, operator)| operator);
-        // Without the platform's word, the file's holds.
-        let by_file = config.is_none() && own.is_some_and(|own| own.limits.descriptors.is_some());
-        let sockets = if by_file { usize::MAX } else { limits.sockets };
+        let operator_config = operator.as_ref().map(|(_, operator)| operator);
+        // Without a platform configuration, the limit of the operator file applies.
+        let limited_by_file = config.is_none()
+            && operator_config.is_some_and(|operator| operator.limits.descriptors.is_some());
+        let sockets = if limited_by_file {
+            usize::MAX
+        } else {
+            limits.sockets
+        };
         let descriptors = sockets.min(descriptor_limit());
-        let (descriptors, memory) = config
-            .as_ref()
-            .map_or((descriptors, memory), |c| own_part(c, descriptors, memory));
-        let totals = resource_totals(descriptors, memory, own, config.is_some());
+        let (descriptors, memory) = config.as_ref().map_or((descriptors, memory), |c| {
+            process_share(c, descriptors, memory)
+        });
+        let totals = resource_totals(descriptors, memory, operator_config, config.is_some());
         let process = ProcessState::new(totals, operator.is_some());
-        // Before anything is served: where it cannot be asked, the start fails.
+        // This comes before anything is served, so that the start fails if the control address cannot be bound.
         if let Some(at) = config.as_ref().and_then(|config| config.control) {
             let socket = control_address::bind(at)?;
             let at = socket.local_addr().unwrap_or(at);
@@ -95,22 +102,22 @@
             let serving = control_address::serve(Rc::clone(&process), socket);
             watchdog::spawn(TaskKind::ControlListener, serving);
         }
-        let alarmed = Rc::clone(&process);
+        let timer_process = Rc::clone(&process);
         watchdog::spawn(TaskKind::Timers, async move {
             keep_going(TaskKind::Timers, "timers", || {
-                Some(timers::run(Rc::clone(&alarmed)))
+                Some(timers::run(Rc::clone(&timer_process)))
             })
             .await;
         });
-        let state = own.and_then(|operator| operator.state.clone());
-        let kept = state.as_ref().map(|state| state.usual).unwrap_or_default();
+        let state = operator_config.and_then(|operator| operator.state.clone());
+        let persistence = state.as_ref().map(|state| state.usual).unwrap_or_default();
         if let Some((state, (file, _))) = state.zip(operator.as_ref()) {
             let writer = StateWriter::open(state)
                 .map_err(|problem| format!("{}: {problem}", file.display()))?;
             watchdog::spawn(TaskKind::State, Rc::clone(&writer).process_withdrawals());
             process.state_writer.get_or_init(|| writer);
         }
-        let name = match (&config, own) {
+        let name = match (&config, operator_config) {
             (_, Some(operator)) if !operator.process.name.is_empty() => {
                 operator.process.name.clone()
             }
@@ -122,7 +129,9 @@
             .map(|config| std::mem::take(&mut config.keys))
             .unwrap_or_default();
         let platform = config
-            .map(|config| platform(&process, config, own.is_some(), kept))
+            .map(|config| {
+                start_platform_service(&process, config, operator_config.is_some(), persistence)
+            })
             .transpose()?;
         let sidecar = Rc::new(Sidecar {
             process,
@@ -147,20 +156,20 @@
         Ok(sidecar)
     }
 
-    /// Serves until `stop` ends, then finishes what was taken.
+    /// Serves until `stop` completes, then finishes the requests it has accepted and shuts down.
     pub async fn serve(self: Rc<Self>, stop: impl Future<Output = ()>) -> Result<(), String> {
         self.follow_agent();
         let process = Rc::clone(&self.process);
         watchdog::spawn(TaskKind::Upkeep, async move {
             keep_going(TaskKind::Upkeep, "upkeep", || {
-                Some(look_after(Rc::clone(&process)))
+                Some(run_upkeep(Rc::clone(&process)))
             })
             .await
         });
         if let Some(scheduler) = &self.process.scheduler {
             watchdog::spawn(TaskKind::FairQueue, Rc::clone(scheduler).run());
         }
-        let warm = self.process.state_writer.get().map(|writer| {
+        let warm_state_task = self.process.state_writer.get().map(|writer| {
             let writing = warm_start::run(Rc::clone(&self.process), Rc::clone(writer));
             watchdog::spawn(TaskKind::WarmState, writing).abort_handle()
         });
@@ -182,7 +191,7 @@
         }
         self.admin.take();
         if let Some(writer) = self.process.state_writer.get() {
-            warm.inspect(AbortHandle::abort);
+            warm_state_task.inspect(AbortHandle::abort);
             warm_start::write(&self.process, writer).await;
             writer.close();
         }
@@ -190,26 +199,28 @@
     }
 }
 
-/// What of the platform's limits this process keeps to. Where it shares its clients' socket, the process that it replaces
-/// or that replaces it has the other half; callers at the second address have theirs besides.
-fn own_part(config: &Config, descriptors: usize, memory: u64) -> (usize, u64) {
-    let parts = if config.inherited_socket.is_some() {
+/// The share of the platform's file descriptors and memory that this process uses. Where it inherits the clients' socket,
+/// the process that it replaces, or that replaces it, has the other half. The descriptors of the control address are
+/// deducted.
+fn process_share(config: &Config, descriptors: usize, memory: u64) -> (usize, u64) {
+    let processes = if config.inherited_socket.is_some() {
         2
     } else {
         1
     };
-    let asked = if config.control.is_some() {
+    let control_descriptors = if config.control.is_some() {
         control_address::RESERVED_DESCRIPTORS
     } else {
         0
     };
     (
-        (descriptors / parts).saturating_sub(asked),
-        memory / parts as u64,
+        (descriptors / processes).saturating_sub(control_descriptors),
+        memory / processes as u64,
     )
 }
 
-/// How much there is to share.
+/// The amount of each resource that services and listeners share. `platform` says whether there is a platform
+/// configuration, whose limits the operator file can only lower.
 pub(super) fn resource_totals(
     descriptors: usize,
     memory: u64,
@@ -217,15 +228,16 @@
     platform: bool,
 ) -> ResourceTotals {
     let Some(operator) = operator else {
-        return ResourceTotals::new(descriptors, 0, memory, UNBOUNDED, None);
+        return ResourceTotals::new(descriptors, 0, memory, UNBOUNDED_REQUESTS, None);
     };
     let limits = &operator.limits;
-    let given = |given: Option<u64>, there: u64| given.map_or(there, |given| given.min(there));
-    let descriptors = given(limits.descriptors, descriptors as u64) as usize;
-    // Without the platform's word, the file's holds.
+    let lower =
+        |limit: Option<u64>, available: u64| limit.map_or(available, |limit| limit.min(available));
+    let descriptors = lower(limits.descriptors, descriptors as u64) as usize;
+    // Without a platform configuration, the limit of the operator file applies.
     let memory = match limits.memory {
         Some(size) if !platform => size.0,
-        size => given(size.map(|s| s.0), memory),
+        size => lower(size.map(|s| s.0), memory),
     };
     let watches = operator
         .pools
@@ -252,19 +264,20 @@
     } else {
         0
     };
-    let more = operator.listeners.len() + watches + admin + control + state;
-    let bodies = limits.bodies.map(|size| size.0.min(memory / 2));
-    ResourceTotals::new(descriptors, more, memory, limits.open, bodies)
+    let reserved = operator.listeners.len() + watches + admin + control + state;
+    let body_bytes = limits.bodies.map(|size| size.0.min(memory / 2));
+    ResourceTotals::new(descriptors, reserved, memory, limits.open, body_bytes)
 }
 
-/// What the platform's configuration stands for: one service, and one listener whose requests all go to it.
-fn platform(
+/// Starts what the platform's configuration describes: one service, and one listener whose requests all go to it. `named`
+/// says whether they appear under a name, beside those of an operator file.
+fn start_platform_service(
     process: &Rc<ProcessState>,
     config: Config,
     named: bool,
-    kept: Kept,
+    persistence: Kept,
 ) -> Result<(Rc<Service>, Rc<Listener>), String> {
-    let label = if named {
+    let log_prefix = if named {
         format!("{PLATFORM}: ")
     } else {
         String::new()
@@ -273,26 +286,30 @@
         guaranteed: 0,
         most: total,
     };
-    let bounds = &process.shared_limits;
-    let parts = |connections: u64| ResourceShares {
+    let shared_limits = &process.shared_limits;
+    let shares = |connections: u64| ResourceShares {
         connections: all(connections),
-        requests: all(bounds.requests_by_pool.total()),
-        body_bytes: all(bounds.body_bytes_by_pool.total()),
+        requests: all(shared_limits.requests_by_pool.total()),
+        body_bytes: all(shared_limits.body_bytes_by_pool.total()),
     };
     let spec = ServiceSpec {
         name: PLATFORM.to_string(),
-        log_prefix: label,
+        log_prefix,
         site: config.settings,
         discovery: Some(config.discovery),
         initial_list: config.known,
         limits: MemberLimits::default(),
         levels: None,
         graphql: None,
-        persistence: kept,
+        persistence,
         seed: config.seed,
         ordinal: ordinal_in_name(&config.name),
     };
-    let service = Service::new(process, spec, parts(bounds.server_connections.total()))?;
+    let service = Service::new(
+        process,
+        spec,
+        shares(shared_limits.server_connections.total()),
+    )?;
     let listen: SocketAddr = config.listen;
     let shared = config.inherited_socket.is_some();
     let socket = match config.inherited_socket {
@@ -302,7 +319,7 @@
         None => bind(listen).map_err(|e| format!("RELAY_LISTEN: {listen}: {e}"))?,
     };
     let routing = Routing::One(Rc::clone(&service));
-    let limits = (None, parts(bounds.client_connections.total()));
+    let limits = (None, shares(shared_limits.client_connections.total()));
     let place = Socket {
         wanted: listen,
         socket,
@@ -313,10 +330,10 @@
     Ok((service, listener))
 }
 
-/// Looks every now and then after what no event brings about.
-async fn look_after(process: Rc<ProcessState>) {
+/// Periodically does the work that no event triggers.
+async fn run_upkeep(process: Rc<ProcessState>) {
     loop {
-        tokio::time::sleep(SWEEP).await;
+        tokio::time::sleep(UPKEEP_INTERVAL).await;
         let services = process.services.borrow().clone();
         for service in services {
             while service.connections.drop_old() {
@@ -325,7 +342,7 @@
             service.connections.sweep();
             service.sample_servers();
         }
-        process.enforce_connection_memory(CLOSED_AT_ONCE);
+        process.enforce_connection_memory(MAX_CLOSED_PER_UPKEEP);
         process.fleet_limits.look();
     }
 }
--- a/crates/sidecar/src/process_state.rs
+++ b/crates/sidecar/src/process_state.rs
@@ -1,4 +1,5 @@
-//! What belongs to the process: its clock, its limits, the turns on its thread, and who is there.
+//! State that all services and listeners of the process share: clock, timers, resource limits, fair scheduler, and the
+//! services and listeners themselves.
 
 use super::clock::{Clock, LocalTimeZone};
 use super::connections::is_exhausted;
@@ -21,73 +22,79 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// Descriptors that are neither a client's nor a server's; the rest is shared out equally.
-const OWN_DESCRIPTORS: usize = 16;
-/// Of the most connections to one side, which is more than one process can use.
+/// File descriptors kept for uses other than client and server connections. Those two share the rest equally.
+const RESERVED_DESCRIPTORS: usize = 16;
+/// Upper bound on the connections to clients, and on those to servers: more than one process can use.
 pub(super) const MAX_CONNECTIONS_PER_SIDE: usize = 1 << 16;
-/// The bodies of open requests together hold this part of the memory at most, where nothing else is said.
-const BODIES: u64 = 4;
+/// Unless configured otherwise, the bodies of requests in flight may together take the memory divided by this.
+const BODY_MEMORY_DIVISOR: u64 = 4;
 
-/// The platform kills a process that is to stop no sooner than this behind its longest deadline, of which it counts so much
-/// at most.
-const KILLED_AFTER: Micros = 700_000;
-const LONGEST_COUNTED: Micros = 3_000_000;
-/// An answer is on its way by so much sooner.
-const ON_ITS_WAY: Micros = 100_000;
+/// After it has asked a process to stop, the platform waits for the process's longest client deadline plus at least this
+/// long before it kills the process.
+const PLATFORM_KILL_DELAY: Micros = 700_000;
+/// The platform counts at most this much of the longest client deadline.
+const MAX_COUNTED_DEADLINE: Micros = 3_000_000;
+/// Answers are sent at least this long before the process may be killed, so that they reach their clients.
+const ANSWER_DELIVERY_MARGIN: Micros = 100_000;
 
-/// Before something is opened again for which there was no descriptor, and how long a want of them is taken to last.
-const OPENED_AGAIN: Micros = 10_000;
-const EXHAUSTED: Micros = 1_000_000;
+/// Delay before an operation that failed for lack of a file descriptor is retried.
+const DESCRIPTOR_RETRY_DELAY: Micros = 10_000;
+/// For this long after such a failure, file descriptors are considered exhausted.
+const DESCRIPTOR_EXHAUSTION_PERIOD: Micros = 1_000_000;
 
-/// All connections together hold this part of the memory at most.
-const HELD: u64 = 4;
+/// All connections may together take the memory divided by this.
+const CONNECTION_MEMORY_DIVISOR: u64 = 4;
 
-/// What belongs to the process.
+/// State shared by all services and listeners of the process.
 pub(super) struct ProcessState {
     pub(super) clock: Clock,
     pub(super) timers: Timers,
-    /// Whether it serves, drains or stops.
+    /// Whether the process serves, drains or stops.
     pub(super) lifecycle: RefCell<Duty>,
-    /// Once the process stops: by when all that comes from then on is to be answered, as the platform ends it soon after.
-    answers_by: Cell<Option<Micros>>,
-    /// When this process last had no descriptor for what it wanted to open.
-    exhausted: Cell<Option<Micros>>,
-    /// Files taken at SIGHUP, and those turned down.
+    /// Set once the process stops: requests that arrive from then on must be answered by this time, because the platform
+    /// kills the process soon after.
+    answer_deadline: Cell<Option<Micros>>,
+    /// When an operation last failed for lack of a file descriptor.
+    descriptors_exhausted_at: Cell<Option<Micros>>,
+    /// Platform configuration files that were accepted at SIGHUP.
     pub(super) configs_accepted: Cell<u64>,
+    /// Platform configuration files that were rejected at SIGHUP.
     pub(super) configs_rejected: Cell<u64>,
     pub(super) shared_limits: SharedLimits,
-    /// Connections of clients that are there, and how many of them are a crowd.
+    /// Open client connections, parked ones included.
     pub(super) client_connections: Cell<usize>,
+    /// Above this many client connections, those of listeners that exceed their guaranteed share are closed early.
     pub(super) client_connections_high_watermark: Cell<usize>,
-    /// Of the connections of clients those that are not parked.
+    /// Open client connections that are not parked.
     pub(super) active_client_connections: Cell<usize>,
-    /// What connections may hold together, in bytes.
+    /// The bytes that all connections may take together.
     pub(super) max_connection_bytes: Cell<u64>,
-    /// None where there is but one service on one listener, and nobody to take turns with.
+    /// `None` where a single service on a single listener has nothing to share the thread with.
     pub(super) scheduler: Option<Rc<Scheduler>>,
-    /// All that live, those that are on their way out as well.
+    /// All services, including those that drain.
     pub(super) services: RefCell<Vec<Rc<Service>>>,
     pub(super) listeners: RefCell<Vec<Rc<Listener>>>,
-    /// A listener has ended.
+    /// Notified when a listener has ended.
     pub(super) listener_ended: Notify,
-    /// How many routes there are, and how many operator files have taken effect.
+    /// The number of routes.
     pub(super) route_count: Cell<usize>,
+    /// The number of operator files that have taken effect.
     pub(super) operator_files_applied: Cell<u64>,
-    /// What happened to servers of late, where their stories are kept.
+    /// Recent server events, where endpoint history is recorded.
     pub(super) feed: Rc<Feed>,
-    day: OnceCell<LocalTimeZone>,
-    /// What is set of servers beside their lists.
+    time_zone: OnceCell<LocalTimeZone>,
+    /// Operator changes to servers, such as drains and weights, that override the server lists.
     pub(super) server_overrides: RefCell<Steering>,
-    /// What outlasts the process, where the operator file names a place for it.
+    /// Writes the state that outlasts the process, where the operator file names a directory for it.
     pub(super) state_writer: OnceCell<Rc<StateWriter>>,
     pub(super) processor: Processor,
-    /// Fleet-wide limits, where the operator file has any.
+    /// Fleet-wide limits, where the operator file configures any.
     pub(super) fleet_limits: Rc<FleetLimits>,
-    /// Lists of servers that the fleet shares, where the operator file says so.
+    /// Server lists that the fleet shares, where the operator file enables it.
     pub(super) shared_lists: SharedLists,
 }
 
-/// What all services and listeners share.
+/// Limits that the services, or the listeners, of the process share among themselves.
 pub(super) struct SharedLimits {
     pub(super) client_connections: Rc<Bound>,
     pub(super) server_connections: Rc<Bound>,
@@ -97,42 +104,45 @@
     pub(super) body_bytes_by_listener: Rc<Bound>,
 }
 
-/// How much there is of what is shared.
+/// The amount of each shared resource.
 #[derive(Clone, Copy)]
 pub(super) struct ResourceTotals {
     pub(super) descriptors: usize,
-    /// Connections of clients, and as many to servers.
+    /// Client connections, and as many server connections.
     pub(super) connections: u64,
+    /// Requests in flight.
     pub(super) requests: u64,
+    /// Bytes of the bodies of requests in flight.
     pub(super) body_bytes: u64,
-    /// Bytes that connections hold, bodies not counted.
+    /// Bytes that connections take, bodies not counted.
     pub(super) connection_bytes: u64,
 }
 
-/// What connections are counted as holding, in bytes. Measured, and rounded up: see docs/connections.md.
-pub(super) const PARKED_BYTES: u64 = 2 << 10;
-/// Of a client's connection that is not parked: its task, and `hyper`'s state and two buffers for it.
-pub(super) const SERVED_BYTES: u64 = 20 << 10;
-/// Of a connection to a server.
-pub(super) const SERVER_BYTES: u64 = 1 << 10;
+/// Bytes accounted for a parked client connection. This figure and the next two are rounded up: see docs/connections.md.
+pub(super) const PARKED_CONNECTION_BYTES: u64 = 2 << 10;
+/// Bytes accounted for a client connection that is not parked: its task, and `hyper`'s state and two buffers for it.
+pub(super) const ACTIVE_CONNECTION_BYTES: u64 = 20 << 10;
+/// Bytes accounted for a connection to a server.
+pub(super) const SERVER_CONNECTION_BYTES: u64 = 1 << 10;
 
 impl ResourceTotals {
-    /// By what the platform gives. `more` descriptors are taken up by further listeners and watches.
+    /// The totals within the platform's limits: file descriptors, of which `reserved` are for listeners, watches and the
+    /// like, and bytes of memory.
     pub(super) fn new(
         descriptors: usize,
-        more: usize,
+        reserved: usize,
         memory: u64,
         requests: u64,
         body_bytes: Option<u64>,
     ) -> Self {
-        let share = (descriptors.saturating_sub(OWN_DESCRIPTORS + more) / 2)
+        let connections = (descriptors.saturating_sub(RESERVED_DESCRIPTORS + reserved) / 2)
             .clamp(1, MAX_CONNECTIONS_PER_SIDE);
         ResourceTotals {
             descriptors,
-            connections: share as u64,
+            connections: connections as u64,
             requests,
-            body_bytes: body_bytes.unwrap_or(memory / BODIES),
-            connection_bytes: memory / HELD,
+            body_bytes: body_bytes.unwrap_or(memory / BODY_MEMORY_DIVISOR),
+            connection_bytes: memory / CONNECTION_MEMORY_DIVISOR,
         }
     }
 }
@@ -151,14 +161,14 @@
 }
 
 impl ProcessState {
-    pub(super) fn new(totals: ResourceTotals, in_turn: bool) -> Rc<Self> {
+    pub(super) fn new(totals: ResourceTotals, fair_scheduling: bool) -> Rc<Self> {
         let clock = Clock::start();
         Rc::new(ProcessState {
             timers: Timers::new(&clock),
             clock,
             lifecycle: RefCell::default(),
-            answers_by: Cell::new(None),
-            exhausted: Cell::new(None),
+            answer_deadline: Cell::new(None),
+            descriptors_exhausted_at: Cell::new(None),
             configs_accepted: Cell::new(0),
             configs_rejected: Cell::new(0),
             shared_limits: SharedLimits::new(totals),
@@ -166,14 +176,14 @@
             client_connections_high_watermark: Cell::new(totals.descriptors / 4),
             active_client_connections: Cell::new(0),
             max_connection_bytes: Cell::new(totals.connection_bytes),
-            scheduler: in_turn.then(Scheduler::new),
+            scheduler: fair_scheduling.then(Scheduler::new),
             services: RefCell::default(),
             listeners: RefCell::default(),
             listener_ended: Notify::new(),
             route_count: Cell::new(0),
             operator_files_applied: Cell::new(0),
             feed: Rc::default(),
-            day: OnceCell::new(),
+            time_zone: OnceCell::new(),
             server_overrides: RefCell::default(),
             state_writer: OnceCell::new(),
             processor: Processor::default(),
@@ -182,7 +192,7 @@
         })
     }
 
-    /// Whether there is a service that could serve a request.
+    /// Whether any service has a server list to serve requests with.
     pub(super) fn can_serve(&self) -> bool {
         self.services
             .borrow()
@@ -190,84 +200,89 @@
             .any(|service| service.pool.is_known())
     }
 
-    /// The process stops now, under the platform's rules, where clients wait no longer than this.
-    pub(super) fn set_answer_deadline(&self, longest: Micros) {
-        let within = longest.min(LONGEST_COUNTED) + KILLED_AFTER - ON_ITS_WAY;
-        self.answers_by.set(Some(self.clock.now() + within));
+    /// Sets the time by which requests must be answered now that the process stops, by the platform's rules and the longest
+    /// client deadline, in microseconds.
+    pub(super) fn set_answer_deadline(&self, longest_deadline: Micros) {
+        let time_to_answer = longest_deadline.min(MAX_COUNTED_DEADLINE) + PLATFORM_KILL_DELAY
+            - ANSWER_DELIVERY_MARGIN;
+        self.answer_deadline
+            .set(Some(self.clock.now() + time_to_answer));
     }
 
-    /// What is left for a request that comes now and whose client waits for so long: no more than the process has itself.
-    /// Else it would be killed with the request unanswered.
-    pub(super) fn cap_time_left(&self, now: Micros, left: Micros) -> Micros {
-        self.answers_by
-            .get()
-            .map_or(left, |by| left.min(by.saturating_sub(now)))
+    /// The time that a request arriving now has: what its client waits for, but no more than the process itself has left,
+    /// which would otherwise be killed with the request unanswered.
+    pub(super) fn cap_time_left(&self, now: Micros, time_left: Micros) -> Micros {
+        self.answer_deadline.get().map_or(time_left, |deadline| {
+            time_left.min(deadline.saturating_sub(now))
+        })
     }
 
     pub(super) fn is_stopping(&self) -> bool {
         self.lifecycle.borrow().is_stopping()
     }
 
-    /// The minute of the local day, from 0 to 1,439.
+    /// The minute of the day in local time, from 0 to 1,439.
     pub(super) fn minute_of_day(&self) -> u16 {
-        self.day.get_or_init(LocalTimeZone::read).minute()
+        self.time_zone
+            .get_or_init(LocalTimeZone::read)
+            .minute_of_day()
     }
 
     pub(super) fn set_totals(&self, totals: ResourceTotals) {
         self.max_connection_bytes.set(totals.connection_bytes);
         self.client_connections_high_watermark
             .set(totals.descriptors / 4);
-        let bounds = &self.shared_limits;
-        for (bound, total) in [
-            (&bounds.client_connections, totals.connections),
-            (&bounds.server_connections, totals.connections),
-            (&bounds.requests_by_pool, totals.requests),
-            (&bounds.requests_by_listener, totals.requests),
-            (&bounds.body_bytes_by_pool, totals.body_bytes),
-            (&bounds.body_bytes_by_listener, totals.body_bytes),
+        let limits = &self.shared_limits;
+        for (limit, total) in [
+            (&limits.client_connections, totals.connections),
+            (&limits.server_connections, totals.connections),
+            (&limits.requests_by_pool, totals.requests),
+            (&limits.requests_by_listener, totals.requests),
+            (&limits.body_bytes_by_pool, totals.body_bytes),
+            (&limits.body_bytes_by_listener, totals.body_bytes),
         ] {
-            bound.set_total(total);
+            limit.set_total(total);
         }
     }
 
-    /// An account of this weight, where work is taken in turn.
+    /// A fair-queueing account of this weight; `None` without a scheduler.
     pub(super) fn account(&self, weight: u32) -> Option<Rc<Account>> {
         self.scheduler
             .as_ref()
             .map(|scheduler| Rc::new(scheduler.open(weight)))
     }
 
-    /// What connections hold, by what each is counted as: parked, served, and to servers.
+    /// The bytes accounted for connections: parked clients, active clients, servers.
     pub(super) fn connection_bytes(&self) -> [u64; 3] {
-        // One that has been told to go is not parked any more.
+        // A connection that is being closed no longer counts as parked.
         let parked: usize = self
             .listeners
             .borrow()
             .iter()
             .map(|listener| listener.clients.parked())
             .sum();
-        let served = self.active_client_connections.get();
+        let active = self.active_client_connections.get();
         [
-            parked as u64 * PARKED_BYTES,
-            served as u64 * SERVED_BYTES,
-            self.shared_limits.server_connections.used() * SERVER_BYTES,
+            parked as u64 * PARKED_CONNECTION_BYTES,
+            active as u64 * ACTIVE_CONNECTION_BYTES,
+            self.shared_limits.server_connections.used() * SERVER_CONNECTION_BYTES,
         ]
     }
 
-    /// Has those parked connections closed that have been idle for longest, so many at most, where connections hold
-    /// too much.
-    pub(super) fn enforce_connection_memory(&self, at_once: u64) {
+    /// Closes the parked connections that have been idle longest while connections take too much memory, at most
+    /// `max_closed` of them.
+    pub(super) fn enforce_connection_memory(&self, max_closed: u64) {
         let excess = self
             .connection_bytes()
             .iter()
             .sum::<u64>()
             .saturating_sub(self.max_connection_bytes.get());
-        for _ in 0..excess.div_ceil(PARKED_BYTES).min(at_once) {
-            self.drop_oldest_parked();
+        for _ in 0..excess.div_ceil(PARKED_CONNECTION_BYTES).min(max_closed) {
+            self.close_oldest_parked_connection();
         }
     }
 
-    fn drop_oldest_parked(&self) {
+    fn close_oldest_parked_connection(&self) {
         let listeners = self.listeners.borrow();
         let oldest = listeners
             .iter()
@@ -277,42 +292,42 @@
         }
     }
 
-    /// There was no descriptor for something that is wanted now: others than this program's count hold some. The client that
-    /// has been idle for longest goes, or else the connection to a server; it may be tried again once this ends, which nobody
-    /// is kept spinning by.
+    /// Makes a file descriptor available after an operation has failed for lack of one, which happens when others than the
+    /// connections counted here hold some. Closes the client connection that has been idle longest, or else such a server
+    /// connection, and waits for a moment, so that the caller can retry without a busy loop.
     pub(super) async fn free_descriptor(&self) {
-        self.exhausted.set(Some(self.clock.now()));
+        self.descriptors_exhausted_at.set(Some(self.clock.now()));
         let now = self.clock.now();
-        let made = self
+        let client_closed = self
             .listeners
             .borrow()
             .iter()
             .any(|listener| listener.clients.make_room(now));
-        if !made {
+        if !client_closed {
             self.close_oldest_server_connection();
         }
-        self.sleep(OPENED_AGAIN).await;
+        self.sleep(DESCRIPTOR_RETRY_DELAY).await;
     }
 
-    /// A connection to this address; for as long as there is no descriptor for it, room is made and it is tried again. Whoever
-    /// asks says for how long.
+    /// Connects to an address. While there is no file descriptor for the connection, frees one and retries; the caller
+    /// bounds the time that this may take.
     pub(super) async fn connect(&self, address: SocketAddr) -> std::io::Result<TcpStream> {
         loop {
             match TcpStream::connect(address).await {
                 Err(problem) if is_exhausted(&problem) => self.free_descriptor().await,
-                came => return came,
+                connected => return connected,
             }
         }
     }
 
-    /// Whether there was no descriptor for something of late.
+    /// Whether an operation has recently failed for lack of a file descriptor.
     pub(super) fn descriptors_exhausted(&self) -> bool {
-        self.exhausted
+        self.descriptors_exhausted_at
             .get()
-            .is_some_and(|at| self.clock.now().saturating_sub(at) < EXHAUSTED)
+            .is_some_and(|at| self.clock.now().saturating_sub(at) < DESCRIPTOR_EXHAUSTION_PERIOD)
     }
 
-    /// Closes the connection to a server that has been idle for longest.
+    /// Closes the server connection that has been idle longest.
     pub(super) fn close_oldest_server_connection(&self) {
         let services = self.services.borrow();
         let oldest = services
@@ -323,7 +338,7 @@
         }
     }
 
-    /// Has a connection to a server closed that lies idle beyond what is guaranteed to its pool.
+    /// Closes the longest-idle server connection of the pools that hold more connections than they are guaranteed.
     pub(super) fn reclaim_server_connection(&self) {
         let services = self.services.borrow();
         let borrowing = services.iter().filter(|s| s.connections.seats.borrows());
@@ -333,7 +348,7 @@
         }
     }
 
-    /// Has a client's connection closed that lies idle beyond what is guaranteed to its listener.
+    /// Closes an idle client connection of each listener that holds more connections than it is guaranteed.
     pub(super) fn reclaim_client_connection(&self) {
         for listener in self.listeners.borrow().iter().filter(|l| l.seats.borrows()) {
             listener.clients.make_room(self.clock.now());
--- a/crates/sidecar/src/reload.rs
+++ b/crates/sidecar/src/reload.rs
@@ -1,4 +1,4 @@
-//! The operator file read again while the process serves: it takes effect whole or not at all.
+//! Reloading the configuration while the process serves. An operator file takes effect completely or not at all.
 
 use super::admin::{self, AdminServer};
 use super::config::Config;
@@ -20,26 +20,28 @@
 use tokio::net::TcpListener;
 use tokio::sync::oneshot;
 
-/// What is bound and made before a new file takes effect.
+/// Sockets bound before a new operator file takes effect.
 struct Prepared {
+    /// Sockets of new listeners, each with the listener's index in the file.
     sockets: Vec<(usize, TcpListener)>,
+    /// `None` if the admin view stays as it is, `Some(None)` if it is turned off.
     admin: Option<Option<admin::Socket>>,
 }
 
 impl Sidecar {
-    /// Takes over what may change in the files while the program runs: of the platform's configuration where
-    /// discovery is, and the whole operator file. A file that makes no sense changes nothing. To be awaited before
-    /// the next call, so that files take effect in their order.
+    /// Applies what may change in the files while the program runs: the settings and the address of discovery in the
+    /// platform's configuration, and the whole operator file. An invalid file changes nothing. To be awaited before the
+    /// next call, so that files take effect in order.
     pub async fn reload(self: &Rc<Self>) {
         let _turn = self.agent_link.turn.lock().await;
         if let Some((service, _)) = &self.platform {
-            let read = Config::reload(&self.config_keys.borrow());
-            match read {
+            let reloaded = Config::reload(&self.config_keys.borrow());
+            match reloaded {
                 Ok(config) => {
                     count(&self.process.configs_accepted);
                     self.config_keys.replace(config.keys);
                     if config.settings != service.active_settings().configured_site {
-                        tracing::info!("settings taken over");
+                        tracing::info!("settings updated");
                         service.update_settings(config.settings);
                     }
                     discovery_watch::turn_to(service, config.discovery);
@@ -58,23 +60,23 @@
             return;
         }
         let applied = read.and_then(|read| {
-            let named = (read.operator.control.clone(), read.source);
-            Ok((self.apply(read.operator)?, named))
+            let control_and_source = (read.operator.control.clone(), read.source);
+            Ok((self.apply(read.operator)?, control_and_source))
         });
         match applied {
-            Ok((told, named)) => {
-                self.file_applied(named);
-                tracing::info!("operator file read again: {told}");
+            Ok((summary, control_and_source)) => {
+                self.file_applied(control_and_source);
+                tracing::info!("operator file read again: {summary}");
             }
             Err(problem) => tracing::warn!("operator file not read again: {problem}"),
         }
     }
 
-    /// Makes the process what an operator file says, whole or not at all, and says in a few words what changed.
-    /// What is open goes on: a pool that is no longer there finishes what it has, and so does a listener.
+    /// Applies an operator file, completely or not at all, and returns a summary of what changed. Requests in flight go on:
+    /// pools and listeners that the file no longer has are drained.
     pub fn apply(&self, operator: Operator) -> Result<String, String> {
         if self.platform.is_none() {
-            stands_alone(&operator)?;
+            check_self_contained(&operator)?;
         }
         match (self.process.state_writer.get(), &operator.state) {
             (None, None) => {}
@@ -86,41 +88,42 @@
             (Some(writer), state) => writer.check_reconfiguration(state.as_ref())?,
         }
         let prepared = self.prepare(&operator)?;
-        let mut made = Vec::new();
-        let pool_parts = self.parts(&operator, true);
-        for (pool, parts) in operator
+        let mut created = Vec::new();
+        let pool_shares = self.resource_shares(&operator, true);
+        for (pool, shares) in operator
             .pools
             .iter()
-            .zip(pool_parts.iter().skip(self.first_place()))
+            .zip(pool_shares.iter().skip(self.first_index()))
         {
-            if self.kept(pool).is_none() {
-                match Service::new(&self.process, self.spec(pool), *parts) {
-                    Ok(service) => made.push(service),
+            if self.reusable_service(pool).is_none() {
+                match Service::new(&self.process, self.spec(pool), *shares) {
+                    Ok(service) => created.push(service),
                     Err(problem) => {
-                        made.into_iter()
+                        created
+                            .into_iter()
                             .for_each(|service| self.retire(service, Duration::ZERO));
                         return Err(problem);
                     }
                 }
             }
         }
-        Ok(self.commit(operator, prepared, made, &pool_parts))
+        Ok(self.commit(operator, prepared, created, &pool_shares))
     }
 
-    /// Everything that may fail: sockets that are not there yet are bound.
+    /// Does everything that may fail: binds the sockets that the file adds.
     fn prepare(&self, operator: &Operator) -> Result<Prepared, String> {
         let mut sockets = Vec::new();
-        let kept = self.kept_listeners(operator);
-        for (at, listener) in operator
+        let reusable = self.reusable_listeners(operator);
+        for (index, listener) in operator
             .listeners
             .iter()
             .enumerate()
-            .filter(|(at, _)| kept[*at].is_none())
+            .filter(|(index, _)| reusable[*index].is_none())
         {
             let address = listener.address;
             let socket =
-                bind(address).map_err(|e| format!("listeners[{at}].address: {address}: {e}"))?;
-            sockets.push((at, socket));
+                bind(address).map_err(|e| format!("listeners[{index}].address: {address}: {e}"))?;
+            sockets.push((index, socket));
         }
         let former = self
             .admin
@@ -145,26 +148,26 @@
         &self,
         operator: Operator,
         prepared: Prepared,
-        mut made: Vec<Rc<Service>>,
-        pool_parts: &[ResourceShares],
+        mut created: Vec<Rc<Service>>,
+        pool_shares: &[ResourceShares],
     ) -> String {
-        let first = self.first_place();
+        let first = self.first_index();
         let limits = operator
             .control
             .as_ref()
             .map(|control| control.fleet_limits.as_slice());
         self.process.fleet_limits.follow(limits.unwrap_or_default());
-        let shared = operator
+        let share_lists = operator
             .control
             .as_ref()
             .and_then(|control| control.share_lists.as_deref());
-        let followed = operator
+        let discovered = operator
             .pools
             .iter()
             .filter(|pool| pool.discovery.is_some());
         self.process
             .shared_lists
-            .follow(shared, followed.map(|pool| pool.name.clone()));
+            .follow(share_lists, discovered.map(|pool| pool.name.clone()));
         self.process.set_totals(resource_totals(
             self.descriptors,
             self.memory_bytes,
@@ -174,33 +177,33 @@
         if let Some((writer, state)) = self.process.state_writer.get().zip(operator.state.clone()) {
             writer.reconfigure(state);
         }
-        made.reverse();
+        created.reverse();
         let mut services = Vec::new();
-        for (pool, parts) in operator.pools.iter().zip(pool_parts.iter().skip(first)) {
-            let service = match self.kept(pool) {
+        for (pool, shares) in operator.pools.iter().zip(pool_shares.iter().skip(first)) {
+            let service = match self.reusable_service(pool) {
                 Some(service) => {
-                    service.reconfigure(pool, *parts);
+                    service.reconfigure(pool, *shares);
                     service
                 }
-                None => match made.pop() {
+                None => match created.pop() {
                     Some(service) => service,
                     None => continue,
                 },
             };
             services.push(service);
         }
-        let listener_parts = self.parts(&operator, false);
+        let listener_shares = self.resource_shares(&operator, false);
         let table = Rc::new(operator.table());
         let platform = self
             .platform
             .as_ref()
             .map(|(service, _)| Rc::clone(service));
-        let by_place = std::iter::once(platform)
+        let services_by_index = std::iter::once(platform)
             .chain(services.iter().cloned().map(Some))
             .collect();
         if let Some((service, listener)) = &self.platform {
-            let (all, limits) = (MemberLimits::default(), listener_parts[0]);
-            service.set_limits(all, pool_parts[0]);
+            let (limits, shares) = (MemberLimits::default(), listener_shares[0]);
+            service.set_limits(limits, pool_shares[0]);
             service.persistence.set(
                 operator
                     .state
@@ -213,15 +216,15 @@
                     drains: true,
                     ..Manner::usual()
                 },
-                self.routing(&table, 0, &by_place),
-                all,
+                self.routing(&table, 0, &services_by_index),
                 limits,
+                shares,
             );
         }
-        let kept = self.kept_listeners(&operator);
+        let reusable = self.reusable_listeners(&operator);
         let mut sockets = prepared.sockets.into_iter();
         let mut listeners = Vec::new();
-        for (at, spec) in operator.listeners.iter().enumerate() {
+        for (index, spec) in operator.listeners.iter().enumerate() {
             let manner = Manner {
                 head_within: spec.head_within.micros(),
                 idle_within: spec.idle_within.micros(),
@@ -230,44 +233,47 @@
                 message_size: spec.body_size.0 as usize,
                 drains: true,
             };
-            let (routing, parts) = (
-                self.routing(&table, at + 1, &by_place),
-                listener_parts[first + at],
+            let (routing, shares) = (
+                self.routing(&table, index + 1, &services_by_index),
+                listener_shares[first + index],
             );
-            let listener = match &kept[at] {
+            let listener = match &reusable[index] {
                 Some(listener) => {
                     listener.rename(&spec.name);
-                    listener.change(manner, routing, spec.limits, parts);
+                    listener.change(manner, routing, spec.limits, shares);
                     Rc::clone(listener)
                 }
                 None => {
                     let Some((_, socket)) = sockets.next() else {
                         continue;
                     };
-                    let limits = (Some(spec.limits), parts);
-                    let place = Socket {
+                    let limits = (Some(spec.limits), shares);
+                    let socket = Socket {
                         wanted: spec.address,
                         socket,
                         shared: false,
                     };
-                    Listener::start(&self.process, &spec.name, place, (manner, routing), limits)
+                    Listener::start(&self.process, &spec.name, socket, (manner, routing), limits)
                 }
             };
             listeners.push(listener);
         }
-        let gone: Vec<Rc<Service>> = left(&self.services.borrow(), &services);
-        let closed: Vec<Rc<Listener>> = left(&self.listeners.borrow(), &listeners);
-        let told = format!(
+        let removed_services: Vec<Rc<Service>> = removed(&self.services.borrow(), &services);
+        let removed_listeners: Vec<Rc<Listener>> = removed(&self.listeners.borrow(), &listeners);
+        let summary = format!(
             "{} listeners ({} leave), {} pools ({} leave), {} routes",
             listeners.len(),
-            closed.len(),
+            removed_listeners.len(),
             services.len(),
-            gone.len(),
+            removed_services.len(),
             operator.routes.len()
         );
-        closed.iter().for_each(|listener| listener.leave());
+        removed_listeners
+            .iter()
+            .for_each(|listener| listener.leave());
         let drain = Duration::from_micros(operator.process.drain.micros());
-        gone.into_iter()
+        removed_services
+            .into_iter()
             .for_each(|service| self.retire(service, drain));
         let platform = self.platform.iter().map(|(service, _)| service);
         services
@@ -281,25 +287,25 @@
             .operator_files_applied
             .set(self.process.operator_files_applied.get() + 1);
         if let Some(socket) = prepared.admin {
-            // The former one goes first, which takes its socket's file with it only where that is still its own.
+            // The former server is dropped first. It removes its socket's file only if that file is still its own.
             self.admin.replace(None);
             self.admin
                 .replace(socket.map(|socket| AdminServer::start(socket, &self.viewer())));
         }
-        told
+        summary
     }
 
     fn retire(&self, service: Rc<Service>, drain: Duration) {
         watchdog::spawn(TaskKind::PoolRemoval, service.drain_and_remove(drain));
     }
 
-    /// The place of the file's first pool and listener among the members.
-    fn first_place(&self) -> usize {
+    /// The index of the file's first pool or listener among all, the platform's included.
+    fn first_index(&self) -> usize {
         usize::from(self.platform.is_some())
     }
 
-    /// The service that a pool of a new file goes on with: of the same name and settings.
-    fn kept(&self, pool: &Pool) -> Option<Rc<Service>> {
+    /// The existing service that a pool of a new file can use: the one with the same name and settings.
+    fn reusable_service(&self, pool: &Pool) -> Option<Rc<Service>> {
         let site = site_of(pool);
         self.services
             .borrow()
@@ -308,12 +314,12 @@
             .cloned()
     }
 
-    /// The listeners that those of a new file go on with: of the same address, and the same name where there are
-    /// several such.
-    fn kept_listeners(&self, operator: &Operator) -> Vec<Option<Rc<Listener>>> {
-        let mut free = self.listeners.borrow().clone();
-        // Those that an earlier file has told to leave still hold their addresses for a moment.
-        free.extend(
+    /// For each listener of a new file, the existing listener that it can use: one with the same address, preferably with
+    /// the same name.
+    fn reusable_listeners(&self, operator: &Operator) -> Vec<Option<Rc<Listener>>> {
+        let mut available = self.listeners.borrow().clone();
+        // Listeners that an earlier file has removed still hold their addresses for a moment.
+        available.extend(
             self.process
                 .listeners
                 .borrow()
@@ -321,20 +327,23 @@
                 .filter(|listener| listener.may_stay())
                 .cloned(),
         );
-        let mut kept = vec![None; operator.listeners.len()];
+        let mut reusable = vec![None; operator.listeners.len()];
         for by_name in [true, false] {
-            for (place, spec) in kept
+            for (slot, spec) in reusable
                 .iter_mut()
                 .zip(&operator.listeners)
-                .filter(|(place, _)| place.is_none())
+                .filter(|(slot, _)| slot.is_none())
             {
-                let alike = |l: &Rc<Listener>| {
+                let matches = |l: &Rc<Listener>| {
                     l.wanted == spec.address && (!by_name || *l.name.borrow() == spec.name)
                 };
-                *place = free.iter().position(alike).map(|at| free.remove(at));
+                *slot = available
+                    .iter()
+                    .position(matches)
+                    .map(|index| available.remove(index));
             }
         }
-        kept
+        reusable
     }
 
     fn spec(&self, pool: &Pool) -> ServiceSpec {
@@ -353,8 +362,8 @@
         }
     }
 
-    /// What each member may hold: of the pools, or of the listeners; the platform's is the first.
-    fn parts(&self, operator: &Operator, pools: bool) -> Vec<ResourceShares> {
+    /// The resource shares of all pools, or else of all listeners. The platform's come first.
+    fn resource_shares(&self, operator: &Operator, pools: bool) -> Vec<ResourceShares> {
         let mut members: Vec<MemberLimits> = Vec::new();
         members.extend(self.platform.is_some().then(MemberLimits::default));
         if pools {
@@ -368,39 +377,41 @@
             Some(operator),
             self.platform.is_some(),
         );
-        let of = |total: u64, pick: fn(&MemberLimits) -> Bounds| {
-            parts(total, &members.iter().map(pick).collect::<Vec<Bounds>>())
+        let shares_of = |total: u64, bounds: fn(&MemberLimits) -> Bounds| {
+            parts(total, &members.iter().map(bounds).collect::<Vec<Bounds>>())
         };
-        let connections = of(totals.connections, |m| m.connections);
-        let (open, bodies) = (
-            of(totals.requests, |m| m.open),
-            of(totals.body_bytes, |m| m.bodies),
+        let connections = shares_of(totals.connections, |m| m.connections);
+        let (requests, body_bytes) = (
+            shares_of(totals.requests, |m| m.open),
+            shares_of(totals.body_bytes, |m| m.bodies),
         );
-        let all = connections.into_iter().zip(open).zip(bodies);
-        all.map(|((connections, open), bodies)| ResourceShares {
+        let all = connections.into_iter().zip(requests).zip(body_bytes);
+        all.map(|((connections, requests), body_bytes)| ResourceShares {
             connections,
-            requests: open,
-            body_bytes: bodies,
+            requests,
+            body_bytes,
         })
         .collect()
     }
 
+    /// The routing of the listener with this index, of which 0 is the platform's.
     fn routing(
         &self,
         table: &Rc<Table>,
-        place: usize,
+        index: usize,
         services: &Rc<[Option<Rc<Service>>]>,
     ) -> Routing {
-        let here = |route: &Route| route.listeners.is_empty() || route.listeners.contains(&place);
-        // On the platform's own listener, what no route takes goes on as it does without a file.
-        let otherwise = self
+        let applies =
+            |route: &Route| route.listeners.is_empty() || route.listeners.contains(&index);
+        // On the platform's own listener, requests that match no route are handled as without an operator file.
+        let fallback = self
             .platform
             .as_ref()
-            .filter(|_| place == 0)
+            .filter(|_| index == 0)
             .map(|(service, _)| Rc::clone(service));
-        match otherwise {
-            Some(service) if !table.routes().iter().any(here) => Routing::One(service),
-            otherwise => Routing::Table(Routed::new(table, place, services, otherwise)),
+        match fallback {
+            Some(service) if !table.routes().iter().any(applies) => Routing::One(service),
+            fallback => Routing::Table(Routed::new(table, index, services, fallback)),
         }
     }
 
@@ -414,32 +425,33 @@
     }
 }
 
-/// Reads on a thread of its own: a long file takes a good part of a second, in which requests go on.
+/// Runs `read` on a thread of its own, because reading a long file takes a good part of a second, in which requests must be
+/// served.
 pub(super) async fn run_on_thread<T: Send + 'static>(
     read: impl FnOnce() -> T + Send + 'static,
 ) -> Result<T, String> {
-    let (done, end) = oneshot::channel();
+    let (sender, receiver) = oneshot::channel();
     let work = move || {
-        // Nobody waits for it where the program has ended meanwhile.
-        let _ = done.send(read());
+        // The receiver is gone if the program has ended in the meantime.
+        let _ = sender.send(read());
     };
     std::thread::Builder::new()
         .name("operator file".to_string())
         .spawn(work)
         .map_err(|e| e.to_string())?;
-    end.await.map_err(|e| e.to_string())
+    receiver.await.map_err(|e| e.to_string())
 }
 
-/// Whether a file needs nothing that the platform configures.
-fn stands_alone(operator: &Operator) -> Result<(), String> {
+/// Checks that a file needs nothing from the platform's configuration.
+fn check_self_contained(operator: &Operator) -> Result<(), String> {
     if operator.needs_platform() {
         return Err(
             "names no listener or no pool, and RELAY_CONFIG is not set; name both".to_string(),
         );
     }
-    let of_platform =
+    let uses_platform =
         |route: &&Route| route.listeners.contains(&0) || route.to.iter().any(|to| to.0 == 0);
-    match operator.routes.iter().find(of_platform) {
+    match operator.routes.iter().find(uses_platform) {
         Some(Route { name, .. }) => Err(format!(
             "route {name} names {PLATFORM}, and RELAY_CONFIG is not set"
         )),
@@ -447,16 +459,16 @@
     }
 }
 
-/// Those of the former that are not among the present.
-fn left<T>(former: &[Rc<T>], present: &[Rc<T>]) -> Vec<Rc<T>> {
+/// The members of `former` that are not in `present`.
+fn removed<T>(former: &[Rc<T>], present: &[Rc<T>]) -> Vec<Rc<T>> {
     former
         .iter()
-        .filter(|one| !present.iter().any(|other| Rc::ptr_eq(one, other)))
+        .filter(|member| !present.iter().any(|other| Rc::ptr_eq(member, other)))
         .cloned()
         .collect()
 }
 
-/// The settings of a pool as its module gets them: where there is a discovery to ask, it asks.
+/// The settings that a pool's balancer gets. Where the pool has a discovery service, the balancer polls it.
 fn site_of(pool: &Pool) -> Site {
     let mut site = pool.site.clone();
     site.settings.discovery_on_request |= pool.discovery.is_some();
--- a/crates/sidecar/src/service.rs
+++ b/crates/sidecar/src/service.rs
@@ -1,5 +1,5 @@
-//! A service: one pool of servers with an instance of the decision module of its own, and all that belongs to it
-//! alone. Nothing of one service is seen by another but through what the process limits.
+//! A service: one pool of servers with its own balancer, and all state that belongs to it alone. Services affect one
+//! another only through the limits of the process.
 
 use super::active_settings::ActiveSettings;
 use super::connections::Connections;
@@ -35,27 +35,28 @@
 use tokio::sync::Notify;
 use tokio::task::AbortHandle;
 
-/// What a service is made of.
+/// What a service is created from.
 pub(super) struct ServiceSpec {
     pub(super) name: String,
-    /// Goes before what it logs; empty where there is but one service.
+    /// Prefix of the service's log messages; empty where there is a single service.
     pub(super) log_prefix: String,
     pub(super) site: Site,
-    /// None where the list is fixed.
+    /// `None` where the server list is fixed.
     pub(super) discovery: Option<SocketAddr>,
-    /// The servers as they are known at the start, or for good.
+    /// The server list at the start, or the fixed one.
     pub(super) initial_list: Listing,
     pub(super) limits: MemberLimits,
     pub(super) levels: Option<LevelPlan>,
-    /// How its GraphQL operations are classed, if it has any.
+    /// How its GraphQL operations are classified, if it serves any.
     pub(super) graphql: Option<Policy>,
+    /// Which of the service's state outlasts the process.
     pub(super) persistence: Kept,
     pub(super) seed: u64,
-    /// The number of this instance among those of its fleet, where its name tells it.
+    /// The ordinal of this instance in its fleet, where its name contains one.
     pub(super) ordinal: Option<u32>,
 }
 
-/// What a service, or the clients of a listener, may hold.
+/// The shares of the process's resources that a service, or a listener's clients, may use.
 #[derive(Clone, Copy)]
 pub(super) struct ResourceShares {
     pub(super) connections: Part,
@@ -69,45 +70,45 @@
     pub(super) log_prefix: String,
     pub(super) process: Rc<ProcessState>,
     balancer: RefCell<Balancer>,
-    /// None where the file has no levels for it.
+    /// `None` where the operator file has no degradation levels for it.
     pub(super) level_controller: RefCell<Option<LevelController>>,
-    /// Its part of the spread by which the instances of a fleet come back apart, from 0 to 1.
+    /// Position of this instance, from 0 to 1, in the time over which the instances of a fleet spread their return.
     pub(super) spread_position: f64,
     pub(super) pool: Pool,
     pub(super) connections: Connections,
-    /// The settings that hold.
+    /// The settings in effect.
     active_settings: RefCell<Rc<ActiveSettings>>,
-    /// What it knows of the GraphQL documents that it has seen, if it serves any.
+    /// State for GraphQL requests, such as the documents seen, if it serves any.
     pub(super) graphql: RefCell<Option<Front>>,
-    /// The ids of open requests: no two have the same.
+    /// The ids of requests in flight, which are unique.
     pub(super) request_ids: RefCell<HashSet<HeaderValue, FixedState>>,
-    /// The transactions that are not over, and where each hears what it is to do.
+    /// The open transactions, each with the queue of steps that the balancer decides on for it.
     pub(super) transactions: RefCell<HashMap<RequestId, Rc<Steps>, FixedState>>,
     pub(super) last_request_id: Cell<RequestId>,
-    /// What its requests may hold together.
+    /// Limits on its requests and their bodies.
     pub(super) allowance: Allowance,
-    /// Its account of the thread's time, for its connections and for the requests that it has.
+    /// The fair-queueing account that its connections and requests are charged to.
     pub(super) charged: Rc<Charged>,
     pub(super) counts: Registry,
-    /// What of it outlasts the process.
+    /// Which of its state outlasts the process.
     pub(super) persistence: Cell<Kept>,
     /// What an earlier process measured of servers that are not listed yet.
     warm_start: RefCell<WarmStart>,
-    /// A request has ended.
-    idle: Notify,
-    leaving: Cell<bool>,
+    /// Notified when a request has ended.
+    request_ended: Notify,
+    draining: Cell<bool>,
     tasks: RefCell<Vec<AbortHandle>>,
-    /// The story of its servers, where it is kept.
+    /// Records the history of its servers, where this is enabled.
     pub(super) history_recorder: RefCell<Option<Box<Teller>>>,
-    /// Kept for its capacity.
+    /// Empty; reused for its allocation.
     actions: Cell<Vec<Action>>,
-    /// What the module said is being carried out.
+    /// Whether actions of the balancer are being carried out.
     handling: Cell<bool>,
-    /// The parts of its servers as the log told of them last.
+    /// The traffic shares of its servers as last logged.
     moves: RefCell<Moves>,
 }
 
-fn numbered_balancer(spec: &ServiceSpec) -> Result<Balancer, String> {
+fn balancer_with_ordinal(spec: &ServiceSpec) -> Result<Balancer, String> {
     let balancer = Balancer::new(spec.site.settings.clone(), spec.seed);
     let mut balancer = balancer.map_err(|e| format!("{}configuration: {e}", spec.log_prefix))?;
     if let Some(ordinal) = spec.ordinal {
@@ -117,13 +118,13 @@
 }
 
 impl Service {
-    /// A service at work. To be called in a local set.
+    /// Creates and starts a service. To be called in a local set.
     pub(super) fn new(
         process: &Rc<ProcessState>,
         spec: ServiceSpec,
-        parts: ResourceShares,
+        shares: ResourceShares,
     ) -> Result<Rc<Self>, String> {
-        let balancer = numbered_balancer(&spec)?;
+        let balancer = balancer_with_ordinal(&spec)?;
         let ServiceSpec {
             name,
             log_prefix,
@@ -139,8 +140,8 @@
         } = spec;
         let counts = Registry::default();
         let charged = Rc::new(Charged::new(process.account(limits.weight)));
-        let bounds = &process.shared_limits;
-        let seats = bounds.server_connections.join(parts.connections);
+        let shared_limits = &process.shared_limits;
+        let seats = shared_limits.server_connections.join(shares.connections);
         let service = Rc::new(Service {
             balancer: RefCell::new(balancer),
             level_controller: RefCell::default(),
@@ -158,16 +159,16 @@
             transactions: RefCell::default(),
             last_request_id: Cell::new(0),
             allowance: Allowance::new(
-                bounds.requests_by_pool.join(parts.requests),
-                bounds.body_bytes_by_pool.join(parts.body_bytes),
+                shared_limits.requests_by_pool.join(shares.requests),
+                shared_limits.body_bytes_by_pool.join(shares.body_bytes),
                 limits.rate,
             ),
             charged,
             counts,
             persistence: Cell::new(persistence),
             warm_start: RefCell::default(),
-            idle: Notify::new(),
-            leaving: Cell::new(false),
+            request_ended: Notify::new(),
+            draining: Cell::new(false),
             tasks: RefCell::default(),
             history_recorder: RefCell::default(),
             actions: Cell::default(),
@@ -179,20 +180,20 @@
         });
         process.services.borrow_mut().push(Rc::clone(&service));
         event_log::started(process.clock.now());
-        service.recall_classes();
+        service.restore_class_measurements();
         pool::begin(&service, initial_list);
         levels::set(&service, levels);
         Ok(service)
     }
 
-    /// Takes over other limits, its servers or its discovery where these are others, and how its GraphQL
-    /// operations are classed: what it learned of documents holds for the same policy alone.
+    /// Applies a changed pool of the operator file: limits, servers or discovery, degradation levels and the GraphQL
+    /// policy. State for GraphQL documents is kept only under the same policy.
     pub(super) fn reconfigure(
         self: &Rc<Self>,
         pool: &madderloom_operator_config::Pool,
-        parts: ResourceShares,
+        shares: ResourceShares,
     ) {
-        self.set_limits(pool.limits, parts);
+        self.set_limits(pool.limits, shares);
         self.persistence.set(pool.kept);
         let mut front = self.graphql.borrow_mut();
         if front.as_ref().map(Front::policy) != pool.graphql.as_ref() {
@@ -209,7 +210,8 @@
         levels::set(self, pool.levels.clone());
     }
 
-    /// How old its list may be, by discovery's word or the fleet's; none where it is fixed.
+    /// The age of the server list, by the last confirmation from discovery or the fleet, in microseconds; `None` where the
+    /// list is fixed.
     pub(super) fn list_age(&self, now: Micros) -> Option<Micros> {
         let shared = self.process.shared_lists.age(&self.name);
         self.pool
@@ -217,24 +219,24 @@
             .map(|age| shared.map_or(age, |shared| shared.min(age)))
     }
 
-    pub(super) fn set_limits(&self, limits: MemberLimits, parts: ResourceShares) {
-        self.connections.seats.change(parts.connections);
+    pub(super) fn set_limits(&self, limits: MemberLimits, shares: ResourceShares) {
+        self.connections.seats.change(shares.connections);
         self.allowance
-            .change(parts.requests, parts.body_bytes, limits.rate);
+            .change(shares.requests, shares.body_bytes, limits.rate);
         if let Some(account) = super::turns::charged_to(&self.charged) {
             account.change(limits.weight);
         }
     }
 
-    /// Ends once it has no request any more, which its clients' patience bounds. It gets no new ones; those that it
-    /// has may have new attempts until the drain is over.
+    /// Drains the service, which gets no new requests, and removes it once no request is in flight, which the client
+    /// timeouts bound. Requests in flight may start new attempts until the drain time is over.
     pub(super) async fn drain_and_remove(self: Rc<Self>, drain: Duration) {
-        self.leaving.set(true);
-        let of = &self.name;
-        tracing::info!(pool = %of, "{of}: leaving");
+        self.draining.set(true);
+        let name = &self.name;
+        tracing::info!(pool = %name, "{name}: leaving");
         let idle = async {
             while !self.request_ids.borrow().is_empty() {
-                self.idle.notified().await;
+                self.request_ended.notified().await;
             }
         };
         tokio::pin!(idle);
@@ -251,41 +253,43 @@
             .services
             .borrow_mut()
             .retain(|other| !Rc::ptr_eq(other, &self));
-        tracing::info!(pool = %of, "{of}: gone");
+        tracing::info!(pool = %name, "{name}: gone");
     }
 
-    /// The time within which an answer is of full worth.
+    /// The latency objective of a request in microseconds: its answer has full weight within this time.
     pub(super) fn latency_objective(&self, request: &NewRequest) -> Micros {
-        let tuned = self.active_settings();
-        tuned.class_at(request.class).map_or(Micros::MAX, |entry| {
-            let class = &entry.class;
-            let stretch = class.aim_stretch * request.cost.unwrap_or(0) as f64;
-            class.aim.saturating_add(stretch as Micros)
-        })
+        let settings = self.active_settings();
+        settings
+            .class_at(request.class)
+            .map_or(Micros::MAX, |entry| {
+                let class = &entry.class;
+                let stretch = class.aim_stretch * request.cost.unwrap_or(0) as f64;
+                class.aim.saturating_add(stretch as Micros)
+            })
     }
 
-    /// The counts of a class by its place in the settings.
+    /// The counts of a class, by its index in the settings.
     pub(super) fn class_counts(&self, class: u32) -> Rc<Counts> {
-        let tuned = self.active_settings();
-        tuned
+        let settings = self.active_settings();
+        settings
             .class_at(class)
             .map_or_else(|| self.counts.unclassed(), |class| Rc::clone(&class.counts))
     }
 
-    /// The settings that hold now.
+    /// The settings in effect.
     pub(super) fn active_settings(&self) -> Rc<ActiveSettings> {
         Rc::clone(&self.active_settings.borrow())
     }
 
-    /// Other settings hold from now on, which make sense.
+    /// Replaces the settings; the new ones must be valid.
     pub(super) fn update_settings(self: &Rc<Self>, site: Site) {
         let former = self.active_settings();
-        let (tuned, retuned) = former.updated(site, &self.counts);
+        let (settings, change) = former.updated(site, &self.counts);
         self.connections
-            .change(tuned.site.conn_idle, tuned.site.connect_timeout);
-        pool::rename(self, &tuned.site);
-        self.active_settings.replace(Rc::new(tuned));
-        self.handle(self.process.clock.now(), Event::Settings(&retuned));
+            .change(settings.site.conn_idle, settings.site.connect_timeout);
+        pool::rename(self, &settings.site);
+        self.active_settings.replace(Rc::new(settings));
+        self.handle(self.process.clock.now(), Event::Settings(&change));
     }
 
     pub(super) fn retry_after(&self) -> Option<Micros> {
@@ -293,38 +297,38 @@
     }
 
     pub(super) fn is_draining(&self) -> bool {
-        self.leaving.get()
+        self.draining.get()
     }
 
-    /// What the module knows.
+    /// The state of the balancer.
     pub(super) fn snapshot(&self) -> Snapshot {
         self.balancer.borrow().snapshot(self.process.clock.now())
     }
 
-    /// The share of its servers that fails, where it has any.
+    /// The share of its servers that fail, from 0 to 1; `None` without servers.
     pub(super) fn failing_server_share(&self, now: Micros) -> Option<f64> {
         self.balancer.borrow().failing(now)
     }
 
-    /// Requests that levels have turned away.
+    /// The number of requests shed by degradation levels.
     pub(super) fn shed_requests(&self) -> u64 {
         self.balancer.borrow().given_up()
     }
 
-    /// Takes a task that ends with the service at the latest.
+    /// Registers a task to be aborted when the service ends.
     pub(super) fn track_task(&self, task: AbortHandle) {
         let mut tasks = self.tasks.borrow_mut();
         tasks.retain(|task| !task.is_finished());
         tasks.push(task);
     }
 
-    /// What the module has measured.
+    /// What the balancer has measured.
     pub(super) fn measurements(&self, now: Micros) -> Memory {
         self.balancer.borrow().memory(now)
     }
 
-    /// Begins with what an earlier process measured of classes, and keeps the rest until servers are listed.
-    fn recall_classes(&self) {
+    /// Restores what an earlier process measured of classes, and keeps its measurements of servers until these are listed.
+    fn restore_class_measurements(&self) {
         let Some(writer) = self
             .process
             .state_writer
@@ -334,22 +338,22 @@
             return;
         };
         let warm_start = WarmStart::of(writer, &self.name);
-        let begun = self.measurements(self.process.clock.now());
-        if let Some(memory) = warm_start.classes(writer, self, &begun) {
-            self.balancer.borrow_mut().recall_classes(&memory);
+        let initial = self.measurements(self.process.clock.now());
+        if let Some(restored) = warm_start.classes(writer, self, &initial) {
+            self.balancer.borrow_mut().recall_classes(&restored);
         }
         self.warm_start.replace(warm_start);
     }
 
-    /// Servers were listed: what was measured of them before is given to the module.
+    /// Gives the balancer what an earlier process measured of servers that are now listed.
     pub(super) fn restore_server_measurements(&self, now: Micros) {
         if let Some(writer) = self.process.state_writer.get() {
-            let take = |memory: &_| self.balancer.borrow_mut().recall_server(now, memory);
-            self.warm_start.borrow_mut().servers(writer, take);
+            let restore = |measured: &_| self.balancer.borrow_mut().recall_server(now, measured);
+            self.warm_start.borrow_mut().servers(writer, restore);
         }
     }
 
-    /// The servers as an earlier process knew them.
+    /// The servers that an earlier process had listed.
     pub(super) fn persisted_servers(&self) -> Vec<madderloom_sidecar_state::ServerSnapshot> {
         let writer = self.process.state_writer.get();
         writer
@@ -357,37 +361,37 @@
             .unwrap_or_default()
     }
 
-    /// A request has its answer, or its client has gone.
+    /// Releases the id of a request that has been answered or whose client has disconnected.
     pub(super) fn release_request_id(&self, id: &HeaderValue) {
         self.request_ids.borrow_mut().remove(id);
-        self.idle.notify_one();
+        self.request_ended.notify_one();
     }
 
-    /// Hands the module one event and carries out what it says: the one door to the module.
+    /// Passes one event to the balancer and carries out the actions that it returns. All events go through this function.
     ///
-    /// Nothing that an action brings about calls this again before it has returned: a step wakes a transaction's task,
-    /// a probe or a watch begins a task, a timer is set. So no two borrows of the module meet, and its actions are
-    /// carried out in their order. Tests see to it by the assertion here.
+    /// No action leads to a nested call before this returns: a step wakes a transaction's task, a probe or a watch spawns
+    /// a task, a timer is set. So borrows of the balancer never overlap, and its actions are carried out in order. The
+    /// assertion here enforces this in tests.
     pub(super) fn handle(self: &Rc<Self>, now: Micros, event: Event<'_>) {
         match &event {
             Event::Members(members) => {
-                self.record_history(|teller| teller.listed(self, now, members))
+                self.record_history(|recorder| recorder.listed(self, now, members))
             }
             Event::Probed(server, Some(report)) => {
-                self.record_history(|teller| teller.reported(now, *server, report.held));
+                self.record_history(|recorder| recorder.reported(now, *server, report.held));
             }
             _ => {}
         }
-        if let (Event::Closed(closed), Some(keeper)) =
+        if let (Event::Closed(closed), Some(controller)) =
             (&event, self.level_controller.borrow_mut().as_mut())
         {
-            keeper.attempt_ended(now, closed);
+            controller.attempt_ended(now, closed);
         }
         event_log::event(self, now, &event);
-        let within = self.handling.replace(true);
+        let nested = self.handling.replace(true);
         debug_assert!(
-            !within,
-            "the module is told of something while what it said is carried out"
+            !nested,
+            "an event reaches the balancer while its actions are being carried out"
         );
         let mut actions = self.actions.take();
         self.balancer.borrow_mut().handle(now, event, &mut actions);
@@ -396,17 +400,17 @@
             self.dispatch(now, action);
         }
         self.actions.set(actions);
-        self.handling.set(within);
+        self.handling.set(nested);
     }
 
-    /// Lets the story hear of something, where it is kept.
-    pub(super) fn record_history(&self, what: impl FnOnce(&mut Teller)) {
-        if let Some(teller) = self.history_recorder.borrow_mut().as_mut() {
-            what(teller);
+    /// Calls `record` with the history recorder, where history is enabled.
+    pub(super) fn record_history(&self, record: impl FnOnce(&mut Teller)) {
+        if let Some(recorder) = self.history_recorder.borrow_mut().as_mut() {
+            record(recorder);
         }
     }
 
-    /// Keeps the story of its servers by these settings from now on, or no more.
+    /// Records the history of its servers with these settings from now on; `None` disables recording.
     pub(super) fn set_history_settings(
         &self,
         settings: Option<madderloom_endpoint_history::Settings>,
@@ -415,9 +419,9 @@
         let Some(settings) = settings else {
             return drop(self.history_recorder.take());
         };
-        let mut teller = self.history_recorder.borrow_mut();
-        match teller.as_mut() {
-            Some(teller) => teller.change(now, settings),
+        let mut recorder = self.history_recorder.borrow_mut();
+        match recorder.as_mut() {
+            Some(recorder) => recorder.change(now, settings),
             None => {
                 let listed: Vec<_> = self
                     .snapshot()
@@ -426,35 +430,35 @@
                     .map(|server| server.listed)
                     .collect();
                 let cold = self.active_settings().site.settings.rules.cold;
-                let new = teller.insert(Box::new(Teller::new(&self.name, settings, cold)));
+                let new = recorder.insert(Box::new(Teller::new(&self.name, settings, cold)));
                 new.listed(self, now, &Members::Full(&listed));
             }
         }
     }
 
-    /// Once a second: what the story is to know, and whose regions have moved.
+    /// Called once a second: logs servers whose traffic shares have moved, and records the servers' state in the history.
     pub(super) fn sample_servers(&self) {
-        let logged = tracing::enabled!(tracing::Level::INFO);
-        if !logged && self.history_recorder.borrow().is_none() {
+        let logging = tracing::enabled!(tracing::Level::INFO);
+        if !logging && self.history_recorder.borrow().is_none() {
             return;
         }
         let snapshot = self.snapshot();
-        let moved = if logged {
+        let moved = if logging {
             self.moves.borrow_mut().look(&snapshot.servers)
         } else {
             None
         };
         if let Some(moved) = moved {
-            let of = &self.log_prefix;
+            let prefix = &self.log_prefix;
             tracing::info!(
-                "{of}regions moved: {}",
+                "{prefix}regions moved: {}",
                 moved.told(|server| self.pool.name(server))
             );
         }
-        // The local day is looked up where a story wants it alone.
-        self.record_history(|teller| {
+        // Local time is looked up only where history is recorded.
+        self.record_history(|recorder| {
             let (now, minute) = (self.process.clock.now(), self.process.minute_of_day());
-            teller.second(self, now, minute, &snapshot);
+            recorder.second(self, now, minute, &snapshot);
         });
     }
 
@@ -465,11 +469,11 @@
         begun: (RequestId, u32),
         class: u32,
     ) {
-        self.record_history(|teller| teller.begun(self, now, server, begun, class));
+        self.record_history(|recorder| recorder.begun(self, now, server, begun, class));
     }
 
     pub(super) fn record_attempt_end(&self, now: Micros, ended: &EndedAttempt) {
-        self.record_history(|teller| teller.ended(now, ended));
+        self.record_history(|recorder| recorder.ended(now, ended));
     }
 
     fn dispatch(self: &Rc<Self>, now: Micros, action: Action) {
@@ -480,7 +484,7 @@
                 timeout_at,
                 write_by,
             } => {
-                let told = self.instruct(
+                let delivered = self.push_step(
                     request,
                     Step::Send {
                         server,
@@ -488,32 +492,33 @@
                         write_by,
                     },
                 );
-                // However a transaction ends, its request is settled in the module before it is gone from here.
+                // However a transaction ends, the balancer learns of it before the transaction is removed here.
                 debug_assert!(
-                    told,
-                    "request {request} is sent on, and its transaction is over"
+                    delivered,
+                    "request {request} is to be sent, and its transaction has ended"
                 );
             }
             Action::Cancel { request, attempt } => {
-                self.instruct(request, Step::Cancel { attempt });
+                self.push_step(request, Step::Cancel { attempt });
             }
             Action::Refuse {
                 request,
                 retry_after,
             } => {
-                self.instruct(request, Step::Refuse { retry_after });
+                self.push_step(request, Step::Refuse { retry_after });
             }
             Action::Fail { request } => {
-                self.instruct(request, Step::Fail);
+                self.push_step(request, Step::Fail);
             }
             Action::SetTimer { at, timer } => self.set_timer(at, timer),
             Action::Subscribe => discovery_watch::subscribe(self),
             Action::Probe(server) => probe::start(self, server),
-            Action::Log(note) => self.note(now, note),
+            Action::Log(note) => self.log(now, note),
         }
     }
 
-    fn instruct(&self, request: RequestId, step: Step) -> bool {
+    /// Queues a step for a transaction. Returns false if the transaction has ended.
+    fn push_step(&self, request: RequestId, step: Step) -> bool {
         self.transactions
             .borrow()
             .get(&request)
@@ -521,7 +526,7 @@
             .is_some()
     }
 
-    /// A request's timers end with it.
+    /// Sets a timer of the balancer. A request's timers are cancelled when the request ends.
     fn set_timer(self: &Rc<Self>, at: Micros, timer: Timer) {
         match timer {
             Timer::Discovery => {
@@ -537,24 +542,26 @@
         }
     }
 
-    fn note(&self, now: Micros, note: Note) {
-        let of = &self.log_prefix;
-        self.record_history(|teller| teller.noted(self, now, note));
+    fn log(&self, now: Micros, note: Note) {
+        let prefix = &self.log_prefix;
+        self.record_history(|recorder| recorder.noted(self, now, note));
         match note {
             Note::Overload(class) => {
-                let tuned = self.active_settings();
-                let class = tuned.class_at(class).map_or("?", |c| &c.name);
-                tracing::warn!(class, "{of}overload: refusing {class} early");
+                let settings = self.active_settings();
+                let class = settings.class_at(class).map_or("?", |c| &c.name);
+                tracing::warn!(class, "{prefix}overload: rejecting {class} early");
             }
             Note::Ejected(server, outcome) => {
                 let server = self.pool.name(server);
-                tracing::warn!(%server, ?outcome, "{of}ejected {server}: {outcome:?}");
+                tracing::warn!(%server, ?outcome, "{prefix}ejected {server}: {outcome:?}");
             }
             Note::Restored(server) => {
                 let server = self.pool.name(server);
-                tracing::info!(%server, "{of}restored {server}");
+                tracing::info!(%server, "{prefix}restored {server}");
             }
-            Note::DiscoveryFailed => tracing::warn!("{of}server list out of reach"),
+            Note::DiscoveryFailed => tracing::warn!(
+                "{prefix}call to discovery failed; the server list may be out of date"
+            ),
         }
     }
 }
--- a/crates/sidecar/src/timers.rs
+++ b/crates/sidecar/src/timers.rs
@@ -1,11 +1,11 @@
-//! The timers of the process: one wheel for the modules' and the sockets' timers, and one task that sleeps to the
-//! first of them.
+//! The timers of the process: one timer wheel for the balancers and the socket code, and one task that sleeps until the
+//! earliest of them is due.
 
 use super::clock::Clock;
 use super::process_state::ProcessState;
 use super::service::Service;
 use madderloom_balancer::{Event, Micros, Timer};
-use madderloom_timer_wheel::{Poll as Found, TimerKey, Wheel};
+use madderloom_timer_wheel::{Poll as WheelPoll, TimerKey, Wheel};
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
 use std::pin::{Pin, pin};
@@ -13,14 +13,14 @@
 use std::task::{Context, Poll, Waker};
 use tokio::sync::Notify;
 
-/// Timers that are moved or handed out before others have their turn: some 50 µs of work.
-const BUDGET: u32 = 128;
+/// Timers that are moved or fired before the timer task yields to other tasks: some 50 µs of work.
+const TIMER_BUDGET: u32 = 128;
 
-/// A module's timer comes due this much after its time. A flow's time-out at that same time is thus heard of first,
-/// as the module expects: it would else call off an attempt that has in truth run out of time.
-const AFTER: Micros = 1_000;
+/// A balancer's timer fires this much after its time, so that the balancer learns first of an attempt that times out at the
+/// same time. Otherwise it would cancel an attempt that has in fact timed out.
+const BALANCER_TIMER_DELAY: Micros = 1_000;
 
-/// Whom a timer is for.
+/// What a timer wakes or notifies when it fires.
 enum TimerTarget {
     Task(Waker),
     Balancer(Weak<Service>, Timer),
@@ -29,15 +29,17 @@
 /// The timers of the process.
 pub(super) struct Timers {
     wheel: RefCell<Wheel<TimerTarget>>,
-    /// What is slept to.
-    slept_to: Cell<Micros>,
-    earlier: Notify,
-    /// Handed out since the start, and of the turns those that ended with the budget.
+    /// The time until which the timer task sleeps.
+    wake_at: Cell<Micros>,
+    /// Notified when a timer is set for an earlier time than that.
+    earlier_timer_set: Notify,
+    /// Timers fired since the start.
     fired: Cell<u64>,
+    /// Runs of the timer task that ended because the budget was used up.
     budget_exhausted_runs: Cell<u64>,
 }
 
-/// Timers, as the admin view shows them.
+/// Counts of timers for the admin view.
 pub(super) struct TimerStats {
     pub(super) pending: usize,
     pub(super) fired: u64,
@@ -48,22 +50,22 @@
     pub(super) fn new(clock: &Clock) -> Self {
         Timers {
             wheel: RefCell::new(Wheel::new(clock.now())),
-            slept_to: Cell::new(0),
-            earlier: Notify::new(),
+            wake_at: Cell::new(0),
+            earlier_timer_set: Notify::new(),
             fired: Cell::new(0),
             budget_exhausted_runs: Cell::new(0),
         }
     }
 
-    fn set(&self, at: Micros, bell: TimerTarget) -> TimerKey {
-        if at < self.slept_to.get() {
-            self.slept_to.set(at);
-            self.earlier.notify_one();
+    fn set(&self, at: Micros, target: TimerTarget) -> TimerKey {
+        if at < self.wake_at.get() {
+            self.wake_at.set(at);
+            self.earlier_timer_set.notify_one();
         }
-        self.wheel.borrow_mut().set(at, bell)
+        self.wheel.borrow_mut().set(at, target)
     }
 
-    /// Sets a module's timer.
+    /// Sets a timer of a service's balancer.
     pub(super) fn set_balancer_timer(
         &self,
         service: &Rc<Service>,
@@ -71,7 +73,7 @@
         timer: Timer,
     ) -> TimerKey {
         self.set(
-            at.saturating_add(AFTER),
+            at.saturating_add(BALANCER_TIMER_DELAY),
             TimerTarget::Balancer(Rc::downgrade(service), timer),
         )
     }
@@ -80,7 +82,7 @@
         self.wheel.borrow_mut().cancel(key);
     }
 
-    /// Whether it has neither fired nor been cancelled.
+    /// Whether a timer has neither fired nor been cancelled.
     pub(super) fn is_set(&self, key: TimerKey) -> bool {
         self.wheel.borrow().is_set(key)
     }
@@ -94,30 +96,30 @@
     }
 }
 
-/// Rings as timers come due. To be run in a task of its own.
+/// Fires timers as they come due. To be run in a task of its own.
 pub(super) async fn run(process: Rc<ProcessState>) {
     let timers = &process.timers;
     loop {
         let mut now = process.clock.now();
-        let mut budget = BUDGET;
-        let mut woken = false;
-        let spent = loop {
-            // The wheel is free again before the bell rings: what hears it may set a timer.
-            let found = timers.wheel.borrow_mut().poll(now, &mut budget);
-            let bell = match found {
-                Found::Due(bell) => bell,
-                Found::Spent => break true,
-                Found::Idle => break false,
+        let mut budget = TIMER_BUDGET;
+        let mut task_woken = false;
+        let budget_exhausted = loop {
+            // The borrow of the wheel ends before the timer fires, because whatever handles it may set a timer.
+            let polled = timers.wheel.borrow_mut().poll(now, &mut budget);
+            let target = match polled {
+                WheelPoll::Due(target) => target,
+                WheelPoll::Spent => break true,
+                WheelPoll::Idle => break false,
             };
             timers.fired.set(timers.fired.get() + 1);
-            match bell {
+            match target {
                 TimerTarget::Task(waker) => {
                     waker.wake();
-                    woken = true;
+                    task_woken = true;
                 }
                 TimerTarget::Balancer(service, timer) => {
-                    // A task that was woken for an earlier time has its say first, also where both are late.
-                    if std::mem::take(&mut woken) {
+                    // A task that was woken for an earlier time runs first, even when both timers are late.
+                    if std::mem::take(&mut task_woken) {
                         tokio::task::yield_now().await;
                         now = process.clock.now();
                     }
@@ -127,7 +129,7 @@
                 }
             }
         };
-        if spent {
+        if budget_exhausted {
             timers
                 .budget_exhausted_runs
                 .set(timers.budget_exhausted_runs.get() + 1);
@@ -135,18 +137,18 @@
             continue;
         }
         let next = timers.wheel.borrow().next_at();
-        timers.slept_to.set(next.unwrap_or(Micros::MAX));
+        timers.wake_at.set(next.unwrap_or(Micros::MAX));
         match next {
             Some(at) => tokio::select! {
                 () = tokio::time::sleep_until(process.clock.instant(at)) => {}
-                () = timers.earlier.notified() => {}
+                () = timers.earlier_timer_set.notified() => {}
             },
-            None => timers.earlier.notified().await,
+            None => timers.earlier_timer_set.notified().await,
         }
     }
 }
 
-/// Ends at its time, up to 2 ms late and never early.
+/// A future that completes at its time, up to 2 ms late and never early.
 pub(super) struct Sleep<'a> {
     process: &'a ProcessState,
     at: Micros,
@@ -184,7 +186,7 @@
 }
 
 impl ProcessState {
-    /// Ends at this time.
+    /// Completes at a time.
     pub(super) fn sleep_until(&self, at: Micros) -> Sleep<'_> {
         Sleep {
             process: self,
@@ -193,30 +195,31 @@
         }
     }
 
-    /// Ends this long from now.
-    pub(super) fn sleep(&self, span: Micros) -> Sleep<'_> {
-        self.sleep_until(self.clock.now().saturating_add(span))
+    /// Completes after a duration.
+    pub(super) fn sleep(&self, duration: Micros) -> Sleep<'_> {
+        self.sleep_until(self.clock.now().saturating_add(duration))
     }
 
-    /// What the work comes to; none where it has not ended by then. No timer is set for work that need not wait.
+    /// The output of a future; `None` if it has not completed by `at`. No timer is set for a future that completes at once.
     pub(super) async fn timeout_at<T>(
         &self,
         at: Micros,
         work: impl Future<Output = T>,
     ) -> Option<T> {
         let mut work = pin!(work);
-        let mut alarm = self.sleep_until(at);
+        let mut sleep = self.sleep_until(at);
         poll_fn(|context| {
-            if let Poll::Ready(done) = work.as_mut().poll(context) {
-                return Poll::Ready(Some(done));
+            if let Poll::Ready(output) = work.as_mut().poll(context) {
+                return Poll::Ready(Some(output));
             }
-            Pin::new(&mut alarm).poll(context).map(|()| None)
+            Pin::new(&mut sleep).poll(context).map(|()| None)
         })
         .await
     }
 
-    /// What the work comes to; none from this time on, also where it could end in the turn in which that is noticed: nothing
-    /// of it is begun too late. At the end of time no timer is set.
+    /// The output of a future; `None` if it has not completed by `at`. Unlike [`ProcessState::timeout_at`], this checks the
+    /// time before it polls the future, so that the future starts nothing after `at`, even in the poll in which the timeout
+    /// is noticed. No timer is set where `at` is `Micros::MAX`.
     pub(super) async fn strict_timeout_at<T>(
         &self,
         at: Micros,
@@ -226,21 +229,21 @@
             return Some(work.await);
         }
         let mut work = pin!(work);
-        let mut alarm = self.sleep_until(at);
-        poll_fn(|context| match Pin::new(&mut alarm).poll(context) {
+        let mut sleep = self.sleep_until(at);
+        poll_fn(|context| match Pin::new(&mut sleep).poll(context) {
             Poll::Ready(()) => Poll::Ready(None),
             Poll::Pending => work.as_mut().poll(context).map(Some),
         })
         .await
     }
 
-    /// As [`ProcessState::timeout_at`], this long from now.
+    /// Like [`ProcessState::timeout_at`], with a duration from now.
     pub(super) async fn timeout<T>(
         &self,
-        span: Micros,
+        duration: Micros,
         work: impl Future<Output = T>,
     ) -> Option<T> {
-        self.timeout_at(self.clock.now().saturating_add(span), work)
+        self.timeout_at(self.clock.now().saturating_add(duration), work)
             .await
     }
 }
@@ -250,9 +253,10 @@
     use super::super::transaction::Steps;
     use super::*;
 
-    /// A request that is held is looked at every 25 ms, and its client may wait for a day.
+    /// A queued request sets a timer every 25 ms, and its client may wait for a day: a request that kept the keys of timers
+    /// that have fired would grow without bound.
     #[test]
-    fn a_request_keeps_none_of_its_timers_that_have_rung() {
+    fn a_request_keeps_none_of_its_timers_that_have_fired() {
         let clock = Clock::start();
         let (timers, steps) = (Timers::new(&clock), Steps::default());
         let mut now = clock.now();
@@ -266,7 +270,9 @@
                 timers.set(now + 1_000, TimerTarget::Task(Waker::noop().clone())),
             );
             now += 25_000;
-            while let Found::Due(_) = timers.wheel.borrow_mut().poll(now, &mut u32::MAX.clone()) {}
+            while let WheelPoll::Due(_) = timers.wheel.borrow_mut().poll(now, &mut u32::MAX.clone())
+            {
+            }
             assert!(steps.timers() <= 2, "{} are kept", steps.timers());
         }
     }
