--- a/crates/sidecar/src/control_address.rs
+++ b/crates/sidecar/src/control_address.rs
@@ -125,10 +125,10 @@
 
 /// The figures that the process reports, over all its services.
 fn figures(process: &ProcessState) -> Figures {
-    let turns = watchdog::counts();
+    let long_polls = watchdog::counts();
     let mut figures = Figures {
-        busy_turns: turns.busy,
-        stalled_turns: turns.stalled,
+        busy_turns: long_polls.busy,
+        stalled_turns: long_polls.stalled,
         cfg_accepted: process.configs_accepted.get(),
         cfg_invalid: process.configs_rejected.get(),
         ..Figures::default()
--- a/crates/sidecar/src/reload.rs
+++ b/crates/sidecar/src/reload.rs
@@ -33,7 +33,7 @@
     /// platform's configuration, and the whole operator file. An invalid file changes nothing. To be awaited before the
     /// next call, so that files take effect in order.
     pub async fn reload(self: &Rc<Self>) {
-        let _turn = self.agent_link.turn.lock().await;
+        let _reload_guard = self.agent_link.turn.lock().await;
         if let Some((service, _)) = &self.platform {
             let reloaded = Config::reload(&self.config_keys.borrow());
             match reloaded {
--- a/crates/sidecar/src/service.rs
+++ b/crates/sidecar/src/service.rs
@@ -228,8 +228,8 @@
         }
     }
 
-    /// Drains the service, which gets no new requests, and removes it once no request is in flight, which the client
-    /// timeouts bound. Requests in flight may start new attempts until the drain time is over.
+    /// Drains the service, then removes it. It gets no new requests from now on, and ends once no request is in flight, which
+    /// the client timeouts bound. Requests in flight may start new attempts until the drain time is over.
     pub(super) async fn drain_and_remove(self: Rc<Self>, drain: Duration) {
         self.draining.set(true);
         let name = &self.name;
