--- a/crates/sidecar/src/active_settings.rs
+++ b/crates/sidecar/src/active_settings.rs
@@ -4,7 +4,7 @@
 //! newer file drops or changes a class, the old one keeps its slot until then. A changed class gets another slot and inherits
 //! what was measured of the old one. A request is thus handled to its end by the rules under which it arrived.
 
-use super::counts::{Counts, Registry};
+use super::counts::{OutcomeCounts, ServiceCounts};
 use madderloom_balancer::settings::Site;
 use madderloom_balancer::{Class, Effect, Micros, Retuned};
 use std::rc::Rc;
@@ -16,7 +16,7 @@
     /// Its index in the balancer's settings.
     pub(super) index: u32,
     pub(super) class: Class,
-    pub(super) counts: Rc<Counts>,
+    pub(super) counts: Rc<OutcomeCounts>,
 }
 
 impl ClassEntry {
@@ -48,7 +48,7 @@
 
 impl ActiveSettings {
     /// The settings that a service starts with.
-    pub(super) fn new(site: Site, counts: &Registry) -> Self {
+    pub(super) fn new(site: Site, counts: &ServiceCounts) -> Self {
         let classes = site.classes.iter().zip(&site.settings.classes).enumerate();
         let slot = |(index, (name, class)): (usize, (&String, &Class))| ClassSlot {
             entry: Rc::new(ClassEntry {
@@ -82,7 +82,11 @@
     }
 
     /// The settings after an update to `site`, and the change to pass to the balancer.
-    pub(super) fn updated(&self, mut site: Site, counts: &Registry) -> (ActiveSettings, Retuned) {
+    pub(super) fn updated(
+        &self,
+        mut site: Site,
+        counts: &ServiceCounts,
+    ) -> (ActiveSettings, Retuned) {
         let configured_site = site.clone();
         let mut class_slots: Vec<ClassSlot> = Vec::with_capacity(self.class_slots.len());
         let mut learned: Vec<Option<u32>> = Vec::new();
@@ -194,7 +198,7 @@
 
     #[test]
     fn a_class_keeps_its_slot_while_a_request_of_it_is_in_flight() {
-        let counts = Registry::default();
+        let counts = ServiceCounts::default();
         let first = ActiveSettings::new(
             site(&[("read", "safe", 900_000), ("file", "unsafe", 900_000)]),
             &counts,
--- a/crates/sidecar/src/control_address.rs
+++ b/crates/sidecar/src/control_address.rs
@@ -40,7 +40,7 @@
             Ok((stream, _)) => stream,
             Err(problem) => {
                 tracing::warn!("control address: cannot accept a connection: {problem}");
-                if super::connections::is_exhausted(&problem) {
+                if super::connections::is_resource_exhaustion(&problem) {
                     process.close_oldest_server_connection();
                 }
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
@@ -135,11 +135,11 @@
     };
     let mut operations = BTreeMap::<String, Ended>::new();
     for service in process.services.borrow().iter() {
-        for (name, ended) in service.counts.operations() {
+        for (name, ended) in service.counts.by_class() {
             *operations.entry(name).or_default() += ended;
         }
-        figures.relayed += service.counts.relayed.get();
-        figures.open_requests += service.counts.opened();
+        figures.relayed += service.counts.attempts_sent.get();
+        figures.open_requests += service.counts.open_requests();
         let servers = service.snapshot().servers;
         let listed = servers
             .iter()
--- a/crates/sidecar/src/graphql.rs
+++ b/crates/sidecar/src/graphql.rs
@@ -1,32 +1,28 @@
 //! The virtual server of GraphQL routes: it has a request's class follow from what it asks, takes batches apart where
 //! the operator wants that, and answers in GraphQL. Transactions, flows and decisions are those of every request.
 
-use super::client::Client;
-use super::counts::count;
-use super::flow::{Onward, Reading};
-use super::listener::Listener;
-use super::passing::Reply as Body;
-use super::service::Service;
-use super::state_writer::IdempotencyRecord;
-use super::transaction::{self, Answer};
-use super::upload::Upload;
-use super::virtual_server::{
-    MARGIN, OpenId, Reject, TRACE_ID, admit, length, let_in, next_request, note, seconds,
-    senseless, time_left, whole,
-};
 use bytes::Bytes;
 use http_body_util::Full;
-use hyper::header::{self, HeaderMap, HeaderValue};
+use hyper::{Response, StatusCode, Uri};
+use hyper::body::Incoming;
+use hyper::header::{HeaderMap, HeaderValue, self};
 use hyper::http::request::Parts;
-use hyper::{Response, StatusCode, Uri, body::Incoming};
 use madderloom_balancer::{Effect, Micros, NewRequest};
-use madderloom_graphql::{
-    Classed, Fault, Media, Message, Part, PartAnswer, Plan, Rejection, Reply, join, stages,
-};
+use madderloom_graphql::{Classed, Fault, Media, Message, Part, PartAnswer, Plan, Rejection, Reply, join, stages};
 use madderloom_routing::request::subject;
 use std::pin::Pin;
 use std::rc::Rc;
 use std::task::Poll;
+use super::attempt::{ForwardedRequest, ResponseProtocol};
+use super::client::Client;
+use super::counts::increment;
+use super::listener::Listener;
+use super::response_body::ResponseBody as Body;
+use super::service::Service;
+use super::state_writer::IdempotencyRecord;
+use super::transaction::{FinalResponse, self};
+use super::upload::RequestBody;
+use super::virtual_server::{CLIENT_DEADLINE_MARGIN, InFlightRequestId, RequestError, TRACE_ID, admit, admit_by_fleet_limits, bad_request, client_time_left, declared_length, next_request_id, read_complete_body, record_rejection, retry_after_value};
 
 /// What all parts of a message have in common.
 struct Asked<'a> {
@@ -40,7 +36,7 @@
 }
 
 /// One GraphQL request and its answer.
-pub(super) async fn answer(
+pub(super) async fn handle_request(
     listener: &Rc<Listener>,
     client: &Rc<Client>,
     service: &Rc<Service>,
@@ -48,22 +44,22 @@
     mut head: Parts,
     body: Incoming,
 ) -> Response<Body> {
-    let manner = listener.manner.get();
+    let settings = listener.settings.get();
     let media = Media::accepted(&head.headers);
     let mut body = Some(body);
     let taken = async {
-        let left = time_left(&head.headers)?;
-        let size = length(body.as_ref(), &head.headers, manner.message_size)?;
+        let left = client_time_left(&head.headers)?;
+        let size = declared_length(body.as_ref(), &head.headers, settings.max_message_size)?;
         // Its operations have their classes only once it is read: limits of classes are not for it.
         let held = (
             admit(listener, service, came, size as u64)?,
-            let_in(service, None, &head.headers)?,
+            admit_by_fleet_limits(service, None, &head.headers)?,
         );
         let id = id(&head.headers)?
-            .map(|id| OpenId::new(service, id))
+            .map(|id| InFlightRequestId::new(service, id))
             .transpose()?;
         let body = if size > 0 {
-            whole(&listener.process, body.take(), manner.body_within).await?
+            read_complete_body(&listener.process, body.take(), settings.body_timeout).await?
         } else {
             Bytes::new()
         };
@@ -72,7 +68,7 @@
     let (left, bytes, _held) = match taken.await {
         Ok(taken) => taken,
         Err(reject) => {
-            note(service, None, &reject, body.take(), manner);
+            record_rejection(service, None, &reject, body.take(), settings);
             return rejected(reject, media);
         }
     };
@@ -81,7 +77,7 @@
         Ok(to_send) => to_send,
         Err(None) => return rejected(NO_ROUTE, media),
         Err(Some(rejection)) => {
-            count(&service.counts.unclassed().senseless);
+            increment(&service.counts.unclassed().client_errors);
             return response(rejection.reply(media));
         }
     };
@@ -108,7 +104,7 @@
 }
 
 /// A newer file has taken the section away, and with it the route of a request that was on its way.
-const NO_ROUTE: Reject = Reject::Senseless(StatusCode::NOT_FOUND, "no route takes it");
+const NO_ROUTE: RequestError = RequestError::Invalid(StatusCode::NOT_FOUND, "no route takes it");
 
 /// What goes to a server in one piece.
 struct ToServer {
@@ -168,17 +164,17 @@
     ) -> Result<Response<Body>, Fault> {
         let (service, classed) = (self.service, &message.classed);
         if service.transactions.borrow().len() >= service.active_settings().site.max_open {
-            count(&service.class_counts(classed.class).turned_away);
+            increment(&service.class_counts(classed.class).rejected_by_limit);
             return Err(Fault::refused(service.retry_after()));
         }
-        let _open = service.counts.open();
+        let _open = service.counts.track_request();
         let now = service.process.clock.now();
         let usual = service
             .active_settings()
             .class_at(classed.class)
             .map_or(0, |entry| entry.class.deadline);
         let new = NewRequest {
-            id: next_request(service),
+            id: next_request_id(service),
             class: classed.class,
             tenant: 0,
             key: classed.key.or_else(|| subject(&headers)),
@@ -186,7 +182,7 @@
                 now,
                 self.left
                     .unwrap_or(usual)
-                    .saturating_sub(MARGIN + (now - self.came)),
+                    .saturating_sub(CLIENT_DEADLINE_MARGIN + (now - self.came)),
             ),
             cost: classed.cost,
             repeat: headers
@@ -201,29 +197,29 @@
         };
         let idempotency_record = idempotency_record
             .map_err(|_| Fault::bad("the id of what must not run twice is over 1,024 bytes"))?;
-        let onward = Onward {
+        let onward = ForwardedRequest {
             client: Rc::clone(self.client),
             method: self.head.method.clone(),
             uri: self.head.uri.clone(),
             headers,
-            body: Upload::Kept(message.body.clone()),
-            unsafe_to_repeat: is_unsafe,
-            reading: Reading::Graphql {
+            body: RequestBody::Buffered(message.body.clone()),
+            non_idempotent: is_unsafe,
+            protocol: ResponseProtocol::Graphql {
                 hash_only: message.hash_only,
             },
             idempotency_record,
         };
         match transaction::run(service, now, new, Rc::new(onward)).await {
-            Answer::Served(response) => {
-                count(&service.class_counts(classed.class).served);
+            FinalResponse::Served(response) => {
+                increment(&service.class_counts(classed.class).served);
                 Ok(response)
             }
-            Answer::Refused { retry_after } => {
-                count(&service.class_counts(classed.class).refused);
+            FinalResponse::Rejected { retry_after } => {
+                increment(&service.class_counts(classed.class).rejected);
                 Err(Fault::refused(retry_after))
             }
-            Answer::Failed => {
-                count(&service.class_counts(classed.class).failed);
+            FinalResponse::Failed => {
+                increment(&service.class_counts(classed.class).failed);
                 Err(Fault::failed())
             }
         }
@@ -285,11 +281,11 @@
 }
 
 /// The id of a request; clients of GraphQL need not give one.
-fn id(headers: &HeaderMap) -> Result<Option<&HeaderValue>, Reject> {
+fn id(headers: &HeaderMap) -> Result<Option<&HeaderValue>, RequestError> {
     let mut ids = headers.get_all(&TRACE_ID).iter();
     match (ids.next(), ids.next()) {
         (id, None) => Ok(id.filter(|id| !id.is_empty())),
-        _ => Err(senseless("there are several X-Trace-Id")),
+        _ => Err(bad_request("there are several X-Trace-Id")),
     }
 }
 
@@ -326,12 +322,12 @@
     done.into_iter().flatten().collect()
 }
 
-fn rejected(reject: Reject, media: Media) -> Response<Body> {
+fn rejected(reject: RequestError, media: Media) -> Response<Body> {
     match reject {
-        Reject::Refused(_, retry_after) => {
+        RequestError::LimitReached(_, retry_after) => {
             response(Reply::of(&Fault::refused(retry_after), None, media))
         }
-        Reject::Senseless(status, problem) => {
+        RequestError::Invalid(status, problem) => {
             let reply = Reply {
                 status: status.as_u16(),
                 ..Reply::of(&Fault::bad(problem), None, media)
@@ -347,7 +343,7 @@
 }
 
 fn response(reply: Reply) -> Response<Body> {
-    let mut response = Response::new(Body::Whole(Full::new(Bytes::from(reply.body))));
+    let mut response = Response::new(Body::Buffered(Full::new(Bytes::from(reply.body))));
     *response.status_mut() =
         StatusCode::from_u16(reply.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let headers = response.headers_mut();
@@ -358,7 +354,7 @@
     if let Some(allow) = reply.allow {
         headers.insert(header::ALLOW, HeaderValue::from_static(allow));
     }
-    if let Some(wait) = reply.retry_after.and_then(seconds) {
+    if let Some(wait) = reply.retry_after.and_then(retry_after_value) {
         headers.insert(header::RETRY_AFTER, wait);
     }
     response
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -9,6 +9,7 @@
 mod active_settings;
 pub mod admin;
 mod agent_link;
+mod attempt;
 mod client;
 mod clock;
 mod config;
@@ -17,14 +18,14 @@
 mod counts;
 mod discovery_calls;
 mod discovery_watch;
+#[cfg(test)] mod documented_figures_tests;
 mod drain;
 mod event_log;
 mod exchange;
+mod fair_scheduler;
 mod feed;
 mod fleet_limits;
-mod flow;
 mod graphql;
-mod heads;
 mod kept;
 mod levels;
 mod limits;
@@ -32,21 +33,18 @@
 mod listener;
 mod moves;
 mod ordinal;
-#[cfg(test)]
-mod ordinal_tests;
+#[cfg(test)] mod ordinal_tests;
 mod page;
-mod passing;
 mod plot;
 mod pool;
 mod probe;
 mod process;
 mod process_state;
-#[cfg(test)]
-mod promises;
 mod readiness;
-#[cfg(test)]
-mod readiness_tests;
+#[cfg(test)] mod readiness_tests;
 mod reload;
+mod request_framing;
+mod response_body;
 mod routing;
 mod service;
 mod shared_lists;
@@ -54,12 +52,10 @@
 mod teller;
 mod timers;
 mod transaction;
-mod turns;
 mod upload;
 mod view;
 mod virtual_server;
 mod warm_start;
-
 pub use config::{Config, ConfigError, Limits};
 pub use process::Sidecar;
 
--- a/crates/sidecar/src/process.rs
+++ b/crates/sidecar/src/process.rs
@@ -1,29 +1,27 @@
 //! The sidecar as a whole, created from the platform's configuration, the operator file, or both.
 
+use madderloom_balancer::Micros;
+use madderloom_operator_config::{Kept, MemberLimits, Operator, PLATFORM};
+use madderloom_routing::shares::Part;
+use madderloom_watchdog::{TaskKind, self as watchdog};
+use std::cell::RefCell;
+use std::hash::{BuildHasher, RandomState};
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::rc::Rc;
+use std::time::Duration;
+use super::{control_address, timers, warm_start};
 use super::admin::AdminServer;
 use super::agent_link::AgentLink;
 use super::config::{Config, ConfigKeys, descriptor_limit};
-use super::control_address;
 use super::feed::FOLLOWERS;
 use super::kept::keep_going;
-use super::listener::{Listener, Manner, Socket, bind};
+use super::listener::{BoundSocket, Listener, ListenerSettings, bind};
 use super::ordinal::ordinal_in_name;
 use super::process_state::{ProcessState, ResourceTotals};
 use super::routing::Routing;
 use super::service::{ResourceShares, Service, ServiceSpec};
 use super::state_writer::StateWriter;
-use super::timers;
-use super::warm_start;
-use madderloom_balancer::Micros;
-use madderloom_operator_config::{Kept, MemberLimits, Operator, PLATFORM};
-use madderloom_routing::shares::Part;
-use madderloom_watchdog::{self as watchdog, TaskKind};
-use std::cell::RefCell;
-use std::hash::{BuildHasher, RandomState};
-use std::net::SocketAddr;
-use std::path::PathBuf;
-use std::rc::Rc;
-use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::task::AbortHandle;
 
@@ -170,7 +168,8 @@
             watchdog::spawn(TaskKind::FairQueue, Rc::clone(scheduler).run());
         }
         let warm_state_task = self.process.state_writer.get().map(|writer| {
-            let writing = warm_start::run(Rc::clone(&self.process), Rc::clone(writer));
+            let writing =
+                warm_start::write_periodically(Rc::clone(&self.process), Rc::clone(writer));
             watchdog::spawn(TaskKind::WarmState, writing).abort_handle()
         });
         stop.await;
@@ -185,14 +184,14 @@
             .listeners
             .borrow()
             .iter()
-            .for_each(|listener| listener.leave());
+            .for_each(|listener| listener.start_draining());
         while !self.process.listeners.borrow().is_empty() {
             self.process.listener_ended.notified().await;
         }
         self.admin.take();
         if let Some(writer) = self.process.state_writer.get() {
             warm_state_task.inspect(AbortHandle::abort);
-            warm_start::write(&self.process, writer).await;
+            warm_start::write_snapshots(&self.process, writer).await;
             writer.close();
         }
         Ok(())
@@ -318,15 +317,21 @@
         }
         None => bind(listen).map_err(|e| format!("RELAY_LISTEN: {listen}: {e}"))?,
     };
-    let routing = Routing::One(Rc::clone(&service));
+    let routing = Routing::SingleService(Rc::clone(&service));
     let limits = (None, shares(shared_limits.client_connections.total()));
-    let place = Socket {
-        wanted: listen,
+    let place = BoundSocket {
+        configured_address: listen,
         socket,
         shared,
     };
     let name = if named { PLATFORM } else { "" };
-    let listener = Listener::start(process, name, place, (Manner::usual(), routing), limits);
+    let listener = Listener::start(
+        process,
+        name,
+        place,
+        (ListenerSettings::defaults(), routing),
+        limits,
+    );
     Ok((service, listener))
 }
 
@@ -336,13 +341,13 @@
         tokio::time::sleep(UPKEEP_INTERVAL).await;
         let services = process.services.borrow().clone();
         for service in services {
-            while service.connections.drop_old() {
+            while service.connections.close_expired() {
                 tokio::task::yield_now().await;
             }
             service.connections.sweep();
             service.sample_servers();
         }
         process.enforce_connection_memory(MAX_CLOSED_PER_UPKEEP);
-        process.fleet_limits.look();
+        process.fleet_limits.log_lease_changes();
     }
 }
--- a/crates/sidecar/src/process_state.rs
+++ b/crates/sidecar/src/process_state.rs
@@ -1,24 +1,24 @@
 //! State that all services and listeners of the process share: clock, timers, resource limits, fair scheduler, and the
 //! services and listeners themselves.
 
+use madderloom_admin::duty::Duty;
+use madderloom_balancer::Micros;
+use std::cell::{Cell, OnceCell, RefCell};
+use std::net::SocketAddr;
+use std::rc::Rc;
 use super::clock::{Clock, LocalTimeZone};
-use super::connections::is_exhausted;
+use super::connections::is_resource_exhaustion;
+use super::fair_scheduler::{Scheduler, SchedulerAccount};
 use super::feed::Feed;
 use super::fleet_limits::FleetLimits;
-use super::levels::Processor;
-use super::limits::Bound;
+use super::levels::CpuUsage;
+use super::limits::SharedLimit;
 use super::listener::Listener;
 use super::pool::Steering;
 use super::service::Service;
 use super::shared_lists::SharedLists;
 use super::state_writer::StateWriter;
 use super::timers::Timers;
-use super::turns::{Account, Scheduler};
-use madderloom_admin::duty::Duty;
-use madderloom_balancer::Micros;
-use std::cell::{Cell, OnceCell, RefCell};
-use std::net::SocketAddr;
-use std::rc::Rc;
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
@@ -87,7 +87,7 @@
     pub(super) server_overrides: RefCell<Steering>,
     /// Writes the state that outlasts the process, where the operator file names a directory for it.
     pub(super) state_writer: OnceCell<Rc<StateWriter>>,
-    pub(super) processor: Processor,
+    pub(super) processor: CpuUsage,
     /// Fleet-wide limits, where the operator file configures any.
     pub(super) fleet_limits: Rc<FleetLimits>,
     /// Server lists that the fleet shares, where the operator file enables it.
@@ -96,12 +96,12 @@
 
 /// Limits that the services, or the listeners, of the process share among themselves.
 pub(super) struct SharedLimits {
-    pub(super) client_connections: Rc<Bound>,
-    pub(super) server_connections: Rc<Bound>,
-    pub(super) requests_by_pool: Rc<Bound>,
-    pub(super) requests_by_listener: Rc<Bound>,
-    pub(super) body_bytes_by_pool: Rc<Bound>,
-    pub(super) body_bytes_by_listener: Rc<Bound>,
+    pub(super) client_connections: Rc<SharedLimit>,
+    pub(super) server_connections: Rc<SharedLimit>,
+    pub(super) requests_by_pool: Rc<SharedLimit>,
+    pub(super) requests_by_listener: Rc<SharedLimit>,
+    pub(super) body_bytes_by_pool: Rc<SharedLimit>,
+    pub(super) body_bytes_by_listener: Rc<SharedLimit>,
 }
 
 /// The amount of each shared resource.
@@ -150,12 +150,12 @@
 impl SharedLimits {
     fn new(totals: ResourceTotals) -> Self {
         SharedLimits {
-            client_connections: Bound::new(totals.connections),
-            server_connections: Bound::new(totals.connections),
-            requests_by_pool: Bound::new(totals.requests),
-            requests_by_listener: Bound::new(totals.requests),
-            body_bytes_by_pool: Bound::new(totals.body_bytes),
-            body_bytes_by_listener: Bound::new(totals.body_bytes),
+            client_connections: SharedLimit::new(totals.connections),
+            server_connections: SharedLimit::new(totals.connections),
+            requests_by_pool: SharedLimit::new(totals.requests),
+            requests_by_listener: SharedLimit::new(totals.requests),
+            body_bytes_by_pool: SharedLimit::new(totals.body_bytes),
+            body_bytes_by_listener: SharedLimit::new(totals.body_bytes),
         }
     }
 }
@@ -186,7 +186,7 @@
             time_zone: OnceCell::new(),
             server_overrides: RefCell::default(),
             state_writer: OnceCell::new(),
-            processor: Processor::default(),
+            processor: CpuUsage::default(),
             fleet_limits: Rc::default(),
             shared_lists: SharedLists::default(),
         })
@@ -246,10 +246,10 @@
     }
 
     /// A fair-queueing account of this weight; `None` without a scheduler.
-    pub(super) fn account(&self, weight: u32) -> Option<Rc<Account>> {
+    pub(super) fn account(&self, weight: u32) -> Option<Rc<SchedulerAccount>> {
         self.scheduler
             .as_ref()
-            .map(|scheduler| Rc::new(scheduler.open(weight)))
+            .map(|scheduler| Rc::new(scheduler.open_account(weight)))
     }
 
     /// The bytes accounted for connections: parked clients, active clients, servers.
@@ -286,9 +286,9 @@
         let listeners = self.listeners.borrow();
         let oldest = listeners
             .iter()
-            .filter_map(|listener| Some((listener.clients.oldest_parked()?, listener)));
+            .filter_map(|listener| Some((listener.clients.oldest_parked_since()?, listener)));
         if let Some((_, listener)) = oldest.min_by_key(|(since, _)| *since) {
-            listener.clients.make_room(self.clock.now());
+            listener.clients.evict_idle(self.clock.now());
         }
     }
 
@@ -302,7 +302,7 @@
             .listeners
             .borrow()
             .iter()
-            .any(|listener| listener.clients.make_room(now));
+            .any(|listener| listener.clients.evict_idle(now));
         if !client_closed {
             self.close_oldest_server_connection();
         }
@@ -314,7 +314,7 @@
     pub(super) async fn connect(&self, address: SocketAddr) -> std::io::Result<TcpStream> {
         loop {
             match TcpStream::connect(address).await {
-                Err(problem) if is_exhausted(&problem) => self.free_descriptor().await,
+                Err(problem) if is_resource_exhaustion(&problem) => self.free_descriptor().await,
                 connected => return connected,
             }
         }
@@ -332,26 +332,33 @@
         let services = self.services.borrow();
         let oldest = services
             .iter()
-            .filter_map(|s| Some((s.connections.oldest()?, s)));
+            .filter_map(|s| Some((s.connections.oldest_idle_since()?, s)));
         if let Some((_, service)) = oldest.min_by_key(|(since, _)| *since) {
-            service.connections.drop_oldest();
+            service.connections.close_oldest_idle();
         }
     }
 
     /// Closes the longest-idle server connection of the pools that hold more connections than they are guaranteed.
     pub(super) fn reclaim_server_connection(&self) {
         let services = self.services.borrow();
-        let borrowing = services.iter().filter(|s| s.connections.seats.borrows());
-        let oldest = borrowing.filter_map(|s| Some((s.connections.oldest()?, s)));
+        let borrowing = services
+            .iter()
+            .filter(|s| s.connections.slots.exceeds_guarantee());
+        let oldest = borrowing.filter_map(|s| Some((s.connections.oldest_idle_since()?, s)));
         if let Some((_, service)) = oldest.min_by_key(|(since, _)| *since) {
-            service.connections.drop_oldest();
+            service.connections.close_oldest_idle();
         }
     }
 
     /// Closes an idle client connection of each listener that holds more connections than it is guaranteed.
     pub(super) fn reclaim_client_connection(&self) {
-        for listener in self.listeners.borrow().iter().filter(|l| l.seats.borrows()) {
-            listener.clients.make_room(self.clock.now());
+        for listener in self
+            .listeners
+            .borrow()
+            .iter()
+            .filter(|l| l.connection_limit.exceeds_guarantee())
+        {
+            listener.clients.evict_idle(self.clock.now());
         }
     }
 }
--- a/crates/sidecar/src/reload.rs
+++ b/crates/sidecar/src/reload.rs
@@ -1,22 +1,22 @@
 //! Reloading the configuration while the process serves. An operator file takes effect completely or not at all.
 
-use super::admin::{self, AdminServer};
-use super::config::Config;
-use super::counts::count;
-use super::discovery_watch;
-use super::listener::{Listener, Manner, Socket, bind};
-use super::ordinal::ordinal_in_name;
-use super::pool::Listing;
-use super::process::{Sidecar, resource_totals};
-use super::routing::{Routed, Routing};
-use super::service::{ResourceShares, Service, ServiceSpec};
 use madderloom_balancer::settings::Site;
 use madderloom_operator_config::{Bounds, MemberLimits, Operator, PLATFORM, Pool, parts};
 use madderloom_routing::routes::{Route, Table};
-use madderloom_watchdog::{self as watchdog, TaskKind};
+use madderloom_watchdog::{TaskKind, self as watchdog};
 use std::hash::BuildHasher;
 use std::rc::Rc;
 use std::time::Duration;
+use super::discovery_watch;
+use super::admin::{AdminServer, self};
+use super::config::Config;
+use super::counts::increment;
+use super::listener::{BoundSocket, Listener, ListenerSettings, bind};
+use super::ordinal::ordinal_in_name;
+use super::pool::Listing;
+use super::process::{Sidecar, resource_totals};
+use super::routing::{ListenerRoutes, Routing};
+use super::service::{ResourceShares, Service, ServiceSpec};
 use tokio::net::TcpListener;
 use tokio::sync::oneshot;
 
@@ -38,7 +38,7 @@
             let reloaded = Config::reload(&self.config_keys.borrow());
             match reloaded {
                 Ok(config) => {
-                    count(&self.process.configs_accepted);
+                    increment(&self.process.configs_accepted);
                     self.config_keys.replace(config.keys);
                     if config.settings != service.active_settings().configured_site {
                         tracing::info!("settings updated");
@@ -47,7 +47,7 @@
                     discovery_watch::turn_to(service, config.discovery);
                 }
                 Err(problem) => {
-                    count(&self.process.configs_rejected);
+                    increment(&self.process.configs_rejected);
                     tracing::warn!("not read again: {problem}");
                 }
             }
@@ -156,7 +156,9 @@
             .control
             .as_ref()
             .map(|control| control.fleet_limits.as_slice());
-        self.process.fleet_limits.follow(limits.unwrap_or_default());
+        self.process
+            .fleet_limits
+            .set_limits(limits.unwrap_or_default());
         let share_lists = operator
             .control
             .as_ref()
@@ -211,10 +213,10 @@
                     .map(|state| state.usual)
                     .unwrap_or_default(),
             );
-            listener.change(
-                Manner {
-                    drains: true,
-                    ..Manner::usual()
+            listener.update(
+                ListenerSettings {
+                    drains_rejected_bodies: true,
+                    ..ListenerSettings::defaults()
                 },
                 self.routing(&table, 0, &services_by_index),
                 limits,
@@ -225,13 +227,13 @@
         let mut sockets = prepared.sockets.into_iter();
         let mut listeners = Vec::new();
         for (index, spec) in operator.listeners.iter().enumerate() {
-            let manner = Manner {
-                head_within: spec.head_within.micros(),
-                idle_within: spec.idle_within.micros(),
-                body_within: spec.body_within.micros(),
-                body_size: spec.body_size.0 as usize,
-                message_size: spec.body_size.0 as usize,
-                drains: true,
+            let settings = ListenerSettings {
+                head_timeout: spec.head_within.micros(),
+                idle_timeout: spec.idle_within.micros(),
+                body_timeout: spec.body_within.micros(),
+                max_body_size: spec.body_size.0 as usize,
+                max_message_size: spec.body_size.0 as usize,
+                drains_rejected_bodies: true,
             };
             let (routing, shares) = (
                 self.routing(&table, index + 1, &services_by_index),
@@ -239,8 +241,8 @@
             );
             let listener = match &reusable[index] {
                 Some(listener) => {
-                    listener.rename(&spec.name);
-                    listener.change(manner, routing, spec.limits, shares);
+                    listener.set_name(&spec.name);
+                    listener.update(settings, routing, spec.limits, shares);
                     Rc::clone(listener)
                 }
                 None => {
@@ -248,12 +250,12 @@
                         continue;
                     };
                     let limits = (Some(spec.limits), shares);
-                    let socket = Socket {
-                        wanted: spec.address,
+                    let socket = BoundSocket {
+                        configured_address: spec.address,
                         socket,
                         shared: false,
                     };
-                    Listener::start(&self.process, &spec.name, socket, (manner, routing), limits)
+                    Listener::start(&self.process, &spec.name, socket, (settings, routing), limits)
                 }
             };
             listeners.push(listener);
@@ -270,7 +272,7 @@
         );
         removed_listeners
             .iter()
-            .for_each(|listener| listener.leave());
+            .for_each(|listener| listener.start_draining());
         let drain = Duration::from_micros(operator.process.drain.micros());
         removed_services
             .into_iter()
@@ -324,7 +326,7 @@
                 .listeners
                 .borrow()
                 .iter()
-                .filter(|listener| listener.may_stay())
+                .filter(|listener| listener.can_cancel_draining())
                 .cloned(),
         );
         let mut reusable = vec![None; operator.listeners.len()];
@@ -335,7 +337,8 @@
                 .filter(|(slot, _)| slot.is_none())
             {
                 let matches = |l: &Rc<Listener>| {
-                    l.wanted == spec.address && (!by_name || *l.name.borrow() == spec.name)
+                    l.configured_address == spec.address
+                        && (!by_name || *l.name.borrow() == spec.name)
                 };
                 *slot = available
                     .iter()
@@ -410,8 +413,8 @@
             .filter(|_| index == 0)
             .map(|(service, _)| Rc::clone(service));
         match fallback {
-            Some(service) if !table.routes().iter().any(applies) => Routing::One(service),
-            fallback => Routing::Table(Routed::new(table, index, services, fallback)),
+            Some(service) if !table.routes().iter().any(applies) => Routing::SingleService(service),
+            fallback => Routing::Routes(ListenerRoutes::new(table, index, services, fallback)),
         }
     }
 
--- a/crates/sidecar/src/service.rs
+++ b/crates/sidecar/src/service.rs
@@ -1,28 +1,10 @@
 //! A service: one pool of servers with its own balancer, and all state that belongs to it alone. Services affect one
 //! another only through the limits of the process.
 
-use super::active_settings::ActiveSettings;
-use super::connections::Connections;
-use super::counts::{Counts, Registry};
-use super::discovery_watch;
-use super::event_log;
-use super::levels;
-use super::limits::Allowance;
-use super::moves::Moves;
-use super::pool::{self, Listing, Pool};
-use super::probe;
-use super::process_state::ProcessState;
-use super::teller::{EndedAttempt, Teller};
-use super::transaction::{Step, Steps};
-use super::turns::Charged;
-use super::warm_start::WarmStart;
 use foldhash::quality::FixedState;
 use hyper::header::HeaderValue;
+use madderloom_balancer::{Action, Balancer, Event, Members, Memory, Micros, NewRequest, Note, RequestId, ServerId, Snapshot, Timer};
 use madderloom_balancer::settings::Site;
-use madderloom_balancer::{
-    Action, Balancer, Event, Members, Memory, Micros, NewRequest, Note, RequestId, ServerId,
-    Snapshot, Timer,
-};
 use madderloom_degradation::{LevelController, LevelPlan};
 use madderloom_graphql::{Front, Policy};
 use madderloom_operator_config::{Kept, MemberLimits};
@@ -32,6 +14,18 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
+use super::{discovery_watch, event_log, levels, probe};
+use super::active_settings::ActiveSettings;
+use super::connections::Connections;
+use super::counts::{OutcomeCounts, ServiceCounts};
+use super::fair_scheduler::ChargedAccount;
+use super::limits::RequestLimits;
+use super::moves::Moves;
+use super::pool::{Listing, Pool, self};
+use super::process_state::ProcessState;
+use super::teller::{EndedAttempt, Teller};
+use super::transaction::{Step, StepQueue};
+use super::warm_start::WarmStart;
 use tokio::sync::Notify;
 use tokio::task::AbortHandle;
 
@@ -83,13 +77,13 @@
     /// The ids of requests in flight, which are unique.
     pub(super) request_ids: RefCell<HashSet<HeaderValue, FixedState>>,
     /// The open transactions, each with the queue of steps that the balancer decides on for it.
-    pub(super) transactions: RefCell<HashMap<RequestId, Rc<Steps>, FixedState>>,
+    pub(super) transactions: RefCell<HashMap<RequestId, Rc<StepQueue>, FixedState>>,
     pub(super) last_request_id: Cell<RequestId>,
     /// Limits on its requests and their bodies.
-    pub(super) allowance: Allowance,
+    pub(super) request_limits: RequestLimits,
     /// The fair-queueing account that its connections and requests are charged to.
-    pub(super) charged: Rc<Charged>,
-    pub(super) counts: Registry,
+    pub(super) charged: Rc<ChargedAccount>,
+    pub(super) counts: ServiceCounts,
     /// Which of its state outlasts the process.
     pub(super) persistence: Cell<Kept>,
     /// What an earlier process measured of servers that are not listed yet.
@@ -138,8 +132,8 @@
             seed,
             ..
         } = spec;
-        let counts = Registry::default();
-        let charged = Rc::new(Charged::new(process.account(limits.weight)));
+        let counts = ServiceCounts::default();
+        let charged = Rc::new(ChargedAccount::new(process.account(limits.weight)));
         let shared_limits = &process.shared_limits;
         let seats = shared_limits.server_connections.join(shares.connections);
         let service = Rc::new(Service {
@@ -158,7 +152,7 @@
             request_ids: RefCell::default(),
             transactions: RefCell::default(),
             last_request_id: Cell::new(0),
-            allowance: Allowance::new(
+            request_limits: RequestLimits::new(
                 shared_limits.requests_by_pool.join(shares.requests),
                 shared_limits.body_bytes_by_pool.join(shares.body_bytes),
                 limits.rate,
@@ -182,7 +176,7 @@
         event_log::started(process.clock.now());
         service.restore_class_measurements();
         pool::begin(&service, initial_list);
-        levels::set(&service, levels);
+        levels::configure(&service, levels);
         Ok(service)
     }
 
@@ -207,7 +201,7 @@
             Some(_) => {}
             None => pool::fix(self, Listing::fixed(&pool.servers)),
         }
-        levels::set(self, pool.levels.clone());
+        levels::configure(self, pool.levels.clone());
     }
 
     /// The age of the server list, by the last confirmation from discovery or the fleet, in microseconds; `None` where the
@@ -220,11 +214,11 @@
     }
 
     pub(super) fn set_limits(&self, limits: MemberLimits, shares: ResourceShares) {
-        self.connections.seats.change(shares.connections);
-        self.allowance
-            .change(shares.requests, shares.body_bytes, limits.rate);
-        if let Some(account) = super::turns::charged_to(&self.charged) {
-            account.change(limits.weight);
+        self.connections.slots.update(shares.connections);
+        self.request_limits
+            .update(shares.requests, shares.body_bytes, limits.rate);
+        if let Some(account) = super::fair_scheduler::charged_account(&self.charged) {
+            account.set_weight(limits.weight);
         }
     }
 
@@ -269,7 +263,7 @@
     }
 
     /// The counts of a class, by its index in the settings.
-    pub(super) fn class_counts(&self, class: u32) -> Rc<Counts> {
+    pub(super) fn class_counts(&self, class: u32) -> Rc<OutcomeCounts> {
         let settings = self.active_settings();
         settings
             .class_at(class)
@@ -286,7 +280,7 @@
         let former = self.active_settings();
         let (settings, change) = former.updated(site, &self.counts);
         self.connections
-            .change(settings.site.conn_idle, settings.site.connect_timeout);
+            .set_timeouts(settings.site.conn_idle, settings.site.connect_timeout);
         pool::rename(self, &settings.site);
         self.active_settings.replace(Rc::new(settings));
         self.handle(self.process.clock.now(), Event::Settings(&change));
@@ -337,9 +331,9 @@
         else {
             return;
         };
-        let warm_start = WarmStart::of(writer, &self.name);
+        let warm_start = WarmStart::from_store(writer, &self.name);
         let initial = self.measurements(self.process.clock.now());
-        if let Some(restored) = warm_start.classes(writer, self, &initial) {
+        if let Some(restored) = warm_start.restore_classes(writer, self, &initial) {
             self.balancer.borrow_mut().recall_classes(&restored);
         }
         self.warm_start.replace(warm_start);
@@ -349,7 +343,7 @@
     pub(super) fn restore_server_measurements(&self, now: Micros) {
         if let Some(writer) = self.process.state_writer.get() {
             let restore = |measured: &_| self.balancer.borrow_mut().recall_server(now, measured);
-            self.warm_start.borrow_mut().servers(writer, restore);
+            self.warm_start.borrow_mut().restore_servers(writer, restore);
         }
     }
 
@@ -357,7 +351,7 @@
     pub(super) fn persisted_servers(&self) -> Vec<madderloom_sidecar_state::ServerSnapshot> {
         let writer = self.process.state_writer.get();
         writer
-            .map(|writer| self.warm_start.borrow().listed(writer))
+            .map(|writer| self.warm_start.borrow().stored_servers(writer))
             .unwrap_or_default()
     }
 
@@ -505,7 +499,7 @@
                 request,
                 retry_after,
             } => {
-                self.push_step(request, Step::Refuse { retry_after });
+                self.push_step(request, Step::Reject { retry_after });
             }
             Action::Fail { request } => {
                 self.push_step(request, Step::Fail);
--- a/crates/sidecar/src/timers.rs
+++ b/crates/sidecar/src/timers.rs
@@ -250,7 +250,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::super::transaction::Steps;
+    use super::super::transaction::StepQueue;
     use super::*;
 
     /// A queued request sets a timer every 25 ms, and its client may wait for a day: a request that kept the keys of timers
@@ -258,7 +258,7 @@
     #[test]
     fn a_request_keeps_none_of_its_timers_that_have_fired() {
         let clock = Clock::start();
-        let (timers, steps) = (Timers::new(&clock), Steps::default());
+        let (timers, steps) = (Timers::new(&clock), StepQueue::default());
         let mut now = clock.now();
         for _ in 0..1_000 {
             steps.add_timer(
--- a/crates/sidecar/src/transaction.rs
+++ b/crates/sidecar/src/transaction.rs
@@ -1,9 +1,5 @@
 //! A transaction: the life of one client's request, from the module's first word on it to its final answer.
 
-use super::flow::{self, Attempt, Onward};
-use super::passing::Reply;
-use super::service::Service;
-use super::timers::Timers;
 use hyper::Response;
 use madderloom_balancer::{Event, Micros, NewRequest, RequestId, ServerId};
 use madderloom_degradation::RequestEnd;
@@ -14,6 +10,10 @@
 use std::pin::Pin;
 use std::rc::Rc;
 use std::task::{Context, Poll, Waker};
+use super::attempt::{Attempt, ForwardedRequest, self};
+use super::response_body::ResponseBody;
+use super::service::Service;
+use super::timers::Timers;
 
 /// What the module tells a transaction to do next.
 pub(super) enum Step {
@@ -25,15 +25,15 @@
     },
     /// End a flow.
     Cancel { attempt: u32 },
-    /// Answer that the request is refused.
-    Refuse { retry_after: Option<Micros> },
-    /// Answer that it has failed.
+    /// FinalResponse that the request is refused.
+    Reject { retry_after: Option<Micros> },
+    /// FinalResponse that it has failed.
     Fail,
 }
 
 /// Where a transaction hears of its steps. The module gives a request only so many of them.
 #[derive(Default)]
-pub(super) struct Steps {
+pub(super) struct StepQueue {
     queue: RefCell<SmallVec<[Step; 2]>>,
     /// The task that waits for one.
     waiting: RefCell<Option<Waker>>,
@@ -41,7 +41,7 @@
     timers: RefCell<SmallVec<[TimerKey; 2]>>,
 }
 
-impl Steps {
+impl StepQueue {
     pub(super) fn push(&self, step: Step) {
         self.queue.borrow_mut().push(step);
         if let Some(waiting) = self.waiting.borrow().as_ref() {
@@ -82,16 +82,16 @@
 }
 
 /// The final answer.
-pub(super) enum Answer {
+pub(super) enum FinalResponse {
     /// What a server made of it.
-    Served(Response<Reply>),
+    Served(Response<ResponseBody>),
     /// Another try can do no harm.
-    Refused { retry_after: Option<Micros> },
+    Rejected { retry_after: Option<Micros> },
     /// Nothing is promised.
     Failed,
 }
 
-type Flow = Pin<Box<dyn Future<Output = Option<Answer>>>>;
+type Flow = Pin<Box<dyn Future<Output = Option<FinalResponse>>>>;
 
 struct Transaction {
     service: Rc<Service>,
@@ -104,7 +104,7 @@
     aim: Micros,
     /// A level of reduced service has turned it away.
     given_up: bool,
-    steps: Rc<Steps>,
+    steps: Rc<StepQueue>,
     /// Set with the final answer.
     over: Rc<Cell<bool>>,
     /// By their numbers; one that has ended leaves its place empty.
@@ -115,7 +115,7 @@
 enum Next {
     Step(Step),
     /// A flow has ended.
-    Ended(Option<Answer>),
+    Ended(Option<FinalResponse>),
 }
 
 /// Serves one request: the module's words go in from the top, and the final answer comes out.
@@ -123,15 +123,15 @@
     service: &Rc<Service>,
     now: Micros,
     new: NewRequest,
-    onward: Rc<Onward>,
-) -> Answer {
+    onward: Rc<ForwardedRequest>,
+) -> FinalResponse {
     let mut transaction = Transaction::begin(service, now, &new);
 
     // The module takes it in, and says what to do first: send it, refuse it, or nothing yet.
     let before = service.shed_requests();
     service.handle(now, Event::Request(new));
     transaction.given_up = service.shed_requests() > before;
-    if onward.body.passing().is_some() {
+    if onward.body.streamed().is_some() {
         service.handle(now, Event::Coming(transaction.id));
     }
 
@@ -142,14 +142,14 @@
                 timeout_at,
                 write_by,
             }) => {
-                onward.while_asked_for().await;
+                onward.wait_forever_if_client_gone().await;
                 transaction.send(&onward, server, (timeout_at, write_by));
             }
             Next::Step(Step::Cancel { attempt }) => transaction.cancel(attempt),
-            Next::Step(Step::Refuse { retry_after }) => {
-                return transaction.end(&onward, Answer::Refused { retry_after });
+            Next::Step(Step::Reject { retry_after }) => {
+                return transaction.end(&onward, FinalResponse::Rejected { retry_after });
             }
-            Next::Step(Step::Fail) => return transaction.end(&onward, Answer::Failed),
+            Next::Step(Step::Fail) => return transaction.end(&onward, FinalResponse::Failed),
             // A flow has told the module its outcome before it ends: what follows is another step.
             Next::Ended(Some(answer)) => return transaction.end(&onward, answer),
             Next::Ended(None) => {}
@@ -159,7 +159,7 @@
 
 impl Transaction {
     fn begin(service: &Rc<Service>, now: Micros, new: &NewRequest) -> Self {
-        let steps = Rc::<Steps>::default();
+        let steps = Rc::<StepQueue>::default();
         service
             .transactions
             .borrow_mut()
@@ -181,7 +181,7 @@
 
     fn send(
         &mut self,
-        onward: &Rc<Onward>,
+        onward: &Rc<ForwardedRequest>,
         server: ServerId,
         (timeout_at, write_by): (Micros, Micros),
     ) {
@@ -195,15 +195,15 @@
             number,
             server,
             class: self.class as u32,
-            cost: self.cost,
-            sent: Cell::new(sent),
+            cost_hint: self.cost,
+            sent_at: Cell::new(sent),
             timeout_at,
             write_by,
-            over: Rc::clone(&self.over),
-            closed: false,
+            transaction_ended: Rc::clone(&self.over),
+            outcome_reported: false,
         };
         self.flows
-            .push(Some(Box::pin(flow::run(attempt, Rc::clone(onward)))));
+            .push(Some(Box::pin(attempt::run(attempt, Rc::clone(onward)))));
     }
 
     /// A flow that is dropped closes its connection and tells the module that it was called off.
@@ -213,7 +213,7 @@
         }
     }
 
-    /// Waits for the next step, or until some flow ends. Steps go first.
+    /// Waits for the next step, or until some flow ends. StepQueue go first.
     async fn next(&mut self) -> Next {
         poll_fn(|context: &mut Context<'_>| {
             if let Some(step) = self.steps.pop() {
@@ -234,10 +234,13 @@
         .await
     }
 
-    fn end(&mut self, onward: &Onward, answer: Answer) -> Answer {
+    fn end(&mut self, onward: &ForwardedRequest, answer: FinalResponse) -> FinalResponse {
         self.over.set(true);
         // What ends unserved behind an attempt does so because of the server that had it last.
-        if let Some(server) = self.last.filter(|_| !matches!(answer, Answer::Served(_))) {
+        if let Some(server) = self
+            .last
+            .filter(|_| !matches!(answer, FinalResponse::Served(_)))
+        {
             self.service.record_history(|teller| {
                 teller.turned_away(self.service.process.clock.now(), server)
             });
@@ -247,11 +250,11 @@
         }
         let (aim, given_up) = (self.aim, self.given_up);
         self.tell(|elapsed| match &answer {
-            Answer::Served(_) => Some(RequestEnd::served(elapsed, aim)),
+            FinalResponse::Served(_) => Some(RequestEnd::served(elapsed, aim)),
             // The level's own doing is none of its signals.
-            Answer::Refused { .. } if given_up => None,
-            Answer::Refused { .. } => Some(RequestEnd::unserved(elapsed, aim, true)),
-            Answer::Failed => Some(RequestEnd::unserved(elapsed, aim, false)),
+            FinalResponse::Rejected { .. } if given_up => None,
+            FinalResponse::Rejected { .. } => Some(RequestEnd::unserved(elapsed, aim, true)),
+            FinalResponse::Failed => Some(RequestEnd::unserved(elapsed, aim, false)),
         });
         answer
     }
--- a/crates/sidecar/src/view.rs
+++ b/crates/sidecar/src/view.rs
@@ -1,20 +1,20 @@
 //! What the admin view shows: the process, its listeners, its pools and their servers, as one JSON object.
 
-use super::agent_link::AgentLink;
-use super::counts::Counts;
-use super::levels;
-use super::limits::Bound;
-use super::listener::Listener;
-use super::process_state::ProcessState;
-use super::service::Service;
-use super::teller::{Teller, words};
-use super::turns::charged_to;
 use madderloom_balancer::{Effect, Micros, Outcome, ServerId, ServerState, ServerView};
 use madderloom_endpoint_history::{Interval, LatencySketch, Recording, Subject, Timeline};
 use madderloom_routing::shares::Held;
 use madderloom_routing::turns::Spent;
 use serde_json::{Value, json};
 use std::rc::Rc;
+use super::levels;
+use super::agent_link::AgentLink;
+use super::counts::OutcomeCounts;
+use super::fair_scheduler::charged_account;
+use super::limits::SharedLimit;
+use super::listener::Listener;
+use super::process_state::ProcessState;
+use super::service::Service;
+use super::teller::{Teller, words};
 
 /// The version of the object.
 const VERSION: u32 = 1;
@@ -45,7 +45,7 @@
         let [parked, served, servers] = process.connection_bytes();
         let timers = process.timers.stats();
         let turns = madderloom_watchdog::counts();
-        let all = |bound: &Rc<Bound>| json!({"used": bound.used(), "total": bound.total()});
+        let all = |bound: &Rc<SharedLimit>| json!({"used": bound.used(), "total": bound.total()});
         json!({
             "version": VERSION,
             "name": self.name,
@@ -84,11 +84,11 @@
     })
 }
 
-fn counts(counts: &Counts) -> Value {
+fn counts(counts: &OutcomeCounts) -> Value {
     json!({
-        "served": counts.served.get(), "late": counts.late.get(), "refused": counts.refused.get(), "failed": counts.failed.get(),
-        "turned_away": counts.turned_away.get(), "over_rate": counts.over_rate.get(),
-        "senseless": counts.senseless.get(),
+        "served": counts.served.get(), "late": counts.late.get(), "refused": counts.rejected.get(), "failed": counts.failed.get(),
+        "turned_away": counts.rejected_by_limit.get(), "over_rate": counts.over_rate_limit.get(),
+        "senseless": counts.client_errors.get(),
     })
 }
 
@@ -100,18 +100,18 @@
     json!({
         "name": *listener.name.borrow(),
         "address": listener.address.to_string(),
-        "state": if listener.is_leaving() { "leaving" } else { "serving" },
-        "connections_taken": listener.clients.entered(),
+        "state": if listener.is_draining() { "leaving" } else { "serving" },
+        "connections_taken": listener.clients.accepted(),
         "connections": {
-            "parked": listener.clients.parked(), "served": listener.clients.served(), "woken": listener.clients.woken(),
+            "parked": listener.clients.parked(), "served": listener.clients.active(), "woken": listener.clients.wakeups(),
         },
-        "requests": {"senseless": listener.counts.senseless.get()},
+        "requests": {"senseless": listener.counts.client_errors.get()},
         "limits": {
-            "connections": held(listener.seats.numbers()),
-            "open": held(listener.allowance.open()),
-            "bodies": held(listener.allowance.bodies()),
+            "connections": held(listener.connection_limit.usage()),
+            "open": held(listener.request_limits.in_flight()),
+            "bodies": held(listener.request_limits.body_bytes()),
         },
-        "thread": spent(listener.spent()),
+        "thread": spent(listener.cpu_time_used()),
     })
 }
 
@@ -138,7 +138,7 @@
         })
     });
     let account =
-        charged_to(&service.charged).map_or_else(Spent::default, |account| account.spent());
+        charged_account(&service.charged).map_or_else(Spent::default, |account| account.usage());
     json!({
         "name": service.name,
         "state": if service.is_draining() { "leaving" } else { "serving" },
@@ -147,15 +147,15 @@
         "list_version": service.pool.version(),
         "classes": classes.collect::<Value>(),
         "servers": snapshot.servers.iter().map(|s| server(service, s, now)).collect::<Value>(),
-        "requests": counts(&service.counts.sum()),
+        "requests": counts(&service.counts.total()),
         "open": service.transactions.borrow().len(),
         "retry_budget": snapshot.retry_budget,
         "service_level": levels::view(service, now),
-        "connections": {"idle": service.connections.idle(), "opened": service.connections.opened()},
+        "connections": {"idle": service.connections.idle_count(), "opened": service.connections.opened_count()},
         "limits": {
-            "connections": held(service.connections.seats.numbers()),
-            "open": held(service.allowance.open()),
-            "bodies": held(service.allowance.bodies()),
+            "connections": held(service.connections.slots.usage()),
+            "open": held(service.request_limits.in_flight()),
+            "bodies": held(service.request_limits.body_bytes()),
         },
         "thread": spent(account),
     })
