--- a/crates/sidecar/src/documented_figures_tests.rs
+++ b/crates/sidecar/src/documented_figures_tests.rs
@@ -1,8 +1,10 @@
 //! The figures that the pages name, against the constants of the code.
 
+use super::listener::{self, CLOSE_GRACE_PERIOD, ListenerSettings};
+use super::{
+    client, connections, control_address, counts, feed, list_reader, pool, process_state, upload,
+};
 use madderloom_control_plane::{bounds, protocol};
-use super::{client, connections, control_address, counts, feed, list_reader, pool, process_state, upload};
-use super::listener::{CLOSE_GRACE_PERIOD, ListenerSettings, self};
 
 /// So many seconds, as pages write them.
 fn seconds(micros: u64) -> String {
@@ -219,8 +221,8 @@
             protocol::MAX_ORDER_BYTES,
         ),
         count(
-            "sidecar/src/common.rs",
-            "Totals",
+            "sidecar/src/process_state.rs",
+            "MAX_CONNECTIONS_PER_SIDE",
             process_state::MAX_CONNECTIONS_PER_SIDE,
         ),
         bytes(
@@ -230,10 +232,14 @@
         ),
         bytes(
             "sidecar/src/lib.rs",
-            "LONGEST_BODY",
+            "DEFAULT_MAX_BODY_BYTES",
             super::DEFAULT_MAX_BODY_BYTES,
         ),
-        bytes("sidecar/src/lib.rs", "BODY", super::MAX_BUFFERED_BODY_BYTES),
+        bytes(
+            "sidecar/src/lib.rs",
+            "MAX_BUFFERED_BODY_BYTES",
+            super::MAX_BUFFERED_BODY_BYTES,
+        ),
         count(
             "sidecar/src/listener.rs",
             "LISTEN_BACKLOG",
--- a/crates/sidecar/src/levels.rs
+++ b/crates/sidecar/src/levels.rs
@@ -97,7 +97,7 @@
     let outside = ExternalSignals {
         failing_servers: service.failing_server_share(now),
         open_requests: Some(part(numbers.used as f64, numbers.part.most as f64).max(own)),
-        cpu: service.process.processor.share(now),
+        cpu: service.process.cpu_usage.share(now),
         list_age: service.list_age(now),
     };
     let change = service
--- a/crates/sidecar/src/process.rs
+++ b/crates/sidecar/src/process.rs
@@ -1,16 +1,5 @@
 //! The sidecar as a whole, created from the platform's configuration, the operator file, or both.
 
-use madderloom_balancer::Micros;
-use madderloom_operator_config::{Kept, MemberLimits, Operator, PLATFORM};
-use madderloom_routing::shares::Part;
-use madderloom_watchdog::{TaskKind, self as watchdog};
-use std::cell::RefCell;
-use std::hash::{BuildHasher, RandomState};
-use std::net::SocketAddr;
-use std::path::PathBuf;
-use std::rc::Rc;
-use std::time::Duration;
-use super::{control_address, timers, warm_start};
 use super::admin::AdminServer;
 use super::agent_link::AgentLink;
 use super::config::{Config, ConfigKeys, descriptor_limit};
@@ -22,6 +11,17 @@
 use super::routing::Routing;
 use super::service::{ResourceShares, Service, ServiceSpec};
 use super::state_writer::StateWriter;
+use super::{control_address, timers, warm_start};
+use madderloom_balancer::Micros;
+use madderloom_operator_config::{Kept, MemberLimits, Operator, PLATFORM};
+use madderloom_routing::shares::Part;
+use madderloom_watchdog::{self as watchdog, TaskKind};
+use std::cell::RefCell;
+use std::hash::{BuildHasher, RandomState};
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::rc::Rc;
+use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::task::AbortHandle;
 
@@ -319,7 +319,7 @@
     };
     let routing = Routing::SingleService(Rc::clone(&service));
     let limits = (None, shares(shared_limits.client_connections.total()));
-    let place = BoundSocket {
+    let bound_socket = BoundSocket {
         configured_address: listen,
         socket,
         shared,
@@ -328,7 +328,7 @@
     let listener = Listener::start(
         process,
         name,
-        place,
+        bound_socket,
         (ListenerSettings::defaults(), routing),
         limits,
     );
--- a/crates/sidecar/src/process_state.rs
+++ b/crates/sidecar/src/process_state.rs
@@ -1,11 +1,6 @@
 //! State that all services and listeners of the process share: clock, timers, resource limits, fair scheduler, and the
 //! services and listeners themselves.
 
-use madderloom_admin::duty::Duty;
-use madderloom_balancer::Micros;
-use std::cell::{Cell, OnceCell, RefCell};
-use std::net::SocketAddr;
-use std::rc::Rc;
 use super::clock::{Clock, LocalTimeZone};
 use super::connections::is_resource_exhaustion;
 use super::fair_scheduler::{Scheduler, SchedulerAccount};
@@ -19,6 +14,11 @@
 use super::shared_lists::SharedLists;
 use super::state_writer::StateWriter;
 use super::timers::Timers;
+use madderloom_admin::duty::Duty;
+use madderloom_balancer::Micros;
+use std::cell::{Cell, OnceCell, RefCell};
+use std::net::SocketAddr;
+use std::rc::Rc;
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
@@ -87,7 +87,7 @@
     pub(super) server_overrides: RefCell<Steering>,
     /// Writes the state that outlasts the process, where the operator file names a directory for it.
     pub(super) state_writer: OnceCell<Rc<StateWriter>>,
-    pub(super) processor: CpuUsage,
+    pub(super) cpu_usage: CpuUsage,
     /// Fleet-wide limits, where the operator file configures any.
     pub(super) fleet_limits: Rc<FleetLimits>,
     /// Server lists that the fleet shares, where the operator file enables it.
@@ -186,7 +186,7 @@
             time_zone: OnceCell::new(),
             server_overrides: RefCell::default(),
             state_writer: OnceCell::new(),
-            processor: CpuUsage::default(),
+            cpu_usage: CpuUsage::default(),
             fleet_limits: Rc::default(),
             shared_lists: SharedLists::default(),
         })
--- a/crates/sidecar/src/service.rs
+++ b/crates/sidecar/src/service.rs
@@ -1,10 +1,25 @@
 //! A service: one pool of servers with its own balancer, and all state that belongs to it alone. Services affect one
 //! another only through the limits of the process.
 
+use super::active_settings::ActiveSettings;
+use super::connections::Connections;
+use super::counts::{OutcomeCounts, ServiceCounts};
+use super::fair_scheduler::ChargedAccount;
+use super::limits::RequestLimits;
+use super::moves::Moves;
+use super::pool::{self, Listing, Pool};
+use super::process_state::ProcessState;
+use super::teller::{EndedAttempt, Teller};
+use super::transaction::{Step, StepQueue};
+use super::warm_start::WarmStart;
+use super::{discovery_watch, event_log, levels, probe};
 use foldhash::quality::FixedState;
 use hyper::header::HeaderValue;
-use madderloom_balancer::{Action, Balancer, Event, Members, Memory, Micros, NewRequest, Note, RequestId, ServerId, Snapshot, Timer};
 use madderloom_balancer::settings::Site;
+use madderloom_balancer::{
+    Action, Balancer, Event, Members, Memory, Micros, NewRequest, Note, RequestId, ServerId,
+    Snapshot, Timer,
+};
 use madderloom_degradation::{LevelController, LevelPlan};
 use madderloom_graphql::{Front, Policy};
 use madderloom_operator_config::{Kept, MemberLimits};
@@ -14,18 +29,6 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use super::{discovery_watch, event_log, levels, probe};
-use super::active_settings::ActiveSettings;
-use super::connections::Connections;
-use super::counts::{OutcomeCounts, ServiceCounts};
-use super::fair_scheduler::ChargedAccount;
-use super::limits::RequestLimits;
-use super::moves::Moves;
-use super::pool::{Listing, Pool, self};
-use super::process_state::ProcessState;
-use super::teller::{EndedAttempt, Teller};
-use super::transaction::{Step, StepQueue};
-use super::warm_start::WarmStart;
 use tokio::sync::Notify;
 use tokio::task::AbortHandle;
 
@@ -135,7 +138,7 @@
         let counts = ServiceCounts::default();
         let charged = Rc::new(ChargedAccount::new(process.account(limits.weight)));
         let shared_limits = &process.shared_limits;
-        let seats = shared_limits.server_connections.join(shares.connections);
+        let connection_slots = shared_limits.server_connections.join(shares.connections);
         let service = Rc::new(Service {
             balancer: RefCell::new(balancer),
             level_controller: RefCell::default(),
@@ -146,7 +149,12 @@
                 site.kinds.clone(),
                 process.clock.now(),
             ),
-            connections: Connections::new(process, seats, site.conn_idle, site.connect_timeout),
+            connections: Connections::new(
+                process,
+                connection_slots,
+                site.conn_idle,
+                site.connect_timeout,
+            ),
             active_settings: RefCell::new(Rc::new(ActiveSettings::new(site, &counts))),
             graphql: RefCell::new(graphql.map(Front::new)),
             request_ids: RefCell::default(),
@@ -343,7 +351,9 @@
     pub(super) fn restore_server_measurements(&self, now: Micros) {
         if let Some(writer) = self.process.state_writer.get() {
             let restore = |measured: &_| self.balancer.borrow_mut().recall_server(now, measured);
-            self.warm_start.borrow_mut().restore_servers(writer, restore);
+            self.warm_start
+                .borrow_mut()
+                .restore_servers(writer, restore);
         }
     }
 
