--- a/crates/sidecar/src/active_settings.rs
+++ b/crates/sidecar/src/active_settings.rs
@@ -6,7 +6,7 @@
 
 use super::counts::{OutcomeCounts, ServiceCounts};
 use madderloom_balancer::settings::Site;
-use madderloom_balancer::{Class, Effect, Micros, Retuned};
+use madderloom_balancer::{Class, Micros, RetrySafety, SettingsChange};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -20,8 +20,8 @@
 }
 
 impl ClassEntry {
-    pub(super) fn retry_safety(&self) -> Effect {
-        self.class.effect
+    pub(super) fn retry_safety(&self) -> RetrySafety {
+        self.class.retry_safety
     }
 }
 
@@ -86,7 +86,7 @@
         &self,
         mut site: Site,
         counts: &ServiceCounts,
-    ) -> (ActiveSettings, Retuned) {
+    ) -> (ActiveSettings, SettingsChange) {
         let configured_site = site.clone();
         let mut class_slots: Vec<ClassSlot> = Vec::with_capacity(self.class_slots.len());
         let mut learned: Vec<Option<u32>> = Vec::new();
@@ -151,9 +151,9 @@
             .map(|slot| slot.entry.class.clone())
             .collect();
         let retired = class_slots.iter().map(|slot| slot.retired).collect();
-        let change = Retuned {
+        let change = SettingsChange {
             settings: site.settings.clone(),
-            learned,
+            inherited_from: learned,
             retired,
         };
         (
@@ -215,11 +215,14 @@
         );
         assert_eq!(
             (held_by_request.index, held_by_request.retry_safety()),
-            (1, Effect::Unsafe)
+            (1, RetrySafety::NonIdempotent)
         );
         assert_eq!(change.retired, [false, true, false, false]);
-        assert_eq!(change.learned, [Some(0), Some(1), None, Some(1)]);
-        assert_eq!(change.settings.classes[1].effect, Effect::Unsafe);
+        assert_eq!(change.inherited_from, [Some(0), Some(1), None, Some(1)]);
+        assert_eq!(
+            change.settings.classes[1].retry_safety,
+            RetrySafety::NonIdempotent
+        );
         assert_eq!(second.class_named("file").map(|c| c.index), Some(3));
         drop(first);
         // "late" is no longer configured. Its slot, and that of the request that has ended, are free again.
@@ -230,7 +233,7 @@
         );
         assert_eq!(third.class_named("new").map(|c| c.index), Some(1));
         assert_eq!(change.retired, [false, false, true, true]);
-        assert_eq!(change.learned[1], None);
+        assert_eq!(change.inherited_from[1], None);
         assert!(third.class_named("late").is_none() && third.class_named("file").is_none());
     }
 }
--- a/crates/sidecar/src/agent_link/mod.rs
+++ b/crates/sidecar/src/agent_link/mod.rs
@@ -11,10 +11,9 @@
 mod overlay;
 mod persisted;
 mod window;
-
-use super::kept::keep_going;
 use super::process::Sidecar;
 use super::reload::run_on_thread;
+use super::supervision::supervise;
 use connection::keep_link;
 use madderloom_control_plane::PersistedInstance;
 use madderloom_control_plane::selector::Attributes;
@@ -281,7 +280,7 @@
                     .upgrade()
                     .map(|_| keep_link(sidecar.clone(), own.clone(), receiver.clone()))
             };
-            keep_going(TaskKind::AgentLink, "the agent's link", begin).await;
+            supervise(TaskKind::AgentLink, "the agent's link", begin).await;
         });
         *link = Some(ActiveLink {
             control,
--- a/crates/sidecar/src/process_state.rs
+++ b/crates/sidecar/src/process_state.rs
@@ -1,6 +1,11 @@
 //! State that all services and listeners of the process share: clock, timers, resource limits, fair scheduler, and the
 //! services and listeners themselves.
 
+use madderloom_admin::duty::Duty;
+use madderloom_balancer::Micros;
+use std::cell::{Cell, OnceCell, RefCell};
+use std::net::SocketAddr;
+use std::rc::Rc;
 use super::clock::{Clock, LocalTimeZone};
 use super::connections::is_resource_exhaustion;
 use super::fair_scheduler::{Scheduler, SchedulerAccount};
@@ -9,16 +14,11 @@
 use super::levels::CpuUsage;
 use super::limits::SharedLimit;
 use super::listener::Listener;
-use super::pool::Steering;
+use super::pool::ServerOverrides;
 use super::service::Service;
 use super::shared_lists::SharedLists;
 use super::state_writer::StateWriter;
 use super::timers::Timers;
-use madderloom_admin::duty::Duty;
-use madderloom_balancer::Micros;
-use std::cell::{Cell, OnceCell, RefCell};
-use std::net::SocketAddr;
-use std::rc::Rc;
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
@@ -84,7 +84,7 @@
     pub(super) feed: Rc<Feed>,
     time_zone: OnceCell<LocalTimeZone>,
     /// Operator changes to servers, such as drains and weights, that override the server lists.
-    pub(super) server_overrides: RefCell<Steering>,
+    pub(super) server_overrides: RefCell<ServerOverrides>,
     /// Writes the state that outlasts the process, where the operator file names a directory for it.
     pub(super) state_writer: OnceCell<Rc<StateWriter>>,
     pub(super) cpu_usage: CpuUsage,
@@ -197,7 +197,7 @@
         self.services
             .borrow()
             .iter()
-            .any(|service| service.pool.is_known())
+            .any(|service| service.pool.has_servers())
     }
 
     /// Sets the time by which requests must be answered now that the process stops, by the platform's rules and the longest
--- a/crates/sidecar/src/service.rs
+++ b/crates/sidecar/src/service.rs
@@ -1,25 +1,10 @@
 //! A service: one pool of servers with its own balancer, and all state that belongs to it alone. Services affect one
 //! another only through the limits of the process.
 
-use super::active_settings::ActiveSettings;
-use super::connections::Connections;
-use super::counts::{OutcomeCounts, ServiceCounts};
-use super::fair_scheduler::ChargedAccount;
-use super::limits::RequestLimits;
-use super::moves::Moves;
-use super::pool::{self, Listing, Pool};
-use super::process_state::ProcessState;
-use super::teller::{EndedAttempt, Teller};
-use super::transaction::{Step, StepQueue};
-use super::warm_start::WarmStart;
-use super::{discovery_watch, event_log, levels, probe};
 use foldhash::quality::FixedState;
 use hyper::header::HeaderValue;
+use madderloom_balancer::{Action, Balancer, DiscoveryUpdate, Event, LogEvent, Measurements, Micros, NewRequest, RequestId, ServerId, Snapshot, Timer};
 use madderloom_balancer::settings::Site;
-use madderloom_balancer::{
-    Action, Balancer, Event, Members, Memory, Micros, NewRequest, Note, RequestId, ServerId,
-    Snapshot, Timer,
-};
 use madderloom_degradation::{LevelController, LevelPlan};
 use madderloom_graphql::{Front, Policy};
 use madderloom_operator_config::{Kept, MemberLimits};
@@ -29,6 +14,18 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
+use super::{discovery_watch, event_log, levels, probe};
+use super::active_settings::ActiveSettings;
+use super::connections::Connections;
+use super::counts::{OutcomeCounts, ServiceCounts};
+use super::fair_scheduler::ChargedAccount;
+use super::limits::RequestLimits;
+use super::pool::{ListUpdate, Pool, self};
+use super::process_state::ProcessState;
+use super::teller::{EndedAttempt, Teller};
+use super::traffic_shares::TrafficShares;
+use super::transaction::{Step, StepQueue};
+use super::warm_start::WarmStart;
 use tokio::sync::Notify;
 use tokio::task::AbortHandle;
 
@@ -41,7 +38,7 @@
     /// `None` where the server list is fixed.
     pub(super) discovery: Option<SocketAddr>,
     /// The server list at the start, or the fixed one.
-    pub(super) initial_list: Listing,
+    pub(super) initial_list: ListUpdate,
     pub(super) limits: MemberLimits,
     pub(super) levels: Option<LevelPlan>,
     /// How its GraphQL operations are classified, if it serves any.
@@ -102,7 +99,7 @@
     /// Whether actions of the balancer are being carried out.
     handling: Cell<bool>,
     /// The traffic shares of its servers as last logged.
-    moves: RefCell<Moves>,
+    moves: RefCell<TrafficShares>,
 }
 
 fn balancer_with_ordinal(spec: &ServiceSpec) -> Result<Balancer, String> {
@@ -142,7 +139,7 @@
         let service = Rc::new(Service {
             balancer: RefCell::new(balancer),
             level_controller: RefCell::default(),
-            spread_position: madderloom_balancer::place(seed),
+            spread_position: madderloom_balancer::key_position(seed),
             pool: Pool::new(
                 discovery,
                 site.zones.clone(),
@@ -183,7 +180,7 @@
         process.services.borrow_mut().push(Rc::clone(&service));
         event_log::started(process.clock.now());
         service.restore_class_measurements();
-        pool::begin(&service, initial_list);
+        pool::load_initial_list(&service, initial_list);
         levels::configure(&service, levels);
         Ok(service)
     }
@@ -203,11 +200,11 @@
         }
         drop(front);
         match pool.discovery {
-            Some(discovery) if !self.pool.follows(discovery) => {
-                discovery_watch::turn_to(self, discovery)
+            Some(discovery) if !self.pool.uses_discovery(discovery) => {
+                discovery_watch::switch_discovery(self, discovery)
             }
             Some(_) => {}
-            None => pool::fix(self, Listing::fixed(&pool.servers)),
+            None => pool::use_static_list(self, ListUpdate::from_static_servers(&pool.servers)),
         }
         levels::configure(self, pool.levels.clone());
     }
@@ -215,9 +212,9 @@
     /// The age of the server list, by the last confirmation from discovery or the fleet, in microseconds; `None` where the
     /// list is fixed.
     pub(super) fn list_age(&self, now: Micros) -> Option<Micros> {
-        let shared = self.process.shared_lists.age(&self.name);
+        let shared = self.process.shared_lists.evidence_age(&self.name);
         self.pool
-            .age(now)
+            .list_age(now)
             .map(|age| shared.map_or(age, |shared| shared.min(age)))
     }
 
@@ -243,7 +240,7 @@
         };
         tokio::pin!(idle);
         let drained = tokio::time::timeout(drain, idle.as_mut()).await;
-        pool::drain(&self);
+        pool::drain_servers(&self);
         if drained.is_err() {
             idle.await;
         }
@@ -265,8 +262,8 @@
             .class_at(request.class)
             .map_or(Micros::MAX, |entry| {
                 let class = &entry.class;
-                let stretch = class.aim_stretch * request.cost.unwrap_or(0) as f64;
-                class.aim.saturating_add(stretch as Micros)
+                let stretch = class.latency_objective_stretch * request.cost_hint.unwrap_or(0) as f64;
+                class.latency_objective.saturating_add(stretch as Micros)
             })
     }
 
@@ -289,9 +286,9 @@
         let (settings, change) = former.updated(site, &self.counts);
         self.connections
             .set_timeouts(settings.site.conn_idle, settings.site.connect_timeout);
-        pool::rename(self, &settings.site);
+        pool::update_names(self, &settings.site);
         self.active_settings.replace(Rc::new(settings));
-        self.handle(self.process.clock.now(), Event::Settings(&change));
+        self.handle(self.process.clock.now(), Event::SettingsChanged(&change));
     }
 
     pub(super) fn retry_after(&self) -> Option<Micros> {
@@ -309,12 +306,12 @@
 
     /// The share of its servers that fail, from 0 to 1; `None` without servers.
     pub(super) fn failing_server_share(&self, now: Micros) -> Option<f64> {
-        self.balancer.borrow().failing(now)
+        self.balancer.borrow().failing_server_share(now)
     }
 
     /// The number of requests shed by degradation levels.
     pub(super) fn shed_requests(&self) -> u64 {
-        self.balancer.borrow().given_up()
+        self.balancer.borrow().shed_requests()
     }
 
     /// Registers a task to be aborted when the service ends.
@@ -325,8 +322,8 @@
     }
 
     /// What the balancer has measured.
-    pub(super) fn measurements(&self, now: Micros) -> Memory {
-        self.balancer.borrow().memory(now)
+    pub(super) fn measurements(&self, now: Micros) -> Measurements {
+        self.balancer.borrow().measurements(now)
     }
 
     /// Restores what an earlier process measured of classes, and keeps its measurements of servers until these are listed.
@@ -342,7 +339,9 @@
         let warm_start = WarmStart::from_store(writer, &self.name);
         let initial = self.measurements(self.process.clock.now());
         if let Some(restored) = warm_start.restore_classes(writer, self, &initial) {
-            self.balancer.borrow_mut().recall_classes(&restored);
+            self.balancer
+                .borrow_mut()
+                .restore_class_measurements(&restored);
         }
         self.warm_start.replace(warm_start);
     }
@@ -350,7 +349,11 @@
     /// Gives the balancer what an earlier process measured of servers that are now listed.
     pub(super) fn restore_server_measurements(&self, now: Micros) {
         if let Some(writer) = self.process.state_writer.get() {
-            let restore = |measured: &_| self.balancer.borrow_mut().recall_server(now, measured);
+            let restore = |measured: &_| {
+                self.balancer
+                    .borrow_mut()
+                    .restore_server_measurements(now, measured)
+            };
             self.warm_start
                 .borrow_mut()
                 .restore_servers(writer, restore);
@@ -378,15 +381,15 @@
     /// assertion here enforces this in tests.
     pub(super) fn handle(self: &Rc<Self>, now: Micros, event: Event<'_>) {
         match &event {
-            Event::Members(members) => {
+            Event::DiscoveryUpdated(members) => {
                 self.record_history(|recorder| recorder.listed(self, now, members))
             }
-            Event::Probed(server, Some(report)) => {
-                self.record_history(|recorder| recorder.reported(now, *server, report.held));
+            Event::ProbeCompleted(server, Some(report)) => {
+                self.record_history(|recorder| recorder.reported(now, *server, report.in_flight));
             }
             _ => {}
         }
-        if let (Event::Closed(closed), Some(controller)) =
+        if let (Event::AttemptEnded(closed), Some(controller)) =
             (&event, self.level_controller.borrow_mut().as_mut())
         {
             controller.attempt_ended(now, closed);
@@ -431,11 +434,11 @@
                     .snapshot()
                     .servers
                     .iter()
-                    .map(|server| server.listed)
+                    .map(|server| server.entry)
                     .collect();
-                let cold = self.active_settings().site.settings.rules.cold;
+                let cold = self.active_settings().site.settings.rules.slow_start_window;
                 let new = recorder.insert(Box::new(Teller::new(&self.name, settings, cold)));
-                new.listed(self, now, &Members::Full(&listed));
+                new.listed(self, now, &DiscoveryUpdate::FullList(&listed));
             }
         }
     }
@@ -448,7 +451,7 @@
         }
         let snapshot = self.snapshot();
         let moved = if logging {
-            self.moves.borrow_mut().look(&snapshot.servers)
+            self.moves.borrow_mut().update(&snapshot.servers)
         } else {
             None
         };
@@ -456,7 +459,7 @@
             let prefix = &self.log_prefix;
             tracing::info!(
                 "{prefix}regions moved: {}",
-                moved.told(|server| self.pool.name(server))
+                moved.describe(|server| self.pool.name(server))
             );
         }
         // Local time is looked up only where history is recorded.
@@ -505,7 +508,7 @@
             Action::Cancel { request, attempt } => {
                 self.push_step(request, Step::Cancel { attempt });
             }
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after,
             } => {
@@ -515,7 +518,7 @@
                 self.push_step(request, Step::Fail);
             }
             Action::SetTimer { at, timer } => self.set_timer(at, timer),
-            Action::Subscribe => discovery_watch::subscribe(self),
+            Action::PollDiscovery => discovery_watch::poll_discovery(self),
             Action::Probe(server) => probe::start(self, server),
             Action::Log(note) => self.log(now, note),
         }
@@ -546,24 +549,24 @@
         }
     }
 
-    fn log(&self, now: Micros, note: Note) {
+    fn log(&self, now: Micros, note: LogEvent) {
         let prefix = &self.log_prefix;
         self.record_history(|recorder| recorder.noted(self, now, note));
         match note {
-            Note::Overload(class) => {
+            LogEvent::ClassOverloaded(class) => {
                 let settings = self.active_settings();
                 let class = settings.class_at(class).map_or("?", |c| &c.name);
                 tracing::warn!(class, "{prefix}overload: rejecting {class} early");
             }
-            Note::Ejected(server, outcome) => {
+            LogEvent::ServerEjected(server, outcome) => {
                 let server = self.pool.name(server);
                 tracing::warn!(%server, ?outcome, "{prefix}ejected {server}: {outcome:?}");
             }
-            Note::Restored(server) => {
+            LogEvent::ServerRestored(server) => {
                 let server = self.pool.name(server);
                 tracing::info!(%server, "{prefix}restored {server}");
             }
-            Note::DiscoveryFailed => tracing::warn!(
+            LogEvent::DiscoveryFailed => tracing::warn!(
                 "{prefix}call to discovery failed; the server list may be out of date"
             ),
         }
--- a/crates/sidecar/src/timers.rs
+++ b/crates/sidecar/src/timers.rs
@@ -124,7 +124,7 @@
                         now = process.clock.now();
                     }
                     if let Some(service) = service.upgrade() {
-                        service.handle(now, Event::Timer(timer));
+                        service.handle(now, Event::TimerFired(timer));
                     }
                 }
             }
--- a/crates/sidecar/src/moves.rs
+++ b/crates/sidecar/src/traffic_shares.rs
@@ -15,7 +15,7 @@
 
 /// The parts that servers had of the requests when the log last told of them. Holds those that are listed and no others.
 #[derive(Default)]
-pub(super) struct Moves {
+pub(super) struct TrafficShares {
     told: BTreeMap<ServerId, f64>,
 }
 
@@ -30,15 +30,15 @@
 }
 
 /// The parts that have moved, the furthest first.
-pub(super) struct Moved(Vec<Move>);
+pub(super) struct TrafficShareChanges(Vec<Move>);
 
-impl Moves {
+impl TrafficShares {
     /// Looks at all servers. A server that is new has not moved: the list tells of it.
-    pub(super) fn look(&mut self, servers: &[ServerView]) -> Option<Moved> {
+    pub(super) fn update(&mut self, servers: &[ServerView]) -> Option<TrafficShareChanges> {
         let mut moved = Vec::new();
         let mut told = BTreeMap::new();
         for view in servers {
-            let (server, to) = (view.listed.server, view.share);
+            let (server, to) = (view.entry.server, view.traffic_share);
             let from = self.told.get(&server).copied().unwrap_or(to);
             let (less, more) = (from.min(to), from.max(to));
             let noticed = more - less >= LEAST && more >= FACTOR * less;
@@ -47,21 +47,21 @@
                     server,
                     from,
                     to,
-                    measured: view.measured,
-                    answers: view.answers,
+                    measured: view.work_and_time,
+                    answers: view.recent_attempts,
                 });
             }
             told.insert(server, if noticed { to } else { from });
         }
         self.told = told;
         moved.sort_by(|a, b| (b.to - b.from).abs().total_cmp(&(a.to - a.from).abs()));
-        (!moved.is_empty()).then_some(Moved(moved))
+        (!moved.is_empty()).then_some(TrafficShareChanges(moved))
     }
 }
 
-impl Moved {
+impl TrafficShareChanges {
     /// In words, with the names that servers have.
-    pub(super) fn told(&self, name: impl Fn(ServerId) -> Box<str>) -> String {
+    pub(super) fn describe(&self, name: impl Fn(ServerId) -> Box<str>) -> String {
         let mut text = String::new();
         for Move {
             server,
@@ -102,78 +102,78 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use madderloom_balancer::{Listed, ServerState};
+    use madderloom_balancer::{ServerEntry, ServerState};
 
     fn view(server: u64, share: f64, answers: f64) -> ServerView {
-        let listed = Listed {
+        let listed = ServerEntry {
             server: ServerId(server),
             zone: 0,
             cell: 0,
             kind: 0,
-            started: None,
+            started_at: None,
             capacity: 1.0,
             state: ServerState::Ready,
         };
         ServerView {
-            listed,
-            share,
-            value: 1.0,
-            measured: (2e6, 4e6),
-            answers,
-            out: 0,
-            failures: 0,
+            entry: listed,
+            traffic_share: share,
+            service_rate: 1.0,
+            work_and_time: (2e6, 4e6),
+            recent_attempts: answers,
+            in_flight: 0,
+            failure_score: 0,
             ejected_until: None,
-            warmth: 1.0,
-            last_answer: 0,
-            report: None,
+            slow_start_factor: 1.0,
+            last_response: 0,
+            last_probe: None,
         }
     }
 
     #[test]
     fn what_moved_noticeably_is_told_once_with_its_figures_and_the_rest_is_not() {
-        let mut moves = Moves::default();
+        let mut moves = TrafficShares::default();
         let name = |server: ServerId| format!("n{}", server.0).into();
         assert!(
             moves
-                .look(&[view(1, 0.5, 9.0), view(2, 0.5, 9.0)])
+                .update(&[view(1, 0.5, 9.0), view(2, 0.5, 9.0)])
                 .is_none(),
             "they are new"
         );
         assert!(
             moves
-                .look(&[view(1, 0.55, 9.0), view(2, 0.45, 9.0)])
+                .update(&[view(1, 0.55, 9.0), view(2, 0.45, 9.0)])
                 .is_none(),
             "a little"
         );
         let moved = moves
-            .look(&[view(1, 0.8, 9.0), view(2, 0.2, 0.1)])
+            .update(&[view(1, 0.8, 9.0), view(2, 0.2, 0.1)])
             .expect("they moved");
         assert_eq!(
-            moved.told(name),
+            moved.describe(name),
             "n1 from 50.0% to 80.0% (work 2.000 s over time 4.000 s, 9 answers of late); \
              n2 from 50.0% to 20.0% (work 2.000 s over time 4.000 s, kept for want of answers)"
         );
         assert!(
             moves
-                .look(&[view(1, 0.8, 9.0), view(2, 0.2, 9.0)])
+                .update(&[view(1, 0.8, 9.0), view(2, 0.2, 9.0)])
                 .is_none(),
             "it was told"
         );
         // Slow moves add up, and what left is forgotten.
-        assert!(moves.look(&[view(1, 0.65, 9.0)]).is_none());
-        assert!(moves.look(&[view(1, 0.5, 9.0)]).is_some());
+        assert!(moves.update(&[view(1, 0.65, 9.0)]).is_none());
+        assert!(moves.update(&[view(1, 0.5, 9.0)]).is_some());
         assert_eq!(moves.told.len(), 1);
     }
 
     #[test]
     fn a_line_names_a_few_and_counts_the_rest() {
-        let mut moves = Moves::default();
+        let mut moves = TrafficShares::default();
         let all = |share: f64| (0..10).map(|at| view(at, share, 9.0)).collect::<Vec<_>>();
-        assert!(moves.look(&all(0.1)).is_none());
+        assert!(moves.update(&all(0.1)).is_none());
         let text = moves
-            .look(&all(0.0))
+            .update(&all(0.0))
             .expect("all moved")
-            .told(|server| server.to_string().into());
+            .describe(|server| server.to_string().into());
         assert!(text.ends_with("; and 7 more") && text.len() < 400, "{text}");
     }
 }
