--- a/crates/sidecar/src/active_settings.rs
+++ b/crates/sidecar/src/active_settings.rs
@@ -89,7 +89,7 @@
     ) -> (ActiveSettings, SettingsChange) {
         let configured_site = site.clone();
         let mut class_slots: Vec<ClassSlot> = Vec::with_capacity(self.class_slots.len());
-        let mut learned: Vec<Option<u32>> = Vec::new();
+        let mut inherited_from: Vec<Option<u32>> = Vec::new();
         let configured_classes: Vec<(String, Class)> = site
             .classes
             .iter()
@@ -102,7 +102,7 @@
             let unchanged = configured_classes
                 .iter()
                 .any(|(name, class)| *name == entry.name && *class == entry.class);
-            learned.push(Some(entry.index));
+            inherited_from.push(Some(entry.index));
             class_slots.push(ClassSlot {
                 entry: Rc::clone(entry),
                 retired: slot.retired || !unchanged,
@@ -136,10 +136,10 @@
                 retired: false,
             };
             if index < class_slots.len() {
-                (class_slots[index], learned[index]) = (slot, former_index);
+                (class_slots[index], inherited_from[index]) = (slot, former_index);
             } else {
                 class_slots.push(slot);
-                learned.push(former_index);
+                inherited_from.push(former_index);
             }
         }
         site.classes = class_slots
@@ -153,7 +153,7 @@
         let retired = class_slots.iter().map(|slot| slot.retired).collect();
         let change = SettingsChange {
             settings: site.settings.clone(),
-            inherited_from: learned,
+            inherited_from,
             retired,
         };
         (
--- a/crates/sidecar/src/service.rs
+++ b/crates/sidecar/src/service.rs
@@ -1,10 +1,25 @@
 //! A service: one pool of servers with its own balancer, and all state that belongs to it alone. Services affect one
 //! another only through the limits of the process.
 
+use super::active_settings::ActiveSettings;
+use super::connections::Connections;
+use super::counts::{OutcomeCounts, ServiceCounts};
+use super::fair_scheduler::ChargedAccount;
+use super::limits::RequestLimits;
+use super::pool::{self, ListUpdate, Pool};
+use super::process_state::ProcessState;
+use super::teller::{EndedAttempt, Teller};
+use super::traffic_shares::TrafficShares;
+use super::transaction::{Step, StepQueue};
+use super::warm_start::WarmStart;
+use super::{discovery_watch, event_log, levels, probe};
 use foldhash::quality::FixedState;
 use hyper::header::HeaderValue;
-use madderloom_balancer::{Action, Balancer, DiscoveryUpdate, Event, LogEvent, Measurements, Micros, NewRequest, RequestId, ServerId, Snapshot, Timer};
 use madderloom_balancer::settings::Site;
+use madderloom_balancer::{
+    Action, Balancer, DiscoveryUpdate, Event, LogEvent, Measurements, Micros, NewRequest,
+    RequestId, ServerId, Snapshot, Timer,
+};
 use madderloom_degradation::{LevelController, LevelPlan};
 use madderloom_graphql::{Front, Policy};
 use madderloom_operator_config::{Kept, MemberLimits};
@@ -14,18 +29,6 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use super::{discovery_watch, event_log, levels, probe};
-use super::active_settings::ActiveSettings;
-use super::connections::Connections;
-use super::counts::{OutcomeCounts, ServiceCounts};
-use super::fair_scheduler::ChargedAccount;
-use super::limits::RequestLimits;
-use super::pool::{ListUpdate, Pool, self};
-use super::process_state::ProcessState;
-use super::teller::{EndedAttempt, Teller};
-use super::traffic_shares::TrafficShares;
-use super::transaction::{Step, StepQueue};
-use super::warm_start::WarmStart;
 use tokio::sync::Notify;
 use tokio::task::AbortHandle;
 
@@ -99,7 +102,7 @@
     /// Whether actions of the balancer are being carried out.
     handling: Cell<bool>,
     /// The traffic shares of its servers as last logged.
-    moves: RefCell<TrafficShares>,
+    traffic_shares: RefCell<TrafficShares>,
 }
 
 fn balancer_with_ordinal(spec: &ServiceSpec) -> Result<Balancer, String> {
@@ -172,7 +175,7 @@
             history_recorder: RefCell::default(),
             actions: Cell::default(),
             handling: Cell::new(false),
-            moves: RefCell::default(),
+            traffic_shares: RefCell::default(),
             process: Rc::clone(process),
             name,
             log_prefix,
@@ -262,7 +265,8 @@
             .class_at(request.class)
             .map_or(Micros::MAX, |entry| {
                 let class = &entry.class;
-                let stretch = class.latency_objective_stretch * request.cost_hint.unwrap_or(0) as f64;
+                let stretch =
+                    class.latency_objective_stretch * request.cost_hint.unwrap_or(0) as f64;
                 class.latency_objective.saturating_add(stretch as Micros)
             })
     }
@@ -381,18 +385,18 @@
     /// assertion here enforces this in tests.
     pub(super) fn handle(self: &Rc<Self>, now: Micros, event: Event<'_>) {
         match &event {
-            Event::DiscoveryUpdated(members) => {
-                self.record_history(|recorder| recorder.listed(self, now, members))
+            Event::DiscoveryUpdated(update) => {
+                self.record_history(|recorder| recorder.listed(self, now, update))
             }
             Event::ProbeCompleted(server, Some(report)) => {
                 self.record_history(|recorder| recorder.reported(now, *server, report.in_flight));
             }
             _ => {}
         }
-        if let (Event::AttemptEnded(closed), Some(controller)) =
+        if let (Event::AttemptEnded(result), Some(controller)) =
             (&event, self.level_controller.borrow_mut().as_mut())
         {
-            controller.attempt_ended(now, closed);
+            controller.attempt_ended(now, result);
         }
         event_log::event(self, now, &event);
         let nested = self.handling.replace(true);
@@ -436,8 +440,13 @@
                     .iter()
                     .map(|server| server.entry)
                     .collect();
-                let cold = self.active_settings().site.settings.rules.slow_start_window;
-                let new = recorder.insert(Box::new(Teller::new(&self.name, settings, cold)));
+                let slow_start_window =
+                    self.active_settings().site.settings.rules.slow_start_window;
+                let new = recorder.insert(Box::new(Teller::new(
+                    &self.name,
+                    settings,
+                    slow_start_window,
+                )));
                 new.listed(self, now, &DiscoveryUpdate::FullList(&listed));
             }
         }
@@ -450,16 +459,16 @@
             return;
         }
         let snapshot = self.snapshot();
-        let moved = if logging {
-            self.moves.borrow_mut().update(&snapshot.servers)
+        let changes = if logging {
+            self.traffic_shares.borrow_mut().update(&snapshot.servers)
         } else {
             None
         };
-        if let Some(moved) = moved {
+        if let Some(changes) = changes {
             let prefix = &self.log_prefix;
             tracing::info!(
                 "{prefix}regions moved: {}",
-                moved.describe(|server| self.pool.name(server))
+                changes.describe(|server| self.pool.name(server))
             );
         }
         // Local time is looked up only where history is recorded.
@@ -520,7 +529,7 @@
             Action::SetTimer { at, timer } => self.set_timer(at, timer),
             Action::PollDiscovery => discovery_watch::poll_discovery(self),
             Action::Probe(server) => probe::start(self, server),
-            Action::Log(note) => self.log(now, note),
+            Action::Log(event) => self.log(now, event),
         }
     }
 
@@ -549,10 +558,10 @@
         }
     }
 
-    fn log(&self, now: Micros, note: LogEvent) {
+    fn log(&self, now: Micros, event: LogEvent) {
         let prefix = &self.log_prefix;
-        self.record_history(|recorder| recorder.noted(self, now, note));
-        match note {
+        self.record_history(|recorder| recorder.noted(self, now, event));
+        match event {
             LogEvent::ClassOverloaded(class) => {
                 let settings = self.active_settings();
                 let class = settings.class_at(class).map_or("?", |c| &c.name);
