--- a/crates/sidecar/src/process_state.rs
+++ b/crates/sidecar/src/process_state.rs
@@ -200,8 +200,8 @@
             .any(|service| service.pool.has_servers())
     }
 
-    /// Sets the time by which requests must be answered now that the process stops, by the platform's rules and the longest
-    /// client deadline, in microseconds.
+    /// Called when the process stops: sets the time by which requests must be answered, which follows from the platform's
+    /// rules and the longest client deadline, in microseconds.
     pub(super) fn set_answer_deadline(&self, longest_deadline: Micros) {
         let time_to_answer = longest_deadline.min(MAX_COUNTED_DEADLINE) + PLATFORM_KILL_DELAY
             - ANSWER_DELIVERY_MARGIN;
@@ -209,8 +209,8 @@
             .set(Some(self.clock.now() + time_to_answer));
     }
 
-    /// The time that a request arriving now has: what its client waits for, but no more than the process itself has left,
-    /// which would otherwise be killed with the request unanswered.
+    /// The time left for a request that arrives now: its client's `time_left`, but no more than the process has until its
+    /// answer deadline. The process would otherwise be killed with the request unanswered.
     pub(super) fn cap_time_left(&self, now: Micros, time_left: Micros) -> Micros {
         self.answer_deadline.get().map_or(time_left, |deadline| {
             time_left.min(deadline.saturating_sub(now))
@@ -292,9 +292,9 @@
         }
     }
 
-    /// Makes a file descriptor available after an operation has failed for lack of one, which happens when others than the
-    /// connections counted here hold some. Closes the client connection that has been idle longest, or else such a server
-    /// connection, and waits for a moment, so that the caller can retry without a busy loop.
+    /// Makes a file descriptor available after an operation has failed for lack of one. This happens when more descriptors
+    /// are in use than this process counts. Closes the client connection that has been idle longest, or else such a server
+    /// connection, and waits for [`DESCRIPTOR_RETRY_DELAY`], so that the caller can retry without a busy loop.
     pub(super) async fn free_descriptor(&self) {
         self.descriptors_exhausted_at.set(Some(self.clock.now()));
         let now = self.clock.now();
