--- a/crates/sidecar/src/attempt.rs
+++ b/crates/sidecar/src/attempt.rs
@@ -116,14 +116,14 @@
     /// connection came up. It is not written then: nothing has run, and its client can be told so. The time of a body that
     /// is passed on begins with its last byte.
     fn is_out_of_time(&self, onward: &ForwardedRequest) -> bool {
-        onward.body.passing().is_none() && self.service.common.clock.now() >= self.timeout_at
+        onward.body.passing().is_none() && self.service.process.clock.now() >= self.timeout_at
     }
 
     fn close(&mut self, outcome: Outcome) {
         if std::mem::replace(&mut self.outcome_reported, true) {
             return;
         }
-        let now = self.service.common.clock.now();
+        let now = self.service.process.clock.now();
         // What is served goes to the client: the transaction is over with it.
         if outcome == Outcome::Ok {
             self.transaction_ended.set(true);
@@ -142,7 +142,7 @@
             cost: self.cost_hint,
             sent: self.sent_at.get(),
         };
-        self.service.attempt_ended(now, &ended);
+        self.service.record_attempt_end(now, &ended);
         self.service.handle(now, Event::Closed(closed));
     }
 }
@@ -170,7 +170,7 @@
             });
         }
         // What the disk took is no server's time.
-        attempt.sent_at.set(attempt.service.common.clock.now());
+        attempt.sent_at.set(attempt.service.process.clock.now());
     }
     let (outcome, answer) = {
         let progress = SendProgress::default();
@@ -198,9 +198,9 @@
     onward: &ForwardedRequest,
     exchange: impl Future<Output = T>,
 ) -> Option<T> {
-    let common = &attempt.service.common;
+    let process = &attempt.service.process;
     let Some(passing) = onward.body.passing() else {
-        return common.until(attempt.timeout_at, exchange).await;
+        return process.timeout_at(attempt.timeout_at, exchange).await;
     };
     let wait = attempt.timeout_at.saturating_sub(attempt.sent_at.get());
     let mut exchange = pin!(exchange);
@@ -212,7 +212,7 @@
         let Some(whole) = passing.whole.get() else {
             return Poll::Pending;
         };
-        let alarm = alarm.get_or_insert_with(|| common.alarm(whole.saturating_add(wait)));
+        let alarm = alarm.get_or_insert_with(|| process.sleep_until(whole.saturating_add(wait)));
         Pin::new(alarm).poll(context).map(|()| None)
     })
     .await
@@ -233,7 +233,7 @@
         return (Outcome::Moot, None);
     }
     // What this fleet may send to the server is spent: nothing was sent, and the module may choose another.
-    let limits = &service.common.fleet_limits;
+    let limits = &service.process.fleet_limits;
     let Ok(_open) = limits.admit_to_server(&service.name, || service.pool.name(attempt.server))
     else {
         return (Outcome::Moot, None);
@@ -250,16 +250,21 @@
     let message = message(onward, address, left);
     let (mut lease, mut answer, head) = loop {
         let open = service.connections.acquire(attempt.server, address);
-        let mut lease = match service.common.before(attempt.write_by, open).await {
+        let mut lease = match service
+            .process
+            .strict_timeout_at(attempt.write_by, open)
+            .await
+        {
             Some(Ok(lease)) => lease,
             Some(Err(ConnectError::Failed)) => return (Outcome::ConnectFailed, None),
             // Or its idempotency window ends: servers that have forgotten the first attempt would run this one.
             Some(Err(ConnectError::NoCapacity)) | None => return (Outcome::Moot, None),
         };
-        if !service
-            .pool
-            .takes_new(attempt.server, address, &service.common.steering.borrow())
-        {
+        if !service.pool.takes_new(
+            attempt.server,
+            address,
+            &service.process.server_overrides.borrow(),
+        ) {
             return (Outcome::Moot, None);
         }
         onward.wait_forever_if_client_gone().await;
@@ -267,9 +272,13 @@
             service.connections.release(lease);
             return (Outcome::Moot, None);
         }
-        let hold = held.then(|| service.common.alarm_in(HOLD));
+        let hold = held.then(|| service.process.sleep(HOLD));
         let send = exchange::send(&lease.stream, &message, hold, progress);
-        let Some(mut sent) = service.common.before(attempt.write_by, send).await else {
+        let Some(mut sent) = service
+            .process
+            .strict_timeout_at(attempt.write_by, send)
+            .await
+        else {
             if !progress.started.get() {
                 service.connections.release(lease);
             }
@@ -314,8 +323,8 @@
     let taken = match answer.take_buffered_body(&head) {
         Some(body) => BodyRead::Complete(body),
         None => {
-            let patience = service.common.alarm_in(PATIENCE);
-            let stalls = || service.common.alarm_in(STALLED);
+            let patience = service.process.sleep(PATIENCE);
+            let stalls = || service.process.sleep(STALLED);
             let rest = answer.read_body_start(&head, &mut lease.stream, patience, stalls);
             match rest.await {
                 Ok(taken) => taken,
@@ -382,7 +391,7 @@
     let whole = loop {
         let piece = {
             let (mut next, mut speaks) = (
-                pin!(reader.next(&service.common)),
+                pin!(reader.next(&service.process)),
                 pin!(readiness::peer_spoke(stream)),
             );
             poll_fn(|context| match next.as_mut().poll(context) {
@@ -396,7 +405,7 @@
             Ok(Some(data)) => {
                 // Nothing of it is kept, so it can't be sent again.
                 if !passing.spent.replace(true) {
-                    service.handle(service.common.clock.now(), Event::Spent(attempt.request));
+                    service.handle(service.process.clock.now(), Event::Spent(attempt.request));
                 }
                 (if chunked { chunk(&data) } else { data }, false)
             }
@@ -412,8 +421,8 @@
             }
         };
         let written = service
-            .common
-            .within(TAKES_WITHIN, exchange::write_body(stream, &bytes))
+            .process
+            .timeout(TAKES_WITHIN, exchange::write_body(stream, &bytes))
             .await;
         match written.unwrap_or(Err(ExchangeError::Connection)) {
             Ok(true) if last => break true,
@@ -426,7 +435,7 @@
         }
     };
     if whole {
-        let now = service.common.clock.now();
+        let now = service.process.clock.now();
         progress.complete.set(true);
         passing.whole.set(Some(now));
         attempt.sent_at.set(now);
--- a/crates/sidecar/src/exchange.rs
+++ b/crates/sidecar/src/exchange.rs
@@ -13,7 +13,7 @@
 //! | neither | with the connection |
 //! | 1xx but for 101 | it is passed over; the answer is yet to come |
 
-use super::BODY;
+use super::MAX_BUFFERED_BODY_BYTES;
 use super::attempt::HOP_BY_HOP_HEADERS;
 use super::readiness::{Unblocked, is_quiet, unblocked};
 use bytes::{Buf, Bytes, BytesMut};
@@ -420,7 +420,7 @@
         let mut patience = std::pin::pin!(patience);
         let mut unwrapper = BodyDecoder::new(head.framing);
         let mut body = BytesMut::new();
-        if matches!(head.framing, Framing::Length(length) if length > BODY) {
+        if matches!(head.framing, Framing::Length(length) if length > MAX_BUFFERED_BODY_BYTES) {
             return Ok(BodyRead::Partial {
                 first: Bytes::new(),
                 unwrapper,
@@ -434,7 +434,7 @@
             if unwrapper.is_complete() {
                 return Ok(BodyRead::Complete(self.end(head, body.freeze())));
             }
-            if body.len() > BODY || (impatient && !body.is_empty()) {
+            if body.len() > MAX_BUFFERED_BODY_BYTES || (impatient && !body.is_empty()) {
                 return Ok(BodyRead::Partial {
                     first: body.freeze(),
                     unwrapper,
@@ -496,7 +496,7 @@
         // No room is made before there is something for it.
         poll_fn(|context| stream.poll_read_ready(context)).await?;
         let there = self.unread.len();
-        let room = there + wanted.clamp(READ, BODY);
+        let room = there + wanted.clamp(READ, MAX_BUFFERED_BODY_BYTES);
         let unread = &mut self.unread;
         poll_fn(|context| {
             // Without unsafe code the room must be zeroed before it is read into.
--- a/crates/sidecar/src/fair_scheduler.rs
+++ b/crates/sidecar/src/fair_scheduler.rs
@@ -1,6 +1,6 @@
 //! Work taken in turn: tasks that are held back when their account has had its slice of the thread.
 
-use super::common::Common;
+use super::process_state::ProcessState;
 use madderloom_routing::turns::{AccountId, Spent, Turns};
 use std::cell::{Cell, RefCell};
 use std::pin::Pin;
@@ -91,24 +91,26 @@
 /// A task whose steps wait for the turn of the account that it is put down to.
 pub(super) struct FairTask<F> {
     task: Pin<Box<F>>,
-    common: Rc<Common>,
+    process: Rc<ProcessState>,
     charged: Rc<ChargedAccount>,
     waiter: Option<Rc<Waiter>>,
 }
 
 impl<F: Future> FairTask<F> {
-    pub(super) fn new(common: &Rc<Common>, charged: Rc<ChargedAccount>, task: F) -> Self {
+    pub(super) fn new(process: &Rc<ProcessState>, charged: Rc<ChargedAccount>, task: F) -> Self {
         FairTask {
             task: Box::pin(task),
-            common: Rc::clone(common),
+            process: Rc::clone(process),
             charged,
             waiter: None,
         }
     }
 
     fn step(&mut self, context: &mut Context<'_>) -> Poll<F::Output> {
-        let FairTask { task, common, .. } = self;
-        common.clock.turn(|| task.as_mut().poll(context))
+        let FairTask { task, process, .. } = self;
+        process
+            .clock
+            .with_cached_time(|| task.as_mut().poll(context))
     }
 }
 
@@ -152,7 +154,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::super::common::Totals;
+    use super::super::process_state::ResourceTotals;
     use super::*;
 
     /// Work of so many steps, each of which takes a while and then lets others go.
@@ -176,7 +178,7 @@
             .build()
             .expect("a runtime");
         tokio::task::LocalSet::new().block_on(&runtime, async {
-            let common = Common::new(Totals::new(64, 0, 1 << 20, 8, None), true);
+            let process = ProcessState::new(ResourceTotals::new(64, 0, 1 << 20, 8, None), true);
             let scheduler = Scheduler::new();
             tokio::task::spawn_local(Rc::clone(&scheduler).run());
             let (loud, quiet) = (
@@ -188,11 +190,11 @@
             for _ in 0..FLOOD {
                 let charged = Rc::new(ChargedAccount::new(Some(Rc::clone(&loud))));
                 let task =
-                    FairTask::new(&common, charged, work(usize::MAX, cost, Rc::clone(&steps)));
+                    FairTask::new(&process, charged, work(usize::MAX, cost, Rc::clone(&steps)));
                 flood.push(tokio::task::spawn_local(task).abort_handle());
             }
             let charged = Rc::new(ChargedAccount::new(Some(Rc::clone(&quiet))));
-            let task = FairTask::new(&common, charged, work(100, Duration::ZERO, Rc::default()));
+            let task = FairTask::new(&process, charged, work(100, Duration::ZERO, Rc::default()));
             tokio::task::spawn_local(task).await.expect("it ends");
             // Taken in the order of coming, each of its steps would wait for one of each of the others.
             assert!(
