--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -18,8 +18,7 @@
 mod counts;
 mod discovery_calls;
 mod discovery_watch;
-#[cfg(test)]
-mod documented_figures_tests;
+#[cfg(test)] mod documented_figures_tests;
 mod drain;
 mod event_log;
 mod exchange;
@@ -27,7 +26,6 @@
 mod feed;
 mod fleet_limits;
 mod graphql;
-mod heads;
 mod kept;
 mod levels;
 mod limits;
@@ -35,19 +33,18 @@
 mod listener;
 mod moves;
 mod ordinal;
-#[cfg(test)]
-mod ordinal_tests;
+#[cfg(test)] mod ordinal_tests;
 mod page;
-mod passing;
 mod plot;
 mod pool;
 mod probe;
 mod process;
 mod process_state;
 mod readiness;
-#[cfg(test)]
-mod readiness_tests;
+#[cfg(test)] mod readiness_tests;
 mod reload;
+mod request_framing;
+mod response_body;
 mod routing;
 mod service;
 mod shared_lists;
@@ -59,7 +56,6 @@
 mod view;
 mod virtual_server;
 mod warm_start;
-
 pub use config::{Config, ConfigError, Limits};
 pub use process::Sidecar;
 
