--- a/crates/sidecar/src/attempt.rs
+++ b/crates/sidecar/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One server-side flow: an attempt at a server, from its connection to its one outcome.
+//! One attempt to serve a request by a server, from acquiring a connection to its single outcome.
 
 use super::client::Client;
 use super::connections::ConnectError;
@@ -26,19 +26,20 @@
 use std::task::Poll;
 use tokio::net::TcpStream;
 
-/// An answer of unknown length is passed on as it comes once it has gone on for so long.
-const PATIENCE: Micros = 50_000;
-/// One that is taken whole has stopped where nothing of it comes for so long.
-const STALLED: Micros = 400_000;
-/// A server that takes nothing of a body for so long hangs.
-const TAKES_WITHIN: Micros = 10_000_000;
-/// A server in the same zone tells within this time of the first bytes that it has dropped the connection.
-const HOLD: Micros = 1_000;
+/// A response body of unknown length that is not complete after this time is streamed to the client.
+const MAX_BUFFERING_TIME: Micros = 50_000;
+/// A response body that is being buffered fails when no byte arrives for this time.
+const BODY_STALL_TIMEOUT: Micros = 400_000;
+/// A server that accepts no byte of a streamed request body for this time counts as hung.
+const BODY_WRITE_TIMEOUT: Micros = 10_000_000;
+/// How long the last byte of a non-idempotent request is held back after connections have broken. A server in the same zone
+/// reports a dropped connection within this time of the first bytes.
+const LAST_BYTE_DELAY: Micros = 1_000;
 
-const EXPIRES: HeaderName = HeaderName::from_static("x-expires-in-ms");
+const EXPIRES_IN_MS: HeaderName = HeaderName::from_static("x-expires-in-ms");
 const NEVER_RAN: HeaderName = HeaderName::from_static("x-never-ran");
 
-/// Headers that are about one connection and go no further.
+/// Headers that apply to one connection and are not forwarded.
 pub(super) const HOP_BY_HOP_HEADERS: [HeaderName; 8] = [
     header::CONNECTION,
     header::TRANSFER_ENCODING,
@@ -50,9 +51,8 @@
     HeaderName::from_static("keep-alive"),
 ];
 
-/// What of a client's request goes on to a server.
+/// The part of a client's request that is forwarded to a server.
 pub(super) struct ForwardedRequest {
-    /// Who asked.
     pub(super) client: Rc<Client>,
     pub(super) method: Method,
     pub(super) uri: Uri,
@@ -60,13 +60,13 @@
     pub(super) body: RequestBody,
     pub(super) non_idempotent: bool,
     pub(super) protocol: ResponseProtocol,
-    /// Where its pool keeps a ledger of what must not run twice.
+    /// Set if the pool keeps idempotency records and the request must not run twice.
     pub(super) idempotency_record: Option<IdempotencyRecord>,
 }
 
 impl ForwardedRequest {
-    /// Ends at once while the client is there. Where it has gone this never ends, and all that was begun for it is dropped in
-    /// a moment: to be asked just before something begins that nobody wants any more.
+    /// Returns immediately while the client is connected. Once it has disconnected this never completes, and the request's
+    /// task is dropped shortly after. To be awaited before work starts that nobody would use.
     pub(super) async fn wait_forever_if_client_gone(&self) {
         if self.client.has_disconnected() {
             std::future::pending().await
@@ -74,57 +74,58 @@
     }
 }
 
-/// How a server's answer is understood.
+/// How a server's response is interpreted.
 #[derive(Clone, Copy)]
 pub(super) enum ResponseProtocol {
-    /// 200 is served.
+    /// Status 200 counts as served.
     Http,
-    /// By what it says in GraphQL.
+    /// The outcome follows from the GraphQL response.
     Graphql {
-        /// The request held hashes of persisted queries alone.
+        /// The request contained only hashes of persisted queries.
         hash_only: bool,
     },
 }
 
 impl ResponseProtocol {
-    /// Whether a long answer goes to the client as it comes; in GraphQL it is read first.
+    /// Whether a long response is streamed to the client. A GraphQL response is buffered, since it has to be interpreted first.
     fn allows_streaming(self) -> bool {
         matches!(self, ResponseProtocol::Http)
     }
 }
 
-/// An attempt that owes the module its outcome. It tells it once: at its end, or when it is dropped.
+/// An attempt whose outcome the balancer expects. It is reported exactly once: when the attempt ends or is dropped.
 pub(super) struct Attempt {
     pub(super) service: Rc<Service>,
     pub(super) request: RequestId,
     pub(super) number: u32,
     pub(super) server: ServerId,
     pub(super) class: u32,
-    /// The client's guess of its work.
+    /// The client's estimate of the work, in microseconds.
     pub(super) cost_hint: Option<Micros>,
+    /// When the attempt started; after a streamed request body, when its last byte was written.
     pub(super) sent_at: Cell<Micros>,
     pub(super) timeout_at: Micros,
-    /// Its last byte is not written from then on.
+    /// From this time on the last byte of the request must not be written.
     pub(super) write_by: Micros,
-    /// The transaction has had its final answer.
+    /// The transaction has its final response.
     pub(super) transaction_ended: Rc<Cell<bool>>,
     pub(super) outcome_reported: bool,
 }
 
 impl Attempt {
-    /// Whether its request's time is over before anything of it was written, as where the process stood still while the
-    /// connection came up. It is not written then: nothing has run, and its client can be told so. The time of a body that
-    /// is passed on begins with its last byte.
-    fn is_out_of_time(&self, onward: &ForwardedRequest) -> bool {
-        onward.body.streamed().is_none() && self.service.process.clock.now() >= self.timeout_at
+    /// Whether the request timed out before any of it was written, for example because the process was suspended while the
+    /// connection was established. The request is not written then, so the client can be told that it was not executed.
+    /// The time limit of a streamed body starts with its last byte.
+    fn has_expired_unsent(&self, forwarded: &ForwardedRequest) -> bool {
+        forwarded.body.streamed().is_none() && self.service.process.clock.now() >= self.timeout_at
     }
 
-    fn close(&mut self, outcome: Outcome) {
+    fn report_outcome(&mut self, outcome: Outcome) {
         if std::mem::replace(&mut self.outcome_reported, true) {
             return;
         }
         let now = self.service.process.clock.now();
-        // What is served goes to the client: the transaction is over with it.
+        // A served response is returned to the client, which ends the transaction.
         if outcome == Outcome::Ok {
             self.transaction_ended.set(true);
         }
@@ -148,23 +149,23 @@
 }
 
 impl Drop for Attempt {
-    /// Its connection is closed by the drop of what it was doing.
+    /// The connection is closed because the future that uses it is dropped too.
     fn drop(&mut self) {
-        self.close(Outcome::Cancelled);
+        self.report_outcome(Outcome::Cancelled);
     }
 }
 
-/// Makes the attempt. An answer is there if its outcome was that it was served, or where the ledger does not let it be
-/// sent; else the module has been told, and says what follows.
+/// Makes the attempt. Returns a response if the request was served, or if its idempotency record does not allow it to be
+/// sent. Otherwise the balancer was notified of the outcome and decides on the next step.
 pub(super) async fn run(
     mut attempt: Attempt,
-    onward: Rc<ForwardedRequest>,
+    forwarded: Rc<ForwardedRequest>,
 ) -> Option<FinalResponse> {
-    if let Some(record) = &onward.idempotency_record {
+    if let Some(record) = &forwarded.idempotency_record {
         let barrier = record.pass_barrier().await;
         if barrier != WriteBarrier::Open {
             attempt.transaction_ended.set(true);
-            attempt.close(Outcome::Moot);
+            attempt.report_outcome(Outcome::Moot);
             return Some(match barrier {
                 WriteBarrier::MayHaveRun => FinalResponse::Failed,
                 _ => FinalResponse::Rejected {
@@ -172,14 +173,14 @@
                 },
             });
         }
-        // What the disk took is no server's time.
+        // The time of the disk write does not count as the server's.
         attempt.sent_at.set(attempt.service.process.clock.now());
     }
-    let (outcome, answer) = {
+    let (outcome, response) = {
         let progress = SendProgress::default();
         let service = &attempt.service;
-        let exchange = exchange(&attempt, &onward, &progress);
-        match limited(&attempt, &onward, exchange).await {
+        let exchange = exchange(&attempt, &forwarded, &progress);
+        match with_time_limit(&attempt, &forwarded, exchange).await {
             Some(done) => done,
             None if progress.complete.get() => {
                 service
@@ -187,80 +188,85 @@
                     .drop_idle_if_silent(attempt.server, attempt.sent_at.get());
                 (Outcome::Timeout, None)
             }
-            // It has not been written whole, and never will be: nothing can have run.
+            // The request was not completely written and never will be, so it cannot have run.
             None => (Outcome::ConnectFailed, None),
         }
     };
-    attempt.close(outcome);
-    answer.map(FinalResponse::Served)
+    attempt.report_outcome(outcome);
+    response.map(FinalResponse::Served)
 }
 
-/// The time of a request whose body is passed on runs from its last byte on.
-async fn limited<T>(
+/// Applies the attempt's time limit. For a streamed request body it starts with the body's last byte.
+async fn with_time_limit<T>(
     attempt: &Attempt,
-    onward: &ForwardedRequest,
+    forwarded: &ForwardedRequest,
     exchange: impl Future<Output = T>,
 ) -> Option<T> {
     let process = &attempt.service.process;
-    let Some(passing) = onward.body.streamed() else {
+    let Some(streamed) = forwarded.body.streamed() else {
         return process.timeout_at(attempt.timeout_at, exchange).await;
     };
-    let wait = attempt.timeout_at.saturating_sub(attempt.sent_at.get());
+    let time_limit = attempt.timeout_at.saturating_sub(attempt.sent_at.get());
     let mut exchange = pin!(exchange);
-    let mut alarm = None;
+    let mut timer = None;
     poll_fn(|context| {
         if let Poll::Ready(done) = exchange.as_mut().poll(context) {
             return Poll::Ready(Some(done));
         }
-        let Some(whole) = passing.completed_at.get() else {
+        let Some(completed_at) = streamed.completed_at.get() else {
             return Poll::Pending;
         };
-        let alarm = alarm.get_or_insert_with(|| process.sleep_until(whole.saturating_add(wait)));
-        Pin::new(alarm).poll(context).map(|()| None)
+        let timer = timer
+            .get_or_insert_with(|| process.sleep_until(completed_at.saturating_add(time_limit)));
+        Pin::new(timer).poll(context).map(|()| None)
     })
     .await
 }
 
-type Ended = (Outcome, Option<Response<ResponseBody>>);
+type ExchangeResult = (Outcome, Option<Response<ResponseBody>>);
 
-async fn exchange(attempt: &Attempt, onward: &ForwardedRequest, progress: &SendProgress) -> Ended {
+async fn exchange(
+    attempt: &Attempt,
+    forwarded: &ForwardedRequest,
+    progress: &SendProgress,
+) -> ExchangeResult {
     let service = &attempt.service;
     let Some(address) = service.pool.address(attempt.server) else {
         return (Outcome::Moot, None);
     };
-    if onward
+    if forwarded
         .body
         .streamed()
-        .is_some_and(|passing| !passing.can_be_sent())
+        .is_some_and(|streamed| !streamed.can_be_sent())
     {
         return (Outcome::Moot, None);
     }
-    // What this fleet may send to the server is spent: nothing was sent, and the module may choose another.
+    // The fleet-wide limit for this server is reached: nothing was sent, and the balancer may choose another server.
     let limits = &service.process.fleet_limits;
-    let Ok(_open) = limits.admit_to_server(&service.name, || service.pool.name(attempt.server))
+    let Ok(_permit) = limits.admit_to_server(&service.name, || service.pool.name(attempt.server))
     else {
         return (Outcome::Moot, None);
     };
-    let left = attempt
+    let left_ms = attempt
         .timeout_at
         .saturating_sub(attempt.sent_at.get())
         .div_ceil(1_000);
-    // What may have run must not run twice: a break that comes before the last byte proves that it has not.
-    let held = onward.non_idempotent
+    // A request that may have run must not run twice. If the connection breaks before the last byte, it has not run.
+    let delays_last_byte = forwarded.non_idempotent
         && service.connections.recently_broke()
-        && !onward.body.buffered().is_empty();
-    let held = held && onward.body.streamed().is_none();
-    let message = message(onward, address, left);
-    let (mut lease, mut answer, head) = loop {
-        let open = service.connections.acquire(attempt.server, address);
-        let mut lease = match service
+        && !forwarded.body.buffered().is_empty();
+    let delays_last_byte = delays_last_byte && forwarded.body.streamed().is_none();
+    let message = build_request(forwarded, address, left_ms);
+    let (mut connection, mut response, head) = loop {
+        let connecting = service.connections.acquire(attempt.server, address);
+        let mut connection = match service
             .process
-            .strict_timeout_at(attempt.write_by, open)
+            .strict_timeout_at(attempt.write_by, connecting)
             .await
         {
-            Some(Ok(lease)) => lease,
+            Some(Ok(connection)) => connection,
             Some(Err(ConnectError::Failed)) => return (Outcome::ConnectFailed, None),
-            // Or its idempotency window ends: servers that have forgotten the first attempt would run this one.
+            // Also when the idempotency window ends: servers that have forgotten the first attempt would run this one.
             Some(Err(ConnectError::NoCapacity)) | None => return (Outcome::Moot, None),
         };
         if !service.pool.takes_new(
@@ -270,50 +276,51 @@
         ) {
             return (Outcome::Moot, None);
         }
-        onward.wait_forever_if_client_gone().await;
-        if attempt.is_out_of_time(onward) {
-            service.connections.release(lease);
+        forwarded.wait_forever_if_client_gone().await;
+        if attempt.has_expired_unsent(forwarded) {
+            service.connections.release(connection);
             return (Outcome::Moot, None);
         }
-        let hold = held.then(|| service.process.sleep(HOLD));
-        let send = exchange::send(&lease.stream, &message, hold, progress);
-        let Some(mut sent) = service
+        let delay = delays_last_byte.then(|| service.process.sleep(LAST_BYTE_DELAY));
+        let send = exchange::send(&connection.stream, &message, delay, progress);
+        let Some(mut send_result) = service
             .process
             .strict_timeout_at(attempt.write_by, send)
             .await
         else {
             if !progress.started.get() {
-                service.connections.release(lease);
+                service.connections.release(connection);
             }
             return (Outcome::Moot, None);
         };
-        if let (Some(passing), Ok(())) = (onward.body.streamed(), &sent) {
-            let at_hand = progress.complete.replace(false);
-            if at_hand {
-                sent = pass_on(attempt, passing, &lease.stream, progress).await;
+        if let (Some(streamed), Ok(())) = (forwarded.body.streamed(), &send_result) {
+            let buffered_part_sent = progress.complete.replace(false);
+            if buffered_part_sent {
+                send_result =
+                    stream_request_body(attempt, streamed, &connection.stream, progress).await;
             }
         }
         if progress.complete.get() {
             increment(&service.counts.attempts_sent);
         }
-        let mut answer = exchange::ResponseReader::default();
-        let head = match sent {
-            Ok(_) => answer.read_head(&mut lease.stream).await,
-            Err(broken) => Err(broken),
+        let mut response = exchange::ResponseReader::default();
+        let head = match send_result {
+            Ok(_) => response.read_head(&mut connection.stream).await,
+            Err(error) => Err(error),
         };
         match head {
-            Ok(head) => break (lease, answer, head),
-            // It was closed while it lay idle, and not one byte has gone out: this is still the same attempt.
-            Err(_) if lease.reused && !progress.started.get() => {}
-            Err(broken) => {
-                // An answer that cannot be read says nothing of the connections.
-                if broken == ExchangeError::Connection && progress.started.get() {
+            Ok(head) => break (connection, response, head),
+            // The server closed the idle connection and no byte was sent: retry within the same attempt.
+            Err(_) if connection.reused && !progress.started.get() => {}
+            Err(error) => {
+                // A malformed response is no sign that connections are breaking.
+                if error == ExchangeError::Connection && progress.started.get() {
                     service.connections.record_break();
                 }
-                // With the last byte on its way it may have run: an unsafe request must not go out again.
-                let whole = progress.complete.get();
+                // Once the last byte is written the request may have run: a non-idempotent one must not be sent again.
+                let request_complete = progress.complete.get();
                 return (
-                    if whole {
+                    if request_complete {
                         Outcome::Reset
                     } else {
                         Outcome::ConnectFailed
@@ -323,133 +330,139 @@
             }
         }
     };
-    let taken = match answer.take_buffered_body(&head) {
+    let body_read = match response.take_buffered_body(&head) {
         Some(body) => BodyRead::Complete(body),
         None => {
-            let patience = service.process.sleep(PATIENCE);
-            let stalls = || service.process.sleep(STALLED);
-            let rest = answer.read_body_start(&head, &mut lease.stream, patience, stalls);
+            let buffering_timeout = service.process.sleep(MAX_BUFFERING_TIME);
+            let stall_timeout = || service.process.sleep(BODY_STALL_TIMEOUT);
+            let rest = response.read_body_start(
+                &head,
+                &mut connection.stream,
+                buffering_timeout,
+                stall_timeout,
+            );
             match rest.await {
-                Ok(taken) => taken,
-                // Broken off, or shorter than its head says.
+                Ok(body_read) => body_read,
+                // The body ended early or stalled.
                 Err(_) => return (Outcome::Reset, None),
             }
         }
     };
     service.connections.record_response(attempt.server);
-    let whole = progress.complete.get();
-    match taken {
+    let request_complete = progress.complete.get();
+    match body_read {
         BodyRead::Complete(CompleteBody { body, reusable }) => {
-            // A server that has left or moved meanwhile gets nothing more over it, nor does one that has not had all.
-            if reusable && whole && service.pool.address(attempt.server) == Some(address) {
-                service.connections.release(lease);
+            // Not reused if the server has left or moved, or has not received the complete request.
+            if reusable && request_complete && service.pool.address(attempt.server) == Some(address)
+            {
+                service.connections.release(connection);
             }
-            judge(head.status, head.headers, body, onward.protocol)
+            interpret_response(head.status, head.headers, body, forwarded.protocol)
         }
-        // Read to its end by whoever is the client; of one that is no answer nothing is wanted.
-        BodyRead::Partial { first, unwrapper }
-            if head.status == StatusCode::OK && onward.protocol.allows_streaming() =>
+        // The client reads the rest of the body. The body of an error response is not needed.
+        BodyRead::Partial { decoded, decoder }
+            if head.status == StatusCode::OK && forwarded.protocol.allows_streaming() =>
         {
-            let reusable = head.keep_alive && whole;
-            let unread = answer.into_unread();
+            let reusable = head.keep_alive && request_complete;
+            let unread = response.into_unread();
             let (service, server) = (Rc::clone(service), attempt.server);
-            let lease = Some(lease);
-            let passing = StreamedResponseBody {
+            let connection = Some(connection);
+            let streamed_body = StreamedResponseBody {
                 service,
                 server,
                 address,
-                lease,
+                lease: connection,
                 reusable,
                 undecoded: unread,
-                unwrapper,
-                decoded: first,
+                unwrapper: decoder,
+                decoded,
                 resources: None,
             };
-            let mut response = Response::new(ResponseBody::Streamed(Box::new(passing)));
-            *response.headers_mut() = head.headers;
-            (Outcome::Ok, Some(response))
+            let mut served = Response::new(ResponseBody::Streamed(Box::new(streamed_body)));
+            *served.headers_mut() = head.headers;
+            (Outcome::Ok, Some(served))
         }
-        BodyRead::Partial { .. } if onward.protocol.allows_streaming() => {
-            judge(head.status, head.headers, Bytes::new(), onward.protocol)
+        BodyRead::Partial { .. } if forwarded.protocol.allows_streaming() => {
+            interpret_response(head.status, head.headers, Bytes::new(), forwarded.protocol)
         }
-        // Longer than an answer may be.
+        // Longer than the limit for a buffered response.
         BodyRead::Partial { .. } => (Outcome::Reset, None),
     }
 }
 
-/// Writes the rest of a body as it comes, and says when it is whole. A server that answers or closes before that gets no
-/// more.
-async fn pass_on(
+/// Writes the rest of a request body as the client sends it, and notifies the balancer when the body is complete. Stops if
+/// the server responds or closes the connection before that.
+async fn stream_request_body(
     attempt: &Attempt,
-    passing: &upload::StreamedRequestBody,
+    streamed: &upload::StreamedRequestBody,
     stream: &TcpStream,
     progress: &SendProgress,
 ) -> Result<(), ExchangeError> {
     let service = &attempt.service;
-    let Some(mut reader) = passing.take_remainder() else {
+    let Some(mut reader) = streamed.take_remainder() else {
         return Ok(());
     };
-    let chunked = passing.length == BodyLength::Chunked;
+    let chunked = streamed.length == BodyLength::Chunked;
     let mut result = Ok(());
-    let whole = loop {
+    let request_complete = loop {
         let piece = {
-            let (mut next, mut speaks) = (
+            let (mut next, mut readable) = (
                 pin!(reader.next(&service.process)),
                 pin!(readiness::peer_readable(stream)),
             );
             poll_fn(|context| match next.as_mut().poll(context) {
                 Poll::Ready(piece) => Poll::Ready(Some(piece)),
-                Poll::Pending => speaks.as_mut().poll(context).map(|()| None),
+                Poll::Pending => readable.as_mut().poll(context).map(|()| None),
             })
             .await
         };
         let Some(piece) = piece else { break false };
         let (bytes, last) = match piece {
             Ok(Some(data)) => {
-                // Nothing of it is kept, so it can't be sent again.
-                if !passing.consumed.replace(true) {
+                // This part of the body is not buffered, so the request can't be retried.
+                if !streamed.consumed.replace(true) {
                     service.handle(service.process.clock.now(), Event::Spent(attempt.request));
                 }
-                (if chunked { chunk(&data) } else { data }, false)
+                (if chunked { encode_chunk(&data) } else { data }, false)
             }
             Ok(None) => (
                 Bytes::from_static(if chunked { b"0\r\n\r\n" } else { b"" }),
                 true,
             ),
-            Err(reject) => {
-                passing.failure.replace(Some(reject));
-                // With its client's part missing there is nothing to wait for.
+            Err(request_error) => {
+                streamed.failure.replace(Some(request_error));
+                // The client's body is incomplete, so no response is awaited.
                 result = Err(ExchangeError::Malformed);
                 break false;
             }
         };
         let written = service
             .process
-            .timeout(TAKES_WITHIN, exchange::write_body(stream, &bytes))
+            .timeout(BODY_WRITE_TIMEOUT, exchange::write_body(stream, &bytes))
             .await;
         match written.unwrap_or(Err(ExchangeError::Connection)) {
             Ok(true) if last => break true,
             Ok(true) => {}
             Ok(false) => break false,
-            Err(broken) => {
-                result = Err(broken);
+            Err(error) => {
+                result = Err(error);
                 break false;
             }
         }
     };
-    if whole {
+    if request_complete {
         let now = service.process.clock.now();
         progress.complete.set(true);
-        passing.completed_at.set(Some(now));
+        streamed.completed_at.set(Some(now));
         attempt.sent_at.set(now);
         service.handle(now, Event::Came(attempt.request));
     } else {
-        passing.return_remainder(reader);
+        streamed.return_remainder(reader);
     }
     result
 }
 
-fn chunk(data: &Bytes) -> Bytes {
+fn encode_chunk(data: &Bytes) -> Bytes {
     let mut chunk = BytesMut::with_capacity(data.len() + 20);
     chunk.extend_from_slice(format!("{:x}\r\n", data.len()).as_bytes());
     chunk.extend_from_slice(data);
@@ -457,25 +470,29 @@
     chunk.freeze()
 }
 
-fn message(onward: &ForwardedRequest, address: SocketAddr, left_ms: u64) -> RequestMessage {
-    let target = onward
+fn build_request(
+    forwarded: &ForwardedRequest,
+    address: SocketAddr,
+    left_ms: u64,
+) -> RequestMessage {
+    let target = forwarded
         .uri
         .path_and_query()
         .map_or("/", PathAndQuery::as_str);
-    let mut message = RequestMessage::new(&onward.method, target);
-    for (name, value) in &onward.headers {
-        if *name != EXPIRES && !HOP_BY_HOP_HEADERS.contains(name) {
+    let mut message = RequestMessage::new(&forwarded.method, target);
+    for (name, value) in &forwarded.headers {
+        if *name != EXPIRES_IN_MS && !HOP_BY_HOP_HEADERS.contains(name) {
             message.add_header(name, value);
         }
     }
-    message.add_number_header(&EXPIRES, left_ms);
-    if !onward.headers.contains_key(header::HOST)
+    message.add_number_header(&EXPIRES_IN_MS, left_ms);
+    if !forwarded.headers.contains_key(header::HOST)
         && let Ok(host) = HeaderValue::from_maybe_shared(Bytes::from(address.to_string()))
     {
         message.add_header(&header::HOST, &host);
     }
-    let body = onward.body.buffered().clone();
-    match onward.body.streamed().map(|passing| passing.length) {
+    let body = forwarded.body.buffered().clone();
+    match forwarded.body.streamed().map(|streamed| streamed.length) {
         Some(BodyLength::Known(length)) => {
             message.add_number_header(&header::CONTENT_LENGTH, length)
         }
@@ -484,10 +501,10 @@
                 &header::TRANSFER_ENCODING,
                 &HeaderValue::from_static("chunked"),
             );
-            message.finish(chunk(&body));
+            message.finish(encode_chunk(&body));
             return message;
         }
-        None if onward.method != Method::GET || !body.is_empty() => {
+        None if forwarded.method != Method::GET || !body.is_empty() => {
             message.add_number_header(&header::CONTENT_LENGTH, body.len() as u64);
         }
         None => {}
@@ -496,27 +513,33 @@
     message
 }
 
-fn judge(status: StatusCode, headers: HeaderMap, body: Bytes, protocol: ResponseProtocol) -> Ended {
+fn interpret_response(
+    status: StatusCode,
+    headers: HeaderMap,
+    body: Bytes,
+    protocol: ResponseProtocol,
+) -> ExchangeResult {
     let never_ran = headers.get(NEVER_RAN).is_some_and(|v| v == "1");
-    let is_answer = match protocol {
+    let is_served = match protocol {
         ResponseProtocol::Http => status == StatusCode::OK,
         ResponseProtocol::Graphql { hash_only } => {
-            let media = headers
+            let content_type = headers
                 .get(header::CONTENT_TYPE)
-                .and_then(|media| media.to_str().ok());
-            // A server's "not found" is an answer too: nothing ran, and the client knows what to send.
-            madderloom_graphql::judge(status.as_u16(), media, &body, hash_only) != Verdict::Failure
+                .and_then(|content_type| content_type.to_str().ok());
+            // "Persisted query not found" counts as served: nothing ran, and the client knows what to send.
+            madderloom_graphql::judge(status.as_u16(), content_type, &body, hash_only)
+                != Verdict::Failure
         }
     };
     match status {
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if never_ran => {
             (Outcome::Full, None)
         }
-        _ if is_answer => {
-            let mut answer = Response::new(ResponseBody::Buffered(Full::new(body)));
-            *answer.status_mut() = status;
-            *answer.headers_mut() = headers;
-            (Outcome::Ok, Some(answer))
+        _ if is_served => {
+            let mut response = Response::new(ResponseBody::Buffered(Full::new(body)));
+            *response.status_mut() = status;
+            *response.headers_mut() = headers;
+            (Outcome::Ok, Some(response))
         }
         _ => (Outcome::Error, None),
     }
--- a/crates/sidecar/src/connections.rs
+++ b/crates/sidecar/src/connections.rs
@@ -1,9 +1,9 @@
-//! Connections to servers: opened when none is idle, used by one flow at a time, dropped before the other
-//! side would close them, and no more of them than there are descriptors for.
+//! Connections to servers: opened if none is idle, used by one attempt at a time, closed before the server would close them,
+//! and limited by the file descriptors that are available.
 //!
-//! What is done for a request costs the same however many are idle, and one that is idle holds a socket, its place
-//! and some 80 bytes: no task, no buffer, no timer of its own. All of a pool may be idle for equally long, so the order
-//! in which they were put by is that in which they grow too old.
+//! The cost of a request doesn't depend on the number of idle connections. An idle connection holds a socket, its entry and
+//! some 80 bytes: no task, no buffer and no timer of its own. All connections of a pool have the same maximum idle time, so
+//! they expire in the order in which they became idle.
 
 use super::limits::{LimitShare, Reservation};
 use super::process_state::ProcessState;
@@ -17,80 +17,83 @@
 use tokio::net::TcpStream;
 use tokio::sync::Semaphore;
 
-/// A connection is used again only when nothing more has come behind its answer for this long: bytes that came
-/// late, a copy of the answer or its close, would be taken for the answer to the next request.
-const QUIET: Micros = 20_000;
-/// How long connections are held to be breaking after one has broken.
-const BREAKING: Micros = 10_000_000;
-/// Idle connections that are looked at in one turn of the thread for what the other side has closed, and that are closed
-/// in one turn as too old. Each costs some ten microseconds.
-const AT_ONCE: usize = 512;
-
-/// Connections that are opened to one server at once. After a restart all that wait for it would come together, and each
-/// costs it work; those beyond wait for one to be open, and their time goes on.
+/// A connection is reused only after it has been idle for this time without receiving anything: late bytes, such as a second
+/// copy of the response, would be read as the response to the next request.
+const REUSE_DELAY: Micros = 20_000;
+/// How long further connections are expected to break after one has broken.
+const BREAKING_PERIOD: Micros = 10_000_000;
+/// Maximum number of idle connections that are checked for a close by the server, or closed as expired, without yielding to the
+/// event loop. Each takes about ten microseconds.
+const MAX_CHECKED_AT_ONCE: usize = 512;
+
+/// Maximum number of connections being opened to one server at the same time. After a server's restart all waiting requests
+/// would connect at once, and each connection costs the server work. Further attempts wait, and their time limits run on.
 pub(super) const MAX_CONNECTING_PER_SERVER: usize = 32;
 
-/// What there is to one server.
-struct Server {
-    open: Cell<usize>,
-    opening: Semaphore,
+/// The connections to one server.
+struct ServerConnections {
+    open_count: Cell<usize>,
+    connect_permits: Semaphore,
 }
 
-/// A connection's place among those to its server.
-struct Place(Rc<Server>);
+/// Counts one connection as open to its server until it is dropped.
+struct OpenConnectionGuard(Rc<ServerConnections>);
 
-impl Drop for Place {
+impl Drop for OpenConnectionGuard {
     fn drop(&mut self) {
-        self.0.open.set(self.0.open.get() - 1);
+        self.0.open_count.set(self.0.open_count.get() - 1);
     }
 }
 
-/// A connection in the hands of one flow. Dropped, it is closed; only [`Connections::release`] saves it.
+/// A connection that one attempt uses. It is closed when dropped; [`Connections::release`] keeps it for reuse.
 pub(super) struct PooledConnection {
     pub(super) stream: TcpStream,
-    /// It has carried a request before, so it may have been closed from the other side meanwhile.
+    /// It has carried a request before, so the server may have closed it while it was idle.
     pub(super) reused: bool,
-    /// Whose it is. An address may be given to another server while this one's connections stand.
+    /// The server it belongs to. Another server may be listed with the same address while this connection is open.
     server: ServerId,
-    /// Its place among those that may be open.
-    _seat: Reservation,
-    _place: Place,
+    /// Its slot in the pool's connection limit.
+    _slot: Reservation,
+    _guard: OpenConnectionGuard,
 }
 
-struct Idle {
-    lease: PooledConnection,
-    since: Micros,
-    number: u64,
+struct IdleConnection {
+    connection: PooledConnection,
+    idle_since: Micros,
+    sequence: u64,
 }
 
-/// What is idle.
+/// The idle connections of a pool.
 #[derive(Default)]
-struct Waiting {
-    /// Of each server in the order in which they were put by.
-    by_server: HashMap<ServerId, VecDeque<Idle>, FixedState>,
-    /// Of all servers in that order. Some are no longer there: as many as are, and a few more, at most.
+struct IdleConnections {
+    /// For each server, in the order in which the connections became idle.
+    by_server: HashMap<ServerId, VecDeque<IdleConnection>, FixedState>,
+    /// The same order across all servers. May contain entries that are gone: at most as many as there are connections, plus 64.
     order: VecDeque<(u64, ServerId)>,
     count: usize,
-    numbered: u64,
-    /// Where the next sweep looks on.
-    looked_at: u64,
+    last_sequence: u64,
+    /// The sequence number after which the next sweep continues.
+    checked_up_to: u64,
 }
 
-impl Waiting {
-    fn put(&mut self, lease: PooledConnection, since: Micros) {
-        self.numbered += 1;
-        let (number, server) = (self.numbered, lease.server);
-        self.by_server.entry(server).or_default().push_back(Idle {
-            lease,
-            since,
-            number,
-        });
-        self.order.push_back((number, server));
+impl IdleConnections {
+    fn insert(&mut self, connection: PooledConnection, idle_since: Micros) {
+        self.last_sequence += 1;
+        let (sequence, server) = (self.last_sequence, connection.server);
+        self.by_server
+            .entry(server)
+            .or_default()
+            .push_back(IdleConnection {
+                connection,
+                idle_since,
+                sequence,
+            });
+        self.order.push_back((sequence, server));
         self.count += 1;
         if self.order.len() > 2 * self.count + 64 {
             let by_server = &self.by_server;
             self.order
-                .retain(|(number, server)| place(by_server, *server, *number).is_some());
+                .retain(|(sequence, server)| position(by_server, *server, *sequence).is_some());
         }
     }
 
@@ -98,21 +101,21 @@
         self.count -= self
             .by_server
             .remove(&server)
-            .map_or(0, |waiting| waiting.len());
+            .map_or(0, |of_server| of_server.len());
     }
 
-    fn remove(&mut self, server: ServerId, at: usize) -> Option<Idle> {
-        let found = self.by_server.get_mut(&server)?.remove(at)?;
+    fn remove(&mut self, server: ServerId, index: usize) -> Option<IdleConnection> {
+        let found = self.by_server.get_mut(&server)?.remove(index)?;
         self.count -= 1;
         Some(found)
     }
 
-    /// The one that has been idle for longest.
-    fn oldest(&mut self) -> Option<&Idle> {
-        while let Some((number, server)) = self.order.front() {
-            // It is the first of its server, or it is not there any more.
+    /// The connection that has been idle for the longest time.
+    fn oldest(&mut self) -> Option<&IdleConnection> {
+        while let Some((sequence, server)) = self.order.front() {
+            // It is the first of its server, or it is gone.
             let first = self.by_server.get(server).and_then(VecDeque::front);
-            if first.is_some_and(|idle| idle.number == *number) {
+            if first.is_some_and(|idle| idle.sequence == *sequence) {
                 break;
             }
             self.order.pop_front();
@@ -122,72 +125,77 @@
     }
 
     fn drop_oldest(&mut self) -> bool {
-        let server = self.oldest().map(|idle| idle.lease.server);
+        let server = self.oldest().map(|idle| idle.connection.server);
         server.and_then(|server| self.remove(server, 0)).is_some()
     }
 
-    /// Drops those that have broken among the next few.
-    fn look(&mut self) {
+    /// Closes those of the next few connections that the server has closed or sent bytes on.
+    fn close_next_disconnected(&mut self) {
         let from = self
             .order
-            .partition_point(|(number, _)| *number <= self.looked_at);
-        let next: Vec<(u64, ServerId)> = self.order.range(from..).take(AT_ONCE).copied().collect();
-        self.looked_at = next
+            .partition_point(|(sequence, _)| *sequence <= self.checked_up_to);
+        let next: Vec<(u64, ServerId)> = self
+            .order
+            .range(from..)
+            .take(MAX_CHECKED_AT_ONCE)
+            .copied()
+            .collect();
+        self.checked_up_to = next
             .last()
-            .filter(|_| next.len() == AT_ONCE)
-            .map_or(0, |(number, _)| *number);
-        for (number, server) in next {
-            let Some(at) = place(&self.by_server, server, number) else {
+            .filter(|_| next.len() == MAX_CHECKED_AT_ONCE)
+            .map_or(0, |(sequence, _)| *sequence);
+        for (sequence, server) in next {
+            let Some(index) = position(&self.by_server, server, sequence) else {
                 continue;
             };
             let idle = self
                 .by_server
                 .get(&server)
-                .and_then(|waiting| waiting.get(at));
-            if idle.is_some_and(|idle| !is_open_and_silent(&idle.lease.stream)) {
-                self.remove(server, at);
+                .and_then(|of_server| of_server.get(index));
+            if idle.is_some_and(|idle| !is_open_and_silent(&idle.connection.stream)) {
+                self.remove(server, index);
             }
         }
     }
 }
 
-fn place(
-    by_server: &HashMap<ServerId, VecDeque<Idle>, FixedState>,
+fn position(
+    by_server: &HashMap<ServerId, VecDeque<IdleConnection>, FixedState>,
     server: ServerId,
-    number: u64,
+    sequence: u64,
 ) -> Option<usize> {
-    let waiting = by_server.get(&server)?;
-    // Most of those that are asked for have gone, and were older.
-    if waiting.front()?.number > number {
+    let of_server = by_server.get(&server)?;
+    // Most requested entries are gone and were older.
+    if of_server.front()?.sequence > sequence {
         return None;
     }
-    waiting
-        .binary_search_by_key(&number, |idle| idle.number)
+    of_server
+        .binary_search_by_key(&sequence, |idle| idle.sequence)
         .ok()
 }
 
 /// Why there is no connection.
 pub(super) enum ConnectError {
-    /// The server is not reached.
+    /// The server could not be reached.
     Failed,
-    /// This sidecar has no descriptor left for it.
+    /// A connection, file descriptor or memory limit of this sidecar is reached.
     NoCapacity,
 }
 
 /// All connections to the servers of a pool.
 pub(super) struct Connections {
-    waiting: RefCell<Waiting>,
-    servers: RefCell<HashMap<ServerId, Rc<Server>, FixedState>>,
-    /// When an answer last came from a server.
-    heard: RefCell<HashMap<ServerId, Micros, FixedState>>,
-    /// When one last broke.
-    broke: Cell<Option<Micros>>,
+    idle_connections: RefCell<IdleConnections>,
+    servers: RefCell<HashMap<ServerId, Rc<ServerConnections>, FixedState>>,
+    /// When the last response was received from each server.
+    last_response: RefCell<HashMap<ServerId, Micros, FixedState>>,
+    /// When a connection last broke.
+    last_break: Cell<Option<Micros>>,
     process: Rc<ProcessState>,
-    /// What this pool may have open.
+    /// This pool's share of the connection limit.
     pub(super) slots: LimitShare,
     idle_for: Cell<Micros>,
     connect_timeout: Cell<Micros>,
-    /// Opened since the start.
+    /// Connections opened since the start.
     opened: Cell<u64>,
 }
 
@@ -195,58 +203,61 @@
     pub(super) fn new(
         process: &Rc<ProcessState>,
         slots: LimitShare,
-        idle: Micros,
+        server_idle_timeout: Micros,
         connect_timeout: Micros,
     ) -> Self {
         Connections {
-            waiting: RefCell::default(),
+            idle_connections: RefCell::default(),
             servers: RefCell::default(),
-            heard: RefCell::default(),
-            broke: Cell::new(None),
+            last_response: RefCell::default(),
+            last_break: Cell::new(None),
             process: Rc::clone(process),
             slots,
-            idle_for: Cell::new(stays_for(idle)),
+            idle_for: Cell::new(max_idle_time(server_idle_timeout)),
             connect_timeout: Cell::new(connect_timeout),
             opened: Cell::new(0),
         }
     }
 
-    /// Takes over other times.
-    pub(super) fn set_timeouts(&self, idle: Micros, connect_timeout: Micros) {
-        self.idle_for.set(stays_for(idle));
+    pub(super) fn set_timeouts(&self, server_idle_timeout: Micros, connect_timeout: Micros) {
+        self.idle_for.set(max_idle_time(server_idle_timeout));
         self.connect_timeout.set(connect_timeout);
     }
 
-    /// A connection to this server: of those seen quiet the one used last, since the others may then grow old,
-    /// or a new one.
+    /// Returns a connection to this server: the most recently used idle one that received nothing since, so that the others can
+    /// expire, or a new one.
     pub(super) async fn acquire(
         &self,
         server: ServerId,
         address: SocketAddr,
     ) -> Result<PooledConnection, ConnectError> {
         match self.take_idle(server) {
-            Some(lease) => Ok(lease),
+            Some(connection) => Ok(connection),
             None => self.open(server, address).await,
         }
     }
 
-    /// Costs little more however many are idle: they lie in the order in which they were put by, so what is too old
-    /// is at the front, and what is still to be seen quiet at the back.
+    /// The cost hardly depends on the number of idle connections: they are kept in the order in which they became idle, so the
+    /// expired ones are at the front and those not yet reusable at the back.
     fn take_idle(&self, server: ServerId) -> Option<PooledConnection> {
         let now = self.process.clock.now();
-        let waiting = &mut *self.waiting.borrow_mut();
-        let of_server = waiting.by_server.get_mut(&server)?;
-        let is_old = |idle: &Idle| now.saturating_sub(idle.since) >= self.idle_for.get();
-        let dropped = of_server.partition_point(is_old).min(AT_ONCE);
+        let idle_connections = &mut *self.idle_connections.borrow_mut();
+        let of_server = idle_connections.by_server.get_mut(&server)?;
+        let is_expired =
+            |idle: &IdleConnection| now.saturating_sub(idle.idle_since) >= self.idle_for.get();
+        let dropped = of_server
+            .partition_point(is_expired)
+            .min(MAX_CHECKED_AT_ONCE);
         of_server.drain(..dropped);
-        waiting.count -= dropped;
-        let old = of_server.partition_point(is_old);
-        let quiet = of_server.partition_point(|idle| now.saturating_sub(idle.since) >= QUIET);
-        // What is too old or has broken beyond so many is left to the sweep.
-        for at in (old..quiet).rev().take(AT_ONCE) {
-            let found = waiting.remove(server, at)?;
-            if is_open_and_silent(&found.lease.stream) {
-                return Some(found.lease);
+        idle_connections.count -= dropped;
+        let expired = of_server.partition_point(is_expired);
+        let reusable =
+            of_server.partition_point(|idle| now.saturating_sub(idle.idle_since) >= REUSE_DELAY);
+        // Further expired or broken connections are left to the sweep.
+        for index in (expired..reusable).rev().take(MAX_CHECKED_AT_ONCE) {
+            let found = idle_connections.remove(server, index)?;
+            if is_open_and_silent(&found.connection.stream) {
+                return Some(found.connection);
             }
         }
         None
@@ -258,188 +269,201 @@
         address: SocketAddr,
     ) -> Result<PooledConnection, ConnectError> {
         let of_server = self.server(server);
-        // Not to fail: nobody closes it.
-        let opening = of_server
-            .opening
+        // Can't fail: the semaphore is never closed.
+        let connect_permit = of_server
+            .connect_permits
             .acquire()
             .await
             .map_err(|_| ConnectError::Failed)?;
-        let (seat, place) = self.seat(&of_server).ok_or(ConnectError::NoCapacity)?;
-        let came = self
+        let (slot, guard) = self
+            .reserve_slot(&of_server)
+            .ok_or(ConnectError::NoCapacity)?;
+        let result = self
             .process
             .timeout(self.connect_timeout.get(), self.process.connect(address))
             .await;
         super::event_log::opened(
             self.process.clock.now(),
             server,
-            matches!(came, Some(Ok(_))),
+            matches!(result, Some(Ok(_))),
         );
-        let stream = match came {
+        let stream = match result {
             Some(Ok(stream)) => stream,
             None if self.process.descriptors_exhausted() => {
-                tracing::warn!(%server, "no descriptor or no memory for a connection to {address}");
+                tracing::warn!(%server, "file descriptor or memory limit reached; can't connect to {address}");
                 return Err(ConnectError::NoCapacity);
             }
             _ => return Err(ConnectError::Failed),
         };
-        // Only a delay is lost where this cannot be set.
+        // Failing to set this only adds latency.
         let _ = stream.set_nodelay(true);
         self.opened.set(self.opened.get() + 1);
-        drop(opening);
+        drop(connect_permit);
         Ok(PooledConnection {
             stream,
             reused: false,
             server,
-            _seat: seat,
-            _place: place,
+            _slot: slot,
+            _guard: guard,
         })
     }
 
-    fn server(&self, server: ServerId) -> Rc<Server> {
+    fn server(&self, server: ServerId) -> Rc<ServerConnections> {
         let mut servers = self.servers.borrow_mut();
         let new = || {
-            Rc::new(Server {
-                open: Cell::new(0),
-                opening: Semaphore::new(MAX_CONNECTING_PER_SERVER),
+            Rc::new(ServerConnections {
+                open_count: Cell::new(0),
+                connect_permits: Semaphore::new(MAX_CONNECTING_PER_SERVER),
             })
         };
         Rc::clone(servers.entry(server).or_insert_with(new))
     }
 
-    /// A place for a new connection; what lies idle for longest makes room for it, here or where it is borrowed. One
-    /// server alone never has more than three quarters of all, so one that hangs leaves some to the others.
-    fn seat(&self, server: &Rc<Server>) -> Option<(Reservation, Place)> {
-        let most = usize::try_from(self.slots.usage().part.most).unwrap_or(usize::MAX);
-        if server.open.get() >= (most - most / 4).max(1) {
+    /// Reserves a slot for a new connection. If none is free, evicts the connection that has been idle the longest, in this pool
+    /// or in one that uses more than its guaranteed share. One server has at most three quarters of the pool's connections, so
+    /// that a server that hangs leaves some for the others.
+    fn reserve_slot(
+        &self,
+        server: &Rc<ServerConnections>,
+    ) -> Option<(Reservation, OpenConnectionGuard)> {
+        let max_open = usize::try_from(self.slots.usage().part.most).unwrap_or(usize::MAX);
+        if server.open_count.get() >= (max_open - max_open / 4).max(1) {
             return None;
         }
-        let seat = self.slots.reserve(1).ok().or_else(|| {
+        let slot = self.slots.reserve(1).ok().or_else(|| {
             if !self.close_oldest_idle() {
                 self.process.reclaim_server_connection();
             }
             self.slots.reserve(1).ok()
         })?;
-        server.open.set(server.open.get() + 1);
-        Some((seat, Place(Rc::clone(server))))
+        server.open_count.set(server.open_count.get() + 1);
+        Some((slot, OpenConnectionGuard(Rc::clone(server))))
     }
 
-    /// Puts a connection by for the next flow. Its answer must have been read whole, and nothing behind it.
-    pub(super) fn release(&self, mut lease: PooledConnection) {
-        lease.reused = true;
-        self.waiting
+    /// Returns a connection for reuse. Its response must have been read completely, with no bytes after it.
+    pub(super) fn release(&self, mut connection: PooledConnection) {
+        connection.reused = true;
+        self.idle_connections
             .borrow_mut()
-            .put(lease, self.process.clock.now());
+            .insert(connection, self.process.clock.now());
     }
 
-    /// An answer has come from there.
+    /// Records that a response was received from this server.
     pub(super) fn record_response(&self, server: ServerId) {
-        self.heard
+        self.last_response
             .borrow_mut()
             .insert(server, self.process.clock.now());
     }
 
-    /// Nothing came for a flow that was sent then. If nothing has come from there at all since, the machine may
-    /// be cut off: open connections stay open and silent then, and each would cost a request its whole time.
-    /// A new one that does not come up proves at once that nothing ran.
-    pub(super) fn drop_idle_if_silent(&self, server: ServerId, sent: Micros) {
+    /// Closes the server's idle connections if no response was received from it since `sent_at`, when an attempt that timed out
+    /// was sent. The machine may be cut off from the network: its connections then stay open and silent, and each would cost a
+    /// request its whole time limit, while a new connection that can't be established proves at once that nothing ran.
+    pub(super) fn drop_idle_if_silent(&self, server: ServerId, sent_at: Micros) {
         if self
-            .heard
+            .last_response
             .borrow()
             .get(&server)
-            .is_none_or(|heard| *heard < sent)
+            .is_none_or(|received_at| *received_at < sent_at)
         {
-            self.waiting.borrow_mut().remove_server(server);
+            self.idle_connections.borrow_mut().remove_server(server);
         }
     }
 
-    /// A connection broke under a request. For a while others are held to break as well.
+    /// Records that a connection broke during a request. For [`BREAKING_PERIOD`] others are expected to break as well.
     pub(super) fn record_break(&self) {
-        self.broke.set(Some(self.process.clock.now()));
+        self.last_break.set(Some(self.process.clock.now()));
     }
 
     pub(super) fn recently_broke(&self) -> bool {
-        self.broke
+        self.last_break
             .get()
-            .is_some_and(|at| self.process.clock.now().saturating_sub(at) < BREAKING)
+            .is_some_and(|at| self.process.clock.now().saturating_sub(at) < BREAKING_PERIOD)
     }
 
-    /// Drops what lies idle for a server that gets nothing new any more.
+    /// Closes the idle connections of a server that gets no new attempts.
     pub(super) fn remove_server(&self, server: ServerId) {
-        self.waiting.borrow_mut().remove_server(server);
-        self.heard.borrow_mut().remove(&server);
+        self.idle_connections.borrow_mut().remove_server(server);
+        self.last_response.borrow_mut().remove(&server);
     }
 
-    /// Drops what has been idle for too long, some of it: true where more is left.
+    /// Closes expired idle connections, [`MAX_CHECKED_AT_ONCE`] at most. Returns true if more are left.
     pub(super) fn close_expired(&self) -> bool {
         let now = self.process.clock.now();
-        let old = |since: Micros| now.saturating_sub(since) >= self.idle_for.get();
-        let mut waiting = self.waiting.borrow_mut();
-        for _ in 0..AT_ONCE {
-            if !waiting.oldest().is_some_and(|idle| old(idle.since)) {
+        let is_expired = |idle_since: Micros| now.saturating_sub(idle_since) >= self.idle_for.get();
+        let mut idle_connections = self.idle_connections.borrow_mut();
+        for _ in 0..MAX_CHECKED_AT_ONCE {
+            if !idle_connections
+                .oldest()
+                .is_some_and(|idle| is_expired(idle.idle_since))
+            {
                 return false;
             }
-            waiting.drop_oldest();
+            idle_connections.drop_oldest();
         }
         true
     }
 
-    /// Drops of a bounded number of idle connections what the other side has closed, and forgets servers that nobody
-    /// asks for. To be called once a second.
+    /// Checks a bounded number of idle connections and closes those that their servers have closed; removes the entries of
+    /// servers without connections. To be called once a second.
     pub(super) fn sweep(&self) {
         let now = self.process.clock.now();
-        let old = |since: Micros| now.saturating_sub(since) >= self.idle_for.get();
-        let mut waiting = self.waiting.borrow_mut();
-        waiting.look();
-        waiting
+        let is_expired = |idle_since: Micros| now.saturating_sub(idle_since) >= self.idle_for.get();
+        let mut idle_connections = self.idle_connections.borrow_mut();
+        idle_connections.close_next_disconnected();
+        idle_connections
             .by_server
             .retain(|_, of_server| !of_server.is_empty());
-        self.heard.borrow_mut().retain(|_, at| !old(*at));
-        // Those that nobody has a connection to, or waits for.
+        self.last_response
+            .borrow_mut()
+            .retain(|_, at| !is_expired(*at));
+        // Removes servers without open or waiting connections.
         self.servers
             .borrow_mut()
             .retain(|_, server| Rc::strong_count(server) > 1);
     }
 
-    /// Makes room for a new connection. False where none is idle.
+    /// Evicts the connection that has been idle the longest. Returns false if none is idle.
     pub(super) fn close_oldest_idle(&self) -> bool {
-        self.waiting.borrow_mut().drop_oldest()
+        self.idle_connections.borrow_mut().drop_oldest()
     }
 
-    /// Since when the one has been idle that has been so for longest.
+    /// Since when the longest idle connection has been idle.
     pub(super) fn oldest_idle_since(&self) -> Option<Micros> {
-        self.waiting.borrow_mut().oldest().map(|idle| idle.since)
+        self.idle_connections
+            .borrow_mut()
+            .oldest()
+            .map(|idle| idle.idle_since)
     }
 
-    /// Drops all that is idle.
     pub(super) fn close_all_idle(&self) {
-        *self.waiting.borrow_mut() = Waiting::default();
+        *self.idle_connections.borrow_mut() = IdleConnections::default();
     }
 
-    /// How many are idle.
     pub(super) fn idle_count(&self) -> usize {
-        self.waiting.borrow().count
+        self.idle_connections.borrow().count
     }
 
-    /// How many have been opened since the start.
+    /// The number of connections opened since the start.
     pub(super) fn opened_count(&self) -> u64 {
         self.opened.get()
     }
 }
 
-/// The other side closes at this age at the latest: a request written then would be lost.
-fn stays_for(idle: Micros) -> Micros {
-    idle / 10 * 8
+/// The maximum idle time of a connection: 80% of the time after which the server closes it, since a request written at that
+/// moment would be lost.
+fn max_idle_time(server_idle_timeout: Micros) -> Micros {
+    server_idle_timeout / 10 * 8
 }
 
-/// Whether an error tells that this process or machine has no descriptor left, or no memory for its sockets: that is its
-/// own want, and says nothing of whoever is at the other end.
-pub(super) fn is_resource_exhaustion(problem: &std::io::Error) -> bool {
+/// Whether an error means that this process or machine has run out of file descriptors or of memory for sockets. Such an
+/// error is local and says nothing about the peer.
+pub(super) fn is_resource_exhaustion(error: &std::io::Error) -> bool {
     const ENOMEM: i32 = 12;
     const ENFILE: i32 = 23;
     const EMFILE: i32 = 24;
     const ENOBUFS: i32 = 105;
     matches!(
-        problem.raw_os_error(),
+        error.raw_os_error(),
         Some(ENOMEM | ENFILE | EMFILE | ENOBUFS)
     )
 }
@@ -449,10 +473,10 @@
     use super::is_resource_exhaustion;
     use std::io::Error;
 
-    /// A want of one's own says nothing of whoever is at the other end.
+    /// An exhausted local resource must not count as a failure of the server.
     #[test]
-    fn an_own_want_is_told_from_a_server_that_fails() {
-        for (number, own) in [
+    fn exhausted_local_resources_are_distinguished_from_a_failing_server() {
+        for (number, is_local) in [
             (12, true),
             (23, true),
             (24, true),
@@ -463,7 +487,7 @@
         ] {
             assert_eq!(
                 is_resource_exhaustion(&Error::from_raw_os_error(number)),
-                own,
+                is_local,
                 "{number}"
             );
         }
--- a/crates/sidecar/src/exchange.rs
+++ b/crates/sidecar/src/exchange.rs
@@ -1,17 +1,17 @@
-//! One request and its answer over a connection to a server.
+//! One HTTP/1.1 request and its response over a connection to a server.
 //!
-//! Written and read here, in the task of the request itself: there is no task for each connection, nothing is passed
-//! between tasks, and how many bytes of a request have left is known exactly. The syntax is read by `httparse`; what
-//! of it this side accepts:
+//! The task of the request itself writes and reads the connection: there is no task per connection, no data is passed
+//! between tasks, and it is known exactly how many bytes of a request were written. `httparse` parses the syntax. These
+//! responses are accepted:
 //!
-//! | an answer has | it ends |
+//! | response | end of the body |
 //! | --- | --- |
-//! | 204 or 304 | with its head |
-//! | `Transfer-Encoding: chunked`, alone | with its last chunk |
-//! | another `Transfer-Encoding`, or several | it makes no sense |
-//! | `Content-Length`, all of them equal | after so many bytes |
-//! | neither | with the connection |
-//! | 1xx but for 101 | it is passed over; the answer is yet to come |
+//! | status 204 or 304 | no body |
+//! | one `Transfer-Encoding: chunked` | the last chunk |
+//! | another `Transfer-Encoding`, or several | rejected as malformed |
+//! | `Content-Length`, all of them equal | after that many bytes |
+//! | neither header | the end of the connection |
+//! | status 1xx except 101 | skipped; the final response follows |
 
 use super::MAX_BUFFERED_BODY_BYTES;
 use super::attempt::HOP_BY_HOP_HEADERS;
@@ -28,19 +28,19 @@
 use tokio::net::TcpStream;
 use tokio::task::consume_budget;
 
-/// What is read at once; most answers are shorter.
-const READ: usize = 1 << 10;
-/// A head, and a line between chunks, hold this much at most.
-const HEAD: usize = 16 << 10;
-/// Headers of an answer, at most.
-const HEADERS: usize = 100;
+/// Minimum size of one read, in bytes. Most responses are shorter.
+const MIN_READ_BYTES: usize = 1 << 10;
+/// Maximum length of a head, and of a line between chunks, in bytes.
+const MAX_HEAD_BYTES: usize = 16 << 10;
+/// Maximum number of headers of a response.
+const MAX_HEADERS: usize = 100;
 
-/// Why there is no answer.
+/// Why there is no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ExchangeError {
-    /// The connection broke or ended.
+    /// The connection failed or was closed.
     Connection,
-    /// What came is no answer, or one that holds too much.
+    /// The response is not valid HTTP or exceeds a limit.
     Malformed,
 }
 
@@ -50,14 +50,14 @@
     }
 }
 
-/// A request as it goes out.
+/// A serialized request.
 pub(super) struct RequestMessage {
     head: Vec<u8>,
     body: Bytes,
 }
 
 impl RequestMessage {
-    /// A request without headers.
+    /// Starts a request without headers.
     pub(super) fn new(method: &Method, target: &str) -> Self {
         let mut head = Vec::with_capacity(512);
         for part in [method.as_str(), " ", target, " HTTP/1.1\r\n"] {
@@ -69,12 +69,12 @@
         }
     }
 
-    /// Adds a header. The types see to it that neither holds the end of a line.
+    /// Adds a header. The types guarantee that neither the name nor the value contains a line break.
     pub(super) fn add_header(&mut self, name: &HeaderName, value: &HeaderValue) {
-        self.line(name, value.as_bytes());
+        self.add_line(name, value.as_bytes());
     }
 
-    /// Adds a header that holds a number.
+    /// Adds a header with a decimal number as its value.
     pub(super) fn add_number_header(&mut self, name: &HeaderName, mut value: u64) {
         let mut digits = [0; 20];
         let mut first = digits.len();
@@ -86,16 +86,16 @@
                 break;
             }
         }
-        self.line(name, &digits[first..]);
+        self.add_line(name, &digits[first..]);
     }
 
-    fn line(&mut self, name: &HeaderName, value: &[u8]) {
+    fn add_line(&mut self, name: &HeaderName, value: &[u8]) {
         for part in [name.as_str().as_bytes(), b": ", value, b"\r\n"] {
             self.head.extend_from_slice(part);
         }
     }
 
-    /// Ends the head, with this body behind it.
+    /// Ends the head and sets the body.
     pub(super) fn finish(&mut self, body: Bytes) {
         self.head.extend_from_slice(b"\r\n");
         self.body = body;
@@ -105,7 +105,7 @@
         self.head.len() + self.body.len()
     }
 
-    /// Writes from this byte on up to `end`, for as long as the connection takes it.
+    /// Writes bytes `from..end` of head and body, as many as the socket accepts without blocking.
     fn write(&self, stream: &TcpStream, from: usize, end: usize) -> io::Result<usize> {
         let head = self.head.len();
         if from >= head {
@@ -122,30 +122,30 @@
     }
 }
 
-/// How far the writing of a request has come.
+/// How much of a request was written.
 #[derive(Default)]
 pub(super) struct SendProgress {
-    /// Not one byte has left as long as this is false.
+    /// At least one byte was written.
     pub(super) started: Cell<bool>,
-    /// Its last byte has left.
+    /// The last byte was written.
     pub(super) complete: Cell<bool>,
 }
 
-/// Writes a request. With a hold, its last byte leaves only after that, and only if the connection has stood until
-/// then. A server that answers or closes before it has had all gets no more; what it says is there to be read.
+/// Writes a request. With a `delay`, the last byte is written only after it has ended, and only if the connection is still
+/// open then. Stops if the server responds or closes the connection early; its response can be read afterwards.
 pub(super) async fn send(
     stream: &TcpStream,
     message: &RequestMessage,
-    hold: Option<impl Future<Output = ()>>,
+    delay: Option<impl Future<Output = ()>>,
     progress: &SendProgress,
 ) -> Result<(), ExchangeError> {
     let length = message.len();
     let mut sent = 0;
-    if let Some(hold) = hold {
+    if let Some(delay) = delay {
         if !write_up_to(stream, message, &mut sent, length - 1, progress).await? {
             return Ok(());
         }
-        hold.await;
+        delay.await;
         if !is_open_and_silent(stream) {
             return Ok(());
         }
@@ -156,7 +156,7 @@
     Ok(())
 }
 
-/// Writes bytes behind what has gone out already. False where the server has answered or closed before that.
+/// Writes further bytes of a request. Returns false if the server responded or closed the connection first.
 pub(super) async fn write_body(stream: &TcpStream, bytes: &[u8]) -> Result<bool, ExchangeError> {
     write_all(stream, &mut 0, bytes.len(), |from| {
         stream.try_write(&bytes[from..])
@@ -164,7 +164,7 @@
     .await
 }
 
-/// False where the server has answered or closed before that.
+/// Writes a request up to byte `end`. Returns false if the server responded or closed the connection first.
 async fn write_up_to(
     stream: &TcpStream,
     message: &RequestMessage,
@@ -182,7 +182,8 @@
     write_all(stream, sent, end, write).await
 }
 
-/// Has `write` called with how much is sent until that is all. False where the server has answered or closed before.
+/// Calls `write` with the number of bytes already sent until all are. Returns false if the server responded or closed the
+/// connection first.
 async fn write_all(
     stream: &TcpStream,
     sent: &mut usize,
@@ -210,7 +211,7 @@
     Ok(true)
 }
 
-/// How a body ends.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Framing {
     Length(usize),
@@ -218,22 +219,22 @@
     Close,
 }
 
-/// Takes a body out of its wrapping, piece by piece.
+/// Decodes the transfer coding of a body incrementally. The value is what the decoder expects next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum BodyDecoder {
-    /// So many bytes are to come.
+    /// This many bytes of the body.
     Length(u64),
-    /// Of the present chunk; behind it comes the end of its line.
+    /// This many bytes of the current chunk, then [`BodyDecoder::ChunkEnd`].
     Chunk(u64),
-    /// The end of a chunk's line.
+    /// The line break after a chunk's data.
     ChunkEnd,
-    /// The line with a chunk's size.
+    /// The line with the next chunk's size.
     ChunkSizeLine,
-    /// Lines behind the last chunk.
+    /// Trailers after the last chunk.
     Trailers,
-    /// All that comes, to the end of the connection.
+    /// All bytes up to the end of the connection.
     Close,
-    /// It has ended.
+    /// Nothing; the body has ended.
     Complete,
 }
 
@@ -255,7 +256,7 @@
         self == BodyDecoder::Close
     }
 
-    /// How much is to come, where that is known.
+    /// The number of body bytes still to come, if it is known.
     pub(super) fn remaining(self) -> Option<u64> {
         match self {
             BodyDecoder::Length(left) => Some(left),
@@ -264,7 +265,7 @@
         }
     }
 
-    /// The next piece out of what was read; none where more must be read, or where it has ended.
+    /// Decodes the next piece of what was read. None if more has to be read or the body has ended.
     pub(super) fn decode(&mut self, unread: &mut BytesMut) -> Result<Option<Bytes>, ExchangeError> {
         loop {
             if unread.is_empty() {
@@ -305,10 +306,12 @@
                             BodyDecoder::Chunk(size)
                         };
                     }
-                    Ok(httparse::Status::Partial) if unread.len() < HEAD => return Ok(None),
+                    Ok(httparse::Status::Partial) if unread.len() < MAX_HEAD_BYTES => {
+                        return Ok(None);
+                    }
                     _ => return Err(ExchangeError::Malformed),
                 },
-                // Trailers are about the message itself and go no further.
+                // Trailers apply to this message only and are not forwarded.
                 BodyDecoder::Trailers => match unread.iter().position(|byte| *byte == b'\n') {
                     Some(end) => {
                         let line = unread.split_to(end + 1);
@@ -316,7 +319,7 @@
                             *self = BodyDecoder::Complete;
                         }
                     }
-                    None if unread.len() < HEAD => return Ok(None),
+                    None if unread.len() < MAX_HEAD_BYTES => return Ok(None),
                     None => return Err(ExchangeError::Malformed),
                 },
             }
@@ -324,23 +327,23 @@
     }
 }
 
-/// The head of an answer.
+/// The head of a response.
 #[derive(Debug)]
 pub(super) struct ResponseHead {
     pub(super) status: StatusCode,
     pub(super) headers: HeaderMap,
     framing: Framing,
-    /// The server keeps the connection.
+    /// The server keeps the connection open.
     pub(super) keep_alive: bool,
 }
 
-/// An answer on its way.
+/// Reads one response.
 #[derive(Default)]
 pub(super) struct ResponseReader {
     unread: BytesMut,
 }
 
-/// A body, read whole.
+/// A body that was completely read.
 #[derive(Debug)]
 pub(super) struct CompleteBody {
     pub(super) body: Bytes,
@@ -352,49 +355,51 @@
 #[derive(Debug)]
 pub(super) enum BodyRead {
     Complete(CompleteBody),
-    /// It goes on: its beginning, and how the rest is to be read.
+    /// More follows: the part decoded so far, and the decoder for the rest.
     Partial {
-        first: Bytes,
-        unwrapper: BodyDecoder,
+        decoded: Bytes,
+        decoder: BodyDecoder,
     },
 }
 
 impl ResponseReader {
-    /// Reads the head.
+    /// Reads the head of the final response and skips informational ones.
     pub(super) async fn read_head(
         &mut self,
         stream: &mut TcpStream,
     ) -> Result<ResponseHead, ExchangeError> {
         loop {
             while !self.unread.is_empty() {
-                match parse(&mut self.unread)? {
+                match parse_head(&mut self.unread)? {
                     Some(head) if !head.status.is_informational() => return Ok(head),
                     Some(head) if head.status == StatusCode::SWITCHING_PROTOCOLS => {
                         return Err(ExchangeError::Malformed);
                     }
                     Some(_) => {}
-                    None if self.unread.len() >= HEAD => return Err(ExchangeError::Malformed),
+                    None if self.unread.len() >= MAX_HEAD_BYTES => {
+                        return Err(ExchangeError::Malformed);
+                    }
                     None => break,
                 }
             }
-            if !self.more(stream, READ).await? {
+            if !self.read_more(stream, MIN_READ_BYTES).await? {
                 return Err(ExchangeError::Connection);
             }
         }
     }
 
-    /// The body, if all of it is here already.
+    /// The body, if it was read completely with the head.
     pub(super) fn take_buffered_body(&mut self, head: &ResponseHead) -> Option<CompleteBody> {
         match head.framing {
             Framing::Length(length) if self.unread.len() >= length => {
                 let body = self.unread.split_to(length).freeze();
-                Some(self.end(head, body))
+                Some(self.complete(head, body))
             }
             _ => None,
         }
     }
 
-    /// Reads the body, as much of it as is taken whole.
+    /// Reads a body that has to fit the buffer limit.
     pub(super) async fn read_complete_body(
         &mut self,
         head: &ResponseHead,
@@ -407,68 +412,73 @@
         }
     }
 
-    /// Reads the body whole, or so much of it as shows that it is too long for that, or as has come until `patience`
-    /// ends: a body of unknown length may be a long one that comes slowly. One of which nothing comes until what `stalls`
-    /// makes has ended is given up.
+    /// Reads the body until it is complete, or known to be too long to be buffered, or, if its length is unknown, until
+    /// `buffering_timeout` ends: it may be a long one that arrives slowly. Fails when no byte arrives before a future made by
+    /// `stall_timeout` ends.
     pub(super) async fn read_body_start<S: Future<Output = ()>>(
         &mut self,
         head: &ResponseHead,
         stream: &mut TcpStream,
-        patience: impl Future<Output = ()>,
-        stalls: impl Fn() -> S,
+        buffering_timeout: impl Future<Output = ()>,
+        stall_timeout: impl Fn() -> S,
     ) -> Result<BodyRead, ExchangeError> {
-        let mut patience = std::pin::pin!(patience);
-        let mut unwrapper = BodyDecoder::new(head.framing);
+        let mut buffering_timeout = std::pin::pin!(buffering_timeout);
+        let mut decoder = BodyDecoder::new(head.framing);
         let mut body = BytesMut::new();
         if matches!(head.framing, Framing::Length(length) if length > MAX_BUFFERED_BODY_BYTES) {
             return Ok(BodyRead::Partial {
-                first: Bytes::new(),
-                unwrapper,
+                decoded: Bytes::new(),
+                decoder,
             });
         }
-        let mut impatient = false;
+        let mut buffering_timed_out = false;
         loop {
-            while let Some(piece) = unwrapper.decode(&mut self.unread)? {
+            while let Some(piece) = decoder.decode(&mut self.unread)? {
                 body.extend_from_slice(&piece);
             }
-            if unwrapper.is_complete() {
-                return Ok(BodyRead::Complete(self.end(head, body.freeze())));
+            if decoder.is_complete() {
+                return Ok(BodyRead::Complete(self.complete(head, body.freeze())));
             }
-            if body.len() > MAX_BUFFERED_BODY_BYTES || (impatient && !body.is_empty()) {
+            if body.len() > MAX_BUFFERED_BODY_BYTES || (buffering_timed_out && !body.is_empty()) {
                 return Ok(BodyRead::Partial {
-                    first: body.freeze(),
-                    unwrapper,
+                    decoded: body.freeze(),
+                    decoder,
                 });
             }
-            let wanted = unwrapper.remaining().map_or(READ, |left| left as usize);
-            let mut at_end = true;
+            let wanted = decoder
+                .remaining()
+                .map_or(MIN_READ_BYTES, |left| left as usize);
+            let mut at_connection_end = true;
             let more = {
-                let mut more = std::pin::pin!(self.more(stream, wanted));
-                let mut stalled = std::pin::pin!(stalls());
-                // Of a known length nothing is to be gained by passing on what is short.
-                let known = matches!(head.framing, Framing::Length(_));
+                let mut more = std::pin::pin!(self.read_more(stream, wanted));
+                let mut stall_timer = std::pin::pin!(stall_timeout());
+                // A body of known length that fits the buffer is short, so streaming it gains nothing.
+                let has_known_length = matches!(head.framing, Framing::Length(_));
                 poll_fn(|context| {
                     if let std::task::Poll::Ready(more) = more.as_mut().poll(context) {
                         return std::task::Poll::Ready(Some(more));
                     }
-                    if !known && !impatient && patience.as_mut().poll(context).is_ready() {
+                    if !has_known_length
+                        && !buffering_timed_out
+                        && buffering_timeout.as_mut().poll(context).is_ready()
+                    {
                         return std::task::Poll::Ready(None);
                     }
-                    stalled.as_mut().poll(context).map(|()| {
-                        at_end = false;
+                    stall_timer.as_mut().poll(context).map(|()| {
+                        at_connection_end = false;
                         Some(Ok(false))
                     })
                 })
                 .await
             };
             match more {
-                None => impatient = true,
+                None => buffering_timed_out = true,
                 Some(more) => {
                     if !more? {
-                        // Where nothing but the end of the connection tells, a stall is no end.
-                        return match unwrapper {
-                            BodyDecoder::Close if at_end => {
-                                Ok(BodyRead::Complete(self.end(head, body.freeze())))
+                        // If the body ends with the connection, only the connection's end completes it, not a stall.
+                        return match decoder {
+                            BodyDecoder::Close if at_connection_end => {
+                                Ok(BodyRead::Complete(self.complete(head, body.freeze())))
                             }
                             _ => Err(ExchangeError::Connection),
                         };
@@ -478,50 +488,50 @@
         }
     }
 
-    fn end(&self, head: &ResponseHead, body: Bytes) -> CompleteBody {
-        // What comes behind an answer would be taken for the next one.
+    fn complete(&self, head: &ResponseHead, body: Bytes) -> CompleteBody {
+        // Further bytes would be read as the response to the next request.
         CompleteBody {
             body,
             reusable: head.keep_alive && self.unread.is_empty(),
         }
     }
 
-    /// What was read and not looked at, for whoever reads on.
+    /// The bytes that were read but not decoded yet.
     pub(super) fn into_unread(self) -> BytesMut {
         self.unread
     }
 
-    /// Reads what there is; false at the end of the connection.
-    async fn more(&mut self, stream: &mut TcpStream, wanted: usize) -> io::Result<bool> {
-        // No room is made before there is something for it.
+    /// Reads what is available; returns false at the end of the connection.
+    async fn read_more(&mut self, stream: &mut TcpStream, wanted: usize) -> io::Result<bool> {
+        // The buffer grows only once there is something to read.
         poll_fn(|context| stream.poll_read_ready(context)).await?;
-        let there = self.unread.len();
-        let room = there + wanted.clamp(READ, MAX_BUFFERED_BODY_BYTES);
+        let unread_len = self.unread.len();
+        let buffer_len = unread_len + wanted.clamp(MIN_READ_BYTES, MAX_BUFFERED_BODY_BYTES);
         let unread = &mut self.unread;
         poll_fn(|context| {
-            // Without unsafe code the room must be zeroed before it is read into.
-            unread.resize(room, 0);
-            let mut buffer = ReadBuf::new(&mut unread[there..]);
+            // Without unsafe code the buffer has to be zeroed before it is read into.
+            unread.resize(buffer_len, 0);
+            let mut buffer = ReadBuf::new(&mut unread[unread_len..]);
             let read = Pin::new(&mut *stream).poll_read(context, &mut buffer);
             let count = buffer.filled().len();
-            unread.truncate(there + count);
+            unread.truncate(unread_len + count);
             read.map(|read| read.map(|()| count > 0))
         })
         .await
     }
 }
 
-/// What is about this message and this connection, and not about what it holds.
+/// The headers of a message that concern its framing and its connection.
 #[derive(Default)]
-struct Frame {
+struct FramingHeaders {
     chunked: bool,
     length: Option<usize>,
     close: bool,
 }
 
-impl Frame {
-    /// Takes in a header. False where it is to be passed on.
-    fn take_in(&mut self, name: &HeaderName, value: &[u8]) -> Result<bool, ExchangeError> {
+impl FramingHeaders {
+    /// Processes a header. Returns true for a hop-by-hop header, which is not forwarded.
+    fn process(&mut self, name: &HeaderName, value: &[u8]) -> Result<bool, ExchangeError> {
         if *name == header::CONTENT_LENGTH {
             let digits = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
             let text = std::str::from_utf8(value).ok().filter(|_| digits);
@@ -548,10 +558,10 @@
     }
 
     fn framing(&self, status: StatusCode) -> Framing {
-        let bare = status.is_informational()
+        let has_no_body = status.is_informational()
             || matches!(status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
         match self.length {
-            _ if bare => Framing::Length(0),
+            _ if has_no_body => Framing::Length(0),
             _ if self.chunked => Framing::Chunked,
             Some(length) => Framing::Length(length),
             None => Framing::Close,
@@ -559,9 +569,9 @@
     }
 }
 
-/// Takes a head from the beginning of what was read; none where it is not there whole.
-fn parse(unread: &mut BytesMut) -> Result<Option<ResponseHead>, ExchangeError> {
-    let mut headers = [const { std::mem::MaybeUninit::uninit() }; HEADERS];
+/// Parses a head at the start of what was read. None if it is incomplete.
+fn parse_head(unread: &mut BytesMut) -> Result<Option<ResponseHead>, ExchangeError> {
+    let mut headers = [const { std::mem::MaybeUninit::uninit() }; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut []);
     let parsed = httparse::ParserConfig::default().parse_response_with_uninit_headers(
         &mut response,
@@ -577,16 +587,16 @@
         .code
         .and_then(|code| StatusCode::from_u16(code).ok())
         .ok_or(ExchangeError::Malformed)?;
-    let newer = response.version == Some(1);
+    let is_http_1_1 = response.version == Some(1);
     let start = unread.as_ptr() as usize;
-    let mut frame = Frame::default();
-    // Names, and where the values stand, so that these need not be copied.
+    let mut framing_headers = FramingHeaders::default();
+    // Names with the positions of their values, so that the values need not be copied.
     let mut found: SmallVec<[(HeaderName, usize, usize); 12]> = SmallVec::new();
     for one in response.headers.iter() {
         let name =
             HeaderName::from_bytes(one.name.as_bytes()).map_err(|_| ExchangeError::Malformed)?;
-        if !frame.take_in(&name, one.value)? {
-            // That of an empty value need not lie here at all.
+        if !framing_headers.process(&name, one.value)? {
+            // An empty value need not point into this buffer.
             let at = if one.value.is_empty() {
                 0
             } else {
@@ -601,8 +611,8 @@
         let value = HeaderValue::from_maybe_shared(bytes.slice(at..at + length));
         headers.append(name, value.map_err(|_| ExchangeError::Malformed)?);
     }
-    let framing = frame.framing(status);
-    let keep_alive = newer && framing != Framing::Close && !frame.close;
+    let framing = framing_headers.framing(status);
+    let keep_alive = is_http_1_1 && framing != Framing::Close && !framing_headers.close;
     Ok(Some(ResponseHead {
         status,
         headers,
