--- a/crates/balancer/src/discovery_poll.rs
+++ b/crates/balancer/src/discovery_poll.rs
@@ -5,15 +5,15 @@
 //!
 //! The list has to be fresh at the same time. A change counts as told 6 s after discovery had it and could be reached, whatever
 //! became of calls, and once the grace is over nothing may go to a server that drains. So however often calls fail, the next one
-//! begins [`Rules::ask_anew`] behind the beginning of the one before at the latest: 8 s at a grace of 3 s. At N calls in 8 s a
+//! begins [`SafetyRules::poll_again_within`] behind the beginning of the one before at the latest: 8 s at a grace of 3 s. At N calls in 8 s a
 //! discovery that needs up to 8 s / N for a call catches up by itself.
 //!
 //! Where what was seen of discovery ([`Verdict`]) tells that it is slower than that, calls come less often, since nothing else
 //! lets it answer anybody. What costs it its time is a call that is made, and not one that waits: while a call waits in a
 //! queue, no other one is made.
 
-use crate::discovery_evidence::{Evidence, Failure, Verdict};
-use crate::interface::{Micros, Rules};
+use crate::discovery_evidence::{CallFailure, Evidence, Verdict};
+use crate::interface::{Micros, SafetyRules};
 use oorandom::Rand64;
 
 /// The span in which an instance calls once: this for each instance of the fleet, which is what a call may take discovery...
@@ -42,8 +42,8 @@
 pub(crate) struct FailedCall {
     /// What discovery had then is known, or discovery could not be reached for it. The beginning of a call tells which of
     /// them it is.
-    pub(crate) since: Micros,
-    pub(crate) failure: Failure,
+    pub(crate) list_known_at: Micros,
+    pub(crate) reason: CallFailure,
 }
 
 /// When one instance calls discovery.
@@ -116,10 +116,10 @@
 }
 
 impl Spans {
-    fn new(rules: &Rules, group_size: u32) -> Self {
+    fn new(rules: &SafetyRules, group_size: u32) -> Self {
         let instances = Micros::from(group_size);
-        let part = |part: f64| (part * rules.ask_within as f64).max(1.0) as Micros;
-        let bound = rules.ask_anew();
+        let part = |part: f64| (part * rules.max_poll_interval as f64).max(1.0) as Micros;
+        let bound = rules.poll_again_within();
         let usual = MIN_SPAN.max(SPAN_PER_INSTANCE * instances);
         let longest = MAX_SPAN_OF_SMALL_FLEET.max(MAX_SPAN_PER_INSTANCE * instances);
         let bound_of_overrun = part(ALLOWED_PART_BEHIND_REFUSALS);
@@ -165,7 +165,7 @@
     }
 
     /// The timer of a call fires. False where that call was put off, or is not wanted any more.
-    pub(crate) fn call_begins(&mut self, now: Micros) -> bool {
+    pub(crate) fn on_timer(&mut self, now: Micros) -> bool {
         if !self.timer.fires(now) {
             return false;
         }
@@ -177,37 +177,37 @@
     }
 
     /// A list has come.
-    pub(crate) fn list_came(&mut self) {
+    pub(crate) fn on_list_update(&mut self) {
         self.answered = true;
         self.is_silent = false;
-        self.evidence.list_came();
+        self.evidence.on_list_update();
     }
 
     /// A call was answered and its watch is open: a call that is due is not wanted any more.
-    pub(crate) fn watch_opened(&mut self, now: Micros) {
-        self.list_came();
-        self.evidence.watch_opened(now);
+    pub(crate) fn on_watch_opened(&mut self, now: Micros) {
+        self.on_list_update();
+        self.evidence.on_watch_opened(now);
         self.timer.due = None;
     }
 
     /// When the next call begins. None where that stands already, or another call still waits.
-    pub(crate) fn schedule(
+    pub(crate) fn schedule_after_failure(
         &mut self,
         now: Micros,
         failed: FailedCall,
-        (rules, group_size): (&Rules, u32),
+        (rules, group_size): (&SafetyRules, u32),
         random: &mut Rand64,
     ) -> Option<Micros> {
         let spans = Spans::new(rules, group_size);
         if self.answered {
             self.evidence.watch_lost(now);
         } else {
-            self.evidence.call_failed(now, failed.failure);
+            self.evidence.call_failed(now, failed.reason);
         }
         if self.stands(now, failed, spans) {
             return None;
         }
-        self.is_silent = failed.failure == Failure::Silent;
+        self.is_silent = failed.reason == CallFailure::Unanswered;
         let due = match self.evidence.verdict(now) {
             verdict if self.is_silent => {
                 self.behind_silence(now, failed, verdict, (rules, spans), random)
@@ -225,7 +225,8 @@
 
     /// Whether the call that is due, or still waits, stays as it is.
     fn stands(&self, now: Micros, failed: FailedCall, spans: Spans) -> bool {
-        let is_older_call = failed.failure != Failure::Silent && failed.since < self.last_call;
+        let is_older_call =
+            failed.reason != CallFailure::Unanswered && failed.list_known_at < self.last_call;
         let Some(due) = self.timer.due else {
             return is_older_call && !self.answered;
         };
@@ -249,14 +250,14 @@
         now: Micros,
         failed: FailedCall,
         verdict: Verdict,
-        (rules, spans): (&Rules, Spans),
+        (rules, spans): (&SafetyRules, Spans),
         random: &mut Rand64,
     ) -> Micros {
         if !self.evidence.was_reached() {
             return self.in_time(now, failed, (rules, spans), random);
         }
         match verdict {
-            Verdict::Unknown => failed.since + 2 * spans.bound,
+            Verdict::Unknown => failed.list_known_at + 2 * spans.bound,
             _ => now + spans.bound_of_overrun,
         }
     }
@@ -266,14 +267,14 @@
         &mut self,
         now: Micros,
         failed: FailedCall,
-        (rules, spans): (&Rules, Spans),
+        (rules, spans): (&SafetyRules, Spans),
         random: &mut Rand64,
     ) -> Micros {
         let former_span = self.span;
         let grown = (2 * former_span).min(spans.longest).min(spans.bound);
         let was_refused = matches!(
-            failed.failure,
-            Failure::Refused { .. } | Failure::BrokenOff { .. }
+            failed.reason,
+            CallFailure::Rejected { .. } | CallFailure::ConnectionBroken { .. }
         );
         self.span = if was_refused && !self.answered && former_span > 0 {
             grown
@@ -281,10 +282,10 @@
             spans.usual
         };
         self.has_phase &= self.span == former_span;
-        let allowed = (ALLOWED_PART * rules.ask_within as f64).max(1.0) as Micros;
+        let allowed = (ALLOWED_PART * rules.max_poll_interval as f64).max(1.0) as Micros;
         let latest = now
             .saturating_add(allowed)
-            .min(failed.since.saturating_add(spans.bound))
+            .min(failed.list_known_at.saturating_add(spans.bound))
             .max(now.saturating_add(MIN_SPAN));
         if !self.has_called {
             return self.draw_first(now, latest, random);
@@ -298,7 +299,7 @@
         &mut self,
         now: Micros,
         failed: FailedCall,
-        (rules, spans): (&Rules, Spans),
+        (rules, spans): (&SafetyRules, Spans),
         random: &mut Rand64,
     ) -> Micros {
         let longest = if self.evidence.was_out_of_order() {
--- a/crates/sidecar/src/active_settings.rs
+++ b/crates/sidecar/src/active_settings.rs
@@ -6,7 +6,7 @@
 
 use super::counts::{OutcomeCounts, ServiceCounts};
 use madderloom_balancer::settings::Site;
-use madderloom_balancer::{Class, Effect, Micros, Retuned};
+use madderloom_balancer::{Class, Micros, RetrySafety, SettingsChange};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -20,8 +20,8 @@
 }
 
 impl ClassEntry {
-    pub(super) fn retry_safety(&self) -> Effect {
-        self.class.effect
+    pub(super) fn retry_safety(&self) -> RetrySafety {
+        self.class.retry_safety
     }
 }
 
@@ -86,7 +86,7 @@
         &self,
         mut site: Site,
         counts: &ServiceCounts,
-    ) -> (ActiveSettings, Retuned) {
+    ) -> (ActiveSettings, SettingsChange) {
         let file = site.clone();
         let mut places: Vec<ClassSlot> = Vec::with_capacity(self.class_slots.len());
         let mut learned: Vec<Option<u32>> = Vec::new();
@@ -151,9 +151,9 @@
             .map(|place| place.entry.class.clone())
             .collect();
         let retired = places.iter().map(|place| place.retired).collect();
-        let retuned = Retuned {
+        let retuned = SettingsChange {
             settings: site.settings.clone(),
-            learned,
+            inherited_from: learned,
             retired,
         };
         (ActiveSettings::of(file, site, places), retuned)
@@ -212,10 +212,16 @@
             ]),
             &counts,
         );
-        assert_eq!((open.index, open.retry_safety()), (1, Effect::Unsafe));
+        assert_eq!(
+            (open.index, open.retry_safety()),
+            (1, RetrySafety::NonIdempotent)
+        );
         assert_eq!(told.retired, [false, true, false, false]);
-        assert_eq!(told.learned, [Some(0), Some(1), None, Some(1)]);
-        assert_eq!(told.settings.classes[1].effect, Effect::Unsafe);
+        assert_eq!(told.inherited_from, [Some(0), Some(1), None, Some(1)]);
+        assert_eq!(
+            told.settings.classes[1].retry_safety,
+            RetrySafety::NonIdempotent
+        );
         assert_eq!(second.class_named("file").map(|c| c.index), Some(3));
         drop(first);
         // Nobody asks for "late" any more; its place, and that of the request that has ended, are free again.
@@ -226,7 +232,7 @@
         );
         assert_eq!(third.class_named("new").map(|c| c.index), Some(1));
         assert_eq!(told.retired, [false, false, true, true]);
-        assert_eq!(told.learned[1], None);
+        assert_eq!(told.inherited_from[1], None);
         assert!(third.class_named("late").is_none() && third.class_named("file").is_none());
     }
 }
--- a/crates/sidecar/src/attempt.rs
+++ b/crates/sidecar/src/attempt.rs
@@ -1,22 +1,11 @@
 //! One attempt to serve a request by a server, from acquiring a connection to its single outcome.
 
-use super::client::Client;
-use super::connections::ConnectError;
-use super::counts::increment;
-use super::exchange::{self, BodyRead, CompleteBody, ExchangeError, RequestMessage, SendProgress};
-use super::readiness;
-use super::response_body::{ResponseBody, StreamedResponseBody};
-use super::service::Service;
-use super::state_writer::{IdempotencyRecord, WriteBarrier};
-use super::teller::EndedAttempt;
-use super::transaction::FinalResponse;
-use super::upload::{self, BodyLength, RequestBody};
 use bytes::{Bytes, BytesMut};
 use http_body_util::Full;
-use hyper::header::{self, HeaderName, HeaderValue};
-use hyper::http::uri::PathAndQuery;
 use hyper::{HeaderMap, Method, Response, StatusCode, Uri};
-use madderloom_balancer::{Closed, Event, Micros, Outcome, RequestId, ServerId};
+use hyper::header::{HeaderName, HeaderValue, self};
+use hyper::http::uri::PathAndQuery;
+use madderloom_balancer::{AttemptResult, Event, Micros, Outcome, RequestId, ServerId};
 use madderloom_graphql::Verdict;
 use std::cell::Cell;
 use std::future::poll_fn;
@@ -24,6 +13,17 @@
 use std::pin::{Pin, pin};
 use std::rc::Rc;
 use std::task::Poll;
+use super::readiness;
+use super::client::Client;
+use super::connections::ConnectError;
+use super::counts::increment;
+use super::exchange::{BodyRead, CompleteBody, ExchangeError, RequestMessage, SendProgress, self};
+use super::response_body::{ResponseBody, StreamedResponseBody};
+use super::service::Service;
+use super::state_writer::{IdempotencyRecord, WriteBarrier};
+use super::teller::EndedAttempt;
+use super::transaction::FinalResponse;
+use super::upload::{BodyLength, RequestBody, self};
 use tokio::net::TcpStream;
 
 /// A response body of unknown length that is not complete after this time is streamed to the client.
@@ -129,13 +129,13 @@
         if outcome == Outcome::Ok {
             self.transaction_ended.set(true);
         }
-        let closed = Closed {
+        let closed = AttemptResult {
             request: self.request,
             attempt: self.number,
             server: self.server,
             outcome,
             elapsed: now.saturating_sub(self.sent_at.get()),
-            ended: self.transaction_ended.get(),
+            request_ended: self.transaction_ended.get(),
         };
         let ended = EndedAttempt {
             closed,
@@ -144,7 +144,7 @@
             sent: self.sent_at.get(),
         };
         self.service.record_attempt_end(now, &ended);
-        self.service.handle(now, Event::Closed(closed));
+        self.service.handle(now, Event::AttemptEnded(closed));
     }
 }
 
@@ -269,7 +269,7 @@
             // Also when the idempotency window ends: servers that have forgotten the first attempt would run this one.
             Some(Err(ConnectError::NoCapacity)) | None => return (Outcome::Moot, None),
         };
-        if !service.pool.takes_new(
+        if !service.pool.accepts_new_attempts(
             attempt.server,
             address,
             &service.process.server_overrides.borrow(),
@@ -421,7 +421,10 @@
             Ok(Some(data)) => {
                 // This part of the body is not buffered, so the request can't be retried.
                 if !streamed.consumed.replace(true) {
-                    service.handle(service.process.clock.now(), Event::Spent(attempt.request));
+                    service.handle(
+                        service.process.clock.now(),
+                        Event::RetriesDisabled(attempt.request),
+                    );
                 }
                 (if chunked { encode_chunk(&data) } else { data }, false)
             }
@@ -455,7 +458,7 @@
         progress.complete.set(true);
         streamed.completed_at.set(Some(now));
         attempt.sent_at.set(now);
-        service.handle(now, Event::Came(attempt.request));
+        service.handle(now, Event::RequestBodyReceived(attempt.request));
     } else {
         streamed.return_remainder(reader);
     }
--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -1,8 +1,9 @@
 //! What a sidecar is told at its start: the `RELAY_*` variables and the JSON file that one of them names.
 
-use super::pool::Listing;
-use madderloom_balancer::settings::{Site, written_name};
-use serde::{Deserialize, Deserializer, Serialize, de::Error};
+use super::pool::ListUpdate;
+use madderloom_balancer::settings::{Site, settings_key};
+use serde::de::Error;
+use serde::{Deserialize, Deserializer, Serialize};
 use serde_json::value::RawValue;
 use std::borrow::Cow;
 use std::collections::BTreeMap;
@@ -34,7 +35,7 @@
     pub limits: Limits,
     /// The server list as this sidecar had it last; it may be old.
     #[serde(default)]
-    pub(super) known: Listing,
+    pub(super) known: ListUpdate,
     /// The site.
     pub settings: Site,
     /// Which keys the file has.
@@ -218,7 +219,7 @@
             });
         }
         config.settings.settings.validate().map_err(|e| {
-            let field = format!("settings.{}", written_name(&e.field));
+            let field = format!("settings.{}", settings_key(&e.field));
             let (line, column) = place(text, &field);
             ConfigError {
                 field,
--- a/crates/sidecar/src/process_state.rs
+++ b/crates/sidecar/src/process_state.rs
@@ -1,5 +1,10 @@
 //! What belongs to the process: its clock, its limits, the turns on its thread, and who is there.
 
+use madderloom_admin::duty::Duty;
+use madderloom_balancer::Micros;
+use std::cell::{Cell, OnceCell, RefCell};
+use std::net::SocketAddr;
+use std::rc::Rc;
 use super::clock::{Clock, LocalTimeZone};
 use super::connections::is_resource_exhaustion;
 use super::fair_scheduler::{Scheduler, SchedulerAccount};
@@ -8,16 +13,11 @@
 use super::levels::CpuUsage;
 use super::limits::SharedLimit;
 use super::listener::Listener;
-use super::pool::Steering;
+use super::pool::ServerOverrides;
 use super::service::Service;
 use super::shared_lists::SharedLists;
 use super::state_writer::StateWriter;
 use super::timers::Timers;
-use madderloom_admin::duty::Duty;
-use madderloom_balancer::Micros;
-use std::cell::{Cell, OnceCell, RefCell};
-use std::net::SocketAddr;
-use std::rc::Rc;
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
@@ -77,7 +77,7 @@
     pub(super) feed: Rc<Feed>,
     day: OnceCell<LocalTimeZone>,
     /// What is set of servers beside their lists.
-    pub(super) server_overrides: RefCell<Steering>,
+    pub(super) server_overrides: RefCell<ServerOverrides>,
     /// What outlasts the process, where the operator file names a place for it.
     pub(super) state_writer: OnceCell<Rc<StateWriter>>,
     pub(super) processor: CpuUsage,
@@ -187,7 +187,7 @@
         self.services
             .borrow()
             .iter()
-            .any(|service| service.pool.is_known())
+            .any(|service| service.pool.has_servers())
     }
 
     /// The process stops now, under the platform's rules, where clients wait no longer than this.
