--- a/crates/sidecar/src/counts.rs
+++ b/crates/sidecar/src/counts.rs
@@ -1,30 +1,30 @@
-//! What became of requests, by their classes: the one registry that the second address, the admin view and the agent's
-//! link read. Written where a request ends.
+//! Outcomes of requests by class. Incremented where a request ends; read by the control address, the admin view and the agent
+//! link.
 
 use madderloom_admin::figures::Ended;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Classes that are counted apart, at most: newer files may drop some and add others without end.
+/// Maximum number of classes with counts of their own. Configuration reloads may drop classes and add others any number of
+/// times.
 pub(super) const MAX_COUNTED_CLASSES: usize = 256;
 
-/// What became of requests of one class, since the start.
+/// Outcomes of the requests of one class, since the start.
 #[derive(Clone, Default)]
 pub(super) struct OutcomeCounts {
     /// Answered by a server.
     pub(super) served: Cell<u64>,
-    /// Of these, after the time within which an answer is of full worth. Of GraphQL operations none is counted.
+    /// Those of them answered after the latency objective. Not counted for GraphQL operations.
     pub(super) late: Cell<u64>,
-    /// Refused by the module.
+    /// Rejected by the balancer.
     pub(super) rejected: Cell<u64>,
-    /// Failed.
     pub(super) failed: Cell<u64>,
-    /// Turned away by a limit of this service or of the listener, before the module heard of them.
+    /// Rejected by a limit of this service, of the listener or of the fleet, before they reached the balancer.
     pub(super) rejected_by_limit: Cell<u64>,
-    /// Of these, by the bound on requests a second.
+    /// Those of them rejected by a limit on requests per second.
     pub(super) over_rate_limit: Cell<u64>,
-    /// Answered 4xx.
+    /// Answered with a 4xx status.
     pub(super) client_errors: Cell<u64>,
 }
 
@@ -43,7 +43,7 @@
         }
     }
 
-    /// In the words of the second address.
+    /// The outcomes as the control address reports them.
     pub(super) fn result_totals(&self) -> Ended {
         Ended {
             fulfilled: self.served.get(),
@@ -57,25 +57,25 @@
     counter.set(counter.get() + 1);
 }
 
-/// The requests of a service.
+/// The request counts of one service.
 #[derive(Default)]
 pub(super) struct ServiceCounts {
     by_class: RefCell<BTreeMap<String, Rc<OutcomeCounts>>>,
-    /// Of those that name no class, and of classes beyond the bound.
+    /// Of requests without a class, and of classes beyond [`MAX_COUNTED_CLASSES`].
     unclassed: Rc<OutcomeCounts>,
-    /// Attempts that were written whole.
+    /// Attempts that were written completely.
     pub(super) attempts_sent: Cell<u64>,
-    /// Held once by each request that was taken and has not ended.
-    open: Rc<()>,
+    /// Cloned once for each request in flight.
+    in_flight: Rc<()>,
 }
 
-/// A request that was taken and has not ended.
+/// Counts one request as in flight until it is dropped.
 pub(super) struct OpenRequest {
-    _place: Rc<()>,
+    _in_flight: Rc<()>,
 }
 
 impl ServiceCounts {
-    /// The counts of a class; they go on where a class is dropped and comes back.
+    /// The counts of a class. They continue if a class is removed from the configuration and added again.
     pub(super) fn class(&self, name: &str) -> Rc<OutcomeCounts> {
         let mut by_class = self.by_class.borrow_mut();
         if let Some(counts) = by_class.get(name) {
@@ -91,30 +91,30 @@
         Rc::clone(&self.unclassed)
     }
 
-    /// A request has been taken.
+    /// Counts a request as in flight until the returned value is dropped.
     pub(super) fn track_request(&self) -> OpenRequest {
         OpenRequest {
-            _place: Rc::clone(&self.open),
+            _in_flight: Rc::clone(&self.in_flight),
         }
     }
 
-    /// How many are open: by those that are, not by a difference.
+    /// The number of requests in flight. Derived from the live values, not from a difference of counters.
     pub(super) fn open_requests(&self) -> u64 {
-        Rc::strong_count(&self.open) as u64 - 1
+        Rc::strong_count(&self.in_flight) as u64 - 1
     }
 
-    /// Of all classes and of none.
+    /// The counts of all classes and of requests without a class.
     pub(super) fn total(&self) -> OutcomeCounts {
-        let sum = OutcomeCounts::default();
-        sum.add(&self.unclassed);
+        let total = OutcomeCounts::default();
+        total.add(&self.unclassed);
         self.by_class
             .borrow()
             .values()
-            .for_each(|counts| sum.add(counts));
-        sum
+            .for_each(|counts| total.add(counts));
+        total
     }
 
-    /// By class.
+    /// The outcomes of each class.
     pub(super) fn by_class(&self) -> Vec<(String, Ended)> {
         self.by_class
             .borrow()
@@ -130,33 +130,34 @@
     use proptest::prelude::*;
 
     proptest! {
-        /// Whatever comes and ends in whatever order, what was taken has ended, has left or is open; and no count falls.
+        /// Guards against counts that drift: in any order of starts and ends, each accepted request has ended, was abandoned
+        /// or is in flight.
         #[test]
-        fn what_was_taken_has_ended_has_left_or_is_open(history in proptest::collection::vec((0..5u8, 0..400usize), 0..600)) {
+        fn each_accepted_request_has_ended_was_abandoned_or_is_in_flight(history in proptest::collection::vec((0..5u8, 0..400usize), 0..600)) {
             let registry = ServiceCounts::default();
             let mut open: Vec<(OpenRequest, Rc<OutcomeCounts>)> = Vec::new();
-            let (mut taken, mut left, mut ended) = (0, 0, 0);
-            for (what, which) in history {
-                match what {
-                    // More classes than are counted apart.
+            let (mut accepted, mut abandoned, mut ended) = (0, 0, 0);
+            for (action, number) in history {
+                match action {
+                    // More classes than have counts of their own.
                     0 | 1 => {
-                        taken += 1;
-                        open.push((registry.track_request(), registry.class(&format!("class-{which}"))));
+                        accepted += 1;
+                        open.push((registry.track_request(), registry.class(&format!("class-{number}"))));
                     }
                     _ if open.is_empty() => {}
                     2 => {
-                        left += 1;
-                        drop(open.swap_remove(which % open.len()));
+                        abandoned += 1;
+                        drop(open.swap_remove(number % open.len()));
                     }
                     _ => {
-                        let (_place, counts) = open.swap_remove(which % open.len());
-                        increment([&counts.served, &counts.rejected, &counts.rejected_by_limit, &counts.failed][which % 4]);
+                        let (_in_flight, counts) = open.swap_remove(number % open.len());
+                        increment([&counts.served, &counts.rejected, &counts.rejected_by_limit, &counts.failed][number % 4]);
                         ended += 1;
                     }
                 }
                 let sum = registry.total().result_totals().all();
                 prop_assert_eq!((registry.open_requests(), sum), (open.len() as u64, ended));
-                prop_assert_eq!(taken, ended + left + registry.open_requests());
+                prop_assert_eq!(accepted, ended + abandoned + registry.open_requests());
             }
             prop_assert!(registry.by_class().len() <= MAX_COUNTED_CLASSES);
         }
--- a/crates/sidecar/src/documented_figures_tests.rs
+++ b/crates/sidecar/src/documented_figures_tests.rs
@@ -1,4 +1,4 @@
-//! The figures that the pages name, against the constants of the code.
+//! Compares the figures in the documentation with the constants of the code.
 
 use super::listener::{self, CLOSE_GRACE_PERIOD, ListenerSettings};
 use super::{
@@ -6,7 +6,7 @@
 };
 use madderloom_control_plane::{bounds, protocol};
 
-/// So many seconds, as pages write them.
+/// A duration as the pages write it, in seconds.
 fn seconds(micros: u64) -> String {
     format!("{} s", micros as f64 / 1e6)
 }
@@ -20,7 +20,7 @@
     let mib = |bytes: u64| format!("{} MiB", bytes >> 20);
     let kib = |bytes: u64| format!("{} KiB", bytes >> 10);
     let lame_duck = CLOSE_GRACE_PERIOD.as_micros() as u64;
-    for (page, told) in [
+    for (page, expected) in [
         (
             on_call,
             format!(
@@ -135,11 +135,11 @@
         ),
     ] {
         let words = |text: &str| text.split_whitespace().collect::<Vec<_>>().join(" ");
-        assert!(words(page).contains(&told), "no page says: {told}");
+        assert!(words(page).contains(&expected), "no page says: {expected}");
     }
 }
 
-/// A figure as tables write it: 16,384.
+/// A number as tables write it: 16,384.
 fn grouped(number: usize) -> String {
     let digits = number.to_string();
     let groups: Vec<&str> = digits
@@ -151,19 +151,20 @@
     groups.join(",")
 }
 
-/// The table of fixed bounds names these, each beside its constant, and none of a list of servers or instances lies below
-/// 1,024.
+/// Guards against a table of fixed bounds that no longer matches the constants, and against bounds below 1,024 on lists of
+/// servers or instances.
 #[test]
 fn the_table_of_bounds_is_that_of_the_code() {
     let page = include_str!("../../../docs/acceptance.md");
-    let count = |place: &str, name: &str, of: usize| (format!("`{place}` `{name}`"), grouped(of));
-    let bytes = |place: &str, name: &str, of: usize| {
-        let size = if of >= 1 << 20 {
-            format!("{} MiB", of >> 20)
+    let count =
+        |file: &str, name: &str, value: usize| (format!("`{file}` `{name}`"), grouped(value));
+    let bytes = |file: &str, name: &str, value: usize| {
+        let size = if value >= 1 << 20 {
+            format!("{} MiB", value >> 20)
         } else {
-            format!("{} KiB", of >> 10)
+            format!("{} KiB", value >> 10)
         };
-        (format!("`{place}` `{name}`"), size)
+        (format!("`{file}` `{name}`"), size)
     };
     let lists = [
         (
@@ -191,7 +192,7 @@
     assert!(madderloom_endpoint_history::Settings::default().max_endpoints >= 1_024);
     let mut bounds: Vec<_> = lists
         .iter()
-        .map(|(place, name, of)| count(place, name, *of))
+        .map(|(file, name, of)| count(file, name, *of))
         .collect();
     bounds.extend([
         bytes(
@@ -256,14 +257,14 @@
             counts::MAX_COUNTED_CLASSES,
         ),
     ]);
-    for (place, value) in bounds {
-        let row = page.lines().find(|line| line.contains(&place));
+    for (file, value) in bounds {
+        let row = page.lines().find(|line| line.contains(&file));
         let cell = row
             .and_then(|row| row.split('|').nth(3))
             .unwrap_or_default();
         assert!(
             cell.contains(&value),
-            "{place} is {value}, and the page says {cell:?}"
+            "{file} is {value}, and the page says {cell:?}"
         );
     }
     assert!(page.contains(&format!(
--- a/crates/sidecar/src/fair_scheduler.rs
+++ b/crates/sidecar/src/fair_scheduler.rs
@@ -1,4 +1,4 @@
-//! Work taken in turn: tasks that are held back when their account has had its slice of the thread.
+//! Fair scheduling of tasks on the one thread: a task is delayed while its account has used up its share of thread time.
 
 use super::process_state::ProcessState;
 use madderloom_routing::turns::{AccountId, Spent, Turns};
@@ -9,51 +9,51 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// What the heaviest account may spend of the thread before others have their turn.
-const SLICE: Duration = Duration::from_micros(200);
+/// Thread time per scheduling round of the account with the highest weight; others get proportionally less.
+const QUANTUM: Duration = Duration::from_micros(200);
 
-/// A task that waits for its turn.
+/// A task that waits for a later round.
 struct Waiter {
     waker: RefCell<Waker>,
     released: Cell<bool>,
 }
 
-/// The accounts of the thread's time.
+/// Shares the thread's time among accounts by weight, see [`madderloom_routing::turns`].
 pub(super) struct Scheduler {
-    turns: RefCell<Turns<Rc<Waiter>>>,
-    waiting: Notify,
+    queue: RefCell<Turns<Rc<Waiter>>>,
+    task_waiting: Notify,
 }
 
 /// An account; closed when it is dropped.
 pub(super) struct SchedulerAccount {
-    of: Rc<Scheduler>,
+    scheduler: Rc<Scheduler>,
     id: AccountId,
 }
 
 impl Scheduler {
     pub(super) fn new() -> Rc<Self> {
-        let slice = u64::try_from(SLICE.as_nanos()).unwrap_or(u64::MAX);
+        let quantum_nanos = u64::try_from(QUANTUM.as_nanos()).unwrap_or(u64::MAX);
         Rc::new(Scheduler {
-            turns: RefCell::new(Turns::new(slice)),
-            waiting: Notify::new(),
+            queue: RefCell::new(Turns::new(quantum_nanos)),
+            task_waiting: Notify::new(),
         })
     }
 
     pub(super) fn open_account(self: &Rc<Self>, weight: u32) -> SchedulerAccount {
         SchedulerAccount {
-            of: Rc::clone(self),
-            id: self.turns.borrow_mut().join(weight),
+            scheduler: Rc::clone(self),
+            id: self.queue.borrow_mut().join(weight),
         }
     }
 
-    /// Begins rounds for as long as anything waits, each behind all that could be done before it.
+    /// Starts rounds while any task waits, each after all tasks that are ready to run.
     pub(super) async fn run(self: Rc<Self>) {
         let mut released = Vec::new();
         loop {
-            self.waiting.notified().await;
-            while self.turns.borrow().is_waiting() {
+            self.task_waiting.notified().await;
+            while self.queue.borrow().is_waiting() {
                 tokio::task::yield_now().await;
-                self.turns.borrow_mut().next_round(&mut released);
+                self.queue.borrow_mut().next_round(&mut released);
                 for waiter in released.drain(..) {
                     waiter.released.set(true);
                     waiter.waker.borrow().wake_by_ref();
@@ -65,21 +65,21 @@
 
 impl SchedulerAccount {
     pub(super) fn set_weight(&self, weight: u32) {
-        self.of.turns.borrow_mut().change(self.id, weight);
+        self.scheduler.queue.borrow_mut().change(self.id, weight);
     }
 
     pub(super) fn usage(&self) -> Spent {
-        self.of.turns.borrow().account(self.id)
+        self.scheduler.queue.borrow().account(self.id)
     }
 }
 
 impl Drop for SchedulerAccount {
     fn drop(&mut self) {
-        self.of.turns.borrow_mut().leave(self.id);
+        self.scheduler.queue.borrow_mut().leave(self.id);
     }
 }
 
-/// The account that a task's work is put down to; none where work is not taken in turn.
+/// The account that a task's work is charged to; none if fair scheduling is off.
 pub(super) type ChargedAccount = Cell<Option<Rc<SchedulerAccount>>>;
 
 pub(super) fn charged_account(charged: &ChargedAccount) -> Option<Rc<SchedulerAccount>> {
@@ -88,7 +88,7 @@
     account
 }
 
-/// A task whose steps wait for the turn of the account that it is put down to.
+/// A task that is polled only while the account that it is charged to has thread time left.
 pub(super) struct FairTask<F> {
     task: Pin<Box<F>>,
     process: Rc<ProcessState>,
@@ -106,7 +106,7 @@
         }
     }
 
-    fn step(&mut self, context: &mut Context<'_>) -> Poll<F::Output> {
+    fn poll_task(&mut self, context: &mut Context<'_>) -> Poll<F::Output> {
         let FairTask { task, process, .. } = self;
         process
             .clock
@@ -119,36 +119,40 @@
 
     fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<F::Output> {
         let Some(account) = charged_account(&self.charged) else {
-            return self.step(context);
+            return self.poll_task(context);
         };
         if let Some(waiter) = self.waiter.take_if(|waiter| waiter.released.get()) {
             drop(waiter);
         } else if let Some(waiter) = &self.waiter {
             waiter.waker.borrow_mut().clone_from(context.waker());
             return Poll::Pending;
-        } else if !account.of.turns.borrow().may(account.id) {
+        } else if !account.scheduler.queue.borrow().may(account.id) {
             let waiter = Rc::new(Waiter {
                 waker: RefCell::new(context.waker().clone()),
                 released: Cell::new(false),
             });
             if account
-                .of
-                .turns
+                .scheduler
+                .queue
                 .borrow_mut()
                 .wait(account.id, Rc::clone(&waiter))
             {
-                account.of.waiting.notify_one();
+                account.scheduler.task_waiting.notify_one();
             }
             self.waiter = Some(waiter);
             return Poll::Pending;
         }
-        let began = Instant::now();
-        let done = self.step(context);
-        // What it turned out to be work for may have shown only now.
+        let started_at = Instant::now();
+        let result = self.poll_task(context);
+        // The poll may have determined another account to charge.
         let account = charged_account(&self.charged).unwrap_or(account);
-        let nanos = u64::try_from(began.elapsed().as_nanos()).unwrap_or(u64::MAX);
-        account.of.turns.borrow_mut().spent(account.id, nanos);
-        done
+        let nanos = u64::try_from(started_at.elapsed().as_nanos()).unwrap_or(u64::MAX);
+        account
+            .scheduler
+            .queue
+            .borrow_mut()
+            .spent(account.id, nanos);
+        result
     }
 }
 
@@ -157,11 +161,11 @@
     use super::super::process_state::ResourceTotals;
     use super::*;
 
-    /// Work of so many steps, each of which takes a while and then lets others go.
+    /// Runs this many steps that each busy-wait for `cost` and then yield.
     async fn work(steps: usize, cost: Duration, done: Rc<Cell<usize>>) {
         for _ in 0..steps {
-            let began = Instant::now();
-            while began.elapsed() < cost {
+            let started_at = Instant::now();
+            while started_at.elapsed() < cost {
                 std::hint::spin_loop();
             }
             done.set(done.get() + 1);
@@ -169,10 +173,11 @@
         }
     }
 
-    /// Counted in steps, for how long they take depends on what else the machine does.
+    /// Guards against tasks that are polled in order of arrival, which lets one account starve another. Steps are counted
+    /// instead of time, since their duration depends on the load of the machine.
     #[test]
-    fn a_flood_of_tasks_of_one_account_does_not_hold_up_the_tasks_of_another() {
-        const FLOOD: usize = 100;
+    fn many_tasks_of_one_account_do_not_delay_the_tasks_of_another() {
+        const TASKS: usize = 100;
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()
@@ -181,33 +186,33 @@
             let process = ProcessState::new(ResourceTotals::new(64, 0, 1 << 20, 8, None), true);
             let scheduler = Scheduler::new();
             tokio::task::spawn_local(Rc::clone(&scheduler).run());
-            let (loud, quiet) = (
+            let (busy, light) = (
                 Rc::new(scheduler.open_account(1)),
                 Rc::new(scheduler.open_account(1)),
             );
             let (steps, cost) = (Rc::<Cell<usize>>::default(), Duration::from_micros(50));
-            let mut flood = Vec::new();
-            for _ in 0..FLOOD {
-                let charged = Rc::new(ChargedAccount::new(Some(Rc::clone(&loud))));
+            let mut busy_tasks = Vec::new();
+            for _ in 0..TASKS {
+                let charged = Rc::new(ChargedAccount::new(Some(Rc::clone(&busy))));
                 let task =
                     FairTask::new(&process, charged, work(usize::MAX, cost, Rc::clone(&steps)));
-                flood.push(tokio::task::spawn_local(task).abort_handle());
+                busy_tasks.push(tokio::task::spawn_local(task).abort_handle());
             }
-            let charged = Rc::new(ChargedAccount::new(Some(Rc::clone(&quiet))));
+            let charged = Rc::new(ChargedAccount::new(Some(Rc::clone(&light))));
             let task = FairTask::new(&process, charged, work(100, Duration::ZERO, Rc::default()));
             tokio::task::spawn_local(task).await.expect("it ends");
-            // Taken in the order of coming, each of its steps would wait for one of each of the others.
+            // In order of arrival each of the 100 steps would wait for one step of each other task.
             assert!(
-                steps.get() < 100 * FLOOD / 5,
-                "{} steps went before 100",
+                steps.get() < 100 * TASKS / 5,
+                "{} steps ran before 100",
                 steps.get()
             );
             assert!(
-                loud.usage().waits > 0 && quiet.usage().waits == 0,
+                busy.usage().waits > 0 && light.usage().waits == 0,
                 "{:?}",
-                quiet.usage()
+                light.usage()
             );
-            flood.iter().for_each(tokio::task::AbortHandle::abort);
+            busy_tasks.iter().for_each(tokio::task::AbortHandle::abort);
         });
     }
 }
--- a/crates/sidecar/src/levels.rs
+++ b/crates/sidecar/src/levels.rs
@@ -1,5 +1,5 @@
-//! The levels of a service at work: their signals are gathered, the module is told of changes, and operators' orders
-//! are taken. What is decided is decided in `madderloom_degradation`.
+//! The degradation levels of a service: collects their signals, notifies the balancer of changes and applies operators' orders.
+//! `madderloom_degradation` makes the decisions.
 
 use super::service::Service;
 use super::state_writer::LEVEL_ORDERS_PREFIX;
@@ -18,28 +18,32 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The processor time of the thread is looked at this often, in microseconds.
-const PROCESSOR: Micros = 1_000_000;
-/// The longest that an order may hold, in microseconds.
-const LONGEST: Micros = 7 * 86_400_000_000;
-/// The longest name of who gives one, in letters.
-const NAME: usize = 64;
+/// How often the thread's CPU time is sampled.
+const CPU_SAMPLE_INTERVAL: Micros = 1_000_000;
+/// Maximum duration of an operator's order: 7 days.
+const MAX_ORDER_DURATION: Micros = 7 * 86_400_000_000;
+/// Maximum length of the name of the operator who gives an order, in characters.
+const MAX_OPERATOR_NAME_CHARS: usize = 64;
 
-/// How busy the one thread is.
+/// The CPU usage of the serving thread.
 #[derive(Default)]
 pub(super) struct CpuUsage {
-    /// When it was last looked at, and the thread's time then.
-    seen: Cell<Option<(Micros, Micros)>>,
+    /// The time of the last sample, and the thread's CPU time then.
+    last_sample: Cell<Option<(Micros, Micros)>>,
     share: Cell<Option<f64>>,
 }
 
 impl CpuUsage {
-    /// The share of the last second, about, that the thread was at work. None until that is known.
+    /// The share of about the last second that the thread used the CPU. None before the second sample.
     fn share(&self, now: Micros) -> Option<f64> {
-        if self.seen.get().is_none_or(|(at, _)| now >= at + PROCESSOR) {
+        if self
+            .last_sample
+            .get()
+            .is_none_or(|(at, _)| now >= at + CPU_SAMPLE_INTERVAL)
+        {
             let time = clock_gettime(ClockId::ThreadCPUTime);
             let used = (time.tv_sec as u64).saturating_mul(1_000_000) + time.tv_nsec as u64 / 1_000;
-            if let Some((at, before)) = self.seen.replace(Some((now, used))) {
+            if let Some((at, before)) = self.last_sample.replace(Some((now, used))) {
                 self.share
                     .set(Some(used.saturating_sub(before) as f64 / (now - at) as f64));
             }
@@ -48,55 +52,58 @@
     }
 }
 
-/// Gives a service the levels of a file, or none. The level that holds goes on where the file has one of its name.
-pub(super) fn configure(service: &Rc<Service>, checked: Option<LevelPlan>) {
+/// Replaces the levels of a service, or removes them. The active level stays active if the new plan has one with its name.
+pub(super) fn configure(service: &Rc<Service>, plan: Option<LevelPlan>) {
     let now = service.process.clock.now();
-    let mut keeper = service.level_controller.borrow_mut();
-    let change = match (keeper.as_mut(), checked) {
-        (Some(keeper), Some(checked)) => keeper.reconfigure(checked, now),
-        (None, Some(checked)) => {
+    let mut controller = service.level_controller.borrow_mut();
+    let change = match (controller.as_mut(), plan) {
+        (Some(controller), Some(plan)) => controller.reconfigure(plan, now),
+        (None, Some(plan)) => {
             let names = service.active_settings().site.classes.clone();
-            let mut fresh = LevelController::new(checked, names, service.spread_position, now);
-            for order in kept_orders(service, now) {
-                // The level may be of an older file.
-                if let Err(problem) = fresh.apply_order(order) {
+            let mut new_controller =
+                LevelController::new(plan, names, service.spread_position, now);
+            for order in stored_orders(service, now) {
+                // The order may name a level of an earlier configuration.
+                if let Err(error) = new_controller.apply_order(order) {
                     let of = &service.log_prefix;
-                    tracing::warn!("{of}an order from before the restart is left out: {problem}");
+                    tracing::warn!("{of}an order from before the restart is left out: {error}");
                 }
             }
-            *keeper = Some(fresh);
+            *controller = Some(new_controller);
             let task = watchdog::spawn(TaskKind::Levels, run(Rc::clone(service)));
             service.track_task(task.abort_handle());
             None
         }
         (Some(_), None) => {
-            *keeper = None;
+            *controller = None;
             None
         }
         (None, None) => return,
     };
-    drop(keeper);
-    tell(service, change.as_ref());
+    drop(controller);
+    apply_change(service, change.as_ref());
 }
 
 async fn run(service: Rc<Service>) {
     while service.level_controller.borrow().is_some() {
         tokio::time::sleep(Duration::from_micros(EVALUATION_INTERVAL)).await;
-        look(&service);
+        evaluate(&service);
     }
 }
 
-fn look(service: &Rc<Service>) {
+fn evaluate(service: &Rc<Service>) {
     let now = service.process.clock.now();
-    let numbers = service.request_limits.in_flight();
-    let part = |used: f64, most: f64| if most > 0.0 { used / most } else { 1.0 };
-    let own = part(
+    let in_flight = service.request_limits.in_flight();
+    let fraction = |used: f64, most: f64| if most > 0.0 { used / most } else { 1.0 };
+    let transaction_share = fraction(
         service.transactions.borrow().len() as f64,
         service.active_settings().site.max_open as f64,
     );
-    let outside = ExternalSignals {
+    let signals = ExternalSignals {
         failing_servers: service.failing_server_share(now),
-        open_requests: Some(part(numbers.used as f64, numbers.part.most as f64).max(own)),
+        open_requests: Some(
+            fraction(in_flight.used as f64, in_flight.part.most as f64).max(transaction_share),
+        ),
         cpu: service.process.processor.share(now),
         list_age: service.list_age(now),
     };
@@ -104,14 +111,14 @@
         .level_controller
         .borrow_mut()
         .as_mut()
-        .and_then(|keeper| keeper.evaluate(now, &outside));
+        .and_then(|controller| controller.evaluate(now, &signals));
     if change.is_some() {
-        tell(service, change.as_ref());
+        apply_change(service, change.as_ref());
     }
 }
 
-/// Tells the module what to give up from now on, and the log why.
-fn tell(service: &Rc<Service>, change: Option<&LevelChange>) {
+/// Notifies the balancer of the effects of the active level, and logs a change of level.
+fn apply_change(service: &Rc<Service>, change: Option<&LevelChange>) {
     let reduced = service
         .level_controller
         .borrow()
@@ -130,39 +137,39 @@
     }
 }
 
-/// What an operator asks of a pool's levels.
+/// An operator's order on a pool's levels, as the admin interface receives it.
 #[derive(Deserialize)]
-// Answers to malformed orders show this name.
+// The response to a malformed order contains this name.
 #[serde(deny_unknown_fields, rename = "Asked")]
 pub(super) struct OrderRequest {
-    order: Kind,
-    /// [`FULL_SERVICE`] stands for full service.
+    order: OrderAction,
+    /// The name of a level, or [`FULL_SERVICE`].
     level: Option<String>,
-    /// How long it is to hold, in microseconds.
+    /// The duration of the order, in microseconds.
     #[serde(default)]
     for_us: Micros,
-    /// Who asks, as they call themselves.
+    /// The name that the operator gives.
     #[serde(default)]
     by: String,
 }
 
 #[derive(Clone, Copy, Deserialize, PartialEq)]
 #[serde(rename_all = "snake_case")]
-enum Kind {
+enum OrderAction {
     Pin,
     Bar,
     Clear,
 }
 
-/// Takes an order of a user with this number. An error says why it is not taken.
+/// Applies an order of the user with this id. The error says why it is rejected.
 pub(super) fn apply_order(
     service: &Service,
     asked: OrderRequest,
     user: Option<u32>,
 ) -> Result<(), String> {
     let now = service.process.clock.now();
-    let mut keeper = service.level_controller.borrow_mut();
-    let keeper = keeper
+    let mut controller = service.level_controller.borrow_mut();
+    let controller = controller
         .as_mut()
         .ok_or_else(|| format!("the file has no levels for {}", service.name))?;
     let OrderRequest {
@@ -171,34 +178,38 @@
         for_us,
         by,
     } = asked;
-    let by: String = by.chars().filter(|c| !c.is_control()).take(NAME).collect();
+    let by: String = by
+        .chars()
+        .filter(|c| !c.is_control())
+        .take(MAX_OPERATOR_NAME_CHARS)
+        .collect();
     let by = user.map_or_else(|| by.clone(), |user| format!("{by} (user {user})"));
     let (of, pool) = (&service.log_prefix, &service.name);
-    if order == Kind::Clear {
+    if order == OrderAction::Clear {
         let what = level.as_ref().map_or_else(
             || "the pin".to_string(),
             |level| format!("the bar of {level}"),
         );
-        if !keeper.withdraw_order(level.as_deref()) {
+        if !controller.withdraw_order(level.as_deref()) {
             return Err(format!(
                 "there is nothing to take back: {what} does not hold"
             ));
         }
-        tracing::warn!(%pool, %by, "{of}service level: {what} is taken back by {by}");
+        tracing::warn!(%pool, %by, "{of}service level: {what} is withdrawn by {by}");
         return Ok(());
     }
-    if for_us == 0 || for_us > LONGEST {
+    if for_us == 0 || for_us > MAX_ORDER_DURATION {
         return Err(format!(
             "an order holds for some time, {} at most",
-            Span(LONGEST)
+            Span(MAX_ORDER_DURATION)
         ));
     }
     let name = level.ok_or("names no level")?;
     let (level, pin) = (
         Some(name.clone()).filter(|name| name != FULL_SERVICE),
-        order == Kind::Pin,
+        order == OrderAction::Pin,
     );
-    keeper
+    controller
         .apply_order(OperatorOrder {
             ordered_by: by.clone(),
             level,
@@ -211,8 +222,8 @@
     Ok(())
 }
 
-/// The orders on a service's level that were written down and have not ended. What can't be read is told and left.
-fn kept_orders(service: &Service, now: Micros) -> Vec<OperatorOrder> {
+/// The stored orders on a service's levels that have not expired. Unreadable ones are logged and skipped.
+fn stored_orders(service: &Service, now: Micros) -> Vec<OperatorOrder> {
     let Some(state) = service.process.state_writer.get() else {
         return Vec::new();
     };
@@ -220,23 +231,23 @@
         .level_orders
         .borrow()
         .get(&service.name)
-        .map(|kept| serde_json::from_slice(kept));
+        .map(|stored| serde_json::from_slice(stored));
     let mut orders: Vec<OperatorOrder> = read
         .transpose()
-        .unwrap_or_else(|problem| {
+        .unwrap_or_else(|error| {
             tracing::warn!(
-                "{}orders from before the restart can't be read: {problem}",
+                "{}orders from before the restart can't be read: {error}",
                 service.log_prefix
             );
             None
         })
         .unwrap_or_default();
-    // Their times are of the module's clock, which reads as Unix time does at each start.
+    // Their times are those of the balancer's clock, which is set to Unix time at each start.
     orders.retain(|order| now < order.expires_at);
     orders
 }
 
-/// Writes a pool's orders down, where the file has a `[state]`.
+/// Stores a pool's orders if the operator file has a `[state]` section.
 pub(super) async fn store_orders(service: &Service) -> Result<(), String> {
     let Some(state) = service.process.state_writer.get() else {
         return Ok(());
@@ -261,18 +272,19 @@
             .insert(service.name.clone(), value.clone());
         batch.put(key, value);
     }
-    let kept = state.write(batch, Durability::Durable).await;
-    kept.map(drop)
-        .map_err(|problem| format!("it is taken, but may not survive a restart: {problem}"))
+    let result = state.write(batch, Durability::Durable).await;
+    result
+        .map(drop)
+        .map_err(|error| format!("it is taken, but may not survive a restart: {error}"))
 }
 
-/// What there is to see of a pool's levels; null where it has none.
+/// The part of the admin view on a pool's levels; null if it has none.
 pub(super) fn view(service: &Service, now: Micros) -> Value {
-    let keeper = service.level_controller.borrow();
-    let Some(keeper) = keeper.as_ref() else {
+    let controller = service.level_controller.borrow();
+    let Some(controller) = controller.as_ref() else {
         return Value::Null;
     };
-    let levels = keeper.levels();
+    let levels = controller.levels();
     let ago = |at: Micros| now.saturating_sub(at);
     let history = levels.history().map(|change| {
         json!({"ago_us": ago(change.at), "from": change.from, "to": change.to, "cause": change.cause.to_string()})
@@ -281,7 +293,7 @@
         let level = order.level.as_deref().unwrap_or(FULL_SERVICE);
         json!({"level": level, "pin": bool::from(order.kind), "by": order.ordered_by, "for_us": order.expires_at.saturating_sub(now)})
     });
-    let signals = keeper
+    let signals = controller
         .signals()
         .iter()
         .map(|(signal, value)| (signal.to_string(), json!(value)));
@@ -292,7 +304,7 @@
         "history": history.collect::<Value>(),
         "orders": orders.collect::<Value>(),
         "signals": signals.collect::<serde_json::Map<_, _>>(),
-        "changes_in_ten_minutes": keeper.max_changes_in_ten_minutes(),
+        "changes_in_ten_minutes": controller.max_changes_in_ten_minutes(),
         "given_up": service.shed_requests(),
     })
 }
--- a/crates/sidecar/src/state_writer/idempotency_record.rs
+++ b/crates/sidecar/src/state_writer/idempotency_record.rs
@@ -1,5 +1,5 @@
-//! The idempotency record of one request: before anything of a request that must not run twice is written to a server, the
-//! store holds that it may run.
+//! The idempotency record of one request: before any part of a request that must not run twice is written to a server, the
+//! store records that it may run.
 
 use super::{StateWriter, Withdrawal};
 use crate::service::Service;
@@ -17,18 +17,18 @@
 pub(crate) enum WriteBarrier {
     /// It may be sent.
     Open,
-    /// It cannot be recorded, and nothing of it was sent.
+    /// It can't be recorded, and no part of it was sent.
     Rejected,
     /// Another request with its key may have run.
     MayHaveRun,
 }
 
-/// How far the record of a request has got.
+/// The state of a request's record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RecordProgress {
-    /// Nothing was done.
+    /// Not written yet.
     New,
-    /// The record is being written; nothing of the request was sent.
+    /// The record is being written; no part of the request was sent.
     Recording,
     /// The request may be sent.
     MaySend,
@@ -36,8 +36,8 @@
     Ended,
 }
 
-/// The idempotency record of one request. If it is dropped before the request has ended, the client has gone: the request
-/// stays recorded as one that may have run, unless nothing of it was sent.
+/// The idempotency record of one request. If it is dropped before the request has ended, the client has disconnected: the
+/// request stays recorded as one that may have run, unless no part of it was sent.
 pub(crate) struct IdempotencyRecord {
     writer: Rc<StateWriter>,
     key: IdempotencyKey,
@@ -87,13 +87,13 @@
         Ok(Some(IdempotencyRecord::new(writer, key, mode)))
     }
 
-    /// Writes the record, and decides whether the request may be sent. Has to be awaited before anything is sent; returns
+    /// Writes the record and decides whether the request may be sent. Has to be awaited before any part of it is sent; returns
     /// immediately for later attempts of the same request.
     pub(crate) async fn pass_barrier(&self) -> WriteBarrier {
         match self.progress.get() {
             RecordProgress::New => {}
             RecordProgress::MaySend => return WriteBarrier::Open,
-            // An attempt was cancelled here; nothing of it was sent.
+            // An earlier attempt was cancelled while it waited here; no part of the request was sent.
             RecordProgress::Recording | RecordProgress::Ended => return WriteBarrier::Rejected,
         }
         match self.writer.admit(&self.key, self.mode) {
@@ -118,7 +118,7 @@
         let written = self.writer.write(batch, durability).await;
         self.writer.log_availability(&written);
         if self.mode == IdempotencyMode::Durable && written == Err(Error::Busy) {
-            // It may be written later. The deletion follows it in the queue.
+            // The record may still be written. The deletion follows it in the queue.
             self.withdraw();
             return WriteBarrier::Rejected;
         }
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Takes in the final answer to the request.
+    /// Updates the record after the final response.
     pub(crate) fn answered(&self, answer: &FinalResponse) {
         if !self.is_open() {
             return;
--- a/crates/sidecar/src/state_writer/mod.rs
+++ b/crates/sidecar/src/state_writer/mod.rs
@@ -1,8 +1,8 @@
-//! Writing what outlasts the process: idempotency records, warm-start snapshots and operators' orders on service levels.
-//! Nothing of this exists unless the operator file has a `[state]` section.
+//! Writes the persistent state: idempotency records, warm-start snapshots and operators' orders on service levels. Used only
+//! if the operator file has a `[state]` section.
 //!
-//! The store's own thread writes and flushes, and does nothing else. The serving thread hands batches over and awaits the
-//! results like any other I/O. Whatever happens to the disk, the program goes on.
+//! The store's own thread writes and flushes, and does nothing else. The serving thread submits batches and awaits the results
+//! like any other I/O. The program keeps serving whatever happens to the disk.
 
 mod idempotency_record;
 mod opening;
@@ -18,7 +18,7 @@
     restore_services,
 };
 use madderloom_store::{Batch, Disk, Durability, Error, GroupCommit, GroupCommitStatus, Store};
-use opening::{is_lasting, open_store};
+use opening::{is_permanent, open_store};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::io::ErrorKind;
@@ -27,19 +27,19 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::sync::oneshot;
 
-/// How long a write may take. After this it counts as refused: the disk hangs.
+/// Timeout of a write. A write that takes longer counts as rejected, since the disk hangs.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
-/// The beginning of the keys of operators' orders on service levels; the service's name follows.
+/// Key prefix of operators' orders on service levels; the service's name follows.
 pub(super) const LEVEL_ORDERS_PREFIX: &str = "level/";
-/// The most bytes that wait to be written.
+/// Maximum number of bytes queued for writing.
 const MAX_QUEUED_BYTES: usize = 8 << 20;
-/// How long a graceful shutdown waits for the last flush.
+/// Timeout of the last flush at a graceful shutdown.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The result of writing a batch: its sequence number.
 type Written = Result<u64, Error>;
 
-/// A store on a disk of any kind.
+/// A store, independent of the type of its disk.
 trait StateStore: Send {
     fn admit(
         &self,
@@ -82,7 +82,7 @@
     }
 }
 
-/// The result of deleting the record of a request that never ran.
+/// The result of deleting the record of a request that was not executed.
 struct Withdrawal {
     key: IdempotencyKey,
     written: Written,
@@ -109,8 +109,7 @@
 }
 
 impl StateWriter {
-    /// Opens the store, and writes to it once, so that an operator learns at the start of a directory that cannot be
-    /// written. Blocks.
+    /// Opens the store and writes to it once, so that a directory that can't be written shows at the start. Blocks.
     pub(super) fn open(state: State) -> Result<Rc<Self>, String> {
         let writer = StateWriter::without_store(state);
         let Err(error) =
@@ -129,10 +128,10 @@
             "state.dir: {}: {error}{hint}",
             writer.state.borrow().dir.display()
         );
-        if is_lasting(&error) {
+        if is_permanent(&error) {
             return Err(problem);
         }
-        tracing::error!("{problem}; nothing is recorded until a restart");
+        tracing::error!("{problem}; no state is recorded until a restart");
         Ok(Rc::new(writer))
     }
 
@@ -152,7 +151,7 @@
         }
     }
 
-    /// Continues with what a store holds, and writes to it from now on.
+    /// Restores the state from a store, and writes to it from now on.
     fn start_store<D: Disk>(&self, store: Store<D>) -> Result<(), Error> {
         let (snapshot, started_at) = (store.snapshot(), self.started_at);
         let tracker = IdempotencyTracker::open(self.state.borrow().rules, &snapshot, 0);
@@ -215,7 +214,7 @@
         store.submit(batch, durability, Box::new(on_written))
     }
 
-    /// Writes a batch. A batch that is not written within [`WRITE_TIMEOUT`] counts as refused, although it may be written
+    /// Writes a batch. A batch that is not written within [`WRITE_TIMEOUT`] counts as rejected, although it may be written
     /// later.
     pub(super) async fn write(&self, batch: Batch, durability: Durability) -> Written {
         let (sender, written) = oneshot::channel();
@@ -238,7 +237,7 @@
         }
     }
 
-    /// Logs when records cannot be written any more, and when they can again: once each.
+    /// Logs once when writing records starts to fail, and once when it succeeds again.
     fn log_availability(&self, written: &Written) {
         let dir = &self.state.borrow().dir;
         match written {
@@ -252,7 +251,7 @@
         }
     }
 
-    /// What the admin view shows of the state.
+    /// The part of the admin view on the persistent state.
     pub(super) fn view(&self) -> serde_json::Value {
         let (tracker, store) = (self.tracker.borrow(), self.store.borrow());
         let status = store
@@ -270,7 +269,7 @@
         })
     }
 
-    /// Flushes and closes the store. If its disk hangs, returns after [`CLOSE_TIMEOUT`], and the process ends without.
+    /// Flushes and closes the store. If its disk hangs, returns after [`CLOSE_TIMEOUT`] without the last flush.
     pub(super) fn close(&self) {
         let Some(store) = self.store.take() else {
             return;
--- a/crates/sidecar/src/state_writer/opening.rs
+++ b/crates/sidecar/src/state_writer/opening.rs
@@ -1,11 +1,11 @@
-//! Opening the store of a directory, and which failures of that last.
+//! Opens the store of a directory, and distinguishes permanent from temporary failures.
 
 use madderloom_store::{Batch, Durability, Error, Options, RealDisk, Store};
 use std::io::ErrorKind;
 use std::path::Path;
 use std::time::UNIX_EPOCH;
 
-/// The key of the time of the last start.
+/// The key of the time of the last start, in Unix seconds.
 const START_KEY: &str = "start";
 
 /// Opens the store and writes to it, so that a problem with the directory shows at the start.
@@ -16,15 +16,15 @@
     let mut start = Batch::new();
     start.put(START_KEY, started_at.to_string());
     match store.write(&start, Durability::Durable) {
-        Err(error) if is_lasting(&error) => Err(error),
-        // The disk is full or fails: what it holds can be read, and it may recover.
+        Err(error) if is_permanent(&error) => Err(error),
+        // The disk is full or failing: stored data can be read, and the disk may recover.
         _ => Ok(store),
     }
 }
 
-/// Whether an operator has to remove the cause before the program can start. A disk that fails at one time and not at
-/// another must not prevent a start.
-pub(super) fn is_lasting(error: &Error) -> bool {
+/// Whether an operator has to remove the cause before the program can start. A disk that fails intermittently must not
+/// prevent a start.
+pub(super) fn is_permanent(error: &Error) -> bool {
     use ErrorKind::{NotADirectory, NotFound, PermissionDenied, ReadOnlyFilesystem};
     match error {
         Error::Io { source, .. } => {
--- a/crates/sidecar/src/state_writer/state_writer_tests.rs
+++ b/crates/sidecar/src/state_writer/state_writer_tests.rs
@@ -1,4 +1,4 @@
-//! Idempotency records over a store whose disk is slow, full, failing or hanging.
+//! Idempotency records with a store whose disk is slow, full, failing or hanging.
 
 use super::idempotency_record::RecordProgress;
 use super::*;
@@ -26,7 +26,7 @@
 
 fn writer_over(disk: &SimDisk) -> Rc<StateWriter> {
     let writer = writer();
-    // So little space is reserved that a full disk shows immediately.
+    // Little space is preallocated, so that a full disk shows immediately.
     let options = Options {
         segment_bytes: 1 << 20,
         max_preallocated_bytes: 64,
@@ -50,7 +50,7 @@
     runtime.block_on(task)
 }
 
-/// A disk that hangs: writes never complete.
+/// A store on a disk that hangs: writes never complete.
 struct HungStore(GroupCommit<SimDisk>);
 
 impl StateStore for HungStore {
@@ -176,7 +176,7 @@
             tokio::join!(durable.pass_barrier(), relaxed.pass_barrier()),
             (WriteBarrier::Rejected, WriteBarrier::Open)
         );
-        // A rejected request was not sent: it may come again.
+        // A rejected request was not sent, so a client may retry it.
         assert_eq!(
             record(&writer, IdempotencyMode::Durable, "b")
                 .pass_barrier()
@@ -196,7 +196,7 @@
 fn a_request_abandoned_before_it_was_recorded_is_withdrawn() {
     let disk = SimDisk::new();
     let writer = writer_over(&disk);
-    let pump = Rc::clone(&writer);
+    let processor = Rc::clone(&writer);
     run(async {
         let left = record(&writer, IdempotencyMode::Durable, "a");
         let mut passing = Box::pin(left.pass_barrier());
@@ -206,7 +206,7 @@
         assert!(left.progress() == RecordProgress::Recording);
         drop(left);
         tokio::select! {
-            () = pump.process_withdrawals() => panic!("it stopped"),
+            () = processor.process_withdrawals() => panic!("it stopped"),
             () = async {
                 while !writer.tracker.borrow().is_empty() {
                     tokio::time::sleep(Duration::from_millis(1)).await;
--- a/crates/sidecar/src/warm_start.rs
+++ b/crates/sidecar/src/warm_start.rs
@@ -1,5 +1,5 @@
-//! The warm start: what the balancer has measured is written to the store every few seconds and at a graceful shutdown, and
-//! is used after a restart, weighted by its age.
+//! The warm start: the balancer's measurements are written to the store every few seconds and at a graceful shutdown, and are
+//! used after a restart, weighted by their age.
 
 use super::process_state::ProcessState;
 use super::service::Service;
@@ -14,15 +14,15 @@
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// The snapshot of an earlier process, as far as it is not used yet.
+/// The snapshot of an earlier process, and which of its servers are not restored yet.
 #[derive(Default)]
 pub(super) struct WarmStart {
     snapshot: Option<WarmStartSnapshot>,
-    /// The servers that were not listed yet since the start.
+    /// The servers that discovery has not listed since the start.
     unlisted: BTreeSet<ServerId>,
 }
 
-/// The machine's clock, in microseconds since 1970: the only clock that runs while the program does not.
+/// Unix time in microseconds. Snapshots need a clock that runs while the program does not.
 fn unix_now() -> u64 {
     let since = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -30,8 +30,8 @@
     u64::try_from(since.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// What the balancer takes in of a server's snapshot.
-fn memory_of(server: ServerId, snapshot: &ServerSnapshot) -> ServerMeasurements {
+/// The measurements that the balancer restores from a server's snapshot.
+fn measurements_of(server: ServerId, snapshot: &ServerSnapshot) -> ServerMeasurements {
     ServerMeasurements {
         server,
         started_at: snapshot.incarnation_started_at,
@@ -44,7 +44,7 @@
 }
 
 impl WarmStart {
-    /// What an earlier process has stored of a pool that has a warm start. Each snapshot is handed out once.
+    /// The stored snapshot of a pool that has a warm start. Each snapshot is returned once.
     pub(super) fn from_store(writer: &StateWriter, pool: &str) -> Self {
         let mut restored_services = writer.restored_services.borrow_mut();
         let snapshot = restored_services
@@ -57,21 +57,21 @@
         WarmStart { snapshot, unlisted }
     }
 
-    /// The snapshot at its present age; none if it has no weight any more.
+    /// The snapshot, decayed by its present age; none if its weight is zero.
     fn decayed(&self, writer: &StateWriter) -> Option<DecayedSnapshot> {
         let decay = writer.state().aging;
         let decayed = self.snapshot.as_ref()?.decayed(unix_now(), decay);
         (decayed.weight > 0.0).then_some(decayed)
     }
 
-    /// The servers as they were listed; none if the snapshot is too old.
+    /// The servers of the snapshot; none if it is too old.
     pub(super) fn stored_servers(&self, writer: &StateWriter) -> Vec<ServerSnapshot> {
         self.decayed(writer)
             .map(|decayed| decayed.servers)
             .unwrap_or_default()
     }
 
-    /// What was measured of request classes and over all requests, blended into what the balancer assumes at a start.
+    /// The stored measurements of request classes and of all requests, blended with the balancer's initial assumptions.
     pub(super) fn restore_classes(
         &self,
         writer: &StateWriter,
@@ -103,11 +103,11 @@
         Some(memory)
     }
 
-    /// Passes each server that was not listed yet to `recall`, which returns whether it has taken the server.
+    /// Passes each server that is not restored yet to `restore`, which returns whether the balancer has accepted it.
     pub(super) fn restore_servers(
         &mut self,
         writer: &StateWriter,
-        mut recall: impl FnMut(&ServerMeasurements) -> bool,
+        mut restore: impl FnMut(&ServerMeasurements) -> bool,
     ) {
         if self.unlisted.is_empty() {
             return;
@@ -118,14 +118,14 @@
         };
         for server in &servers {
             let id = ServerId::from_name(&server.name);
-            if self.unlisted.contains(&id) && recall(&memory_of(id, server)) {
+            if self.unlisted.contains(&id) && restore(&measurements_of(id, server)) {
                 self.unlisted.remove(&id);
             }
         }
     }
 }
 
-/// Writes snapshots for as long as the process serves.
+/// Writes snapshots periodically while the process serves.
 pub(super) async fn write_periodically(process: Rc<ProcessState>, writer: Rc<StateWriter>) {
     delete_unused(&process, &writer).await;
     loop {
@@ -134,7 +134,7 @@
     }
 }
 
-/// Deletes the snapshots of services that have no warm start any more.
+/// Deletes the snapshots of services that no longer have a warm start.
 async fn delete_unused(process: &ProcessState, writer: &StateWriter) {
     let mut batches = Vec::new();
     writer
@@ -151,7 +151,7 @@
             is_used
         });
     for batch in batches {
-        // What cannot be deleted now is deleted at the next start.
+        // Snapshots that can't be deleted now are deleted at the next start.
         let _ = writer.write(batch, Durability::Relaxed).await;
     }
 }
@@ -165,7 +165,7 @@
     {
         let mut pending = prepare(writer, service);
         let batch = std::mem::take(&mut pending.batch);
-        // If it is not written, the next snapshot contains all changes since the last one that was.
+        // If the write fails, the next snapshot contains all changes since the last successful one.
         if writer.write(batch, Durability::Relaxed).await.is_ok()
             && let Some(restored) = writer.restored_services.borrow_mut().get_mut(&service.name)
         {
