--- a/crates/sidecar/src/connections.rs
+++ b/crates/sidecar/src/connections.rs
@@ -57,6 +57,7 @@
     _guard: OpenConnectionGuard,
 }
 
+/// An idle connection. `sequence` increases in the order in which connections become idle.
 struct IdleConnection {
     connection: PooledConnection,
     idle_since: Micros,
@@ -105,9 +106,9 @@
     }
 
     fn remove(&mut self, server: ServerId, index: usize) -> Option<IdleConnection> {
-        let found = self.by_server.get_mut(&server)?.remove(index)?;
+        let idle = self.by_server.get_mut(&server)?.remove(index)?;
         self.count -= 1;
-        Some(found)
+        Some(idle)
     }
 
     /// The connection that has been idle for the longest time.
@@ -124,7 +125,7 @@
         self.by_server.get(server)?.front()
     }
 
-    fn drop_oldest(&mut self) -> bool {
+    fn evict_oldest(&mut self) -> bool {
         let server = self.oldest().map(|idle| idle.connection.server);
         server.and_then(|server| self.remove(server, 0)).is_some()
     }
@@ -159,6 +160,7 @@
     }
 }
 
+/// The index of an idle connection among those to its server.
 fn position(
     by_server: &HashMap<ServerId, VecDeque<IdleConnection>, FixedState>,
     server: ServerId,
@@ -255,9 +257,9 @@
             of_server.partition_point(|idle| now.saturating_sub(idle.idle_since) >= REUSE_DELAY);
         // Further expired or broken connections are left to the sweep.
         for index in (expired..reusable).rev().take(MAX_CHECKED_AT_ONCE) {
-            let found = idle_connections.remove(server, index)?;
-            if is_open_and_silent(&found.connection.stream) {
-                return Some(found.connection);
+            let idle = idle_connections.remove(server, index)?;
+            if is_open_and_silent(&idle.connection.stream) {
+                return Some(idle.connection);
             }
         }
         None
@@ -268,7 +270,7 @@
         server: ServerId,
         address: SocketAddr,
     ) -> Result<PooledConnection, ConnectError> {
-        let of_server = self.server(server);
+        let of_server = self.server_connections(server);
         // Can't fail: the semaphore is never closed.
         let connect_permit = of_server
             .connect_permits
@@ -308,15 +310,15 @@
         })
     }
 
-    fn server(&self, server: ServerId) -> Rc<ServerConnections> {
+    fn server_connections(&self, server: ServerId) -> Rc<ServerConnections> {
         let mut servers = self.servers.borrow_mut();
-        let new = || {
+        let new_entry = || {
             Rc::new(ServerConnections {
                 open_count: Cell::new(0),
                 connect_permits: Semaphore::new(MAX_CONNECTING_PER_SERVER),
             })
         };
-        Rc::clone(servers.entry(server).or_insert_with(new))
+        Rc::clone(servers.entry(server).or_insert_with(new_entry))
     }
 
     /// Reserves a slot for a new connection. If none is free, evicts the connection that has been idle the longest, in this pool
@@ -398,7 +400,7 @@
             {
                 return false;
             }
-            idle_connections.drop_oldest();
+            idle_connections.evict_oldest();
         }
         true
     }
@@ -424,7 +426,7 @@
 
     /// Evicts the connection that has been idle the longest. Returns false if none is idle.
     pub(super) fn close_oldest_idle(&self) -> bool {
-        self.idle_connections.borrow_mut().drop_oldest()
+        self.idle_connections.borrow_mut().evict_oldest()
     }
 
     /// Since when the longest idle connection has been idle.
--- a/crates/sidecar/src/counts.rs
+++ b/crates/sidecar/src/counts.rs
@@ -134,7 +134,7 @@
         /// or is in flight.
         #[test]
         fn each_accepted_request_has_ended_was_abandoned_or_is_in_flight(history in proptest::collection::vec((0..5u8, 0..400usize), 0..600)) {
-            let registry = ServiceCounts::default();
+            let service_counts = ServiceCounts::default();
             let mut open: Vec<(OpenRequest, Rc<OutcomeCounts>)> = Vec::new();
             let (mut accepted, mut abandoned, mut ended) = (0, 0, 0);
             for (action, number) in history {
@@ -142,7 +142,7 @@
                     // More classes than have counts of their own.
                     0 | 1 => {
                         accepted += 1;
-                        open.push((registry.track_request(), registry.class(&format!("class-{number}"))));
+                        open.push((service_counts.track_request(), service_counts.class(&format!("class-{number}"))));
                     }
                     _ if open.is_empty() => {}
                     2 => {
@@ -155,11 +155,11 @@
                         ended += 1;
                     }
                 }
-                let sum = registry.total().result_totals().all();
-                prop_assert_eq!((registry.open_requests(), sum), (open.len() as u64, ended));
-                prop_assert_eq!(accepted, ended + abandoned + registry.open_requests());
+                let sum = service_counts.total().result_totals().all();
+                prop_assert_eq!((service_counts.open_requests(), sum), (open.len() as u64, ended));
+                prop_assert_eq!(accepted, ended + abandoned + service_counts.open_requests());
             }
-            prop_assert!(registry.by_class().len() <= MAX_COUNTED_CLASSES);
+            prop_assert!(service_counts.by_class().len() <= MAX_COUNTED_CLASSES);
         }
     }
 }
--- a/crates/sidecar/src/exchange.rs
+++ b/crates/sidecar/src/exchange.rs
@@ -407,7 +407,7 @@
     ) -> Result<CompleteBody, ExchangeError> {
         let never = std::future::pending::<()>;
         match self.read_body_start(head, stream, never(), never).await? {
-            BodyRead::Complete(whole) => Ok(whole),
+            BodyRead::Complete(body) => Ok(body),
             BodyRead::Partial { .. } => Err(ExchangeError::Malformed),
         }
     }
--- a/crates/sidecar/src/levels.rs
+++ b/crates/sidecar/src/levels.rs
@@ -65,8 +65,8 @@
             for order in stored_orders(service, now) {
                 // The order may name a level of an earlier configuration.
                 if let Err(error) = new_controller.apply_order(order) {
-                    let of = &service.log_prefix;
-                    tracing::warn!("{of}an order from before the restart is left out: {error}");
+                    let prefix = &service.log_prefix;
+                    tracing::warn!("{prefix}an order from before the restart is left out: {error}");
                 }
             }
             *controller = Some(new_controller);
@@ -119,20 +119,22 @@
 
 /// Notifies the balancer of the effects of the active level, and logs a change of level.
 fn apply_change(service: &Rc<Service>, change: Option<&LevelChange>) {
-    let reduced = service
+    let effects = service
         .level_controller
         .borrow()
         .as_ref()
-        .map_or_else(DegradationEffects::default, |k| k.reduced().clone());
+        .map_or_else(DegradationEffects::default, |controller| {
+            controller.reduced().clone()
+        });
     service.handle(
         service.process.clock.now(),
-        Event::DegradationChanged(&reduced),
+        Event::DegradationChanged(&effects),
     );
     if let Some(change) = change {
-        let (of, pool) = (&service.log_prefix, &service.name);
+        let (prefix, pool) = (&service.log_prefix, &service.name);
         match change.to {
-            Some(_) => tracing::warn!(%pool, "{of}{change}"),
-            None => tracing::info!(%pool, "{of}{change}"),
+            Some(_) => tracing::warn!(%pool, "{prefix}{change}"),
+            None => tracing::info!(%pool, "{prefix}{change}"),
         }
     }
 }
@@ -184,7 +186,7 @@
         .take(MAX_OPERATOR_NAME_CHARS)
         .collect();
     let by = user.map_or_else(|| by.clone(), |user| format!("{by} (user {user})"));
-    let (of, pool) = (&service.log_prefix, &service.name);
+    let (prefix, pool) = (&service.log_prefix, &service.name);
     if order == OrderAction::Clear {
         let what = level.as_ref().map_or_else(
             || "the pin".to_string(),
@@ -195,7 +197,7 @@
                 "there is nothing to take back: {what} does not hold"
             ));
         }
-        tracing::warn!(%pool, %by, "{of}service level: {what} is withdrawn by {by}");
+        tracing::warn!(%pool, %by, "{prefix}service level: {what} is withdrawn by {by}");
         return Ok(());
     }
     if for_us == 0 || for_us > MAX_ORDER_DURATION {
@@ -218,7 +220,7 @@
         })
         .map_err(|error| error.to_string())?;
     let (what, span) = (if pin { "pinned" } else { "barred" }, Span(for_us));
-    tracing::warn!(%pool, %by, "{of}service level: {name} is {what} for {span} by {by}");
+    tracing::warn!(%pool, %by, "{prefix}service level: {name} is {what} for {span} by {by}");
     Ok(())
 }
 
@@ -227,12 +229,12 @@
     let Some(state) = service.process.state_writer.get() else {
         return Vec::new();
     };
-    let read = state
+    let read_orders = state
         .level_orders
         .borrow()
         .get(&service.name)
         .map(|stored| serde_json::from_slice(stored));
-    let mut orders: Vec<OperatorOrder> = read
+    let mut orders: Vec<OperatorOrder> = read_orders
         .transpose()
         .unwrap_or_else(|error| {
             tracing::warn!(
@@ -256,7 +258,7 @@
         .level_controller
         .borrow()
         .as_ref()
-        .map_or_else(Vec::new, |k| k.levels().orders().to_vec());
+        .map_or_else(Vec::new, |controller| controller.levels().orders().to_vec());
     let (key, mut batch) = (
         format!("{LEVEL_ORDERS_PREFIX}{}", service.name),
         Batch::new(),
--- a/crates/sidecar/src/probe.rs
+++ b/crates/sidecar/src/probe.rs
@@ -15,15 +15,15 @@
 
 /// Sends a probe and reports the result to the balancer.
 pub(super) fn start(service: &Rc<Service>, server: ServerId) {
-    let own = Rc::clone(service);
+    let task_service = Rc::clone(service);
     watchdog::spawn(TaskKind::LoadProbe, async move {
-        let report = own
+        let report = task_service
             .process
-            .timeout(PROBE_TIMEOUT, fetch_report(&own, server))
+            .timeout(PROBE_TIMEOUT, fetch_report(&task_service, server))
             .await
             .flatten();
-        let now = own.process.clock.now();
-        own.handle(now, Event::ProbeCompleted(server, report));
+        let now = task_service.process.clock.now();
+        task_service.handle(now, Event::ProbeCompleted(server, report));
     });
 }
 
@@ -71,9 +71,9 @@
     };
     // The names of the protocol or those of the settings: some servers send the latter.
     let first_of = |name, alternative| value(name).or_else(|| value(alternative));
-    let held = first_of("inflight", "rif").or_else(|| first_of("queue", "q"))?;
+    let reported_in_flight = first_of("inflight", "rif").or_else(|| first_of("queue", "q"))?;
     Some(LoadReport {
-        in_flight: held,
+        in_flight: reported_in_flight,
         errors_per_second: first_of("eps", "fail_rate").unwrap_or(0.0),
     })
 }
--- a/crates/sidecar/src/state_writer/idempotency_record.rs
+++ b/crates/sidecar/src/state_writer/idempotency_record.rs
@@ -136,18 +136,18 @@
     }
 
     /// Updates the record after the final response.
-    pub(crate) fn answered(&self, answer: &FinalResponse) {
+    pub(crate) fn answered(&self, response: &FinalResponse) {
         if !self.is_open() {
             return;
         }
-        match answer {
+        match response {
             FinalResponse::Served(_) => {
                 self.progress.set(RecordProgress::Ended);
                 let batch = self.writer.tracker.borrow_mut().answered(&self.key);
                 // If this is lost, the request counts as one that may have run, which has the same effect.
                 let _ = batch.map(|batch| self.writer.submit(batch, Durability::Relaxed, drop));
             }
-            // A request is only answered as refused if it has not run.
+            // A request is rejected only if it has not run.
             FinalResponse::Rejected { .. } => self.withdraw(),
             FinalResponse::Failed => self.abandon(),
         }
--- a/crates/sidecar/src/state_writer/mod.rs
+++ b/crates/sidecar/src/state_writer/mod.rs
@@ -100,7 +100,7 @@
     /// The last write of a record has failed.
     is_failing: Cell<bool>,
     withdrawals: UnboundedSender<Withdrawal>,
-    /// The other end, until [`StateWriter::process_withdrawals`] takes it.
+    /// The receiving end, until [`StateWriter::process_withdrawals`] takes it.
     withdrawal_results: RefCell<Option<UnboundedReceiver<Withdrawal>>>,
     /// The warm-start snapshots of earlier processes, by services' names.
     pub(super) restored_services: RefCell<BTreeMap<String, RestoredService>>,
--- a/crates/sidecar/src/state_writer/state_writer_tests.rs
+++ b/crates/sidecar/src/state_writer/state_writer_tests.rs
@@ -86,17 +86,17 @@
         let records: Vec<IdempotencyRecord> = (0..200)
             .map(|n| record(&writer, IdempotencyMode::Durable, &n.to_string()))
             .collect();
-        let mut passing: Vec<_> = records
+        let mut waiting: Vec<_> = records
             .iter()
             .map(|record| Box::pin(record.pass_barrier()))
             .collect();
         // All records are submitted before the first result.
         let waker = std::task::Waker::noop();
         let mut context = std::task::Context::from_waker(waker);
-        passing.retain_mut(|passing| passing.as_mut().poll(&mut context).is_pending());
-        assert!(!passing.is_empty(), "the serving thread waits for the disk");
-        for passing in passing {
-            let _ = passing.await;
+        waiting.retain_mut(|waiting| waiting.as_mut().poll(&mut context).is_pending());
+        assert!(!waiting.is_empty(), "the serving thread waits for the disk");
+        for waiting in waiting {
+            let _ = waiting.await;
         }
         assert!(
             records
@@ -198,13 +198,13 @@
     let writer = writer_over(&disk);
     let processor = Rc::clone(&writer);
     run(async {
-        let left = record(&writer, IdempotencyMode::Durable, "a");
-        let mut passing = Box::pin(left.pass_barrier());
+        let abandoned = record(&writer, IdempotencyMode::Durable, "a");
+        let mut waiting = Box::pin(abandoned.pass_barrier());
         let mut context = std::task::Context::from_waker(std::task::Waker::noop());
-        let _ = passing.as_mut().poll(&mut context);
-        drop(passing);
-        assert!(left.progress() == RecordProgress::Recording);
-        drop(left);
+        let _ = waiting.as_mut().poll(&mut context);
+        drop(waiting);
+        assert!(abandoned.progress() == RecordProgress::Recording);
+        drop(abandoned);
         tokio::select! {
             () = processor.process_withdrawals() => panic!("it stopped"),
             () = async {
