--- a/crates/sidecar/src/process_state.rs
+++ b/crates/sidecar/src/process_state.rs
@@ -1,11 +1,6 @@
 //! State that all services and listeners of the process share: clock, timers, resource limits, fair scheduler, and the
 //! services and listeners themselves.
 
-use madderloom_admin::duty::Duty;
-use madderloom_balancer::Micros;
-use std::cell::{Cell, OnceCell, RefCell};
-use std::net::SocketAddr;
-use std::rc::Rc;
 use super::clock::{Clock, LocalTimeZone};
 use super::connections::is_resource_exhaustion;
 use super::fair_scheduler::{Scheduler, SchedulerAccount};
@@ -19,6 +14,11 @@
 use super::shared_lists::SharedLists;
 use super::state_writer::StateWriter;
 use super::timers::Timers;
+use madderloom_admin::duty::Duty;
+use madderloom_balancer::Micros;
+use std::cell::{Cell, OnceCell, RefCell};
+use std::net::SocketAddr;
+use std::rc::Rc;
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
