--- a/crates/sidecar/src/graphql.rs
+++ b/crates/sidecar/src/graphql.rs
@@ -64,7 +64,7 @@
             .map(|id| InFlightRequestId::new(service, id))
             .transpose()?;
         let body = if size > 0 {
-            read_complete_body(&listener.common, body.take(), settings.body_timeout).await?
+            read_complete_body(&listener.process, body.take(), settings.body_timeout).await?
         } else {
             Bytes::new()
         };
@@ -168,22 +168,22 @@
         part: Option<usize>,
     ) -> Result<Response<Body>, Fault> {
         let (service, classed) = (self.service, &message.classed);
-        if service.transactions.borrow().len() >= service.tuned().site.max_open {
+        if service.transactions.borrow().len() >= service.active_settings().site.max_open {
             count(&service.class_counts(classed.class).turned_away);
             return Err(Fault::refused(service.retry_after()));
         }
         let _open = service.counts.open();
-        let now = service.common.clock.now();
+        let now = service.process.clock.now();
         let usual = service
-            .tuned()
-            .at(classed.class)
+            .active_settings()
+            .class_at(classed.class)
             .map_or(0, |entry| entry.class.deadline);
         let new = NewRequest {
             id: next_request_id(service),
             class: classed.class,
             tenant: 0,
             key: classed.key.or_else(|| subject(&headers)),
-            time_left: service.common.time_left(
+            time_left: service.process.cap_time_left(
                 now,
                 self.left
                     .unwrap_or(usual)
--- a/crates/sidecar/src/upload.rs
+++ b/crates/sidecar/src/upload.rs
@@ -4,9 +4,9 @@
 //! longer one the beginning is kept, and the rest is read from the client as the server takes it: neither side is read
 //! faster than the other is written. Once any of that rest has been read, the request cannot be sent again.
 
-use super::common::Common;
 use super::limits::Reservation;
 use super::listener::Listener;
+use super::process_state::ProcessState;
 use super::service::Service;
 use super::virtual_server::{RequestError, bad_request};
 use bytes::{Bytes, BytesMut};
@@ -79,22 +79,25 @@
 }
 
 impl BodyReader {
-    pub(super) fn new(common: &Common, body: Incoming, most: usize) -> Self {
+    pub(super) fn new(process: &ProcessState, body: Incoming, most: usize) -> Self {
         BodyReader {
             body,
-            begun: common.clock.now(),
+            begun: process.clock.now(),
             read: 0,
             most: most as u64,
         }
     }
 
     /// The next piece; none at the end. A client has its time by what it has sent.
-    pub(super) async fn next(&mut self, common: &Common) -> Result<Option<Bytes>, RequestError> {
+    pub(super) async fn next(
+        &mut self,
+        process: &ProcessState,
+    ) -> Result<Option<Bytes>, RequestError> {
         loop {
             let until = self.begun
                 + READ_DELAY_ALLOWANCE
                 + self.read.saturating_mul(1_000_000) / MIN_BYTES_PER_SECOND;
-            let frame = match common.until(until, self.body.frame()).await {
+            let frame = match process.timeout_at(until, self.body.frame()).await {
                 None => {
                     return Err(RequestError::Invalid(
                         StatusCode::REQUEST_TIMEOUT,
@@ -204,7 +207,7 @@
     most: usize,
     room: &mut BodyReservations,
 ) -> Result<RequestBody, RequestError> {
-    let common = &listener.common;
+    let process = &listener.process;
     let mut kept = BytesMut::new();
     // Where it is known to be too long to be kept, no more is than its beginning.
     let (fits, mut held) = match length {
@@ -226,9 +229,9 @@
     let Some(body) = body.take() else {
         return Ok(RequestBody::Buffered(Bytes::new()));
     };
-    let mut reader = BodyReader::new(common, body, most);
+    let mut reader = BodyReader::new(process, body, most);
     loop {
-        let Some(piece) = reader.next(common).await? else {
+        let Some(piece) = reader.next(process).await? else {
             return Ok(RequestBody::Buffered(kept.freeze()));
         };
         let size = kept.len() + piece.len();
--- a/crates/sidecar/src/virtual_server.rs
+++ b/crates/sidecar/src/virtual_server.rs
@@ -1,26 +1,27 @@
 //! The virtual server: the client's side of one request. It reads it, finds the service that it is for, makes room
 //! for it, and gives the answer back.
 
+use super::active_settings::ClassEntry;
 use super::client::Client;
-use super::common::Common;
 use super::counts::count;
 use super::fleet_limits::LetIn;
 use super::flow::{Onward, Reading};
 use super::graphql;
 use super::limits::LimitExceeded;
 use super::listener::{Listener, ListenerSettings};
+use super::process_state::ProcessState;
 use super::response_body::{ResponseBody, ResponseResources};
 use super::routing::{ClassSource, Routing};
 use super::service::Service;
 use super::state_writer::IdempotencyRecord;
 use super::transaction::{self, FinalResponse};
-use super::tuned::ClassEntry;
 use super::upload::{self, BodyLength, BodyReservations};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full as Whole};
+use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::http::request::Parts;
-use hyper::{Method, Request, Response, StatusCode, Uri, body::Body, body::Incoming};
+use hyper::{Method, Request, Response, StatusCode, Uri};
 use madderloom_balancer::{Effect, Micros, NewRequest, RequestId};
 use madderloom_routing::request::{Asked, Fault, split_key, subject};
 use madderloom_watchdog::{self as watchdog, TaskKind};
@@ -43,7 +44,7 @@
 
 impl<'a> InFlightRequestId<'a> {
     pub(super) fn new(of: &'a Service, id: &HeaderValue) -> Result<Self, RequestError> {
-        if !of.ids.borrow_mut().insert(id.clone()) {
+        if !of.request_ids.borrow_mut().insert(id.clone()) {
             return Err(RequestError::Invalid(
                 StatusCode::CONFLICT,
                 "a request with this X-Trace-Id is open",
@@ -55,7 +56,7 @@
 
 impl Drop for InFlightRequestId<'_> {
     fn drop(&mut self) {
-        self.of.forget(&self.id);
+        self.of.release_request_id(&self.id);
     }
 }
 
@@ -82,7 +83,7 @@
     client: &Rc<Client>,
     request: Request<Incoming>,
 ) -> Response<ResponseBody> {
-    let came = listener.common.clock.now();
+    let came = listener.process.clock.now();
     if client.ambiguous.get() {
         count(&listener.counts.senseless);
         return rejected(bad_request("it is not certain where the message ends"));
@@ -132,7 +133,7 @@
             &mut room,
         )
         .await?;
-        if service.transactions.borrow().len() >= service.tuned().site.max_open {
+        if service.transactions.borrow().len() >= service.active_settings().site.max_open {
             return Err(RequestError::LimitReached(
                 "too many requests are open",
                 service.retry_after(),
@@ -150,18 +151,18 @@
     client.body_read.set(body.streamed().is_none());
     let open = service.counts.open();
     let counts = service.class_counts(new.class);
-    let now = listener.common.clock.now();
+    let now = listener.process.clock.now();
     // Its time counts from its last byte, and what its client took to write it is not the answer's.
     new.time_left = listener
-        .common
-        .time_left(now, new.time_left.saturating_sub(CLIENT_DEADLINE_MARGIN));
+        .process
+        .cap_time_left(now, new.time_left.saturating_sub(CLIENT_DEADLINE_MARGIN));
     // An absolute target names this sidecar; the node is to see the path alone.
     let path = head.uri.into_parts().path_and_query;
     let uri = path.map_or_else(|| Uri::from_static("/"), Uri::from);
     let unsafe_to_repeat = entry
         .as_ref()
-        .is_none_or(|class| class.effect() == Effect::Unsafe);
-    let aim = service.aim(&new);
+        .is_none_or(|class| class.retry_safety() == Effect::Unsafe);
+    let aim = service.latency_objective(&new);
     let reading = Reading::Plain;
     let idempotency_record = if unsafe_to_repeat {
         IdempotencyRecord::for_request(&service, &head.headers, None)
@@ -194,7 +195,7 @@
         // What is left of it is read and dropped behind the answer, so that the answer arrives.
         match streamed.take_unread() {
             Some(unread) if streamed.completed_at.get().is_none() => {
-                drain(&service.common, unread, BODY_DRAIN_TIMEOUT)
+                drain(&service.process, unread, BODY_DRAIN_TIMEOUT)
             }
             _ => onward
                 .client
@@ -208,7 +209,7 @@
     }
     match answer {
         FinalResponse::Served(mut response) => {
-            if listener.common.clock.now() - came > aim {
+            if listener.process.clock.now() - came > aim {
                 count(&counts.late);
             }
             match response.body_mut() {
@@ -220,7 +221,7 @@
                     streamed.resources = Some(ResponseResources {
                         counts,
                         client: Rc::clone(&onward.client),
-                        common: Rc::clone(&listener.common),
+                        process: Rc::clone(&listener.process),
                         _rest,
                     });
                 }
@@ -260,7 +261,7 @@
         &counts.senseless
     });
     if let Some(unread) = unread.filter(|_| turned_away && settings.drains_rejected_bodies) {
-        drain(&service.common, unread, settings.body_timeout);
+        drain(&service.process, unread, settings.body_timeout);
     }
 }
 
@@ -274,7 +275,7 @@
         .iter()
         .filter(|service| named.is_none_or(|name| service.name == name));
     let ready = wanted.any(|service| service.pool.is_known());
-    let wanted = listener.common.duty.borrow().is_serving() && !listener.is_draining();
+    let wanted = listener.process.lifecycle.borrow().is_serving() && !listener.is_draining();
     plain(
         if ready && wanted {
             StatusCode::OK
@@ -338,7 +339,7 @@
 ) -> Result<Option<LetIn>, RequestError> {
     let class = class.map(|class| &*class.name);
     service
-        .common
+        .process
         .fleet_limits
         .admit(&service.name, class, headers)
         .map_err(|denied| {
@@ -359,12 +360,12 @@
 
 /// Reads the body of a request that is answered already. Left unread, it would have the connection reset, and the
 /// answer lost on the way.
-fn drain(common: &Rc<Common>, mut body: Incoming, within: Micros) {
-    let common = Rc::clone(common);
+fn drain(process: &Rc<ProcessState>, mut body: Incoming, within: Micros) {
+    let process = Rc::clone(process);
     watchdog::spawn(TaskKind::BodyDrain, async move {
         let read = async { while body.frame().await.is_some_and(|frame| frame.is_ok()) {} };
         // What has not come by then never will, and the connection ends with it.
-        let _ = common.within(within, read).await;
+        let _ = process.timeout(within, read).await;
     });
 }
 
@@ -416,7 +417,7 @@
         .and_then(|body| body.size_hint().exact())
         .and_then(|size| usize::try_from(size).ok());
     let problem = match most {
-        super::BODY => "the body holds more than 64 KiB",
+        super::MAX_BUFFERED_BODY_BYTES => "the body holds more than 64 KiB",
         _ => "the body is longer than this listener takes",
     };
     size.filter(|size| *size <= most)
@@ -427,14 +428,14 @@
 }
 
 pub(super) async fn read_complete_body(
-    common: &Common,
+    process: &ProcessState,
     body: Option<Incoming>,
     within: Micros,
 ) -> Result<Bytes, RequestError> {
     let Some(body) = body else {
         return Ok(Bytes::new());
     };
-    match common.within(within, body.collect()).await {
+    match process.timeout(within, body.collect()).await {
         Some(Ok(body)) => Ok(body.to_bytes()),
         Some(Err(_)) => Err(bad_request("the body has broken off")),
         None => Err(RequestError::Invalid(
@@ -447,7 +448,7 @@
 /// The class that a request names. A route's class goes before that of the path.
 fn class_of(service: &Service, class: Option<&str>, head: &Parts) -> Option<Rc<ClassEntry>> {
     let class = class.unwrap_or_else(|| head.uri.path().split('/').nth(1).unwrap_or_default());
-    service.tuned().named(class)
+    service.active_settings().class_named(class)
 }
 
 /// Takes out of a request what the module needs of it.
@@ -468,7 +469,7 @@
         StatusCode::NOT_FOUND,
         "there is no such class",
     ))?;
-    let effect = class.effect();
+    let effect = class.retry_safety();
     if head.method
         != if effect == Effect::Safe {
             Method::GET
@@ -496,7 +497,7 @@
     ))?;
     Ok(NewRequest {
         id: next_request_id(service),
-        class: class.place,
+        class: class.index,
         tenant: 0,
         key: subject(headers),
         time_left: left,
@@ -528,8 +529,8 @@
 
 /// The number of the next request.
 pub(super) fn next_request_id(service: &Service) -> RequestId {
-    let id = service.last_request.get() + 1;
-    service.last_request.set(id);
+    let id = service.last_request_id.get() + 1;
+    service.last_request_id.set(id);
     id
 }
 
