--- a/crates/sidecar/src/client.rs
+++ b/crates/sidecar/src/client.rs
@@ -9,28 +9,28 @@
 //! A client that has closed its side has gone. `hyper` hears of that by itself where it waits for the next bytes; where some
 //! lie unread before the end, nobody reads, and so the system is asked before each attempt begins ([`Client::has_disconnected`]).
 
-use super::listener::{CLOSE_GRACE_PERIOD, Listener};
-use super::readiness::{self, peek_nonblocking};
-use super::request_framing::RequestFraming;
-use super::turns::Charged;
-use super::virtual_server;
 use bytes::Bytes;
 use hyper::body::Body;
-use hyper::header::{self, HeaderValue};
+use hyper::header::{HeaderValue, self};
 use hyper::rt::{Read, ReadBufCursor, Write};
 use hyper::server::conn::http1;
 use madderloom_balancer::Micros;
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use rustix::io::Errno;
 use rustix::net::{RecvFlags, Shutdown, shutdown};
+use std::io;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
 use std::convert::Infallible;
 use std::future::poll_fn;
-use std::io;
 use std::pin::{Pin, pin};
 use std::rc::Rc;
 use std::task::{Context, Poll, Waker, ready};
+use super::virtual_server;
+use super::fair_scheduler::ChargedAccount;
+use super::listener::{CLOSE_GRACE_PERIOD, Listener};
+use super::readiness::{peek_nonblocking, self};
+use super::request_framing::RequestFraming;
 use tokio::net::TcpStream;
 
 /// A connection that was opened, or whose last answer went, so little ago may have a request on the way.
@@ -66,7 +66,7 @@
     /// Its task.
     waiting: RefCell<Option<Waker>>,
     /// Whose work it is.
-    pub(super) charged: Rc<Charged>,
+    pub(super) charged: Rc<ChargedAccount>,
     /// The body of the last request has been read whole. Left unread, what follows on the connection is not the next
     /// request, and must never be taken for it.
     pub(super) body_read: Cell<bool>,
@@ -283,7 +283,7 @@
 }
 
 impl<'a> Entered<'a> {
-    fn new(of: &'a Listener, stream: TcpStream, charged: Rc<Charged>) -> Self {
+    fn new(of: &'a Listener, stream: TcpStream, charged: Rc<ChargedAccount>) -> Self {
         let clients = &of.clients;
         let number = clients.accepted.replace(clients.accepted.get() + 1);
         let now = of.process.clock.now();
@@ -354,7 +354,7 @@
 }
 
 /// Serves one connection from its beginning to its end.
-pub(super) async fn serve(listener: &Rc<Listener>, stream: TcpStream, charged: Rc<Charged>) {
+pub(super) async fn serve(listener: &Rc<Listener>, stream: TcpStream, charged: Rc<ChargedAccount>) {
     // Only a delay is lost where this cannot be set.
     let _ = stream.set_nodelay(true);
     let entered = Entered::new(listener, stream, charged);
--- a/crates/sidecar/src/graphql.rs
+++ b/crates/sidecar/src/graphql.rs
@@ -1,33 +1,28 @@
 //! The virtual server of GraphQL routes: it has a request's class follow from what it asks, takes batches apart where
 //! the operator wants that, and answers in GraphQL. Transactions, flows and decisions are those of every request.
 
-use super::client::Client;
-use super::counts::count;
-use super::flow::{Onward, Reading};
-use super::listener::Listener;
-use super::response_body::ResponseBody as Body;
-use super::service::Service;
-use super::state_writer::IdempotencyRecord;
-use super::transaction::{self, FinalResponse};
-use super::upload::RequestBody;
-use super::virtual_server::{
-    CLIENT_DEADLINE_MARGIN, InFlightRequestId, RequestError, TRACE_ID, admit,
-    admit_by_fleet_limits, bad_request, client_time_left, declared_length, next_request_id,
-    read_complete_body, record_rejection, retry_after_value,
-};
 use bytes::Bytes;
 use http_body_util::Full;
-use hyper::header::{self, HeaderMap, HeaderValue};
+use hyper::{Response, StatusCode, Uri};
+use hyper::body::Incoming;
+use hyper::header::{HeaderMap, HeaderValue, self};
 use hyper::http::request::Parts;
-use hyper::{Response, StatusCode, Uri, body::Incoming};
 use madderloom_balancer::{Effect, Micros, NewRequest};
-use madderloom_graphql::{
-    Classed, Fault, Media, Message, Part, PartAnswer, Plan, Rejection, Reply, join, stages,
-};
+use madderloom_graphql::{Classed, Fault, Media, Message, Part, PartAnswer, Plan, Rejection, Reply, join, stages};
 use madderloom_routing::request::subject;
 use std::pin::Pin;
 use std::rc::Rc;
 use std::task::Poll;
+use super::attempt::{ForwardedRequest, ResponseProtocol};
+use super::client::Client;
+use super::counts::increment;
+use super::listener::Listener;
+use super::response_body::ResponseBody as Body;
+use super::service::Service;
+use super::state_writer::IdempotencyRecord;
+use super::transaction::{FinalResponse, self};
+use super::upload::RequestBody;
+use super::virtual_server::{CLIENT_DEADLINE_MARGIN, InFlightRequestId, RequestError, TRACE_ID, admit, admit_by_fleet_limits, bad_request, client_time_left, declared_length, next_request_id, read_complete_body, record_rejection, retry_after_value};
 
 /// What all parts of a message have in common.
 struct Asked<'a> {
@@ -82,7 +77,7 @@
         Ok(to_send) => to_send,
         Err(None) => return rejected(NO_ROUTE, media),
         Err(Some(rejection)) => {
-            count(&service.counts.unclassed().senseless);
+            increment(&service.counts.unclassed().client_errors);
             return response(rejection.reply(media));
         }
     };
@@ -169,10 +164,10 @@
     ) -> Result<Response<Body>, Fault> {
         let (service, classed) = (self.service, &message.classed);
         if service.transactions.borrow().len() >= service.active_settings().site.max_open {
-            count(&service.class_counts(classed.class).turned_away);
+            increment(&service.class_counts(classed.class).rejected_by_limit);
             return Err(Fault::refused(service.retry_after()));
         }
-        let _open = service.counts.open();
+        let _open = service.counts.track_request();
         let now = service.process.clock.now();
         let usual = service
             .active_settings()
@@ -202,29 +197,29 @@
         };
         let idempotency_record = idempotency_record
             .map_err(|_| Fault::bad("the id of what must not run twice is over 1,024 bytes"))?;
-        let onward = Onward {
+        let onward = ForwardedRequest {
             client: Rc::clone(self.client),
             method: self.head.method.clone(),
             uri: self.head.uri.clone(),
             headers,
             body: RequestBody::Buffered(message.body.clone()),
-            unsafe_to_repeat: is_unsafe,
-            reading: Reading::Graphql {
+            non_idempotent: is_unsafe,
+            protocol: ResponseProtocol::Graphql {
                 hash_only: message.hash_only,
             },
             idempotency_record,
         };
         match transaction::run(service, now, new, Rc::new(onward)).await {
             FinalResponse::Served(response) => {
-                count(&service.class_counts(classed.class).served);
+                increment(&service.class_counts(classed.class).served);
                 Ok(response)
             }
             FinalResponse::Rejected { retry_after } => {
-                count(&service.class_counts(classed.class).refused);
+                increment(&service.class_counts(classed.class).rejected);
                 Err(Fault::refused(retry_after))
             }
             FinalResponse::Failed => {
-                count(&service.class_counts(classed.class).failed);
+                increment(&service.class_counts(classed.class).failed);
                 Err(Fault::failed())
             }
         }
--- a/crates/sidecar/src/process_state.rs
+++ b/crates/sidecar/src/process_state.rs
@@ -1,10 +1,16 @@
 //! What belongs to the process: its clock, its limits, the turns on its thread, and who is there.
 
+use madderloom_admin::duty::Duty;
+use madderloom_balancer::Micros;
+use std::cell::{Cell, OnceCell, RefCell};
+use std::net::SocketAddr;
+use std::rc::Rc;
 use super::clock::{Clock, LocalTimeZone};
-use super::connections::is_exhausted;
+use super::connections::is_resource_exhaustion;
+use super::fair_scheduler::{Scheduler, SchedulerAccount};
 use super::feed::Feed;
 use super::fleet_limits::FleetLimits;
-use super::levels::Processor;
+use super::levels::CpuUsage;
 use super::limits::SharedLimit;
 use super::listener::Listener;
 use super::pool::Steering;
@@ -12,12 +18,6 @@
 use super::shared_lists::SharedLists;
 use super::state_writer::StateWriter;
 use super::timers::Timers;
-use super::turns::{Account, Scheduler};
-use madderloom_admin::duty::Duty;
-use madderloom_balancer::Micros;
-use std::cell::{Cell, OnceCell, RefCell};
-use std::net::SocketAddr;
-use std::rc::Rc;
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
@@ -80,7 +80,7 @@
     pub(super) server_overrides: RefCell<Steering>,
     /// What outlasts the process, where the operator file names a place for it.
     pub(super) state_writer: OnceCell<Rc<StateWriter>>,
-    pub(super) processor: Processor,
+    pub(super) processor: CpuUsage,
     /// Fleet-wide limits, where the operator file has any.
     pub(super) fleet_limits: Rc<FleetLimits>,
     /// Lists of servers that the fleet shares, where the operator file says so.
@@ -176,7 +176,7 @@
             day: OnceCell::new(),
             server_overrides: RefCell::default(),
             state_writer: OnceCell::new(),
-            processor: Processor::default(),
+            processor: CpuUsage::default(),
             fleet_limits: Rc::default(),
             shared_lists: SharedLists::default(),
         })
@@ -231,10 +231,10 @@
     }
 
     /// An account of this weight, where work is taken in turn.
-    pub(super) fn account(&self, weight: u32) -> Option<Rc<Account>> {
+    pub(super) fn account(&self, weight: u32) -> Option<Rc<SchedulerAccount>> {
         self.scheduler
             .as_ref()
-            .map(|scheduler| Rc::new(scheduler.open(weight)))
+            .map(|scheduler| Rc::new(scheduler.open_account(weight)))
     }
 
     /// What connections hold, by what each is counted as: parked, served, and to servers.
@@ -299,7 +299,7 @@
     pub(super) async fn connect(&self, address: SocketAddr) -> std::io::Result<TcpStream> {
         loop {
             match TcpStream::connect(address).await {
-                Err(problem) if is_exhausted(&problem) => self.free_descriptor().await,
+                Err(problem) if is_resource_exhaustion(&problem) => self.free_descriptor().await,
                 came => return came,
             }
         }
@@ -317,9 +317,9 @@
         let services = self.services.borrow();
         let oldest = services
             .iter()
-            .filter_map(|s| Some((s.connections.oldest()?, s)));
+            .filter_map(|s| Some((s.connections.oldest_idle_since()?, s)));
         if let Some((_, service)) = oldest.min_by_key(|(since, _)| *since) {
-            service.connections.drop_oldest();
+            service.connections.close_oldest_idle();
         }
     }
 
@@ -328,10 +328,10 @@
         let services = self.services.borrow();
         let borrowing = services
             .iter()
-            .filter(|s| s.connections.seats.exceeds_guarantee());
-        let oldest = borrowing.filter_map(|s| Some((s.connections.oldest()?, s)));
+            .filter(|s| s.connections.slots.exceeds_guarantee());
+        let oldest = borrowing.filter_map(|s| Some((s.connections.oldest_idle_since()?, s)));
         if let Some((_, service)) = oldest.min_by_key(|(since, _)| *since) {
-            service.connections.drop_oldest();
+            service.connections.close_oldest_idle();
         }
     }
 
--- a/crates/sidecar/src/reload.rs
+++ b/crates/sidecar/src/reload.rs
@@ -1,22 +1,22 @@
 //! The operator file read again while the process serves: it takes effect whole or not at all.
 
-use super::admin::{self, AdminServer};
-use super::config::Config;
-use super::counts::count;
+use madderloom_balancer::settings::Site;
+use madderloom_operator_config::{Bounds, MemberLimits, Operator, PLATFORM, Pool, parts};
+use madderloom_routing::routes::{Route, Table};
+use madderloom_watchdog::{TaskKind, self as watchdog};
+use std::hash::BuildHasher;
+use std::rc::Rc;
+use std::time::Duration;
 use super::discovery_watch;
+use super::admin::{AdminServer, self};
+use super::config::Config;
+use super::counts::increment;
 use super::listener::{BoundSocket, Listener, ListenerSettings, bind};
 use super::ordinal::ordinal_in_name;
 use super::pool::Listing;
 use super::process::{Sidecar, resource_totals};
 use super::routing::{ListenerRoutes, Routing};
 use super::service::{ResourceShares, Service, ServiceSpec};
-use madderloom_balancer::settings::Site;
-use madderloom_operator_config::{Bounds, MemberLimits, Operator, PLATFORM, Pool, parts};
-use madderloom_routing::routes::{Route, Table};
-use madderloom_watchdog::{self as watchdog, TaskKind};
-use std::hash::BuildHasher;
-use std::rc::Rc;
-use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::sync::oneshot;
 
@@ -36,7 +36,7 @@
             let read = Config::reload(&self.config_keys.borrow());
             match read {
                 Ok(config) => {
-                    count(&self.process.configs_accepted);
+                    increment(&self.process.configs_accepted);
                     self.config_keys.replace(config.keys);
                     if config.settings != service.active_settings().configured_site {
                         tracing::info!("settings taken over");
@@ -45,7 +45,7 @@
                     discovery_watch::turn_to(service, config.discovery);
                 }
                 Err(problem) => {
-                    count(&self.process.configs_rejected);
+                    increment(&self.process.configs_rejected);
                     tracing::warn!("not read again: {problem}");
                 }
             }
@@ -153,7 +153,9 @@
             .control
             .as_ref()
             .map(|control| control.fleet_limits.as_slice());
-        self.process.fleet_limits.follow(limits.unwrap_or_default());
+        self.process
+            .fleet_limits
+            .set_limits(limits.unwrap_or_default());
         let shared = operator
             .control
             .as_ref()
--- a/crates/sidecar/src/response_body.rs
+++ b/crates/sidecar/src/response_body.rs
@@ -4,9 +4,9 @@
 //! here at any time. Where the server breaks off, the client's connection ends without the end of the answer.
 
 use super::client::Client;
-use super::connections::Lease;
-use super::counts::{Counts, count};
-use super::exchange::{Broken, Unwrapper};
+use super::connections::PooledConnection;
+use super::counts::{OutcomeCounts, increment};
+use super::exchange::{BodyDecoder, ExchangeError};
 use super::process_state::ProcessState;
 use super::readiness;
 use super::service::Service;
@@ -35,11 +35,11 @@
     pub(super) service: Rc<Service>,
     pub(super) server: ServerId,
     pub(super) address: SocketAddr,
-    pub(super) lease: Option<Lease>,
+    pub(super) lease: Option<PooledConnection>,
     /// The server keeps the connection, and has had the whole request.
     pub(super) reusable: bool,
     pub(super) undecoded: BytesMut,
-    pub(super) unwrapper: Unwrapper,
+    pub(super) unwrapper: BodyDecoder,
     /// Taken out of its wrapping already.
     pub(super) decoded: Bytes,
     /// The request's class, and what it holds until its answer has ended.
@@ -48,7 +48,7 @@
 
 /// What an answer holds until its end.
 pub(super) struct ResponseResources {
-    pub(super) counts: Rc<Counts>,
+    pub(super) counts: Rc<OutcomeCounts>,
     /// Its client, which is not idle before.
     pub(super) client: Rc<Client>,
     pub(super) process: Rc<ProcessState>,
@@ -62,19 +62,19 @@
 }
 
 impl StreamedResponseBody {
-    fn poll(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Bytes, Broken>>> {
+    fn poll(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Bytes, ExchangeError>>> {
         if !self.decoded.is_empty() {
             return Poll::Ready(Some(Ok(std::mem::take(&mut self.decoded))));
         }
         loop {
-            match self.unwrapper.next(&mut self.undecoded) {
+            match self.unwrapper.decode(&mut self.undecoded) {
                 Err(broken) => return Poll::Ready(Some(Err(broken))),
                 Ok(Some(data)) => return Poll::Ready(Some(Ok(data))),
-                Ok(None) if self.unwrapper.is_over() => return Poll::Ready(None),
+                Ok(None) if self.unwrapper.is_complete() => return Poll::Ready(None),
                 Ok(None) => {}
             }
             let Some(lease) = self.lease.as_mut() else {
-                return Poll::Ready(Some(Err(Broken::Connection)));
+                return Poll::Ready(Some(Err(ExchangeError::Connection)));
             };
             let undecoded = &mut self.undecoded;
             let read = readiness::poll_read(&lease.stream, context, |stream| {
@@ -83,7 +83,7 @@
             });
             match ready!(read) {
                 Ok(0) if self.unwrapper.ends_with_connection() => return Poll::Ready(None),
-                Ok(0) | Err(_) => return Poll::Ready(Some(Err(Broken::Connection))),
+                Ok(0) | Err(_) => return Poll::Ready(Some(Err(ExchangeError::Connection))),
                 Ok(_) => {}
             }
         }
@@ -93,16 +93,16 @@
     fn end(&mut self, whole: bool) {
         let lease = self.lease.take();
         if whole {
-            self.service.connections.heard(self.server);
+            self.service.connections.record_response(self.server);
             let there = self.service.pool.address(self.server) == Some(self.address);
             if let Some(lease) =
                 lease.filter(|_| self.reusable && there && self.undecoded.is_empty())
             {
-                self.service.connections.keep(lease);
+                self.service.connections.release(lease);
             }
         }
         if let Some(resources) = &self.resources {
-            count(if whole {
+            increment(if whole {
                 &resources.counts.served
             } else {
                 &resources.counts.failed
@@ -135,7 +135,7 @@
             ResponseBody::Streamed(body) => Poll::Ready(match ready!(body.poll(context)) {
                 Some(Ok(data)) => {
                     // Of a known length the last piece is the end: nobody asks for another.
-                    if body.unwrapper.is_over() && body.decoded.is_empty() {
+                    if body.unwrapper.is_complete() && body.decoded.is_empty() {
                         body.end(true);
                     }
                     Some(Ok(Frame::data(data)))
@@ -157,14 +157,14 @@
     fn is_end_stream(&self) -> bool {
         match self {
             ResponseBody::Buffered(body) => body.is_end_stream(),
-            ResponseBody::Streamed(body) => body.decoded.is_empty() && body.unwrapper.is_over(),
+            ResponseBody::Streamed(body) => body.decoded.is_empty() && body.unwrapper.is_complete(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
             ResponseBody::Buffered(body) => body.size_hint(),
-            ResponseBody::Streamed(body) => match body.unwrapper.left() {
+            ResponseBody::Streamed(body) => match body.unwrapper.remaining() {
                 Some(left) => SizeHint::with_exact(left + body.decoded.len() as u64),
                 None => SizeHint::default(),
             },
--- a/crates/sidecar/src/virtual_server.rs
+++ b/crates/sidecar/src/virtual_server.rs
@@ -1,12 +1,22 @@
 //! The virtual server: the client's side of one request. It reads it, finds the service that it is for, makes room
 //! for it, and gives the answer back.
 
+use bytes::Bytes;
+use http_body_util::{BodyExt, Full as Whole};
+use hyper::{Method, Request, Response, StatusCode, Uri};
+use hyper::body::{Body, Incoming};
+use hyper::header::{HeaderMap, HeaderName, HeaderValue, self};
+use hyper::http::request::Parts;
+use madderloom_balancer::{Effect, Micros, NewRequest, RequestId};
+use madderloom_routing::request::{Asked, Fault, split_key, subject};
+use madderloom_watchdog::{TaskKind, self as watchdog};
+use std::rc::Rc;
+use super::graphql;
 use super::active_settings::ClassEntry;
+use super::attempt::{ForwardedRequest, ResponseProtocol};
 use super::client::Client;
-use super::counts::count;
-use super::fleet_limits::LetIn;
-use super::flow::{Onward, Reading};
-use super::graphql;
+use super::counts::increment;
+use super::fleet_limits::FleetPermit;
 use super::limits::LimitExceeded;
 use super::listener::{Listener, ListenerSettings};
 use super::process_state::ProcessState;
@@ -14,18 +24,8 @@
 use super::routing::{ClassSource, Routing};
 use super::service::Service;
 use super::state_writer::IdempotencyRecord;
-use super::transaction::{self, FinalResponse};
-use super::upload::{self, BodyLength, BodyReservations};
-use bytes::Bytes;
-use http_body_util::{BodyExt, Full as Whole};
-use hyper::body::{Body, Incoming};
-use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
-use hyper::http::request::Parts;
-use hyper::{Method, Request, Response, StatusCode, Uri};
-use madderloom_balancer::{Effect, Micros, NewRequest, RequestId};
-use madderloom_routing::request::{Asked, Fault, split_key, subject};
-use madderloom_watchdog::{self as watchdog, TaskKind};
-use std::rc::Rc;
+use super::transaction::{FinalResponse, self};
+use super::upload::{BodyLength, BodyReservations, self};
 
 /// A client counts its time from the sending, which is a little before the reading.
 pub(super) const CLIENT_DEADLINE_MARGIN: Micros = 1_000;
@@ -85,7 +85,7 @@
 ) -> Response<ResponseBody> {
     let came = listener.process.clock.now();
     if client.ambiguous.get() {
-        count(&listener.counts.senseless);
+        increment(&listener.counts.client_errors);
         return rejected(bad_request("it is not certain where the message ends"));
     }
     if request.uri().path() == "/ready" && request.method() == Method::GET {
@@ -95,7 +95,7 @@
     let (service, class) = match find(listener, &head) {
         Ok(found) => found,
         Err(reject) => {
-            count(&listener.counts.senseless);
+            increment(&listener.counts.client_errors);
             return rejected(reject);
         }
     };
@@ -149,7 +149,7 @@
         }
     };
     client.body_read.set(body.streamed().is_none());
-    let open = service.counts.open();
+    let open = service.counts.track_request();
     let counts = service.class_counts(new.class);
     let now = listener.process.clock.now();
     // Its time counts from its last byte, and what its client took to write it is not the answer's.
@@ -159,30 +159,30 @@
     // An absolute target names this sidecar; the node is to see the path alone.
     let path = head.uri.into_parts().path_and_query;
     let uri = path.map_or_else(|| Uri::from_static("/"), Uri::from);
-    let unsafe_to_repeat = entry
+    let non_idempotent = entry
         .as_ref()
         .is_none_or(|class| class.retry_safety() == Effect::Unsafe);
     let aim = service.latency_objective(&new);
-    let reading = Reading::Plain;
-    let idempotency_record = if unsafe_to_repeat {
+    let protocol = ResponseProtocol::Http;
+    let idempotency_record = if non_idempotent {
         IdempotencyRecord::for_request(&service, &head.headers, None)
     } else {
         Ok(None)
     };
     let Ok(idempotency_record) = idempotency_record else {
-        count(&counts.senseless);
+        increment(&counts.client_errors);
         return rejected(LONG_ID);
     };
     let (method, headers) = (head.method, head.headers);
     let client = Rc::clone(client);
-    let onward = Onward {
+    let onward = ForwardedRequest {
         client,
         method,
         uri,
         headers,
         body,
-        unsafe_to_repeat,
-        reading,
+        non_idempotent,
+        protocol,
         idempotency_record,
     };
     let onward = Rc::new(onward);
@@ -203,17 +203,17 @@
                 .set(streamed.completed_at.get().is_some()),
         }
         if let Some(reject) = streamed.failure.take() {
-            count(&counts.senseless);
+            increment(&counts.client_errors);
             return rejected(reject);
         }
     }
     match answer {
         FinalResponse::Served(mut response) => {
             if listener.process.clock.now() - came > aim {
-                count(&counts.late);
+                increment(&counts.late);
             }
             match response.body_mut() {
-                ResponseBody::Buffered(_) => count(&counts.served),
+                ResponseBody::Buffered(_) => increment(&counts.served),
                 // It is open to its last byte, and so is all that it holds.
                 ResponseBody::Streamed(streamed) => {
                     let _rest = Box::new((open, room, entry, held));
@@ -229,11 +229,11 @@
             response
         }
         FinalResponse::Rejected { retry_after } => {
-            count(&counts.refused);
+            increment(&counts.rejected);
             refusal("refused", retry_after)
         }
         FinalResponse::Failed => {
-            count(&counts.failed);
+            increment(&counts.failed);
             plain(StatusCode::BAD_GATEWAY, "failed")
         }
     }
@@ -255,10 +255,10 @@
         || service.counts.unclassed(),
         |class| Rc::clone(&class.counts),
     );
-    count(if turned_away {
-        &counts.turned_away
+    increment(if turned_away {
+        &counts.rejected_by_limit
     } else {
-        &counts.senseless
+        &counts.client_errors
     });
     if let Some(unread) = unread.filter(|_| turned_away && settings.drains_rejected_bodies) {
         drain(&service.process, unread, settings.body_timeout);
@@ -320,7 +320,7 @@
             }
             LimitExceeded::BodyBytes => RequestError::LimitReached("too much is open", usual),
             LimitExceeded::Rate(wait) => {
-                count(&service.counts.unclassed().over_rate);
+                increment(&service.counts.unclassed().over_rate_limit);
                 // Clients honour no longer advice than the settings say.
                 RequestError::LimitReached(
                     "too many requests have come",
@@ -336,14 +336,14 @@
     service: &Service,
     class: Option<&ClassEntry>,
     headers: &HeaderMap,
-) -> Result<Option<LetIn>, RequestError> {
+) -> Result<Option<FleetPermit>, RequestError> {
     let class = class.map(|class| &*class.name);
     service
         .process
         .fleet_limits
         .admit(&service.name, class, headers)
         .map_err(|denied| {
-            count(&service.counts.unclassed().over_rate);
+            increment(&service.counts.unclassed().over_rate_limit);
             let problem = if denied.without_lease {
                 "a fleet limit lets no more in, and no lease of it holds"
             } else {
