--- a/crates/sidecar/src/process.rs
+++ b/crates/sidecar/src/process.rs
@@ -1,27 +1,27 @@
 //! The sidecar as a whole: made of the platform's configuration, of the operator file, or of both.
 
+use madderloom_balancer::Micros;
+use madderloom_operator_config::{Kept, MemberLimits, Operator, PLATFORM};
+use madderloom_routing::shares::Part;
+use madderloom_watchdog::{TaskKind, self as watchdog};
+use std::cell::RefCell;
+use std::hash::{BuildHasher, RandomState};
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::rc::Rc;
+use std::time::Duration;
+use super::{control_address, timers, warm_start};
 use super::admin::AdminServer;
 use super::agent_link::AgentLink;
 use super::config::{Config, ConfigKeys, descriptor_limit};
 use super::feed::FOLLOWERS;
-use super::kept::keep_going;
 use super::listener::{BoundSocket, Listener, ListenerSettings, bind};
 use super::ordinal::ordinal_in_name;
 use super::process_state::{ProcessState, ResourceTotals};
 use super::routing::Routing;
 use super::service::{ResourceShares, Service, ServiceSpec};
 use super::state_writer::StateWriter;
-use super::{control_address, timers, warm_start};
-use madderloom_balancer::Micros;
-use madderloom_operator_config::{Kept, MemberLimits, Operator, PLATFORM};
-use madderloom_routing::shares::Part;
-use madderloom_watchdog::{self as watchdog, TaskKind};
-use std::cell::RefCell;
-use std::hash::{BuildHasher, RandomState};
-use std::net::SocketAddr;
-use std::path::PathBuf;
-use std::rc::Rc;
-use std::time::Duration;
+use super::supervision::supervise;
 use tokio::net::TcpListener;
 use tokio::task::AbortHandle;
 
@@ -95,7 +95,7 @@
         }
         let alarmed = Rc::clone(&process);
         watchdog::spawn(TaskKind::Timers, async move {
-            keep_going(TaskKind::Timers, "timers", || {
+            supervise(TaskKind::Timers, "timers", || {
                 Some(timers::run(Rc::clone(&alarmed)))
             })
             .await;
@@ -150,7 +150,7 @@
         self.follow_agent();
         let process = Rc::clone(&self.process);
         watchdog::spawn(TaskKind::Upkeep, async move {
-            keep_going(TaskKind::Upkeep, "upkeep", || {
+            supervise(TaskKind::Upkeep, "upkeep", || {
                 Some(look_after(Rc::clone(&process)))
             })
             .await
--- a/crates/sidecar/src/view.rs
+++ b/crates/sidecar/src/view.rs
@@ -1,20 +1,20 @@
 //! What the admin view shows: the process, its listeners, its pools and their servers, as one JSON object.
 
-use madderloom_balancer::{Effect, Micros, Outcome, ServerId, ServerState, ServerView};
-use madderloom_endpoint_history::{Interval, LatencySketch, Recording, Subject, Timeline};
-use madderloom_routing::shares::Held;
-use madderloom_routing::turns::Spent;
-use serde_json::{Value, json};
-use std::rc::Rc;
-use super::levels;
 use super::agent_link::AgentLink;
 use super::counts::OutcomeCounts;
 use super::fair_scheduler::charged_account;
+use super::levels;
 use super::limits::SharedLimit;
 use super::listener::Listener;
 use super::process_state::ProcessState;
 use super::service::Service;
 use super::teller::{Teller, words};
+use madderloom_balancer::{Effect, Micros, Outcome, ServerId, ServerState, ServerView};
+use madderloom_endpoint_history::{Interval, LatencySketch, Recording, Subject, Timeline};
+use madderloom_routing::shares::Held;
+use madderloom_routing::turns::Spent;
+use serde_json::{Value, json};
+use std::rc::Rc;
 
 /// The version of the object.
 const VERSION: u32 = 1;
@@ -142,9 +142,9 @@
     json!({
         "name": service.name,
         "state": if service.is_draining() { "leaving" } else { "serving" },
-        "ready": service.pool.is_known(),
+        "ready": service.pool.has_servers(),
         "discovery": service.pool.discovery().map(|at| at.to_string()),
-        "list_version": service.pool.version(),
+        "list_version": service.pool.list_version(),
         "classes": classes.collect::<Value>(),
         "servers": snapshot.servers.iter().map(|s| server(service, s, now)).collect::<Value>(),
         "requests": counts(&service.counts.total()),
--- a/crates/sidecar/src/virtual_server.rs
+++ b/crates/sidecar/src/virtual_server.rs
@@ -274,7 +274,7 @@
         .reachable_services()
         .iter()
         .filter(|service| named.is_none_or(|name| service.name == name));
-    let ready = wanted.any(|service| service.pool.is_known());
+    let ready = wanted.any(|service| service.pool.has_servers());
     let wanted = listener.process.lifecycle.borrow().is_serving() && !listener.is_draining();
     plain(
         if ready && wanted {
