--- a/crates/cli/tests/alone/log.rs
+++ b/crates/cli/tests/alone/log.rs
@@ -167,7 +167,7 @@
     });
     let counted = comes(
         &told,
-        " more lines like those of madderloom_sidecar::passing",
+        " more lines like those of madderloom_sidecar::response_body",
     );
     let written = |line: &str| {
         line.split(' ')
--- a/crates/sidecar/src/attempt.rs
+++ b/crates/sidecar/src/attempt.rs
@@ -358,10 +358,10 @@
                 service,
                 server,
                 address,
-                lease,
+                connection: lease,
                 reusable,
                 undecoded: unread,
-                unwrapper,
+                decoder: unwrapper,
                 decoded: first,
                 resources: None,
             };
--- a/crates/sidecar/src/drain.rs
+++ b/crates/sidecar/src/drain.rs
@@ -1,4 +1,4 @@
-//! The drain of the process and its end: what the duty decides, carried out on the listeners.
+//! Starts and ends the drain of the process: applies the decisions of its lifecycle state to the listeners.
 
 use super::process_state::ProcessState;
 use madderloom_admin::duty::State;
@@ -6,10 +6,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Between looks after what lies idle while it drains.
-const LOOK: Duration = Duration::from_millis(50);
+/// Interval at which idle client connections are checked during a drain.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Begins a drain. One that goes on already goes on.
+/// Starts a drain; does nothing if the process is draining already or stopping.
 pub(super) fn begin(process: &Rc<ProcessState>) {
     if !process
         .lifecycle
@@ -18,16 +18,16 @@
     {
         return;
     }
-    tracing::info!("draining: no new work is wanted");
+    tracing::info!("draining: this instance should get no new work");
     let process = Rc::clone(process);
     watchdog::spawn(TaskKind::Drain, async move {
         loop {
-            tokio::time::sleep(LOOK).await;
-            let duty = process.lifecycle.borrow().clone();
-            if !matches!(duty.state(), State::Draining { .. }) {
+            tokio::time::sleep(IDLE_CHECK_INTERVAL).await;
+            let lifecycle = process.lifecycle.borrow().clone();
+            if !matches!(lifecycle.state(), State::Draining { .. }) {
                 return;
             }
-            if let Some(since) = duty.closes_idle_since(process.clock.now()) {
+            if let Some(since) = lifecycle.closes_idle_since(process.clock.now()) {
                 process
                     .listeners
                     .borrow()
@@ -38,9 +38,9 @@
     });
 }
 
-/// Ends a drain; nothing where there is none.
+/// Ends a drain; does nothing if there is none.
 pub(super) fn end(process: &ProcessState) {
     if process.lifecycle.borrow_mut().rejoin() {
-        tracing::info!("back to work");
+        tracing::info!("drain ended: this instance takes work again");
     }
 }
--- a/crates/sidecar/src/limits.rs
+++ b/crates/sidecar/src/limits.rs
@@ -1,4 +1,4 @@
-//! What is limited, and who holds how much of it: handles on the shares that give back what they took.
+//! Limits that are shared between services or listeners. Reservations release their units when they are dropped.
 
 use madderloom_balancer::Micros;
 use madderloom_operator_config::RateLimit;
@@ -7,16 +7,17 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// Something limited, shared by its members.
+/// A number of units shared by the holders of its [`LimitShare`]s.
 pub(super) struct SharedLimit(RefCell<Shares>);
 
-/// A member of a limit; it leaves when it is dropped, and what it holds is given back as that is dropped.
+/// A service's or listener's share of a limit. Dropping it ends the share; its units are released as their reservations are
+/// dropped.
 pub(super) struct LimitShare {
     limit: Rc<SharedLimit>,
     id: MemberId,
 }
 
-/// Units that are held; given back when it is dropped.
+/// Reserved units; released when this is dropped.
 pub(super) struct Reservation {
     limit: Rc<SharedLimit>,
     id: MemberId,
@@ -70,7 +71,7 @@
         self.limit.0.borrow().held(self.id)
     }
 
-    /// Whether it holds more than is guaranteed to it.
+    /// Whether more is reserved than is guaranteed to this share.
     pub(super) fn exceeds_guarantee(&self) -> bool {
         let usage = self.usage();
         usage.used > usage.part.guaranteed
@@ -89,18 +90,18 @@
     }
 }
 
-/// Why there is no room for a request.
+/// Which limit a request exceeds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum LimitExceeded {
-    /// Too many are open.
+    /// Requests in flight.
     InFlight,
-    /// Their bodies are too long together.
+    /// Bytes of the bodies of requests in flight.
     BodyBytes,
-    /// Too many have come; one may come after this time.
+    /// Requests per second. Another one is admitted after this time.
     Rate(Micros),
 }
 
-/// What the requests of a service, or those of a listener's clients, may hold together.
+/// Limits on the requests of a service, or of a listener's clients, taken together.
 pub(super) struct RequestLimits {
     in_flight: LimitShare,
     body_bytes: LimitShare,
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Takes over other limits; what is held stays held.
+    /// Sets other limits. Existing reservations stay valid, also above the new limits.
     pub(super) fn update(&self, in_flight: Part, body_bytes: Part, rate: Option<RateLimit>) {
         self.in_flight.update(in_flight);
         self.body_bytes.update(body_bytes);
@@ -132,9 +133,12 @@
         }
     }
 
-    /// Makes room for a request with a body of this size, or says why there is none.
+    /// Reserves capacity for a request with a body of `size` bytes.
+    ///
+    /// # Errors
+    /// The limit that the request exceeds.
     pub(super) fn admit(&self, now: Micros, size: u64) -> Result<[Reservation; 2], LimitExceeded> {
-        let held = [
+        let reservations = [
             self.in_flight
                 .reserve(1)
                 .map_err(|_| LimitExceeded::InFlight)?,
@@ -145,10 +149,10 @@
         if let Some(rate) = self.rate.borrow_mut().as_mut() {
             rate.take(now).map_err(LimitExceeded::Rate)?;
         }
-        Ok(held)
+        Ok(reservations)
     }
 
-    /// Room for so much more of a body, where there is any.
+    /// Reserves another `size` bytes for a body; `None` if the limit is reached.
     pub(super) fn reserve_body(&self, size: u64) -> Option<Reservation> {
         self.body_bytes.reserve(size).ok()
     }
--- a/crates/sidecar/src/readiness.rs
+++ b/crates/sidecar/src/readiness.rs
@@ -1,17 +1,16 @@
-//! Waiting for sockets, for everything here that reads or writes one itself.
+//! Waits for socket readiness, for all code of this crate that reads or writes sockets itself.
 //!
-//! The runtime remembers that a socket was ready until an operation that it knows of finds that it would block. Whoever
-//! awaits the remembered state and then asks the system in a way that the runtime does not see is told "ready" again and
-//! again, at once: its task never gives way, and since there is one thread for all tasks, nobody else is served. So all
-//! waits go through this module, which keeps to two rules:
+//! Tokio caches that a socket is ready until an operation made through it returns `WouldBlock`. Code that awaits the cached
+//! readiness and then calls the kernel directly is woken again at once, without end: its task never yields, and with one
+//! thread for all tasks nothing else runs. So all waits go through this module, which keeps two rules:
 //!
-//! - the system is asked through the runtime, so that readiness that is out of date is forgotten;
-//! - each turn of a loop takes one unit of the task's cooperative budget.
+//! - socket operations go through tokio, so that stale readiness is cleared;
+//! - each loop iteration consumes one unit of the task's cooperative budget.
 //!
-//! **Bound.** A task makes at most 128 operations on sockets, the runtime's budget for one turn of a task, before it gives
-//! way to all others that can run. One operation moves no more than its caller offers: 64 KiB where something is read,
-//! and at most one kept body of a request, 1 MiB, where something is written. What the system's buffers hold bounds the
-//! sum of these as well: a peer that stands still ends the turn with the first operation that would block.
+//! **Bound.** A task makes at most 128 socket operations, tokio's budget for one poll of a task, before it yields to all
+//! other runnable tasks. One operation moves no more than its caller offers: 64 KiB for a read, and at most one buffered
+//! request body, 1 MiB, for a write. The kernel's socket buffers bound the sum as well: with a peer that stands still, the
+//! first operation that would block ends the poll.
 
 use rustix::io::Errno;
 use rustix::net::RecvFlags;
@@ -22,9 +21,11 @@
 use tokio::net::TcpStream;
 use tokio::task::consume_budget;
 
-/// How long the first unread bytes are, up to one, and 0 at the end of the connection: asked of the system, and not of
-/// what the runtime remembers. Reads nothing and does not wait. Not to be called in a loop that awaits readiness: what
-/// the runtime remembers stays as it is.
+/// Peeks at the socket in the kernel, past tokio's cached readiness: 1 if there are unread bytes, 0 at the end of the stream.
+/// Consumes nothing and does not block. Must not be called in a loop that awaits readiness, as it clears no cached state.
+///
+/// # Errors
+/// `AGAIN` or `INTR` if there is nothing to read yet, else the error of the connection.
 pub(super) fn peek_nonblocking(stream: &TcpStream) -> Result<usize, Errno> {
     rustix::net::recv(
         stream,
@@ -34,28 +35,28 @@
     .map(|(count, _)| count)
 }
 
-/// Whether nothing has come and the connection stands, by the system's word of this moment: what came while the process
-/// stood still is there before the runtime has heard of it. Reads nothing; for single looks, as [`peek_nonblocking`].
+/// Whether the connection is open and has no unread bytes, as the kernel sees it now. After the process was suspended, the
+/// kernel holds bytes of which tokio does not know yet. Consumes nothing; for single checks, as [`peek_nonblocking`].
 pub(super) fn is_open_and_silent(stream: &TcpStream) -> bool {
     matches!(peek_nonblocking(stream), Err(Errno::AGAIN | Errno::INTR))
 }
 
-/// What a writer that was blocked goes on by.
+/// The event that ends a blocked writer's wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SocketEvent {
-    /// There may be room for more.
+    /// The send buffer may have space.
     Writable,
-    /// The peer has sent something or closed. What it sent is still to be read.
+    /// The peer has sent bytes, which are still unread, or has closed the connection.
     PeerReadable,
 }
 
-/// Waits until there may be room to write, or the peer has sent something or closed.
+/// Waits until the socket may be writable, or the peer has sent bytes or closed the connection.
 ///
 /// # Errors
-/// The runtime ends.
+/// The runtime is shutting down.
 pub(super) async fn writable_or_peer_readable(stream: &TcpStream) -> io::Result<SocketEvent> {
     loop {
-        // `ready` takes nothing of the budget.
+        // `ready` consumes no budget.
         consume_budget().await;
         let ready = stream
             .ready(Interest::READABLE | Interest::WRITABLE)
@@ -69,53 +70,53 @@
     }
 }
 
-/// Whether a socket that is remembered as readable really is. Where it is not, that is forgotten.
+/// Whether a socket whose cached readiness is readable really is; clears the cached state if not.
 fn is_really_readable(stream: &TcpStream) -> bool {
-    let looked = stream.try_io(Interest::READABLE, || {
+    let peeked = stream.try_io(Interest::READABLE, || {
         peek_nonblocking(stream).map_err(io::Error::from)
     });
-    !matches!(looked, Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted))
+    !matches!(peeked, Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted))
 }
 
-/// Ready with the length of what can be read, up to one byte, or 0 at the end. Nothing is read.
+/// Ready with the number of bytes that can be read, at most 1, or 0 at the end of the stream. Consumes nothing.
 pub(super) fn poll_peek(stream: &TcpStream, context: &mut Context<'_>) -> Poll<io::Result<usize>> {
     stream.poll_peek(context, &mut ReadBuf::new(&mut [0]))
 }
 
-/// Waits until the peer has sent something or closed. Nothing is read.
+/// Waits until the peer has sent bytes or closed the connection. Consumes nothing.
 pub(super) async fn peer_readable(stream: &TcpStream) {
-    // An error is the end of the connection too.
+    // An error ends the connection as well.
     let _ = poll_fn(|context| poll_peek(stream, context)).await;
 }
 
-/// Ready with what `read` gives once it does not block. `read` must go through one of the stream's `try_` methods.
+/// Ready with the result of `read` once it does not block. `read` must use one of the stream's `try_` methods.
 pub(super) fn poll_read<R>(
     stream: &TcpStream,
     context: &mut Context<'_>,
     mut read: impl FnMut(&TcpStream) -> io::Result<R>,
 ) -> Poll<io::Result<R>> {
     loop {
-        // Takes a unit of the budget.
+        // Consumes one unit of the budget.
         ready!(stream.poll_read_ready(context))?;
         match read(stream) {
             Err(error) if error.kind() == ErrorKind::WouldBlock => {}
-            done => return Poll::Ready(done),
+            result => return Poll::Ready(result),
         }
     }
 }
 
-/// Ready with what `write` gives once it does not block. `write` must go through one of the stream's `try_` methods.
+/// Ready with the result of `write` once it does not block. `write` must use one of the stream's `try_` methods.
 pub(super) fn poll_write<R>(
     stream: &TcpStream,
     context: &mut Context<'_>,
     mut write: impl FnMut(&TcpStream) -> io::Result<R>,
 ) -> Poll<io::Result<R>> {
     loop {
-        // Takes a unit of the budget.
+        // Consumes one unit of the budget.
         ready!(stream.poll_write_ready(context))?;
         match write(stream) {
             Err(error) if error.kind() == ErrorKind::WouldBlock => {}
-            done => return Poll::Ready(done),
+            result => return Poll::Ready(result),
         }
     }
 }
--- a/crates/sidecar/src/readiness_tests.rs
+++ b/crates/sidecar/src/readiness_tests.rs
@@ -1,4 +1,4 @@
-//! The waits of [`super::readiness`] over sockets of this process.
+//! Tests of the waits in [`super::readiness`] on sockets within this process.
 
 use super::readiness::{SocketEvent, poll_read, writable_or_peer_readable};
 use std::future::poll_fn;
@@ -9,127 +9,132 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 
-/// The runtime's budget for one turn of a task.
+/// Tokio's cooperative budget for one poll of a task.
 const BUDGET: usize = 128;
 
-/// Ends a test in which a task holds its thread.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Fails a test whose task never yields its thread.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Runs a test on a thread of its own: one that never gives way fails and does not hang.
+/// Runs a test on a thread of its own, so that a task that never yields fails the test instead of hanging it.
 fn run(test: impl Future<Output = ()> + Send + 'static) {
     let (sender, ended) = mpsc::channel();
     std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()
-            .expect("a runtime");
+            .expect("runtime starts");
         runtime.block_on(test);
         let _ = sender.send(());
     });
     ended
-        .recv_timeout(PATIENCE)
-        .expect("it ends without a panic and gives way");
+        .recv_timeout(TEST_TIMEOUT)
+        .expect("the test ends without a panic and yields");
 }
 
 /// Both ends of a connection.
 async fn connection() -> (TcpStream, TcpStream) {
-    let listener = TcpListener::bind("127.0.0.1:0")
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+    let own = TcpStream::connect(listener.local_addr().expect("listener is bound"))
         .await
-        .expect("a port is free");
-    let own = TcpStream::connect(listener.local_addr().expect("it is bound"))
-        .await
-        .expect("it accepts");
-    let (peer, _) = listener.accept().await.expect("it comes");
+        .expect("listener accepts");
+    let (peer, _) = listener.accept().await.expect("connection arrives");
     (own, peer)
 }
 
-/// Writes until there is no more room.
-fn fill(stream: &TcpStream) {
+/// Writes until the send buffer is full.
+fn fill_send_buffer(stream: &TcpStream) {
     while stream.try_write(&[0; 64 << 10]).is_ok() {}
 }
 
-/// A stream that takes no more, and is remembered as readable though there is nothing to read.
-async fn blocked_and_remembered_as_readable() -> (TcpStream, TcpStream) {
+/// A stream with a full send buffer, whose cached readiness is readable though there is nothing to read.
+async fn blocked_stream_with_stale_read_readiness() -> (TcpStream, TcpStream) {
     let (own, mut peer) = connection().await;
-    peer.write_all(b"x").await.expect("there is room");
-    own.readable().await.expect("it stands");
-    // A read that gets all it asks for tells the runtime nothing of what is left.
-    assert_eq!(own.try_read(&mut [0]).expect("a byte"), 1);
-    fill(&own);
+    peer.write_all(b"x").await.expect("send buffer has space");
+    own.readable().await.expect("connection is open");
+    // A read that fills its buffer does not clear tokio's cached readiness.
+    assert_eq!(own.try_read(&mut [0]).expect("one byte is ready"), 1);
+    fill_send_buffer(&own);
     (own, peer)
 }
 
 #[test]
-fn a_blocked_writer_is_not_woken_by_what_was_readable_before() {
+fn a_blocked_writer_is_not_woken_by_stale_read_readiness() {
     run(async {
-        let (own, mut peer) = blocked_and_remembered_as_readable().await;
-        let mut waits = Box::pin(writable_or_peer_readable(&own));
-        let mut waited = 0;
+        let (own, mut peer) = blocked_stream_with_stale_read_readiness().await;
+        let mut wait = Box::pin(writable_or_peer_readable(&own));
+        let mut pending_polls = 0;
         for _ in 0..2 * BUDGET {
-            match poll_fn(|context| Poll::Ready(waits.as_mut().poll(context))).await {
-                Poll::Pending => waited += 1,
-                Poll::Ready(by) => {
-                    // The system may still move bytes on to the peer's end, and have room here again.
-                    assert_eq!(by.expect("it stands"), SocketEvent::Writable);
-                    fill(&own);
-                    waits = Box::pin(writable_or_peer_readable(&own));
+            match poll_fn(|context| Poll::Ready(wait.as_mut().poll(context))).await {
+                Poll::Pending => pending_polls += 1,
+                Poll::Ready(event) => {
+                    // The kernel may still move bytes to the peer's receive buffer, which frees space here.
+                    assert_eq!(event.expect("connection is open"), SocketEvent::Writable);
+                    fill_send_buffer(&own);
+                    wait = Box::pin(writable_or_peer_readable(&own));
                 }
             }
             tokio::task::yield_now().await;
         }
-        assert!(waited > BUDGET, "it waited {waited} times");
-        peer.write_all(b"x").await.expect("there is room");
-        while writable_or_peer_readable(&own).await.expect("it stands") != SocketEvent::PeerReadable
-        {
-        }
+        assert!(
+            pending_polls > BUDGET,
+            "it was pending {pending_polls} times"
+        );
+        peer.write_all(b"x").await.expect("send buffer has space");
+        while writable_or_peer_readable(&own)
+            .await
+            .expect("connection is open")
+            != SocketEvent::PeerReadable
+        {}
     });
 }
 
 #[test]
-fn a_blocked_writer_goes_on_once_there_is_room_and_stops_at_a_close() {
+fn a_blocked_writer_continues_once_there_is_space_and_stops_when_the_peer_closes() {
     run(async {
-        let (own, peer) = blocked_and_remembered_as_readable().await;
-        let mut taken = vec![0; 64 << 20];
-        let mut waits = pin!(writable_or_peer_readable(&own));
-        let unblocked_by = loop {
-            if let Poll::Ready(by) =
-                poll_fn(|context| Poll::Ready(waits.as_mut().poll(context))).await
+        let (own, peer) = blocked_stream_with_stale_read_readiness().await;
+        let mut received = vec![0; 64 << 20];
+        let mut wait = pin!(writable_or_peer_readable(&own));
+        let wakeup = loop {
+            if let Poll::Ready(event) =
+                poll_fn(|context| Poll::Ready(wait.as_mut().poll(context))).await
             {
-                break by.expect("it stands");
+                break event.expect("connection is open");
             }
-            let _ = peer.try_read(&mut taken);
+            let _ = peer.try_read(&mut received);
             tokio::task::yield_now().await;
         };
-        assert_eq!(unblocked_by, SocketEvent::Writable);
-        fill(&own);
+        assert_eq!(wakeup, SocketEvent::Writable);
+        fill_send_buffer(&own);
         drop(peer);
-        while writable_or_peer_readable(&own).await.expect("it stands") != SocketEvent::PeerReadable
-        {
-        }
+        while writable_or_peer_readable(&own)
+            .await
+            .expect("connection is open")
+            != SocketEvent::PeerReadable
+        {}
     });
 }
 
-/// What lies there to be read byte by byte is more than a turn's worth.
+/// Far more bytes are ready than one poll's budget of single-byte reads.
 #[test]
-fn a_reader_gives_way_after_its_budget_whatever_is_there_to_read() {
+fn a_reader_yields_after_its_budget_however_much_is_ready() {
     run(async {
         let (own, mut peer) = connection().await;
         peer.write_all(&[0; 10 * BUDGET])
             .await
-            .expect("there is room");
-        own.readable().await.expect("it stands");
+            .expect("send buffer has space");
+        own.readable().await.expect("connection is open");
         tokio::task::yield_now().await;
-        let mut in_a_turn = 0;
+        let mut reads_in_one_poll = 0;
         poll_fn(|context| {
             while poll_read(&own, context, |stream| stream.try_read(&mut [0])).is_ready() {
-                in_a_turn += 1;
+                reads_in_one_poll += 1;
             }
             Poll::Ready(())
         })
         .await;
         assert!(
-            (1..=BUDGET).contains(&in_a_turn),
-            "{in_a_turn} reads in one turn"
+            (1..=BUDGET).contains(&reads_in_one_poll),
+            "{reads_in_one_poll} reads in one poll"
         );
     });
 }
--- a/crates/sidecar/src/request_framing.rs
+++ b/crates/sidecar/src/request_framing.rs
@@ -1,49 +1,50 @@
-//! Follows what a client writes, from message to message, beside hyper. Where a head has both a length and chunks, hyper
-//! drops the length without a word; another reader further on may go by it, and read a part of the body as a request of
-//! its own. What two readers may read differently is to be refused, so the heads are looked at here as they came.
+//! Follows the framing of a client's messages beside hyper, to reject ambiguous ones (request smuggling). If a head has both
+//! a `Content-Length` and a chunked transfer coding, hyper silently drops the length, while a later reader may go by it and
+//! take a part of the body for a request of its own. So the heads are checked here as they were received.
 
 use super::exchange::BodyDecoder;
 use bytes::BytesMut;
 
-/// Headers of a request, at most: hyper takes as many.
-const HEADERS: usize = 100;
-/// The longest head.
-const HEAD: usize = 16 << 10;
+/// The most headers of a request, as in hyper.
+const MAX_HEADERS: usize = 100;
+/// The longest head of a request.
+const MAX_HEAD_BYTES: usize = 16 << 10;
 
-enum At {
-    /// A head, or nothing.
+/// What the next bytes belong to.
+enum Position {
+    /// A head, or nothing yet.
     Head,
-    /// A body of which so much is to come.
-    Length(u64),
-    /// A body in chunks.
-    Chunks(BodyDecoder),
-    /// What comes is not understood here, and so it is not to be served.
-    Lost,
+    /// A body with this many bytes left.
+    Body(u64),
+    /// A body in chunked coding.
+    ChunkedBody(BodyDecoder),
+    /// The framing is invalid or ambiguous; nothing more of this connection may be served.
+    Ambiguous,
 }
 
-/// Where a client's connection stands.
+/// The framing of the messages on one client connection.
 pub(super) struct RequestFraming {
-    at: At,
-    /// What has come of a head or of a line between chunks.
-    unread: BytesMut,
+    position: Position,
+    /// The start of a head or of a line between chunks.
+    partial: BytesMut,
 }
 
 impl Default for RequestFraming {
     fn default() -> Self {
         RequestFraming {
-            at: At::Head,
-            unread: BytesMut::new(),
+            position: Position::Head,
+            partial: BytesMut::new(),
         }
     }
 }
 
 impl RequestFraming {
-    /// Takes in what was read. False once it is not certain how all of it is to be read.
+    /// Processes the bytes read from the connection. False once their framing is invalid or ambiguous.
     pub(super) fn follow(&mut self, mut bytes: &[u8]) -> bool {
         loop {
-            match &mut self.at {
-                At::Lost => return false,
-                At::Length(left) => {
+            match &mut self.position {
+                Position::Ambiguous => return false,
+                Position::Body(left) => {
                     let part = bytes
                         .len()
                         .min(usize::try_from(*left).unwrap_or(usize::MAX));
@@ -52,55 +53,59 @@
                     if *left > 0 {
                         return true;
                     }
-                    self.at = At::Head;
+                    self.position = Position::Head;
                 }
-                At::Chunks(unwrapper) => {
-                    self.unread.extend_from_slice(bytes);
+                Position::ChunkedBody(decoder) => {
+                    self.partial.extend_from_slice(bytes);
                     bytes = &[];
                     loop {
-                        match unwrapper.decode(&mut self.unread) {
+                        match decoder.decode(&mut self.partial) {
                             Ok(Some(_)) => {}
                             Ok(None) => break,
                             Err(_) => {
-                                self.at = At::Lost;
+                                self.position = Position::Ambiguous;
                                 return false;
                             }
                         }
                     }
-                    if !unwrapper.is_complete() {
+                    if !decoder.is_complete() {
                         return true;
                     }
-                    self.at = At::Head;
+                    self.position = Position::Head;
                 }
-                At::Head => {
-                    // Most heads come at once, and are looked at where they lie.
-                    let joined = !self.unread.is_empty();
-                    if joined {
-                        self.unread.extend_from_slice(bytes);
+                Position::Head => {
+                    // Most heads arrive in one piece and are parsed in place.
+                    let has_partial = !self.partial.is_empty();
+                    if has_partial {
+                        self.partial.extend_from_slice(bytes);
                     }
-                    let there = if joined { &self.unread[..] } else { bytes };
-                    if there.is_empty() {
+                    let available = if has_partial {
+                        &self.partial[..]
+                    } else {
+                        bytes
+                    };
+                    if available.is_empty() {
                         return true;
                     }
-                    match next(there) {
+                    match parse_head(available) {
                         Ok(None) => {
-                            if !joined {
-                                self.unread.extend_from_slice(bytes);
+                            if !has_partial {
+                                self.partial.extend_from_slice(bytes);
                             }
                             return true;
                         }
-                        Ok(Some((length, at))) => {
-                            self.at = at;
-                            if !joined {
+                        Ok(Some((length, position))) => {
+                            self.position = position;
+                            if !has_partial {
                                 bytes = &bytes[length..];
                                 continue;
                             }
-                            let rest = self.unread.split_off(length);
-                            self.unread.clear();
+                            let rest = self.partial.split_off(length);
+                            self.partial.clear();
                             return self.follow(&rest);
                         }
                         Err(()) => {
-                            self.at = At::Lost;
+                            self.position = Position::Ambiguous;
                             return false;
                         }
                     }
@@ -110,35 +115,42 @@
     }
 }
 
-/// The length of the head that this begins with, and what follows it.
-fn next(bytes: &[u8]) -> Result<Option<(usize, At)>, ()> {
-    let mut headers = [const { std::mem::MaybeUninit::uninit() }; HEADERS];
+/// The length of the head at the start of `bytes` and what follows it; `None` if the head is incomplete.
+///
+/// # Errors
+/// The head is malformed or too long, or the framing of its body is invalid or ambiguous.
+fn parse_head(bytes: &[u8]) -> Result<Option<(usize, Position)>, ()> {
+    let mut headers = [const { std::mem::MaybeUninit::uninit() }; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut []);
     let length = match request.parse_with_uninit_headers(bytes, &mut headers) {
         Ok(httparse::Status::Complete(length)) => length,
-        Ok(httparse::Status::Partial) if bytes.len() <= HEAD => return Ok(None),
+        Ok(httparse::Status::Partial) if bytes.len() <= MAX_HEAD_BYTES => return Ok(None),
         _ => return Err(()),
     };
     let values = |wanted: &str| {
-        let of = request
+        let matching = request
             .headers
             .iter()
             .filter(|header| header.name.eq_ignore_ascii_case(wanted));
-        of.map(|header| header.value.trim_ascii())
+        matching
+            .map(|header| header.value.trim_ascii())
             .collect::<smallvec::SmallVec<[&[u8]; 2]>>()
     };
     let (lengths, codings) = (values("content-length"), values("transfer-encoding"));
     match (&lengths[..], &codings[..]) {
-        ([], []) => Ok(Some((length, At::Head))),
+        ([], []) => Ok(Some((length, Position::Head))),
         ([], [coding]) if coding.eq_ignore_ascii_case(b"chunked") && request.version == Some(1) => {
-            Ok(Some((length, At::Chunks(BodyDecoder::ChunkSizeLine))))
+            Ok(Some((
+                length,
+                Position::ChunkedBody(BodyDecoder::ChunkSizeLine),
+            )))
         }
-        ([one], []) if !one.is_empty() && one.iter().all(u8::is_ascii_digit) => {
-            let left = std::str::from_utf8(one)
+        ([value], []) if !value.is_empty() && value.iter().all(u8::is_ascii_digit) => {
+            let left = std::str::from_utf8(value)
                 .ok()
                 .and_then(|digits| digits.parse().ok())
                 .ok_or(())?;
-            Ok(Some((length, At::Length(left))))
+            Ok(Some((length, Position::Body(left))))
         }
         _ => Err(()),
     }
@@ -148,36 +160,40 @@
 mod tests {
     use super::*;
 
-    const PLAIN: &str = "POST /a HTTP/1.1\r\nHost: s\r\nContent-Length: 5\r\n\r\npaper";
-    const CHUNKS: &str = "POST /a HTTP/1.1\r\ntransfer-encoding: Chunked\r\n\r\n5;a=b\r\npaper\r\n0\r\nContent-Length: 9\r\n\r\n";
-    const NONE: &str = "\r\nGET /ready HTTP/1.1\r\nHost: s\r\n\r\n";
+    const WITH_LENGTH: &str = "POST /a HTTP/1.1\r\nHost: s\r\nContent-Length: 5\r\n\r\npaper";
+    const CHUNKED: &str = "POST /a HTTP/1.1\r\ntransfer-encoding: Chunked\r\n\r\n5;a=b\r\npaper\r\n0\r\nContent-Length: 9\r\n\r\n";
+    const WITHOUT_BODY: &str = "\r\nGET /ready HTTP/1.1\r\nHost: s\r\n\r\n";
 
-    fn both(first: &str, second: &str) -> String {
+    fn head_with(first: &str, second: &str) -> String {
         format!("POST /a HTTP/1.1\r\n{first}\r\nX-A: 1\r\n{second}\r\n\r\n0\r\n\r\n")
     }
 
     #[test]
-    fn messages_are_followed_in_pieces_of_any_size() {
-        let all = [PLAIN, CHUNKS, NONE, CHUNKS, PLAIN].concat();
-        let hidden = all.clone() + &both("Transfer-Encoding: chunked", "Content-Length: 5");
-        for size in 1..hidden.len() {
-            let (mut sound, mut odd) = (RequestFraming::default(), RequestFraming::default());
+    fn messages_are_followed_when_read_in_pieces_of_any_size() {
+        let all = [WITH_LENGTH, CHUNKED, WITHOUT_BODY, CHUNKED, WITH_LENGTH].concat();
+        let with_ambiguous =
+            all.clone() + &head_with("Transfer-Encoding: chunked", "Content-Length: 5");
+        for size in 1..with_ambiguous.len() {
+            let (mut unambiguous, mut ambiguous) =
+                (RequestFraming::default(), RequestFraming::default());
             assert!(
-                all.as_bytes().chunks(size).all(|piece| sound.follow(piece)),
+                all.as_bytes()
+                    .chunks(size)
+                    .all(|piece| unambiguous.follow(piece)),
                 "in {size}s"
             );
             assert!(
-                !hidden
+                !with_ambiguous
                     .as_bytes()
                     .chunks(size)
-                    .all(|piece| odd.follow(piece)),
+                    .all(|piece| ambiguous.follow(piece)),
                 "in {size}s"
             );
         }
     }
 
     #[test]
-    fn what_may_be_read_in_two_ways_is_not_followed() {
+    fn ambiguous_framing_is_not_followed() {
         for (first, second) in [
             ("Transfer-Encoding: chunked", "Content-Length: 5"),
             ("Content-Length: 5", "Transfer-Encoding: chunked"),
@@ -187,14 +203,17 @@
             ("Transfer-Encoding: gzip, chunked", "X-B: 1"),
             ("Content-Length: +5", "X-B: 1"),
         ] {
-            let mut heads = RequestFraming::default();
+            let mut framing = RequestFraming::default();
             assert!(
-                !heads.follow(both(first, second).as_bytes()),
+                !framing.follow(head_with(first, second).as_bytes()),
                 "{first}, {second}"
             );
-            assert!(!heads.follow(PLAIN.as_bytes()), "it was forgotten");
+            assert!(
+                !framing.follow(WITH_LENGTH.as_bytes()),
+                "a later message is followed"
+            );
         }
-        let mut heads = RequestFraming::default();
-        assert!(!heads.follow(&[b'x'; 40_000]));
+        let mut framing = RequestFraming::default();
+        assert!(!framing.follow(&[b'x'; 40_000]));
     }
 }
--- a/crates/sidecar/src/response_body.rs
+++ b/crates/sidecar/src/response_body.rs
@@ -1,7 +1,7 @@
-//! An answer's body on its way to the client: whole, or passed on as the server gives it.
+//! Response bodies: buffered in full, or streamed from the server to the client.
 //!
-//! What is passed on is read from the server when the client's side has room for it, so that one buffer's worth of it is
-//! here at any time. Where the server breaks off, the client's connection ends without the end of the answer.
+//! A streamed body is read from the server only when hyper can take more of it for the client, so that at most one buffer of
+//! it is in memory. If the server ends it early, the client's connection is closed without the end of the response.
 
 use super::client::Client;
 use super::connections::PooledConnection;
@@ -21,38 +21,40 @@
 use std::rc::Rc;
 use std::task::{Context, Poll, ready};
 
-/// What is read at once.
+/// Bytes that one read from a server may return.
 const READ_SIZE: usize = 32 << 10;
 
-/// An answer's body.
+/// The body of a response to a client.
 pub(super) enum ResponseBody {
     Buffered(Full<Bytes>),
     Streamed(Box<StreamedResponseBody>),
 }
 
-/// A body that is passed on.
+/// A body that is streamed from a server.
 pub(super) struct StreamedResponseBody {
     pub(super) service: Rc<Service>,
     pub(super) server: ServerId,
     pub(super) address: SocketAddr,
-    pub(super) lease: Option<PooledConnection>,
-    /// The server keeps the connection, and has had the whole request.
+    pub(super) connection: Option<PooledConnection>,
+    /// The server keeps the connection open and has received the complete request.
     pub(super) reusable: bool,
+    /// Read from the server, and not decoded yet.
     pub(super) undecoded: BytesMut,
-    pub(super) unwrapper: BodyDecoder,
-    /// Taken out of its wrapping already.
+    pub(super) decoder: BodyDecoder,
+    /// Already decoded, and not yet sent to the client.
     pub(super) decoded: Bytes,
-    /// The request's class, and what it holds until its answer has ended.
+    /// Released when the response ends.
     pub(super) resources: Option<ResponseResources>,
 }
 
-/// What an answer holds until its end.
+/// What a request holds until its streamed response has ended.
 pub(super) struct ResponseResources {
     pub(super) counts: Rc<OutcomeCounts>,
-    /// Its client, which is not idle before.
+    /// The client, whose connection counts as idle only afterwards.
     pub(super) client: Rc<Client>,
     pub(super) process: Rc<ProcessState>,
-    pub(super) _rest: Box<dyn Any>,
+    /// Guards that are only dropped.
+    pub(super) _guards: Box<dyn Any>,
 }
 
 impl ResponseBody {
@@ -67,48 +69,48 @@
             return Poll::Ready(Some(Ok(std::mem::take(&mut self.decoded))));
         }
         loop {
-            match self.unwrapper.decode(&mut self.undecoded) {
-                Err(broken) => return Poll::Ready(Some(Err(broken))),
+            match self.decoder.decode(&mut self.undecoded) {
+                Err(error) => return Poll::Ready(Some(Err(error))),
                 Ok(Some(data)) => return Poll::Ready(Some(Ok(data))),
-                Ok(None) if self.unwrapper.is_complete() => return Poll::Ready(None),
+                Ok(None) if self.decoder.is_complete() => return Poll::Ready(None),
                 Ok(None) => {}
             }
-            let Some(lease) = self.lease.as_mut() else {
+            let Some(connection) = self.connection.as_mut() else {
                 return Poll::Ready(Some(Err(ExchangeError::Connection)));
             };
             let undecoded = &mut self.undecoded;
-            let read = readiness::poll_read(&lease.stream, context, |stream| {
+            let read = readiness::poll_read(&connection.stream, context, |stream| {
                 undecoded.reserve(READ_SIZE);
                 stream.try_read_buf(undecoded)
             });
             match ready!(read) {
-                Ok(0) if self.unwrapper.ends_with_connection() => return Poll::Ready(None),
+                Ok(0) if self.decoder.ends_with_connection() => return Poll::Ready(None),
                 Ok(0) | Err(_) => return Poll::Ready(Some(Err(ExchangeError::Connection))),
                 Ok(_) => {}
             }
         }
     }
 
-    /// It has ended, well or not.
-    fn end(&mut self, whole: bool) {
-        let lease = self.lease.take();
-        if whole {
+    /// Ends the body; `complete` unless the server ended it early.
+    fn end(&mut self, complete: bool) {
+        let connection = self.connection.take();
+        if complete {
             self.service.connections.record_response(self.server);
-            let there = self.service.pool.address(self.server) == Some(self.address);
-            if let Some(lease) =
-                lease.filter(|_| self.reusable && there && self.undecoded.is_empty())
+            let address_unchanged = self.service.pool.address(self.server) == Some(self.address);
+            if let Some(connection) = connection
+                .filter(|_| self.reusable && address_unchanged && self.undecoded.is_empty())
             {
-                self.service.connections.release(lease);
+                self.service.connections.release(connection);
             }
         }
         if let Some(resources) = &self.resources {
-            increment(if whole {
+            increment(if complete {
                 &resources.counts.served
             } else {
                 &resources.counts.failed
             });
         }
-        // What it holds goes with the answer's last byte, and not with the connection.
+        // Released with the last byte of the response, not when the client's connection closes.
         self.resources = None;
     }
 }
@@ -134,17 +136,17 @@
             },
             ResponseBody::Streamed(body) => Poll::Ready(match ready!(body.poll(context)) {
                 Some(Ok(data)) => {
-                    // Of a known length the last piece is the end: nobody asks for another.
-                    if body.unwrapper.is_complete() && body.decoded.is_empty() {
+                    // hyper does not poll again after the last piece of a body of known length.
+                    if body.decoder.is_complete() && body.decoded.is_empty() {
                         body.end(true);
                     }
                     Some(Ok(Frame::data(data)))
                 }
-                Some(Err(broken)) => {
-                    let (left, server) = (body.unwrapper, body.service.pool.name(body.server));
-                    tracing::warn!(%server, "a long answer of {server} broke off: {broken:?}, {left:?} to come");
+                Some(Err(error)) => {
+                    let (remaining, server) = (body.decoder, body.service.pool.name(body.server));
+                    tracing::warn!(%server, "streamed response of {server} ended early: {error:?}, remaining: {remaining:?}");
                     body.end(false);
-                    Some(Err(io::Error::other("the server has broken off")))
+                    Some(Err(io::Error::other("the server ended the response early")))
                 }
                 None => {
                     body.end(true);
@@ -157,15 +159,15 @@
     fn is_end_stream(&self) -> bool {
         match self {
             ResponseBody::Buffered(body) => body.is_end_stream(),
-            ResponseBody::Streamed(body) => body.decoded.is_empty() && body.unwrapper.is_complete(),
+            ResponseBody::Streamed(body) => body.decoded.is_empty() && body.decoder.is_complete(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
             ResponseBody::Buffered(body) => body.size_hint(),
-            ResponseBody::Streamed(body) => match body.unwrapper.remaining() {
-                Some(left) => SizeHint::with_exact(left + body.decoded.len() as u64),
+            ResponseBody::Streamed(body) => match body.decoder.remaining() {
+                Some(remaining) => SizeHint::with_exact(remaining + body.decoded.len() as u64),
                 None => SizeHint::default(),
             },
         }
--- a/crates/sidecar/src/routing.rs
+++ b/crates/sidecar/src/routing.rs
@@ -1,38 +1,38 @@
-//! Where the requests of a listener go.
+//! The service that a listener sends a request to.
 
 use super::service::Service;
 use madderloom_routing::request::Asked;
 use madderloom_routing::routes::Table;
 use std::rc::Rc;
 
-/// What a request's class follows from.
+/// What determines a request's class.
 pub(super) enum ClassSource {
-    /// Its path names it.
+    /// The first segment of its path.
     Path,
-    /// Its route gives it.
+    /// The class that its route sets.
     Route(String),
-    /// What it asks for in GraphQL.
+    /// Its GraphQL operations.
     Graphql,
 }
 
-/// Where the requests of a listener go.
+/// How a listener chooses the service of a request.
 pub(super) enum Routing {
-    /// All to one service, as they come: what it does not know it turns away itself.
+    /// All requests go to one service, which rejects those of unknown classes itself.
     SingleService(Rc<Service>),
-    /// By routes.
+    /// The route table decides.
     Routes(ListenerRoutes),
 }
 
-/// What a listener needs to follow the routes.
+/// The route table as one listener uses it.
 pub(super) struct ListenerRoutes {
     table: Rc<Table>,
-    /// The listener, as the routes know it.
+    /// Index of this listener in the route table.
     listener_index: usize,
-    /// The services, as the routes know them; a place is empty where the platform has none.
+    /// The services by their index in the route table; `None` at index 0 if the platform's configuration has no service.
     services: Rc<[Option<Rc<Service>>]>,
-    /// What takes that which no route takes.
+    /// Takes the requests that no route matches.
     default_service: Option<Rc<Service>>,
-    /// The services that requests may go to.
+    /// The services that this listener's routes lead to.
     reachable: Vec<Rc<Service>>,
 }
 
@@ -43,18 +43,18 @@
         services: &Rc<[Option<Rc<Service>>]>,
         default_service: Option<Rc<Service>>,
     ) -> Self {
-        let here = table
+        let routes = table
             .routes()
             .iter()
             .filter(|r| r.listeners.is_empty() || r.listeners.contains(&listener_index));
-        let mut places: Vec<usize> = here
+        let mut pool_indexes: Vec<usize> = routes
             .flat_map(|route| route.to.iter().map(|(pool, _)| *pool))
             .collect();
-        places.sort_unstable();
-        places.dedup();
-        let reachable = places
+        pool_indexes.sort_unstable();
+        pool_indexes.dedup();
+        let reachable = pool_indexes
             .into_iter()
-            .filter_map(|at| services.get(at).cloned().flatten());
+            .filter_map(|index| services.get(index).cloned().flatten());
         let reachable = reachable.chain(default_service.clone()).collect();
         ListenerRoutes {
             table: Rc::clone(table),
@@ -65,12 +65,13 @@
         }
     }
 
-    /// The service that a route gives a request, and what its class follows from; none where no route takes it.
-    pub(super) fn find(&self, asked: &Asked<'_>, key: u64) -> Option<(Rc<Service>, ClassSource)> {
+    /// The service that a request is routed to and the source of its class; `None` if no route matches. `key` chooses between
+    /// the pools of a route that splits its traffic.
+    pub(super) fn find(&self, request: &Asked<'_>, key: u64) -> Option<(Rc<Service>, ClassSource)> {
         let Some(route) = self
             .table
-            .find(self.listener_index, asked)
-            .and_then(|at| self.table.routes().get(at))
+            .find(self.listener_index, request)
+            .and_then(|index| self.table.routes().get(index))
         else {
             return self
                 .default_service
@@ -88,11 +89,11 @@
 }
 
 impl Routing {
-    /// The services that requests may go to.
+    /// The services that this listener's requests may be routed to.
     pub(super) fn reachable_services(&self) -> &[Rc<Service>] {
         match self {
             Routing::SingleService(service) => std::slice::from_ref(service),
-            Routing::Routes(routed) => &routed.reachable,
+            Routing::Routes(routes) => &routes.reachable,
         }
     }
 }
--- a/crates/sidecar/src/transaction.rs
+++ b/crates/sidecar/src/transaction.rs
@@ -1,4 +1,4 @@
-//! A transaction: the life of one client's request, from the module's first word on it to its final answer.
+//! A transaction: one client's request, from its hand-over to the balancer to its final response.
 
 use super::attempt::{self, Attempt, ForwardedRequest};
 use super::response_body::ResponseBody;
@@ -15,41 +15,42 @@
 use std::rc::Rc;
 use std::task::{Context, Poll, Waker};
 
-/// What the module tells a transaction to do next.
+/// A step of a transaction, as ordered by the balancer.
 pub(super) enum Step {
-    /// Start a flow.
+    /// Start an attempt.
     Send {
         server: ServerId,
         timeout_at: Micros,
         write_by: Micros,
     },
-    /// End a flow.
+    /// Cancel an attempt.
     Cancel { attempt: u32 },
-    /// FinalResponse that the request is refused.
+    /// Respond that the request is rejected.
     Reject { retry_after: Option<Micros> },
-    /// FinalResponse that it has failed.
+    /// Respond that the request has failed.
     Fail,
 }
 
-/// Where a transaction hears of its steps. The module gives a request only so many of them.
+/// The pending steps of one transaction. Their number is bounded, as the balancer orders only a few for each request.
 #[derive(Default)]
 pub(super) struct StepQueue {
     queue: RefCell<SmallVec<[Step; 2]>>,
-    /// The task that waits for one.
-    waiting: RefCell<Option<Waker>>,
-    /// The module's timers for this request.
+    /// Waker of the transaction's task.
+    waker: RefCell<Option<Waker>>,
+    /// The balancer's timers for this request.
     timers: RefCell<SmallVec<[TimerKey; 2]>>,
 }
 
 impl StepQueue {
     pub(super) fn push(&self, step: Step) {
         self.queue.borrow_mut().push(step);
-        if let Some(waiting) = self.waiting.borrow().as_ref() {
-            waiting.wake_by_ref();
+        if let Some(waker) = self.waker.borrow().as_ref() {
+            waker.wake_by_ref();
         }
     }
 
-    /// Those that have rung go: a request that is held is looked at many times a second, for as long as its client waits.
+    /// Adds a timer and drops those that have fired: a queued request gets many timers a second for as long as its client
+    /// waits.
     pub(super) fn add_timer(&self, process_timers: &Timers, key: TimerKey) {
         let mut timers = self.timers.borrow_mut();
         timers.retain(|key| process_timers.is_set(*key));
@@ -70,68 +71,68 @@
         }
     }
 
-    fn wait(&self, context: &Context<'_>) {
-        let mut waiting = self.waiting.borrow_mut();
-        if waiting
+    fn register_waker(&self, context: &Context<'_>) {
+        let mut waker = self.waker.borrow_mut();
+        if waker
             .as_ref()
             .is_none_or(|waker| !waker.will_wake(context.waker()))
         {
-            *waiting = Some(context.waker().clone());
+            *waker = Some(context.waker().clone());
         }
     }
 }
 
-/// The final answer.
+/// The final response to a request.
 pub(super) enum FinalResponse {
-    /// What a server made of it.
+    /// The response of a server.
     Served(Response<ResponseBody>),
-    /// Another try can do no harm.
+    /// The request was not executed; the client may safely retry.
     Rejected { retry_after: Option<Micros> },
-    /// Nothing is promised.
+    /// The request failed and may have been executed.
     Failed,
 }
 
-type Flow = Pin<Box<dyn Future<Output = Option<FinalResponse>>>>;
+type AttemptFuture = Pin<Box<dyn Future<Output = Option<FinalResponse>>>>;
 
 struct Transaction {
     service: Rc<Service>,
     id: RequestId,
-    cost: Option<Micros>,
-    /// Where it was sent last.
-    last: Option<ServerId>,
+    cost_hint: Option<Micros>,
+    /// The server of the latest attempt.
+    last_server: Option<ServerId>,
     class: usize,
-    came: Micros,
-    aim: Micros,
-    /// A level of reduced service has turned it away.
-    given_up: bool,
+    started_at: Micros,
+    latency_objective: Micros,
+    /// The active degradation level has shed the request.
+    shed: bool,
     steps: Rc<StepQueue>,
-    /// Set with the final answer.
-    over: Rc<Cell<bool>>,
-    /// By their numbers; one that has ended leaves its place empty.
-    flows: SmallVec<[Option<Flow>; 2]>,
+    /// Set with the final response; shared with the attempts.
+    ended: Rc<Cell<bool>>,
+    /// By attempt number; `None` once the attempt has ended.
+    attempts: SmallVec<[Option<AttemptFuture>; 2]>,
 }
 
-/// What a transaction waits for.
+/// An event that a transaction waits for.
 enum Next {
     Step(Step),
-    /// A flow has ended.
-    Ended(Option<FinalResponse>),
+    /// An attempt has ended, with the final response if it decides one.
+    AttemptEnded(Option<FinalResponse>),
 }
 
-/// Serves one request: the module's words go in from the top, and the final answer comes out.
+/// Runs one request's transaction: carries out the balancer's steps until there is a final response.
 pub(super) async fn run(
     service: &Rc<Service>,
     now: Micros,
-    new: NewRequest,
-    onward: Rc<ForwardedRequest>,
+    new_request: NewRequest,
+    request: Rc<ForwardedRequest>,
 ) -> FinalResponse {
-    let mut transaction = Transaction::begin(service, now, &new);
+    let mut transaction = Transaction::start(service, now, &new_request);
 
-    // The module takes it in, and says what to do first: send it, refuse it, or nothing yet.
-    let before = service.shed_requests();
-    service.handle(now, Event::Request(new));
-    transaction.given_up = service.shed_requests() > before;
-    if onward.body.streamed().is_some() {
+    // The balancer's first step may be to send the request, to reject it, or none yet.
+    let shed_before = service.shed_requests();
+    service.handle(now, Event::Request(new_request));
+    transaction.shed = service.shed_requests() > shed_before;
+    if request.body.streamed().is_some() {
         service.handle(now, Event::Coming(transaction.id));
     }
 
@@ -142,91 +143,91 @@
                 timeout_at,
                 write_by,
             }) => {
-                onward.wait_forever_if_client_gone().await;
-                transaction.send(&onward, server, (timeout_at, write_by));
+                request.wait_forever_if_client_gone().await;
+                transaction.send(&request, server, (timeout_at, write_by));
             }
             Next::Step(Step::Cancel { attempt }) => transaction.cancel(attempt),
             Next::Step(Step::Reject { retry_after }) => {
-                return transaction.end(&onward, FinalResponse::Rejected { retry_after });
+                return transaction.end(&request, FinalResponse::Rejected { retry_after });
             }
-            Next::Step(Step::Fail) => return transaction.end(&onward, FinalResponse::Failed),
-            // A flow has told the module its outcome before it ends: what follows is another step.
-            Next::Ended(Some(answer)) => return transaction.end(&onward, answer),
-            Next::Ended(None) => {}
+            Next::Step(Step::Fail) => return transaction.end(&request, FinalResponse::Failed),
+            // An attempt reports its outcome to the balancer before it ends; the balancer's next step follows from that.
+            Next::AttemptEnded(Some(response)) => return transaction.end(&request, response),
+            Next::AttemptEnded(None) => {}
         }
     }
 }
 
 impl Transaction {
-    fn begin(service: &Rc<Service>, now: Micros, new: &NewRequest) -> Self {
+    fn start(service: &Rc<Service>, now: Micros, new_request: &NewRequest) -> Self {
         let steps = Rc::<StepQueue>::default();
         service
             .transactions
             .borrow_mut()
-            .insert(new.id, Rc::clone(&steps));
+            .insert(new_request.id, Rc::clone(&steps));
         Transaction {
             service: Rc::clone(service),
-            id: new.id,
-            class: new.class as usize,
-            came: now,
-            aim: service.latency_objective(new),
-            given_up: false,
-            cost: new.cost,
-            last: None,
+            id: new_request.id,
+            class: new_request.class as usize,
+            started_at: now,
+            latency_objective: service.latency_objective(new_request),
+            shed: false,
+            cost_hint: new_request.cost,
+            last_server: None,
             steps,
-            over: Rc::default(),
-            flows: SmallVec::new(),
+            ended: Rc::default(),
+            attempts: SmallVec::new(),
         }
     }
 
     fn send(
         &mut self,
-        onward: &Rc<ForwardedRequest>,
+        request: &Rc<ForwardedRequest>,
         server: ServerId,
         (timeout_at, write_by): (Micros, Micros),
     ) {
-        let (sent, number) = (self.service.process.clock.now(), self.flows.len() as u32);
-        self.last = Some(server);
+        let (sent_at, number) = (self.service.process.clock.now(), self.attempts.len() as u32);
+        self.last_server = Some(server);
         self.service
-            .record_attempt_start(sent, server, (self.id, number), self.class as u32);
+            .record_attempt_start(sent_at, server, (self.id, number), self.class as u32);
         let attempt = Attempt {
             service: Rc::clone(&self.service),
             request: self.id,
             number,
             server,
             class: self.class as u32,
-            cost_hint: self.cost,
-            sent_at: Cell::new(sent),
+            cost_hint: self.cost_hint,
+            sent_at: Cell::new(sent_at),
             timeout_at,
             write_by,
-            transaction_ended: Rc::clone(&self.over),
+            transaction_ended: Rc::clone(&self.ended),
             outcome_reported: false,
         };
-        self.flows
-            .push(Some(Box::pin(attempt::run(attempt, Rc::clone(onward)))));
+        self.attempts
+            .push(Some(Box::pin(attempt::run(attempt, Rc::clone(request)))));
     }
 
-    /// A flow that is dropped closes its connection and tells the module that it was called off.
+    /// Dropping the attempt closes its connection and reports to the balancer that it was cancelled.
     fn cancel(&mut self, attempt: u32) {
-        if let Some(flow) = self.flows.get_mut(attempt as usize) {
-            *flow = None;
+        if let Some(running) = self.attempts.get_mut(attempt as usize) {
+            *running = None;
         }
     }
 
-    /// Waits for the next step, or until some flow ends. StepQueue go first.
+    /// Waits for the next step, or until an attempt ends. Steps have priority.
     async fn next(&mut self) -> Next {
         poll_fn(|context: &mut Context<'_>| {
             if let Some(step) = self.steps.pop() {
                 return Poll::Ready(Next::Step(step));
             }
-            // Before the flows are polled: what one of them brings about may be a step.
-            self.steps.wait(context);
-            for place in &mut self.flows {
-                if let Some(Poll::Ready(answered)) =
-                    place.as_mut().map(|flow| flow.as_mut().poll(context))
+            // The waker is registered before the attempts are polled, as polling one may push a step.
+            self.steps.register_waker(context);
+            for slot in &mut self.attempts {
+                if let Some(Poll::Ready(response)) =
+                    slot.as_mut().map(|attempt| attempt.as_mut().poll(context))
                 {
-                    *place = None;
-                    return Poll::Ready(Next::Ended(answered));
+                    *slot = None;
+                    return Poll::Ready(Next::AttemptEnded(response));
                 }
             }
             Poll::Pending
@@ -234,52 +235,54 @@
         .await
     }
 
-    fn end(&mut self, onward: &ForwardedRequest, answer: FinalResponse) -> FinalResponse {
-        self.over.set(true);
-        // What ends unserved behind an attempt does so because of the server that had it last.
+    fn end(&mut self, request: &ForwardedRequest, response: FinalResponse) -> FinalResponse {
+        self.ended.set(true);
+        // A request that ends unserved after an attempt is attributed to the server of the latest one.
         if let Some(server) = self
-            .last
-            .filter(|_| !matches!(answer, FinalResponse::Served(_)))
+            .last_server
+            .filter(|_| !matches!(response, FinalResponse::Served(_)))
         {
-            self.service.record_history(|teller| {
-                teller.turned_away(self.service.process.clock.now(), server)
+            self.service.record_history(|history| {
+                history.turned_away(self.service.process.clock.now(), server)
             });
         }
-        if let Some(record) = &onward.idempotency_record {
-            record.answered(&answer);
+        if let Some(record) = &request.idempotency_record {
+            record.answered(&response);
         }
-        let (aim, given_up) = (self.aim, self.given_up);
-        self.tell(|elapsed| match &answer {
-            FinalResponse::Served(_) => Some(RequestEnd::served(elapsed, aim)),
-            // The level's own doing is none of its signals.
-            FinalResponse::Rejected { .. } if given_up => None,
-            FinalResponse::Rejected { .. } => Some(RequestEnd::unserved(elapsed, aim, true)),
-            FinalResponse::Failed => Some(RequestEnd::unserved(elapsed, aim, false)),
+        let (latency_objective, shed) = (self.latency_objective, self.shed);
+        self.report_end(|elapsed| match &response {
+            FinalResponse::Served(_) => Some(RequestEnd::served(elapsed, latency_objective)),
+            // Requests that the degradation level sheds must not count as signals for the level.
+            FinalResponse::Rejected { .. } if shed => None,
+            FinalResponse::Rejected { .. } => {
+                Some(RequestEnd::unserved(elapsed, latency_objective, true))
+            }
+            FinalResponse::Failed => Some(RequestEnd::unserved(elapsed, latency_objective, false)),
         });
-        answer
+        response
     }
 
-    /// Tells the service's level how it ended, by how long it took.
-    fn tell(&self, how: impl Fn(Micros) -> Option<RequestEnd>) {
-        if let Some(keeper) = self.service.level_controller.borrow_mut().as_mut() {
+    /// Reports the end of the request to the service's degradation levels; `request_end` gets the elapsed time.
+    fn report_end(&self, request_end: impl Fn(Micros) -> Option<RequestEnd>) {
+        if let Some(levels) = self.service.level_controller.borrow_mut().as_mut() {
             let now = self.service.process.clock.now();
-            if let Some(end) = how(now.saturating_sub(self.came)) {
-                keeper.request_ended(now, self.class, end);
+            if let Some(end) = request_end(now.saturating_sub(self.started_at)) {
+                levels.request_ended(now, self.class, end);
             }
         }
     }
 }
 
 impl Drop for Transaction {
-    /// Ended without an answer, it is the client that has gone. The module hears of that before the flows
-    /// that are still out end, or it would take them for its own and send again.
+    /// Without a final response, the client has disconnected. The balancer must be notified of that before the attempts in
+    /// flight are dropped, or it would take their cancellation for a failure and retry.
     fn drop(&mut self) {
-        if !self.over.replace(true) {
-            self.tell(|elapsed| RequestEnd::abandoned(elapsed, self.aim));
+        if !self.ended.replace(true) {
+            self.report_end(|elapsed| RequestEnd::abandoned(elapsed, self.latency_objective));
             let now = self.service.process.clock.now();
             self.service.handle(now, Event::ClientGone(self.id));
         }
-        self.flows.clear();
+        self.attempts.clear();
         self.service.transactions.borrow_mut().remove(&self.id);
         for key in self.steps.timers.take() {
             self.service.process.timers.cancel(key);
--- a/crates/sidecar/src/upload.rs
+++ b/crates/sidecar/src/upload.rs
@@ -1,8 +1,8 @@
-//! A client's body: kept whole where it fits, so that it can be sent again, or passed on as it comes.
+//! Request bodies: buffered in full where they fit, so that the request can be retried, or streamed.
 //!
-//! A body is kept up to [`MAX_BUFFERED_BYTES`] bytes as long as all bodies together stay within what is set aside for them. Of a
-//! longer one the beginning is kept, and the rest is read from the client as the server takes it: neither side is read
-//! faster than the other is written. Once any of that rest has been read, the request cannot be sent again.
+//! A body of up to [`MAX_BUFFERED_BYTES`] is buffered while all bodies together stay within the limits on body bytes. Of a
+//! longer one only a prefix is buffered, and the remainder is read from the client at the pace at which the server accepts
+//! it. Once any of the remainder has been read, the request cannot be sent again.
 
 use super::limits::Reservation;
 use super::listener::Listener;
@@ -17,12 +17,13 @@
 use madderloom_balancer::Micros;
 use std::cell::{Cell, RefCell};
 
-/// The longest body that is kept.
+/// The longest body that is buffered in full.
 pub(super) const MAX_BUFFERED_BYTES: usize = 1 << 20;
-/// Before a longer one is passed on, so much of it is there.
+/// How much of a longer body is buffered before it is streamed.
 const STREAM_PREFIX_BYTES: usize = 16 << 10;
-/// The slowest client, in bytes a second, and what it may lag behind that. Clients write 64,000 a second.
+/// The lowest rate at which a client may send its body. Clients send 64,000 bytes a second.
 pub(super) const MIN_BYTES_PER_SECOND: u64 = 32_000;
+/// How far a client may fall behind [`MIN_BYTES_PER_SECOND`].
 pub(super) const READ_DELAY_ALLOWANCE: Micros = 3_000_000;
 
 const BODY_TOO_LONG: RequestError = RequestError::Invalid(
@@ -30,21 +31,24 @@
     "the body is longer than this listener takes",
 );
 
-/// How long a body is, as its head tells.
+/// The length of a body according to the head of its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum BodyLength {
     Known(u64),
-    /// In chunks.
+    /// Chunked transfer coding: the length is unknown.
     Chunked,
 }
 
 impl BodyLength {
-    /// By the head of a request. Where it has both a length and chunks, one reader sees a request where another sees
-    /// a body, so it is refused; hyper has refused several lengths that differ.
+    /// Determines the length of a body of at most `max_bytes`.
+    ///
+    /// # Errors
+    /// The body is longer, or its framing is ambiguous: with both a length and chunked coding, one reader may see a request
+    /// where another sees a part of the body. hyper has already rejected requests with several different lengths.
     pub(super) fn from_head(
         body: Option<&Incoming>,
         headers: &HeaderMap,
-        most: usize,
+        max_bytes: usize,
     ) -> Result<Self, RequestError> {
         let mut codings = headers.get_all(header::TRANSFER_ENCODING).iter();
         if let Some(coding) = codings.next() {
@@ -64,40 +68,43 @@
             return Ok(BodyLength::Chunked);
         }
         let size = body.and_then(|body| body.size_hint().exact());
-        size.filter(|size| *size <= most as u64)
+        size.filter(|size| *size <= max_bytes as u64)
             .map(BodyLength::Known)
             .ok_or(BODY_TOO_LONG)
     }
 }
 
-/// A client's body as it is read.
+/// Reads a client's body, at a minimum rate.
 pub(super) struct BodyReader {
     body: Incoming,
-    begun: Micros,
-    read: u64,
-    most: u64,
+    started_at: Micros,
+    bytes_read: u64,
+    max_bytes: u64,
 }
 
 impl BodyReader {
-    pub(super) fn new(process: &ProcessState, body: Incoming, most: usize) -> Self {
+    pub(super) fn new(process: &ProcessState, body: Incoming, max_bytes: usize) -> Self {
         BodyReader {
             body,
-            begun: process.clock.now(),
-            read: 0,
-            most: most as u64,
+            started_at: process.clock.now(),
+            bytes_read: 0,
+            max_bytes: max_bytes as u64,
         }
     }
 
-    /// The next piece; none at the end. A client has its time by what it has sent.
+    /// The next piece of the body; `None` at its end.
+    ///
+    /// # Errors
+    /// The client falls behind the minimum rate, its body ends early, or it is longer than allowed.
     pub(super) async fn next(
         &mut self,
         process: &ProcessState,
     ) -> Result<Option<Bytes>, RequestError> {
         loop {
-            let until = self.begun
+            let deadline = self.started_at
                 + READ_DELAY_ALLOWANCE
-                + self.read.saturating_mul(1_000_000) / MIN_BYTES_PER_SECOND;
-            let frame = match process.timeout_at(until, self.body.frame()).await {
+                + self.bytes_read.saturating_mul(1_000_000) / MIN_BYTES_PER_SECOND;
+            let frame = match process.timeout_at(deadline, self.body.frame()).await {
                 None => {
                     return Err(RequestError::Invalid(
                         StatusCode::REQUEST_TIMEOUT,
@@ -108,12 +115,12 @@
                 Some(Some(Err(_))) => return Err(bad_request("the body has broken off")),
                 Some(Some(Ok(frame))) => frame,
             };
-            // Trailers are about the message itself and go no further.
+            // Trailers are not forwarded.
             let Ok(data) = frame.into_data() else {
                 continue;
             };
-            self.read += data.len() as u64;
-            if self.read > self.most {
+            self.bytes_read += data.len() as u64;
+            if self.bytes_read > self.max_bytes {
                 return Err(BODY_TOO_LONG);
             }
             if !data.is_empty() {
@@ -122,22 +129,22 @@
         }
     }
 
-    /// The rest, of which nothing is wanted any more.
+    /// The remainder of the body, to be drained.
     pub(super) fn into_inner(self) -> Incoming {
         self.body
     }
 }
 
-/// A body as it goes to a server.
+/// A request body as it is sent to a server.
 pub(super) enum RequestBody {
-    /// All of it.
+    /// The complete body.
     Buffered(Bytes),
-    /// Its beginning, and the rest as it comes.
+    /// A buffered prefix, and a remainder that is read while it is sent.
     Streamed(StreamedRequestBody),
 }
 
 impl RequestBody {
-    /// What is there of it.
+    /// The buffered part: the complete body, or the prefix of a streamed one.
     pub(super) fn buffered(&self) -> &Bytes {
         match self {
             RequestBody::Buffered(body) => body,
@@ -153,22 +160,22 @@
     }
 }
 
-/// A body that is passed on as it comes.
+/// A body that is streamed from the client to the server.
 pub(super) struct StreamedRequestBody {
     pub(super) length: BodyLength,
     prefix: Bytes,
-    /// In the hands of the attempt that sends it.
+    /// `None` while an attempt has taken it.
     remainder: RefCell<Option<BodyReader>>,
-    /// Something of the rest has been read: it can't be sent again.
+    /// Some of the remainder has been read, so the body cannot be sent again.
     pub(super) consumed: Cell<bool>,
-    /// When its last byte had come.
+    /// When its last byte was received.
     pub(super) completed_at: Cell<Option<Micros>>,
-    /// Why it will never be whole.
+    /// Why it will never be complete.
     pub(super) failure: RefCell<Option<RequestError>>,
 }
 
 impl StreamedRequestBody {
-    /// The rest, for an attempt, where it can still be sent.
+    /// The remainder, for an attempt to send; `None` if it was consumed or is taken.
     pub(super) fn take_remainder(&self) -> Option<BodyReader> {
         if self.consumed.get() {
             None
@@ -177,51 +184,54 @@
         }
     }
 
-    /// Whether an attempt could send it.
+    /// Whether an attempt could still send the complete body.
     pub(super) fn can_be_sent(&self) -> bool {
-        // Behind the error of a body that broke off comes what looks like its end.
+        // After the error of a body that ended early, hyper reports what looks like its regular end.
         !self.consumed.get() && self.failure.borrow().is_none() && self.remainder.borrow().is_some()
     }
 
-    /// An attempt has ended before it had sent it all.
+    /// Returns the remainder after an attempt that ended before it had sent all of it.
     pub(super) fn return_remainder(&self, reader: BodyReader) {
         self.remainder.replace(Some(reader));
     }
 
-    /// What nobody has read and nobody will.
+    /// The unread remainder, which no attempt will read any more.
     pub(super) fn take_unread(&self) -> Option<Incoming> {
         self.remainder.take().map(BodyReader::into_inner)
     }
 }
 
-/// What a body takes of the room for all bodies together.
+/// The reservations of body bytes for one request.
 pub(super) type BodyReservations = Vec<[Reservation; 2]>;
 
-/// Reads a body whole where it fits, else its beginning. `room` gets what it takes. One that is turned away before it
-/// was read is left where it is.
+/// Reads a complete body where it fits, else its prefix, and adds what it reserves to `reservations`. `body` is left in place
+/// if the request is rejected before the body was read.
+///
+/// # Errors
+/// The body is invalid or comes too slowly, or its length exceeds the free body bytes and the listener drains rejected bodies.
 pub(super) async fn read_body(
     listener: &Listener,
     service: &Service,
     body: &mut Option<Incoming>,
     length: BodyLength,
-    most: usize,
-    room: &mut BodyReservations,
+    max_bytes: usize,
+    reservations: &mut BodyReservations,
 ) -> Result<RequestBody, RequestError> {
     let process = &listener.process;
-    let mut kept = BytesMut::new();
-    // Where it is known to be too long to be kept, no more is than its beginning.
-    let (fits, mut held) = match length {
+    let mut buffered = BytesMut::new();
+    // Only a prefix is buffered of a body that is known to be too long.
+    let (buffers_all, mut reserved) = match length {
         BodyLength::Known(0) => return Ok(RequestBody::Buffered(Bytes::new())),
         BodyLength::Known(size) if size <= MAX_BUFFERED_BYTES as u64 => {
-            let fits = hold(listener, service, size, room);
-            // An operator file's limits on bodies turn away what finds no room.
-            if !fits && listener.settings.get().drains_rejected_bodies {
+            let buffers_all = reserve(listener, service, size, reservations);
+            // Limits of an operator file reject a body that does not fit, rather than streaming it.
+            if !buffers_all && listener.settings.get().drains_rejected_bodies {
                 return Err(RequestError::LimitReached(
                     "too much is open",
                     service.retry_after(),
                 ));
             }
-            (fits, size as usize)
+            (buffers_all, size as usize)
         }
         BodyLength::Known(_) => (false, 0),
         BodyLength::Chunked => (true, 0),
@@ -229,33 +239,35 @@
     let Some(body) = body.take() else {
         return Ok(RequestBody::Buffered(Bytes::new()));
     };
-    let mut reader = BodyReader::new(process, body, most);
+    let mut reader = BodyReader::new(process, body, max_bytes);
     loop {
         let Some(piece) = reader.next(process).await? else {
-            return Ok(RequestBody::Buffered(kept.freeze()));
+            return Ok(RequestBody::Buffered(buffered.freeze()));
         };
-        let size = kept.len() + piece.len();
-        if fits && size > held && size <= MAX_BUFFERED_BYTES {
-            // Chunks tell nothing of what is to come: room is made as they do.
-            let more = size.next_power_of_two().max(STREAM_PREFIX_BYTES) - held;
-            if hold(listener, service, more as u64, room) {
-                held += more;
+        let size = buffered.len() + piece.len();
+        if buffers_all && size > reserved && size <= MAX_BUFFERED_BYTES {
+            // The length of a chunked body is unknown, so its reservation grows as chunks arrive.
+            let more = size.next_power_of_two().max(STREAM_PREFIX_BYTES) - reserved;
+            if reserve(listener, service, more as u64, reservations) {
+                reserved += more;
             }
         }
-        if kept.is_empty() {
-            kept = BytesMut::from(&piece[..]);
+        if buffered.is_empty() {
+            buffered = BytesMut::from(&piece[..]);
         } else {
-            kept.extend_from_slice(&piece);
+            buffered.extend_from_slice(&piece);
         }
-        let enough = if fits {
-            kept.len() > held
+        let must_stream = if buffers_all {
+            buffered.len() > reserved
         } else {
-            kept.len() >= STREAM_PREFIX_BYTES
+            buffered.len() >= STREAM_PREFIX_BYTES
         };
-        if enough && !matches!(length, BodyLength::Known(size) if size == kept.len() as u64) {
+        if must_stream
+            && !matches!(length, BodyLength::Known(size) if size == buffered.len() as u64)
+        {
             let streamed = StreamedRequestBody {
                 length,
-                prefix: kept.freeze(),
+                prefix: buffered.freeze(),
                 remainder: RefCell::new(Some(reader)),
                 consumed: Cell::new(false),
                 completed_at: Cell::new(None),
@@ -266,10 +278,15 @@
     }
 }
 
-fn hold(listener: &Listener, service: &Service, size: u64, room: &mut BodyReservations) -> bool {
-    let held = service
+fn reserve(
+    listener: &Listener,
+    service: &Service,
+    size: u64,
+    reservations: &mut BodyReservations,
+) -> bool {
+    let reserved = service
         .request_limits
         .reserve_body(size)
-        .and_then(|own| Some([own, listener.request_limits.reserve_body(size)?]));
-    held.map(|held| room.push(held)).is_some()
+        .and_then(|of_service| Some([of_service, listener.request_limits.reserve_body(size)?]));
+    reserved.map(|units| reservations.push(units)).is_some()
 }
--- a/crates/sidecar/src/virtual_server.rs
+++ b/crates/sidecar/src/virtual_server.rs
@@ -216,13 +216,13 @@
                 ResponseBody::Buffered(_) => increment(&counts.served),
                 // It is open to its last byte, and so is all that it holds.
                 ResponseBody::Streamed(streamed) => {
-                    let _rest = Box::new((open, room, entry, held));
+                    let _guards = Box::new((open, room, entry, held));
                     drop(id);
                     streamed.resources = Some(ResponseResources {
                         counts,
                         client: Rc::clone(&onward.client),
                         process: Rc::clone(&listener.process),
-                        _rest,
+                        _guards,
                     });
                 }
             }
