--- a/crates/sidecar/src/client.rs
+++ b/crates/sidecar/src/client.rs
@@ -1,13 +1,15 @@
-//! A client's connection. While no request is open on it, it is parked: a socket, a place among the clients and one
-//! timer, without a parser or a buffer. It wakes on its first byte, is served by `hyper` for as long as it is busy, and
-//! is parked again once it has been idle for a moment.
+//! Client connections. An idle connection is parked: it holds a socket, an entry in [`Clients`] and one timer, but no parser
+//! and no buffers. Its first byte makes it active; `hyper` then serves it until it has been idle for [`PARK_AFTER_IDLE`] and is
+//! parked again.
 //!
-//! Its end is a lingering close: this side says that it writes no more, reads what still comes to the client's own end, within
-//! [`LINGERS`] and [`LINGERS_OVER`], and closes then. A close over unread bytes would reset the connection and take the last
-//! answer with it. Nothing that is read so is served: a client that hears the end before any answer sends again.
+//! A connection ends with a lingering close: this side shuts down its writing half, reads and drops what the client still sends,
+//! within [`LINGER_TIMEOUT`] and [`LINGER_MAX_BYTES`], and then closes. Closing with unread bytes would reset the connection,
+//! and the client could lose its last response. Requests read in this phase are not served; a client that sees the end of
+//! the connection before a response sends its request again.
 //!
-//! A client that has closed its side has gone. `hyper` hears of that by itself where it waits for the next bytes; where some
-//! lie unread before the end, nobody reads, and so the system is asked before each attempt begins ([`Client::has_disconnected`]).
+//! A client that has closed its side counts as disconnected. `hyper` notices that while it waits for more bytes. With unread
+//! bytes ahead of the end nothing reads the socket, so the kernel is asked before each attempt starts
+//! ([`Client::has_disconnected`]).
 
 use super::fair_scheduler::ChargedAccount;
 use super::listener::{CLOSE_GRACE_PERIOD, Listener};
@@ -33,107 +35,110 @@
 use std::task::{Context, Poll, Waker, ready};
 use tokio::net::TcpStream;
 
-/// A connection that was opened, or whose last answer went, so little ago may have a request on the way.
+/// A connection that was opened, or sent its last response, less than this ago may have a request on the way to it, and is not
+/// evicted.
 pub(super) const MIN_IDLE_BEFORE_EVICTION: Micros = 50_000;
-/// A connection is parked once it has been idle for so long, and looked after as often while it is not.
-const PARKED_AFTER: Micros = 250_000;
-/// A client that takes nothing of an answer for so long has stopped.
+/// A connection that has been idle for this long is parked. Also the interval at which active connections are checked.
+const PARK_AFTER_IDLE: Micros = 250_000;
+/// A client that accepts no byte of a streamed response for this long is disconnected.
 pub(super) const WRITE_STALL_TIMEOUT: Micros = 30_000_000;
-/// How long a client's own end is waited for at a close, and how much is read meanwhile: after that the connection may be
-/// reset under what still comes.
-const LINGERS: Micros = 1_000_000;
-const LINGERS_OVER: usize = 1 << 20;
-/// How long where descriptors run short.
-const LINGERS_IN_A_CROWD: Micros = 50_000;
-/// A head, and what is read ahead of a body, hold this much at most.
-const HEAD: usize = 16 << 10;
+/// How long a lingering close waits for the client to close its side. After that, the close may reset the connection.
+const LINGER_TIMEOUT: Micros = 1_000_000;
+/// How many bytes a lingering close reads.
+const LINGER_MAX_BYTES: usize = 1 << 20;
+/// As [`LINGER_TIMEOUT`], while connections or file descriptors are scarce.
+const LINGER_TIMEOUT_UNDER_PRESSURE: Micros = 50_000;
+/// The longest head, and the most that is read ahead of a body.
+const MAX_HEAD_BYTES: usize = 16 << 10;
 
 thread_local! {
-    /// What is read from clients passes through here.
-    static SCRATCH: RefCell<Box<[u8]>> = RefCell::new(vec![0; HEAD].into());
+    /// Buffer for every read from a client, shared by all connections of the thread.
+    static READ_BUFFER: RefCell<Box<[u8]>> = RefCell::new(vec![0; MAX_HEAD_BYTES].into());
 }
 
 /// One client's connection.
 pub(super) struct Client {
-    number: u64,
+    id: u64,
     stream: TcpStream,
-    /// Since when it has no request open; nothing while it has.
+    /// Since when it has no request in flight; `None` while it has one.
     idle_since: Cell<Option<Micros>>,
-    /// It has been told to close: at once where it is idle, else with its answer.
-    closing: Cell<bool>,
-    /// It was found to have gone while it had a request open.
-    gone: Cell<bool>,
-    /// Its task.
-    waiting: RefCell<Option<Waker>>,
-    /// Whose work it is.
+    /// It should close: at once if it is idle, else after its response.
+    close_requested: Cell<bool>,
+    /// It was found disconnected while a request was in flight.
+    disconnected: Cell<bool>,
+    /// Waker of its task.
+    waker: RefCell<Option<Waker>>,
+    /// The account that its work is charged to.
     pub(super) charged: Rc<ChargedAccount>,
-    /// The body of the last request has been read whole. Left unread, what follows on the connection is not the next
-    /// request, and must never be taken for it.
-    pub(super) body_read: Cell<bool>,
-    /// It is not certain how what it wrote is to be read, so that nothing of it may go on.
-    pub(super) ambiguous: Cell<bool>,
-    /// Something has been read since the last answer.
-    read: Cell<bool>,
-    /// An answer is passed on to it as it comes.
-    passing: Cell<bool>,
-    /// When it last took something.
-    wrote: Cell<Micros>,
-    /// Nothing that was written waits for the client.
+    /// The body of the last request has been read to its end. If not, the next bytes on the connection still belong to it and
+    /// must never be taken for the next request.
+    pub(super) body_complete: Cell<bool>,
+    /// The framing of what it sent is ambiguous, so that nothing more of it may be forwarded.
+    pub(super) ambiguous_framing: Cell<bool>,
+    /// Bytes have been read since the last response.
+    read_since_response: Cell<bool>,
+    /// A response is being streamed to it.
+    streaming: Cell<bool>,
+    /// When a write to it last succeeded.
+    last_write_at: Cell<Micros>,
+    /// Everything written has been passed to the kernel.
     flushed: Cell<bool>,
 }
 
 impl Client {
-    fn tell_to_close(&self) {
-        self.closing.set(true);
-        if let Some(waiting) = self.waiting.borrow().as_ref() {
-            waiting.wake_by_ref();
+    fn request_close(&self) {
+        self.close_requested.set(true);
+        if let Some(waker) = self.waker.borrow().as_ref() {
+            waker.wake_by_ref();
         }
     }
 
-    fn is_told(&self, context: &Context<'_>) -> bool {
-        let mut waiting = self.waiting.borrow_mut();
-        if waiting
+    /// Whether it should close. Registers the task to be woken once that changes.
+    fn poll_close_requested(&self, context: &Context<'_>) -> bool {
+        let mut waker = self.waker.borrow_mut();
+        if waker
             .as_ref()
             .is_none_or(|waker| !waker.will_wake(context.waker()))
         {
-            *waiting = Some(context.waker().clone());
+            *waker = Some(context.waker().clone());
         }
-        self.closing.get()
+        self.close_requested.get()
     }
 
-    /// Whether it has closed its side, by the system's word of this moment, also behind bytes that nobody has read. Once this
-    /// was found true the connection ends as soon as its task gives way, and its open request with it.
+    /// Whether the client has closed its side, as the kernel sees it now, also after unread bytes. Once this returned true, the
+    /// connection ends with its request in flight as soon as its task yields.
     pub(super) fn has_disconnected(&self) -> bool {
-        let gone = match peek_nonblocking(&self.stream) {
+        let disconnected = match peek_nonblocking(&self.stream) {
             Ok(0) => true,
-            Ok(_) => self.has_ended_behind_what_is_unread(),
+            Ok(_) => self.is_closed_after_unread_bytes(),
             Err(error) => !matches!(error, Errno::AGAIN | Errno::INTR),
         };
-        self.gone.set(self.gone.get() || gone);
-        gone
+        self.disconnected
+            .set(self.disconnected.get() || disconnected);
+        disconnected
     }
 
-    fn has_ended_behind_what_is_unread(&self) -> bool {
-        let ended = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
-        let mut asked = [PollFd::new(&self.stream, PollFlags::RDHUP)];
-        let at_once = Timespec {
+    fn is_closed_after_unread_bytes(&self) -> bool {
+        let closed = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
+        let mut polled = [PollFd::new(&self.stream, PollFlags::RDHUP)];
+        let no_wait = Timespec {
             tv_sec: 0,
             tv_nsec: 0,
         };
-        poll(&mut asked, Some(&at_once)).is_ok_and(|_| asked[0].revents().intersects(ended))
+        poll(&mut polled, Some(&no_wait)).is_ok_and(|_| polled[0].revents().intersects(closed))
     }
 
-    fn holds_a_byte(&self) -> bool {
+    fn has_unread_bytes(&self) -> bool {
         peek_nonblocking(&self.stream).is_ok_and(|count| count > 0)
     }
 
-    fn poll_read(&self, context: &mut Context<'_>, into: &mut [u8]) -> Poll<io::Result<usize>> {
-        let read = readiness::poll_read(&self.stream, context, |stream| stream.try_read(into));
-        if read.is_pending() && self.closing.get() && !into.is_empty() {
-            // Once it is told to close nothing may be left that came before: the runtime may not have heard of it. This
-            // takes nothing of the budget; hyper gives way after 16 rounds by itself.
-            let found = rustix::net::recv(&self.stream, &mut *into, RecvFlags::DONTWAIT).ok();
-            return found.map_or(Poll::Pending, |(count, _)| Poll::Ready(Ok(count)));
+    fn poll_read(&self, context: &mut Context<'_>, buffer: &mut [u8]) -> Poll<io::Result<usize>> {
+        let read = readiness::poll_read(&self.stream, context, |stream| stream.try_read(buffer));
+        if read.is_pending() && self.close_requested.get() && !buffer.is_empty() {
+            // Before closing, bytes that have arrived but that tokio does not know of yet must be read. This consumes no
+            // budget; hyper yields by itself after 16 rounds.
+            let received = rustix::net::recv(&self.stream, &mut *buffer, RecvFlags::DONTWAIT).ok();
+            return received.map_or(Poll::Pending, |(count, _)| Poll::Ready(Ok(count)));
         }
         read
     }
@@ -146,35 +151,35 @@
         readiness::poll_write(&self.stream, context, write)
     }
 
-    /// The last byte of an answer that is passed on has been read from its server.
-    /// Told before the next request on the connection is read.
+    /// Records that the last byte of a streamed response has been read from its server. Must be called before the next request
+    /// on the connection is read.
     pub(super) fn response_ended(&self, now: Micros) {
-        self.passing.set(false);
+        self.streaming.set(false);
         self.idle_since.set(Some(now));
     }
 
     fn may_be_parked(&self) -> bool {
         self.idle_since.get().is_some()
-            && self.body_read.get()
+            && self.body_complete.get()
             && self.flushed.get()
-            && !self.read.get()
+            && !self.read_since_response.get()
     }
 }
 
-/// The connections of clients.
+/// The client connections of one listener.
 #[derive(Default)]
 pub(super) struct Clients {
-    /// Parked, by since when they are idle.
+    /// Parked connections, by the start of their idleness and their id.
     parked: RefCell<BTreeMap<(Micros, u64), Rc<Client>>>,
-    /// All others.
+    /// All other connections, by id.
     active: RefCell<HashMap<u64, Rc<Client>, foldhash::quality::FixedState>>,
     accepted: Cell<u64>,
-    /// How often one that was parked has been woken by its client.
+    /// How often a parked connection became active.
     wakeups: Cell<u64>,
 }
 
 impl Clients {
-    /// How many have come, since the start.
+    /// Connections accepted since the start.
     pub(super) fn accepted(&self) -> u64 {
         self.accepted.get()
     }
@@ -183,7 +188,7 @@
         self.wakeups.get()
     }
 
-    /// How many are there.
+    /// Open connections.
     pub(super) fn count(&self) -> usize {
         self.parked() + self.active()
     }
@@ -196,36 +201,39 @@
         self.active.borrow().len()
     }
 
-    /// Has the connection closed that lies idle for longest. One with a request open stays, and so does one so
-    /// young that its request may be on the way: what was never read would have failed by that. False where none goes.
+    /// Closes the connection that has been idle for longest. Connections with a request in flight stay, and so do those that
+    /// were active within [`MIN_IDLE_BEFORE_EVICTION`]: their next request may be on the way and would fail unread. False if no
+    /// connection could be closed.
     pub(super) fn evict_idle(&self, now: Micros) -> bool {
-        let old = |since: Micros| now.saturating_sub(since) >= MIN_IDLE_BEFORE_EVICTION;
+        let is_old = |since: Micros| now.saturating_sub(since) >= MIN_IDLE_BEFORE_EVICTION;
         let parked = self
             .parked
             .borrow()
             .first_key_value()
             .map(|((since, _), client)| (*since, Rc::clone(client)));
-        // Those that are served and idle have sent a part of a request, or are about to be parked.
-        let served = self.active.borrow();
-        let staying = served.values().filter(|client| !client.closing.get());
-        let idle = staying.filter_map(|client| Some((client.idle_since.get()?, client)));
-        let idle = idle.min_by_key(|(since, client)| (*since, client.number));
+        // Active connections that are idle have sent a part of a request, or are about to be parked.
+        let active = self.active.borrow();
+        let open = active
+            .values()
+            .filter(|client| !client.close_requested.get());
+        let idle = open.filter_map(|client| Some((client.idle_since.get()?, client)));
+        let idle = idle.min_by_key(|(since, client)| (*since, client.id));
         let idle = idle.map(|(since, client)| (since, Rc::clone(client)));
-        drop(served);
+        drop(active);
         let oldest = parked
             .into_iter()
             .chain(idle)
-            .filter(|(since, _)| old(*since))
+            .filter(|(since, _)| is_old(*since))
             .min_by_key(|(since, _)| *since);
         if let Some((_, client)) = &oldest {
-            // It goes once, also where that takes a moment.
+            // No longer parked, it is not chosen again while it closes.
             self.wake(client);
-            client.tell_to_close();
+            client.request_close();
         }
         oldest.is_some()
     }
 
-    /// Since when the one has been parked that has been idle for longest.
+    /// The start of the idleness of the parked connection that has been idle for longest.
     pub(super) fn oldest_parked_since(&self) -> Option<Micros> {
         self.parked
             .borrow()
@@ -233,222 +241,237 @@
             .map(|((since, _), _)| *since)
     }
 
-    /// Has those connections closed that have been idle since this time or before, with nothing of a request on them.
+    /// Closes the connections that have been idle since `since` or earlier and have sent no part of a request.
     pub(super) fn close_idle(&self, since: Micros) {
         let parked = self.parked.borrow();
-        let old = parked
+        let idle_parked = parked
             .range(..=(since, u64::MAX))
             .map(|(_, client)| Rc::clone(client));
-        let mut old: Vec<Rc<Client>> = old.collect();
+        let mut to_close: Vec<Rc<Client>> = idle_parked.collect();
         drop(parked);
-        let served = self.active.borrow();
+        let active = self.active.borrow();
         let idle = |client: &&Rc<Client>| {
-            client.may_be_parked() && client.idle_since.get().is_some_and(|at| at <= since)
+            client.may_be_parked()
+                && client
+                    .idle_since
+                    .get()
+                    .is_some_and(|idle_since| idle_since <= since)
         };
-        old.extend(served.values().filter(idle).cloned());
-        drop(served);
-        old.iter().for_each(|client| client.tell_to_close());
+        to_close.extend(active.values().filter(idle).cloned());
+        drop(active);
+        to_close.iter().for_each(|client| client.request_close());
     }
 
     pub(super) fn close_all(&self) {
         let parked: Vec<Rc<Client>> = self.parked.borrow().values().cloned().collect();
-        parked.iter().for_each(|client| client.tell_to_close());
+        parked.iter().for_each(|client| client.request_close());
         self.active
             .borrow()
             .values()
-            .for_each(|client| client.tell_to_close());
+            .for_each(|client| client.request_close());
     }
 
     fn park(&self, client: &Rc<Client>, since: Micros) {
-        self.active.borrow_mut().remove(&client.number);
+        self.active.borrow_mut().remove(&client.id);
         self.parked
             .borrow_mut()
-            .insert((since, client.number), Rc::clone(client));
+            .insert((since, client.id), Rc::clone(client));
     }
 
     fn wake(&self, client: &Rc<Client>) {
         if let Some(since) = client.idle_since.get() {
-            self.parked.borrow_mut().remove(&(since, client.number));
+            self.parked.borrow_mut().remove(&(since, client.id));
         }
         self.active
             .borrow_mut()
-            .insert(client.number, Rc::clone(client));
+            .insert(client.id, Rc::clone(client));
     }
 }
 
-/// A connection's place among those of the clients; left with its end.
-struct Entered<'a> {
-    of: &'a Listener,
+/// Registers a connection with its listener until it is dropped.
+struct Registration<'a> {
+    listener: &'a Listener,
     client: Rc<Client>,
 }
 
-impl<'a> Entered<'a> {
-    fn new(of: &'a Listener, stream: TcpStream, charged: Rc<ChargedAccount>) -> Self {
-        let clients = &of.clients;
-        let number = clients.accepted.replace(clients.accepted.get() + 1);
-        let now = of.process.clock.now();
+impl<'a> Registration<'a> {
+    fn new(listener: &'a Listener, stream: TcpStream, charged: Rc<ChargedAccount>) -> Self {
+        let clients = &listener.clients;
+        let id = clients.accepted.replace(clients.accepted.get() + 1);
+        let now = listener.process.clock.now();
         let client = Rc::new(Client {
-            number,
+            id,
             stream,
             idle_since: Cell::new(Some(now)),
-            closing: Cell::new(false),
-            gone: Cell::new(false),
-            waiting: RefCell::default(),
+            close_requested: Cell::new(false),
+            disconnected: Cell::new(false),
+            waker: RefCell::default(),
             charged,
-            body_read: Cell::new(true),
-            ambiguous: Cell::new(false),
-            read: Cell::new(false),
-            passing: Cell::new(false),
-            wrote: Cell::new(now),
+            body_complete: Cell::new(true),
+            ambiguous_framing: Cell::new(false),
+            read_since_response: Cell::new(false),
+            streaming: Cell::new(false),
+            last_write_at: Cell::new(now),
             flushed: Cell::new(true),
         });
         clients.park(&client, now);
-        of.process
+        listener
+            .process
             .client_connections
-            .set(of.process.client_connections.get() + 1);
-        Entered { of, client }
+            .set(listener.process.client_connections.get() + 1);
+        Registration { listener, client }
     }
 }
 
-impl Drop for Entered<'_> {
+impl Drop for Registration<'_> {
     fn drop(&mut self) {
-        let clients = &self.of.clients;
+        let clients = &self.listener.clients;
         if let Some(since) = self.client.idle_since.get() {
-            clients
-                .parked
-                .borrow_mut()
-                .remove(&(since, self.client.number));
+            clients.parked.borrow_mut().remove(&(since, self.client.id));
         }
-        clients.active.borrow_mut().remove(&self.client.number);
-        self.of
+        clients.active.borrow_mut().remove(&self.client.id);
+        self.listener
             .process
             .client_connections
-            .set(self.of.process.client_connections.get() - 1);
+            .set(self.listener.process.client_connections.get() - 1);
     }
 }
 
-/// One less, in the end.
-struct Counted<'a>(&'a Cell<usize>);
+/// Decrements a counter when it is dropped.
+struct DecrementOnDrop<'a>(&'a Cell<usize>);
 
-impl Drop for Counted<'_> {
+impl Drop for DecrementOnDrop<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-/// How the serving of a connection has ended.
-enum End {
+/// How serving a connection has ended; see [`ServeOutcome`].
+enum ServeEnd {
     Idle,
-    Over,
+    Closed,
     Lost,
 }
 
-/// What becomes of a connection that was served.
-enum Served {
-    /// It has been idle for a moment.
+/// What to do with a connection after serving it.
+enum ServeOutcome {
+    /// Idle: park it.
     Idle(ClientIo),
-    /// It is over. What its client still writes is read to its end.
-    Over,
-    /// Its client has gone, or is given up: there is nobody to wait for.
+    /// Closed by this side or by hyper: the lingering close follows.
+    Closed,
+    /// The client has disconnected or timed out: drop it at once.
     Lost,
 }
 
-/// Serves one connection from its beginning to its end.
+/// Serves one connection from its accept to its close.
 pub(super) async fn serve(listener: &Rc<Listener>, stream: TcpStream, charged: Rc<ChargedAccount>) {
-    // Only a delay is lost where this cannot be set.
+    // A failure only delays responses.
     let _ = stream.set_nodelay(true);
-    let entered = Entered::new(listener, stream, charged);
-    let client = &entered.client;
+    let registration = Registration::new(listener, stream, charged);
+    let client = &registration.client;
     let mut io = ClientIo {
-        before: Bytes::new(),
+        read_ahead: Bytes::new(),
         client: Rc::clone(client),
         listener: Rc::clone(listener),
         framing: RequestFraming::default(),
     };
-    while parked(listener, client).await {
-        // In a box, as it holds all that a request needs: what is parked is to be small.
-        match Box::pin(served(listener, client, io)).await {
-            Served::Idle(back) => io = back,
-            Served::Over => break,
-            Served::Lost => return,
+    while wait_while_parked(listener, client).await {
+        // Boxed, since the future holds everything that a request needs, and parked connections must be small.
+        match Box::pin(serve_requests(listener, client, io)).await {
+            ServeOutcome::Idle(parked_io) => io = parked_io,
+            ServeOutcome::Closed => break,
+            ServeOutcome::Lost => return,
         }
     }
-    linger(listener, client).await;
+    lingering_close(listener, client).await;
 }
 
-/// The lingering close: nothing more is written, and what the client still writes is read and dropped.
-async fn linger(listener: &Listener, client: &Client) {
+/// Shuts down the writing half, then reads and drops what the client still sends.
+async fn lingering_close(listener: &Listener, client: &Client) {
     if shutdown(&client.stream, Shutdown::Write).is_err() {
         return;
     }
-    let short = listener.is_near_connection_limit() || listener.process.descriptors_exhausted();
-    let within = if short { LINGERS_IN_A_CROWD } else { LINGERS };
-    let to_its_end = async {
-        let mut left = LINGERS_OVER;
+    let under_pressure =
+        listener.is_near_connection_limit() || listener.process.descriptors_exhausted();
+    let timeout = if under_pressure {
+        LINGER_TIMEOUT_UNDER_PRESSURE
+    } else {
+        LINGER_TIMEOUT
+    };
+    let read_to_end = async {
+        let mut left = LINGER_MAX_BYTES;
         while left > 0 {
-            let read =
-                |stream: &TcpStream| SCRATCH.with_borrow_mut(|scratch| stream.try_read(scratch));
+            let read = |stream: &TcpStream| {
+                READ_BUFFER.with_borrow_mut(|read_buffer| stream.try_read(read_buffer))
+            };
             match poll_fn(|context| readiness::poll_read(&client.stream, context, read)).await {
                 Ok(0) | Err(_) => return,
                 Ok(count) => left = left.saturating_sub(count),
             }
         }
     };
-    let _ = listener.process.timeout(within, to_its_end).await;
+    let _ = listener.process.timeout(timeout, read_to_end).await;
 }
 
-/// Waits for a first byte. False where the connection is to end.
-async fn parked(listener: &Listener, client: &Client) -> bool {
+/// Waits for the first byte of a request. False if the connection is to be closed.
+async fn wait_while_parked(listener: &Listener, client: &Client) -> bool {
     let since = client.idle_since.get().unwrap_or_default();
-    let mut alarm = pin!(
+    let mut timer = pin!(
         listener
             .process
             .sleep_until(since + listener.settings.get().idle_timeout)
     );
     poll_fn(|context| {
-        // What has come before the close is served.
-        if client.is_told(context) {
-            return Poll::Ready(client.holds_a_byte());
+        // Requests that arrived before the close are still served.
+        if client.poll_close_requested(context) {
+            return Poll::Ready(client.has_unread_bytes());
         }
-        // Readiness alone is no byte: a fresh socket has been seen to claim it.
+        // Readiness alone does not prove a byte: fresh sockets have been seen to report it without one.
         match readiness::poll_peek(&client.stream, context) {
             Poll::Ready(Ok(count)) => return Poll::Ready(count > 0),
             Poll::Ready(Err(_)) => return Poll::Ready(false),
             Poll::Pending => {}
         }
-        // A stop of the process breaks off the wait for sockets, and so the alarm is seen first when it goes on: what
-        // came meanwhile is in the socket, and the runtime does not know of it.
-        alarm.as_mut().poll(context).map(|()| client.holds_a_byte())
+        // SIGSTOP interrupts tokio's wait for sockets, so after SIGCONT the timer is seen first: the socket may hold bytes that
+        // tokio does not know of yet.
+        timer
+            .as_mut()
+            .poll(context)
+            .map(|()| client.has_unread_bytes())
     })
     .await
 }
 
-/// Serves requests. Gives the connection back once it has been idle for a moment.
-async fn served(listener: &Rc<Listener>, client: &Rc<Client>, io: ClientIo) -> Served {
+/// Serves requests until the connection has been idle for [`PARK_AFTER_IDLE`] or is closed.
+async fn serve_requests(
+    listener: &Rc<Listener>,
+    client: &Rc<Client>,
+    io: ClientIo,
+) -> ServeOutcome {
     let process = &listener.process;
     listener.clients.wake(client);
     process
         .active_client_connections
         .set(process.active_client_connections.get() + 1);
-    let _served = Counted(&process.active_client_connections);
+    let _active = DecrementOnDrop(&process.active_client_connections);
     process.enforce_connection_memory(2);
     listener
         .clients
         .wakeups
         .set(listener.clients.wakeups.get() + 1);
-    let woken = process.clock.now();
+    let activated_at = process.clock.now();
     let service =
         hyper::service::service_fn(|request: hyper::Request<hyper::body::Incoming>| async {
             client.idle_since.set(None);
-            client.body_read.set(request.body().is_end_stream());
+            client.body_complete.set(request.body().is_end_stream());
             let mut response = virtual_server::handle_request(listener, client, request).await;
             client.charged.set(listener.account());
-            // One that is passed on is idle when it has gone, and not when it begins.
-            let (now, passing) = (process.clock.now(), response.body().is_streamed());
-            client.passing.set(passing);
-            client.wrote.set(now);
-            client.idle_since.set((!passing).then_some(now));
-            client.read.set(false);
+            // With a streamed response, the connection is idle once that has ended, not when it starts.
+            let (now, streaming) = (process.clock.now(), response.body().is_streamed());
+            client.streaming.set(streaming);
+            client.last_write_at.set(now);
+            client.idle_since.set((!streaming).then_some(now));
+            client.read_since_response.set(false);
             if process.lifecycle.borrow().ends_connections()
                 || listener.is_draining()
                 || listener.is_near_connection_limit()
@@ -460,99 +483,99 @@
             Ok::<_, Infallible>(response)
         });
     let mut connection = http1::Builder::new()
-        .max_buf_size(HEAD)
+        .max_buf_size(MAX_HEAD_BYTES)
         .serve_connection(io, service);
-    let mut alarm = process.sleep_until(woken + PARKED_AFTER);
-    // When it was told to close.
-    let mut told: Option<Micros> = None;
+    let mut timer = process.sleep_until(activated_at + PARK_AFTER_IDLE);
+    // When its close was first requested.
+    let mut close_requested_at: Option<Micros> = None;
     let end = poll_fn(|context| {
-        // How a connection ends is the client's affair: a transaction that was on it is dropped with it.
+        // Errors of the connection are not reported: the client caused them, and its transaction is dropped with it.
         if Pin::new(&mut connection).poll(context).is_ready() {
-            return Poll::Ready(if client.gone.get() {
-                End::Lost
+            return Poll::Ready(if client.disconnected.get() {
+                ServeEnd::Lost
             } else {
-                End::Over
+                ServeEnd::Closed
             });
         }
-        if client.gone.get() {
-            return Poll::Ready(End::Lost);
+        if client.disconnected.get() {
+            return Poll::Ready(ServeEnd::Lost);
         }
-        if client.is_told(context) && told.is_none() {
+        if client.poll_close_requested(context) && close_requested_at.is_none() {
             let now = process.clock.now();
-            told = Some(now);
-            alarm = process.sleep_until(now + MIN_IDLE_BEFORE_EVICTION);
-            // Closes at once where it lies idle, else with its answer.
+            close_requested_at = Some(now);
+            timer = process.sleep_until(now + MIN_IDLE_BEFORE_EVICTION);
+            // Closes at once if it is idle, else after its response.
             Pin::new(&mut connection).graceful_shutdown();
             if Pin::new(&mut connection).poll(context).is_ready() {
-                return Poll::Ready(End::Over);
+                return Poll::Ready(ServeEnd::Closed);
             }
         }
-        while Pin::new(&mut alarm).poll(context).is_ready() {
+        while Pin::new(&mut timer).poll(context).is_ready() {
             let now = process.clock.now();
-            let (idle, passing) = (client.idle_since.get(), client.passing.get());
-            // A reader that has stopped holds what others need.
+            let (idle, streaming) = (client.idle_since.get(), client.streaming.get());
+            // A client that has stopped reading holds resources that others need.
             if idle.is_none()
-                && passing
-                && now.saturating_sub(client.wrote.get()) >= WRITE_STALL_TIMEOUT
+                && streaming
+                && now.saturating_sub(client.last_write_at.get()) >= WRITE_STALL_TIMEOUT
             {
-                return Poll::Ready(End::Lost);
+                return Poll::Ready(ServeEnd::Lost);
             }
-            let next = match (idle, told) {
-                // What a server still gives goes on for as long as its client takes it.
-                (None, Some(_)) if passing => now + PARKED_AFTER,
-                (_, Some(at)) => {
-                    // A head that is half here has a moment; nothing of it has gone on.
-                    let moment = idle.is_some() && client.flushed.get();
-                    let ends = at
-                        + if moment {
+            let next = match (idle, close_requested_at) {
+                // A streamed response continues for as long as its client reads it.
+                (None, Some(_)) if streaming => now + PARK_AFTER_IDLE,
+                (_, Some(requested_at)) => {
+                    // An incomplete head gets a short time only; nothing of its request has been forwarded.
+                    let without_request = idle.is_some() && client.flushed.get();
+                    let deadline = requested_at
+                        + if without_request {
                             MIN_IDLE_BEFORE_EVICTION
                         } else {
-                            longest_answer(listener)
+                            max_response_time(listener)
                         };
-                    if now >= ends {
-                        return Poll::Ready(End::Over);
+                    if now >= deadline {
+                        return Poll::Ready(ServeEnd::Closed);
                     }
-                    ends.min(now + PARKED_AFTER)
+                    deadline.min(now + PARK_AFTER_IDLE)
                 }
-                (None, None) => now + PARKED_AFTER,
+                (None, None) => now + PARK_AFTER_IDLE,
                 (Some(since), None) if client.may_be_parked() => {
-                    if now.saturating_sub(since) >= PARKED_AFTER {
-                        return Poll::Ready(End::Idle);
+                    if now.saturating_sub(since) >= PARK_AFTER_IDLE {
+                        return Poll::Ready(ServeEnd::Idle);
                     }
-                    since + PARKED_AFTER
+                    since + PARK_AFTER_IDLE
                 }
                 (Some(since), None) => {
-                    let until = longest_idle(listener, client, since, woken);
-                    if now >= until {
-                        return Poll::Ready(End::Lost);
+                    let deadline = unparked_deadline(listener, client, since, activated_at);
+                    if now >= deadline {
+                        return Poll::Ready(ServeEnd::Lost);
                     }
-                    until.min(now + PARKED_AFTER)
+                    deadline.min(now + PARK_AFTER_IDLE)
                 }
             };
-            alarm = process.sleep_until(next);
+            timer = process.sleep_until(next);
         }
         Poll::Pending
     })
     .await;
     match end {
-        End::Over => Served::Over,
-        End::Lost => Served::Lost,
-        End::Idle => {
+        ServeEnd::Closed => ServeOutcome::Closed,
+        ServeEnd::Lost => ServeOutcome::Lost,
+        ServeEnd::Idle => {
             let parts = connection.into_parts();
             let Some(since) = client.idle_since.get() else {
-                return Served::Over;
+                return ServeOutcome::Closed;
             };
             listener.clients.park(client, since);
-            Served::Idle(ClientIo {
-                before: parts.read_buf,
+            ServeOutcome::Idle(ClientIo {
+                read_ahead: parts.read_buf,
                 ..parts.io
             })
         }
     }
 }
 
-/// How long an answer that was begun may take, and be read for.
-fn longest_answer(listener: &Listener) -> Micros {
+/// How long a response may take in all, until the client has read it.
+fn max_response_time(listener: &Listener) -> Micros {
     let services = listener.process.services.borrow();
     let longest = services
         .iter()
@@ -562,33 +585,41 @@
     (longest + CLOSE_GRACE_PERIOD).as_micros() as Micros
 }
 
-/// Until when a connection may be without an open request, and yet not be parked.
-fn longest_idle(listener: &Listener, client: &Client, since: Micros, woken: Micros) -> Micros {
+/// Until when an active connection may stay without a request in flight and without being parked.
+fn unparked_deadline(
+    listener: &Listener,
+    client: &Client,
+    since: Micros,
+    activated_at: Micros,
+) -> Micros {
     let settings = listener.settings.get();
     if !client.flushed.get() {
-        // Its answer is being read; a client that reads slowly loses no more than one that waits.
-        since.max(client.wrote.get()) + longest_answer(listener).max(settings.head_timeout)
-    } else if !client.body_read.get() {
+        // Its response is still being read; a slow reader gets as much time as a client that waits for its response.
+        since.max(client.last_write_at.get())
+            + max_response_time(listener).max(settings.head_timeout)
+    } else if !client.body_complete.get() {
         since + virtual_server::BODY_DRAIN_TIMEOUT.max(settings.body_timeout)
     } else {
-        // The head of a request is on its way, or was when it woke.
-        since.max(woken) + settings.head_timeout
+        // The head of a request is incomplete, or was when the connection became active.
+        since.max(activated_at) + settings.head_timeout
     }
 }
 
-/// A client's socket, which tells what has passed over it.
+/// A client's socket as hyper uses it; records reads and writes in [`Client`].
 struct ClientIo {
-    /// Read before it was parked.
-    before: Bytes,
+    /// Bytes that hyper had read, but not used, before the connection was parked.
+    read_ahead: Bytes,
     client: Rc<Client>,
     listener: Rc<Listener>,
     framing: RequestFraming,
 }
 
 impl ClientIo {
-    fn note(&self, written: &Poll<io::Result<usize>>) {
+    fn record_write(&self, written: &Poll<io::Result<usize>>) {
         if matches!(written, Poll::Ready(Ok(_))) {
-            self.client.wrote.set(self.listener.process.clock.now());
+            self.client
+                .last_write_at
+                .set(self.listener.process.clock.now());
         }
     }
 }
@@ -599,21 +630,21 @@
         context: &mut Context<'_>,
         mut buffer: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
-        if !self.before.is_empty() {
-            let count = self.before.len().min(buffer.remaining());
-            buffer.put_slice(&self.before.split_to(count));
-            self.client.read.set(true);
+        if !self.read_ahead.is_empty() {
+            let count = self.read_ahead.len().min(buffer.remaining());
+            buffer.put_slice(&self.read_ahead.split_to(count));
+            self.client.read_since_response.set(true);
             return Poll::Ready(Ok(()));
         }
-        // By way of a buffer of our own, since what is in hyper's cannot be looked at.
+        // Read into a buffer of our own, since hyper's cursor does not let its bytes be inspected.
         let io = &mut *self;
-        SCRATCH.with_borrow_mut(|scratch| {
-            let room = buffer.remaining().min(scratch.len());
-            let count = ready!(io.client.poll_read(context, &mut scratch[..room]))?;
-            let read = &scratch[..count];
-            io.client.read.set(true);
+        READ_BUFFER.with_borrow_mut(|read_buffer| {
+            let capacity = buffer.remaining().min(read_buffer.len());
+            let count = ready!(io.client.poll_read(context, &mut read_buffer[..capacity]))?;
+            let read = &read_buffer[..count];
+            io.client.read_since_response.set(true);
             if !io.framing.follow(read) {
-                io.client.ambiguous.set(true);
+                io.client.ambiguous_framing.set(true);
             }
             buffer.put_slice(read);
             Poll::Ready(Ok(()))
@@ -631,7 +662,7 @@
         let written = self
             .client
             .poll_write(context, |stream| stream.try_write(bytes));
-        self.note(&written);
+        self.record_write(&written);
         written
     }
 
@@ -648,11 +679,11 @@
         let written = self
             .client
             .poll_write(context, |stream| stream.try_write_vectored(bytes));
-        self.note(&written);
+        self.record_write(&written);
         written
     }
 
-    /// Asked for once nothing is left to write.
+    /// hyper flushes once it has nothing left to write.
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         self.client.flushed.set(true);
         Poll::Ready(Ok(()))
--- a/crates/sidecar/src/graphql.rs
+++ b/crates/sidecar/src/graphql.rs
@@ -78,7 +78,7 @@
             return rejected(reject, media);
         }
     };
-    client.body_read.set(true);
+    client.body_complete.set(true);
     let to_send = match plan(service, &head, &bytes) {
         Ok(to_send) => to_send,
         Err(None) => return rejected(NO_ROUTE, media),
--- a/crates/sidecar/src/listener.rs
+++ b/crates/sidecar/src/listener.rs
@@ -1,4 +1,4 @@
-//! A listener: where clients connect, and the connections that they have there.
+//! A listener: accepts client connections on one socket and owns them.
 
 use super::client::{self, Clients, MIN_IDLE_BEFORE_EVICTION};
 use super::connections::is_resource_exhaustion;
@@ -19,37 +19,39 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::sync::{Notify, watch};
 
-/// How long after it is told to leave a listener still takes what comes, or, on a shared socket, where it takes no clients any
-/// more, waits for those that it has to come once more. Clients connect for 0.4 s after a SIGTERM, and what comes within
-/// 0.7 s of it still has its whole time before the platform ends the process.
+/// How long a draining listener still accepts connections. On a shared socket it stops accepting at once, and keeps its idle
+/// connections open this long for further requests. Clients connect until 0.4 s after a SIGTERM, and a request that arrives
+/// within 0.7 s of it still has its full time before the platform kills the process.
 pub(super) const CLOSE_GRACE_PERIOD: Duration = Duration::from_millis(650);
-/// Before a socket on which clients are about to be taken by another process is looked at again.
+/// Interval at which a listener on a shared socket checks whether it can serve yet, and the first delay after a failed accept.
 const ACCEPT_RETRY_DELAY: Micros = 10_000;
-/// And at most, where it fails again and again for another reason.
+/// The longest delay between accepts that fail repeatedly.
 const MAX_ACCEPT_RETRY_DELAY: Micros = 1_000_000;
-/// Connections that wait to be taken.
+/// Connections that the kernel queues until they are accepted.
 pub(super) const LISTEN_BACKLOG: u32 = 1_024;
 
-/// How a listener treats its clients.
+/// Timeouts and size limits of a listener, in microseconds and bytes.
 #[derive(Clone, Copy)]
 pub(super) struct ListenerSettings {
-    /// A client that has sent no whole head for this long since it connected, or since its last answer, is silent,
-    /// idle or hostile: its descriptor goes to others. A connection with a request open is never closed by this.
+    /// A client that has sent no complete head for this long since it connected, or since its last response, is closed to
+    /// free its descriptor. Connections with a request in flight are exempt.
     pub(super) head_timeout: Micros,
-    /// A client that has sent nothing at all for this long may have been silent for longer than a head may take.
+    /// A client that has sent nothing at all for this long, since it connected or since its last response, is closed. May be
+    /// longer or shorter than the timeout of a head.
     pub(super) idle_timeout: Micros,
-    /// How long the rest of a request may take behind its head.
+    /// How long the body of a request may take after its head.
     pub(super) body_timeout: Micros,
-    /// The longest body.
+    /// The longest request body.
     pub(super) max_body_size: usize,
-    /// The longest GraphQL message, which is read whole.
+    /// The longest GraphQL message; these are buffered in full.
     pub(super) max_message_size: usize,
-    /// What a limit turns away has its body read and dropped behind the answer, so that the answer arrives.
+    /// Whether the body of a request that exceeds a limit is read and dropped after the response. Unread bytes would reset the
+    /// connection, and the response could be lost.
     pub(super) drains_rejected_bodies: bool,
 }
 
 impl ListenerSettings {
-    /// That of a sidecar without an operator file.
+    /// The settings of a sidecar without an operator file.
     pub(super) fn defaults() -> Self {
         ListenerSettings {
             head_timeout: 2_600_000,
@@ -62,11 +64,11 @@
     }
 }
 
-/// A bound socket, and where it was told to be.
+/// A bound socket with its configured address.
 pub(super) struct BoundSocket {
     pub(super) configured_address: SocketAddr,
     pub(super) socket: TcpListener,
-    /// Another process has it too.
+    /// Another process listens on it as well.
     pub(super) shared: bool,
 }
 
@@ -74,29 +76,33 @@
 pub(super) struct Listener {
     pub(super) name: RefCell<String>,
     pub(super) process: Rc<ProcessState>,
-    /// Where it was told to listen, and where it does.
     pub(super) configured_address: SocketAddr,
+    /// The address that the socket is bound to; differs from the configured one in a port that the kernel chose.
     pub(super) address: SocketAddr,
     /// Its socket is shared with the process that this one replaces, or that will replace it.
     shared: bool,
     pub(super) settings: Cell<ListenerSettings>,
     pub(super) routing: RefCell<Rc<Routing>>,
-    /// What its clients may hold: connections, and requests with their bodies.
+    /// Its share of all client connections.
     pub(super) connection_limit: LimitShare,
+    /// Limits on its clients' requests in flight and their bodies.
     pub(super) request_limits: RequestLimits,
     account: Option<Rc<SchedulerAccount>>,
-    /// So many connections of its own are a crowd.
-    many: Cell<usize>,
+    /// With more connections than this, responses close their connections.
+    congestion_threshold: Cell<usize>,
     pub(super) clients: Clients,
     pub(super) counts: OutcomeCounts,
-    leaving: watch::Sender<bool>,
-    /// It takes no clients any more.
-    closed: Cell<bool>,
-    /// One of its connections has ended.
-    freed: Notify,
+    draining: watch::Sender<bool>,
+    /// It no longer accepts connections.
+    stopped_accepting: Cell<bool>,
+    /// Notified when one of its connections has ended.
+    connection_ended: Notify,
 }
 
-/// A bound socket that nobody is taken from yet.
+/// Binds a socket and listens on it, without accepting connections.
+///
+/// # Errors
+/// The socket cannot be bound.
 pub(super) fn bind(at: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = if at.is_ipv4() {
         TcpSocket::new_v4()
@@ -108,14 +114,14 @@
     socket.listen(LISTEN_BACKLOG)
 }
 
-/// A crowd is half of what a listener may hold; without a file, the process's own count alone tells.
-fn congestion_threshold(limits: Option<MemberLimits>, parts: ResourceShares) -> usize {
-    let half = usize::try_from(parts.connections.most / 2).unwrap_or(usize::MAX);
+/// Half of the connections that a listener may hold. Without an operator file only the count of the whole process matters.
+fn congestion_threshold_of(limits: Option<MemberLimits>, shares: ResourceShares) -> usize {
+    let half = usize::try_from(shares.connections.most / 2).unwrap_or(usize::MAX);
     limits.map_or(usize::MAX, |_| half.max(1))
 }
 
 impl Listener {
-    /// A listener at work. To be called in a local set. Without limits it has all that there is.
+    /// Starts a listener; must be called within a `LocalSet`. Without limits it may use the whole shared capacity.
     pub(super) fn start(
         process: &Rc<ProcessState>,
         name: &str,
@@ -125,11 +131,11 @@
             shared,
         }: BoundSocket,
         (settings, routing): (ListenerSettings, Routing),
-        (limits, parts): (Option<MemberLimits>, ResourceShares),
+        (limits, shares): (Option<MemberLimits>, ResourceShares),
     ) -> Rc<Self> {
-        // A socket that is bound knows where.
+        // A bound socket has an address, so the fallback is never used.
         let address = socket.local_addr().unwrap_or(configured_address);
-        let bounds = &process.shared_limits;
+        let shared_limits = &process.shared_limits;
         let listener = Rc::new(Listener {
             process: Rc::clone(process),
             configured_address,
@@ -137,45 +143,46 @@
             shared,
             settings: Cell::new(settings),
             routing: RefCell::new(Rc::new(routing)),
-            connection_limit: bounds.client_connections.join(parts.connections),
+            connection_limit: shared_limits.client_connections.join(shares.connections),
             request_limits: RequestLimits::new(
-                bounds.requests_by_listener.join(parts.requests),
-                bounds.body_bytes_by_listener.join(parts.body_bytes),
+                shared_limits.requests_by_listener.join(shares.requests),
+                shared_limits.body_bytes_by_listener.join(shares.body_bytes),
                 limits.and_then(|l| l.rate),
             ),
             account: process.account(limits.map_or(1, |l| l.weight)),
-            many: Cell::new(congestion_threshold(limits, parts)),
+            congestion_threshold: Cell::new(congestion_threshold_of(limits, shares)),
             clients: Clients::default(),
             counts: OutcomeCounts::default(),
-            leaving: watch::channel(false).0,
-            closed: Cell::new(false),
-            freed: Notify::new(),
+            draining: watch::channel(false).0,
+            stopped_accepting: Cell::new(false),
+            connection_ended: Notify::new(),
             name: RefCell::new(name.to_string()),
         });
         process.listeners.borrow_mut().push(Rc::clone(&listener));
-        let own = Rc::clone(&listener);
-        let of = own.label();
-        tracing::info!(at = %address, "{of}listening on {address}");
-        watchdog::spawn(TaskKind::AcceptLoop, own.serve(socket));
+        let accepting = Rc::clone(&listener);
+        let prefix = accepting.log_prefix();
+        tracing::info!(at = %address, "{prefix}listening on {address}");
+        watchdog::spawn(TaskKind::AcceptLoop, accepting.serve(socket));
         listener
     }
 
-    /// Takes over another settings, other limits and other routes; what is open goes on as it began. One that was
-    /// about to leave stays.
+    /// Sets other settings, limits and routes. Requests in flight continue under the former ones. A drain is cancelled if the
+    /// socket is still open.
     pub(super) fn update(
         &self,
         settings: ListenerSettings,
         routing: Routing,
         limits: MemberLimits,
-        parts: ResourceShares,
+        shares: ResourceShares,
     ) {
-        self.leaving.send_replace(false);
+        self.draining.send_replace(false);
         self.settings.set(settings);
         self.set_routing(routing);
-        self.connection_limit.update(parts.connections);
+        self.connection_limit.update(shares.connections);
         self.request_limits
-            .update(parts.requests, parts.body_bytes, limits.rate);
-        self.many.set(congestion_threshold(Some(limits), parts));
+            .update(shares.requests, shares.body_bytes, limits.rate);
+        self.congestion_threshold
+            .set(congestion_threshold_of(Some(limits), shares));
         if let Some(account) = self.account.as_ref() {
             account.set_weight(limits.weight);
         }
@@ -185,8 +192,8 @@
         self.name.replace(name.to_string());
     }
 
-    /// Goes before what it logs; empty where it is the only one.
-    fn label(&self) -> String {
+    /// Prefix of its log messages; empty if it is the only listener.
+    fn log_prefix(&self) -> String {
         let name = self.name.borrow();
         if name.is_empty() {
             String::new()
@@ -199,63 +206,65 @@
         self.routing.replace(Rc::new(routing));
     }
 
-    /// It stops taking clients in a moment, and ends once those that it has are answered.
+    /// Starts draining: the listener stops accepting after [`CLOSE_GRACE_PERIOD`], at once on a shared socket, and ends once all
+    /// requests in flight have their responses.
     pub(super) fn start_draining(&self) {
-        self.leaving.send_replace(true);
+        self.draining.send_replace(true);
     }
 
-    /// Whether it could stay if it were told to.
+    /// Whether it is draining and still accepts connections, so that [`Self::update`] can cancel the drain.
     pub(super) fn can_cancel_draining(&self) -> bool {
-        self.is_draining() && !self.closed.get()
+        self.is_draining() && !self.stopped_accepting.get()
     }
 
     pub(super) fn is_draining(&self) -> bool {
-        *self.leaving.borrow()
+        *self.draining.borrow()
     }
 
-    /// What it spent of the thread's time: on taking connections, reading heads, and what it turned away.
+    /// Time it used on the event loop's thread: for accepting connections, reading heads and rejecting requests.
     pub(super) fn cpu_time_used(&self) -> madderloom_routing::turns::Spent {
         self.account
             .as_ref()
             .map_or_else(Default::default, |account| account.usage())
     }
 
-    /// Serves clients until it is told to leave and what was taken is answered.
+    /// Serves clients until the listener is drained.
     async fn serve(self: Rc<Self>, socket: TcpListener) {
-        let mut leaving = self.leaving.subscribe();
-        let told = async {
+        let mut draining = self.draining.subscribe();
+        let drain_started = async {
             loop {
                 // The sender lives as long as this listener.
-                let _ = leaving.wait_for(|leaving| *leaving).await;
-                // Clients go on connecting for a while, and what has reached this machine has been taken.
-                // Where the socket is shared, the other process takes them, and all that waits to be taken.
+                let _ = draining.wait_for(|draining| *draining).await;
+                // Clients keep connecting for a while, and connections in the backlog count as accepted for their clients.
+                // On a shared socket the other process accepts both.
                 if self.shared {
                     return;
                 }
                 tokio::select! {
                     () = tokio::time::sleep(CLOSE_GRACE_PERIOD) => return,
-                    // A newer file has it stay.
-                    _ = leaving.wait_for(|leaving| !*leaving) => {}
+                    // A newer operator file keeps the listener.
+                    _ = draining.wait_for(|draining| !*draining) => {}
                 }
             }
         };
         let charged = Rc::new(ChargedAccount::new(self.account.clone()));
         tokio::select! {
             () = FairTask::new(&self.process, charged, self.accept_loop(&socket)) => {}
-            () = told => {}
+            () = drain_started => {}
         }
-        self.closed.set(true);
+        self.stopped_accepting.set(true);
         drop(socket);
-        let of = self.label();
-        tracing::info!("{of}closed to new clients");
+        let prefix = self.log_prefix();
+        tracing::info!("{prefix}closed to new clients");
         if self.shared {
-            // What comes on open connections meanwhile ends them with its answer, which no close can cross.
+            // Requests that arrive on open connections in the meantime end them with their response, so that no close crosses
+            // a request.
             tokio::time::sleep(CLOSE_GRACE_PERIOD).await;
         }
         self.clients.close_all();
-        // No connection is left, so no answer is owed.
+        // Once no connection is left, no response is outstanding.
         while self.connection_limit.usage().used > 0 {
-            self.freed.notified().await;
+            self.connection_ended.notified().await;
         }
         self.process
             .listeners
@@ -264,80 +273,81 @@
         self.process.listener_ended.notify_one();
     }
 
-    /// Takes connections for as long as it is asked to.
+    /// Accepts connections until it is dropped.
     async fn accept_loop(self: &Rc<Self>, socket: &TcpListener) {
-        // Until it can serve, the process that it is to replace takes all.
+        // Until this process can serve, the process that it replaces accepts all connections.
         while self.shared && !self.process.can_serve() {
             self.process.sleep(ACCEPT_RETRY_DELAY).await;
         }
-        let mut pause = ACCEPT_RETRY_DELAY;
+        let mut retry_delay = ACCEPT_RETRY_DELAY;
         loop {
             self.process.enforce_connection_memory(2);
-            // A connection that waits in the backlog has been taken as far as its client can tell, so the one that
-            // lies idle for longest makes room before there is none.
-            let numbers = self.connection_limit.usage();
-            let room = self.connection_limit.available();
-            // Of what it may have now: what others hold of the common part is nothing that it could make room in.
-            if self.is_near_connection_limit() || room <= (numbers.used + room) / 8 {
+            // For its client, a connection in the backlog is already accepted. So the connection that has been idle for
+            // longest is closed before the limit is reached.
+            let usage = self.connection_limit.usage();
+            let available = self.connection_limit.available();
+            // Relative to what it may hold now: closing own connections frees nothing that others hold of the shared part.
+            if self.is_near_connection_limit() || available <= (usage.used + available) / 8 {
                 self.clients.evict_idle(self.process.clock.now());
             }
-            let Ok(seat) = self.connection_limit.reserve(1) else {
-                if numbers.used < numbers.part.most {
+            let Ok(reservation) = self.connection_limit.reserve(1) else {
+                if usage.used < usage.part.most {
                     self.process.reclaim_client_connection();
                 }
-                // With no room, one that was too young to go is old enough a little later.
+                // At the limit, a connection that was too recently active to be evicted is old enough a little later.
                 let _ = self
                     .process
-                    .timeout(MIN_IDLE_BEFORE_EVICTION, self.freed.notified())
+                    .timeout(MIN_IDLE_BEFORE_EVICTION, self.connection_ended.notified())
                     .await;
                 continue;
             };
             match socket.accept().await {
                 Ok((stream, peer)) => {
-                    pause = ACCEPT_RETRY_DELAY;
-                    let own = Rc::clone(self);
+                    retry_delay = ACCEPT_RETRY_DELAY;
+                    let listener = Rc::clone(self);
                     let charged = Rc::new(ChargedAccount::new(self.account.clone()));
-                    let to_charge = Rc::clone(&charged);
-                    let serving = FairTask::new(&self.process, charged, async move {
-                        client::serve(&own, stream, to_charge).await;
-                        drop(seat);
-                        own.freed.notify_one();
+                    let charged_account = Rc::clone(&charged);
+                    let connection_task = FairTask::new(&self.process, charged, async move {
+                        client::serve(&listener, stream, charged_account).await;
+                        drop(reservation);
+                        listener.connection_ended.notify_one();
                     });
-                    watchdog::spawn(TaskKind::ClientConnection.of_peer(peer), serving);
+                    watchdog::spawn(TaskKind::ClientConnection.of_peer(peer), connection_task);
                 }
-                Err(problem) if is_resource_exhaustion(&problem) => {
-                    let of = self.label();
-                    tracing::warn!("{of}no descriptor for a client: {problem}");
+                Err(error) if is_resource_exhaustion(&error) => {
+                    let prefix = self.log_prefix();
+                    tracing::warn!("{prefix}no descriptor for a client: {error}");
                     self.process.free_descriptor().await;
                 }
-                // The client has gone between its coming and its being taken.
-                Err(problem) if problem.kind() == ErrorKind::ConnectionAborted => {}
-                // A socket that fails each time must not have the thread to itself.
-                Err(problem) => {
-                    let of = self.label();
-                    tracing::warn!("{of}no client can be taken: {problem}");
-                    self.process.sleep(pause).await;
-                    pause = (2 * pause).min(MAX_ACCEPT_RETRY_DELAY);
+                // The client disconnected before its connection was accepted.
+                Err(error) if error.kind() == ErrorKind::ConnectionAborted => {}
+                // A socket that fails every time must not monopolize the thread.
+                Err(error) => {
+                    let prefix = self.log_prefix();
+                    tracing::warn!("{prefix}no client can be taken: {error}");
+                    self.process.sleep(retry_delay).await;
+                    retry_delay = (2 * retry_delay).min(MAX_ACCEPT_RETRY_DELAY);
                 }
             }
         }
     }
 
-    /// All clients together hold a third of the descriptors at most. Each keeps its connections to itself, so once
-    /// they are near that, what some keep idle is what others lack: answers then end their connections. Those of
-    /// a listener that keeps to what is guaranteed to it lack nothing to others.
+    /// Whether connections are scarce, so that responses should close theirs: idle keep-alive connections of some clients would
+    /// keep others from connecting. That is so above the process's high watermark, unless this listener stays within its
+    /// guaranteed connections, and above the listener's own threshold. All clients together hold at most half of the
+    /// descriptors.
     pub(super) fn is_near_connection_limit(&self) -> bool {
-        let all = self.process.client_connections.get()
+        let process_near_limit = self.process.client_connections.get()
             > self.process.client_connections_high_watermark.get()
             && self.connection_limit.exceeds_guarantee();
-        all || self.clients.count() > self.many.get()
+        process_near_limit || self.clients.count() > self.congestion_threshold.get()
     }
 
     pub(super) fn account(&self) -> Option<Rc<SchedulerAccount>> {
         self.account.clone()
     }
 
-    /// What a request's work is put down to, once it is known whose it is.
+    /// Charges the further work of a request to the account of its service, once that is known.
     pub(super) fn charge(&self, charged: &ChargedAccount, service: &Service) {
         charged.set(fair_scheduler::charged_account(&service.charged));
     }
--- a/crates/sidecar/src/virtual_server.rs
+++ b/crates/sidecar/src/virtual_server.rs
@@ -84,7 +84,7 @@
     request: Request<Incoming>,
 ) -> Response<ResponseBody> {
     let came = listener.process.clock.now();
-    if client.ambiguous.get() {
+    if client.ambiguous_framing.get() {
         increment(&listener.counts.client_errors);
         return rejected(bad_request("it is not certain where the message ends"));
     }
@@ -148,7 +148,7 @@
             return rejected(reject);
         }
     };
-    client.body_read.set(body.streamed().is_none());
+    client.body_complete.set(body.streamed().is_none());
     let open = service.counts.track_request();
     let counts = service.class_counts(new.class);
     let now = listener.process.clock.now();
@@ -199,7 +199,7 @@
             }
             _ => onward
                 .client
-                .body_read
+                .body_complete
                 .set(streamed.completed_at.get().is_some()),
         }
         if let Some(reject) = streamed.failure.take() {
