--- a/crates/sidecar/src/virtual_server.rs
+++ b/crates/sidecar/src/virtual_server.rs
@@ -1,5 +1,5 @@
-//! The virtual server: the client's side of one request. It reads it, finds the service that it is for, makes room
-//! for it, and gives the answer back.
+//! The virtual server: the client's side of one request. It validates the request, routes it to a service, applies the limits,
+//! and returns the response.
 
 use super::active_settings::ClassEntry;
 use super::attempt::{ForwardedRequest, ResponseProtocol};
@@ -17,7 +17,7 @@
 use super::transaction::{self, FinalResponse};
 use super::upload::{self, BodyLength, BodyReservations};
 use bytes::Bytes;
-use http_body_util::{BodyExt, Full as Whole};
+use http_body_util::{BodyExt, Full};
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::http::request::Parts;
@@ -27,63 +27,68 @@
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use std::rc::Rc;
 
-/// A client counts its time from the sending, which is a little before the reading.
+/// Subtracted from a client's remaining time, which counts from when the client sent the request, not from when it was read.
 pub(super) const CLIENT_DEADLINE_MARGIN: Micros = 1_000;
 
 pub(super) const TRACE_ID: HeaderName = HeaderName::from_static("x-trace-id");
-const EXPIRES: HeaderName = HeaderName::from_static("x-expires-in-ms");
+const EXPIRES_IN_MS: HeaderName = HeaderName::from_static("x-expires-in-ms");
 const SECOND_TRY: HeaderName = HeaderName::from_static("x-second-try");
 const SIZE_HINT: HeaderName = HeaderName::from_static("x-size-hint");
 const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
-/// One request's id among those that are open at its service; free again when this is dropped.
+/// Holds the id of a request in flight, unique within its service. Dropping it frees the id.
 pub(super) struct InFlightRequestId<'a> {
-    of: &'a Service,
+    service: &'a Service,
     id: HeaderValue,
 }
 
 impl<'a> InFlightRequestId<'a> {
-    pub(super) fn new(of: &'a Service, id: &HeaderValue) -> Result<Self, RequestError> {
-        if !of.request_ids.borrow_mut().insert(id.clone()) {
+    /// # Errors
+    /// Another request in flight has this id.
+    pub(super) fn new(service: &'a Service, id: &HeaderValue) -> Result<Self, RequestError> {
+        if !service.request_ids.borrow_mut().insert(id.clone()) {
             return Err(RequestError::Invalid(
                 StatusCode::CONFLICT,
                 "a request with this X-Trace-Id is open",
             ));
         }
-        Ok(InFlightRequestId { of, id: id.clone() })
+        Ok(InFlightRequestId {
+            service,
+            id: id.clone(),
+        })
     }
 }
 
 impl Drop for InFlightRequestId<'_> {
     fn drop(&mut self) {
-        self.of.release_request_id(&self.id);
+        self.service.release_request_id(&self.id);
     }
 }
 
-/// Why a request goes no further than here.
+/// Why a request is rejected before it reaches the balancer.
 pub(super) enum RequestError {
-    /// It makes no sense. What else comes on its connection may be a part of it, so the connection is closed.
+    /// The request is invalid. Further bytes on the connection may belong to it, so the connection is closed.
     Invalid(StatusCode, &'static str),
-    /// There is no room for it now.
+    /// A limit is reached; with the advice for `Retry-After`, if any.
     LimitReached(&'static str, Option<Micros>),
 }
 
-/// Too long to be recorded, so that it could never be sent.
-const LONG_ID: RequestError = bad_request(
+/// The id of a non-idempotent request that is too long to be recorded, so that the request could never be sent.
+const ID_TOO_LONG: RequestError = bad_request(
     "the id of a request that must not run twice is over 1,024 bytes with its header's name",
 );
 
-pub(super) const fn bad_request(problem: &'static str) -> RequestError {
-    RequestError::Invalid(StatusCode::BAD_REQUEST, problem)
+pub(super) const fn bad_request(message: &'static str) -> RequestError {
+    RequestError::Invalid(StatusCode::BAD_REQUEST, message)
 }
 
-/// One request and its answer.
+/// Handles one request.
 pub(super) async fn handle_request(
     listener: &Rc<Listener>,
     client: &Rc<Client>,
     request: Request<Incoming>,
 ) -> Response<ResponseBody> {
-    let came = listener.process.clock.now();
+    let received_at = listener.process.clock.now();
     if client.ambiguous_framing.get() {
         increment(&listener.counts.client_errors);
         return rejected(bad_request("it is not certain where the message ends"));
@@ -92,45 +97,46 @@
         return ready(listener, request.uri().query());
     }
     let (head, body) = request.into_parts();
-    let (service, class) = match find(listener, &head) {
-        Ok(found) => found,
-        Err(reject) => {
+    let (service, class_source) = match route(listener, &head) {
+        Ok(routed) => routed,
+        Err(error) => {
             increment(&listener.counts.client_errors);
-            return rejected(reject);
+            return rejected(error);
         }
     };
     listener.charge(&client.charged, &service);
-    let class = match class {
+    let class = match class_source {
         ClassSource::Graphql => {
-            return graphql::handle_request(listener, client, &service, came, head, body).await;
+            return graphql::handle_request(listener, client, &service, received_at, head, body)
+                .await;
         }
         ClassSource::Route(class) => Some(class),
         ClassSource::Path => None,
     };
     let settings = listener.settings.get();
     let mut body = Some(body);
-    // Held to the end of the request: until then its rules stay those that it came under.
-    let entry = class_of(&service, class.as_deref(), &head);
-    let mut room = BodyReservations::new();
-    let taken = async {
-        let new = read(&service, entry.as_deref(), &head)?;
+    // Held until the request ends, so that the class settings in force when it arrived stay valid for it.
+    let class_entry = class_of(&service, class.as_deref(), &head);
+    let mut reservations = BodyReservations::new();
+    let admission = async {
+        let new_request = read_head(&service, class_entry.as_deref(), &head)?;
         let length = BodyLength::from_head(body.as_ref(), &head.headers, settings.max_body_size)?;
         let id = head
             .headers
             .get(TRACE_ID)
             .ok_or(bad_request("X-Trace-Id is missing"))?;
-        let held = (
-            admit(listener, &service, came, 0)?,
-            admit_by_fleet_limits(&service, entry.as_deref(), &head.headers)?,
+        let permits = (
+            admit(listener, &service, received_at, 0)?,
+            admit_by_fleet_limits(&service, class_entry.as_deref(), &head.headers)?,
         );
         let id = InFlightRequestId::new(&service, id)?;
-        let upload = upload::read_body(
+        let body = upload::read_body(
             listener,
             &service,
             &mut body,
             length,
             settings.max_body_size,
-            &mut room,
+            &mut reservations,
         )
         .await?;
         if service.transactions.borrow().len() >= service.active_settings().site.max_open {
@@ -139,30 +145,37 @@
                 service.retry_after(),
             ));
         }
-        Ok((new, upload, (held, id)))
+        Ok((new_request, body, (permits, id)))
     };
-    let (mut new, body, (held, id)) = match taken.await {
-        Ok(taken) => taken,
-        Err(reject) => {
-            record_rejection(&service, entry.as_deref(), &reject, body.take(), settings);
-            return rejected(reject);
+    let (mut new_request, body, (permits, id)) = match admission.await {
+        Ok(admitted) => admitted,
+        Err(error) => {
+            record_rejection(
+                &service,
+                class_entry.as_deref(),
+                &error,
+                body.take(),
+                settings,
+            );
+            return rejected(error);
         }
     };
     client.body_complete.set(body.streamed().is_none());
-    let open = service.counts.track_request();
-    let counts = service.class_counts(new.class);
+    let in_flight = service.counts.track_request();
+    let counts = service.class_counts(new_request.class);
     let now = listener.process.clock.now();
-    // Its time counts from its last byte, and what its client took to write it is not the answer's.
-    new.time_left = listener
-        .process
-        .cap_time_left(now, new.time_left.saturating_sub(CLIENT_DEADLINE_MARGIN));
-    // An absolute target names this sidecar; the node is to see the path alone.
-    let path = head.uri.into_parts().path_and_query;
-    let uri = path.map_or_else(|| Uri::from_static("/"), Uri::from);
-    let non_idempotent = entry
+    // A request's time runs from its last byte; the time that its client took to send it does not count.
+    new_request.time_left = listener.process.cap_time_left(
+        now,
+        new_request.time_left.saturating_sub(CLIENT_DEADLINE_MARGIN),
+    );
+    // A target in absolute form names this sidecar; the server gets the path only.
+    let target = head.uri.into_parts().path_and_query;
+    let uri = target.map_or_else(|| Uri::from_static("/"), Uri::from);
+    let non_idempotent = class_entry
         .as_ref()
         .is_none_or(|class| class.retry_safety() == Effect::Unsafe);
-    let aim = service.latency_objective(&new);
+    let latency_objective = service.latency_objective(&new_request);
     let protocol = ResponseProtocol::Http;
     let idempotency_record = if non_idempotent {
         IdempotencyRecord::for_request(&service, &head.headers, None)
@@ -171,11 +184,11 @@
     };
     let Ok(idempotency_record) = idempotency_record else {
         increment(&counts.client_errors);
-        return rejected(LONG_ID);
+        return rejected(ID_TOO_LONG);
     };
     let (method, headers) = (head.method, head.headers);
     let client = Rc::clone(client);
-    let onward = ForwardedRequest {
+    let request = ForwardedRequest {
         client,
         method,
         uri,
@@ -185,42 +198,41 @@
         protocol,
         idempotency_record,
     };
-    let onward = Rc::new(onward);
-    let answer = transaction::run(&service, now, new, Rc::clone(&onward)).await;
-    let came = onward
-        .body
-        .streamed()
-        .map_or(now, |streamed| streamed.completed_at.get().unwrap_or(came));
-    if let Some(streamed) = onward.body.streamed() {
-        // What is left of it is read and dropped behind the answer, so that the answer arrives.
+    let request = Rc::new(request);
+    let response = transaction::run(&service, now, new_request, Rc::clone(&request)).await;
+    let started_at = request.body.streamed().map_or(now, |streamed| {
+        streamed.completed_at.get().unwrap_or(received_at)
+    });
+    if let Some(streamed) = request.body.streamed() {
+        // The unread remainder is read and dropped after the response, or the client could lose the response.
         match streamed.take_unread() {
             Some(unread) if streamed.completed_at.get().is_none() => {
                 drain(&service.process, unread, BODY_DRAIN_TIMEOUT)
             }
-            _ => onward
+            _ => request
                 .client
                 .body_complete
                 .set(streamed.completed_at.get().is_some()),
         }
-        if let Some(reject) = streamed.failure.take() {
+        if let Some(error) = streamed.failure.take() {
             increment(&counts.client_errors);
-            return rejected(reject);
+            return rejected(error);
         }
     }
-    match answer {
+    match response {
         FinalResponse::Served(mut response) => {
-            if listener.process.clock.now() - came > aim {
+            if listener.process.clock.now() - started_at > latency_objective {
                 increment(&counts.late);
             }
             match response.body_mut() {
                 ResponseBody::Buffered(_) => increment(&counts.served),
-                // It is open to its last byte, and so is all that it holds.
+                // The request counts as in flight, and keeps its reservations, until the last byte of its response.
                 ResponseBody::Streamed(streamed) => {
-                    let _guards = Box::new((open, room, entry, held));
+                    let _guards = Box::new((in_flight, reservations, class_entry, permits));
                     drop(id);
                     streamed.resources = Some(ResponseResources {
                         counts,
-                        client: Rc::clone(&onward.client),
+                        client: Rc::clone(&request.client),
                         process: Rc::clone(&listener.process),
                         _guards,
                     });
@@ -230,54 +242,54 @@
         }
         FinalResponse::Rejected { retry_after } => {
             increment(&counts.rejected);
-            refusal("refused", retry_after)
+            unavailable_response("refused", retry_after)
         }
         FinalResponse::Failed => {
             increment(&counts.failed);
-            plain(StatusCode::BAD_GATEWAY, "failed")
+            text_response(StatusCode::BAD_GATEWAY, "failed")
         }
     }
 }
 
-/// How long what is left of a body is read behind an answer that did not need it.
+/// How long the unread remainder of a body is drained after a response that did not need it.
 pub(super) const BODY_DRAIN_TIMEOUT: Micros = 5_000_000;
 
-/// Counts a request that goes no further, and reads the body that it came with where that is wanted.
+/// Counts a rejected request, and drains its unread body if a limit was reached and the listener drains rejected bodies.
 pub(super) fn record_rejection(
     service: &Service,
     class: Option<&ClassEntry>,
-    reject: &RequestError,
+    error: &RequestError,
     unread: Option<Incoming>,
     settings: ListenerSettings,
 ) {
-    let turned_away = matches!(reject, RequestError::LimitReached(..));
+    let limit_reached = matches!(error, RequestError::LimitReached(..));
     let counts = class.map_or_else(
         || service.counts.unclassed(),
         |class| Rc::clone(&class.counts),
     );
-    increment(if turned_away {
+    increment(if limit_reached {
         &counts.rejected_by_limit
     } else {
         &counts.client_errors
     });
-    if let Some(unread) = unread.filter(|_| turned_away && settings.drains_rejected_bodies) {
+    if let Some(unread) = unread.filter(|_| limit_reached && settings.drains_rejected_bodies) {
         drain(&service.process, unread, settings.body_timeout);
     }
 }
 
-/// Whether the listener leads to a service that knows a server, or, where one is named, whether that one does.
+/// The response of the readiness check: whether any service that the listener routes to has servers, or, with `pool=NAME` in the
+/// query, whether that service has; and whether neither the process nor the listener drains.
 fn ready(listener: &Listener, query: Option<&str>) -> Response<ResponseBody> {
     let routing = Rc::clone(&listener.routing.borrow());
-    let named =
-        query.and_then(|query| query.split('&').find_map(|pair| pair.strip_prefix("pool=")));
-    let mut wanted = routing
+    let pool = query.and_then(|query| query.split('&').find_map(|pair| pair.strip_prefix("pool=")));
+    let mut checked = routing
         .reachable_services()
         .iter()
-        .filter(|service| named.is_none_or(|name| service.name == name));
-    let ready = wanted.any(|service| service.pool.has_servers());
-    let wanted = listener.process.lifecycle.borrow().is_serving() && !listener.is_draining();
-    plain(
-        if ready && wanted {
+        .filter(|service| pool.is_none_or(|name| service.name == name));
+    let has_servers = checked.any(|service| service.pool.has_servers());
+    let takes_work = listener.process.lifecycle.borrow().is_serving() && !listener.is_draining();
+    text_response(
+        if has_servers && takes_work {
             StatusCode::OK
         } else {
             StatusCode::SERVICE_UNAVAILABLE
@@ -286,52 +298,63 @@
     )
 }
 
-/// The service that a request is for, and what its class follows from.
-fn find(listener: &Listener, head: &Parts) -> Result<(Rc<Service>, ClassSource), RequestError> {
+/// Routes a request: its service and the source of its class.
+///
+/// # Errors
+/// The request cannot be matched against routes, or none matches.
+fn route(listener: &Listener, head: &Parts) -> Result<(Rc<Service>, ClassSource), RequestError> {
     let routing = Rc::clone(&listener.routing.borrow());
-    let routed = match &*routing {
+    let routes = match &*routing {
         Routing::SingleService(service) => return Ok((Rc::clone(service), ClassSource::Path)),
-        Routing::Routes(routed) => routed,
+        Routing::Routes(routes) => routes,
     };
-    let asked = Asked::read(&head.method, &head.uri, head.version, &head.headers);
-    let asked = asked.map_err(|fault: Fault| bad_request(fault.text()))?;
-    // What has no key is split by chance: its count is as good as that.
+    let attributes = Asked::read(&head.method, &head.uri, head.version, &head.headers);
+    let attributes = attributes.map_err(|fault: Fault| bad_request(fault.text()))?;
+    // Requests without a key are split by the count of connections, which serves as a random value.
     let key = split_key(&head.headers).unwrap_or_else(|| listener.clients.accepted());
-    let none = RequestError::Invalid(StatusCode::NOT_FOUND, "no route takes it");
-    routed.find(&asked, key).ok_or(none)
+    let no_route = RequestError::Invalid(StatusCode::NOT_FOUND, "no route takes it");
+    routes.find(&attributes, key).ok_or(no_route)
 }
 
-/// Makes room for a request in its listener and its service, before its body is read.
+/// Reserves capacity for a request with `size` bytes of body in its service and its listener, before the body is read.
+///
+/// # Errors
+/// A limit is reached.
 pub(super) fn admit(
     listener: &Listener,
     service: &Service,
     now: Micros,
     size: u64,
 ) -> Result<[[super::limits::Reservation; 2]; 2], RequestError> {
-    let held = service
+    let reservations = service
         .request_limits
         .admit(now, size)
-        .and_then(|held| Ok([held, listener.request_limits.admit(now, size)?]));
-    held.map_err(|full| {
-        let usual = service.retry_after();
-        match full {
+        .and_then(|of_service| Ok([of_service, listener.request_limits.admit(now, size)?]));
+    reservations.map_err(|exceeded| {
+        let max_retry_after = service.retry_after();
+        match exceeded {
             LimitExceeded::InFlight => {
-                RequestError::LimitReached("too many requests are open", usual)
+                RequestError::LimitReached("too many requests are open", max_retry_after)
             }
-            LimitExceeded::BodyBytes => RequestError::LimitReached("too much is open", usual),
-            LimitExceeded::Rate(wait) => {
+            LimitExceeded::BodyBytes => {
+                RequestError::LimitReached("too much is open", max_retry_after)
+            }
+            LimitExceeded::Rate(retry_after) => {
                 increment(&service.counts.unclassed().over_rate_limit);
-                // Clients honour no longer advice than the settings say.
+                // Clients honour no advice that is longer than the settings allow.
                 RequestError::LimitReached(
                     "too many requests have come",
-                    usual.map(|most| wait.min(most)),
+                    max_retry_after.map(|max| retry_after.min(max)),
                 )
             }
         }
     })
 }
 
-/// Lets a request in under the fleet-wide limits that are for it.
+/// Admits a request under the fleet-wide limits that apply to it.
+///
+/// # Errors
+/// A limit is reached, or no lease for it is valid.
 pub(super) fn admit_by_fleet_limits(
     service: &Service,
     class: Option<&ClassEntry>,
@@ -344,36 +367,38 @@
         .admit(&service.name, class, headers)
         .map_err(|denied| {
             increment(&service.counts.unclassed().over_rate_limit);
-            let problem = if denied.without_lease {
+            let message = if denied.without_lease {
                 "a fleet limit lets no more in, and no lease of it holds"
             } else {
                 "a fleet limit lets no more in"
             };
-            // Clients honour no longer advice than the settings say.
-            let usual = service.retry_after();
+            // Clients honour no advice that is longer than the settings allow.
+            let max_retry_after = service.retry_after();
             RequestError::LimitReached(
-                problem,
-                usual.map(|most| denied.retry_after.map_or(most, |after| after.min(most))),
+                message,
+                max_retry_after.map(|max| denied.retry_after.map_or(max, |after| after.min(max))),
             )
         })
 }
 
-/// Reads the body of a request that is answered already. Left unread, it would have the connection reset, and the
-/// answer lost on the way.
-fn drain(process: &Rc<ProcessState>, mut body: Incoming, within: Micros) {
+/// Reads and drops the body of a request that already has its response. Unread bytes would reset the connection, and the client
+/// could lose the response.
+fn drain(process: &Rc<ProcessState>, mut body: Incoming, timeout: Micros) {
     let process = Rc::clone(process);
     watchdog::spawn(TaskKind::BodyDrain, async move {
         let read = async { while body.frame().await.is_some_and(|frame| frame.is_ok()) {} };
-        // What has not come by then never will, and the connection ends with it.
-        let _ = process.timeout(within, read).await;
+        // A body that is still incomplete then ends the connection.
+        let _ = process.timeout(timeout, read).await;
     });
 }
 
-fn rejected(reject: RequestError) -> Response<ResponseBody> {
-    match reject {
-        RequestError::LimitReached(problem, retry_after) => refusal(problem, retry_after),
-        RequestError::Invalid(status, problem) => {
-            let mut response = plain(status, problem);
+fn rejected(error: RequestError) -> Response<ResponseBody> {
+    match error {
+        RequestError::LimitReached(message, retry_after) => {
+            unavailable_response(message, retry_after)
+        }
+        RequestError::Invalid(status, message) => {
+            let mut response = text_response(status, message);
             response
                 .headers_mut()
                 .insert(header::CONNECTION, HeaderValue::from_static("close"));
@@ -382,16 +407,18 @@
     }
 }
 
-fn plain(status: StatusCode, text: &'static str) -> Response<ResponseBody> {
-    let mut response = Response::new(ResponseBody::Buffered(Whole::from(text)));
+fn text_response(status: StatusCode, text: &'static str) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::Buffered(Full::from(text)));
     *response.status_mut() = status;
     response
 }
 
-fn refusal(text: &'static str, retry_after: Option<Micros>) -> Response<ResponseBody> {
-    let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, text);
-    if let Some(wait) = retry_after.and_then(retry_after_value) {
-        response.headers_mut().insert(header::RETRY_AFTER, wait);
+fn unavailable_response(text: &'static str, retry_after: Option<Micros>) -> Response<ResponseBody> {
+    let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, text);
+    if let Some(retry_after) = retry_after.and_then(retry_after_value) {
+        response
+            .headers_mut()
+            .insert(header::RETRY_AFTER, retry_after);
     }
     response
 }
@@ -400,12 +427,15 @@
     HeaderValue::from_maybe_shared(Bytes::from((span as f64 / 1e6).to_string())).ok()
 }
 
-/// How long the body is, known before any of it is read. Where a request has both a length and chunks, hyper
-/// shows the chunks alone, while to another reader the rest may hide a request: so a length must be given.
+/// The length of the body, before any of it is read. Chunked bodies are rejected: if a request has both a length and chunked
+/// coding, hyper shows the chunked coding only, while another reader may find a request hidden in the body.
+///
+/// # Errors
+/// The length is missing or over `max_bytes`.
 pub(super) fn declared_length(
     body: Option<&Incoming>,
     headers: &HeaderMap,
-    most: usize,
+    max_bytes: usize,
 ) -> Result<usize, RequestError> {
     if headers.contains_key(header::TRANSFER_ENCODING) {
         return Err(RequestError::Invalid(
@@ -416,26 +446,26 @@
     let size = body
         .and_then(|body| body.size_hint().exact())
         .and_then(|size| usize::try_from(size).ok());
-    let problem = match most {
+    let message = match max_bytes {
         super::MAX_BUFFERED_BODY_BYTES => "the body holds more than 64 KiB",
         _ => "the body is longer than this listener takes",
     };
-    size.filter(|size| *size <= most)
+    size.filter(|size| *size <= max_bytes)
         .ok_or(RequestError::Invalid(
             StatusCode::PAYLOAD_TOO_LARGE,
-            problem,
+            message,
         ))
 }
 
 pub(super) async fn read_complete_body(
     process: &ProcessState,
     body: Option<Incoming>,
-    within: Micros,
+    timeout: Micros,
 ) -> Result<Bytes, RequestError> {
     let Some(body) = body else {
         return Ok(Bytes::new());
     };
-    match process.timeout(within, body.collect()).await {
+    match process.timeout(timeout, body.collect()).await {
         Some(Ok(body)) => Ok(body.to_bytes()),
         Some(Err(_)) => Err(bad_request("the body has broken off")),
         None => Err(RequestError::Invalid(
@@ -445,14 +475,17 @@
     }
 }
 
-/// The class that a request names. A route's class goes before that of the path.
+/// The settings of a request's class: `class` if its route sets one, else the first segment of its path.
 fn class_of(service: &Service, class: Option<&str>, head: &Parts) -> Option<Rc<ClassEntry>> {
     let class = class.unwrap_or_else(|| head.uri.path().split('/').nth(1).unwrap_or_default());
     service.active_settings().class_named(class)
 }
 
-/// Takes out of a request what the module needs of it.
-fn read(
+/// Builds the balancer's view of a request from its head.
+///
+/// # Errors
+/// The class is unknown or its method differs, or a required header is missing, repeated or invalid.
+fn read_head(
     service: &Service,
     class: Option<&ClassEntry>,
     head: &Parts,
@@ -464,14 +497,14 @@
             .and_then(|v| v.to_str().ok())
             .map(str::trim)
     };
-    let several = |name: &HeaderName| headers.get_all(name).iter().nth(1).is_some();
+    let repeated = |name: &HeaderName| headers.get_all(name).iter().nth(1).is_some();
     let class = class.ok_or(RequestError::Invalid(
         StatusCode::NOT_FOUND,
         "there is no such class",
     ))?;
-    let effect = class.retry_safety();
+    let retry_safety = class.retry_safety();
     if head.method
-        != if effect == Effect::Safe {
+        != if retry_safety == Effect::Safe {
             Method::GET
         } else {
             Method::POST
@@ -482,17 +515,19 @@
             "the class wants another method",
         ));
     }
-    if text(&TRACE_ID).is_none_or(str::is_empty) || several(&TRACE_ID) {
+    if text(&TRACE_ID).is_none_or(str::is_empty) || repeated(&TRACE_ID) {
         return Err(bad_request("X-Trace-Id is missing, or there are several"));
     }
-    // Without one key that all servers read alike, they could not tell a repeat from another request.
-    let keyed = matches!(effect, Effect::Keyed { .. });
-    if keyed && (text(&IDEMPOTENCY_KEY).is_none_or(str::is_empty) || several(&IDEMPOTENCY_KEY)) {
+    // Without exactly one key, servers could not tell a retry from another request.
+    let requires_key = matches!(retry_safety, Effect::Keyed { .. });
+    if requires_key
+        && (text(&IDEMPOTENCY_KEY).is_none_or(str::is_empty) || repeated(&IDEMPOTENCY_KEY))
+    {
         return Err(bad_request(
             "Idempotency-Key is missing, or there are several",
         ));
     }
-    let left = client_time_left(headers)?.ok_or(bad_request(
+    let time_left = client_time_left(headers)?.ok_or(bad_request(
         "X-Expires-In-Ms is missing, or there are several",
     ))?;
     Ok(NewRequest {
@@ -500,39 +535,43 @@
         class: class.index,
         tenant: 0,
         key: subject(headers),
-        time_left: left,
+        time_left,
         cost: text(&SIZE_HINT).and_then(|hint| hint.parse().ok()),
         repeat: text(&SECOND_TRY) == Some("1"),
     })
 }
 
-/// How long the client waits, if it says so.
+/// How long the client still waits, if its request says so; at most a day.
+///
+/// # Errors
+/// The header is repeated or is not a whole number.
 pub(super) fn client_time_left(headers: &HeaderMap) -> Result<Option<Micros>, RequestError> {
-    let mut given = headers.get_all(&EXPIRES).iter();
-    let Some(left) = given.next() else {
+    let mut values = headers.get_all(&EXPIRES_IN_MS).iter();
+    let Some(time_left_ms) = values.next() else {
         return Ok(None);
     };
-    if given.next().is_some() {
+    if values.next().is_some() {
         return Err(bad_request(
             "X-Expires-In-Ms is missing, or there are several",
         ));
     }
-    let left = left
+    let time_left_ms = time_left_ms
         .to_str()
         .ok()
         .map(str::trim)
-        .filter(|left| left.bytes().all(|b| b.is_ascii_digit()));
-    let left: Option<Micros> = left.and_then(|left| left.parse().ok());
-    let left = left.ok_or(bad_request("X-Expires-In-Ms is not a whole number"))?;
-    Ok(Some(left.min(DAY_MS) * 1_000))
+        .filter(|time_left_ms| time_left_ms.bytes().all(|b| b.is_ascii_digit()));
+    let time_left_ms: Option<Micros> =
+        time_left_ms.and_then(|time_left_ms| time_left_ms.parse().ok());
+    let time_left_ms = time_left_ms.ok_or(bad_request("X-Expires-In-Ms is not a whole number"))?;
+    Ok(Some(time_left_ms.min(MAX_CLIENT_WAIT_MS) * 1_000))
 }
 
-/// The number of the next request.
+/// Assigns the id of the next request.
 pub(super) fn next_request_id(service: &Service) -> RequestId {
     let id = service.last_request_id.get() + 1;
     service.last_request_id.set(id);
     id
 }
 
-/// No client waits longer than a day.
-const DAY_MS: u64 = 86_400_000;
+/// The longest time that a client is assumed to wait: a day.
+const MAX_CLIENT_WAIT_MS: u64 = 86_400_000;
