--- a/crates/sidecar/src/graphql.rs
+++ b/crates/sidecar/src/graphql.rs
@@ -1,5 +1,5 @@
-//! The virtual server of GraphQL routes: it has a request's class follow from what it asks, takes batches apart where
-//! the operator wants that, and answers in GraphQL. Transactions, flows and decisions are those of every request.
+//! The virtual server of GraphQL routes: derives a request's class from its operations, splits batches if the operator file says
+//! so, and responds in GraphQL. Transactions, attempts and decisions are those of all requests.
 
 use super::attempt::{ForwardedRequest, ResponseProtocol};
 use super::client::Client;
@@ -30,38 +30,38 @@
 use std::rc::Rc;
 use std::task::Poll;
 
-/// What all parts of a message have in common.
-struct Asked<'a> {
+/// One GraphQL request of a client; a batch is split into several messages of it.
+struct GraphqlRequest<'a> {
     client: &'a Rc<Client>,
     service: &'a Rc<Service>,
     head: Parts,
-    came: Micros,
-    /// How long the client waits, if it says so.
-    left: Option<Micros>,
+    received_at: Micros,
+    /// How long the client still waits, if its request says so.
+    time_left: Option<Micros>,
     media: Media,
 }
 
-/// One GraphQL request and its answer.
+/// Handles one GraphQL request.
 pub(super) async fn handle_request(
     listener: &Rc<Listener>,
     client: &Rc<Client>,
     service: &Rc<Service>,
-    came: Micros,
+    received_at: Micros,
     mut head: Parts,
     body: Incoming,
 ) -> Response<Body> {
     let settings = listener.settings.get();
     let media = Media::accepted(&head.headers);
     let mut body = Some(body);
-    let taken = async {
-        let left = client_time_left(&head.headers)?;
+    let admission = async {
+        let time_left = client_time_left(&head.headers)?;
         let size = declared_length(body.as_ref(), &head.headers, settings.max_message_size)?;
-        // Its operations have their classes only once it is read: limits of classes are not for it.
-        let held = (
-            admit(listener, service, came, size as u64)?,
+        // The classes of its operations are known only after it is read, so limits of classes do not apply to it.
+        let permits = (
+            admit(listener, service, received_at, size as u64)?,
             admit_by_fleet_limits(service, None, &head.headers)?,
         );
-        let id = id(&head.headers)?
+        let id = request_id(&head.headers)?
             .map(|id| InFlightRequestId::new(service, id))
             .transpose()?;
         let body = if size > 0 {
@@ -69,64 +69,72 @@
         } else {
             Bytes::new()
         };
-        Ok((left, body, (held, id)))
+        Ok((time_left, body, (permits, id)))
     };
-    let (left, bytes, _held) = match taken.await {
-        Ok(taken) => taken,
-        Err(reject) => {
-            record_rejection(service, None, &reject, body.take(), settings);
-            return rejected(reject, media);
+    let (time_left, bytes, _guards) = match admission.await {
+        Ok(admitted) => admitted,
+        Err(error) => {
+            record_rejection(service, None, &error, body.take(), settings);
+            return rejected(error, media);
         }
     };
     client.body_complete.set(true);
-    let to_send = match plan(service, &head, &bytes) {
-        Ok(to_send) => to_send,
+    let send_plan = match plan(service, &head, &bytes) {
+        Ok(send_plan) => send_plan,
         Err(None) => return rejected(NO_ROUTE, media),
         Err(Some(rejection)) => {
             increment(&service.counts.unclassed().client_errors);
             return response(rejection.reply(media));
         }
     };
-    // An absolute target names this sidecar; the node is to see the path alone.
-    let path = std::mem::take(&mut head.uri).into_parts().path_and_query;
-    head.uri = path.map_or_else(|| Uri::from_static("/"), Uri::from);
-    let asked = Asked {
+    // A target in absolute form names this sidecar; the server gets the path only.
+    let target = std::mem::take(&mut head.uri).into_parts().path_and_query;
+    head.uri = target.map_or_else(|| Uri::from_static("/"), Uri::from);
+    let request = GraphqlRequest {
         client,
         service,
         head,
-        came,
-        left,
+        received_at,
+        time_left,
         media,
     };
-    match to_send {
-        ToSend::Whole(message, operations) => {
-            match asked.run(&message, asked.head.headers.clone(), None).await {
+    match send_plan {
+        SendPlan::Whole(message, operations) => {
+            match request
+                .run(&message, request.head.headers.clone(), None)
+                .await
+            {
                 Ok(served) => served,
                 Err(fault) => response(Reply::of(&fault, operations, media)),
             }
         }
-        ToSend::Parts(parts) => asked.run_apart(parts).await,
+        SendPlan::Split(parts) => request.run_batch(parts).await,
     }
 }
 
-/// A newer file has taken the section away, and with it the route of a request that was on its way.
+/// A newer operator file has removed the pool's GraphQL section while a request for it was being read.
 const NO_ROUTE: RequestError = RequestError::Invalid(StatusCode::NOT_FOUND, "no route takes it");
 
-/// What goes to a server in one piece.
-struct ToServer {
+/// A message that is sent to a server as one request.
+struct ServerMessage {
     classed: Classed,
     body: Bytes,
     hash_only: bool,
 }
 
-enum ToSend {
-    /// With the number of its operations, if it is a batch.
-    Whole(ToServer, Option<usize>),
-    Parts(Vec<Result<ToServer, Fault>>),
+/// How a client's message is sent.
+enum SendPlan {
+    /// As one message, with the number of its operations if it is a batch.
+    Whole(ServerMessage, Option<usize>),
+    /// One message for each operation of a batch; operations that are rejected here are errors.
+    Split(Vec<Result<ServerMessage, Fault>>),
 }
 
-/// What to send for a message; an error without a rejection where nothing knows GraphQL any more.
-fn plan(service: &Service, head: &Parts, body: &Bytes) -> Result<ToSend, Option<Rejection>> {
+/// Decides how a client's message is sent.
+///
+/// # Errors
+/// The message is rejected. Without a rejection, the service no longer has a GraphQL section.
+fn plan(service: &Service, head: &Parts, body: &Bytes) -> Result<SendPlan, Option<Rejection>> {
     let message = Message {
         method: &head.method,
         query: head.uri.query(),
@@ -140,8 +148,8 @@
                 classed,
                 operations,
                 hash_only,
-            } => ToSend::Whole(
-                ToServer {
+            } => SendPlan::Whole(
+                ServerMessage {
                     classed,
                     body: body.clone(),
                     hash_only,
@@ -149,22 +157,30 @@
                 operations,
             ),
             Plan::Split(parts) => {
-                let own = |part: Part<'_>| ToServer {
+                let to_server_message = |part: Part<'_>| ServerMessage {
                     classed: part.classed,
                     body: body.slice_ref(part.body),
                     hash_only: part.hash_only,
                 };
-                ToSend::Parts(parts.into_iter().map(|part| part.map(own)).collect())
+                SendPlan::Split(
+                    parts
+                        .into_iter()
+                        .map(|part| part.map(to_server_message))
+                        .collect(),
+                )
             }
         },
     )
 }
 
-impl Asked<'_> {
-    /// One message's transaction. Its answer is a server's, or the sidecar's own error.
+impl GraphqlRequest<'_> {
+    /// Runs the transaction of one message and returns the response of a server.
+    ///
+    /// # Errors
+    /// No server served it, or it was rejected.
     async fn run(
         &self,
-        message: &ToServer,
+        message: &ServerMessage,
         headers: HeaderMap,
         part: Option<usize>,
     ) -> Result<Response<Body>, Fault> {
@@ -175,47 +191,47 @@
         }
         let _open = service.counts.track_request();
         let now = service.process.clock.now();
-        let usual = service
+        let class_deadline = service
             .active_settings()
             .class_at(classed.class)
             .map_or(0, |entry| entry.class.deadline);
-        let new = NewRequest {
+        let new_request = NewRequest {
             id: next_request_id(service),
             class: classed.class,
             tenant: 0,
             key: classed.key.or_else(|| subject(&headers)),
             time_left: service.process.cap_time_left(
                 now,
-                self.left
-                    .unwrap_or(usual)
-                    .saturating_sub(CLIENT_DEADLINE_MARGIN + (now - self.came)),
+                self.time_left
+                    .unwrap_or(class_deadline)
+                    .saturating_sub(CLIENT_DEADLINE_MARGIN + (now - self.received_at)),
             ),
             cost: classed.cost,
             repeat: headers
                 .get("x-second-try")
                 .is_some_and(|second| second == "1"),
         };
-        let is_unsafe = classed.effect == Effect::Unsafe;
-        let idempotency_record = if is_unsafe {
+        let non_idempotent = classed.effect == Effect::Unsafe;
+        let idempotency_record = if non_idempotent {
             IdempotencyRecord::for_request(service, &headers, part)
         } else {
             Ok(None)
         };
         let idempotency_record = idempotency_record
             .map_err(|_| Fault::bad("the id of what must not run twice is over 1,024 bytes"))?;
-        let onward = ForwardedRequest {
+        let forwarded = ForwardedRequest {
             client: Rc::clone(self.client),
             method: self.head.method.clone(),
             uri: self.head.uri.clone(),
             headers,
             body: RequestBody::Buffered(message.body.clone()),
-            non_idempotent: is_unsafe,
+            non_idempotent,
             protocol: ResponseProtocol::Graphql {
                 hash_only: message.hash_only,
             },
             idempotency_record,
         };
-        match transaction::run(service, now, new, Rc::new(onward)).await {
+        match transaction::run(service, now, new_request, Rc::new(forwarded)).await {
             FinalResponse::Served(response) => {
                 increment(&service.class_counts(classed.class).served);
                 Ok(response)
@@ -231,17 +247,17 @@
         }
     }
 
-    /// A transaction for each operation of a batch, and one answer of all of theirs.
-    async fn run_apart(&self, parts: Vec<Result<ToServer, Fault>>) -> Response<Body> {
-        let effects: Vec<Effect> = parts
+    /// Runs a transaction for each operation of a batch and joins their responses.
+    async fn run_batch(&self, parts: Vec<Result<ServerMessage, Fault>>) -> Response<Body> {
+        let retry_safeties: Vec<Effect> = parts
             .iter()
             .map(|part| {
                 part.as_ref()
                     .map_or(Effect::Safe, |part| part.classed.effect)
             })
             .collect();
-        let mut answers = Vec::with_capacity(parts.len());
-        for stage in stages(&effects) {
+        let mut results = Vec::with_capacity(parts.len());
+        for stage in stages(&retry_safeties) {
             let running = parts
                 .get(stage.clone())
                 .unwrap_or_default()
@@ -251,17 +267,17 @@
                 Box::pin(async move {
                     let message = part.as_ref().map_err(Fault::clone)?;
                     let served = self
-                        .run(message, self.headers_of(number), Some(number))
+                        .run(message, self.part_headers(number), Some(number))
                         .await?;
                     let (head, body) = served.into_parts();
-                    Ok((head.status.as_u16(), collected(body).await))
+                    Ok((head.status.as_u16(), buffered_bytes(body).await))
                 })
             });
-            answers.extend(all(running.collect()).await);
+            results.extend(join_all(running.collect()).await);
         }
-        let told: Vec<PartAnswer<'_>> = answers
+        let part_answers: Vec<PartAnswer<'_>> = results
             .iter()
-            .map(|answer| match answer {
+            .map(|result| match result {
                 Ok((status, body)) => PartAnswer::Served {
                     status: *status,
                     body,
@@ -269,25 +285,28 @@
                 Err(fault) => PartAnswer::Fault(Fault::clone(fault)),
             })
             .collect();
-        response(join(&told, self.media))
+        response(join(&part_answers, self.media))
     }
 
-    /// A part is a request of its own, and so has an id of its own.
-    fn headers_of(&self, number: usize) -> HeaderMap {
+    /// The headers of one operation of a batch: it is a request of its own and gets an id of its own.
+    fn part_headers(&self, number: usize) -> HeaderMap {
         let mut headers = self.head.headers.clone();
         if let Some(id) = headers.get_mut(&TRACE_ID)
-            && let Ok(own) = HeaderValue::from_maybe_shared(Bytes::from(
+            && let Ok(part_id) = HeaderValue::from_maybe_shared(Bytes::from(
                 [id.as_bytes(), format!(".{number}").as_bytes()].concat(),
             ))
         {
-            *id = own;
+            *id = part_id;
         }
         headers
     }
 }
 
-/// The id of a request; clients of GraphQL need not give one.
-fn id(headers: &HeaderMap) -> Result<Option<&HeaderValue>, RequestError> {
+/// The id of a request. It is optional in GraphQL.
+///
+/// # Errors
+/// There are several ids.
+fn request_id(headers: &HeaderMap) -> Result<Option<&HeaderValue>, RequestError> {
     let mut ids = headers.get_all(&TRACE_ID).iter();
     match (ids.next(), ids.next()) {
         (id, None) => Ok(id.filter(|id| !id.is_empty())),
@@ -295,41 +314,41 @@
     }
 }
 
-/// A body that is there in whole already.
-async fn collected(body: Body) -> Bytes {
+/// The bytes of a buffered body.
+async fn buffered_bytes(body: Body) -> Bytes {
     use http_body_util::BodyExt;
     match body.collect().await {
         Ok(body) => body.to_bytes(),
-        // What is long is not passed on here, so it is there; else the server's answer is missing.
+        // GraphQL responses are buffered, so this does not happen; an empty body counts as a missing response.
         Err(_) => Bytes::new(),
     }
 }
 
-/// The outputs of all futures, in their order; they run beside each other.
-async fn all<T>(mut futures: Vec<Pin<Box<dyn Future<Output = T> + '_>>>) -> Vec<T> {
-    let mut done: Vec<Option<T>> = futures.iter().map(|_| None).collect();
+/// Runs futures concurrently and returns their outputs in order.
+async fn join_all<T>(mut futures: Vec<Pin<Box<dyn Future<Output = T> + '_>>>) -> Vec<T> {
+    let mut outputs: Vec<Option<T>> = futures.iter().map(|_| None).collect();
     std::future::poll_fn(|context| {
-        for (future, done) in futures
+        for (future, output) in futures
             .iter_mut()
-            .zip(&mut done)
-            .filter(|(_, done)| done.is_none())
+            .zip(&mut outputs)
+            .filter(|(_, output)| output.is_none())
         {
-            if let Poll::Ready(output) = future.as_mut().poll(context) {
-                *done = Some(output);
+            if let Poll::Ready(ready) = future.as_mut().poll(context) {
+                *output = Some(ready);
             }
         }
-        if done.iter().all(Option::is_some) {
+        if outputs.iter().all(Option::is_some) {
             Poll::Ready(())
         } else {
             Poll::Pending
         }
     })
     .await;
-    done.into_iter().flatten().collect()
+    outputs.into_iter().flatten().collect()
 }
 
-fn rejected(reject: RequestError, media: Media) -> Response<Body> {
-    match reject {
+fn rejected(error: RequestError, media: Media) -> Response<Body> {
+    match error {
         RequestError::LimitReached(_, retry_after) => {
             response(Reply::of(&Fault::refused(retry_after), None, media))
         }
@@ -339,7 +358,7 @@
                 ..Reply::of(&Fault::bad(problem), None, media)
             };
             let mut response = response(reply);
-            // What else comes on the connection may be a part of the message.
+            // Further bytes on the connection may belong to the message.
             response
                 .headers_mut()
                 .insert(header::CONNECTION, HeaderValue::from_static("close"));
