--- a/crates/sidecar/src/attempt.rs
+++ b/crates/sidecar/src/attempt.rs
@@ -16,7 +16,7 @@
 use hyper::header::{self, HeaderName, HeaderValue};
 use hyper::http::uri::PathAndQuery;
 use hyper::{HeaderMap, Method, Response, StatusCode, Uri};
-use madderloom_balancer::{Closed, Event, Micros, Outcome, RequestId, ServerId};
+use madderloom_balancer::{AttemptResult, Event, Micros, Outcome, RequestId, ServerId};
 use madderloom_graphql::Verdict;
 use std::cell::Cell;
 use std::future::poll_fn;
@@ -128,13 +128,13 @@
         if outcome == Outcome::Ok {
             self.transaction_ended.set(true);
         }
-        let closed = Closed {
+        let closed = AttemptResult {
             request: self.request,
             attempt: self.number,
             server: self.server,
             outcome,
             elapsed: now.saturating_sub(self.sent_at.get()),
-            ended: self.transaction_ended.get(),
+            request_ended: self.transaction_ended.get(),
         };
         let ended = EndedAttempt {
             closed,
@@ -143,7 +143,7 @@
             sent: self.sent_at.get(),
         };
         self.service.record_attempt_end(now, &ended);
-        self.service.handle(now, Event::Closed(closed));
+        self.service.handle(now, Event::AttemptEnded(closed));
     }
 }
 
@@ -408,7 +408,10 @@
             Ok(Some(data)) => {
                 // Nothing of it is kept, so it can't be sent again.
                 if !passing.consumed.replace(true) {
-                    service.handle(service.process.clock.now(), Event::Spent(attempt.request));
+                    service.handle(
+                        service.process.clock.now(),
+                        Event::RetriesDisabled(attempt.request),
+                    );
                 }
                 (if chunked { chunk(&data) } else { data }, false)
             }
@@ -442,7 +445,7 @@
         progress.complete.set(true);
         passing.completed_at.set(Some(now));
         attempt.sent_at.set(now);
-        service.handle(now, Event::Came(attempt.request));
+        service.handle(now, Event::RequestBodyReceived(attempt.request));
     } else {
         passing.return_remainder(reader);
     }
--- a/crates/sidecar/src/graphql.rs
+++ b/crates/sidecar/src/graphql.rs
@@ -21,7 +21,7 @@
 use hyper::header::{self, HeaderMap, HeaderValue};
 use hyper::http::request::Parts;
 use hyper::{Response, StatusCode, Uri};
-use madderloom_balancer::{Effect, Micros, NewRequest};
+use madderloom_balancer::{Micros, NewRequest, RetrySafety};
 use madderloom_graphql::{
     Classed, Fault, Media, Message, Part, PartAnswer, Plan, Rejection, Reply, join, stages,
 };
@@ -206,12 +206,12 @@
                     .unwrap_or(class_deadline)
                     .saturating_sub(CLIENT_DEADLINE_MARGIN + (now - self.received_at)),
             ),
-            cost: classed.cost,
-            repeat: headers
+            cost_hint: classed.cost,
+            client_retry: headers
                 .get("x-second-try")
                 .is_some_and(|second| second == "1"),
         };
-        let non_idempotent = classed.effect == Effect::Unsafe;
+        let non_idempotent = classed.effect == RetrySafety::NonIdempotent;
         let idempotency_record = if non_idempotent {
             IdempotencyRecord::for_request(service, &headers, part)
         } else {
@@ -249,11 +249,11 @@
 
     /// Runs a transaction for each operation of a batch and joins their responses.
     async fn run_batch(&self, parts: Vec<Result<ServerMessage, Fault>>) -> Response<Body> {
-        let retry_safeties: Vec<Effect> = parts
+        let retry_safeties: Vec<RetrySafety> = parts
             .iter()
             .map(|part| {
                 part.as_ref()
-                    .map_or(Effect::Safe, |part| part.classed.effect)
+                    .map_or(RetrySafety::Idempotent, |part| part.classed.effect)
             })
             .collect();
         let mut results = Vec::with_capacity(parts.len());
--- a/crates/sidecar/src/transaction.rs
+++ b/crates/sidecar/src/transaction.rs
@@ -130,10 +130,10 @@
 
     // The balancer's first step may be to send the request, to reject it, or none yet.
     let shed_before = service.shed_requests();
-    service.handle(now, Event::Request(new_request));
+    service.handle(now, Event::RequestReceived(new_request));
     transaction.shed = service.shed_requests() > shed_before;
     if request.body.streamed().is_some() {
-        service.handle(now, Event::Coming(transaction.id));
+        service.handle(now, Event::RequestBodyStarted(transaction.id));
     }
 
     loop {
@@ -172,7 +172,7 @@
             started_at: now,
             latency_objective: service.latency_objective(new_request),
             shed: false,
-            cost_hint: new_request.cost,
+            cost_hint: new_request.cost_hint,
             last_server: None,
             steps,
             ended: Rc::default(),
@@ -280,7 +280,7 @@
         if !self.ended.replace(true) {
             self.report_end(|elapsed| RequestEnd::abandoned(elapsed, self.latency_objective));
             let now = self.service.process.clock.now();
-            self.service.handle(now, Event::ClientGone(self.id));
+            self.service.handle(now, Event::ClientDisconnected(self.id));
         }
         self.attempts.clear();
         self.service.transactions.borrow_mut().remove(&self.id);
--- a/crates/sidecar/src/virtual_server.rs
+++ b/crates/sidecar/src/virtual_server.rs
@@ -1,12 +1,22 @@
 //! The virtual server: the client's side of one request. It validates the request, routes it to a service, applies the limits,
 //! and returns the response.
 
+use bytes::Bytes;
+use http_body_util::{BodyExt, Full};
+use hyper::{Method, Request, Response, StatusCode, Uri};
+use hyper::body::{Body, Incoming};
+use hyper::header::{HeaderMap, HeaderName, HeaderValue, self};
+use hyper::http::request::Parts;
+use madderloom_balancer::{Micros, NewRequest, RequestId, RetrySafety};
+use madderloom_routing::request::{Asked, Fault, split_key, subject};
+use madderloom_watchdog::{TaskKind, self as watchdog};
+use std::rc::Rc;
+use super::graphql;
 use super::active_settings::ClassEntry;
 use super::attempt::{ForwardedRequest, ResponseProtocol};
 use super::client::Client;
 use super::counts::increment;
 use super::fleet_limits::FleetPermit;
-use super::graphql;
 use super::limits::LimitExceeded;
 use super::listener::{Listener, ListenerSettings};
 use super::process_state::ProcessState;
@@ -14,18 +24,8 @@
 use super::routing::{ClassSource, Routing};
 use super::service::Service;
 use super::state_writer::IdempotencyRecord;
-use super::transaction::{self, FinalResponse};
-use super::upload::{self, BodyLength, BodyReservations};
-use bytes::Bytes;
-use http_body_util::{BodyExt, Full};
-use hyper::body::{Body, Incoming};
-use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
-use hyper::http::request::Parts;
-use hyper::{Method, Request, Response, StatusCode, Uri};
-use madderloom_balancer::{Effect, Micros, NewRequest, RequestId};
-use madderloom_routing::request::{Asked, Fault, split_key, subject};
-use madderloom_watchdog::{self as watchdog, TaskKind};
-use std::rc::Rc;
+use super::transaction::{FinalResponse, self};
+use super::upload::{BodyLength, BodyReservations, self};
 
 /// Subtracted from a client's remaining time, which counts from when the client sent the request, not from when it was read.
 pub(super) const CLIENT_DEADLINE_MARGIN: Micros = 1_000;
@@ -174,7 +174,7 @@
     let uri = target.map_or_else(|| Uri::from_static("/"), Uri::from);
     let non_idempotent = class_entry
         .as_ref()
-        .is_none_or(|class| class.retry_safety() == Effect::Unsafe);
+        .is_none_or(|class| class.retry_safety() == RetrySafety::NonIdempotent);
     let latency_objective = service.latency_objective(&new_request);
     let protocol = ResponseProtocol::Http;
     let idempotency_record = if non_idempotent {
@@ -504,7 +504,7 @@
     ))?;
     let retry_safety = class.retry_safety();
     if head.method
-        != if retry_safety == Effect::Safe {
+        != if retry_safety == RetrySafety::Idempotent {
             Method::GET
         } else {
             Method::POST
@@ -519,7 +519,7 @@
         return Err(bad_request("X-Trace-Id is missing, or there are several"));
     }
     // Without exactly one key, servers could not tell a retry from another request.
-    let requires_key = matches!(retry_safety, Effect::Keyed { .. });
+    let requires_key = matches!(retry_safety, RetrySafety::IdempotentWithKey { .. });
     if requires_key
         && (text(&IDEMPOTENCY_KEY).is_none_or(str::is_empty) || repeated(&IDEMPOTENCY_KEY))
     {
@@ -536,8 +536,8 @@
         tenant: 0,
         key: subject(headers),
         time_left,
-        cost: text(&SIZE_HINT).and_then(|hint| hint.parse().ok()),
-        repeat: text(&SECOND_TRY) == Some("1"),
+        cost_hint: text(&SIZE_HINT).and_then(|hint| hint.parse().ok()),
+        client_retry: text(&SECOND_TRY) == Some("1"),
     })
 }
 
