--- a/crates/sidecar/src/attempt.rs
+++ b/crates/sidecar/src/attempt.rs
@@ -1,10 +1,21 @@
 //! One server-side flow: an attempt at a server, from its connection to its one outcome.
 
+use super::client::Client;
+use super::connections::ConnectError;
+use super::counts::increment;
+use super::exchange::{self, BodyRead, CompleteBody, ExchangeError, RequestMessage, SendProgress};
+use super::readiness;
+use super::response_body::{ResponseBody, StreamedResponseBody};
+use super::service::Service;
+use super::state_writer::{IdempotencyRecord, WriteBarrier};
+use super::teller::EndedAttempt;
+use super::transaction::FinalResponse;
+use super::upload::{self, BodyLength, RequestBody};
 use bytes::{Bytes, BytesMut};
 use http_body_util::Full;
-use hyper::{HeaderMap, Method, Response, StatusCode, Uri};
-use hyper::header::{HeaderName, HeaderValue, self};
+use hyper::header::{self, HeaderName, HeaderValue};
 use hyper::http::uri::PathAndQuery;
+use hyper::{HeaderMap, Method, Response, StatusCode, Uri};
 use madderloom_balancer::{Closed, Event, Micros, Outcome, RequestId, ServerId};
 use madderloom_graphql::Verdict;
 use std::cell::Cell;
@@ -13,17 +24,6 @@
 use std::pin::{Pin, pin};
 use std::rc::Rc;
 use std::task::Poll;
-use super::readiness;
-use super::client::Client;
-use super::connections::ConnectError;
-use super::counts::increment;
-use super::exchange::{BodyRead, CompleteBody, ExchangeError, RequestMessage, SendProgress, self};
-use super::response_body::{ResponseBody, StreamedResponseBody};
-use super::service::Service;
-use super::state_writer::{IdempotencyRecord, WriteBarrier};
-use super::teller::EndedAttempt;
-use super::transaction::FinalResponse;
-use super::upload::{BodyLength, RequestBody, self};
 use tokio::net::TcpStream;
 
 /// An answer of unknown length is passed on as it comes once it has gone on for so long.
@@ -156,7 +156,10 @@
 
 /// Makes the attempt. An answer is there if its outcome was that it was served, or where the ledger does not let it be
 /// sent; else the module has been told, and says what follows.
-pub(super) async fn run(mut attempt: Attempt, onward: Rc<ForwardedRequest>) -> Option<FinalResponse> {
+pub(super) async fn run(
+    mut attempt: Attempt,
+    onward: Rc<ForwardedRequest>,
+) -> Option<FinalResponse> {
     if let Some(record) = &onward.idempotency_record {
         let barrier = record.pass_barrier().await;
         if barrier != WriteBarrier::Open {
@@ -473,7 +476,9 @@
     }
     let body = onward.body.buffered().clone();
     match onward.body.streamed().map(|passing| passing.length) {
-        Some(BodyLength::Known(length)) => message.add_number_header(&header::CONTENT_LENGTH, length),
+        Some(BodyLength::Known(length)) => {
+            message.add_number_header(&header::CONTENT_LENGTH, length)
+        }
         Some(BodyLength::Chunked) => {
             message.add_header(
                 &header::TRANSFER_ENCODING,
--- a/crates/sidecar/src/client.rs
+++ b/crates/sidecar/src/client.rs
@@ -9,28 +9,28 @@
 //! A client that has closed its side has gone. `hyper` hears of that by itself where it waits for the next bytes; where some
 //! lie unread before the end, nobody reads, and so the system is asked before each attempt begins ([`Client::has_disconnected`]).
 
+use super::fair_scheduler::ChargedAccount;
+use super::listener::{CLOSE_GRACE_PERIOD, Listener};
+use super::readiness::{self, peek_nonblocking};
+use super::request_framing::RequestFraming;
+use super::virtual_server;
 use bytes::Bytes;
 use hyper::body::Body;
-use hyper::header::{HeaderValue, self};
+use hyper::header::{self, HeaderValue};
 use hyper::rt::{Read, ReadBufCursor, Write};
 use hyper::server::conn::http1;
 use madderloom_balancer::Micros;
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use rustix::io::Errno;
 use rustix::net::{RecvFlags, Shutdown, shutdown};
-use std::io;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
 use std::convert::Infallible;
 use std::future::poll_fn;
+use std::io;
 use std::pin::{Pin, pin};
 use std::rc::Rc;
 use std::task::{Context, Poll, Waker, ready};
-use super::virtual_server;
-use super::fair_scheduler::ChargedAccount;
-use super::listener::{CLOSE_GRACE_PERIOD, Listener};
-use super::readiness::{peek_nonblocking, self};
-use super::request_framing::RequestFraming;
 use tokio::net::TcpStream;
 
 /// A connection that was opened, or whose last answer went, so little ago may have a request on the way.
--- a/crates/sidecar/src/connections.rs
+++ b/crates/sidecar/src/connections.rs
@@ -5,15 +5,15 @@
 //! and some 80 bytes: no task, no buffer, no timer of its own. All of a pool may be idle for equally long, so the order
 //! in which they were put by is that in which they grow too old.
 
+use super::limits::{LimitShare, Reservation};
+use super::process_state::ProcessState;
+use super::readiness::is_open_and_silent;
 use foldhash::quality::FixedState;
 use madderloom_balancer::{Micros, ServerId};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
 use std::rc::Rc;
-use super::limits::{LimitShare, Reservation};
-use super::process_state::ProcessState;
-use super::readiness::is_open_and_silent;
 use tokio::net::TcpStream;
 use tokio::sync::Semaphore;
 
--- a/crates/sidecar/src/discovery_calls.rs
+++ b/crates/sidecar/src/discovery_calls.rs
@@ -1,23 +1,23 @@
-//! The calls to discovery that a pool has in hand: the newest, which may have become the watch, and such as had no answer for so
-//! long that a newer one was made.
+//! The discovery calls that a pool has in flight: the newest, which may have become the watch, and older ones that are still
+//! unanswered.
 //!
-//! Discovery works off a call also when its caller has given up, so that a call that waits in its queue is worth keeping: when
-//! its turn comes it is answered, or its end tells how long the queue is.
+//! Discovery processes a queued call even if its caller has timed out. So an unanswered call is kept open: when discovery
+//! reaches it, it is either answered, or the time of its failure shows how long the queue is.
 
 use std::cell::{Cell, RefCell};
 use tokio::task::AbortHandle;
 
-/// Calls that are kept behind the newest. The oldest ends for one more.
-const MAX_SILENT_CALLS: usize = 2;
+/// The most unanswered calls kept besides the newest. One more aborts the oldest.
+const MAX_UNANSWERED_CALLS: usize = 2;
 
-/// Names one call of a pool.
+/// Identifies one call of a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct CallId(u64);
 
-struct OpenCall {
+struct InFlightCall {
     id: CallId,
-    /// It has had no answer for long.
-    is_silent: bool,
+    /// The call has been waiting for a response for longer than expected.
+    is_unanswered: bool,
     task: AbortHandle,
 }
 
@@ -25,61 +25,59 @@
 #[derive(Default)]
 pub(super) struct DiscoveryCalls {
     last_id: Cell<u64>,
-    open: RefCell<Vec<OpenCall>>,
+    in_flight: RefCell<Vec<InFlightCall>>,
 }
 
 impl DiscoveryCalls {
-    /// The name of the next call.
     pub(super) fn next_id(&self) -> CallId {
         self.last_id.set(self.last_id.get() + 1);
         CallId(self.last_id.get())
     }
 
-    /// A call begins in the place of those that are not silent.
+    /// Registers a new call. It replaces all calls except unanswered ones.
     pub(super) fn begin(&self, id: CallId, task: AbortHandle) {
-        self.end_where(|call| !call.is_silent);
-        let mut open = self.open.borrow_mut();
-        if open.len() == MAX_SILENT_CALLS {
-            open.remove(0).task.abort();
+        self.abort_where(|call| !call.is_unanswered);
+        let mut in_flight = self.in_flight.borrow_mut();
+        if in_flight.len() == MAX_UNANSWERED_CALLS {
+            in_flight.remove(0).task.abort();
         }
-        let is_silent = false;
-        open.push(OpenCall {
+        let is_unanswered = false;
+        in_flight.push(InFlightCall {
             id,
-            is_silent,
+            is_unanswered,
             task,
         });
     }
 
-    /// The call has had no answer for long. It stays when another one begins.
-    pub(super) fn fell_silent(&self, id: CallId) {
-        let mut open = self.open.borrow_mut();
-        if let Some(call) = open.iter_mut().find(|call| call.id == id) {
-            call.is_silent = true;
+    /// Marks a call as unanswered: it stays open when another one begins.
+    pub(super) fn mark_unanswered(&self, id: CallId) {
+        let mut in_flight = self.in_flight.borrow_mut();
+        if let Some(call) = in_flight.iter_mut().find(|call| call.id == id) {
+            call.is_unanswered = true;
         }
     }
 
-    /// The call has brought a list, and all others end.
+    /// Aborts all calls but this one, which has returned a list.
     pub(super) fn answered(&self, id: CallId) {
-        self.end_where(|call| call.id != id);
+        self.abort_where(|call| call.id != id);
     }
 
-    /// The call has ended by itself.
+    /// Removes a call that has ended by itself.
     pub(super) fn ended(&self, id: CallId) {
-        self.open.borrow_mut().retain(|call| call.id != id);
+        self.in_flight.borrow_mut().retain(|call| call.id != id);
     }
 
-    /// Ends all calls.
-    pub(super) fn end_all(&self) {
-        self.end_where(|_| true);
+    pub(super) fn abort_all(&self) {
+        self.abort_where(|_| true);
     }
 
-    fn end_where(&self, ends: impl Fn(&OpenCall) -> bool) {
-        self.open.borrow_mut().retain(|call| {
-            let ends = ends(call);
-            if ends {
+    fn abort_where(&self, should_abort: impl Fn(&InFlightCall) -> bool) {
+        self.in_flight.borrow_mut().retain(|call| {
+            let aborts = should_abort(call);
+            if aborts {
                 call.task.abort();
             }
-            !ends
+            !aborts
         });
     }
 }
--- a/crates/sidecar/src/discovery_watch.rs
+++ b/crates/sidecar/src/discovery_watch.rs
@@ -39,7 +39,7 @@
     let of = &service.log_prefix;
     tracing::info!(%discovery, "{of}configuration read again: discovery is at {discovery}");
     if former != Some(discovery) {
-        service.pool.calls.end_all();
+        service.pool.calls.abort_all();
         service.pool.reset_list_version();
         service.process.shared_lists.forget(&service.name);
         open_watch(service, true);
@@ -48,7 +48,8 @@
 
 /// Opens the watch, in place of one that is open, as the module says. One that the fleet called for meanwhile stays.
 pub(super) fn poll_discovery(service: &Rc<Service>) {
-    if !(service.pool.is_calling_discovery() && service.process.shared_lists.shares(&service.name)) {
+    if !(service.pool.is_calling_discovery() && service.process.shared_lists.shares(&service.name))
+    {
         open_watch(service, true);
     }
 }
@@ -124,7 +125,7 @@
 /// The call goes on waiting, and the module is told that another one has to be made in time.
 fn call_fell_silent(service: &Rc<Service>, call: &mut Call) {
     call.fell_silent = true;
-    service.pool.calls.fell_silent(call.id);
+    service.pool.calls.mark_unanswered(call.id);
     not_called(service);
     let now = service.process.clock.now();
     let of = &service.log_prefix;
@@ -319,7 +320,7 @@
             .ok_or("the watch has ended")?
             .map_err(|e| e.to_string())?;
         let now = service.process.clock.now();
-        let was_within = reader.is_within();
+        let was_within = reader.is_within_object();
         reader.push(frame.data_ref().map_or(&[], |d| d.as_ref()));
         while let Some(object) = reader.next()? {
             apply_line(service, now, &object)?;
@@ -330,11 +331,11 @@
             tokio::task::yield_now().await;
         }
         // Until a list is whole nothing is known of what was to be told since it began.
-        if !was_within || !reader.is_within() {
+        if !was_within || !reader.is_within_object() {
             service.pool.set_list_known_at(now);
             call.since = now;
         }
-        if !reader.is_within() {
+        if !reader.is_within_object() {
             // Where a list is on its way, something has changed.
             service
                 .process
--- a/crates/sidecar/src/documented_figures_tests.rs
+++ b/crates/sidecar/src/documented_figures_tests.rs
@@ -1,8 +1,10 @@
 //! The figures that the pages name, against the constants of the code.
 
+use super::listener::{self, CLOSE_GRACE_PERIOD, ListenerSettings};
+use super::{
+    client, connections, control_address, counts, feed, list_reader, pool, process_state, upload,
+};
 use madderloom_control_plane::{bounds, protocol};
-use super::{client, connections, control_address, counts, feed, list_reader, pool, process_state, upload};
-use super::listener::{CLOSE_GRACE_PERIOD, ListenerSettings, self};
 
 /// So many seconds, as pages write them.
 fn seconds(micros: u64) -> String {
--- a/crates/sidecar/src/exchange.rs
+++ b/crates/sidecar/src/exchange.rs
@@ -13,17 +13,17 @@
 //! | neither | with the connection |
 //! | 1xx but for 101 | it is passed over; the answer is yet to come |
 
+use super::MAX_BUFFERED_BODY_BYTES;
+use super::attempt::HOP_BY_HOP_HEADERS;
+use super::readiness::{SocketEvent, is_open_and_silent, writable_or_peer_readable};
 use bytes::{Buf, Bytes, BytesMut};
+use hyper::header::{self, HeaderName, HeaderValue};
 use hyper::{HeaderMap, Method, StatusCode};
-use hyper::header::{HeaderName, HeaderValue, self};
 use smallvec::SmallVec;
 use std::cell::Cell;
 use std::future::poll_fn;
-use std::io::{ErrorKind, IoSlice, self};
+use std::io::{self, ErrorKind, IoSlice};
 use std::pin::Pin;
-use super::MAX_BUFFERED_BODY_BYTES;
-use super::attempt::HOP_BY_HOP_HEADERS;
-use super::readiness::{SocketEvent, is_open_and_silent, writable_or_peer_readable};
 use tokio::io::{AsyncRead, ReadBuf};
 use tokio::net::TcpStream;
 use tokio::task::consume_budget;
--- a/crates/sidecar/src/graphql.rs
+++ b/crates/sidecar/src/graphql.rs
@@ -1,28 +1,34 @@
 //! The virtual server of GraphQL routes: it has a request's class follow from what it asks, takes batches apart where
 //! the operator wants that, and answers in GraphQL. Transactions, flows and decisions are those of every request.
 
+use super::attempt::{ForwardedRequest, ResponseProtocol};
+use super::client::Client;
+use super::counts::increment;
+use super::listener::Listener;
+use super::response_body::ResponseBody as Body;
+use super::service::Service;
+use super::state_writer::IdempotencyRecord;
+use super::transaction::{self, FinalResponse};
+use super::upload::RequestBody;
+use super::virtual_server::{
+    CLIENT_DEADLINE_MARGIN, InFlightRequestId, RequestError, TRACE_ID, admit,
+    admit_by_fleet_limits, bad_request, client_time_left, declared_length, next_request_id,
+    read_complete_body, record_rejection, retry_after_value,
+};
 use bytes::Bytes;
 use http_body_util::Full;
-use hyper::{Response, StatusCode, Uri};
 use hyper::body::Incoming;
-use hyper::header::{HeaderMap, HeaderValue, self};
+use hyper::header::{self, HeaderMap, HeaderValue};
 use hyper::http::request::Parts;
+use hyper::{Response, StatusCode, Uri};
 use madderloom_balancer::{Effect, Micros, NewRequest};
-use madderloom_graphql::{Classed, Fault, Media, Message, Part, PartAnswer, Plan, Rejection, Reply, join, stages};
+use madderloom_graphql::{
+    Classed, Fault, Media, Message, Part, PartAnswer, Plan, Rejection, Reply, join, stages,
+};
 use madderloom_routing::request::subject;
 use std::pin::Pin;
 use std::rc::Rc;
 use std::task::Poll;
-use super::attempt::{ForwardedRequest, ResponseProtocol};
-use super::client::Client;
-use super::counts::increment;
-use super::listener::Listener;
-use super::response_body::ResponseBody as Body;
-use super::service::Service;
-use super::state_writer::IdempotencyRecord;
-use super::transaction::{FinalResponse, self};
-use super::upload::RequestBody;
-use super::virtual_server::{CLIENT_DEADLINE_MARGIN, InFlightRequestId, RequestError, TRACE_ID, admit, admit_by_fleet_limits, bad_request, client_time_left, declared_length, next_request_id, read_complete_body, record_rejection, retry_after_value};
 
 /// What all parts of a message have in common.
 struct Asked<'a> {
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -18,7 +18,8 @@
 mod counts;
 mod discovery_calls;
 mod discovery_watch;
-#[cfg(test)] mod documented_figures_tests;
+#[cfg(test)]
+mod documented_figures_tests;
 mod drain;
 mod event_log;
 mod exchange;
@@ -31,7 +32,8 @@
 mod list_reader;
 mod listener;
 mod ordinal;
-#[cfg(test)] mod ordinal_tests;
+#[cfg(test)]
+mod ordinal_tests;
 mod page;
 mod plot;
 mod pool;
@@ -39,7 +41,8 @@
 mod process;
 mod process_state;
 mod readiness;
-#[cfg(test)] mod readiness_tests;
+#[cfg(test)]
+mod readiness_tests;
 mod reload;
 mod request_framing;
 mod response_body;
--- a/crates/sidecar/src/listener.rs
+++ b/crates/sidecar/src/listener.rs
@@ -1,21 +1,21 @@
 //! A listener: where clients connect, and the connections that they have there.
 
+use super::client::{self, Clients, MIN_IDLE_BEFORE_EVICTION};
+use super::connections::is_resource_exhaustion;
+use super::counts::OutcomeCounts;
+use super::fair_scheduler::{self, ChargedAccount, FairTask, SchedulerAccount};
+use super::limits::{LimitShare, RequestLimits};
+use super::process_state::ProcessState;
+use super::routing::Routing;
+use super::service::{ResourceShares, Service};
 use madderloom_balancer::Micros;
 use madderloom_operator_config::MemberLimits;
-use madderloom_watchdog::{TaskKind, self as watchdog};
+use madderloom_watchdog::{self as watchdog, TaskKind};
 use std::cell::{Cell, RefCell};
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use super::client::{Clients, MIN_IDLE_BEFORE_EVICTION, self};
-use super::connections::is_resource_exhaustion;
-use super::counts::OutcomeCounts;
-use super::fair_scheduler::{ChargedAccount, FairTask, SchedulerAccount, self};
-use super::limits::{LimitShare, RequestLimits};
-use super::process_state::ProcessState;
-use super::routing::Routing;
-use super::service::{ResourceShares, Service};
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::sync::{Notify, watch};
 
--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -541,13 +541,13 @@
 /// Its list is this one from now on, whatever discovery it followed.
 pub(super) fn use_static_list(service: &Rc<Service>, listing: ListUpdate) {
     service.pool.discovery.set(None);
-    service.pool.calls.end_all();
+    service.pool.calls.abort_all();
     apply_static_list(service, listing);
 }
 
 /// The pool goes: its servers get no new attempts any more, whatever discovery says from now on.
 pub(super) fn drain_servers(service: &Rc<Service>) {
-    service.pool.calls.end_all();
+    service.pool.calls.abort_all();
     service.pool.discovery.set(None);
     let draining = |member: &Member| Listed {
         state: ServerState::Draining,
--- a/crates/sidecar/src/process.rs
+++ b/crates/sidecar/src/process.rs
@@ -1,16 +1,5 @@
 //! The sidecar as a whole: made of the platform's configuration, of the operator file, or of both.
 
-use madderloom_balancer::Micros;
-use madderloom_operator_config::{Kept, MemberLimits, Operator, PLATFORM};
-use madderloom_routing::shares::Part;
-use madderloom_watchdog::{TaskKind, self as watchdog};
-use std::cell::RefCell;
-use std::hash::{BuildHasher, RandomState};
-use std::net::SocketAddr;
-use std::path::PathBuf;
-use std::rc::Rc;
-use std::time::Duration;
-use super::{control_address, timers, warm_start};
 use super::admin::AdminServer;
 use super::agent_link::AgentLink;
 use super::config::{Config, ConfigKeys, descriptor_limit};
@@ -22,6 +11,17 @@
 use super::service::{ResourceShares, Service, ServiceSpec};
 use super::state_writer::StateWriter;
 use super::supervision::supervise;
+use super::{control_address, timers, warm_start};
+use madderloom_balancer::Micros;
+use madderloom_operator_config::{Kept, MemberLimits, Operator, PLATFORM};
+use madderloom_routing::shares::Part;
+use madderloom_watchdog::{self as watchdog, TaskKind};
+use std::cell::RefCell;
+use std::hash::{BuildHasher, RandomState};
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::rc::Rc;
+use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::task::AbortHandle;
 
--- a/crates/sidecar/src/process_state.rs
+++ b/crates/sidecar/src/process_state.rs
@@ -1,10 +1,5 @@
 //! What belongs to the process: its clock, its limits, the turns on its thread, and who is there.
 
-use madderloom_admin::duty::Duty;
-use madderloom_balancer::Micros;
-use std::cell::{Cell, OnceCell, RefCell};
-use std::net::SocketAddr;
-use std::rc::Rc;
 use super::clock::{Clock, LocalTimeZone};
 use super::connections::is_resource_exhaustion;
 use super::fair_scheduler::{Scheduler, SchedulerAccount};
@@ -18,6 +13,11 @@
 use super::shared_lists::SharedLists;
 use super::state_writer::StateWriter;
 use super::timers::Timers;
+use madderloom_admin::duty::Duty;
+use madderloom_balancer::Micros;
+use std::cell::{Cell, OnceCell, RefCell};
+use std::net::SocketAddr;
+use std::rc::Rc;
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
--- a/crates/sidecar/src/reload.rs
+++ b/crates/sidecar/src/reload.rs
@@ -1,22 +1,22 @@
 //! The operator file read again while the process serves: it takes effect whole or not at all.
 
-use madderloom_balancer::settings::Site;
-use madderloom_operator_config::{Bounds, MemberLimits, Operator, PLATFORM, Pool, parts};
-use madderloom_routing::routes::{Route, Table};
-use madderloom_watchdog::{TaskKind, self as watchdog};
-use std::hash::BuildHasher;
-use std::rc::Rc;
-use std::time::Duration;
-use super::discovery_watch;
-use super::admin::{AdminServer, self};
+use super::admin::{self, AdminServer};
 use super::config::Config;
 use super::counts::increment;
+use super::discovery_watch;
 use super::listener::{BoundSocket, Listener, ListenerSettings, bind};
 use super::ordinal::ordinal_in_name;
 use super::pool::ListUpdate;
 use super::process::{Sidecar, resource_totals};
 use super::routing::{ListenerRoutes, Routing};
 use super::service::{ResourceShares, Service, ServiceSpec};
+use madderloom_balancer::settings::Site;
+use madderloom_operator_config::{Bounds, MemberLimits, Operator, PLATFORM, Pool, parts};
+use madderloom_routing::routes::{Route, Table};
+use madderloom_watchdog::{self as watchdog, TaskKind};
+use std::hash::BuildHasher;
+use std::rc::Rc;
+use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::sync::oneshot;
 
@@ -252,7 +252,13 @@
                         socket,
                         shared: false,
                     };
-                    Listener::start(&self.process, &spec.name, place, (settings, routing), limits)
+                    Listener::start(
+                        &self.process,
+                        &spec.name,
+                        place,
+                        (settings, routing),
+                        limits,
+                    )
                 }
             };
             listeners.push(listener);
--- a/crates/sidecar/src/supervision.rs
+++ b/crates/sidecar/src/supervision.rs
@@ -1,16 +1,18 @@
-//! Background tasks that the process can't do without: one that ends is seen, logged and begun again.
+//! Supervision of background tasks that the process cannot do without: a task that ends is logged and restarted.
 
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use std::future::Future;
 use std::time::{Duration, Instant};
 use tokio::task::JoinHandle;
 
-/// Waits before a task is begun again: the first, and the longest after doubling.
-const WAITS: (Duration, Duration) = (Duration::from_millis(50), Duration::from_secs(5));
-/// A task that ran for so long has recovered: it is begun again after the first wait.
-const RECOVERED: Duration = Duration::from_secs(30);
+/// Delay before the first restart. It doubles at each further one.
+const MIN_RESTART_DELAY: Duration = Duration::from_millis(50);
+/// The longest delay before a restart.
+const MAX_RESTART_DELAY: Duration = Duration::from_secs(5);
+/// A task that ran for this long counts as healthy: its next restart comes after the first delay again.
+const HEALTHY_AFTER: Duration = Duration::from_secs(30);
 
-/// A task that ends with whoever has this.
+/// Aborts a task when dropped.
 pub(super) struct AbortOnDrop(pub(super) JoinHandle<()>);
 
 impl Drop for AbortOnDrop {
@@ -19,26 +21,29 @@
     }
 }
 
-/// Runs a task in the present local set and begins it again whenever it ends or panics, 50 ms later at first and 5 s at
-/// most, until there is none to begin. What it had in hand is lost; what it is to look after must be kept elsewhere.
-pub(super) async fn supervise<F>(kind: TaskKind, what: &str, mut begin: impl FnMut() -> Option<F>)
-where
+/// Runs a task in the current local set and restarts it whenever it ends or panics, until `start` returns none. State that
+/// has to survive a restart must be kept outside the task.
+pub(super) async fn supervise<F>(
+    kind: TaskKind,
+    task_name: &str,
+    mut start: impl FnMut() -> Option<F>,
+) where
     F: Future<Output = ()> + 'static,
 {
-    let mut wait = WAITS.0;
-    while let Some(task) = begin() {
-        let began = Instant::now();
+    let mut delay = MIN_RESTART_DELAY;
+    while let Some(task) = start() {
+        let started_at = Instant::now();
         let mut task = AbortOnDrop(watchdog::spawn(kind, task));
-        let how = match (&mut task.0).await {
+        let outcome = match (&mut task.0).await {
             Ok(()) => "ended".to_string(),
             Err(problem) => problem.to_string(),
         };
-        if began.elapsed() >= RECOVERED {
-            wait = WAITS.0;
+        if started_at.elapsed() >= HEALTHY_AFTER {
+            delay = MIN_RESTART_DELAY;
         }
-        tracing::error!(%what, wait_ms = wait.as_millis() as u64, "{what}: {how}; it begins again");
-        tokio::time::sleep(wait).await;
-        wait = (2 * wait).min(WAITS.1);
+        tracing::error!(what = %task_name, wait_ms = delay.as_millis() as u64, "{task_name}: {outcome}; restarting");
+        tokio::time::sleep(delay).await;
+        delay = (2 * delay).min(MAX_RESTART_DELAY);
     }
 }
 
@@ -49,39 +54,39 @@
     use std::rc::Rc;
 
     #[test]
-    fn a_task_that_ends_or_panics_begins_again_and_ends_with_its_keeper() {
+    fn a_task_that_ends_or_panics_is_restarted_and_is_aborted_with_its_supervisor() {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_time()
             .build()
             .expect("a runtime");
-        let (begun, dropped) = (Rc::new(Cell::new(0)), Rc::new(()));
+        let (starts, alive) = (Rc::new(Cell::new(0)), Rc::new(()));
         tokio::task::LocalSet::new().block_on(&runtime, async {
-            let (own, held) = (Rc::clone(&begun), Rc::clone(&dropped));
-            let keeper = tokio::task::spawn_local(async move {
+            let (start_count, task_alive) = (Rc::clone(&starts), Rc::clone(&alive));
+            let supervisor = tokio::task::spawn_local(async move {
                 supervise(TaskKind::Upkeep, "a test's task", || {
-                    own.set(own.get() + 1);
-                    let (turn, held) = (own.get(), Rc::clone(&held));
+                    start_count.set(start_count.get() + 1);
+                    let (run, task_alive) = (start_count.get(), Rc::clone(&task_alive));
                     Some(async move {
-                        assert!(turn != 1, "the first panics");
-                        if turn == 3 {
+                        assert!(run != 1, "the first run panics");
+                        if run == 3 {
                             std::future::pending::<()>().await;
                         }
-                        drop(held);
+                        drop(task_alive);
                     })
                 })
                 .await;
             });
-            let at = Instant::now();
-            while begun.get() < 3 {
+            let began = Instant::now();
+            while starts.get() < 3 {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
-            // 50 ms after the first, and twice that after the second.
-            assert!(at.elapsed() >= 3 * WAITS.0);
-            keeper.abort();
-            while Rc::strong_count(&dropped) > 1 {
+            // 50 ms after the first run, and twice that after the second.
+            assert!(began.elapsed() >= 3 * MIN_RESTART_DELAY);
+            supervisor.abort();
+            while Rc::strong_count(&alive) > 1 {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         });
-        assert_eq!(begun.get(), 3);
+        assert_eq!(starts.get(), 3);
     }
 }
--- a/crates/sidecar/src/traffic_shares.rs
+++ b/crates/sidecar/src/traffic_shares.rs
@@ -1,79 +1,81 @@
-//! Whose regions have moved, for the log: at most one line a second, from the module's own state.
+//! Finds servers whose share of the requests has changed noticeably, for at most one log line a second.
 
 use madderloom_balancer::{ServerId, ServerView};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// A part that has grown or shrunk by this factor since it was last told of has moved noticeably...
-const FACTOR: f64 = 1.5;
-/// ...if it has done so by this part of all requests at least.
-const LEAST: f64 = 0.02;
-/// Servers that one line names: those that moved furthest.
-const NAMED: usize = 3;
-/// Attempts of late below which a part rests on what was known before.
-const FEW: f64 = 0.5;
+/// A share has changed noticeably if it has grown or shrunk by this factor since it was last logged, and by at least
+/// `MIN_DIFFERENCE`.
+const MIN_FACTOR: f64 = 1.5;
+/// As a part of all requests.
+const MIN_DIFFERENCE: f64 = 0.02;
+/// The most servers that one line names: those with the largest changes.
+const MAX_NAMED_SERVERS: usize = 3;
+/// Below this many recent attempts a share rests on earlier measurements.
+const MIN_RECENT_ATTEMPTS: f64 = 0.5;
 
-/// The parts that servers had of the requests when the log last told of them. Holds those that are listed and no others.
+/// The share of the requests that each listed server had when it was last logged.
 #[derive(Default)]
 pub(super) struct TrafficShares {
-    told: BTreeMap<ServerId, f64>,
+    logged: BTreeMap<ServerId, f64>,
 }
 
-/// One server's part.
-struct Move {
+/// One server's change of share.
+struct ShareChange {
     server: ServerId,
     from: f64,
     to: f64,
-    /// Work answered, and the time that all attempts took, in microseconds.
-    measured: (f64, f64),
-    answers: f64,
+    /// The work completed and the total time of all attempts, in microseconds.
+    work_and_time: (f64, f64),
+    recent_attempts: f64,
 }
 
-/// The parts that have moved, the furthest first.
-pub(super) struct TrafficShareChanges(Vec<Move>);
+/// The noticeable changes, the largest first.
+pub(super) struct TrafficShareChanges(Vec<ShareChange>);
 
 impl TrafficShares {
-    /// Looks at all servers. A server that is new has not moved: the list tells of it.
+    /// Compares the shares of all servers with those last logged. A new server has no change: the list update logs it.
     pub(super) fn update(&mut self, servers: &[ServerView]) -> Option<TrafficShareChanges> {
-        let mut moved = Vec::new();
-        let mut told = BTreeMap::new();
+        let mut changes = Vec::new();
+        let mut logged = BTreeMap::new();
         for view in servers {
             let (server, to) = (view.listed.server, view.share);
-            let from = self.told.get(&server).copied().unwrap_or(to);
-            let (less, more) = (from.min(to), from.max(to));
-            let noticed = more - less >= LEAST && more >= FACTOR * less;
-            if noticed {
-                moved.push(Move {
+            let from = self.logged.get(&server).copied().unwrap_or(to);
+            let (smaller, larger) = (from.min(to), from.max(to));
+            let is_noticeable =
+                larger - smaller >= MIN_DIFFERENCE && larger >= MIN_FACTOR * smaller;
+            if is_noticeable {
+                changes.push(ShareChange {
                     server,
                     from,
                     to,
-                    measured: view.measured,
-                    answers: view.answers,
+                    work_and_time: view.measured,
+                    recent_attempts: view.answers,
                 });
             }
-            told.insert(server, if noticed { to } else { from });
+            logged.insert(server, if is_noticeable { to } else { from });
         }
-        self.told = told;
-        moved.sort_by(|a, b| (b.to - b.from).abs().total_cmp(&(a.to - a.from).abs()));
-        (!moved.is_empty()).then_some(TrafficShareChanges(moved))
+        self.logged = logged;
+        changes.sort_by(|a, b| (b.to - b.from).abs().total_cmp(&(a.to - a.from).abs()));
+        (!changes.is_empty()).then_some(TrafficShareChanges(changes))
     }
 }
 
 impl TrafficShareChanges {
-    /// In words, with the names that servers have.
-    pub(super) fn describe(&self, name: impl Fn(ServerId) -> Box<str>) -> String {
+    /// The text for the log. `server_name` gives the name of a server.
+    pub(super) fn describe(&self, server_name: impl Fn(ServerId) -> Box<str>) -> String {
         let mut text = String::new();
-        for Move {
+        for ShareChange {
             server,
             from,
             to,
-            measured: (work, time),
-            answers,
-        } in self.0.iter().take(NAMED)
+            work_and_time: (work, time),
+            recent_attempts,
+        } in self.0.iter().take(MAX_NAMED_SERVERS)
         {
-            let name = name(*server);
+            let name = server_name(*server);
             let separator = if text.is_empty() { "" } else { "; " };
-            // A String takes whatever is written to it.
+            // Writing to a String cannot fail.
             let _ = write!(
                 text,
                 "{separator}{name} from {:.1}% to {:.1}%",
@@ -86,13 +88,18 @@
                 work / 1e6,
                 time / 1e6
             );
-            let _ = if *answers < FEW {
-                write!(text, "kept for want of answers)")
+            let _ = if *recent_attempts < MIN_RECENT_ATTEMPTS {
+                write!(text, "kept for lack of recent attempts)")
             } else {
-                write!(text, "{answers:.0} answers of late)")
+                write!(text, "{recent_attempts:.0} recent attempts)")
             };
         }
-        if let Some(more) = self.0.len().checked_sub(NAMED).filter(|more| *more > 0) {
+        if let Some(more) = self
+            .0
+            .len()
+            .checked_sub(MAX_NAMED_SERVERS)
+            .filter(|more| *more > 0)
+        {
             let _ = write!(text, "; and {more} more");
         }
         text
@@ -104,7 +111,7 @@
     use super::*;
     use madderloom_balancer::{Listed, ServerState};
 
-    fn view(server: u64, share: f64, answers: f64) -> ServerView {
+    fn view(server: u64, share: f64, recent_attempts: f64) -> ServerView {
         let listed = Listed {
             server: ServerId(server),
             zone: 0,
@@ -119,7 +126,7 @@
             share,
             value: 1.0,
             measured: (2e6, 4e6),
-            answers,
+            answers: recent_attempts,
             out: 0,
             failures: 0,
             ejected_until: None,
@@ -130,49 +137,53 @@
     }
 
     #[test]
-    fn what_moved_noticeably_is_told_once_with_its_figures_and_the_rest_is_not() {
-        let mut moves = TrafficShares::default();
+    fn a_noticeable_change_is_logged_once_with_its_figures_and_a_small_one_is_not() {
+        let mut shares = TrafficShares::default();
         let name = |server: ServerId| format!("n{}", server.0).into();
         assert!(
-            moves
+            shares
                 .update(&[view(1, 0.5, 9.0), view(2, 0.5, 9.0)])
                 .is_none(),
-            "they are new"
+            "both are new"
         );
         assert!(
-            moves
+            shares
                 .update(&[view(1, 0.55, 9.0), view(2, 0.45, 9.0)])
                 .is_none(),
-            "a little"
+            "the change is small"
         );
-        let moved = moves
+        let changes = shares
             .update(&[view(1, 0.8, 9.0), view(2, 0.2, 0.1)])
-            .expect("they moved");
+            .expect("both changed");
         assert_eq!(
-            moved.describe(name),
-            "n1 from 50.0% to 80.0% (work 2.000 s over time 4.000 s, 9 answers of late); \
-             n2 from 50.0% to 20.0% (work 2.000 s over time 4.000 s, kept for want of answers)"
+            changes.describe(name),
+            "n1 from 50.0% to 80.0% (work 2.000 s over time 4.000 s, 9 recent attempts); \
+             n2 from 50.0% to 20.0% (work 2.000 s over time 4.000 s, kept for lack of recent attempts)"
         );
         assert!(
-            moves
+            shares
                 .update(&[view(1, 0.8, 9.0), view(2, 0.2, 9.0)])
                 .is_none(),
-            "it was told"
+            "it was logged"
         );
-        // Slow moves add up, and what left is forgotten.
-        assert!(moves.update(&[view(1, 0.65, 9.0)]).is_none());
-        assert!(moves.update(&[view(1, 0.5, 9.0)]).is_some());
-        assert_eq!(moves.told.len(), 1);
+        // Small changes add up, and a server that has left is removed.
+        assert!(shares.update(&[view(1, 0.65, 9.0)]).is_none());
+        assert!(shares.update(&[view(1, 0.5, 9.0)]).is_some());
+        assert_eq!(shares.logged.len(), 1);
     }
 
     #[test]
-    fn a_line_names_a_few_and_counts_the_rest() {
-        let mut moves = TrafficShares::default();
-        let all = |share: f64| (0..10).map(|at| view(at, share, 9.0)).collect::<Vec<_>>();
-        assert!(moves.update(&all(0.1)).is_none());
-        let text = moves
+    fn the_text_names_a_few_servers_and_counts_the_rest() {
+        let mut shares = TrafficShares::default();
+        let all = |share: f64| {
+            (0..10)
+                .map(|server| view(server, share, 9.0))
+                .collect::<Vec<_>>()
+        };
+        assert!(shares.update(&all(0.1)).is_none());
+        let text = shares
             .update(&all(0.0))
-            .expect("all moved")
+            .expect("all changed")
             .describe(|server| server.to_string().into());
         assert!(text.ends_with("; and 7 more") && text.len() < 400, "{text}");
     }
--- a/crates/sidecar/src/transaction.rs
+++ b/crates/sidecar/src/transaction.rs
@@ -1,5 +1,9 @@
 //! A transaction: the life of one client's request, from the module's first word on it to its final answer.
 
+use super::attempt::{self, Attempt, ForwardedRequest};
+use super::response_body::ResponseBody;
+use super::service::Service;
+use super::timers::Timers;
 use hyper::Response;
 use madderloom_balancer::{Event, Micros, NewRequest, RequestId, ServerId};
 use madderloom_degradation::RequestEnd;
@@ -10,10 +14,6 @@
 use std::pin::Pin;
 use std::rc::Rc;
 use std::task::{Context, Poll, Waker};
-use super::attempt::{Attempt, ForwardedRequest, self};
-use super::response_body::ResponseBody;
-use super::service::Service;
-use super::timers::Timers;
 
 /// What the module tells a transaction to do next.
 pub(super) enum Step {
--- a/crates/sidecar/src/upload.rs
+++ b/crates/sidecar/src/upload.rs
@@ -4,18 +4,18 @@
 //! longer one the beginning is kept, and the rest is read from the client as the server takes it: neither side is read
 //! faster than the other is written. Once any of that rest has been read, the request cannot be sent again.
 
+use super::limits::Reservation;
+use super::listener::Listener;
+use super::process_state::ProcessState;
+use super::service::Service;
+use super::virtual_server::{RequestError, bad_request};
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::StatusCode;
 use hyper::body::{Body, Incoming};
-use hyper::header::{HeaderMap, self};
+use hyper::header::{self, HeaderMap};
 use madderloom_balancer::Micros;
 use std::cell::{Cell, RefCell};
-use super::limits::Reservation;
-use super::listener::Listener;
-use super::process_state::ProcessState;
-use super::service::Service;
-use super::virtual_server::{RequestError, bad_request};
 
 /// The longest body that is kept.
 pub(super) const MAX_BUFFERED_BYTES: usize = 1 << 20;
@@ -89,7 +89,10 @@
     }
 
     /// The next piece; none at the end. A client has its time by what it has sent.
-    pub(super) async fn next(&mut self, process: &ProcessState) -> Result<Option<Bytes>, RequestError> {
+    pub(super) async fn next(
+        &mut self,
+        process: &ProcessState,
+    ) -> Result<Option<Bytes>, RequestError> {
         loop {
             let until = self.begun
                 + READ_DELAY_ALLOWANCE
