--- a/crates/sidecar/src/traffic_shares.rs
+++ b/crates/sidecar/src/traffic_shares.rs
@@ -126,7 +126,7 @@
             traffic_share: share,
             service_rate: 1.0,
             work_and_time: (2e6, 4e6),
-            recent_attempts: answers: recent_attempts,
+            recent_attempts,
             in_flight: 0,
             failure_score: 0,
             ejected_until: None,
