--- a/crates/balancer/src/discovery_evidence.rs
+++ b/crates/balancer/src/discovery_evidence.rs
@@ -1,39 +1,42 @@
-//! What failed calls tell of discovery: whether it is out of order, or has more callers than it can answer.
+//! Diagnosis of discovery from failed calls: whether it is down, or overloaded by the calls of its clients.
 //!
-//! Both look alike to a caller, and want the opposite of each other. Behind an outage the list has to be asked for in time, however
-//! often calls failed. A discovery with too many callers works off what it is asked, also for callers that have given up, and
-//! recovers only if they come less often. One refusal proves nothing. This is what the verdicts rest on:
+//! A client sees the same failures in both cases, but they need opposite reactions. After an outage the list must be polled in
+//! time, however often calls have failed. An overloaded discovery processes all calls in its queue, including those whose callers
+//! have timed out, and recovers only if it is called less often. A single rejection proves nothing. The diagnoses rest on these
+//! observations:
 //!
-//! - A call that fails at once, or does not reach discovery, costs it nothing. It is out of order.
-//! - A call that waits and is refused behind such failures has found a discovery that is back, and its queue.
-//! - An outage refuses each call after the same time. Waits that differ, or are longer than any time limit, are those of calls
-//!   that are refused when their turn has come. They tell how long the queue is.
-//! - Discovery closes connections in an outage as well. It dies of its callers where a watch is lost soon after it was opened
-//!   and the call behind it is broken off too, or where calls are let in and broken off behind connections closed at once.
-//! - What waits in vain for longer than an outage is likely to last is taken for a discovery with too many callers.
+//! - A call that fails immediately, or does not reach discovery, costs discovery nothing: discovery is down.
+//! - If a call waits and is rejected after such failures, discovery is up again and has a queue.
+//! - During an outage every call is rejected after the same time. Waits that differ, or that are longer than any time limit, mean
+//!   that calls are rejected when they reach the front of the queue. Such waits show how long the queue is.
+//! - Discovery closes connections during an outage as well. It crashes under the load of its clients if a watch is lost soon after
+//!   it was opened and the next call's connection breaks too, or if connections break while calls wait after connections were
+//!   closed immediately.
+//! - If calls have been waiting without success for longer than an outage is likely to last, discovery is assumed to be
+//!   overloaded.
 
 use crate::interface::Micros;
 
-/// A call whose connection breaks, or that is refused, later than this has waited for its turn. What ends sooner costs
-/// discovery nothing.
-const WAITED_FOR_ITS_TURN: Micros = 50_000;
-/// Waits that end by the same time limit of discovery differ by less than this.
+/// A call that is rejected, or whose connection breaks, after at least this time was in discovery's queue. One that fails
+/// sooner costs discovery nothing.
+const MIN_QUEUED_WAIT: Micros = 50_000;
+/// Waits that end at the same time limit of discovery differ by at most this.
 const TIME_LIMIT_JITTER: Micros = 500_000;
-/// No time limit of discovery is taken to be as long as this.
-const LONGEST_TIME_LIMIT: Micros = 4_500_000;
-/// What was refused after the same time for so long may as well have waited in a queue.
-const LONGEST_OUTAGE: Micros = 75_000_000;
-/// A watch that is lost sooner than this after it was opened may be lost to the callers that came with it.
-const YOUNG_WATCH: Micros = 20_000_000;
-
-/// How a call for the list has failed, or its watch.
+/// Time limits of discovery are assumed to be shorter than this.
+const TIME_LIMIT_BOUND: Micros = 4_500_000;
+/// If calls have been rejected after the same wait for longer than this, they may just as well have been queued.
+const MAX_OUTAGE: Micros = 75_000_000;
+/// A watch that is lost sooner than this may have been lost because of the load of the clients that connected with it.
+const MIN_STABLE_WATCH: Micros = 20_000_000;
+
+/// How a call to discovery, or the watch that it opened, has failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallFailure {
-    /// A watch ended, or a call did not reach discovery.
+    /// A watch has ended, or a call has not reached discovery.
     Unreachable,
-    /// Discovery answered that it takes no call.
+    /// Discovery has answered that it rejects the call.
     Rejected {
-        /// How long the call waited for that.
+        /// How long the call waited for the answer.
         waited: Micros,
     },
     /// The connection broke before an answer.
@@ -41,199 +44,201 @@
         /// How long the call had waited.
         waited: Micros,
     },
-    /// No answer so far. The call still waits.
+    /// The call has not been answered so far. It is still open.
     Unanswered,
-    /// It is not known how.
+    /// The reason is not known.
     Unspecified,
 }
 
 impl CallFailure {
-    /// How a call failed that waited for so long, which is [`Micros::MAX`] where it is not known, and whose connection broke or
-    /// not; see [`crate::DiscoveryUpdate::CallFailed`].
-    pub(crate) fn from_ended_call(waited: Micros, broken_off: bool) -> Self {
+    /// The failure of a call that waited for `waited`, or [`Micros::MAX`] if that is not known; see
+    /// [`crate::DiscoveryUpdate::CallFailed`].
+    pub(crate) fn from_ended_call(waited: Micros, connection_broken: bool) -> Self {
         match waited {
             Micros::MAX => CallFailure::Unspecified,
-            _ if broken_off => CallFailure::ConnectionBroken { waited },
+            _ if connection_broken => CallFailure::ConnectionBroken { waited },
             0 => CallFailure::Unreachable,
             _ => CallFailure::Rejected { waited },
         }
     }
 }
 
-/// What the failed calls since the last list tell of discovery.
+/// The state of discovery according to the calls that have failed since the last list update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Verdict {
-    /// Nothing tells an outage from too many callers.
-    Unknown,
-    /// It was out of order, and is back with a queue in which a first call waited in vain for so long.
-    Back {
-        /// How long the call waited.
+pub(crate) enum Diagnosis {
+    /// Discovery may be down or overloaded.
+    Inconclusive,
+    /// Discovery was down and is up again, with a queue in which the first call waited without success.
+    RecoveredWithQueue {
+        /// How long that call waited.
         waited: Micros,
     },
-    /// It refuses calls when their turn has come.
-    Queue {
-        /// How long the last one waited.
+    /// Discovery rejects calls when they reach the front of its queue.
+    RejectsQueuedCalls {
+        /// How long the last call waited.
         waited: Micros,
-        /// Calls that were refused so, at least one.
-        refusals: u32,
+        /// The number of calls that were rejected in this way; at least 1.
+        rejections: u32,
     },
-    /// It refuses calls that wait for too long, and has too many of them.
-    Overrun,
-    /// It dies of its callers.
-    Dies,
-    /// It is not known how calls failed: discovery may have too many callers.
+    /// Discovery is overloaded: it rejects calls that have waited for too long.
+    Overloaded,
+    /// Discovery crashes under the load of its clients.
+    CrashesUnderLoad,
+    /// The reason of the failures is not known; discovery may be overloaded.
     Unspecified,
 }
 
-/// What one instance has seen of discovery.
+/// What one instance has observed of discovery.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Evidence {
-    /// When the watch was opened that is open.
+    /// When the open watch was opened.
     watch_opened_at: Option<Micros>,
-    /// The last watch was lost young.
+    /// The last watch was lost within [`MIN_STABLE_WATCH`].
     lost_young_watch: bool,
-    /// Discovery dies of its callers.
-    dies: bool,
-    /// The last call failed in a way that is not known.
-    unspecified: bool,
+    /// Discovery crashes under the load of its clients.
+    crashes_under_load: bool,
+    /// The last call failed for an unknown reason.
+    is_unspecified: bool,
     calls: FailedCalls,
 }
 
-/// The calls that failed since the last list.
+/// The calls that have failed since the last list update.
 #[derive(Clone, Copy, Debug, Default)]
 struct FailedCalls {
-    /// One failed and cost discovery nothing.
-    failed_at_once: bool,
-    /// One found its connection closed at once.
-    closed_at_once: bool,
-    /// Calls in a row that waited in vain, when the first of them failed, and how long the last one waited.
-    waited_in_vain: u32,
-    in_vain_since: Micros,
+    /// A call failed at no cost to discovery.
+    failed_immediately: bool,
+    /// The connection of a call was closed immediately.
+    closed_immediately: bool,
+    /// The number of queued calls that failed in a row.
+    queued_failures: u32,
+    /// When the first of these failed.
+    queued_failures_since: Micros,
+    /// How long the last of these waited.
     last_wait: Micros,
-    /// Waits were not ended by a time limit...
-    waited_in_queue: bool,
-    /// ...and of the calls since, so many were refused.
-    refused_in_turn: u32,
+    /// The waits are those of a queue, and not of a time limit.
+    waits_show_queue: bool,
+    /// The number of calls that were rejected since `waits_show_queue` was set.
+    queue_rejections: u32,
 }
 
 impl Evidence {
-    /// A call was answered, and its watch is open.
+    /// Records that a call was answered and has opened a watch.
     pub(crate) fn on_watch_opened(&mut self, now: Micros) {
         self.watch_opened_at = Some(now);
     }
 
-    /// A list has come.
+    /// Records that a list update was received.
     pub(crate) fn on_list_update(&mut self) {
-        self.unspecified = false;
+        self.is_unspecified = false;
         self.calls = FailedCalls::default();
     }
 
-    /// A watch has ended.
+    /// Records that a watch has ended.
     pub(crate) fn watch_lost(&mut self, now: Micros) {
         let opened_at = self.watch_opened_at.take();
-        let young = opened_at.filter(|at| now.saturating_sub(*at) < YOUNG_WATCH);
-        // Watches may end one after the other for many reasons, also in place of telling a change: only a call that fails
-        // behind one says more.
+        let young = opened_at.filter(|at| now.saturating_sub(*at) < MIN_STABLE_WATCH);
+        // Watches may end one after the other for many reasons, even instead of sending an update. Only a call that fails
+        // after a lost watch is evidence of a crash.
         self.lost_young_watch = young.is_some();
-        self.dies &= self.lost_young_watch;
+        self.crashes_under_load &= self.lost_young_watch;
     }
 
-    /// A call has failed.
+    /// Records that a call has failed.
     pub(crate) fn call_failed(&mut self, now: Micros, failure: CallFailure) {
-        self.unspecified = failure == CallFailure::Unspecified;
+        self.is_unspecified = failure == CallFailure::Unspecified;
         match failure {
             CallFailure::Unanswered | CallFailure::Unspecified => {}
-            CallFailure::Unreachable => self.out_of_order(),
+            CallFailure::Unreachable => self.record_immediate_failure(),
             CallFailure::Rejected { waited } => {
-                self.dies = false;
-                if waited < WAITED_FOR_ITS_TURN {
-                    self.out_of_order();
+                self.crashes_under_load = false;
+                if waited < MIN_QUEUED_WAIT {
+                    self.record_immediate_failure();
                 } else {
-                    self.calls.waited_in_vain(now, waited);
-                    self.calls.refused_in_turn += u32::from(self.calls.waited_in_queue);
+                    self.calls.record_queued_failure(now, waited);
+                    self.calls.queue_rejections += u32::from(self.calls.waits_show_queue);
                 }
             }
-            CallFailure::ConnectionBroken { waited } => self.broken_off(now, waited),
+            CallFailure::ConnectionBroken { waited } => self.record_broken_connection(now, waited),
         }
     }
 
-    fn out_of_order(&mut self) {
-        self.dies = false;
+    fn record_immediate_failure(&mut self) {
+        self.crashes_under_load = false;
         self.calls = FailedCalls {
-            failed_at_once: true,
+            failed_immediately: true,
             ..FailedCalls::default()
         };
     }
 
-    fn broken_off(&mut self, now: Micros, waited: Micros) {
-        let waited_for_its_turn = waited >= WAITED_FOR_ITS_TURN;
-        let came_back_and_died = waited_for_its_turn && self.calls.closed_at_once;
-        self.dies |= self.lost_young_watch || came_back_and_died;
-        if waited_for_its_turn {
-            self.calls.waited_in_vain(now, waited);
+    fn record_broken_connection(&mut self, now: Micros, waited: Micros) {
+        let was_queued = waited >= MIN_QUEUED_WAIT;
+        let recovered_and_crashed = was_queued && self.calls.closed_immediately;
+        self.crashes_under_load |= self.lost_young_watch || recovered_and_crashed;
+        if was_queued {
+            self.calls.record_queued_failure(now, waited);
         } else {
-            self.calls.failed_at_once = true;
-            self.calls.closed_at_once = true;
+            self.calls.failed_immediately = true;
+            self.calls.closed_immediately = true;
         }
     }
 
-    /// What all that was seen tells.
-    pub(crate) fn verdict(&self, now: Micros) -> Verdict {
-        if self.unspecified {
-            return Verdict::Unspecified;
+    /// The diagnosis from all observations so far.
+    pub(crate) fn diagnosis(&self, now: Micros) -> Diagnosis {
+        if self.is_unspecified {
+            return Diagnosis::Unspecified;
         }
-        if self.dies {
-            return Verdict::Dies;
+        if self.crashes_under_load {
+            return Diagnosis::CrashesUnderLoad;
         }
-        self.calls.verdict(now)
+        self.calls.diagnosis(now)
     }
 
-    /// Whether discovery was out of order, and not overrun, when a call failed since the last list.
-    pub(crate) fn was_out_of_order(&self) -> bool {
-        self.calls.failed_at_once
+    /// Whether discovery was down, and not overloaded, at some failed call since the last list update.
+    pub(crate) fn was_down(&self) -> bool {
+        self.calls.failed_immediately
     }
 
-    /// Whether a call has waited in vain since the last list.
-    pub(crate) fn waited_in_vain(&self) -> bool {
-        self.calls.waited_in_vain > 0
+    /// Whether a queued call has failed since the last list update.
+    pub(crate) fn has_queued_failure(&self) -> bool {
+        self.calls.queued_failures > 0
     }
 
-    /// Whether discovery itself has ended a call since the last list, so that it was reached lately.
+    /// Whether discovery itself has ended a call since the last list update, so that it was reachable recently.
     pub(crate) fn was_reached(&self) -> bool {
-        self.was_out_of_order() || self.waited_in_vain()
+        self.was_down() || self.has_queued_failure()
     }
 }
 
 impl FailedCalls {
-    fn waited_in_vain(&mut self, now: Micros, waited: Micros) {
-        if self.waited_in_vain == 0 {
-            self.in_vain_since = now;
+    fn record_queued_failure(&mut self, now: Micros, waited: Micros) {
+        if self.queued_failures == 0 {
+            self.queued_failures_since = now;
         }
-        self.waited_in_vain += 1;
+        self.queued_failures += 1;
         let differs = self.last_wait > 0 && self.last_wait.abs_diff(waited) > TIME_LIMIT_JITTER;
-        self.waited_in_queue |= differs || waited >= LONGEST_TIME_LIMIT;
+        self.waits_show_queue |= differs || waited >= TIME_LIMIT_BOUND;
         self.last_wait = waited;
     }
 
-    fn verdict(&self, now: Micros) -> Verdict {
+    fn diagnosis(&self, now: Micros) -> Diagnosis {
         let waited = self.last_wait;
-        if self.refused_in_turn > 0 {
-            return Verdict::Queue {
+        if self.queue_rejections > 0 {
+            return Diagnosis::RejectsQueuedCalls {
                 waited,
-                refusals: self.refused_in_turn,
+                rejections: self.queue_rejections,
             };
         }
-        if self.waited_in_vain == 0 {
-            return Verdict::Unknown;
+        if self.queued_failures == 0 {
+            return Diagnosis::Inconclusive;
         }
-        let outlasts_outages = now.saturating_sub(self.in_vain_since) > LONGEST_OUTAGE;
-        if outlasts_outages || self.waited_in_queue {
-            return Verdict::Overrun;
+        let outlasts_outages = now.saturating_sub(self.queued_failures_since) > MAX_OUTAGE;
+        if outlasts_outages || self.waits_show_queue {
+            return Diagnosis::Overloaded;
         }
-        match (self.failed_at_once, self.waited_in_vain) {
-            (false, _) => Verdict::Unknown,
-            (true, 1) => Verdict::Back { waited },
-            (true, _) => Verdict::Overrun,
+        match (self.failed_immediately, self.queued_failures) {
+            (false, _) => Diagnosis::Inconclusive,
+            (true, 1) => Diagnosis::RecoveredWithQueue { waited },
+            (true, _) => Diagnosis::Overloaded,
         }
     }
 }
--- a/crates/balancer/src/discovery_poll.rs
+++ b/crates/balancer/src/discovery_poll.rs
@@ -1,80 +1,82 @@
-//! When discovery is called for the endpoint list.
+//! Schedules the polls of discovery: the calls for the server list, each of which becomes a watch when it is answered.
 //!
-//! All instances of a fleet call one discovery, which works through calls in turn, those that were given up as well: called by
-//! all at once it answers nobody. So calls are spread, and each instance calls once in a span of time that grows with the fleet.
+//! All instances of a fleet call the same discovery service. It processes calls one after the other, including those whose
+//! callers have timed out, so if all instances call at once, none is answered in time. The calls are therefore spread: each
+//! instance calls once in a poll interval that grows with the fleet.
 //!
-//! The list has to be fresh at the same time. A change counts as told 6 s after discovery had it and could be reached, whatever
-//! became of calls, and once the grace is over nothing may go to a server that drains. So however often calls fail, the next one
-//! begins [`SafetyRules::poll_again_within`] behind the beginning of the one before at the latest: 8 s at a grace of 3 s. At N calls in 8 s a
-//! discovery that needs up to 8 s / N for a call catches up by itself.
+//! The list must be fresh as well. Instances are assumed to know a change 6 s after discovery had it and was reachable, whatever
+//! became of their calls, and after the drain grace no request may go to a draining server. So however often calls fail, the next
+//! one starts at most [`SafetyRules::poll_again_within`] after the start of the one before: 8 s with a grace of 3 s. With N calls
+//! in 8 s, a discovery that needs up to 8 s / N for each call catches up by itself.
 //!
-//! Where what was seen of discovery ([`Verdict`]) tells that it is slower than that, calls come less often, since nothing else
-//! lets it answer anybody. What costs it its time is a call that is made, and not one that waits: while a call waits in a
-//! queue, no other one is made.
+//! If the evidence ([`Diagnosis`]) shows that discovery is slower than that, calls become less frequent, since it could answer
+//! no one otherwise. Discovery spends its time on new calls, not on waiting ones. So while a call waits in its queue, no other
+//! one is started.
 
-use crate::discovery_evidence::{CallFailure, Evidence, Verdict};
+use crate::discovery_evidence::{CallFailure, Diagnosis, Evidence};
 use crate::interface::{Micros, SafetyRules};
 use oorandom::Rand64;
 
-/// The span in which an instance calls once: this for each instance of the fleet, which is what a call may take discovery...
-const SPAN_PER_INSTANCE: Micros = 80_000;
-/// ...and this for a small fleet.
-const MIN_SPAN: Micros = 500_000;
-/// Behind refusals the span doubles up to this for each instance...
-const MAX_SPAN_PER_INSTANCE: Micros = 320_000;
-/// ...and up to this in a small fleet.
-const MAX_SPAN_OF_SMALL_FLEET: Micros = 4_000_000;
-/// A call is due within this part of the time that the rules allow without one...
-const ALLOWED_PART: f64 = 0.9;
-/// ...and of four times that time, which they allow behind a call that failed.
-const ALLOWED_PART_BEHIND_REFUSALS: f64 = 3.6;
-/// An instance that keeps its time in a span calls so much earlier each time at most.
+/// Poll interval per instance of the fleet: the time that discovery may need for a call.
+const POLL_INTERVAL_PER_INSTANCE: Micros = 80_000;
+/// Poll interval of a small fleet.
+const MIN_POLL_INTERVAL: Micros = 500_000;
+/// The longest poll interval per instance; the interval doubles up to it after rejections.
+const MAX_POLL_INTERVAL_PER_INSTANCE: Micros = 320_000;
+/// The longest poll interval of a small fleet.
+const MAX_POLL_INTERVAL_OF_SMALL_FLEET: Micros = 4_000_000;
+/// A call is due within this fraction of [`SafetyRules::max_poll_interval`].
+const POLL_INTERVAL_SHARE: f64 = 0.9;
+/// The same after a failed call, for which the rules allow four times that interval.
+const POLL_INTERVAL_SHARE_AFTER_FAILURE: f64 = 3.6;
+/// An instance that keeps its phase in the poll interval calls earlier by a random time below this.
 const PHASE_JITTER: Micros = 100_000;
-/// Of a span, between the times of two instances that follow each other.
+/// The fraction of a poll interval between the calls of instances with consecutive ordinals.
 const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
-/// Who waited in vain for less than this stood in a queue that one call of each instance had made.
-const SHORT_QUEUE: Micros = 4_400_000;
-/// Such a queue has been worked off up to what discovery answers behind this part of the bound and of the wait.
-const SHORT_QUEUE_PART: f64 = 0.42;
+/// A call that failed after a shorter wait was in a queue of one call per instance.
+const SHORT_QUEUE_WAIT: Micros = 4_400_000;
+/// After this fraction of the sum of the freshness bound and the wait, discovery has processed such a queue except for calls
+/// that it still answers in time.
+const SHORT_QUEUE_DELAY_FACTOR: f64 = 0.42;
 
 /// A call, or a watch, that has failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct FailedCall {
-    /// What discovery had then is known, or discovery could not be reached for it. The beginning of a call tells which of
-    /// them it is.
+    /// The list of this time is known, or discovery could not be reached for it. If a call has failed, this is the time of its
+    /// start, which identifies it.
     pub(crate) list_known_at: Micros,
     pub(crate) reason: CallFailure,
 }
 
-/// When one instance calls discovery.
+/// The poll schedule of one instance.
 #[derive(Clone, Debug)]
 pub(crate) struct DiscoveryPoll {
-    /// The place of this instance in its fleet, from 0 to 1, where it has one.
-    place: Option<f64>,
+    /// The position of this instance in each poll interval, from 0 to 1, if its ordinal is known.
+    interval_position: Option<f64>,
     timer: CallTimer,
     evidence: Evidence,
-    /// A call has begun in the life of this process.
+    /// This process has started a call.
     has_called: bool,
-    /// A list came since the last call began.
+    /// A list update was received since the last call started.
     answered: bool,
-    /// The last call has had no answer for long, and waits.
-    is_silent: bool,
-    /// The length of the span in which it called last, or will.
-    span: Micros,
-    /// The end of that span.
-    span_ends: Micros,
-    /// When it called last.
-    last_call: Micros,
-    /// That time was drawn from half of the span at least, so that those of a fleet are spread.
+    /// The last call has been open for longer than expected without an answer.
+    is_unanswered: bool,
+    /// The poll interval of the last call, or of the scheduled one.
+    interval: Micros,
+    /// The end of that interval.
+    interval_end: Micros,
+    /// When the last call started.
+    last_call_at: Micros,
+    /// That time was chosen from at least half of the interval, so that the calls of a fleet are spread.
     has_phase: bool,
-    /// The part of the time for first calls behind which its own came.
+    /// The position of the first call within the time window for first calls, from 0 to 1.
     first_phase: Option<f64>,
 }
 
-/// The timer of the next call. One that was set can't be withdrawn.
+/// The timer of the next call. A timer that was set cannot be cancelled.
 #[derive(Clone, Debug, Default)]
 struct CallTimer {
-    /// Timers that have not fired.
+    /// The number of timers that have not fired.
     outstanding: u32,
     /// When the next call is due.
     due: Option<Micros>,
@@ -86,8 +88,8 @@
         self.due = Some(at);
     }
 
-    /// Whether a timer that fires now is that of the call that is due.
-    fn fires(&mut self, now: Micros) -> bool {
+    /// Handles a timer that fires now. Returns whether it is that of the due call, and not a stale one.
+    fn on_fired(&mut self, now: Micros) -> bool {
         let outstanding = self.outstanding;
         self.outstanding = outstanding.saturating_sub(1);
         let is_stale = match self.due {
@@ -101,34 +103,36 @@
     }
 }
 
-/// What spans a fleet of this size has by its rules.
+/// The poll intervals and bounds for a fleet of some size.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Spans {
-    usual: Micros,
-    /// To what spans grow behind refusals.
+struct PollIntervals {
+    normal: Micros,
+    /// The longest interval after rejections.
     longest: Micros,
-    /// From the beginning of one call to that of the next at most.
+    /// The freshness bound: the longest time from the start of one call to that of the next.
     bound: Micros,
-    /// The same where discovery has too many callers.
-    bound_of_overrun: Micros,
-    /// Over which a fleet comes back to a discovery that has died of it, at most.
-    longest_behind_death: Micros,
+    /// The same if discovery is overloaded.
+    overload_bound: Micros,
+    /// The longest time over which a fleet's calls are spread after discovery has crashed under their load.
+    longest_after_crash: Micros,
 }
 
-impl Spans {
+impl PollIntervals {
     fn new(rules: &SafetyRules, group_size: u32) -> Self {
         let instances = Micros::from(group_size);
-        let part = |part: f64| (part * rules.max_poll_interval as f64).max(1.0) as Micros;
+        let share = |share: f64| (share * rules.max_poll_interval as f64).max(1.0) as Micros;
         let bound = rules.poll_again_within();
-        let usual = MIN_SPAN.max(SPAN_PER_INSTANCE * instances);
-        let longest = MAX_SPAN_OF_SMALL_FLEET.max(MAX_SPAN_PER_INSTANCE * instances);
-        let bound_of_overrun = part(ALLOWED_PART_BEHIND_REFUSALS);
-        Spans {
-            usual: usual.min(part(ALLOWED_PART)).min(bound),
-            longest: longest.min(bound_of_overrun),
+        let normal = MIN_POLL_INTERVAL.max(POLL_INTERVAL_PER_INSTANCE * instances);
+        let longest =
+            MAX_POLL_INTERVAL_OF_SMALL_FLEET.max(MAX_POLL_INTERVAL_PER_INSTANCE * instances);
+        let overload_bound = share(POLL_INTERVAL_SHARE_AFTER_FAILURE);
+        PollIntervals {
+            normal: normal.min(share(POLL_INTERVAL_SHARE)).min(bound),
+            longest: longest.min(overload_bound),
             bound,
-            bound_of_overrun: bound_of_overrun.max(bound),
-            longest_behind_death: (MAX_SPAN_PER_INSTANCE * instances).min(2 * bound_of_overrun),
+            overload_bound: overload_bound.max(bound),
+            longest_after_crash: (MAX_POLL_INTERVAL_PER_INSTANCE * instances)
+                .min(2 * overload_bound),
         }
     }
 }
@@ -136,61 +140,63 @@
 impl DiscoveryPoll {
     pub(crate) fn new() -> Self {
         DiscoveryPoll {
-            place: None,
+            interval_position: None,
             timer: CallTimer::default(),
             evidence: Evidence::default(),
             has_called: false,
             answered: true,
-            is_silent: false,
-            span: 0,
-            span_ends: 0,
-            last_call: 0,
+            is_unanswered: false,
+            interval: 0,
+            interval_end: 0,
+            last_call_at: 0,
             has_phase: false,
             first_phase: None,
         }
     }
 
-    /// The instances of the fleet are numbered from 0, and this is the number of this one. Multiples of the golden ratio divide
-    /// a span evenly, however many of them there are.
+    /// Sets the ordinal of this instance. The instances of a fleet are numbered from 0. Multiples of the golden ratio divide an
+    /// interval evenly for any number of instances.
     pub(crate) fn set_ordinal(&mut self, ordinal: u32) {
-        self.place = Some((f64::from(ordinal) * GOLDEN_RATIO).fract());
+        self.interval_position = Some((f64::from(ordinal) * GOLDEN_RATIO).fract());
     }
 
-    /// A time at the place of this instance, or anywhere where it has none.
+    /// A time at the position of this instance, or a random one if it has none.
     fn time_between(&self, from: Micros, until: Micros, random: &mut Rand64) -> Micros {
-        match self.place {
-            Some(place) => from + (place * (until - from) as f64) as Micros,
+        match self.interval_position {
+            Some(position) => from + (position * (until - from) as f64) as Micros,
             None => random.rand_range(from..until),
         }
     }
 
-    /// The timer of a call fires. False where that call was put off, or is not wanted any more.
+    /// Handles a timer of a call. Returns whether to call discovery now: not if that call was rescheduled or is no longer
+    /// needed.
     pub(crate) fn on_timer(&mut self, now: Micros) -> bool {
-        if !self.timer.fires(now) {
+        if !self.timer.on_fired(now) {
             return false;
         }
-        self.last_call = now;
+        self.last_call_at = now;
         self.has_called = true;
         self.answered = false;
-        self.is_silent = false;
+        self.is_unanswered = false;
         true
     }
 
-    /// A list has come.
+    /// Handles a list update.
     pub(crate) fn on_list_update(&mut self) {
         self.answered = true;
-        self.is_silent = false;
+        self.is_unanswered = false;
         self.evidence.on_list_update();
     }
 
-    /// A call was answered and its watch is open: a call that is due is not wanted any more.
+    /// Handles a call that was answered and has opened a watch: a scheduled call is no longer needed.
     pub(crate) fn on_watch_opened(&mut self, now: Micros) {
         self.on_list_update();
         self.evidence.on_watch_opened(now);
         self.timer.due = None;
     }
 
-    /// When the next call begins. None where that stands already, or another call still waits.
+    /// Schedules the next call after a failed one and returns its time. None if it is already scheduled, or if another call is
+    /// still waiting.
     pub(crate) fn schedule_after_failure(
         &mut self,
         now: Micros,
@@ -198,196 +204,219 @@
         (rules, group_size): (&SafetyRules, u32),
         random: &mut Rand64,
     ) -> Option<Micros> {
-        let spans = Spans::new(rules, group_size);
+        let intervals = PollIntervals::new(rules, group_size);
         if self.answered {
             self.evidence.watch_lost(now);
         } else {
             self.evidence.call_failed(now, failed.reason);
         }
-        if self.stands(now, failed, spans) {
+        if self.keeps_schedule(now, failed, intervals) {
             return None;
         }
-        self.is_silent = failed.reason == CallFailure::Unanswered;
-        let due = match self.evidence.verdict(now) {
-            verdict if self.is_silent => {
-                self.behind_silence(now, failed, verdict, (rules, spans), random)
+        self.is_unanswered = failed.reason == CallFailure::Unanswered;
+        let due = match self.evidence.diagnosis(now) {
+            diagnosis if self.is_unanswered => {
+                self.after_unanswered(now, failed, diagnosis, (rules, intervals), random)
             }
-            Verdict::Unknown => self.in_time(now, failed, (rules, spans), random),
-            Verdict::Back { waited } => behind_queue(now, waited, 1, spans),
-            Verdict::Queue { waited, refusals } => behind_queue(now, waited, refusals, spans),
-            Verdict::Overrun => self.less_often(now, failed, (rules, spans), random),
-            Verdict::Dies => self.behind_death(now, spans, random),
-            Verdict::Unspecified => self.in_longer_spans(now, spans, random),
+            Diagnosis::Inconclusive => self.in_time(now, failed, (rules, intervals), random),
+            Diagnosis::RecoveredWithQueue { waited } => {
+                after_queued_failure(now, waited, 1, intervals)
+            }
+            Diagnosis::RejectsQueuedCalls { waited, rejections } => {
+                after_queued_failure(now, waited, rejections, intervals)
+            }
+            Diagnosis::Overloaded => self.with_backoff(now, failed, (rules, intervals), random),
+            Diagnosis::CrashesUnderLoad => self.after_crash(now, intervals, random),
+            Diagnosis::Unspecified => self.in_growing_interval(now, intervals, random),
         };
         self.timer.set(due);
         Some(due)
     }
 
-    /// Whether the call that is due, or still waits, stays as it is.
-    fn stands(&self, now: Micros, failed: FailedCall, spans: Spans) -> bool {
+    /// Whether the call that is scheduled, or still waiting, stays as it is.
+    fn keeps_schedule(&self, now: Micros, failed: FailedCall, intervals: PollIntervals) -> bool {
         let is_older_call =
-            failed.reason != CallFailure::Unanswered && failed.list_known_at < self.last_call;
+            failed.reason != CallFailure::Unanswered && failed.list_known_at < self.last_call_at;
         let Some(due) = self.timer.due else {
             return is_older_call && !self.answered;
         };
         if !is_older_call {
-            // What became of the call that was silent is known now.
-            return !self.is_silent;
+            // The result of the call that was unanswered is known now.
+            return !self.is_unanswered;
         }
-        // The call that is due would only make the queue longer.
-        match self.evidence.verdict(now) {
-            Verdict::Queue { waited, refusals } => {
-                behind_queue(now, waited, refusals, spans) <= due
+        // The scheduled call would only make the queue longer.
+        match self.evidence.diagnosis(now) {
+            Diagnosis::RejectsQueuedCalls { waited, rejections } => {
+                after_queued_failure(now, waited, rejections, intervals) <= due
             }
             _ => true,
         }
     }
 
-    /// Another call while one waits. One that discovery does not know of any more is made up for in time; where discovery was
-    /// reached lately the call waits in a queue.
-    fn behind_silence(
+    /// The time of another call while one waits unanswered. If discovery may have lost that call, the other one comes in time; if
+    /// discovery was reached recently, that call waits in its queue.
+    fn after_unanswered(
         &mut self,
         now: Micros,
         failed: FailedCall,
-        verdict: Verdict,
-        (rules, spans): (&SafetyRules, Spans),
+        diagnosis: Diagnosis,
+        (rules, intervals): (&SafetyRules, PollIntervals),
         random: &mut Rand64,
     ) -> Micros {
         if !self.evidence.was_reached() {
-            return self.in_time(now, failed, (rules, spans), random);
+            return self.in_time(now, failed, (rules, intervals), random);
         }
-        match verdict {
-            Verdict::Unknown => failed.list_known_at + 2 * spans.bound,
-            _ => now + spans.bound_of_overrun,
+        match diagnosis {
+            Diagnosis::Inconclusive => failed.list_known_at + 2 * intervals.bound,
+            _ => now + intervals.overload_bound,
         }
     }
 
-    /// In the next span, and in time for what counts as told.
+    /// A time in the next poll interval and within the freshness bound.
     fn in_time(
         &mut self,
         now: Micros,
         failed: FailedCall,
-        (rules, spans): (&SafetyRules, Spans),
+        (rules, intervals): (&SafetyRules, PollIntervals),
         random: &mut Rand64,
     ) -> Micros {
-        let former_span = self.span;
-        let grown = (2 * former_span).min(spans.longest).min(spans.bound);
-        let was_refused = matches!(
+        let former_interval = self.interval;
+        let doubled = (2 * former_interval)
+            .min(intervals.longest)
+            .min(intervals.bound);
+        let was_rejected = matches!(
             failed.reason,
             CallFailure::Rejected { .. } | CallFailure::ConnectionBroken { .. }
         );
-        self.span = if was_refused && !self.answered && former_span > 0 {
-            grown
+        self.interval = if was_rejected && !self.answered && former_interval > 0 {
+            doubled
         } else {
-            spans.usual
+            intervals.normal
         };
-        self.has_phase &= self.span == former_span;
-        let allowed = (ALLOWED_PART * rules.max_poll_interval as f64).max(1.0) as Micros;
+        self.has_phase &= self.interval == former_interval;
+        let allowed = (POLL_INTERVAL_SHARE * rules.max_poll_interval as f64).max(1.0) as Micros;
         let latest = now
             .saturating_add(allowed)
-            .min(failed.list_known_at.saturating_add(spans.bound))
-            .max(now.saturating_add(MIN_SPAN));
+            .min(failed.list_known_at.saturating_add(intervals.bound))
+            .max(now.saturating_add(MIN_POLL_INTERVAL));
         if !self.has_called {
-            return self.draw_first(now, latest, random);
+            return self.first_call_time(now, latest, random);
         }
-        self.second(now, latest)
-            .unwrap_or_else(|| self.draw(now, latest, random))
+        self.second_call_time(now, latest)
+            .unwrap_or_else(|| self.later_call_time(now, latest, random))
     }
 
-    /// In spans that grow, and not in time.
-    fn less_often(
+    /// A time in a poll interval that grows at each failure, beyond the freshness bound.
+    fn with_backoff(
         &mut self,
         now: Micros,
         failed: FailedCall,
-        (rules, spans): (&SafetyRules, Spans),
+        (rules, intervals): (&SafetyRules, PollIntervals),
         random: &mut Rand64,
     ) -> Micros {
-        let longest = if self.evidence.was_out_of_order() {
-            spans.bound_of_overrun
+        let longest = if self.evidence.was_down() {
+            intervals.overload_bound
         } else {
-            spans.longest
+            intervals.longest
         };
-        if longest <= spans.bound {
-            return self.in_time(now, failed, (rules, spans), random);
+        if longest <= intervals.bound {
+            return self.in_time(now, failed, (rules, intervals), random);
         }
-        let former_span = self.span.max(spans.bound);
-        self.span = (2 * former_span).min(longest);
+        let former_interval = self.interval.max(intervals.bound);
+        self.interval = (2 * former_interval).min(longest);
         self.has_phase = false;
-        let earliest = former_span.min(self.span - PHASE_JITTER);
-        self.time_between(now + earliest, now + self.span, random)
+        let earliest = former_interval.min(self.interval - PHASE_JITTER);
+        self.time_between(now + earliest, now + self.interval, random)
     }
 
-    /// All instances lost their watches or their calls in this moment, and come back spread over a long span.
-    fn behind_death(&mut self, now: Micros, spans: Spans, random: &mut Rand64) -> Micros {
-        let shortest = 2 * spans.bound;
-        self.span = (2 * self.span).clamp(shortest, spans.longest_behind_death.max(shortest));
-        self.span_ends = now + self.span;
+    /// A time in a long interval: all instances have lost their watches or their calls at the same moment.
+    fn after_crash(
+        &mut self,
+        now: Micros,
+        intervals: PollIntervals,
+        random: &mut Rand64,
+    ) -> Micros {
+        let shortest = 2 * intervals.bound;
+        self.interval =
+            (2 * self.interval).clamp(shortest, intervals.longest_after_crash.max(shortest));
+        self.interval_end = now + self.interval;
         self.has_phase = false;
-        self.time_between(now, self.span_ends, random)
+        self.time_between(now, self.interval_end, random)
     }
 
-    /// In the next span, however late that is, and in longer ones each time.
-    fn in_longer_spans(&mut self, now: Micros, spans: Spans, random: &mut Rand64) -> Micros {
-        self.span = match self.span {
-            0 => spans.usual,
-            former_span => (2 * former_span).min(spans.longest),
+    /// A time in the next poll interval, which doubles each time and has no freshness bound.
+    fn in_growing_interval(
+        &mut self,
+        now: Micros,
+        intervals: PollIntervals,
+        random: &mut Rand64,
+    ) -> Micros {
+        self.interval = match self.interval {
+            0 => intervals.normal,
+            former_interval => (2 * former_interval).min(intervals.longest),
         };
-        let from = self.span_ends.max(now);
-        self.span_ends = from + self.span;
+        let from = self.interval_end.max(now);
+        self.interval_end = from + self.interval;
         self.has_phase = false;
-        self.time_between(from, self.span_ends, random)
+        self.time_between(from, self.interval_end, random)
     }
 
-    /// The first call of a process comes soon behind its start, where all of a fleet may have started together.
-    fn draw_first(&mut self, now: Micros, latest: Micros, random: &mut Rand64) -> Micros {
-        self.span_ends = latest.min(now + self.span);
-        let due = self.time_between(now, self.span_ends, random);
-        let window = self.span_ends - now;
-        if window < self.span {
+    /// The first call of a process comes soon after its start. The whole fleet may have started at the same time.
+    fn first_call_time(&mut self, now: Micros, latest: Micros, random: &mut Rand64) -> Micros {
+        self.interval_end = latest.min(now + self.interval);
+        let due = self.time_between(now, self.interval_end, random);
+        let window = self.interval_end - now;
+        if window < self.interval {
             self.first_phase = Some((due - now) as f64 / window as f64);
         }
         due
     }
 
-    /// First calls come within less than a span. The second call of a process keeps the place of the first among those of its
-    /// fleet, so that they are spread over a whole span from then on.
-    fn second(&mut self, now: Micros, latest: Micros) -> Option<Micros> {
+    /// The first calls of a fleet may come within less than a poll interval. The second call of a process keeps the position of
+    /// its first one, so that the calls are spread over the whole interval from then on.
+    fn second_call_time(&mut self, now: Micros, latest: Micros) -> Option<Micros> {
         let phase = self.first_phase.take().filter(|_| !self.answered)?;
-        let due = self.span_ends + (phase * self.span as f64) as Micros;
+        let due = self.interval_end + (phase * self.interval as f64) as Micros;
         if due <= now || due > latest {
             return None;
         }
-        self.span_ends += self.span;
+        self.interval_end += self.interval;
         self.has_phase = true;
         Some(due)
     }
 
-    /// A time in the next span, and by `latest`. Where the next span is not over by then, the instance keeps the time that it had in
-    /// the last one: drawn anew in what is left of each, calls would come more often than once in a span, and together.
-    fn draw(&mut self, now: Micros, latest: Micros, random: &mut Rand64) -> Micros {
-        let half = self.span / 2;
-        let next_span = self.span_ends.max(now);
-        let same_time = self.last_call.saturating_add(self.span).min(latest);
-        if self.has_phase && next_span + self.span > latest && same_time > now {
-            self.span_ends = same_time;
-            let earliest = same_time.saturating_sub(PHASE_JITTER).max(now);
-            return random.rand_range(earliest..same_time);
+    /// A time in the next poll interval, and not after `latest`. If that interval ends after `latest`, the instance keeps its
+    /// phase of the last one: with a new random time in the rest of each interval, calls would come more often than once in an
+    /// interval, and together.
+    fn later_call_time(&mut self, now: Micros, latest: Micros, random: &mut Rand64) -> Micros {
+        let half = self.interval / 2;
+        let next_interval = self.interval_end.max(now);
+        let same_phase = self.last_call_at.saturating_add(self.interval).min(latest);
+        if self.has_phase && next_interval + self.interval > latest && same_phase > now {
+            self.interval_end = same_phase;
+            let earliest = same_phase.saturating_sub(PHASE_JITTER).max(now);
+            return random.rand_range(earliest..same_phase);
         }
-        self.span_ends = next_span + self.span;
-        let from = next_span.min(latest.saturating_sub(half).max(now));
-        let until = latest.min(self.span_ends).max(from + 1);
+        self.interval_end = next_interval + self.interval;
+        let from = next_interval.min(latest.saturating_sub(half).max(now));
+        let until = latest.min(self.interval_end).max(from + 1);
         self.has_phase = until - from >= half;
         self.time_between(from, until, random)
     }
 }
 
-/// Behind a call that waited in vain in a queue. Discovery spaces its refusals as far apart as its answers, so that those who
-/// come back the same time behind theirs find no longer queue, and a shorter one for each second that this is longer for those
-/// further behind. What was hardly too long has been worked off soon.
-fn behind_queue(now: Micros, waited: Micros, refusals: u32, spans: Spans) -> Micros {
-    if refusals == 1 && waited < SHORT_QUEUE {
-        return now + ((spans.bound + waited) as f64 * SHORT_QUEUE_PART) as Micros;
+/// The time of the next call after a queued one that failed. Discovery rejects calls at the same rate at which it answers them.
+/// So callers that return after equal delays find a queue that is no longer than before. Each second by which the delay grows for
+/// callers further back makes it shorter. A queue that was only slightly too long is soon processed.
+fn after_queued_failure(
+    now: Micros,
+    waited: Micros,
+    rejections: u32,
+    intervals: PollIntervals,
+) -> Micros {
+    if rejections == 1 && waited < SHORT_QUEUE_WAIT {
+        return now + ((intervals.bound + waited) as f64 * SHORT_QUEUE_DELAY_FACTOR) as Micros;
     }
-    let doublings = refusals.saturating_sub(1).min(2);
-    now + ((spans.bound << doublings) + waited).min(spans.bound_of_overrun)
+    let doublings = rejections.saturating_sub(1).min(2);
+    now + ((intervals.bound << doublings) + waited).min(intervals.overload_bound)
 }
