--- a/crates/sidecar/src/discovery_watch.rs
+++ b/crates/sidecar/src/discovery_watch.rs
@@ -1,4 +1,4 @@
-//! Calls to discovery and the watch on changes of the endpoint list: opening it, reading it, and giving it up.
+//! Calls to discovery, and the watch for endpoint list updates that an answered call becomes.
 
 use super::discovery_calls::CallId;
 use super::list_reader::ListReader;
@@ -21,25 +21,23 @@
 use tokio::time::error::Elapsed;
 use tokio::time::timeout;
 
-/// A watch that says nothing for this long, no heartbeat either, is stalled: it is given up and opened anew. Discovery beats
-/// every 2 s; what it has to tell counts as told after 6 s whether it came or not.
-const STALLED: Duration = Duration::from_secs(3);
-/// A call is given up when its connection has not come up after this.
-const CONNECTS: Duration = Duration::from_secs(1);
-/// A call whose answer has not begun after this is silent: another one has to be made in time. It goes on waiting, since
-/// discovery may only have many callers, and would work off the other one behind it.
-const ANSWERS: Duration = Duration::from_millis(4_500);
-/// A silent call is given up after this.
-const LONGEST_WAIT: Duration = Duration::from_secs(60);
-/// In microseconds.
-const MILLISECOND: Micros = 1_000;
+/// A watch that sends nothing for this long, not even a heartbeat, is closed and opened again. Discovery sends heartbeats every
+/// 2 s; an instance is assumed to know a change after 6 s, whether or not the update has arrived.
+const WATCH_STALL_TIMEOUT: Duration = Duration::from_secs(3);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// If the response to a call has not started after this time, the call counts as unanswered and another one has to be made in
+/// time. The first one stays open: discovery may just be overloaded, and would process the second call after the first.
+const UNANSWERED_AFTER: Duration = Duration::from_millis(4_500);
+/// An unanswered call is abandoned after this further time.
+const UNANSWERED_CALL_TIMEOUT: Duration = Duration::from_secs(60);
+const MICROS_PER_MILLISECOND: Micros = 1_000;
 
-/// Follows another discovery from now on. The list is kept until that one speaks; its versions have nothing to
-/// do with those of the former, so it is asked from the beginning.
+/// Switches to another discovery service. The current list stays in use until that service sends one. Its list versions are
+/// unrelated to those of the former service, so the complete list is requested.
 pub(super) fn switch_discovery(service: &Rc<Service>, discovery: SocketAddr) {
     let former = service.pool.set_discovery(discovery);
-    let of = &service.log_prefix;
-    tracing::info!(%discovery, "{of}configuration read again: discovery is at {discovery}");
+    let log_prefix = &service.log_prefix;
+    tracing::info!(%discovery, "{log_prefix}configuration read again: discovery is at {discovery}");
     if former != Some(discovery) {
         service.pool.calls.abort_all();
         service.pool.reset_list_version();
@@ -48,7 +46,7 @@
     }
 }
 
-/// Opens the watch, in place of one that is open, as the module says. One that the fleet called for meanwhile stays.
+/// Opens the watch at the request of the balancer, replacing an open one. Keeps a watch that was opened for the fleet meanwhile.
 pub(super) fn poll_discovery(service: &Rc<Service>) {
     if !(service.pool.is_calling_discovery() && service.process.shared_lists.shares(&service.name))
     {
@@ -56,225 +54,226 @@
     }
 }
 
-/// Calls discovery now, for all of the fleet, where this instance does not watch it already.
+/// Calls discovery immediately on behalf of the fleet, unless this instance watches it already.
 pub(super) fn call_for_fleet(service: &Rc<Service>) {
     if !service.pool.is_calling_discovery() && !service.is_draining() {
         open_watch(service, false);
     }
 }
 
-/// Ends the watch, since enough others of the fleet watch: discovery is called again when what they tell is too old.
+/// Closes the watch because enough other instances of the fleet watch discovery. It is called again when the lists that they
+/// share become too old.
 pub(super) fn stop_watching(service: &Rc<Service>) {
     if service.pool.is_calling_discovery() && !service.is_draining() {
         open_watch(service, true);
     }
 }
 
-fn open_watch(service: &Rc<Service>, waits: bool) {
-    // A fixed list has nothing to follow, and all that it holds is known.
+fn open_watch(service: &Rc<Service>, is_delayed: bool) {
+    // A static list needs no watch.
     let Some(discovery) = service.pool.discovery() else {
         return;
     };
     let id = service.pool.calls.next_id();
-    let own = Rc::clone(service);
+    let task_service = Rc::clone(service);
     let task = watchdog::spawn(TaskKind::DiscoveryWatch, async move {
-        if waits {
-            wait_until_call_due(&own).await;
+        if is_delayed {
+            wait_until_call_due(&task_service).await;
         }
-        own.pool.set_calling_discovery(true);
-        let mut call = Call::begin(id, own.process.clock.now());
-        let Err(problem) = follow(&own, discovery, &mut call).await;
-        call_ended(&own, discovery, &call, &problem);
+        task_service.pool.set_calling_discovery(true);
+        let mut call = Call::begin(id, task_service.process.clock.now());
+        let Err(error) = watch(&task_service, discovery, &mut call).await;
+        call_ended(&task_service, discovery, &call, &error);
     });
     service.pool.set_calling_discovery(false);
     service.process.shared_lists.watch_ended(&service.name);
     service.pool.calls.begin(id, task.abort_handle());
 }
 
-/// Whoever is told by its fleet spares discovery the call.
+/// Delays a call to discovery for as long as the fleet shares recent lists.
 async fn wait_until_call_due(service: &Service) {
-    let ask_within = service
+    let max_poll_interval = service
         .active_settings()
         .site
         .settings
         .rules
         .max_poll_interval;
-    // Without any server a request may be waiting for the list.
-    let first = if service.pool.has_servers() {
-        first_discovery_wait(service.process.clock.uptime(), ask_within)
+    // If no server is known, requests may be waiting for the list.
+    let first_wait = if service.pool.has_servers() {
+        first_discovery_wait(service.process.clock.uptime(), max_poll_interval)
     } else {
         0
     };
     service
         .process
         .shared_lists
-        .wait_until_call_due(&service.name, ask_within, first)
+        .wait_until_call_due(&service.name, max_poll_interval, first_wait)
         .await;
 }
 
-fn call_ended(service: &Rc<Service>, discovery: SocketAddr, call: &Call, problem: &str) {
+fn call_ended(service: &Rc<Service>, discovery: SocketAddr, call: &Call, error: &str) {
     service.pool.calls.ended(call.id);
     let now = service.process.clock.now();
-    log_failure(service, discovery, problem, call.began, now);
-    if !call.fell_silent {
-        not_called(service);
+    log_failure(service, discovery, error, call.started_at, now);
+    if !call.is_unanswered {
+        clear_calling(service);
     }
-    if call.state != CallState::GivenUp {
+    if call.state != CallState::Abandoned {
         let failed = DiscoveryUpdate::CallFailed {
-            list_known_at: call.since,
+            list_known_at: call.list_known_at,
             waited: call.waited(now),
-            connection_broken: call.state == CallState::Waiting,
+            connection_broken: call.state == CallState::AwaitingResponse,
         };
         service.handle(now, Event::DiscoveryUpdated(failed));
     }
 }
 
-/// The call goes on waiting, and the module is told that another one has to be made in time.
-fn call_fell_silent(service: &Rc<Service>, call: &mut Call) {
-    call.fell_silent = true;
+/// Marks a call as unanswered and notifies the balancer that another one has to be made in time. The call stays open.
+fn call_unanswered(service: &Rc<Service>, call: &mut Call) {
+    call.is_unanswered = true;
     service.pool.calls.mark_unanswered(call.id);
-    not_called(service);
+    clear_calling(service);
     let now = service.process.clock.now();
-    let of = &service.log_prefix;
-    let lasted_ms = now.saturating_sub(call.began) / MILLISECOND;
+    let log_prefix = &service.log_prefix;
+    let lasted_ms = now.saturating_sub(call.started_at) / MICROS_PER_MILLISECOND;
     tracing::info!(
         lasted_ms,
-        "{of}no answer of discovery after {lasted_ms} ms; the call goes on waiting"
+        "{log_prefix}no response from discovery after {lasted_ms} ms; keeping the call open"
     );
-    let since = call.began;
+    let call_started_at = call.started_at;
     service.handle(
         now,
-        Event::DiscoveryUpdated(DiscoveryUpdate::CallUnanswered {
-            call_started_at: since,
-        }),
+        Event::DiscoveryUpdated(DiscoveryUpdate::CallUnanswered { call_started_at }),
     );
 }
 
-/// The first list of a call makes it the watch, and ends all other calls.
+/// Handles the first list of a call: the call becomes the watch, and all other calls are aborted.
 fn watch_opened(service: &Rc<Service>, call: &Call, now: Micros) {
     service.pool.calls.answered(call.id);
     service.handle(now, Event::DiscoveryUpdated(DiscoveryUpdate::WatchOpened));
-    log_first_list(service, call.began, now);
+    log_first_list(service, call.started_at, now);
 }
 
-/// No call of this instance is held to be answered.
-fn not_called(service: &Service) {
+/// Records that this instance no longer counts as calling or watching discovery.
+fn clear_calling(service: &Service) {
     service.pool.set_calling_discovery(false);
     service.process.shared_lists.watch_ended(&service.name);
 }
 
-/// Says what ended a call or its watch, how long that lasted, and how old the list is that is still in use.
+/// Logs why a call or its watch ended, how long it lasted, and the age of the list in use.
 fn log_failure(
     service: &Service,
     discovery: SocketAddr,
-    problem: &str,
-    began: Micros,
+    error: &str,
+    started_at: Micros,
     now: Micros,
 ) {
-    let of = &service.log_prefix;
-    let lasted_ms = now.saturating_sub(began) / MILLISECOND;
-    let list_age_ms = service.pool.list_age(now).unwrap_or(0) / MILLISECOND;
+    let log_prefix = &service.log_prefix;
+    let lasted_ms = now.saturating_sub(started_at) / MICROS_PER_MILLISECOND;
+    let list_age_ms = service.pool.list_age(now).unwrap_or(0) / MICROS_PER_MILLISECOND;
     tracing::warn!(
         %discovery,
         lasted_ms,
         list_age_ms,
-        "{of}discovery at {discovery}: {problem}, after {lasted_ms} ms; list is {list_age_ms} ms old"
+        "{log_prefix}discovery at {discovery}: {error}, after {lasted_ms} ms; list is {list_age_ms} ms old"
     );
 }
 
-/// Says when discovery is called next.
+/// Logs when discovery is called next.
 pub(super) fn log_next_call(service: &Service, now: Micros, at: Micros) {
-    let of = &service.log_prefix;
-    let due_ms = at.saturating_sub(now) / MILLISECOND;
-    tracing::info!(due_ms, "{of}next call to discovery in {due_ms} ms");
+    let log_prefix = &service.log_prefix;
+    let due_ms = at.saturating_sub(now) / MICROS_PER_MILLISECOND;
+    tracing::info!(due_ms, "{log_prefix}next call to discovery in {due_ms} ms");
 }
 
-/// Says that the first list of a call has come.
-fn log_first_list(service: &Service, began: Micros, now: Micros) {
-    let of = &service.log_prefix;
+/// Logs the first list of a call.
+fn log_first_list(service: &Service, started_at: Micros, now: Micros) {
+    let log_prefix = &service.log_prefix;
     let version = service.pool.list_version();
     let servers = service.pool.server_count();
-    let lasted_ms = now.saturating_sub(began) / MILLISECOND;
+    let lasted_ms = now.saturating_sub(started_at) / MICROS_PER_MILLISECOND;
     tracing::info!(
         version,
         servers,
         lasted_ms,
-        "{of}discovery answered: list version {version}, {servers} servers, after {lasted_ms} ms"
+        "{log_prefix}discovery answered: list version {version}, {servers} servers, after {lasted_ms} ms"
     );
 }
 
-/// How far a call for the list has come.
+/// The progress of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CallState {
-    /// Discovery is not reached yet.
+    /// The connection is not established yet.
     Connecting,
-    /// It was reached and asked, and has not answered.
-    Waiting,
-    /// It has not answered for so long that nothing is expected any more.
-    GivenUp,
-    /// It has answered that it takes no call.
-    Refused,
-    /// It answers.
-    Answered,
+    /// The connection is established, and no response has started.
+    AwaitingResponse,
+    /// No response started before the last timeout.
+    Abandoned,
+    /// Discovery has answered with another status than 200.
+    Rejected,
+    /// The response has started; its body is the watch.
+    Streaming,
 }
 
-/// A call for the list.
+/// One call to discovery for the endpoint list.
 struct Call {
     id: CallId,
-    /// When it began.
-    began: Micros,
+    started_at: Micros,
     state: CallState,
-    /// Another call was wanted, since this one had no answer for long.
-    fell_silent: bool,
-    /// When discovery was reached and asked.
-    asked: Micros,
-    /// Whether it has brought a list.
+    /// No response started for so long that another call was requested.
+    is_unanswered: bool,
+    /// When the connection to discovery was established.
+    connected_at: Micros,
+    /// Whether the call has returned a list.
     has_list: bool,
-    /// What discovery had then is known: its beginning, and from its answer on the last word of the watch.
-    since: Micros,
+    /// The list of this time is known: the start of the call, and from its response on the last message of the watch.
+    list_known_at: Micros,
 }
 
 impl Call {
     fn begin(id: CallId, now: Micros) -> Self {
         Call {
             id,
-            began: now,
+            started_at: now,
             state: CallState::Connecting,
-            fell_silent: false,
-            asked: now,
+            is_unanswered: false,
+            connected_at: now,
             has_list: false,
-            since: now,
+            list_known_at: now,
         }
     }
 
-    /// How long discovery, once reached, let the call wait before it failed.
+    /// How long the call waited for a response, after the connection was established, until it failed.
     fn waited(&self, now: Micros) -> Micros {
         match self.state {
-            CallState::Waiting | CallState::Refused => now.saturating_sub(self.asked),
-            CallState::Connecting | CallState::GivenUp | CallState::Answered => 0,
+            CallState::AwaitingResponse | CallState::Rejected => {
+                now.saturating_sub(self.connected_at)
+            }
+            CallState::Connecting | CallState::Abandoned | CallState::Streaming => 0,
         }
     }
 }
 
-/// Follows the watch for as long as it holds.
-async fn follow(
+/// Calls discovery and reads the watch until it ends.
+async fn watch(
     service: &Rc<Service>,
     discovery: SocketAddr,
     call: &mut Call,
 ) -> Result<Infallible, String> {
     let pool = &service.pool;
-    let stream = timeout(CONNECTS, service.process.connect(discovery))
+    let stream = timeout(CONNECT_TIMEOUT, service.process.connect(discovery))
         .await
-        .map_err(no_word)?;
+        .map_err(timed_out)?;
     let stream = stream.map_err(|e| e.to_string())?;
-    call.asked = service.process.clock.now();
-    call.state = CallState::Waiting;
-    let made = http1::handshake(TokioIo::new(stream)).await;
-    let (mut sender, connection) = made.map_err(|e| e.to_string())?;
-    let _task = AbortOnDrop(watchdog::spawn(TaskKind::DiscoveryConnection, async move {
-        // How it ended shows in the body that is read from it.
-        let _ = connection.await;
-    }));
+    call.connected_at = service.process.clock.now();
+    call.state = CallState::AwaitingResponse;
+    let handshake = http1::handshake(TokioIo::new(stream)).await;
+    let (mut sender, connection) = handshake.map_err(|e| e.to_string())?;
+    let _connection_task =
+        AbortOnDrop(watchdog::spawn(TaskKind::DiscoveryConnection, async move {
+            // Errors are returned by the body that is read from the connection.
+            let _ = connection.await;
+        }));
     let request = Request::get(format!(
         "/v1/endpoints?watch=1&after={}",
         pool.list_version()
@@ -282,73 +281,75 @@
     .header(header::HOST, discovery.to_string())
     .body(Empty::<Bytes>::new())
     .map_err(|e| e.to_string())?;
-    let answer = wait_for_answer(service, sender.send_request(request), call).await?;
-    if answer.status() != StatusCode::OK {
-        call.state = CallState::Refused;
-        return Err(format!("answered {}", answer.status()));
+    let response = wait_for_response(service, sender.send_request(request), call).await?;
+    if response.status() != StatusCode::OK {
+        call.state = CallState::Rejected;
+        return Err(format!("answered {}", response.status()));
     }
-    call.state = CallState::Answered;
-    if std::mem::take(&mut call.fell_silent) {
+    call.state = CallState::Streaming;
+    if std::mem::take(&mut call.is_unanswered) {
         pool.set_calling_discovery(true);
     }
-    read_lines(service, answer.into_body(), call).await
+    read_updates(service, response.into_body(), call).await
 }
 
-/// The answer to a call, however long it takes within bounds.
-async fn wait_for_answer(
+/// Waits for the start of the response, at most until the last timeout.
+async fn wait_for_response(
     service: &Rc<Service>,
-    answer: impl Future<Output = hyper::Result<Response<Incoming>>>,
+    response: impl Future<Output = hyper::Result<Response<Incoming>>>,
     call: &mut Call,
 ) -> Result<Response<Incoming>, String> {
-    let mut answer = std::pin::pin!(answer);
-    let in_time = timeout(ANSWERS, &mut answer).await;
-    let answer = match in_time {
-        Ok(answer) => answer,
+    let mut response = std::pin::pin!(response);
+    let in_time = timeout(UNANSWERED_AFTER, &mut response).await;
+    let response = match in_time {
+        Ok(response) => response,
         Err(_) => {
-            call_fell_silent(service, call);
-            let late = timeout(LONGEST_WAIT, answer).await;
+            call_unanswered(service, call);
+            let late = timeout(UNANSWERED_CALL_TIMEOUT, response).await;
             late.map_err(|elapsed| {
-                call.state = CallState::GivenUp;
-                no_word(elapsed)
+                call.state = CallState::Abandoned;
+                timed_out(elapsed)
             })?
         }
     };
-    answer.map_err(|e| e.to_string())
+    response.map_err(|e| e.to_string())
 }
 
-fn no_word(_: Elapsed) -> String {
-    "no word for too long".to_string()
+fn timed_out(_: Elapsed) -> String {
+    "timed out".to_string()
 }
 
-async fn read_lines(
+async fn read_updates(
     service: &Rc<Service>,
     mut body: Incoming,
     call: &mut Call,
 ) -> Result<Infallible, String> {
     let mut reader = ListReader::default();
     loop {
-        let frame = timeout(STALLED, body.frame()).await.map_err(no_word)?;
+        let frame = timeout(WATCH_STALL_TIMEOUT, body.frame())
+            .await
+            .map_err(timed_out)?;
         let frame = frame
             .ok_or("the watch has ended")?
             .map_err(|e| e.to_string())?;
         let now = service.process.clock.now();
-        let was_within = reader.is_within_object();
+        let was_within_object = reader.is_within_object();
         reader.push(frame.data_ref().map_or(&[], |d| d.as_ref()));
         while let Some(object) = reader.next()? {
-            apply_line(service, now, &object)?;
+            handle_update(service, now, &object)?;
             if !std::mem::replace(&mut call.has_list, true) {
                 watch_opened(service, call, now);
             }
-            // Each costs as much as the list is long, and what was read at once may hold thousands.
+            // Each update costs time in proportion to the length of the list, and one frame may contain thousands of them.
             tokio::task::yield_now().await;
         }
-        // Until a list is whole nothing is known of what was to be told since it began.
-        if !was_within || !reader.is_within_object() {
+        // While an object is incomplete, the changes since it began are unknown.
+        if !was_within_object || !reader.is_within_object() {
             service.pool.set_list_known_at(now);
-            call.since = now;
+            call.list_known_at = now;
         }
         if !reader.is_within_object() {
-            // Where a list is on its way, something has changed.
+            // An incomplete list means that something has changed.
             service
                 .process
                 .shared_lists
@@ -357,29 +358,29 @@
     }
 }
 
-/// Takes in one object of a watch, and tells the fleet of it.
-fn apply_line(service: &Rc<Service>, now: Micros, object: &[u8]) -> Result<(), String> {
-    let listing: ListUpdate =
-        serde_json::from_slice(object).map_err(|e| format!("makes no sense: {e}"))?;
-    if listing.len() > MAX_LISTED_SERVERS {
-        return Err(format!("lists {} servers", listing.len()));
+/// Applies one update of the watch and shares the list with the fleet.
+fn handle_update(service: &Rc<Service>, now: Micros, object: &[u8]) -> Result<(), String> {
+    let update: ListUpdate =
+        serde_json::from_slice(object).map_err(|e| format!("invalid endpoint list: {e}"))?;
+    if update.len() > MAX_LISTED_SERVERS {
+        return Err(format!("lists {} servers", update.len()));
     }
-    let ask_within = service
+    let max_poll_interval = service
         .active_settings()
         .site
         .settings
         .rules
         .max_poll_interval;
     let shared = &service.process.shared_lists;
-    if listing.is_full_list()
-        && !shared.accepts_from_discovery(&service.name, listing.version(), ask_within)
+    if update.is_full_list()
+        && !shared.accepts_from_discovery(&service.name, update.version(), max_poll_interval)
     {
         return Err(format!(
             "lists version {}, which is older than the fleet's",
-            listing.version()
+            update.version()
         ));
     }
-    apply_update(service, now, listing);
+    apply_update(service, now, update);
     shared.discovery_updated(&service.name, service.pool.list_version(), || {
         service.pool.shared_text()
     });
