--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -1,4 +1,4 @@
-//! The pool: discovery's list of servers and its watch on changes, as news for the module.
+//! The servers of a pool: applies list updates from discovery, the fleet and the configuration, and passes them to the balancer.
 
 use super::discovery_calls::DiscoveryCalls;
 use super::service::Service;
@@ -14,16 +14,16 @@
 use std::ops::RangeInclusive;
 use std::rc::Rc;
 
-/// The most servers of one list.
+/// The most servers in one list.
 pub(super) const MAX_LISTED_SERVERS: usize = 4_096;
-/// Weights that can be compared. One beyond them counts as one that makes no sense: as the usual.
-const WEIGHTS: RangeInclusive<f64> = 1e-6..=1e6;
-/// Changes of one list that the log names.
+/// A listed weight outside this range is replaced by the default weight.
+const VALID_WEIGHTS: RangeInclusive<f64> = 1e-6..=1e6;
+/// The most changes of one update that the log names.
 const MAX_LOGGED_CHANGES: usize = 8;
-/// Clocks that differ by less are taken for the same: they are read one after the other.
-const PARTED: u64 = 100_000;
+/// Two clocks that differ by less, in microseconds, count as equal: they are read one after the other.
+const CLOCK_READ_TOLERANCE: u64 = 100_000;
 
-/// One answer of discovery, a line of its watch, or the list that a configuration holds.
+/// An endpoint list or a change of it: one update of a watch, or the list of a configuration.
 #[derive(Deserialize, Default)]
 pub(super) struct ListUpdate {
     index: u64,
@@ -32,16 +32,16 @@
 }
 
 impl ListUpdate {
-    /// Servers that the operator file names.
+    /// The static servers of the operator file.
     pub(super) fn from_static_servers(servers: &[Server]) -> Self {
-        let endpoint = |s: &Server| Endpoint {
-            name: s.name.as_str().into(),
-            address: s.address,
-            zone: s.zone.clone(),
-            kind: s.kind.clone(),
-            group: s.group,
+        let endpoint = |server: &Server| Endpoint {
+            name: server.name.as_str().into(),
+            address: server.address,
+            zone: server.zone.clone(),
+            kind: server.kind.clone(),
+            group: server.group,
             status: Status::InService,
-            weight: s.weight,
+            weight: server.weight,
             since_ms: 0,
         };
         ListUpdate {
@@ -51,8 +51,8 @@
         }
     }
 
-    /// Servers as an earlier process knew them. Their list is of no version, so discovery is asked for all of it.
-    fn remembered(servers: Vec<ServerSnapshot>) -> Self {
+    /// The servers in the snapshot of an earlier process. Version 0 makes the next call to discovery request the complete list.
+    fn from_snapshots(servers: Vec<ServerSnapshot>) -> Self {
         let endpoint = |server: ServerSnapshot| {
             let listed = server.listed?;
             Some(Endpoint {
@@ -65,7 +65,7 @@
                 weight: listed.weight,
                 since_ms: server
                     .incarnation_started_at
-                    .map_or(0, |started| started / 1_000),
+                    .map_or(0, |started_at| started_at / 1_000),
             })
         };
         let endpoints = servers
@@ -84,12 +84,12 @@
         self.endpoints.len()
     }
 
-    /// The version that discovery gives the list.
+    /// Discovery's version number of the list.
     pub(super) fn version(&self) -> u64 {
         self.index
     }
 
-    /// Whether servers that it does not name are gone.
+    /// Whether servers that the update does not name are gone.
     pub(super) fn is_full_list(&self) -> bool {
         self.snapshot
     }
@@ -112,9 +112,9 @@
     since_ms: u64,
 }
 
-/// A server in a list that is shared: short, since many such lists are on their way.
+/// A server of a list that is shared with the fleet. A tuple, because its JSON is short.
 #[derive(Serialize, Deserialize)]
-struct Row(Box<str>, SocketAddr, String, String, u32, Status, f64, u64);
+struct SharedServer(Box<str>, SocketAddr, String, String, u32, Status, f64, u64);
 
 #[derive(Serialize, Deserialize, Clone, Copy)]
 #[serde(rename_all = "snake_case")]
@@ -141,55 +141,64 @@
 struct Member {
     name: Box<str>,
     address: SocketAddr,
-    /// When discovery says it started.
+    /// The start of its current incarnation according to discovery.
     since_ms: u64,
-    /// As it was listed.
-    listed: ServerEntry,
-    /// Its zone and kind by name, where the settings hold one of these not: whom the list is shared with may.
-    foreign: Option<Box<(String, String)>>,
+    /// As listed, without overrides.
+    entry: ServerEntry,
+    /// The names of its zone and kind, if the settings lack one of them. The settings of other instances may have it.
+    unknown_names: Option<Box<(String, String)>>,
 }
 
-/// A time of discovery as the module's clock reads it, which was set by Unix time; 0 is long ago.
-fn unix(since_ms: u64) -> Option<Micros> {
+/// Converts a start time from discovery, in Unix time, to the balancer's clock. None for 0: the server started long ago.
+fn unix_ms_to_micros(since_ms: u64) -> Option<Micros> {
     Some(since_ms.saturating_mul(1_000)).filter(|at| *at > 0)
 }
 
-/// Its zone and kind by name, empty where the settings hold none of that place.
-fn places(names: &(Vec<String>, Vec<String>), listed: &ServerEntry) -> (String, String) {
-    let name = |names: &[String], at: u32| names.get(at as usize).cloned().unwrap_or_default();
-    (name(&names.0, listed.zone), name(&names.1, listed.kind))
+/// The names of a server's zone and kind; empty if the settings have no name at that index.
+fn zone_and_kind_names(
+    names: &(Vec<String>, Vec<String>),
+    entry: &ServerEntry,
+) -> (String, String) {
+    let name =
+        |names: &[String], index: u32| names.get(index as usize).cloned().unwrap_or_default();
+    (name(&names.0, entry.zone), name(&names.1, entry.kind))
 }
 
-/// When a server started, by the module's clock. That clock and the wall clock, by which discovery tells it, part where
-/// the wall clock is set or the machine was suspended: taken as it is, a start would lie ahead, and the server be cold for
-/// as long as that, or so far back that one just started would be held to be warm. What was told once of a start stays as
-/// it was taken then, or the server would look started anew.
-fn started(since_ms: u64, former: Option<&Member>, now: Micros, behind: i64) -> Option<Micros> {
-    let since = unix(since_ms)?;
+/// The start time of a server by the balancer's clock. Discovery gives it by the wall clock, which diverges from the balancer's
+/// clock when it is set or the machine was suspended. Without correction, a start could lie in the future, and slow start would
+/// last until then, or it could lie so far in the past that a server that has just started would count as warm. A start that is
+/// known already keeps its converted time: with another one the server would appear to have restarted.
+fn start_time(
+    since_ms: u64,
+    former: Option<&Member>,
+    now: Micros,
+    wall_clock_offset: i64,
+) -> Option<Micros> {
+    let listed_start = unix_ms_to_micros(since_ms)?;
     if let Some(known) = former.filter(|former| former.since_ms == since_ms) {
-        return known.listed.started_at;
+        return known.entry.started_at;
     }
-    let parted = behind.unsigned_abs() >= PARTED;
-    let since = if parted {
-        since.saturating_add_signed(behind.saturating_neg())
+    let diverged = wall_clock_offset.unsigned_abs() >= CLOCK_READ_TOLERANCE;
+    let listed_start = if diverged {
+        listed_start.saturating_add_signed(wall_clock_offset.saturating_neg())
     } else {
-        since
+        listed_start
     };
-    // A later life starts later, whatever became of the clocks meanwhile.
-    let after = former
+    // A later incarnation has a later start, whatever has happened to the clocks since.
+    let former_start = former
         .filter(|former| former.since_ms < since_ms)
-        .and_then(|former| former.listed.started_at);
+        .and_then(|former| former.entry.started_at);
     Some(
-        since
-            .max(after.map_or(1, |after| after.saturating_add(1)))
+        listed_start
+            .max(former_start.map_or(1, |start| start.saturating_add(1)))
             .min(now),
     )
 }
 
-/// What is set of servers beside their lists. Empty, it costs a look into an empty map for each server of a list.
+/// Weights and drains that were set for servers independently of their lists.
 #[derive(Default)]
 pub(super) struct ServerOverrides {
-    /// What the listed capacity is multiplied by, in thousandths.
+    /// Factors for the listed capacity, in thousandths.
     weights: HashMap<ServerId, u32, FixedState>,
     drained: HashSet<ServerId, FixedState>,
 }
@@ -206,41 +215,41 @@
         }
     }
 
-    /// A server as the module is to be told of it. One of no weight is drained: no capacity is too little to send by.
-    fn apply_to(&self, listed: ServerEntry) -> ServerEntry {
-        let weight = self.weights.get(&listed.server).copied().unwrap_or(1_000);
-        let drains = weight == 0 || self.drained.contains(&listed.server);
-        let state = if drains && listed.state == ServerState::Ready {
+    /// The entry for the balancer. A server of weight 0 drains, since the balancer sends requests at any capacity.
+    fn apply_to(&self, entry: ServerEntry) -> ServerEntry {
+        let weight = self.weights.get(&entry.server).copied().unwrap_or(1_000);
+        let drains = weight == 0 || self.drained.contains(&entry.server);
+        let state = if drains && entry.state == ServerState::Ready {
             ServerState::Draining
         } else {
-            listed.state
+            entry.state
         };
         let capacity = if weight == 0 {
-            listed.capacity
+            entry.capacity
         } else {
-            listed.capacity * f64::from(weight) / 1e3
+            entry.capacity * f64::from(weight) / 1e3
         };
         ServerEntry {
             state,
             capacity,
-            ..listed
+            ..entry
         }
     }
 }
 
-/// The servers as this sidecar knows them, and its watch.
+/// The servers of a pool, and its calls to discovery.
 pub(super) struct Pool {
-    /// None where the list is fixed.
+    /// None if the list is static.
     discovery: Cell<Option<SocketAddr>>,
-    /// What discovery calls zones and kinds, by their places in the settings.
-    names: RefCell<(Vec<String>, Vec<String>)>,
-    index: Cell<u64>,
+    /// The names of zones and kinds in the order of the settings.
+    zones_and_kinds: RefCell<(Vec<String>, Vec<String>)>,
+    version: Cell<u64>,
     members: RefCell<HashMap<ServerId, Member, FixedState>>,
     pub(super) calls: DiscoveryCalls,
-    /// Discovery has been called, and the call or its watch lasts.
-    called: Cell<bool>,
-    /// When discovery last said anything, or was to begin to.
-    heard: Cell<Micros>,
+    /// A call to discovery, or the watch that it became, is open.
+    is_calling: Cell<bool>,
+    /// The list of this time is known.
+    list_known_at: Cell<Micros>,
 }
 
 impl Pool {
@@ -250,37 +259,36 @@
         kinds: Vec<String>,
         now: Micros,
     ) -> Self {
-        let (index, members, calls, called) = Default::default();
-        let (discovery, heard) = (Cell::new(discovery), Cell::new(now));
+        let (version, members, calls, is_calling) = Default::default();
+        let (discovery, list_known_at) = (Cell::new(discovery), Cell::new(now));
         Pool {
             discovery,
-            names: RefCell::new((zones, kinds)),
-            index,
+            zones_and_kinds: RefCell::new((zones, kinds)),
+            version,
             members,
             calls,
-            called,
-            heard,
+            is_calling,
+            list_known_at,
         }
     }
 
-    /// Where a server is to be found.
     pub(super) fn address(&self, server: ServerId) -> Option<SocketAddr> {
         self.members.borrow().get(&server).map(|m| m.address)
     }
 
-    /// Whether new attempts may still begin at this server and this address of it. Asked once more when a connection has come
-    /// up: what was chosen before that may have begun to drain, left or moved meanwhile.
+    /// Whether new attempts may be sent to this server at this address. Checked again once a connection is established: the server
+    /// may have started to drain, left or changed its address meanwhile.
     pub(super) fn accepts_new_attempts(
         &self,
         server: ServerId,
         address: SocketAddr,
-        steering: &ServerOverrides,
+        overrides: &ServerOverrides,
     ) -> bool {
         let members = self.members.borrow();
-        let ready = |listed| steering.apply_to(listed).state == ServerState::Ready;
+        let is_ready = |entry| overrides.apply_to(entry).state == ServerState::Ready;
         members
             .get(&server)
-            .is_some_and(|m| m.address == address && ready(m.listed))
+            .is_some_and(|m| m.address == address && is_ready(m.entry))
     }
 
     pub(super) fn name(&self, server: ServerId) -> Box<str> {
@@ -290,7 +298,7 @@
             .map_or_else(|| server.to_string().into(), |m| m.name.clone())
     }
 
-    /// Whether its list comes from there.
+    /// Whether the list comes from this discovery service.
     pub(super) fn uses_discovery(&self, discovery: SocketAddr) -> bool {
         self.discovery.get() == Some(discovery)
     }
@@ -299,127 +307,130 @@
         self.discovery.get()
     }
 
-    /// How old the list may be; none where it is fixed.
+    /// The greatest possible age of the list; none if it is static.
     pub(super) fn list_age(&self, now: Micros) -> Option<Micros> {
         self.discovery
             .get()
-            .map(|_| now.saturating_sub(self.heard.get()))
+            .map(|_| now.saturating_sub(self.list_known_at.get()))
     }
 
     pub(super) fn list_version(&self) -> u64 {
-        self.index.get()
+        self.version.get()
     }
 
-    /// The next list is read whole, whatever its version.
+    /// Makes the next call to discovery request the complete list.
     pub(super) fn reset_list_version(&self) {
-        self.index.set(0);
+        self.version.set(0);
     }
 
-    /// Follows this discovery from now on; returns the former one.
+    /// Sets the discovery service and returns the former one.
     pub(super) fn set_discovery(&self, discovery: SocketAddr) -> Option<SocketAddr> {
         self.discovery.replace(Some(discovery))
     }
 
-    /// Whether a call to discovery, or the watch that it became, is under way.
+    /// Whether a call to discovery, or the watch that it became, is open.
     pub(super) fn is_calling_discovery(&self) -> bool {
-        self.called.get()
+        self.is_calling.get()
     }
 
-    pub(super) fn set_calling_discovery(&self, called: bool) {
-        self.called.set(called);
+    pub(super) fn set_calling_discovery(&self, is_calling: bool) {
+        self.is_calling.set(is_calling);
     }
 
-    /// All that discovery had at this time is known.
+    /// Records that the list of this time is known.
     pub(super) fn set_list_known_at(&self, now: Micros) {
-        self.heard.set(now);
+        self.list_known_at.set(now);
     }
 
-    /// How many servers are in the list.
     pub(super) fn server_count(&self) -> usize {
         self.members.borrow().len()
     }
 
-    /// Whether there is a server to send to at all.
+    /// Whether the list has any server.
     pub(super) fn has_servers(&self) -> bool {
         !self.members.borrow().is_empty()
     }
 
-    /// The servers that take new work, as the next process is to know them until its list has come.
+    /// The servers that accept new requests, for the next process until it has a list.
     pub(super) fn server_snapshots(&self) -> BTreeMap<ServerId, ServerSnapshot> {
-        let (members, names) = (self.members.borrow(), self.names.borrow());
+        let (members, names) = (self.members.borrow(), self.zones_and_kinds.borrow());
         let ready = members
             .iter()
-            .filter(|(_, m)| m.listed.state == ServerState::Ready);
-        let memory = |(id, m): (&ServerId, &Member)| {
-            let (listed, address) = (&m.listed, m.address);
-            let (zone, kind) = places(&names, listed);
-            let as_listed = ListedServer {
+            .filter(|(_, m)| m.entry.state == ServerState::Ready);
+        let snapshot = |(id, m): (&ServerId, &Member)| {
+            let (entry, address) = (&m.entry, m.address);
+            let (zone, kind) = zone_and_kind_names(&names, entry);
+            let listed = ListedServer {
                 address,
                 zone,
                 machine_type: kind,
-                group: listed.cell,
-                weight: listed.capacity,
+                group: entry.cell,
+                weight: entry.capacity,
             };
-            let (name, started) = (m.name.to_string(), unix(m.since_ms));
+            let (name, started_at) = (m.name.to_string(), unix_ms_to_micros(m.since_ms));
             (
                 *id,
                 ServerSnapshot {
                     name,
-                    listed: Some(as_listed),
-                    incarnation_started_at: started,
+                    listed: Some(listed),
+                    incarnation_started_at: started_at,
                     ..ServerSnapshot::default()
                 },
             )
         };
-        ready.map(memory).collect()
+        ready.map(snapshot).collect()
     }
 
-    /// All of the list as it is shared with the fleet: the same text for the same list.
+    /// The complete list as it is shared with the fleet. Equal lists have equal texts.
     pub(super) fn shared_text(&self) -> String {
-        let (members, names) = (self.members.borrow(), self.names.borrow());
-        let row = |member: &Member| {
-            let listed = &member.listed;
-            let status = match listed.state {
+        let (members, names) = (self.members.borrow(), self.zones_and_kinds.borrow());
+        let server = |member: &Member| {
+            let entry = &member.entry;
+            let status = match entry.state {
                 ServerState::Ready => Status::InService,
                 ServerState::Draining => Status::Terminating,
                 ServerState::Gone => Status::Terminated,
             };
             let (zone, kind) = member
-                .foreign
+                .unknown_names
                 .as_deref()
                 .cloned()
-                .unwrap_or_else(|| places(&names, listed));
-            let weight = listed.capacity;
-            Row(
+                .unwrap_or_else(|| zone_and_kind_names(&names, entry));
+            let weight = entry.capacity;
+            SharedServer(
                 member.name.clone(),
                 member.address,
                 zone,
                 kind,
-                listed.cell,
+                entry.cell,
                 status,
                 weight,
                 member.since_ms,
             )
         };
-        let mut rows: Vec<Row> = members.values().map(row).collect();
-        rows.sort_unstable_by(|one, other| one.0.cmp(&other.0));
-        serde_json::to_string(&rows).unwrap_or_default()
+        let mut servers: Vec<SharedServer> = members.values().map(server).collect();
+        servers.sort_unstable_by(|one, other| one.0.cmp(&other.0));
+        serde_json::to_string(&servers).unwrap_or_default()
     }
 
-    fn listed(&self, endpoint: &Endpoint, started: Option<Micros>) -> ServerEntry {
-        // A name that the settings do not hold stands for one place of its own.
-        let place = |names: &[String], name: &str| {
+    fn entry(&self, endpoint: &Endpoint, started_at: Option<Micros>) -> ServerEntry {
+        // All names that are not in the settings share one further index.
+        let index = |names: &[String], name: &str| {
             names.iter().position(|n| n == name).unwrap_or(names.len())
         };
-        let (zones, kinds) = &*self.names.borrow();
-        let sound = WEIGHTS.contains(&endpoint.weight);
+        let (zones, kinds) = &*self.zones_and_kinds.borrow();
+        let is_valid_weight = VALID_WEIGHTS.contains(&endpoint.weight);
         ServerEntry {
             server: ServerId::from_name(&endpoint.name),
-            zone: place(zones, &endpoint.zone) as u32,
+            zone: index(zones, &endpoint.zone) as u32,
             cell: endpoint.group,
-            kind: place(kinds, &endpoint.kind) as u32,
-            started_at: started,
-            capacity: if sound { endpoint.weight } else { 1.0 },
+            kind: index(kinds, &endpoint.kind) as u32,
+            started_at,
+            capacity: if is_valid_weight {
+                endpoint.weight
+            } else {
+                1.0
+            },
             state: match endpoint.status {
                 Status::InService => ServerState::Ready,
                 Status::Terminating => ServerState::Draining,
@@ -428,28 +439,31 @@
         }
     }
 
-    /// Takes in a list or some changes, and gives the same in the module's words, with the servers that had
-    /// an address and get nothing new there any more.
-    fn take_in(
+    /// Applies an update. Returns its entries with overrides, for the balancer, and the servers that have left, changed their
+    /// address or started to drain: their idle connections are not used any more.
+    fn merge(
         &self,
-        listing: ListUpdate,
-        steering: &ServerOverrides,
-        (now, behind): (Micros, i64),
+        update: ListUpdate,
+        overrides: &ServerOverrides,
+        (now, wall_clock_offset): (Micros, i64),
     ) -> (Vec<ServerEntry>, Vec<ServerId>) {
         let mut members = self.members.borrow_mut();
-        let as_listed = |endpoint: &Endpoint| {
+        let entry = |endpoint: &Endpoint| {
             let former = members.get(&ServerId::from_name(&endpoint.name));
-            self.listed(endpoint, started(endpoint.since_ms, former, now, behind))
+            self.entry(
+                endpoint,
+                start_time(endpoint.since_ms, former, now, wall_clock_offset),
+            )
         };
-        let listed: Vec<ServerEntry> = listing.endpoints.iter().map(as_listed).collect();
+        let entries: Vec<ServerEntry> = update.endpoints.iter().map(entry).collect();
         let former: Vec<_> = members.iter().map(|(id, m)| (*id, m.address)).collect();
-        if listing.snapshot {
+        if update.snapshot {
             members.clear();
         }
-        for (endpoint, listed) in listing.endpoints.into_iter().zip(&listed) {
-            if listed.state == ServerState::Gone {
-                members.remove(&listed.server);
-            } else if members.len() < MAX_LISTED_SERVERS || members.contains_key(&listed.server) {
+        for (endpoint, entry) in update.endpoints.into_iter().zip(&entries) {
+            if entry.state == ServerState::Gone {
+                members.remove(&entry.server);
+            } else if members.len() < MAX_LISTED_SERVERS || members.contains_key(&entry.server) {
                 let Endpoint {
                     name,
                     address,
@@ -458,103 +472,104 @@
                     kind,
                     ..
                 } = endpoint;
-                let (zones, kinds) = &*self.names.borrow();
-                let known =
-                    (listed.zone as usize) < zones.len() && (listed.kind as usize) < kinds.len();
-                let foreign = (!known).then(|| Box::new((zone, kind)));
+                let (zones, kinds) = &*self.zones_and_kinds.borrow();
+                let are_known =
+                    (entry.zone as usize) < zones.len() && (entry.kind as usize) < kinds.len();
+                let unknown_names = (!are_known).then(|| Box::new((zone, kind)));
                 let member = Member {
                     name,
                     address,
                     since_ms,
-                    listed: *listed,
-                    foreign,
+                    entry: *entry,
+                    unknown_names,
                 };
-                members.insert(listed.server, member);
+                members.insert(entry.server, member);
             }
         }
-        self.index.set(listing.index);
-        let listed: Vec<ServerEntry> = listed
+        self.version.set(update.index);
+        let entries: Vec<ServerEntry> = entries
             .into_iter()
-            .map(|listed| steering.apply_to(listed))
+            .map(|entry| overrides.apply_to(entry))
             .collect();
-        let draining = |id| {
-            listed
+        let is_draining = |id| {
+            entries
                 .iter()
-                .any(|l| l.server == id && l.state == ServerState::Draining)
+                .any(|entry| entry.server == id && entry.state == ServerState::Draining)
         };
-        let moved =
-            |(id, at): &(ServerId, SocketAddr)| members.get(id).is_none_or(|m| m.address != *at);
-        let left = former
+        let left_or_moved = |(id, address): &(ServerId, SocketAddr)| {
+            members.get(id).is_none_or(|m| m.address != *address)
+        };
+        let unused = former
             .into_iter()
-            .filter(|m| moved(m) || draining(m.0))
+            .filter(|m| left_or_moved(m) || is_draining(m.0))
             .map(|m| m.0)
             .collect();
-        (listed, left)
+        (entries, unused)
     }
 }
 
-/// Says which servers discovery tells of; of a whole list only how many, since it repeats what is known.
-fn log_changes(service: &Service, listing: &ListUpdate) {
-    if listing.snapshot || !tracing::enabled!(tracing::Level::INFO) {
+/// Logs the servers that an update changes. A complete list is not logged, since it repeats known servers.
+fn log_changes(service: &Service, update: &ListUpdate) {
+    if update.snapshot || !tracing::enabled!(tracing::Level::INFO) {
         return;
     }
-    let named = listing.endpoints.iter().take(MAX_LOGGED_CHANGES);
+    let named = update.endpoints.iter().take(MAX_LOGGED_CHANGES);
     let changes: Vec<String> = named
         .map(|endpoint| format!("{} {}", endpoint.name, endpoint.status.as_str()))
         .collect();
     let changes = changes.join(", ");
-    let version = listing.index;
-    let unnamed = listing.len().saturating_sub(MAX_LOGGED_CHANGES);
-    let of = &service.log_prefix;
+    let version = update.index;
+    let unnamed = update.len().saturating_sub(MAX_LOGGED_CHANGES);
+    let log_prefix = &service.log_prefix;
     tracing::info!(
         version,
         unnamed,
-        "{of}discovery lists version {version}: {changes} and {unnamed} more"
+        "{log_prefix}discovery lists version {version}: {changes} and {unnamed} more"
     );
 }
 
-/// Tells the module of the servers that are known at its start. The list of the configuration goes before what an
-/// earlier process left, and discovery's before both.
-pub(super) fn load_initial_list(service: &Rc<Service>, listing: ListUpdate) {
-    let remembered = service
+/// Passes the servers that are known at the start to the balancer: those of the configuration, or if it has none, those that an
+/// earlier process has stored. A list from discovery replaces both.
+pub(super) fn load_initial_list(service: &Rc<Service>, update: ListUpdate) {
+    let discovery = service
         .pool
         .discovery
         .get()
-        .filter(|_| listing.endpoints.is_empty());
-    let listing = remembered.map_or(listing, |_| {
-        ListUpdate::remembered(service.persisted_servers())
+        .filter(|_| update.endpoints.is_empty());
+    let update = discovery.map_or(update, |_| {
+        ListUpdate::from_snapshots(service.persisted_servers())
     });
-    apply_static_list(service, listing);
+    apply_static_list(service, update);
 }
 
-/// Tells the module of the list that the configuration holds.
-pub(super) fn apply_static_list(service: &Rc<Service>, listing: ListUpdate) {
+/// Applies the list of the configuration.
+pub(super) fn apply_static_list(service: &Rc<Service>, update: ListUpdate) {
     apply_update(
         service,
         service.process.clock.now(),
         ListUpdate {
             snapshot: true,
-            ..listing
+            ..update
         },
     );
 }
 
-/// Its list is this one from now on, whatever discovery it followed.
-pub(super) fn use_static_list(service: &Rc<Service>, listing: ListUpdate) {
+/// Replaces discovery by this static list.
+pub(super) fn use_static_list(service: &Rc<Service>, update: ListUpdate) {
     service.pool.discovery.set(None);
     service.pool.calls.abort_all();
-    apply_static_list(service, listing);
+    apply_static_list(service, update);
 }
 
-/// The pool goes: its servers get no new attempts any more, whatever discovery says from now on.
+/// Drains all servers of a pool that is being removed. List updates from discovery have no effect from then on.
 pub(super) fn drain_servers(service: &Rc<Service>) {
     service.pool.calls.abort_all();
     service.pool.discovery.set(None);
     let draining = |member: &Member| ServerEntry {
         state: ServerState::Draining,
-        ..member.listed
+        ..member.entry
     };
-    let listed: Vec<ServerEntry> = service
+    let entries: Vec<ServerEntry> = service
         .pool
         .members
         .borrow()
@@ -564,41 +579,41 @@
     service.connections.close_all_idle();
     service.handle(
         service.process.clock.now(),
-        Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&listed)),
+        Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&entries)),
     );
 }
 
-/// The settings name zones and kinds otherwise from now on. Servers are told of anew where their places have changed.
+/// Applies changed names of zones and kinds in the settings. The balancer is notified of the servers, whose indices may differ.
 pub(super) fn update_names(service: &Rc<Service>, site: &Site) {
     let pool = &service.pool;
     let names = (site.zones.clone(), site.kinds.clone());
-    let former = pool.names.replace(names);
-    let (zones, kinds) = &*pool.names.borrow();
+    let former = pool.zones_and_kinds.replace(names);
+    let (zones, kinds) = &*pool.zones_and_kinds.borrow();
     if former == (zones.clone(), kinds.clone()) {
         return;
     }
-    let moved = |former: &[String], present: &[String], at: u32| {
-        let name = former.get(at as usize);
+    let new_index = |former: &[String], present: &[String], index: u32| {
+        let name = former.get(index as usize);
         name.and_then(|name| present.iter().position(|n| n == name))
             .unwrap_or(present.len()) as u32
     };
     let mut changes = Vec::new();
     for member in pool.members.borrow_mut().values_mut() {
-        let listed = &mut member.listed;
-        (listed.zone, listed.kind) = (
-            moved(&former.0, zones, listed.zone),
-            moved(&former.1, kinds, listed.kind),
+        let entry = &mut member.entry;
+        (entry.zone, entry.kind) = (
+            new_index(&former.0, zones, entry.zone),
+            new_index(&former.1, kinds, entry.kind),
         );
-        changes.push(service.process.server_overrides.borrow().apply_to(*listed));
+        changes.push(service.process.server_overrides.borrow().apply_to(*entry));
     }
-    changes.sort_unstable_by_key(|listed| listed.server);
+    changes.sort_unstable_by_key(|entry| entry.server);
     service.handle(
         service.process.clock.now(),
         Event::DiscoveryUpdated(DiscoveryUpdate::ListChanges(&changes)),
     );
 }
 
-/// Tells the module of the servers that are now set otherwise beside their list.
+/// Notifies the balancer of the servers whose overrides have changed.
 pub(super) fn update_overrides(
     service: &Rc<Service>,
     former: &ServerOverrides,
@@ -606,56 +621,58 @@
 ) {
     let pairs = |member: &Member| {
         (
-            former.apply_to(member.listed),
-            present.apply_to(member.listed),
+            former.apply_to(member.entry),
+            present.apply_to(member.entry),
         )
     };
     let mut changes: Vec<ServerEntry> = Vec::new();
-    for (was, is) in service.pool.members.borrow().values().map(pairs) {
-        // A pool that goes may lose servers, and gets none back.
-        if was != is && (is.state == ServerState::Draining || !service.is_draining()) {
-            changes.push(is);
+    for (old, new) in service.pool.members.borrow().values().map(pairs) {
+        // In a pool that is being removed servers may start to drain, but not return.
+        if old != new && (new.state == ServerState::Draining || !service.is_draining()) {
+            changes.push(new);
         }
     }
     if changes.is_empty() {
         return;
     }
-    changes.sort_unstable_by_key(|listed| listed.server);
+    changes.sort_unstable_by_key(|entry| entry.server);
     let drained = changes
         .iter()
-        .filter(|listed| listed.state == ServerState::Draining);
-    drained.for_each(|listed| service.connections.remove_server(listed.server));
+        .filter(|entry| entry.state == ServerState::Draining);
+    drained.for_each(|entry| service.connections.remove_server(entry.server));
     service.handle(
         service.process.clock.now(),
         Event::DiscoveryUpdated(DiscoveryUpdate::ListChanges(&changes)),
     );
 }
 
-/// The fleet goes by this list, which is so old: as if discovery had told it then.
+/// Applies a list that the fleet shares and that is `age` old, as if discovery had sent it at that time.
 pub(super) fn apply_shared_list(
     service: &Rc<Service>,
     index: u64,
     text: &str,
     age: Micros,
 ) -> Result<(), String> {
-    let rows: Vec<Row> = serde_json::from_str(text).map_err(|e| format!("makes no sense: {e}"))?;
-    if rows.len() > MAX_LISTED_SERVERS {
-        return Err(format!("holds {} servers", rows.len()));
+    let servers: Vec<SharedServer> =
+        serde_json::from_str(text).map_err(|e| format!("invalid endpoint list: {e}"))?;
+    if servers.len() > MAX_LISTED_SERVERS {
+        return Err(format!("holds {} servers", servers.len()));
     }
     if service.pool.discovery.get().is_none() || service.is_draining() {
-        return Err("the pool follows no discovery any more".to_string());
-    }
-    let endpoint = |Row(name, address, zone, kind, group, status, weight, since_ms)| Endpoint {
-        name,
-        address,
-        zone,
-        kind,
-        group,
-        status,
-        weight,
-        since_ms,
-    };
-    let endpoints = rows.into_iter().map(endpoint).collect();
+        return Err("the pool no longer uses discovery".to_string());
+    }
+    let endpoint =
+        |SharedServer(name, address, zone, kind, group, status, weight, since_ms)| Endpoint {
+            name,
+            address,
+            zone,
+            kind,
+            group,
+            status,
+            weight,
+            since_ms,
+        };
+    let endpoints = servers.into_iter().map(endpoint).collect();
     let now = service.process.clock.now();
     apply_update(
         service,
@@ -666,33 +683,38 @@
             endpoints,
         },
     );
-    service
-        .pool
-        .heard
-        .set(service.pool.heard.get().max(now.saturating_sub(age)));
+    service.pool.list_known_at.set(
+        service
+            .pool
+            .list_known_at
+            .get()
+            .max(now.saturating_sub(age)),
+    );
     Ok(())
 }
 
-pub(super) fn apply_update(service: &Rc<Service>, now: Micros, listing: ListUpdate) {
-    let full = listing.snapshot;
-    if !full && listing.index < service.pool.index.get() {
-        // Changes older than the list that is held would undo newer ones.
+/// Applies an update and passes it to the balancer. Changes that are older than the known list are ignored.
+pub(super) fn apply_update(service: &Rc<Service>, now: Micros, update: ListUpdate) {
+    let is_full_list = update.snapshot;
+    if !is_full_list && update.index < service.pool.version.get() {
+        // Changes older than the known list would undo newer ones.
         return;
     }
-    log_changes(service, &listing);
+    log_changes(service, &update);
     let times = (now, service.process.clock.wall_clock_offset());
-    let (listed, left) =
+    let (entries, unused) =
         service
             .pool
-            .take_in(listing, &service.process.server_overrides.borrow(), times);
-    left.into_iter()
+            .merge(update, &service.process.server_overrides.borrow(), times);
+    unused
+        .into_iter()
         .for_each(|server| service.connections.remove_server(server));
-    let members = if full {
-        DiscoveryUpdate::FullList(&listed)
+    let list_update = if is_full_list {
+        DiscoveryUpdate::FullList(&entries)
     } else {
-        DiscoveryUpdate::ListChanges(&listed)
+        DiscoveryUpdate::ListChanges(&entries)
     };
-    service.handle(now, Event::DiscoveryUpdated(members));
+    service.handle(now, Event::DiscoveryUpdated(list_update));
     service.restore_server_measurements(now);
 }
 
@@ -704,75 +726,87 @@
 mod tests {
     use super::*;
 
-    const COLD: Micros = 8_400_000;
+    const SLOW_START: Micros = 8_400_000;
     const HOUR: Micros = 3_600_000_000;
 
-    fn told(pool: &Pool, since_ms: u64, now: Micros, behind: i64) -> Micros {
+    /// Applies a list with one server and returns its converted start time.
+    fn converted_start(pool: &Pool, since_ms: u64, now: Micros, wall_clock_offset: i64) -> Micros {
         let endpoint = serde_json::json!({"name": "s", "address": "127.0.0.1:1", "status": "in_service",
             "since_ms": since_ms});
-        let listing = serde_json::json!({"index": 1, "snapshot": true, "endpoints": [endpoint]});
-        let listing = serde_json::from_value(listing).expect("a list");
-        let (listed, _) = pool.take_in(listing, &ServerOverrides::default(), (now, behind));
-        listed[0].started_at.expect("it started")
+        let update = serde_json::json!({"index": 1, "snapshot": true, "endpoints": [endpoint]});
+        let update = serde_json::from_value(update).expect("a list");
+        let (entries, _) = pool.merge(
+            update,
+            &ServerOverrides::default(),
+            (now, wall_clock_offset),
+        );
+        entries[0].started_at.expect("a start time")
     }
 
-    /// A machine that was suspended for eight hours, one whose clock was set only after the start, and one that was set
-    /// back an hour: a server that has just started is cold for its time, neither longer nor shorter.
+    /// The wall_clock clock may diverge from the balancer's clock: by eight hours if the machine was suspended, if the clock was set only
+    /// after the start, or by an hour if it was set back. Slow start must not last longer or shorter for that.
     #[rstest::rstest]
     #[case::suspended(8 * HOUR as i64)]
     #[case::set_late(100_000 * HOUR as i64)]
     #[case::set_back(-(HOUR as i64))]
-    #[case::together(0)]
+    #[case::equal(0)]
     #[case::read_one_after_the_other(20)]
-    fn a_server_is_cold_from_its_start_whatever_became_of_the_clocks(#[case] behind: i64) {
+    fn slow_start_begins_at_the_start_of_a_server_whatever_the_clocks_do(
+        #[case] wall_clock_offset: i64,
+    ) {
         let pool = Pool::new(None, Vec::new(), Vec::new(), 0);
         let now: Micros = 1_700_000_000_000_000;
-        let wall = now.saturating_add_signed(behind);
-        let started = told(&pool, (wall - 2_000_000) / 1_000, now, behind);
+        let wall_clock = now.saturating_add_signed(wall_clock_offset);
+        let started = converted_start(
+            &pool,
+            (wall_clock - 2_000_000) / 1_000,
+            now,
+            wall_clock_offset,
+        );
         assert!(
-            started.abs_diff(now - 2_000_000) <= PARTED,
+            started.abs_diff(now - 2_000_000) <= CLOCK_READ_TOLERANCE,
             "{started} at {now}"
         );
-        // Told again, later and by clocks that have parted by more, it is the same start.
+        // Listed again later, by clocks that have diverged further, it is the same start.
         assert_eq!(
-            told(
+            converted_start(
                 &pool,
-                (wall - 2_000_000) / 1_000,
-                now + COLD,
-                behind + HOUR as i64
+                (wall_clock - 2_000_000) / 1_000,
+                now + SLOW_START,
+                wall_clock_offset + HOUR as i64
             ),
             started
         );
-        // A later start is a later one, even by a clock that has lost an hour meanwhile.
-        let again = told(
+        // A later start remains later, even if the clock has lost an hour meanwhile.
+        let restarted = converted_start(
             &pool,
-            (wall + COLD) / 1_000,
-            now + COLD,
-            behind + HOUR as i64,
+            (wall_clock + SLOW_START) / 1_000,
+            now + SLOW_START,
+            wall_clock_offset + HOUR as i64,
         );
         assert!(
-            again > started && again <= now + COLD,
-            "{again} after {started}"
+            restarted > started && restarted <= now + SLOW_START,
+            "{restarted} after {started}"
         );
     }
 
     #[test]
-    fn a_start_that_lies_ahead_is_now_and_0_is_long_ago() {
-        assert_eq!(started(u64::MAX, None, 7_000_000, 0), Some(7_000_000));
-        assert_eq!(started(0, None, 7_000_000, 0), None);
+    fn a_start_in_the_future_counts_as_now_and_0_as_long_ago() {
+        assert_eq!(start_time(u64::MAX, None, 7_000_000, 0), Some(7_000_000));
+        assert_eq!(start_time(0, None, 7_000_000, 0), None);
     }
 
-    /// Instances of one fleet may have settings of their own: what one of them has no place for goes on to the others.
+    /// Instances of one fleet may have different settings: names that one of them does not know must still reach the others.
     #[test]
-    fn a_list_is_shared_as_it_was_told_whatever_the_settings_name() {
+    fn a_list_is_shared_as_discovery_sent_it_whatever_the_settings_name() {
         let endpoint = serde_json::json!({"name": "s", "address": "127.0.0.1:1", "status": "terminating",
             "zone": "b", "type": "m2", "weight": 2.5, "since_ms": 7});
-        let listing = serde_json::json!({"index": 3, "snapshot": true, "endpoints": [endpoint]});
+        let update = serde_json::json!({"index": 3, "snapshot": true, "endpoints": [endpoint]});
         let shared = |zones: &[&str]| {
             let names = |names: &[&str]| names.iter().map(|name| name.to_string()).collect();
             let pool = Pool::new(None, names(zones), names(&["m1", "m2"]), 0);
-            let listing = serde_json::from_value(listing.clone()).expect("a list");
-            pool.take_in(listing, &ServerOverrides::default(), (9_000_000, 0));
+            let update = serde_json::from_value(update.clone()).expect("a list");
+            pool.merge(update, &ServerOverrides::default(), (9_000_000, 0));
             pool.shared_text()
         };
         assert_eq!(shared(&["a"]), shared(&["a", "b"]));
@@ -783,7 +817,7 @@
     }
 
     #[test]
-    fn a_weight_beyond_all_comparison_is_the_usual_one() {
+    fn an_invalid_weight_is_replaced_by_the_default() {
         for (weight, capacity) in [
             (2.5, 2.5),
             (1e308, 1.0),
@@ -796,7 +830,7 @@
             );
             let endpoint: Endpoint = serde_json::from_str(&text).expect("an entry");
             let pool = Pool::new(None, Vec::new(), Vec::new(), 0);
-            assert_eq!(pool.listed(&endpoint, None).capacity, capacity, "{weight}");
+            assert_eq!(pool.entry(&endpoint, None).capacity, capacity, "{weight}");
         }
     }
 }
--- a/crates/sidecar/src/pool_lists_tests.rs
+++ b/crates/sidecar/src/pool_lists_tests.rs
@@ -1,11 +1,11 @@
-//! Lists of servers as literal JSON: those that discovery and a configuration write, and those that instances share.
+//! Literal JSON of endpoint lists: those from discovery or a configuration, and those that instances share.
 
-use super::{ListUpdate, Pool, Row, ServerOverrides};
+use super::{ListUpdate, Pool, ServerOverrides, SharedServer};
 
 const ZONES: [&str; 2] = ["north", "south"];
 const KINDS: [&str; 2] = ["fast", "old"];
 
-const LISTING: &str = r#"{
+const FULL_LIST: &str = r#"{
     "index": 7,
     "snapshot": true,
     "endpoints": [
@@ -33,24 +33,24 @@
     Pool::new(None, names(ZONES), names(KINDS), 0)
 }
 
-fn take_in(pool: &Pool, listing: &str) {
-    let listing: ListUpdate = serde_json::from_str(listing).expect("a list");
-    pool.take_in(
-        listing,
+fn merge(pool: &Pool, update: &str) {
+    let update: ListUpdate = serde_json::from_str(update).expect("a list");
+    pool.merge(
+        update,
         &ServerOverrides::default(),
         (1_800_000_000_000_000, 0),
     );
 }
 
 #[test]
-fn a_list_of_discovery_is_read_and_shared_as_it_stands() {
+fn a_list_from_discovery_is_shared_unchanged() {
     let pool = pool();
-    take_in(&pool, LISTING);
+    merge(&pool, FULL_LIST);
     assert_eq!(pool.shared_text(), SHARED);
     let changes = r#"{"index": 8, "snapshot": false, "endpoints": [
         {"name": "a", "address": "10.0.0.1:5000", "status": "terminated"},
         {"name": "c", "address": "10.0.0.3:5000", "status": "in_service"}]}"#;
-    take_in(&pool, changes);
+    merge(&pool, changes);
     let shared = pool.shared_text();
     assert!(
         shared.ends_with(r#"["c","10.0.0.3:5000","","",0,"in_service",1.0,0]]"#),
@@ -59,27 +59,30 @@
 }
 
 #[test]
-fn a_shared_list_is_read_as_it_is_written() {
+fn a_shared_list_is_read_and_written_unchanged() {
     for text in [
         SHARED,
         "[]",
         r#"[["c","10.0.0.3:5000","","",0,"terminated",1.0,0]]"#,
     ] {
-        let rows: Vec<Row> = serde_json::from_str(text).expect("a list");
-        assert_eq!(serde_json::to_string(&rows).expect("JSON"), text);
+        let servers: Vec<SharedServer> = serde_json::from_str(text).expect("a list");
+        assert_eq!(serde_json::to_string(&servers).expect("JSON"), text);
     }
-    for odd in [
+    for invalid in [
         r#"[["c","10.0.0.3:5000","","",0,"in_service",1.0]]"#,
         r#"[["c","10.0.0.3","","",0,"in_service",1.0,0]]"#,
         r#"[["c","10.0.0.3:5000","","",0,"odd",1.0,0]]"#,
     ] {
-        assert!(serde_json::from_str::<Vec<Row>>(odd).is_err(), "{odd}");
+        assert!(
+            serde_json::from_str::<Vec<SharedServer>>(invalid).is_err(),
+            "{invalid}"
+        );
     }
 }
 
 #[test]
-fn each_key_of_a_list_that_is_missing_is_told() {
-    for (key, problem) in [
+fn the_error_for_a_missing_key_names_the_key() {
+    for (key, expected) in [
         ("index", "missing field `index`"),
         ("snapshot", "missing field `snapshot`"),
         ("endpoints", "missing field `endpoints`"),
@@ -87,26 +90,26 @@
         ("address", "missing field `address`"),
         ("status", "missing field `status`"),
     ] {
-        let text = LISTING.replacen(&format!("\"{key}\""), "\"odd\"", 1);
-        let told = serde_json::from_str::<ListUpdate>(&text)
+        let text = FULL_LIST.replacen(&format!("\"{key}\""), "\"odd\"", 1);
+        let error = serde_json::from_str::<ListUpdate>(&text)
             .err()
-            .expect("a problem")
+            .expect("an error")
             .to_string();
-        assert!(told.starts_with(problem), "{told}");
+        assert!(error.starts_with(expected), "{error}");
     }
-    let text = LISTING.replacen("in_service", "odd", 1);
-    let told = serde_json::from_str::<ListUpdate>(&text)
+    let text = FULL_LIST.replacen("in_service", "odd", 1);
+    let error = serde_json::from_str::<ListUpdate>(&text)
         .err()
-        .expect("a problem")
+        .expect("an error")
         .to_string();
     let expected =
         "unknown variant `odd`, expected one of `in_service`, `terminating`, `terminated`";
-    assert!(told.starts_with(expected), "{told}");
+    assert!(error.starts_with(expected), "{error}");
 }
 
 #[test]
-fn each_key_of_a_server_that_may_be_left_out_has_its_usual_value() {
-    for (key, usual) in [
+fn each_optional_key_of_a_server_has_its_default() {
+    for (key, expected) in [
         (
             "zone",
             r#"[["a","10.0.0.1:5000","","old",3,"in_service",2.5,1700000000000],"#,
@@ -129,11 +132,11 @@
         ),
     ] {
         let pool = pool();
-        take_in(
+        merge(
             &pool,
-            &LISTING.replacen(&format!("\"{key}\""), "\"odd\"", 1),
+            &FULL_LIST.replacen(&format!("\"{key}\""), "\"odd\"", 1),
         );
         let shared = pool.shared_text();
-        assert!(shared.starts_with(usual), "{key}: {shared}");
+        assert!(shared.starts_with(expected), "{key}: {shared}");
     }
 }
