--- a/crates/sidecar/src/attempt.rs
+++ b/crates/sidecar/src/attempt.rs
@@ -1,10 +1,21 @@
 //! One attempt to serve a request by a server, from acquiring a connection to its single outcome.
 
+use super::client::Client;
+use super::connections::ConnectError;
+use super::counts::increment;
+use super::exchange::{self, BodyRead, CompleteBody, ExchangeError, RequestMessage, SendProgress};
+use super::readiness;
+use super::response_body::{ResponseBody, StreamedResponseBody};
+use super::service::Service;
+use super::state_writer::{IdempotencyRecord, WriteBarrier};
+use super::teller::EndedAttempt;
+use super::transaction::FinalResponse;
+use super::upload::{self, BodyLength, RequestBody};
 use bytes::{Bytes, BytesMut};
 use http_body_util::Full;
-use hyper::{HeaderMap, Method, Response, StatusCode, Uri};
-use hyper::header::{HeaderName, HeaderValue, self};
+use hyper::header::{self, HeaderName, HeaderValue};
 use hyper::http::uri::PathAndQuery;
+use hyper::{HeaderMap, Method, Response, StatusCode, Uri};
 use madderloom_balancer::{AttemptResult, Event, Micros, Outcome, RequestId, ServerId};
 use madderloom_graphql::Verdict;
 use std::cell::Cell;
@@ -13,17 +24,6 @@
 use std::pin::{Pin, pin};
 use std::rc::Rc;
 use std::task::Poll;
-use super::readiness;
-use super::client::Client;
-use super::connections::ConnectError;
-use super::counts::increment;
-use super::exchange::{BodyRead, CompleteBody, ExchangeError, RequestMessage, SendProgress, self};
-use super::response_body::{ResponseBody, StreamedResponseBody};
-use super::service::Service;
-use super::state_writer::{IdempotencyRecord, WriteBarrier};
-use super::teller::EndedAttempt;
-use super::transaction::FinalResponse;
-use super::upload::{BodyLength, RequestBody, self};
 use tokio::net::TcpStream;
 
 /// A response body of unknown length that is not complete after this time is streamed to the client.
--- a/crates/sidecar/src/graphql.rs
+++ b/crates/sidecar/src/graphql.rs
@@ -1,28 +1,34 @@
 //! The virtual server of GraphQL routes: derives a request's class from its operations, splits batches if the operator file says
 //! so, and responds in GraphQL. Transactions, attempts and decisions are those of all requests.
 
+use super::attempt::{ForwardedRequest, ResponseProtocol};
+use super::client::Client;
+use super::counts::increment;
+use super::listener::Listener;
+use super::response_body::ResponseBody as Body;
+use super::service::Service;
+use super::state_writer::IdempotencyRecord;
+use super::transaction::{self, FinalResponse};
+use super::upload::RequestBody;
+use super::virtual_server::{
+    CLIENT_DEADLINE_MARGIN, InFlightRequestId, RequestError, TRACE_ID, admit,
+    admit_by_fleet_limits, bad_request, client_time_left, declared_length, next_request_id,
+    read_complete_body, record_rejection, retry_after_value,
+};
 use bytes::Bytes;
 use http_body_util::Full;
-use hyper::{Response, StatusCode, Uri};
 use hyper::body::Incoming;
-use hyper::header::{HeaderMap, HeaderValue, self};
+use hyper::header::{self, HeaderMap, HeaderValue};
 use hyper::http::request::Parts;
+use hyper::{Response, StatusCode, Uri};
 use madderloom_balancer::{Micros, NewRequest, RetrySafety};
-use madderloom_graphql::{Classed, Fault, Media, Message, Part, PartAnswer, Plan, Rejection, Reply, join, stages};
+use madderloom_graphql::{
+    Classed, Fault, Media, Message, Part, PartAnswer, Plan, Rejection, Reply, join, stages,
+};
 use madderloom_routing::request::subject;
 use std::pin::Pin;
 use std::rc::Rc;
 use std::task::Poll;
-use super::attempt::{ForwardedRequest, ResponseProtocol};
-use super::client::Client;
-use super::counts::increment;
-use super::listener::Listener;
-use super::response_body::ResponseBody as Body;
-use super::service::Service;
-use super::state_writer::IdempotencyRecord;
-use super::transaction::{FinalResponse, self};
-use super::upload::RequestBody;
-use super::virtual_server::{CLIENT_DEADLINE_MARGIN, InFlightRequestId, RequestError, TRACE_ID, admit, admit_by_fleet_limits, bad_request, client_time_left, declared_length, next_request_id, read_complete_body, record_rejection, retry_after_value};
 
 /// One GraphQL request of a client; a batch is split into several messages of it.
 struct GraphqlRequest<'a> {
--- a/crates/sidecar/src/view.rs
+++ b/crates/sidecar/src/view.rs
@@ -1,20 +1,20 @@
 //! What the admin view shows: the process, its listeners, its pools and their servers, as one JSON object.
 
-use madderloom_balancer::{Micros, Outcome, RetrySafety, ServerId, ServerState, ServerView};
-use madderloom_endpoint_history::{Interval, LatencySketch, Recording, Subject, Timeline};
-use madderloom_routing::shares::Held;
-use madderloom_routing::turns::Spent;
-use serde_json::{Value, json};
-use std::rc::Rc;
-use super::levels;
 use super::agent_link::AgentLink;
 use super::counts::OutcomeCounts;
 use super::fair_scheduler::charged_account;
+use super::levels;
 use super::limits::SharedLimit;
 use super::listener::Listener;
 use super::process_state::ProcessState;
 use super::service::Service;
 use super::teller::{Teller, words};
+use madderloom_balancer::{Micros, Outcome, RetrySafety, ServerId, ServerState, ServerView};
+use madderloom_endpoint_history::{Interval, LatencySketch, Recording, Subject, Timeline};
+use madderloom_routing::shares::Held;
+use madderloom_routing::turns::Spent;
+use serde_json::{Value, json};
+use std::rc::Rc;
 
 /// The version of the object.
 const VERSION: u32 = 1;
--- a/crates/sidecar/src/virtual_server.rs
+++ b/crates/sidecar/src/virtual_server.rs
@@ -1,22 +1,12 @@
 //! The virtual server: the client's side of one request. It validates the request, routes it to a service, applies the limits,
 //! and returns the response.
 
-use bytes::Bytes;
-use http_body_util::{BodyExt, Full};
-use hyper::{Method, Request, Response, StatusCode, Uri};
-use hyper::body::{Body, Incoming};
-use hyper::header::{HeaderMap, HeaderName, HeaderValue, self};
-use hyper::http::request::Parts;
-use madderloom_balancer::{Micros, NewRequest, RequestId, RetrySafety};
-use madderloom_routing::request::{Asked, Fault, split_key, subject};
-use madderloom_watchdog::{TaskKind, self as watchdog};
-use std::rc::Rc;
-use super::graphql;
 use super::active_settings::ClassEntry;
 use super::attempt::{ForwardedRequest, ResponseProtocol};
 use super::client::Client;
 use super::counts::increment;
 use super::fleet_limits::FleetPermit;
+use super::graphql;
 use super::limits::LimitExceeded;
 use super::listener::{Listener, ListenerSettings};
 use super::process_state::ProcessState;
@@ -24,8 +14,18 @@
 use super::routing::{ClassSource, Routing};
 use super::service::Service;
 use super::state_writer::IdempotencyRecord;
-use super::transaction::{FinalResponse, self};
-use super::upload::{BodyLength, BodyReservations, self};
+use super::transaction::{self, FinalResponse};
+use super::upload::{self, BodyLength, BodyReservations};
+use bytes::Bytes;
+use http_body_util::{BodyExt, Full};
+use hyper::body::{Body, Incoming};
+use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
+use hyper::http::request::Parts;
+use hyper::{Method, Request, Response, StatusCode, Uri};
+use madderloom_balancer::{Micros, NewRequest, RequestId, RetrySafety};
+use madderloom_routing::request::{Asked, Fault, split_key, subject};
+use madderloom_watchdog::{self as watchdog, TaskKind};
+use std::rc::Rc;
 
 /// Subtracted from a client's remaining time, which counts from when the client sent the request, not from when it was read.
 pub(super) const CLIENT_DEADLINE_MARGIN: Micros = 1_000;
