--- a/crates/balancer/src/decide.rs
+++ b/crates/balancer/src/decide.rs
@@ -29,7 +29,7 @@
 /// Weight of the prior in a server's measurement: this many mean response times, at the mean speed of the
 /// server's machine kind.
 const PRIOR_RESPONSES: f64 = 2.0;
-/// Number of intervals kept.
+/// Number of intervals in the cache.
 pub(crate) const MAX_INTERVALS: usize = 8;
 /// Minimum number of an interval's subregions per server, so that the shares are accurate enough.
 const SUBREGIONS_PER_SERVER: usize = 8;
@@ -555,7 +555,7 @@
 
     /// Whether a further attempt may be sent. Never if an earlier one may have been executed and the request
     /// must not be executed twice.
-    fn may_send_attempt(&self, now: Micros, request: &Request) -> bool {
+    fn may_try(&self, now: Micros, request: &Request) -> bool {
         let is_safe = now
             < request.write_by(
                 self.settings.classes[request.class].retry_safety,
@@ -567,11 +567,7 @@
 
     /// Sends the request's next attempt to a server that may receive it. Returns false if nothing was sent.
     fn send_attempt(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) -> bool {
-        if !self
-            .requests
-            .get(&id)
-            .is_some_and(|request| self.may_send_attempt(now, request))
-        {
+        if !self.requests.get(&id).is_some_and(|r| self.may_try(now, r)) {
             return false;
         }
         let Some(mut request) = self.requests.remove(&id) else {
@@ -600,10 +596,9 @@
             .or_else(|| self.choose_server(now, &mut request));
         if let Some(server) = chosen.and_then(|id| self.servers.get_mut(&id)) {
             let class = &self.classes[request.class];
-            let relative_work =
+            let work_ratio =
                 (request.work / class.service_time.value.max(self.mean_work.value)).max(1.0);
-            let due_at =
-                now + (OVERDUE_FACTOR * class.tail_latency.value * relative_work) as Micros;
+            let due_at = now + (OVERDUE_FACTOR * class.tail_latency.value * work_ratio) as Micros;
             let attempt = request.attempts.len() as u32;
             let write_by = request.write_by(
                 self.settings.classes[request.class].retry_safety,
@@ -649,7 +644,7 @@
         let is_long = self.is_long(request.class) && !self.lanes[1].is_empty();
         let lane = std::mem::take(&mut self.lanes[usize::from(is_long)]);
         self.tune_interval(now, &lane);
-        let interval = self.intervals.get(&lane);
+        let interval = self.cache.get(&lane);
         // Servers to probe are not compared here, but later by their load reports.
         let is_uncompared =
             !request.probed.is_empty() || self.random.rand_float() < UNCOMPARED_SHARE;
@@ -1031,53 +1026,33 @@
 
     /// Creates the interval of this lane, or updates it if its tuning period has passed.
     fn tune_interval(&mut self, now: Micros, lane: &[ServerId]) {
-        let period = TUNING_PERIOD * lane.len().div_ceil(SERVERS_PER_TUNING_PERIOD) as Micros;
-        if lane.is_empty()
-            || self
-                .intervals
-                .get(lane)
-                .is_some_and(|interval| now < interval.tuned_at + period)
-        {
+        let gap = TUNING_PERIOD * lane.len().div_ceil(SERVERS_PER_TUNING_PERIOD) as Micros;
+        if lane.is_empty() || self.cache.get(lane).is_some_and(|i| now < i.tuned_at + gap) {
             return;
         }
         let rules = self.settings.rules;
         // Slow start of a fleet that has served nothing yet: all instances together start with one request
         // per server and overload window.
-        let min_slow_start_rate = self.mean_work.value
+        let min_rate = self.mean_work.value
             / rules.overload_window.max(1) as f64
             / f64::from(self.settings.group_size);
         // The lane to tune has been taken out of `self.lanes`.
-        let servers_in_use = lane.len() + self.lanes.iter().map(Vec::len).sum::<usize>();
-        // Divided by the whole time constant even if this instance is younger: the slow-start budget is then
-        // too low rather than too high.
-        let served_per_server =
-            self.served_work.value_at(now) / RATE_TIME_CONSTANT_US / servers_in_use as f64;
-        let in_long_lane = self
-            .servers
-            .get(&lane[0])
-            .and_then(|server| server.in_long_lane);
+        let servers = lane.len() + self.lanes.iter().map(Vec::len).sum::<usize>();
+        // Work served per server and microsecond. Divided by the whole time constant even if this instance is
+        // younger: the slow-start budget is then too low rather than too high.
+        let served = self.served_work.value_at(now) / RATE_TIME_CONSTANT_US / servers as f64;
+        let long = self.servers.get(&lane[0]).and_then(|s| s.in_long_lane);
         let prior_time = PRIOR_RESPONSES * self.mean_response_time.value;
         // An instance with little traffic receives responses from few of many servers: it assumes that the
         // other servers of a machine kind are as fast as those it has measured.
-        let (mut all, mut kinds) = (
-            ServerTotals::default(),
-            BTreeMap::<u32, ServerTotals>::new(),
-        );
-        for server in self
-            .servers
-            .values()
-            .filter(|server| server.in_long_lane == in_long_lane)
-        {
+        let (mut all, mut kinds) = (Totals::default(), BTreeMap::<u32, Totals>::new());
+        for server in self.servers.values().filter(|s| s.in_long_lane == long) {
             all.add(server);
             kinds.entry(server.entry.kind).or_default().add(server);
         }
         let mean_rate = (1.0 + all.work) / (1.0 + all.time);
         let mut service_rates = Vec::with_capacity(lane.len());
-        for server in self
-            .servers
-            .values_mut()
-            .filter(|server| server.in_long_lane == in_long_lane)
-        {
+        for server in self.servers.values_mut().filter(|s| s.in_long_lane == long) {
             // A hung server completes nothing, so the age of its overdue attempts counts as time taken.
             let overdue_times = server
                 .in_flight
@@ -1087,11 +1062,10 @@
             let time = server.time_sum + overdue_times.sum::<f64>() + prior_time;
             let kind = kinds.entry(server.entry.kind).or_default();
             let kind_rate = (kind.work + mean_rate * prior_time) / (kind.time + prior_time);
-            let expected_rate = kind_rate * server.entry.capacity / (kind.capacity / kind.servers);
+            let prior_rate = kind_rate * server.entry.capacity / (kind.capacity / kind.servers);
             server.loss_share = server.current_loss_share(now);
-            let slow_start_factor = server.slow_start_factor(now, &rules);
-            server.service_rate =
-                ((server.work_sum + expected_rate * prior_time) / time) * slow_start_factor;
+            let factor = server.slow_start_factor(now, &rules);
+            server.service_rate = ((server.work_sum + prior_rate * prior_time) / time) * factor;
             service_rates.push(server.service_rate);
             let decay = if std::mem::take(&mut server.has_new_results) {
                 MEASUREMENT_DECAY
@@ -1105,24 +1079,21 @@
             // some.
             (server.slow_start_budget, server.slow_start_refilled_at) =
                 (server.slow_start_budget_at(now), now);
-            server.slow_start_rate = (SLOW_START_PACE
-                * slow_start_factor
-                * served_per_server
-                * (expected_rate / mean_rate))
-                .max(min_slow_start_rate);
+            server.slow_start_rate =
+                (SLOW_START_PACE * factor * served * (prior_rate / mean_rate)).max(min_rate);
             server.slow_start_max_budget =
                 server.slow_start_rate * rules.overload_window as f64 * SLOW_START_SAVED_SHARE;
         }
-        if self.intervals.len() >= MAX_INTERVALS && !self.intervals.contains_key(lane) {
+        if self.cache.len() >= MAX_INTERVALS && !self.cache.contains_key(lane) {
             let oldest = self
-                .intervals
+                .cache
                 .iter()
                 .min_by_key(|(_, interval)| interval.tuned_at)
                 .map(|(servers, _)| servers.clone());
-            oldest.and_then(|servers| self.intervals.remove(&servers));
+            oldest.and_then(|servers| self.cache.remove(&servers));
         }
         let interval = self
-            .intervals
+            .cache
             .entry(lane.to_vec())
             .or_insert_with(|| Interval::new(lane.to_vec()));
         interval.tune(&service_rates);
--- a/crates/balancer/src/interval_tests.rs
+++ b/crates/balancer/src/interval_tests.rs
@@ -74,25 +74,21 @@
         rig.event(Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&list)));
         let (id, _) = rig.request(0);
         rig.event(Event::ClientDisconnected(id));
-        let intervals = &rig.balancer.intervals;
+        let cache = &rig.balancer.cache;
+        assert!(cache.len() <= MAX_INTERVALS, "{} intervals", cache.len());
         assert!(
-            intervals.len() <= MAX_INTERVALS,
-            "{} intervals",
-            intervals.len()
-        );
-        assert!(
-            intervals.contains_key(&vec![ServerId(1), list[1].server]),
+            cache.contains_key(&vec![ServerId(1), list[1].server]),
             "the current interval is missing"
         );
     }
-    let intervals = &rig.balancer.intervals;
-    assert_eq!(intervals.len(), MAX_INTERVALS);
+    let cache = &rig.balancer.cache;
+    assert_eq!(cache.len(), MAX_INTERVALS);
     assert!(
-        intervals.contains_key(&vec![ServerId(1), ServerId(2)]),
+        cache.contains_key(&vec![ServerId(1), ServerId(2)]),
         "the interval used in every other round was dropped"
     );
     assert!(
-        !intervals.contains_key(&vec![ServerId(1), ServerId(101)]),
+        !cache.contains_key(&vec![ServerId(1), ServerId(101)]),
         "an interval used only once, long ago, was kept"
     );
 }
@@ -165,7 +161,7 @@
             in_flight.len(),
             "the attempts in flight were miscounted"
         );
-        let Some(interval) = rig.balancer.intervals.get(&lane) else {
+        let Some(interval) = rig.balancer.cache.get(&lane) else {
             continue;
         };
         let now = owners(interval);
--- a/crates/balancer/src/state.rs
+++ b/crates/balancer/src/state.rs
@@ -207,14 +207,14 @@
 
 /// Totals over several servers.
 #[derive(Default)]
-pub(crate) struct ServerTotals {
+pub(crate) struct Totals {
     pub servers: f64,
     pub work: f64,
     pub time: f64,
     pub capacity: f64,
 }
 
-impl ServerTotals {
+impl Totals {
     pub fn add(&mut self, server: &Server) {
         self.servers += 1.0;
         self.work += server.work_sum;
@@ -454,8 +454,8 @@
     /// their own.
     pub(crate) lanes: [Vec<ServerId>; 2],
     pub(crate) lanes_assigned_at: Micros,
-    /// The intervals used last, by the servers of their lane.
-    pub(crate) intervals: BTreeMap<Vec<ServerId>, Interval>,
+    /// The intervals tuned last, by the servers of their lane. At most [`MAX_INTERVALS`].
+    pub(crate) cache: BTreeMap<Vec<ServerId>, Interval>,
     pub(crate) requests: HashMap<RequestId, Request, FixedState>,
     /// How many servers to probe before a first attempt, see [`probe_count`].
     pub(crate) probe_count: usize,
@@ -494,7 +494,7 @@
             ready: Vec::new(),
             lanes: [Vec::new(), Vec::new()],
             lanes_assigned_at: 0,
-            intervals: BTreeMap::new(),
+            cache: BTreeMap::new(),
             requests: HashMap::with_hasher(FixedState::default()),
             probe_count: probe_count(&settings),
             classes: settings.classes.iter().map(ClassState::new).collect(),
--- a/crates/balancer/tests/alone.rs
+++ b/crates/balancer/tests/alone.rs
@@ -133,21 +133,15 @@
     };
     type Set = fn(&mut Settings, Micros);
     let cases: [(&str, Set); 7] = [
-        ("classes[0].aim", |s, span| {
-            s.classes[0].latency_objective = span
-        }),
-        ("classes[0].deadline", |s, span| {
-            s.classes[0].deadline = span
-        }),
-        ("tick", |s, span| s.tick = span),
-        ("limits.max_retry_after", |s, span| {
-            s.limits.max_retry_after = span
-        }),
-        ("rules.cold", |s, span| s.rules.slow_start_window = span),
-        ("rules.fall", |s, span| s.rules.overload_window = span),
-        ("rules.ask_within", |s, span| {
-            s.rules.max_poll_interval = span
+        ("classes[0].aim", |s, t| s.classes[0].latency_objective = t),
+        ("classes[0].deadline", |s, t| s.classes[0].deadline = t),
+        ("tick", |s, t| s.tick = t),
+        ("limits.max_retry_after", |s, t| {
+            s.limits.max_retry_after = t
         }),
+        ("rules.cold", |s, t| s.rules.slow_start_window = t),
+        ("rules.fall", |s, t| s.rules.overload_window = t),
+        ("rules.ask_within", |s, t| s.rules.max_poll_interval = t),
     ];
     for (field, set) in cases {
         let mut settings = settings(&[RetrySafety::Idempotent]);
