--- a/crates/balancer/src/decide.rs
+++ b/crates/balancer/src/decide.rs
@@ -6,7 +6,7 @@
 //! service rate: work done per unit of time. All exceptions work in one way: a server that may not receive
 //! the request now (see [`Eligibility`]) is skipped, as if its region were uncovered.
 
-use crate::discovery_evidence::Failure;
+use crate::discovery_evidence::CallFailure;
 use crate::discovery_poll::FailedCall;
 use crate::interface::*;
 use crate::state::*;
@@ -252,8 +252,8 @@
     pub fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
         if !std::mem::replace(&mut self.started, true) && self.settings.discovery_on_request {
             let missed_while_down = FailedCall {
-                since: now.saturating_sub(SafetyRules::MAX_RESTART_GAP),
-                failure: Failure::Unreached,
+                list_known_at: now.saturating_sub(SafetyRules::MAX_RESTART_GAP),
+                reason: CallFailure::Unreachable,
             };
             self.schedule_poll(now, missed_while_down, actions);
         }
@@ -270,7 +270,7 @@
             Event::ClientDisconnected(id) => self.close_request(id, actions),
             Event::TimerFired(Timer::Request(id)) => self.check_request(now, id, actions),
             Event::TimerFired(Timer::Discovery) => {
-                if self.discovery_poll.call_begins(now) {
+                if self.discovery_poll.on_timer(now) {
                     actions.push(Action::PollDiscovery);
                 }
             }
@@ -293,7 +293,7 @@
         let fleet = (&self.settings.rules, self.settings.group_size);
         let due_at = self
             .discovery_poll
-            .schedule(now, failed, fleet, &mut self.random);
+            .schedule_after_failure(now, failed, fleet, &mut self.random);
         actions.extend(due_at.map(|at| Action::SetTimer {
             at,
             timer: Timer::Discovery,
@@ -313,16 +313,30 @@
                 connection_broken,
             } => {
                 actions.push(Action::Log(LogEvent::DiscoveryFailed));
-                let failure = Failure::of_ended_call(waited, connection_broken);
-                self.schedule_poll(now, FailedCall { since, failure }, actions);
+                let reason = CallFailure::from_ended_call(waited, connection_broken);
+                self.schedule_poll(
+                    now,
+                    FailedCall {
+                        list_known_at: since,
+                        reason,
+                    },
+                    actions,
+                );
             }
             DiscoveryUpdate::CallUnanswered {
                 call_started_at: since,
             } => {
-                let failure = Failure::Silent;
-                self.schedule_poll(now, FailedCall { since, failure }, actions);
+                let reason = CallFailure::Unanswered;
+                self.schedule_poll(
+                    now,
+                    FailedCall {
+                        list_known_at: since,
+                        reason,
+                    },
+                    actions,
+                );
             }
-            DiscoveryUpdate::WatchOpened => self.discovery_poll.watch_opened(now),
+            DiscoveryUpdate::WatchOpened => self.discovery_poll.on_watch_opened(now),
             DiscoveryUpdate::FullList(list) => {
                 self.servers
                     .values_mut()
@@ -334,7 +348,7 @@
     }
 
     fn server_list_received(&mut self, now: Micros, list: &[ServerEntry]) {
-        self.discovery_poll.list_came();
+        self.discovery_poll.on_list_update();
         let all_servers = list.len().max(self.ready.len()).max(1);
         let instances_per_server = f64::from(self.settings.group_size)
             * self.lane_size_limit(now).min(all_servers) as f64
--- a/crates/sidecar/src/discovery_watch.rs
+++ b/crates/sidecar/src/discovery_watch.rs
@@ -1,23 +1,25 @@
 //! Calls to discovery and the watch on changes of the endpoint list: opening it, reading it, and giving it up.
 
-use super::discovery_calls::CallId;
-use super::kept::OwnedTask;
-use super::list_reader::ListReader;
-use super::pool::{Listing, SERVERS, apply_update};
-use super::service::Service;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
-use hyper::{Request, Response, StatusCode, body::Incoming, client::conn::http1, header};
+use hyper::{Request, Response, StatusCode, header};
+use hyper::body::Incoming;
+use hyper::client::conn::http1;
 use hyper_util::rt::TokioIo;
 use madderloom_balancer::{DiscoveryUpdate, Event, Micros};
 use madderloom_endpoint_sharing::first_discovery_wait;
-use madderloom_watchdog::{self as watchdog, TaskKind};
+use madderloom_watchdog::{TaskKind, self as watchdog};
 use std::convert::Infallible;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::time::error::Elapsed;
+use super::discovery_calls::CallId;
+use super::list_reader::ListReader;
+use super::pool::{ListUpdate, MAX_LISTED_SERVERS, apply_update};
+use super::service::Service;
+use super::supervision::AbortOnDrop;
 use tokio::time::timeout;
+use tokio::time::error::Elapsed;
 
 /// A watch that says nothing for this long, no heartbeat either, is stalled: it is given up and opened anew. Discovery beats
 /// every 2 s; what it has to tell counts as told after 6 s whether it came or not.
@@ -34,35 +36,36 @@
 
 /// Follows another discovery from now on. The list is kept until that one speaks; its versions have nothing to
 /// do with those of the former, so it is asked from the beginning.
-pub(super) fn turn_to(service: &Rc<Service>, discovery: SocketAddr) {
-    let former = service.pool.follow(discovery);
-    let of = &service.label;
+pub(super) fn switch_discovery(service: &Rc<Service>, discovery: SocketAddr) {
+    let former = service.pool.set_discovery(discovery);
+    let of = &service.log_prefix;
     tracing::info!(%discovery, "{of}configuration read again: discovery is at {discovery}");
     if former != Some(discovery) {
         service.pool.calls.end_all();
-        service.pool.forget_version();
-        service.common.shared_lists.forget(&service.name);
+        service.pool.reset_list_version();
+        service.process.shared_lists.forget(&service.name);
         open_watch(service, true);
     }
 }
 
 /// Opens the watch, in place of one that is open, as the module says. One that the fleet called for meanwhile stays.
-pub(super) fn subscribe(service: &Rc<Service>) {
-    if !(service.pool.is_called() && service.common.shared_lists.shares(&service.name)) {
+pub(super) fn poll_discovery(service: &Rc<Service>) {
+    if !(service.pool.is_calling_discovery() && service.process.shared_lists.shares(&service.name))
+    {
         open_watch(service, true);
     }
 }
 
 /// Calls discovery now, for all of the fleet, where this instance does not watch it already.
-pub(super) fn call_for_all(service: &Rc<Service>) {
-    if !service.pool.is_called() && !service.is_leaving() {
+pub(super) fn call_for_fleet(service: &Rc<Service>) {
+    if !service.pool.is_calling_discovery() && !service.is_draining() {
         open_watch(service, false);
     }
 }
 
 /// Ends the watch, since enough others of the fleet watch: discovery is called again when what they tell is too old.
-pub(super) fn rest(service: &Rc<Service>) {
-    if service.pool.is_called() && !service.is_leaving() {
+pub(super) fn stop_watching(service: &Rc<Service>) {
+    if service.pool.is_calling_discovery() && !service.is_draining() {
         open_watch(service, true);
     }
 }
@@ -76,37 +79,37 @@
     let own = Rc::clone(service);
     let task = watchdog::spawn(TaskKind::DiscoveryWatch, async move {
         if waits {
-            wait_to_call(&own).await;
+            wait_until_call_due(&own).await;
         }
-        own.pool.set_called(true);
-        let mut call = Call::begin(id, own.common.clock.now());
+        own.pool.set_calling_discovery(true);
+        let mut call = Call::begin(id, own.process.clock.now());
         let Err(problem) = follow(&own, discovery, &mut call).await;
         call_ended(&own, discovery, &call, &problem);
     });
-    service.pool.set_called(false);
-    service.common.shared_lists.ended(&service.name);
+    service.pool.set_calling_discovery(false);
+    service.process.shared_lists.watch_ended(&service.name);
     service.pool.calls.begin(id, task.abort_handle());
 }
 
 /// Whoever is told by its fleet spares discovery the call.
-async fn wait_to_call(service: &Service) {
-    let ask_within = service.tuned().site.settings.rules.max_poll_interval;
+async fn wait_until_call_due(service: &Service) {
+    let ask_within = service.active_settings().site.settings.rules.max_poll_interval;
     // Without any server a request may be waiting for the list.
-    let first = if service.pool.is_known() {
-        first_discovery_wait(service.common.clock.up(), ask_within)
+    let first = if service.pool.has_servers() {
+        first_discovery_wait(service.process.clock.uptime(), ask_within)
     } else {
         0
     };
     service
-        .common
+        .process
         .shared_lists
-        .wait_to_call(&service.name, ask_within, first)
+        .wait_until_call_due(&service.name, ask_within, first)
         .await;
 }
 
 fn call_ended(service: &Rc<Service>, discovery: SocketAddr, call: &Call, problem: &str) {
     service.pool.calls.ended(call.id);
-    let now = service.common.clock.now();
+    let now = service.process.clock.now();
     log_failure(service, discovery, problem, call.began, now);
     if !call.fell_silent {
         not_called(service);
@@ -126,8 +129,8 @@
     call.fell_silent = true;
     service.pool.calls.fell_silent(call.id);
     not_called(service);
-    let now = service.common.clock.now();
-    let of = &service.label;
+    let now = service.process.clock.now();
+    let of = &service.log_prefix;
     let lasted_ms = now.saturating_sub(call.began) / MILLISECOND;
     tracing::info!(
         lasted_ms,
@@ -151,8 +154,8 @@
 
 /// No call of this instance is held to be answered.
 fn not_called(service: &Service) {
-    service.pool.set_called(false);
-    service.common.shared_lists.ended(&service.name);
+    service.pool.set_calling_discovery(false);
+    service.process.shared_lists.watch_ended(&service.name);
 }
 
 /// Says what ended a call or its watch, how long that lasted, and how old the list is that is still in use.
@@ -163,9 +166,9 @@
     began: Micros,
     now: Micros,
 ) {
-    let of = &service.label;
+    let of = &service.log_prefix;
     let lasted_ms = now.saturating_sub(began) / MILLISECOND;
-    let list_age_ms = service.pool.age(now).unwrap_or(0) / MILLISECOND;
+    let list_age_ms = service.pool.list_age(now).unwrap_or(0) / MILLISECOND;
     tracing::warn!(
         %discovery,
         lasted_ms,
@@ -176,16 +179,16 @@
 
 /// Says when discovery is called next.
 pub(super) fn log_next_call(service: &Service, now: Micros, at: Micros) {
-    let of = &service.label;
+    let of = &service.log_prefix;
     let due_ms = at.saturating_sub(now) / MILLISECOND;
     tracing::info!(due_ms, "{of}next call to discovery in {due_ms} ms");
 }
 
 /// Says that the first list of a call has come.
 fn log_first_list(service: &Service, began: Micros, now: Micros) {
-    let of = &service.label;
-    let version = service.pool.version();
-    let servers = service.pool.count();
+    let of = &service.log_prefix;
+    let version = service.pool.list_version();
+    let servers = service.pool.server_count();
     let lasted_ms = now.saturating_sub(began) / MILLISECOND;
     tracing::info!(
         version,
@@ -255,22 +258,25 @@
     call: &mut Call,
 ) -> Result<Infallible, String> {
     let pool = &service.pool;
-    let stream = timeout(CONNECTS, service.common.connect(discovery))
+    let stream = timeout(CONNECTS, service.process.connect(discovery))
         .await
         .map_err(no_word)?;
     let stream = stream.map_err(|e| e.to_string())?;
-    call.asked = service.common.clock.now();
+    call.asked = service.process.clock.now();
     call.state = CallState::Waiting;
     let made = http1::handshake(TokioIo::new(stream)).await;
     let (mut sender, connection) = made.map_err(|e| e.to_string())?;
-    let _task = OwnedTask(watchdog::spawn(TaskKind::DiscoveryConnection, async move {
+    let _task = AbortOnDrop(watchdog::spawn(TaskKind::DiscoveryConnection, async move {
         // How it ended shows in the body that is read from it.
         let _ = connection.await;
     }));
-    let request = Request::get(format!("/v1/endpoints?watch=1&after={}", pool.version()))
-        .header(header::HOST, discovery.to_string())
-        .body(Empty::<Bytes>::new())
-        .map_err(|e| e.to_string())?;
+    let request = Request::get(format!(
+        "/v1/endpoints?watch=1&after={}",
+        pool.list_version()
+    ))
+    .header(header::HOST, discovery.to_string())
+    .body(Empty::<Bytes>::new())
+    .map_err(|e| e.to_string())?;
     let answer = wait_for_answer(service, sender.send_request(request), call).await?;
     if answer.status() != StatusCode::OK {
         call.state = CallState::Refused;
@@ -278,7 +284,7 @@
     }
     call.state = CallState::Answered;
     if std::mem::take(&mut call.fell_silent) {
-        pool.set_called(true);
+        pool.set_calling_discovery(true);
     }
     read_lines(service, answer.into_body(), call).await
 }
@@ -320,7 +326,7 @@
         let frame = frame
             .ok_or("the watch has ended")?
             .map_err(|e| e.to_string())?;
-        let now = service.common.clock.now();
+        let now = service.process.clock.now();
         let was_within = reader.is_within();
         reader.push(frame.data_ref().map_or(&[], |d| d.as_ref()));
         while let Some(object) = reader.next()? {
@@ -333,34 +339,39 @@
         }
         // Until a list is whole nothing is known of what was to be told since it began.
         if !was_within || !reader.is_within() {
-            service.pool.heard_at(now);
+            service.pool.set_list_known_at(now);
             call.since = now;
         }
         if !reader.is_within() {
             // Where a list is on its way, something has changed.
-            service.common.shared_lists.beat(&service.name);
+            service
+                .process
+                .shared_lists
+                .discovery_confirmed(&service.name);
         }
     }
 }
 
 /// Takes in one object of a watch, and tells the fleet of it.
 fn apply_line(service: &Rc<Service>, now: Micros, object: &[u8]) -> Result<(), String> {
-    let listing: Listing =
+    let listing: ListUpdate =
         serde_json::from_slice(object).map_err(|e| format!("makes no sense: {e}"))?;
-    if listing.len() > SERVERS {
+    if listing.len() > MAX_LISTED_SERVERS {
         return Err(format!("lists {} servers", listing.len()));
     }
-    let ask_within = service.tuned().site.settings.rules.max_poll_interval;
-    let shared = &service.common.shared_lists;
-    if listing.is_whole() && !shared.allows(&service.name, listing.version(), ask_within) {
+    let ask_within = service.active_settings().site.settings.rules.max_poll_interval;
+    let shared = &service.process.shared_lists;
+    if listing.is_full_list()
+        && !shared.accepts_from_discovery(&service.name, listing.version(), ask_within)
+    {
         return Err(format!(
             "lists version {}, which is older than the fleet's",
             listing.version()
         ));
     }
     apply_update(service, now, listing);
-    shared.told(&service.name, service.pool.version(), || {
-        service.pool.shared()
+    shared.discovery_updated(&service.name, service.pool.list_version(), || {
+        service.pool.shared_text()
     });
     Ok(())
 }
--- a/crates/sidecar/src/reload.rs
+++ b/crates/sidecar/src/reload.rs
@@ -2,14 +2,14 @@
 
 use super::admin::{self, AdminServer};
 use super::config::Config;
-use super::counts::count;
+use super::counts::increment;
 use super::discovery_watch;
-use super::listener::{Listener, Manner, Socket, bind};
+use super::listener::{BoundSocket, Listener, ListenerSettings, bind};
 use super::ordinal::ordinal_in_name;
-use super::pool::Listing;
-use super::process::{Sidecar, totals};
-use super::routing::{Routed, Routing};
-use super::service::{Parts, Service, Spec};
+use super::pool::ListUpdate;
+use super::process::{Sidecar, resource_totals};
+use super::routing::{ListenerRoutes, Routing};
+use super::service::{ResourceShares, Service, ServiceSpec};
 use madderloom_balancer::settings::Site;
 use madderloom_operator_config::{Bounds, MemberLimits, Operator, PLATFORM, Pool, parts};
 use madderloom_routing::routes::{Route, Table};
@@ -33,26 +33,28 @@
     pub async fn reload(self: &Rc<Self>) {
         let _turn = self.agent_link.turn.lock().await;
         if let Some((service, _)) = &self.platform {
-            let read = Config::read_again(&self.keys.borrow());
+            let read = Config::reload(&self.config_keys.borrow());
             match read {
                 Ok(config) => {
-                    count(&self.common.files_taken);
-                    self.keys.replace(config.keys);
-                    if config.settings != service.tuned().file {
+                    increment(&self.process.configs_accepted);
+                    self.config_keys.replace(config.keys);
+                    if config.settings != service.active_settings().configured_site {
                         tracing::info!("settings taken over");
-                        service.retune(config.settings);
+                        service.update_settings(config.settings);
                     }
-                    discovery_watch::turn_to(service, config.discovery);
+                    discovery_watch::switch_discovery(service, config.discovery);
                 }
                 Err(problem) => {
-                    count(&self.common.files_refused);
+                    increment(&self.process.configs_rejected);
                     tracing::warn!("not read again: {problem}");
                 }
             }
         }
-        let Some(file) = &self.file else { return };
+        let Some(file) = &self.operator_file else {
+            return;
+        };
         let read = self.agent_link.read(file.clone()).await;
-        if self.common.is_stopping() {
+        if self.process.is_stopping() {
             return;
         }
         let applied = read.and_then(|read| {
@@ -74,7 +76,7 @@
         if self.platform.is_none() {
             stands_alone(&operator)?;
         }
-        match (self.common.state_writer.get(), &operator.state) {
+        match (self.process.state_writer.get(), &operator.state) {
             (None, None) => {}
             (None, Some(_)) => {
                 return Err(
@@ -92,7 +94,7 @@
             .zip(pool_parts.iter().skip(self.first_place()))
         {
             if self.kept(pool).is_none() {
-                match Service::new(&self.common, self.spec(pool), *parts) {
+                match Service::new(&self.process, self.spec(pool), *parts) {
                     Ok(service) => made.push(service),
                     Err(problem) => {
                         made.into_iter()
@@ -144,14 +146,16 @@
         operator: Operator,
         prepared: Prepared,
         mut made: Vec<Rc<Service>>,
-        pool_parts: &[Parts],
+        pool_parts: &[ResourceShares],
     ) -> String {
         let first = self.first_place();
         let limits = operator
             .control
             .as_ref()
             .map(|control| control.fleet_limits.as_slice());
-        self.common.fleet_limits.follow(limits.unwrap_or_default());
+        self.process
+            .fleet_limits
+            .set_limits(limits.unwrap_or_default());
         let shared = operator
             .control
             .as_ref()
@@ -160,16 +164,16 @@
             .pools
             .iter()
             .filter(|pool| pool.discovery.is_some());
-        self.common
+        self.process
             .shared_lists
-            .follow(shared, followed.map(|pool| pool.name.clone()));
-        self.common.set_totals(totals(
+            .set_pools(shared, followed.map(|pool| pool.name.clone()));
+        self.process.set_totals(resource_totals(
             self.descriptors,
-            self.memory,
+            self.memory_bytes,
             Some(&operator),
             self.platform.is_some(),
         ));
-        if let Some((writer, state)) = self.common.state_writer.get().zip(operator.state.clone()) {
+        if let Some((writer, state)) = self.process.state_writer.get().zip(operator.state.clone()) {
             writer.reconfigure(state);
         }
         made.reverse();
@@ -177,7 +181,7 @@
         for (pool, parts) in operator.pools.iter().zip(pool_parts.iter().skip(first)) {
             let service = match self.kept(pool) {
                 Some(service) => {
-                    service.change(pool, *parts);
+                    service.reconfigure(pool, *parts);
                     service
                 }
                 None => match made.pop() {
@@ -198,18 +202,18 @@
             .collect();
         if let Some((service, listener)) = &self.platform {
             let (all, limits) = (MemberLimits::default(), listener_parts[0]);
-            service.change_limits(all, pool_parts[0]);
-            service.kept.set(
+            service.set_limits(all, pool_parts[0]);
+            service.persistence.set(
                 operator
                     .state
                     .as_ref()
                     .map(|state| state.usual)
                     .unwrap_or_default(),
             );
-            listener.change(
-                Manner {
-                    drains: true,
-                    ..Manner::usual()
+            listener.update(
+                ListenerSettings {
+                    drains_rejected_bodies: true,
+                    ..ListenerSettings::defaults()
                 },
                 self.routing(&table, 0, &by_place),
                 all,
@@ -220,13 +224,13 @@
         let mut sockets = prepared.sockets.into_iter();
         let mut listeners = Vec::new();
         for (at, spec) in operator.listeners.iter().enumerate() {
-            let manner = Manner {
-                head_within: spec.head_within.micros(),
-                idle_within: spec.idle_within.micros(),
-                body_within: spec.body_within.micros(),
-                body_size: spec.body_size.0 as usize,
-                message_size: spec.body_size.0 as usize,
-                drains: true,
+            let settings = ListenerSettings {
+                head_timeout: spec.head_within.micros(),
+                idle_timeout: spec.idle_within.micros(),
+                body_timeout: spec.body_within.micros(),
+                max_body_size: spec.body_size.0 as usize,
+                max_message_size: spec.body_size.0 as usize,
+                drains_rejected_bodies: true,
             };
             let (routing, parts) = (
                 self.routing(&table, at + 1, &by_place),
@@ -234,8 +238,8 @@
             );
             let listener = match &kept[at] {
                 Some(listener) => {
-                    listener.rename(&spec.name);
-                    listener.change(manner, routing, spec.limits, parts);
+                    listener.set_name(&spec.name);
+                    listener.update(settings, routing, spec.limits, parts);
                     Rc::clone(listener)
                 }
                 None => {
@@ -243,12 +247,18 @@
                         continue;
                     };
                     let limits = (Some(spec.limits), parts);
-                    let place = Socket {
-                        wanted: spec.address,
+                    let place = BoundSocket {
+                        configured_address: spec.address,
                         socket,
                         shared: false,
                     };
-                    Listener::start(&self.common, &spec.name, place, (manner, routing), limits)
+                    Listener::start(
+                        &self.process,
+                        &spec.name,
+                        place,
+                        (settings, routing),
+                        limits,
+                    )
                 }
             };
             listeners.push(listener);
@@ -263,7 +273,7 @@
             gone.len(),
             operator.routes.len()
         );
-        closed.iter().for_each(|listener| listener.leave());
+        closed.iter().for_each(|listener| listener.start_draining());
         let drain = Duration::from_micros(operator.process.drain.micros());
         gone.into_iter()
             .for_each(|service| self.retire(service, drain));
@@ -271,11 +281,13 @@
         services
             .iter()
             .chain(platform)
-            .for_each(|service| service.keep_story(operator.timeline));
+            .for_each(|service| service.set_history_settings(operator.timeline));
         self.services.replace(services);
         self.listeners.replace(listeners);
-        self.common.routes.set(operator.routes.len());
-        self.common.files.set(self.common.files.get() + 1);
+        self.process.route_count.set(operator.routes.len());
+        self.process
+            .operator_files_applied
+            .set(self.process.operator_files_applied.get() + 1);
         if let Some(socket) = prepared.admin {
             // The former one goes first, which takes its socket's file with it only where that is still its own.
             self.admin.replace(None);
@@ -286,7 +298,7 @@
     }
 
     fn retire(&self, service: Rc<Service>, drain: Duration) {
-        watchdog::spawn(TaskKind::PoolRemoval, service.leave(drain));
+        watchdog::spawn(TaskKind::PoolRemoval, service.drain_and_remove(drain));
     }
 
     /// The place of the file's first pool and listener among the members.
@@ -300,7 +312,7 @@
         self.services
             .borrow()
             .iter()
-            .find(|s| s.name == pool.name && s.tuned().file == site)
+            .find(|s| s.name == pool.name && s.active_settings().configured_site == site)
             .cloned()
     }
 
@@ -310,11 +322,11 @@
         let mut free = self.listeners.borrow().clone();
         // Those that an earlier file has told to leave still hold their addresses for a moment.
         free.extend(
-            self.common
+            self.process
                 .listeners
                 .borrow()
                 .iter()
-                .filter(|listener| listener.may_stay())
+                .filter(|listener| listener.can_cancel_draining())
                 .cloned(),
         );
         let mut kept = vec![None; operator.listeners.len()];
@@ -325,7 +337,8 @@
                 .filter(|(place, _)| place.is_none())
             {
                 let alike = |l: &Rc<Listener>| {
-                    l.wanted == spec.address && (!by_name || *l.name.borrow() == spec.name)
+                    l.configured_address == spec.address
+                        && (!by_name || *l.name.borrow() == spec.name)
                 };
                 *place = free.iter().position(alike).map(|at| free.remove(at));
             }
@@ -333,24 +346,24 @@
         kept
     }
 
-    fn spec(&self, pool: &Pool) -> Spec {
-        Spec {
+    fn spec(&self, pool: &Pool) -> ServiceSpec {
+        ServiceSpec {
             name: pool.name.clone(),
-            label: format!("{}: ", pool.name),
+            log_prefix: format!("{}: ", pool.name),
             site: site_of(pool),
             discovery: pool.discovery,
-            known: Listing::fixed(&pool.servers),
+            initial_list: ListUpdate::from_static_servers(&pool.servers),
             limits: pool.limits,
             levels: pool.levels.clone(),
             graphql: pool.graphql.clone(),
-            kept: pool.kept,
+            persistence: pool.kept,
             seed: foldhash::quality::FixedState::with_seed(self.seed).hash_one(&pool.name),
             ordinal: ordinal_in_name(&self.name),
         }
     }
 
     /// What each member may hold: of the pools, or of the listeners; the platform's is the first.
-    fn parts(&self, operator: &Operator, pools: bool) -> Vec<Parts> {
+    fn parts(&self, operator: &Operator, pools: bool) -> Vec<ResourceShares> {
         let mut members: Vec<MemberLimits> = Vec::new();
         members.extend(self.platform.is_some().then(MemberLimits::default));
         if pools {
@@ -358,9 +371,9 @@
         } else {
             members.extend(operator.listeners.iter().map(|listener| listener.limits));
         }
-        let totals = totals(
+        let totals = resource_totals(
             self.descriptors,
-            self.memory,
+            self.memory_bytes,
             Some(operator),
             self.platform.is_some(),
         );
@@ -368,12 +381,15 @@
             parts(total, &members.iter().map(pick).collect::<Vec<Bounds>>())
         };
         let connections = of(totals.connections, |m| m.connections);
-        let (open, bodies) = (of(totals.open, |m| m.open), of(totals.bodies, |m| m.bodies));
+        let (open, bodies) = (
+            of(totals.requests, |m| m.open),
+            of(totals.body_bytes, |m| m.bodies),
+        );
         let all = connections.into_iter().zip(open).zip(bodies);
-        all.map(|((connections, open), bodies)| Parts {
+        all.map(|((connections, open), bodies)| ResourceShares {
             connections,
-            open,
-            bodies,
+            requests: open,
+            body_bytes: bodies,
         })
         .collect()
     }
@@ -392,15 +408,15 @@
             .filter(|_| place == 0)
             .map(|(service, _)| Rc::clone(service));
         match otherwise {
-            Some(service) if !table.routes().iter().any(here) => Routing::One(service),
-            otherwise => Routing::Table(Routed::new(table, place, services, otherwise)),
+            Some(service) if !table.routes().iter().any(here) => Routing::SingleService(service),
+            otherwise => Routing::Routes(ListenerRoutes::new(table, place, services, otherwise)),
         }
     }
 
     fn viewer(&self) -> super::view::Viewer {
-        let (common, agent_link) = (Rc::clone(&self.common), Rc::clone(&self.agent_link));
+        let (process, agent_link) = (Rc::clone(&self.process), Rc::clone(&self.agent_link));
         super::view::Viewer {
-            common,
+            process,
             agent_link,
             name: self.name.clone(),
         }
@@ -408,7 +424,7 @@
 }
 
 /// Reads on a thread of its own: a long file takes a good part of a second, in which requests go on.
-pub(super) async fn aside<T: Send + 'static>(
+pub(super) async fn run_on_thread<T: Send + 'static>(
     read: impl FnOnce() -> T + Send + 'static,
 ) -> Result<T, String> {
     let (done, end) = oneshot::channel();
