--- a/crates/balancer/src/decide.rs
+++ b/crates/balancer/src/decide.rs
@@ -17,11 +17,11 @@
 
 // ---- Constants. Those of type `Micros`, and those that end in `_US`, are in microseconds. ----
 
-/// Minimum time between two tunings of an interval, for each [`SERVERS_PER_TUNING_PERIOD`] of its servers.
-/// Also the minimum time between two assignments of lanes.
+/// Minimum time between two tunings of an interval with up to [`SERVERS_PER_TUNING_PERIOD`] servers, and
+/// between two assignments of lanes.
 const TUNING_PERIOD: Micros = 250_000;
-/// Number of servers by which the tuning period grows: with more servers, one response says less and tuning
-/// costs more.
+/// That minimum time grows by one tuning period for each further group of this many servers: with more
+/// servers, one response says less and tuning costs more.
 const SERVERS_PER_TUNING_PERIOD: usize = 16;
 /// Fraction of a server's measured sums that is kept at a tuning after new results. Without new results the
 /// sums stay, because an instance with little traffic receives few responses.
@@ -46,8 +46,8 @@
 /// A later candidate replaces the best one so far only if its expected response time is below this fraction
 /// of the other's.
 const FASTER_CANDIDATE_RATIO: f64 = 0.75;
-/// Load that a cross-zone attempt adds to a server in comparisons, in requests of mean work, at a cross-zone
-/// price of one priority weight. It is multiplied by the price.
+/// Load, in requests of mean work, that is added to a server in another zone when servers are compared. It is
+/// multiplied by the cross-zone price.
 const CROSS_ZONE_LOAD_REQUESTS: f64 = 33.0;
 /// Score of failures in a row that ejects a server: a timeout scores 1, an error 2, a lost connection 3.
 const EJECTION_SCORE: u32 = 6;
@@ -58,8 +58,8 @@
 pub(crate) const LOSS_TIME_CONSTANT_US: f64 = 10e6;
 /// Lost attempts within that time constant that do not count, because a healthy server has them as well.
 pub(crate) const NORMAL_LOSSES: f64 = 1.0;
-/// Cost of losing a non-idempotent request, which cannot be retried, in latency objectives: how much longer
-/// it is worth waiting at another server.
+/// Losing a non-idempotent request, which cannot be retried, counts as this many latency objectives of
+/// additional response time when servers are compared.
 const LOSS_COST_OBJECTIVES: f64 = 2.0;
 /// Duration of a server's first ejection. It doubles with each failed trial request.
 const FIRST_EJECTION: Micros = 1_000_000;
@@ -111,18 +111,18 @@
 pub(crate) const LATENCY_RATIO_MAX_RESPONSES: f64 = 200.0;
 /// Admission: a class may have in flight what it serves in this fraction of its latency objective.
 const ADMITTED_OBJECTIVE_SHARE: f64 = 0.45;
-/// Admission: the fraction above is at least this multiple of the class's hinted work, because work is not
-/// queueing.
+/// Admission: if this multiple of the class's mean hinted work is larger than that fraction, it applies
+/// instead, because work is not queueing.
 const ADMITTED_WORK_FACTOR: f64 = 2.0;
-/// Admission: the limit of that extension, as a fraction of the latency objective.
+/// Admission: maximum of the fraction that follows from the hinted work.
 const MAX_ADMITTED_OBJECTIVE_SHARE: f64 = 0.75;
 /// Minimum weight of the latest hint in a class's mean hinted work. It is low because hints are imprecise.
 const HINT_MEAN_STEP: f64 = 0.004;
 /// Admission: the limit rises by this power of the ratio of the admitted to the measured latency. If that
 /// ratio is below 1, the limit falls in proportion to it, and the spare requests fall by the power.
 const ADMISSION_EXPONENT: i32 = 3;
-/// Admission: a class never has in flight more than it serves in this fraction of its latency objective,
-/// because responses report queueing late.
+/// Admission: apart from the spare requests, a class never has more in flight than it serves in this fraction
+/// of its latency objective, because responses report queueing late.
 const MAX_QUEUE_OBJECTIVE_SHARE: f64 = 0.6;
 /// Requests admitted beyond a rate or a share, whose noise would otherwise reject rare requests.
 const SPARE_REQUESTS: f64 = 3.0;
@@ -132,12 +132,13 @@
 const OVERLOAD_LOG_QUIET_TIME: Micros = 5_000_000;
 /// A class is long if its service time exceeds this fraction of the shortest latency objective.
 const LONG_CLASS_OBJECTIVE_SHARE: f64 = 0.8;
-/// Size of the long classes' lane, as a fraction of their share of the work: long classes have time to queue.
+/// The long classes' lane has this fraction of the servers that correspond to their share of the work: long
+/// classes have time to queue.
 const LONG_LANE_SHARE: f64 = 0.8;
 /// Time constant of the arrived work that gives that share.
 pub(crate) const LANE_TIME_CONSTANT_US: f64 = 60e6;
-/// Lane size of an instance that may not probe: its arrivals within this time, so that each server responds
-/// to it about once in this time.
+/// A lane of an instance that may not probe has as many servers as the instance receives requests in this
+/// time, so that each server responds to it about once in this time.
 const LANE_PERIOD_US: f64 = 4e6;
 /// The same for an instance that may probe, but does not because probes are too expensive.
 const LANE_PERIOD_IN_LARGE_GROUP_US: f64 = 0.5e6;
@@ -145,7 +146,7 @@
 pub(crate) const ARRIVAL_TIME_CONSTANT_US: f64 = 20e6;
 /// Minimum number of servers in a lane.
 const MIN_LANE_SERVERS: usize = 8;
-/// Slow start: fraction of the budget for one overload window that a warming server can accumulate. A burst
+/// Slow start: a warming server saves up at most this fraction of its budget for one overload window. A burst
 /// would spend a larger one at once.
 const SLOW_START_SAVED_SHARE: f64 = 0.5;
 /// Slow start: number of instances that may send a request to a server as soon as it starts.
@@ -154,8 +155,8 @@
 const SLOW_START_PACE: f64 = 1.5;
 
 /// Whether a server may receive a request, or why not, in the order of preference. If no function of the hash
-/// family yields an eligible server, the request goes to the best server met, up to `AlreadyTried`. The
-/// others never receive it.
+/// family yields an eligible server, the best of the servers found receives it. Servers beyond `AlreadyTried`
+/// never do.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Eligibility {
     /// It may receive the request.
@@ -232,7 +233,7 @@
                 .filter(|subregion| (subregion.1 == 0) == uncovered)
             {
                 if uncovered {
-                    let Some(next) = change[growing..].iter().position(|change| *change > 0) else {
+                    let Some(next) = change[growing..].iter().position(|amount| *amount > 0) else {
                         return;
                     };
                     growing += next;
@@ -291,9 +292,9 @@
 
     fn schedule_poll(&mut self, now: Micros, failed: FailedCall, actions: &mut Vec<Action>) {
         let fleet = (&self.settings.rules, self.settings.group_size);
-        let due_at = self
-            .discovery_poll
-            .schedule_after_failure(now, failed, fleet, &mut self.random);
+        let due_at =
+            self.discovery_poll
+                .schedule_after_failure(now, failed, fleet, &mut self.random);
         actions.extend(due_at.map(|at| Action::SetTimer {
             at,
             timer: Timer::Discovery,
@@ -308,7 +309,7 @@
     ) {
         match update {
             DiscoveryUpdate::CallFailed {
-                list_known_at: since,
+                list_known_at,
                 waited,
                 connection_broken,
             } => {
@@ -317,20 +318,20 @@
                 self.schedule_poll(
                     now,
                     FailedCall {
-                        list_known_at: since,
+                        list_known_at,
                         reason,
                     },
                     actions,
                 );
             }
             DiscoveryUpdate::CallUnanswered {
-                call_started_at: since,
+                call_started_at: list_known_at,
             } => {
                 let reason = CallFailure::Unanswered;
                 self.schedule_poll(
                     now,
                     FailedCall {
-                        list_known_at: since,
+                        list_known_at,
                         reason,
                     },
                     actions,
@@ -356,7 +357,7 @@
         let first_request_probability = SLOW_START_FIRST_INSTANCES / instances_per_server;
         for entry in list {
             // If each instance's part of a warming server's budget is less than one request, a random few
-            // send one immediately and the others later. Together they use the budget from the start.
+            // send one immediately and the others later, so that together they use the budget from the start.
             let random_debt =
                 |_| (self.random.rand_float() - first_request_probability) * self.mean_work.value;
             let slow_start_debt = entry.started_at.map_or(0.0, random_debt);
@@ -947,12 +948,12 @@
         }
         let ejection_score =
             f64::from(EJECTION_SCORE) * (1.0 + EJECTION_SCORE_LOSS_FACTOR * server.loss_share);
-        let is_failing = server
+        let must_eject = server
             .ejected_until
             .map_or(f64::from(server.failure_score) >= ejection_score, |until| {
                 now >= until
             });
-        if score > 0 && is_failing {
+        if score > 0 && must_eject {
             server.ejection_duration =
                 (2 * server.ejection_duration).clamp(FIRST_EJECTION, MAX_EJECTION);
             server.ejected_until = Some(now + server.ejection_duration);
--- a/crates/balancer/src/interface.rs
+++ b/crates/balancer/src/interface.rs
@@ -131,8 +131,8 @@
     /// An instance without a watch that has not polled discovery for this long, or for four times this after a failed call, is
     /// assumed to know the server list of that moment. Above 0.
     pub max_poll_interval: Micros,
-    /// How long after the notification that a server drains or was removed requests may still be sent to it. Later requests
-    /// break the safety rules.
+    /// How long after the notification that a server drains or has left requests may still be sent to it. Later requests break
+    /// the safety rules.
     pub drain_grace: Micros,
 }
 
@@ -146,8 +146,8 @@
     /// Discovery answers a call within this time if it is reachable and not overloaded.
     pub const DISCOVERY_RESPONSE_TIME: Micros = 1_000_000;
 
-    /// The longest time between the moment for which the server list is known and the start of the next discovery call.
-    /// Changes count as known 6 s after discovery has them, and after the drain grace no request may go to a removed server.
+    /// The longest time between the moment for which the server list is known and the start of the next discovery call. Changes
+    /// count as known 6 s after discovery has them, and after the drain grace no request may go to a server that has left.
     pub fn poll_again_within(&self) -> Micros {
         (Self::ASSUMED_NOTIFIED_AFTER - Self::DISCOVERY_RESPONSE_TIME)
             .saturating_add(self.drain_grace)
@@ -268,7 +268,7 @@
         /// ended; [`Micros::MAX`] if this is unknown.
         waited: Micros,
         /// Whether the connection broke while the call waited, so that discovery may have crashed under the load of its
-        /// callers; true also if this is unknown. False if discovery refused the call, was not reached or did not answer.
+        /// callers; true also if this is unknown. False if discovery rejected the call, was not reached or did not answer.
         connection_broken: bool,
     },
     /// A discovery call was answered and its watch is open. It replaces a call that is still due.
@@ -307,7 +307,7 @@
     Ready,
     /// It only completes its requests in flight.
     Draining,
-    /// It has been removed from the list.
+    /// It has left.
     Gone,
 }
 
