--- a/crates/balancer/examples/embed.rs
+++ b/crates/balancer/examples/embed.rs
@@ -1,4 +1,4 @@
-//! One balancer through a request, a failure with retry, a drain and a refused setting.
+//! Drives a balancer through a request, a failed attempt with its retry, a draining server and invalid settings.
 //! Run with `cargo run --example embed`.
 
 use madderloom_balancer::*;
@@ -39,7 +39,7 @@
     }
 }
 
-fn listed(server: u64, state: ServerState) -> ServerEntry {
+fn entry(server: u64, state: ServerState) -> ServerEntry {
     ServerEntry {
         server: ServerId(server),
         zone: 0,
@@ -64,20 +64,25 @@
     })
 }
 
-fn closed(request: RequestId, attempt: u32, server: ServerId, outcome: Outcome) -> Event<'static> {
-    // The embedder hands an answer to the client itself; `ended` says that it did.
-    let ended = outcome == Outcome::Ok;
+fn attempt_ended(
+    request: RequestId,
+    attempt: u32,
+    server: ServerId,
+    outcome: Outcome,
+) -> Event<'static> {
+    // The embedder returns a response to the client itself, which ends the request.
+    let request_ended = outcome == Outcome::Ok;
     Event::AttemptEnded(AttemptResult {
         request,
         attempt,
         server,
         outcome,
         elapsed: 20 * MS,
-        request_ended: ended,
+        request_ended,
     })
 }
 
-/// Where the last attempt went.
+/// The server of the last attempt.
 fn sent(actions: &[Action]) -> Option<ServerId> {
     actions.iter().rev().find_map(|action| match action {
         Action::Send { server, .. } => Some(*server),
@@ -86,13 +91,13 @@
 }
 
 fn main() -> Result<(), SettingsError> {
-    let wrong = Settings {
+    let invalid = Settings {
         classes: Vec::new(),
         ..settings()
     };
     println!(
-        "refused: {}",
-        Balancer::new(wrong, 1)
+        "rejected: {}",
+        Balancer::new(invalid, 1)
             .err()
             .map(|e| e.to_string())
             .unwrap_or_default()
@@ -102,33 +107,37 @@
     let mut actions = Vec::new();
     let mut now: Micros = 1_000_000;
 
-    let both = [listed(1, ServerState::Ready), listed(2, ServerState::Ready)];
+    let servers = [entry(1, ServerState::Ready), entry(2, ServerState::Ready)];
     balancer.handle(
         now,
-        Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&both)),
+        Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&servers)),
         &mut actions,
     );
 
-    // A request: its attempt, and a timer to be handed back when it is due.
+    // A request causes its first attempt, and a timer to return when it fires.
     balancer.handle(now, request(1), &mut actions);
     println!("{actions:?}");
     let first = sent(&actions).expect("a server is listed");
 
-    // The attempt fails, and the retry goes elsewhere.
+    // The attempt fails, and the retry goes to the other server.
     now += 20 * MS;
     actions.clear();
-    balancer.handle(now, closed(1, 0, first, Outcome::Error), &mut actions);
+    balancer.handle(
+        now,
+        attempt_ended(1, 0, first, Outcome::Error),
+        &mut actions,
+    );
     println!("{actions:?}");
     let second = sent(&actions).expect("there is another server");
     assert_ne!(first, second);
     now += 20 * MS;
-    balancer.handle(now, closed(1, 1, second, Outcome::Ok), &mut actions);
+    balancer.handle(now, attempt_ended(1, 1, second, Outcome::Ok), &mut actions);
 
-    // The second server drains: from now on nothing new goes there.
-    let drained = [listed(second.0, ServerState::Draining)];
+    // The second server drains and receives no new requests.
+    let draining = [entry(second.0, ServerState::Draining)];
     balancer.handle(
         now,
-        Event::DiscoveryUpdated(DiscoveryUpdate::ListChanges(&drained)),
+        Event::DiscoveryUpdated(DiscoveryUpdate::ListChanges(&draining)),
         &mut actions,
     );
     for id in 2..20 {
@@ -137,7 +146,7 @@
         let server = sent(&actions).expect("one server is ready");
         assert_eq!(server, first);
         now += 20 * MS;
-        balancer.handle(now, closed(id, 0, server, Outcome::Ok), &mut actions);
+        balancer.handle(now, attempt_ended(id, 0, server, Outcome::Ok), &mut actions);
     }
     println!("all later requests went to {first:?}");
     Ok(())
