--- a/crates/balancer/src/decide.rs
+++ b/crates/balancer/src/decide.rs
@@ -366,7 +366,7 @@
                 .entry(entry.server)
                 .or_insert_with(|| Server::new(*entry, now, slow_start_debt));
             if entry.started_at > server.entry.started_at {
-                // A restarted server is cold: measurements of its former incarnation do not apply.
+                // A restarted server warms up again: measurements of its former incarnation do not apply.
                 let in_flight = std::mem::take(&mut server.in_flight);
                 *server = Server {
                     in_flight,
@@ -989,13 +989,13 @@
                 .iter()
                 .filter(|id| is_serving(&self.servers[id]))
                 .count();
-            let wanted = (LONG_LANE_SHARE * long_share * serving as f64).round() as usize;
-            let mut missing = wanted.clamp(1, serving.max(2) - 1);
+            let target = (LONG_LANE_SHARE * long_share * serving as f64).round() as usize;
+            let mut remaining = target.clamp(1, serving.max(2) - 1);
             short_lane.sort_by_cached_key(|id| FixedState::with_seed(u64::MAX).hash_one(id));
-            while missing > 0
+            while remaining > 0
                 && let Some(id) = short_lane.pop()
             {
-                missing -= usize::from(is_serving(&self.servers[&id]));
+                remaining -= usize::from(is_serving(&self.servers[&id]));
                 long_lane.push(id);
             }
         }
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -22,7 +22,7 @@
     }
 }
 
-/// The settings object with its own field names. Unknown keys are ignored.
+/// The settings object, with the field names of its external format. Unknown keys are ignored.
 #[derive(Deserialize)]
 struct SettingsObject {
     group_size: u32,
@@ -288,7 +288,7 @@
     }
 }
 
-/// The path in the settings object of the field at this path in [`Settings`], for error messages.
+/// Converts the path of a field in [`Settings`] to its path in the settings object, for error messages.
 pub fn settings_key(field: &str) -> String {
     let names = [
         ("classes", "services"),
