--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -59,6 +59,7 @@
 mod view;
 mod virtual_server;
 mod warm_start;
+
 pub use config::{Config, ConfigError, Limits};
 pub use process::Sidecar;
 
