--- a/crates/sidecar/src/client.rs
+++ b/crates/sidecar/src/client.rs
@@ -399,14 +399,14 @@
         LINGER_TIMEOUT
     };
     let read_to_end = async {
-        let mut left = LINGER_MAX_BYTES;
-        while left > 0 {
+        let mut remaining = LINGER_MAX_BYTES;
+        while remaining > 0 {
             let read = |stream: &TcpStream| {
                 READ_BUFFER.with_borrow_mut(|read_buffer| stream.try_read(read_buffer))
             };
             match poll_fn(|context| readiness::poll_read(&client.stream, context, read)).await {
                 Ok(0) | Err(_) => return,
-                Ok(count) => left = left.saturating_sub(count),
+                Ok(count) => remaining = remaining.saturating_sub(count),
             }
         }
     };
--- a/crates/sidecar/src/graphql.rs
+++ b/crates/sidecar/src/graphql.rs
@@ -352,10 +352,10 @@
         RequestError::LimitReached(_, retry_after) => {
             response(Reply::of(&Fault::refused(retry_after), None, media))
         }
-        RequestError::Invalid(status, problem) => {
+        RequestError::Invalid(status, message) => {
             let reply = Reply {
                 status: status.as_u16(),
-                ..Reply::of(&Fault::bad(problem), None, media)
+                ..Reply::of(&Fault::bad(message), None, media)
             };
             let mut response = response(reply);
             // Further bytes on the connection may belong to the message.
--- a/crates/sidecar/src/listener.rs
+++ b/crates/sidecar/src/listener.rs
@@ -103,14 +103,14 @@
 ///
 /// # Errors
 /// The socket cannot be bound.
-pub(super) fn bind(at: SocketAddr) -> std::io::Result<TcpListener> {
-    let socket = if at.is_ipv4() {
+pub(super) fn bind(address: SocketAddr) -> std::io::Result<TcpListener> {
+    let socket = if address.is_ipv4() {
         TcpSocket::new_v4()
     } else {
         TcpSocket::new_v6()
     }?;
     socket.set_reuseaddr(true)?;
-    socket.bind(at)?;
+    socket.bind(address)?;
     socket.listen(LISTEN_BACKLOG)
 }
 
--- a/crates/sidecar/src/readiness_tests.rs
+++ b/crates/sidecar/src/readiness_tests.rs
@@ -34,11 +34,11 @@
 /// Both ends of a connection.
 async fn connection() -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let own = TcpStream::connect(listener.local_addr().expect("listener is bound"))
+    let local = TcpStream::connect(listener.local_addr().expect("listener is bound"))
         .await
         .expect("listener accepts");
     let (peer, _) = listener.accept().await.expect("connection arrives");
-    (own, peer)
+    (local, peer)
 }
 
 /// Writes until the send buffer is full.
@@ -48,20 +48,20 @@
 
 /// A stream with a full send buffer, whose cached readiness is readable though there is nothing to read.
 async fn blocked_stream_with_stale_read_readiness() -> (TcpStream, TcpStream) {
-    let (own, mut peer) = connection().await;
+    let (local, mut peer) = connection().await;
     peer.write_all(b"x").await.expect("send buffer has space");
-    own.readable().await.expect("connection is open");
+    local.readable().await.expect("connection is open");
     // A read that fills its buffer does not clear tokio's cached readiness.
-    assert_eq!(own.try_read(&mut [0]).expect("one byte is ready"), 1);
-    fill_send_buffer(&own);
-    (own, peer)
+    assert_eq!(local.try_read(&mut [0]).expect("one byte is ready"), 1);
+    fill_send_buffer(&local);
+    (local, peer)
 }
 
 #[test]
 fn a_blocked_writer_is_not_woken_by_stale_read_readiness() {
     run(async {
-        let (own, mut peer) = blocked_stream_with_stale_read_readiness().await;
-        let mut wait = Box::pin(writable_or_peer_readable(&own));
+        let (local, mut peer) = blocked_stream_with_stale_read_readiness().await;
+        let mut wait = Box::pin(writable_or_peer_readable(&local));
         let mut pending_polls = 0;
         for _ in 0..2 * BUDGET {
             match poll_fn(|context| Poll::Ready(wait.as_mut().poll(context))).await {
@@ -69,8 +69,8 @@
                 Poll::Ready(event) => {
                     // The kernel may still move bytes to the peer's receive buffer, which frees space here.
                     assert_eq!(event.expect("connection is open"), SocketEvent::Writable);
-                    fill_send_buffer(&own);
-                    wait = Box::pin(writable_or_peer_readable(&own));
+                    fill_send_buffer(&local);
+                    wait = Box::pin(writable_or_peer_readable(&local));
                 }
             }
             tokio::task::yield_now().await;
@@ -80,7 +80,7 @@
             "it was pending {pending_polls} times"
         );
         peer.write_all(b"x").await.expect("send buffer has space");
-        while writable_or_peer_readable(&own)
+        while writable_or_peer_readable(&local)
             .await
             .expect("connection is open")
             != SocketEvent::PeerReadable
@@ -91,9 +91,9 @@
 #[test]
 fn a_blocked_writer_continues_once_there_is_space_and_stops_when_the_peer_closes() {
     run(async {
-        let (own, peer) = blocked_stream_with_stale_read_readiness().await;
+        let (local, peer) = blocked_stream_with_stale_read_readiness().await;
         let mut received = vec![0; 64 << 20];
-        let mut wait = pin!(writable_or_peer_readable(&own));
+        let mut wait = pin!(writable_or_peer_readable(&local));
         let wakeup = loop {
             if let Poll::Ready(event) =
                 poll_fn(|context| Poll::Ready(wait.as_mut().poll(context))).await
@@ -104,9 +104,9 @@
             tokio::task::yield_now().await;
         };
         assert_eq!(wakeup, SocketEvent::Writable);
-        fill_send_buffer(&own);
+        fill_send_buffer(&local);
         drop(peer);
-        while writable_or_peer_readable(&own)
+        while writable_or_peer_readable(&local)
             .await
             .expect("connection is open")
             != SocketEvent::PeerReadable
@@ -118,15 +118,15 @@
 #[test]
 fn a_reader_yields_after_its_budget_however_much_is_ready() {
     run(async {
-        let (own, mut peer) = connection().await;
+        let (local, mut peer) = connection().await;
         peer.write_all(&[0; 10 * BUDGET])
             .await
             .expect("send buffer has space");
-        own.readable().await.expect("connection is open");
+        local.readable().await.expect("connection is open");
         tokio::task::yield_now().await;
         let mut reads_in_one_poll = 0;
         poll_fn(|context| {
-            while poll_read(&own, context, |stream| stream.try_read(&mut [0])).is_ready() {
+            while poll_read(&local, context, |stream| stream.try_read(&mut [0])).is_ready() {
                 reads_in_one_poll += 1;
             }
             Poll::Ready(())
--- a/crates/sidecar/src/request_framing.rs
+++ b/crates/sidecar/src/request_framing.rs
@@ -1,6 +1,6 @@
-//! Follows the framing of a client's messages beside hyper, to reject ambiguous ones (request smuggling). If a head has both
-//! a `Content-Length` and a chunked transfer coding, hyper silently drops the length, while a later reader may go by it and
-//! take a part of the body for a request of its own. So the heads are checked here as they were received.
+//! Follows the framing of a client's messages in parallel to hyper, to reject ambiguous ones (request smuggling). If a head has
+//! both a `Content-Length` and a chunked transfer coding, hyper silently drops the length, while a later reader may go by it
+//! and take a part of the body for a request of its own. So the heads are checked here as they were received.
 
 use super::exchange::BodyDecoder;
 use bytes::BytesMut;
@@ -44,13 +44,13 @@
         loop {
             match &mut self.position {
                 Position::Ambiguous => return false,
-                Position::Body(left) => {
+                Position::Body(remaining) => {
                     let part = bytes
                         .len()
-                        .min(usize::try_from(*left).unwrap_or(usize::MAX));
-                    *left -= part as u64;
+                        .min(usize::try_from(*remaining).unwrap_or(usize::MAX));
+                    *remaining -= part as u64;
                     bytes = &bytes[part..];
-                    if *left > 0 {
+                    if *remaining > 0 {
                         return true;
                     }
                     self.position = Position::Head;
@@ -146,11 +146,11 @@
             )))
         }
         ([value], []) if !value.is_empty() && value.iter().all(u8::is_ascii_digit) => {
-            let left = std::str::from_utf8(value)
+            let remaining = std::str::from_utf8(value)
                 .ok()
                 .and_then(|digits| digits.parse().ok())
                 .ok_or(())?;
-            Ok(Some((length, Position::Body(left))))
+            Ok(Some((length, Position::Body(remaining))))
         }
         _ => Err(()),
     }
--- a/crates/sidecar/src/response_body.rs
+++ b/crates/sidecar/src/response_body.rs
@@ -22,7 +22,7 @@
 use std::task::{Context, Poll, ready};
 
 /// Bytes that one read from a server may return.
-const READ_SIZE: usize = 32 << 10;
+const MAX_READ_BYTES: usize = 32 << 10;
 
 /// The body of a response to a client.
 pub(super) enum ResponseBody {
@@ -80,7 +80,7 @@
             };
             let undecoded = &mut self.undecoded;
             let read = readiness::poll_read(&connection.stream, context, |stream| {
-                undecoded.reserve(READ_SIZE);
+                undecoded.reserve(MAX_READ_BYTES);
                 stream.try_read_buf(undecoded)
             });
             match ready!(read) {
