--- a/crates/sidecar/src/attempt.rs
+++ b/crates/sidecar/src/attempt.rs
@@ -333,13 +333,13 @@
     let body_read = match response.take_buffered_body(&head) {
         Some(body) => BodyRead::Complete(body),
         None => {
-            let buffering_timeout = service.process.sleep(MAX_BUFFERING_TIME);
-            let stall_timeout = || service.process.sleep(BODY_STALL_TIMEOUT);
+            let buffer_timer = service.process.sleep(MAX_BUFFERING_TIME);
+            let new_stall_timer = || service.process.sleep(BODY_STALL_TIMEOUT);
             let rest = response.read_body_start(
                 &head,
                 &mut connection.stream,
-                buffering_timeout,
-                stall_timeout,
+                buffer_timer,
+                new_stall_timer,
             );
             match rest.await {
                 Ok(body_read) => body_read,
--- a/crates/sidecar/src/exchange.rs
+++ b/crates/sidecar/src/exchange.rs
@@ -413,16 +413,16 @@
     }
 
     /// Reads the body until it is complete, or known to be too long to be buffered, or, if its length is unknown, until
-    /// `buffering_timeout` ends: it may be a long one that arrives slowly. Fails when no byte arrives before a future made by
-    /// `stall_timeout` ends.
+    /// `buffer_timer` ends: it may be a long one that arrives slowly. Fails when no byte arrives before a future made by
+    /// `new_stall_timer` ends.
     pub(super) async fn read_body_start<S: Future<Output = ()>>(
         &mut self,
         head: &ResponseHead,
         stream: &mut TcpStream,
-        buffering_timeout: impl Future<Output = ()>,
-        stall_timeout: impl Fn() -> S,
+        buffer_timer: impl Future<Output = ()>,
+        new_stall_timer: impl Fn() -> S,
     ) -> Result<BodyRead, ExchangeError> {
-        let mut buffering_timeout = std::pin::pin!(buffering_timeout);
+        let mut buffer_timer = std::pin::pin!(buffer_timer);
         let mut decoder = BodyDecoder::new(head.framing);
         let mut body = BytesMut::new();
         if matches!(head.framing, Framing::Length(length) if length > MAX_BUFFERED_BODY_BYTES) {
@@ -431,7 +431,7 @@
                 decoder,
             });
         }
-        let mut buffering_timed_out = false;
+        let mut timed_out = false;
         loop {
             while let Some(piece) = decoder.decode(&mut self.unread)? {
                 body.extend_from_slice(&piece);
@@ -439,29 +439,24 @@
             if decoder.is_complete() {
                 return Ok(BodyRead::Complete(self.complete(head, body.freeze())));
             }
-            if body.len() > MAX_BUFFERED_BODY_BYTES || (buffering_timed_out && !body.is_empty()) {
+            if body.len() > MAX_BUFFERED_BODY_BYTES || (timed_out && !body.is_empty()) {
                 return Ok(BodyRead::Partial {
                     decoded: body.freeze(),
                     decoder,
                 });
             }
-            let wanted = decoder
-                .remaining()
-                .map_or(MIN_READ_BYTES, |left| left as usize);
+            let wanted = decoder.remaining().map_or(MIN_READ_BYTES, |n| n as usize);
             let mut at_connection_end = true;
             let more = {
                 let mut more = std::pin::pin!(self.read_more(stream, wanted));
-                let mut stall_timer = std::pin::pin!(stall_timeout());
+                let mut stall_timer = std::pin::pin!(new_stall_timer());
                 // A body of known length that fits the buffer is short, so streaming it gains nothing.
-                let has_known_length = matches!(head.framing, Framing::Length(_));
+                let is_sized = matches!(head.framing, Framing::Length(_));
                 poll_fn(|context| {
                     if let std::task::Poll::Ready(more) = more.as_mut().poll(context) {
                         return std::task::Poll::Ready(Some(more));
                     }
-                    if !has_known_length
-                        && !buffering_timed_out
-                        && buffering_timeout.as_mut().poll(context).is_ready()
-                    {
+                    if !is_sized && !timed_out && buffer_timer.as_mut().poll(context).is_ready() {
                         return std::task::Poll::Ready(None);
                     }
                     stall_timer.as_mut().poll(context).map(|()| {
@@ -472,7 +467,7 @@
                 .await
             };
             match more {
-                None => buffering_timed_out = true,
+                None => timed_out = true,
                 Some(more) => {
                     if !more? {
                         // If the body ends with the connection, only the connection's end completes it, not a stall.
--- a/crates/sidecar/src/fleet_limits.rs
+++ b/crates/sidecar/src/fleet_limits.rs
@@ -119,7 +119,7 @@
         (!holder.is_empty()).then(|| holder.make_report(now()))
     }
 
-    /// Applies a grant of the agent. Returns whether it lowers a limit, so that the agent has to receive the confirmation at once.
+    /// Applies a grant of the agent. Returns whether it lowers a limit; the agent then has to be sent a confirmation at once.
     pub(super) fn apply_grant(&self, grant: &Grant) -> bool {
         let lowered = self.holder.borrow_mut().apply_grant(now(), grant);
         self.log_lease_changes();
