--- a/crates/sidecar/src/attempt.rs
+++ b/crates/sidecar/src/attempt.rs
@@ -371,10 +371,10 @@
                 service,
                 server,
                 address,
-                lease: connection,
+                connection,
                 reusable,
                 undecoded: unread,
-                unwrapper: decoder,
+                decoder,
                 decoded,
                 resources: None,
             };
--- a/crates/sidecar/src/documented_figures_tests.rs
+++ b/crates/sidecar/src/documented_figures_tests.rs
@@ -226,8 +226,8 @@
             protocol::MAX_ORDER_BYTES,
         ),
         count(
-            "sidecar/src/common.rs",
-            "Totals",
+            "sidecar/src/process_state.rs",
+            "MAX_CONNECTIONS_PER_SIDE",
             process_state::MAX_CONNECTIONS_PER_SIDE,
         ),
         bytes(
@@ -237,10 +237,14 @@
         ),
         bytes(
             "sidecar/src/lib.rs",
-            "LONGEST_BODY",
+            "DEFAULT_MAX_BODY_BYTES",
             super::DEFAULT_MAX_BODY_BYTES,
         ),
-        bytes("sidecar/src/lib.rs", "BODY", super::MAX_BUFFERED_BODY_BYTES),
+        bytes(
+            "sidecar/src/lib.rs",
+            "MAX_BUFFERED_BODY_BYTES",
+            super::MAX_BUFFERED_BODY_BYTES,
+        ),
         count(
             "sidecar/src/listener.rs",
             "LISTEN_BACKLOG",
--- a/crates/sidecar/src/levels.rs
+++ b/crates/sidecar/src/levels.rs
@@ -104,7 +104,7 @@
         open_requests: Some(
             fraction(in_flight.used as f64, in_flight.part.most as f64).max(transaction_share),
         ),
-        cpu: service.process.processor.share(now),
+        cpu: service.process.cpu_usage.share(now),
         list_age: service.list_age(now),
     };
     let change = service
