--- a/crates/sidecar/src/counts.rs
+++ b/crates/sidecar/src/counts.rs
@@ -22,7 +22,7 @@
     pub(super) failed: Cell<u64>,
     /// Rejected by a limit of this service, of the listener or of the fleet, before they reached the balancer.
     pub(super) rejected_by_limit: Cell<u64>,
-    /// Those of them rejected by a limit on requests per second.
+    /// Those of them rejected by a limit on requests per second or by a fleet-wide limit.
     pub(super) over_rate_limit: Cell<u64>,
     /// Answered with a 4xx status.
     pub(super) client_errors: Cell<u64>,
--- a/crates/sidecar/src/exchange.rs
+++ b/crates/sidecar/src/exchange.rs
@@ -107,16 +107,16 @@
 
     /// Writes bytes `from..end` of head and body, as many as the socket accepts without blocking.
     fn write(&self, stream: &TcpStream, from: usize, end: usize) -> io::Result<usize> {
-        let head = self.head.len();
-        if from >= head {
-            return stream.try_write(&self.body[from - head..end - head]);
+        let head_len = self.head.len();
+        if from >= head_len {
+            return stream.try_write(&self.body[from - head_len..end - head_len]);
         }
-        if end <= head {
+        if end <= head_len {
             return stream.try_write(&self.head[from..end]);
         }
         let slices = [
             IoSlice::new(&self.head[from..]),
-            IoSlice::new(&self.body[..end - head]),
+            IoSlice::new(&self.body[..end - head_len]),
         ];
         stream.try_write_vectored(&slices)
     }
@@ -216,7 +216,7 @@
 enum Framing {
     Length(usize),
     Chunked,
-    Close,
+    UntilClose,
 }
 
 /// Decodes the transfer coding of a body incrementally. The value is what the decoder expects next.
@@ -233,7 +233,7 @@
     /// Trailers after the last chunk.
     Trailers,
     /// All bytes up to the end of the connection.
-    Close,
+    UntilClose,
     /// Nothing; the body has ended.
     Complete,
 }
@@ -244,7 +244,7 @@
             Framing::Length(0) => BodyDecoder::Complete,
             Framing::Length(length) => BodyDecoder::Length(length as u64),
             Framing::Chunked => BodyDecoder::ChunkSizeLine,
-            Framing::Close => BodyDecoder::Close,
+            Framing::UntilClose => BodyDecoder::UntilClose,
         }
     }
 
@@ -253,7 +253,7 @@
     }
 
     pub(super) fn ends_with_connection(self) -> bool {
-        self == BodyDecoder::Close
+        self == BodyDecoder::UntilClose
     }
 
     /// The number of body bytes still to come, if it is known.
@@ -273,7 +273,7 @@
             }
             match *self {
                 BodyDecoder::Complete => return Ok(None),
-                BodyDecoder::Close => return Ok(Some(unread.split().freeze())),
+                BodyDecoder::UntilClose => return Ok(Some(unread.split().freeze())),
                 BodyDecoder::Length(left) | BodyDecoder::Chunk(left) => {
                     let size = unread
                         .len()
@@ -472,7 +472,7 @@
                     if !more? {
                         // If the body ends with the connection, only the connection's end completes it, not a stall.
                         return match decoder {
-                            BodyDecoder::Close if at_connection_end => {
+                            BodyDecoder::UntilClose if at_connection_end => {
                                 Ok(BodyRead::Complete(self.complete(head, body.freeze())))
                             }
                             _ => Err(ExchangeError::Connection),
@@ -528,8 +528,8 @@
     /// Processes a header. Returns true for a hop-by-hop header, which is not forwarded.
     fn process(&mut self, name: &HeaderName, value: &[u8]) -> Result<bool, ExchangeError> {
         if *name == header::CONTENT_LENGTH {
-            let digits = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
-            let text = std::str::from_utf8(value).ok().filter(|_| digits);
+            let is_number = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
+            let text = std::str::from_utf8(value).ok().filter(|_| is_number);
             let length = text
                 .and_then(|text| text.parse().ok())
                 .ok_or(ExchangeError::Malformed)?;
@@ -546,8 +546,8 @@
             }
             self.chunked = true;
         } else if *name == header::CONNECTION {
-            let mut words = value.split(|byte| *byte == b',');
-            self.close |= words.any(|word| word.trim_ascii().eq_ignore_ascii_case(b"close"));
+            let mut options = value.split(|byte| *byte == b',');
+            self.close |= options.any(|option| option.trim_ascii().eq_ignore_ascii_case(b"close"));
         }
         Ok(HOP_BY_HOP_HEADERS.contains(name))
     }
@@ -559,7 +559,7 @@
             _ if has_no_body => Framing::Length(0),
             _ if self.chunked => Framing::Chunked,
             Some(length) => Framing::Length(length),
-            None => Framing::Close,
+            None => Framing::UntilClose,
         }
     }
 }
@@ -583,31 +583,31 @@
         .and_then(|code| StatusCode::from_u16(code).ok())
         .ok_or(ExchangeError::Malformed)?;
     let is_http_1_1 = response.version == Some(1);
-    let start = unread.as_ptr() as usize;
+    let buffer_start = unread.as_ptr() as usize;
     let mut framing_headers = FramingHeaders::default();
     // Names with the positions of their values, so that the values need not be copied.
-    let mut found: SmallVec<[(HeaderName, usize, usize); 12]> = SmallVec::new();
-    for one in response.headers.iter() {
+    let mut fields: SmallVec<[(HeaderName, usize, usize); 12]> = SmallVec::new();
+    for field in response.headers.iter() {
         let name =
-            HeaderName::from_bytes(one.name.as_bytes()).map_err(|_| ExchangeError::Malformed)?;
-        if !framing_headers.process(&name, one.value)? {
+            HeaderName::from_bytes(field.name.as_bytes()).map_err(|_| ExchangeError::Malformed)?;
+        if !framing_headers.process(&name, field.value)? {
             // An empty value need not point into this buffer.
-            let at = if one.value.is_empty() {
+            let offset = if field.value.is_empty() {
                 0
             } else {
-                one.value.as_ptr() as usize - start
+                field.value.as_ptr() as usize - buffer_start
             };
-            found.push((name, at, one.value.len()));
+            fields.push((name, offset, field.value.len()));
         }
     }
     let bytes = unread.split_to(length).freeze();
-    let mut headers = HeaderMap::with_capacity(found.len());
-    for (name, at, length) in found {
-        let value = HeaderValue::from_maybe_shared(bytes.slice(at..at + length));
+    let mut headers = HeaderMap::with_capacity(fields.len());
+    for (name, offset, length) in fields {
+        let value = HeaderValue::from_maybe_shared(bytes.slice(offset..offset + length));
         headers.append(name, value.map_err(|_| ExchangeError::Malformed)?);
     }
     let framing = framing_headers.framing(status);
-    let keep_alive = is_http_1_1 && framing != Framing::Close && !framing_headers.close;
+    let keep_alive = is_http_1_1 && framing != Framing::UntilClose && !framing_headers.close;
     Ok(Some(ResponseHead {
         status,
         headers,
--- a/crates/sidecar/src/levels.rs
+++ b/crates/sidecar/src/levels.rs
@@ -166,7 +166,7 @@
 /// Applies an order of the user with this id. The error says why it is rejected.
 pub(super) fn apply_order(
     service: &Service,
-    asked: OrderRequest,
+    request: OrderRequest,
     user: Option<u32>,
 ) -> Result<(), String> {
     let now = service.process.clock.now();
@@ -179,7 +179,7 @@
         level,
         for_us,
         by,
-    } = asked;
+    } = request;
     let by: String = by
         .chars()
         .filter(|c| !c.is_control())
@@ -207,7 +207,7 @@
         ));
     }
     let name = level.ok_or("names no level")?;
-    let (level, pin) = (
+    let (level, is_pin) = (
         Some(name.clone()).filter(|name| name != FULL_SERVICE),
         order == OrderAction::Pin,
     );
@@ -215,21 +215,21 @@
         .apply_order(OperatorOrder {
             ordered_by: by.clone(),
             level,
-            kind: OrderKind::from(pin),
+            kind: OrderKind::from(is_pin),
             expires_at: now + for_us,
         })
         .map_err(|error| error.to_string())?;
-    let (what, span) = (if pin { "pinned" } else { "barred" }, Span(for_us));
+    let (what, span) = (if is_pin { "pinned" } else { "barred" }, Span(for_us));
     tracing::warn!(%pool, %by, "{prefix}service level: {name} is {what} for {span} by {by}");
     Ok(())
 }
 
 /// The stored orders on a service's levels that have not expired. Unreadable ones are logged and skipped.
 fn stored_orders(service: &Service, now: Micros) -> Vec<OperatorOrder> {
-    let Some(state) = service.process.state_writer.get() else {
+    let Some(state_writer) = service.process.state_writer.get() else {
         return Vec::new();
     };
-    let read_orders = state
+    let read_orders = state_writer
         .level_orders
         .borrow()
         .get(&service.name)
@@ -251,7 +251,7 @@
 
 /// Stores a pool's orders if the operator file has a `[state]` section.
 pub(super) async fn store_orders(service: &Service) -> Result<(), String> {
-    let Some(state) = service.process.state_writer.get() else {
+    let Some(state_writer) = service.process.state_writer.get() else {
         return Ok(());
     };
     let orders = service
@@ -265,16 +265,16 @@
     );
     if orders.is_empty() {
         batch.delete(key);
-        state.level_orders.borrow_mut().remove(&service.name);
+        state_writer.level_orders.borrow_mut().remove(&service.name);
     } else {
         let value = serde_json::to_vec(&orders).map_err(|e| e.to_string())?;
-        state
+        state_writer
             .level_orders
             .borrow_mut()
             .insert(service.name.clone(), value.clone());
         batch.put(key, value);
     }
-    let result = state.write(batch, Durability::Durable).await;
+    let result = state_writer.write(batch, Durability::Durable).await;
     result
         .map(drop)
         .map_err(|error| format!("it is taken, but may not survive a restart: {error}"))
--- a/crates/sidecar/src/warm_start.rs
+++ b/crates/sidecar/src/warm_start.rs
@@ -76,7 +76,7 @@
         &self,
         writer: &StateWriter,
         service: &Service,
-        assumed: &Measurements,
+        initial: &Measurements,
     ) -> Option<Measurements> {
         let DecayedSnapshot {
             weight,
@@ -84,9 +84,9 @@
             means,
             ..
         } = self.decayed(writer)?;
-        let blended = |assumed: f64, stored: f64| blend(assumed, stored, weight);
-        let mut memory = assumed.clone();
-        for (class, name) in memory
+        let blended = |initial: f64, stored: f64| blend(initial, stored, weight);
+        let mut measurements = initial.clone();
+        for (class, name) in measurements
             .classes
             .iter_mut()
             .zip(&service.active_settings().site.classes)
@@ -96,11 +96,11 @@
                 class.tail_latency = blended(class.tail_latency, stored.slow_time);
             }
         }
-        memory.mean_work_and_time = (
-            blended(assumed.mean_work_and_time.0, means.work),
-            blended(assumed.mean_work_and_time.1, means.answer_time),
+        measurements.mean_work_and_time = (
+            blended(initial.mean_work_and_time.0, means.work),
+            blended(initial.mean_work_and_time.1, means.answer_time),
         );
-        Some(memory)
+        Some(measurements)
     }
 
     /// Passes each server that is not restored yet to `restore`, which returns whether the balancer has accepted it.
@@ -188,9 +188,9 @@
 
 fn take_snapshot(service: &Service) -> WarmStartSnapshot {
     let now: Micros = service.process.clock.now();
-    let memory = service.measurements(now);
+    let measurements = service.measurements(now);
     let measured: BTreeMap<ServerId, &ServerMeasurements> =
-        memory.servers.iter().map(|s| (s.server, s)).collect();
+        measurements.servers.iter().map(|s| (s.server, s)).collect();
     let mut servers = service.pool.server_snapshots();
     for (id, server) in &mut servers {
         if let Some(measured) = measured.get(id) {
@@ -202,18 +202,18 @@
             server.ejection_time = measured.ejection_duration;
         }
     }
-    let tuned = service.active_settings();
-    let places = tuned.class_slots.iter().zip(&memory.classes);
-    let classes = places
-        .filter(|(place, _)| !place.retired)
-        .map(|(place, class)| ClassSnapshot {
-            name: place.entry.name.clone(),
+    let settings = service.active_settings();
+    let slots = settings.class_slots.iter().zip(&measurements.classes);
+    let classes = slots
+        .filter(|(slot, _)| !slot.retired)
+        .map(|(slot, class)| ClassSnapshot {
+            name: slot.entry.name.clone(),
             usual_work: class.service_time,
             slow_time: class.tail_latency,
         });
     WarmStartSnapshot {
         taken_at: unix_now(),
-        means: Means::from(memory.mean_work_and_time),
+        means: Means::from(measurements.mean_work_and_time),
         servers: servers.into_values().collect(),
         classes: classes.collect(),
     }
