--- a/crates/balancer/tests/discovery_outages.rs
+++ b/crates/balancer/tests/discovery_outages.rs
@@ -1,8 +1,9 @@
-//! Fleets of one to 900 instances whose discovery is down for five seconds to a minute, and then works through their calls in turn.
+//! Fleets of one to 900 instances whose discovery is down for five seconds to a minute, and then processes their calls one after
+//! the other.
 //!
-//! A discovery that is down and one that has too many callers look alike: both let a call wait and answer 503. Instances that took
-//! the first for the second asked again after up to 0.32 s for each instance of the fleet, and went on sending to servers that had
-//! begun to drain when it was back: 12 s behind the return among 40, 36 s among 169.
+//! A discovery that is down and one that is overloaded look alike: both let a call wait and then answer 503. Instances that took an
+//! outage for an overload polled again after up to 0.32 s per instance of the fleet, and went on sending to servers that had begun
+//! to drain: until 12 s after the recovery with 40 instances, 36 s with 169.
 
 mod common;
 use common::{MS, S, fleet as servers, settings};
@@ -10,169 +11,169 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Discovery refuses a call that has waited for so long. Its work is done all the same.
-const PATIENCE: Micros = 2 * S;
+/// Discovery rejects a call that has waited for this long, and still spends the time to process it.
+const CALL_TIMEOUT: Micros = 2 * S;
 
-/// How a call that comes while discovery is down is refused.
+/// How a call fails while discovery is down.
 #[derive(Clone, Copy, Debug)]
-enum Refusal {
-    AtOnce,
-    /// The connection is closed with no answer as soon as it has come up.
-    ClosedAtOnce,
-    /// As one that has waited in vain.
-    Late,
-    /// The connection does not come up.
-    Unreached,
+enum CallFailureMode {
+    Immediately,
+    /// The connection is closed without a response as soon as it is established.
+    ClosedImmediately,
+    /// The call is rejected at the timeout.
+    AtTimeout,
+    /// No connection is established.
+    Unreachable,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Outage {
     instances: u32,
-    /// What it takes for a call, also for one that was refused meanwhile.
-    work: Micros,
-    lasts: Micros,
-    refusal: Refusal,
+    /// The time to process a call, including one that was rejected meanwhile.
+    processing_time: Micros,
+    duration: Micros,
+    failure_mode: CallFailureMode,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Step {
     Call,
     Answered,
-    Refused(Failure),
+    Failed(Failure),
 }
 
 /// How a call has failed.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Failure {
-    since: Micros,
+    list_known_at: Micros,
     waited: Micros,
-    broken_off: bool,
+    connection_broken: bool,
 }
 
-impl Refusal {
-    /// When a call that begins now fails, and how.
-    fn of_call(self, now: Micros) -> (Micros, Step) {
-        let (takes, waited) = match self {
-            Refusal::AtOnce | Refusal::ClosedAtOnce => (MS, MS),
-            Refusal::Late => (PATIENCE, PATIENCE),
-            Refusal::Unreached => (S, 0),
+impl CallFailureMode {
+    /// When and how a call fails that starts now.
+    fn fail_call(self, now: Micros) -> (Micros, Step) {
+        let (duration, waited) = match self {
+            CallFailureMode::Immediately | CallFailureMode::ClosedImmediately => (MS, MS),
+            CallFailureMode::AtTimeout => (CALL_TIMEOUT, CALL_TIMEOUT),
+            CallFailureMode::Unreachable => (S, 0),
         };
         let failure = Failure {
-            since: now,
+            list_known_at: now,
             waited,
-            broken_off: matches!(self, Refusal::ClosedAtOnce),
+            connection_broken: matches!(self, CallFailureMode::ClosedImmediately),
         };
-        (now + takes, Step::Refused(failure))
+        (now + duration, Step::Failed(failure))
     }
 }
 
 struct Fleet {
     instances: Vec<Balancer>,
-    /// Which instance does what at what time.
-    queue: BinaryHeap<Reverse<(Micros, usize, Step)>>,
+    /// Time, instance and step.
+    events: BinaryHeap<Reverse<(Micros, usize, Step)>>,
     actions: Vec<Action>,
 }
 
 impl Fleet {
-    fn tell(&mut self, now: Micros, at: usize, event: Event<'_>) {
-        self.instances[at].handle(now, event, &mut self.actions);
+    fn notify(&mut self, now: Micros, instance: usize, event: Event<'_>) {
+        self.instances[instance].handle(now, event, &mut self.actions);
         for action in self.actions.drain(..) {
             if let Action::SetTimer {
                 at: due,
                 timer: Timer::Discovery,
             } = action
             {
-                self.queue.push(Reverse((due, at, Step::Call)));
+                self.events.push(Reverse((due, instance, Step::Call)));
             }
         }
     }
 
-    fn list_fails(&mut self, now: Micros, at: usize, failure: Failure) {
+    fn call_fails(&mut self, now: Micros, instance: usize, failure: Failure) {
         let failed = DiscoveryUpdate::CallFailed {
-            list_known_at: failure.since,
+            list_known_at: failure.list_known_at,
             waited: failure.waited,
-            connection_broken: failure.broken_off,
+            connection_broken: failure.connection_broken,
         };
-        self.tell(now, at, Event::DiscoveryUpdated(failed));
+        self.notify(now, instance, Event::DiscoveryUpdated(failed));
     }
 }
 
-/// A fleet in which all watch discovery, until the watches of all break in one moment.
-fn fleet_at_the_break(instances: u32, seed: u64) -> (Fleet, Micros) {
+/// A fleet in which all instances watch discovery, until all watches break at the same moment; and that moment.
+fn fleet_with_broken_watches(instances: u32, seed: u64) -> (Fleet, Micros) {
     let settings = Settings {
         group_size: instances,
         ..settings(&[RetrySafety::Idempotent])
     };
-    let known = servers(4);
+    let server_list = servers(4);
     let instance = |number: u32| {
-        Balancer::new(settings.clone(), seed << 32 | u64::from(number)).expect("they make sense")
+        Balancer::new(settings.clone(), seed << 32 | u64::from(number)).expect("valid settings")
     };
     let mut fleet = Fleet {
         instances: (0..instances).map(instance).collect(),
-        queue: BinaryHeap::new(),
+        events: BinaryHeap::new(),
         actions: Vec::new(),
     };
-    let broke = 60 * S;
-    for at in 0..instances as usize {
-        fleet.tell(
+    let broke_at = 60 * S;
+    for instance in 0..instances as usize {
+        fleet.notify(
             S,
-            at,
-            Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&known)),
+            instance,
+            Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&server_list)),
         );
-        fleet.tell(30 * S, at, Event::TimerFired(Timer::Discovery));
-        fleet.tell(
+        fleet.notify(30 * S, instance, Event::TimerFired(Timer::Discovery));
+        fleet.notify(
             30 * S,
-            at,
-            Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&known)),
+            instance,
+            Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&server_list)),
         );
     }
-    fleet.queue.clear();
-    for at in 0..instances as usize {
+    fleet.events.clear();
+    for instance in 0..instances as usize {
         let broken_watch = Failure {
-            since: broke,
+            list_known_at: broke_at,
             waited: 0,
-            broken_off: false,
+            connection_broken: false,
         };
-        fleet.list_fails(broke, at, broken_watch);
+        fleet.call_fails(broke_at, instance, broken_watch);
     }
-    (fleet, broke)
+    (fleet, broke_at)
 }
 
-/// How long after the return the last has the list; none within ten minutes.
-fn all_have_it_after(outage: Outage, seed: u64) -> Option<Micros> {
-    let (mut fleet, broke) = fleet_at_the_break(outage.instances, seed);
-    let back = broke + outage.lasts;
-    let known = servers(4);
-    let (mut busy, mut missing) = (back, outage.instances);
-    while let Some(Reverse((now, at, step))) = fleet.queue.pop() {
-        if now > back + 600 * S {
+/// How long after the recovery of discovery the last instance has the list; none if that takes more than ten minutes.
+fn time_until_all_have_the_list(outage: Outage, seed: u64) -> Option<Micros> {
+    let (mut fleet, broke_at) = fleet_with_broken_watches(outage.instances, seed);
+    let recovered_at = broke_at + outage.duration;
+    let server_list = servers(4);
+    let (mut busy_until, mut missing) = (recovered_at, outage.instances);
+    while let Some(Reverse((now, instance, step))) = fleet.events.pop() {
+        if now > recovered_at + 600 * S {
             return None;
         }
         match step {
             Step::Call => {
-                fleet.tell(now, at, Event::TimerFired(Timer::Discovery));
-                let (ends, step) = if now < back {
-                    outage.refusal.of_call(now)
+                fleet.notify(now, instance, Event::TimerFired(Timer::Discovery));
+                let (ends_at, step) = if now < recovered_at {
+                    outage.failure_mode.fail_call(now)
                 } else {
-                    busy = busy.max(now) + outage.work;
-                    if busy > now + PATIENCE {
-                        Refusal::Late.of_call(now)
+                    busy_until = busy_until.max(now) + outage.processing_time;
+                    if busy_until > now + CALL_TIMEOUT {
+                        CallFailureMode::AtTimeout.fail_call(now)
                     } else {
-                        (busy, Step::Answered)
+                        (busy_until, Step::Answered)
                     }
                 };
-                fleet.queue.push(Reverse((ends, at, step)));
+                fleet.events.push(Reverse((ends_at, instance, step)));
             }
-            Step::Refused(failure) => fleet.list_fails(now, at, failure),
+            Step::Failed(failure) => fleet.call_fails(now, instance, failure),
             Step::Answered => {
-                fleet.tell(
+                fleet.notify(
                     now,
-                    at,
-                    Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&known)),
+                    instance,
+                    Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&server_list)),
                 );
                 missing -= 1;
                 if missing == 0 {
-                    return Some(now - back);
+                    return Some(now - recovered_at);
                 }
             }
         }
@@ -180,40 +181,42 @@
     None
 }
 
-/// A change counts as told 6 s after discovery had it and could be reached, and the grace is 3 s.
-fn told_and_grace() -> Micros {
+/// When all instances must have the list: a change is assumed known 6 s after discovery had it and was reachable, and the drain
+/// grace is 3 s.
+fn list_deadline() -> Micros {
     SafetyRules::ASSUMED_NOTIFIED_AFTER + settings(&[RetrySafety::Idempotent]).rules.drain_grace
 }
 
-fn longest(outage: Outage) -> Option<Micros> {
+/// The longest of these times over five seeds, if all are known.
+fn longest_time(outage: Outage) -> Option<Micros> {
     (0..5)
-        .map(|seed| all_have_it_after(outage, seed))
-        .max_by_key(|took| took.unwrap_or(Micros::MAX))?
+        .map(|seed| time_until_all_have_the_list(outage, seed))
+        .max_by_key(|elapsed| elapsed.unwrap_or(Micros::MAX))?
 }
 
-/// Outages that last so many seconds each, with calls refused in every way.
-fn outages(instances: u32, work: Micros, seconds: &[Micros]) -> Vec<Outage> {
-    let refusals = [
-        Refusal::AtOnce,
-        Refusal::ClosedAtOnce,
-        Refusal::Late,
-        Refusal::Unreached,
+/// Outages of these durations, with every way in which calls may fail.
+fn outages(instances: u32, processing_time: Micros, seconds: &[Micros]) -> Vec<Outage> {
+    let failure_modes = [
+        CallFailureMode::Immediately,
+        CallFailureMode::ClosedImmediately,
+        CallFailureMode::AtTimeout,
+        CallFailureMode::Unreachable,
     ];
-    let outage = |lasts: Micros, refusal| Outage {
+    let outage = |duration: Micros, failure_mode| Outage {
         instances,
-        work,
-        lasts: lasts * S,
-        refusal,
+        processing_time,
+        duration: duration * S,
+        failure_mode,
     };
     let all = seconds
         .iter()
-        .flat_map(|lasts| refusals.map(|refusal| outage(*lasts, refusal)));
+        .flat_map(|duration| failure_modes.map(|failure_mode| outage(*duration, failure_mode)));
     all.collect()
 }
 
 #[test]
-fn behind_an_outage_of_any_length_all_have_the_list_before_the_grace_is_over() {
-    for (instances, work) in [
+fn after_an_outage_of_any_length_all_have_the_list_before_the_drain_grace_ends() {
+    for (instances, processing_time) in [
         (1, 100 * MS),
         (4, 100 * MS),
         (15, 100 * MS),
@@ -224,42 +227,42 @@
         (300, 16 * MS),
         (900, 6 * MS),
     ] {
-        for outage in outages(instances, work, &[5, 8, 12, 20, 37, 60]) {
-            let took = longest(outage);
+        for outage in outages(instances, processing_time, &[5, 8, 12, 20, 37, 60]) {
+            let elapsed = longest_time(outage);
             assert!(
-                took.is_some_and(|took| took <= told_and_grace()),
-                "{outage:?}: {took:?}"
+                elapsed.is_some_and(|elapsed| elapsed <= list_deadline()),
+                "{outage:?}: {elapsed:?}"
             );
         }
     }
 }
 
-/// So much work that not all can have the list within the bound, whatever they do. A hundred whose calls were put off had it after
-/// 42 s at the worst.
+/// Discovery needs so much time that not all instances can have the list within the bound, whatever they do. When calls were
+/// postponed, 100 instances had it after up to 42 s.
 #[test]
-fn a_discovery_that_needs_longer_than_the_bound_for_all_is_not_called_to_death() {
-    for (instances, work, within) in [
+fn a_discovery_that_needs_longer_than_the_bound_for_all_recovers() {
+    for (instances, processing_time, within) in [
         (100, 100 * MS, 17 * S),
         (169, 50 * MS, 10 * S),
         (900, 10 * MS, 10 * S),
-        // Twelve and fifteen seconds of work: calls pile up until the wait is lengthened.
+        // Processing takes 12 s and 15 s: calls pile up until the delay between them grows.
         (60, 200 * MS, 300 * S),
         (300, 50 * MS, 300 * S),
     ] {
-        for outage in outages(instances, work, &[5, 15, 60]) {
-            let took = longest(outage);
-            eprintln!("{outage:?}: {took:?}");
+        for outage in outages(instances, processing_time, &[5, 15, 60]) {
+            let elapsed = longest_time(outage);
+            eprintln!("{outage:?}: {elapsed:?}");
             assert!(
-                took.is_some_and(|took| took <= within),
-                "{outage:?}: {took:?}"
+                elapsed.is_some_and(|elapsed| elapsed <= within),
+                "{outage:?}: {elapsed:?}"
             );
         }
     }
 }
 
-/// Whatever an instance of a fleet of any size is told, its next call begins in time for a list to be fresh when the grace is over.
+/// In a fleet of any size, the next call after a rejection starts in time for a fresh list when the drain grace ends.
 #[test]
-fn no_refusal_puts_the_next_call_off_beyond_what_counts_as_told() {
+fn no_rejection_postpones_the_next_call_beyond_the_freshness_bound() {
     let bound = settings(&[RetrySafety::Idempotent])
         .rules
         .poll_again_within();
@@ -269,26 +272,26 @@
                 group_size: instances,
                 ..settings(&[RetrySafety::Idempotent])
             };
-            let mut instance = Balancer::new(settings, seed).expect("they make sense");
+            let mut instance = Balancer::new(settings, seed).expect("valid settings");
             let mut actions = Vec::new();
-            let known = servers(4);
+            let server_list = servers(4);
             instance.handle(
                 S,
-                Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&known)),
+                Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&server_list)),
                 &mut actions,
             );
             instance.handle(9 * S, Event::TimerFired(Timer::Discovery), &mut actions);
             instance.handle(
                 10 * S,
-                Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&known)),
+                Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&server_list)),
                 &mut actions,
             );
-            let mut since = 100 * S;
-            let (mut now, mut waited) = (since, 0);
+            let mut list_known_at = 100 * S;
+            let (mut now, mut waited) = (list_known_at, 0);
             while now < 160 * S {
                 actions.clear();
                 let failed = DiscoveryUpdate::CallFailed {
-                    list_known_at: since,
+                    list_known_at,
                     waited,
                     connection_broken: false,
                 };
@@ -297,14 +300,14 @@
                     Action::SetTimer { at, .. } => Some(*at),
                     _ => None,
                 });
-                let due = due.expect("another call is due");
+                let due = due.expect("a call is scheduled");
                 assert!(
-                    due <= since + bound,
-                    "{instances} instances: {} us from call to call",
-                    due - since
+                    due <= list_known_at + bound,
+                    "{instances} instances: {} us between the starts of two calls",
+                    due - list_known_at
                 );
                 instance.handle(due, Event::TimerFired(Timer::Discovery), &mut actions);
-                (since, waited) = (due, PATIENCE);
+                (list_known_at, waited) = (due, CALL_TIMEOUT);
                 now = due + waited;
             }
         }
--- a/crates/balancer/tests/discovery_polling.rs
+++ b/crates/balancer/tests/discovery_polling.rs
@@ -122,10 +122,10 @@
             rig.event(Event::TimerFired(Timer::Discovery))
                 .contains(&Action::PollDiscovery)
         );
-        let since = rig.now;
+        let list_known_at = rig.now;
         rig.now += waited;
         rig.event(Event::DiscoveryUpdated(DiscoveryUpdate::CallFailed {
-            list_known_at: since,
+            list_known_at,
             waited,
             connection_broken: false,
         }));
@@ -209,14 +209,14 @@
             rig.now = due;
             rig.event(Event::TimerFired(Timer::Discovery));
             rig.actions.clear();
-            let (since, failed) = (rig.now, fails());
+            let (list_known_at, failed) = (rig.now, fails());
             if !failed {
                 rig.event(Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&fleet(
                     4,
                 ))));
             }
             rig.event(Event::DiscoveryUpdated(DiscoveryUpdate::CallFailed {
-                list_known_at: since,
+                list_known_at,
                 waited: if failed { waited } else { 0 },
                 connection_broken: false,
             }));
@@ -305,14 +305,14 @@
             rig.actions.clear();
             // The last message of the watch, long after the poll interval in which this instance has called.
             rig.now += 20 * S;
-            let since = rig.now;
+            let list_known_at = rig.now;
             rig.now += 3 * S;
             rig.event(Event::DiscoveryUpdated(DiscoveryUpdate::CallFailed {
-                list_known_at: since,
+                list_known_at,
                 waited: 0,
                 connection_broken: false,
             }));
-            let delay = next_poll_at(&mut rig).expect("a poll is scheduled") - since;
+            let delay = next_poll_at(&mut rig).expect("a poll is scheduled") - list_known_at;
             assert!(
                 delay + SafetyRules::DISCOVERY_RESPONSE_TIME <= latest,
                 "{group_size} instances: polled {delay} us after the last message"
--- a/crates/balancer/tests/discovery_queues.rs
+++ b/crates/balancer/tests/discovery_queues.rs
@@ -1,8 +1,8 @@
-//! Fleets that share one discovery which is back from an outage and works through their calls strictly in turn.
+//! Fleets whose discovery recovers from an outage and processes their calls strictly one after the other.
 //!
-//! What discovery works through for a caller that has given up is lost, and so is what it refuses. Sixty instances or 900 whose calls took
-//! it 12 or 27 s together, and which gave a silent call up and made it anew at once, never all had the list again: it worked all the time, and
-//! only for calls that had waited in vain.
+//! The time that discovery spends on calls that have timed out, or that it rejects, is lost. Fleets whose calls took it 12 s (60
+//! instances) or 27 s (900 instances) in all, and which abandoned unanswered calls to start new ones immediately, never recovered:
+//! discovery was always busy, and only with calls that had timed out.
 
 mod common;
 use common::{MS, S, fleet as servers, settings};
@@ -10,119 +10,120 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// What waits longer than this has waited in vain.
-const PATIENCE: Micros = 2 * S;
-/// A call without an answer for so long is reported as silent.
-const SILENCE: Micros = 4_500 * MS;
-/// An instance that starts knows the list of its configuration.
-const STARTED: Micros = S;
-/// Who has no list by then will never have one.
-const GIVES_UP: Micros = 600 * S;
+/// A call that waits longer than this is not answered in time.
+const CALL_TIMEOUT: Micros = 2 * S;
+/// A call without a response for this long is reported as unanswered.
+const UNANSWERED_AFTER: Micros = 4_500 * MS;
+/// When the instances start. They know the list of their configuration.
+const START_TIME: Micros = S;
+/// An instance that has no list after this time is assumed to never get one.
+const RECOVERY_TIMEOUT: Micros = 600 * S;
 
-/// How a discovery that has too many callers treats them. It works through all calls in turn, and all cost it the same.
+/// How an overloaded discovery handles calls. It processes them one after the other, and each takes the same time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Queue {
-    /// Refuses a call in the moment in which it has waited too long.
-    RefusesSharply,
-    /// Closes the connection of a call in that moment.
-    ResetsSharply,
-    /// Refuses a call that has waited too long when its turn has come.
-    RefusesInTurn,
-    /// Answers each call when its turn has come, however long it has waited.
+    /// Rejects a call at its timeout.
+    RejectsAtTimeout,
+    /// Closes the connection of a call at its timeout.
+    ResetsAtTimeout,
+    /// Rejects a call that has timed out when it reaches the front of the queue.
+    RejectsInTurn,
+    /// Answers each call when it reaches the front of the queue, however long it has waited.
     AnswersInTurn,
 }
 
-/// How a call ends that comes while discovery is down.
+/// How a call ends that starts while discovery is down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Outage {
-    RefusesAtOnce,
-    ClosesAtOnce,
-    RefusesLate,
+    RejectsImmediately,
+    ClosesImmediately,
+    RejectsLate,
     ResetsLate,
-    Unreached,
+    Unreachable,
     Silent,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Case {
     instances: u32,
-    work: Micros,
+    processing_time: Micros,
     queue: Queue,
     outage: Outage,
-    lasts: Micros,
-    /// The watches of all break when the outage begins. Otherwise all start then, and never had an answer.
-    had_answer: bool,
-    /// The instances know their numbers.
-    numbered: bool,
+    outage_duration: Micros,
+    /// All watches break when the outage begins. Otherwise all instances start then, without a watch.
+    had_watch: bool,
+    /// The instances know their ordinals.
+    has_ordinals: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Ending {
     Answered,
-    Refused,
-    Broken,
-    Unreached,
+    Rejected,
+    ConnectionBroken,
+    Unreachable,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Step {
     /// The timer of the next call fires.
     Call,
-    /// A call that began then is silent.
-    Silent(Micros),
-    /// A call that began then ends.
-    Ends(Micros, Ending),
+    /// The call that started at this time is unanswered.
+    CallUnanswered(Micros),
+    /// The call that started at this time ends.
+    CallEnds(Micros, Ending),
 }
 
 struct Discovery {
     case: Case,
-    back: Micros,
+    recovered_at: Micros,
     busy_until: Micros,
     calls: u32,
 }
 
 impl Discovery {
-    /// When a call that begins now ends, and how.
+    /// When and how a call ends that starts now.
     fn call(&mut self, now: Micros) -> (Micros, Ending) {
-        if now < self.back {
+        if now < self.recovered_at {
             return match self.case.outage {
-                Outage::RefusesAtOnce => (now + MS, Ending::Refused),
-                Outage::ClosesAtOnce => (now + MS, Ending::Broken),
-                Outage::RefusesLate => (now + PATIENCE, Ending::Refused),
-                Outage::ResetsLate => (now + PATIENCE, Ending::Broken),
-                Outage::Unreached => (now + S, Ending::Unreached),
-                Outage::Silent => (Micros::MAX, Ending::Unreached),
+                Outage::RejectsImmediately => (now + MS, Ending::Rejected),
+                Outage::ClosesImmediately => (now + MS, Ending::ConnectionBroken),
+                Outage::RejectsLate => (now + CALL_TIMEOUT, Ending::Rejected),
+                Outage::ResetsLate => (now + CALL_TIMEOUT, Ending::ConnectionBroken),
+                Outage::Unreachable => (now + S, Ending::Unreachable),
+                Outage::Silent => (Micros::MAX, Ending::Unreachable),
             };
         }
         self.calls += 1;
-        self.busy_until = self.busy_until.max(now) + self.case.work;
-        let turn = self.busy_until;
-        let in_vain = turn - now > PATIENCE;
+        self.busy_until = self.busy_until.max(now) + self.case.processing_time;
+        let processed_at = self.busy_until;
+        let times_out = processed_at - now > CALL_TIMEOUT;
         match self.case.queue {
-            Queue::RefusesSharply if in_vain => (now + PATIENCE, Ending::Refused),
-            Queue::ResetsSharply if in_vain => (now + PATIENCE, Ending::Broken),
-            Queue::RefusesInTurn if in_vain => (turn, Ending::Refused),
-            _ => (turn, Ending::Answered),
+            Queue::RejectsAtTimeout if times_out => (now + CALL_TIMEOUT, Ending::Rejected),
+            Queue::ResetsAtTimeout if times_out => (now + CALL_TIMEOUT, Ending::ConnectionBroken),
+            Queue::RejectsInTurn if times_out => (processed_at, Ending::Rejected),
+            _ => (processed_at, Ending::Answered),
         }
     }
 }
 
 struct Instance {
     balancer: Balancer,
-    /// When its newest call began, and whether the module knows that it ended or is silent.
-    newest_call: Micros,
-    reported: bool,
+    /// When its newest call started.
+    newest_call_at: Micros,
+    /// The balancer was notified that this call has ended or is unanswered.
+    is_reported: bool,
     has_list: bool,
 }
 
-struct Play {
+struct Simulation {
     instances: Vec<Instance>,
-    queue: BinaryHeap<Reverse<(Micros, usize, Step)>>,
+    events: BinaryHeap<Reverse<(Micros, usize, Step)>>,
     discovery: Discovery,
     missing: u32,
 }
 
-impl Play {
+impl Simulation {
     fn new(case: Case, seed: u64) -> Self {
         let settings = Settings {
             group_size: case.instances,
@@ -130,157 +131,180 @@
         };
         let balancer = |number: u32| {
             let seed = seed << 32 | u64::from(number);
-            let mut balancer = Balancer::new(settings.clone(), seed).expect("they make sense");
-            if case.numbered {
+            let mut balancer = Balancer::new(settings.clone(), seed).expect("valid settings");
+            if case.has_ordinals {
                 balancer.set_ordinal(number);
             }
             balancer
         };
         let instance = |number: u32| Instance {
             balancer: balancer(number),
-            newest_call: 0,
+            newest_call_at: 0,
             has_list: false,
-            reported: true,
+            is_reported: true,
         };
-        let breaks = if case.had_answer { 60 * S } else { STARTED };
+        let outage_starts_at = if case.had_watch { 60 * S } else { START_TIME };
         let discovery = Discovery {
             case,
-            back: breaks + case.lasts,
+            recovered_at: outage_starts_at + case.outage_duration,
             busy_until: 0,
             calls: 0,
         };
-        let mut play = Play {
+        let mut simulation = Simulation {
             instances: (0..case.instances).map(instance).collect(),
-            queue: BinaryHeap::new(),
+            events: BinaryHeap::new(),
             discovery,
             missing: case.instances,
         };
-        let known = servers(4);
-        for at in 0..case.instances as usize {
-            play.tell(
-                STARTED,
-                at,
-                Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&known)),
+        let server_list = servers(4);
+        for instance in 0..case.instances as usize {
+            simulation.notify(
+                START_TIME,
+                instance,
+                Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&server_list)),
             );
-            if case.had_answer {
-                play.tell(30 * S, at, Event::TimerFired(Timer::Discovery));
-                play.tell(
+            if case.had_watch {
+                simulation.notify(30 * S, instance, Event::TimerFired(Timer::Discovery));
+                simulation.notify(
                     30 * S,
-                    at,
-                    Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&known)),
+                    instance,
+                    Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&server_list)),
                 );
             }
         }
-        if case.had_answer {
-            play.queue.clear();
-            for at in 0..case.instances as usize {
-                play.fails(breaks, at, breaks, 0, false);
+        if case.had_watch {
+            simulation.events.clear();
+            for instance in 0..case.instances as usize {
+                simulation.call_fails(outage_starts_at, instance, outage_starts_at, 0, false);
             }
         }
-        play
+        simulation
     }
 
-    /// Whether the instance begins a call.
-    fn tell(&mut self, now: Micros, at: usize, event: Event<'_>) -> bool {
+    /// Passes an event to a balancer and schedules its timers. Returns whether the instance starts a call.
+    fn notify(&mut self, now: Micros, instance: usize, event: Event<'_>) -> bool {
         let mut actions = Vec::new();
-        self.instances[at].balancer.handle(now, event, &mut actions);
-        let calls = actions.contains(&Action::PollDiscovery);
+        self.instances[instance]
+            .balancer
+            .handle(now, event, &mut actions);
+        let starts_call = actions.contains(&Action::PollDiscovery);
         for action in actions {
             if let Action::SetTimer {
                 at: due,
                 timer: Timer::Discovery,
             } = action
             {
-                self.queue.push(Reverse((due, at, Step::Call)));
+                self.events.push(Reverse((due, instance, Step::Call)));
             }
         }
-        calls
+        starts_call
     }
 
-    fn fails(&mut self, now: Micros, at: usize, since: Micros, waited: Micros, broken_off: bool) {
+    fn call_fails(
+        &mut self,
+        now: Micros,
+        instance: usize,
+        list_known_at: Micros,
+        waited: Micros,
+        connection_broken: bool,
+    ) {
         let failed = DiscoveryUpdate::CallFailed {
-            list_known_at: since,
+            list_known_at,
             waited,
-            connection_broken: broken_off,
+            connection_broken,
         };
-        self.tell(now, at, Event::DiscoveryUpdated(failed));
+        self.notify(now, instance, Event::DiscoveryUpdated(failed));
     }
 
-    fn begin_call(&mut self, now: Micros, at: usize) {
-        if !self.tell(now, at, Event::TimerFired(Timer::Discovery)) {
+    fn begin_call(&mut self, now: Micros, instance: usize) {
+        if !self.notify(now, instance, Event::TimerFired(Timer::Discovery)) {
             return;
         }
-        let (ends, ending) = self.discovery.call(now);
-        self.instances[at].newest_call = now;
-        self.instances[at].reported = false;
-        if ends > now + SILENCE {
-            self.queue
-                .push(Reverse((now + SILENCE, at, Step::Silent(now))));
+        let (ends_at, ending) = self.discovery.call(now);
+        self.instances[instance].newest_call_at = now;
+        self.instances[instance].is_reported = false;
+        if ends_at > now + UNANSWERED_AFTER {
+            self.events.push(Reverse((
+                now + UNANSWERED_AFTER,
+                instance,
+                Step::CallUnanswered(now),
+            )));
         }
-        if ends < Micros::MAX {
-            self.queue
-                .push(Reverse((ends, at, Step::Ends(now, ending))));
+        if ends_at < Micros::MAX {
+            self.events
+                .push(Reverse((ends_at, instance, Step::CallEnds(now, ending))));
         }
     }
 
-    fn call_ends(&mut self, now: Micros, at: usize, began: Micros, ending: Ending) {
-        let instance = &mut self.instances[at];
-        if instance.has_list {
+    fn call_ends(&mut self, now: Micros, instance: usize, started_at: Micros, ending: Ending) {
+        let caller = &mut self.instances[instance];
+        if caller.has_list {
             return;
         }
         if ending == Ending::Answered {
-            instance.has_list = true;
+            caller.has_list = true;
             self.missing -= 1;
-            let known = servers(4);
-            self.tell(
+            let server_list = servers(4);
+            self.notify(
                 now,
-                at,
+                instance,
                 Event::DiscoveryUpdated(DiscoveryUpdate::WatchOpened),
             );
-            self.tell(
+            self.notify(
                 now,
-                at,
-                Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&known)),
+                instance,
+                Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&server_list)),
             );
             return;
         }
-        if instance.newest_call == began {
-            instance.reported = true;
+        if caller.newest_call_at == started_at {
+            caller.is_reported = true;
         }
-        let waited = if ending == Ending::Unreached {
+        let waited = if ending == Ending::Unreachable {
             0
         } else {
-            now - began
+            now - started_at
         };
-        self.fails(now, at, began, waited, ending == Ending::Broken);
+        self.call_fails(
+            now,
+            instance,
+            started_at,
+            waited,
+            ending == Ending::ConnectionBroken,
+        );
     }
 
-    /// How long after the return the last has the list, and how many calls that took.
+    /// How long after the recovery of discovery the last instance has the list, and the number of calls until then.
     fn run(mut self) -> (Option<Micros>, u32) {
-        let back = self.discovery.back;
-        while let Some(Reverse((now, at, step))) = self.queue.pop() {
-            if now > back + GIVES_UP {
+        let recovered_at = self.discovery.recovered_at;
+        while let Some(Reverse((now, instance, step))) = self.events.pop() {
+            if now > recovered_at + RECOVERY_TIMEOUT {
                 break;
             }
             match step {
-                Step::Call => self.begin_call(now, at),
-                Step::Silent(began) => {
-                    let instance = &mut self.instances[at];
-                    if !instance.has_list && !instance.reported && instance.newest_call == began {
-                        instance.reported = true;
-                        self.tell(
+                Step::Call => self.begin_call(now, instance),
+                Step::CallUnanswered(started_at) => {
+                    let caller = &mut self.instances[instance];
+                    if !caller.has_list
+                        && !caller.is_reported
+                        && caller.newest_call_at == started_at
+                    {
+                        caller.is_reported = true;
+                        self.notify(
                             now,
-                            at,
+                            instance,
                             Event::DiscoveryUpdated(DiscoveryUpdate::CallUnanswered {
-                                call_started_at: began,
+                                call_started_at: started_at,
                             }),
                         );
                     }
                 }
-                Step::Ends(began, ending) => self.call_ends(now, at, began, ending),
+                Step::CallEnds(started_at, ending) => {
+                    self.call_ends(now, instance, started_at, ending)
+                }
             }
             if self.missing == 0 {
-                return (Some(now - back), self.discovery.calls);
+                return (Some(now - recovered_at), self.discovery.calls);
             }
         }
         (None, self.discovery.calls)
@@ -288,81 +312,83 @@
 }
 
 const QUEUES: [Queue; 4] = [
-    Queue::RefusesSharply,
-    Queue::ResetsSharply,
-    Queue::RefusesInTurn,
+    Queue::RejectsAtTimeout,
+    Queue::ResetsAtTimeout,
+    Queue::RejectsInTurn,
     Queue::AnswersInTurn,
 ];
 const OUTAGES: [Outage; 6] = [
-    Outage::RefusesAtOnce,
-    Outage::ClosesAtOnce,
-    Outage::RefusesLate,
+    Outage::RejectsImmediately,
+    Outage::ClosesImmediately,
+    Outage::RejectsLate,
     Outage::ResetsLate,
-    Outage::Unreached,
+    Outage::Unreachable,
     Outage::Silent,
 ];
 
-/// Instances, and what discovery needs for a call of each.
+/// The number of instances, and the time that discovery needs for each call.
 type Size = (u32, Micros);
 
-/// Plays fleets that had an answer before and such that had none, numbered or not, behind outages of so many seconds, and holds
-/// the time until all have the list against this.
-fn all_have_it_within(
-    (instances, work): Size,
+/// Simulates fleets with and without a watch before the outage, for all combinations of the arguments, and checks that all
+/// instances have the list `within` the recovery of discovery.
+fn check_all_have_the_list_within(
+    (instances, processing_time): Size,
     queues: &[Queue],
     outages: &[Outage],
     seconds: &[Micros],
-    numbered: &[bool],
+    has_ordinals: &[bool],
     within: Micros,
 ) {
     let mut worst = 0;
     for (queue, outage) in queues
         .iter()
-        .flat_map(|q| outages.iter().map(move |o| (*q, *o)))
+        .flat_map(|queue| outages.iter().map(move |outage| (*queue, *outage)))
     {
-        for (lasts, numbered) in seconds
+        for (outage_duration, has_ordinals) in seconds
             .iter()
-            .flat_map(|s| numbered.iter().map(move |n| (s * S, *n)))
+            .flat_map(|seconds| has_ordinals.iter().map(move |known| (seconds * S, *known)))
         {
-            for (had_answer, seed) in [(true, 0), (true, 1), (false, 0), (false, 1)] {
+            for (had_watch, seed) in [(true, 0), (true, 1), (false, 0), (false, 1)] {
                 let case = Case {
                     instances,
-                    work,
+                    processing_time,
                     queue,
                     outage,
-                    lasts,
-                    had_answer,
-                    numbered,
+                    outage_duration,
+                    had_watch,
+                    has_ordinals,
                 };
-                let (took, calls) = Play::new(case, seed).run();
+                let (elapsed, calls) = Simulation::new(case, seed).run();
                 assert!(
-                    took.is_some_and(|took| took <= within),
-                    "{case:?}, seed {seed}: {took:?} by {calls} calls"
+                    elapsed.is_some_and(|elapsed| elapsed <= within),
+                    "{case:?}, seed {seed}: {elapsed:?} by {calls} calls"
                 );
-                worst = worst.max(took.unwrap_or_default());
+                worst = worst.max(elapsed.unwrap_or_default());
             }
         }
     }
     eprintln!(
-        "{instances} x {} ms: {:.1} s at the worst",
-        work / MS,
+        "{instances} x {} ms: {:.1} s at most",
+        processing_time / MS,
         worst as f64 / 1e6
     );
 }
 
-/// A change counts as told 6 s after discovery had it and could be reached, and the grace is 3 s.
-fn told_and_grace() -> Micros {
+/// When all instances must have the list: a change is assumed known 6 s after discovery had it and was reachable, and the drain
+/// grace is 3 s.
+fn list_deadline() -> Micros {
     SafetyRules::ASSUMED_NOTIFIED_AFTER + settings(&[RetrySafety::Idempotent]).rules.drain_grace
 }
 
-fn work_and_half_as_much((instances, work): Size) -> Micros {
-    u64::from(instances) * work * 3 / 2
+/// One and a half times the time that discovery needs for one call of each instance.
+fn total_processing_time_and_half((instances, processing_time): Size) -> Micros {
+    u64::from(instances) * processing_time * 3 / 2
 }
 
-/// Whatever calls ended in before, and also where a process never had an answer: fleets whose calls were put off behind a first
-/// refusal, or behind connections that broke, had it 13 to 68 s behind the return.
+/// Calls must not be postponed after a first rejection or a broken connection, however earlier calls ended and whether or not the
+/// process ever had a list from discovery. Fleets that did so had the list 13 s to 68 s after the recovery.
 #[test]
-fn where_the_work_for_all_fits_into_the_bound_all_have_the_list_before_the_grace_is_over() {
+fn if_all_calls_can_be_processed_within_the_bound_all_have_the_list_before_the_drain_grace_ends() {
     for size in [
         (1, 100 * MS),
         (24, 20 * MS),
@@ -373,43 +399,43 @@
         (300, 16 * MS),
         (900, 8 * MS),
     ] {
-        all_have_it_within(
+        check_all_have_the_list_within(
             size,
             &QUEUES,
             &OUTAGES,
             &[5, 15, 60],
             &[true],
-            told_and_grace(),
+            list_deadline(),
         );
     }
 }
 
-/// What discovery refuses or closes at once costs it nothing, and is no sign of too many callers however long it goes on. Behind
-/// 75 s of it calls were up to 36 s apart.
+/// Calls that discovery rejects immediately, or whose connection it closes immediately, cost it nothing, and are no sign of an
+/// overload however long they go on. When they were taken for one, calls were up to 36 s apart after 75 s of outage.
 #[test]
-fn outages_of_minutes_in_which_calls_fail_at_once_put_no_call_off() {
+fn outages_of_minutes_in_which_calls_fail_immediately_postpone_no_call() {
     let outages = [
-        Outage::RefusesAtOnce,
-        Outage::ClosesAtOnce,
-        Outage::Unreached,
+        Outage::RejectsImmediately,
+        Outage::ClosesImmediately,
+        Outage::Unreachable,
         Outage::Silent,
     ];
     for size in [(24, 20 * MS), (169, 30 * MS), (900, 6 * MS)] {
         let seconds = [100, 200];
-        all_have_it_within(
+        check_all_have_the_list_within(
             size,
             &QUEUES,
             &outages,
             &seconds,
             &[true, false],
-            told_and_grace(),
+            list_deadline(),
         );
     }
 }
 
-/// A call that waits is not made again, so that no work is lost.
+/// A queued call is not repeated, so that no processing time is lost.
 #[test]
-fn a_queue_in_which_all_are_answered_needs_no_longer_than_its_work() {
+fn a_queue_in_which_all_calls_are_answered_takes_little_longer_than_their_processing() {
     for size in [
         (100, 100 * MS),
         (60, 200 * MS),
@@ -417,54 +443,54 @@
         (900, 30 * MS),
         (100, 400 * MS),
     ] {
-        all_have_it_within(
+        check_all_have_the_list_within(
             size,
             &[Queue::AnswersInTurn],
             &OUTAGES,
             &[5, 15, 60],
             &[true, false],
-            work_and_half_as_much(size),
+            total_processing_time_and_half(size),
         );
     }
 }
 
-/// Behind an outage in which calls cost nothing, the first call that waits in vain tells that discovery is back with a queue.
+/// After an outage in which calls cost nothing, the first call that times out in a queue shows that discovery has recovered.
 #[test]
-fn ten_seconds_of_work_take_fifteen_where_a_first_refusal_tells_of_the_queue() {
+fn ten_seconds_of_processing_take_fifteen_if_a_first_rejection_shows_the_queue() {
     let size = (100, 100 * MS);
-    all_have_it_within(
+    check_all_have_the_list_within(
         size,
-        &[Queue::RefusesSharply, Queue::RefusesInTurn],
-        &[Outage::RefusesAtOnce, Outage::Unreached],
+        &[Queue::RejectsAtTimeout, Queue::RejectsInTurn],
+        &[Outage::RejectsImmediately, Outage::Unreachable],
         &[5, 15, 60],
         &[true],
-        work_and_half_as_much(size),
+        total_processing_time_and_half(size),
     );
 }
 
-/// More work than one call of each within the bound leaves time for: whoever comes back for the second time costs what was
-/// worked off in vain before. All have it in the end; before, the queue never got shorter.
+/// The processing takes longer than the bound allows for one call of each instance. A second call of an instance costs as much as
+/// the first, which timed out. All instances get the list in the end; without longer delays the queue never became shorter.
 #[test]
-fn a_discovery_that_refuses_in_turn_is_never_called_to_death() {
+fn a_discovery_that_rejects_in_turn_always_recovers() {
     for size in [
         (60, 200 * MS),
         (300, 50 * MS),
         (900, 30 * MS),
         (100, 400 * MS),
     ] {
-        all_have_it_within(
+        check_all_have_the_list_within(
             size,
-            &[Queue::RefusesInTurn],
+            &[Queue::RejectsInTurn],
             &OUTAGES,
             &[15],
             &[true, false],
-            GIVES_UP,
+            RECOVERY_TIMEOUT,
         );
     }
 }
 
-/// A watch may end in place of telling a change, one after the other. Instances whose calls had been answered late took that for a
-/// discovery that dies of its callers, called 7.6 to 13.7 s later, and sent to servers that had begun to drain:
+/// A watch may end instead of sending an update, several times in a row. Instances whose calls had been answered late took that for
+/// a discovery that crashes under load, called it 7.6 s to 13.7 s later, and sent to servers that had begun to drain:
 ///
 /// ```text
 /// 13.823 configuration read again: discovery is at 127.12.0.1:8501
@@ -472,26 +498,28 @@
 /// 19.104 next call to discovery in 13665 ms
 /// ```
 #[test]
-fn watches_that_end_one_after_the_other_put_no_call_off() {
-    let known = servers(4);
+fn watches_that_end_one_after_the_other_postpone_no_call() {
+    let server_list = servers(4);
     for (group_size, ordinal) in [(6, 3), (60, 7), (300, 99), (900, 400)] {
         let settings = Settings {
             group_size,
             ..settings(&[RetrySafety::Idempotent])
         };
         let bound = settings.rules.poll_again_within();
-        let mut rig = common::Rig::seeded(settings, 7, &known);
+        let mut rig = common::Rig::seeded(settings, 7, &server_list);
         rig.balancer.set_ordinal(ordinal);
         for _ in 0..10 {
             rig.event(Event::TimerFired(Timer::Discovery));
             rig.now += 3 * S;
             rig.event(Event::DiscoveryUpdated(DiscoveryUpdate::WatchOpened));
-            rig.event(Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&known)));
+            rig.event(Event::DiscoveryUpdated(DiscoveryUpdate::FullList(
+                &server_list,
+            )));
             rig.now += 3 * S;
             rig.actions.clear();
-            let since = rig.now;
+            let list_known_at = rig.now;
             rig.event(Event::DiscoveryUpdated(DiscoveryUpdate::CallFailed {
-                list_known_at: since,
+                list_known_at,
                 waited: 0,
                 connection_broken: false,
             }));
@@ -499,11 +527,11 @@
                 Action::SetTimer { at, .. } => Some(*at),
                 _ => None,
             });
-            let due = due.expect("another call is due");
+            let due = due.expect("a call is scheduled");
             assert!(
-                due <= since + bound,
-                "{group_size} instances: {} us from the last word to the call",
-                due - since
+                due <= list_known_at + bound,
+                "{group_size} instances: {} us from the last message to the call",
+                due - list_known_at
             );
             rig.now = due;
         }
--- a/crates/sidecar/src/discovery_watch.rs
+++ b/crates/sidecar/src/discovery_watch.rs
@@ -363,7 +363,10 @@
     let update: ListUpdate =
         serde_json::from_slice(object).map_err(|e| format!("invalid endpoint list: {e}"))?;
     if update.len() > MAX_LISTED_SERVERS {
-        return Err(format!("lists {} servers", update.len()));
+        return Err(format!(
+            "the list has {} servers; the limit is {MAX_LISTED_SERVERS}",
+            update.len()
+        ));
     }
     let max_poll_interval = service
         .active_settings()
@@ -376,7 +379,7 @@
         && !shared.accepts_from_discovery(&service.name, update.version(), max_poll_interval)
     {
         return Err(format!(
-            "lists version {}, which is older than the fleet's",
+            "list version {} is older than the fleet's",
             update.version()
         ));
     }
--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -509,7 +509,7 @@
     }
 }
 
-/// Logs the servers that an update changes. A complete list is not logged, since it repeats known servers.
+/// Logs the servers that an update changes. A complete list is not logged here, since it repeats known servers.
 fn log_changes(service: &Service, update: &ListUpdate) {
     if update.snapshot || !tracing::enabled!(tracing::Level::INFO) {
         return;
@@ -543,7 +543,7 @@
     apply_static_list(service, update);
 }
 
-/// Applies the list of the configuration.
+/// Applies a complete list that does not come from discovery.
 pub(super) fn apply_static_list(service: &Rc<Service>, update: ListUpdate) {
     apply_update(
         service,
@@ -657,7 +657,10 @@
     let servers: Vec<SharedServer> =
         serde_json::from_str(text).map_err(|e| format!("invalid endpoint list: {e}"))?;
     if servers.len() > MAX_LISTED_SERVERS {
-        return Err(format!("holds {} servers", servers.len()));
+        return Err(format!(
+            "the list has {} servers; the limit is {MAX_LISTED_SERVERS}",
+            servers.len()
+        ));
     }
     if service.pool.discovery.get().is_none() || service.is_draining() {
         return Err("the pool no longer uses discovery".to_string());
--- a/crates/sidecar/src/traffic_shares.rs
+++ b/crates/sidecar/src/traffic_shares.rs
@@ -111,8 +111,8 @@
     use super::*;
     use madderloom_balancer::{ServerEntry, ServerState};
 
-    fn view(server: u64, share: f64, recent_attempts: f64) -> ServerView {
-        let listed = ServerEntry {
+    fn view(server: u64, traffic_share: f64, recent_attempts: f64) -> ServerView {
+        let entry = ServerEntry {
             server: ServerId(server),
             zone: 0,
             cell: 0,
@@ -122,8 +122,8 @@
             state: ServerState::Ready,
         };
         ServerView {
-            entry: listed,
-            traffic_share: share,
+            entry,
+            traffic_share,
             service_rate: 1.0,
             work_and_time: (2e6, 4e6),
             recent_attempts,
