--- a/crates/agent/src/server/listener.rs
+++ b/crates/agent/src/server/listener.rs
@@ -129,7 +129,7 @@
                         connection.serve().await;
                         drop(slot);
                     };
-                    let kind = TaskKind::AgentConnection.of_peer(address);
+                    let kind = TaskKind::AgentConnection.for_peer(address);
                     connections.spawn_local(watchdog::watch(kind, serving));
                 }
                 // Descriptors may have run out: the open connections are served on, and end at some time.
--- a/crates/sidecar/src/documented_figures_tests.rs
+++ b/crates/sidecar/src/documented_figures_tests.rs
@@ -97,7 +97,7 @@
             on_call,
             format!(
                 "A turn of {} ms or more",
-                madderloom_watchdog::LONG_TURN.as_millis()
+                madderloom_watchdog::LONG_POLL.as_millis()
             ),
         ),
         (
--- a/crates/sidecar/src/levels.rs
+++ b/crates/sidecar/src/levels.rs
@@ -70,7 +70,7 @@
                 }
             }
             *controller = Some(new_controller);
-            let task = watchdog::spawn(TaskKind::Levels, run(Rc::clone(service)));
+            let task = watchdog::spawn(TaskKind::DegradationLevels, run(Rc::clone(service)));
             service.track_task(task.abort_handle());
             None
         }
--- a/crates/sidecar/src/listener.rs
+++ b/crates/sidecar/src/listener.rs
@@ -312,7 +312,7 @@
                         drop(reservation);
                         listener.connection_ended.notify_one();
                     });
-                    watchdog::spawn(TaskKind::ClientConnection.of_peer(peer), connection_task);
+                    watchdog::spawn(TaskKind::ClientConnection.for_peer(peer), connection_task);
                 }
                 Err(error) if is_resource_exhaustion(&error) => {
                     let prefix = self.log_prefix();
--- a/crates/sidecar/src/process.rs
+++ b/crates/sidecar/src/process.rs
@@ -112,7 +112,10 @@
         if let Some((state, (file, _))) = state.zip(operator.as_ref()) {
             let writer = StateWriter::open(state)
                 .map_err(|problem| format!("{}: {problem}", file.display()))?;
-            watchdog::spawn(TaskKind::State, Rc::clone(&writer).process_withdrawals());
+            watchdog::spawn(
+                TaskKind::PersistedState,
+                Rc::clone(&writer).process_withdrawals(),
+            );
             process.state_writer.get_or_init(|| writer);
         }
         let name = match (&config, operator_config) {
@@ -158,8 +161,8 @@
     pub async fn serve(self: Rc<Self>, stop: impl Future<Output = ()>) -> Result<(), String> {
         self.follow_agent();
         let process = Rc::clone(&self.process);
-        watchdog::spawn(TaskKind::Upkeep, async move {
-            supervise(TaskKind::Upkeep, "upkeep", || {
+        watchdog::spawn(TaskKind::Maintenance, async move {
+            supervise(TaskKind::Maintenance, "upkeep", || {
                 Some(run_upkeep(Rc::clone(&process)))
             })
             .await
@@ -170,7 +173,7 @@
         let warm_state_task = self.process.state_writer.get().map(|writer| {
             let writing =
                 warm_start::write_periodically(Rc::clone(&self.process), Rc::clone(writer));
-            watchdog::spawn(TaskKind::WarmState, writing).abort_handle()
+            watchdog::spawn(TaskKind::WarmStartSnapshot, writing).abort_handle()
         });
         stop.await;
         tracing::info!("stopping");
--- a/crates/sidecar/src/supervision.rs
+++ b/crates/sidecar/src/supervision.rs
@@ -63,7 +63,7 @@
         tokio::task::LocalSet::new().block_on(&runtime, async {
             let (start_count, task_alive) = (Rc::clone(&starts), Rc::clone(&alive));
             let supervisor = tokio::task::spawn_local(async move {
-                supervise(TaskKind::Upkeep, "a test's task", || {
+                supervise(TaskKind::Maintenance, "a test's task", || {
                     start_count.set(start_count.get() + 1);
                     let (run, task_alive) = (start_count.get(), Rc::clone(&task_alive));
                     Some(async move {
--- a/crates/sidecar/src/timers.rs
+++ b/crates/sidecar/src/timers.rs
@@ -108,7 +108,7 @@
             let polled = timers.wheel.borrow_mut().poll(now, &mut budget);
             let target = match polled {
                 WheelPoll::Due(target) => target,
-                WheelPoll::Spent => break true,
+                WheelPoll::BudgetExhausted => break true,
                 WheelPoll::Idle => break false,
             };
             timers.fired.set(timers.fired.get() + 1);
@@ -136,7 +136,7 @@
             tokio::task::yield_now().await;
             continue;
         }
-        let next = timers.wheel.borrow().next_at();
+        let next = timers.wheel.borrow().next_expiry();
         timers.wake_at.set(next.unwrap_or(Micros::MAX));
         match next {
             Some(at) => tokio::select! {
--- a/crates/timer-wheel/src/lib.rs
+++ b/crates/timer-wheel/src/lib.rs
@@ -61,7 +61,7 @@
     /// This timer is due.
     Due(T),
     /// The budget is spent; there may be more that is due.
-    Spent,
+    BudgetExhausted,
     /// Nothing more is due.
     Idle,
 }
@@ -121,7 +121,7 @@
 
     /// When the next call of [`Wheel::poll`] may find something, in microseconds: the time of the first timer,
     /// or an earlier one at which timers only move. Nothing where no timer is set.
-    pub fn next_at(&self) -> Option<u64> {
+    pub fn next_expiry(&self) -> Option<u64> {
         let (.., tick) = self.next_slot()?;
         Some(tick << TICK_BITS)
     }
@@ -135,7 +135,7 @@
                 return Poll::Idle;
             };
             if *budget == 0 {
-                return Poll::Spent;
+                return Poll::BudgetExhausted;
             }
             *budget -= 1;
             self.reached = self.reached.max(tick);
--- a/crates/timer-wheel/tests/like_a_heap.rs
+++ b/crates/timer-wheel/tests/like_a_heap.rs
@@ -65,17 +65,17 @@
                                 prop_assert!(tick >= last || at <= now.saturating_sub(span), "out of order");
                                 last = last.max(tick);
                             }
-                            Poll::Spent => left = budget,
+                            Poll::BudgetExhausted => left = budget,
                             Poll::Idle => break,
                         }
                     }
                     let overdue = model.values().find(|at| at.div_ceil(TICK) <= now / TICK);
                     prop_assert_eq!(overdue, None);
-                    if let (Some(next), Some(first)) = (wheel.next_at(), model.values().min()) {
+                    if let (Some(next), Some(first)) = (wheel.next_expiry(), model.values().min()) {
                         prop_assert!(next <= first.div_ceil(TICK) * TICK, "it would be slept through");
                         prop_assert!(next + TICK > now, "it would never be slept for");
                     }
-                    prop_assert_eq!(wheel.next_at().is_none(), model.is_empty());
+                    prop_assert_eq!(wheel.next_expiry().is_none(), model.is_empty());
                 }
             }
             prop_assert_eq!(wheel.len(), model.len());
@@ -98,7 +98,7 @@
         loop {
             match wheel.poll(60_000_000, &mut budget) {
                 Poll::Due(_) => due += 1,
-                Poll::Spent => break,
+                Poll::BudgetExhausted => break,
                 Poll::Idle => {
                     done = true;
                     break;
--- a/crates/watchdog/examples/turn_cost.rs
+++ b/crates/watchdog/examples/turn_cost.rs
@@ -17,7 +17,7 @@
         .expect("a runtime");
     let _watchdog = watched.then(watchdog::start);
     LocalSet::new().block_on(&runtime, async {
-        let task = watchdog::spawn(TaskKind::Upkeep, async {
+        let task = watchdog::spawn(TaskKind::Maintenance, async {
             let began = Instant::now();
             for _ in 0..TURNS {
                 yield_now().await;
--- a/crates/watchdog/src/lib.rs
+++ b/crates/watchdog/src/lib.rs
@@ -1,4 +1,4 @@
-//! Watchdog of a single-threaded event loop: it warns of every turn that takes [`LONG_TURN`] or more.
+//! Watchdog of a single-threaded event loop: it warns of every turn that takes [`LONG_POLL`] or more.
 //!
 //! A turn is one poll of one task. While it lasts nothing else on the thread runs, so a task that never awaits stops the
 //! whole process without a line in the log. The watchdog names that task.
@@ -8,9 +8,9 @@
 //! - **In the loop.** [`watch`] wraps a task and reads the monotonic clock before and after each poll. Every long turn is
 //!   found, with its exact length, but only once it has ended. The hooks of the runtime around a poll would do the same;
 //!   they are unstable, and know a task by its number only.
-//! - **Beside the loop.** A thread looks every [`LOOK_EVERY`] at what the loop has marked as running, and reports a turn that
+//! - **Beside the loop.** A thread looks every [`CHECK_INTERVAL`] at what the loop has marked as running, and reports a turn that
 //!   goes on: at the first look, and again whenever it has lasted twice as long. The loop pays one atomic store for the mark.
-//!   The period is far longer than [`LONG_TURN`] because the shorter ones are found in the loop, and an idle process is to
+//!   The period is far longer than [`LONG_POLL`] because the shorter ones are found in the loop, and an idle process is to
 //!   wake up seldom.
 //!
 //! Each report gives the elapsed time and the processor time of the process meanwhile. A turn that used the processor is
@@ -24,7 +24,7 @@
 mod task;
 mod watcher;
 
-pub use monitor::Counts;
+pub use monitor::LongPollCounts;
 pub use report::Cause;
 pub use task::{Task, TaskKind};
 
@@ -38,10 +38,10 @@
 
 /// A turn that lasts so long or longer is warned of. No task has any business near it: a usual turn takes microseconds,
 /// and clients wait out whatever holds the thread.
-pub const LONG_TURN: Duration = Duration::from_millis(100);
+pub const LONG_POLL: Duration = Duration::from_millis(100);
 
 /// Between two looks of the thread beside the loop.
-pub const LOOK_EVERY: Duration = Duration::from_secs(1);
+pub const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 thread_local! {
     static MONITOR: RefCell<Option<Arc<Monitor>>> = const { RefCell::new(None) };
@@ -107,7 +107,7 @@
 }
 
 /// What this thread's watchdog has counted; zeros where there is none.
-pub fn counts() -> Counts {
+pub fn counts() -> LongPollCounts {
     MONITOR.with_borrow(|monitor| {
         monitor
             .as_ref()
--- a/crates/watchdog/src/monitor.rs
+++ b/crates/watchdog/src/monitor.rs
@@ -1,6 +1,6 @@
 //! What the loop marks and measures, and what the thread beside it reads.
 
-use crate::LONG_TURN;
+use crate::LONG_POLL;
 use crate::report::{self, Cause, Spent};
 use crate::task::{Mark, Task};
 use rustix::time::{ClockId, clock_gettime};
@@ -13,7 +13,7 @@
 
 /// Long turns since the watchdog was started. One that goes on is counted from its first report on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct LongPollCounts {
     /// Those that used the processor.
     pub busy: u64,
     /// Those that hardly did.
@@ -100,7 +100,7 @@
         };
         // It may have ended meanwhile, and the processor time be that of another.
         let goes_on = self.running.load(Relaxed) == mark.word();
-        (elapsed >= LONG_TURN && goes_on).then_some((mark, task, spent))
+        (elapsed >= LONG_POLL && goes_on).then_some((mark, task, spent))
     }
 
     /// Counts a long turn once, whoever comes first with it.
@@ -108,15 +108,15 @@
         if self.counted.swap(mark.word(), Relaxed) == mark.word() {
             return;
         }
-        let counter = match Cause::of(spent.processor) {
+        let counter = match Cause::from_cpu_time(spent.processor) {
             Cause::Busy => &self.busy,
             Cause::Stalled => &self.stalled,
         };
         counter.fetch_add(1, Relaxed);
     }
 
-    pub(crate) fn counts(&self) -> Counts {
-        Counts {
+    pub(crate) fn counts(&self) -> LongPollCounts {
+        LongPollCounts {
             busy: self.busy.load(Relaxed),
             stalled: self.stalled.load(Relaxed),
         }
@@ -138,7 +138,7 @@
     fn drop(&mut self) {
         self.monitor.running.store(Mark::IDLE.word(), Relaxed);
         let elapsed = self.began.elapsed();
-        if elapsed >= LONG_TURN {
+        if elapsed >= LONG_POLL {
             self.monitor.long_turn_ended(self, elapsed);
         }
     }
--- a/crates/watchdog/src/report.rs
+++ b/crates/watchdog/src/report.rs
@@ -1,11 +1,11 @@
 //! What is said of a long turn, and which of the two kinds it is.
 
-use crate::{LONG_TURN, Task};
+use crate::{LONG_POLL, Task};
 use std::fmt;
 use std::time::Duration;
 
 /// Processor time from which on a long turn counts as busy.
-const BUSY: Duration = LONG_TURN.checked_div(2).unwrap();
+const BUSY: Duration = LONG_POLL.checked_div(2).unwrap();
 
 /// Why a turn took long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -34,7 +34,7 @@
 
 impl Cause {
     /// By the processor time that the process used in a long turn.
-    pub fn of(processor: Duration) -> Self {
+    pub fn from_cpu_time(processor: Duration) -> Self {
         if processor >= BUSY {
             Cause::Busy
         } else {
@@ -75,7 +75,7 @@
 }
 
 fn warn(task: Task, spent: Spent, event: fmt::Arguments<'_>) {
-    let cause = Cause::of(spent.processor);
+    let cause = Cause::from_cpu_time(spent.processor);
     tracing::warn!(
         %task,
         ?cause,
@@ -96,9 +96,15 @@
 
     #[test]
     fn a_turn_is_busy_from_half_of_the_bound_of_processor_time_on() {
-        assert_eq!(Cause::of(Duration::ZERO), Cause::Stalled);
-        assert_eq!(Cause::of(Duration::from_millis(49)), Cause::Stalled);
-        assert_eq!(Cause::of(Duration::from_millis(50)), Cause::Busy);
-        assert_eq!(Cause::of(Duration::from_secs(3_600)), Cause::Busy);
+        assert_eq!(Cause::from_cpu_time(Duration::ZERO), Cause::Stalled);
+        assert_eq!(
+            Cause::from_cpu_time(Duration::from_millis(49)),
+            Cause::Stalled
+        );
+        assert_eq!(Cause::from_cpu_time(Duration::from_millis(50)), Cause::Busy);
+        assert_eq!(
+            Cause::from_cpu_time(Duration::from_secs(3_600)),
+            Cause::Busy
+        );
     }
 }
--- a/crates/watchdog/src/task.rs
+++ b/crates/watchdog/src/task.rs
@@ -36,7 +36,7 @@
     /// The timer wheel of the process.
     Timers = "timers",
     /// What is looked after every second.
-    Upkeep = "upkeep",
+    Maintenance = "upkeep",
     /// Tasks are released in the order of the fair queue.
     FairQueue = "fair queue",
     /// The watch of discovery's list of servers.
@@ -46,7 +46,7 @@
     /// A server is asked for its load.
     LoadProbe = "load probe",
     /// Conditions of reduced service levels are checked.
-    Levels = "service levels",
+    DegradationLevels = "service levels",
     /// The process drains.
     Drain = "drain",
     /// A pool that is no longer configured finishes what it has.
@@ -56,9 +56,9 @@
     /// The start and the stop of the process.
     Lifecycle = "start and stop",
     /// Persisted state is written.
-    State = "persisted state",
+    PersistedState = "persisted state",
     /// The snapshot for a warm start is written.
-    WarmState = "snapshot for a warm start",
+    WarmStartSnapshot = "snapshot for a warm start",
     /// The admin view takes readers.
     AdminListener = "admin listener",
     /// A reader of the admin view.
@@ -90,7 +90,7 @@
 
 impl TaskKind {
     /// The task of this kind that serves this peer.
-    pub fn of_peer(self, peer: SocketAddr) -> Task {
+    pub fn for_peer(self, peer: SocketAddr) -> Task {
         Task {
             kind: self,
             peer_port: Some(peer.port()),
--- a/crates/watchdog/src/watcher.rs
+++ b/crates/watchdog/src/watcher.rs
@@ -1,6 +1,6 @@
 //! The thread beside the loop: it reports turns that do not end.
 
-use crate::LOOK_EVERY;
+use crate::CHECK_INTERVAL;
 use crate::monitor::Monitor;
 use crate::report;
 use crate::task::Mark;
@@ -29,7 +29,7 @@
                 mark: Mark::IDLE,
                 again_at: Duration::ZERO,
             };
-            while let Err(RecvTimeoutError::Timeout) = ended.recv_timeout(LOOK_EVERY) {
+            while let Err(RecvTimeoutError::Timeout) = ended.recv_timeout(CHECK_INTERVAL) {
                 reported.look(&monitor);
             }
         };
--- a/crates/watchdog/tests/long_turns_are_reported.rs
+++ b/crates/watchdog/tests/long_turns_are_reported.rs
@@ -3,7 +3,7 @@
 //!
 //! Nothing here waits for a time and hopes: a task goes on until the report is there, or has used what it is to use.
 
-use madderloom_watchdog::{self as watchdog, Counts, LONG_TURN, LOOK_EVERY, TaskKind};
+use madderloom_watchdog::{self as watchdog, CHECK_INTERVAL, LONG_POLL, LongPollCounts, TaskKind};
 use rustix::time::{ClockId, clock_gettime};
 use std::io::Write;
 use std::net::SocketAddr;
@@ -104,12 +104,12 @@
 fn a_turn_that_does_not_end_is_reported_while_it_lasts() {
     let counts = watched(async {
         let peer = SocketAddr::from(([127, 0, 0, 1], 4_711));
-        let task = watchdog::spawn(TaskKind::ClientConnection.of_peer(peer), async {
+        let task = watchdog::spawn(TaskKind::ClientConnection.for_peer(peer), async {
             yield_now().await;
             spin_until("the report", || {
                 !logged("event loop: held by client connection (peer port 4711) for").is_empty()
             });
-            spin_for(LONG_TURN);
+            spin_for(LONG_POLL);
         });
         ends(task).await;
         watchdog::counts()
@@ -163,7 +163,7 @@
 fn a_long_turn_that_ends_between_two_looks_is_reported_with_its_task() {
     let counts = watched(async {
         ends(watchdog::spawn(TaskKind::Reload, async {
-            spin_for(2 * LONG_TURN)
+            spin_for(2 * LONG_POLL)
         }))
         .await;
         watchdog::counts()
@@ -180,13 +180,13 @@
 #[test]
 fn a_turn_that_does_not_use_the_processor_is_told_apart_from_one_that_does() {
     let counts = watched(async {
-        let task = watchdog::spawn(TaskKind::State, async {
+        let task = watchdog::spawn(TaskKind::PersistedState, async {
             // Others' turns before it are no part of it, however much they used.
             for _ in 0..30 {
-                spin_for(LONG_TURN / 10);
+                spin_for(LONG_POLL / 10);
                 yield_now().await;
             }
-            std::thread::sleep(2 * LONG_TURN);
+            std::thread::sleep(2 * LONG_POLL);
         });
         ends(task).await;
         watchdog::counts()
@@ -210,12 +210,12 @@
 #[test]
 fn many_short_turns_and_long_waits_are_no_long_turn() {
     let counts = watched(async {
-        let task = watchdog::spawn(TaskKind::Levels, async {
+        let task = watchdog::spawn(TaskKind::DegradationLevels, async {
             for _ in 0..200 {
-                spin_for(LONG_TURN / 100);
+                spin_for(LONG_POLL / 100);
                 yield_now().await;
             }
-            tokio::time::sleep(2 * LONG_TURN).await;
+            tokio::time::sleep(2 * LONG_POLL).await;
         });
         ends(task).await;
         watchdog::counts()
@@ -231,7 +231,7 @@
             panic!("as the test wants it")
         });
         assert!(task.await.is_err());
-        tokio::time::sleep(2 * LOOK_EVERY + LONG_TURN).await;
+        tokio::time::sleep(2 * CHECK_INTERVAL + LONG_POLL).await;
     });
     assert_eq!(logged("held by load probe"), Vec::<String>::new());
 }
@@ -243,9 +243,11 @@
         .expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
         assert_eq!(
-            watchdog::spawn(TaskKind::Upkeep, async { 7 }).await.ok(),
+            watchdog::spawn(TaskKind::Maintenance, async { 7 })
+                .await
+                .ok(),
             Some(7)
         );
     });
-    assert_eq!(watchdog::counts(), Counts::default());
+    assert_eq!(watchdog::counts(), LongPollCounts::default());
 }
