--- a/crates/balancer/tests/discovery_polling.rs
+++ b/crates/balancer/tests/discovery_polling.rs
@@ -3,7 +3,7 @@
 mod common;
 use common::*;
 use madderloom_balancer::*;
-use madderloom_fault_testing::worst;
+use madderloom_fault_testing::max_window_excess;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
@@ -261,7 +261,8 @@
                 instances as usize,
                 "one call of each in the first {wave} us"
             );
-            let excess = worst(first.iter().map(|at| *at as f64), instance_count / wave);
+            let excess =
+                max_window_excess(first.iter().map(|at| *at as f64), instance_count / wave);
             assert!(
                 excess <= 3.0 * instance_count.sqrt(),
                 "{instances}, {waited}, {failing_quarters} of 4 fail: {excess} at first"
@@ -275,7 +276,7 @@
                 } else {
                     2.0
                 };
-            let excess = worst(later.iter().map(|at| *at as f64), 1.0 / time_per_call);
+            let excess = max_window_excess(later.iter().map(|at| *at as f64), 1.0 / time_per_call);
             assert!(
                 excess <= 3.0 * instance_count.sqrt(),
                 "{instances}, {waited}, {failing_quarters} of 4 fail: {excess}"
@@ -322,7 +323,7 @@
         poll_delays.sort_unstable();
         let interval = (0.08e6 * f64::from(group_size)).clamp(0.5e6, 5e6);
         let rate = f64::from(group_size.max(20)) / interval;
-        let excess = worst(poll_delays.iter().map(|at| *at as f64), rate);
+        let excess = max_window_excess(poll_delays.iter().map(|at| *at as f64), rate);
         assert!(
             excess <= 3.0 * f64::from(group_size.max(20)).sqrt(),
             "{group_size} call together: {excess} too many"
--- a/crates/cli/tests/connections/servers.rs
+++ b/crates/cli/tests/connections/servers.rs
@@ -26,7 +26,7 @@
 
 impl OneAnswer {
     fn start(after: After) -> Self {
-        let listener = madderloom_fault_testing::own_listener();
+        let listener = madderloom_fault_testing::unique_listener();
         let address = listener.local_addr().expect("it is bound");
         let seen = Arc::<Mutex<BTreeMap<String, u32>>>::default();
         let kept = Arc::clone(&seen);
--- a/crates/cli/tests/fleet/faults.rs
+++ b/crates/cli/tests/fleet/faults.rs
@@ -3,7 +3,7 @@
 
 use crate::rig::{Instance, PAUSE, Rig, ZONES, judge};
 use madderloom_control_plane::settings::{Overlay, Value};
-use madderloom_fault_testing::{Direction, Load, Signal, until};
+use madderloom_fault_testing::{Direction, LoadGenerator, Signal, wait_until};
 use std::collections::BTreeMap;
 use std::process::Output;
 use std::time::{Duration, Instant};
@@ -137,14 +137,14 @@
             }
             Fault::KilledUnsaid => {
                 let road = &self.rig.roads[ZONES[victim % 2]];
-                road.cut(Direction::Out);
+                road.cut(Direction::ToServer);
                 let set = || self.rig.instances[victim].set();
                 let before = set();
                 // To all at once: the watch still brings the order, until the instance holds the agent to be away.
                 let at_once =
                     "waves = []\npause = \"0\"\nsilence = \"2s\"\nfailures = 100\nthen = \"stop\"";
                 self.accepted(&self.rig.push(&id, at_once, &weight));
-                until("the order has come", || (set() != before).then_some(()));
+                wait_until("the order has come", || (set() != before).then_some(()));
                 self.rig.instances[victim].program = None;
                 let results = self.rig.ended(&id);
                 assert_eq!(
@@ -279,7 +279,7 @@
         self.rig.until_alive(COUNT);
         for instance in &self.rig.instances {
             let name = &instance.name;
-            until(&format!("{name} agrees"), || {
+            wait_until(&format!("{name} agrees"), || {
                 let text = self
                     .rig
                     .run("vic", &["show", name, "--output", "json"])
@@ -353,7 +353,7 @@
         .take(STEADY)
         .map(|instance| instance.front)
         .collect();
-    let load = Load::on(&fronts, PAUSE);
+    let load = LoadGenerator::start(&fronts, PAUSE);
     let mut faults = faults.to_vec();
     // In an order that the seed tells.
     for at in (1..faults.len()).rev() {
--- a/crates/cli/tests/fleet/limits.rs
+++ b/crates/cli/tests/fleet/limits.rs
@@ -4,7 +4,8 @@
 use crate::many::Fleet;
 use crate::rig::{found, madderloom};
 use madderloom_fault_testing::{
-    Act, Arrivals, Direction, Fault, Got, Link, Menu, Plan, Server, served, shrink, until,
+    Arrivals, Direction, Fault, FaultAction, Link, Plan, PlanGenerator, RequestResult, Server,
+    shrink, verify_results, wait_until,
 };
 use madderloom_quota_leases::LeaseServerEvent;
 use std::net::SocketAddr;
@@ -58,7 +59,7 @@
     /// An agent and three servers.
     fn of_servers(leases: &str, limits: &str) -> Self {
         let servers = (0..3)
-            .map(|n| Server::that_takes(&format!("w{n}"), millis(5)))
+            .map(|n| Server::with_service_time(&format!("w{n}"), millis(5)))
             .collect();
         Fleet::found(&format!("{leases}{limits}"), servers, SITE)
     }
@@ -74,7 +75,7 @@
             .stage
             .program("agent")
             .wait_for("each limit can be granted in full");
-        until("each has a lease", || fleet.all_leased().then_some(()));
+        wait_until("each has a lease", || fleet.all_leased().then_some(()));
     }
 
     /// A sidecar that knows the servers.
@@ -95,8 +96,8 @@
 
     /// A link leads to another agent from now on.
     fn lead(&mut self, name: &str, to: SocketAddr) {
-        self.stage.links[name].lead(to);
-        self.stage.act(name, Act::Reset);
+        self.stage.links[name].set_target(to);
+        self.stage.apply(name, FaultAction::Reset);
     }
 
     fn all_leased(&self) -> bool {
@@ -112,8 +113,8 @@
     }
 
     /// Each had its one answer, some were served and some refused, and no sidecar says that it is wrong.
-    fn judge(&self, got: &[Got], killed: bool) {
-        let served = served(got, &self.rig.servers, killed);
+    fn judge(&self, got: &[RequestResult], killed: bool) {
+        let served = verify_results(got, &self.rig.servers, killed);
         assert!(
             served > 20 && served < got.len(),
             "{served} of {} served prove nothing",
@@ -122,7 +123,7 @@
         let overcommitted = overcommitted_line();
         for slot in self
             .stage
-            .slots
+            .processes
             .values()
             .filter_map(|slot| slot.program.as_ref())
         {
@@ -165,7 +166,7 @@
     fleet.stage.play(plan, over, |_, _| {});
     fleet.stage.heal();
     let healed = Instant::now();
-    until("each has a lease again", || {
+    wait_until("each has a lease again", || {
         fleet.all_leased().then_some(())
     });
     // An agent that starts learns for a lease; then parts grow.
@@ -175,34 +176,39 @@
     let arrivals = fleet.arrivals();
     let used = arrivals.rate(from, from + millis(4_000)) / RATE;
     let got = load.stop();
-    fleet.judge(&got, plan.faults.iter().any(|fault| fault.act == Act::Kill));
-    (arrivals.over(RATE, BURST, JITTER), used)
+    fleet.judge(
+        &got,
+        plan.faults
+            .iter()
+            .any(|fault| fault.action == FaultAction::Kill),
+    );
+    (arrivals.rate_excess(RATE, BURST, JITTER), used)
 }
 
-fn menu(over: Duration) -> Menu {
+fn menu(over: Duration) -> PlanGenerator {
     let links = vec![
-        Act::Cut,
-        Act::CutOut,
-        Act::CutBack,
-        Act::CutAfter(700),
-        Act::HoldBack,
-        Act::HoldOut,
-        Act::HoldOld,
-        Act::Delay(400),
-        Act::Throttle(2_000),
-        Act::Reset,
-        Act::Swallow,
+        FaultAction::Cut,
+        FaultAction::CutOut,
+        FaultAction::CutBack,
+        FaultAction::CutAfter(700),
+        FaultAction::HoldBack,
+        FaultAction::HoldOut,
+        FaultAction::HoldExisting,
+        FaultAction::Delay(400),
+        FaultAction::Throttle(2_000),
+        FaultAction::Reset,
+        FaultAction::Blackhole,
     ];
-    let processes = vec![Act::Kill, Act::Stop];
+    let processes = vec![FaultAction::Kill, FaultAction::Stop];
     let of_processes =
         ["north-2", "south-3", "agent"].map(|on| (on.to_string(), processes.clone()));
     let of_links = ["north-0>agent", "south-1>agent", "south-5>agent"]
         .map(|on| (on.to_string(), links.clone()));
     let choices = of_processes.into_iter().chain(of_links).collect();
-    Menu {
+    PlanGenerator {
         choices,
-        over,
-        lasts: (millis(300), millis(5_000)),
+        window: over,
+        duration_range: (millis(300), millis(5_000)),
     }
 }
 
@@ -258,11 +264,11 @@
     }
 }
 
-fn fault(at: u64, on: &str, act: Act) -> Fault {
+fn fault(at: u64, on: &str, act: FaultAction) -> Fault {
     Fault {
         at: millis(at),
-        on: on.into(),
-        act,
+        target: on.into(),
+        action: act,
     }
 }
 
@@ -278,11 +284,16 @@
         "south-1>agent",
         "south-3>agent",
     ];
-    let mut faults: Vec<Fault> = away.iter().map(|on| fault(500, on, Act::Cut)).collect();
-    faults.push(fault(500, "south-5>agent", Act::HoldBack));
-    faults.push(fault(500, "south-7>agent", Act::HoldOld));
-    faults.extend(away.iter().map(|on| fault(6_000, on, Act::Heal)));
-    faults.extend(["south-5>agent", "south-7>agent"].map(|on| fault(6_000, on, Act::LetGo)));
+    let mut faults: Vec<Fault> = away
+        .iter()
+        .map(|on| fault(500, on, FaultAction::Cut))
+        .collect();
+    faults.push(fault(500, "south-5>agent", FaultAction::HoldBack));
+    faults.push(fault(500, "south-7>agent", FaultAction::HoldExisting));
+    faults.extend(away.iter().map(|on| fault(6_000, on, FaultAction::Heal)));
+    faults.extend(
+        ["south-5>agent", "south-7>agent"].map(|on| fault(6_000, on, FaultAction::Release)),
+    );
     holds(&Plan { faults }, millis(7_000));
 }
 
@@ -290,17 +301,17 @@
 #[test]
 fn no_window_is_over_behind_relays_whatever_links_fail_and_processes_die_or_freeze() {
     let links = vec![
-        Act::Cut,
-        Act::CutOut,
-        Act::CutBack,
-        Act::HoldBack,
-        Act::HoldOut,
-        Act::HoldOld,
-        Act::Delay(400),
-        Act::Reset,
-        Act::Swallow,
+        FaultAction::Cut,
+        FaultAction::CutOut,
+        FaultAction::CutBack,
+        FaultAction::HoldBack,
+        FaultAction::HoldOut,
+        FaultAction::HoldExisting,
+        FaultAction::Delay(400),
+        FaultAction::Reset,
+        FaultAction::Blackhole,
     ];
-    let processes = vec![Act::Kill, Act::Stop];
+    let processes = vec![FaultAction::Kill, FaultAction::Stop];
     let of_links = [
         "relay-north>agent",
         "relay-south>agent",
@@ -311,10 +322,10 @@
     let of_links = of_links.map(|on| (on.to_string(), links.clone()));
     let of_processes = of_processes.map(|on| (on.to_string(), processes.clone()));
     let choices = of_links.into_iter().chain(of_processes).collect();
-    let menu = Menu {
+    let menu = PlanGenerator {
         choices,
-        over: millis(8_000),
-        lasts: (millis(300), millis(5_000)),
+        window: millis(8_000),
+        duration_range: (millis(300), millis(5_000)),
     };
     let found = || Fleet::behind_relays(24, &limit("submissions", SUBMISSIONS), OWN);
     holds_on(found, &menu.draw(12, 10), millis(11_000));
@@ -358,7 +369,7 @@
     // Twelve want it, and two have a part at a time: they take turns.
     assert!(half > 0.0 && half <= 50.0 + BURST / 3.0, "{half}");
     std::thread::sleep(millis(1_000));
-    let open = fleet.arrivals().since(from).most_open();
+    let open = fleet.arrivals().since(from).max_concurrent();
     assert!(open <= 2, "{open} open");
     let told = fleet.rig.told("vic", &["top", "--once"], 0);
     assert!(
@@ -373,7 +384,7 @@
         (0.95 * RATE..=RATE + BURST / 3.0).contains(&whole),
         "{whole}"
     );
-    assert!(fleet.arrivals().over(RATE, BURST, JITTER) <= 0.0);
+    assert!(fleet.arrivals().rate_excess(RATE, BURST, JITTER) <= 0.0);
     fleet.judge(&load.stop(), false);
     let odd = fleet.rig.push("odd", "", "\"fleet/other/open\" = 3");
     assert!(String::from_utf8_lossy(&odd.stderr).contains("has no fleet limit other"));
@@ -388,14 +399,14 @@
     let load = fleet.load();
     std::thread::sleep(millis(1_500));
     // A second term, which all have heard of; then a first one again.
-    fleet.stage.act("agent", Act::Kill);
-    fleet.stage.act("agent", Act::Start);
+    fleet.stage.apply("agent", FaultAction::Kill);
+    fleet.stage.apply("agent", FaultAction::Start);
     fleet
         .stage
         .program("agent")
         .wait_for("each limit can be granted in full");
-    fleet.stage.act("agent", Act::Kill);
-    fleet.stage.act("agent", Act::StartAfresh);
+    fleet.stage.apply("agent", FaultAction::Kill);
+    fleet.stage.apply("agent", FaultAction::StartWithoutState);
     fleet
         .stage
         .program("agent")
@@ -412,12 +423,12 @@
         fleet.stage.program(name).wait_for("the safe part holds");
     }
     // The operator says that the former one is gone.
-    fleet.stage.act("agent", Act::Kill);
+    fleet.stage.apply("agent", FaultAction::Kill);
     let file = fleet.rig.at("agent.toml");
     let text = std::fs::read_to_string(&file).expect("written");
     std::fs::write(&file, format!("term_above = 5\n{text}")).expect("written");
-    fleet.stage.act("agent", Act::Start);
-    until("each has a lease again", || {
+    fleet.stage.apply("agent", FaultAction::Start);
+    wait_until("each has a lease again", || {
         fleet.all_leased().then_some(())
     });
     // A second one, on a state of its own; half of the instances are led to it.
@@ -437,7 +448,7 @@
     std::thread::sleep(OUT + millis(4_000));
     let while_two = fleet.arrivals().since(both);
     assert!(
-        while_two.over(2.0 * RATE, 2.0 * BURST + 6.0, JITTER) <= 0.0,
+        while_two.rate_excess(2.0 * RATE, 2.0 * BURST + 6.0, JITTER) <= 0.0,
         "each lends all of it once"
     );
     // One that has heard of the second comes back to the first.
@@ -451,9 +462,9 @@
     std::thread::sleep(millis(2_500));
     let after = fleet.arrivals().since(one);
     assert!(
-        after.over(RATE + 6.0, BURST + 6.0, JITTER) <= 0.0,
+        after.rate_excess(RATE + 6.0, BURST + 6.0, JITTER) <= 0.0,
         "over by {}",
-        after.over(RATE, BURST, JITTER)
+        after.rate_excess(RATE, BURST, JITTER)
     );
     fleet.judge(&load.stop(), false);
 }
@@ -464,7 +475,7 @@
 fn an_agent_on_an_old_copy_of_the_state_lends_nothing_to_those_who_know_the_other() {
     let mut fleet = Fleet::new(4, &limit("submissions", SUBMISSIONS), OWN);
     let load = fleet.load();
-    fleet.stage.act("agent", Act::Kill);
+    fleet.stage.apply("agent", FaultAction::Kill);
     let at = fleet.rig.directory.path().to_path_buf();
     std::fs::create_dir(at.join("copy")).expect("made");
     for file in std::fs::read_dir(at.join("state"))
@@ -473,7 +484,7 @@
     {
         std::fs::copy(file.path(), at.join("copy").join(file.file_name())).expect("copied");
     }
-    fleet.stage.act("agent", Act::Start);
+    fleet.stage.apply("agent", FaultAction::Start);
     fleet
         .stage
         .program("agent")
@@ -494,7 +505,7 @@
         .program("second")
         .wait_for("another agent of term 2 grants leases");
     std::thread::sleep(OUT + millis(3_000));
-    let over = fleet.arrivals().over(RATE, BURST, JITTER);
+    let over = fleet.arrivals().rate_excess(RATE, BURST, JITTER);
     assert!(over <= 0.0, "over by {over}");
     fleet.judge(&load.stop(), false);
 }
@@ -515,17 +526,17 @@
     std::thread::sleep(millis(9_000));
     let arrivals = fleet.arrivals();
     assert!(
-        arrivals.over(20.0, 4.0, JITTER) <= 0.0,
+        arrivals.rate_excess(20.0, 4.0, JITTER) <= 0.0,
         "over by {}",
-        arrivals.over(20.0, 4.0, JITTER)
+        arrivals.rate_excess(20.0, 4.0, JITTER)
     );
     for server in &fleet.rig.servers {
-        let own = Arrivals::of([server]);
+        let own = Arrivals::of_servers([server]);
         assert!(
-            own.over(4.0, 6.0, JITTER) <= 0.0,
+            own.rate_excess(4.0, 6.0, JITTER) <= 0.0,
             "{}: over by {}",
             server.name,
-            own.over(4.0, 6.0, JITTER)
+            own.rate_excess(4.0, 6.0, JITTER)
         );
         assert!(own.len() > 4, "{}: {}", server.name, own.len());
     }
@@ -592,8 +603,10 @@
     // Bytes over the links for each instance, and the part of a core of the agent and of one instance, over some time.
     let cost = |fleet: &Fleet, over: u64| {
         let look = |fleet: &Fleet| {
-            let carried =
-                |link: &Link| link.carried(Direction::Out) + link.carried(Direction::Back);
+            let carried = |link: &Link| {
+                link.forwarded_bytes(Direction::ToServer)
+                    + link.forwarded_bytes(Direction::ToClient)
+            };
             let bytes: u64 = fleet.stage.links.values().map(carried).sum();
             (bytes as f64, fleet.cpu("agent"), fleet.cpu("north-0"))
         };
@@ -613,14 +626,17 @@
     println!("calm: {}", cost(&fleet, 10_000));
     // A tenth of the links flap: two seconds away, one there.
     let flapping: Vec<String> = fleet.stage.links.keys().step_by(10).cloned().collect();
-    let flaps =
-        |fleet: &mut Fleet, act: Act| flapping.iter().for_each(|name| fleet.stage.act(name, act));
+    let flaps = |fleet: &mut Fleet, act: FaultAction| {
+        flapping
+            .iter()
+            .for_each(|name| fleet.stage.apply(name, act))
+    };
     let (came, begin) = (fleet.arrivals().len(), Instant::now());
     for _ in 0..5 {
-        flaps(&mut fleet, Act::Cut);
+        flaps(&mut fleet, FaultAction::Cut);
         std::thread::sleep(millis(2_000));
-        flaps(&mut fleet, Act::Heal);
-        flaps(&mut fleet, Act::Reset);
+        flaps(&mut fleet, FaultAction::Heal);
+        flaps(&mut fleet, FaultAction::Reset);
         std::thread::sleep(millis(1_000));
     }
     let used = (fleet.arrivals().len() - came) as f64 / begin.elapsed().as_secs_f64() / rate;
@@ -628,7 +644,7 @@
     println!("healed: {}", cost(&fleet, 5_000));
     println!(
         "over in the worst window, without jitter: {:.1}",
-        fleet.arrivals().over(rate, burst, Duration::ZERO)
+        fleet.arrivals().rate_excess(rate, burst, Duration::ZERO)
     );
     let got = load.stop();
     fleet.judge(&got, false);
--- a/crates/cli/tests/fleet/lists.rs
+++ b/crates/cli/tests/fleet/lists.rs
@@ -2,16 +2,19 @@
 //! and the servers counted is judged.
 
 use crate::many::Fleet;
-use madderloom_fault_testing::{Act, Got, Link, Lists, Load, Manner, Says, Server, served, until};
+use madderloom_fault_testing::{
+    DiscoveryBehavior, FakeDiscovery, FaultAction, Link, ListResponse, LoadGenerator,
+    RequestResult, Server, verify_results, wait_until,
+};
 use std::time::{Duration, Instant};
 
 /// What discovery bears: some 50 calls a second for forty-five, of which a third may wait.
-fn manner() -> Manner {
-    Manner {
-        each: millis(900) / many() as u32,
-        most: many() / 3,
-        down: Duration::from_secs(1),
-        says: Says::List,
+fn manner() -> DiscoveryBehavior {
+    DiscoveryBehavior {
+        work_per_call: millis(900) / many() as u32,
+        max_waiting_calls: many() / 3,
+        downtime: Duration::from_secs(1),
+        response: ListResponse::List,
     }
 }
 
@@ -50,7 +53,7 @@
 
 struct Shared {
     fleet: Fleet,
-    lists: Lists,
+    lists: FakeDiscovery,
     began: Instant,
 }
 
@@ -59,9 +62,9 @@
     /// `MADDERLOOM_UNSHARED` they share nothing, to see what that costs.
     fn start(cut: &[&str]) -> Self {
         let servers: Vec<Server> = (0..3)
-            .map(|n| Server::that_takes(&format!("w{n}"), millis(5)))
+            .map(|n| Server::with_service_time(&format!("w{n}"), millis(5)))
             .collect();
-        let lists = Lists::new(manner(), &servers.iter().collect::<Vec<_>>());
+        let lists = FakeDiscovery::new(manner(), &servers.iter().collect::<Vec<_>>());
         let known = format!(
             "servers = [{{ name = \"w0\", address = \"{}\" }}]",
             servers[0].address
@@ -120,24 +123,24 @@
     }
 
     /// A client at each of these, which keeps its connection.
-    fn load(&self, zones: &[&str]) -> Load {
+    fn load(&self, zones: &[&str]) -> LoadGenerator {
         let at = self
             .fleet
             .fronts
             .iter()
             .filter(|(name, _)| zones.iter().any(|zone| name.starts_with(zone)));
-        Load::on(&at.map(|(_, front)| *front).collect::<Vec<_>>(), millis(50))
+        LoadGenerator::start(&at.map(|(_, front)| *front).collect::<Vec<_>>(), millis(50))
     }
 
     /// Does this to the processes of these zones.
-    fn act_on(&mut self, zones: &[&str], act: Act) {
+    fn act_on(&mut self, zones: &[&str], act: FaultAction) {
         for name in self
             .fleet
             .fronts
             .keys()
             .filter(|name| zones.iter().any(|zone| name.starts_with(zone)))
         {
-            self.fleet.stage.act(name, act);
+            self.fleet.stage.apply(name, act);
         }
     }
 
@@ -150,8 +153,8 @@
         Instant::now()
     }
 
-    fn judge(&self, got: &[Got], killed: bool) {
-        let served = served(got, &self.fleet.rig.servers, killed);
+    fn judge(&self, got: &[RequestResult], killed: bool) {
+        let served = verify_results(got, &self.fleet.rig.servers, killed);
         eprintln!("{served} of {} served", got.len());
         let least = if killed { 0.5 } else { 0.97 };
         assert!(
@@ -163,7 +166,7 @@
 
     /// What came to a server from then on.
     fn came(&self, server: usize, from: Instant) -> usize {
-        madderloom_fault_testing::Arrivals::of([&self.fleet.rig.servers[server]])
+        madderloom_fault_testing::Arrivals::of_servers([&self.fleet.rig.servers[server]])
             .since(from)
             .len()
     }
@@ -191,9 +194,9 @@
 
     // North watches still: whoever comes back is told by the fleet.
     let load = shared.load(&ZONES);
-    shared.act_on(&["south", "east"], Act::Kill);
+    shared.act_on(&["south", "east"], FaultAction::Kill);
     let before = shared.lists.calls().len();
-    shared.act_on(&["south", "east"], Act::Start);
+    shared.act_on(&["south", "east"], FaultAction::Start);
     let again = Instant::now();
     shared.wait(PASSED_ON, "south");
     let took = again.elapsed();
@@ -207,8 +210,11 @@
         "nobody forgets that it drains"
     );
 
-    shared.fleet.stage.act("agent", Act::Kill);
-    shared.fleet.stage.act("agent", Act::StartAfresh);
+    shared.fleet.stage.apply("agent", FaultAction::Kill);
+    shared
+        .fleet
+        .stage
+        .apply("agent", FaultAction::StartWithoutState);
     shared
         .fleet
         .stage
@@ -224,7 +230,7 @@
     let mut shared = Shared::start(&[]);
     let load = shared.load(&ZONES);
     shared.all_have_it(shared.began);
-    let watching = shared.lists.told();
+    let watching = shared.lists.notified_watches();
     assert!(watching <= many() / 2, "{watching} watch");
     // The evidence of all is as young as it gets.
     std::thread::sleep(millis(1_200));
@@ -239,7 +245,11 @@
     shared.publish(3, &["w2"]);
     let due = ASK_WITHIN + SLACK;
     std::thread::sleep(due.saturating_sub(cut.elapsed()));
-    assert_eq!(shared.lists.told(), many(), "all have called, and watch");
+    assert_eq!(
+        shared.lists.notified_watches(),
+        many(),
+        "all have called, and watch"
+    );
     std::thread::sleep(millis(500));
     assert_eq!(
         shared.came(2, cut + due),
@@ -248,7 +258,7 @@
     );
     let calls = shared.lists.calls().since(cut);
     // They are spread over three tenths of the time.
-    let over = calls.over(
+    let over = calls.rate_excess(
         many() as f64 / (0.3 * ASK_WITHIN.as_secs_f64()),
         3.0 * (many() as f64).sqrt(),
         millis(150),
@@ -256,14 +266,16 @@
     eprintln!(
         "{} calls after the cut, {over:.1} over; died {} times",
         calls.len(),
-        shared.lists.deaths().len()
+        shared.lists.crashes().len()
     );
     assert!(over <= 0.0, "{over} calls over the ceiling of some window");
-    assert_eq!(shared.lists.deaths().len(), 0);
+    assert_eq!(shared.lists.crashes().len(), 0);
 
     // The fleet is whole again: a few go on watching, and tell the others.
     shared.fleet.stage.heal();
-    until("a few watch", || (shared.lists.told() <= 8).then_some(()));
+    wait_until("a few watch", || {
+        (shared.lists.notified_watches() <= 8).then_some(())
+    });
     let drained = shared.publish(4, &["w1", "w2"]);
     std::thread::sleep(millis(1_500));
     assert_eq!(
@@ -272,11 +284,11 @@
         "it drains, and all were told"
     );
     assert!(
-        (1..=8).contains(&shared.lists.told()),
+        (1..=8).contains(&shared.lists.notified_watches()),
         "{} watch",
-        shared.lists.told()
+        shared.lists.notified_watches()
     );
-    until("top has a row of it, with nobody behind", || {
+    wait_until("top has a row of it, with nobody behind", || {
         let top = shared.fleet.rig.told("vic", &["top", "--once"], 0);
         let row = top.lines().find(|line| line.contains("fleet/shop"))?;
         let row: Vec<&str> = row.split_whitespace().collect();
@@ -294,16 +306,16 @@
         .cloned()
         .collect::<Vec<_>>();
     old.iter()
-        .for_each(|link| shared.fleet.stage.act(link, Act::HoldOld));
+        .for_each(|link| shared.fleet.stage.apply(link, FaultAction::HoldExisting));
     shared.publish(5, &["w2"]);
     std::thread::sleep(millis(500));
-    shared.fleet.stage.act("agent", Act::Stop);
+    shared.fleet.stage.apply("agent", FaultAction::Stop);
     shared.publish(6, &["w0", "w2"]);
     std::thread::sleep(millis(1_500));
-    shared.fleet.stage.act("agent", Act::Continue);
+    shared.fleet.stage.apply("agent", FaultAction::Continue);
     std::thread::sleep(SLACK);
     old.iter()
-        .for_each(|link| shared.fleet.stage.act(link, Act::LetGo));
+        .for_each(|link| shared.fleet.stage.apply(link, FaultAction::Release));
     let late = Instant::now() + millis(1_000);
     std::thread::sleep(millis(2_500));
     assert_eq!(
--- a/crates/cli/tests/fleet/many.rs
+++ b/crates/cli/tests/fleet/many.rs
@@ -1,7 +1,9 @@
 //! An agent at a port that it keeps, and many sidecars with a link of their own to it.
 
 use crate::rig::{Rig, found, madderloom};
-use madderloom_fault_testing::{Arrivals, Link, Load, Program, Server, Slot, Stage, own_address};
+use madderloom_fault_testing::{
+    Arrivals, Link, LoadGenerator, ManagedProcess, Program, Server, Testbed, unique_address,
+};
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
 use std::time::Duration;
@@ -12,7 +14,7 @@
 /// An agent at a port that it keeps, sidecars with a link of their own to it, and servers.
 pub struct Fleet {
     pub rig: Rig,
-    pub stage: Stage,
+    pub stage: Testbed,
     pub fronts: BTreeMap<String, SocketAddr>,
     /// The relays by zone; sidecars of a zone that has one are behind it.
     pub relays: BTreeMap<String, SocketAddr>,
@@ -68,8 +70,8 @@
         let program = Program::start(make(false));
         program.wait_for("listening on ");
         self.stage
-            .slots
-            .insert(name.into(), Slot::new(program, make));
+            .processes
+            .insert(name.into(), ManagedProcess::new(program, make));
     }
 
     /// A relay of a zone, at a port that it keeps, with a link of its own to the agent. Its file ends with this.
@@ -77,7 +79,7 @@
         let (name, link, address) = (
             format!("relay-{zone}"),
             Link::new(self.rig.address),
-            own_address(),
+            unique_address(),
         );
         let text = format!(
             "version = 1\nname = \"{name}\"\nlisten = \"{address}\"\n[keys]\nauthority = \"authority.pem\"\n\
@@ -96,7 +98,9 @@
         program.wait_for("connected to the agent");
         self.relays.insert(zone.into(), address);
         self.stage.links.insert(format!("{name}>agent"), link);
-        self.stage.slots.insert(name, Slot::new(program, make));
+        self.stage
+            .processes
+            .insert(name, ManagedProcess::new(program, make));
     }
 
     /// A sidecar with a link of its own to the agent, or to the relay of its zone. It listens where it did before when it is started again.
@@ -110,7 +114,7 @@
     pub fn begin(&mut self, name: &str, own_name: &str, own: &str, pool: &str) {
         let zone = name.split('-').next().expect("a zone");
         let link = Link::new(self.relays.get(zone).copied().unwrap_or(self.rig.address));
-        let front = own_address();
+        let front = unique_address();
         let text = format!(
             "version = 1\n[admin]\nlisten = \"127.0.0.1:0\"\n[control]\nagent = \"{}\"\nname = \"{own_name}\"\n\
              zone = \"{zone}\"\nkeys = {{ authority = \"authority.pem\", certificate = \"shop-any.pem\", key = \
@@ -129,18 +133,18 @@
         self.fronts.insert(name.into(), front);
         self.stage.links.insert(format!("{name}>agent"), link);
         self.stage
-            .slots
-            .insert(name.into(), Slot::new(program, make));
+            .processes
+            .insert(name.into(), ManagedProcess::new(program, make));
     }
 
     /// Two clients at each sidecar.
-    pub fn load(&self) -> Load {
+    pub fn load(&self) -> LoadGenerator {
         self.load_with(PAUSE)
     }
 
-    pub fn load_with(&self, pause: Duration) -> Load {
+    pub fn load_with(&self, pause: Duration) -> LoadGenerator {
         let fronts: Vec<SocketAddr> = self.fronts.values().flat_map(|front| [*front; 2]).collect();
-        Load::on(&fronts, pause)
+        LoadGenerator::start(&fronts, pause)
     }
 
     /// Seconds of CPU that a process has used.
@@ -164,6 +168,6 @@
     }
 
     pub fn arrivals(&self) -> Arrivals {
-        Arrivals::of(&self.rig.servers)
+        Arrivals::of_servers(&self.rig.servers)
     }
 }
--- a/crates/cli/tests/fleet/overlay.rs
+++ b/crates/cli/tests/fleet/overlay.rs
@@ -2,7 +2,7 @@
 //! goes with the section that names the agent.
 
 use crate::rig::{PAUSE, Rig, judge};
-use madderloom_fault_testing::{Load, Signal, until};
+use madderloom_fault_testing::{LoadGenerator, Signal, wait_until};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
 use std::sync::{Arc, Mutex};
@@ -26,7 +26,7 @@
     };
     let before = told().len();
     program.signal(Signal::HUP);
-    until("it is read", || told().get(before).cloned())
+    wait_until("it is read", || told().get(before).cloned())
 }
 
 fn pushed(rig: &Rig, id: &str, set: &str) {
@@ -47,28 +47,28 @@
 fn a_drained_server_gets_nothing_new_and_no_request_is_lost_by_it() {
     let mut rig = Rig::new();
     rig.fleet(2);
-    let load = Load::on(&[rig.instances[0].front, rig.instances[1].front], PAUSE);
-    let seen = |server: usize| rig.servers[server].seen().len();
-    until("all are asked", || {
+    let load = LoadGenerator::start(&[rig.instances[0].front, rig.instances[1].front], PAUSE);
+    let seen = |server: usize| rig.servers[server].request_counts().len();
+    wait_until("all are asked", || {
         (0..3).all(|server| seen(server) > 5).then_some(())
     });
     rig.told("alice", &["drain", "w1"], 0);
     // What was on the way when the last one took it arrives.
     std::thread::sleep(Duration::from_millis(500));
     let (drained, other) = (seen(1), seen(0));
-    until("the others are asked", || {
+    wait_until("the others are asked", || {
         (seen(0) > other + 50).then_some(())
     });
     assert_eq!(seen(1), drained, "a drained server was asked");
     pushed(&rig, "none", "\"weight/w2\" = 0");
     std::thread::sleep(Duration::from_millis(500));
     let (unwanted, other) = (seen(2), seen(0));
-    until("the last one is asked", || {
+    wait_until("the last one is asked", || {
         (seen(0) > other + 50).then_some(())
     });
     assert_eq!(seen(2), unwanted, "a server of no weight was asked");
     rig.told("alice", &["drain", "w1", "--lift"], 0);
-    until("it is asked again", || (seen(1) > drained).then_some(()));
+    wait_until("it is asked again", || (seen(1) > drained).then_some(()));
     judge(&rig, &load.stop());
 }
 
@@ -149,7 +149,7 @@
     );
     assert_eq!(seen(), set);
     // No agent is there, and the instance serves.
-    let load = Load::on(&[instance.front], PAUSE);
+    let load = LoadGenerator::start(&[instance.front], PAUSE);
     let text = rig.file(0, "");
     let from = text.find("[control]").expect("the section");
     let to = text.find("[[listeners]]").expect("the next one");
@@ -185,18 +185,18 @@
     };
     let before = files();
     program.signal(Signal::HUP);
-    until("it is read", || (files() > before).then_some(()));
+    wait_until("it is read", || (files() > before).then_some(()));
     assert_eq!(count(told), 0);
     pushed(&rig, "loud", "log_level = \"file\"");
     program.signal(Signal::HUP);
-    until("it is told", || (count(told) == 1).then_some(()));
+    wait_until("it is told", || (count(told) == 1).then_some(()));
 }
 
 #[test]
 fn a_change_that_hurts_shows_in_the_instances_own_figures_and_is_taken_back() {
     let mut rig = Rig::new();
     rig.fleet(4);
-    let load = Load::on(
+    let load = LoadGenerator::start(
         &rig.instances
             .iter()
             .map(|instance| instance.front)
@@ -208,7 +208,7 @@
             .as_u64()
             .is_some_and(|ended| ended > 100)
     };
-    until("all have figures", || {
+    wait_until("all have figures", || {
         rig.listed().iter().all(enough).then_some(())
     });
     let text = "version = 1\nid = \"hurts\"\n[rollout]\nwaves = [1]\npause = \"3s\"\nthen = \"take-back\"\n\
@@ -256,8 +256,8 @@
         .replace("on_time = 2_000_000", "on_time = 1");
     rig.instances = vec![rig.launch_as("shop-0", &text)];
     rig.until_alive(1);
-    let load = Load::on(&[rig.instances[0].front], PAUSE);
-    let counts = until("it has figures", || {
+    let load = LoadGenerator::start(&[rig.instances[0].front], PAUSE);
+    let counts = wait_until("it has figures", || {
         let counts = rig.listed().first()?["counts"].clone();
         (counts["ended"].as_u64()? > 50).then_some(counts)
     });
@@ -321,7 +321,7 @@
     rig.until_alive(1);
     let instance = &rig.instances[0];
     let is = |server: &str, state: &str, capacity: f64| {
-        until(&format!("{server} is {state} with {capacity}"), || {
+        wait_until(&format!("{server} is {state} with {capacity}"), || {
             (instance.server(server)? == (state.to_string(), capacity)).then_some(())
         });
     };
--- a/crates/cli/tests/fleet/relays.rs
+++ b/crates/cli/tests/fleet/relays.rs
@@ -1,7 +1,7 @@
 //! Relays as processes between real sidecars and an agent: what a region that is cut off has, and what the heal brings.
 
 use crate::many::Fleet;
-use madderloom_fault_testing::{Act, Load, Server, served, until};
+use madderloom_fault_testing::{FaultAction, LoadGenerator, Server, verify_results, wait_until};
 use std::time::Duration;
 
 const ZONES: [&str; 3] = ["north", "south", "east"];
@@ -21,7 +21,7 @@
 /// An agent, a relay in each of three zones, and four sidecars behind each.
 fn tree() -> Fleet {
     let servers = (0..3)
-        .map(|n| Server::that_takes(&format!("w{n}"), Duration::from_millis(5)))
+        .map(|n| Server::with_service_time(&format!("w{n}"), Duration::from_millis(5)))
         .collect();
     let mut fleet = Fleet::found(LEASES, servers, SITE);
     for zone in ZONES {
@@ -42,10 +42,10 @@
 }
 
 /// Requests were served on, and none was lost.
-fn judge(fleet: &Fleet, load: Load) {
+fn judge(fleet: &Fleet, load: LoadGenerator) {
     let got = load.stop();
     assert_eq!(
-        served(&got, &fleet.rig.servers, false),
+        verify_results(&got, &fleet.rig.servers, false),
         got.len(),
         "not all requests were served"
     );
@@ -83,7 +83,7 @@
     let load = fleet.load();
     push(&fleet, "before", "\"weight/w0\" = 0.5");
     assert_eq!(results(&fleet, "before"), (12, 0));
-    fleet.stage.act("relay-north>agent", Act::Cut);
+    fleet.stage.apply("relay-north>agent", FaultAction::Cut);
     // The change goes on without the region, and one that was undone meanwhile never reaches it.
     push(&fleet, "meanwhile", "\"weight/w1\" = 0.5");
     assert_eq!(results(&fleet, "meanwhile"), (8, 4));
@@ -92,7 +92,7 @@
     fleet
         .rig
         .told("alice", &["rollout", "undo", "regretted"], 0);
-    fleet.stage.act("relay-north>agent", Act::Heal);
+    fleet.stage.apply("relay-north>agent", FaultAction::Heal);
     fleet.rig.until_alive(12);
     for instance in fleet.rig.listed() {
         assert_eq!(instance["in_line"], true, "{instance}");
@@ -104,15 +104,15 @@
 fn an_agent_and_then_a_relay_are_killed_and_all_instances_are_back() {
     let mut fleet = tree();
     let load = fleet.load();
-    fleet.stage.act("agent", Act::Kill);
+    fleet.stage.apply("agent", FaultAction::Kill);
     // Each has reported meanwhile, and was told that it keeps its name.
     std::thread::sleep(Duration::from_secs(1));
-    fleet.stage.act("agent", Act::Start);
+    fleet.stage.apply("agent", FaultAction::Start);
     fleet.rig.until_alive(12);
     assert_eq!(registrations(&fleet), 0, "no instance has registered again");
-    fleet.stage.act("relay-south", Act::Kill);
-    fleet.stage.act("relay-south", Act::Start);
-    until("each relay has its instances", || {
+    fleet.stage.apply("relay-south", FaultAction::Kill);
+    fleet.stage.apply("relay-south", FaultAction::Start);
+    wait_until("each relay has its instances", || {
         let told = fleet.rig.told("vic", &["top", "--once"], 0);
         told.contains("behind relays: relay-east 4, relay-north 4, relay-south 4")
             .then_some(())
@@ -127,11 +127,11 @@
 #[test]
 fn an_agent_of_an_earlier_term_stands_down_when_a_relay_comes_to_it() {
     let mut fleet = tree();
-    fleet.stage.act("agent", Act::Kill);
-    fleet.stage.act("agent", Act::Start);
+    fleet.stage.apply("agent", FaultAction::Kill);
+    fleet.stage.apply("agent", FaultAction::Start);
     fleet.rig.until_alive(12);
-    fleet.stage.act("agent", Act::Kill);
-    fleet.stage.act("agent", Act::StartAfresh);
+    fleet.stage.apply("agent", FaultAction::Kill);
+    fleet.stage.apply("agent", FaultAction::StartWithoutState);
     fleet
         .stage
         .program("agent")
@@ -141,11 +141,11 @@
         .program("relay-east")
         .wait_for("it is of an earlier term than one that is known");
     // The operator says that the former one is gone.
-    fleet.stage.act("agent", Act::Kill);
+    fleet.stage.apply("agent", FaultAction::Kill);
     let file = fleet.rig.at("agent.toml");
     let text = std::fs::read_to_string(&file).expect("written");
     std::fs::write(&file, format!("term_above = 5\n{text}")).expect("written");
-    fleet.stage.act("agent", Act::Start);
+    fleet.stage.apply("agent", FaultAction::Start);
     fleet.rig.until_alive(12);
     push(&fleet, "after", "\"weight/w0\" = 0.5");
     assert_eq!(results(&fleet, "after"), (12, 0));
@@ -155,11 +155,11 @@
 #[test]
 fn a_relay_that_stood_still_goes_on_and_its_instances_have_what_changed_meanwhile() {
     let mut fleet = tree();
-    fleet.stage.act("relay-east", Act::Stop);
+    fleet.stage.apply("relay-east", FaultAction::Stop);
     push(&fleet, "meanwhile", "\"weight/w1\" = 0.5");
     assert_eq!(results(&fleet, "meanwhile"), (8, 4));
     // With the change's 3 s that is longer than a lease at the agent, and longer than one at the relay.
     std::thread::sleep(Duration::from_secs(4));
-    fleet.stage.act("relay-east", Act::Continue);
+    fleet.stage.apply("relay-east", FaultAction::Continue);
     fleet.rig.until_alive(12);
 }
--- a/crates/cli/tests/fleet/rig.rs
+++ b/crates/cli/tests/fleet/rig.rs
@@ -1,7 +1,7 @@
 //! An agent, instances that serve, servers behind them, clients that count what they got, and a network between the
 //! instances and the agent that can be cut in one direction.
 
-use madderloom_fault_testing::{Got, Link, Program, Server, built, until};
+use madderloom_fault_testing::{Link, Program, RequestResult, Server, program_command, wait_until};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -13,7 +13,7 @@
 
 /// The program of this build, or the one that `MADDERLOOM_BINARY` names: a release build, for figures.
 pub fn madderloom(at: &Path, arguments: &[&str]) -> Command {
-    let mut command = built(env!("CARGO_BIN_EXE_madderloom"));
+    let mut command = program_command(env!("CARGO_BIN_EXE_madderloom"));
     command
         .current_dir(at)
         .args(arguments)
@@ -161,7 +161,9 @@
             .next()
             .and_then(|at| at.parse().ok())
             .expect("an address");
-        self.roads.values().for_each(|road| road.lead(self.address));
+        self.roads
+            .values()
+            .for_each(|road| road.set_target(self.address));
         self.agent = Some(agent);
     }
 
@@ -252,7 +254,7 @@
     }
 
     pub fn until_alive(&self, count: usize) {
-        until("all are alive", || {
+        wait_until("all are alive", || {
             let all = self.listed();
             let there = all
                 .iter()
@@ -299,7 +301,7 @@
 
     /// Waits until a rollout has ended, and gives how each instance did.
     pub fn ended(&self, id: &str) -> BTreeMap<String, Value> {
-        until(&format!("the end of {id}"), || {
+        wait_until(&format!("the end of {id}"), || {
             let rollout = self
                 .rollout(id)
                 .filter(|rollout| !rollout["end"].is_null())?;
@@ -322,8 +324,8 @@
 pub const PAUSE: Duration = Duration::from_millis(10);
 
 /// Every request of these had its one answer from one server: none was lost, none repeated.
-pub fn judge(rig: &Rig, got: &[Got]) {
-    let seen = Server::seen_by(&rig.servers);
+pub fn judge(rig: &Rig, got: &[RequestResult]) {
+    let seen = Server::request_counts_of(&rig.servers);
     let twice: Vec<_> = seen.iter().filter(|(_, times)| **times > 1).collect();
     assert!(twice.is_empty(), "seen twice: {twice:?}");
     let lost: Vec<_> = got
--- a/crates/cli/tests/fleet/wire.rs
+++ b/crates/cli/tests/fleet/wire.rs
@@ -1,7 +1,7 @@
 //! What goes wrong between real sidecars and a real agent: the network, keys, disks and clocks.
 
 use crate::rig::{Instance, PAUSE, Rig, judge};
-use madderloom_fault_testing::{Direction, Load, until};
+use madderloom_fault_testing::{Direction, LoadGenerator, wait_until};
 use madderloom_pki::{Authority, CertificateRequest, KeyFiles, Keyring, Role};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -29,7 +29,7 @@
 
 /// Whether an instance serves a request.
 fn serves(rig: &Rig, instance: &Instance) {
-    let load = Load::on(&[instance.front], PAUSE);
+    let load = LoadGenerator::start(&[instance.front], PAUSE);
     std::thread::sleep(Duration::from_millis(1_500));
     judge(rig, &load.stop());
 }
@@ -38,14 +38,14 @@
 fn a_zone_cut_off_in_one_direction_fails_serves_on_and_comes_in_line_when_it_is_back() {
     let mut rig = Rig::new();
     rig.fleet(4);
-    let load = Load::on(
+    let load = LoadGenerator::start(
         &rig.instances
             .iter()
             .map(|instance| instance.front)
             .collect::<Vec<_>>(),
         PAUSE,
     );
-    for (round, lost) in [(1, Direction::Out), (2, Direction::Back)] {
+    for (round, lost) in [(1, Direction::ToServer), (2, Direction::ToClient)] {
         let north = &rig.roads["north"];
         north.cut(lost);
         let (id, set) = (format!("cut-{round}"), format!("\"weight/w1\" = {round}.5"));
@@ -101,7 +101,7 @@
     rig.until_alive(2);
     let agent = rig.agent.as_ref().expect("it is up");
     agent.wait_for("the certificate has expired");
-    until("it is missed", || {
+    wait_until("it is missed", || {
         (presence(&rig, "late-1")? == "gone").then_some(())
     });
     assert!(
@@ -284,7 +284,7 @@
     for start in 2..=3 {
         rig.instances[0].program = None;
         rig.instances = vec![rig.launch(0, "")];
-        until("it is back", || {
+        wait_until("it is back", || {
             (rig.listed().first()?["incarnation"] == ahead + start).then_some(())
         });
     }
@@ -300,7 +300,7 @@
     std::fs::remove_dir_all(&kept).expect("removed");
     rig.instances = vec![rig.launch(0, "")];
     serves(&rig, &rig.instances[0]);
-    until("it is back", || {
+    wait_until("it is back", || {
         let all = rig.listed();
         let incarnation = all.first()?["incarnation"].as_i64()?;
         (incarnation > ahead + 3 && all[0]["presence"] == "alive" && all[0]["in_line"] == true)
@@ -425,7 +425,7 @@
 fn an_agent_that_talks_nonsense_changes_nothing_and_costs_little() {
     let mut rig = Rig::new();
     let (address, asked) = babbler(&rig);
-    rig.roads["north"].lead(address);
+    rig.roads["north"].set_target(address);
     rig.instances = vec![rig.launch(0, "")];
     let instance = &rig.instances[0];
     let memory = || {
@@ -441,9 +441,9 @@
             .parse::<u64>()
             .expect("a number")
     };
-    let load = Load::on(&[instance.front], PAUSE);
+    let load = LoadGenerator::start(&[instance.front], PAUSE);
     let told = |at: usize| asked[at].load(Ordering::Relaxed);
-    until("all of the nonsense was told", || {
+    wait_until("all of the nonsense was told", || {
         (told(0) >= 6 && told(1) >= 9 && told(2) >= 2).then_some(())
     });
     judge(&rig, &load.stop());
@@ -459,8 +459,8 @@
     rig.fleet(1);
     let twin = rig.launch_as("twin", &rig.file(0, "").replace("kept-0", "kept-twin"));
     rig.instances.push(twin);
-    let load = Load::on(&[rig.instances[0].front, rig.instances[1].front], PAUSE);
-    until("the agent tells", || {
+    let load = LoadGenerator::start(&[rig.instances[0].front, rig.instances[1].front], PAUSE);
+    wait_until("the agent tells", || {
         (!rig.listed().first()?["rival"].is_null()).then_some(())
     });
     let told = rig.told("vic", &["instances"], 0);
--- a/crates/cli/tests/graphql/servers.rs
+++ b/crates/cli/tests/graphql/servers.rs
@@ -63,7 +63,7 @@
             over: Arc::default(),
         };
         for _ in 0..count {
-            let listener = madderloom_fault_testing::own_listener();
+            let listener = madderloom_fault_testing::unique_listener();
             servers
                 .addresses
                 .push(listener.local_addr().expect("it is bound"));
--- a/crates/cli/tests/outputs/fleet.rs
+++ b/crates/cli/tests/outputs/fleet.rs
@@ -3,7 +3,9 @@
 use crate::fleet_rig::{Rig, found};
 use crate::shape::assert_shape;
 use crate::told;
-use madderloom_fault_testing::{Link, Lists, Manner, Says, Server, until};
+use madderloom_fault_testing::{
+    DiscoveryBehavior, FakeDiscovery, Link, ListResponse, Server, wait_until,
+};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,7 +16,7 @@
 /// An agent, and one sidecar that takes part in a limit and shares its list.
 struct Site {
     rig: Rig,
-    _lists: Lists,
+    _lists: FakeDiscovery,
 }
 
 impl Site {
@@ -33,13 +35,13 @@
         };
         rig.start_agent();
         rig.roads = [("north".to_string(), Link::new(rig.address))].into();
-        let manner = Manner {
-            each: Duration::ZERO,
-            most: 100,
-            down: Duration::from_secs(1),
-            says: Says::List,
+        let manner = DiscoveryBehavior {
+            work_per_call: Duration::ZERO,
+            max_waiting_calls: 100,
+            downtime: Duration::from_secs(1),
+            response: ListResponse::List,
         };
-        let lists = Lists::new(manner, &rig.servers.iter().collect::<Vec<_>>());
+        let lists = FakeDiscovery::new(manner, &rig.servers.iter().collect::<Vec<_>>());
         let file = rig.file(0, "").replace(
             "state = \"kept-0\"\n",
             "state = \"kept-0\"\nlabels = { tier = \"canary\" }\nshare_lists = \"fleet\"\nfleet_limits = [{ name = \
@@ -222,7 +224,7 @@
 #[test]
 fn commands_to_an_agent_tell_what_they_told() {
     let site = Site::start();
-    let status = until("it has a lease and a list", || {
+    let status = wait_until("it has a lease and a list", || {
         let status = site.rig.instances[0].status()?;
         let has_list = status["shared_lists"]
             .as_object()
@@ -249,7 +251,7 @@
         ROLLOUT,
     );
     assert_shape(&site.told("vic", &["history"], 0), HISTORY);
-    until("it is in line", || {
+    wait_until("it is in line", || {
         let listed = site.rig.listed();
         (listed[0]["in_line"] == true && listed[0]["revision"] == 1).then_some(())
     });
--- a/crates/cli/tests/services/stand_ins.rs
+++ b/crates/cli/tests/services/stand_ins.rs
@@ -47,7 +47,7 @@
 
 impl StandIn {
     pub fn new(name: &str, manner: Manner) -> Self {
-        let listener = madderloom_fault_testing::own_listener();
+        let listener = madderloom_fault_testing::unique_listener();
         let address = listener.local_addr().expect("it is bound");
         let (name, manner) = (name.to_string(), Arc::new(Mutex::new(manner)));
         let server = StandIn {
--- a/crates/cli/tests/starts/cold.rs
+++ b/crates/cli/tests/starts/cold.rs
@@ -3,7 +3,8 @@
 
 use super::{DRAIN_GRACE, Fleet, MANNER, Size, alone, many, millis};
 use madderloom_fault_testing::{
-    Arrivals, Cold, Got, Link, Load, Server, listing, own_address, served,
+    Arrivals, Link, LoadGenerator, RequestResult, Server, SlowStart, list_json, unique_address,
+    verify_results,
 };
 use rstest::rstest;
 use std::net::SocketAddr;
@@ -12,20 +13,20 @@
 
 /// A cold server begins with a twentieth of its 200 requests a second and is warm after 8 s. It bears three times what it can
 /// do in a second, and what chance adds: 43 requests at first, 142 after a second. An equal part of all would be more.
-const COLD: Cold = Cold {
-    from: 0.05,
-    warm_after: millis(8_000),
+const COLD: SlowStart = SlowStart {
+    min_share: 0.05,
+    duration: millis(8_000),
     window: millis(1_000),
-    bears: 3.0,
+    overload_factor: 3.0,
 };
 const WORK: Duration = millis(5);
 
 fn cold(number: usize) -> Server {
-    Server::cold(&format!("w{number}"), WORK, COLD)
+    Server::with_slow_start(&format!("w{number}"), WORK, COLD)
 }
 
 fn warm(number: usize) -> Server {
-    Server::that_takes(&format!("w{number}"), WORK)
+    Server::with_service_time(&format!("w{number}"), WORK)
 }
 
 fn half_cold() -> Vec<Server> {
@@ -53,10 +54,10 @@
 fn start_sized(size: Size, servers: impl FnOnce() -> Vec<Server>) -> Fleet {
     let alone = alone();
     let servers = servers();
-    let known = listing(1, &servers.iter().collect::<Vec<_>>());
+    let known = list_json(1, &servers.iter().collect::<Vec<_>>());
     Fleet::start_with(
         alone,
-        (servers, COLD.warm_after),
+        (servers, COLD.duration),
         &known,
         (MANNER, size),
         |_, _| (),
@@ -64,8 +65,8 @@
 }
 
 /// Three clients at each sidecar: some 1,000 requests a second together.
-fn load(fleet: &Fleet) -> Load {
-    Load::on(
+fn load(fleet: &Fleet) -> LoadGenerator {
+    LoadGenerator::start(
         &fleet
             .fronts
             .values()
@@ -76,18 +77,18 @@
 }
 
 /// Of what was asked between these times, the part that was served.
-fn part(got: &[Got], from: Instant, to: Instant) -> f64 {
-    let within: Vec<&Got> = got
+fn part(got: &[RequestResult], from: Instant, to: Instant) -> f64 {
+    let within: Vec<&RequestResult> = got
         .iter()
-        .filter(|got| (from..to).contains(&got.at))
+        .filter(|got| (from..to).contains(&got.sent_at))
         .collect();
     let served = within.iter().filter(|got| got.status == Some(200)).count();
     served as f64 / within.len().max(1) as f64
 }
 
-fn judge(fleet: &Fleet, got: &[Got], from: Instant) {
+fn judge(fleet: &Fleet, got: &[RequestResult], from: Instant) {
     for server in &fleet.servers {
-        let fell = server.fell().map(|at| at.duration_since(from));
+        let fell = server.overloaded_at().map(|at| at.duration_since(from));
         assert_eq!(fell, None, "{} was pushed over", server.name);
     }
     let second = |number| {
@@ -102,12 +103,12 @@
 }
 
 /// Under this load none falls, and once they are warm nearly all is served.
-fn all_get_warm(fleet: &Fleet, load: Load) {
+fn all_get_warm(fleet: &Fleet, load: LoadGenerator) {
     let from = Instant::now();
     std::thread::sleep(millis(11_000));
     let got = load.stop();
     judge(fleet, &got, from);
-    served(&got, &fleet.servers, false);
+    verify_results(&got, &fleet.servers, false);
     let late = part(&got, from + millis(8_500), from + millis(11_000));
     assert!(late > 0.9, "{late} once they are warm");
 }
@@ -120,11 +121,11 @@
     let got = load.stop();
     judge(&fleet, &got, from);
     assert!(
-        served(&got, &fleet.servers, false) as f64 > 0.97 * got.len() as f64,
+        verify_results(&got, &fleet.servers, false) as f64 > 0.97 * got.len() as f64,
         "the others have room"
     );
     for new in &fleet.servers[3..] {
-        assert!(!new.seen().is_empty(), "{} got nothing", new.name);
+        assert!(!new.request_counts().is_empty(), "{} got nothing", new.name);
     }
 }
 
@@ -143,7 +144,10 @@
     let fleet = start_sized(Size::said_to_be(many() * 2 / 3), all_cold);
     let clients = fleet.fronts.values().enumerate();
     let clients = clients.flat_map(|(at, front)| vec![*front; if at % 3 == 0 { 6 } else { 1 }]);
-    all_get_warm(&fleet, Load::on(&clients.collect::<Vec<_>>(), millis(150)));
+    all_get_warm(
+        &fleet,
+        LoadGenerator::start(&clients.collect::<Vec<_>>(), millis(150)),
+    );
 }
 
 /// The names of an upgrade of a whole fleet: an old and a new process have each, with one seed, and the settings count names.
@@ -185,8 +189,8 @@
     fleet.all_told();
     let (old, new) = (0..many() / 2, many() / 2..many());
     let pause = millis(150);
-    let leaving = Load::on(&clients(&fleet, old, EACH), pause);
-    let staying = Load::on(&clients(&fleet, new.clone(), EACH), pause);
+    let leaving = LoadGenerator::start(&clients(&fleet, old, EACH), pause);
+    let staying = LoadGenerator::start(&clients(&fleet, new.clone(), EACH), pause);
     std::thread::sleep(millis(3_000));
     fleet.servers.extend((3..6).map(cold));
     let from = Instant::now();
@@ -195,26 +199,30 @@
         .publish(3, &fleet.servers.iter().collect::<Vec<_>>(), &[]);
     std::thread::sleep(millis(3_000));
     let mut got = leaving.stop();
-    let turned = Load::on(&clients(&fleet, new, EACH), pause);
+    let turned = LoadGenerator::start(&clients(&fleet, new, EACH), pause);
     std::thread::sleep(millis(3_000));
     got.extend(staying.stop());
     got.extend(turned.stop());
-    got.sort_unstable_by_key(|got| got.at);
+    got.sort_unstable_by_key(|got| got.sent_at);
     judge(&fleet, &got, from);
     assert!(
-        served(&got, &fleet.servers, false) as f64 > 0.97 * got.len() as f64,
+        verify_results(&got, &fleet.servers, false) as f64 > 0.97 * got.len() as f64,
         "the others have room"
     );
     for cold in &fleet.servers[3..] {
-        let first = Arrivals::of([cold])
+        let first = Arrivals::of_servers([cold])
             .since(from)
             .rate(from, from + millis(1_000));
         eprintln!(
             "{} got {first} requests in its first second, {} in all",
             cold.name,
-            cold.seen().len()
+            cold.request_counts().len()
+        );
+        assert!(
+            !cold.request_counts().is_empty(),
+            "{} got nothing",
+            cold.name
         );
-        assert!(!cold.seen().is_empty(), "{} got nothing", cold.name);
     }
 }
 
@@ -237,13 +245,13 @@
     });
     let (load, from) = (load(&fleet), Instant::now());
     std::thread::sleep(millis(1_000));
-    let nobody = own_address();
+    let nobody = unique_address();
     for (link, _) in &links {
-        link.lead(nobody);
+        link.set_target(nobody);
         link.reset();
     }
     std::thread::sleep(millis(2_000));
-    links.iter().for_each(|(link, back)| link.lead(*back));
+    links.iter().for_each(|(link, back)| link.set_target(*back));
     std::thread::sleep(millis(4_000));
     judge(&fleet, &load.stop(), from);
 }
--- a/crates/cli/tests/starts/main.rs
+++ b/crates/cli/tests/starts/main.rs
@@ -8,8 +8,9 @@
 mod told;
 
 use madderloom_fault_testing::{
-    Arrivals, Got, Link, Lists, Load, Manner, PATIENCE, Program, Says, Server, Slot, Stage, built,
-    listing, own_address, served,
+    Arrivals, DiscoveryBehavior, FakeDiscovery, Link, ListResponse, LoadGenerator, ManagedProcess,
+    Program, RequestResult, Server, Testbed, WAIT_TIMEOUT, list_json, program_command,
+    unique_address, verify_results,
 };
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -48,11 +49,11 @@
 const ZONES: [&str; 3] = ["north", "south", "east"];
 
 /// What discovery bears: some 50 calls a second, of which 16 may wait.
-const MANNER: Manner = Manner {
-    each: millis(20),
-    most: 16,
-    down: Duration::from_secs(1),
-    says: Says::List,
+const MANNER: DiscoveryBehavior = DiscoveryBehavior {
+    work_per_call: millis(20),
+    max_waiting_calls: 16,
+    downtime: Duration::from_secs(1),
+    response: ListResponse::List,
 };
 
 const fn millis(millis: u64) -> Duration {
@@ -87,8 +88,8 @@
 
 struct Fleet {
     _directory: TempDir,
-    lists: Lists,
-    stage: Stage,
+    lists: FakeDiscovery,
+    stage: Testbed,
     fronts: BTreeMap<String, SocketAddr>,
     /// Three that the old list has too, and three that only discovery knows of.
     servers: Vec<Server>,
@@ -130,20 +131,24 @@
 impl Fleet {
     /// Sixty that start as fast as they can be. The list that they know is old: half of it has gone, and half of what
     /// there is is not in it.
-    fn start(manner: Manner, before: impl FnOnce(&Stage, &Lists)) -> Self {
+    fn start(manner: DiscoveryBehavior, before: impl FnOnce(&Testbed, &FakeDiscovery)) -> Self {
         Fleet::start_among(Size::said_to_be(many()), manner, before)
     }
 
     /// The same, of a fleet that is said to be of this size.
-    fn start_among(size: Size, manner: Manner, before: impl FnOnce(&Stage, &Lists)) -> Self {
+    fn start_among(
+        size: Size,
+        manner: DiscoveryBehavior,
+        before: impl FnOnce(&Testbed, &FakeDiscovery),
+    ) -> Self {
         let alone = alone();
         let servers: Vec<Server> = (0..6)
-            .map(|number| Server::that_takes(&format!("w{number}"), millis(5)))
+            .map(|number| Server::with_service_time(&format!("w{number}"), millis(5)))
             .collect();
         let gone: Vec<Server> = (0..3)
             .map(|number| Server::new(&format!("gone{number}")))
             .collect();
-        let known = listing(1, &gone.iter().chain(&servers[..3]).collect::<Vec<_>>());
+        let known = list_json(1, &gone.iter().chain(&servers[..3]).collect::<Vec<_>>());
         drop(gone);
         Fleet::start_with(
             alone,
@@ -159,12 +164,12 @@
         alone: MutexGuard<'static, ()>,
         (servers, warm_after): (Vec<Server>, Duration),
         known: &str,
-        (manner, size): (Manner, Size),
-        before: impl FnOnce(&Stage, &Lists),
+        (manner, size): (DiscoveryBehavior, Size),
+        before: impl FnOnce(&Testbed, &FakeDiscovery),
     ) -> Self {
         let directory = TempDir::new().expect("a directory");
-        let lists = Lists::new(manner, &servers.iter().collect::<Vec<_>>());
-        let mut stage = Stage::default();
+        let lists = FakeDiscovery::new(manner, &servers.iter().collect::<Vec<_>>());
+        let mut stage = Testbed::default();
         for zone in ZONES {
             stage
                 .links
@@ -175,7 +180,7 @@
         let mut fronts = BTreeMap::new();
         for number in 0..many() {
             let zone = ZONES[number % ZONES.len()];
-            let front = own_address();
+            let front = unique_address();
             let file = directory.path().join(format!("{number}.json"));
             let discovery = stage.links[&format!("{zone}>lists")].address();
             std::fs::write(
@@ -191,14 +196,15 @@
             )
             .expect("written");
             let make = move |_| {
-                let mut command = built(env!("CARGO_BIN_EXE_madderloom"));
+                let mut command = program_command(env!("CARGO_BIN_EXE_madderloom"));
                 command.arg("serve").env("RELAY_CONFIG", &file);
                 command
             };
             let name = format!("{zone}-{number}");
-            stage
-                .slots
-                .insert(name.clone(), Slot::new(Program::start(make(false)), make));
+            stage.processes.insert(
+                name.clone(),
+                ManagedProcess::new(Program::start(make(false)), make),
+            );
             fronts.insert(name, front);
         }
         let mut fleet = Fleet {
@@ -224,8 +230,8 @@
     }
 
     /// A client at each.
-    fn load(&self) -> Load {
-        Load::on(
+    fn load(&self) -> LoadGenerator {
+        LoadGenerator::start(
             &self.fronts.values().copied().collect::<Vec<_>>(),
             millis(150),
         )
@@ -234,13 +240,13 @@
     /// Waits until all have the list, and gives how long that took from the start on.
     fn all_told(&self) -> Duration {
         let waits = Instant::now();
-        while self.lists.told() != many() {
-            if waits.elapsed() > PATIENCE {
+        while self.lists.notified_watches() != many() {
+            if waits.elapsed() > WAIT_TIMEOUT {
                 let last = |name: &String| (name.clone(), self.stage.program(name).log().pop());
                 let last: Vec<_> = self.fronts.keys().map(last).collect();
                 panic!(
-                    "{} have it after {PATIENCE:?}; {last:#?}",
-                    self.lists.told()
+                    "{} have it after {WAIT_TIMEOUT:?}; {last:#?}",
+                    self.lists.notified_watches()
                 );
             }
             std::thread::sleep(millis(20));
@@ -251,18 +257,18 @@
     /// The ceilings that the page states, each with a burst of 3√N, whatever fails: N calls in the time of the first calls,
     /// and once all have begun and that time is over, N in that of those that follow.
     fn judge_calls(&self) {
-        eprintln!("died {} times", self.lists.deaths().len());
+        eprintln!("died {} times", self.lists.crashes().len());
         let calls = self.lists.calls();
         let many = many() as f64;
         let over = |calls: &Arrivals, spread: Duration| {
-            calls.over(many / spread.as_secs_f64(), 3.0 * many.sqrt(), JITTER)
+            calls.rate_excess(many / spread.as_secs_f64(), 3.0 * many.sqrt(), JITTER)
         };
         let later = calls.since(self.up + first_spread() + JITTER);
         let (first_over, later_over) = (over(&calls, first_spread()), over(&later, spread()));
         eprintln!(
             "{} calls, {} at once, over {first_over:.1}; of them {} later, over {later_over:.1}; after {:.1?}",
             calls.len(),
-            calls.most_open(),
+            calls.max_concurrent(),
             later.len(),
             self.began.elapsed()
         );
@@ -279,8 +285,8 @@
     }
 
     /// Each had its one answer, and nearly all were served.
-    fn judge(&self, got: &[Got], killed: bool) {
-        let served = served(got, &self.servers, killed);
+    fn judge(&self, got: &[RequestResult], killed: bool) {
+        let served = verify_results(got, &self.servers, killed);
         let part = served as f64 / got.len().max(1) as f64;
         eprintln!("{served} of {} served, {part:.3}", got.len());
         let least = if killed { 0.8 } else { 0.97 };
@@ -305,12 +311,12 @@
     fleet.judge(&load.stop(), false);
     fleet.judge_calls();
     assert_eq!(
-        (fleet.lists.calls().len(), fleet.lists.deaths().len()),
+        (fleet.lists.calls().len(), fleet.lists.crashes().len()),
         (many(), 0)
     );
     for new in &fleet.servers[3..] {
         assert!(
-            !new.seen().is_empty(),
+            !new.request_counts().is_empty(),
             "{} is in no old list, and got nothing",
             new.name
         );
@@ -323,8 +329,10 @@
     let fleet = Fleet::start(MANNER, |stage, _| stage.links["east>lists"].cut_both());
     let load = fleet.load();
     std::thread::sleep(millis(500));
-    fleet.lists.die(millis(2_000));
-    fleet.lists.behave(|manner| manner.each *= 10);
+    fleet.lists.crash(millis(2_000));
+    fleet
+        .lists
+        .set_behavior(|manner| manner.work_per_call *= 10);
     std::thread::sleep(millis(5_500));
     fleet.stage.links["east>lists"].heal();
     let took = fleet.all_told();
@@ -336,7 +344,7 @@
         took < 7 * spread() + SILENCE + SLACK,
         "the last had its list after {took:?}"
     );
-    let deaths = fleet.lists.deaths();
+    let deaths = fleet.lists.crashes();
     let last = deaths
         .last()
         .map_or(Duration::ZERO, |at| at.duration_since(fleet.began));
@@ -350,16 +358,20 @@
 /// First lists that make no sense, then halves of one, then the list.
 #[test]
 fn lists_that_are_wrong_or_half_stop_nobody_and_bring_no_storm() {
-    let manner = Manner {
-        says: Says::Nonsense,
+    let manner = DiscoveryBehavior {
+        response: ListResponse::Malformed,
         ..MANNER
     };
     let fleet = Fleet::start(manner, |_, _| ());
     let load = fleet.load();
     std::thread::sleep(millis(2_000));
-    fleet.lists.behave(|manner| manner.says = Says::Half);
+    fleet
+        .lists
+        .set_behavior(|manner| manner.response = ListResponse::Truncated);
     std::thread::sleep(millis(2_000));
-    fleet.lists.behave(|manner| manner.says = Says::List);
+    fleet
+        .lists
+        .set_behavior(|manner| manner.response = ListResponse::List);
     let took = fleet.all_told();
     assert!(
         took < 7 * spread() + SLACK,
@@ -367,7 +379,7 @@
     );
     fleet.judge(&load.stop(), false);
     fleet.judge_calls();
-    assert_eq!(fleet.lists.deaths().len(), 0);
+    assert_eq!(fleet.lists.crashes().len(), 0);
 }
 
 /// Those of one zone die and start ten times within some seconds.
@@ -378,16 +390,16 @@
     for _ in 0..10 {
         fleet
             .stage
-            .act("east-*", madderloom_fault_testing::Act::Kill);
+            .apply("east-*", madderloom_fault_testing::FaultAction::Kill);
         std::thread::sleep(millis(50));
         fleet
             .stage
-            .act("east-*", madderloom_fault_testing::Act::Start);
+            .apply("east-*", madderloom_fault_testing::FaultAction::Start);
         std::thread::sleep(millis(600));
     }
     fleet.all_up();
     fleet.all_told();
     fleet.judge(&load.stop(), true);
     fleet.judge_calls();
-    assert_eq!(fleet.lists.deaths().len(), 0);
+    assert_eq!(fleet.lists.crashes().len(), 0);
 }
--- a/crates/cli/tests/starts/outages.rs
+++ b/crates/cli/tests/starts/outages.rs
@@ -14,9 +14,9 @@
 //! From the beginning of one call to the next may be 8 s: a change counts as told 6 s after discovery had it and could be reached,
 //! the grace is 3 s, and an answer may take one.
 
-use super::{Fleet, MANNER, Manner, Size, many, millis};
+use super::{DiscoveryBehavior, Fleet, MANNER, Size, many, millis};
 use crate::told::{GRACE_OVER, drain, judge};
-use madderloom_fault_testing::Refuses;
+use madderloom_fault_testing::RejectTiming;
 use std::time::{Duration, Instant};
 
 /// Discovery refuses a call after this, whether it is down or has too many callers.
@@ -26,10 +26,10 @@
 
 /// Discovery is down for so long. A server begins to drain in the moment in which it is back, which is returned.
 fn outage(fleet: &Fleet, lasts: Duration) -> Instant {
-    fleet.lists.refuse(REFUSED_AFTER);
+    fleet.lists.reject_calls(REFUSED_AFTER);
     std::thread::sleep(lasts);
     drain(fleet);
-    fleet.lists.take_calls();
+    fleet.lists.accept_calls();
     Instant::now()
 }
 
@@ -49,21 +49,25 @@
 /// seconds of work that is waiting it refuses. All have the list, and none sends to a server that drains, as if it were fast.
 #[test]
 fn a_drain_is_heard_of_in_time_from_a_discovery_that_all_have_to_wait_for() {
-    let manner = Manner {
-        each: millis(20),
-        most: 10_000,
+    let manner = DiscoveryBehavior {
+        work_per_call: millis(20),
+        max_waiting_calls: 10_000,
         ..MANNER
     };
     let fleet = Fleet::start(manner, |_, _| ());
     let load = fleet.load();
     fleet.all_told();
-    fleet.lists.behave(|manner| manner.each = millis(100));
-    fleet.lists.set_patience(REFUSED_AFTER, Refuses::Sharply);
+    fleet
+        .lists
+        .set_behavior(|manner| manner.work_per_call = millis(100));
+    fleet
+        .lists
+        .set_call_timeout(REFUSED_AFTER, RejectTiming::AtDeadline);
     let back = outage(&fleet, millis(15_000));
-    while fleet.lists.told() != many() && back.elapsed() < GRACE_OVER + ANSWERED {
+    while fleet.lists.notified_watches() != many() && back.elapsed() < GRACE_OVER + ANSWERED {
         std::thread::sleep(millis(20));
     }
-    let (told, took) = (fleet.lists.told(), back.elapsed());
+    let (told, took) = (fleet.lists.notified_watches(), back.elapsed());
     eprintln!("{told} have the list {took:.1?} behind the outage");
     std::thread::sleep((back + GRACE_OVER + millis(2_000)).duration_since(Instant::now()));
     fleet.judge(&load.stop(), false);
--- a/crates/cli/tests/starts/queue.rs
+++ b/crates/cli/tests/starts/queue.rs
@@ -14,7 +14,7 @@
 //! ```
 
 use super::{DRAIN_GRACE, Fleet, MANNER, Size, many, millis};
-use madderloom_fault_testing::{Lists, Manner, Refuses};
+use madderloom_fault_testing::{DiscoveryBehavior, FakeDiscovery, RejectTiming};
 use rstest::rstest;
 use std::time::{Duration, Instant};
 
@@ -29,15 +29,15 @@
 const GIVES_UP: Duration = millis(40_000);
 
 /// An outage in which each call is refused at once.
-fn refuse_at_once(lists: &Lists) {
-    lists.refuse(Duration::ZERO);
+fn refuse_at_once(lists: &FakeDiscovery) {
+    lists.reject_calls(Duration::ZERO);
 }
 
 /// It is back, and works through one call after the other.
-fn return_with_a_queue(lists: &Lists) -> Instant {
-    lists.behave(|manner| manner.each = WORK_FOR_ALL / many() as u32);
-    lists.set_patience(PATIENCE, Refuses::InTurn);
-    lists.take_calls();
+fn return_with_a_queue(lists: &FakeDiscovery) -> Instant {
+    lists.set_behavior(|manner| manner.work_per_call = WORK_FOR_ALL / many() as u32);
+    lists.set_call_timeout(PATIENCE, RejectTiming::AfterProcessing);
+    lists.accept_calls();
     Instant::now()
 }
 
@@ -56,15 +56,15 @@
 fn judge(fleet: &Fleet, back: Instant) {
     let calls_before = fleet.lists.calls().len();
     let mut told_within_bound = None;
-    while fleet.lists.told() != many() && back.elapsed() < GIVES_UP {
+    while fleet.lists.notified_watches() != many() && back.elapsed() < GIVES_UP {
         if back.elapsed() > BOUND && told_within_bound.is_none() {
-            told_within_bound = Some(fleet.lists.told());
+            told_within_bound = Some(fleet.lists.notified_watches());
         }
         std::thread::sleep(millis(20));
     }
     let took = back.elapsed();
     let calls = fleet.lists.calls().len() - calls_before;
-    let told = fleet.lists.told();
+    let told = fleet.lists.notified_watches();
     if told < many() {
         eprintln!("{:#?}", last_lines_of_one_without(fleet));
     }
@@ -87,8 +87,8 @@
     #[case] had_answer: bool,
     #[case] drain_grace: Duration,
 ) {
-    let manner = Manner {
-        most: usize::MAX,
+    let manner = DiscoveryBehavior {
+        max_waiting_calls: usize::MAX,
         ..MANNER
     };
     let size = Size {
--- a/crates/fault-testing/src/lib.rs
+++ b/crates/fault-testing/src/lib.rs
@@ -5,29 +5,29 @@
 //! - A [`Program`] is a process that the test has started, with what it logs; it ends with the test.
 //! - A [`Server`] answers what it is asked and remembers when each request arrived, so that a bound is judged by who can
 //!   see it from outside: see [`Arrivals`].
-//! - A [`Load`] asks, and keeps what it got.
+//! - A [`LoadGenerator`] asks, and keeps what it got.
 //! - A [`Plan`] is a list of faults as data: drawn from a seed, printed, read again, and shrunk to the shortest one that
-//!   still fails. A [`Stage`] carries it out.
+//!   still fails. A [`Testbed`] carries it out.
 //!
-//! Everything is on loopback. What is open at once, and for how long a test waits, is bounded here ([`MOST_PROGRAMS`],
-//! [`PATIENCE`]); only what the rig has started is ever stopped.
+//! Everything is on loopback. What is open at once, and for how long a test waits, is bounded here ([`MAX_PROGRAMS`],
+//! [`WAIT_TIMEOUT`]); only what the rig has started is ever stopped.
 
+mod fake_discovery;
 mod link;
-mod lists;
-mod load;
+mod load_generator;
 pub mod peer;
 mod plan;
 mod program;
 mod server;
-mod stage;
+mod testbed;
 
+pub use fake_discovery::{DiscoveryBehavior, FakeDiscovery, ListResponse, RejectTiming, list_json};
 pub use link::{Direction, Link};
-pub use lists::{Lists, Manner, Refuses, Says, listing};
-pub use load::{Got, Load, served};
-pub use plan::{Act, Fault, Menu, Plan, shrink};
-pub use program::{MOST_PROGRAMS, Program, Signal, built};
-pub use server::{Answers, Arrivals, Cold, Server, worst};
-pub use stage::{Slot, Stage};
+pub use load_generator::{LoadGenerator, RequestResult, verify_results};
+pub use plan::{Fault, FaultAction, Plan, PlanGenerator, shrink};
+pub use program::{MAX_PROGRAMS, Program, Signal, program_command};
+pub use server::{Arrivals, ResponseMode, Server, SlowStart, max_window_excess};
+pub use testbed::{ManagedProcess, Testbed};
 
 use std::collections::HashSet;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -36,23 +36,23 @@
 use tokio::runtime::Handle;
 
 /// Ends a test in which something never happens.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// So long lies between two looks.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Waits for something to happen, for [`PATIENCE`] at most.
+/// Waits for something to happen, for [`WAIT_TIMEOUT`] at most.
 ///
 /// # Panics
 /// It never did.
-pub fn until<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
+pub fn wait_until<T>(what: &str, mut check: impl FnMut() -> Option<T>) -> T {
     let begin = Instant::now();
     loop {
-        if let Some(found) = look() {
+        if let Some(found) = check() {
             return found;
         }
-        assert!(begin.elapsed() < PATIENCE, "never: {what}");
-        std::thread::sleep(LOOK);
+        assert!(begin.elapsed() < WAIT_TIMEOUT, "never: {what}");
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
@@ -62,29 +62,29 @@
 ///
 /// # Panics
 /// No port is free there.
-pub fn own_listener() -> TcpListener {
+pub fn unique_listener() -> TcpListener {
     let [.., a, b, c] = std::process::id().to_be_bytes();
     fresh_listener(Ipv4Addr::new(127, 1 + a % 250, b, 1 + c % 250))
 }
 
 /// A listener at a port of this loopback address that this test process never had there.
 fn fresh_listener(ip: Ipv4Addr) -> TcpListener {
-    static GIVEN: LazyLock<Mutex<HashSet<SocketAddr>>> = LazyLock::new(Mutex::default);
+    static USED: LazyLock<Mutex<HashSet<SocketAddr>>> = LazyLock::new(Mutex::default);
     loop {
         let listener = TcpListener::bind((ip, 0)).expect("a port is free");
         let address = listener.local_addr().expect("it is bound");
-        if lock(&GIVEN).insert(address) {
+        if lock(&USED).insert(address) {
             return listener;
         }
     }
 }
 
-/// An address for a process that listens there again after it was killed: see [`own_listener`].
+/// An address for a process that listens there again after it was killed: see [`unique_listener`].
 ///
 /// # Panics
 /// No port is free there.
-pub fn own_address() -> SocketAddr {
-    own_listener().local_addr().expect("it is bound")
+pub fn unique_address() -> SocketAddr {
+    unique_listener().local_addr().expect("it is bound")
 }
 
 /// What carries links, servers and loads: one thread beside the test's own.
--- a/crates/fault-testing/src/load_generator.rs
+++ b/crates/fault-testing/src/load_generator.rs
@@ -15,15 +15,15 @@
 use tokio::task::JoinHandle;
 
 /// An answer is waited for so long.
-const WAIT: Duration = Duration::from_secs(20);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// What one request got.
 #[derive(Clone, Debug)]
-pub struct Got {
+pub struct RequestResult {
     /// Its `X-Trace-Id`, of which no two are alike in a process.
     pub id: String,
     /// When it was sent.
-    pub at: Instant,
+    pub sent_at: Instant,
     /// The answer's status; none where the connection ended first.
     pub status: Option<u16>,
     /// What the answer said of coming again, in seconds.
@@ -35,8 +35,8 @@
 ///
 /// # Panics
 /// One of them got something else.
-pub fn served(got: &[Got], servers: &[Server], killed: bool) -> usize {
-    let seen = Server::seen_by(servers);
+pub fn verify_results(got: &[RequestResult], servers: &[Server], killed: bool) -> usize {
+    let seen = Server::request_counts_of(servers);
     for got in got {
         let ran = seen.get(&got.id).copied().unwrap_or(0);
         match got.status {
@@ -54,35 +54,40 @@
 
 /// Clients that keep asking for an unsafe service, `POST /submit`, each on a connection that it keeps, until they are
 /// told to stop. Each asks again so long after an answer.
-pub struct Load {
-    over: watch::Sender<bool>,
-    got: Arc<Mutex<Vec<Got>>>,
+pub struct LoadGenerator {
+    stop_signal: watch::Sender<bool>,
+    got: Arc<Mutex<Vec<RequestResult>>>,
     clients: Vec<JoinHandle<()>>,
 }
 
-impl Load {
+impl LoadGenerator {
     /// One client for each of these, with this pause between an answer and the next request.
-    pub fn on(fronts: &[SocketAddr], pause: Duration) -> Self {
-        let (over, _) = watch::channel(false);
-        let got: Arc<Mutex<Vec<Got>>> = Arc::default();
+    pub fn start(fronts: &[SocketAddr], pause: Duration) -> Self {
+        let (stop_signal, _) = watch::channel(false);
+        let got: Arc<Mutex<Vec<RequestResult>>> = Arc::default();
         let clients = fronts.iter().map(|front| {
-            runtime().spawn(client(*front, pause, over.subscribe(), Arc::clone(&got)))
+            runtime().spawn(client(
+                *front,
+                pause,
+                stop_signal.subscribe(),
+                Arc::clone(&got),
+            ))
         });
-        Load {
+        LoadGenerator {
             clients: clients.collect(),
-            over,
+            stop_signal,
             got,
         }
     }
 
     /// What was got so far.
-    pub fn so_far(&self) -> Vec<Got> {
+    pub fn results(&self) -> Vec<RequestResult> {
         lock(&self.got).clone()
     }
 
     /// No more requests; those that are under way are waited for.
-    pub fn stop(self) -> Vec<Got> {
-        let _ = self.over.send(true);
+    pub fn stop(self) -> Vec<RequestResult> {
+        let _ = self.stop_signal.send(true);
         for client in self.clients {
             runtime().block_on(client).expect("no panic");
         }
@@ -93,15 +98,15 @@
 async fn client(
     front: SocketAddr,
     pause: Duration,
-    mut over: watch::Receiver<bool>,
-    got: Arc<Mutex<Vec<Got>>>,
+    mut stop_signal: watch::Receiver<bool>,
+    got: Arc<Mutex<Vec<RequestResult>>>,
 ) {
     static NEXT: AtomicU64 = AtomicU64::new(0);
     let mut open = None;
-    while !*over.borrow() {
+    while !*stop_signal.borrow() {
         let id = format!("r{:08}", NEXT.fetch_add(1, Ordering::Relaxed));
-        let at = Instant::now();
-        let asked = tokio::time::timeout(WAIT, ask(front, &id, &mut open))
+        let sent_at = Instant::now();
+        let asked = tokio::time::timeout(RESPONSE_TIMEOUT, ask(front, &id, &mut open))
             .await
             .ok()
             .flatten();
@@ -110,15 +115,15 @@
         }
         let (status, retry_after) =
             asked.map_or((None, None), |(status, after)| (Some(status), after));
-        lock(&got).push(Got {
+        lock(&got).push(RequestResult {
             id,
-            at,
+            sent_at,
             status,
             retry_after,
         });
         tokio::select! {
             () = tokio::time::sleep(pause) => {}
-            _ = over.changed() => {}
+            _ = stop_signal.changed() => {}
         }
     }
 }
--- a/crates/fault-testing/src/peer.rs
+++ b/crates/fault-testing/src/peer.rs
@@ -25,7 +25,7 @@
     /// # Panics
     /// None is free.
     pub fn new() -> Self {
-        let listener = crate::own_listener();
+        let listener = crate::unique_listener();
         listener.set_nonblocking(true).expect("it may not block");
         Node(listener)
     }
@@ -78,7 +78,7 @@
     ///
     /// # Panics
     /// It can't be filled.
-    pub fn hold_connections(&self) -> HeldConnections {
+    pub fn hold_connections(&self) -> BlockedConnections {
         rustix::net::listen(&self.0, 0).expect("it listens already");
         let mut filling = Vec::new();
         while let Ok(stream) =
@@ -88,17 +88,17 @@
             assert!(filling.len() < 64, "its backlog is never full");
         }
         let own = self.0.try_clone().expect("a descriptor is free");
-        HeldConnections { filling, own }
+        BlockedConnections { filling, own }
     }
 }
 
 /// Connections to a [`Node`] do not come up for as long as this is there.
-pub struct HeldConnections {
+pub struct BlockedConnections {
     filling: Vec<TcpStream>,
     own: TcpListener,
 }
 
-impl Drop for HeldConnections {
+impl Drop for BlockedConnections {
     /// Connections come up from now on, those that were tried meanwhile when their system tries again, after a second at
     /// first.
     fn drop(&mut self) {
--- a/crates/fault-testing/src/plan.rs
+++ b/crates/fault-testing/src/plan.rs
@@ -7,7 +7,7 @@
 
 /// What is done to a link or a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Act {
+pub enum FaultAction {
     /// A link loses what goes out.
     CutOut,
     /// A link loses what comes back.
@@ -21,9 +21,9 @@
     /// A link holds what goes out.
     HoldOut,
     /// A link holds its open connections; later ones go on.
-    HoldOld,
+    HoldExisting,
     /// A link lets go of all that it holds.
-    LetGo,
+    Release,
     /// A link delays each byte by so many milliseconds.
     Delay(u64),
     /// A link carries so many bytes a second.
@@ -31,7 +31,7 @@
     /// A link resets its open connections.
     Reset,
     /// A link takes connections and never reads them.
-    Swallow,
+    Blackhole,
     /// A link is as at the beginning.
     Heal,
     /// A process is killed without a word.
@@ -39,65 +39,72 @@
     /// A process that was killed is started with the state that it kept.
     Start,
     /// A process that was killed is started without what it kept.
-    StartAfresh,
+    StartWithoutState,
     /// A process stands still (SIGSTOP).
     Stop,
     /// A process goes on (SIGCONT).
     Continue,
 }
 
-impl Act {
+impl FaultAction {
     /// What ends it: a plan that is drawn heals what it breaks.
-    pub fn cure(self) -> Option<Act> {
+    pub fn recovery_action(self) -> Option<FaultAction> {
         match self {
-            Act::Kill => Some(Act::Start),
-            Act::Stop => Some(Act::Continue),
-            Act::HoldBack | Act::HoldOut | Act::HoldOld => Some(Act::LetGo),
-            Act::CutOut
-            | Act::CutBack
-            | Act::Cut
-            | Act::CutAfter(_)
-            | Act::Delay(_)
-            | Act::Throttle(_)
-            | Act::Swallow => Some(Act::Heal),
-            Act::LetGo | Act::Reset | Act::Heal | Act::Start | Act::StartAfresh | Act::Continue => {
-                None
+            FaultAction::Kill => Some(FaultAction::Start),
+            FaultAction::Stop => Some(FaultAction::Continue),
+            FaultAction::HoldBack | FaultAction::HoldOut | FaultAction::HoldExisting => {
+                Some(FaultAction::Release)
             }
+            FaultAction::CutOut
+            | FaultAction::CutBack
+            | FaultAction::Cut
+            | FaultAction::CutAfter(_)
+            | FaultAction::Delay(_)
+            | FaultAction::Throttle(_)
+            | FaultAction::Blackhole => Some(FaultAction::Heal),
+            FaultAction::Release
+            | FaultAction::Reset
+            | FaultAction::Heal
+            | FaultAction::Start
+            | FaultAction::StartWithoutState
+            | FaultAction::Continue => None,
         }
     }
 }
 
-const ACTS: [(&str, Act); 18] = [
-    ("cut-out", Act::CutOut),
-    ("cut-back", Act::CutBack),
-    ("cut", Act::Cut),
-    ("cut-after", Act::CutAfter(0)),
-    ("hold-back", Act::HoldBack),
-    ("hold-out", Act::HoldOut),
-    ("hold-old", Act::HoldOld),
-    ("let-go", Act::LetGo),
-    ("delay", Act::Delay(0)),
-    ("throttle", Act::Throttle(0)),
-    ("reset", Act::Reset),
-    ("swallow", Act::Swallow),
-    ("heal", Act::Heal),
-    ("kill", Act::Kill),
-    ("start", Act::Start),
-    ("start-afresh", Act::StartAfresh),
-    ("stop", Act::Stop),
-    ("continue", Act::Continue),
+const ACTIONS: [(&str, FaultAction); 18] = [
+    ("cut-out", FaultAction::CutOut),
+    ("cut-back", FaultAction::CutBack),
+    ("cut", FaultAction::Cut),
+    ("cut-after", FaultAction::CutAfter(0)),
+    ("hold-back", FaultAction::HoldBack),
+    ("hold-out", FaultAction::HoldOut),
+    ("hold-old", FaultAction::HoldExisting),
+    ("let-go", FaultAction::Release),
+    ("delay", FaultAction::Delay(0)),
+    ("throttle", FaultAction::Throttle(0)),
+    ("reset", FaultAction::Reset),
+    ("swallow", FaultAction::Blackhole),
+    ("heal", FaultAction::Heal),
+    ("kill", FaultAction::Kill),
+    ("start", FaultAction::Start),
+    ("start-afresh", FaultAction::StartWithoutState),
+    ("stop", FaultAction::Stop),
+    ("continue", FaultAction::Continue),
 ];
 
-impl fmt::Display for Act {
+impl fmt::Display for FaultAction {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let kind = std::mem::discriminant(self);
-        let word = ACTS
+        let word = ACTIONS
             .iter()
-            .find(|(_, act)| std::mem::discriminant(act) == kind)
+            .find(|(_, action)| std::mem::discriminant(action) == kind)
             .map_or("?", |(word, _)| word);
         f.write_str(word)?;
         match self {
-            Act::CutAfter(number) | Act::Delay(number) | Act::Throttle(number) => {
+            FaultAction::CutAfter(number)
+            | FaultAction::Delay(number)
+            | FaultAction::Throttle(number) => {
                 write!(f, " {number}")
             }
             _ => Ok(()),
@@ -111,14 +118,20 @@
     /// When, from the plan's beginning.
     pub at: Duration,
     /// Which links or processes: a name, or the beginning of several with `*` behind it.
-    pub on: String,
+    pub target: String,
     /// What.
-    pub act: Act,
+    pub action: FaultAction,
 }
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} ms, {}: {}", self.at.as_millis(), self.on, self.act)
+        write!(
+            f,
+            "{} ms, {}: {}",
+            self.at.as_millis(),
+            self.target,
+            self.action
+        )
     }
 }
 
@@ -126,31 +139,34 @@
     type Err = String;
 
     fn from_str(line: &str) -> Result<Self, String> {
-        let odd = || format!("{line:?} is no fault; write one as \"1500 ms, north>agent: cut\"");
-        let (at, rest) = line.split_once(" ms, ").ok_or_else(odd)?;
-        let (on, act) = rest.rsplit_once(": ").ok_or_else(odd)?;
-        let (word, number) = act
+        let invalid =
+            || format!("{line:?} is no fault; write one as \"1500 ms, north>agent: cut\"");
+        let (at, rest) = line.split_once(" ms, ").ok_or_else(invalid)?;
+        let (target, action) = rest.rsplit_once(": ").ok_or_else(invalid)?;
+        let (word, number) = action
             .split_once(' ')
-            .map_or((act, None), |(word, number)| (word, Some(number)));
-        let number = number.map(str::parse).transpose().map_err(|_| odd())?;
-        let act = ACTS
+            .map_or((action, None), |(word, number)| (word, Some(number)));
+        let number = number.map(str::parse).transpose().map_err(|_| invalid())?;
+        let action = ACTIONS
             .iter()
             .find(|(known, _)| *known == word)
-            .map(|(_, act)| *act)
-            .ok_or_else(odd)?;
-        let act = match (act, number) {
-            (Act::CutAfter(_), Some(number)) => Act::CutAfter(number),
-            (Act::Delay(_), Some(number)) => Act::Delay(number),
-            (Act::Throttle(_), Some(number)) => Act::Throttle(number),
-            (Act::CutAfter(_) | Act::Delay(_) | Act::Throttle(_), None) => return Err(odd()),
-            (act, None) => act,
-            (_, Some(_)) => return Err(odd()),
+            .map(|(_, action)| *action)
+            .ok_or_else(invalid)?;
+        let action = match (action, number) {
+            (FaultAction::CutAfter(_), Some(number)) => FaultAction::CutAfter(number),
+            (FaultAction::Delay(_), Some(number)) => FaultAction::Delay(number),
+            (FaultAction::Throttle(_), Some(number)) => FaultAction::Throttle(number),
+            (FaultAction::CutAfter(_) | FaultAction::Delay(_) | FaultAction::Throttle(_), None) => {
+                return Err(invalid());
+            }
+            (action, None) => action,
+            (_, Some(_)) => return Err(invalid()),
         };
-        let at = Duration::from_millis(at.trim().parse().map_err(|_| odd())?);
+        let at = Duration::from_millis(at.trim().parse().map_err(|_| invalid())?);
         Ok(Fault {
             at,
-            on: on.to_string(),
-            act,
+            target: target.to_string(),
+            action,
         })
     }
 }
@@ -183,16 +199,16 @@
 
 /// What a plan may be drawn from.
 #[derive(Clone, Debug, Default)]
-pub struct Menu {
+pub struct PlanGenerator {
     /// Which links or processes, with what may be done to them.
-    pub choices: Vec<(String, Vec<Act>)>,
+    pub choices: Vec<(String, Vec<FaultAction>)>,
     /// The time over which faults begin.
-    pub over: Duration,
+    pub window: Duration,
     /// How long a fault that has a cure lasts: from, to.
-    pub lasts: (Duration, Duration),
+    pub duration_range: (Duration, Duration),
 }
 
-impl Menu {
+impl PlanGenerator {
     /// So many faults, each followed by its cure. The same for the same seed. A choice that is still broken by an
     /// earlier fault is left alone until that one is cured.
     ///
@@ -202,28 +218,32 @@
         let mut random = Rand32::new(seed);
         let millis = |span: Duration| u32::try_from(span.as_millis()).unwrap_or(u32::MAX);
         let mut drawn: Vec<Fault> = Vec::new();
-        let mut busy: Vec<(u32, u32, usize)> = Vec::new();
+        let mut active: Vec<(u32, u32, usize)> = Vec::new();
         for _ in 0..faults {
-            let at = random.rand_range(0..millis(self.over).max(1));
-            let (from, to) = (millis(self.lasts.0), millis(self.lasts.1));
+            let at = random.rand_range(0..millis(self.window).max(1));
+            let (from, to) = (millis(self.duration_range.0), millis(self.duration_range.1));
             let end = at + random.rand_range(from..to.max(from) + 1);
-            let place = random.rand_range(0..self.choices.len() as u32) as usize;
-            let (on, acts) = &self.choices[place];
-            let act = acts[random.rand_range(0..acts.len() as u32) as usize];
-            if busy
+            let choice = random.rand_range(0..self.choices.len() as u32) as usize;
+            let (target, actions) = &self.choices[choice];
+            let action = actions[random.rand_range(0..actions.len() as u32) as usize];
+            if active
                 .iter()
-                .any(|(begun, ended, on)| *on == place && at <= *ended && *begun <= end)
+                .any(|(start, ended, broken)| *broken == choice && at <= *ended && *start <= end)
             {
                 continue;
             }
-            busy.push((at, end, place));
-            let fault = |at: u32, act| Fault {
+            active.push((at, end, choice));
+            let fault = |at: u32, action| Fault {
                 at: Duration::from_millis(at.into()),
-                on: on.clone(),
-                act,
+                target: target.clone(),
+                action,
             };
-            drawn.push(fault(at, act));
-            drawn.extend(act.cure().map(|cure| fault(end, cure)));
+            drawn.push(fault(at, action));
+            drawn.extend(
+                action
+                    .recovery_action()
+                    .map(|recovery| fault(end, recovery)),
+            );
         }
         drawn.sort_by_key(|fault| fault.at);
         Plan { faults: drawn }
@@ -234,14 +254,14 @@
 /// as long as what is left fails (delta debugging, after Zeller). `fails` is called for each try, 64 times at most.
 pub fn shrink(plan: &Plan, mut fails: impl FnMut(&Plan) -> bool) -> Plan {
     let mut kept = plan.faults.clone();
-    let (mut size, mut tries) = (kept.len().div_ceil(2), 0);
+    let (mut size, mut attempts) = (kept.len().div_ceil(2), 0);
     while size > 0 {
         let mut at = 0;
         while at < kept.len() {
-            if tries == 64 {
+            if attempts == 64 {
                 return Plan { faults: kept };
             }
-            tries += 1;
+            attempts += 1;
             let mut fewer = kept.clone();
             fewer.drain(at..(at + size).min(kept.len()));
             if fails(&Plan {
@@ -261,34 +281,39 @@
 mod tests {
     use super::*;
 
-    fn menu() -> Menu {
-        Menu {
+    fn generator() -> PlanGenerator {
+        PlanGenerator {
             choices: vec![
                 (
                     "north>agent".into(),
-                    vec![Act::Cut, Act::HoldBack, Act::Delay(300), Act::Reset],
+                    vec![
+                        FaultAction::Cut,
+                        FaultAction::HoldBack,
+                        FaultAction::Delay(300),
+                        FaultAction::Reset,
+                    ],
                 ),
-                ("agent".into(), vec![Act::Kill, Act::Stop]),
+                ("agent".into(), vec![FaultAction::Kill, FaultAction::Stop]),
             ],
-            over: Duration::from_secs(10),
-            lasts: (Duration::from_millis(100), Duration::from_secs(2)),
+            window: Duration::from_secs(10),
+            duration_range: (Duration::from_millis(100), Duration::from_secs(2)),
         }
     }
 
     #[test]
     fn a_plan_is_the_same_for_its_seed_is_cured_and_is_read_as_it_was_written() {
         for seed in 0..200 {
-            let plan = menu().draw(seed, 6);
-            assert_eq!(plan, menu().draw(seed, 6));
+            let plan = generator().draw(seed, 6);
+            assert_eq!(plan, generator().draw(seed, 6));
             assert_eq!(plan.to_string().parse(), Ok(plan.clone()));
             for (at, fault) in plan.faults.iter().enumerate() {
-                let cured = plan.faults[at..]
-                    .iter()
-                    .any(|f| f.on == fault.on && Some(f.act) == fault.act.cure());
-                assert!(cured || fault.act.cure().is_none(), "{plan}");
+                let cured = plan.faults[at..].iter().any(|f| {
+                    f.target == fault.target && Some(f.action) == fault.action.recovery_action()
+                });
+                assert!(cured || fault.action.recovery_action().is_none(), "{plan}");
             }
         }
-        for (word, _) in ACTS {
+        for (word, _) in ACTIONS {
             let text = format!("7 ms, x: {word}");
             let number = if text.parse::<Fault>().is_ok() {
                 text
@@ -300,7 +325,7 @@
                 number
             );
         }
-        for odd in [
+        for invalid in [
             "",
             "7, x: cut",
             "7 ms, x: cut 3",
@@ -308,13 +333,13 @@
             "7 ms, x: dig",
             "x ms, x: cut",
         ] {
-            assert!(odd.parse::<Fault>().is_err(), "{odd}");
+            assert!(invalid.parse::<Fault>().is_err(), "{invalid}");
         }
     }
 
     #[test]
     fn a_plan_shrinks_to_the_faults_that_it_takes() {
-        let plan = menu().draw(3, 40);
+        let plan = generator().draw(3, 40);
         assert!(plan.faults.len() > 6, "{plan}");
         let needed = [plan.faults[1].clone(), plan.faults[5].clone()];
         let least = shrink(&plan, |plan| {
--- a/crates/fault-testing/src/program.rs
+++ b/crates/fault-testing/src/program.rs
@@ -1,6 +1,6 @@
 //! Processes that the test has started.
 
-use crate::{LOOK, PATIENCE, lock};
+use crate::{POLL_INTERVAL, WAIT_TIMEOUT, lock};
 use rustix::process::{Pid, kill_process};
 use std::io::{BufRead, BufReader};
 use std::process::{Child, Command, Stdio};
@@ -12,12 +12,12 @@
 pub use rustix::process::Signal;
 
 /// The most processes of one rig at a time.
-pub const MOST_PROGRAMS: usize = 600;
+pub const MAX_PROGRAMS: usize = 600;
 
 static RUNNING: AtomicUsize = AtomicUsize::new(0);
 
 /// What starts the program that `MADDERLOOM_BINARY` names, a release build for figures, or else this one.
-pub fn built(program: &str) -> Command {
+pub fn program_command(program: &str) -> Command {
     Command::new(std::env::var_os("MADDERLOOM_BINARY").unwrap_or_else(|| program.into()))
 }
 
@@ -33,10 +33,10 @@
     /// Starts it; its standard error is read by the rig.
     ///
     /// # Panics
-    /// It can't be started, or [`MOST_PROGRAMS`] run already.
+    /// It can't be started, or [`MAX_PROGRAMS`] run already.
     pub fn start(mut command: Command) -> Self {
         let running = RUNNING.fetch_add(1, Ordering::Relaxed);
-        assert!(running < MOST_PROGRAMS, "{running} programs run already");
+        assert!(running < MAX_PROGRAMS, "{running} programs run already");
         let mut child = command.stderr(Stdio::piped()).spawn().expect("it starts");
         let lines = BufReader::new(child.stderr.take().expect("piped")).lines();
         let log: Arc<Mutex<Vec<String>>> = Arc::default();
@@ -69,10 +69,10 @@
             }
             let end = &log[log.len().saturating_sub(3)..];
             assert!(
-                !ended && waits.elapsed() < PATIENCE,
+                !ended && waits.elapsed() < WAIT_TIMEOUT,
                 "never: {text} in the log, which ends with {end:#?}"
             );
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
--- a/crates/fault-testing/src/server.rs
+++ b/crates/fault-testing/src/server.rs
@@ -19,7 +19,7 @@
 /// By how many the worst window that begins and ends with one of these times, in their order, was over this rate; below
 /// all numbers where there is none. Every window is looked at in one pass: times less the rate's line, against the lowest
 /// point before.
-pub fn worst(times: impl IntoIterator<Item = f64>, rate: f64) -> f64 {
+pub fn max_window_excess(times: impl IntoIterator<Item = f64>, rate: f64) -> f64 {
     let (mut worst, mut lowest) = (f64::NEG_INFINITY, f64::INFINITY);
     for (before, at) in times.into_iter().enumerate() {
         let line = rate * at;
@@ -36,7 +36,7 @@
 
 impl Arrivals {
     /// All of these together.
-    pub fn of<'s>(servers: impl IntoIterator<Item = &'s Server>) -> Self {
+    pub fn of_servers<'s>(servers: impl IntoIterator<Item = &'s Server>) -> Self {
         let mut all: Vec<_> = servers
             .into_iter()
             .flat_map(|server| lock(&server.seen).open.clone())
@@ -74,7 +74,7 @@
     /// By how much the worst window was over a rate with a burst: over every window that begins and ends with an
     /// arrival, so many arrived more than `rate × length + burst`. At or below 0 where the bound was kept. `jitter` is
     /// how much later one may arrive than it was let in; each window is taken as that much longer.
-    pub fn over(&self, rate: f64, burst: f64, jitter: Duration) -> f64 {
+    pub fn rate_excess(&self, rate: f64, burst: f64, jitter: Duration) -> f64 {
         let Some((first, _)) = self.0.first() else {
             return f64::NEG_INFINITY;
         };
@@ -82,11 +82,11 @@
             .0
             .iter()
             .map(|(at, _)| at.duration_since(*first).as_secs_f64());
-        worst(times, rate) - burst - rate * jitter.as_secs_f64()
+        max_window_excess(times, rate) - burst - rate * jitter.as_secs_f64()
     }
 
     /// The most that were open at once.
-    pub fn most_open(&self) -> usize {
+    pub fn max_concurrent(&self) -> usize {
         let begun = self.0.iter().map(|(at, _)| (*at, 1i64));
         let mut steps: Vec<(Instant, i64)> = begun
             .chain(self.0.iter().map(|(_, end)| (*end, -1)))
@@ -128,48 +128,49 @@
 
 /// How a server starts cold, and what pushes it over: the protocol's figures.
 #[derive(Clone, Copy, Debug)]
-pub struct Cold {
+pub struct SlowStart {
     /// The part of its capacity that it starts with; the rest comes evenly.
-    pub from: f64,
+    pub min_share: f64,
     /// It is warm after this.
-    pub warm_after: Duration,
+    pub duration: Duration,
     /// While it is cold it bears in such a window...
     pub window: Duration,
     /// ...so many times what it can do at that moment, N, and what chance adds, by the operators' stricter term: 2 √N + 2. One
     /// more, and it falls: its connections are reset and it never comes back.
-    pub bears: f64,
+    pub overload_factor: f64,
 }
 
-impl Cold {
+impl SlowStart {
     /// Its part of its capacity at this age.
     fn warmth(&self, age: Duration) -> f64 {
-        (self.from + (1.0 - self.from) * age.as_secs_f64() / self.warm_after.as_secs_f64()).min(1.0)
+        (self.min_share + (1.0 - self.min_share) * age.as_secs_f64() / self.duration.as_secs_f64())
+            .min(1.0)
     }
 }
 
 /// What a server answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Answers {
+pub enum ResponseMode {
     /// 200.
     #[default]
-    Well,
+    Success,
     /// 500: it may have run.
-    Errors,
+    InternalError,
     /// Nothing: it takes what comes and is silent.
-    Never,
+    NoResponse,
 }
 
 /// How a server does its work.
 struct Works {
     time: Duration,
-    answers: Mutex<Answers>,
-    cold: Option<(Cold, Instant)>,
+    answers: Mutex<ResponseMode>,
+    cold: Option<(SlowStart, Instant)>,
     fell: watch::Sender<bool>,
 }
 
 impl Works {
     /// How warm it is; none where it never was cold, or is not any more.
-    fn warmth(&self, now: Instant) -> Option<(Cold, f64)> {
+    fn warmth(&self, now: Instant) -> Option<(SlowStart, f64)> {
         let (cold, started) = self.cold?;
         let warmth = cold.warmth(now.duration_since(started));
         (warmth < 1.0).then_some((cold, warmth))
@@ -189,7 +190,7 @@
             seen.cold.pop_front();
         }
         let can = warmth * cold.window.as_secs_f64() / self.time.as_secs_f64();
-        let bears = cold.bears * can;
+        let bears = cold.overload_factor * can;
         seen.cold.len() as f64 > bears + 2.0 * bears.sqrt() + 2.0
     }
 }
@@ -210,27 +211,27 @@
 impl Server {
     /// One that answers at once.
     pub fn new(name: &str) -> Self {
-        Server::that_takes(name, Duration::ZERO)
+        Server::with_service_time(name, Duration::ZERO)
     }
 
     /// One that takes so long for each request.
-    pub fn that_takes(name: &str, time: Duration) -> Self {
-        Server::made(name, time, None)
+    pub fn with_service_time(name: &str, time: Duration) -> Self {
+        Server::build(name, time, None)
     }
 
     /// One that starts now, is cold, and takes so long for each request once it is warm: as much longer as it is
     /// colder. Nothing queues there, so that what comes is what its callers sent and not what it let them.
-    pub fn cold(name: &str, time: Duration, cold: Cold) -> Self {
+    pub fn with_slow_start(name: &str, time: Duration, cold: SlowStart) -> Self {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         let since_ms = u64::try_from(unix.as_millis()).unwrap_or(u64::MAX);
-        let mut server = Server::made(name, time, Some((cold, Instant::now())));
+        let mut server = Server::build(name, time, Some((cold, Instant::now())));
         server.since_ms = since_ms;
         server
     }
 
-    fn made(name: &str, time: Duration, cold: Option<(Cold, Instant)>) -> Self {
+    fn build(name: &str, time: Duration, cold: Option<(SlowStart, Instant)>) -> Self {
         let (listener, address) = listen();
         let seen: Arc<Mutex<Seen>> = Arc::default();
         let (answers, fell) = (Mutex::default(), watch::Sender::new(false));
@@ -272,26 +273,26 @@
     }
 
     /// It answers so from now on.
-    pub fn behave(&self, answers: Answers) {
+    pub fn set_response(&self, answers: ResponseMode) {
         *lock(&self.works.answers) = answers;
     }
 
     /// When it was pushed over, if it was.
-    pub fn fell(&self) -> Option<Instant> {
+    pub fn overloaded_at(&self) -> Option<Instant> {
         lock(&self.seen).fell
     }
 
     /// How often each request was seen by all of these together.
-    pub fn seen_by(servers: &[Server]) -> BTreeMap<String, u32> {
+    pub fn request_counts_of(servers: &[Server]) -> BTreeMap<String, u32> {
         let mut seen = BTreeMap::new();
-        for (id, times) in servers.iter().flat_map(Server::seen) {
+        for (id, times) in servers.iter().flat_map(Server::request_counts) {
             *seen.entry(id).or_default() += times;
         }
         seen
     }
 
     /// How often each request was seen, by its `X-Trace-Id`.
-    pub fn seen(&self) -> BTreeMap<String, u32> {
+    pub fn request_counts(&self) -> BTreeMap<String, u32> {
         lock(&self.seen)
             .came
             .iter()
@@ -300,7 +301,7 @@
     }
 
     /// Each time at which this request came, by its `X-Trace-Id`.
-    pub fn came(&self, id: &str) -> Vec<Instant> {
+    pub fn arrival_times(&self, id: &str) -> Vec<Instant> {
         lock(&self.seen).came.get(id).cloned().unwrap_or_default()
     }
 }
@@ -354,9 +355,9 @@
     let mut response = Response::new(Full::new(Bytes::from_static(b"ok")));
     let answers = *lock(&works.answers);
     match answers {
-        Answers::Well => {}
-        Answers::Errors => *response.status_mut() = StatusCode::INTERNAL_SERVER_ERROR,
-        Answers::Never => std::future::pending().await,
+        ResponseMode::Success => {}
+        ResponseMode::InternalError => *response.status_mut() = StatusCode::INTERNAL_SERVER_ERROR,
+        ResponseMode::NoResponse => std::future::pending().await,
     }
     Ok(response)
 }
--- a/crates/fault-testing/src/testbed.rs
+++ b/crates/fault-testing/src/testbed.rs
@@ -1,12 +1,12 @@
 //! What a plan is played on: links and processes by name.
 
-use crate::{Act, Direction, Fault, Link, Plan, Program, Signal};
+use crate::{Direction, Fault, FaultAction, Link, Plan, Program, Signal};
 use std::collections::BTreeMap;
 use std::process::Command;
 use std::time::{Duration, Instant};
 
 /// A process that may be killed and started again.
-pub struct Slot {
+pub struct ManagedProcess {
     /// None while it is down.
     pub program: Option<Program>,
     /// Makes what starts it; told whether what it kept must go first.
@@ -14,10 +14,10 @@
     stopped: bool,
 }
 
-impl Slot {
+impl ManagedProcess {
     /// A process that runs already, and how it is started again.
     pub fn new(program: Program, make: impl Fn(bool) -> Command + Send + 'static) -> Self {
-        Slot {
+        ManagedProcess {
             program: Some(program),
             make: Box::new(make),
             stopped: false,
@@ -27,80 +27,101 @@
 
 /// Links and processes by name.
 #[derive(Default)]
-pub struct Stage {
+pub struct Testbed {
     /// The links.
     pub links: BTreeMap<String, Link>,
     /// The processes.
-    pub slots: BTreeMap<String, Slot>,
+    pub processes: BTreeMap<String, ManagedProcess>,
 }
 
-/// Whether a name is meant: it, or the beginning of several with `*` behind it.
-fn meant(pattern: &str, name: &str) -> bool {
+/// Whether a name is matches_target: it, or the beginning of several with `*` behind it.
+fn matches_target(pattern: &str, name: &str) -> bool {
     pattern
         .strip_suffix('*')
         .map_or(pattern == name, |begin| name.starts_with(begin))
 }
 
-impl Stage {
+impl Testbed {
     /// Does one thing, now. A process that was started has only begun to.
     ///
     /// # Panics
     /// Nothing of that name is there, or it is no such thing.
-    pub fn act(&mut self, on: &str, act: Act) {
+    pub fn apply(&mut self, target: &str, action: FaultAction) {
         let mut any = false;
-        for (_, link) in self.links.iter().filter(|(name, _)| meant(on, name)) {
+        for (_, link) in self
+            .links
+            .iter()
+            .filter(|(name, _)| matches_target(target, name))
+        {
             any = true;
-            match act {
-                Act::CutOut => link.cut(Direction::Out),
-                Act::CutBack => link.cut(Direction::Back),
-                Act::Cut => link.cut_both(),
-                Act::CutAfter(bytes) => link.cut_after(Direction::Back, bytes),
-                Act::HoldBack => link.hold(Direction::Back),
-                Act::HoldOut => link.hold(Direction::Out),
-                Act::HoldOld => link.hold_old(),
-                Act::LetGo => link.let_go(),
-                Act::Delay(millis) => link.delay(Duration::from_millis(millis)),
-                Act::Throttle(bytes) => link.throttle(bytes),
-                Act::Reset => link.reset(),
-                Act::Swallow => link.swallow(),
-                Act::Heal => link.heal(),
-                _ => panic!("{on} is a link: {act}"),
+            match action {
+                FaultAction::CutOut => link.cut(Direction::ToServer),
+                FaultAction::CutBack => link.cut(Direction::ToClient),
+                FaultAction::Cut => link.cut_both(),
+                FaultAction::CutAfter(bytes) => link.cut_after(Direction::ToClient, bytes),
+                FaultAction::HoldBack => link.hold(Direction::ToClient),
+                FaultAction::HoldOut => link.hold(Direction::ToServer),
+                FaultAction::HoldExisting => link.hold_existing(),
+                FaultAction::Release => link.release(),
+                FaultAction::Delay(millis) => link.delay(Duration::from_millis(millis)),
+                FaultAction::Throttle(bytes) => link.throttle(bytes),
+                FaultAction::Reset => link.reset(),
+                FaultAction::Blackhole => link.blackhole(),
+                FaultAction::Heal => link.heal(),
+                _ => panic!("{target} is a link: {action}"),
             }
         }
-        for (_, slot) in self.slots.iter_mut().filter(|(name, _)| meant(on, name)) {
+        for (_, process) in self
+            .processes
+            .iter_mut()
+            .filter(|(name, _)| matches_target(target, name))
+        {
             any = true;
-            match (act, &slot.program) {
-                (Act::Kill, _) => {
-                    slot.program = None;
-                    slot.stopped = false;
+            match (action, &process.program) {
+                (FaultAction::Kill, _) => {
+                    process.program = None;
+                    process.stopped = false;
                 }
-                (Act::Start | Act::StartAfresh, None) => {
-                    slot.program = Some(Program::start((slot.make)(act == Act::StartAfresh)));
+                (FaultAction::Start | FaultAction::StartWithoutState, None) => {
+                    process.program = Some(Program::start((process.make)(
+                        action == FaultAction::StartWithoutState,
+                    )));
                 }
-                (Act::Stop, Some(program)) => {
+                (FaultAction::Stop, Some(program)) => {
                     program.signal(Signal::STOP);
-                    slot.stopped = true;
+                    process.stopped = true;
                 }
-                (Act::Continue, Some(program)) => {
+                (FaultAction::Continue, Some(program)) => {
                     program.signal(Signal::CONT);
-                    slot.stopped = false;
+                    process.stopped = false;
                 }
                 // A shrunk plan may start what runs, or stop what does not.
-                (Act::Start | Act::StartAfresh | Act::Stop | Act::Continue, _) => {}
-                _ => panic!("{on} is a process: {act}"),
+                (
+                    FaultAction::Start
+                    | FaultAction::StartWithoutState
+                    | FaultAction::Stop
+                    | FaultAction::Continue,
+                    _,
+                ) => {}
+                _ => panic!("{target} is a process: {action}"),
             }
         }
-        assert!(any, "there is nothing called {on}");
+        assert!(any, "there is nothing called {target}");
     }
 
     /// Plays a plan, and then waits until `over` has passed since its beginning. `after` is told of each fault once it
     /// is done.
-    pub fn play(&mut self, plan: &Plan, over: Duration, mut after: impl FnMut(&mut Stage, &Fault)) {
+    pub fn play(
+        &mut self,
+        plan: &Plan,
+        over: Duration,
+        mut after: impl FnMut(&mut Testbed, &Fault),
+    ) {
         let begin = Instant::now();
         let wait = |at: Duration| std::thread::sleep(at.saturating_sub(begin.elapsed()));
         for fault in &plan.faults {
             wait(fault.at);
-            self.act(&fault.on, fault.act);
+            self.apply(&fault.target, fault.action);
             after(self, fault);
         }
         wait(over);
@@ -109,13 +130,13 @@
     /// Everything is healed, runs, and goes on.
     pub fn heal(&mut self) {
         self.links.values().for_each(Link::heal);
-        for slot in self.slots.values_mut() {
-            match &slot.program {
-                Some(program) if slot.stopped => program.signal(Signal::CONT),
+        for process in self.processes.values_mut() {
+            match &process.program {
+                Some(program) if process.stopped => program.signal(Signal::CONT),
                 Some(_) => {}
-                None => slot.program = Some(Program::start((slot.make)(false))),
+                None => process.program = Some(Program::start((process.make)(false))),
             }
-            slot.stopped = false;
+            process.stopped = false;
         }
     }
 
@@ -124,11 +145,12 @@
     /// # Panics
     /// It is down, or there is none.
     pub fn program(&self, name: &str) -> &Program {
-        let slot = self
-            .slots
+        let process = self
+            .processes
             .get(name)
             .unwrap_or_else(|| panic!("there is no {name}"));
-        slot.program
+        process
+            .program
             .as_ref()
             .unwrap_or_else(|| panic!("{name} is down"))
     }
--- a/crates/fault-testing/tests/links.rs
+++ b/crates/fault-testing/tests/links.rs
@@ -1,6 +1,6 @@
 //! What a link is told to do with bytes is what its two ends see.
 
-use madderloom_fault_testing::{Arrivals, Direction, Link, Load, Server, until};
+use madderloom_fault_testing::{Arrivals, Direction, Link, LoadGenerator, Server, wait_until};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
@@ -60,7 +60,7 @@
         mut near,
         mut far,
     } = Pair::new();
-    link.cut(Direction::Out);
+    link.cut(Direction::ToServer);
     near.write_all(b"lost").expect("written");
     far.write_all(b"back").expect("written");
     assert_eq!((came(&mut far), came(&mut near)), (NOTHING, told("back")));
@@ -82,12 +82,12 @@
         mut far,
         ..
     } = Pair::new();
-    link.hold(Direction::Out);
+    link.hold(Direction::ToServer);
     near.write_all(b"a").expect("written");
     near.write_all(b"b").expect("written");
     drop(near);
     assert_eq!(came(&mut far), NOTHING);
-    link.let_go();
+    link.release();
     let mut text = String::new();
     far.read_to_string(&mut text).expect("it ends");
     assert_eq!(text, "ab");
@@ -101,12 +101,12 @@
         mut near,
         mut far,
     } = Pair::new();
-    link.hold_old();
+    link.hold_existing();
     near.write_all(b"old").expect("written");
     let (mut newer, mut its_far) = connect(&link, &listener);
     newer.write_all(b"new").expect("written");
     assert_eq!((came(&mut its_far), came(&mut far)), (told("new"), NOTHING));
-    link.let_go();
+    link.release();
     assert_eq!(came(&mut far), told("old"));
 }
 
@@ -118,7 +118,7 @@
         mut near,
         mut far,
     } = Pair::new();
-    link.cut_after(Direction::Back, 3);
+    link.cut_after(Direction::ToClient, 3);
     far.write_all(b"abcdef").expect("written");
     assert_eq!((came(&mut near), came(&mut near)), (told("abc"), NOTHING));
     link.heal();
@@ -152,7 +152,7 @@
             Err(ErrorKind::ConnectionReset)
         )
     );
-    link.swallow();
+    link.blackhole();
     let mut taken = TcpStream::connect(link.address()).expect("it is taken");
     taken
         .set_read_timeout(Some(Duration::from_millis(100)))
@@ -164,29 +164,32 @@
     let (mut near, mut far) = connect(&link, &listener);
     near.write_all(b"anew").expect("written");
     assert_eq!(came(&mut far), told("anew"));
-    assert_eq!(link.taken(), 3);
+    assert_eq!(link.accepted_connections(), 3);
 }
 
 #[test]
 fn a_server_counts_what_arrives_by_windows_and_what_is_open() {
-    let server = Server::that_takes("one", Duration::from_millis(40));
+    let server = Server::with_service_time("one", Duration::from_millis(40));
     let link = Link::new(server.address);
-    let load = Load::on(&[link.address(); 3], Duration::from_millis(1));
-    until("some were served", || {
-        (server.seen().len() > 30).then_some(())
+    let load = LoadGenerator::start(&[link.address(); 3], Duration::from_millis(1));
+    wait_until("some were served", || {
+        (server.request_counts().len() > 30).then_some(())
     });
     let got = load.stop();
     assert!(
         got.iter()
-            .all(|got| got.status == Some(200) && server.seen()[&got.id] == 1)
+            .all(|got| got.status == Some(200) && server.request_counts()[&got.id] == 1)
     );
-    let arrivals = Arrivals::of([&server]);
-    assert_eq!((arrivals.len(), arrivals.most_open()), (got.len(), 3));
+    let arrivals = Arrivals::of_servers([&server]);
+    assert_eq!((arrivals.len(), arrivals.max_concurrent()), (got.len(), 3));
     // Three clients with 41 ms or more for each request: some 70 a second.
     let none = Duration::ZERO;
-    assert!(arrivals.over(80.0, 4.0, none) <= 0.0 && arrivals.over(10.0, 4.0, none) > 10.0);
     assert!(
-        arrivals.over(75.0, 0.0, none) > 0.0,
+        arrivals.rate_excess(80.0, 4.0, none) <= 0.0
+            && arrivals.rate_excess(10.0, 4.0, none) > 10.0
+    );
+    assert!(
+        arrivals.rate_excess(75.0, 0.0, none) > 0.0,
         "three at once are more than none"
     );
 }
--- a/crates/fault-testing/tests/request_counting.rs
+++ b/crates/fault-testing/tests/request_counting.rs
@@ -1,6 +1,6 @@
 //! A server counts each request that reaches it, whatever becomes of the connection.
 
-use madderloom_fault_testing::{Server, until};
+use madderloom_fault_testing::{Server, wait_until};
 use std::io::Write;
 use std::net::TcpStream;
 
@@ -18,7 +18,7 @@
             format!("POST /submit HTTP/1.1\r\nx-trace-id: r{number}\r\ncontent-length: 0\r\n\r\n");
         client.write_all(request.as_bytes()).expect("it reads");
     }
-    until("all are counted", || {
-        (server.seen().len() == CLIENTS).then_some(())
+    wait_until("all are counted", || {
+        (server.request_counts().len() == CLIENTS).then_some(())
     });
 }
--- a/crates/fault-testing/tests/unique_addresses.rs
+++ b/crates/fault-testing/tests/unique_addresses.rs
@@ -5,7 +5,7 @@
 #[test]
 fn no_address_is_given_twice_though_nobody_listens_there_yet() {
     let given: HashSet<_> = (0..600)
-        .map(|_| madderloom_fault_testing::own_address())
+        .map(|_| madderloom_fault_testing::unique_address())
         .collect();
     assert_eq!(given.len(), 600);
 }
--- a/crates/quota-leases/tests/simulation/mod.rs
+++ b/crates/quota-leases/tests/simulation/mod.rs
@@ -1,7 +1,7 @@
 //! A lease server and many holders over a network that loses, delays, duplicates and reorders messages, with clocks that
 //! drift, and with holders and servers that stall, die and restart.
 
-use madderloom_fault_testing::worst;
+use madderloom_fault_testing::max_window_excess;
 use madderloom_quota_leases::{
     AddressedGrant, Capacity, Grant, LeaseHolder, LeaseRequests, LeaseServer, Limit, Micros,
     ONE_REQUEST, SafeCapacity, ServerId,
@@ -312,7 +312,7 @@
             self.limit.total.rate as f64 / 1e3,
             self.limit.total.burst as f64 / 1e3,
         );
-        worst(self.admitted.iter().map(|at| *at as f64 / 1e6), rate) - burst
+        max_window_excess(self.admitted.iter().map(|at| *at as f64 / 1e6), rate) - burst
     }
 
     /// The requests a second that were admitted in a window.
