--- a/crates/cli/tests/acceptance/answers.rs
+++ b/crates/cli/tests/acceptance/answers.rs
@@ -1,7 +1,7 @@
 //! Answers whose length nothing tells: their end is the connection's, and a reset is no end.
 
 use crate::Asked;
-use crate::rig::{Conn, Node, Sidecar, accept_any, until};
+use crate::rig::{Conn, ScriptedServer, Sidecar, accept_any, until};
 use rstest::rstest;
 
 /// The head of an answer that has neither a length nor chunks.
@@ -14,7 +14,7 @@
 /// Reads what comes of an answer, chunks of it or not, to the end of its connection.
 fn rest(client: &mut Conn) -> Vec<u8> {
     let mut bytes = Vec::new();
-    client.rest(&mut bytes);
+    client.read_to_end(&mut bytes);
     bytes
 }
 
@@ -30,7 +30,7 @@
     #[case] class: &str,
     #[case] later: bool,
 ) {
-    let mut nodes = vec![Node::new(), Node::new()];
+    let mut nodes = vec![ScriptedServer::new(), ScriptedServer::new()];
     let addresses = [nodes[0].address(), nodes[1].address()];
     let sidecar = Sidecar::start(&addresses);
     let mut client = sidecar.ask(class, 5_900);
@@ -39,7 +39,7 @@
     let asked = Asked::by(nodes.remove(1 - first));
     conn.write(format!("{HEAD}{HALF}"));
     if later {
-        until("its beginning is passed on", || client.has_something());
+        until("its beginning is passed on", || client.is_readable());
     }
     conn.reset();
     let bytes = rest(&mut client);
@@ -62,7 +62,7 @@
 #[case::reset(false)]
 fn a_long_answer_without_a_length_ends_only_where_its_server_ends_it(#[case] ended: bool) {
     const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let sidecar = Sidecar::start(&[node.address()]);
     let mut client = sidecar.ask("submit-check", 5_900);
     let mut conn = node.accept();
--- a/crates/cli/tests/acceptance/closes.rs
+++ b/crates/cli/tests/acceptance/closes.rs
@@ -1,7 +1,7 @@
 //! Closes of connections, by this side and by others, while something is on its way.
 
 use crate::Asked;
-use crate::rig::{Conn, Node, Options, Sidecar, request, until};
+use crate::rig::{Conn, Options, ScriptedServer, Sidecar, request, until};
 use std::io::Write;
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
@@ -12,7 +12,7 @@
 /// A request that comes on an open connection behind SIGTERM, and whose server hangs.
 #[test]
 fn what_comes_behind_a_sigterm_has_its_answer_before_the_platform_kills() {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let mut sidecar = Sidecar::start(&[node.address()]);
     let mut client = sidecar.client();
     let told = Instant::now();
@@ -33,7 +33,7 @@
 /// A head of which half has come when the process is told to stop: nothing of it goes on, and nobody waits for the rest.
 #[test]
 fn half_a_head_under_a_sigterm_is_closed_and_never_sent_on() {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let mut sidecar = Sidecar::start(&[node.address()]);
     let whole = request("submit-check", 5_900, "");
     let (mut half, mut client) = (sidecar.client(), sidecar.client());
@@ -44,7 +44,7 @@
     let told = Instant::now();
     sidecar.signal("TERM");
     sidecar.wait_for("closed to new clients");
-    conn.answer("200 OK", "made");
+    conn.respond("200 OK", "made");
     assert_eq!(client.read().expect("an answer").status(), 200);
     // Its end comes while the connection is read on, and what it writes then is dropped.
     assert!(half.read().is_none());
@@ -63,7 +63,7 @@
 /// Signals that cross: the process ends once, in order, whatever else it is told.
 #[test]
 fn signals_in_the_first_moment_twice_and_with_sighup_end_it_in_order() {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     for signals in [
         &["TERM"][..],
         &["TERM", "TERM"],
@@ -84,7 +84,7 @@
 /// of the answer still lies here would be lost.
 #[test]
 fn a_close_over_unread_bytes_takes_no_answer_with_it() {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let sidecar = Sidecar::start(&[node.address()]);
     let stream = TcpStream::connect(sidecar.address).expect("it accepts");
     let port = stream.local_addr().expect("it is connected").port();
@@ -124,7 +124,7 @@
 /// send it on, and its client can tell.
 #[test]
 fn a_request_that_crosses_the_close_of_its_idle_connection_is_served_or_never_sent_on() {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let mut sidecar = Sidecar::start(&[node.address()]);
     let asked = Asked::by(node);
     let mut clients: Vec<TcpStream> = (0..40)
@@ -165,7 +165,7 @@
 /// connection, and the timer is due: when the process goes on, timers come before the looks at sockets.
 #[test]
 fn a_connection_that_its_server_closed_while_the_process_stood_still_is_not_written_to() {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let options = Options {
         edit: cold_for_long,
         ..Options::default()
@@ -174,7 +174,7 @@
     let mut client = sidecar.ask("submit-check", 5_900);
     let mut conn = node.accept();
     assert!(conn.read().is_some());
-    conn.answer("200 OK", "made");
+    conn.respond("200 OK", "made");
     assert_eq!(client.read().expect("an answer").status(), 200);
     let mut held = sidecar.ask("submit-check", 5_900);
     // Whether it is held is for the server to tell: it has been read here, and did not go on.
@@ -185,7 +185,7 @@
     crate::rig::until("it stands still", || {
         crate::stands_still(sidecar.child.id())
     });
-    let went_on = conn.has_something();
+    let went_on = conn.is_readable();
     drop(conn);
     // What it is held by fills up by a quarter of a request a second, and a little less than one is missing.
     std::thread::sleep(Duration::from_millis(4_200));
--- a/crates/cli/tests/acceptance/gone_clients.rs
+++ b/crates/cli/tests/acceptance/gone_clients.rs
@@ -1,7 +1,7 @@
 //! A client that has closed its connection has gone: no attempt for it begins any more, also where nobody reads up to the
 //! end that it has written.
 
-use crate::rig::{Conn, Node, Options, Sidecar, accept_any, request_with, until};
+use crate::rig::{Conn, Options, ScriptedServer, Sidecar, accept_any, request_with, until};
 use crate::{Asked, is_served, late_connections};
 use rstest::rstest;
 
@@ -45,18 +45,18 @@
     #[values(1, 60)] clients: usize,
     #[values(false, true)] drains: bool,
 ) {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let options = Options {
         edit: late_connections,
         ..Options::default()
     };
     let mut sidecar = Sidecar::with(&[node.address()], options);
-    let held = node.hold_connections();
+    let held = node.block_connections();
     let ids: Vec<String> = (0..clients)
         .map(|number| format!("gone-{number}"))
         .collect();
     let waiting: Vec<Conn> = ids.iter().map(|id| unread.ask(&sidecar, id)).collect();
-    until("connections are tried", || node.is_tried());
+    until("connections are tried", || node.has_pending_connect());
     // This one stays, on a connection that it opened before any drain.
     let mut stays = sidecar.client();
     stays.write(request_with("stays", "recheck", 5_900, ""));
@@ -80,7 +80,7 @@
 fn a_client_that_leaves_under_its_first_attempt_gets_no_second(
     #[values(Unread::Nothing, Unread::NextRequest)] unread: Unread,
 ) {
-    let nodes = [Node::new(), Node::new()];
+    let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let sidecar = Sidecar::start(&[nodes[0].address(), nodes[1].address()]);
     let client = unread.ask(&sidecar, "gone");
     let (_, mut conn) = accept_any(&[&nodes[0], &nodes[1]]);
--- a/crates/cli/tests/acceptance/main.rs
+++ b/crates/cli/tests/acceptance/main.rs
@@ -12,7 +12,7 @@
 mod uploads;
 mod watches;
 
-use rig::{Conn, Node};
+use rig::{Conn, ScriptedServer};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 
@@ -22,12 +22,12 @@
 
 impl Asked {
     /// Has the server answer all that comes, and counts it.
-    fn by(node: Node) -> Self {
+    fn by(node: ScriptedServer) -> Self {
         let asked = Asked::default();
         let own = asked.clone();
         rig::serve(node, move |message, conn| {
             own.note(message.header("x-trace-id").unwrap_or_default());
-            conn.answer("200 OK", "made");
+            conn.respond("200 OK", "made");
             true
         });
         asked
--- a/crates/cli/tests/acceptance/repeats.rs
+++ b/crates/cli/tests/acceptance/repeats.rs
@@ -1,6 +1,6 @@
 //! Attempts whose connections come up when they may not begin any more.
 
-use crate::rig::{Node, Options, Sidecar, accept_any, listing, serve_all, until};
+use crate::rig::{Options, ScriptedServer, Sidecar, accept_any, listing, serve_all, until};
 use crate::{Asked, late_connections};
 use std::time::{Duration, Instant};
 
@@ -14,7 +14,7 @@
 /// comes up only when the window is over: servers that have forgotten the first attempt would run it a second time.
 #[test]
 fn a_repeat_whose_connection_comes_up_behind_its_window_is_never_written() {
-    let mut nodes = vec![Node::new(), Node::new()];
+    let mut nodes = vec![ScriptedServer::new(), ScriptedServer::new()];
     let addresses = [nodes[0].address(), nodes[1].address()];
     let sidecar = Sidecar::with(
         &addresses,
@@ -27,9 +27,11 @@
     let (first, mut conn) = accept_any(&[&nodes[0], &nodes[1]]);
     assert!(conn.read().is_some());
     let late = nodes.remove(1 - first);
-    let held = late.hold_connections();
+    let held = late.block_connections();
     conn.reset();
-    until("the repeat's connection is tried", || late.is_tried());
+    until("the repeat's connection is tried", || {
+        late.has_pending_connect()
+    });
     // It comes up when it is tried again, a second after the first time.
     drop(held);
     let asked = Asked::by(late);
@@ -43,16 +45,16 @@
 #[test]
 fn a_request_whose_time_is_over_when_its_connection_is_up_is_never_written() {
     const LEFT: Duration = Duration::from_millis(1_500);
-    let late = Node::new();
+    let late = ScriptedServer::new();
     let options = Options {
         edit: late_connections,
         ..Options::default()
     };
     let sidecar = Sidecar::with(&[late.address()], options);
-    let held = late.hold_connections();
+    let held = late.block_connections();
     let asked_at = Instant::now();
     let mut client = sidecar.ask("submit-check", LEFT.as_millis() as u64);
-    until("a connection is tried", || late.is_tried());
+    until("a connection is tried", || late.has_pending_connect());
     sidecar.signal("STOP");
     drop(held);
     // It comes up when the system tries it again, a second after the first time.
@@ -71,7 +73,7 @@
 /// there.
 #[test]
 fn a_connection_that_comes_up_behind_a_drain_carries_nothing_new() {
-    let (late, other) = (Node::new(), Node::new());
+    let (late, other) = (ScriptedServer::new(), ScriptedServer::new());
     let options = Options {
         edit: late_connections,
         ..Options::default()
@@ -79,14 +81,14 @@
     let sidecar = Sidecar::with(&[late.address()], options);
     let mut watch = sidecar.discovery.accept();
     assert!(watch.read().is_some());
-    let held = late.hold_connections();
+    let held = late.block_connections();
     let mut client = sidecar.ask("submit-check", 5_900);
-    until("a connection is tried", || late.is_tried());
+    until("a connection is tried", || late.has_pending_connect());
     let entries = [
         ("n0", late.address(), "terminating"),
         ("n1", other.address(), "in_service"),
     ];
-    watch.tell(&listing(42, true, &entries).to_string());
+    watch.write_watch_line(&listing(42, true, &entries).to_string());
     sidecar.serves(&[&other]);
     drop(held);
     serve_all(other);
@@ -100,7 +102,7 @@
 #[test]
 fn a_repeat_behind_a_late_connection_tells_no_more_time_than_is_left() {
     const LEFT_MS: u128 = 5_000;
-    let mut nodes = vec![Node::new(), Node::new()];
+    let mut nodes = vec![ScriptedServer::new(), ScriptedServer::new()];
     let addresses = [nodes[0].address(), nodes[1].address()];
     let sidecar = Sidecar::with(
         &addresses,
@@ -114,11 +116,13 @@
     let (first, mut conn) = accept_any(&[&nodes[0], &nodes[1]]);
     assert!(conn.read().is_some());
     let late = nodes.remove(1 - first);
-    let held = late.hold_connections();
+    let held = late.block_connections();
     // The connection is tried behind this, and comes up when the system tries it again, a second later.
     let came = asked.elapsed().as_millis() + 990;
     conn.reset();
-    until("the repeat's connection is tried", || late.is_tried());
+    until("the repeat's connection is tried", || {
+        late.has_pending_connect()
+    });
     drop(held);
     let mut conn = late.accept();
     let told = conn.read().expect("the repeat");
@@ -130,6 +134,6 @@
         told > 0 && told <= LEFT_MS - came,
         "{told} ms are told {came} ms behind the request"
     );
-    conn.answer("200 OK", "made");
+    conn.respond("200 OK", "made");
     assert_eq!(client.read().expect("an answer").status(), 200);
 }
--- a/crates/cli/tests/acceptance/uploads.rs
+++ b/crates/cli/tests/acceptance/uploads.rs
@@ -1,6 +1,6 @@
 //! A process that is told to stop while a client is still writing its request's body.
 
-use crate::rig::{Node, Sidecar, request, until};
+use crate::rig::{ScriptedServer, Sidecar, request, until};
 use rstest::rstest;
 use std::time::{Duration, Instant};
 
@@ -63,7 +63,7 @@
     #[case] length: usize,
 ) {
     const PIECES: usize = 8;
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let mut sidecar = Sidecar::start(&[node.address()]);
     let sent = body(length);
     let pieces: Vec<Vec<u8>> = sent
@@ -72,8 +72,8 @@
         .collect();
     let server = std::thread::spawn(move || {
         let mut conn = node.accept();
-        let message = conn.read_whole().expect("a request");
-        conn.answer("200 OK", "made");
+        let message = conn.read_complete().expect("a request");
+        conn.respond("200 OK", "made");
         // It stays open until the process ends: nothing but the process's own end closes it.
         assert!(conn.read().is_none(), "a second request came");
         message.body
@@ -123,7 +123,7 @@
 /// and the process ends in order before the platform would kill it. What has not come whole has run nowhere.
 #[test]
 fn an_upload_that_stands_still_under_a_sigterm_is_answered_and_does_not_hold_the_process() {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let mut sidecar = Sidecar::start(&[node.address()]);
     let mut client = sidecar.client();
     client.write(head(Framing::Length, 90_000));
--- a/crates/cli/tests/acceptance/watches.rs
+++ b/crates/cli/tests/acceptance/watches.rs
@@ -1,6 +1,6 @@
 //! Lists on a watch in every form that they may come in, and one that stops in its middle.
 
-use crate::rig::{Conn, Node, Sidecar, accept_any, listing};
+use crate::rig::{Conn, ScriptedServer, Sidecar, accept_any, listing};
 use rstest::rstest;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -14,7 +14,7 @@
 const SILENCE: Duration = Duration::from_secs(3);
 
 /// The next watch: its first line, and the head of its answer is written.
-fn watch(discovery: &Node) -> (Conn, String) {
+fn watch(discovery: &ScriptedServer) -> (Conn, String) {
     let mut conn = discovery.accept();
     let asked = conn.read().expect("a request").start;
     conn.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -26,7 +26,7 @@
 }
 
 /// Waits until requests reach this node, and the other not any more.
-fn settles_on(sidecar: &Sidecar, nodes: [&Node; 2], wanted: usize) {
+fn settles_on(sidecar: &Sidecar, nodes: [&ScriptedServer; 2], wanted: usize) {
     const IN_A_ROW: usize = 30;
     let mut in_a_row = 0;
     for _ in 0..400 {
@@ -82,8 +82,8 @@
 #[case::indented(Form::Indented)]
 #[case::bytes(Form::Bytes)]
 fn a_list_is_taken_in_every_form(#[case] form: Form) {
-    let nodes = [Node::new(), Node::new()];
-    let [first, second] = nodes.each_ref().map(Node::address);
+    let nodes = [ScriptedServer::new(), ScriptedServer::new()];
+    let [first, second] = nodes.each_ref().map(ScriptedServer::address);
     let both = [&nodes[0], &nodes[1]];
     let sidecar = Sidecar::start(&[first, second]);
     let (mut conn, _) = watch(&sidecar.discovery);
@@ -119,8 +119,8 @@
 fn a_watch_that_falls_silent_within_a_list_is_opened_anew_and_none_of_the_list_is_lost(
     #[case] indented: bool,
 ) {
-    let nodes = [Node::new(), Node::new()];
-    let [first, second] = nodes.each_ref().map(Node::address);
+    let nodes = [ScriptedServer::new(), ScriptedServer::new()];
+    let [first, second] = nodes.each_ref().map(ScriptedServer::address);
     let both = [&nodes[0], &nodes[1]];
     let sidecar = Sidecar::start(&[first, second]);
     let (mut old, asked) = watch(&sidecar.discovery);
@@ -156,8 +156,8 @@
 /// behind the other, and finds both. The line is taken whole, or the watch is opened anew and asks for it again.
 #[test]
 fn a_line_that_comes_with_the_time_out_of_its_watch_is_taken_whole_or_asked_for_again() {
-    let nodes = [Node::new(), Node::new()];
-    let [first, second] = nodes.each_ref().map(Node::address);
+    let nodes = [ScriptedServer::new(), ScriptedServer::new()];
+    let [first, second] = nodes.each_ref().map(ScriptedServer::address);
     let both = [&nodes[0], &nodes[1]];
     let sidecar = Sidecar::start(&[first, second]);
     let (mut old, asked) = watch(&sidecar.discovery);
@@ -181,8 +181,8 @@
 /// Pauses that are each shorter than the silence that ends a watch.
 #[test]
 fn a_list_that_comes_slowly_is_taken_whole_once_it_is() {
-    let nodes = [Node::new(), Node::new()];
-    let [first, second] = nodes.each_ref().map(Node::address);
+    let nodes = [ScriptedServer::new(), ScriptedServer::new()];
+    let [first, second] = nodes.each_ref().map(ScriptedServer::address);
     let both = [&nodes[0], &nodes[1]];
     let sidecar = Sidecar::start(&[first, second]);
     let (mut conn, _) = watch(&sidecar.discovery);
--- a/crates/cli/tests/alone/border.rs
+++ b/crates/cli/tests/alone/border.rs
@@ -1,6 +1,6 @@
 //! Where input arrives: what cannot be read is an error, and what fails for good costs no more than a look now and then.
 
-use crate::rig::{Node, Options, Sidecar, write_config};
+use crate::rig::{Options, ScriptedServer, Sidecar, write_config};
 use rstest::rstest;
 use std::ffi::OsStr;
 use std::net::TcpListener;
@@ -17,7 +17,7 @@
 #[case("RELAY_CONTROL")]
 #[case("RELAY_ACCEPT_FD")]
 fn a_variable_that_is_no_text_ends_the_start_with_its_name(#[case] variable: &str) {
-    let sidecar = Sidecar::start(&[Node::new().address()]);
+    let sidecar = Sidecar::start(&[ScriptedServer::new().address()]);
     let config = write_config(&sidecar.config.0);
     // One that starts all the same is ended by the tool, and so is the test.
     let mut command = Command::new("timeout");
@@ -54,7 +54,7 @@
 /// The platform holds the socket, and may have shut it down: then each look for a client fails at once.
 #[test]
 fn a_socket_that_fails_for_good_does_not_have_the_thread_to_itself() {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     let address = listener.local_addr().expect("it is bound");
     let shared = rustix::io::dup(&listener).expect("a descriptor is free");
--- a/crates/cli/tests/alone/log.rs
+++ b/crates/cli/tests/alone/log.rs
@@ -1,6 +1,8 @@
 //! The log under a flood: whoever reads it, slowly or not at all, the answers are the same.
 
-use crate::rig::{Conn, Node, Options, PATIENCE, Sidecar, request, serve, serve_all, until};
+use crate::rig::{
+    Conn, Options, PATIENCE, ScriptedServer, Sidecar, request, serve, serve_all, until,
+};
 use rstest::rstest;
 use std::io::{BufRead, BufReader};
 use std::net::TcpStream;
@@ -75,8 +77,8 @@
 #[case::unread(Errors::Unread)]
 #[case::closed(Errors::Closed)]
 fn a_flood_is_served_alike_whoever_reads_the_log(#[case] errors: Errors) {
-    let nodes = [Node::new(), Node::new()];
-    let addresses = nodes.each_ref().map(Node::address);
+    let nodes = [ScriptedServer::new(), ScriptedServer::new()];
+    let addresses = nodes.each_ref().map(ScriptedServer::address);
     for node in nodes {
         serve_all(node);
     }
@@ -132,7 +134,7 @@
 /// A line of a kind that comes for each request is told of, and does not crowd out what the regions do.
 #[test]
 fn in_a_flood_of_one_kind_the_rest_is_counted_and_region_moves_are_told() {
-    let (well, ill) = (Node::new(), Node::new());
+    let (well, ill) = (ScriptedServer::new(), ScriptedServer::new());
     let addresses = [well.address(), ill.address()];
     let slow = Arc::new(AtomicBool::new(false));
     let is_slow = Arc::clone(&slow);
@@ -142,7 +144,7 @@
         } else {
             0
         }));
-        conn.answer("200 OK", "made");
+        conn.respond("200 OK", "made");
         true
     });
     // An answer that breaks off when its head has gone on to the client: one line for each.
--- a/crates/cli/tests/alone/writes.rs
+++ b/crates/cli/tests/alone/writes.rs
@@ -1,7 +1,7 @@
 //! Writes counted over every layer: what one client means to have done arrives whole at servers at most so often, whoever
 //! tries again: the client with or without its mark, the module, or a connection that was closed while it lay idle.
 
-use crate::rig::{Conn, Message, Node, Sidecar, request_with, serve};
+use crate::rig::{Conn, Message, ScriptedServer, Sidecar, request_with, serve};
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -21,22 +21,22 @@
 /// Ends what arrived in one of eight ways. Whether the connection stays.
 fn end(way: u64, conn: &mut Conn) -> bool {
     match way {
-        0 => conn.answer("503 Busy\r\nX-Never-Ran: 1", ""),
-        1 => conn.answer("503 Busy\r\nX-Never-Ran: 1\r\nConnection: close", ""),
-        2 => conn.answer("500 Oops", ""),
+        0 => conn.respond("503 Busy\r\nX-Never-Ran: 1", ""),
+        1 => conn.respond("503 Busy\r\nX-Never-Ran: 1\r\nConnection: close", ""),
+        2 => conn.respond("500 Oops", ""),
         3 => return false,
         4 => conn.write("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"),
         5 => conn.write("no such thing\r\n\r\n"),
         // It says nothing for longer than the client waits.
         6 => std::thread::sleep(Duration::from_millis(500)),
         // It answers, and closes what the sidecar will keep as idle.
-        _ => conn.answer("200 OK", "made"),
+        _ => conn.respond("200 OK", "made"),
     }
     matches!(way, 0 | 2)
 }
 
 fn server(arrived: &Arc<Mutex<Arrived>>, ways: &'static [u64]) -> SocketAddr {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let address = node.address();
     let (arrived, next) = (Arc::clone(arrived), AtomicU64::new(0));
     serve(node, move |message: &Message, conn| {
@@ -56,7 +56,7 @@
 
 /// A server that takes connections and drops them at once.
 fn dropper() -> SocketAddr {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let address = node.address();
     std::thread::spawn(move || {
         loop {
--- a/crates/cli/tests/connections/servers.rs
+++ b/crates/cli/tests/connections/servers.rs
@@ -1,7 +1,7 @@
 //! Connections to servers that break, are closed, or never come to anything.
 
 use super::*;
-use rig::{Node, Sidecar};
+use rig::{ScriptedServer, Sidecar};
 use rstest::rstest;
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read};
@@ -130,7 +130,7 @@
 /// All connections break at one moment. The requests that come next are served over new ones, none of them twice.
 #[test]
 fn a_restart_of_every_server_at_once_costs_no_request_that_comes_after_it() {
-    let nodes = [Node::new(), Node::new()];
+    let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let sidecar = Sidecar::start(&[nodes[0].address(), nodes[1].address()]);
     const OPEN: usize = 20;
     let mut open: Vec<(Conn, Conn)> = Vec::new();
@@ -141,7 +141,7 @@
         open.push((client, conn));
     }
     for (client, conn) in &mut open {
-        conn.answer("200 OK", "made");
+        conn.respond("200 OK", "made");
         assert_eq!(client.read().expect("an answer").status(), 200);
     }
     std::thread::sleep(Duration::from_millis(200));
@@ -155,7 +155,7 @@
         .collect();
     for conn in &mut new {
         assert!(conn.read().is_some());
-        conn.answer("200 OK", "made");
+        conn.respond("200 OK", "made");
     }
     for client in &mut clients {
         assert_eq!(client.read().expect("an answer").status(), 200);
--- a/crates/cli/tests/descriptors/main.rs
+++ b/crates/cli/tests/descriptors/main.rs
@@ -5,7 +5,7 @@
 #[allow(dead_code, reason = "each test target uses a part of it")]
 mod rig;
 
-use rig::{Conn, Node, Options, Sidecar, listing};
+use rig::{Conn, Options, ScriptedServer, Sidecar, listing};
 use std::net::TcpStream;
 use std::os::fd::OwnedFd;
 use std::sync::Arc;
@@ -32,7 +32,7 @@
 /// server that was not known: it is reached, so is the server, and so is the sidecar by a client with a request.
 #[test]
 fn discovery_servers_and_a_new_client_are_reached_when_idle_clients_hold_all_descriptors() {
-    let (known, new) = (Node::new(), Node::new());
+    let (known, new) = (ScriptedServer::new(), ScriptedServer::new());
     let inherited: Vec<OwnedFd> = (0..INHERITED)
         .map(|_| rustix::io::dup(&known.0).expect("a descriptor is free"))
         .collect();
@@ -43,7 +43,7 @@
     };
     let mut sidecar = Sidecar::with(&[known.address()], options);
     drop(inherited);
-    let held = sidecar.discovery.hold_connections();
+    let held = sidecar.discovery.block_connections();
     let (over, address) = (Arc::new(AtomicBool::new(false)), sidecar.address);
     let told = Arc::clone(&over);
     let flood = std::thread::spawn(move || {
@@ -69,13 +69,13 @@
     let mut watch: Conn = std::iter::repeat_with(|| sidecar.discovery.accept())
         .find_map(|mut conn| conn.read().map(|_| conn))
         .expect("it goes on accepting");
-    watch.tell(&listing(50, true, &[("new", new.address(), "in_service")]).to_string());
+    watch.write_watch_line(&listing(50, true, &[("new", new.address(), "in_service")]).to_string());
     let mut client = sidecar.ask("recheck", 5_900);
     // One that came up as its time to was over carries nothing, and the next one has the request.
     let mut conn = std::iter::repeat_with(|| new.accept())
         .find_map(|mut conn| conn.read().map(|_| conn))
         .expect("it goes on accepting");
-    conn.answer("200 OK", "made");
+    conn.respond("200 OK", "made");
     assert_eq!(client.read().expect("an answer").status(), 200);
     over.store(true, Ordering::Relaxed);
     flood.join().expect("no panic");
--- a/crates/cli/tests/ledger/warm_start.rs
+++ b/crates/cli/tests/ledger/warm_start.rs
@@ -1,4 +1,4 @@
-use crate::rig::Node;
+use crate::rig::ScriptedServer;
 use crate::stand_ins::{Manner, Process, StandIn, host_route, listener, pool, submit};
 use crate::until;
 use rstest::rstest;
@@ -81,7 +81,7 @@
         StandIn::new("s2", Manner::Serves),
     );
     // Nobody answers there.
-    let discovery = Node::new();
+    let discovery = ScriptedServer::new();
     let with = |servers: &str| {
         let text = file(directory.path(), true, &[&one]);
         let (before, rest) = text.split_once("servers = ").expect("there");
--- a/crates/cli/tests/liveness/clients.rs
+++ b/crates/cli/tests/liveness/clients.rs
@@ -1,6 +1,6 @@
 //! Clients that read nothing, or write without end.
 
-use crate::rig::{Conn, Node, Sidecar, request, serve_all, until};
+use crate::rig::{Conn, ScriptedServer, Sidecar, request, serve_all, until};
 use crate::{
     CLASS, IN_TIME, WAITS_MS, is_at_rest, is_reached, others_are_served, start, until_within,
 };
@@ -19,7 +19,7 @@
 /// Writes pieces in a thread of its own, until there are so many or nobody reads any more.
 fn pour(mut conn: Conn, pieces: usize) -> JoinHandle<Conn> {
     std::thread::spawn(move || {
-        conn.pour(vec![b'x'; PIECE], pieces);
+        conn.write_repeatedly(vec![b'x'; PIECE], pieces);
         conn
     })
 }
@@ -35,17 +35,17 @@
 }
 
 /// A server that reads a request's beginning, and then as many pieces of its body as it is told to.
-fn takes_pieces(node: &Node, pieces: usize) -> Conn {
+fn takes_pieces(node: &ScriptedServer, pieces: usize) -> Conn {
     let mut conn = node.accept();
     while !conn.line().expect("a head").is_empty() {}
     let mut piece = vec![0; PIECE];
-    (0..pieces).for_each(|_| conn.fill(&mut piece));
+    (0..pieces).for_each(|_| conn.read_exact(&mut piece));
     conn
 }
 
 #[test]
 fn a_client_that_reads_nothing_of_its_answer_holds_up_nobody_else() {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let sidecar = start(&[&node]);
     let client = sidecar.ask(CLASS, WAITS_MS);
     let mut conn = node.accept();
@@ -56,7 +56,7 @@
     let writes = pour(conn, LONG_ANSWER / PIECE);
     serve_all(node);
     until("its answer lies unread", || {
-        client.unread_here() >= PIECE as u64
+        client.unread_incoming() >= PIECE as u64
     });
     is_reached(&sidecar);
     others_are_served(&sidecar);
@@ -70,13 +70,13 @@
 /// Its server takes some of the body and no more: the rest lies with the client.
 #[test]
 fn an_upload_that_its_server_does_not_take_holds_up_nobody_else() {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let sidecar = start(&[&node]);
     let writes = uploads(&sidecar);
     let conn = takes_pieces(&node, 4);
     serve_all(node);
     until("what it does not take lies unread", || {
-        conn.unread_here() >= PIECE as u64
+        conn.unread_incoming() >= PIECE as u64
     });
     is_reached(&sidecar);
     others_are_served(&sidecar);
@@ -90,12 +90,12 @@
 
 #[test]
 fn an_upload_as_fast_as_it_is_taken_holds_up_nobody_else() {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let sidecar = start(&[&node]);
     let writes = uploads(&sidecar);
     let mut conn = takes_pieces(&node, 4);
     serve_all(node);
-    let takes = std::thread::spawn(move || conn.skip());
+    let takes = std::thread::spawn(move || conn.drain());
     others_are_served(&sidecar);
     assert!(
         !writes.is_finished(),
@@ -109,19 +109,19 @@
 /// The same, once the process has told its clients to close. What others have asked for by then is answered.
 #[test]
 fn an_upload_that_goes_on_while_the_process_stops_holds_up_no_answer() {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let mut sidecar = start(&[&node]);
     let mut other = sidecar.ask(CLASS, WAITS_MS);
     let mut answers = node.accept();
     assert!(answers.read().is_some());
     let writes = uploads(&sidecar);
     let mut conn = takes_pieces(&node, 4);
-    let takes = std::thread::spawn(move || conn.skip());
+    let takes = std::thread::spawn(move || conn.drain());
     sidecar.signal("TERM");
     sidecar.wait_for("closed to new clients");
-    answers.answer("200 OK", "made");
+    answers.respond("200 OK", "made");
     until_within(IN_TIME, "a request that was open has its answer", || {
-        other.has_something()
+        other.is_readable()
     });
     assert_eq!(other.read().expect("an answer").status(), 200);
     drop(sidecar);
@@ -132,7 +132,7 @@
 /// Behind an answer that ends its connection: the lingering close reads what still comes, for a second and up to 1 MiB.
 #[test]
 fn clients_that_write_without_end_into_a_lingering_close_hold_up_nobody_else() {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let sidecar = start(&[&node]);
     serve_all(node);
     let begin = || {
--- a/crates/cli/tests/liveness/lists.rs
+++ b/crates/cli/tests/liveness/lists.rs
@@ -1,6 +1,6 @@
 //! A discovery that tells much at once.
 
-use crate::rig::{Node, listing, until};
+use crate::rig::{ScriptedServer, listing, until};
 use crate::{is_reached, start};
 use std::time::{Duration, Instant};
 
@@ -12,7 +12,7 @@
 
 #[test]
 fn many_changes_that_come_at_once_hold_up_no_request() {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let sidecar = start(&[&node]);
     let mut watch = sidecar.discovery.accept();
     assert!(watch.read().is_some());
@@ -21,8 +21,8 @@
         .iter()
         .map(|name| (name.as_str(), node.address(), "in_service"))
         .collect();
-    watch.tell(&listing(42, true, &entries).to_string());
-    until("the list is read", || watch.unread_there() == 0);
+    watch.write_watch_line(&listing(42, true, &entries).to_string());
+    until("the list is read", || watch.unread_outgoing() == 0);
     is_reached(&sidecar);
     let change = |number: u64| {
         let status = if number.is_multiple_of(2) {
@@ -34,9 +34,9 @@
     };
     let changes: Vec<String> = (0..CHANGES).map(change).collect();
     let began = Instant::now();
-    watch.tell(&changes.join("\n"));
+    watch.write_watch_line(&changes.join("\n"));
     let mut longest = Duration::ZERO;
-    while watch.unread_there() > 0 {
+    while watch.unread_outgoing() > 0 {
         let asked = Instant::now();
         is_reached(&sidecar);
         longest = longest.max(asked.elapsed());
--- a/crates/cli/tests/liveness/main.rs
+++ b/crates/cli/tests/liveness/main.rs
@@ -13,7 +13,7 @@
 mod lists;
 mod servers;
 
-use rig::{Conn, Node, Options, Sidecar, request, until};
+use rig::{Conn, Options, ScriptedServer, Sidecar, request, until};
 use std::time::{Duration, Instant};
 
 /// Requests on other connections have their answers within this, also on a machine whose cores are all busy.
@@ -28,7 +28,7 @@
 const WAITS_MS: u64 = 120_000;
 
 /// A process that opens no connections of its own accord: it probes no server. Its clients wait for long.
-fn start(nodes: &[&Node]) -> Sidecar {
+fn start(nodes: &[&ScriptedServer]) -> Sidecar {
     let addresses: Vec<_> = nodes.iter().map(|node| node.address()).collect();
     let edit = |config: &mut serde_json::Value| {
         let settings = &mut config["settings"];
@@ -60,7 +60,7 @@
         until_within(
             IN_TIME,
             &format!("request {number} of another client is answered"),
-            || client.has_something(),
+            || client.is_readable(),
         );
         let answer = client.read().expect("an answer");
         assert_eq!(
@@ -88,7 +88,7 @@
 /// the connection to the other between the looks at them.
 fn until_read(client: &Conn) {
     until("all that a client wrote is read", || {
-        client.unread_there() == 0 && client.unread_there() == 0
+        client.unread_outgoing() == 0 && client.unread_outgoing() == 0
     });
 }
 
@@ -99,7 +99,7 @@
         let mut client = sidecar.client();
         client.write("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n");
         until_within(IN_TIME, "the process says that it is ready", || {
-            client.has_something()
+            client.is_readable()
         });
         assert_eq!(client.read().expect("an answer").status(), 200);
     }
--- a/crates/cli/tests/liveness/servers.rs
+++ b/crates/cli/tests/liveness/servers.rs
@@ -1,6 +1,6 @@
 //! Servers that take nothing of what is sent to them.
 
-use crate::rig::{Conn, Node, Sidecar, serve_all, until};
+use crate::rig::{Conn, ScriptedServer, Sidecar, serve_all, until};
 use crate::{CLASS, WAITS_MS, is_at_rest, is_reached, others_are_served, start, until_read};
 use std::time::Duration;
 
@@ -38,16 +38,20 @@
 /// Long requests over one connection to a server that reads none of them and answers each, until one does not fit into
 /// what the system holds. The answer before it has filled the buffer that it was read into, so the connection is
 /// remembered as readable, and nothing more has come. With it comes the length that is not reached.
-fn stuck_behind_an_answer(sidecar: &Sidecar, node: &Node, client: &mut Conn) -> (Conn, u64) {
+fn stuck_behind_an_answer(
+    sidecar: &Sidecar,
+    node: &ScriptedServer,
+    client: &mut Conn,
+) -> (Conn, u64) {
     client.write(long_request(LONG));
     let mut conn = node.accept();
     for number in 1..=MOST {
         until("a long request is on its way", || {
-            conn.unread_here() > (number - 1) * LONG as u64
+            conn.unread_incoming() > (number - 1) * LONG as u64
         });
         until_read(client);
         is_reached(sidecar);
-        if conn.unread_here() < number * LONG as u64 {
+        if conn.unread_incoming() < number * LONG as u64 {
             return (conn, number * LONG as u64);
         }
         conn.write(answer_of(READ));
@@ -61,7 +65,7 @@
 
 #[test]
 fn a_server_that_takes_nothing_of_a_request_holds_up_nobody_else() {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let sidecar = start(&[&node]);
     let mut client = sidecar.client();
     let (conn, whole) = stuck_behind_an_answer(&sidecar, &node, &mut client);
@@ -70,7 +74,7 @@
     is_at_rest(&sidecar);
     others_are_served(&sidecar);
     assert!(
-        conn.unread_here() < whole && !client.has_something(),
+        conn.unread_incoming() < whole && !client.is_readable(),
         "its request is not stuck"
     );
     // Its connection breaks before its last byte: it is sent again, to where it is taken.
@@ -81,17 +85,18 @@
 /// A server that writes one byte of its answer after the other, each in a chunk of its own, to a client that reads all.
 #[test]
 fn an_answer_in_chunks_without_end_holds_up_nobody_else() {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let sidecar = start(&[&node]);
     let mut client = sidecar.ask(CLASS, WAITS_MS);
     let mut conn = node.accept();
     assert!(conn.read().is_some());
     conn.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-    let writes =
-        std::thread::spawn(move || conn.pour("1\r\nx\r\n".repeat(CHUNKS).into_bytes(), usize::MAX));
+    let writes = std::thread::spawn(move || {
+        conn.write_repeatedly("1\r\nx\r\n".repeat(CHUNKS).into_bytes(), usize::MAX)
+    });
     let mut some = vec![0; CHUNKS];
-    client.fill(&mut some);
-    let reads = std::thread::spawn(move || client.skip());
+    client.read_exact(&mut some);
+    let reads = std::thread::spawn(move || client.drain());
     serve_all(node);
     others_are_served(&sidecar);
     assert!(
@@ -106,7 +111,7 @@
 /// A server that says again and again that its answer is yet to come.
 #[test]
 fn interim_answers_without_end_hold_up_nobody_else() {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let sidecar = start(&[&node]);
     let client = sidecar.ask(CLASS, WAITS_MS);
     let mut conn = node.accept();
@@ -114,7 +119,7 @@
     let interim = "HTTP/1.1 102 Processing\r\n\r\n"
         .repeat(CHUNKS)
         .into_bytes();
-    let writes = std::thread::spawn(move || conn.pour(interim, usize::MAX));
+    let writes = std::thread::spawn(move || conn.write_repeatedly(interim, usize::MAX));
     serve_all(node);
     is_reached(&sidecar);
     others_are_served(&sidecar);
--- a/crates/cli/tests/operations/bodies.rs
+++ b/crates/cli/tests/operations/bodies.rs
@@ -1,7 +1,7 @@
 //! Bodies and answers of any length and framing.
 
 use super::asked;
-use crate::rig::{Conn, Node, request};
+use crate::rig::{Conn, ScriptedServer, request};
 use rstest::rstest;
 
 /// The head of a request whose body is to follow.
@@ -23,7 +23,7 @@
 
 #[test]
 fn a_chunked_body_with_extensions_and_trailers_in_single_bytes_arrives_whole() {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let sidecar = asked(&[&node]);
     let mut client = sidecar.client();
     let text = head("submit-check", "Transfer-Encoding: chunked")
@@ -33,13 +33,13 @@
     }
     let mut conn = node.accept();
     assert_eq!(conn.read().expect("a request").body, b"paper!");
-    conn.answer("200 OK", "made");
+    conn.respond("200 OK", "made");
     assert_eq!(client.read().expect("an answer").status(), 200);
 }
 
 #[test]
 fn a_client_that_waits_for_100_continue_is_told_to_go_on() {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let sidecar = asked(&[&node]);
     let mut client = sidecar.client();
     client.write(head(
@@ -50,7 +50,7 @@
     client.write("paper");
     let mut conn = node.accept();
     assert_eq!(conn.read().expect("a request").body, b"paper");
-    conn.answer("200 OK", "made");
+    conn.respond("200 OK", "made");
     assert_eq!(client.read().expect("an answer").status(), 200);
 }
 
@@ -61,7 +61,7 @@
 #[case::two_codings("Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked")]
 #[case::folded("X-A: 1\r\n 2\r\nContent-Length: 5")]
 fn what_two_readers_would_read_differently_goes_no_further(#[case] framing: &str) {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let sidecar = asked(&[&node]);
     let mut client = sidecar.client();
     // To a reader of chunks it is whole.
@@ -86,7 +86,7 @@
 fn a_long_body_goes_on_as_it_comes(#[case] chunked: bool) {
     const PIECE: usize = 1 << 18;
     const PIECES: usize = 12;
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let sidecar = asked(&[&node]);
     let mut client = sidecar.client();
     let framing = if chunked {
@@ -135,7 +135,7 @@
     let mut got = 0;
     let mut read = |conn: &mut Conn, size: usize| {
         let mut bytes = vec![0; size];
-        conn.fill(&mut bytes);
+        conn.read_exact(&mut bytes);
         for byte in bytes {
             assert_eq!(byte, b'a' + (got / PIECE) as u8, "at {got}");
             got += 1;
@@ -156,7 +156,7 @@
         read(&mut conn, PIECE * PIECES);
     }
     assert_eq!(got, PIECE * PIECES);
-    conn.answer("200 OK", "made");
+    conn.respond("200 OK", "made");
     assert_eq!(client.read().expect("an answer").status(), 200);
     // On a machine that is busy the next request would come late enough to go over this connection.
     drop(conn);
@@ -166,7 +166,7 @@
 /// Whoever reads on behind the error would find the end of the body there, and send half of it as the whole.
 #[test]
 fn a_long_body_that_breaks_off_is_never_sent_as_a_whole_one() {
-    let nodes = [Node::new(), Node::new()];
+    let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let sidecar = asked(&[&nodes[0], &nodes[1]]);
     let mut client = sidecar.client();
     let chunk = [
@@ -186,7 +186,7 @@
     for node in &nodes {
         while let Some(mut conn) = node.try_accept() {
             let mut got = Vec::new();
-            conn.rest(&mut got);
+            conn.read_to_end(&mut got);
             assert!(
                 !got.ends_with(b"0\r\n\r\n"),
                 "it was ended as if it were whole"
@@ -200,7 +200,7 @@
 #[case::length(false)]
 #[case::chunks(true)]
 fn a_long_answer_goes_on_as_it_comes_and_its_end_is_the_servers(#[case] chunked: bool) {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let sidecar = asked(&[&node]);
     for whole in [true, false] {
         let mut client = sidecar.ask("submit-check", 5000);
@@ -229,7 +229,7 @@
         if !whole {
             drop(conn);
             let mut rest = Vec::new();
-            client.rest(&mut rest);
+            client.read_to_end(&mut rest);
             assert!(
                 !rest.ends_with(b"0\r\n\r\n") && rest.len() < 200_000,
                 "it looks whole"
@@ -249,7 +249,7 @@
                 false => 200_000,
             };
             let mut bytes = vec![0; size];
-            client.fill(&mut bytes);
+            client.read_exact(&mut bytes);
             assert!(bytes.iter().all(|byte| *byte == b'x'));
             got += size;
             if chunked {
@@ -268,7 +268,7 @@
 #[test]
 fn many_long_answers_to_readers_that_have_stopped_are_held_by_a_buffer_each() {
     const MANY: usize = 40;
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let sidecar = asked(&[&node]);
     let mut stopped = Vec::new();
     for _ in 0..MANY {
@@ -276,7 +276,7 @@
         let mut conn = node.accept();
         assert!(conn.read().is_some());
         conn.write("HTTP/1.1 200 OK\r\nContent-Length: 33554432\r\n\r\n");
-        let writer = std::thread::spawn(move || conn.pour(vec![b'x'; 1 << 20], 32));
+        let writer = std::thread::spawn(move || conn.write_repeatedly(vec![b'x'; 1 << 20], 32));
         stopped.push((client, writer));
     }
     sidecar.serves(&[&node]);
--- a/crates/cli/tests/operations/calls.rs
+++ b/crates/cli/tests/operations/calls.rs
@@ -1,7 +1,7 @@
 //! The second address.
 
 use super::{asked, until};
-use crate::rig::{Node, Options, Sidecar, listing, request, write_config};
+use crate::rig::{Options, ScriptedServer, Sidecar, listing, request, write_config};
 use rstest::rstest;
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
@@ -9,7 +9,7 @@
 
 #[test]
 fn a_call_is_answered_by_one_line_and_the_end() {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let sidecar = asked(&[&node]);
     assert_eq!(sidecar.call("PING\n"), "ok\n");
     assert_eq!(sidecar.call("PING\r\n"), "ok\n");
@@ -29,7 +29,7 @@
 /// Dashboards and scripts read them by these names, in this order.
 #[test]
 fn the_figures_have_these_names() {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let sidecar = asked(&[&node]);
     let told = sidecar.call("INFO\n");
     let names: Vec<&str> = told
@@ -67,7 +67,7 @@
 #[test]
 fn each_figure_is_on_the_page_for_on_call_staff() {
     let page = include_str!("../../../../docs/on-call.md");
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let sidecar = asked(&[&node]);
     let told = sidecar.call("INFO\n");
     let names = told
@@ -93,7 +93,7 @@
 #[case::no_text("\0\u{1}\n")]
 #[case::long(&"PING ".repeat(100))]
 fn what_is_no_call_is_told_so_with_a_reason(#[case] line: &str) {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let sidecar = asked(&[&node]);
     let told = sidecar.call(line);
     assert!(
@@ -106,7 +106,7 @@
 /// Callers that say nothing, or half a line, and stay; more of them than there are places.
 #[test]
 fn a_call_is_answered_beside_two_hundred_callers_that_say_nothing() {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let sidecar = asked(&[&node]);
     let at = sidecar.control.expect("it has one");
     let idle: Vec<TcpStream> = (0..200)
@@ -133,7 +133,7 @@
 /// Clients that hold all that they may have, in a process that has no descriptor beyond its limit.
 #[test]
 fn a_call_is_answered_when_clients_hold_all_their_descriptors() {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let options = Options {
         control: true,
         sockets: 80,
@@ -153,7 +153,7 @@
 fn an_address_that_is_taken_ends_the_start_with_one_line() {
     let taken = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     let at = taken.local_addr().expect("it is bound").to_string();
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let sidecar = Sidecar::start(&[node.address()]);
     let config = sidecar
         .config
@@ -175,13 +175,13 @@
 /// Each request ends in one figure of its class, and what is open is counted by what is open.
 #[test]
 fn the_figures_are_those_that_clients_and_servers_count() {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let sidecar = asked(&[&node]);
     for status in ["200 OK", "200 OK", "500 Oops"] {
         let mut client = sidecar.ask("submit-check", 5000);
         let mut conn = node.accept();
         assert!(conn.read().is_some());
-        conn.answer(status, "made");
+        conn.respond(status, "made");
         let served = client.read().expect("an answer").status() == 200;
         assert_eq!(served, status.starts_with("200"));
         drop(conn);
@@ -221,7 +221,7 @@
 
 #[test]
 fn a_server_that_is_drained_is_listed_and_out_of_rotation() {
-    let nodes = [Node::new(), Node::new()];
+    let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let sidecar = asked(&[&nodes[0], &nodes[1]]);
     let mut watch = sidecar.discovery.accept();
     assert!(watch.read().is_some());
--- a/crates/cli/tests/operations/drain.rs
+++ b/crates/cli/tests/operations/drain.rs
@@ -1,11 +1,11 @@
 //! Draining a sidecar, and taking it back.
 
 use super::{answer, asked, ready, until};
-use crate::rig::{Node, request};
+use crate::rig::{ScriptedServer, request};
 
 #[test]
 fn a_drained_sidecar_serves_what_still_comes_ends_its_connections_and_comes_back() {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let sidecar = asked(&[&node]);
     let mut kept = sidecar.client();
     kept.write(request("recheck", 1900, ""));
@@ -39,7 +39,7 @@
     // Idle ones go; what is open is not cut off.
     assert!(idle.line().is_none());
     assert_eq!(sidecar.figure("app.open_requests"), 1);
-    slow.answer("200 OK", "made");
+    slow.respond("200 OK", "made");
     assert_eq!(open.read().expect("an answer").status(), 200);
     assert_eq!(sidecar.call("PING\n"), "ok\n");
 
@@ -57,7 +57,7 @@
 
 #[test]
 fn a_rejoin_without_a_drain_changes_nothing_and_a_stop_ends_a_drain() {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let mut sidecar = asked(&[&node]);
     assert_eq!(sidecar.call("REJOIN\n"), "ok\n");
     assert_eq!(ready(&sidecar), 200);
--- a/crates/cli/tests/operations/long_turns.rs
+++ b/crates/cli/tests/operations/long_turns.rs
@@ -2,7 +2,7 @@
 //! ended, and a count.
 
 use super::{asked, until};
-use crate::rig::{Node, Sidecar};
+use crate::rig::{ScriptedServer, Sidecar};
 use std::io::Write;
 use std::path::PathBuf;
 use std::process::Command;
@@ -25,7 +25,7 @@
 /// A call that blocks the one thread: nothing is served, and nothing in the loop could say so.
 #[test]
 fn a_turn_that_does_not_end_is_in_the_log_with_its_task_while_it_lasts() {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let mut sidecar = asked(&[&node]);
     let path = pipe_for_configuration(&sidecar);
     sidecar.signal("HUP");
@@ -54,7 +54,7 @@
 #[test]
 fn a_long_turn_is_in_the_log_and_in_the_figures_with_its_task() {
     const CLASSES: usize = 15_000;
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let mut sidecar = asked(&[&node]);
     assert_eq!(
         (
@@ -85,7 +85,7 @@
 /// Stopped while nothing ran: no task is to blame.
 #[test]
 fn a_process_that_was_stopped_is_not_told_to_have_been_busy() {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let sidecar = asked(&[&node]);
     sidecar.signal("STOP");
     std::thread::sleep(Duration::from_millis(2_500));
--- a/crates/cli/tests/operations/main.rs
+++ b/crates/cli/tests/operations/main.rs
@@ -15,10 +15,10 @@
 mod retune;
 mod upgrade;
 
-use rig::{Conn, Node, Options, Sidecar, until};
+use rig::{Conn, Options, ScriptedServer, Sidecar, until};
 
 /// A sidecar with a second address.
-fn asked(nodes: &[&Node]) -> Sidecar {
+fn asked(nodes: &[&ScriptedServer]) -> Sidecar {
     let addresses: Vec<_> = nodes.iter().map(|node| node.address()).collect();
     Sidecar::with(
         &addresses,
@@ -39,5 +39,5 @@
 /// Answers the next request that comes to the node, over a connection of its own or this one.
 fn answer(conn: &mut Conn, status: &str) {
     assert!(conn.read().is_some(), "no request came");
-    conn.answer(status, "made");
+    conn.respond(status, "made");
 }
--- a/crates/cli/tests/operations/retune.rs
+++ b/crates/cli/tests/operations/retune.rs
@@ -1,7 +1,7 @@
 //! New settings for a sidecar that serves.
 
 use super::{answer, asked, until};
-use crate::rig::{Node, accept_any, request, write_config};
+use crate::rig::{ScriptedServer, accept_any, request, write_config};
 use rstest::rstest;
 use std::io::{BufRead, BufReader, Write};
 use std::process::{Command, Stdio};
@@ -21,7 +21,7 @@
 /// The rule that an open request came under stays its rule; those that come later are under the new one.
 #[test]
 fn open_requests_keep_their_old_class_and_new_ones_are_under_the_new() {
-    let nodes = [Node::new(), Node::new()];
+    let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let sidecar = asked(&[&nodes[0], &nodes[1]]);
     let mut open = sidecar.ask("submit-check", 19_000);
     let (_, mut conn) = accept_any(&[&nodes[0], &nodes[1]]);
@@ -35,7 +35,7 @@
     });
     until("it is taken", || sidecar.figure("app.cfg_accepted") == 1);
     // Came under the rule that it must not run twice.
-    conn.answer("500 Oops", "");
+    conn.respond("500 Oops", "");
     assert_eq!(open.read().expect("an answer").status(), 502);
     // The sidecar keeps this connection, and once it has been idle for 20 ms the next request would go over it: here only
     // new connections are waited for.
@@ -57,7 +57,7 @@
 
 #[test]
 fn the_number_of_attempts_is_that_of_the_new_file() {
-    let nodes = [Node::new(), Node::new()];
+    let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let sidecar = asked(&[&nodes[0], &nodes[1]]);
     sidecar.reconfigure(|config| config.replace("\"max_attempts\":6", "\"max_attempts\":1"));
     until("it is taken", || sidecar.figure("app.cfg_accepted") == 1);
@@ -71,7 +71,7 @@
 /// Whoever starts it may send the signal at once: it must not end the program, and the newer file is taken.
 #[test]
 fn a_signal_that_comes_before_it_serves_does_not_end_it() {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let other = asked(&[&node]);
     let path = write_config("");
     std::fs::remove_file(&path).expect("it is there");
@@ -132,7 +132,7 @@
 #[case::attempts_no_number(|config: &str| config.replace("\"max_attempts\":6", "\"max_attempts\":null"))]
 #[case::a_class_twice(|config: &str| with_class(config, "recheck", "safe"))]
 fn a_broken_file_changes_nothing_and_is_counted(#[case] broken: impl Fn(&str) -> String) {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let sidecar = asked(&[&node]);
     // A class that is good, so that a file of which a part were taken would show.
     sidecar.reconfigure(|config| broken(&config.replace("\"submit-check\"", "\"other\"")));
--- a/crates/cli/tests/operations/upgrade.rs
+++ b/crates/cli/tests/operations/upgrade.rs
@@ -1,7 +1,7 @@
 //! Two processes that are one sidecar for a while: the clients' socket is held by whoever starts them.
 
 use super::{asked, until};
-use crate::rig::{Conn, Node, Options, Sidecar, request, serve_all};
+use crate::rig::{Conn, Options, ScriptedServer, Sidecar, request, serve_all};
 use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::os::fd::{AsRawFd, OwnedFd};
@@ -46,7 +46,7 @@
         let connect = || Conn::new(TcpStream::connect(at).expect("nobody is refused"));
         let (mut conn, mut served) = (connect(), 0);
         while !stop.load(Ordering::Relaxed) {
-            if conn.has_something() {
+            if conn.is_readable() {
                 conn = connect();
             }
             conn.write(request("submit-check", 5000, ""));
@@ -65,7 +65,7 @@
 #[test]
 fn clients_that_keep_their_connections_lose_nothing_while_two_upgrades_go_by() {
     let shared = Shared::new();
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let server = node.address();
     let mut present = shared.start(server);
     let (at, stop) = (shared.address, Arc::new(AtomicBool::new(false)));
@@ -98,7 +98,7 @@
 #[test]
 fn a_new_process_that_dies_at_once_is_not_noticed() {
     let shared = Shared::new();
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let old = shared.start(node.address());
     drop(shared.start(node.address()));
     old.serves(&[&node]);
@@ -106,7 +106,7 @@
 
 #[test]
 fn a_descriptor_that_is_no_such_socket_ends_the_start_with_one_line() {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let sidecar = asked(&[&node]);
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     let elsewhere = rustix::io::dup(&listener).expect("a descriptor is free");
--- a/crates/cli/tests/outputs/admin_view.rs
+++ b/crates/cli/tests/outputs/admin_view.rs
@@ -486,7 +486,7 @@
 /// The lines of INFO at the second address.
 #[test]
 fn the_figures_at_the_second_address_have_all_that_they_had() {
-    let node = crate::rig::Node::new();
+    let node = crate::rig::ScriptedServer::new();
     let options = crate::rig::Options {
         control: true,
         ..crate::rig::Options::default()
--- a/crates/cli/tests/services/operators.rs
+++ b/crates/cli/tests/services/operators.rs
@@ -1,6 +1,6 @@
 //! What operators see: the admin view, `status`, `check` and `route explain`.
 
-use crate::rig::{Node, Sidecar, write_config};
+use crate::rig::{ScriptedServer, Sidecar, write_config};
 use crate::stand_ins::*;
 use std::os::unix::fs::PermissionsExt;
 use std::path::Path;
@@ -173,7 +173,7 @@
         text(&done.stderr)
     );
 
-    let (node, extra) = (Node::new(), StandIn::new("s", Manner::Serves));
+    let (node, extra) = (ScriptedServer::new(), StandIn::new("s", Manner::Serves));
     // The configuration of the sidecar's own tests, taken from one that has ended: its discovery is gone.
     let config = Sidecar::start(&[node.address()]).config.0.clone();
     let config = write_config(&config);
@@ -202,6 +202,6 @@
         conn.read().expect("a request").header("x-trace-id"),
         Some("2")
     );
-    conn.answer("200 OK", "made");
+    conn.respond("200 OK", "made");
     assert_eq!(client.read().expect("an answer").body, b"made");
 }
--- a/crates/cli/tests/services/routing.rs
+++ b/crates/cli/tests/services/routing.rs
@@ -1,6 +1,6 @@
 //! A request is seen by servers of the pool that it is routed to, and by no other.
 
-use crate::rig::{Conn, Node, PATIENCE, listing};
+use crate::rig::{Conn, PATIENCE, ScriptedServer, listing};
 use crate::stand_ins::*;
 use rstest::rstest;
 use std::net::TcpStream;
@@ -170,7 +170,7 @@
 #[case::silent(false)]
 #[case::gone(true)]
 fn a_pool_whose_discovery_is_lost_leaves_the_others_alone(#[case] gone: bool) {
-    let discovery = Node::new();
+    let discovery = ScriptedServer::new();
     let address = discovery.address();
     let servers = [
         StandIn::new("a-one", Manner::Serves),
@@ -214,19 +214,23 @@
 /// Each pool follows a discovery of its own, and a new file may name another one.
 #[test]
 fn pools_follow_their_own_discoveries() {
-    let discoveries = [Node::new(), Node::new(), Node::new()];
+    let discoveries = [
+        ScriptedServer::new(),
+        ScriptedServer::new(),
+        ScriptedServer::new(),
+    ];
     let servers = [
         StandIn::new("s0", Manner::Serves),
         StandIn::new("s1", Manner::Serves),
     ];
-    let pool = |name: &str, discovery: &Node| {
+    let pool = |name: &str, discovery: &ScriptedServer| {
         format!(
             "[[pools]]\nname = \"{name}\"\ndiscovery = \"{}\"\n{}",
             discovery.address(),
             settings()
         )
     };
-    let file = |first: &Node| {
+    let file = |first: &ScriptedServer| {
         let pools = pool("a", first) + &pool("b", &discoveries[1]);
         [
             "version = 1\n",
@@ -238,7 +242,7 @@
         .concat()
     };
     let mut process = Process::start(&file(&discoveries[0]));
-    let watch = |discovery: &Node, after: u64, server: &StandIn| {
+    let watch = |discovery: &ScriptedServer, after: u64, server: &StandIn| {
         let mut conn = discovery.accept();
         let asked = conn.read().expect("a request").start;
         assert_eq!(
--- a/crates/cli/tests/sidecar/main.rs
+++ b/crates/cli/tests/sidecar/main.rs
@@ -8,7 +8,7 @@
 
 #[test]
 fn a_request_goes_on_unchanged_and_its_answer_comes_back_unchanged() {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let sidecar = Sidecar::start(&[node.address()]);
     let mut client = sidecar.client();
     client.write(request_with(
@@ -56,7 +56,7 @@
 /// Of these lines of a whole fleet it is counted what all instances did together.
 #[test]
 fn at_the_level_debug_each_attempt_and_connection_is_a_line_of_the_log() {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let options = Options {
         arguments: "--log-level debug",
         ..Options::default()
@@ -65,7 +65,7 @@
     let mut client = sidecar.ask("recheck", 1900);
     let mut conn = node.accept();
     assert!(conn.read().is_some());
-    conn.answer("200 OK", "made");
+    conn.respond("200 OK", "made");
     assert_eq!(client.read().expect("an answer").status(), 200);
     for line in ["request 1", "send 1", "open: up true", "ended 1: Ok"] {
         sidecar.wait_for(line);
@@ -118,8 +118,8 @@
     #[case] reply: &str,
     #[case] repeated: bool,
 ) {
-    let nodes = [Node::new(), Node::new()];
-    let sidecar = Sidecar::start(&nodes.each_ref().map(Node::address));
+    let nodes = [ScriptedServer::new(), ScriptedServer::new()];
+    let sidecar = Sidecar::start(&nodes.each_ref().map(ScriptedServer::address));
     let mut client = sidecar.ask(class, 5000);
     let (first, mut conn) = accept_any(&[&nodes[0], &nodes[1]]);
     assert!(conn.read().is_some());
@@ -128,7 +128,7 @@
     if repeated {
         let mut conn = nodes[1 - first].accept();
         assert!(conn.read().is_some());
-        conn.answer("200 OK", "made");
+        conn.respond("200 OK", "made");
     }
     let answer = client.read().expect("an answer");
     assert_eq!(answer.status(), if repeated { 200 } else { 502 });
@@ -142,7 +142,7 @@
 fn a_refused_connection_proves_that_nothing_ran() {
     // A port that nothing is given by chance: a freed one may soon be another test's.
     let gone = "127.0.0.1:1".parse().expect("an address");
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let sidecar = Sidecar::start(&[gone, node.address()]);
     // Whichever is tried first, the request ends at the one that is there.
     for _ in 0..8 {
@@ -156,7 +156,7 @@
 fn an_abandoned_attempt_closes_its_connection_and_nothing_is_sent_over_it_again(
     #[case] time_out: bool,
 ) {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let sidecar = Sidecar::start(&[node.address()]);
     let mut client = sidecar.ask("submit-check", if time_out { 300 } else { 6000 });
     let mut conn = node.accept();
@@ -171,7 +171,7 @@
 
 #[test]
 fn a_connection_that_the_node_has_closed_costs_no_request() {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let sidecar = Sidecar::start(&[node.address()]);
     for _ in 0..5 {
         // Each round ends with the node's close of a connection that lies idle.
@@ -236,7 +236,7 @@
     #[case] start: &str,
     #[case] headers: &str,
 ) {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let sidecar = Sidecar::start(&[node.address()]);
     let mut client = sidecar.client();
     client.write(format!("{start} HTTP/1.1\r\nHost: s\r\n{headers}\r\n"));
@@ -255,7 +255,7 @@
 #[case::half_a_head("POST /recheck HTTP/1.1\r\nHost: s\r\n")]
 #[case::idle("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n")]
 fn a_connection_with_no_request_open_is_closed_in_time(#[case] sent: &str) {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let sidecar = Sidecar::start(&[node.address()]);
     let mut open = sidecar.ask("submit-check", 19_000);
     let mut client = sidecar.client();
@@ -264,14 +264,14 @@
     // One that waits for its answer stays, however long that takes.
     let mut conn = node.accept();
     assert!(conn.read().is_some());
-    conn.answer("200 OK", "made");
+    conn.respond("200 OK", "made");
     assert_eq!(open.read().expect("an answer").status(), 200);
 }
 
 /// With one id, an answer could not be told from the other's.
 #[test]
 fn a_second_request_with_the_id_of_an_open_one_is_turned_away() {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let sidecar = Sidecar::start(&[node.address()]);
     let mut first = sidecar.client();
     first.write(request_with("9b1f03aa5c7e2d41", "submit-check", 5000, ""));
@@ -280,7 +280,7 @@
     let mut thief = sidecar.client();
     thief.write(request_with("9b1f03aa5c7e2d41", "submit-check", 5000, ""));
     assert_eq!(thief.read().expect("an answer").status(), 409);
-    conn.answer("200 OK", "made");
+    conn.respond("200 OK", "made");
     assert_eq!(first.read().expect("an answer").status(), 200);
     assert!(node.try_accept().is_none());
     sidecar.serves(&[&node]);
@@ -289,7 +289,7 @@
 /// Bodies of hundreds of requests at once were held without a bound.
 #[test]
 fn open_bodies_are_bounded_in_total_and_what_finds_no_room_is_passed_on() {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let sidecar = Sidecar::with(
         &[node.address()],
         Options {
@@ -318,7 +318,7 @@
     taken.push((passed, conn));
     for (client, conn) in &mut taken {
         assert_eq!(conn.read().expect("a request").body.len(), 65536);
-        conn.answer("200 OK", "made");
+        conn.respond("200 OK", "made");
         assert_eq!(client.read().expect("an answer").status(), 200);
     }
     sidecar.serves(&[&node]);
@@ -365,7 +365,7 @@
 }
 
 /// A watch that the test answers: its first line, and what it asked for.
-fn watch(discovery: &Node) -> (Conn, String) {
+fn watch(discovery: &ScriptedServer) -> (Conn, String) {
     let mut conn = discovery.accept();
     let asked = conn.read().expect("a request").start;
     conn.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -377,7 +377,7 @@
 }
 
 /// Waits until requests reach this node, and no other any more.
-fn settles_on(sidecar: &Sidecar, nodes: &[&Node], wanted: usize) {
+fn settles_on(sidecar: &Sidecar, nodes: &[&ScriptedServer], wanted: usize) {
     let mut in_a_row = 0;
     for _ in 0..400 {
         let mut client = sidecar.ask("recheck", 1900);
@@ -397,8 +397,8 @@
 
 #[test]
 fn the_watch_tells_what_changes_and_is_asked_again_from_where_it_broke() {
-    let nodes = [Node::new(), Node::new()];
-    let [first, second] = nodes.each_ref().map(Node::address);
+    let nodes = [ScriptedServer::new(), ScriptedServer::new()];
+    let [first, second] = nodes.each_ref().map(ScriptedServer::address);
     let sidecar = Sidecar::start(&[first, second]);
     let both = [&nodes[0], &nodes[1]];
     let (mut conn, asked) = watch(&sidecar.discovery);
@@ -446,7 +446,10 @@
 /// names the old one, and believes it though its version is lower; what it knew serves until then.
 #[test]
 fn on_sighup_it_follows_the_discovery_that_the_file_names() {
-    let (nodes, next) = ([Node::new(), Node::new()], Node::new());
+    let (nodes, next) = (
+        [ScriptedServer::new(), ScriptedServer::new()],
+        ScriptedServer::new(),
+    );
     let both = [&nodes[0], &nodes[1]];
     let mut sidecar = Sidecar::start(&[nodes[0].address()]);
     let (mut old, _) = watch(&sidecar.discovery);
@@ -471,7 +474,7 @@
 
 #[test]
 fn a_watch_that_falls_silent_is_asked_for_again_in_time() {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let sidecar = Sidecar::start(&[node.address()]);
     let (mut conn, _) = watch(&sidecar.discovery);
     tell(&mut conn, "");
@@ -485,7 +488,7 @@
 
 #[test]
 fn a_planned_stop_finishes_what_was_taken_and_still_answers_who_comes() {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let mut sidecar = Sidecar::start(&[node.address()]);
     let mut idle = sidecar.client();
     let mut early = sidecar.ask("submit-check", 5000);
@@ -499,7 +502,7 @@
     for _ in 0..2 {
         let mut conn = node.accept();
         assert!(conn.read().is_some());
-        conn.answer("200 OK", "made");
+        conn.respond("200 OK", "made");
     }
     for client in [&mut late, &mut idle] {
         let answer = client.read().expect("an answer");
@@ -510,7 +513,7 @@
     }
     // What was taken before is waited for.
     sidecar.wait_for("closed");
-    conn.answer("200 OK", "made");
+    conn.respond("200 OK", "made");
     assert_eq!(early.read().expect("an answer").status(), 200);
     assert_eq!(sidecar.child.wait().expect("it ends").code(), Some(0));
 }
@@ -519,7 +522,7 @@
 #[case::by_its_own_count(Options { sockets: 100, ..Options::default() })]
 #[case::by_the_system(Options { before: "ulimit -n 40", ..Options::default() })]
 fn clients_beyond_the_descriptors_are_served_all_the_same(#[case] options: Options) {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let sidecar = Sidecar::with(&[node.address()], options);
     // More connections than it can hold; each has been used, and lies idle until it is closed for others.
     let mut clients = Vec::new();
@@ -536,7 +539,7 @@
 /// over a new one was never read.
 #[test]
 fn in_a_crowd_of_connections_those_with_a_request_stay() {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let sidecar = Sidecar::with(
         &[node.address()],
         Options {
@@ -562,7 +565,7 @@
     for _ in 0..25 {
         let mut conn = node.accept();
         assert!(conn.read().is_some());
-        conn.answer("200 OK", "made");
+        conn.respond("200 OK", "made");
     }
     for client in &mut open {
         let answer = client.read().expect("an answer");
@@ -574,12 +577,12 @@
 #[case::named_as_in_the_settings("rif")]
 #[case::named_as_in_the_protocol("inflight")]
 fn where_it_may_ask_it_sends_to_the_node_that_holds_least(#[case] name: &str) {
-    let nodes = [Node::new(), Node::new()];
+    let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let options = Options {
         group_size: 16,
         ..Options::default()
     };
-    let sidecar = Sidecar::with(&nodes.each_ref().map(Node::address), options);
+    let sidecar = Sidecar::with(&nodes.each_ref().map(ScriptedServer::address), options);
     let both = [&nodes[0], &nodes[1]];
     for busy in [0, 1, 0, 1] {
         let mut client = sidecar.ask("submit-check", 5000);
@@ -591,7 +594,7 @@
                 "GET /status/load HTTP/1.1"
             );
             let held = if at == busy { 50 } else { 0 };
-            conn.answer("200 OK", &format!("TEXT {name}={held}, busy=0.5, novel=x"));
+            conn.respond("200 OK", &format!("TEXT {name}={held}, busy=0.5, novel=x"));
             if at != busy {
                 idle_conn = Some(conn);
             }
@@ -599,7 +602,7 @@
         // On a slow machine the probe's connection has not been quiet for long enough, and another one is opened.
         let (idle_node, mut conn) = (both[1 - busy], idle_conn.expect("both are asked"));
         let until = std::time::Instant::now() + rig::PATIENCE;
-        while !conn.has_something() {
+        while !conn.is_readable() {
             assert!(std::time::Instant::now() < until, "it is not sent");
             match idle_node.try_accept() {
                 Some(other) => conn = other,
@@ -612,14 +615,14 @@
                 .start
                 .starts_with("POST /submit-check")
         );
-        conn.answer("200 OK", "made");
+        conn.respond("200 OK", "made");
         assert_eq!(client.read().expect("an answer").status(), 200);
     }
 }
 
 #[test]
 fn it_is_ready_once_it_has_a_list() {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let sidecar = Sidecar::start(&[]);
     let ready = |sidecar: &Sidecar| {
         let mut client = sidecar.client();
@@ -642,7 +645,7 @@
 #[case::cut_off(false)]
 #[case::only_slow(true)]
 fn after_silence_the_idle_connections_to_a_node_are_not_trusted(#[case] heard: bool) {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let sidecar = Sidecar::start(&[node.address()]);
     let mut made: Vec<(Conn, Conn)> = Vec::new();
     for _ in 0..3 {
@@ -652,7 +655,7 @@
         made.push((client, conn));
     }
     for (client, conn) in &mut made {
-        conn.answer("200 OK", "made");
+        conn.respond("200 OK", "made");
         assert_eq!(client.read().expect("an answer").status(), 200);
     }
     // The connection used last is used first.
@@ -665,7 +668,7 @@
     if heard {
         let mut other = sidecar.ask("recheck", 1900);
         assert!(second.read().is_some());
-        second.answer("200 OK", "made");
+        second.respond("200 OK", "made");
         assert_eq!(other.read().expect("an answer").status(), 200);
     }
     assert_eq!(lost.read().expect("an answer").status(), 502);
@@ -677,7 +680,7 @@
         fresh.insert(node.accept())
     };
     assert!(conn.read().is_some());
-    conn.answer("200 OK", "made");
+    conn.respond("200 OK", "made");
     assert_eq!(client.read().expect("an answer").status(), 200);
     if !heard {
         assert!(oldest.read().is_none(), "an idle one is still open");
@@ -687,20 +690,20 @@
 /// Bytes that come a little behind an answer were taken for the answer to the next request.
 #[test]
 fn what_comes_behind_an_answer_is_no_answer_to_the_next_request() {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let sidecar = Sidecar::start(&[node.address()]);
     let mut client = sidecar.client();
     // The second one is there when the first is answered, so that it follows at once.
     client.write(request("recheck", 1900, "") + &request("recheck", 1900, ""));
     let mut first = node.accept();
     assert!(first.read().is_some());
-    first.answer("200 OK", "made");
+    first.respond("200 OK", "made");
     std::thread::sleep(std::time::Duration::from_millis(2));
-    first.answer("200 OK", "copy");
+    first.respond("200 OK", "copy");
     assert_eq!(client.read().expect("an answer").body, b"made");
     let mut second = node.accept();
     assert!(second.read().is_some());
-    second.answer("200 OK", "its own");
+    second.respond("200 OK", "its own");
     assert_eq!(client.read().expect("an answer").body, b"its own");
     assert!(
         first.read().is_none(),
@@ -711,13 +714,13 @@
 /// The address of a server that has gone may be given to a new one: what was open belongs to the old machine.
 #[test]
 fn a_new_server_at_an_old_address_gets_connections_of_its_own() {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let sidecar = Sidecar::start(&[node.address()]);
     let (mut watch, _) = watch(&sidecar.discovery);
     let mut client = sidecar.ask("recheck", 1900);
     let mut old = node.accept();
     assert!(old.read().is_some());
-    old.answer("200 OK", "made");
+    old.respond("200 OK", "made");
     assert_eq!(client.read().expect("an answer").status(), 200);
     let change = [
         ("n0", node.address(), "terminated"),
@@ -732,14 +735,14 @@
 /// then, but that was known only if the connection broke before the last byte was written.
 #[test]
 fn once_connections_break_a_break_before_the_last_byte_proves_that_nothing_ran() {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let sidecar = Sidecar::start(&[node.address()]);
     let (tell, told) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         loop {
             // Every other connection is reset at the first byte; the rest of the request is left unread.
             let mut broken = node.accept();
-            broken.byte();
+            broken.read_byte();
             drop(broken);
             tell.send("broke").expect("the test goes on");
             let mut conn = node.accept();
@@ -764,8 +767,8 @@
 /// An answer shorter than its head says, on a connection that stays open, took all the time that was left.
 #[test]
 fn an_answer_that_stops_halfway_is_given_up_early() {
-    let nodes = [Node::new(), Node::new()];
-    let sidecar = Sidecar::start(&nodes.each_ref().map(Node::address));
+    let nodes = [ScriptedServer::new(), ScriptedServer::new()];
+    let sidecar = Sidecar::start(&nodes.each_ref().map(ScriptedServer::address));
     let mut client = sidecar.ask("recheck", 1_900_000);
     let (first, mut conn) = accept_any(&[&nodes[0], &nodes[1]]);
     assert!(conn.read().is_some());
@@ -773,13 +776,13 @@
     let mut other = nodes[1 - first].accept();
     assert!(conn.read().is_none(), "its connection is still open");
     assert!(other.read().is_some());
-    other.answer("200 OK", "made");
+    other.respond("200 OK", "made");
     assert_eq!(client.read().expect("an answer").body, b"made");
 }
 
 #[test]
 fn a_connection_is_dropped_before_the_node_would_close_it_as_idle() {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let options = Options {
         conn_idle_ms: 250,
         ..Options::default()
@@ -788,7 +791,7 @@
     let mut client = sidecar.ask("recheck", 1900);
     let mut conn = node.accept();
     assert!(conn.read().is_some());
-    conn.answer("200 OK", "made");
+    conn.respond("200 OK", "made");
     assert_eq!(client.read().expect("an answer").status(), 200);
     std::thread::sleep(std::time::Duration::from_millis(250));
     // It still stands open at the node's end, yet the next request takes a new one.
@@ -800,7 +803,7 @@
 /// attempt called off, and a node that hangs would never be held to fail.
 #[test]
 fn a_node_that_hangs_is_ejected_for_its_time_outs() {
-    let node = Node::new();
+    let node = ScriptedServer::new();
     let mut sidecar = Sidecar::start(&[node.address()]);
     let mut silent = Vec::new();
     for _ in 0..6 {
--- a/crates/cli/tests/sidecar/rig.rs
+++ b/crates/cli/tests/sidecar/rig.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-pub const PATIENCE: Duration = STEP;
+pub const PATIENCE: Duration = STEP_TIMEOUT;
 
 /// Settings of a small site, as a configuration holds them. Instances that are many may probe.
 fn settings(group_size: u32, conn_idle_ms: u64) -> serde_json::Value {
@@ -68,7 +68,7 @@
     /// Its second address, if it has one.
     pub control: Option<SocketAddr>,
     pub errors: BufReader<ChildStderr>,
-    pub discovery: Node,
+    pub discovery: ScriptedServer,
     /// The configuration that it was started with, and the file of it.
     pub config: (String, PathBuf),
 }
@@ -114,7 +114,7 @@
     }
 
     pub fn with(nodes: &[SocketAddr], options: Options) -> Self {
-        let discovery = Node::new();
+        let discovery = ScriptedServer::new();
         let names: Vec<String> = (0..nodes.len()).map(|at| format!("n{at}")).collect();
         let entries: Vec<_> = names
             .iter()
@@ -241,11 +241,11 @@
     }
 
     /// Whether a request is served by the node that is next to get one.
-    pub fn serves(&self, nodes: &[&Node]) {
+    pub fn serves(&self, nodes: &[&ScriptedServer]) {
         let mut client = self.ask("recheck", 1900);
         let (_, mut conn) = accept_any(nodes);
         assert!(conn.read().is_some());
-        conn.answer("200 OK", "made");
+        conn.respond("200 OK", "made");
         let answer = client.read().expect("an answer");
         assert_eq!((answer.status(), &answer.body[..]), (200, &b"made"[..]));
     }
--- a/crates/fault-testing/src/peer.rs
+++ b/crates/fault-testing/src/peer.rs
@@ -1,5 +1,5 @@
 //! Scripted peers: clients and servers whose every byte the test writes and reads itself. Every wait is for something to
-//! happen; [`STEP`] only ends a test in which it never does.
+//! happen; [`STEP_TIMEOUT`] only ends a test in which it never does.
 
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -8,18 +8,18 @@
 use std::time::{Duration, Instant};
 
 /// The longest wait for one thing to happen.
-pub const STEP: Duration = Duration::from_secs(20);
+pub const STEP_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A listener whose connections the test takes when it wants them.
-pub struct Node(pub TcpListener);
+pub struct ScriptedServer(pub TcpListener);
 
-impl Default for Node {
+impl Default for ScriptedServer {
     fn default() -> Self {
-        Node::new()
+        ScriptedServer::new()
     }
 }
 
-impl Node {
+impl ScriptedServer {
     /// One at an address that nothing else in this test process has or had.
     ///
     /// # Panics
@@ -27,7 +27,7 @@
     pub fn new() -> Self {
         let listener = crate::unique_listener();
         listener.set_nonblocking(true).expect("it may not block");
-        Node(listener)
+        ScriptedServer(listener)
     }
 
     /// Where it listens.
@@ -53,7 +53,7 @@
     /// The next connection, once there is one.
     ///
     /// # Panics
-    /// None comes within [`STEP`].
+    /// None comes within [`STEP_TIMEOUT`].
     pub fn accept(&self) -> Conn {
         accept_any(&[self]).1
     }
@@ -62,7 +62,7 @@
     ///
     /// # Panics
     /// The system does not tell of its connections.
-    pub fn is_tried(&self) -> bool {
+    pub fn has_pending_connect(&self) -> bool {
         const SYN_SENT: &str = "02";
         let own = as_listed(self.address());
         let all =
@@ -78,7 +78,7 @@
     ///
     /// # Panics
     /// It can't be filled.
-    pub fn hold_connections(&self) -> BlockedConnections {
+    pub fn block_connections(&self) -> BlockedConnections {
         rustix::net::listen(&self.0, 0).expect("it listens already");
         let mut filling = Vec::new();
         while let Ok(stream) =
@@ -92,7 +92,7 @@
     }
 }
 
-/// Connections to a [`Node`] do not come up for as long as this is there.
+/// Connections to a [`ScriptedServer`] do not come up for as long as this is there.
 pub struct BlockedConnections {
     filling: Vec<TcpStream>,
     own: TcpListener,
@@ -118,9 +118,9 @@
 /// The first connection to come to any of these, and to which.
 ///
 /// # Panics
-/// None comes within [`STEP`].
-pub fn accept_any(nodes: &[&Node]) -> (usize, Conn) {
-    let until = Instant::now() + STEP;
+/// None comes within [`STEP_TIMEOUT`].
+pub fn accept_any(nodes: &[&ScriptedServer]) -> (usize, Conn) {
+    let until = Instant::now() + STEP_TIMEOUT;
     while Instant::now() < until {
         if let Some(found) = nodes
             .iter()
@@ -136,7 +136,10 @@
 
 /// A server whose every connection is served by a thread of its own, which writes what it wants and ends the connection by
 /// returning false.
-pub fn serve(node: Node, each: impl Fn(&Message, &mut Conn) -> bool + Send + Sync + 'static) {
+pub fn serve(
+    node: ScriptedServer,
+    each: impl Fn(&Message, &mut Conn) -> bool + Send + Sync + 'static,
+) {
     let each = Arc::new(each);
     std::thread::spawn(move || {
         loop {
@@ -153,9 +156,9 @@
 }
 
 /// A server that answers all that comes.
-pub fn serve_all(node: Node) {
+pub fn serve_all(node: ScriptedServer) {
     serve(node, |_, conn| {
-        conn.answer("200 OK", "made");
+        conn.respond("200 OK", "made");
         true
     });
 }
@@ -196,13 +199,15 @@
 }
 
 impl Conn {
-    /// One end, whose reads end after [`STEP`].
+    /// One end, whose reads end after [`STEP_TIMEOUT`].
     ///
     /// # Panics
     /// The system refuses that.
     pub fn new(stream: TcpStream) -> Self {
         stream.set_nonblocking(false).expect("it may block");
-        stream.set_read_timeout(Some(STEP)).expect("reads end");
+        stream
+            .set_read_timeout(Some(STEP_TIMEOUT))
+            .expect("reads end");
         Conn(BufReader::new(stream), false)
     }
 
@@ -258,7 +263,7 @@
     ///
     /// # Panics
     /// What comes is no message.
-    pub fn read_whole(&mut self) -> Option<Message> {
+    pub fn read_complete(&mut self) -> Option<Message> {
         let mut message = self.read()?;
         if message.header("transfer-encoding") == Some("chunked") {
             while self.chunk(&mut message.body)? {}
@@ -280,7 +285,7 @@
     ///
     /// # Panics
     /// The system refuses to say.
-    pub fn has_something(&mut self) -> bool {
+    pub fn is_readable(&mut self) -> bool {
         let stream = self.0.get_ref();
         stream.set_nonblocking(true).expect("it need not block");
         let blocks = matches!(stream.peek(&mut [0]), Err(e) if e.kind() == ErrorKind::WouldBlock);
@@ -292,7 +297,7 @@
     ///
     /// # Panics
     /// The connection has gone, or the system does not tell of its connections.
-    pub fn unread_here(&self) -> u64 {
+    pub fn unread_incoming(&self) -> u64 {
         let (own, other) = self.ends();
         unread(other, own)
     }
@@ -300,8 +305,8 @@
     /// How many bytes this side has written and the other has not read.
     ///
     /// # Panics
-    /// As [`Conn::unread_here`].
-    pub fn unread_there(&self) -> u64 {
+    /// As [`Conn::unread_incoming`].
+    pub fn unread_outgoing(&self) -> u64 {
         let (own, other) = self.ends();
         unread(own, other)
     }
@@ -319,7 +324,7 @@
     ///
     /// # Panics
     /// None comes.
-    pub fn byte(&mut self) {
+    pub fn read_byte(&mut self) {
         self.0.get_mut().read_exact(&mut [0]).expect("a byte");
     }
 
@@ -327,17 +332,17 @@
     ///
     /// # Panics
     /// They do not come.
-    pub fn fill(&mut self, bytes: &mut [u8]) {
+    pub fn read_exact(&mut self, bytes: &mut [u8]) {
         self.0.read_exact(bytes).expect("they come");
     }
 
     /// Reads to the end of the connection, however it ends.
-    pub fn rest(&mut self, to: &mut Vec<u8>) {
+    pub fn read_to_end(&mut self, to: &mut Vec<u8>) {
         let _ = self.0.read_to_end(to);
     }
 
     /// Reads to the end of the connection, however it ends, and keeps nothing of it.
-    pub fn skip(&mut self) {
+    pub fn drain(&mut self) {
         let _ = std::io::copy(&mut self.0, &mut std::io::sink());
     }
 
@@ -362,7 +367,7 @@
     }
 
     /// Writes the same again and again, until nobody reads any more.
-    pub fn pour(&mut self, bytes: Vec<u8>, times: usize) {
+    pub fn write_repeatedly(&mut self, bytes: Vec<u8>, times: usize) {
         for _ in 0..times {
             if self.0.get_mut().write_all(&bytes).is_err() {
                 return;
@@ -388,7 +393,7 @@
     ///
     /// # Panics
     /// The other side has gone.
-    pub fn tell(&mut self, line: &str) {
+    pub fn write_watch_line(&mut self, line: &str) {
         if !std::mem::replace(&mut self.1, true) {
             self.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         }
@@ -399,7 +404,7 @@
     ///
     /// # Panics
     /// The other side has gone.
-    pub fn answer(&mut self, status: &str, body: &str) {
+    pub fn respond(&mut self, status: &str, body: &str) {
         self.write(format!(
             "HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
--- a/crates/fault-testing/tests/unique_addresses.rs
+++ b/crates/fault-testing/tests/unique_addresses.rs
@@ -14,7 +14,7 @@
 #[test]
 fn no_peer_listens_where_a_former_one_did() {
     let given: HashSet<_> = (0..600)
-        .map(|_| madderloom_fault_testing::peer::Node::new().address())
+        .map(|_| madderloom_fault_testing::peer::ScriptedServer::new().address())
         .collect();
     assert_eq!(given.len(), 600);
 }
