--- a/crates/watchdog/src/lib.rs
+++ b/crates/watchdog/src/lib.rs
@@ -1,23 +1,23 @@
-//! Watchdog of a single-threaded event loop: it warns of every turn that takes [`LONG_POLL`] or more.
+//! Watchdog for a single-threaded event loop. It logs a warning for every poll of a task that takes [`LONG_POLL`] or more.
 //!
-//! A turn is one poll of one task. While it lasts nothing else on the thread runs, so a task that never awaits stops the
-//! whole process without a line in the log. The watchdog names that task.
+//! Nothing else on the thread runs during a poll, so a task that never awaits blocks the whole process without a line in
+//! the log. The watchdog names that task.
 //!
-//! Two mechanisms together, because neither sees everything:
+//! Two mechanisms work together because neither detects everything:
 //!
-//! - **In the loop.** [`watch`] wraps a task and reads the monotonic clock before and after each poll. Every long turn is
-//!   found, with its exact length, but only once it has ended. The hooks of the runtime around a poll would do the same;
-//!   they are unstable, and know a task by its number only.
-//! - **Beside the loop.** A thread looks every [`CHECK_INTERVAL`] at what the loop has marked as running, and reports a turn that
-//!   goes on: at the first look, and again whenever it has lasted twice as long. The loop pays one atomic store for the mark.
-//!   The period is far longer than [`LONG_POLL`] because the shorter ones are found in the loop, and an idle process is to
-//!   wake up seldom.
+//! - **In the event loop.** [`watch`] wraps a task and reads the monotonic clock before and after each poll. It finds every
+//!   long poll with its exact duration, but only after the poll has ended. The runtime's poll hooks would do the same, but
+//!   they are unstable and identify a task only by its number.
+//! - **On a separate thread.** A thread checks every [`CHECK_INTERVAL`] which poll the event loop has marked as running, and
+//!   reports a long one at the first check and again whenever its duration has doubled. The mark costs the event loop one
+//!   atomic store. The interval is much longer than [`LONG_POLL`] because the event loop finds shorter polls itself and an
+//!   idle process should wake up rarely.
 //!
-//! Each report gives the elapsed time and the processor time of the process meanwhile. A turn that used the processor is
-//! *busy*. One that hardly did is *stalled*: the process was stopped, got no processor, or a call blocked. The two are
-//! logged and counted apart, so that a stopped process is not taken for one that loops.
+//! Each report contains the elapsed time and the CPU time that the process used meanwhile. A long poll that used the CPU is
+//! *busy*. One that hardly used it is *stalled*: the process was stopped, got no CPU time, or a call blocked. The two are
+//! logged and counted separately, so that a stopped process is not mistaken for one that loops.
 //!
-//! The watchdog belongs to the thread that [`start`]ed it. On a thread without one, [`spawn`] and [`watch`] add nothing.
+//! The watchdog belongs to the thread that called [`start`]. On a thread without one, [`spawn`] and [`watch`] add nothing.
 
 mod monitor;
 mod report;
@@ -36,33 +36,32 @@
 use std::time::Duration;
 use tokio::task::JoinHandle;
 
-/// A turn that lasts so long or longer is warned of. No task has any business near it: a usual turn takes microseconds,
-/// and clients wait out whatever holds the thread.
+/// A poll of at least this duration is reported. A usual poll takes microseconds, and all clients wait while one runs.
 pub const LONG_POLL: Duration = Duration::from_millis(100);
 
-/// Between two looks of the thread beside the loop.
+/// Interval between two checks of the watchdog thread.
 pub const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 thread_local! {
     static MONITOR: RefCell<Option<Arc<Monitor>>> = const { RefCell::new(None) };
 }
 
-/// The watchdog of this thread's event loop; it ends when this is dropped.
-#[must_use = "the watchdog ends when this is dropped"]
+/// The watchdog of this thread's event loop. Dropping it stops the watchdog.
+#[must_use = "dropping this stops the watchdog"]
 pub struct Watchdog {
     _watcher: Option<watcher::Watcher>,
 }
 
-/// Starts the watchdog of this thread's event loop. Tasks that were spawned before are not watched.
+/// Starts the watchdog of this thread's event loop. Tasks spawned earlier are not watched.
 ///
-/// Where its thread cannot be started, only turns that end are reported, and the log says so.
+/// If the watchdog thread cannot be started, this logs a warning, and only polls that end are reported.
 pub fn start() -> Watchdog {
     let monitor = Arc::new(Monitor::new());
     MONITOR.set(Some(Arc::clone(&monitor)));
     let watcher = watcher::Watcher::start(monitor);
-    if let Err(problem) = &watcher {
+    if let Err(error) = &watcher {
         tracing::warn!(
-            "watchdog: its thread cannot be started, turns that never end go unseen: {problem}"
+            "watchdog: failed to start its thread; polls that never end will not be reported: {error}"
         );
     }
     Watchdog {
@@ -76,10 +75,10 @@
     }
 }
 
-/// Spawns a watched task in the present local set.
+/// Spawns a watched task on the current `LocalSet`.
 ///
 /// # Panics
-/// Outside a local set.
+/// If called outside a `LocalSet`.
 pub fn spawn<F>(task: impl Into<Task>, future: F) -> JoinHandle<F::Output>
 where
     F: Future + 'static,
@@ -88,7 +87,7 @@
     tokio::task::spawn_local(watch(task.into(), future))
 }
 
-/// Has each poll of a future reported that is a long turn. To be used on what is spawned as a task, not within one.
+/// Wraps a future so that its long polls are reported. For futures that are spawned as a task, not for use inside a task.
 pub fn watch<F: Future>(task: Task, future: F) -> impl Future<Output = F::Output> {
     let monitor = MONITOR.with_borrow(Clone::clone);
     async move {
@@ -97,7 +96,7 @@
             None => future.await,
             Some(monitor) => {
                 poll_fn(|context| {
-                    let _turn = monitor.begin_turn(task);
+                    let _poll = monitor.begin_poll(task);
                     future.as_mut().poll(context)
                 })
                 .await
@@ -106,7 +105,7 @@
     }
 }
 
-/// What this thread's watchdog has counted; zeros where there is none.
+/// The long polls that this thread's watchdog has counted; zeros if the thread has no watchdog.
 pub fn counts() -> LongPollCounts {
     MONITOR.with_borrow(|monitor| {
         monitor
--- a/crates/watchdog/src/monitor.rs
+++ b/crates/watchdog/src/monitor.rs
@@ -1,114 +1,114 @@
-//! What the loop marks and measures, and what the thread beside it reads.
+//! State that the event loop writes and the watchdog thread reads.
 
 use crate::LONG_POLL;
-use crate::report::{self, Cause, Spent};
-use crate::task::{Mark, Task};
+use crate::report::{self, Cause, PollTime};
+use crate::task::{PollMark, Task};
 use rustix::time::{ClockId, clock_gettime};
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::time::{Duration, Instant};
 
-/// The processor time at the beginning of a turn is known to so many milliseconds: to read it is a system call, which
-/// not every turn is to pay.
-const SAMPLE_EVERY_MS: u64 = 10;
+/// Minimum time between two samples of the CPU time. Reading it is a system call, which would be too expensive before
+/// every poll.
+const CPU_SAMPLE_INTERVAL_MS: u64 = 10;
 
-/// Long turns since the watchdog was started. One that goes on is counted from its first report on.
+/// Long polls since the watchdog was started. A running poll is counted when it is first reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LongPollCounts {
-    /// Those that used the processor.
+    /// Long polls that used the CPU.
     pub busy: u64,
-    /// Those that hardly did.
+    /// Long polls that hardly used the CPU.
     pub stalled: u64,
 }
 
-/// State shared by the loop and the thread beside it. Each value is read for itself, and one that is a moment old does no harm:
-/// no ordering between them is needed.
+/// State shared by the event loop and the watchdog thread. Each value is read independently and may be slightly stale, so
+/// relaxed ordering suffices.
 pub(crate) struct Monitor {
     start: Instant,
-    /// The turn that goes on, as a [`Mark`]. Written by the loop.
+    /// The running poll as a [`PollMark`]. Written by the event loop.
     running: AtomicU64,
-    /// When the processor time was last read before a turn, in milliseconds, and what it was, in microseconds. Written by
-    /// the loop.
+    /// When the CPU time was last sampled before a poll, in milliseconds since `start`. Written by the event loop.
     sampled_ms: AtomicU64,
-    processor_us: AtomicU64,
-    /// The last turn that was counted, as a [`Mark`]. Written by both, by a swap.
-    counted: AtomicU64,
+    /// CPU time of the process at that sample, in microseconds. Written by the event loop.
+    sampled_cpu_us: AtomicU64,
+    /// The last counted poll as a [`PollMark`]. Both threads write it with a swap.
+    last_counted: AtomicU64,
     busy: AtomicU64,
     stalled: AtomicU64,
 }
 
-/// A turn that goes on; it ends when this is dropped, also by a panic of its task.
-pub(crate) struct Turn<'a> {
+/// A running poll. It ends when this is dropped, also if the task panics.
+pub(crate) struct RunningPoll<'a> {
     monitor: &'a Monitor,
     task: Task,
-    mark: Mark,
-    began: Instant,
+    mark: PollMark,
+    started_at: Instant,
 }
 
 impl Monitor {
     pub(crate) fn new() -> Self {
         Monitor {
             start: Instant::now(),
-            running: AtomicU64::new(Mark::IDLE.word()),
+            running: AtomicU64::new(PollMark::IDLE.word()),
             sampled_ms: AtomicU64::new(0),
-            processor_us: AtomicU64::new(processor_us()),
-            counted: AtomicU64::new(Mark::IDLE.word()),
+            sampled_cpu_us: AtomicU64::new(cpu_time_us()),
+            last_counted: AtomicU64::new(PollMark::IDLE.word()),
             busy: AtomicU64::new(0),
             stalled: AtomicU64::new(0),
         }
     }
 
-    /// Marks a task as running until the turn is dropped. Turns do not nest.
+    /// Marks a task as running until the returned guard is dropped. Polls do not nest.
     #[inline]
-    pub(crate) fn begin_turn(&self, task: Task) -> Turn<'_> {
-        let began = Instant::now();
-        let began_ms = millis(began.duration_since(self.start));
-        if began_ms >= self.sampled_ms.load(Relaxed) + SAMPLE_EVERY_MS {
-            self.sample(began_ms);
+    pub(crate) fn begin_poll(&self, task: Task) -> RunningPoll<'_> {
+        let started_at = Instant::now();
+        let started_ms = millis(started_at.duration_since(self.start));
+        if started_ms >= self.sampled_ms.load(Relaxed) + CPU_SAMPLE_INTERVAL_MS {
+            self.sample_cpu_time(started_ms);
         }
-        let mark = Mark::new(task, began_ms);
+        let mark = PollMark::new(task, started_ms);
         self.running.store(mark.word(), Relaxed);
-        Turn {
+        RunningPoll {
             monitor: self,
             task,
             mark,
-            began,
+            started_at,
         }
     }
 
     #[cold]
-    fn sample(&self, now_ms: u64) {
-        self.processor_us.store(processor_us(), Relaxed);
+    fn sample_cpu_time(&self, now_ms: u64) {
+        self.sampled_cpu_us.store(cpu_time_us(), Relaxed);
         self.sampled_ms.store(now_ms, Relaxed);
     }
 
-    /// Processor time of the process since shortly before the present turn.
-    fn processor(&self) -> Duration {
-        Duration::from_micros(processor_us().saturating_sub(self.processor_us.load(Relaxed)))
+    /// CPU time used by the process since the last sample, which was taken shortly before the current poll.
+    fn cpu_time_since_sample(&self) -> Duration {
+        Duration::from_micros(cpu_time_us().saturating_sub(self.sampled_cpu_us.load(Relaxed)))
     }
 
-    /// The turn that goes on and is long, with what it has taken so far.
-    pub(crate) fn long_turn(&self) -> Option<(Mark, Task, Spent)> {
-        let mark = Mark::from_word(self.running.load(Relaxed));
-        let (task, began_ms) = mark.turn()?;
+    /// The running poll with its time so far, if it is long.
+    pub(crate) fn running_long_poll(&self) -> Option<(PollMark, Task, PollTime)> {
+        let mark = PollMark::from_word(self.running.load(Relaxed));
+        let (task, started_ms) = mark.task_and_start()?;
         let elapsed = self
             .start
             .elapsed()
-            .saturating_sub(Duration::from_millis(began_ms));
-        let spent = Spent {
+            .saturating_sub(Duration::from_millis(started_ms));
+        let usage = PollTime {
             elapsed,
-            processor: self.processor(),
+            cpu: self.cpu_time_since_sample(),
         };
-        // It may have ended meanwhile, and the processor time be that of another.
-        let goes_on = self.running.load(Relaxed) == mark.word();
-        (elapsed >= LONG_POLL && goes_on).then_some((mark, task, spent))
+        // If the poll has ended meanwhile, the CPU time may belong to another poll.
+        let still_running = self.running.load(Relaxed) == mark.word();
+        (elapsed >= LONG_POLL && still_running).then_some((mark, task, usage))
     }
 
-    /// Counts a long turn once, whoever comes first with it.
-    pub(crate) fn count(&self, mark: Mark, spent: Spent) {
-        if self.counted.swap(mark.word(), Relaxed) == mark.word() {
+    /// Counts a long poll once, whichever thread reports it first.
+    pub(crate) fn count(&self, mark: PollMark, usage: PollTime) {
+        if self.last_counted.swap(mark.word(), Relaxed) == mark.word() {
             return;
         }
-        let counter = match Cause::from_cpu_time(spent.processor) {
+        let counter = match Cause::from_cpu_time(usage.cpu) {
             Cause::Busy => &self.busy,
             Cause::Stalled => &self.stalled,
         };
@@ -123,29 +123,29 @@
     }
 
     #[cold]
-    fn long_turn_ended(&self, turn: &Turn<'_>, elapsed: Duration) {
-        let spent = Spent {
+    fn record_finished_long_poll(&self, poll: &RunningPoll<'_>, elapsed: Duration) {
+        let usage = PollTime {
             elapsed,
-            processor: self.processor(),
+            cpu: self.cpu_time_since_sample(),
         };
-        self.count(turn.mark, spent);
-        report::ended(turn.task, spent);
+        self.count(poll.mark, usage);
+        report::warn_finished(poll.task, usage);
     }
 }
 
-impl Drop for Turn<'_> {
+impl Drop for RunningPoll<'_> {
     #[inline]
     fn drop(&mut self) {
-        self.monitor.running.store(Mark::IDLE.word(), Relaxed);
-        let elapsed = self.began.elapsed();
+        self.monitor.running.store(PollMark::IDLE.word(), Relaxed);
+        let elapsed = self.started_at.elapsed();
         if elapsed >= LONG_POLL {
-            self.monitor.long_turn_ended(self, elapsed);
+            self.monitor.record_finished_long_poll(self, elapsed);
         }
     }
 }
 
-/// Processor time of the process so far, in microseconds.
-fn processor_us() -> u64 {
+/// CPU time of the process so far, in microseconds.
+fn cpu_time_us() -> u64 {
     let time = clock_gettime(ClockId::ProcessCPUTime);
     let [seconds, nanos] = [time.tv_sec, time.tv_nsec].map(|part| u64::try_from(part).unwrap_or(0));
     seconds * 1_000_000 + nanos / 1_000
--- a/crates/watchdog/src/report.rs
+++ b/crates/watchdog/src/report.rs
@@ -1,48 +1,48 @@
-//! What is said of a long turn, and which of the two kinds it is.
+//! Warnings about long polls, and the classification of their cause.
 
 use crate::{LONG_POLL, Task};
 use std::fmt;
 use std::time::Duration;
 
-/// Processor time from which on a long turn counts as busy.
-const BUSY: Duration = LONG_POLL.checked_div(2).unwrap();
+/// A long poll with at least this much CPU time counts as busy.
+const MIN_BUSY_CPU_TIME: Duration = LONG_POLL.checked_div(2).unwrap();
 
-/// Why a turn took long.
+/// Why a poll took long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// It used the processor: a loop that does not await, or work that should be done in pieces.
+    /// It used the CPU: a loop that does not await, or work that should be split.
     Busy,
-    /// It hardly used the processor: the process was stopped, got no processor, or a call blocked.
+    /// It hardly used the CPU: the process was stopped, got no CPU time, or a call blocked.
     Stalled,
 }
 
-/// How long a turn lasted, or has lasted so far.
+/// Duration of a poll, complete or so far.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Spent {
-    /// By the monotonic clock.
+pub(crate) struct PollTime {
+    /// Elapsed time by the monotonic clock.
     pub(crate) elapsed: Duration,
-    /// Processor time of the whole process meanwhile.
-    pub(crate) processor: Duration,
+    /// CPU time of the whole process meanwhile.
+    pub(crate) cpu: Duration,
 }
 
-impl Spent {
-    /// Both in seconds.
+impl PollTime {
+    /// Elapsed time and CPU time, both in seconds.
     fn seconds(&self) -> (f64, f64) {
-        (self.elapsed.as_secs_f64(), self.processor.as_secs_f64())
+        (self.elapsed.as_secs_f64(), self.cpu.as_secs_f64())
     }
 }
 
 impl Cause {
-    /// By the processor time that the process used in a long turn.
-    pub fn from_cpu_time(processor: Duration) -> Self {
-        if processor >= BUSY {
+    /// Classifies a long poll by the CPU time that the process used during it.
+    pub fn from_cpu_time(cpu: Duration) -> Self {
+        if cpu >= MIN_BUSY_CPU_TIME {
             Cause::Busy
         } else {
             Cause::Stalled
         }
     }
 
-    fn explained(self) -> &'static str {
+    fn explanation(self) -> &'static str {
         match self {
             Cause::Busy => "it used the processor without awaiting",
             Cause::Stalled => "the process was stopped or got no processor, or a call blocked",
@@ -50,44 +50,44 @@
     }
 }
 
-/// Warns of a turn that has ended.
+/// Logs a warning about a long poll that has ended.
 #[cold]
-pub(crate) fn ended(task: Task, spent: Spent) {
-    let (seconds, used) = spent.seconds();
+pub(crate) fn warn_finished(task: Task, usage: PollTime) {
+    let (elapsed, cpu) = usage.seconds();
     warn(
         task,
-        spent,
-        format_args!("a turn of {task} took {seconds:.3} s (processor time {used:.3} s)"),
+        usage,
+        format_args!("a turn of {task} took {elapsed:.3} s (processor time {cpu:.3} s)"),
     );
 }
 
-/// Warns of a turn that goes on.
+/// Logs a warning about a long poll that is still running.
 #[cold]
-pub(crate) fn running(task: Task, spent: Spent) {
-    let (seconds, used) = spent.seconds();
+pub(crate) fn warn_running(task: Task, usage: PollTime) {
+    let (elapsed, cpu) = usage.seconds();
     warn(
         task,
-        spent,
+        usage,
         format_args!(
-            "held by {task} for {seconds:.3} s so far (processor time {used:.3} s), nothing else is served"
+            "held by {task} for {elapsed:.3} s so far (processor time {cpu:.3} s), nothing else is served"
         ),
     );
 }
 
-fn warn(task: Task, spent: Spent, event: fmt::Arguments<'_>) {
-    let cause = Cause::from_cpu_time(spent.processor);
+fn warn(task: Task, usage: PollTime, event: fmt::Arguments<'_>) {
+    let cause = Cause::from_cpu_time(usage.cpu);
     tracing::warn!(
         %task,
         ?cause,
-        elapsed_ms = millis(spent.elapsed),
-        processor_ms = millis(spent.processor),
+        elapsed_ms = millis(usage.elapsed),
+        processor_ms = millis(usage.cpu),
         "event loop: {event}: {}",
-        cause.explained(),
+        cause.explanation(),
     );
 }
 
-fn millis(span: Duration) -> u64 {
-    u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
+fn millis(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
 #[cfg(test)]
@@ -95,7 +95,7 @@
     use super::*;
 
     #[test]
-    fn a_turn_is_busy_from_half_of_the_bound_of_processor_time_on() {
+    fn a_long_poll_is_busy_if_its_cpu_time_is_at_least_half_the_threshold() {
         assert_eq!(Cause::from_cpu_time(Duration::ZERO), Cause::Stalled);
         assert_eq!(
             Cause::from_cpu_time(Duration::from_millis(49)),
--- a/crates/watchdog/src/task.rs
+++ b/crates/watchdog/src/task.rs
@@ -1,4 +1,4 @@
-//! What a watched task is, as it is named in the log, and as the mark that is shared between threads.
+//! Identity of a watched task: its name in the log and the mark shared between threads.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
         impl TaskKind {
             const ALL: &[TaskKind] = &[$(TaskKind::$kind),*];
 
-            /// Its name in the log.
+            /// Name in the log.
             pub fn name(self) -> &'static str {
                 match self {
                     $(TaskKind::$kind => $name,)*
@@ -27,64 +27,64 @@
 }
 
 task_kinds! {
-    /// A listener takes clients.
+    /// Accepts client connections on a listener.
     AcceptLoop = "accept loop",
-    /// A client's connection, with the requests on it and their attempts at servers.
+    /// Serves a client connection, with its requests and their attempts.
     ClientConnection = "client connection",
-    /// The rest of a request body is read whose answer has been given.
+    /// Reads the rest of a request body after the response was sent.
     BodyDrain = "drain of a request body",
-    /// The timer wheel of the process.
+    /// Runs the timer wheel of the process.
     Timers = "timers",
-    /// What is looked after every second.
+    /// Housekeeping that runs every second.
     Maintenance = "upkeep",
-    /// Tasks are released in the order of the fair queue.
+    /// Runs tasks in the order of the fair queue.
     FairQueue = "fair queue",
-    /// The watch of discovery's list of servers.
+    /// Watches discovery's server list.
     DiscoveryWatch = "discovery watch",
-    /// The connection to discovery.
+    /// Drives the connection to discovery.
     DiscoveryConnection = "discovery connection",
-    /// A server is asked for its load.
+    /// Probes a server's load.
     LoadProbe = "load probe",
-    /// Conditions of reduced service levels are checked.
+    /// Checks the conditions of the degradation levels.
     DegradationLevels = "service levels",
-    /// The process drains.
+    /// Drains the process.
     Drain = "drain",
-    /// A pool that is no longer configured finishes what it has.
+    /// Drains a pool that is no longer configured.
     PoolRemoval = "removal of a pool",
-    /// The files are read again.
+    /// Reloads the configuration files.
     Reload = "reload",
-    /// The start and the stop of the process.
+    /// Starts and stops the process.
     Lifecycle = "start and stop",
-    /// Persisted state is written.
+    /// Writes persisted state.
     PersistedState = "persisted state",
-    /// The snapshot for a warm start is written.
+    /// Writes the snapshot for a warm start.
     WarmStartSnapshot = "snapshot for a warm start",
-    /// The admin view takes readers.
+    /// Accepts connections to the admin view.
     AdminListener = "admin listener",
-    /// A reader of the admin view.
+    /// Serves a connection to the admin view.
     AdminConnection = "admin connection",
-    /// The second address takes callers.
+    /// Accepts connections to the control address.
     ControlListener = "control listener",
-    /// A caller at the second address.
+    /// Serves a connection to the control address.
     ControlConnection = "control connection",
-    /// The link to the agent.
+    /// Maintains the link to the agent.
     AgentLink = "agent link",
-    /// One message to the agent, or its stream of orders.
+    /// Sends one message to the agent, or reads its stream of orders.
     AgentCall = "agent call",
-    /// The agent's state machines.
+    /// Runs the agent's state machines.
     AgentCore = "agent core",
-    /// An instance's or an operator's connection to the agent.
+    /// Serves an instance's or an operator's connection to the agent.
     AgentConnection = "agent connection",
-    /// Keys and certificates are looked at for changes.
+    /// Checks keys and certificates for changes.
     KeyFiles = "key files",
 }
 
-/// A task: its kind, and the port of the peer that it serves where there is one.
+/// A task: its kind and, if it serves a peer, the port of that peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Task {
-    /// What it does.
+    /// What the task does.
     pub kind: TaskKind,
-    /// The port at the peer's end of its connection.
+    /// Port at the peer's end of the connection.
     pub peer_port: Option<u16>,
 }
 
@@ -108,38 +108,38 @@
 }
 
 impl fmt::Display for Task {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        to.write_str(self.kind.name())?;
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(self.kind.name())?;
         self.peer_port
-            .map_or(Ok(()), |port| write!(to, " (peer port {port})"))
+            .map_or(Ok(()), |port| write!(f, " (peer port {port})"))
     }
 }
 
-/// A turn in one word, so that another thread reads it whole: the time of its beginning in milliseconds, the peer's port, and
-/// the kind of the task counted from 1. Zero stands for no turn.
+/// A running poll packed into one word, so that another thread reads it atomically: the start time in milliseconds (high
+/// 40 bits), the peer's port (16 bits), and the task kind counted from 1 (8 bits). Zero means that no poll is running.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Mark(u64);
+pub(crate) struct PollMark(u64);
 
-impl Mark {
-    pub(crate) const IDLE: Mark = Mark(0);
+impl PollMark {
+    pub(crate) const IDLE: PollMark = PollMark(0);
 
-    pub(crate) fn new(task: Task, began_ms: u64) -> Self {
+    pub(crate) fn new(task: Task, started_ms: u64) -> Self {
         let port = u64::from(task.peer_port.unwrap_or(0));
-        Mark(began_ms << 24 | port << 8 | (task.kind as u64 + 1))
+        PollMark(started_ms << 24 | port << 8 | (task.kind as u64 + 1))
     }
 
     pub(crate) fn from_word(word: u64) -> Self {
-        Mark(word)
+        PollMark(word)
     }
 
     pub(crate) fn word(self) -> u64 {
         self.0
     }
 
-    /// The task and when its turn began, in milliseconds; none where nothing runs.
-    pub(crate) fn turn(self) -> Option<(Task, u64)> {
-        let place = usize::try_from(self.0 & 0xff).ok()?.checked_sub(1)?;
-        let kind = *TaskKind::ALL.get(place)?;
+    /// The task and the start time of its poll in milliseconds; none if no poll is running.
+    pub(crate) fn task_and_start(self) -> Option<(Task, u64)> {
+        let index = usize::try_from(self.0 & 0xff).ok()?.checked_sub(1)?;
+        let kind = *TaskKind::ALL.get(index)?;
         let port = (self.0 >> 8 & 0xffff) as u16;
         Some((
             Task {
@@ -156,19 +156,22 @@
     use super::*;
 
     #[test]
-    fn a_mark_gives_back_the_task_and_the_time_that_it_was_made_of() {
+    fn a_mark_round_trips_its_task_and_start_time() {
         for kind in TaskKind::ALL {
             for peer_port in [None, Some(1), Some(u16::MAX)] {
-                for began in [0, 1, 1 << 39] {
+                for started_ms in [0, 1, 1 << 39] {
                     let task = Task {
                         kind: *kind,
                         peer_port,
                     };
-                    assert_eq!(Mark::new(task, began).turn(), Some((task, began)));
-                    assert_ne!(Mark::new(task, began), Mark::IDLE);
+                    assert_eq!(
+                        PollMark::new(task, started_ms).task_and_start(),
+                        Some((task, started_ms))
+                    );
+                    assert_ne!(PollMark::new(task, started_ms), PollMark::IDLE);
                 }
             }
         }
-        assert_eq!(Mark::IDLE.turn(), None);
+        assert_eq!(PollMark::IDLE.task_and_start(), None);
     }
 }
--- a/crates/watchdog/src/watcher.rs
+++ b/crates/watchdog/src/watcher.rs
@@ -1,59 +1,61 @@
-//! The thread beside the loop: it reports turns that do not end.
+//! The watchdog thread, which reports polls that do not end.
 
 use crate::CHECK_INTERVAL;
 use crate::monitor::Monitor;
 use crate::report;
-use crate::task::Mark;
+use crate::task::PollMark;
 use std::io;
 use std::sync::Arc;
 use std::sync::mpsc::{RecvTimeoutError, Sender, channel};
 use std::time::Duration;
 
-/// The thread at work; it ends soon after this is dropped.
+/// Handle of the watchdog thread, which exits soon after this is dropped.
 pub(crate) struct Watcher {
-    /// The thread waits for its other end, and nothing is ever sent.
-    _alive: Sender<()>,
+    /// The thread exits once this is dropped; nothing is ever sent.
+    _shutdown: Sender<()>,
 }
 
-/// The turn that was last reported, and how long it is to last until it is reported again.
-struct Reported {
-    mark: Mark,
-    again_at: Duration,
+/// The last reported poll and the duration at which it is reported again.
+struct LastReport {
+    mark: PollMark,
+    next_report_at: Duration,
 }
 
 impl Watcher {
     pub(crate) fn start(monitor: Arc<Monitor>) -> io::Result<Self> {
-        let (alive, ended) = channel::<()>();
-        let look_on = move || {
-            let mut reported = Reported {
-                mark: Mark::IDLE,
-                again_at: Duration::ZERO,
+        let (shutdown, stopped) = channel::<()>();
+        let run = move || {
+            let mut last_report = LastReport {
+                mark: PollMark::IDLE,
+                next_report_at: Duration::ZERO,
             };
-            while let Err(RecvTimeoutError::Timeout) = ended.recv_timeout(CHECK_INTERVAL) {
-                reported.look(&monitor);
+            while let Err(RecvTimeoutError::Timeout) = stopped.recv_timeout(CHECK_INTERVAL) {
+                last_report.check(&monitor);
             }
         };
         std::thread::Builder::new()
             .name("watchdog".to_string())
-            .spawn(look_on)?;
-        Ok(Watcher { _alive: alive })
+            .spawn(run)?;
+        Ok(Watcher {
+            _shutdown: shutdown,
+        })
     }
 }
 
-impl Reported {
-    /// Reports a turn that goes on: when it is first seen, and each time that it has lasted twice as long.
-    fn look(&mut self, monitor: &Monitor) {
-        let Some((mark, task, spent)) = monitor.long_turn() else {
+impl LastReport {
+    /// Reports a running long poll when it is first seen and each time its duration has doubled.
+    fn check(&mut self, monitor: &Monitor) {
+        let Some((mark, task, usage)) = monitor.running_long_poll() else {
             return;
         };
-        if self.mark == mark && spent.elapsed < self.again_at {
+        if self.mark == mark && usage.elapsed < self.next_report_at {
             return;
         }
-        *self = Reported {
+        *self = LastReport {
             mark,
-            again_at: 2 * spent.elapsed,
+            next_report_at: 2 * usage.elapsed,
         };
-        monitor.count(mark, spent);
-        report::running(task, spent);
+        monitor.count(mark, usage);
+        report::warn_running(task, usage);
     }
 }
--- a/crates/watchdog/tests/long_turns_are_reported.rs
+++ b/crates/watchdog/tests/long_polls.rs
@@ -1,7 +1,7 @@
-//! A turn that holds the event loop for too long is reported with its task, while it lasts and once it has ended, and
+//! A poll that blocks the event loop for too long is reported with its task, both while it runs and after it ends, and is
 //! counted once.
 //!
-//! Nothing here waits for a time and hopes: a task goes on until the report is there, or has used what it is to use.
+//! The tests do not rely on fixed waits: a task runs until the report is logged or until it has used the required CPU time.
 
 use madderloom_watchdog::{self as watchdog, CHECK_INTERVAL, LONG_POLL, LongPollCounts, TaskKind};
 use rustix::time::{ClockId, clock_gettime};
@@ -11,14 +11,14 @@
 use std::time::{Duration, Instant};
 use tokio::task::{JoinHandle, LocalSet, yield_now};
 
-/// Whatever has not happened by then never will.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Timeout after which a test fails.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// The log of all tests of this file.
+/// The log of all tests in this file.
 static LOG: Mutex<Vec<u8>> = Mutex::new(Vec::new());
 
-/// The processor time of the process is measured, so one test runs at a time.
-static ALONE: Mutex<()> = Mutex::new(());
+/// Serializes the tests, because they measure the CPU time of the whole process.
+static TEST_LOCK: Mutex<()> = Mutex::new(());
 
 struct Log;
 
@@ -35,7 +35,7 @@
     }
 }
 
-/// The lines that hold this text.
+/// The logged lines that contain this text.
 fn logged(text: &str) -> Vec<String> {
     let log = LOG.lock().unwrap_or_else(PoisonError::into_inner);
     String::from_utf8_lossy(&log)
@@ -45,7 +45,7 @@
         .collect()
 }
 
-/// The number behind this in a line.
+/// The number that follows this field name in a line.
 fn field(line: &str, name: &str) -> u64 {
     let number = line.split_once(name).map_or("", |(_, rest)| rest);
     number
@@ -56,53 +56,53 @@
         .unwrap_or_else(|_| panic!("no {name} in {line}"))
 }
 
-/// Runs a test's tasks on a loop of their own that is watched.
-fn watched<T>(test: impl Future<Output = T>) -> T {
-    static LOGGED: Once = Once::new();
-    LOGGED.call_once(|| {
+/// Runs a test's tasks on a watched event loop of their own.
+fn run_watched<T>(test: impl Future<Output = T>) -> T {
+    static LOGGER: Once = Once::new();
+    LOGGER.call_once(|| {
         tracing_subscriber::fmt()
             .with_writer(|| Log)
             .with_ansi(false)
             .init()
     });
-    let _alone: MutexGuard<()> = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
+    let _test_lock: MutexGuard<()> = TEST_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .build()
-        .expect("a runtime");
+        .expect("the runtime starts");
     let _watchdog = watchdog::start();
     LocalSet::new().block_on(&runtime, test)
 }
 
-/// Holds the thread until something holds. It uses the processor all the time.
-fn spin_until(what: &str, mut holds: impl FnMut() -> bool) {
-    let began = Instant::now();
-    while !holds() {
-        assert!(began.elapsed() < PATIENCE, "never: {what}");
+/// Blocks the thread, using the CPU, until the condition is true.
+fn spin_until(awaited: &str, mut condition: impl FnMut() -> bool) {
+    let started_at = Instant::now();
+    while !condition() {
+        assert!(started_at.elapsed() < TIMEOUT, "timed out: {awaited}");
         std::hint::spin_loop();
     }
 }
 
-/// Processor time of the process.
-fn processor() -> Duration {
+/// CPU time of the process.
+fn cpu_time() -> Duration {
     let time = clock_gettime(ClockId::ProcessCPUTime);
     Duration::new(time.tv_sec as u64, time.tv_nsec as u32)
 }
 
-/// Holds the thread until this processor time has been used, however little the machine has to give.
-fn spin_for(span: Duration) {
-    let began = processor();
-    spin_until("the processor time", || processor() - began >= span);
+/// Blocks the thread until the process has used this much CPU time, however busy the machine is.
+fn spin_for(cpu: Duration) {
+    let used_before = cpu_time();
+    spin_until("the CPU time", || cpu_time() - used_before >= cpu);
 }
 
-async fn ends(task: JoinHandle<()>) {
-    task.await.expect("it ends without a panic");
+async fn join(task: JoinHandle<()>) {
+    task.await.expect("the task does not panic");
 }
 
-/// As the fault looked that this is for: one task spins and nothing else is ever served.
+/// Guards against a task that spins and blocks every other task without a line in the log.
 #[test]
-fn a_turn_that_does_not_end_is_reported_while_it_lasts() {
-    let counts = watched(async {
+fn a_poll_that_does_not_end_is_reported_while_it_runs() {
+    let counts = run_watched(async {
         let peer = SocketAddr::from(([127, 0, 0, 1], 4_711));
         let task = watchdog::spawn(TaskKind::ClientConnection.for_peer(peer), async {
             yield_now().await;
@@ -111,15 +111,19 @@
             });
             spin_for(LONG_POLL);
         });
-        ends(task).await;
+        join(task).await;
         watchdog::counts()
     });
-    // Reported twice, and counted once: as what it was at the first look, when it may have had little of a busy machine.
+    // Reported twice but counted once, with its cause at the first check, when a busy machine may have given it little CPU time.
     assert_eq!(counts.busy + counts.stalled, 1, "{counts:?}");
-    let held = logged("held by client connection (peer port 4711)");
+    let running = logged("held by client connection (peer port 4711)");
     let ended = logged("a turn of client connection (peer port 4711) took");
-    assert_eq!((held.len(), ended.len()), (1, 1), "{held:?} {ended:?}");
-    for line in held.iter().chain(&ended) {
+    assert_eq!(
+        (running.len(), ended.len()),
+        (1, 1),
+        "{running:?} {ended:?}"
+    );
+    for line in running.iter().chain(&ended) {
         let fields = [
             "WARN",
             "task=client connection (peer port 4711)",
@@ -135,16 +139,16 @@
     );
 }
 
-/// Reported again when it has lasted twice as long: not at each look.
+/// A running poll is reported again when its duration has doubled, not at every check.
 #[test]
-fn a_turn_that_goes_on_is_reported_again_ever_more_seldom() {
-    let counts = watched(async {
+fn a_running_poll_is_reported_again_each_time_its_duration_doubles() {
+    let counts = run_watched(async {
         let task = watchdog::spawn(TaskKind::DiscoveryWatch, async {
             spin_until("three reports", || {
                 logged("held by discovery watch for").len() == 3
             });
         });
-        ends(task).await;
+        join(task).await;
         watchdog::counts()
     });
     assert_eq!(counts.busy + counts.stalled, 1, "{counts:?}");
@@ -160,56 +164,56 @@
 }
 
 #[test]
-fn a_long_turn_that_ends_between_two_looks_is_reported_with_its_task() {
-    let counts = watched(async {
-        ends(watchdog::spawn(TaskKind::Reload, async {
+fn a_long_poll_that_ends_between_two_checks_is_reported_with_its_task() {
+    let counts = run_watched(async {
+        join(watchdog::spawn(TaskKind::Reload, async {
             spin_for(2 * LONG_POLL)
         }))
         .await;
         watchdog::counts()
     });
     assert_eq!(counts.busy + counts.stalled, 1, "{counts:?}");
-    let told = logged("event loop: a turn of reload took");
+    let reports = logged("event loop: a turn of reload took");
     assert!(
-        told.len() == 1 && told[0].contains("cause=Busy"),
-        "{told:?}"
+        reports.len() == 1 && reports[0].contains("cause=Busy"),
+        "{reports:?}"
     );
 }
 
-/// As in a process that was stopped or got no processor: it is not taken for one that spins.
+/// A process that was stopped or got no CPU time must not be reported as one that spins.
 #[test]
-fn a_turn_that_does_not_use_the_processor_is_told_apart_from_one_that_does() {
-    let counts = watched(async {
+fn a_poll_that_does_not_use_the_cpu_is_reported_as_stalled() {
+    let counts = run_watched(async {
         let task = watchdog::spawn(TaskKind::PersistedState, async {
-            // Others' turns before it are no part of it, however much they used.
+            // The CPU time of earlier polls must not be attributed to the long one.
             for _ in 0..30 {
                 spin_for(LONG_POLL / 10);
                 yield_now().await;
             }
             std::thread::sleep(2 * LONG_POLL);
         });
-        ends(task).await;
+        join(task).await;
         watchdog::counts()
     });
-    // A busy machine may have held up one of the short ones as well.
+    // On a busy machine one of the short polls may have stalled as well.
     assert!(counts.busy == 0 && counts.stalled >= 1, "{counts:?}");
-    let told = logged("a turn of persisted state took");
-    let told: Vec<_> = told
+    let reports = logged("a turn of persisted state took");
+    let reports: Vec<_> = reports
         .iter()
         .filter(|line| field(line, "elapsed_ms=") >= 200)
         .collect();
     assert!(
-        !told.is_empty()
-            && told[0].contains("cause=Stalled")
-            && told[0].contains("or a call blocked"),
-        "{told:?}"
+        !reports.is_empty()
+            && reports[0].contains("cause=Stalled")
+            && reports[0].contains("or a call blocked"),
+        "{reports:?}"
     );
 }
 
-/// What was idle before a turn is no part of it, and neither is what others did.
+/// Idle time before a poll and the time of other polls are not attributed to it.
 #[test]
-fn many_short_turns_and_long_waits_are_no_long_turn() {
-    let counts = watched(async {
+fn many_short_polls_and_long_waits_are_not_a_long_poll() {
+    let counts = run_watched(async {
         let task = watchdog::spawn(TaskKind::DegradationLevels, async {
             for _ in 0..200 {
                 spin_for(LONG_POLL / 100);
@@ -217,18 +221,18 @@
             }
             tokio::time::sleep(2 * LONG_POLL).await;
         });
-        ends(task).await;
+        join(task).await;
         watchdog::counts()
     });
-    // On a busy machine even a short one may get no processor for a while.
+    // On a busy machine even a short poll may get no CPU time for a while.
     assert_eq!(counts.busy, 0, "{:?}", logged("service levels"));
 }
 
 #[test]
 fn a_task_that_panicked_is_not_reported_as_running() {
-    watched(async {
+    run_watched(async {
         let task = watchdog::spawn(TaskKind::LoadProbe, async {
-            panic!("as the test wants it")
+            panic!("panic of the test task")
         });
         assert!(task.await.is_err());
         tokio::time::sleep(2 * CHECK_INTERVAL + LONG_POLL).await;
@@ -240,7 +244,7 @@
 fn a_thread_without_a_watchdog_counts_nothing() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .build()
-        .expect("a runtime");
+        .expect("the runtime starts");
     LocalSet::new().block_on(&runtime, async {
         assert_eq!(
             watchdog::spawn(TaskKind::Maintenance, async { 7 })
