--- a/crates/fault-testing/src/fake_discovery.rs
+++ b/crates/fault-testing/src/fake_discovery.rs
@@ -1,6 +1,6 @@
-//! A stand-in discovery, which works through calls in turn and dies of too many.
+//! A fake discovery service that processes calls one at a time and crashes under too many.
 
-use crate::{Arrivals, Server, listen, lock, runtime, taken};
+use crate::{Arrivals, Server, into_tokio, listen, lock, runtime};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -9,50 +9,51 @@
 use tokio::sync::{Semaphore, watch};
 use tokio::task::{AbortHandle, JoinSet};
 
-/// An empty line response so often that it is there, and a longest head that is read.
+/// Interval of the empty lines on a watch that show that the service is up.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(500);
+/// Maximum size of a request head.
 const MAX_HEAD_BYTES: usize = 8 << 10;
 const REJECTION: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
 
-/// What it writes in the place of a list.
+/// What it sends as the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ListResponse {
-    /// The list.
+    /// The complete list.
     #[default]
     List,
-    /// A line that makes no sense.
+    /// A line that cannot be parsed.
     Malformed,
-    /// The first half of the list, and the end.
+    /// The first half of the list, then the end of the connection.
     Truncated,
 }
 
-/// When it timing a call that has waited for too long. Its work is done in its turn all the same.
+/// When it rejects a call that has waited too long. The work for the call is done in order all the same.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectTiming {
-    /// In the moment in which the call has waited for so long.
+    /// As soon as the call has waited for the timeout.
     AtDeadline,
-    /// When the turn of the call has come, and its work is done.
+    /// After the call was dequeued and its work is done.
     AfterProcessing,
 }
 
-/// What it bears, and how it answers.
+/// Capacity of the service and its responses.
 #[derive(Clone, Copy, Debug)]
 pub struct DiscoveryBehavior {
-    /// Work for one call. Calls are worked through in turn, those that their callers gave up too.
+    /// Processing time of a call. Calls are processed one at a time, including those that their callers have abandoned.
     pub work_per_call: Duration,
-    /// Calls that it bears at once. One more, and it is down: all connections end and new ones are refused.
+    /// Maximum number of waiting calls. One more crashes the service: it closes all connections and rejects new ones.
     pub max_waiting_calls: usize,
-    /// How long it is down then.
+    /// How long it is down after a crash.
     pub downtime: Duration,
-    /// What it response.
+    /// What it sends as the list.
     pub response: ListResponse,
 }
 
 struct State {
     behavior: DiscoveryBehavior,
-    /// Refuses each call so long after it arrived_at.
+    /// Rejects each call this long after its arrival.
     reject_after: Option<Duration>,
-    /// Refuses a call that has waited for so long.
+    /// Rejects a call that has waited this long, at the given moment.
     timeout: Option<(Duration, RejectTiming)>,
     waiting: usize,
     down_until: Option<Instant>,
@@ -62,28 +63,28 @@
 }
 
 struct Shared {
-    /// As it is written, to those who call and to those who watch.
+    /// The list as JSON, for callers and open watches.
     list: watch::Sender<String>,
     state: Mutex<State>,
     processing: Semaphore,
-    /// Counts crashes, each of which ends all connections.
+    /// Number of crashes and of other events that close all connections.
     crash_count: watch::Sender<usize>,
 }
 
-/// A discovery that the test plays. It speaks no more of the protocol than the watch.
+/// A fake discovery service, controlled by the test. It implements only the watch of the protocol.
 pub struct FakeDiscovery {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
     shared: Arc<Shared>,
     task: AbortHandle,
 }
 
-/// A whole list, of this version, in which all serve.
+/// A full list of this version as JSON, in which all servers are in service.
 pub fn list_json(index: u64, servers: &[&Server]) -> String {
     list_json_with_draining(index, servers, &[])
 }
 
-/// A whole list, of this version, in which those of these names drain and all others serve.
+/// A full list of this version as JSON, in which the named servers drain and all others are in service.
 fn list_json_with_draining(index: u64, servers: &[&Server], draining: &[&str]) -> String {
     let entry = |server: &&Server| {
         let status = if draining.contains(&server.name.as_str()) {
@@ -105,7 +106,7 @@
 }
 
 impl FakeDiscovery {
-    /// One that lists these, of version 2: a list that was known before is older.
+    /// Starts a service that lists these servers with version 2, so that a previously known list is older.
     pub fn new(behavior: DiscoveryBehavior, servers: &[&Server]) -> Self {
         let (listener, address) = listen();
         let (waiting, crashes, calls, notified_watches) = Default::default();
@@ -139,52 +140,52 @@
         }
     }
 
-    /// It behaves otherwise from now on.
+    /// Changes its behavior from now on.
     pub fn set_behavior(&self, change: impl FnOnce(&mut DiscoveryBehavior)) {
         change(&mut lock(&self.shared.state).behavior);
     }
 
-    /// From now on its list is of this version, and those of these names drain in it; open watches hear of it at once.
+    /// Publishes a list of this version, in which the named servers drain. Open watches are notified immediately.
     pub fn publish(&self, index: u64, servers: &[&Server], draining: &[&str]) {
         self.shared
             .list
             .send_replace(list_json_with_draining(index, servers, draining));
     }
 
-    /// It dies now, and is back after so long.
+    /// Crashes now and is up again after this time.
     pub fn crash(&self, down: Duration) {
         crash(&self.shared, &mut lock(&self.shared.state), down);
     }
 
-    /// From now on it answers each call with 503, so long after the call arrived_at, and does no work for it. Open watches end.
+    /// From now on, answers each call with 503 this long after its arrival and does no work for it. Closes open watches.
     pub fn reject_calls(&self, after: Duration) {
         lock(&self.shared.state).reject_after = Some(after);
-        self.shared.crash_count.send_modify(|many| *many += 1);
+        self.shared.crash_count.send_modify(|count| *count += 1);
     }
 
-    /// It takes calls again. Those that it was about to refuse are refused all the same.
+    /// Accepts calls again. Calls that are already being rejected are still rejected.
     pub fn accept_calls(&self) {
         lock(&self.shared.state).reject_after = None;
     }
 
-    /// From now on a call that has waited for so long is answered with 503. Its work is done in its turn all the same.
+    /// From now on, answers a call that has waited this long with 503. The work for the call is done in order all the same.
     pub fn set_call_timeout(&self, timeout: Duration, timing: RejectTiming) {
         lock(&self.shared.state).timeout = Some((timeout, timing));
     }
 
-    /// The calls that it took, from when each was whole until it was answered or lost.
+    /// The calls it accepted, each from its complete arrival until it was answered or lost.
     pub fn calls(&self) -> Arrivals {
         let mut calls = lock(&self.shared.state).calls.clone();
         calls.sort_unstable();
         Arrivals::at(calls)
     }
 
-    /// When it crash_count, of too many calls or at the test's word.
+    /// When it crashed, because of too many calls or on the test's command.
     pub fn crashes(&self) -> Vec<Instant> {
         lock(&self.shared.state).crashes.clone()
     }
 
-    /// Connections over which it has told the list that holds, and that stand.
+    /// Number of open watches to which it has sent the list.
     pub fn notified_watches(&self) -> usize {
         lock(&self.shared.state).notified_watches
     }
@@ -199,11 +200,11 @@
 fn crash(shared: &Shared, state: &mut State, down: Duration) {
     state.crashes.push(Instant::now());
     state.down_until = Some(Instant::now() + down);
-    shared.crash_count.send_modify(|many| *many += 1);
+    shared.crash_count.send_modify(|count| *count += 1);
 }
 
 async fn accept(listener: std::net::TcpListener, shared: Arc<Shared>) {
-    let listener = taken(listener);
+    let listener = into_tokio(listener);
     let mut open = JoinSet::new();
     loop {
         while open.try_join_next().is_some() {}
@@ -226,7 +227,7 @@
     }
 }
 
-/// A call that is not answered yet, or a watch that was told.
+/// Counts an unanswered call or a notified watch until it is dropped.
 struct CountGuard<'o>(&'o Shared, fn(&mut State) -> &mut usize);
 
 impl<'o> CountGuard<'o> {
@@ -242,7 +243,7 @@
     }
 }
 
-/// The work for one call, in its turn; gives how long the call waited for that.
+/// Does the work for one call when it is dequeued, and returns how long the call waited.
 async fn work(shared: Arc<Shared>) -> Option<Duration> {
     let arrived_at = Instant::now();
     let _waiting = CountGuard::new(&shared, |state| &mut state.waiting);
@@ -253,7 +254,7 @@
     Some(waited)
 }
 
-/// Whether the call is to be answered with the list: false where it waited in vain.
+/// Whether the call gets the list; false if it is to be rejected because it waited too long.
 async fn finishes_in_time(shared: &Arc<Shared>) -> Option<bool> {
     let timeout = lock(&shared.state).timeout;
     let Some((timeout, timing)) = timeout else {
@@ -287,7 +288,7 @@
     }
     {
         let mut state = lock(&shared.state);
-        // Until it is answered it may as well be answered now.
+        // The end time is a placeholder until the call is answered.
         state.calls.push((arrived_at, arrived_at));
         if state.waiting >= state.behavior.max_waiting_calls {
             let down = state.behavior.downtime;
@@ -333,7 +334,7 @@
             }
             gone = stream.readable() => {
                 gone.ok()?;
-                // The caller has no more to say: what there is to read is its end.
+                // The caller sends nothing more, so readable means the end of the connection.
                 if stream.try_read(&mut [0; 64]).is_ok_and(|count| count == 0) {
                     return None;
                 }
--- a/crates/fault-testing/src/lib.rs
+++ b/crates/fault-testing/src/lib.rs
@@ -1,16 +1,16 @@
-//! Faults between processes, for tests. Nothing that serves is built on this.
+//! Fault injection between processes, for tests only. Production code does not depend on this crate.
 //!
-//! - A [`Link`] stands between any two processes and does with their bytes what a test commands: it cuts, holds, delays,
-//!   throttles, resets or swallows them.
-//! - A [`Program`] is a process that the test has started, with what it logs; it ends with the test.
-//! - A [`Server`] answers what it is asked and remembers when each request arrived, so that a bound is judged by who can
-//!   see it from outside: see [`Arrivals`].
-//! - A [`LoadGenerator`] asks, and keeps what it got.
-//! - A [`Plan`] is a list of faults as data: drawn from a seed, printed, read again, and shrunk to the shortest one that
-//!   still fails. A [`Testbed`] carries it out.
+//! - A [`Link`] is a proxy between two processes that drops, holds, delays, throttles, resets or blackholes their traffic
+//!   as the test commands.
+//! - A [`Program`] is a process started by the test, with its log; it is killed when the test ends.
+//! - A [`Server`] answers requests and records when each one arrived, so that a test checks bounds from the outside: see
+//!   [`Arrivals`].
+//! - A [`LoadGenerator`] sends requests and records their results.
+//! - A [`Plan`] is a list of faults as data: generated from a seed, printed, parsed again, and shrunk to the shortest plan
+//!   that still fails. A [`Testbed`] executes it.
 //!
-//! Everything is on loopback. What is open at once, and for how long a test waits, is bounded here ([`MAX_PROGRAMS`],
-//! [`WAIT_TIMEOUT`]); only what the rig has started is ever stopped.
+//! Everything runs on loopback. The number of processes and the time that a test waits are bounded ([`MAX_PROGRAMS`],
+//! [`WAIT_TIMEOUT`]); only processes started by this crate are ever stopped.
 
 mod fake_discovery;
 mod link;
@@ -35,62 +35,67 @@
 use std::time::{Duration, Instant};
 use tokio::runtime::Handle;
 
-/// Ends a test in which something never happens.
+/// Timeout after which a waiting test fails.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// So long lies between two looks.
+/// Interval between two checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Waits for something to happen, for [`WAIT_TIMEOUT`] at most.
+/// Waits until a check returns a value, for at most [`WAIT_TIMEOUT`].
 ///
 /// # Panics
-/// It never did.
-pub fn wait_until<T>(what: &str, mut check: impl FnMut() -> Option<T>) -> T {
-    let begin = Instant::now();
+/// If the timeout expires.
+pub fn wait_until<T>(awaited: &str, mut check: impl FnMut() -> Option<T>) -> T {
+    let started_at = Instant::now();
     loop {
-        if let Some(found) = check() {
-            return found;
+        if let Some(value) = check() {
+            return value;
         }
-        assert!(begin.elapsed() < WAIT_TIMEOUT, "never: {what}");
+        assert!(
+            started_at.elapsed() < WAIT_TIMEOUT,
+            "timed out waiting for: {awaited}"
+        );
         std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// A listener on a loopback address of this test process alone, at a port that it never had before. The system gives a
-/// port of 127.0.0.1 again as soon as its listener is closed, and what still calls the closed one, another test's process,
-/// would then reach a stranger.
+/// Binds a listener on a loopback address that only this test process uses, at a port that it has not used before. The
+/// system reuses a port of 127.0.0.1 as soon as its listener is closed, and a client that still calls the closed listener,
+/// such as another test's process, would then reach an unrelated server.
 ///
 /// # Panics
-/// No port is free there.
+/// If no port is free.
 pub fn unique_listener() -> TcpListener {
     let [.., a, b, c] = std::process::id().to_be_bytes();
     fresh_listener(Ipv4Addr::new(127, 1 + a % 250, b, 1 + c % 250))
 }
 
-/// A listener at a port of this loopback address that this test process never had there.
+/// Binds a listener at a port of this loopback address that this test process has not used before.
 fn fresh_listener(ip: Ipv4Addr) -> TcpListener {
     static USED: LazyLock<Mutex<HashSet<SocketAddr>>> = LazyLock::new(Mutex::default);
     loop {
         let listener = TcpListener::bind((ip, 0)).expect("a port is free");
-        let address = listener.local_addr().expect("it is bound");
+        let address = listener.local_addr().expect("the listener is bound");
         if lock(&USED).insert(address) {
             return listener;
         }
     }
 }
 
-/// An address for a process that listens there again after it was killed: see [`unique_listener`].
+/// An address for a process that may listen there again after it was killed: see [`unique_listener`].
 ///
 /// # Panics
-/// No port is free there.
+/// If no port is free.
 pub fn unique_address() -> SocketAddr {
-    unique_listener().local_addr().expect("it is bound")
+    unique_listener()
+        .local_addr()
+        .expect("the listener is bound")
 }
 
-/// What carries links, servers and loads: one thread beside the test's own.
+/// Runtime of links, servers and load generators, on a thread of its own.
 fn runtime() -> &'static Handle {
     static RUNTIME: LazyLock<Handle> = LazyLock::new(|| {
-        raise_descriptors();
+        raise_descriptor_limit();
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()
@@ -102,29 +107,31 @@
     &RUNTIME
 }
 
-/// What listens at a fresh port of 127.0.0.1, which certificates of agents name, and where. It can be bound beside the
-/// runtime, which then has it [`taken`].
+/// Binds a listener at a fresh port of 127.0.0.1, the address that agent certificates name, and returns its address too.
+/// It is bound outside the runtime and registered there with [`into_tokio`].
 fn listen() -> (TcpListener, SocketAddr) {
     let listener = fresh_listener(Ipv4Addr::LOCALHOST);
-    listener.set_nonblocking(true).expect("it can be");
-    let address = listener.local_addr().expect("it is bound");
+    listener
+        .set_nonblocking(true)
+        .expect("the listener can be nonblocking");
+    let address = listener.local_addr().expect("the listener is bound");
     (listener, address)
 }
 
-/// A listener in the hands of the runtime.
-fn taken(listener: TcpListener) -> tokio::net::TcpListener {
-    tokio::net::TcpListener::from_std(listener).expect("it is a listener")
+/// Registers a listener with the current runtime.
+fn into_tokio(listener: TcpListener) -> tokio::net::TcpListener {
+    tokio::net::TcpListener::from_std(listener).expect("the runtime accepts the listener")
 }
 
-/// This process may open as many descriptors as the system lets it.
-fn raise_descriptors() {
+/// Raises the soft limit on file descriptors to the hard limit.
+fn raise_descriptor_limit() {
     use rustix::process::{Resource, getrlimit, setrlimit};
     let mut limit = getrlimit(Resource::Nofile);
     limit.current = limit.maximum;
     let _ = setrlimit(Resource::Nofile, limit);
 }
 
-/// What a panic elsewhere left locked is as good as ever: nothing here is changed in several steps.
+/// Locks a mutex, ignoring poisoning: no update here takes several steps, so the data is always consistent.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex
         .lock()
--- a/crates/fault-testing/src/link.rs
+++ b/crates/fault-testing/src/link.rs
@@ -1,6 +1,6 @@
-//! A link between two processes: a port of its task_state, whose connections go on to where it leads.
+//! A link between two processes: a TCP proxy with a port of its own that forwards its connections to a target.
 
-use crate::{listen, runtime, taken};
+use crate::{into_tokio, listen, runtime};
 use std::net::SocketAddr;
 use std::os::fd::{AsFd, OwnedFd};
 use std::sync::Arc;
@@ -12,29 +12,30 @@
 use tokio::task::AbortHandle;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Bytes that are read at once; a connection holds 64 of such chunks in each direction at most.
+/// Maximum number of bytes per read.
 const READ_CHUNK_BYTES: usize = 16 << 10;
+/// Maximum number of chunks queued per connection and direction.
 const QUEUED_CHUNKS_PER_DIRECTION: usize = 64;
 
-/// Which way bytes go.
+/// Direction of traffic on a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Direction {
-    /// From the one who connects.
+    /// From the side that connects to the link.
     ToServer,
-    /// To the one who connects.
+    /// To the side that connects to the link.
     ToClient,
 }
 
-/// What happens to the bytes of one direction.
+/// Faults of one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct DirectionState {
-    /// They are lost, and a connection that has lost some stays silent for good: what comes behind makes no sense.
+    /// Bytes are dropped. A connection that lost bytes stays silent forever, because later bytes would be out of context.
     cut: bool,
-    /// They wait, in order, until they are let go.
+    /// Bytes are held, in order, until they are released.
     held: bool,
-    /// Each takes so long.
+    /// Delay of each byte.
     delay: Duration,
-    /// So many go on in a second.
+    /// Limit in bytes per second.
     rate: Option<u64>,
 }
 
@@ -42,25 +43,26 @@
 struct State {
     to: SocketAddr,
     directions: [DirectionState; 2],
-    /// Connections with a number below this one are held, whatever holds for later ones.
+    /// Connections with a lower number are held, regardless of later ones.
     held_below: u64,
-    /// Connections with a number below this one are reset.
+    /// Connections with a lower number are reset.
     reset_below: u64,
-    /// New connections are taken and never read.
+    /// New connections are accepted and never read.
     blackholes: bool,
-    /// In each direction so many more bytes pass, then it is cut.
+    /// For each direction, the number of bytes still forwarded before it is cut.
     cut_after: [Option<u64>; 2],
 }
 
 struct Shared {
     state: watch::Sender<State>,
-    /// Bytes that went through, by direction, and connections taken.
+    /// Forwarded bytes by direction.
     forwarded_bytes: [AtomicU64; 2],
+    /// Number of accepted connections.
     accepted: AtomicU64,
 }
 
-/// A link. All commands take effect at once, on the connections that are open as on later ones, where nothing else is
-/// said. It ends, with its connections, when it is dropped.
+/// A link. Unless stated otherwise, every command takes effect immediately, on open and on later connections. Dropping the
+/// link closes it and its connections.
 pub struct Link {
     address: SocketAddr,
     shared: Arc<Shared>,
@@ -68,7 +70,7 @@
 }
 
 impl Link {
-    /// A link to this address, open in both directions.
+    /// Creates a link to this address, without faults.
     pub fn new(to: SocketAddr) -> Self {
         let (listener, address) = listen();
         let state = State {
@@ -86,8 +88,8 @@
         });
         let task_state = Arc::clone(&shared);
         let task = runtime().spawn(async move {
-            let listener = taken(listener);
-            // Connections end with the link.
+            let listener = into_tokio(listener);
+            // Dropping the set closes the connections with the link.
             let mut open = tokio::task::JoinSet::new();
             loop {
                 while open.try_join_next().is_some() {}
@@ -107,45 +109,45 @@
         }
     }
 
-    /// Where to connect to.
+    /// The address to connect to.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// New connections lead here; open ones stay where they are.
+    /// Forwards new connections to this address; open ones are not affected.
     pub fn set_target(&self, to: SocketAddr) {
         self.change(|state| state.to = to);
     }
 
-    /// What goes this way is lost.
+    /// Drops the bytes of this direction.
     pub fn cut(&self, direction: Direction) {
         self.change(|state| state.directions[direction as usize].cut = true);
     }
 
-    /// What goes either way is lost.
+    /// Drops the bytes of both directions.
     pub fn cut_both(&self) {
         self.change(|state| state.directions.iter_mut().for_each(|way| way.cut = true));
     }
 
-    /// So many more bytes go this way, over all connections; then it is cut.
+    /// Cuts this direction after this many more bytes over all connections.
     pub fn cut_after(&self, direction: Direction, bytes: u64) {
         self.change(|state| state.cut_after[direction as usize] = Some(bytes));
     }
 
-    /// What goes this way waits until [`Link::let_go`], the end of a connection too: its bytes may arrive long after
-    /// its sender has gone.
+    /// Holds the bytes of this direction until [`Link::release`], and the end of a connection too, so bytes may arrive long
+    /// after their sender has disconnected.
     pub fn hold(&self, direction: Direction) {
         self.change(|state| state.directions[direction as usize].held = true);
     }
 
-    /// The connections that are open now wait in both directions until [`Link::let_go`]; later ones go on. So the bytes
-    /// of an old connection come behind those of a new one.
+    /// Holds the open connections in both directions until [`Link::release`]; new ones are not affected. So the bytes of an
+    /// old connection arrive after those of a new one.
     pub fn hold_existing(&self) {
         let accepted = self.shared.accepted.load(Ordering::Relaxed);
         self.change(|state| state.held_below = accepted);
     }
 
-    /// All that waits goes on at once.
+    /// Releases all held bytes immediately.
     pub fn release(&self) {
         self.change(|state| {
             state.held_below = 0;
@@ -153,12 +155,12 @@
         });
     }
 
-    /// Each byte takes so long, in each direction.
+    /// Delays each byte in both directions.
     pub fn delay(&self, each: Duration) {
         self.change(|state| state.directions.iter_mut().for_each(|way| way.delay = each));
     }
 
-    /// So many bytes a second, in each direction of each connection.
+    /// Limits each direction of each connection to this many bytes per second.
     pub fn throttle(&self, bytes_per_second: u64) {
         self.change(|state| {
             state
@@ -168,19 +170,18 @@
         });
     }
 
-    /// Every open connection is reset at both ends.
+    /// Resets every open connection at both ends.
     pub fn reset(&self) {
         let accepted = self.shared.accepted.load(Ordering::Relaxed);
         self.change(|state| state.reset_below = accepted);
     }
 
-    /// New connections are taken, and nothing is ever read from them.
+    /// Accepts new connections and never reads from them.
     pub fn blackhole(&self) {
         self.change(|state| state.blackholes = true);
     }
 
-    /// All is as at the beginning. What is held goes on; connections that have lost bytes stay silent, and those that
-    /// were swallowed are reset.
+    /// Removes all faults. Held bytes are released; connections that lost bytes stay silent, and blackholed ones are reset.
     pub fn heal(&self) {
         self.change(|state| {
             let to = state.to;
@@ -196,18 +197,18 @@
         });
     }
 
-    /// Bytes that went through so far, in this direction.
+    /// Number of bytes forwarded so far in this direction.
     pub fn forwarded_bytes(&self, direction: Direction) -> u64 {
         self.shared.forwarded_bytes[direction as usize].load(Ordering::Relaxed)
     }
 
-    /// Connections taken so far.
+    /// Number of connections accepted so far.
     pub fn accepted_connections(&self) -> u64 {
         self.shared.accepted.load(Ordering::Relaxed)
     }
 
-    fn change(&self, how: impl FnOnce(&mut State)) {
-        self.shared.state.send_modify(how);
+    fn change(&self, update: impl FnOnce(&mut State)) {
+        self.shared.state.send_modify(update);
     }
 }
 
@@ -223,32 +224,34 @@
         let state = state.borrow();
         (state.to, state.blackholes)
     };
-    let near_too = near.as_fd().try_clone_to_owned();
+    let near_duplicate = near.as_fd().try_clone_to_owned();
     if blackholes {
         let _ = state
             .wait_for(|state| !state.blackholes || state.reset_below > number)
             .await;
-        return near_too.into_iter().for_each(|end| abort_on_close(&end));
+        return near_duplicate
+            .into_iter()
+            .for_each(|end| abort_on_close(&end));
     }
     let Ok(far) = TcpStream::connect(to).await else {
         return;
     };
-    let ends: Vec<OwnedFd> = near_too
+    let ends: Vec<OwnedFd> = near_duplicate
         .into_iter()
         .chain(far.as_fd().try_clone_to_owned())
         .collect();
     let _ = (near.set_nodelay(true), far.set_nodelay(true));
-    // Unlike the stream's task_state halves, these say nothing to the other end when they are dropped.
+    // Unlike the stream's own halves, these do not shut the connection down when they are dropped.
     let ((near_read, near_write), (far_read, far_write)) =
         (tokio::io::split(near), tokio::io::split(far));
-    let out = forward(
+    let to_server = forward(
         Arc::clone(&shared),
         Direction::ToServer,
         number,
         near_read,
         far_write,
     );
-    let back = forward(
+    let to_client = forward(
         Arc::clone(&shared),
         Direction::ToClient,
         number,
@@ -256,17 +259,17 @@
         near_write,
     );
     tokio::select! {
-        _ = async { tokio::try_join!(out, back) } => {}
+        _ = async { tokio::try_join!(to_server, to_client) } => {}
         _ = state.wait_for(|state| state.reset_below > number) => ends.iter().for_each(abort_on_close),
     }
 }
 
-/// The last close of it sends a reset.
+/// Makes the last close of the socket send a reset.
 fn abort_on_close(end: &OwnedFd) {
     let _ = rustix::net::sockopt::set_socket_linger(end, Some(Duration::ZERO));
 }
 
-/// Carries one direction. An error ends the connection; an end that was not lost goes on.
+/// Forwards one direction. An error ends the connection; an end of stream is forwarded unless it was dropped.
 async fn forward(
     shared: Arc<Shared>,
     direction: Direction,
@@ -279,7 +282,7 @@
     tokio::try_join!(reading, write(shared, direction, number, to, chunks)).map(|_| ())
 }
 
-/// A chunk, and when it was read; none where the sender has ended.
+/// A chunk and the time when it was read; none for the end of stream.
 type Chunk = (Instant, Option<Vec<u8>>);
 
 async fn read(
@@ -290,7 +293,7 @@
 ) -> Result<(), ()> {
     let (mut buffer, mut lost) = (vec![0; READ_CHUNK_BYTES], false);
     loop {
-        // A connection that is broken carries nothing further, and the other end sees it end.
+        // A broken connection is treated as ended, and the other side sees the end.
         let mut read = from.read(&mut buffer).await.unwrap_or(0);
         shared.state.send_if_modified(|state| {
             lost |= state.directions[direction as usize].cut;
@@ -302,14 +305,14 @@
             if pass < read as u64 {
                 state.directions[direction as usize].cut = true;
                 state.cut_after[direction as usize] = None;
-                // What went before the cut arrives.
+                // The bytes before the cut are still forwarded.
                 read = pass as usize;
             }
             false
         });
         if lost {
             match read {
-                // Nobody hears of its end.
+                // The end of stream is dropped too.
                 0 => std::future::pending().await,
                 _ => continue,
             }
--- a/crates/fault-testing/src/load_generator.rs
+++ b/crates/fault-testing/src/load_generator.rs
@@ -1,4 +1,4 @@
-//! Clients that ask, and keep what they got.
+//! Clients that send requests and record their results.
 
 use crate::{Server, lock, runtime};
 use bytes::Bytes;
@@ -14,108 +14,114 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// An answer is waited for so long.
+/// Timeout for a response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What one request got.
+/// Result of one request.
 #[derive(Clone, Debug)]
 pub struct RequestResult {
-    /// Its `X-Trace-Id`, of which no two are alike in a process.
+    /// Its `X-Trace-Id`, which is unique within the process.
     pub id: String,
     /// When it was sent.
     pub sent_at: Instant,
-    /// The answer's status; none where the connection ended first.
+    /// Status of the response; none if the connection ended first.
     pub status: Option<u16>,
-    /// What the answer said of coming again, in seconds.
+    /// Value of the `Retry-After` header, in seconds.
     pub retry_after: Option<f64>,
 }
 
-/// Whoever was served ran once, whoever was refused ran nowhere and was told when to come again, and nobody got anything
-/// else but where something was killed that had requests. Gives how many were served.
+/// Checks that each served request ran once, that each rejected request never ran and results a `Retry-After`, and that there
+/// was no other result, except requests without a response if a process was `killed`. Returns the number of served requests.
 ///
 /// # Panics
-/// One of them got something else.
-pub fn verify_results(got: &[RequestResult], servers: &[Server], killed: bool) -> usize {
-    let seen = Server::request_counts_of(servers);
-    for got in got {
-        let ran = seen.get(&got.id).copied().unwrap_or(0);
-        match got.status {
-            Some(200) => assert_eq!(ran, 1, "{got:?}"),
+/// If a request had another result.
+pub fn verify_results(results: &[RequestResult], servers: &[Server], killed: bool) -> usize {
+    let counts = Server::request_counts_of(servers);
+    for result in results {
+        let ran = counts.get(&result.id).copied().unwrap_or(0);
+        match result.status {
+            Some(200) => assert_eq!(ran, 1, "{result:?}"),
             Some(503) => assert!(
-                ran == 0 && got.retry_after.is_some_and(|after| after > 0.0),
-                "{got:?}"
+                ran == 0 && result.retry_after.is_some_and(|after| after > 0.0),
+                "{result:?}"
             ),
-            None if killed => assert!(ran <= 1, "{got:?}"),
-            _ => panic!("{got:?}, ran {ran} times"),
+            None if killed => assert!(ran <= 1, "{result:?}"),
+            _ => panic!("{result:?}, ran {ran} times"),
         }
     }
-    got.iter().filter(|got| got.status == Some(200)).count()
+    results
+        .iter()
+        .filter(|result| result.status == Some(200))
+        .count()
 }
 
-/// Clients that keep asking for an unsafe service, `POST /submit`, each on a connection that it keeps, until they are
-/// told to stop. Each asks again so long after an answer.
+/// Clients that repeat a non-idempotent request, `POST /submit`, each on its own persistent connection, until they are
+/// stopped. Each pauses between a response and its next request.
 pub struct LoadGenerator {
     stop_signal: watch::Sender<bool>,
-    got: Arc<Mutex<Vec<RequestResult>>>,
+    results: Arc<Mutex<Vec<RequestResult>>>,
     clients: Vec<JoinHandle<()>>,
 }
 
 impl LoadGenerator {
-    /// One client for each of these, with this pause between an answer and the next request.
-    pub fn start(fronts: &[SocketAddr], pause: Duration) -> Self {
+    /// Starts a client for each of these addresses, with this pause between a response and the next request.
+    pub fn start(addresses: &[SocketAddr], pause: Duration) -> Self {
         let (stop_signal, _) = watch::channel(false);
-        let got: Arc<Mutex<Vec<RequestResult>>> = Arc::default();
-        let clients = fronts.iter().map(|front| {
+        let results: Arc<Mutex<Vec<RequestResult>>> = Arc::default();
+        let clients = addresses.iter().map(|address| {
             runtime().spawn(client(
-                *front,
+                *address,
                 pause,
                 stop_signal.subscribe(),
-                Arc::clone(&got),
+                Arc::clone(&results),
             ))
         });
         LoadGenerator {
             clients: clients.collect(),
             stop_signal,
-            got,
+            results,
         }
     }
 
-    /// What was got so far.
+    /// The results so far.
     pub fn results(&self) -> Vec<RequestResult> {
-        lock(&self.got).clone()
+        lock(&self.results).clone()
     }
 
-    /// No more requests; those that are under way are waited for.
+    /// Stops the clients, waits for requests in flight, and returns all results.
     pub fn stop(self) -> Vec<RequestResult> {
         let _ = self.stop_signal.send(true);
         for client in self.clients {
-            runtime().block_on(client).expect("no panic");
+            runtime()
+                .block_on(client)
+                .expect("the client does not panic");
         }
-        std::mem::take(&mut *lock(&self.got))
+        std::mem::take(&mut *lock(&self.results))
     }
 }
 
 async fn client(
-    front: SocketAddr,
+    address: SocketAddr,
     pause: Duration,
     mut stop_signal: watch::Receiver<bool>,
-    got: Arc<Mutex<Vec<RequestResult>>>,
+    results: Arc<Mutex<Vec<RequestResult>>>,
 ) {
     static NEXT: AtomicU64 = AtomicU64::new(0);
     let mut open = None;
     while !*stop_signal.borrow() {
         let id = format!("r{:08}", NEXT.fetch_add(1, Ordering::Relaxed));
         let sent_at = Instant::now();
-        let asked = tokio::time::timeout(RESPONSE_TIMEOUT, ask(front, &id, &mut open))
-            .await
-            .ok()
-            .flatten();
-        if asked.is_none() {
+        let response =
+            tokio::time::timeout(RESPONSE_TIMEOUT, send_request(address, &id, &mut open))
+                .await
+                .ok()
+                .flatten();
+        if response.is_none() {
             open = None;
         }
         let (status, retry_after) =
-            asked.map_or((None, None), |(status, after)| (Some(status), after));
-        lock(&got).push(RequestResult {
+            response.map_or((None, None), |(status, after)| (Some(status), after));
+        lock(&results).push(RequestResult {
             id,
             sent_at,
             status,
@@ -128,15 +134,15 @@
     }
 }
 
-async fn ask(
-    front: SocketAddr,
+async fn send_request(
+    address: SocketAddr,
     id: &str,
     open: &mut Option<SendRequest<Empty<Bytes>>>,
 ) -> Option<(u16, Option<f64>)> {
     let mut sender = match open.take() {
         Some(sender) if !sender.is_closed() => sender,
         _ => {
-            let stream = TcpStream::connect(front).await.ok()?;
+            let stream = TcpStream::connect(address).await.ok()?;
             let _ = stream.set_nodelay(true);
             let (sender, connection) = handshake(TokioIo::new(stream)).await.ok()?;
             tokio::spawn(connection);
--- a/crates/fault-testing/src/peer.rs
+++ b/crates/fault-testing/src/peer.rs
@@ -1,5 +1,5 @@
-//! Scripted peers: clients and servers whose every byte the test writes and reads itself. Every wait is for something to
-//! happen; [`STEP_TIMEOUT`] only ends a test in which it never does.
+//! Scripted peers: clients and servers whose every byte the test writes and reads itself. Every wait is for an event;
+//! [`STEP_TIMEOUT`] only fails a test in which the event never happens.
 
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -7,10 +7,10 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-/// The longest wait for one thing to happen.
+/// Maximum wait for one event.
 pub const STEP_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A listener whose connections the test takes when it wants them.
+/// A listener whose connections the test accepts explicitly.
 pub struct ScriptedServer(pub TcpListener);
 
 impl Default for ScriptedServer {
@@ -20,28 +20,30 @@
 }
 
 impl ScriptedServer {
-    /// One at an address that nothing else in this test process has or had.
+    /// Binds an address that this test process has not used before.
     ///
     /// # Panics
-    /// None is free.
+    /// If no address is free.
     pub fn new() -> Self {
         let listener = crate::unique_listener();
-        listener.set_nonblocking(true).expect("it may not block");
+        listener
+            .set_nonblocking(true)
+            .expect("the listener can be nonblocking");
         ScriptedServer(listener)
     }
 
-    /// Where it listens.
+    /// Address on which it listens.
     ///
     /// # Panics
-    /// Never: it is bound.
+    /// Never: the listener is bound.
     pub fn address(&self) -> SocketAddr {
-        self.0.local_addr().expect("it is bound")
+        self.0.local_addr().expect("the socket is bound")
     }
 
-    /// A connection, if one waits.
+    /// Accepts a pending connection, if there is one.
     ///
     /// # Panics
-    /// The listener has failed.
+    /// If the listener has failed.
     pub fn try_accept(&self) -> Option<Conn> {
         match self.0.accept() {
             Ok((stream, _)) => Some(Conn::new(stream)),
@@ -50,62 +52,60 @@
         }
     }
 
-    /// The next connection, once there is one.
+    /// Waits for the next connection.
     ///
     /// # Panics
-    /// None comes within [`STEP_TIMEOUT`].
+    /// If there is none within [`STEP_TIMEOUT`].
     pub fn accept(&self) -> Conn {
         accept_any(&[self]).1
     }
 
-    /// Whether a connection to it is tried now and has not come up.
+    /// Whether a connection attempt to it is in progress (SYN sent).
     ///
     /// # Panics
-    /// The system does not tell of its connections.
+    /// If the table of connections cannot be read.
     pub fn has_pending_connect(&self) -> bool {
         const SYN_SENT: &str = "02";
-        let own = as_listed(self.address());
+        let own = proc_net_format(self.address());
         let all =
-            std::fs::read_to_string("/proc/net/tcp").expect("the system's table of connections");
+            std::fs::read_to_string("/proc/net/tcp").expect("the table of connections is readable");
         all.lines().any(|line| {
             let mut words = line.split_whitespace().skip(2);
             words.next() == Some(own.as_str()) && words.next() == Some(SYN_SENT)
         })
     }
 
-    /// From now on no connection comes up: its backlog is full. Those that are tried do come up, late, once what is given
-    /// here is dropped.
+    /// Blocks new connections by filling the backlog, until the returned guard is dropped. Pending attempts then succeed, late.
     ///
     /// # Panics
-    /// It can't be filled.
+    /// If the backlog cannot be filled.
     pub fn block_connections(&self) -> BlockedConnections {
-        rustix::net::listen(&self.0, 0).expect("it listens already");
+        rustix::net::listen(&self.0, 0).expect("the socket listens already");
         let mut filling = Vec::new();
         while let Ok(stream) =
             TcpStream::connect_timeout(&self.address(), Duration::from_millis(200))
         {
             filling.push(stream);
-            assert!(filling.len() < 64, "its backlog is never full");
+            assert!(filling.len() < 64, "the backlog does not fill up");
         }
         let own = self.0.try_clone().expect("a descriptor is free");
         BlockedConnections { filling, own }
     }
 }
 
-/// Connections to a [`ScriptedServer`] do not come up for as long as this is there.
+/// Guard that blocks connections to a [`ScriptedServer`] until it is dropped.
 pub struct BlockedConnections {
     filling: Vec<TcpStream>,
     own: TcpListener,
 }
 
 impl Drop for BlockedConnections {
-    /// Connections come up from now on, those that were tried meanwhile when their system tries again, after a second at
-    /// first.
+    /// Unblocks connections. Pending attempts succeed when the client's kernel retransmits, at first after one second.
     fn drop(&mut self) {
         let _ = rustix::net::listen(&self.own, 128);
         for stream in &self.filling {
             let wanted = stream.local_addr().ok();
-            // In the order in which they came, so nobody else's is taken.
+            // Connections are accepted in order of arrival, so no other connection is accepted by mistake.
             while let Ok((_, from)) = self.own.accept() {
                 if Some(from) == wanted {
                     break;
@@ -115,69 +115,72 @@
     }
 }
 
-/// The first connection to come to any of these, and to which.
+/// Waits for the first connection to any of these servers and returns it with the index of the server.
 ///
 /// # Panics
-/// None comes within [`STEP_TIMEOUT`].
-pub fn accept_any(nodes: &[&ScriptedServer]) -> (usize, Conn) {
-    let until = Instant::now() + STEP_TIMEOUT;
-    while Instant::now() < until {
-        if let Some(found) = nodes
+/// If there is none within [`STEP_TIMEOUT`].
+pub fn accept_any(servers: &[&ScriptedServer]) -> (usize, Conn) {
+    let deadline = Instant::now() + STEP_TIMEOUT;
+    while Instant::now() < deadline {
+        if let Some(found) = servers
             .iter()
             .enumerate()
-            .find_map(|(at, node)| Some((at, node.try_accept()?)))
+            .find_map(|(index, server)| Some((index, server.try_accept()?)))
         {
             return found;
         }
         std::thread::sleep(Duration::from_millis(1));
     }
-    panic!("nobody connects");
+    panic!("timed out waiting for a connection");
 }
 
-/// A server whose every connection is served by a thread of its own, which writes what it wants and ends the connection by
+/// Serves each connection on a thread of its own. `handler` writes the response to each message and closes the connection by
 /// returning false.
 pub fn serve(
-    node: ScriptedServer,
-    each: impl Fn(&Message, &mut Conn) -> bool + Send + Sync + 'static,
+    server: ScriptedServer,
+    handler: impl Fn(&Message, &mut Conn) -> bool + Send + Sync + 'static,
 ) {
-    let each = Arc::new(each);
+    let handler = Arc::new(handler);
     std::thread::spawn(move || {
         loop {
-            let Some(mut conn) = node.try_accept() else {
+            let Some(mut conn) = server.try_accept() else {
                 std::thread::sleep(Duration::from_millis(1));
                 continue;
             };
-            let each = Arc::clone(&each);
+            let handler = Arc::clone(&handler);
             std::thread::spawn(move || {
-                while conn.read().is_some_and(|message| each(&message, &mut conn)) {}
+                while conn
+                    .read()
+                    .is_some_and(|message| handler(&message, &mut conn))
+                {}
             });
         }
     });
 }
 
-/// A server that answers all that comes.
-pub fn serve_all(node: ScriptedServer) {
-    serve(node, |_, conn| {
+/// Serves each message with 200.
+pub fn serve_all(server: ScriptedServer) {
+    serve(server, |_, conn| {
         conn.respond("200 OK", "made");
         true
     });
 }
 
-/// One end of a connection, and whether the head of a watch has been written to it.
+/// One end of a connection, with a flag for whether the response head of a watch has been written.
 pub struct Conn(BufReader<TcpStream>, bool);
 
-/// A request or an answer, read whole.
+/// A complete request or response.
 pub struct Message {
-    /// Its first line.
+    /// Start line.
     pub start: String,
-    /// Its headers, as they were written.
+    /// Headers as received.
     pub headers: Vec<(String, String)>,
-    /// Its body, where it has a length.
+    /// Body, if the message has a length.
     pub body: Vec<u8>,
 }
 
 impl Message {
-    /// A header's value, whatever the case of its name.
+    /// Value of a header; the name is case-insensitive.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -185,10 +188,10 @@
             .map(|(_, v)| v.as_str())
     }
 
-    /// The status of an answer.
+    /// Status of a response.
     ///
     /// # Panics
-    /// It is none.
+    /// If this is not a response.
     pub fn status(&self) -> u16 {
         self.start
             .split(' ')
@@ -199,41 +202,47 @@
 }
 
 impl Conn {
-    /// One end, whose reads end after [`STEP_TIMEOUT`].
+    /// Wraps a stream, with [`STEP_TIMEOUT`] as its read timeout.
     ///
     /// # Panics
-    /// The system refuses that.
+    /// If the socket options cannot be set.
     pub fn new(stream: TcpStream) -> Self {
-        stream.set_nonblocking(false).expect("it may block");
+        stream
+            .set_nonblocking(false)
+            .expect("the socket can be blocking");
         stream
             .set_read_timeout(Some(STEP_TIMEOUT))
-            .expect("reads end");
+            .expect("the read timeout can be set");
         Conn(BufReader::new(stream), false)
     }
 
-    /// The port that the other side has here.
+    /// Port of the peer.
     ///
     /// # Panics
-    /// The connection has gone.
+    /// If the connection is closed.
     pub fn peer_port(&self) -> u16 {
-        self.0.get_ref().peer_addr().expect("it stands").port()
+        self.0
+            .get_ref()
+            .peer_addr()
+            .expect("the connection is open")
+            .port()
     }
 
-    /// Writes this.
+    /// Writes these bytes.
     ///
     /// # Panics
-    /// The other side has gone.
+    /// If the peer has closed the connection.
     pub fn write(&mut self, bytes: impl AsRef<[u8]>) {
         self.0
             .get_mut()
             .write_all(bytes.as_ref())
-            .expect("the other side reads");
+            .expect("the peer reads");
     }
 
-    /// The next message; none where the connection ends first.
+    /// Reads the next message; none if the connection ends first.
     ///
     /// # Panics
-    /// What comes is no message.
+    /// If the message is malformed.
     pub fn read(&mut self) -> Option<Message> {
         let start = self.line()?;
         let mut headers = Vec::new();
@@ -259,10 +268,10 @@
         Some(message)
     }
 
-    /// The next message with all of its body, which may be in chunks; none where the connection ends before its end.
+    /// Reads the next message with its complete body, which may be chunked; none if the connection ends first.
     ///
     /// # Panics
-    /// What comes is no message.
+    /// If the message is malformed.
     pub fn read_complete(&mut self) -> Option<Message> {
         let mut message = self.read()?;
         if message.header("transfer-encoding") == Some("chunked") {
@@ -271,38 +280,42 @@
         Some(message)
     }
 
-    /// Reads a chunk behind these bytes, and whether it was not the last; none where the connection ends first.
+    /// Appends a chunk to these bytes and returns whether more chunks follow; none if the connection ends first.
     fn chunk(&mut self, to: &mut Vec<u8>) -> Option<bool> {
         let size = usize::from_str_radix(&self.line()?, 16).expect("the size of a chunk");
         let from = to.len();
         to.resize(from + size, 0);
         self.0.read_exact(&mut to[from..]).ok()?;
-        assert_eq!(self.line()?, "", "a chunk is longer than it says");
+        assert_eq!(self.line()?, "", "a chunk is longer than its size line");
         Some(size > 0)
     }
 
-    /// Whether there is something to read, or the end.
+    /// Whether there are bytes to read or the connection has ended.
     ///
     /// # Panics
-    /// The system refuses to say.
+    /// If the socket mode cannot be changed.
     pub fn is_readable(&mut self) -> bool {
         let stream = self.0.get_ref();
-        stream.set_nonblocking(true).expect("it need not block");
+        stream
+            .set_nonblocking(true)
+            .expect("the socket can be nonblocking");
         let blocks = matches!(stream.peek(&mut [0]), Err(e) if e.kind() == ErrorKind::WouldBlock);
-        stream.set_nonblocking(false).expect("it may block");
+        stream
+            .set_nonblocking(false)
+            .expect("the socket can be blocking");
         !blocks
     }
 
-    /// How many bytes the other side has written and nobody has read, here or still at its end.
+    /// Number of bytes that the peer has written and this side has not read, in the buffers of both kernels.
     ///
     /// # Panics
-    /// The connection has gone, or the system does not tell of its connections.
+    /// If the connection is closed or the table of connections cannot be read.
     pub fn unread_incoming(&self) -> u64 {
         let (own, other) = self.ends();
         unread(other, own)
     }
 
-    /// How many bytes this side has written and the other has not read.
+    /// Number of bytes that this side has written and the peer has not read.
     ///
     /// # Panics
     /// As [`Conn::unread_incoming`].
@@ -311,29 +324,29 @@
         unread(own, other)
     }
 
-    /// The addresses of both ends, this one's first.
+    /// The local and the peer address.
     fn ends(&self) -> (SocketAddr, SocketAddr) {
         let stream = self.0.get_ref();
         (
-            stream.local_addr().expect("it is bound"),
-            stream.peer_addr().expect("it is connected"),
+            stream.local_addr().expect("the socket is bound"),
+            stream.peer_addr().expect("the socket is connected"),
         )
     }
 
-    /// Waits for one byte and reads it, with nothing behind it.
+    /// Waits for one byte and reads it, without buffering.
     ///
     /// # Panics
-    /// None comes.
+    /// If there is none.
     pub fn read_byte(&mut self) {
         self.0.get_mut().read_exact(&mut [0]).expect("a byte");
     }
 
-    /// Reads so many bytes.
+    /// Fills this buffer.
     ///
     /// # Panics
-    /// They do not come.
+    /// If fewer bytes arrive.
     pub fn read_exact(&mut self, bytes: &mut [u8]) {
-        self.0.read_exact(bytes).expect("they come");
+        self.0.read_exact(bytes).expect("the bytes arrive");
     }
 
     /// Reads to the end of the connection, however it ends.
@@ -341,32 +354,32 @@
         let _ = self.0.read_to_end(to);
     }
 
-    /// Reads to the end of the connection, however it ends, and keeps nothing of it.
+    /// Reads and discards everything to the end of the connection, however it ends.
     pub fn drain(&mut self) {
         let _ = std::io::copy(&mut self.0, &mut std::io::sink());
     }
 
-    /// Says that it writes no more; it still reads (a half-close).
+    /// Half-closes the connection: ends writing and still reads.
     ///
     /// # Panics
-    /// The connection has gone.
+    /// If the connection is closed.
     pub fn end_writing(&mut self) {
         self.0
             .get_mut()
             .shutdown(std::net::Shutdown::Write)
-            .expect("it stands");
+            .expect("the connection is open");
     }
 
-    /// Closes with a reset, whatever is still on its way.
+    /// Closes the connection with a reset, discarding unsent bytes.
     ///
     /// # Panics
-    /// The system refuses to.
+    /// If the socket option cannot be set.
     pub fn reset(self) {
         rustix::net::sockopt::set_socket_linger(self.0.get_ref(), Some(Duration::ZERO))
-            .expect("it can be set");
+            .expect("the option can be set");
     }
 
-    /// Writes the same again and again, until nobody reads any more.
+    /// Writes the same bytes this many times, or until a write fails.
     pub fn write_repeatedly(&mut self, bytes: Vec<u8>, times: usize) {
         for _ in 0..times {
             if self.0.get_mut().write_all(&bytes).is_err() {
@@ -375,10 +388,10 @@
         }
     }
 
-    /// The next line, without its end; none at the end of the connection.
+    /// Reads the next line, without its terminator; none at the end of the connection.
     ///
     /// # Panics
-    /// Nothing comes.
+    /// If the read times out.
     pub fn line(&mut self) -> Option<String> {
         let mut line = String::new();
         match self.0.read_line(&mut line) {
@@ -389,10 +402,10 @@
         }
     }
 
-    /// Writes a line of a watch, behind the head of its answer where this is the first.
+    /// Writes a line of a watch, preceded by the response head if it is the first line.
     ///
     /// # Panics
-    /// The other side has gone.
+    /// If the peer has closed the connection.
     pub fn write_watch_line(&mut self, line: &str) {
         if !std::mem::replace(&mut self.1, true) {
             self.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -400,10 +413,10 @@
         self.write(format!("{:x}\r\n{line}\n\r\n", line.len() + 1));
     }
 
-    /// Writes an answer with this status and body.
+    /// Writes a response with this status and body.
     ///
     /// # Panics
-    /// The other side has gone.
+    /// If the peer has closed the connection.
     pub fn respond(&mut self, status: &str, body: &str) {
         self.write(format!(
             "HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}",
@@ -412,11 +425,12 @@
     }
 }
 
-/// The bytes between two ends of a connection over IPv4: sent and not acknowledged, and received and not read.
+/// Bytes in flight in one direction of an IPv4 connection: sent and not acknowledged, or received and not read.
 fn unread(from: SocketAddr, to: SocketAddr) -> u64 {
-    let all = std::fs::read_to_string("/proc/net/tcp").expect("the system's table of connections");
+    let all =
+        std::fs::read_to_string("/proc/net/tcp").expect("the table of connections is readable");
     let queues = |local: SocketAddr, remote: SocketAddr| {
-        let (local, remote) = (as_listed(local), as_listed(remote));
+        let (local, remote) = (proc_net_format(local), proc_net_format(remote));
         all.lines().find_map(|line| {
             let words: Vec<&str> = line.split_whitespace().collect();
             let (sent, received) = words.get(4)?.split_once(':')?;
@@ -429,10 +443,10 @@
     sent + received
 }
 
-/// An address as the system's table of connections writes it.
-fn as_listed(address: SocketAddr) -> String {
+/// An address in the format of `/proc/net/tcp`.
+fn proc_net_format(address: SocketAddr) -> String {
     let SocketAddr::V4(address) = address else {
-        panic!("{address} is not of IPv4")
+        panic!("{address} is not an IPv4 address")
     };
     format!(
         "{:08X}:{:04X}",
@@ -441,7 +455,7 @@
     )
 }
 
-/// A request as clients send it, with a fresh id; `more` holds further header lines.
+/// A request as clients send it, with a new id; `more` holds additional header lines.
 pub fn request(class: &str, left_ms: u64, more: &str) -> String {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     request_with(
@@ -452,7 +466,7 @@
     )
 }
 
-/// The same, with this id.
+/// Like [`request`], with this id.
 pub fn request_with(id: &str, class: &str, left_ms: u64, more: &str) -> String {
     format!(
         "POST /{class}?q=1 HTTP/1.1\r\nHost: service.internal\r\nX-Trace-Id: {id}\r\n\
--- a/crates/fault-testing/src/plan.rs
+++ b/crates/fault-testing/src/plan.rs
@@ -1,53 +1,53 @@
-//! Plans of faults, as data.
+//! Fault plans as data.
 
 use oorandom::Rand32;
 use std::fmt;
 use std::str::FromStr;
 use std::time::Duration;
 
-/// What is done to a link or a process.
+/// What a fault does to a link or a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultAction {
-    /// A link loses what goes out.
+    /// A link drops traffic to the server.
     CutOut,
-    /// A link loses what comes back.
+    /// A link drops traffic to the client.
     CutBack,
-    /// A link loses all.
+    /// A link drops all traffic.
     Cut,
-    /// A link passes so many more bytes back, then loses what comes back.
+    /// A link forwards this many more bytes to the client, then drops traffic to the client.
     CutAfter(u64),
-    /// A link holds what comes back.
+    /// A link holds traffic to the client.
     HoldBack,
-    /// A link holds what goes out.
+    /// A link holds traffic to the server.
     HoldOut,
-    /// A link holds its open connections; later ones go on.
+    /// A link holds its open connections; new ones are not affected.
     HoldExisting,
-    /// A link lets go of all that it holds.
+    /// A link releases all held traffic.
     Release,
-    /// A link delays each byte by so many milliseconds.
+    /// A link delays each byte by this many milliseconds.
     Delay(u64),
-    /// A link carries so many bytes a second.
+    /// A link forwards at most this many bytes per second.
     Throttle(u64),
     /// A link resets its open connections.
     Reset,
-    /// A link takes connections and never reads them.
+    /// A link accepts connections and never reads from them.
     Blackhole,
-    /// A link is as at the beginning.
+    /// Removes all faults of a link.
     Heal,
-    /// A process is killed without a word.
+    /// Kills a process (SIGKILL).
     Kill,
-    /// A process that was killed is started with the state that it kept.
+    /// Restarts a killed process with its persisted state.
     Start,
-    /// A process that was killed is started without what it kept.
+    /// Restarts a killed process without its persisted state.
     StartWithoutState,
-    /// A process stands still (SIGSTOP).
+    /// Stops a process (SIGSTOP).
     Stop,
-    /// A process goes on (SIGCONT).
+    /// Continues a stopped process (SIGCONT).
     Continue,
 }
 
 impl FaultAction {
-    /// What ends it: a plan that is drawn heals what it breaks.
+    /// The action that ends this one, if it lasts. Generated plans undo each fault with it.
     pub fn recovery_action(self) -> Option<FaultAction> {
         match self {
             FaultAction::Kill => Some(FaultAction::Start),
@@ -112,14 +112,14 @@
     }
 }
 
-/// One fault. Written as `1500 ms, north>agent: cut`.
+/// One fault. Its text form is `1500 ms, north>agent: cut`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// When, from the plan's beginning.
+    /// When the fault happens, from the start of the plan.
     pub at: Duration,
-    /// Which links or processes: a name, or the beginning of several with `*` behind it.
+    /// The links or processes: a name, or a prefix followed by `*`.
     pub target: String,
-    /// What.
+    /// What happens.
     pub action: FaultAction,
 }
 
@@ -140,7 +140,7 @@
 
     fn from_str(line: &str) -> Result<Self, String> {
         let invalid =
-            || format!("{line:?} is no fault; write one as \"1500 ms, north>agent: cut\"");
+            || format!("{line:?} is not a fault; write one as \"1500 ms, north>agent: cut\"");
         let (at, rest) = line.split_once(" ms, ").ok_or_else(invalid)?;
         let (target, action) = rest.rsplit_once(": ").ok_or_else(invalid)?;
         let (word, number) = action
@@ -171,10 +171,10 @@
     }
 }
 
-/// Faults in the order of their times. Written a line each; so written, it is read again and played again.
+/// Faults ordered by time. The text form has one line per fault and can be parsed and executed again.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Plan {
-    /// The faults.
+    /// The faults, ordered by time.
     pub faults: Vec<Fault>,
 }
 
@@ -197,26 +197,26 @@
     }
 }
 
-/// What a plan may be drawn from.
+/// Generates random plans.
 #[derive(Clone, Debug, Default)]
 pub struct PlanGenerator {
-    /// Which links or processes, with what may be done to them.
+    /// Links or processes, each with the possible actions.
     pub choices: Vec<(String, Vec<FaultAction>)>,
-    /// The time over which faults begin.
+    /// The period within which faults start.
     pub window: Duration,
-    /// How long a fault that has a cure lasts: from, to.
+    /// Minimum and maximum duration of a fault that has a recovery action.
     pub duration_range: (Duration, Duration),
 }
 
 impl PlanGenerator {
-    /// So many faults, each followed by its cure. The same for the same seed. A choice that is still broken by an
-    /// earlier fault is left alone until that one is cured.
+    /// Generates up to this many faults, each followed by its recovery action. Deterministic for a seed. A fault that would
+    /// overlap another on the same choice is skipped.
     ///
     /// # Panics
-    /// The menu is empty.
+    /// If there are no choices.
     pub fn draw(&self, seed: u64, faults: usize) -> Plan {
         let mut random = Rand32::new(seed);
-        let millis = |span: Duration| u32::try_from(span.as_millis()).unwrap_or(u32::MAX);
+        let millis = |duration: Duration| u32::try_from(duration.as_millis()).unwrap_or(u32::MAX);
         let mut drawn: Vec<Fault> = Vec::new();
         let mut active: Vec<(u32, u32, usize)> = Vec::new();
         for _ in 0..faults {
@@ -250,8 +250,8 @@
     }
 }
 
-/// The shortest plan found that still fails: whole halves are left out first, then quarters, down to single faults, for
-/// as long as what is left fails (delta debugging, after Zeller). `fails` is called for each try, 64 times at most.
+/// Shrinks a failing plan by delta debugging (Zeller): leaves out halves first, then quarters, down to single faults, as
+/// long as the rest still fails. Returns the shortest failing plan found. Calls `fails` at most 64 times.
 pub fn shrink(plan: &Plan, mut fails: impl FnMut(&Plan) -> bool) -> Plan {
     let mut kept = plan.faults.clone();
     let (mut size, mut attempts) = (kept.len().div_ceil(2), 0);
@@ -301,7 +301,7 @@
     }
 
     #[test]
-    fn a_plan_is_the_same_for_its_seed_is_cured_and_is_read_as_it_was_written() {
+    fn a_plan_is_deterministic_for_its_seed_recovers_its_faults_and_round_trips_as_text() {
         for seed in 0..200 {
             let plan = generator().draw(seed, 6);
             assert_eq!(plan, generator().draw(seed, 6));
@@ -338,7 +338,7 @@
     }
 
     #[test]
-    fn a_plan_shrinks_to_the_faults_that_it_takes() {
+    fn a_plan_shrinks_to_the_faults_that_are_needed_to_fail() {
         let plan = generator().draw(3, 40);
         assert!(plan.faults.len() > 6, "{plan}");
         let needed = [plan.faults[1].clone(), plan.faults[5].clone()];
--- a/crates/fault-testing/src/program.rs
+++ b/crates/fault-testing/src/program.rs
@@ -1,4 +1,4 @@
-//! Processes that the test has started.
+//! Processes started by a test.
 
 use crate::{POLL_INTERVAL, WAIT_TIMEOUT, lock};
 use rustix::process::{Pid, kill_process};
@@ -11,17 +11,17 @@
 
 pub use rustix::process::Signal;
 
-/// The most processes of one rig at a time.
+/// Maximum number of running processes per test process.
 pub const MAX_PROGRAMS: usize = 600;
 
 static RUNNING: AtomicUsize = AtomicUsize::new(0);
 
-/// What starts the program that `MADDERLOOM_BINARY` names, a release build for figures, or else this one.
+/// Command for the program that `MADDERLOOM_BINARY` names, such as a release build for measurements, or else this one.
 pub fn program_command(program: &str) -> Command {
     Command::new(std::env::var_os("MADDERLOOM_BINARY").unwrap_or_else(|| program.into()))
 }
 
-/// A process, and what it logs. It is killed when this is dropped, stopped or not.
+/// A process and its log. It is killed when this is dropped, even if it is stopped by a signal.
 pub struct Program {
     /// The process.
     pub child: Child,
@@ -30,38 +30,44 @@
 }
 
 impl Program {
-    /// Starts it; its standard error is read by the rig.
+    /// Starts a process whose standard error is collected as its log.
     ///
     /// # Panics
-    /// It can't be started, or [`MAX_PROGRAMS`] run already.
+    /// If it cannot be started, or if [`MAX_PROGRAMS`] are running already.
     pub fn start(mut command: Command) -> Self {
         let running = RUNNING.fetch_add(1, Ordering::Relaxed);
-        assert!(running < MAX_PROGRAMS, "{running} programs run already");
-        let mut child = command.stderr(Stdio::piped()).spawn().expect("it starts");
+        assert!(
+            running < MAX_PROGRAMS,
+            "{running} programs are running already"
+        );
+        let mut child = command
+            .stderr(Stdio::piped())
+            .spawn()
+            .expect("the program starts");
         let lines = BufReader::new(child.stderr.take().expect("piped")).lines();
         let log: Arc<Mutex<Vec<String>>> = Arc::default();
-        let kept = Arc::clone(&log);
+        let reader_log = Arc::clone(&log);
         let reader = std::thread::spawn(move || {
             lines
                 .map_while(Result::ok)
-                .for_each(|line| lock(&kept).push(line))
+                .for_each(|line| lock(&reader_log).push(line))
         });
         Program { child, log, reader }
     }
 
-    /// What it has logged so far.
+    /// The lines logged so far.
     pub fn log(&self) -> Vec<String> {
         lock(&self.log).clone()
     }
 
-    /// Waits for a line of the log that holds this.
+    /// Waits for a log line that contains this text.
     ///
     /// # Panics
-    /// It never came, or not before the log ended with the process; the end of the log is told.
+    /// If the wait times out, or the log ends with the process first; the message contains the end of the log.
     pub fn wait_for(&self, text: &str) -> String {
-        let waits = Instant::now();
+        let started_at = Instant::now();
         loop {
-            // Asked before the look: what is logged goes before the log's end.
+            // Read before the log, so that a finished reader implies a complete log.
             let ended = self.reader.is_finished();
             let log = self.log();
             if let Some(line) = log.iter().find(|line| line.contains(text)) {
@@ -69,20 +75,20 @@
             }
             let end = &log[log.len().saturating_sub(3)..];
             assert!(
-                !ended && waits.elapsed() < WAIT_TIMEOUT,
-                "never: {text} in the log, which ends with {end:#?}"
+                !ended && started_at.elapsed() < WAIT_TIMEOUT,
+                "timed out waiting for {text} in the log, which ends with {end:#?}"
             );
             std::thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Sends it a signal.
+    /// Sends the process a signal.
     pub fn signal(&self, signal: Signal) {
         let pid = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw);
-        kill_process(pid.expect("a process"), signal).expect("it runs");
+        kill_process(pid.expect("a process id"), signal).expect("the process is running");
     }
 
-    /// Ends it without a word.
+    /// Kills the process (SIGKILL) and waits for its end.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
--- a/crates/fault-testing/src/server.rs
+++ b/crates/fault-testing/src/server.rs
@@ -1,6 +1,6 @@
-//! Stand-in servers that answer what they are asked, and remember when each request arrived.
+//! Test servers that answer requests and record when each one arrived.
 
-use crate::{listen, lock, runtime, taken};
+use crate::{into_tokio, listen, lock, runtime};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
@@ -16,9 +16,9 @@
 use tokio::sync::watch;
 use tokio::task::{AbortHandle, JoinSet};
 
-/// By how many the worst window that begins and ends with one of these times, in their order, was over this rate; below
-/// all numbers where there is none. Every window is looked at in one pass: times less the rate's line, against the lowest
-/// point before.
+/// The largest excess of events over this rate in any window that starts and ends with one of these ordered times;
+/// negative infinity if there are none. Examines all windows in one pass by comparing the event count minus `rate × time`
+/// with its lowest earlier value.
 pub fn max_window_excess(times: impl IntoIterator<Item = f64>, rate: f64) -> f64 {
     let (mut worst, mut lowest) = (f64::NEG_INFINITY, f64::INFINITY);
     for (before, at) in times.into_iter().enumerate() {
@@ -29,28 +29,27 @@
     worst
 }
 
-/// When requests arrived and for how long each was open, as a server saw it. Those of several servers may be put
-/// together.
+/// Arrival and completion times of requests as recorded by a server. Those of several servers can be combined.
 #[derive(Clone, Debug, Default)]
 pub struct Arrivals(Vec<(Instant, Instant)>);
 
 impl Arrivals {
-    /// All of these together.
+    /// The arrivals at all of these servers.
     pub fn of_servers<'s>(servers: impl IntoIterator<Item = &'s Server>) -> Self {
         let mut all: Vec<_> = servers
             .into_iter()
-            .flat_map(|server| lock(&server.seen).open.clone())
+            .flat_map(|server| lock(&server.record).open.clone())
             .collect();
         all.sort_unstable();
         Arrivals(all)
     }
 
-    /// Of these, from when each came until it was done, in their order.
+    /// From ordered pairs of arrival and completion time.
     pub(crate) fn at(open: Vec<(Instant, Instant)>) -> Self {
         Arrivals(open)
     }
 
-    /// Those that arrived from then on.
+    /// The arrivals at or after this time.
     pub fn since(&self, from: Instant) -> Self {
         Arrivals(
             self.0
@@ -61,19 +60,19 @@
         )
     }
 
-    /// How many there are.
+    /// Number of arrivals.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no arrivals.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// By how much the worst window was over a rate with a burst: over every window that begins and ends with an
-    /// arrival, so many arrived more than `rate × length + burst`. At or below 0 where the bound was kept. `jitter` is
-    /// how much later one may arrive than it was let in; each window is taken as that much longer.
+    /// The largest number of arrivals above `rate × length + burst` in any window that starts and ends with an arrival. At
+    /// most 0 if the bound holds. `jitter` is how much later a request may arrive than it was admitted; each window is
+    /// extended by it.
     pub fn rate_excess(&self, rate: f64, burst: f64, jitter: Duration) -> f64 {
         let Some((first, _)) = self.0.first() else {
             return f64::NEG_INFINITY;
@@ -85,13 +84,13 @@
         max_window_excess(times, rate) - burst - rate * jitter.as_secs_f64()
     }
 
-    /// The most that were open at once.
+    /// Maximum number of concurrent requests.
     pub fn max_concurrent(&self) -> usize {
         let begun = self.0.iter().map(|(at, _)| (*at, 1i64));
         let mut steps: Vec<(Instant, i64)> = begun
             .chain(self.0.iter().map(|(_, end)| (*end, -1)))
             .collect();
-        // One that ends as another begins goes first.
+        // At equal times, ends sort before starts.
         steps.sort_unstable();
         let mut open = 0;
         steps
@@ -105,204 +104,209 @@
             .max(0) as usize
     }
 
-    /// Arrivals a second between two times.
+    /// Arrivals per second between two times.
     pub fn rate(&self, from: Instant, to: Instant) -> f64 {
-        let there = self
+        let count = self
             .0
             .iter()
             .filter(|(at, _)| (from..to).contains(at))
             .count();
-        there as f64 / to.duration_since(from).as_secs_f64()
+        count as f64 / to.duration_since(from).as_secs_f64()
     }
 }
 
 #[derive(Default)]
-struct Seen {
+struct ServerRecord {
     open: Vec<(Instant, Instant)>,
-    /// When each request came, by its id.
-    came: BTreeMap<String, Vec<Instant>>,
-    /// When requests came while it was cold, for as far back as it falls by.
-    cold: VecDeque<Instant>,
-    fell: Option<Instant>,
+    /// Arrival times by request id.
+    arrivals: BTreeMap<String, Vec<Instant>>,
+    /// Arrival times during slow start, within the overload window.
+    slow_start: VecDeque<Instant>,
+    overloaded: Option<Instant>,
 }
 
-/// How a server starts cold, and what pushes it over: the protocol's figures.
+/// Slow start of a server and its overload limit, with the protocol's figures.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStart {
-    /// The part of its capacity that it starts with; the rest comes evenly.
+    /// Share of its capacity at the start; the rest is added linearly.
     pub min_share: f64,
-    /// It is warm after this.
+    /// Duration of slow start.
     pub duration: Duration,
-    /// While it is cold it bears in such a window...
+    /// Length of the overload window.
     pub window: Duration,
-    /// ...so many times what it can do at that moment, N, and what chance adds, by the operators' stricter term: 2 √N + 2. One
-    /// more, and it falls: its connections are reset and it never comes back.
+    /// Multiple of its current capacity that it tolerates in an overload window. If that is N requests, another 2 √N + 2 are
+    /// tolerated for random variation (the operators' stricter term). One more makes it fail: it resets its connections and
+    /// never comes back.
     pub overload_factor: f64,
 }
 
 impl SlowStart {
-    /// Its part of its capacity at this age.
-    fn warmth(&self, age: Duration) -> f64 {
+    /// Share of its capacity at this age.
+    fn capacity_share(&self, age: Duration) -> f64 {
         (self.min_share + (1.0 - self.min_share) * age.as_secs_f64() / self.duration.as_secs_f64())
             .min(1.0)
     }
 }
 
-/// What a server answers.
+/// How a server responds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ResponseMode {
     /// 200.
     #[default]
     Success,
-    /// 500: it may have run.
+    /// 500: the request may have run.
     InternalError,
-    /// Nothing: it takes what comes and is silent.
+    /// No response: it accepts requests and stays silent.
     NoResponse,
 }
 
-/// How a server does its work.
-struct Works {
+/// Configuration of a server.
+struct ServerConfig {
     time: Duration,
-    answers: Mutex<ResponseMode>,
-    cold: Option<(SlowStart, Instant)>,
-    fell: watch::Sender<bool>,
+    response_mode: Mutex<ResponseMode>,
+    slow_start: Option<(SlowStart, Instant)>,
+    overloaded: watch::Sender<bool>,
 }
 
-impl Works {
-    /// How warm it is; none where it never was cold, or is not any more.
-    fn warmth(&self, now: Instant) -> Option<(SlowStart, f64)> {
-        let (cold, started) = self.cold?;
-        let warmth = cold.warmth(now.duration_since(started));
-        (warmth < 1.0).then_some((cold, warmth))
+impl ServerConfig {
+    /// Its slow start and current share of capacity; none outside slow start.
+    fn slow_start_state(&self, now: Instant) -> Option<(SlowStart, f64)> {
+        let (slow_start, started) = self.slow_start?;
+        let share = slow_start.capacity_share(now.duration_since(started));
+        (share < 1.0).then_some((slow_start, share))
     }
 
-    /// Something has come. Gives whether that pushes it over.
-    fn is_pushed_over(&self, seen: &mut Seen, now: Instant) -> bool {
-        let Some((cold, warmth)) = self.warmth(now) else {
+    /// Records an arrival and returns whether it overloads the server.
+    fn is_overloaded_by_arrival(&self, record: &mut ServerRecord, now: Instant) -> bool {
+        let Some((slow_start, share)) = self.slow_start_state(now) else {
             return false;
         };
-        seen.cold.push_back(now);
-        while seen
-            .cold
+        record.slow_start.push_back(now);
+        while record
+            .slow_start
             .front()
-            .is_some_and(|at| now.duration_since(*at) > cold.window)
+            .is_some_and(|at| now.duration_since(*at) > slow_start.window)
         {
-            seen.cold.pop_front();
+            record.slow_start.pop_front();
         }
-        let can = warmth * cold.window.as_secs_f64() / self.time.as_secs_f64();
-        let bears = cold.overload_factor * can;
-        seen.cold.len() as f64 > bears + 2.0 * bears.sqrt() + 2.0
+        let capacity = share * slow_start.window.as_secs_f64() / self.time.as_secs_f64();
+        let tolerated = slow_start.overload_factor * capacity;
+        record.slow_start.len() as f64 > tolerated + 2.0 * tolerated.sqrt() + 2.0
     }
 }
 
-/// A server that answers every request with 200.
+/// A server that answers every request with 200 by default.
 pub struct Server {
-    /// Its name in lists.
+    /// Name in lists.
     pub name: String,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// When it started, in milliseconds of Unix time; 0 for long ago.
+    /// Start time in milliseconds of Unix time; 0 for long ago.
     pub since_ms: u64,
-    seen: Arc<Mutex<Seen>>,
-    works: Arc<Works>,
+    record: Arc<Mutex<ServerRecord>>,
+    config: Arc<ServerConfig>,
     task: AbortHandle,
 }
 
 impl Server {
-    /// One that answers at once.
+    /// Starts a server that answers immediately.
     pub fn new(name: &str) -> Self {
         Server::with_service_time(name, Duration::ZERO)
     }
 
-    /// One that takes so long for each request.
+    /// Starts a server with this service time per request.
     pub fn with_service_time(name: &str, time: Duration) -> Self {
         Server::build(name, time, None)
     }
 
-    /// One that starts now, is cold, and takes so long for each request once it is warm: as much longer as it is
-    /// colder. Nothing queues there, so that what comes is what its callers sent and not what it let them.
-    pub fn with_slow_start(name: &str, time: Duration, cold: SlowStart) -> Self {
+    /// Starts a server in slow start. `time` is its service time after slow start; before, it is divided by the share of
+    /// capacity. Requests do not queue, so the arrivals reflect what callers sent and not what the server could process.
+    pub fn with_slow_start(name: &str, time: Duration, slow_start: SlowStart) -> Self {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         let since_ms = u64::try_from(unix.as_millis()).unwrap_or(u64::MAX);
-        let mut server = Server::build(name, time, Some((cold, Instant::now())));
+        let mut server = Server::build(name, time, Some((slow_start, Instant::now())));
         server.since_ms = since_ms;
         server
     }
 
-    fn build(name: &str, time: Duration, cold: Option<(SlowStart, Instant)>) -> Self {
+    fn build(name: &str, time: Duration, slow_start: Option<(SlowStart, Instant)>) -> Self {
         let (listener, address) = listen();
-        let seen: Arc<Mutex<Seen>> = Arc::default();
-        let (answers, fell) = (Mutex::default(), watch::Sender::new(false));
-        let works = Arc::new(Works {
+        let record: Arc<Mutex<ServerRecord>> = Arc::default();
+        let (response_mode, overloaded) = (Mutex::default(), watch::Sender::new(false));
+        let config = Arc::new(ServerConfig {
             time,
-            answers,
-            cold,
-            fell,
+            response_mode,
+            slow_start,
+            overloaded,
         });
-        let (own, doing) = (Arc::clone(&seen), Arc::clone(&works));
+        let (task_record, task_config) = (Arc::clone(&record), Arc::clone(&config));
         let task = runtime().spawn(async move {
-            let listener = taken(listener);
+            let listener = into_tokio(listener);
             let mut open = JoinSet::new();
-            let mut fell = doing.fell.subscribe();
+            let mut overloaded = task_config.overloaded.subscribe();
             loop {
                 while open.try_join_next().is_some() {}
                 let accepted = tokio::select! {
                     accepted = listener.accept() => accepted,
-                    // All connections end with this.
-                    _ = fell.changed() => return,
+                    // Dropping the set closes all connections.
+                    _ = overloaded.changed() => return,
                 };
                 let Ok((stream, _)) = accepted else { continue };
                 let _ = stream.set_nodelay(true);
-                let (seen, works) = (Arc::clone(&own), Arc::clone(&doing));
-                let answer = service_fn(move |request| {
-                    answer(Arc::clone(&seen), Arc::clone(&works), request)
+                let (record, config) = (Arc::clone(&task_record), Arc::clone(&task_config));
+                let handler = service_fn(move |request| {
+                    handle_request(Arc::clone(&record), Arc::clone(&config), request)
                 });
-                open.spawn(http1::Builder::new().serve_connection(TokioIo::new(stream), answer));
+                open.spawn(http1::Builder::new().serve_connection(TokioIo::new(stream), handler));
             }
         });
         Server {
             name: name.into(),
             address,
             since_ms: 0,
-            seen,
-            works,
+            record,
+            config,
             task: task.abort_handle(),
         }
     }
 
-    /// It answers so from now on.
-    pub fn set_response(&self, answers: ResponseMode) {
-        *lock(&self.works.answers) = answers;
+    /// Changes how it responds from now on.
+    pub fn set_response(&self, mode: ResponseMode) {
+        *lock(&self.config.response_mode) = mode;
     }
 
-    /// When it was pushed over, if it was.
+    /// When it failed because of overload, if it did.
     pub fn overloaded_at(&self) -> Option<Instant> {
-        lock(&self.seen).fell
+        lock(&self.record).overloaded
     }
 
-    /// How often each request was seen by all of these together.
+    /// How often each request arrived at all of these servers together.
     pub fn request_counts_of(servers: &[Server]) -> BTreeMap<String, u32> {
-        let mut seen = BTreeMap::new();
-        for (id, times) in servers.iter().flat_map(Server::request_counts) {
-            *seen.entry(id).or_default() += times;
+        let mut counts = BTreeMap::new();
+        for (id, count) in servers.iter().flat_map(Server::request_counts) {
+            *counts.entry(id).or_default() += count;
         }
-        seen
+        counts
     }
 
-    /// How often each request was seen, by its `X-Trace-Id`.
+    /// How often each request arrived, by its `X-Trace-Id`.
     pub fn request_counts(&self) -> BTreeMap<String, u32> {
-        lock(&self.seen)
-            .came
+        lock(&self.record)
+            .arrivals
             .iter()
-            .map(|(id, came)| (id.clone(), came.len() as u32))
+            .map(|(id, times)| (id.clone(), times.len() as u32))
             .collect()
     }
 
-    /// Each time at which this request came, by its `X-Trace-Id`.
+    /// Arrival times of a request, by its `X-Trace-Id`.
     pub fn arrival_times(&self, id: &str) -> Vec<Instant> {
-        lock(&self.seen).came.get(id).cloned().unwrap_or_default()
+        lock(&self.record)
+            .arrivals
+            .get(id)
+            .cloned()
+            .unwrap_or_default()
     }
 }
 
@@ -312,49 +316,53 @@
     }
 }
 
-/// A request is counted as it comes and not once its answer is first worked at: `hyper` does not begin with that where the
+/// Records a request on arrival and not when its response future is first polled, because `hyper` does not poll that if the
 /// connection has ended meanwhile.
-fn answer(
-    seen: Arc<Mutex<Seen>>,
-    works: Arc<Works>,
+fn handle_request(
+    record: Arc<Mutex<ServerRecord>>,
+    config: Arc<ServerConfig>,
     request: Request<Incoming>,
 ) -> impl Future<Output = Result<Response<Full<Bytes>>, Infallible>> {
-    let came = Instant::now();
+    let arrived_at = Instant::now();
     let id = request
         .headers()
         .get("x-trace-id")
         .and_then(|id| id.to_str().ok())
         .unwrap_or_default();
     {
-        let mut seen = lock(&seen);
-        seen.came.entry(id.to_string()).or_default().push(came);
-        if works.is_pushed_over(&mut seen, came) {
-            seen.fell.get_or_insert(came);
-            works.fell.send_replace(true);
+        let mut record = lock(&record);
+        record
+            .arrivals
+            .entry(id.to_string())
+            .or_default()
+            .push(arrived_at);
+        if config.is_overloaded_by_arrival(&mut record, arrived_at) {
+            record.overloaded.get_or_insert(arrived_at);
+            config.overloaded.send_replace(true);
         }
     }
-    work(seen, works, request, came)
+    process_request(record, config, request, arrived_at)
 }
 
-/// Does a request's work and answers it.
-async fn work(
-    seen: Arc<Mutex<Seen>>,
-    works: Arc<Works>,
+/// Processes a request and answers it.
+async fn process_request(
+    record: Arc<Mutex<ServerRecord>>,
+    config: Arc<ServerConfig>,
     request: Request<Incoming>,
-    came: Instant,
+    arrived_at: Instant,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
-    // One that breaks off is answered like any other: it arrived.
+    // A request whose body is incomplete is answered like any other: it arrived.
     let _ = request.into_body().collect().await;
-    let time = works
-        .warmth(came)
-        .map_or(works.time, |(_, warmth)| works.time.div_f64(warmth));
+    let time = config
+        .slow_start_state(arrived_at)
+        .map_or(config.time, |(_, share)| config.time.div_f64(share));
     if !time.is_zero() {
         tokio::time::sleep(time).await;
     }
-    lock(&seen).open.push((came, Instant::now()));
+    lock(&record).open.push((arrived_at, Instant::now()));
     let mut response = Response::new(Full::new(Bytes::from_static(b"ok")));
-    let answers = *lock(&works.answers);
-    match answers {
+    let response_mode = *lock(&config.response_mode);
+    match response_mode {
         ResponseMode::Success => {}
         ResponseMode::InternalError => *response.status_mut() = StatusCode::INTERNAL_SERVER_ERROR,
         ResponseMode::NoResponse => std::future::pending().await,
--- a/crates/fault-testing/src/testbed.rs
+++ b/crates/fault-testing/src/testbed.rs
@@ -1,59 +1,59 @@
-//! What a plan is played on: links and processes by name.
+//! The links and processes, by name, on which a plan is executed.
 
 use crate::{Direction, Fault, FaultAction, Link, Plan, Program, Signal};
 use std::collections::BTreeMap;
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-/// A process that may be killed and started again.
+/// A process that can be killed and restarted.
 pub struct ManagedProcess {
-    /// None while it is down.
+    /// None while the process is down.
     pub program: Option<Program>,
-    /// Makes what starts it; told whether what it kept must go first.
-    make: Box<dyn Fn(bool) -> Command + Send>,
+    /// Builds the start command; the argument says whether persisted state is deleted first.
+    make_command: Box<dyn Fn(bool) -> Command + Send>,
     stopped: bool,
 }
 
 impl ManagedProcess {
-    /// A process that runs already, and how it is started again.
-    pub fn new(program: Program, make: impl Fn(bool) -> Command + Send + 'static) -> Self {
+    /// A running process and the function that builds its restart command.
+    pub fn new(program: Program, make_command: impl Fn(bool) -> Command + Send + 'static) -> Self {
         ManagedProcess {
             program: Some(program),
-            make: Box::new(make),
+            make_command: Box::new(make_command),
             stopped: false,
         }
     }
 }
 
-/// Links and processes by name.
+/// Links and processes under test, by name.
 #[derive(Default)]
 pub struct Testbed {
-    /// The links.
+    /// Links by name.
     pub links: BTreeMap<String, Link>,
-    /// The processes.
+    /// Processes by name.
     pub processes: BTreeMap<String, ManagedProcess>,
 }
 
-/// Whether a name is matches_target: it, or the beginning of several with `*` behind it.
+/// Whether a pattern matches a name. A pattern is an exact name, or a prefix followed by `*`.
 fn matches_target(pattern: &str, name: &str) -> bool {
     pattern
         .strip_suffix('*')
-        .map_or(pattern == name, |begin| name.starts_with(begin))
+        .map_or(pattern == name, |prefix| name.starts_with(prefix))
 }
 
 impl Testbed {
-    /// Does one thing, now. A process that was started has only begun to.
+    /// Applies one action now. It does not wait until a started process is up.
     ///
     /// # Panics
-    /// Nothing of that name is there, or it is no such thing.
+    /// If nothing has that name, or the action does not apply to it.
     pub fn apply(&mut self, target: &str, action: FaultAction) {
-        let mut any = false;
+        let mut found = false;
         for (_, link) in self
             .links
             .iter()
             .filter(|(name, _)| matches_target(target, name))
         {
-            any = true;
+            found = true;
             match action {
                 FaultAction::CutOut => link.cut(Direction::ToServer),
                 FaultAction::CutBack => link.cut(Direction::ToClient),
@@ -68,7 +68,7 @@
                 FaultAction::Reset => link.reset(),
                 FaultAction::Blackhole => link.blackhole(),
                 FaultAction::Heal => link.heal(),
-                _ => panic!("{target} is a link: {action}"),
+                _ => panic!("{target} is a link, which does not support {action}"),
             }
         }
         for (_, process) in self
@@ -76,14 +76,14 @@
             .iter_mut()
             .filter(|(name, _)| matches_target(target, name))
         {
-            any = true;
+            found = true;
             match (action, &process.program) {
                 (FaultAction::Kill, _) => {
                     process.program = None;
                     process.stopped = false;
                 }
                 (FaultAction::Start | FaultAction::StartWithoutState, None) => {
-                    process.program = Some(Program::start((process.make)(
+                    process.program = Some(Program::start((process.make_command)(
                         action == FaultAction::StartWithoutState,
                     )));
                 }
@@ -95,7 +95,7 @@
                     program.signal(Signal::CONT);
                     process.stopped = false;
                 }
-                // A shrunk plan may start what runs, or stop what does not.
+                // A shrunk plan may start a running process or stop one that is down.
                 (
                     FaultAction::Start
                     | FaultAction::StartWithoutState
@@ -103,52 +103,51 @@
                     | FaultAction::Continue,
                     _,
                 ) => {}
-                _ => panic!("{target} is a process: {action}"),
+                _ => panic!("{target} is a process, which does not support {action}"),
             }
         }
-        assert!(any, "there is nothing called {target}");
+        assert!(found, "no link or process is called {target}");
     }
 
-    /// Plays a plan, and then waits until `over` has passed since its beginning. `after` is told of each fault once it
-    /// is done.
+    /// Executes a plan, then waits until `duration` has passed since its start. `after_fault` is called after each fault.
     pub fn play(
         &mut self,
         plan: &Plan,
-        over: Duration,
-        mut after: impl FnMut(&mut Testbed, &Fault),
+        duration: Duration,
+        mut after_fault: impl FnMut(&mut Testbed, &Fault),
     ) {
-        let begin = Instant::now();
-        let wait = |at: Duration| std::thread::sleep(at.saturating_sub(begin.elapsed()));
+        let started_at = Instant::now();
+        let wait = |at: Duration| std::thread::sleep(at.saturating_sub(started_at.elapsed()));
         for fault in &plan.faults {
             wait(fault.at);
             self.apply(&fault.target, fault.action);
-            after(self, fault);
+            after_fault(self, fault);
         }
-        wait(over);
+        wait(duration);
     }
 
-    /// Everything is healed, runs, and goes on.
+    /// Heals all links, resumes stopped processes and restarts those that are down.
     pub fn heal(&mut self) {
         self.links.values().for_each(Link::heal);
         for process in self.processes.values_mut() {
             match &process.program {
                 Some(program) if process.stopped => program.signal(Signal::CONT),
                 Some(_) => {}
-                None => process.program = Some(Program::start((process.make)(false))),
+                None => process.program = Some(Program::start((process.make_command)(false))),
             }
             process.stopped = false;
         }
     }
 
-    /// The program of this name.
+    /// The running program of this name.
     ///
     /// # Panics
-    /// It is down, or there is none.
+    /// If it is down, or no process has that name.
     pub fn program(&self, name: &str) -> &Program {
         let process = self
             .processes
             .get(name)
-            .unwrap_or_else(|| panic!("there is no {name}"));
+            .unwrap_or_else(|| panic!("no process is called {name}"));
         process
             .program
             .as_ref()
--- a/crates/fault-testing/tests/unique_addresses.rs
+++ b/crates/fault-testing/tests/unique_addresses.rs
@@ -1,18 +1,18 @@
-//! Processes that have not begun to listen get no other's address.
+//! Addresses given to test processes are unique, also before the processes listen on them.
 
 use std::collections::HashSet;
 
 #[test]
-fn no_address_is_given_twice_though_nobody_listens_there_yet() {
+fn no_address_is_given_twice_even_before_anyone_listens_there() {
     let given: HashSet<_> = (0..600)
         .map(|_| madderloom_fault_testing::unique_address())
         .collect();
     assert_eq!(given.len(), 600);
 }
 
-/// Whatever still calls a peer that has gone, another test's process for example, must not reach the next one.
+/// A client that still calls a closed peer, such as another test's process, must not reach a later one.
 #[test]
-fn no_peer_listens_where_a_former_one_did() {
+fn no_peer_reuses_the_address_of_an_earlier_one() {
     let given: HashSet<_> = (0..600)
         .map(|_| madderloom_fault_testing::peer::ScriptedServer::new().address())
         .collect();
