--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Settings and a driver that the tests share.
+//! Settings, server lists and a test rig that the tests share.
 #![allow(dead_code)]
 
 use madderloom_balancer::*;
@@ -7,23 +7,26 @@
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000_000;
 
-pub fn class(effect: RetrySafety) -> Class {
+pub fn class(retry_safety: RetrySafety) -> Class {
     Class {
         latency_objective: 400 * MS,
         latency_objective_stretch: 0.0,
         deadline: 1_200 * MS,
-        retry_safety: effect,
+        retry_safety,
         priority_weight: 1.0,
         late_weight_share: 0.0,
     }
 }
 
-pub fn settings(effects: &[RetrySafety]) -> Settings {
+pub fn settings(retry_safeties: &[RetrySafety]) -> Settings {
     Settings {
         group_size: 4,
         zone: 0,
         tick: 5 * MS,
-        classes: effects.iter().map(|e| class(*e)).collect(),
+        classes: retry_safeties
+            .iter()
+            .map(|retry_safety| class(*retry_safety))
+            .collect(),
         tenants: Vec::new(),
         discovery_on_request: true,
         limits: Limits {
@@ -62,14 +65,14 @@
     (0..servers).map(listed).collect()
 }
 
-/// A balancer, the time it is told, and what it has done.
+/// A balancer with a simulated clock. It records all actions that the balancer returns.
 pub struct Rig {
     pub balancer: Balancer,
     pub now: Micros,
     pub actions: Vec<Action>,
-    /// The guess of its work that comes with each request.
-    pub hint: Option<Micros>,
-    next: RequestId,
+    /// Cost hint of each new request.
+    pub cost_hint: Option<Micros>,
+    last_id: RequestId,
 }
 
 impl Rig {
@@ -78,13 +81,13 @@
     }
 
     pub fn seeded(settings: Settings, seed: u64, servers: &[ServerEntry]) -> Self {
-        let balancer = Balancer::new(settings, seed).expect("settings are sound");
+        let balancer = Balancer::new(settings, seed).expect("settings are valid");
         let mut rig = Rig {
             balancer,
             now: 1_000 * S,
             actions: Vec::new(),
-            hint: None,
-            next: 0,
+            cost_hint: None,
+            last_id: 0,
         };
         rig.event(Event::DiscoveryUpdated(DiscoveryUpdate::FullList(servers)));
         rig
@@ -98,19 +101,19 @@
     }
 
     pub fn request(&mut self, class: u32) -> (RequestId, Vec<Action>) {
-        self.request_of(class, 0)
+        self.request_of_tenant(class, 0)
     }
 
-    pub fn request_of(&mut self, class: u32, tenant: u32) -> (RequestId, Vec<Action>) {
-        self.next += 1;
-        let (id, time_left) = (self.next, 1_200 * MS);
+    pub fn request_of_tenant(&mut self, class: u32, tenant: u32) -> (RequestId, Vec<Action>) {
+        self.last_id += 1;
+        let (id, time_left) = (self.last_id, 1_200 * MS);
         let new = NewRequest {
             id,
             class,
             tenant,
             key: None,
             time_left,
-            cost_hint: self.hint,
+            cost_hint: self.cost_hint,
             client_retry: false,
         };
         (id, self.event(Event::RequestReceived(new)))
@@ -135,7 +138,7 @@
         }))
     }
 
-    /// One request, answered after `elapsed`; gives back the server that had it.
+    /// Sends one request, which succeeds after `elapsed`. Returns its server.
     pub fn serve(&mut self, class: u32, elapsed: Micros) -> Option<ServerId> {
         let (id, actions) = self.request(class);
         let server = sent(&actions)?;
@@ -144,27 +147,27 @@
         Some(server)
     }
 
-    /// Requests served one after another, counted by server.
-    pub fn spread(
+    /// Sends requests one after another and counts the requests of each server.
+    pub fn count_by_server(
         &mut self,
         requests: u32,
         elapsed: impl Fn(ServerId) -> Micros,
     ) -> BTreeMap<ServerId, u32> {
-        let mut count = BTreeMap::new();
+        let mut counts = BTreeMap::new();
         for _ in 0..requests {
             let (id, actions) = self.request(0);
             if let Some(server) = sent(&actions) {
-                let took = elapsed(server);
-                self.now += took;
-                self.close(id, 0, server, Outcome::Ok, took);
-                *count.entry(server).or_insert(0) += 1;
+                let response_time = elapsed(server);
+                self.now += response_time;
+                self.close(id, 0, server, Outcome::Ok, response_time);
+                *counts.entry(server).or_insert(0) += 1;
             }
         }
-        count
+        counts
     }
 
-    /// Requests that come every `gap` and are answered `elapsed` after; class and tenant by their place.
-    /// Gives back which were refused on arrival.
+    /// Sends a request every `gap`; each succeeds after `elapsed`. `kind` returns class and tenant for the index of a
+    /// request. Returns for each request whether it was rejected on arrival.
     pub fn stream(
         &mut self,
         requests: usize,
@@ -172,25 +175,29 @@
         elapsed: Micros,
         kind: impl Fn(usize) -> (u32, u32),
     ) -> Vec<bool> {
-        let mut out = std::collections::VecDeque::<(Micros, RequestId, ServerId)>::new();
-        let mut early = Vec::new();
+        let mut in_flight = std::collections::VecDeque::<(Micros, RequestId, ServerId)>::new();
+        let mut rejections = Vec::new();
         for i in 0..requests {
             self.now += gap;
-            while let Some((at, id, server)) = out.front().copied().filter(|o| o.0 <= self.now) {
-                out.pop_front();
+            while let Some((at, id, server)) = in_flight
+                .front()
+                .copied()
+                .filter(|attempt| attempt.0 <= self.now)
+            {
+                in_flight.pop_front();
                 let now = std::mem::replace(&mut self.now, at);
                 self.close(id, 0, server, Outcome::Ok, elapsed);
                 self.now = now;
             }
             let (class, tenant) = kind(i);
-            let (id, actions) = self.request_of(class, tenant);
-            out.extend(sent(&actions).map(|server| (self.now + elapsed, id, server)));
-            early.push(refused(&actions));
+            let (id, actions) = self.request_of_tenant(class, tenant);
+            in_flight.extend(sent(&actions).map(|server| (self.now + elapsed, id, server)));
+            rejections.push(rejected(&actions));
         }
-        early
+        rejections
     }
 
-    pub fn timer(&mut self, at: Micros, request: RequestId) -> Vec<Action> {
+    pub fn fire_timer(&mut self, at: Micros, request: RequestId) -> Vec<Action> {
         self.now = self.now.max(at);
         self.event(Event::TimerFired(Timer::Request(request)))
     }
@@ -203,7 +210,7 @@
     })
 }
 
-pub fn asked(actions: &[Action]) -> Vec<ServerId> {
+pub fn probed_servers(actions: &[Action]) -> Vec<ServerId> {
     let probes = actions.iter().filter_map(|a| {
         if let Action::Probe(server) = a {
             Some(*server)
@@ -214,7 +221,7 @@
     probes.collect()
 }
 
-pub fn refused(actions: &[Action]) -> bool {
+pub fn rejected(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
--- a/crates/balancer/tests/levels.rs
+++ b/crates/balancer/tests/degradation_levels.rs
@@ -32,7 +32,7 @@
     let away = |seed: usize| {
         let mut rig = Rig::new(two_classes(), &fleet(4));
         // Another past, and so other random numbers.
-        rig.spread(seed as u32 * 7, |_| 20 * MS);
+        rig.count_by_server(seed as u32 * 7, |_| 20 * MS);
         rig.event(Event::DegradationChanged(&reduced));
         let mut away = Vec::new();
         for key in 0..2_000 {
@@ -126,7 +126,10 @@
     let mut set = settings(&[RetrySafety::NonIdempotent]);
     (set.limits.probes, set.group_size) = (true, 40);
     let mut rig = Rig::new(set, &fleet(8));
-    assert!(!asked(&rig.request(0).1).is_empty(), "usually it asks");
+    assert!(
+        !probed_servers(&rig.request(0).1).is_empty(),
+        "usually it asks"
+    );
     rig.event(Event::DegradationChanged(&DegradationEffects {
         allows_probes: false,
         timeout_factor: 0.5,
@@ -134,9 +137,9 @@
     }));
     let start = rig.now;
     let (id, mut actions) = rig.request(0);
-    assert!(asked(&actions).is_empty() && sent(&actions).is_some());
+    assert!(probed_servers(&actions).is_empty() && sent(&actions).is_some());
     while let Some(at) = timer_at(&actions) {
-        actions = rig.timer(at, id);
+        actions = rig.fire_timer(at, id);
     }
     let waited = rig.now - start;
     assert!(
--- a/crates/balancer/tests/every_sequence.rs
+++ b/crates/balancer/tests/every_sequence.rs
@@ -613,7 +613,9 @@
                     News::Drains => vec![as_listed(0, ServerState::Draining, None)],
                     News::Gone => vec![as_listed(0, ServerState::Gone, None)],
                     News::BackAnew => vec![as_listed(0, ServerState::Ready, anew)],
-                    News::OthersInPlace => vec![listed(1), as_listed(2, ServerState::Ready, anew)],
+                    News::OthersInPlace => {
+                        vec![listed(1), as_listed(2, ServerState::Ready, anew)]
+                    }
                     News::Failed => {
                         return self.event(Event::DiscoveryUpdated(DiscoveryUpdate::CallFailed {
                             list_known_at: self.now,
--- a/crates/balancer/tests/alone.rs
+++ b/crates/balancer/tests/extreme_values.rs
@@ -9,15 +9,15 @@
 #[test]
 fn one_hint_beyond_all_reason_moves_no_region() {
     let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(4));
-    rig.hint = Some(10 * MS);
-    rig.spread(400, |_| 10 * MS);
+    rig.cost_hint = Some(10 * MS);
+    rig.count_by_server(400, |_| 10 * MS);
     for hint in [u64::MAX, 1 << 53, 3_600 * S] {
-        rig.hint = Some(hint);
+        rig.cost_hint = Some(hint);
         rig.serve(0, 10 * MS).expect("it is served");
-        rig.hint = Some(10 * MS);
+        rig.cost_hint = Some(10 * MS);
         rig.now += S;
         let most = rig
-            .spread(400, |_| 10 * MS)
+            .count_by_server(400, |_| 10 * MS)
             .into_values()
             .max()
             .unwrap_or(0);
@@ -60,11 +60,11 @@
         tried(&mut rig, id, 600 * MS, false);
     }
     assert!(
-        !refused(&tried(&mut rig, 10_000, 600 * MS, true)),
+        !rejected(&tried(&mut rig, 10_000, 600 * MS, true)),
         "a repeat was refused for its age"
     );
     assert!(
-        refused(&tried(&mut rig, 10_001, 400 * MS, true)),
+        rejected(&tried(&mut rig, 10_001, 400 * MS, true)),
         "an old one still is"
     );
 }
@@ -76,7 +76,7 @@
     let mut long = settings(&[RetrySafety::Idempotent]);
     (long.classes[0].latency_objective, long.classes[0].deadline) = (10 * S, 30 * S);
     let mut rig = Rig::new(long.clone(), &fleet(4));
-    rig.spread(100, |_| 9 * S);
+    rig.count_by_server(100, |_| 9 * S);
     let mut short = long;
     (
         short.classes[0].latency_objective,
@@ -89,8 +89,11 @@
     };
     rig.event(Event::SettingsChanged(&retuned));
     rig.now += 60 * S;
-    let refused = rig.stream(6_000, 10 * MS, 20 * MS, |_| (0, 0));
-    let late = refused[3_000..].iter().filter(|refused| **refused).count();
+    let rejected = rig.stream(6_000, 10 * MS, 20 * MS, |_| (0, 0));
+    let late = rejected[3_000..]
+        .iter()
+        .filter(|rejected| **rejected)
+        .count();
     assert!(
         late < 300,
         "half a minute later {late} of 3000 were still refused"
--- a/crates/balancer/tests/mechanism.rs
+++ b/crates/balancer/tests/mechanism.rs
@@ -8,8 +8,8 @@
 fn shares_follow_the_measured_speed() {
     let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(4));
     let elapsed = |s: ServerId| if s.0 == 0 { 80 * MS } else { 20 * MS };
-    rig.spread(600, elapsed);
-    let spread = rig.spread(600, elapsed);
+    rig.count_by_server(600, elapsed);
+    let spread = rig.count_by_server(600, elapsed);
     let slow = spread.get(&ServerId(0)).copied().unwrap_or(0);
     assert!(
         slow > 0 && slow < 90,
@@ -42,7 +42,7 @@
 fn the_same_events_give_the_same_actions() {
     let run = || {
         let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(5));
-        rig.spread(200, |s| (10 + s.0) * MS);
+        rig.count_by_server(200, |s| (10 + s.0) * MS);
         rig.actions
     };
     assert_eq!(run(), run());
@@ -51,7 +51,7 @@
 #[test]
 fn a_hung_server_is_left_alone_after_silence() {
     let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(4));
-    rig.spread(300, |_| 20 * MS);
+    rig.count_by_server(300, |_| 20 * MS);
     let mut hung = Vec::new();
     let mut later = 0;
     for round in 0..400 {
@@ -74,12 +74,14 @@
 #[test]
 fn a_server_that_fails_fast_does_not_draw_traffic() {
     let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(4));
-    rig.spread(200, |_| 20 * MS);
+    rig.count_by_server(200, |_| 20 * MS);
     let mut bad = 0;
     for _ in 0..200 {
         let (id, mut actions) = rig.request(0);
         for attempt in 0..3 {
-            let Some(server) = sent(&actions) else { break };
+            let Some(server) = sent(&actions) else {
+                break;
+            };
             rig.now += MS;
             if server != ServerId(3) {
                 rig.now += 19 * MS;
@@ -126,8 +128,8 @@
 #[test]
 fn overload_is_refused_before_it_is_queued() {
     let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(4));
-    rig.spread(100, |_| 170 * MS);
-    let early = (0..100).filter(|_| refused(&rig.request(0).1)).count();
+    rig.count_by_server(100, |_| 170 * MS);
+    let early = (0..100).filter(|_| rejected(&rig.request(0).1)).count();
     let logged = rig
         .actions
         .iter()
@@ -172,7 +174,7 @@
         let mut settings = settings(&[RetrySafety::Idempotent, RetrySafety::Idempotent]);
         settings.classes[0].priority_weight = 3.0;
         let mut rig = Rig::new(settings, &fleet(8));
-        rig.hint = Some(150 * MS);
+        rig.cost_hint = Some(150 * MS);
         rig.stream(1_000, 10 * MS, elapsed, |i| (i as u32 % 2, 0))
             .into_iter()
             .filter(|e| *e)
@@ -222,7 +224,7 @@
     let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(4));
     let early = rig.stream(300, 10 * MS, 80 * MS, |_| (0, 0));
     assert!(!early.contains(&true));
-    let taken = (0..200).filter(|_| !refused(&rig.request(0).1)).count();
+    let taken = (0..200).filter(|_| !rejected(&rig.request(0).1)).count();
     assert!(
         (12..40).contains(&taken),
         "{taken} taken at once where 40 are served in an aim"
@@ -236,7 +238,7 @@
         let batch: Vec<_> = (0..20).map(|_| rig.request(0)).collect();
         rig.now += 140 * MS;
         for (place, (id, actions)) in batch.iter().enumerate() {
-            early += usize::from(refused(actions));
+            early += usize::from(rejected(actions));
             if let Some(server) = sent(actions) {
                 rig.close(*id, 0, server, end(place), 140 * MS);
             }
@@ -321,7 +323,7 @@
         settings(&[RetrySafety::Idempotent]),
         &[listed(0), listed(1)],
     );
-    rig.spread(100, |_| 20 * MS);
+    rig.count_by_server(100, |_| 20 * MS);
     let (slow, actions) = rig.request(0);
     let server = sent(&actions).expect("sent");
     let mut at = timer_at(&actions);
@@ -335,7 +337,7 @@
             let answered = rig.request(0);
             if let Some(same) = sent(&answered.1).filter(|s| *s == server) {
                 rig.close(answered.0, 0, same, Outcome::Ok, 20 * MS);
-                let actions = rig.timer(rig.now, slow);
+                let actions = rig.fire_timer(rig.now, slow);
                 assert_eq!(sent(&actions), None, "a copy of a long request is as long");
             }
             at = Some(rig.now + 20 * MS);
@@ -356,7 +358,7 @@
             cost_hint: None,
             client_retry: repeat,
         };
-        refused(&rig.event(Event::RequestReceived(new)))
+        rejected(&rig.event(Event::RequestReceived(new)))
     };
     assert!(!ask(1, 900 * MS, false));
     assert!(!ask(2, 900 * MS, true), "its age is not known");
@@ -420,7 +422,7 @@
     let mut early = 0;
     for round in 0..160 {
         let long: Vec<_> = (0..12).map(|_| rig.request(1)).collect();
-        early += long.iter().filter(|(_, actions)| refused(actions)).count();
+        early += long.iter().filter(|(_, actions)| rejected(actions)).count();
         for _ in 0..60 {
             rig.serve(0, 100 * MS);
         }
@@ -452,7 +454,9 @@
     for _ in 0..40 {
         let (id, mut actions) = rig.request(1);
         for attempt in 0..4 {
-            let Some(server) = sent(&actions) else { break };
+            let Some(server) = sent(&actions) else {
+                break;
+            };
             rig.now += 20 * MS;
             if !lane.contains(&server) {
                 elsewhere += 1;
@@ -484,7 +488,7 @@
 fn of_many_instances_each_asks_first_and_takes_the_server_that_holds_least() {
     let mut rig = one_of_many_that_ask(0.0);
     let (id, actions) = rig.request(0);
-    let probed = asked(&actions);
+    let probed = probed_servers(&actions);
     assert!(probed.len() > 1 && sent(&actions).is_none(), "{actions:?}");
     for (at, server) in probed.iter().enumerate() {
         let held = if at == 1 { 2.0 } else { 9.0 };
@@ -497,14 +501,14 @@
         ));
     }
     let at = timer_at(&actions).expect("held until the probes are in");
-    assert_eq!(sent(&rig.timer(at, id)), Some(probed[1]));
+    assert_eq!(sent(&rig.fire_timer(at, id)), Some(probed[1]));
 }
 
 #[test]
 fn a_failing_server_draws_no_requests_by_its_short_queue_and_one_that_answers_no_probe_none() {
     let mut rig = one_of_many_that_ask(0.0);
     let (id, actions) = rig.request(0);
-    let probed = asked(&actions);
+    let probed = probed_servers(&actions);
     rig.event(Event::ProbeCompleted(
         probed[0],
         Some(LoadReport {
@@ -523,7 +527,7 @@
         ));
     }
     let at = timer_at(&actions).expect("held until the probes are in");
-    let server = sent(&rig.timer(at, id)).expect("sent");
+    let server = sent(&rig.fire_timer(at, id)).expect("sent");
     assert!(probed[2..].contains(&server), "{server:?} of {probed:?}");
 }
 
@@ -554,7 +558,7 @@
             .collect()
     };
     let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &kinds(0..4));
-    rig.spread(
+    rig.count_by_server(
         200,
         |server| if server.0 % 2 == 0 { 20 * MS } else { 100 * MS },
     );
@@ -563,7 +567,7 @@
     rig.event(Event::DiscoveryUpdated(DiscoveryUpdate::ListChanges(
         &kinds(4..20),
     )));
-    let count = rig.spread(60, |_| 20 * MS);
+    let count = rig.count_by_server(60, |_| 20 * MS);
     let new = |odd: u64| -> u32 {
         count
             .iter()
@@ -593,17 +597,17 @@
 fn with_answers_at_the_aim_even_an_idle_instance_refuses_some() {
     let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(8));
     let early = rig.stream(100, 700 * MS, 390 * MS, |_| (0, 0));
-    let refused = early[20..].iter().filter(|e| **e).count();
+    let rejected = early[20..].iter().filter(|e| **e).count();
     assert!(
-        (10..70).contains(&refused),
-        "{refused} of 80: one open at each of many instances jams the fleet"
+        (10..70).contains(&rejected),
+        "{rejected} of 80: one open at each of many instances jams the fleet"
     );
 }
 
 #[test]
 fn a_heavy_request_avoids_servers_too_slow_for_it() {
     let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(4));
-    rig.spread(200, |server| if server.0 == 0 { 20 * MS } else { 60 * MS });
+    rig.count_by_server(200, |server| if server.0 == 0 { 20 * MS } else { 60 * MS });
     let heavy = |rig: &mut Rig, id| {
         let new = NewRequest {
             id,
@@ -630,7 +634,7 @@
 
 #[test]
 fn dear_probes_are_fewer_and_too_dear_ones_none() {
-    let probes = |price| asked(&one_of_many_that_ask(price).request(0).1).len();
+    let probes = |price| probed_servers(&one_of_many_that_ask(price).request(0).1).len();
     assert_eq!(
         [probes(0.0), probes(0.002), probes(0.01), probes(0.5)],
         [3, 3, 2, 0]
@@ -647,7 +651,9 @@
     for round in 0..1_200 {
         let (id, mut actions) = rig.request(0);
         for attempt in 0..4 {
-            let Some(server) = sent(&actions) else { break };
+            let Some(server) = sent(&actions) else {
+                break;
+            };
             rig.now += 40 * MS;
             sends += 1;
             *count.entry(server).or_insert(0) += u32::from(round >= 600 && attempt == 0);
@@ -750,7 +756,9 @@
     for _ in 0..600 {
         let (id, mut actions) = rig.request(0);
         for attempt in 0..4 {
-            let Some(server) = sent(&actions) else { break };
+            let Some(server) = sent(&actions) else {
+                break;
+            };
             rig.now += 40 * MS;
             sends += 1;
             let outcome = if sends % 3 == 0 {
@@ -759,7 +767,7 @@
                 Outcome::Ok
             };
             actions = rig.close(id, attempt, server, outcome, 40 * MS);
-            unserved += u32::from(refused(&actions));
+            unserved += u32::from(rejected(&actions));
         }
     }
     assert!(unserved < 6, "{unserved} of 600");
--- a/crates/balancer/tests/memory.rs
+++ b/crates/balancer/tests/restored_measurements.rs
@@ -69,14 +69,14 @@
         }
     ));
     assert_eq!(warm.balancer.measurements(rig.now), memory);
-    let spread = warm.spread(100, |_| 5 * MS);
+    let spread = warm.count_by_server(100, |_| 5 * MS);
     let got = |server: u64| spread.get(&ServerId(server)).copied().unwrap_or(0);
     assert!(
         got(0) <= 5 && got(1) < got(2) && got(1) < got(3),
         "{spread:?}"
     );
     let mut cold = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(4));
-    assert!(cold.spread(100, |_| 5 * MS)[&ServerId(0)] > 10);
+    assert!(cold.count_by_server(100, |_| 5 * MS)[&ServerId(0)] > 10);
 }
 
 #[test]
--- a/crates/balancer/tests/rules.rs
+++ b/crates/balancer/tests/rules.rs
@@ -17,17 +17,17 @@
         let (id, mut actions) = rig.request(0);
         let mut finals = 0;
         while let Some(at) = timer_at(&actions) {
-            actions = rig.timer(at, id);
-            finals += u32::from(refused(&actions)) + u32::from(failed(&actions));
+            actions = rig.fire_timer(at, id);
+            finals += u32::from(rejected(&actions)) + u32::from(failed(&actions));
             assert!(!(failed(&actions) && effect == RetrySafety::Idempotent));
             assert!(
-                !(refused(&actions) && effect != RetrySafety::Idempotent),
+                !(rejected(&actions) && effect != RetrySafety::Idempotent),
                 "it may have run"
             );
         }
         assert_eq!(finals, 1);
         assert!(rig.now <= start + 1_200 * MS);
-        let late = rig.timer(rig.now + S, id);
+        let late = rig.fire_timer(rig.now + S, id);
         assert!(late.is_empty());
     }
 }
@@ -39,9 +39,9 @@
     let (id, mut actions) = rig.request(0);
     assert_eq!(sent(&actions), None);
     while let Some(at) = timer_at(&actions) {
-        actions = rig.timer(at, id);
+        actions = rig.fire_timer(at, id);
     }
-    assert!(refused(&actions), "nothing ran, so a refusal is true");
+    assert!(rejected(&actions), "nothing ran, so a refusal is true");
     assert!(rig.now < start + 1_200 * MS);
 }
 
@@ -53,7 +53,7 @@
         4,
     ))));
     let at = timer_at(&actions).expect("a held request is looked at again");
-    assert!(sent(&rig.timer(at, id)).is_some());
+    assert!(sent(&rig.fire_timer(at, id)).is_some());
 }
 
 /// Held until some milliseconds of its time are left and sent then, it ran and its client was told that it failed.
@@ -72,18 +72,18 @@
         let (id, mut actions) = rig.request(0);
         let over = rig.now + 1_200 * MS;
         while let Some(at) = timer_at(&actions).filter(|at| *at < over - left) {
-            actions = rig.timer(at, id);
+            actions = rig.fire_timer(at, id);
         }
-        let refused = actions
+        let rejected = actions
             .iter()
             .any(|action| matches!(action, Action::Reject { .. }));
         rig.now = over - left;
         rig.event(Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&fleet(
             4,
         ))));
-        let then = rig.timer(over - left, id);
+        let then = rig.fire_timer(over - left, id);
         assert_eq!(
-            (sent(&then).is_some(), refused),
+            (sent(&then).is_some(), rejected),
             (is_sent, !is_sent),
             "{effect:?} with {left} us left: {then:?}"
         );
@@ -179,7 +179,7 @@
     let (id, mut actions) = rig.request(0);
     let server = sent(&actions).expect("sent");
     while let Some(at) = timer_at(&actions) {
-        actions = rig.timer(at, id);
+        actions = rig.fire_timer(at, id);
         assert_eq!(sent(&actions), None, "two attempts were out at once");
         if actions.iter().any(|a| matches!(a, Action::Cancel { .. })) {
             break;
@@ -203,12 +203,12 @@
     rig.event(Event::DiscoveryUpdated(DiscoveryUpdate::ListChanges(&[
         draining, gone,
     ])));
-    let spread = rig.spread(300, |_| 20 * MS);
+    let spread = rig.count_by_server(300, |_| 20 * MS);
     assert!(!spread.contains_key(&ServerId(1)) && !spread.contains_key(&ServerId(2)));
     rig.event(Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&[
         listed(0),
     ])));
-    let spread = rig.spread(50, |_| 20 * MS);
+    let spread = rig.count_by_server(50, |_| 20 * MS);
     assert_eq!(
         spread.keys().collect::<Vec<_>>(),
         [&ServerId(0)],
@@ -220,7 +220,7 @@
 fn a_cold_server_gets_at_most_its_warmth_of_a_usual_share() {
     // Every instance may send at once: each keeps to its own part, in a step and in a burst.
     let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(4));
-    rig.spread(400, |_| 20 * MS);
+    rig.count_by_server(400, |_| 20 * MS);
     let young = ServerEntry {
         started_at: Some(rig.now),
         ..listed(9)
@@ -244,7 +244,7 @@
     for (id, server) in ids {
         rig.close(id, 0, server, Outcome::Ok, 20 * MS);
     }
-    let spread = rig.spread(200, |_| 20 * MS);
+    let spread = rig.count_by_server(200, |_| 20 * MS);
     let mine = spread.get(&ServerId(9)).copied().unwrap_or(0);
     assert!(mine <= 200 / 5 / 2, "{mine} of 200 in the first seconds");
 }
@@ -274,7 +274,7 @@
         connection_broken: false,
     }));
     assert!(ask(&failed));
-    let spread = rig.spread(20, |_| 20 * MS);
+    let spread = rig.count_by_server(20, |_| 20 * MS);
     assert!(!spread.is_empty(), "the old list serves on");
 }
 
@@ -305,7 +305,11 @@
             );
             for (at, id) in std::mem::take(&mut held) {
                 let due = at <= rig.now;
-                let actions = if due { rig.timer(at, id) } else { Vec::new() };
+                let actions = if due {
+                    rig.fire_timer(at, id)
+                } else {
+                    Vec::new()
+                };
                 answers.extend(sent(&actions).map(|server| (id, server)));
                 held.extend(
                     timer_at(&actions)
@@ -346,7 +350,7 @@
     let (mut cold, mut all) = ([0; 4], [0; 4]);
     for seed in 0..100 {
         let mut rig = Rig::seeded(settings.clone(), seed, &warm);
-        rig.hint = Some(50 * MS);
+        rig.cost_hint = Some(50 * MS);
         rig.stream(20, S, 10 * MS, |_| (0, 0));
         rig.event(Event::DiscoveryUpdated(DiscoveryUpdate::ListChanges(&[
             young,
--- a/crates/balancer/tests/retuned.rs
+++ b/crates/balancer/tests/settings_change.rs
@@ -59,7 +59,7 @@
 fn what_was_learned_of_servers_outlasts_the_settings() {
     let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(4));
     let elapsed = |s: ServerId| if s.0 == 0 { 80 * MS } else { 20 * MS };
-    rig.spread(600, elapsed);
+    rig.count_by_server(600, elapsed);
     let mut changed = class(RetrySafety::Idempotent);
     changed.priority_weight = 3.0;
     rig.event(Event::SettingsChanged(&retuned(
