--- a/crates/balancer/tests/rules.rs
+++ b/crates/balancer/tests/rules.rs
@@ -1,4 +1,5 @@
-//! The four rules, on the module's events alone.
+//! The four safety rules, checked through events and actions alone: no dropped request, no repeated effect, safe drain and
+//! safe fail-back.
 
 mod common;
 use common::*;
@@ -10,30 +11,30 @@
 };
 
 #[test]
-fn a_silent_server_costs_one_final_answer_before_the_deadline_and_nothing_follows() {
-    for effect in [RetrySafety::Idempotent, KEYED, RetrySafety::NonIdempotent] {
-        let mut rig = Rig::new(settings(&[effect]), &fleet(4));
+fn a_request_to_a_silent_server_gets_one_final_response_before_its_deadline() {
+    for retry_safety in [RetrySafety::Idempotent, KEYED, RetrySafety::NonIdempotent] {
+        let mut rig = Rig::new(settings(&[retry_safety]), &fleet(4));
         let start = rig.now;
         let (id, mut actions) = rig.request(0);
-        let mut finals = 0;
+        let mut final_responses = 0;
         while let Some(at) = timer_at(&actions) {
             actions = rig.fire_timer(at, id);
-            finals += u32::from(rejected(&actions)) + u32::from(failed(&actions));
-            assert!(!(failed(&actions) && effect == RetrySafety::Idempotent));
+            final_responses += u32::from(rejected(&actions)) + u32::from(failed(&actions));
+            assert!(!(failed(&actions) && retry_safety == RetrySafety::Idempotent));
             assert!(
-                !(rejected(&actions) && effect != RetrySafety::Idempotent),
-                "it may have run"
+                !(rejected(&actions) && retry_safety != RetrySafety::Idempotent),
+                "it may have been executed"
             );
         }
-        assert_eq!(finals, 1);
+        assert_eq!(final_responses, 1);
         assert!(rig.now <= start + 1_200 * MS);
-        let late = rig.fire_timer(rig.now + S, id);
-        assert!(late.is_empty());
+        let actions_after_end = rig.fire_timer(rig.now + S, id);
+        assert!(actions_after_end.is_empty());
     }
 }
 
 #[test]
-fn with_no_server_listed_a_request_is_held_and_refused_in_time() {
+fn without_a_listed_server_a_request_is_queued_and_rejected_before_its_deadline() {
     let mut rig = Rig::new(settings(&[RetrySafety::NonIdempotent]), &[]);
     let start = rig.now;
     let (id, mut actions) = rig.request(0);
@@ -41,58 +42,63 @@
     while let Some(at) = timer_at(&actions) {
         actions = rig.fire_timer(at, id);
     }
-    assert!(rejected(&actions), "nothing ran, so a refusal is true");
+    assert!(
+        rejected(&actions),
+        "nothing was executed, so the rejection is correct"
+    );
     assert!(rig.now < start + 1_200 * MS);
 }
 
 #[test]
-fn a_held_request_is_sent_once_the_list_arrives() {
+fn a_queued_request_is_sent_when_the_server_list_arrives() {
     let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &[]);
     let (id, actions) = rig.request(0);
     rig.event(Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&fleet(
         4,
     ))));
-    let at = timer_at(&actions).expect("a held request is looked at again");
+    let at = timer_at(&actions).expect("a queued request has a timer");
     assert!(sent(&rig.fire_timer(at, id)).is_some());
 }
 
-/// Held until some milliseconds of its time are left and sent then, it ran and its client was told that it failed.
+/// A non-idempotent request was queued until a few milliseconds before its deadline and then sent: it was executed, but its
+/// client received a failure.
 #[test]
-fn a_held_request_that_must_not_run_twice_is_refused_while_it_could_still_be_answered() {
-    for (effect, left, is_sent) in [
+fn a_queued_non_idempotent_request_is_rejected_when_too_little_time_is_left_to_answer_it() {
+    for (retry_safety, time_left, is_sent) in [
         (RetrySafety::NonIdempotent, 800 * MS, true),
         (RetrySafety::NonIdempotent, 100 * MS, false),
         (RetrySafety::NonIdempotent, 10 * MS, false),
         (RetrySafety::Idempotent, 100 * MS, true),
         (RetrySafety::Idempotent, 10 * MS, true),
     ] {
-        let mut settings = settings(&[effect]);
-        settings.classes[0].late_weight_share = 1.0; // or else nothing waits past the aim
+        let mut settings = settings(&[retry_safety]);
+        settings.classes[0].late_weight_share = 1.0; // Otherwise no request is queued beyond its latency objective.
         let mut rig = Rig::new(settings, &[]);
         let (id, mut actions) = rig.request(0);
-        let over = rig.now + 1_200 * MS;
-        while let Some(at) = timer_at(&actions).filter(|at| *at < over - left) {
+        let deadline = rig.now + 1_200 * MS;
+        while let Some(at) = timer_at(&actions).filter(|at| *at < deadline - time_left) {
             actions = rig.fire_timer(at, id);
         }
         let rejected = actions
             .iter()
             .any(|action| matches!(action, Action::Reject { .. }));
-        rig.now = over - left;
+        rig.now = deadline - time_left;
         rig.event(Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&fleet(
             4,
         ))));
-        let then = rig.fire_timer(over - left, id);
+        let late_actions = rig.fire_timer(deadline - time_left, id);
         assert_eq!(
-            (sent(&then).is_some(), rejected),
+            (sent(&late_actions).is_some(), rejected),
             (is_sent, !is_sent),
-            "{effect:?} with {left} us left: {then:?}"
+            "{retry_safety:?} with {time_left} us left: {late_actions:?}"
         );
     }
 }
 
-/// A slow answer is taken for half of the aim at first, which is more than all the time of these requests.
+/// The initial estimate of the tail latency is half of the latency objective, which is longer than the whole time of these
+/// requests.
 #[test]
-fn a_request_is_never_refused_as_it_comes_for_answers_that_are_slow() {
+fn a_slow_tail_latency_estimate_rejects_no_request_on_arrival() {
     let mut settings = settings(&[RetrySafety::NonIdempotent]);
     (
         settings.classes[0].latency_objective,
@@ -104,7 +110,7 @@
 }
 
 #[test]
-fn a_client_that_left_is_owed_nothing() {
+fn a_request_whose_client_disconnected_is_cancelled_and_gets_no_response() {
     let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(4));
     let (id, actions) = rig.request(0);
     let server = sent(&actions).expect("sent");
@@ -120,8 +126,8 @@
 }
 
 #[test]
-fn an_unsafe_request_is_sent_again_only_when_it_never_ran() {
-    for (outcome, again) in [
+fn a_non_idempotent_request_is_retried_only_if_it_was_not_executed() {
+    for (outcome, is_retried) in [
         (Outcome::Full, true),
         (Outcome::ConnectFailed, true),
         (Outcome::Moot, true),
@@ -133,34 +139,35 @@
         let mut rig = Rig::new(settings(&[RetrySafety::NonIdempotent]), &fleet(4));
         let (id, actions) = rig.request(0);
         let server = sent(&actions).expect("sent");
-        let next = rig.close(id, 0, server, outcome, MS);
-        assert_eq!(sent(&next).is_some(), again, "{outcome:?}");
-        assert_eq!(failed(&next), !again, "{outcome:?}");
+        let retry_actions = rig.close(id, 0, server, outcome, MS);
+        assert_eq!(sent(&retry_actions).is_some(), is_retried, "{outcome:?}");
+        assert_eq!(failed(&retry_actions), !is_retried, "{outcome:?}");
     }
 }
 
 #[test]
-fn a_keyed_request_that_may_have_run_stays_in_its_group_and_window() {
+fn a_request_with_an_idempotency_key_is_retried_only_in_its_scope_and_window() {
     for _ in 0..20 {
         let mut rig = Rig::new(settings(&[KEYED]), &fleet(8));
         let (id, actions) = rig.request(0);
         let first = sent(&actions).expect("sent");
-        let next = rig.close(id, 0, first, Outcome::Error, MS);
-        let second = sent(&next).expect("a repeat in the group is discarded, so it may go");
+        let retry_actions = rig.close(id, 0, first, Outcome::Error, MS);
+        let second = sent(&retry_actions)
+            .expect("servers of the scope discard duplicates, so a retry is safe");
         assert_eq!(
             first.0 % 2,
             second.0 % 2,
-            "the repeat crossed to another zone"
+            "the retry was sent to another zone"
         );
     }
-    let short = RetrySafety::IdempotentWithKey {
+    let short_window = RetrySafety::IdempotentWithKey {
         scope: DeduplicationScope::Zone,
         window: 100 * MS,
     };
-    let mut rig = Rig::new(settings(&[short]), &fleet(4));
+    let mut rig = Rig::new(settings(&[short_window]), &fleet(4));
     let (id, actions) = rig.request(0);
     rig.now += 150 * MS;
-    let next = rig.close(
+    let retry_actions = rig.close(
         id,
         0,
         sent(&actions).expect("sent"),
@@ -168,29 +175,29 @@
         150 * MS,
     );
     assert!(
-        sent(&next).is_none() && failed(&next),
-        "the group has forgotten the first attempt"
+        sent(&retry_actions).is_none() && failed(&retry_actions),
+        "the scope no longer recognizes a duplicate of the first attempt"
     );
 }
 
 #[test]
-fn a_slow_attempt_gets_no_second_one_beside_it() {
+fn a_slow_attempt_gets_no_second_attempt_in_parallel() {
     let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(4));
     let (id, mut actions) = rig.request(0);
     let server = sent(&actions).expect("sent");
     while let Some(at) = timer_at(&actions) {
         actions = rig.fire_timer(at, id);
-        assert_eq!(sent(&actions), None, "two attempts were out at once");
+        assert_eq!(sent(&actions), None, "two attempts were in flight at once");
         if actions.iter().any(|a| matches!(a, Action::Cancel { .. })) {
             break;
         }
     }
-    let next = rig.close(id, 0, server, Outcome::Cancelled, 300 * MS);
-    assert!(sent(&next).is_none_or(|s| s != server));
+    let retry_actions = rig.close(id, 0, server, Outcome::Cancelled, 300 * MS);
+    assert!(sent(&retry_actions).is_none_or(|s| s != server));
 }
 
 #[test]
-fn nothing_new_goes_to_a_server_that_drains_or_is_gone() {
+fn draining_servers_and_servers_that_have_left_get_no_new_requests() {
     let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(4));
     let draining = ServerEntry {
         state: ServerState::Draining,
@@ -203,56 +210,59 @@
     rig.event(Event::DiscoveryUpdated(DiscoveryUpdate::ListChanges(&[
         draining, gone,
     ])));
-    let spread = rig.count_by_server(300, |_| 20 * MS);
-    assert!(!spread.contains_key(&ServerId(1)) && !spread.contains_key(&ServerId(2)));
+    let counts = rig.count_by_server(300, |_| 20 * MS);
+    assert!(!counts.contains_key(&ServerId(1)) && !counts.contains_key(&ServerId(2)));
     rig.event(Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&[
         listed(0),
     ])));
-    let spread = rig.count_by_server(50, |_| 20 * MS);
+    let counts = rig.count_by_server(50, |_| 20 * MS);
     assert_eq!(
-        spread.keys().collect::<Vec<_>>(),
+        counts.keys().collect::<Vec<_>>(),
         [&ServerId(0)],
-        "absent from a full list means gone"
+        "a server that is missing from a full list has left"
     );
 }
 
 #[test]
-fn a_cold_server_gets_at_most_its_warmth_of_a_usual_share() {
-    // Every instance may send at once: each keeps to its own part, in a step and in a burst.
+fn a_warming_server_gets_at_most_its_slow_start_share() {
+    // All instances may send at the same time, so each keeps to its own part of the budget, in steady traffic and in a burst.
     let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(4));
     rig.count_by_server(400, |_| 20 * MS);
-    let young = ServerEntry {
+    let new_server = ServerEntry {
         started_at: Some(rig.now),
         ..listed(9)
     };
     rig.event(Event::DiscoveryUpdated(DiscoveryUpdate::ListChanges(&[
-        young,
+        new_server,
     ])));
-    let mut cold = 0;
+    let mut sent_to_new_server = 0;
     let mut ids = Vec::new();
     for _ in 0..200 {
         let (id, actions) = rig.request(0);
         if let Some(server) = sent(&actions) {
-            cold += u32::from(server == ServerId(9));
+            sent_to_new_server += u32::from(server == ServerId(9));
             ids.push((id, server));
         }
     }
     assert!(
-        cold <= 1,
-        "a burst of 200 put {cold} on a server that has just started"
+        sent_to_new_server <= 1,
+        "a burst of 200 sent {sent_to_new_server} to a server that has just started"
     );
     for (id, server) in ids {
         rig.close(id, 0, server, Outcome::Ok, 20 * MS);
     }
-    let spread = rig.count_by_server(200, |_| 20 * MS);
-    let mine = spread.get(&ServerId(9)).copied().unwrap_or(0);
-    assert!(mine <= 200 / 5 / 2, "{mine} of 200 in the first seconds");
+    let counts = rig.count_by_server(200, |_| 20 * MS);
+    let new_server_count = counts.get(&ServerId(9)).copied().unwrap_or(0);
+    assert!(
+        new_server_count <= 200 / 5 / 2,
+        "{new_server_count} of 200 went to the new server in the first seconds"
+    );
 }
 
 #[test]
-fn a_lost_subscription_is_asked_for_again() {
+fn discovery_is_polled_again_after_a_failed_call() {
     let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(4));
-    let ask = |actions: &[Action]| {
+    let sets_discovery_timer = |actions: &[Action]| {
         actions.iter().any(|a| {
             matches!(
                 a,
@@ -263,7 +273,10 @@
             )
         })
     };
-    assert!(ask(&rig.actions), "the list must be asked for");
+    assert!(
+        sets_discovery_timer(&rig.actions),
+        "discovery must be polled"
+    );
     assert_eq!(
         rig.event(Event::TimerFired(Timer::Discovery)),
         [Action::PollDiscovery]
@@ -273,45 +286,45 @@
         waited: 0,
         connection_broken: false,
     }));
-    assert!(ask(&failed));
-    let spread = rig.count_by_server(20, |_| 20 * MS);
-    assert!(!spread.is_empty(), "the old list serves on");
+    assert!(sets_discovery_timer(&failed));
+    let counts = rig.count_by_server(20, |_| 20 * MS);
+    assert!(!counts.is_empty(), "the old list stays in use");
 }
 
 #[test]
-fn a_fleet_that_is_all_cold_is_neither_flooded_nor_left_idle() {
+fn a_fleet_that_is_all_warming_up_is_neither_overloaded_nor_left_idle() {
     let now = 1_000 * S;
-    let young = |at| ServerEntry {
+    let new_server = |at| ServerEntry {
         started_at: Some(now),
         ..listed(at)
     };
     let mut rig = Rig::new(
         settings(&[RetrySafety::Idempotent]),
-        &(0..4).map(young).collect::<Vec<_>>(),
+        &(0..4).map(new_server).collect::<Vec<_>>(),
     );
     assert_eq!(rig.now, now);
-    let mut total = 0;
-    let mut held = Vec::new();
+    let mut total_sent = 0;
+    let mut queued = Vec::new();
     for second in 0..8 {
-        let mut answers = Vec::new();
+        let mut sent_requests = Vec::new();
         for _ in 0..50 {
             rig.now += 10 * MS;
             let (id, actions) = rig.request(0);
-            answers.extend(sent(&actions).map(|server| (id, server)));
-            held.extend(
+            sent_requests.extend(sent(&actions).map(|server| (id, server)));
+            queued.extend(
                 timer_at(&actions)
                     .filter(|_| sent(&actions).is_none())
                     .map(|at| (at, id)),
             );
-            for (at, id) in std::mem::take(&mut held) {
+            for (at, id) in std::mem::take(&mut queued) {
                 let due = at <= rig.now;
                 let actions = if due {
                     rig.fire_timer(at, id)
                 } else {
                     Vec::new()
                 };
-                answers.extend(sent(&actions).map(|server| (id, server)));
-                held.extend(
+                sent_requests.extend(sent(&actions).map(|server| (id, server)));
+                queued.extend(
                     timer_at(&actions)
                         .or((!due).then_some(at))
                         .map(|at| (at, id)),
@@ -319,58 +332,58 @@
             }
         }
         assert!(
-            second > 0 || answers.len() <= 4,
-            "{} of 50 went to cold servers at once",
-            answers.len()
+            second > 0 || sent_requests.len() <= 4,
+            "{} of 50 were sent to warming servers at once",
+            sent_requests.len()
         );
-        total += answers.len();
-        for (id, server) in answers {
+        total_sent += sent_requests.len();
+        for (id, server) in sent_requests {
             rig.close(id, 0, server, Outcome::Ok, 20 * MS);
         }
         rig.now += 500 * MS;
     }
     assert!(
-        total > 0,
-        "nothing was ever sent to a fleet that started together"
+        total_sent > 0,
+        "nothing was sent to a fleet whose servers all started at once"
     );
 }
 
-/// Of a hundred instances each owes a cold server less than one request in all the time that it is cold. If each waited
-/// until it owed a whole one, the server would stand idle and the warm ones would bear its work.
+/// The part of each of a hundred instances in the slow-start budget of a server is less than one request. If each instance
+/// waited until its part is a whole request, the server would stay idle and the warm servers would carry its load.
 #[test]
-fn a_hundred_quiet_instances_together_use_a_cold_server_and_do_not_push_it_over() {
+fn a_hundred_instances_with_little_traffic_use_a_warming_server_and_do_not_overload_it() {
     let mut settings = settings(&[RetrySafety::Idempotent]);
     (settings.group_size, settings.rules.overload_window) = (100, 2 * S);
     let start = 1_020 * S;
-    let young = ServerEntry {
+    let new_server = ServerEntry {
         started_at: Some(start),
         ..listed(0)
     };
-    let warm: Vec<_> = (1..8).map(listed).collect();
-    let (mut cold, mut all) = ([0; 4], [0; 4]);
+    let warm_servers: Vec<_> = (1..8).map(listed).collect();
+    let (mut sent_to_new_server, mut all_requests) = ([0; 4], [0; 4]);
     for seed in 0..100 {
-        let mut rig = Rig::seeded(settings.clone(), seed, &warm);
+        let mut rig = Rig::seeded(settings.clone(), seed, &warm_servers);
         rig.cost_hint = Some(50 * MS);
         rig.stream(20, S, 10 * MS, |_| (0, 0));
         rig.event(Event::DiscoveryUpdated(DiscoveryUpdate::ListChanges(&[
-            young,
+            new_server,
         ])));
-        // One request a second for 8 s: its part is one of eight, of which a cold server is to have less.
+        // One request per second for 8 s: a warm server gets one in eight, a warming server fewer.
         for second in 0..8 {
             rig.now = start + second * S;
             let server = rig.serve(0, 10 * MS);
-            all[second as usize / 2] += u32::from(server.is_some());
-            cold[second as usize / 2] += u32::from(server == Some(ServerId(0)));
+            all_requests[second as usize / 2] += u32::from(server.is_some());
+            sent_to_new_server[second as usize / 2] += u32::from(server == Some(ServerId(0)));
         }
     }
-    let usual = all.map(|all| all / 8);
+    let warm_share = all_requests.map(|count| count / 8);
     assert!(
-        cold[0] > 0 && cold.iter().sum::<u32>() >= usual[0] / 2,
-        "{cold:?} of {usual:?} went to the cold server"
+        sent_to_new_server[0] > 0 && sent_to_new_server.iter().sum::<u32>() >= warm_share[0] / 2,
+        "{sent_to_new_server:?} of {warm_share:?} went to the warming server"
     );
-    // Three times the fifth that it can do at its start would push it over.
+    // Three times its initial capacity, which is a fifth, would make it collapse.
     assert!(
-        cold[0] * 5 < usual[0] * 3,
-        "{cold:?} of {usual:?} went to the cold server"
+        sent_to_new_server[0] * 5 < warm_share[0] * 3,
+        "{sent_to_new_server:?} of {warm_share:?} went to the warming server"
     );
 }
