--- a/crates/balancer/tests/every_sequence.rs
+++ b/crates/balancer/tests/every_sequence.rs
@@ -1,8 +1,8 @@
-//! Every sequence of a handful of events on a very small fleet. After each event, and at the end of time, the brief's four
-//! rules are checked by checkers that are told only what goes in and what comes out: none asks the module.
+//! Checks the four safety rules for every short sequence of events on a very small fleet: after each event, and again when
+//! enough time has passed for all timers to fire. The checkers see only the events and the actions, not the balancer's state.
 //!
-//! Depths grow one by one, so the first sequence that breaks a rule is one of the shortest, and it is printed. No states
-//! are merged: a module's state holds means and random numbers, and two that look alike may go on otherwise.
+//! The depth grows step by step, so the first sequence that breaks a rule is one of the shortest; it is printed. States are not
+//! merged: a balancer's state contains means and random numbers, and two states that look alike may behave differently.
 
 mod common;
 use common::*;
@@ -10,109 +10,109 @@
 use std::collections::BTreeMap;
 use std::fmt::Debug;
 
-/// A rule that was broken, in words.
-type Broken = Result<(), String>;
+/// An error describes the rule that was broken.
+type RuleResult = Result<(), String>;
 
-fn rule(holds: bool, broken: impl FnOnce() -> String) -> Broken {
-    if holds { Ok(()) } else { Err(broken()) }
+fn check(holds: bool, violation: impl FnOnce() -> String) -> RuleResult {
+    if holds { Ok(()) } else { Err(violation()) }
 }
 
-/// Something that is played move by move, always the same for the same moves.
-trait Play: Sized {
-    type Move: Copy + Debug + Send + Sync;
+/// A deterministic simulation that runs step by step.
+trait Scenario: Sized {
+    type Step: Copy + Debug + Send + Sync;
     fn new() -> Self;
-    fn moves(&self) -> Vec<Self::Move>;
-    fn make(&mut self, made: Self::Move) -> Broken;
-    fn end(self) -> Broken;
-
-    fn play(moves: &[Self::Move]) -> Result<Self, String> {
-        let mut played = Self::new();
-        moves.iter().try_for_each(|made| played.make(*made))?;
-        Ok(played)
+    fn possible_steps(&self) -> Vec<Self::Step>;
+    fn apply(&mut self, step: Self::Step) -> RuleResult;
+    fn end(self) -> RuleResult;
+
+    fn run(steps: &[Self::Step]) -> Result<Self, String> {
+        let mut scenario = Self::new();
+        steps.iter().try_for_each(|step| scenario.apply(*step))?;
+        Ok(scenario)
     }
 }
 
-/// Plays all sequences of this many moves that begin so, each to the end of time, and counts them.
-fn explore<P: Play>(begun: &mut Vec<P::Move>, depth: usize) -> Result<u64, String> {
-    let told = |broken: String| format!("{broken}\nafter {begun:?}");
-    let played = P::play(begun).map_err(told)?;
-    if begun.len() == depth {
-        return played
+/// Runs all sequences of `depth` steps that start with `prefix`, each to its end, and counts them.
+fn explore<T: Scenario>(prefix: &mut Vec<T::Step>, depth: usize) -> Result<u64, String> {
+    let with_prefix = |violation: String| format!("{violation}\nafter {prefix:?}");
+    let scenario = T::run(prefix).map_err(with_prefix)?;
+    if prefix.len() == depth {
+        return scenario
             .end()
             .map(|()| 1)
-            .map_err(|broken| format!("{broken}\nat the end of time, after {begun:?}"));
+            .map_err(|violation| format!("{violation}\nat the end, after {prefix:?}"));
     }
     let mut count = 0;
-    for next in played.moves() {
-        begun.push(next);
-        let found = explore::<P>(begun, depth);
-        begun.pop();
-        count += found?;
+    for step in scenario.possible_steps() {
+        prefix.push(step);
+        let explored = explore::<T>(prefix, depth);
+        prefix.pop();
+        count += explored?;
     }
     Ok(count)
 }
 
-/// The sequences of each depth up to this one: their numbers, or the first that breaks a rule.
-fn every<P: Play>(deepest: usize) -> Result<Vec<u64>, String> {
-    let first = P::new().moves();
-    let each = |depth: usize| {
+/// Runs the sequences of each depth up to `max_depth`. Returns their numbers, or the first sequence that breaks a rule.
+fn explore_depths<T: Scenario>(max_depth: usize) -> Result<Vec<u64>, String> {
+    let first_steps = T::new().possible_steps();
+    let explore_depth = |depth: usize| {
         std::thread::scope(|scope| {
-            let parts = first
+            let threads = first_steps
                 .iter()
-                .map(|first| scope.spawn(move || explore::<P>(&mut vec![*first], depth)));
-            let parts: Vec<_> = parts.collect();
-            parts
+                .map(|first| scope.spawn(move || explore::<T>(&mut vec![*first], depth)));
+            let threads: Vec<_> = threads.collect();
+            threads
                 .into_iter()
-                .map(|part| part.join().expect("no checker panics"))
+                .map(|thread| thread.join().expect("no checker panics"))
                 .sum()
         })
     };
-    (1..=deepest).map(each).collect()
+    (1..=max_depth).map(explore_depth).collect()
 }
 
 // ---- The checkers ----
 
-/// *No dropped request*: one final answer for each, no later than its client's deadline; nothing is sent for one that is
-/// over.
+/// *No dropped request*: each request gets one final response, no later than its client's deadline; nothing is sent for a
+/// request that has ended.
 #[derive(Default)]
-struct Answered {
-    /// The deadline of each request that came, and whether it is over.
+struct FinalResponses {
+    /// The deadline of each received request, and whether it has ended.
     requests: BTreeMap<RequestId, (Micros, bool)>,
 }
 
-impl Answered {
-    fn told(&mut self, now: Micros, event: &Event<'_>) {
+impl FinalResponses {
+    fn on_event(&mut self, now: Micros, event: &Event<'_>) {
         match event {
             Event::RequestReceived(new) => {
                 _ = self.requests.insert(new.id, (now + new.time_left, false))
             }
-            Event::ClientDisconnected(id) => self.over(*id),
-            Event::AttemptEnded(closed) if closed.outcome == Outcome::Ok => {
-                self.over(closed.request)
+            Event::ClientDisconnected(id) => self.mark_ended(*id),
+            Event::AttemptEnded(result) if result.outcome == Outcome::Ok => {
+                self.mark_ended(result.request)
             }
             _ => {}
         }
     }
 
-    fn over(&mut self, id: RequestId) {
+    fn mark_ended(&mut self, id: RequestId) {
         self.requests
             .entry(id)
             .and_modify(|request| request.1 = true);
     }
 
-    fn did(&mut self, now: Micros, action: &Action) -> Broken {
+    fn on_action(&mut self, now: Micros, action: &Action) -> RuleResult {
         match action {
             Action::Reject { request, .. } | Action::Fail { request } => {
-                let (deadline, over) = self.requests[request];
-                rule(!over, || format!("dropped: {request} was answered twice"))?;
-                rule(now <= deadline, || {
+                let (deadline, ended) = self.requests[request];
+                check(!ended, || format!("dropped: {request} was answered twice"))?;
+                check(now <= deadline, || {
                     format!("dropped: {request} was answered too late")
                 })?;
-                self.over(*request);
+                self.mark_ended(*request);
             }
             Action::Send { request, .. } => {
-                rule(!self.requests[request].1, || {
-                    format!("dropped: {request} was sent on when it was over")
+                check(!self.requests[request].1, || {
+                    format!("dropped: {request} was sent after it had ended")
                 })?;
             }
             _ => {}
@@ -120,53 +120,65 @@
         Ok(())
     }
 
-    fn look(&self, now: Micros) -> Broken {
-        let lost = self
+    fn check_deadlines(&self, now: Micros) -> RuleResult {
+        let unanswered = self
             .requests
             .iter()
-            .find(|(_, (deadline, over))| !over && now > *deadline);
-        rule(lost.is_none(), || {
-            format!("dropped: no answer for {lost:?} at {now}")
+            .find(|(_, (deadline, ended))| !ended && now > *deadline);
+        check(unanswered.is_none(), || {
+            format!("dropped: no final response for {unanswered:?} at {now}")
         })
     }
 }
 
-/// *No repeated effect*: what may have run goes out again, or is refused, only within what its class allows; never two
-/// attempts at once, nor more than a request may have.
+/// *No repeated effect*: a request that may have been executed is retried or rejected only as its class allows. A request
+/// never has two attempts in flight, nor more attempts than permitted.
 #[derive(Default)]
-struct Repeated {
-    requests: BTreeMap<RequestId, (RetrySafety, usize, Vec<Tried>)>,
+struct Repetitions {
+    requests: BTreeMap<RequestId, (RetrySafety, usize, Vec<Attempt>)>,
 }
 
-struct Tried {
+struct Attempt {
     zone: u32,
     at: Micros,
     outcome: Option<Outcome>,
 }
 
-impl Repeated {
-    fn told(&mut self, event: &Event<'_>, settings: &Settings) {
+impl Repetitions {
+    fn on_event(&mut self, event: &Event<'_>, settings: &Settings) {
         match event {
             Event::RequestReceived(new) => {
-                let effect = settings.classes[new.class as usize].retry_safety;
+                let retry_safety = settings.classes[new.class as usize].retry_safety;
                 self.requests.insert(
                     new.id,
-                    (effect, settings.limits.max_attempts as usize, Vec::new()),
+                    (
+                        retry_safety,
+                        settings.limits.max_attempts as usize,
+                        Vec::new(),
+                    ),
                 );
             }
-            Event::AttemptEnded(closed) => {
-                let (.., tried) = self.requests.get_mut(&closed.request).expect("it came");
-                // The first word on an attempt holds.
-                let outcome = &mut tried[closed.attempt as usize].outcome;
-                *outcome = outcome.or(Some(closed.outcome));
+            Event::AttemptEnded(result) => {
+                let (.., attempts) = self
+                    .requests
+                    .get_mut(&result.request)
+                    .expect("it was received");
+                // The first result of an attempt counts.
+                let outcome = &mut attempts[result.attempt as usize].outcome;
+                *outcome = outcome.or(Some(result.outcome));
             }
             _ => {}
         }
     }
 
-    fn did(&mut self, now: Micros, action: &Action, zone: impl Fn(ServerId) -> u32) -> Broken {
-        let may_have_run =
-            |tried: &&Tried| !tried.outcome.is_some_and(Outcome::proves_not_executed);
+    fn on_action(
+        &mut self,
+        now: Micros,
+        action: &Action,
+        zone: impl Fn(ServerId) -> u32,
+    ) -> RuleResult {
+        let possibly_executed =
+            |attempt: &&Attempt| !attempt.outcome.is_some_and(Outcome::proves_not_executed);
         match action {
             Action::Send {
                 request,
@@ -174,47 +186,50 @@
                 write_by,
                 ..
             } => {
-                let (effect, most, tried) = self.requests.get_mut(request).expect("it came");
+                let (retry_safety, max_attempts, attempts) =
+                    self.requests.get_mut(request).expect("it was received");
                 let zone = zone(*server);
-                let first = tried.iter().find(may_have_run);
-                let allowed = match (first, *effect) {
+                let first = attempts.iter().find(possibly_executed);
+                let is_allowed = match (first, *retry_safety) {
                     (None, _) | (_, RetrySafety::Idempotent) => true,
                     (Some(_), RetrySafety::NonIdempotent) => false,
                     (Some(first), RetrySafety::IdempotentWithKey { window, .. }) => {
                         first.zone == zone && now <= first.at + window
                     }
                 };
-                rule(allowed, || {
-                    format!("repeated: {request} went out again and may have run")
+                check(is_allowed, || {
+                    format!("repeated: {request} was sent again and may have been executed")
                 })?;
-                // Its connection may come up as late as that.
-                let harmless_until = match (first, *effect) {
+                // The connection may be established as late as `write_by`.
+                let safe_until = match (first, *retry_safety) {
                     (Some(first), RetrySafety::IdempotentWithKey { window, .. }) => {
                         first.at + window
                     }
                     _ => Micros::MAX,
                 };
-                rule(*write_by <= harmless_until, || {
-                    format!("repeated: {request} may be written at {write_by}, behind its window")
+                check(*write_by <= safe_until, || {
+                    format!(
+                        "repeated: {request} may be written at {write_by}, after its idempotency window"
+                    )
                 })?;
-                rule(tried.iter().all(|t| t.outcome.is_some()), || {
-                    format!("repeated: two of {request} at once")
+                check(attempts.iter().all(|t| t.outcome.is_some()), || {
+                    format!("repeated: two attempts of {request} in flight")
                 })?;
-                rule(tried.len() < *most, || {
-                    format!("repeated: {request} went out {} times", tried.len() + 1)
+                check(attempts.len() < *max_attempts, || {
+                    format!("repeated: {request} was sent {} times", attempts.len() + 1)
                 })?;
-                tried.push(Tried {
+                attempts.push(Attempt {
                     zone,
                     at: now,
                     outcome: None,
                 });
             }
             Action::Reject { request, .. } => {
-                let (effect, _, tried) = &self.requests[request];
-                let harmless =
-                    *effect == RetrySafety::Idempotent || tried.iter().find(may_have_run).is_none();
-                rule(harmless, || {
-                    format!("repeated: {request} was refused and may have run")
+                let (retry_safety, _, attempts) = &self.requests[request];
+                let is_safe = *retry_safety == RetrySafety::Idempotent
+                    || attempts.iter().find(possibly_executed).is_none();
+                check(is_safe, || {
+                    format!("repeated: {request} was rejected and may have been executed")
                 })?;
             }
             _ => {}
@@ -223,18 +238,18 @@
     }
 }
 
-/// *Safe drain*: nothing goes to a server later than this after the instance was told that it drains or is gone, and
-/// nothing ever to one that it was not told of.
+/// *Safe drain*: nothing is sent to a server later than this after the notification that it drains or has left, and nothing is
+/// ever sent to a server that was not listed.
 const DRAIN_GRACE: Micros = 3 * S;
 
 #[derive(Default)]
-struct Drained {
-    /// Since when each server that was told of drains or is gone.
-    since: BTreeMap<ServerId, Option<Micros>>,
+struct Drains {
+    /// For each listed server, since when it drains or has left.
+    not_ready_since: BTreeMap<ServerId, Option<Micros>>,
 }
 
-impl Drained {
-    fn told(&mut self, now: Micros, event: &Event<'_>) {
+impl Drains {
+    fn on_event(&mut self, now: Micros, event: &Event<'_>) {
         let Event::DiscoveryUpdated(
             DiscoveryUpdate::FullList(list) | DiscoveryUpdate::ListChanges(list),
         ) = event
@@ -243,83 +258,92 @@
         };
         if let Event::DiscoveryUpdated(DiscoveryUpdate::FullList(_)) = event {
             let absent = self
-                .since
+                .not_ready_since
                 .iter_mut()
                 .filter(|(id, _)| list.iter().all(|l| l.server != **id));
             absent.for_each(|(_, since)| *since = since.or(Some(now)));
         }
         for listed in *list {
-            let since = self.since.entry(listed.server).or_default();
-            *since = if listed.state == ServerState::Ready {
+            let not_ready_since = self.not_ready_since.entry(listed.server).or_default();
+            *not_ready_since = if listed.state == ServerState::Ready {
                 None
             } else {
-                since.or(Some(now))
+                not_ready_since.or(Some(now))
             };
         }
     }
 
-    fn did(&self, now: Micros, action: &Action) -> Broken {
+    fn on_action(&self, now: Micros, action: &Action) -> RuleResult {
         let Action::Send { server, .. } = action else {
             return Ok(());
         };
-        let since = self
-            .since
+        let not_ready_since = self
+            .not_ready_since
             .get(server)
             .ok_or("drained: sent to a server that was never listed")?;
-        rule(since.is_none_or(|since| now <= since + DRAIN_GRACE), || {
-            format!("drained: sent to {server} at {now}, which was told to leave at {since:?}")
-        })
+        check(
+            not_ready_since.is_none_or(|since| now <= since + DRAIN_GRACE),
+            || {
+                format!(
+                    "drained: sent to {server} at {now}, although it drains or has left since {not_ready_since:?}"
+                )
+            },
+        )
     }
 }
 
-/// *Safe fail-back*: within any window of the rule's length no more work reaches a cold server, from all instances
-/// together, than a multiple of what it can do at that time, with a little slack.
-struct Cold {
+/// *Safe fail-back*: within any overload window, the work that all instances together send to a warming server is limited to a
+/// multiple of its present capacity, plus a little slack.
+struct WarmingServer {
     server: ServerId,
-    started: Micros,
+    started_at: Micros,
     rules: SafetyRules,
-    /// What a warm server does, in work a microsecond.
-    warm: f64,
+    /// Capacity of a warm server, in work per microsecond.
+    warm_rate: f64,
     sent: Vec<(Micros, f64)>,
 }
 
-const FALL_MULTIPLE: f64 = 3.0;
-/// Requests that reach it by chance, one for each instance.
-const SLACK: f64 = 2.0;
+const OVERLOAD_MULTIPLE: f64 = 3.0;
+/// Requests that reach the server by chance, one per instance.
+const SLACK_REQUESTS: f64 = 2.0;
 
-impl Cold {
-    fn did(&mut self, now: Micros, action: &Action, size: f64) -> Broken {
+impl WarmingServer {
+    fn on_action(&mut self, now: Micros, action: &Action, work: f64) -> RuleResult {
         let Action::Send { server, .. } = action else {
             return Ok(());
         };
         if *server != self.server {
             return Ok(());
         }
-        self.sent.push((now, size));
+        self.sent.push((now, work));
         let SafetyRules {
-            slow_start_min_share: cold_from,
-            slow_start_window: cold,
-            overload_window: fall,
+            slow_start_min_share: min_share,
+            slow_start_window,
+            overload_window,
             ..
         } = self.rules;
-        let warmth = cold_from + (1.0 - cold_from) * (now - self.started) as f64 / cold as f64;
-        if warmth >= 1.0 {
+        let slow_start_factor = min_share
+            + (1.0 - min_share) * (now - self.started_at) as f64 / slow_start_window as f64;
+        if slow_start_factor >= 1.0 {
             return Ok(());
         }
-        let within: f64 = self
+        let work_in_window: f64 = self
             .sent
             .iter()
-            .filter(|(at, _)| *at + fall > now)
-            .map(|(_, size)| size)
+            .filter(|(at, _)| *at + overload_window > now)
+            .map(|(_, work)| work)
             .sum();
-        let bears = FALL_MULTIPLE * warmth * self.warm * fall as f64 + SLACK * size;
-        rule(within <= bears, || {
-            format!("cold: {within} us of work reached it, which bears {bears} at {now}")
+        let limit = OVERLOAD_MULTIPLE * slow_start_factor * self.warm_rate * overload_window as f64
+            + SLACK_REQUESTS * work;
+        check(work_in_window <= limit, || {
+            format!(
+                "overloaded: {work_in_window} us of work reached a warming server that can handle {limit} at {now}"
+            )
         })
     }
 }
 
-// ---- Two requests of different effects, two servers ----
+// ---- Two requests of different retry safety, two servers ----
 
 const KEYED: RetrySafety = RetrySafety::IdempotentWithKey {
     scope: DeduplicationScope::Zone,
@@ -327,34 +351,34 @@
 };
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Move {
-    /// The request of this number comes: 1 may not be repeated, 2 carries a key.
-    Come(RequestId),
-    /// The attempt that is out for it ends.
-    Ends(RequestId, Outcome),
-    /// The last outcome is told once more.
-    ToldTwice,
-    ClientLeaves(RequestId),
-    News(News),
+enum Step {
+    /// The request with this number is received: 1 is non-idempotent, 2 has an idempotency key.
+    Receive(RequestId),
+    /// The attempt in flight for this request ends.
+    EndAttempt(RequestId, Outcome),
+    /// The last result is reported once more.
+    RepeatedResult,
+    ClientDisconnects(RequestId),
+    ListEvent(ListEvent),
     ProbeUnanswered,
-    /// Other settings: what could not be repeated can be, and has fewer attempts.
-    Retune,
-    /// Time goes on to whatever is due next.
-    ToNextAlarm,
-    /// Time goes on by so much, and whatever comes due on the way does.
-    Past(Micros),
+    /// The settings change: the class of request 1 becomes idempotent, with fewer attempts.
+    ChangeSettings,
+    /// Advances the clock to the next timer or timeout.
+    ToNextTimer,
+    /// Advances the clock by this duration; timers and timeouts in between happen.
+    Advance(Micros),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum News {
+enum ListEvent {
     Drains,
     Gone,
-    BackAnew,
-    OthersInPlace,
-    Failed,
+    Restarted,
+    Replaced,
+    CallFailed,
 }
 
-const ENDS: [Outcome; 7] = [
+const OUTCOMES: [Outcome; 7] = [
     Outcome::Ok,
     Outcome::Error,
     Outcome::Full,
@@ -364,49 +388,49 @@
     Outcome::Moot,
 ];
 
-/// An attempt that is out.
-struct Flight {
-    closed: AttemptResult,
+/// An attempt in flight.
+struct InFlightAttempt {
+    result: AttemptResult,
     sent: Micros,
     timeout_at: Micros,
-    called_off: bool,
+    is_cancelled: bool,
 }
 
-struct Pair {
+struct TwoServers {
     balancer: Balancer,
     settings: Settings,
     now: Micros,
     timers: Vec<(Micros, Timer)>,
-    out: Vec<Flight>,
-    last: Option<AttemptResult>,
-    come: Vec<RequestId>,
-    retuned: bool,
-    answered: Answered,
-    repeated: Repeated,
-    drained: Drained,
+    in_flight: Vec<InFlightAttempt>,
+    last_result: Option<AttemptResult>,
+    received: Vec<RequestId>,
+    settings_changed: bool,
+    responses: FinalResponses,
+    repetitions: Repetitions,
+    drains: Drains,
 }
 
-fn as_listed(server: u64, state: ServerState, started: Option<Micros>) -> ServerEntry {
+fn server_entry(server: u64, state: ServerState, started_at: Option<Micros>) -> ServerEntry {
     ServerEntry {
         state,
-        started_at: started,
+        started_at,
         ..listed(server)
     }
 }
 
-impl Pair {
-    /// One event in, and what comes out of it carried out and checked.
-    fn event(&mut self, event: Event<'_>) -> Broken {
-        self.answered.told(self.now, &event);
-        self.repeated.told(&event, &self.settings);
-        self.drained.told(self.now, &event);
+impl TwoServers {
+    /// Handles one event, and checks and applies the resulting actions.
+    fn event(&mut self, event: Event<'_>) -> RuleResult {
+        self.responses.on_event(self.now, &event);
+        self.repetitions.on_event(&event, &self.settings);
+        self.drains.on_event(self.now, &event);
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         for action in actions {
-            self.answered.did(self.now, &action)?;
-            self.repeated
-                .did(self.now, &action, |server| listed(server.0).zone)?;
-            self.drained.did(self.now, &action)?;
+            self.responses.on_action(self.now, &action)?;
+            self.repetitions
+                .on_action(self.now, &action, |server| listed(server.0).zone)?;
+            self.drains.on_action(self.now, &action)?;
             match action {
                 Action::Send {
                     request,
@@ -414,9 +438,9 @@
                     timeout_at,
                     ..
                 } => {
-                    let attempt = self.repeated.requests[&request].2.len() as u32 - 1;
+                    let attempt = self.repetitions.requests[&request].2.len() as u32 - 1;
                     let (outcome, sent) = (Outcome::Timeout, self.now);
-                    let closed = AttemptResult {
+                    let result = AttemptResult {
                         request,
                         attempt,
                         server,
@@ -424,56 +448,56 @@
                         elapsed: 0,
                         request_ended: false,
                     };
-                    self.out.push(Flight {
-                        closed,
+                    self.in_flight.push(InFlightAttempt {
+                        result,
                         sent,
                         timeout_at,
-                        called_off: false,
+                        is_cancelled: false,
                     });
                 }
                 Action::Cancel { request, attempt } => {
-                    let of = |f: &&mut Flight| {
-                        (f.closed.request, f.closed.attempt) == (request, attempt)
+                    let is_this_attempt = |f: &&mut InFlightAttempt| {
+                        (f.result.request, f.result.attempt) == (request, attempt)
                     };
-                    let flight = self.out.iter_mut().find(of);
-                    flight
-                        .ok_or("an attempt was called off that is not out")?
-                        .called_off = true;
+                    let cancelled = self.in_flight.iter_mut().find(is_this_attempt);
+                    cancelled
+                        .ok_or("an attempt was cancelled that is not in flight")?
+                        .is_cancelled = true;
                 }
                 Action::SetTimer { at, timer } => self.timers.push((at, timer)),
                 _ => {}
             }
         }
-        self.answered.look(self.now)
+        self.responses.check_deadlines(self.now)
     }
 
-    fn ends(&mut self, flight: usize, outcome: Outcome) -> Broken {
-        let Flight { closed, sent, .. } = self.out.swap_remove(flight);
-        let over = self.answered.requests[&closed.request].1 || outcome == Outcome::Ok;
-        let closed = AttemptResult {
+    fn end_attempt(&mut self, index: usize, outcome: Outcome) -> RuleResult {
+        let InFlightAttempt { result, sent, .. } = self.in_flight.swap_remove(index);
+        let ended = self.responses.requests[&result.request].1 || outcome == Outcome::Ok;
+        let result = AttemptResult {
             outcome,
             elapsed: self.now - sent,
-            request_ended: over,
-            ..closed
+            request_ended: ended,
+            ..result
         };
-        self.last = Some(closed);
-        self.event(Event::AttemptEnded(closed))
+        self.last_result = Some(result);
+        self.event(Event::AttemptEnded(result))
     }
 
-    /// What is due next: attempts that were called off end at once, a time-out goes before an alarm of the same time.
-    fn due(&self) -> Option<(Micros, Result<usize, usize>)> {
-        let ends = |f: &Flight| {
-            if f.called_off {
+    /// What happens next. A cancelled attempt ends at once; a timeout precedes a timer of the same time.
+    fn next_due(&self) -> Option<(Micros, Result<usize, usize>)> {
+        let end_time = |f: &InFlightAttempt| {
+            if f.is_cancelled {
                 self.now
             } else {
                 f.timeout_at.max(self.now)
             }
         };
         let flights = self
-            .out
+            .in_flight
             .iter()
             .enumerate()
-            .map(|(at, f)| (ends(f), 0, at, Ok(at)));
+            .map(|(at, f)| (end_time(f), 0, at, Ok(at)));
         let timers = self
             .timers
             .iter()
@@ -485,14 +509,14 @@
             .map(|due| (due.0, due.3))
     }
 
-    fn pass(&mut self, until: Micros) -> Broken {
-        while let Some((at, what)) = self.due().filter(|(at, _)| *at <= until) {
+    fn advance_to(&mut self, until: Micros) -> RuleResult {
+        while let Some((at, due)) = self.next_due().filter(|(at, _)| *at <= until) {
             self.now = at;
-            match what {
-                Ok(flight) if self.out[flight].called_off => {
-                    self.ends(flight, Outcome::Cancelled)?
+            match due {
+                Ok(index) if self.in_flight[index].is_cancelled => {
+                    self.end_attempt(index, Outcome::Cancelled)?
                 }
-                Ok(flight) => self.ends(flight, Outcome::Timeout)?,
+                Ok(index) => self.end_attempt(index, Outcome::Timeout)?,
                 Err(timer) => {
                     let (_, timer) = self.timers.swap_remove(timer);
                     self.event(Event::TimerFired(timer))?;
@@ -500,86 +524,87 @@
             }
         }
         self.now = until;
-        self.answered.look(self.now)
+        self.responses.check_deadlines(self.now)
     }
 
-    fn other_settings(&self) -> SettingsChange {
+    fn changed_settings(&self) -> SettingsChange {
         let mut settings = self.settings.clone();
         settings.classes.push(class(RetrySafety::Idempotent));
         settings.limits.max_attempts = 2;
-        let learned = vec![Some(0), Some(1), Some(0)];
+        let inherited_from = vec![Some(0), Some(1), Some(0)];
         SettingsChange {
             settings,
-            inherited_from: learned,
+            inherited_from,
             retired: vec![true, false, false],
         }
     }
 }
 
-impl Play for Pair {
-    type Move = Move;
+impl Scenario for TwoServers {
+    type Step = Step;
 
-    /// One server is warm; the other has just started.
+    /// One server is warm, the other has just started.
     fn new() -> Self {
         let mut settings = settings(&[RetrySafety::NonIdempotent, KEYED]);
         settings.limits.max_attempts = 3;
         let now = 1_000 * S;
-        let mut pair = Pair {
-            balancer: Balancer::new(settings.clone(), 7).expect("settings are sound"),
+        let mut scenario = TwoServers {
+            balancer: Balancer::new(settings.clone(), 7).expect("settings are valid"),
             settings,
             now,
             timers: Vec::new(),
-            out: Vec::new(),
-            last: None,
-            come: Vec::new(),
-            retuned: false,
-            answered: Answered::default(),
-            repeated: Repeated::default(),
-            drained: Drained::default(),
+            in_flight: Vec::new(),
+            last_result: None,
+            received: Vec::new(),
+            settings_changed: false,
+            responses: FinalResponses::default(),
+            repetitions: Repetitions::default(),
+            drains: Drains::default(),
         };
-        let fleet = [listed(0), as_listed(1, ServerState::Ready, Some(now))];
-        pair.event(Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&fleet)))
-            .expect("it is a beginning");
-        pair
+        let fleet = [listed(0), server_entry(1, ServerState::Ready, Some(now))];
+        scenario
+            .event(Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&fleet)))
+            .expect("the initial events break no rule");
+        scenario
     }
 
-    fn moves(&self) -> Vec<Move> {
-        let mut moves = vec![
-            Move::ToNextAlarm,
-            Move::Past(310 * MS),
-            Move::Past(DRAIN_GRACE + 100 * MS),
+    fn possible_steps(&self) -> Vec<Step> {
+        let mut steps = vec![
+            Step::ToNextTimer,
+            Step::Advance(310 * MS),
+            Step::Advance(DRAIN_GRACE + 100 * MS),
         ];
-        let news = [
-            News::Drains,
-            News::Gone,
-            News::BackAnew,
-            News::OthersInPlace,
-            News::Failed,
+        let list_events = [
+            ListEvent::Drains,
+            ListEvent::Gone,
+            ListEvent::Restarted,
+            ListEvent::Replaced,
+            ListEvent::CallFailed,
         ];
-        moves.extend(news.map(Move::News));
-        moves.push(Move::ProbeUnanswered);
+        steps.extend(list_events.map(Step::ListEvent));
+        steps.push(Step::ProbeUnanswered);
         for id in [1, 2] {
-            if !self.come.contains(&id) {
-                moves.push(Move::Come(id));
-            } else if !self.answered.requests[&id].1 {
-                moves.push(Move::ClientLeaves(id));
+            if !self.received.contains(&id) {
+                steps.push(Step::Receive(id));
+            } else if !self.responses.requests[&id].1 {
+                steps.push(Step::ClientDisconnects(id));
             }
         }
-        for flight in &self.out {
-            moves.extend(ENDS.map(|outcome| Move::Ends(flight.closed.request, outcome)));
+        for attempt in &self.in_flight {
+            steps.extend(OUTCOMES.map(|outcome| Step::EndAttempt(attempt.result.request, outcome)));
         }
-        moves.extend(self.last.map(|_| Move::ToldTwice));
-        moves.extend((!self.retuned).then_some(Move::Retune));
-        moves
+        steps.extend(self.last_result.map(|_| Step::RepeatedResult));
+        steps.extend((!self.settings_changed).then_some(Step::ChangeSettings));
+        steps
     }
 
-    fn make(&mut self, made: Move) -> Broken {
-        // Each at a time of its own, shorter than whatever is due.
+    fn apply(&mut self, step: Step) -> RuleResult {
+        // Each step has a time of its own; the difference is shorter than any timer.
         self.now += 1;
-        match made {
-            Move::Come(id) => {
-                self.come.push(id);
-                let class = if id == 1 && self.retuned {
+        match step {
+            Step::Receive(id) => {
+                self.received.push(id);
+                let class = if id == 1 && self.settings_changed {
                     2
                 } else {
                     id as u32 - 1
@@ -596,27 +621,29 @@
                 };
                 self.event(Event::RequestReceived(new))
             }
-            Move::Ends(id, outcome) => {
-                let flight = self
-                    .out
+            Step::EndAttempt(id, outcome) => {
+                let index = self
+                    .in_flight
                     .iter()
-                    .position(|f| f.closed.request == id)
-                    .expect("it is out");
-                self.ends(flight, outcome)
+                    .position(|f| f.result.request == id)
+                    .expect("it is in flight");
+                self.end_attempt(index, outcome)
             }
-            Move::ToldTwice => self.event(Event::AttemptEnded(self.last.expect("one has ended"))),
-            Move::ClientLeaves(id) => self.event(Event::ClientDisconnected(id)),
-            Move::ProbeUnanswered => self.event(Event::ProbeCompleted(ServerId(0), None)),
-            Move::News(news) => {
-                let anew = Some(self.now);
-                let list = match news {
-                    News::Drains => vec![as_listed(0, ServerState::Draining, None)],
-                    News::Gone => vec![as_listed(0, ServerState::Gone, None)],
-                    News::BackAnew => vec![as_listed(0, ServerState::Ready, anew)],
-                    News::OthersInPlace => {
-                        vec![listed(1), as_listed(2, ServerState::Ready, anew)]
+            Step::RepeatedResult => self.event(Event::AttemptEnded(
+                self.last_result.expect("one has ended"),
+            )),
+            Step::ClientDisconnects(id) => self.event(Event::ClientDisconnected(id)),
+            Step::ProbeUnanswered => self.event(Event::ProbeCompleted(ServerId(0), None)),
+            Step::ListEvent(list_event) => {
+                let just_now = Some(self.now);
+                let list = match list_event {
+                    ListEvent::Drains => vec![server_entry(0, ServerState::Draining, None)],
+                    ListEvent::Gone => vec![server_entry(0, ServerState::Gone, None)],
+                    ListEvent::Restarted => vec![server_entry(0, ServerState::Ready, just_now)],
+                    ListEvent::Replaced => {
+                        vec![listed(1), server_entry(2, ServerState::Ready, just_now)]
                     }
-                    News::Failed => {
+                    ListEvent::CallFailed => {
                         return self.event(Event::DiscoveryUpdated(DiscoveryUpdate::CallFailed {
                             list_known_at: self.now,
                             waited: 0,
@@ -624,90 +651,93 @@
                         }));
                     }
                 };
-                let whole = news == News::OthersInPlace;
-                self.event(Event::DiscoveryUpdated(if whole {
+                let is_full_list = list_event == ListEvent::Replaced;
+                self.event(Event::DiscoveryUpdated(if is_full_list {
                     DiscoveryUpdate::FullList(&list)
                 } else {
                     DiscoveryUpdate::ListChanges(&list)
                 }))
             }
-            Move::Retune => {
-                let retuned = self.other_settings();
-                self.retuned = true;
-                self.settings = retuned.settings.clone();
-                self.event(Event::SettingsChanged(&retuned))
+            Step::ChangeSettings => {
+                let change = self.changed_settings();
+                self.settings_changed = true;
+                self.settings = change.settings.clone();
+                self.event(Event::SettingsChanged(&change))
             }
-            Move::ToNextAlarm => self.pass(self.due().map_or(self.now, |(at, _)| at)),
-            Move::Past(span) => self.pass(self.now + span),
+            Step::ToNextTimer => self.advance_to(self.next_due().map_or(self.now, |(at, _)| at)),
+            Step::Advance(duration) => self.advance_to(self.now + duration),
         }
     }
 
-    fn end(mut self) -> Broken {
-        self.pass(self.now + 60 * S)?;
-        rule(self.out.is_empty(), || {
-            "an attempt is out for ever".to_string()
+    fn end(mut self) -> RuleResult {
+        self.advance_to(self.now + 60 * S)?;
+        check(self.in_flight.is_empty(), || {
+            "an attempt stays in flight forever".to_string()
         })?;
         let snapshot = self.balancer.snapshot(self.now);
-        rule(snapshot.tracked_requests == 0, || {
-            format!("{} requests are never forgotten", snapshot.tracked_requests)
+        check(snapshot.tracked_requests == 0, || {
+            format!(
+                "{} requests stay tracked forever",
+                snapshot.tracked_requests
+            )
         })?;
-        let open: u32 = snapshot.classes.iter().map(|class| class.in_flight).sum();
-        rule(open == 0, || {
-            format!("{open} requests count as open for ever")
+        let in_flight: u32 = snapshot.classes.iter().map(|class| class.in_flight).sum();
+        check(in_flight == 0, || {
+            format!("{in_flight} requests count as in flight forever")
         })
     }
 }
 
 #[test]
-fn every_sequence_of_events_keeps_the_rules_on_answers_repeats_and_drains() {
-    let counts = every::<Pair>(6).unwrap_or_else(|broken| panic!("{broken}"));
+fn every_sequence_of_events_keeps_the_rules_on_responses_retries_and_drains() {
+    let counts = explore_depths::<TwoServers>(6).unwrap_or_else(|violation| panic!("{violation}"));
     assert_eq!(counts, [12, 157, 2_198, 32_454, 497_093, 7_783_087]);
 }
 
-// ---- Two instances that share nothing, a warm server and a cold one ----
+// ---- Two instances that share nothing, a warm server and a warming one ----
 
-/// The work of each request, and how many come at once.
-const WORK: Micros = 10 * MS;
-const BURST: usize = 12;
+/// Work of each request.
+const WORK_PER_REQUEST: Micros = 10 * MS;
+const REQUESTS_PER_BURST: usize = 12;
 
 #[derive(Clone, Copy, Debug)]
-enum Rush {
-    /// So many requests come to this instance at once.
+enum BurstStep {
+    /// This instance receives [`REQUESTS_PER_BURST`] requests at once.
     Burst(usize),
-    /// All that this instance has out is answered.
-    Answered(usize),
-    /// All of it is turned away, unseen.
-    TurnedAway(usize),
-    /// Both are told that the warm server drains, or is back.
+    /// All requests in flight at this instance succeed.
+    AllAnswered(usize),
+    /// All of them are rejected by their servers without being executed.
+    AllRejected(usize),
+    /// Both instances are notified that the warm server drains (true) or is ready again.
     WarmOneDrains(bool),
-    Past(Micros),
+    Advance(Micros),
 }
 
-struct Two {
+struct TwoInstances {
     instances: [Balancer; 2],
     now: Micros,
     timers: Vec<(Micros, usize, Timer)>,
-    out: [Vec<(RequestId, u32, ServerId, Micros)>; 2],
+    in_flight: [Vec<(RequestId, u32, ServerId, Micros)>; 2],
     attempts: BTreeMap<RequestId, u32>,
     next: RequestId,
-    cold: Option<Cold>,
-    drains: bool,
+    warming: Option<WarmingServer>,
+    warm_one_drains: bool,
 }
 
-impl Two {
-    fn event(&mut self, instance: usize, event: Event<'_>) -> Broken {
+impl TwoInstances {
+    fn event(&mut self, instance: usize, event: Event<'_>) -> RuleResult {
         let mut actions = Vec::new();
         self.instances[instance].handle(self.now, event, &mut actions);
         for action in actions {
-            if let Some(cold) = &mut self.cold {
-                cold.did(self.now, &action, WORK as f64)?;
+            if let Some(warming) = &mut self.warming {
+                warming.on_action(self.now, &action, WORK_PER_REQUEST as f64)?;
             }
             match action {
                 Action::Send {
                     request, server, ..
                 } => {
                     let attempt = self.attempts.entry(request).or_default();
-                    self.out[instance].push((request, *attempt, server, self.now));
+                    self.in_flight[instance].push((request, *attempt, server, self.now));
                     *attempt += 1;
                 }
                 Action::SetTimer { at, timer } => self.timers.push((at, instance, timer)),
@@ -717,25 +747,25 @@
         Ok(())
     }
 
-    fn come(&mut self, instance: usize) -> Broken {
+    fn receive(&mut self, instance: usize) -> RuleResult {
         self.next += 1;
-        let (id, time_left, cost) = (self.next, 1_200 * MS, Some(WORK));
+        let (id, time_left, cost_hint) = (self.next, 1_200 * MS, Some(WORK_PER_REQUEST));
         let new = NewRequest {
             id,
             class: 0,
             tenant: 0,
             key: None,
             time_left,
-            cost_hint: cost,
+            cost_hint,
             client_retry: false,
         };
         self.event(instance, Event::RequestReceived(new))
     }
 
-    fn all_end(&mut self, instance: usize, outcome: Outcome) -> Broken {
-        for (request, attempt, server, sent) in std::mem::take(&mut self.out[instance]) {
+    fn end_all(&mut self, instance: usize, outcome: Outcome) -> RuleResult {
+        for (request, attempt, server, sent) in std::mem::take(&mut self.in_flight[instance]) {
             let (elapsed, ended) = (self.now - sent, outcome == Outcome::Ok);
-            let closed = AttemptResult {
+            let result = AttemptResult {
                 request,
                 attempt,
                 server,
@@ -743,12 +773,12 @@
                 elapsed,
                 request_ended: ended,
             };
-            self.event(instance, Event::AttemptEnded(closed))?;
+            self.event(instance, Event::AttemptEnded(result))?;
         }
         Ok(())
     }
 
-    fn both(&mut self, list: &[ServerEntry]) -> Broken {
+    fn update_both_lists(&mut self, list: &[ServerEntry]) -> RuleResult {
         self.event(
             0,
             Event::DiscoveryUpdated(DiscoveryUpdate::ListChanges(list)),
@@ -759,17 +789,17 @@
         )
     }
 
-    fn pass(&mut self, until: Micros) -> Broken {
+    fn advance_to(&mut self, until: Micros) -> RuleResult {
         loop {
             let due = self
                 .timers
                 .iter()
                 .enumerate()
                 .min_by_key(|(at, timer)| (timer.0, *at));
-            let Some((at, (when, ..))) = due.filter(|(_, timer)| timer.0 <= until) else {
+            let Some((at, (fire_at, ..))) = due.filter(|(_, timer)| timer.0 <= until) else {
                 break;
             };
-            self.now = self.now.max(*when);
+            self.now = self.now.max(*fire_at);
             let (_, instance, timer) = self.timers.swap_remove(at);
             self.event(instance, Event::TimerFired(timer))?;
         }
@@ -778,10 +808,10 @@
     }
 }
 
-impl Play for Two {
-    type Move = Rush;
+impl Scenario for TwoInstances {
+    type Step = BurstStep;
 
-    /// Both instances have served a while on two warm servers that were busy all the time; then one started anew.
+    /// Both instances have sent requests to two warm servers that were busy all the time; then one server has restarted.
     fn new() -> Self {
         let mut settings = settings(&[RetrySafety::Idempotent]);
         settings.group_size = 2;
@@ -791,84 +821,91 @@
             overload_window: 100 * MS,
             ..settings.rules
         };
-        let instances = [11, 12].map(|seed| Balancer::new(settings.clone(), seed).expect("sound"));
-        let (timers, out) = (Vec::new(), Default::default());
+        let instances =
+            [11, 12].map(|seed| Balancer::new(settings.clone(), seed).expect("settings are valid"));
+        let (timers, in_flight) = (Vec::new(), Default::default());
         let (attempts, now) = (BTreeMap::new(), 1_000 * S);
-        let mut two = Two {
+        let mut scenario = TwoInstances {
             instances,
             now,
             timers,
-            out,
+            in_flight,
             attempts,
             next: 0,
-            cold: None,
-            drains: false,
+            warming: None,
+            warm_one_drains: false,
         };
-        let mut begin = || {
-            two.both(&fleet(2))?;
+        let mut set_up = || {
+            scenario.update_both_lists(&fleet(2))?;
             for _ in 0..40 {
-                two.come(0)?;
-                two.come(1)?;
-                two.now += WORK;
-                two.all_end(0, Outcome::Ok)?;
-                two.all_end(1, Outcome::Ok)?;
+                scenario.receive(0)?;
+                scenario.receive(1)?;
+                scenario.now += WORK_PER_REQUEST;
+                scenario.end_all(0, Outcome::Ok)?;
+                scenario.end_all(1, Outcome::Ok)?;
             }
-            let (started, server) = (two.now, ServerId(1));
+            let (started_at, server) = (scenario.now, ServerId(1));
             let sent = Vec::new();
-            two.cold = Some(Cold {
+            scenario.warming = Some(WarmingServer {
                 server,
-                started,
+                started_at,
                 rules: settings.rules,
-                warm: 1.0,
+                warm_rate: 1.0,
                 sent,
             });
-            two.both(&[as_listed(1, ServerState::Ready, Some(started))])
+            scenario.update_both_lists(&[server_entry(1, ServerState::Ready, Some(started_at))])
         };
-        begin().expect("it is a beginning");
-        two
+        set_up().expect("the initial events break no rule");
+        scenario
     }
 
-    fn moves(&self) -> Vec<Rush> {
-        let mut moves = vec![
-            Rush::WarmOneDrains(!self.drains),
-            Rush::Past(60 * MS),
-            Rush::Past(500 * MS),
+    fn possible_steps(&self) -> Vec<BurstStep> {
+        let mut steps = vec![
+            BurstStep::WarmOneDrains(!self.warm_one_drains),
+            BurstStep::Advance(60 * MS),
+            BurstStep::Advance(500 * MS),
         ];
         for instance in 0..2 {
-            moves.push(Rush::Burst(instance));
-            if !self.out[instance].is_empty() {
-                moves.extend([Rush::Answered(instance), Rush::TurnedAway(instance)]);
+            steps.push(BurstStep::Burst(instance));
+            if !self.in_flight[instance].is_empty() {
+                steps.extend([
+                    BurstStep::AllAnswered(instance),
+                    BurstStep::AllRejected(instance),
+                ]);
             }
         }
-        moves
+        steps
     }
 
-    fn make(&mut self, made: Rush) -> Broken {
+    fn apply(&mut self, step: BurstStep) -> RuleResult {
         self.now += 1;
-        match made {
-            Rush::Burst(instance) => (0..BURST).try_for_each(|_| self.come(instance)),
-            Rush::Answered(instance) => self.all_end(instance, Outcome::Ok),
-            Rush::TurnedAway(instance) => self.all_end(instance, Outcome::Full),
-            Rush::WarmOneDrains(drains) => {
-                self.drains = drains;
-                let state = if drains {
+        match step {
+            BurstStep::Burst(instance) => {
+                (0..REQUESTS_PER_BURST).try_for_each(|_| self.receive(instance))
+            }
+            BurstStep::AllAnswered(instance) => self.end_all(instance, Outcome::Ok),
+            BurstStep::AllRejected(instance) => self.end_all(instance, Outcome::Full),
+            BurstStep::WarmOneDrains(warm_one_drains) => {
+                self.warm_one_drains = warm_one_drains;
+                let state = if warm_one_drains {
                     ServerState::Draining
                 } else {
                     ServerState::Ready
                 };
-                self.both(&[as_listed(0, state, None)])
+                self.update_both_lists(&[server_entry(0, state, None)])
             }
-            Rush::Past(span) => self.pass(self.now + span),
+            BurstStep::Advance(duration) => self.advance_to(self.now + duration),
         }
     }
 
-    fn end(mut self) -> Broken {
-        self.pass(self.now + 2 * S)
+    fn end(mut self) -> RuleResult {
+        self.advance_to(self.now + 2 * S)
     }
 }
 
 #[test]
-fn every_sequence_of_events_at_two_instances_keeps_a_cold_server_standing() {
-    let counts = every::<Two>(6).unwrap_or_else(|broken| panic!("{broken}"));
+fn every_sequence_of_events_at_two_instances_overloads_no_warming_server() {
+    let counts =
+        explore_depths::<TwoInstances>(6).unwrap_or_else(|violation| panic!("{violation}"));
     assert_eq!(counts, [5, 29, 181, 1_189, 8_113, 56_709]);
 }
--- a/crates/balancer/tests/mechanism.rs
+++ b/crates/balancer/tests/mechanism.rs
@@ -292,7 +292,7 @@
 }
 
 /// The latency ratio was a mean over ten responses: at hundreds of responses per second, a pause of one server made admission
-/// reject everything.
+/// reject requests.
 #[test]
 fn some_late_responses_among_many_do_not_count_as_overload() {
     let mut rig = Rig::new(settings(&[RetrySafety::NonIdempotent]), &fleet(4));
--- a/crates/balancer/tests/random.rs
+++ b/crates/balancer/tests/random.rs
@@ -1,4 +1,4 @@
-//! Random legal event sequences over varied settings: the rules hold and nothing panics.
+//! Random valid sequences of events under different settings: the safety rules hold and nothing panics.
 
 mod common;
 use common::*;
@@ -16,44 +16,44 @@
     Outcome::Cancelled,
 ];
 
-struct Sent {
+struct SentAttempt {
     server: ServerId,
     at: Micros,
     timeout_at: Micros,
     outcome: Option<Outcome>,
 }
 
-struct Open {
-    effect: RetrySafety,
+struct TrackedRequest {
+    retry_safety: RetrySafety,
     deadline: Micros,
-    sends: Vec<Sent>,
-    over: bool,
+    attempts: Vec<SentAttempt>,
+    ended: bool,
 }
 
-impl Open {
-    /// The first attempt that may have run, if there is one.
-    fn run(&self) -> Option<&Sent> {
-        self.sends
+impl TrackedRequest {
+    /// The first attempt that may have been executed, if any.
+    fn first_possibly_executed(&self) -> Option<&SentAttempt> {
+        self.attempts
             .iter()
             .find(|s| !s.outcome.is_some_and(Outcome::proves_not_executed))
     }
 }
 
-struct World {
+struct Simulation {
     rig: Rig,
     random: Rand64,
     probes: bool,
-    probed: Vec<ServerId>,
-    open: BTreeMap<RequestId, Open>,
+    unanswered_probes: Vec<ServerId>,
+    requests: BTreeMap<RequestId, TrackedRequest>,
     timers: Vec<(Micros, Timer)>,
-    ready: BTreeMap<ServerId, bool>,
+    is_ready: BTreeMap<ServerId, bool>,
     served: u32,
-    reduced: DegradationEffects,
-    levels: u32,
+    effects: DegradationEffects,
+    level_change_period: u32,
 }
 
-impl World {
-    fn carry_out(&mut self, actions: Vec<Action>) {
+impl Simulation {
+    fn apply_actions(&mut self, actions: Vec<Action>) {
         let now = self.rig.now;
         for action in actions {
             match action {
@@ -64,96 +64,105 @@
                     ..
                 } => {
                     assert!(
-                        self.ready[&server],
-                        "sent to a server that drains or is gone"
+                        self.is_ready[&server],
+                        "sent to a server that drains or has left"
                     );
-                    let open = self.open.get_mut(&request).expect("known");
-                    assert!(!open.over, "sent after the request's end");
+                    let tracked = self.requests.get_mut(&request).expect("known");
+                    assert!(!tracked.ended, "sent after the request had ended");
                     assert!(
-                        open.sends.iter().all(|s| s.outcome.is_some()),
-                        "two attempts out"
+                        tracked.attempts.iter().all(|s| s.outcome.is_some()),
+                        "two attempts in flight"
                     );
-                    if let Some(first) = open.run() {
+                    if let Some(first) = tracked.first_possibly_executed() {
                         assert!(
-                            self.reduced.retry_budget_factor > 0.0,
-                            "a retry where none is left"
+                            self.effects.retry_budget_factor > 0.0,
+                            "a retry without a retry budget"
                         );
-                        match open.effect {
+                        match tracked.retry_safety {
                             RetrySafety::Idempotent => {}
                             RetrySafety::NonIdempotent => {
-                                panic!("an unsafe request went out twice")
+                                panic!("a non-idempotent request was sent twice")
                             }
                             RetrySafety::IdempotentWithKey { scope, window } => {
-                                assert!(now < first.at + window, "the window was past");
-                                let same = first.server.0 % 2 == server.0 % 2;
-                                assert!(scope == DeduplicationScope::All || same, "left its group");
+                                assert!(
+                                    now < first.at + window,
+                                    "sent after the idempotency window"
+                                );
+                                let same_zone = first.server.0 % 2 == server.0 % 2;
+                                assert!(
+                                    scope == DeduplicationScope::All || same_zone,
+                                    "sent outside of its deduplication scope"
+                                );
                             }
                         }
                     }
-                    open.sends.push(Sent {
+                    tracked.attempts.push(SentAttempt {
                         server,
                         at: now,
                         timeout_at,
                         outcome: None,
                     });
-                    assert!(open.sends.len() <= 4);
+                    assert!(tracked.attempts.len() <= 4);
                 }
                 Action::Reject { request, .. } => {
-                    let open = self.open.get_mut(&request).expect("known");
+                    let tracked = self.requests.get_mut(&request).expect("known");
                     assert!(
-                        !std::mem::replace(&mut open.over, true),
-                        "two final answers"
+                        !std::mem::replace(&mut tracked.ended, true),
+                        "two final responses"
+                    );
+                    assert!(now <= tracked.deadline);
+                    let is_idempotent = tracked.retry_safety == RetrySafety::Idempotent;
+                    assert!(
+                        is_idempotent || tracked.first_possibly_executed().is_none(),
+                        "rejected a request that may have been executed"
                     );
-                    assert!(now <= open.deadline);
-                    let safe = open.effect == RetrySafety::Idempotent;
-                    assert!(safe || open.run().is_none(), "refused what may have run");
                 }
                 Action::Fail { request } => {
-                    let open = self.open.get_mut(&request).expect("known");
+                    let tracked = self.requests.get_mut(&request).expect("known");
                     assert!(
-                        !std::mem::replace(&mut open.over, true),
-                        "two final answers"
+                        !std::mem::replace(&mut tracked.ended, true),
+                        "two final responses"
                     );
-                    assert!(now <= open.deadline + 20 * MS);
+                    assert!(now <= tracked.deadline + 20 * MS);
                 }
                 Action::Cancel { request, attempt } => {
-                    let sent =
-                        &mut self.open.get_mut(&request).expect("known").sends[attempt as usize];
+                    let sent = &mut self.requests.get_mut(&request).expect("known").attempts
+                        [attempt as usize];
                     sent.timeout_at = sent.timeout_at.min(now);
                 }
                 Action::SetTimer { at, timer } => self.timers.push((at, timer)),
                 Action::Probe(server) => {
                     assert!(
-                        self.probes && self.reduced.allows_probes && self.ready[&server],
-                        "probed where that is not allowed"
+                        self.probes && self.effects.allows_probes && self.is_ready[&server],
+                        "probed although probes are not allowed"
                     );
-                    self.probed.push(server);
+                    self.unanswered_probes.push(server);
                 }
                 _ => {}
             }
         }
     }
 
-    fn step(&mut self, effects: &[RetrySafety]) {
+    fn step(&mut self, retry_safeties: &[RetrySafety]) {
         self.rig.now += 5 * MS;
         let now = self.rig.now;
-        let (due, later) = self.timers.drain(..).partition(|(at, _)| *at <= now);
-        self.timers = later;
-        for (_, timer) in due {
+        let (due_timers, later_timers) = self.timers.drain(..).partition(|(at, _)| *at <= now);
+        self.timers = later_timers;
+        for (_, timer) in due_timers {
             let actions = self.rig.event(Event::TimerFired(timer));
-            self.carry_out(actions);
+            self.apply_actions(actions);
         }
-        // Some probes are answered at once, some late, some not at all.
-        for server in std::mem::take(&mut self.probed) {
+        // Some probes are answered immediately, some late, and some fail.
+        for server in std::mem::take(&mut self.unanswered_probes) {
             match self.random.rand_range(0..4) {
-                0 => self.probed.push(server),
+                0 => self.unanswered_probes.push(server),
                 1 => drop(self.rig.event(Event::ProbeCompleted(server, None))),
                 _ => {
-                    let held = self.random.rand_range(0..20) as f64;
+                    let in_flight = self.random.rand_range(0..20) as f64;
                     self.rig.event(Event::ProbeCompleted(
                         server,
                         Some(LoadReport {
-                            in_flight: held,
+                            in_flight,
                             errors_per_second: 0.0,
                         }),
                     ));
@@ -161,19 +170,20 @@
             }
         }
         for _ in 0..self.random.rand_range(0..4) {
-            let class = self.random.rand_range(0..effects.len() as u64) as u32;
+            let class = self.random.rand_range(0..retry_safeties.len() as u64) as u32;
             let deadline = now + 1_200 * MS;
-            let open = Open {
-                effect: effects[class as usize],
+            let tracked = TrackedRequest {
+                retry_safety: retry_safeties[class as usize],
                 deadline,
-                sends: Vec::new(),
-                over: false,
+                attempts: Vec::new(),
+                ended: false,
             };
-            // The driver numbers requests in the order they come.
-            self.open.insert(self.open.len() as u64 + 1, open);
+            // The test rig numbers the requests in order of arrival.
+            self.requests
+                .insert(self.requests.len() as u64 + 1, tracked);
             let (id, actions) = self.rig.request(class);
-            if self.reduced.rejected_shares.get(class as usize) == Some(&1.0)
-                && self.reduced.exempt_weight > 1.0
+            if self.effects.rejected_shares.get(class as usize) == Some(&1.0)
+                && self.effects.exempt_weight > 1.0
             {
                 assert_eq!(
                     actions,
@@ -183,72 +193,83 @@
                     }]
                 );
             }
-            self.carry_out(actions);
+            self.apply_actions(actions);
         }
-        let ids: Vec<RequestId> = self.open.keys().copied().collect();
+        let ids: Vec<RequestId> = self.requests.keys().copied().collect();
         for id in ids {
-            for at in 0..self.open[&id].sends.len() {
-                let open = &self.open[&id];
-                let sent = &open.sends[at];
+            for at in 0..self.requests[&id].attempts.len() {
+                let tracked = &self.requests[&id];
+                let sent = &tracked.attempts[at];
                 let late = now >= sent.timeout_at;
                 if sent.outcome.is_some() || !(late || self.random.rand_range(0..20) == 0) {
                     continue;
                 }
-                let pick = OUTCOMES[self.random.rand_range(0..OUTCOMES.len() as u64) as usize];
-                let outcome = if late { Outcome::Timeout } else { pick };
+                let random_outcome =
+                    OUTCOMES[self.random.rand_range(0..OUTCOMES.len() as u64) as usize];
+                let outcome = if late {
+                    Outcome::Timeout
+                } else {
+                    random_outcome
+                };
                 let (server, elapsed) = (sent.server, now - sent.at);
-                let ended = open.over || outcome == Outcome::Ok;
-                let open = self.open.get_mut(&id).expect("known");
-                self.served += u32::from(!open.over && outcome == Outcome::Ok);
-                open.over |= ended;
-                open.sends[at].outcome = Some(outcome);
+                let request_ended = tracked.ended || outcome == Outcome::Ok;
+                let tracked = self.requests.get_mut(&id).expect("known");
+                self.served += u32::from(!tracked.ended && outcome == Outcome::Ok);
+                tracked.ended |= request_ended;
+                tracked.attempts[at].outcome = Some(outcome);
                 let attempt = at as u32;
-                let closed = AttemptResult {
+                let result = AttemptResult {
                     request: id,
                     attempt,
                     server,
                     outcome,
                     elapsed,
-                    request_ended: ended,
+                    request_ended,
                 };
-                let actions = self.rig.event(Event::AttemptEnded(closed));
-                self.carry_out(actions);
+                let actions = self.rig.event(Event::AttemptEnded(result));
+                self.apply_actions(actions);
             }
         }
-        for (id, open) in &self.open {
+        for (id, tracked) in &self.requests {
             assert!(
-                open.over || now <= open.deadline + 20 * MS,
-                "request {id} was never answered"
+                tracked.ended || now <= tracked.deadline + 20 * MS,
+                "request {id} got no final response"
             );
         }
-        if self.levels > 0 && self.random.rand_range(0..self.levels.into()) == 0 {
-            let share = |random: &mut Rand64| {
+        if self.level_change_period > 0
+            && self.random.rand_range(0..self.level_change_period.into()) == 0
+        {
+            let random_share = |random: &mut Rand64| {
                 [0.0, random.rand_float(), 1.0][random.rand_range(0..3) as usize]
             };
-            let away = (0..self.random.rand_range(0..7))
-                .map(|_| share(&mut self.random))
+            let rejected_shares = (0..self.random.rand_range(0..7))
+                .map(|_| random_share(&mut self.random))
                 .collect();
-            self.reduced = DegradationEffects {
-                rejected_shares: away,
+            self.effects = DegradationEffects {
+                rejected_shares,
                 exempt_weight: [0.0, 1.0, f64::INFINITY][self.random.rand_range(0..3) as usize],
                 allows_probes: self.random.rand_range(0..2) == 0,
-                retry_budget_factor: share(&mut self.random),
-                timeout_factor: share(&mut self.random),
+                retry_budget_factor: random_share(&mut self.random),
+                timeout_factor: random_share(&mut self.random),
             };
-            let actions = self.rig.event(Event::DegradationChanged(&self.reduced));
-            assert_eq!(actions, [], "a level does nothing to what is open");
+            let actions = self.rig.event(Event::DegradationChanged(&self.effects));
+            assert_eq!(
+                actions,
+                [],
+                "a change of the degradation level causes no actions"
+            );
         }
         if self.random.rand_range(0..40) == 0 {
             let server = self.random.rand_range(0..8);
-            let kind = self.random.rand_range(0..3);
-            let state =
-                [ServerState::Ready, ServerState::Draining, ServerState::Gone][kind as usize];
-            let started = (self.random.rand_range(0..2) == 0).then_some(now);
-            self.ready
+            let state_index = self.random.rand_range(0..3);
+            let state = [ServerState::Ready, ServerState::Draining, ServerState::Gone]
+                [state_index as usize];
+            let started_at = (self.random.rand_range(0..2) == 0).then_some(now);
+            self.is_ready
                 .insert(ServerId(server), state == ServerState::Ready);
             let change = ServerEntry {
                 state,
-                started_at: started,
+                started_at,
                 ..listed(server)
             };
             let actions = self
@@ -256,28 +277,28 @@
                 .event(Event::DiscoveryUpdated(DiscoveryUpdate::ListChanges(&[
                     change,
                 ])));
-            self.carry_out(actions);
+            self.apply_actions(actions);
         }
     }
 }
 
 #[test]
-fn the_rules_hold_under_random_events() {
-    the_rules_hold(0);
+fn the_safety_rules_hold_under_random_events() {
+    check_rules(0);
 }
 
 #[test]
-fn the_rules_hold_while_levels_come_and_go() {
-    the_rules_hold(10);
+fn the_safety_rules_hold_while_the_degradation_level_changes() {
+    check_rules(10);
 }
 
-/// With a change of level every so many steps; 0 for none.
-fn the_rules_hold(levels: u32) {
+/// Changes the degradation level every `level_change_period` steps on average; never if that is 0.
+fn check_rules(level_change_period: u32) {
     let keyed = |scope| RetrySafety::IdempotentWithKey {
         scope,
         window: 300 * MS,
     };
-    let effects = [
+    let retry_safeties = [
         RetrySafety::Idempotent,
         RetrySafety::NonIdempotent,
         keyed(DeduplicationScope::All),
@@ -286,43 +307,43 @@
     ];
     let mut served = 0;
     for seed in 0..24 {
-        let mut set = settings(&effects);
-        set.limits.cancel = seed % 3 != 0;
+        let mut settings = settings(&retry_safeties);
+        settings.limits.cancel = seed % 3 != 0;
         let probes = seed % 2 == 0;
-        (set.limits.probes, set.group_size) = (probes, 40);
+        (settings.limits.probes, settings.group_size) = (probes, 40);
         if seed % 5 == 0 {
-            set.classes[1].latency_objective = 100 * MS;
+            settings.classes[1].latency_objective = 100 * MS;
         }
         let servers = fleet(seed % 7);
-        let rig = Rig::new(set, &servers);
-        let mut ready: BTreeMap<ServerId, bool> = (0..8).map(|s| (ServerId(s), false)).collect();
-        ready.extend(servers.iter().map(|s| (s.server, true)));
+        let rig = Rig::new(settings, &servers);
+        let mut is_ready: BTreeMap<ServerId, bool> = (0..8).map(|s| (ServerId(s), false)).collect();
+        is_ready.extend(servers.iter().map(|s| (s.server, true)));
         let random = Rand64::new(u128::from(seed));
-        let (probed, open, timers) = (Vec::new(), BTreeMap::new(), Vec::new());
-        let reduced = DegradationEffects::default();
-        let mut world = World {
+        let (unanswered_probes, requests, timers) = (Vec::new(), BTreeMap::new(), Vec::new());
+        let effects = DegradationEffects::default();
+        let mut simulation = Simulation {
             rig,
             random,
             probes,
-            probed,
-            open,
+            unanswered_probes,
+            requests,
             timers,
-            ready,
+            is_ready,
             served: 0,
-            reduced,
-            levels,
+            effects,
+            level_change_period,
         };
-        let first = std::mem::take(&mut world.rig.actions);
-        world.carry_out(first);
+        let first = std::mem::take(&mut simulation.rig.actions);
+        simulation.apply_actions(first);
         for _ in 0..600 {
-            world.step(&effects);
+            simulation.step(&retry_safeties);
         }
-        // A level may turn away all, or wait for nothing, for a long while.
+        // A degradation level may shed all requests, or reduce all timeouts to 0, for a long time.
         assert!(
-            world.served > 0 || levels > 0,
+            simulation.served > 0 || level_change_period > 0,
             "seed {seed}: nothing was served"
         );
-        served += world.served;
+        served += simulation.served;
     }
-    assert!(served > 100, "{served} were served");
+    assert!(served > 100, "only {served} requests were served");
 }
