--- a/crates/balancer/tests/extreme_values.rs
+++ b/crates/balancer/tests/extreme_values.rs
@@ -1,34 +1,39 @@
-//! What months alone bring that a day does not: figures from outside beyond all reason, and what one odd client or one
-//! change leaves behind for good.
+//! Extreme values that occur only in months of operation: absurd hints, times and counts, and clients or changes of settings
+//! that must have no lasting effect.
 
 mod common;
 use common::*;
 use madderloom_balancer::*;
 
-/// A hint says how much work a request is. One server would have the whole interval for minutes, by one request.
+/// A hint estimates the work of a request. An absurd hint of a single request gave one server the whole interval for minutes.
 #[test]
-fn one_hint_beyond_all_reason_moves_no_region() {
+fn one_absurd_cost_hint_does_not_change_the_regions() {
     let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(4));
     rig.cost_hint = Some(10 * MS);
     rig.count_by_server(400, |_| 10 * MS);
     for hint in [u64::MAX, 1 << 53, 3_600 * S] {
         rig.cost_hint = Some(hint);
-        rig.serve(0, 10 * MS).expect("it is served");
+        rig.serve(0, 10 * MS).expect("the request is sent");
         rig.cost_hint = Some(10 * MS);
         rig.now += S;
-        let most = rig
+        let max_count = rig
             .count_by_server(400, |_| 10 * MS)
             .into_values()
             .max()
             .unwrap_or(0);
         assert!(
-            most < 300,
-            "after a hint of {hint}, one of four servers got {most} of 400 requests"
+            max_count < 300,
+            "after a hint of {hint}, one of four servers got {max_count} of 400 requests"
         );
     }
 }
 
-fn tried(rig: &mut Rig, id: RequestId, time_left: Micros, repeat: bool) -> Vec<Action> {
+fn send_request(
+    rig: &mut Rig,
+    id: RequestId,
+    time_left: Micros,
+    client_retry: bool,
+) -> Vec<Action> {
     let new = NewRequest {
         id,
         class: 0,
@@ -36,7 +41,7 @@
         key: None,
         time_left,
         cost_hint: None,
-        client_retry: repeat,
+        client_retry,
     };
     let actions = rig.event(Event::RequestReceived(new));
     if let Some(server) = sent(&actions) {
@@ -46,65 +51,68 @@
     actions
 }
 
-/// Repeats are told to be old by what is left to them beside first tries. The longest that any first try ever had would
-/// have all repeats refused from then on.
+/// The age of a client retry is estimated from its remaining time compared with that of first tries. If the longest time of
+/// any first try ever were the reference, all later client retries would be rejected.
 #[rstest::rstest]
-#[case::as_long_as_its_class_allows(1_200 * MS)]
-#[case::a_day(86_400 * S)]
-fn one_client_that_waits_longer_than_all_others_does_not_shut_out_their_repeats(
-    #[case] longest: Micros,
+#[case::deadline_of_its_class(1_200 * MS)]
+#[case::one_day(86_400 * S)]
+fn one_client_with_a_long_timeout_does_not_cause_the_client_retries_of_others_to_be_rejected(
+    #[case] longest_time_left: Micros,
 ) {
     let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(4));
-    tried(&mut rig, 1, longest, false);
+    send_request(&mut rig, 1, longest_time_left, false);
     for id in 2..10_000 {
-        tried(&mut rig, id, 600 * MS, false);
+        send_request(&mut rig, id, 600 * MS, false);
     }
     assert!(
-        !rejected(&tried(&mut rig, 10_000, 600 * MS, true)),
-        "a repeat was refused for its age"
+        !rejected(&send_request(&mut rig, 10_000, 600 * MS, true)),
+        "a recent client retry was rejected for its age"
     );
     assert!(
-        rejected(&tried(&mut rig, 10_001, 400 * MS, true)),
-        "an old one still is"
+        rejected(&send_request(&mut rig, 10_001, 400 * MS, true)),
+        "an old client retry must still be rejected"
     );
 }
 
-/// A mean delay is a part of the aim. Against a much shorter aim it was many times the whole, and the class let in next to
-/// nothing, so that nothing could show that it was well.
+/// The mean latency ratio is relative to the latency objective. Under a much shorter objective it was far above 1, and the
+/// class admitted almost nothing, so that no response could show its recovery.
 #[test]
-fn a_class_whose_aim_is_cut_to_a_hundredth_serves_again() {
-    let mut long = settings(&[RetrySafety::Idempotent]);
-    (long.classes[0].latency_objective, long.classes[0].deadline) = (10 * S, 30 * S);
-    let mut rig = Rig::new(long.clone(), &fleet(4));
+fn a_class_serves_again_after_its_latency_objective_is_cut_to_a_hundredth() {
+    let mut long_settings = settings(&[RetrySafety::Idempotent]);
+    (
+        long_settings.classes[0].latency_objective,
+        long_settings.classes[0].deadline,
+    ) = (10 * S, 30 * S);
+    let mut rig = Rig::new(long_settings.clone(), &fleet(4));
     rig.count_by_server(100, |_| 9 * S);
-    let mut short = long;
+    let mut short_settings = long_settings;
     (
-        short.classes[0].latency_objective,
-        short.classes[0].deadline,
+        short_settings.classes[0].latency_objective,
+        short_settings.classes[0].deadline,
     ) = (100 * MS, 1_200 * MS);
-    let retuned = SettingsChange {
-        settings: short,
+    let change = SettingsChange {
+        settings: short_settings,
         inherited_from: vec![Some(0)],
         retired: vec![false],
     };
-    rig.event(Event::SettingsChanged(&retuned));
+    rig.event(Event::SettingsChanged(&change));
     rig.now += 60 * S;
     let rejected = rig.stream(6_000, 10 * MS, 20 * MS, |_| (0, 0));
-    let late = rejected[3_000..]
+    let late_rejections = rejected[3_000..]
         .iter()
         .filter(|rejected| **rejected)
         .count();
     assert!(
-        late < 300,
-        "half a minute later {late} of 3000 were still refused"
+        late_rejections < 300,
+        "half a minute later {late_rejections} of 3000 requests were still rejected"
     );
 }
 
-/// A server that fails for months.
+/// A server that fails for months must not overflow its failure score.
 #[test]
-fn a_count_of_failures_stops_at_its_end() {
+fn a_failure_score_saturates() {
     let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(1));
-    let memory = ServerMeasurements {
+    let measurements = ServerMeasurements {
         server: ServerId(0),
         started_at: None,
         work: 1.0,
@@ -113,10 +121,13 @@
         ejection_remaining: 0,
         ejection_duration: 0,
     };
-    assert!(rig.balancer.restore_server_measurements(rig.now, &memory));
+    assert!(
+        rig.balancer
+            .restore_server_measurements(rig.now, &measurements)
+    );
     for _ in 0..4 {
         let (id, actions) = rig.request(0);
-        let server = sent(&actions).expect("the only one there is");
+        let server = sent(&actions).expect("the only server receives it");
         rig.close(id, 0, server, Outcome::Reset, MS);
         rig.now += 10 * S;
     }
@@ -126,16 +137,16 @@
     );
 }
 
-/// Spans that could not be added to a time.
+/// Durations that overflow when they are added to a time.
 #[test]
-fn a_span_beyond_all_clocks_is_an_error_that_names_its_field() {
-    let forever = MAX_DURATION + 1;
+fn a_duration_above_the_maximum_is_an_error_that_names_its_field() {
+    let too_long = MAX_DURATION + 1;
     let keyed = RetrySafety::IdempotentWithKey {
         scope: DeduplicationScope::All,
-        window: forever,
+        window: too_long,
     };
-    type Set = fn(&mut Settings, Micros);
-    let cases: [(&str, Set); 7] = [
+    type Setter = fn(&mut Settings, Micros);
+    let cases: [(&str, Setter); 7] = [
         ("classes[0].aim", |s, t| s.classes[0].latency_objective = t),
         ("classes[0].deadline", |s, t| s.classes[0].deadline = t),
         ("tick", |s, t| s.tick = t),
@@ -146,11 +157,11 @@
         ("rules.fall", |s, t| s.rules.overload_window = t),
         ("rules.ask_within", |s, t| s.rules.max_poll_interval = t),
     ];
-    for (field, set) in cases {
+    for (field, set_duration) in cases {
         let mut settings = settings(&[RetrySafety::Idempotent]);
-        set(&mut settings, MAX_DURATION);
+        set_duration(&mut settings, MAX_DURATION);
         assert!(Balancer::new(settings.clone(), 1).is_ok(), "{field}");
-        set(&mut settings, forever);
+        set_duration(&mut settings, too_long);
         assert_eq!(
             Balancer::new(settings, 1).err().map(|e| e.field).as_deref(),
             Some(field)
@@ -164,7 +175,7 @@
             .as_deref(),
         Some("classes[0].window")
     );
-    // The longest that are sound break nothing.
+    // The longest valid durations work.
     let mut long = settings(&[RetrySafety::IdempotentWithKey {
         scope: DeduplicationScope::All,
         window: MAX_DURATION,
--- a/crates/balancer/tests/restored_measurements.rs
+++ b/crates/balancer/tests/restored_measurements.rs
@@ -1,11 +1,11 @@
-//! What was measured holds for the next instance as for the one that measured it, and nothing else does.
+//! A new instance restores the measurements of a former one, except those of other incarnations and invalid values.
 
 mod common;
 use common::*;
 use madderloom_balancer::*;
 
-/// One of four servers fails all that it gets, another is four times slower than the rest.
-fn experienced() -> Rig {
+/// An instance with four servers, of which one fails all requests and another is four times slower than the rest.
+fn rig_with_measurements() -> Rig {
     let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(4));
     for _ in 0..300 {
         let (id, actions) = rig.request(0);
@@ -29,20 +29,20 @@
     rig
 }
 
-fn next(memory: &Measurements, servers: &[ServerEntry], now: Micros) -> Rig {
+fn new_instance(measurements: &Measurements, servers: &[ServerEntry], now: Micros) -> Rig {
     let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &[]);
     rig.now = now;
-    rig.balancer.restore_class_measurements(memory);
+    rig.balancer.restore_class_measurements(measurements);
     assert!(
-        memory
+        measurements
             .servers
             .iter()
             .all(|server| !rig.balancer.restore_server_measurements(now, server)),
-        "none is listed yet"
+        "no server is listed yet"
     );
     rig.event(Event::DiscoveryUpdated(DiscoveryUpdate::FullList(servers)));
     assert!(
-        memory
+        measurements
             .servers
             .iter()
             .all(|server| rig.balancer.restore_server_measurements(now, server))
@@ -51,63 +51,67 @@
 }
 
 #[test]
-fn the_next_instance_knows_what_the_last_one_measured() {
-    let rig = experienced();
-    let memory = rig.balancer.measurements(rig.now);
+fn a_new_instance_restores_the_measurements_of_the_last_one() {
+    let rig = rig_with_measurements();
+    let measurements = rig.balancer.measurements(rig.now);
     assert!(
-        memory.servers[0].failure_score > 0 && memory.servers[0].ejection_duration > 0,
-        "{memory:?}"
+        measurements.servers[0].failure_score > 0 && measurements.servers[0].ejection_duration > 0,
+        "{measurements:?}"
     );
-    let mut warm = next(&memory, &fleet(4), rig.now);
-    assert_eq!(warm.balancer.measurements(rig.now), memory);
-    // Once more changes nothing.
-    assert!(warm.balancer.restore_server_measurements(
+    let mut restored = new_instance(&measurements, &fleet(4), rig.now);
+    assert_eq!(restored.balancer.measurements(rig.now), measurements);
+    // Restoring again changes nothing.
+    assert!(restored.balancer.restore_server_measurements(
         rig.now,
         &ServerMeasurements {
             work: 1.0,
-            ..memory.servers[1]
+            ..measurements.servers[1]
         }
     ));
-    assert_eq!(warm.balancer.measurements(rig.now), memory);
-    let spread = warm.count_by_server(100, |_| 5 * MS);
-    let got = |server: u64| spread.get(&ServerId(server)).copied().unwrap_or(0);
+    assert_eq!(restored.balancer.measurements(rig.now), measurements);
+    let counts = restored.count_by_server(100, |_| 5 * MS);
+    let count = |server: u64| counts.get(&ServerId(server)).copied().unwrap_or(0);
     assert!(
-        got(0) <= 5 && got(1) < got(2) && got(1) < got(3),
-        "{spread:?}"
+        count(0) <= 5 && count(1) < count(2) && count(1) < count(3),
+        "{counts:?}"
     );
-    let mut cold = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(4));
-    assert!(cold.count_by_server(100, |_| 5 * MS)[&ServerId(0)] > 10);
+    let mut fresh = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(4));
+    assert!(fresh.count_by_server(100, |_| 5 * MS)[&ServerId(0)] > 10);
 }
 
 #[test]
-fn of_another_life_and_of_what_makes_no_sense_nothing_holds() {
-    let rig = experienced();
-    let mut memory = rig.balancer.measurements(rig.now);
+fn measurements_of_another_incarnation_and_invalid_values_are_not_restored() {
+    let rig = rig_with_measurements();
+    let mut measurements = rig.balancer.measurements(rig.now);
     let mut servers = fleet(4);
     servers[0].started_at = Some(rig.now - S);
-    memory.servers[1].work = f64::NAN;
-    memory.servers[2].attempt_time = -1.0;
-    memory.servers[3].ejection_remaining = u64::MAX;
-    memory.classes[0] = ClassMeasurements {
+    measurements.servers[1].work = f64::NAN;
+    measurements.servers[2].attempt_time = -1.0;
+    measurements.servers[3].ejection_remaining = u64::MAX;
+    measurements.classes[0] = ClassMeasurements {
         service_time: 0.0,
         tail_latency: f64::INFINITY,
     };
-    memory.mean_work_and_time = (f64::NAN, -1.0);
-    let next = next(&memory, &servers, rig.now);
-    let kept = next.balancer.measurements(rig.now);
+    measurements.mean_work_and_time = (f64::NAN, -1.0);
+    let new_instance = new_instance(&measurements, &servers, rig.now);
+    let restored = new_instance.balancer.measurements(rig.now);
     assert_eq!(
-        kept.servers.iter().map(|s| s.server.0).collect::<Vec<_>>(),
+        restored
+            .servers
+            .iter()
+            .map(|s| s.server.0)
+            .collect::<Vec<_>>(),
         [3]
     );
     assert!(
-        kept.servers[0].ejection_remaining <= 60 * S,
-        "no ejection is for good"
+        restored.servers[0].ejection_remaining <= 60 * S,
+        "the ejection is limited"
     );
     let fresh = Rig::new(settings(&[RetrySafety::Idempotent]), &[])
         .balancer
         .measurements(0);
     assert_eq!(
-        (kept.classes, kept.mean_work_and_time),
+        (restored.classes, restored.mean_work_and_time),
         (fresh.classes, fresh.mean_work_and_time)
     );
 }
--- a/crates/balancer/tests/settings_change.rs
+++ b/crates/balancer/tests/settings_change.rs
@@ -1,4 +1,4 @@
-//! Settings that change while requests are open, and requests whose bodies are on their way.
+//! Changes of the settings while requests are in flight, and requests whose bodies are still being received.
 
 mod common;
 use common::*;
@@ -9,9 +9,9 @@
     window: 4 * S,
 };
 
-fn retuned(
+fn settings_change(
     classes: Vec<Class>,
-    learned: &[Option<u32>],
+    inherited_from: &[Option<u32>],
     retired: &[bool],
     max_attempts: u32,
 ) -> SettingsChange {
@@ -20,18 +20,18 @@
     settings.limits.max_attempts = max_attempts;
     SettingsChange {
         settings,
-        inherited_from: learned.to_vec(),
+        inherited_from: inherited_from.to_vec(),
         retired: retired.to_vec(),
     }
 }
 
 #[test]
-fn an_open_request_ends_under_the_class_and_the_attempts_that_it_came_under() {
+fn a_request_in_flight_keeps_the_class_and_the_attempts_that_it_was_received_with() {
     let mut rig = Rig::new(settings(&[RetrySafety::NonIdempotent]), &fleet(3));
-    let (open, actions) = rig.request(0);
+    let (in_flight, actions) = rig.request(0);
     let server = sent(&actions).expect("sent");
-    // The class is to be repeated freely from now on, under another number, and never more than once.
-    let new = retuned(
+    // The class becomes idempotent, under another index, with at most two attempts.
+    let change = settings_change(
         vec![
             class(RetrySafety::NonIdempotent),
             class(RetrySafety::Idempotent),
@@ -40,35 +40,35 @@
         &[true, false],
         2,
     );
-    rig.event(Event::SettingsChanged(&new));
+    rig.event(Event::SettingsChanged(&change));
     rig.now += 10 * MS;
-    let actions = rig.close(open, 0, server, Outcome::Error, 10 * MS);
+    let actions = rig.close(in_flight, 0, server, Outcome::Error, 10 * MS);
     assert!(
-        actions.contains(&Action::Fail { request: open }),
+        actions.contains(&Action::Fail { request: in_flight }),
         "{actions:?}"
     );
-    let (next, actions) = rig.request(1);
+    let (second_request, actions) = rig.request(1);
     let first = sent(&actions).expect("sent");
-    let second =
-        sent(&rig.close(next, 0, first, Outcome::Error, 10 * MS)).expect("it may be repeated");
-    let actions = rig.close(next, 1, second, Outcome::Error, 10 * MS);
+    let second = sent(&rig.close(second_request, 0, first, Outcome::Error, 10 * MS))
+        .expect("an idempotent request may be retried");
+    let actions = rig.close(second_request, 1, second, Outcome::Error, 10 * MS);
     assert!(sent(&actions).is_none(), "it was sent a third time");
 }
 
 #[test]
-fn what_was_learned_of_servers_outlasts_the_settings() {
+fn measurements_of_servers_outlast_a_settings_change() {
     let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(4));
     let elapsed = |s: ServerId| if s.0 == 0 { 80 * MS } else { 20 * MS };
     rig.count_by_server(600, elapsed);
-    let mut changed = class(RetrySafety::Idempotent);
-    changed.priority_weight = 3.0;
-    rig.event(Event::SettingsChanged(&retuned(
-        vec![class(RetrySafety::Idempotent), changed],
+    let mut reweighted_class = class(RetrySafety::Idempotent);
+    reweighted_class.priority_weight = 3.0;
+    rig.event(Event::SettingsChanged(&settings_change(
+        vec![class(RetrySafety::Idempotent), reweighted_class],
         &[Some(0), Some(0)],
         &[true, false],
         4,
     )));
-    let slow = (0..200)
+    let slow_count = (0..200)
         .filter(|_| {
             let (id, actions) = rig.request(1);
             let server = sent(&actions).expect("sent");
@@ -77,31 +77,34 @@
             server.0 == 0
         })
         .count();
-    assert!(slow < 40, "a server four times slower got {slow} of 200");
+    assert!(
+        slow_count < 40,
+        "a server four times slower got {slow_count} of 200"
+    );
 }
 
 #[test]
-fn the_time_of_a_request_runs_from_its_last_byte() {
+fn the_deadline_of_a_request_runs_from_its_last_byte() {
     let mut rig = Rig::new(settings(&[KEYED]), &fleet(2));
     let (id, actions) = rig.request(0);
     let server = sent(&actions).expect("sent");
     rig.event(Event::RequestBodyStarted(id));
-    // Long past all that its class allows.
+    // Long after the deadline of its class.
     rig.now += 20 * S;
     let actions = rig.event(Event::TimerFired(Timer::Request(id)));
     assert!(actions.is_empty(), "{actions:?}");
-    let whole = rig.now;
+    let body_received_at = rig.now;
     let actions = rig.event(Event::RequestBodyReceived(id));
     let Some(Action::SetTimer {
         at,
         timer: Timer::Request(_),
     }) = actions.first()
     else {
-        panic!("nothing ends it: {actions:?}");
+        panic!("no timer ends it: {actions:?}");
     };
     assert!(
-        *at > whole && *at <= whole + 1_200 * MS,
-        "{at} after {whole}"
+        *at > body_received_at && *at <= body_received_at + 1_200 * MS,
+        "{at} after {body_received_at}"
     );
     rig.now = *at;
     let actions = rig.event(Event::TimerFired(Timer::Request(id)));
@@ -113,7 +116,7 @@
 }
 
 #[test]
-fn what_cannot_be_sent_again_is_not() {
+fn a_request_that_cannot_be_sent_again_is_not_retried() {
     let mut rig = Rig::new(settings(&[RetrySafety::Idempotent]), &fleet(3));
     let (id, actions) = rig.request(0);
     let server = sent(&actions).expect("sent");
--- a/crates/balancer/tests/settings_json.rs
+++ b/crates/balancer/tests/settings_json.rs
@@ -1,5 +1,4 @@
-//! The settings object with every key there is, as literal JSON: what it is read as, and what becomes of each key that is
-//! written otherwise.
+//! The settings object with all its keys, as literal JSON: the settings that result from it, and from other values of a key.
 
 use madderloom_balancer::interface::{
     Class, DeduplicationScope, Limits, Prices, RetrySafety, SafetyRules, Settings, Tenant,
@@ -51,19 +50,19 @@
 }"#;
 
 fn site(text: &str) -> Site {
-    Site::from_json(text).unwrap_or_else(|problem| panic!("{problem}: {text}"))
+    Site::from_json(text).unwrap_or_else(|error| panic!("{error}: {text}"))
 }
 
-/// The object with one value replaced, or with one left out.
-fn with(pointer: &str, value: Option<Value>) -> Site {
+/// The site settings with one value replaced, or with one key left out.
+fn with_value(pointer: &str, value: Option<Value>) -> Site {
     let mut object: Value = serde_json::from_str(EVERY_KEY).expect("JSON");
     let (parent, key) = pointer.rsplit_once('/').expect("a pointer");
     let parent = object
         .pointer_mut(parent)
         .and_then(Value::as_object_mut)
         .expect("an object");
-    let former = parent.remove(key);
-    assert!(former.is_some() && former != value, "{pointer}");
+    let old_value = parent.remove(key);
+    assert!(old_value.is_some() && old_value != value, "{pointer}");
     parent.extend(value.map(|value| (key.to_string(), value)));
     site(&object.to_string())
 }
@@ -125,10 +124,10 @@
 }
 
 #[test]
-fn load_reports_are_read_by_the_names_of_their_fields() {
-    let report = |fields: &str, row: &str| {
+fn load_reports_are_parsed_by_their_field_names() {
+    let parse_with_fields = |fields: &str, row: &str| {
         let fields = serde_json::from_str(fields).expect("JSON");
-        let site = with("/load_report/fields", Some(fields));
+        let site = with_value("/load_report/fields", Some(fields));
         site.layout
             .parse_report(row)
             .map(|report| (report.in_flight, report.errors_per_second))
@@ -141,27 +140,30 @@
         Some((3.0, 0.25))
     );
     assert_eq!(
-        report(r#"["fail_rate","rif"]"#, "0.25,3"),
+        parse_with_fields(r#"["fail_rate","rif"]"#, "0.25,3"),
         Some((3.0, 0.25))
     );
-    assert_eq!(report(r#"["q","busy"]"#, "4,0.5"), Some((4.0, 0.0)));
-    assert_eq!(report(r#"["q","rif"]"#, "4,5"), Some((5.0, 0.0)));
-    assert_eq!(report(r#"["busy","fail_rate"]"#, "4,5"), None);
-    // Probes are of no use where nothing that is read is reported.
+    assert_eq!(
+        parse_with_fields(r#"["q","busy"]"#, "4,0.5"),
+        Some((4.0, 0.0))
+    );
+    assert_eq!(parse_with_fields(r#"["q","rif"]"#, "4,5"), Some((5.0, 0.0)));
+    assert_eq!(parse_with_fields(r#"["busy","fail_rate"]"#, "4,5"), None);
+    // Probes are disabled if the report contains no field that is used.
     assert!(
-        !with("/load_report/fields", Some(serde_json::json!(["busy"])))
+        !with_value("/load_report/fields", Some(serde_json::json!(["busy"])))
             .settings
             .limits
             .probes
     );
     assert!(
-        !with("/load_report/how", Some("none".into()))
+        !with_value("/load_report/how", Some("none".into()))
             .settings
             .limits
             .probes
     );
     assert!(
-        with("/load_report/how", Some("answers".into()))
+        with_value("/load_report/how", Some("answers".into()))
             .settings
             .limits
             .probes
@@ -169,14 +171,14 @@
 }
 
 #[test]
-fn every_name_of_a_value_is_read() {
-    let effect = |site: Site| site.settings.classes[0].retry_safety;
+fn every_value_of_an_enumeration_is_read() {
+    let retry_safety = |site: Site| site.settings.classes[0].retry_safety;
     assert_eq!(
-        effect(with("/services/0/effect", Some("safe".into()))),
+        retry_safety(with_value("/services/0/effect", Some("safe".into()))),
         RetrySafety::Idempotent
     );
     assert_eq!(
-        effect(with("/services/0/effect", Some("unsafe".into()))),
+        retry_safety(with_value("/services/0/effect", Some("unsafe".into()))),
         RetrySafety::NonIdempotent
     );
     let keyed = |scope| RetrySafety::IdempotentWithKey {
@@ -184,45 +186,45 @@
         window: 4_000_000,
     };
     assert_eq!(
-        effect(with("/services/0/key_scope", Some("all".into()))),
+        retry_safety(with_value("/services/0/key_scope", Some("all".into()))),
         keyed(DeduplicationScope::All)
     );
     assert_eq!(
-        effect(with("/services/0/key_scope", Some("cell".into()))),
+        retry_safety(with_value("/services/0/key_scope", Some("cell".into()))),
         keyed(DeduplicationScope::Cell)
     );
     assert_eq!(
-        effect(with("/services/0/key_scope", None)),
+        retry_safety(with_value("/services/0/key_scope", None)),
         keyed(DeduplicationScope::Cell)
     );
     assert!(
-        !with("/discovery", Some("automatic".into()))
+        !with_value("/discovery", Some("automatic".into()))
             .settings
             .discovery_on_request
     );
     assert!(
-        !with("/worth_by", Some("request".into()))
+        !with_value("/worth_by", Some("request".into()))
             .settings
             .weight_per_work
     );
-    for (pointer, known) in [
+    for (pointer, known_values) in [
         ("services[0].effect", "one of `safe`, `keyed`, `unsafe`"),
         ("services[0].key_scope", "one of `all`, `zone`, `cell`"),
         ("discovery", "`automatic` or `subscribe`"),
         ("worth_by", "`request` or `work`"),
     ] {
         let mut object: Value = serde_json::from_str(EVERY_KEY).expect("JSON");
-        let place = format!("/{}", pointer.replace("[0].", "/0/"));
-        *object.pointer_mut(&place).expect("a value") = "odd".into();
-        let problem = Site::from_json(&object.to_string()).expect_err("no such name");
-        let expected = format!("{pointer}: unknown variant `odd`, expected {known}");
-        assert!(problem.starts_with(&expected), "{problem}");
+        let json_pointer = format!("/{}", pointer.replace("[0].", "/0/"));
+        *object.pointer_mut(&json_pointer).expect("a value") = "odd".into();
+        let error = Site::from_json(&object.to_string()).expect_err("an unknown value");
+        let expected = format!("{pointer}: unknown variant `odd`, expected {known_values}");
+        assert!(error.starts_with(&expected), "{error}");
     }
 }
 
 #[test]
-fn what_may_be_left_out_has_its_usual_value() {
-    let usual = site(
+fn optional_keys_have_their_defaults() {
+    let minimal = site(
         r#"{
             "group_size": 4,
             "my_zone": 1,
@@ -270,22 +272,22 @@
         },
         weight_per_work: false,
     };
-    assert_eq!(usual.settings, expected);
-    assert_eq!(usual.layout, with("/load_report", None).layout);
-    assert_eq!(usual.layout.parse_report("1,2,3"), None);
+    assert_eq!(minimal.settings, expected);
+    assert_eq!(minimal.layout, with_value("/load_report", None).layout);
+    assert_eq!(minimal.layout.parse_report("1,2,3"), None);
     assert_eq!(
-        (usual.zones.len(), usual.kinds.len(), &*usual.classes),
+        (minimal.zones.len(), minimal.kinds.len(), &*minimal.classes),
         (0, 0, &[String::new()][..])
     );
     assert_eq!(
-        (usual.conn_idle, usual.connect_timeout, usual.max_open),
+        (minimal.conn_idle, minimal.connect_timeout, minimal.max_open),
         (60_000_000, 250_000, 20_000)
     );
 }
 
 #[test]
-fn a_field_at_fault_is_told_by_its_written_name() {
-    for (field, written) in [
+fn an_invalid_field_is_reported_by_its_settings_key() {
+    for (field, expected_key) in [
         ("group_size", "group_size"),
         ("tick", "period"),
         ("classes", "services"),
@@ -297,6 +299,6 @@
         ("prices.cross_zone", "tariffs.cross_zone"),
         ("limits.max_attempts", "limits.max_attempts"),
     ] {
-        assert_eq!(settings_key(field), written);
+        assert_eq!(settings_key(field), expected_key);
     }
 }
--- a/crates/balancer/tests/snapshot.rs
+++ b/crates/balancer/tests/snapshot.rs
@@ -1,23 +1,20 @@
-//! What an instance shows of itself is what it goes by.
+//! The snapshot shows the state that the balancer decides by.
 
 mod common;
 use common::*;
+use madderloom_balancer::DiscoveryUpdate::FullList;
 use madderloom_balancer::*;
 
 #[test]
-fn shares_open_requests_and_ejections_are_shown_as_they_stand() {
+fn the_snapshot_shows_shares_requests_in_flight_and_ejections() {
     let mut balancer =
-        Balancer::new(settings(&[RetrySafety::NonIdempotent]), 1).expect("the settings make sense");
+        Balancer::new(settings(&[RetrySafety::NonIdempotent]), 1).expect("valid settings");
     let mut actions = Vec::new();
     let servers: Vec<ServerEntry> = (1..=4).map(listed).collect();
-    balancer.handle(
-        S,
-        Event::DiscoveryUpdated(DiscoveryUpdate::FullList(&servers)),
-        &mut actions,
-    );
+    balancer.handle(S, Event::DiscoveryUpdated(FullList(&servers)), &mut actions);
     assert_eq!(balancer.snapshot(S).servers.len(), 4);
     let mut now = 2 * S;
-    // One server fails all that it gets, the others answer in 10 ms.
+    // One server fails all requests, the others answer in 10 ms.
     for id in 1..=60 {
         actions.clear();
         let new = NewRequest {
@@ -35,16 +32,16 @@
             _ => None,
         });
         let Some(server) = sent else { continue };
-        let open = balancer.snapshot(now);
-        assert_eq!((open.classes[0].in_flight, open.tracked_requests), (1, 1));
-        assert_eq!(open.servers.iter().map(|s| s.in_flight).sum::<usize>(), 1);
+        let view = balancer.snapshot(now);
+        assert_eq!((view.classes[0].in_flight, view.tracked_requests), (1, 1));
+        assert_eq!(view.servers.iter().map(|s| s.in_flight).sum::<usize>(), 1);
         now += 10 * MS;
         let outcome = if server == ServerId(1) {
             Outcome::Reset
         } else {
             Outcome::Ok
         };
-        let closed = AttemptResult {
+        let result = AttemptResult {
             request: id,
             attempt: 0,
             server,
@@ -52,21 +49,21 @@
             elapsed: 10 * MS,
             request_ended: true,
         };
-        balancer.handle(now, Event::AttemptEnded(closed), &mut actions);
+        balancer.handle(now, Event::AttemptEnded(result), &mut actions);
     }
-    let seen = balancer.snapshot(now);
-    assert_eq!((seen.classes[0].in_flight, seen.tracked_requests), (0, 0));
-    let ejected: Vec<ServerId> = seen
+    let view = balancer.snapshot(now);
+    assert_eq!((view.classes[0].in_flight, view.tracked_requests), (0, 0));
+    let ejected: Vec<ServerId> = view
         .servers
         .iter()
         .filter(|s| s.ejected_until.is_some())
         .map(|s| s.entry.server)
         .collect();
     assert_eq!(ejected, [ServerId(1)]);
-    let whole: f64 = seen.servers.iter().map(|s| s.traffic_share).sum();
-    assert!((whole - 1.0).abs() < 1e-9, "{whole}");
+    let total_share: f64 = view.servers.iter().map(|s| s.traffic_share).sum();
+    assert!((total_share - 1.0).abs() < 1e-9, "{total_share}");
     assert!(
-        seen.servers
+        view.servers
             .iter()
             .all(|s| s.in_flight == 0 && s.slow_start_factor == 1.0)
     );
