--- a/crates/balancer/tests/every_sequence.rs
+++ b/crates/balancer/tests/every_sequence.rs
@@ -212,9 +212,10 @@
                         "repeated: {request} may be written at {write_by}, after its idempotency window"
                     )
                 })?;
-                check(attempts.iter().all(|t| t.outcome.is_some()), || {
-                    format!("repeated: two attempts of {request} in flight")
-                })?;
+                check(
+                    attempts.iter().all(|attempt| attempt.outcome.is_some()),
+                    || format!("repeated: two attempts of {request} in flight"),
+                )?;
                 check(attempts.len() < *max_attempts, || {
                     format!("repeated: {request} was sent {} times", attempts.len() + 1)
                 })?;
@@ -300,7 +301,7 @@
     rules: SafetyRules,
     /// Capacity of a warm server, in work per microsecond.
     warm_rate: f64,
-    sent: Vec<(Micros, f64)>,
+    sent_work: Vec<(Micros, f64)>,
 }
 
 const OVERLOAD_MULTIPLE: f64 = 3.0;
@@ -315,7 +316,7 @@
         if *server != self.server {
             return Ok(());
         }
-        self.sent.push((now, work));
+        self.sent_work.push((now, work));
         let SafetyRules {
             slow_start_min_share: min_share,
             slow_start_window,
@@ -328,7 +329,7 @@
             return Ok(());
         }
         let work_in_window: f64 = self
-            .sent
+            .sent_work
             .iter()
             .filter(|(at, _)| *at + overload_window > now)
             .map(|(_, work)| work)
@@ -391,7 +392,7 @@
 /// An attempt in flight.
 struct InFlightAttempt {
     result: AttemptResult,
-    sent: Micros,
+    sent_at: Micros,
     timeout_at: Micros,
     is_cancelled: bool,
 }
@@ -439,7 +440,7 @@
                     ..
                 } => {
                     let attempt = self.repetitions.requests[&request].2.len() as u32 - 1;
-                    let (outcome, sent) = (Outcome::Timeout, self.now);
+                    let (outcome, sent_at) = (Outcome::Timeout, self.now);
                     let result = AttemptResult {
                         request,
                         attempt,
@@ -450,14 +451,14 @@
                     };
                     self.in_flight.push(InFlightAttempt {
                         result,
-                        sent,
+                        sent_at,
                         timeout_at,
                         is_cancelled: false,
                     });
                 }
                 Action::Cancel { request, attempt } => {
-                    let is_this_attempt = |f: &&mut InFlightAttempt| {
-                        (f.result.request, f.result.attempt) == (request, attempt)
+                    let is_this_attempt = |candidate: &&mut InFlightAttempt| {
+                        (candidate.result.request, candidate.result.attempt) == (request, attempt)
                     };
                     let cancelled = self.in_flight.iter_mut().find(is_this_attempt);
                     cancelled
@@ -472,11 +473,13 @@
     }
 
     fn end_attempt(&mut self, index: usize, outcome: Outcome) -> RuleResult {
-        let InFlightAttempt { result, sent, .. } = self.in_flight.swap_remove(index);
+        let InFlightAttempt {
+            result, sent_at, ..
+        } = self.in_flight.swap_remove(index);
         let ended = self.responses.requests[&result.request].1 || outcome == Outcome::Ok;
         let result = AttemptResult {
             outcome,
-            elapsed: self.now - sent,
+            elapsed: self.now - sent_at,
             request_ended: ended,
             ..result
         };
@@ -486,24 +489,24 @@
 
     /// What happens next. A cancelled attempt ends at once; a timeout precedes a timer of the same time.
     fn next_due(&self) -> Option<(Micros, Result<usize, usize>)> {
-        let end_time = |f: &InFlightAttempt| {
-            if f.is_cancelled {
+        let end_time = |attempt: &InFlightAttempt| {
+            if attempt.is_cancelled {
                 self.now
             } else {
-                f.timeout_at.max(self.now)
+                attempt.timeout_at.max(self.now)
             }
         };
-        let flights = self
+        let attempt_ends = self
             .in_flight
             .iter()
             .enumerate()
-            .map(|(at, f)| (end_time(f), 0, at, Ok(at)));
+            .map(|(index, attempt)| (end_time(attempt), 0, index, Ok(index)));
         let timers = self
             .timers
             .iter()
             .enumerate()
-            .map(|(at, t)| (t.0.max(self.now), 1, at, Err(at)));
-        flights
+            .map(|(index, timer)| (timer.0.max(self.now), 1, index, Err(index)));
+        attempt_ends
             .chain(timers)
             .min_by_key(|due| (due.0, due.1, due.2))
             .map(|due| (due.0, due.3))
@@ -517,8 +520,8 @@
                     self.end_attempt(index, Outcome::Cancelled)?
                 }
                 Ok(index) => self.end_attempt(index, Outcome::Timeout)?,
-                Err(timer) => {
-                    let (_, timer) = self.timers.swap_remove(timer);
+                Err(index) => {
+                    let (_, timer) = self.timers.swap_remove(index);
                     self.event(Event::TimerFired(timer))?;
                 }
             }
@@ -625,7 +628,7 @@
                 let index = self
                     .in_flight
                     .iter()
-                    .position(|f| f.result.request == id)
+                    .position(|attempt| attempt.result.request == id)
                     .expect("it is in flight");
                 self.end_attempt(index, outcome)
             }
@@ -763,8 +766,8 @@
     }
 
     fn end_all(&mut self, instance: usize, outcome: Outcome) -> RuleResult {
-        for (request, attempt, server, sent) in std::mem::take(&mut self.in_flight[instance]) {
-            let (elapsed, ended) = (self.now - sent, outcome == Outcome::Ok);
+        for (request, attempt, server, sent_at) in std::mem::take(&mut self.in_flight[instance]) {
+            let (elapsed, ended) = (self.now - sent_at, outcome == Outcome::Ok);
             let result = AttemptResult {
                 request,
                 attempt,
@@ -795,12 +798,12 @@
                 .timers
                 .iter()
                 .enumerate()
-                .min_by_key(|(at, timer)| (timer.0, *at));
-            let Some((at, (fire_at, ..))) = due.filter(|(_, timer)| timer.0 <= until) else {
+                .min_by_key(|(index, timer)| (timer.0, *index));
+            let Some((index, (fire_at, ..))) = due.filter(|(_, timer)| timer.0 <= until) else {
                 break;
             };
             self.now = self.now.max(*fire_at);
-            let (_, instance, timer) = self.timers.swap_remove(at);
+            let (_, instance, timer) = self.timers.swap_remove(index);
             self.event(instance, Event::TimerFired(timer))?;
         }
         self.now = until;
@@ -845,13 +848,13 @@
                 scenario.end_all(1, Outcome::Ok)?;
             }
             let (started_at, server) = (scenario.now, ServerId(1));
-            let sent = Vec::new();
+            let sent_work = Vec::new();
             scenario.warming = Some(WarmingServer {
                 server,
                 started_at,
                 rules: settings.rules,
                 warm_rate: 1.0,
-                sent,
+                sent_work,
             });
             scenario.update_both_lists(&[server_entry(1, ServerState::Ready, Some(started_at))])
         };
--- a/crates/balancer/tests/mechanism.rs
+++ b/crates/balancer/tests/mechanism.rs
@@ -79,9 +79,7 @@
     for _ in 0..200 {
         let (id, mut actions) = rig.request(0);
         for attempt in 0..3 {
-            let Some(server) = sent(&actions) else {
-                break;
-            };
+            let Some(server) = sent(&actions) else { break };
             rig.now += MS;
             if server != ServerId(3) {
                 rig.now += 19 * MS;
@@ -500,9 +498,7 @@
     for _ in 0..40 {
         let (id, mut actions) = rig.request(1);
         for attempt in 0..4 {
-            let Some(server) = sent(&actions) else {
-                break;
-            };
+            let Some(server) = sent(&actions) else { break };
             rig.now += 20 * MS;
             if !lane_servers.contains(&server) {
                 served_elsewhere += 1;
@@ -706,9 +702,7 @@
     for round in 0..1_200 {
         let (id, mut actions) = rig.request(0);
         for attempt in 0..4 {
-            let Some(server) = sent(&actions) else {
-                break;
-            };
+            let Some(server) = sent(&actions) else { break };
             rig.now += 40 * MS;
             sends += 1;
             *count.entry(server).or_insert(0) += u32::from(round >= 600 && attempt == 0);
@@ -817,9 +811,7 @@
     for _ in 0..600 {
         let (id, mut actions) = rig.request(0);
         for attempt in 0..4 {
-            let Some(server) = sent(&actions) else {
-                break;
-            };
+            let Some(server) = sent(&actions) else { break };
             rig.now += 40 * MS;
             sends += 1;
             let outcome = if sends % 3 == 0 {
