--- a/crates/sidecar/src/attempt.rs
+++ b/crates/sidecar/src/attempt.rs
@@ -104,6 +104,7 @@
     pub(super) cost_hint: Option<Micros>,
     /// When the attempt started; after a streamed request body, when its last byte was written.
     pub(super) sent_at: Cell<Micros>,
+    /// When the attempt times out. With a streamed request body, its time limit starts over with the last byte.
     pub(super) timeout_at: Micros,
     /// From this time on the last byte of the request must not be written.
     pub(super) write_by: Micros,
@@ -120,6 +121,7 @@
         forwarded.body.streamed().is_none() && self.service.process.clock.now() >= self.timeout_at
     }
 
+    /// Reports the outcome to the service and the balancer, unless one was reported before.
     fn report_outcome(&mut self, outcome: Outcome) {
         if std::mem::replace(&mut self.outcome_reported, true) {
             return;
@@ -465,6 +467,7 @@
     result
 }
 
+/// Encodes data as one chunk of the chunked transfer coding.
 fn encode_chunk(data: &Bytes) -> Bytes {
     let mut chunk = BytesMut::with_capacity(data.len() + 20);
     chunk.extend_from_slice(format!("{:x}\r\n", data.len()).as_bytes());
@@ -516,6 +519,7 @@
     message
 }
 
+/// The outcome that a complete response stands for, and the response to return if it counts as served.
 fn interpret_response(
     status: StatusCode,
     headers: HeaderMap,
--- a/crates/sidecar/src/fair_scheduler.rs
+++ b/crates/sidecar/src/fair_scheduler.rs
@@ -82,6 +82,7 @@
 /// The account that a task's work is charged to; none if fair scheduling is off.
 pub(super) type ChargedAccount = Cell<Option<Rc<SchedulerAccount>>>;
 
+/// The account in the cell, which keeps it.
 pub(super) fn charged_account(charged: &ChargedAccount) -> Option<Rc<SchedulerAccount>> {
     let account = charged.take();
     charged.set(account.clone());
