--- a/crates/balancer/src/discovery_evidence.rs
+++ b/crates/balancer/src/discovery_evidence.rs
@@ -1,17 +1,17 @@
 //! Diagnosis of discovery from failed calls: whether it is down, or overloaded by the calls of its clients.
 //!
-//! A client sees the same failures in both cases, but they need opposite reactions. After an outage the list must be polled in
-//! time, however often calls have failed. An overloaded discovery processes all calls in its queue, including those whose callers
-//! have timed out, and recovers only if it is called less often. A single rejection proves nothing. The diagnoses rest on these
-//! observations:
+//! A client sees the same failures in both cases, but they need opposite reactions. After an outage the list must be polled
+//! in time, however often calls have failed. An overloaded discovery processes all calls in its queue, including those
+//! whose callers have timed out, and recovers only if it is called less often. A single rejection proves nothing. The
+//! diagnoses rest on these observations:
 //!
 //! - A call that fails immediately, or does not reach discovery, costs discovery nothing: discovery is down.
 //! - If a call waits and is rejected after such failures, discovery is up again and has a queue.
-//! - During an outage every call is rejected after the same time. Waits that differ, or that are longer than any time limit, mean
-//!   that calls are rejected when they reach the front of the queue. Such waits show how long the queue is.
-//! - Discovery closes connections during an outage as well. It crashes under the load of its clients if a watch is lost soon after
-//!   it was opened and the next call's connection breaks too, or if connections break while calls wait after connections were
-//!   closed immediately.
+//! - During an outage every call is rejected after the same time. Waits that differ, or that are longer than any time
+//!   limit, mean that calls are rejected when they reach the front of the queue. Such waits show how long the queue is.
+//! - Discovery closes connections during an outage as well. It crashes under the load of its clients if a watch is lost soon
+//!   after it was opened and the next call's connection breaks too, or if connections break while calls wait after
+//!   connections were closed immediately.
 //! - If calls have been waiting without success for longer than an outage is likely to last, discovery is assumed to be
 //!   overloaded.
 
--- a/crates/balancer/tests/discovery_outages.rs
+++ b/crates/balancer/tests/discovery_outages.rs
@@ -1,9 +1,9 @@
-//! Fleets of one to 900 instances whose discovery is down for five seconds to a minute, and then processes their calls one after
-//! the other.
+//! Fleets of one to 900 instances whose discovery is down for five seconds to a minute, and then processes their calls one
+//! after the other.
 //!
-//! A discovery that is down and one that is overloaded look alike: both let a call wait and then answer 503. Instances that took an
-//! outage for an overload polled again after up to 0.32 s per instance of the fleet, and went on sending to servers that had begun
-//! to drain: until 12 s after the recovery with 40 instances, 36 s with 169.
+//! A discovery that is down and one that is overloaded look alike: both let a call wait and then answer 503. Instances that
+//! took an outage for an overload polled again after up to 0.32 s per instance of the fleet, and went on sending to servers
+//! that had begun to drain: until 12 s after the recovery with 40 instances, 36 s with 169.
 
 mod common;
 use common::{MS, S, fleet as servers, settings};
--- a/crates/balancer/tests/discovery_polling.rs
+++ b/crates/balancer/tests/discovery_polling.rs
@@ -133,8 +133,9 @@
     delays
 }
 
-/// If the poll interval grows with the fleet without a bound, instances break the rule on drains: from 10 s on each is assumed to
-/// know the list, and must not send to servers that have left. With 300 instances the first poll came after up to 24 s.
+/// If the poll interval grows with the fleet without a bound, instances break the rule on drains: from 10 s on each is
+/// assumed to know the list, and must not send to servers that have left. With 300 instances the first poll came after up
+/// to 24 s.
 #[test]
 fn no_fleet_is_so_large_that_an_instance_polls_later_than_the_rules_allow() {
     for group_size in [1, 100, 300, 2_000, 100_000] {
@@ -191,8 +192,8 @@
 /// have been down, minus 1 s for the response.
 const FIRST_CALLS_WINDOW: f64 = 3e6;
 
-/// The times of the calls of instances that start together, over a minute. Each call either fails after `waited`, or is answered
-/// with a list whose watch ends immediately, as `fails` decides.
+/// The times of the calls of instances that start together, over a minute. Each call either fails after `waited`, or is
+/// answered with a list whose watch ends immediately, as `fails` decides.
 fn calls(instances: u32, waited: Micros, mut fails: impl FnMut() -> bool) -> Vec<Micros> {
     let settings = Settings {
         group_size: instances,
@@ -266,8 +267,9 @@
                 excess <= 3.0 * instance_count.sqrt(),
                 "{instances}, {waited}, {failing_quarters} of 4 fail: {excess} at first"
             );
-            // The freshness bound of 8 s may end before the next poll interval does. So if watches end as soon as they have sent
-            // a list, or if no call arrives, two calls of an instance fall into one interval. If calls wait until they fail, none do.
+            // The freshness bound of 8 s may end before the next poll interval does. So if watches end as soon as they have
+            // sent a list, or if no call arrives, two calls of an instance fall into one interval. If calls wait until they
+            // fail, none do.
             let time_per_call = interval
                 / instance_count
                 / if failing_quarters == 4 && waited > 0 {
@@ -284,8 +286,8 @@
     }
 }
 
-/// A watch sends a heartbeat every 2 s. One that was silent for 3 s is closed. The watches of a whole fleet may fall silent at the
-/// same moment.
+/// A watch sends a heartbeat every 2 s. One that was silent for 3 s is closed. The watches of a whole fleet may fall silent
+/// at the same moment.
 #[test]
 fn after_a_watch_falls_silent_the_next_poll_comes_before_changes_are_assumed_known() {
     for group_size in [1, 30, 300] {
@@ -333,8 +335,8 @@
 /// A lost zone is down for this long; its instances restart when it recovers.
 const ZONE_OUTAGE: Micros = 5 * S;
 
-/// The watch of an instance ends when its process is killed. Changes after that are assumed known 6 s later, whether or not another
-/// process has replaced it meanwhile, and the new process knows only the list of its configuration.
+/// The watch of an instance ends when its process is killed. Changes after that are assumed known 6 s later, whether or not
+/// another process has replaced it meanwhile, and the new process knows only the list of its configuration.
 #[test]
 fn a_restarted_instance_polls_in_time_for_the_changes_that_it_missed() {
     for group_size in [1, 60, 300] {
--- a/crates/balancer/tests/discovery_queues.rs
+++ b/crates/balancer/tests/discovery_queues.rs
@@ -1,8 +1,8 @@
 //! Fleets whose discovery recovers from an outage and processes their calls strictly one after the other.
 //!
-//! The time that discovery spends on calls that have timed out, or that it rejects, is lost. Fleets whose calls took it 12 s (60
-//! instances) or 27 s (900 instances) in all, and which abandoned unanswered calls to start new ones immediately, never recovered:
-//! discovery was always busy, and only with calls that had timed out.
+//! The time that discovery spends on calls that have timed out, or that it rejects, is lost. Fleets whose calls took it 12
+//! s (60 instances) or 27 s (900 instances) in all, and which abandoned unanswered calls to start new ones immediately,
+//! never recovered: discovery was always busy, and only with calls that had timed out.
 
 mod common;
 use common::{MS, S, fleet as servers, settings};
@@ -385,8 +385,8 @@
     u64::from(instances) * processing_time * 3 / 2
 }
 
-/// Calls must not be postponed after a first rejection or a broken connection, however earlier calls ended and whether or not the
-/// process ever had a list from discovery. Fleets that did so had the list 13 s to 68 s after the recovery.
+/// Calls must not be postponed after a first rejection or a broken connection, however earlier calls ended and whether or
+/// not the process ever had a list from discovery. Fleets that did so had the list 13 s to 68 s after the recovery.
 #[test]
 fn if_all_calls_can_be_processed_within_the_bound_all_have_the_list_before_the_drain_grace_ends() {
     for size in [
@@ -468,8 +468,9 @@
     );
 }
 
-/// The processing takes longer than the bound allows for one call of each instance. A second call of an instance costs as much as
-/// the first, which timed out. All instances get the list in the end; without longer delays the queue never became shorter.
+/// The processing takes longer than the bound allows for one call of each instance. A second call of an instance costs as
+/// much as the first, which timed out. All instances get the list in the end; without longer delays the queue never became
+/// shorter.
 #[test]
 fn a_discovery_that_rejects_in_turn_always_recovers() {
     for size in [
@@ -489,8 +490,9 @@
     }
 }
 
-/// A watch may end instead of sending an update, several times in a row. Instances whose calls had been answered late took that for
-/// a discovery that crashes under load, called it 7.6 s to 13.7 s later, and sent to servers that had begun to drain:
+/// A watch may end instead of sending an update, several times in a row. Instances whose calls had been answered late took
+/// that for a discovery that crashes under load, called it 7.6 s to 13.7 s later, and sent to servers that had begun to
+/// drain:
 ///
 /// ```text
 /// 13.823 configuration read again: discovery is at 127.12.0.1:8501
--- a/crates/sidecar/src/list_reader.rs
+++ b/crates/sidecar/src/list_reader.rs
@@ -20,7 +20,7 @@
     in_string: bool,
     /// The last scanned byte is a backslash that escapes the next one.
     escaped: bool,
-    /// The current line has only white space so far.
+    /// Only white space has been scanned since the last line break.
     line_is_blank: bool,
 }
 
--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -1,4 +1,5 @@
-//! The servers of a pool: applies list updates from discovery, the fleet and the configuration, and passes them to the balancer.
+//! The servers of a pool: applies list updates from discovery, the fleet and the configuration, and passes them to the
+//! balancer.
 
 use super::discovery_calls::DiscoveryCalls;
 use super::service::Service;
@@ -195,8 +196,8 @@
     )
 }
 
-/// Weights and drains that were set for servers independently of their lists. If there are none, this costs lookups in empty maps
-/// for each server of a list.
+/// Weights and drains that were set for servers independently of their lists. If there are none, this costs lookups in
+/// empty maps for each server of a list.
 #[derive(Default)]
 pub(super) struct ServerOverrides {
     /// Factors for the listed capacity, in thousandths.
@@ -277,8 +278,8 @@
         self.members.borrow().get(&server).map(|m| m.address)
     }
 
-    /// Whether new attempts may be sent to this server at this address. Checked again once a connection is established: the server
-    /// may have started to drain, left or changed its address meanwhile.
+    /// Whether new attempts may be sent to this server at this address. Checked again once a connection is established: the
+    /// server may have started to drain, left or changed its address meanwhile.
     pub(super) fn accepts_new_attempts(
         &self,
         server: ServerId,
@@ -747,8 +748,9 @@
         entries[0].started_at.expect("a start time")
     }
 
-    /// The wall_clock clock may diverge from the balancer's clock: by eight hours if the machine was suspended, if the clock was set only
-    /// after the start, or by an hour if it was set back. Slow start must not last longer or shorter for that.
+    /// The wall_clock clock may diverge from the balancer's clock: by eight hours if the machine was suspended, if the
+    /// clock was set only after the start, or by an hour if it was set back. Slow start must not last longer or shorter for
+    /// that.
     #[rstest::rstest]
     #[case::suspended(8 * HOUR as i64)]
     #[case::set_late(100_000 * HOUR as i64)]
--- a/crates/sidecar/src/shared_lists.rs
+++ b/crates/sidecar/src/shared_lists.rs
@@ -100,7 +100,8 @@
         }
     }
 
-    /// Whether a complete list of this version from discovery may be applied; see [`SharedEndpointLists::accepts_from_discovery`].
+    /// Whether a complete list of this version from discovery may be applied; see
+    /// [`SharedEndpointLists::accepts_from_discovery`].
     pub(super) fn accepts_from_discovery(
         &self,
         pool: &str,
@@ -120,8 +121,8 @@
         Some(boottime().saturating_sub(evidence_at))
     }
 
-    /// Waits until discovery has to be called for this pool. If no update of its list was received yet, waits for `first_wait` so
-    /// that the fleet can share it.
+    /// Waits until discovery has to be called for this pool. If no update of its list was received yet, waits for
+    /// `first_wait` so that the fleet can share it.
     pub(super) async fn wait_until_call_due(
         &self,
         pool: &str,
@@ -158,9 +159,9 @@
         (!lists.is_empty()).then(|| lists.report(boottime()))
     }
 
-    /// Handles updates from the agent. Newer lists are passed to `apply`, with the name of the pool and the age of the evidence;
-    /// it returns an error if the list is invalid. `call` gets the pools for which discovery is to be called, `end_watch`
-    /// those whose watch is no longer needed. Returns whether the agent wants a report immediately.
+    /// Handles updates from the agent. Newer lists are passed to `apply`, with the name of the pool and the age of the
+    /// evidence; it returns an error if the list is invalid. `call` gets the pools for which discovery is to be called,
+    /// `end_watch` those whose watch is no longer needed. Returns whether the agent wants a report immediately.
     pub(super) fn agent_updated(
         &self,
         updates: &EndpointListUpdates,
