--- a/crates/admin/src/duty.rs
+++ b/crates/admin/src/lifecycle.rs
@@ -9,9 +9,9 @@
 
 /// After the beginning of a drain idle connections stay for this long: senders hear of it within 0.1 s and go on for
 /// 0.2 s.
-pub const IDLE_STAYS: Micros = 800_000;
+pub const IDLE_GRACE_US: Micros = 800_000;
 /// From then on, a connection goes that has been idle for so long.
-pub const IDLE_FOR: Micros = 200_000;
+pub const IDLE_TIMEOUT_US: Micros = 200_000;
 
 /// What a sidecar does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,26 +29,26 @@
 
 /// A sidecar's duty.
 #[derive(Clone, Debug)]
-pub struct Duty {
+pub struct Lifecycle {
     state: State,
 }
 
-impl Default for Duty {
+impl Default for Lifecycle {
     fn default() -> Self {
-        Duty {
+        Lifecycle {
             state: State::Serving,
         }
     }
 }
 
-impl Duty {
+impl Lifecycle {
     /// What it does now.
     pub fn state(&self) -> State {
         self.state
     }
 
     /// It is to drain. False where it does already, or stops; the first call counts.
-    pub fn lame_duck(&mut self, now: Micros) -> bool {
+    pub fn start_draining(&mut self, now: Micros) -> bool {
         let serving = self.state == State::Serving;
         if serving {
             self.state = State::Draining { since: now };
@@ -81,16 +81,16 @@
     }
 
     /// Whether an answer ends its connection.
-    pub fn ends_connections(&self) -> bool {
+    pub fn closes_after_response(&self) -> bool {
         !self.is_serving()
     }
 
     /// Connections that have been idle since this time or before are to be closed now; none is to be where it serves.
     /// A stop has its own end of connections, as it has one of its listening socket.
-    pub fn closes_idle_since(&self, now: Micros) -> Option<Micros> {
+    pub fn idle_close_cutoff(&self, now: Micros) -> Option<Micros> {
         match self.state {
-            State::Draining { since } if now >= since.saturating_add(IDLE_STAYS) => {
-                Some(now.saturating_sub(IDLE_FOR))
+            State::Draining { since } if now >= since.saturating_add(IDLE_GRACE_US) => {
+                Some(now.saturating_sub(IDLE_TIMEOUT_US))
             }
             _ => None,
         }
@@ -104,16 +104,16 @@
 
     #[test]
     fn a_drain_begins_once_and_ends_with_a_rejoin() {
-        let mut duty = Duty::default();
-        assert!(duty.lame_duck(1_000) && !duty.lame_duck(9_000_000));
-        assert_eq!(duty.state(), State::Draining { since: 1_000 });
-        assert_eq!(duty.closes_idle_since(1_000 + IDLE_STAYS - 1), None);
+        let mut lifecycle = Lifecycle::default();
+        assert!(lifecycle.start_draining(1_000) && !lifecycle.start_draining(9_000_000));
+        assert_eq!(lifecycle.state(), State::Draining { since: 1_000 });
+        assert_eq!(lifecycle.idle_close_cutoff(1_000 + IDLE_GRACE_US - 1), None);
         assert_eq!(
-            duty.closes_idle_since(1_000 + IDLE_STAYS),
-            Some(1_000 + IDLE_STAYS - IDLE_FOR)
+            lifecycle.idle_close_cutoff(1_000 + IDLE_GRACE_US),
+            Some(1_000 + IDLE_GRACE_US - IDLE_TIMEOUT_US)
         );
-        assert!(duty.rejoin() && !duty.rejoin());
-        assert_eq!(duty.closes_idle_since(Micros::MAX), None);
+        assert!(lifecycle.rejoin() && !lifecycle.rejoin());
+        assert_eq!(lifecycle.idle_close_cutoff(Micros::MAX), None);
     }
 
     /// Every sequence of seven calls, with and without time in between.
@@ -122,15 +122,16 @@
         const CALLS: u32 = 6;
         let mut count = 0u32;
         for sequence in 0..CALLS.pow(7) {
-            let (mut duty, mut now, mut drains, mut stopped) = (Duty::default(), 0, None, false);
+            let (mut lifecycle, mut now, mut drains, mut stopped) =
+                (Lifecycle::default(), 0, None, false);
             for place in 0..7 {
                 match sequence / CALLS.pow(place) % CALLS {
-                    0 => assert_eq!(duty.lame_duck(now), !stopped && drains.is_none()),
-                    1 => assert_eq!(duty.rejoin(), !stopped && drains.is_some()),
-                    2 => duty.stop(),
-                    3 => now += IDLE_STAYS - 1,
+                    0 => assert_eq!(lifecycle.start_draining(now), !stopped && drains.is_none()),
+                    1 => assert_eq!(lifecycle.rejoin(), !stopped && drains.is_some()),
+                    2 => lifecycle.stop(),
+                    3 => now += IDLE_GRACE_US - 1,
                     4 => now += 1,
-                    _ => now += 10 * IDLE_STAYS,
+                    _ => now += 10 * IDLE_GRACE_US,
                 }
                 match sequence / CALLS.pow(place) % CALLS {
                     0 if !stopped => drains = drains.or(Some(now)),
@@ -139,11 +140,14 @@
                     _ => {}
                 }
                 assert_eq!(
-                    (duty.is_stopping(), duty.is_serving()),
+                    (lifecycle.is_stopping(), lifecycle.is_serving()),
                     (stopped, !stopped && drains.is_none())
                 );
-                let closes = drains.is_some_and(|since| now >= since + IDLE_STAYS);
-                assert_eq!(duty.closes_idle_since(now), closes.then(|| now - IDLE_FOR));
+                let closes = drains.is_some_and(|since| now >= since + IDLE_GRACE_US);
+                assert_eq!(
+                    lifecycle.idle_close_cutoff(now),
+                    closes.then(|| now - IDLE_TIMEOUT_US)
+                );
             }
             count += 1;
         }
@@ -155,20 +159,20 @@
         /// good, and no idle connection is closed before those who hold it can know.
         #[test]
         fn any_calls_leave_it_in_one_sound_state(calls in proptest::collection::vec((0..4u8, 0..3_000_000u64), 0..60)) {
-            let (mut duty, mut now, mut drains, mut stopped) = (Duty::default(), 0, None, false);
+            let (mut lifecycle, mut now, mut drains, mut stopped) = (Lifecycle::default(), 0, None, false);
             for (call, passed) in calls {
                 now += passed;
                 match call {
-                    0 => { duty.lame_duck(now); if !stopped { drains = drains.or(Some(now)); } }
-                    1 => { duty.rejoin(); if !stopped { drains = None; } }
-                    2 if passed % 5 == 0 => { duty.stop(); stopped = true; }
+                    0 => { lifecycle.start_draining(now); if !stopped { drains = drains.or(Some(now)); } }
+                    1 => { lifecycle.rejoin(); if !stopped { drains = None; } }
+                    2 if passed % 5 == 0 => { lifecycle.stop(); stopped = true; }
                     _ => {}
                 }
-                prop_assert_eq!(duty.is_stopping(), stopped);
-                prop_assert_eq!(duty.is_serving(), !stopped && drains.is_none());
-                prop_assert_eq!(duty.ends_connections(), !duty.is_serving());
-                let closes = duty.closes_idle_since(now).is_some();
-                prop_assert_eq!(closes, !stopped && drains.is_some_and(|since| now >= since + IDLE_STAYS));
+                prop_assert_eq!(lifecycle.is_stopping(), stopped);
+                prop_assert_eq!(lifecycle.is_serving(), !stopped && drains.is_none());
+                prop_assert_eq!(lifecycle.closes_after_response(), !lifecycle.is_serving());
+                let closes = lifecycle.idle_close_cutoff(now).is_some();
+                prop_assert_eq!(closes, !stopped && drains.is_some_and(|since| now >= since + IDLE_GRACE_US));
             }
         }
     }
--- a/crates/admin/src/figures.rs
+++ b/crates/admin/src/stats.rs
@@ -4,7 +4,7 @@
 
 /// What became of the requests of one class, since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Ended {
+pub struct ResultCounts {
     /// Served.
     pub fulfilled: u64,
     /// Refused: trying again does no harm.
@@ -13,7 +13,7 @@
     pub faulted: u64,
 }
 
-impl std::ops::AddAssign for Ended {
+impl std::ops::AddAssign for ResultCounts {
     fn add_assign(&mut self, other: Self) {
         self.fulfilled += other.fulfilled;
         self.throttled += other.throttled;
@@ -21,18 +21,18 @@
     }
 }
 
-impl Ended {
+impl ResultCounts {
     /// All of them.
-    pub fn all(&self) -> u64 {
+    pub fn total(&self) -> u64 {
         self.fulfilled + self.throttled + self.faulted
     }
 }
 
 /// A sidecar's figures at one moment.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct Stats {
     /// By the names of the classes, those that a newer file has dropped among them.
-    pub operations: Vec<(String, Ended)>,
+    pub operations: Vec<(String, ResultCounts)>,
     /// Attempts that were written whole to servers, since the process started.
     pub relayed: u64,
     /// Requests that were taken and have not ended.
@@ -51,7 +51,7 @@
     pub stalled_turns: u64,
 }
 
-impl fmt::Display for Figures {
+impl fmt::Display for Stats {
     /// One line each, `app.NAME=NUMBER`, and `eof` behind them.
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (class, ended) in &self.operations {
@@ -100,20 +100,20 @@
 
     #[test]
     fn figures_are_lines_that_end_with_eof() {
-        let ended = Ended {
+        let ended = ResultCounts {
             fulfilled: 812,
             throttled: 3,
             faulted: 1,
         };
-        let figures = Figures {
+        let figures = Stats {
             operations: vec![
                 ("submit-check".to_string(), ended),
-                ("a=b\n.c".to_string(), Ended::default()),
+                ("a=b\n.c".to_string(), ResultCounts::default()),
             ],
             open_requests: 14,
             busy_turns: 2,
             stalled_turns: 5,
-            ..Figures::default()
+            ..Stats::default()
         };
         let text = figures.to_string();
         assert!(text.starts_with("app.operations.submit-check.fulfilled=812\n"));
--- a/crates/cli/src/level.rs
+++ b/crates/cli/src/level.rs
@@ -76,7 +76,9 @@
             .enable_all()
             .build();
         let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
-        runtime.block_on(madderloom_sidecar::admin::order(&at, &pool, &asked))?;
+        runtime.block_on(madderloom_sidecar::admin::post_level_order(
+            &at, &pool, &asked,
+        ))?;
         Ok(ExitCode::SUCCESS)
     }
 }
--- a/crates/cli/src/status.rs
+++ b/crates/cli/src/status.rs
@@ -25,7 +25,7 @@
 impl Status {
     pub(crate) fn run(self) -> Result<ExitCode, String> {
         let at = self.place.find()?;
-        let mut status = wait_for(madderloom_sidecar::admin::fetch(&at))??;
+        let mut status = wait_for(madderloom_sidecar::admin::fetch_status(&at))??;
         if let Some(name) = &self.pool {
             let pools = list(&status["pools"]);
             let known = pools
--- a/crates/cli/src/stories.rs
+++ b/crates/cli/src/stories.rs
@@ -2,7 +2,9 @@
 
 use crate::output::{Output, Table, tell};
 use crate::place::{Place, wait_for};
-use madderloom_sidecar::admin::{Fault, escaped, fetch_at, follow, get};
+use madderloom_sidecar::admin::{
+    FetchError, fetch_bytes, fetch_json, follow_events, percent_encoded,
+};
 use serde_json::Value;
 use std::io::Write;
 use std::ops::ControlFlow;
@@ -34,7 +36,7 @@
 
 impl Servers {
     pub(crate) fn run(self) -> Result<ExitCode, String> {
-        let mut told = wait_for(fetch_at(&self.place.find()?, "/v1/servers"))??;
+        let mut told = wait_for(fetch_json(&self.place.find()?, "/v1/servers"))??;
         if let Some(pool) = &self.pool {
             for part in ["servers", "shared"] {
                 told[part] = list(&told[part])
@@ -166,19 +168,19 @@
         let pool = self
             .pool
             .as_ref()
-            .map(|pool| format!("pool={}&", escaped(pool)))
+            .map(|pool| format!("pool={}&", percent_encoded(pool)))
             .unwrap_or_default();
-        let path = format!("/v1/servers/{}", escaped(&self.name));
+        let path = format!("/v1/servers/{}", percent_encoded(&self.name));
         let unknown = |fault| match fault {
-            Fault::NotFound => format!(
+            FetchError::NotFound => format!(
                 "no story is kept of a server {}; `madderloom servers` lists them, and [timeline] in the operator file keeps \
                  their stories",
                 self.name
             ),
-            Fault::Problem(problem) => problem,
+            FetchError::Problem(problem) => problem,
         };
         let told =
-            wait_for(fetch_at(&at, &format!("{path}?{pool}span={span}")))?.map_err(unknown)?;
+            wait_for(fetch_json(&at, &format!("{path}?{pool}span={span}")))?.map_err(unknown)?;
         let [story] = list(&told["stories"]) else {
             let pools: Vec<String> = list(&told["stories"])
                 .iter()
@@ -191,8 +193,11 @@
             ));
         };
         if let Some(file) = &self.svg {
-            let drawn = wait_for(get(&at, &format!("{path}/plot.svg?{pool}span={span}")))?
-                .map_err(unknown)?;
+            let drawn = wait_for(fetch_bytes(
+                &at,
+                &format!("{path}/plot.svg?{pool}span={span}"),
+            ))?
+            .map_err(unknown)?;
             write(file, &drawn)?;
         }
         if let Some(file) = &self.export {
@@ -313,7 +318,7 @@
         let at = self.place.find()?;
         let from = self.from.unwrap_or(0);
         if !self.follow {
-            let told = wait_for(fetch_at(&at, &format!("/v1/events?after={from}")))??;
+            let told = wait_for(fetch_json(&at, &format!("/v1/events?after={from}")))??;
             if number(&told["oldest"]) > from as f64 && self.from.is_some() {
                 let _ = writeln!(
                     std::io::stderr(),
@@ -330,16 +335,16 @@
             Ok(event) => self.tell(&event),
             Err(_) => ControlFlow::Continue(()),
         };
-        wait_for(follow(
+        wait_for(follow_events(
             &at,
             &format!("/v1/events?follow=1&after={from}"),
             line,
         ))?
         .map_err(|fault| match fault {
-            Fault::NotFound => {
+            FetchError::NotFound => {
                 "time lines are off; write [timeline] into the operator file".to_string()
             }
-            Fault::Problem(problem) => problem,
+            FetchError::Problem(problem) => problem,
         })?;
         Err(format!("{at}: the process has ended"))
     }
--- a/crates/sidecar/src/admin.rs
+++ b/crates/sidecar/src/admin.rs
@@ -5,9 +5,9 @@
 //! `/servers/NAME` are pages. `POST /v1/pools/NAME/level` takes an operator's order on its level, on a Unix socket
 //! alone: that is its owner's, while a loopback address is open to every user and to web pages.
 
-use super::feed::Follow;
+use super::admin_events::EventStream;
 use super::levels;
-use super::view::Viewer;
+use super::view::AdminView;
 use super::{page, plot};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Either, Empty, Full, Limited};
@@ -51,7 +51,7 @@
 const ANSWER: usize = 64 << 20;
 
 /// A socket that is bound.
-pub(super) struct Socket {
+pub(super) struct AdminSocket {
     at: Admin,
     listener: Listening,
 }
@@ -83,7 +83,7 @@
     std::fs::symlink_metadata(path).ok().map(|m| m.ino())
 }
 
-impl Socket {
+impl AdminSocket {
     /// Binds it. The file of a Unix socket that nobody listens on any more is replaced.
     pub(super) fn bind(at: &Admin) -> Result<Self, String> {
         let told = |e: std::io::Error| format!("admin: {at}: {e}");
@@ -106,7 +106,7 @@
                 Listening::Unix { listener, _file }
             }
         };
-        Ok(Socket {
+        Ok(AdminSocket {
             at: at.clone(),
             listener,
         })
@@ -126,9 +126,9 @@
 }
 
 impl AdminServer {
-    pub(super) fn start(socket: Socket, viewer: &Viewer) -> Self {
-        let Socket { at, listener } = socket;
-        let viewer = viewer.clone();
+    pub(super) fn start(socket: AdminSocket, admin_view: &AdminView) -> Self {
+        let AdminSocket { at, listener } = socket;
+        let admin_view = admin_view.clone();
         let place = match &listener {
             Listening::Tcp(tcp) => tcp
                 .local_addr()
@@ -160,9 +160,9 @@
                     tokio::time::sleep(Duration::from_millis(100)).await;
                     continue;
                 };
-                let viewer = viewer.clone();
+                let admin_view = admin_view.clone();
                 watchdog::spawn(TaskKind::AdminConnection, async move {
-                    serve(stream, viewer, (place, caller)).await;
+                    serve(stream, admin_view, (place, caller)).await;
                 });
             }
         });
@@ -172,7 +172,7 @@
         }
     }
 
-    pub(super) fn at(&self) -> &Admin {
+    pub(super) fn address(&self) -> &Admin {
         &self.at
     }
 }
@@ -240,7 +240,7 @@
 
 async fn serve(
     stream: Box<dyn Stream>,
-    viewer: Viewer,
+    admin_view: AdminView,
     (place, caller): (OwnedSemaphorePermit, Caller),
 ) {
     let reader = Rc::new(Reader {
@@ -249,11 +249,11 @@
     });
     let own = Rc::clone(&reader);
     let service = service_fn(move |request: Request<Incoming>| {
-        let (viewer, own) = (viewer.clone(), Rc::clone(&own));
+        let (admin_view, own) = (admin_view.clone(), Rc::clone(&own));
         async move {
             let answer = match *request.method() {
-                Method::POST => ordered(&viewer, request, caller).await,
-                _ => answer(&viewer, &own, &request),
+                Method::POST => ordered(&admin_view, request, caller).await,
+                _ => answer(&admin_view, &own, &request),
             };
             Ok::<_, Infallible>(answer)
         }
@@ -283,7 +283,7 @@
 }
 
 /// Takes what is posted: an order, or nothing that is known.
-async fn ordered(viewer: &Viewer, request: Request<Incoming>, caller: Caller) -> Answer {
+async fn ordered(admin_view: &AdminView, request: Request<Incoming>, caller: Caller) -> Answer {
     let path = request.uri().path();
     let pool = path
         .strip_prefix("/v1/pools/")
@@ -291,11 +291,11 @@
     let Some(pool) = pool.map(str::to_string) else {
         return whole(StatusCode::METHOD_NOT_ALLOWED, JSON, "{}");
     };
-    let (status, body) = take_order(viewer, &pool, request, caller).await;
+    let (status, body) = take_order(admin_view, &pool, request, caller).await;
     whole(status, JSON, body.to_string())
 }
 
-type Answer = Response<Either<Full<Bytes>, Follow>>;
+type Answer = Response<Either<Full<Bytes>, EventStream>>;
 
 /// A query's value of this name, its escapes undone.
 fn value(query: Option<&str>, name: &str) -> Option<String> {
@@ -307,7 +307,7 @@
     Some(percent_decode_str(value).decode_utf8_lossy().into_owned())
 }
 
-fn answer(viewer: &Viewer, reader: &Reader, request: &Request<Incoming>) -> Answer {
+fn answer(admin_view: &AdminView, reader: &Reader, request: &Request<Incoming>) -> Answer {
     let (path, query) = (request.uri().path(), request.uri().query());
     let value = |name: &str| value(query, name);
     if request.method() != Method::GET {
@@ -320,7 +320,7 @@
             None => (name, false),
         };
         let name = percent_decode_str(name).decode_utf8_lossy();
-        let stories = viewer.stories(&name, pool.as_deref());
+        let stories = admin_view.histories(&name, pool.as_deref());
         let Some(first) = stories.first() else {
             return whole(StatusCode::NOT_FOUND, JSON, "{}");
         };
@@ -336,7 +336,7 @@
     }
     if let Some(name) = path.strip_prefix("/servers/") {
         let name = percent_decode_str(name).decode_utf8_lossy();
-        return match viewer.stories(&name, pool.as_deref()).first() {
+        return match admin_view.histories(&name, pool.as_deref()).first() {
             Some(story) => whole(
                 StatusCode::OK,
                 HTML,
@@ -349,19 +349,20 @@
         };
     }
     match path {
-        "/v1/status" => whole(StatusCode::OK, JSON, viewer.status().to_string()),
-        "/v1/servers" => whole(StatusCode::OK, JSON, viewer.servers().to_string()),
+        "/v1/status" => whole(StatusCode::OK, JSON, admin_view.status().to_string()),
+        "/v1/servers" => whole(StatusCode::OK, JSON, admin_view.servers().to_string()),
         "/v1/events" => {
             let after = value("after").and_then(|after| after.parse().ok());
             if value("follow").is_none() {
-                return whole(StatusCode::OK, JSON, viewer.events(after.unwrap_or(0)));
+                return whole(StatusCode::OK, JSON, admin_view.events(after.unwrap_or(0)));
             }
             // Without a story nothing is said, and no descriptors are set apart for those who follow.
-            if !viewer.keeps_stories() {
+            if !admin_view.records_history() {
                 return whole(StatusCode::NOT_FOUND, JSON, "{}");
             }
-            let feed = &viewer.process.feed;
-            let Some(follow) = feed.follow(after.unwrap_or(feed.next())) else {
+            let admin_events = &admin_view.process.admin_events;
+            let Some(follow) = admin_events.follow(after.unwrap_or(admin_events.next_number()))
+            else {
                 return whole(
                     StatusCode::SERVICE_UNAVAILABLE,
                     JSON,
@@ -377,11 +378,11 @@
             )
         }
         "/" => {
-            let events = serde_json::from_slice(&viewer.events(0)).unwrap_or_default();
+            let events = serde_json::from_slice(&admin_view.events(0)).unwrap_or_default();
             whole(
                 StatusCode::OK,
                 HTML,
-                page::servers(&viewer.servers(), &events),
+                page::servers(&admin_view.servers(), &events),
             )
         }
         _ => whole(StatusCode::NOT_FOUND, JSON, "{}"),
@@ -396,7 +397,11 @@
     headed(status, kind, Either::Left(Full::from(body.into())))
 }
 
-fn headed(status: StatusCode, kind: &'static str, body: Either<Full<Bytes>, Follow>) -> Answer {
+fn headed(
+    status: StatusCode,
+    kind: &'static str,
+    body: Either<Full<Bytes>, EventStream>,
+) -> Answer {
     let mut response = Response::new(body);
     *response.status_mut() = status;
     let headers = response.headers_mut();
@@ -417,7 +422,7 @@
 
 /// An operator's order on a pool's level.
 async fn take_order(
-    viewer: &Viewer,
+    admin_view: &AdminView,
     pool: &str,
     request: Request<Incoming>,
     caller: Caller,
@@ -427,7 +432,7 @@
         let problem = "orders are taken on a Unix socket alone: write socket = \"...\" in [admin]";
         return refused(StatusCode::FORBIDDEN, problem.into());
     };
-    let Some(service) = viewer.pool(pool) else {
+    let Some(service) = admin_view.pool(pool) else {
         return refused(StatusCode::NOT_FOUND, format!("there is no pool {pool}"));
     };
     let read = Limited::new(request.into_body(), ORDER).collect().await;
@@ -445,7 +450,7 @@
 }
 
 /// Gives an order on the level of a pool to a process where its admin view is.
-pub async fn order(at: &Admin, pool: &str, asked: &Value) -> Result<(), String> {
+pub async fn post_level_order(at: &Admin, pool: &str, asked: &Value) -> Result<(), String> {
     let request =
         Request::post(format!("/v1/pools/{pool}/level")).header(header::HOST, "madderloom");
     let request = request
@@ -498,25 +503,25 @@
 
 /// Why nothing came back.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum FetchError {
     /// What was asked for is not there.
     NotFound,
     /// All else, in a line.
     Problem(String),
 }
 
-impl From<Fault> for String {
-    fn from(fault: Fault) -> Self {
+impl From<FetchError> for String {
+    fn from(fault: FetchError) -> Self {
         match fault {
-            Fault::NotFound => "answered 404 Not Found; this is no admin view".to_string(),
-            Fault::Problem(problem) => problem,
+            FetchError::NotFound => "answered 404 Not Found; this is no admin view".to_string(),
+            FetchError::Problem(problem) => problem,
         }
     }
 }
 
 /// A name as it stands in a path or a query.
-pub fn escaped(name: &str) -> String {
-    page::escaped(name)
+pub fn percent_encoded(name: &str) -> String {
+    page::percent_encoded(name)
 }
 
 async fn connect(at: &Admin) -> Result<Box<dyn Stream>, String> {
@@ -529,7 +534,7 @@
 }
 
 /// Reads all that a process says where its admin view is, at this path.
-pub async fn get(at: &Admin, path: &str) -> Result<Bytes, Fault> {
+pub async fn fetch_bytes(at: &Admin, path: &str) -> Result<Bytes, FetchError> {
     let mut said = bytes::BytesMut::new();
     let reading = read(at, path, |part| {
         said.extend_from_slice(part);
@@ -540,16 +545,16 @@
         }
     });
     let read = tokio::time::timeout(WITHIN, reading).await;
-    read.unwrap_or_else(|_| Err(Fault::Problem(format!("{at}: does not answer"))))?;
+    read.unwrap_or_else(|_| Err(FetchError::Problem(format!("{at}: does not answer"))))?;
     Ok(said.freeze())
 }
 
 /// Reads on for as long as the process says something, and this wants more.
-pub async fn follow(
+pub async fn follow_events(
     at: &Admin,
     path: &str,
     mut line: impl FnMut(&str) -> ControlFlow<()>,
-) -> Result<(), Fault> {
+) -> Result<(), FetchError> {
     let mut unread = Vec::new();
     let reading = read(at, path, |part| {
         unread.extend_from_slice(part);
@@ -573,9 +578,9 @@
     at: &Admin,
     path: &str,
     mut part: impl FnMut(&[u8]) -> ControlFlow<()>,
-) -> Result<(), Fault> {
-    let problem = |text: String| Fault::Problem(format!("{at}: {text}"));
-    let stream = connect(at).await.map_err(Fault::Problem)?;
+) -> Result<(), FetchError> {
+    let problem = |text: String| FetchError::Problem(format!("{at}: {text}"));
+    let stream = connect(at).await.map_err(FetchError::Problem)?;
     let made = client::handshake(TokioIo::new(stream)).await;
     let (mut sender, connection) = made.map_err(|e| problem(e.to_string()))?;
     let request = Request::get(path)
@@ -589,7 +594,7 @@
             .map_err(|e| problem(e.to_string()))?;
         match answer.status() {
             StatusCode::OK => {}
-            StatusCode::NOT_FOUND => return Err(Fault::NotFound),
+            StatusCode::NOT_FOUND => return Err(FetchError::NotFound),
             StatusCode::SERVICE_UNAVAILABLE => {
                 return Err(problem("too many follow it already".to_string()));
             }
@@ -614,18 +619,18 @@
 }
 
 /// Reads what the admin view of a process says at a path, as JSON.
-pub async fn fetch_at(at: &Admin, path: &str) -> Result<serde_json::Value, Fault> {
-    let said = get(at, path).await?;
+pub async fn fetch_json(at: &Admin, path: &str) -> Result<serde_json::Value, FetchError> {
+    let said = fetch_bytes(at, path).await?;
     serde_json::from_slice(&said)
-        .map_err(|e| Fault::Problem(format!("{at}: answered no JSON: {e}")))
+        .map_err(|e| FetchError::Problem(format!("{at}: answered no JSON: {e}")))
 }
 
 /// Reads the status of a process where its admin view is.
-pub async fn fetch(at: &Admin) -> Result<serde_json::Value, String> {
-    fetch_at(at, "/v1/status")
+pub async fn fetch_status(at: &Admin) -> Result<serde_json::Value, String> {
+    fetch_json(at, "/v1/status")
         .await
         .map_err(|fault| match fault {
-            Fault::NotFound => format!("{at}: {}", String::from(fault)),
-            Fault::Problem(problem) => problem,
+            FetchError::NotFound => format!("{at}: {}", String::from(fault)),
+            FetchError::Problem(problem) => problem,
         })
 }
--- a/crates/sidecar/src/feed.rs
+++ b/crates/sidecar/src/admin_events.rs
@@ -14,19 +14,19 @@
 use tokio::time::{Instant, Sleep};
 
 /// Lines that are kept, and the most bytes of them together.
-pub(super) const LINES: usize = 1_024;
-pub(super) const BYTES: usize = 512 << 10;
+pub(super) const MAX_EVENTS: usize = 1_024;
+pub(super) const MAX_TOTAL_BYTES: usize = 512 << 10;
 /// A text of a line is cut to this: names come from outside.
 const TEXT: usize = 256;
 /// Who follows at once, at most.
-pub(super) const FOLLOWERS: usize = 4;
+pub(super) const MAX_FOLLOWERS: usize = 4;
 /// A blank line goes out after so long without another.
 const BEAT: Duration = Duration::from_secs(3);
 /// Lines that go out at once.
 const FRAME: usize = 16 << 10;
 
 /// Something that is said.
-pub(super) struct Said<'a> {
+pub(super) struct AdminEvent<'a> {
     pub(super) at: Micros,
     pub(super) pool: &'a str,
     pub(super) server: Option<&'a str>,
@@ -36,7 +36,7 @@
 
 /// Lines of what happened, the newest last, each with a number. Bounded: the oldest go.
 #[derive(Default)]
-pub(super) struct Feed {
+pub(super) struct AdminEvents {
     lines: RefCell<VecDeque<Bytes>>,
     bytes: Cell<usize>,
     /// The number of the next line; that of the first is 0.
@@ -53,8 +53,8 @@
         .unwrap_or(text)
 }
 
-impl Feed {
-    pub(super) fn push_with(&self, said: Said<'_>, more: &Value) {
+impl AdminEvents {
+    pub(super) fn push_with_details(&self, said: AdminEvent<'_>, more: &Value) {
         let number = self.next.get();
         let mut line = json!({
             "number": number, "at_us": said.at, "pool": cut(said.pool), "server": said.server.map(cut),
@@ -67,7 +67,7 @@
         let mut lines = self.lines.borrow_mut();
         self.bytes.set(self.bytes.get() + line.len());
         lines.push_back(line);
-        while lines.len() > LINES || self.bytes.get() > BYTES && lines.len() > 1 {
+        while lines.len() > MAX_EVENTS || self.bytes.get() > MAX_TOTAL_BYTES && lines.len() > 1 {
             let gone = lines.pop_front().map_or(0, |line| line.len());
             self.bytes.set(self.bytes.get() - gone);
         }
@@ -80,12 +80,12 @@
     }
 
     /// The number that the next line will have.
-    pub(super) fn next(&self) -> u64 {
+    pub(super) fn next_number(&self) -> u64 {
         self.next.get()
     }
 
     /// The number of the oldest line that is kept, and the lines from this number on.
-    pub(super) fn from(&self, number: u64) -> (u64, Vec<Bytes>) {
+    pub(super) fn events_from(&self, number: u64) -> (u64, Vec<Bytes>) {
         let lines = self.lines.borrow();
         let oldest = self.next.get() - lines.len() as u64;
         let skipped = usize::try_from(number.saturating_sub(oldest)).unwrap_or(usize::MAX);
@@ -93,16 +93,16 @@
     }
 
     /// A body that never ends: the lines from this number on, and all that follow. None where too many follow.
-    pub(super) fn follow(self: &Rc<Self>, from: u64) -> Option<Follow> {
-        if self.following.get() >= FOLLOWERS {
+    pub(super) fn follow(self: &Rc<Self>, from: u64) -> Option<EventStream> {
+        if self.following.get() >= MAX_FOLLOWERS {
             return None;
         }
         self.following.set(self.following.get() + 1);
         let id = self.last_follower.get() + 1;
         self.last_follower.set(id);
         let beat = Box::pin(tokio::time::sleep(BEAT));
-        Some(Follow {
-            feed: Rc::clone(self),
+        Some(EventStream {
+            admin_events: Rc::clone(self),
             id,
             next: from,
             beat,
@@ -111,16 +111,16 @@
 }
 
 /// Lines as they come. What its reader does not take is not held for it: it is told how many it missed.
-pub(super) struct Follow {
-    feed: Rc<Feed>,
+pub(super) struct EventStream {
+    admin_events: Rc<AdminEvents>,
     id: u64,
     next: u64,
     beat: Pin<Box<Sleep>>,
 }
 
-impl Follow {
+impl EventStream {
     fn ready(&mut self) -> Option<Bytes> {
-        let (oldest, lines) = self.feed.from(self.next);
+        let (oldest, lines) = self.admin_events.events_from(self.next);
         let mut frame = BytesMut::new();
         if self.next < oldest {
             frame.extend_from_slice(
@@ -139,7 +139,7 @@
     }
 }
 
-impl Body for Follow {
+impl Body for EventStream {
     type Data = Bytes;
     type Error = Infallible;
 
@@ -152,7 +152,7 @@
             Some(frame) => frame,
             None if own.beat.as_mut().poll(context).is_ready() => Bytes::from_static(b"\n"),
             None => {
-                own.feed
+                own.admin_events
                     .followers
                     .borrow_mut()
                     .insert(own.id, context.waker().clone());
@@ -164,10 +164,12 @@
     }
 }
 
-impl Drop for Follow {
+impl Drop for EventStream {
     fn drop(&mut self) {
-        self.feed.followers.borrow_mut().remove(&self.id);
-        self.feed.following.set(self.feed.following.get() - 1);
+        self.admin_events.followers.borrow_mut().remove(&self.id);
+        self.admin_events
+            .following
+            .set(self.admin_events.following.get() - 1);
     }
 }
 
@@ -176,9 +178,9 @@
     use super::*;
     use http_body_util::BodyExt;
 
-    fn push(feed: &Feed, text: &str) {
-        feed.push_with(
-            Said {
+    fn push(admin_events: &AdminEvents, text: &str) {
+        admin_events.push_with_details(
+            AdminEvent {
                 at: 1,
                 pool: "a",
                 server: None,
@@ -191,13 +193,13 @@
 
     #[tokio::test]
     async fn a_follower_that_falls_behind_is_told_how_much_it_missed() {
-        let feed = Rc::new(Feed::default());
-        let mut follow = feed.follow(0).expect("there is room");
-        for n in 0..LINES + 10 {
-            push(&feed, &n.to_string());
+        let admin_events = Rc::new(AdminEvents::default());
+        let mut follow = admin_events.follow(0).expect("there is room");
+        for n in 0..MAX_EVENTS + 10 {
+            push(&admin_events, &n.to_string());
         }
         let mut told = String::new();
-        while told.lines().count() < LINES + 1 {
+        while told.lines().count() < MAX_EVENTS + 1 {
             let frame = follow
                 .frame()
                 .await
@@ -213,31 +215,31 @@
             .collect();
         assert_eq!(lines[0], json!({"missed": 10}));
         assert_eq!(
-            (&lines[1]["number"], &lines[LINES]["number"]),
-            (&json!(10), &json!(LINES + 9))
+            (&lines[1]["number"], &lines[MAX_EVENTS]["number"]),
+            (&json!(10), &json!(MAX_EVENTS + 9))
         );
     }
 
     #[test]
     fn lines_are_bounded_in_number_in_length_and_in_all() {
-        let feed = Feed::default();
-        for _ in 0..3 * LINES {
-            push(&feed, &"\u{1}ä".repeat(10_000));
+        let admin_events = AdminEvents::default();
+        for _ in 0..3 * MAX_EVENTS {
+            push(&admin_events, &"\u{1}ä".repeat(10_000));
         }
-        let (oldest, lines) = feed.from(0);
+        let (oldest, lines) = admin_events.events_from(0);
         assert!(lines.iter().all(|line| line.len() < 2_048));
-        assert!(lines.iter().map(Bytes::len).sum::<usize>() <= BYTES);
-        assert_eq!(oldest, feed.next() - lines.len() as u64);
+        assert!(lines.iter().map(Bytes::len).sum::<usize>() <= MAX_TOTAL_BYTES);
+        assert_eq!(oldest, admin_events.next_number() - lines.len() as u64);
     }
 
     #[tokio::test]
     async fn no_more_than_a_few_follow_at_once() {
-        let feed = Rc::new(Feed::default());
-        let mut all: Vec<_> = (0..FOLLOWERS)
-            .map(|_| feed.follow(0).expect("there is room"))
+        let admin_events = Rc::new(AdminEvents::default());
+        let mut all: Vec<_> = (0..MAX_FOLLOWERS)
+            .map(|_| admin_events.follow(0).expect("there is room"))
             .collect();
-        assert!(feed.follow(0).is_none());
+        assert!(admin_events.follow(0).is_none());
         all.pop();
-        assert!(feed.follow(0).is_some());
+        assert!(admin_events.follow(0).is_some());
     }
 }
--- a/crates/sidecar/src/agent_link/apply.rs
+++ b/crates/sidecar/src/agent_link/apply.rs
@@ -1,6 +1,6 @@
 //! Application of the agent's overlays.
 
-use super::overlay::{same_in_file, steering};
+use super::overlay::{same_operator_file_changes, server_overrides};
 use crate::pool;
 use crate::process::Sidecar;
 use crate::reload::run_on_thread;
@@ -14,7 +14,7 @@
 impl Sidecar {
     /// Applies an overlay in full, or refuses it and changes nothing.
     pub(super) async fn apply_overlay(self: Rc<Self>, overlay: Overlay) -> Outcome {
-        let _turn = self.agent_link.turn.lock().await;
+        let _turn = self.agent_link.apply_lock.lock().await;
         let refused = |field: &str, problem: &str| {
             Outcome::Refused(Problem {
                 field: field.to_string(),
@@ -31,7 +31,7 @@
         if let Some((key, error)) = fault {
             return refused(&format!("set.{key}"), &error.to_string());
         }
-        let former = self.agent_link.memory.borrow().overlay.clone();
+        let former = self.agent_link.persisted_state.borrow().overlay.clone();
         let source = self
             .agent_link
             .file
@@ -42,7 +42,7 @@
             return refused("set", "the instance follows no agent any more");
         };
         let edited = overlay.clone();
-        let operator = if same_in_file(&former, &overlay) {
+        let operator = if same_operator_file_changes(&former, &overlay) {
             None
         } else {
             // The check of a long file takes a good part of a second, during which requests are served.
@@ -56,27 +56,31 @@
             return refused("set", "the instance is stopping");
         }
         // There is no await from here on, so that no request sees a part of the change.
-        self.process.server_overrides.replace(steering(&overlay));
+        self.process
+            .server_overrides
+            .replace(server_overrides(&overlay));
         if let Some(operator) = operator {
             match self.apply(operator) {
                 Ok(summary) => tracing::info!("control: {summary}"),
                 Err(problem) => {
-                    self.process.server_overrides.replace(steering(&former));
+                    self.process
+                        .server_overrides
+                        .replace(server_overrides(&former));
                     return refused("set", &problem);
                 }
             }
         }
-        self.apply_steering(&former, &overlay);
+        self.apply_server_overrides(&former, &overlay);
         self.agent_link.set_log_level(&overlay);
         for line in former.diff(&overlay) {
             tracing::info!("control: {line}");
         }
-        self.agent_link.memory.borrow_mut().overlay = overlay;
+        self.agent_link.persisted_state.borrow_mut().overlay = overlay;
         Outcome::Applied
     }
 
-    pub(super) fn apply_steering(&self, former: &Overlay, overlay: &Overlay) {
-        let (former, present) = (steering(former), steering(overlay));
+    pub(super) fn apply_server_overrides(&self, former: &Overlay, overlay: &Overlay) {
+        let (former, present) = (server_overrides(former), server_overrides(overlay));
         for service in self.process.services.borrow().iter() {
             pool::update_overrides(service, &former, &present);
         }
--- a/crates/sidecar/src/agent_link/connection.rs
+++ b/crates/sidecar/src/agent_link/connection.rs
@@ -75,12 +75,12 @@
         start: RandomState::new().hash_one(&control.name),
         incarnation: u64::try_from(unix.as_micros()).unwrap_or(u64::MAX / 2),
     };
-    let memory = own.agent_link.memory.borrow().clone();
-    let machine = Instance::new(0, who, traits.borrow().clone(), memory.clone());
+    let persisted_state = own.agent_link.persisted_state.borrow().clone();
+    let machine = Instance::new(0, who, traits.borrow().clone(), persisted_state.clone());
     // Persisted before it is used, so that no two starts have the same incarnation.
     own.agent_link.persist(&PersistedInstance {
         incarnation: machine.id().incarnation,
-        ..memory
+        ..persisted_state
     });
     tracing::info!(
         "control: {} registers with the agent at {}",
@@ -200,9 +200,9 @@
         process.shared_lists.agent_updated(lists, apply, call, rest)
     }
 
-    fn persist(&mut self, memory: &PersistedInstance) {
+    fn persist(&mut self, persisted_state: &PersistedInstance) {
         if let Some(sidecar) = self.sidecar.upgrade() {
-            sidecar.agent_link.persist(memory);
+            sidecar.agent_link.persist(persisted_state);
         }
     }
 }
--- a/crates/sidecar/src/agent_link/mod.rs
+++ b/crates/sidecar/src/agent_link/mod.rs
@@ -20,7 +20,7 @@
 use madderloom_control_plane::settings::{Key, LogLevel, Overlay, Value};
 use madderloom_operator_config::{Operator, Source};
 use madderloom_watchdog::{self as watchdog, TaskKind};
-use overlay::{changes_file, steering};
+use overlay::{changes_operator_file, server_overrides};
 use persisted::{load, write};
 use serde_json::json;
 use std::cell::{Cell, RefCell};
@@ -34,10 +34,10 @@
 #[derive(Default)]
 pub(super) struct AgentLink {
     /// Held while a file or an order is applied, so that one is applied at a time.
-    pub(super) turn: Mutex<()>,
+    pub(super) apply_lock: Mutex<()>,
     file: RefCell<Option<ConfiguredAgent>>,
     /// The persisted state, with the overlay in effect.
-    memory: RefCell<PersistedInstance>,
+    persisted_state: RefCell<PersistedInstance>,
     link: RefCell<Option<ActiveLink>>,
     log: RefCell<Option<LogHook>>,
     /// Whether the log has been told that the state cannot be persisted.
@@ -66,7 +66,7 @@
 }
 
 /// An operator file with the overlay applied to it.
-pub(super) struct Read {
+pub(super) struct LoadedFile {
     pub(super) operator: Operator,
     /// `None` where the file names no agent: then there is no overlay.
     pub(super) source: Option<Arc<Source>>,
@@ -79,37 +79,37 @@
         let Some(ConfiguredAgent { control, .. }) = file.as_ref() else {
             return serde_json::Value::Null;
         };
-        let memory = self.memory.borrow();
+        let persisted_state = self.persisted_state.borrow();
         json!({
             "agent": control.agent,
             "name": control.name,
-            "incarnation": memory.incarnation,
-            "term": memory.term,
-            "revision": memory.revision,
-            "fingerprint": memory.overlay.fingerprint(),
-            "set": memory.overlay,
+            "incarnation": persisted_state.incarnation,
+            "term": persisted_state.term,
+            "revision": persisted_state.revision,
+            "fingerprint": persisted_state.overlay.fingerprint(),
+            "set": persisted_state.overlay,
         })
     }
 
     /// Reads a file, and applies the overlay to it where the file names an agent.
-    pub(super) async fn read(&self, file: PathBuf) -> Result<Read, String> {
-        let overlay = self.memory.borrow().overlay.clone();
+    pub(super) async fn load_with_overlay(&self, file: PathBuf) -> Result<LoadedFile, String> {
+        let overlay = self.persisted_state.borrow().overlay.clone();
         run_on_thread(move || {
             let (source, operator) = Source::load(&file).map_err(|faults| faults.to_string())?;
             if operator.control.is_none() {
-                return Ok(Read {
+                return Ok(LoadedFile {
                     operator,
                     source: None,
                 });
             }
-            let operator = if changes_file(&overlay) {
+            let operator = if changes_operator_file(&overlay) {
                 source
                     .with(&overlay)
                     .map_err(|e| format!("{}: beside it is set: {e}", file.display()))?
             } else {
                 operator
             };
-            Ok(Read {
+            Ok(LoadedFile {
                 operator,
                 source: Some(Arc::new(source)),
             })
@@ -143,13 +143,13 @@
 
     /// Persists the state for the next start. The file survives the process. A file system that loses it in a power
     /// failure costs what a lost state does: the agent orders the settings again.
-    fn persist(&self, memory: &PersistedInstance) {
-        self.memory.replace(memory.clone());
+    fn persist(&self, persisted_state: &PersistedInstance) {
+        self.persisted_state.replace(persisted_state.clone());
         let file = self.file.borrow();
         let Some(directory) = file.as_ref().and_then(|file| file.control.state.as_ref()) else {
             return;
         };
-        match write(directory, memory) {
+        match write(directory, persisted_state) {
             Ok(()) => self.warned.set(false),
             Err(problem) if !self.warned.replace(true) => {
                 tracing::warn!(
@@ -167,11 +167,11 @@
     pub fn set_log(&self, hook: impl Fn(Option<LogLevel>) + 'static) {
         self.agent_link.log.replace(Some(Box::new(hook)));
         self.agent_link
-            .set_log_level(&self.agent_link.memory.borrow().overlay);
+            .set_log_level(&self.agent_link.persisted_state.borrow().overlay);
     }
 
     /// Restores the overlay of the last start, where it is still valid for the file.
-    pub(super) fn begin_control(&self, file: &Path, operator: Operator) -> Operator {
+    pub(super) fn restore_overlay(&self, file: &Path, operator: Operator) -> Operator {
         let Some(control) = operator.control.clone() else {
             return operator;
         };
@@ -182,20 +182,22 @@
                 return operator;
             }
         };
-        let mut memory = load(control.state.as_deref());
-        let operator = match changes_file(&memory.overlay).then(|| source.with(&memory.overlay)) {
+        let mut persisted_state = load(control.state.as_deref());
+        let operator = match changes_operator_file(&persisted_state.overlay)
+            .then(|| source.with(&persisted_state.overlay))
+        {
             None => operator,
             Some(Ok(with)) => with,
             Some(Err(problem)) => {
                 tracing::warn!("control: what was set beside the file is left out: {problem}");
-                (memory.overlay, memory.revision) = Default::default();
+                (persisted_state.overlay, persisted_state.revision) = Default::default();
                 operator
             }
         };
         self.process
             .server_overrides
-            .replace(steering(&memory.overlay));
-        self.agent_link.memory.replace(memory);
+            .replace(server_overrides(&persisted_state.overlay));
+        self.agent_link.persisted_state.replace(persisted_state);
         self.agent_link.file.replace(Some(ConfiguredAgent {
             control,
             source: Arc::new(source),
@@ -204,7 +206,7 @@
     }
 
     /// Follows a file that has taken effect.
-    pub(super) fn file_applied(
+    pub(super) fn operator_file_applied(
         self: &Rc<Self>,
         read: (
             Option<madderloom_operator_config::Control>,
@@ -217,9 +219,9 @@
         };
         let former = self.agent_link.file.replace(named);
         if self.agent_link.file.borrow().is_none() {
-            let steered = std::mem::take(&mut self.agent_link.memory.borrow_mut().overlay);
+            let steered = std::mem::take(&mut self.agent_link.persisted_state.borrow_mut().overlay);
             if former.is_some() {
-                self.apply_steering(&steered, &Overlay::default());
+                self.apply_server_overrides(&steered, &Overlay::default());
                 self.agent_link.set_log_level(&Overlay::default());
             }
         } else if former.is_none() {
@@ -230,18 +232,18 @@
                 .borrow()
                 .as_ref()
                 .and_then(|file| file.control.state.clone());
-            let memory = load(directory.as_deref());
-            self.agent_link.memory.replace(PersistedInstance {
+            let persisted_state = load(directory.as_deref());
+            self.agent_link.persisted_state.replace(PersistedInstance {
                 overlay: Overlay::default(),
                 revision: 0,
-                ..memory
+                ..persisted_state
             });
         }
-        self.follow_agent();
+        self.update_agent_link();
     }
 
     /// Keeps a link to the agent that the file names, and ends every other one.
-    pub(super) fn follow_agent(self: &Rc<Self>) {
+    pub(super) fn update_agent_link(self: &Rc<Self>) {
         let control = self
             .agent_link
             .file
@@ -289,7 +291,7 @@
         });
     }
 
-    pub(super) fn end_control(&self) {
+    pub(super) fn close_agent_link(&self) {
         self.agent_link.link.take();
     }
 }
--- a/crates/sidecar/src/agent_link/persisted.rs
+++ b/crates/sidecar/src/agent_link/persisted.rs
@@ -6,10 +6,10 @@
 /// The name of the file.
 const KEPT: &str = "instance.json";
 
-pub(super) fn write(directory: &Path, memory: &PersistedInstance) -> std::io::Result<()> {
+pub(super) fn write(directory: &Path, persisted_state: &PersistedInstance) -> std::io::Result<()> {
     std::fs::create_dir_all(directory)?;
     let next = directory.join("instance.next");
-    std::fs::write(&next, serde_json::to_vec(memory)?)?;
+    std::fs::write(&next, serde_json::to_vec(persisted_state)?)?;
     std::fs::rename(next, directory.join(KEPT))
 }
 
--- a/crates/sidecar/src/attempt.rs
+++ b/crates/sidecar/src/attempt.rs
@@ -4,11 +4,11 @@
 use super::connections::ConnectError;
 use super::counts::increment;
 use super::exchange::{self, BodyRead, CompleteBody, ExchangeError, RequestMessage, SendProgress};
+use super::history_recorder::EndedAttempt;
 use super::readiness;
 use super::response_body::{ResponseBody, StreamedResponseBody};
 use super::service::Service;
 use super::state_writer::{IdempotencyRecord, WriteBarrier};
-use super::teller::EndedAttempt;
 use super::transaction::FinalResponse;
 use super::upload::{self, BodyLength, RequestBody};
 use bytes::{Bytes, BytesMut};
@@ -138,10 +138,10 @@
             request_ended: self.transaction_ended.get(),
         };
         let ended = EndedAttempt {
-            closed,
+            result: closed,
             class: self.class,
-            cost: self.cost_hint,
-            sent: self.sent_at.get(),
+            cost_hint: self.cost_hint,
+            sent_at: self.sent_at.get(),
         };
         self.service.record_attempt_end(now, &ended);
         self.service.handle(now, Event::AttemptEnded(closed));
--- a/crates/sidecar/src/client.rs
+++ b/crates/sidecar/src/client.rs
@@ -472,7 +472,7 @@
             client.last_write_at.set(now);
             client.idle_since.set((!streaming).then_some(now));
             client.read_since_response.set(false);
-            if process.lifecycle.borrow().ends_connections()
+            if process.lifecycle.borrow().closes_after_response()
                 || listener.is_draining()
                 || listener.is_near_connection_limit()
             {
--- a/crates/sidecar/src/control_address.rs
+++ b/crates/sidecar/src/control_address.rs
@@ -4,8 +4,8 @@
 
 use super::drain;
 use super::process_state::ProcessState;
-use madderloom_admin::call::{self, Call, Fault};
-use madderloom_admin::figures::{Ended, Figures};
+use madderloom_admin::command::{self, Command, CommandError};
+use madderloom_admin::stats::{ResultCounts, Stats};
 use madderloom_balancer::{Micros, ServerState};
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use std::collections::{BTreeMap, VecDeque};
@@ -67,7 +67,7 @@
     let call = process
         .timeout(CALL_TIMEOUT, read_call(&mut stream))
         .await
-        .unwrap_or(Err(Fault::Cut));
+        .unwrap_or(Err(CommandError::Unterminated));
     let text = match call {
         Ok(call) => execute(process, call),
         Err(fault) => format!("fail {fault}\n"),
@@ -89,34 +89,34 @@
 }
 
 /// Reads a call.
-async fn read_call(stream: &mut TcpStream) -> Result<Call, Fault> {
-    let mut buffer = [0; call::LONGEST + 2];
+async fn read_call(stream: &mut TcpStream) -> Result<Command, CommandError> {
+    let mut buffer = [0; command::MAX_LINE_BYTES + 2];
     let mut length = 0;
     loop {
         match stream.read(&mut buffer[length..]).await {
-            Ok(0) | Err(_) => return Err(Fault::Cut),
+            Ok(0) | Err(_) => return Err(CommandError::Unterminated),
             Ok(count) => length += count,
         }
-        if let Some(call) = call::read(&buffer[..length]) {
+        if let Some(call) = command::read(&buffer[..length]) {
             return call;
         }
     }
 }
 
 /// Executes a call and returns the answer.
-fn execute(process: &Rc<ProcessState>, call: Call) -> String {
+fn execute(process: &Rc<ProcessState>, call: Command) -> String {
     match call {
-        Call::Ping if process.can_serve() => "ok\n".to_string(),
-        Call::Ping => "fail no server is known yet\n".to_string(),
-        Call::Info => figures(process).to_string(),
-        Call::LameDuck | Call::Rejoin if process.is_stopping() => {
+        Command::Ping if process.can_serve() => "ok\n".to_string(),
+        Command::Ping => "fail no server is known yet\n".to_string(),
+        Command::Info => figures(process).to_string(),
+        Command::LameDuck | Command::Rejoin if process.is_stopping() => {
             "fail the process is stopping\n".to_string()
         }
-        Call::LameDuck => {
+        Command::LameDuck => {
             drain::begin(process);
             "ok\n".to_string()
         }
-        Call::Rejoin => {
+        Command::Rejoin => {
             drain::end(process);
             "ok\n".to_string()
         }
@@ -124,16 +124,16 @@
 }
 
 /// The figures that the process reports, over all its services.
-fn figures(process: &ProcessState) -> Figures {
+fn figures(process: &ProcessState) -> Stats {
     let long_polls = watchdog::counts();
-    let mut figures = Figures {
+    let mut figures = Stats {
         busy_turns: long_polls.busy,
         stalled_turns: long_polls.stalled,
         cfg_accepted: process.configs_accepted.get(),
         cfg_invalid: process.configs_rejected.get(),
-        ..Figures::default()
+        ..Stats::default()
     };
-    let mut operations = BTreeMap::<String, Ended>::new();
+    let mut operations = BTreeMap::<String, ResultCounts>::new();
     for service in process.services.borrow().iter() {
         for (name, ended) in service.counts.by_class() {
             *operations.entry(name).or_default() += ended;
--- a/crates/sidecar/src/counts.rs
+++ b/crates/sidecar/src/counts.rs
@@ -1,7 +1,7 @@
 //! Outcomes of requests by class. Incremented where a request ends; read by the control address, the admin view and the agent
 //! link.
 
-use madderloom_admin::figures::Ended;
+use madderloom_admin::stats::ResultCounts;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -44,8 +44,8 @@
     }
 
     /// The outcomes as the control address reports them.
-    pub(super) fn result_totals(&self) -> Ended {
-        Ended {
+    pub(super) fn result_totals(&self) -> ResultCounts {
+        ResultCounts {
             fulfilled: self.served.get(),
             throttled: self.rejected.get() + self.rejected_by_limit.get(),
             faulted: self.failed.get() + self.client_errors.get(),
@@ -115,7 +115,7 @@
     }
 
     /// The outcomes of each class.
-    pub(super) fn by_class(&self) -> Vec<(String, Ended)> {
+    pub(super) fn by_class(&self) -> Vec<(String, ResultCounts)> {
         self.by_class
             .borrow()
             .iter()
@@ -155,7 +155,7 @@
                         ended += 1;
                     }
                 }
-                let sum = service_counts.total().result_totals().all();
+                let sum = service_counts.total().result_totals().total();
                 prop_assert_eq!((service_counts.open_requests(), sum), (open.len() as u64, ended));
                 prop_assert_eq!(accepted, ended + abandoned + service_counts.open_requests());
             }
--- a/crates/sidecar/src/documented_figures_tests.rs
+++ b/crates/sidecar/src/documented_figures_tests.rs
@@ -2,7 +2,8 @@
 
 use super::listener::{self, CLOSE_GRACE_PERIOD, ListenerSettings};
 use super::{
-    client, connections, control_address, counts, feed, list_reader, pool, process_state, upload,
+    admin_events, client, connections, control_address, counts, list_reader, pool, process_state,
+    upload,
 };
 use madderloom_control_plane::{bounds, protocol};
 
@@ -43,14 +44,14 @@
             on_call,
             format!(
                 "from {} on, connections idle",
-                seconds(madderloom_admin::duty::IDLE_STAYS)
+                seconds(madderloom_admin::lifecycle::IDLE_GRACE_US)
             ),
         ),
         (
             on_call,
             format!(
                 "idle for {} are closed",
-                seconds(madderloom_admin::duty::IDLE_FOR)
+                seconds(madderloom_admin::lifecycle::IDLE_TIMEOUT_US)
             ),
         ),
         (
@@ -273,7 +274,7 @@
     }
     assert!(page.contains(&format!(
         "{} lines, {} KiB",
-        grouped(feed::LINES),
-        feed::BYTES >> 10
+        grouped(admin_events::MAX_EVENTS),
+        admin_events::MAX_TOTAL_BYTES >> 10
     )));
 }
--- a/crates/sidecar/src/drain.rs
+++ b/crates/sidecar/src/drain.rs
@@ -1,7 +1,7 @@
 //! Starts and ends the drain of the process: applies the decisions of its lifecycle state to the listeners.
 
 use super::process_state::ProcessState;
-use madderloom_admin::duty::State;
+use madderloom_admin::lifecycle::State;
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,7 +14,7 @@
     if !process
         .lifecycle
         .borrow_mut()
-        .lame_duck(process.clock.now())
+        .start_draining(process.clock.now())
     {
         return;
     }
@@ -27,7 +27,7 @@
             if !matches!(lifecycle.state(), State::Draining { .. }) {
                 return;
             }
-            if let Some(since) = lifecycle.closes_idle_since(process.clock.now()) {
+            if let Some(since) = lifecycle.idle_close_cutoff(process.clock.now()) {
                 process
                     .listeners
                     .borrow()
--- a/crates/sidecar/src/teller_words_tests.rs
+++ b/crates/sidecar/src/history_event_text_tests.rs
@@ -1,6 +1,6 @@
 //! What happens to a server, as the word that programs read in events and notes, and as the text for people.
 
-use super::words;
+use super::event_text;
 use madderloom_balancer::Outcome;
 use madderloom_endpoint_history::EndpointEvent;
 
@@ -38,7 +38,7 @@
             "is as usual again (number 7)",
         ),
     ] {
-        assert_eq!(words(&happening), (word, text.to_string()));
+        assert_eq!(event_text(&happening), (word, text.to_string()));
     }
 }
 
@@ -58,6 +58,6 @@
             "ejected",
             format!("is ejected, since attempts there {text}"),
         );
-        assert_eq!(words(&EndpointEvent::Ejected(outcome)), expected);
+        assert_eq!(event_text(&EndpointEvent::Ejected(outcome)), expected);
     }
 }
--- a/crates/sidecar/src/teller.rs
+++ b/crates/sidecar/src/history_recorder.rs
@@ -1,6 +1,6 @@
 //! What tells the story of a service's servers what happens to them, and what is said of it to whoever follows.
 
-use super::feed::{Feed, Said};
+use super::admin_events::{AdminEvent, AdminEvents};
 use super::service::Service;
 use foldhash::quality::FixedState;
 use madderloom_balancer::{
@@ -23,10 +23,10 @@
 
 /// An attempt that ended, with what the module is not told of it.
 pub(super) struct EndedAttempt {
-    pub(super) closed: AttemptResult,
+    pub(super) result: AttemptResult,
     pub(super) class: u32,
-    pub(super) cost: Option<Micros>,
-    pub(super) sent: Micros,
+    pub(super) cost_hint: Option<Micros>,
+    pub(super) sent_at: Micros,
 }
 
 /// A server as it was last listed.
@@ -40,8 +40,8 @@
 }
 
 /// Keeps the story of a service's servers.
-pub(super) struct Teller {
-    pub(super) story: EndpointHistory,
+pub(super) struct HistoryRecorder {
+    pub(super) history: EndpointHistory,
     settings: Settings,
     pool: Rc<str>,
     /// How long a server that has started is cold at most.
@@ -53,10 +53,10 @@
     guesses: Vec<(f64, f64)>,
 }
 
-impl Teller {
+impl HistoryRecorder {
     pub(super) fn new(pool: &str, settings: Settings, cold: Micros) -> Self {
-        Teller {
-            story: EndpointHistory::new(settings),
+        HistoryRecorder {
+            history: EndpointHistory::new(settings),
             settings,
             pool: pool.into(),
             cold,
@@ -66,10 +66,10 @@
         }
     }
 
-    pub(super) fn change(&mut self, now: Micros, settings: Settings) {
+    pub(super) fn reconfigure(&mut self, now: Micros, settings: Settings) {
         if settings != self.settings {
             self.settings = settings;
-            self.story.reconfigure(now, settings);
+            self.history.reconfigure(now, settings);
         }
     }
 
@@ -81,14 +81,14 @@
     }
 
     /// Where a server is, or was last, and how it was listed.
-    pub(super) fn known(&self, id: ServerId) -> Option<(&ServerEntry, Option<SocketAddr>)> {
+    pub(super) fn last_listing(&self, id: ServerId) -> Option<(&ServerEntry, Option<SocketAddr>)> {
         self.servers
             .get(&id)
             .map(|known| (&known.listed, known.address))
     }
 
     /// The server of a name, if it is listed or remembered.
-    pub(super) fn find(&self, name: &str) -> Option<ServerId> {
+    pub(super) fn server_id(&self, name: &str) -> Option<ServerId> {
         self.servers
             .iter()
             .find(|(_, known)| *known.name == *name)
@@ -96,7 +96,12 @@
     }
 
     /// The list of servers, or changes of it.
-    pub(super) fn listed(&mut self, service: &Service, now: Micros, members: &DiscoveryUpdate<'_>) {
+    pub(super) fn record_server_list(
+        &mut self,
+        service: &Service,
+        now: Micros,
+        members: &DiscoveryUpdate<'_>,
+    ) {
         let (listed, full) = match members {
             DiscoveryUpdate::FullList(listed) => (*listed, true),
             DiscoveryUpdate::ListChanges(listed) => (*listed, false),
@@ -142,7 +147,7 @@
             restarted,
             warming_up_until,
         };
-        self.story.endpoint_listed(now, id, arrival);
+        self.history.endpoint_listed(now, id, arrival);
         let known = self.servers.entry(id).or_insert_with(|| Known {
             name: service.pool.name(id),
             listed: *listed,
@@ -189,12 +194,12 @@
         };
         known.listed.state = ServerState::Gone;
         known.is_ejected = false;
-        self.story.endpoint_left(now, id);
+        self.history.endpoint_left(now, id);
         self.say(service, now, id, "left", "is gone from the list");
     }
 
     /// The module wrote a line for the operators.
-    pub(super) fn noted(&mut self, service: &Service, now: Micros, note: LogEvent) {
+    pub(super) fn record_log_event(&mut self, service: &Service, now: Micros, note: LogEvent) {
         let (id, what) = match note {
             LogEvent::ServerEjected(id, outcome) => (id, EndpointEvent::Ejected(outcome)),
             LogEvent::ServerRestored(id) => (id, EndpointEvent::Restored),
@@ -207,15 +212,15 @@
     }
 
     fn happened(&mut self, service: &Service, now: Micros, id: ServerId, what: EndpointEvent) {
-        let (name, text) = words(&what);
-        self.story.record_event(now, id, what);
+        let (name, text) = event_text(&what);
+        self.history.record_event(now, id, what);
         self.say(service, now, id, name, &text);
     }
 
     fn say(&self, service: &Service, now: Micros, id: ServerId, event: &str, text: &str) {
         let server = self.name(id);
         let text = format!("{server} {text}");
-        service.process.feed.push(Said {
+        service.process.admin_events.push(AdminEvent {
             at: now,
             pool: &self.pool,
             server: Some(&server),
@@ -225,7 +230,7 @@
     }
 
     /// An attempt was sent.
-    pub(super) fn begun(
+    pub(super) fn record_attempt_start(
         &mut self,
         service: &Service,
         now: Micros,
@@ -244,7 +249,7 @@
     }
 
     /// An attempt ended.
-    pub(super) fn ended(&mut self, now: Micros, ended: &EndedAttempt) {
+    pub(super) fn record_attempt_end(&mut self, now: Micros, ended: &EndedAttempt) {
         let AttemptResult {
             request,
             attempt,
@@ -252,11 +257,11 @@
             outcome,
             elapsed,
             ..
-        } = ended.closed;
+        } = ended.result;
         if let Some(known) = self.servers.get_mut(&server) {
-            known.out.remove(&(ended.sent, request, attempt));
+            known.out.remove(&(ended.sent_at, request, attempt));
         }
-        let size = self.size(ended.class, ended.cost);
+        let size = self.size(ended.class, ended.cost_hint);
         let seen = CompletedAttempt {
             server,
             class: ended.class,
@@ -264,7 +269,7 @@
             elapsed,
             relative_size: size,
         };
-        self.story.record_attempt(now, self.minute, &seen);
+        self.history.record_attempt(now, self.minute, &seen);
     }
 
     /// A request's size over its class's usual one, as clients guess them.
@@ -286,19 +291,19 @@
     }
 
     /// A server has told how much it holds.
-    pub(super) fn reported(&mut self, now: Micros, id: ServerId, held: f64) {
+    pub(super) fn record_load_report(&mut self, now: Micros, id: ServerId, held: f64) {
         let out = self.servers.get(&id).map_or(0, |known| known.out.len());
-        self.story
+        self.history
             .record_load_report(now, id, held, u32::try_from(out).unwrap_or(u32::MAX));
     }
 
     /// A request ended unserved, and this server had it last.
-    pub(super) fn turned_away(&mut self, now: Micros, id: ServerId) {
-        self.story.record_rejection(now, id);
+    pub(super) fn record_rejection(&mut self, now: Micros, id: ServerId) {
+        self.history.record_rejection(now, id);
     }
 
     /// Looks at how all stand, and says what departs from its usual. To be called once a second.
-    pub(super) fn second(
+    pub(super) fn sample(
         &mut self,
         service: &Service,
         now: Micros,
@@ -315,7 +320,7 @@
                 })
             });
             let out = u32::try_from(view.in_flight).unwrap_or(u32::MAX);
-            self.story.record_gauges(
+            self.history.record_gauges(
                 now,
                 id,
                 EndpointGauges {
@@ -330,14 +335,14 @@
                     class: *class,
                     age: now.saturating_sub(*sent),
                 });
-                self.story.check_waiting_attempts(now, id, waiting);
+                self.history.check_waiting_attempts(now, id, waiting);
             }
         }
-        for departure in self.story.poll_anomalies(now) {
+        for departure in self.history.poll_anomalies(now) {
             self.departed(service, &departure);
         }
         let remembered: BTreeSet<ServerId> = self
-            .story
+            .history
             .known_endpoints()
             .map(|known| known.server)
             .collect();
@@ -346,7 +351,7 @@
     }
 
     /// A departure in a line: whom it is about by name, and for which class.
-    pub(super) fn told(&self, service: &Service, departure: &Anomaly) -> String {
+    pub(super) fn describe(&self, service: &Service, departure: &Anomaly) -> String {
         let name = match departure.subject {
             Subject::Endpoint(id) => self.name(id).into_string(),
             Subject::Zone(zone) => service
@@ -364,7 +369,7 @@
     }
 
     fn departed(&self, service: &Service, departure: &Anomaly) {
-        let text = self.told(service, departure);
+        let text = self.describe(service, departure);
         let of = &service.log_prefix;
         let (event, is_bad) = match departure.phase {
             AnomalyPhase::Raised => ("raised", true),
@@ -380,7 +385,7 @@
             Subject::Endpoint(id) => Some(self.name(id)),
             Subject::Zone(_) | Subject::Fleet => None,
         };
-        let said = Said {
+        let said = AdminEvent {
             at: departure.reported_at,
             pool: &self.pool,
             server: server.as_deref(),
@@ -389,13 +394,13 @@
         };
         service
             .process
-            .feed
-            .push_with(said, &json!({"departure": departure}));
+            .admin_events
+            .push_with_details(said, &json!({"departure": departure}));
     }
 }
 
 /// A happening as one word for programs, and what people are told behind the server's name.
-pub(super) fn words(what: &EndpointEvent) -> (&'static str, String) {
+pub(super) fn event_text(what: &EndpointEvent) -> (&'static str, String) {
     match what {
         EndpointEvent::Joined => ("joined", "is listed".to_string()),
         EndpointEvent::Restarted => ("restarted", "has started anew".to_string()),
@@ -435,13 +440,13 @@
     }
 }
 
-impl Feed {
+impl AdminEvents {
     /// Takes in what was said of a server.
-    pub(super) fn push(&self, said: Said<'_>) {
-        self.push_with(said, &json!({}));
+    pub(super) fn push(&self, said: AdminEvent<'_>) {
+        self.push_with_details(said, &json!({}));
     }
 }
 
 #[cfg(test)]
-#[path = "teller_words_tests.rs"]
-mod teller_words_tests;
+#[path = "history_event_text_tests.rs"]
+mod history_event_text_tests;
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -8,6 +8,7 @@
 
 mod active_settings;
 pub mod admin;
+mod admin_events;
 mod agent_link;
 mod attempt;
 mod client;
@@ -24,9 +25,9 @@
 mod event_log;
 mod exchange;
 mod fair_scheduler;
-mod feed;
 mod fleet_limits;
 mod graphql;
+mod history_recorder;
 mod levels;
 mod limits;
 mod list_reader;
@@ -51,7 +52,6 @@
 mod shared_lists;
 mod state_writer;
 mod supervision;
-mod teller;
 mod timers;
 mod traffic_shares;
 mod transaction;
--- a/crates/sidecar/src/page.rs
+++ b/crates/sidecar/src/page.rs
@@ -54,13 +54,13 @@
 }
 
 /// A name as it stands in a path or a query.
-pub(super) fn escaped(name: &str) -> String {
+pub(super) fn percent_encoded(name: &str) -> String {
     utf8_percent_encode(name, PLAIN).to_string()
 }
 
 /// The path of a server's page.
 fn path(server: &Value, span: &str) -> String {
-    let part = |value: &Value| escaped(text(value));
+    let part = |value: &Value| percent_encoded(text(value));
     format!(
         "/servers/{}?pool={}&span={span}",
         part(&server["name"]),
--- a/crates/sidecar/src/process.rs
+++ b/crates/sidecar/src/process.rs
@@ -1,9 +1,9 @@
 //! The sidecar as a whole, created from the platform's configuration, the operator file, or both.
 
 use super::admin::AdminServer;
+use super::admin_events::MAX_FOLLOWERS;
 use super::agent_link::AgentLink;
 use super::config::{Config, ConfigKeys, descriptor_limit};
-use super::feed::FOLLOWERS;
 use super::listener::{BoundSocket, Listener, ListenerSettings, bind};
 use super::ordinal::ordinal_in_name;
 use super::process_state::{ProcessState, ResourceTotals};
@@ -146,7 +146,7 @@
             agent_link: Rc::default(),
         });
         if let Some((file, operator)) = operator {
-            let operator = sidecar.begin_control(&file, operator);
+            let operator = sidecar.restore_overlay(&file, operator);
             sidecar
                 .apply(operator)
                 .map_err(|problem| format!("{}: {problem}", file.display()))?;
@@ -156,7 +156,7 @@
 
     /// Serves until `stop` completes, then finishes the requests it has accepted and shuts down.
     pub async fn serve(self: Rc<Self>, stop: impl Future<Output = ()>) -> Result<(), String> {
-        self.follow_agent();
+        self.update_agent_link();
         let process = Rc::clone(&self.process);
         watchdog::spawn(TaskKind::Upkeep, async move {
             supervise(TaskKind::Upkeep, "upkeep", || {
@@ -179,7 +179,7 @@
             self.process
                 .set_answer_deadline(service.active_settings().max_deadline.as_micros() as Micros);
         }
-        self.end_control();
+        self.close_agent_link();
         self.process
             .listeners
             .borrow()
@@ -244,7 +244,7 @@
         .filter(|pool| pool.discovery.is_some())
         .count();
     let followers = if operator.timeline.is_some() {
-        FOLLOWERS
+        MAX_FOLLOWERS
     } else {
         0
     };
--- a/crates/sidecar/src/process_state.rs
+++ b/crates/sidecar/src/process_state.rs
@@ -1,10 +1,10 @@
 //! State that all services and listeners of the process share: clock, timers, resource limits, fair scheduler, and the
 //! services and listeners themselves.
 
+use super::admin_events::AdminEvents;
 use super::clock::{Clock, LocalTimeZone};
 use super::connections::is_resource_exhaustion;
 use super::fair_scheduler::{Scheduler, SchedulerAccount};
-use super::feed::Feed;
 use super::fleet_limits::FleetLimits;
 use super::levels::CpuUsage;
 use super::limits::SharedLimit;
@@ -14,7 +14,7 @@
 use super::shared_lists::SharedLists;
 use super::state_writer::StateWriter;
 use super::timers::Timers;
-use madderloom_admin::duty::Duty;
+use madderloom_admin::lifecycle::Lifecycle;
 use madderloom_balancer::Micros;
 use std::cell::{Cell, OnceCell, RefCell};
 use std::net::SocketAddr;
@@ -50,7 +50,7 @@
     pub(super) clock: Clock,
     pub(super) timers: Timers,
     /// Whether the process serves, drains or stops.
-    pub(super) lifecycle: RefCell<Duty>,
+    pub(super) lifecycle: RefCell<Lifecycle>,
     /// Set once the process stops: requests that arrive from then on must be answered by this time, because the platform
     /// kills the process soon after.
     answer_deadline: Cell<Option<Micros>>,
@@ -81,7 +81,7 @@
     /// The number of operator files that have taken effect.
     pub(super) operator_files_applied: Cell<u64>,
     /// Recent server events, where endpoint history is recorded.
-    pub(super) feed: Rc<Feed>,
+    pub(super) admin_events: Rc<AdminEvents>,
     time_zone: OnceCell<LocalTimeZone>,
     /// Operator changes to servers, such as drains and weights, that override the server lists.
     pub(super) server_overrides: RefCell<ServerOverrides>,
@@ -182,7 +182,7 @@
             listener_ended: Notify::new(),
             route_count: Cell::new(0),
             operator_files_applied: Cell::new(0),
-            feed: Rc::default(),
+            admin_events: Rc::default(),
             time_zone: OnceCell::new(),
             server_overrides: RefCell::default(),
             state_writer: OnceCell::new(),
--- a/crates/sidecar/src/reload.rs
+++ b/crates/sidecar/src/reload.rs
@@ -25,7 +25,7 @@
     /// Sockets of new listeners, each with the listener's index in the file.
     sockets: Vec<(usize, TcpListener)>,
     /// `None` if the admin view stays as it is, `Some(None)` if it is turned off.
-    admin: Option<Option<admin::Socket>>,
+    admin: Option<Option<admin::AdminSocket>>,
 }
 
 impl Sidecar {
@@ -33,7 +33,7 @@
     /// platform's configuration, and the whole operator file. An invalid file changes nothing. To be awaited before the
     /// next call, so that files take effect in order.
     pub async fn reload(self: &Rc<Self>) {
-        let _reload_guard = self.agent_link.turn.lock().await;
+        let _reload_guard = self.agent_link.apply_lock.lock().await;
         if let Some((service, _)) = &self.platform {
             let reloaded = Config::reload(&self.config_keys.borrow());
             match reloaded {
@@ -55,7 +55,7 @@
         let Some(file) = &self.operator_file else {
             return;
         };
-        let read = self.agent_link.read(file.clone()).await;
+        let read = self.agent_link.load_with_overlay(file.clone()).await;
         if self.process.is_stopping() {
             return;
         }
@@ -65,7 +65,7 @@
         });
         match applied {
             Ok((summary, control_and_source)) => {
-                self.file_applied(control_and_source);
+                self.operator_file_applied(control_and_source);
                 tracing::info!("operator file read again: {summary}");
             }
             Err(problem) => tracing::warn!("operator file not read again: {problem}"),
@@ -129,7 +129,7 @@
             .admin
             .borrow()
             .as_ref()
-            .map(|server| server.at().clone());
+            .map(|server| server.address().clone());
         let admin = if former == operator.admin {
             None
         } else {
@@ -137,7 +137,7 @@
                 operator
                     .admin
                     .as_ref()
-                    .map(admin::Socket::bind)
+                    .map(admin::AdminSocket::bind)
                     .transpose()?,
             )
         };
@@ -298,7 +298,7 @@
             // The former server is dropped first. It removes its socket's file only if that file is still its own.
             self.admin.replace(None);
             self.admin
-                .replace(socket.map(|socket| AdminServer::start(socket, &self.viewer())));
+                .replace(socket.map(|socket| AdminServer::start(socket, &self.admin_view())));
         }
         summary
     }
@@ -424,9 +424,9 @@
         }
     }
 
-    fn viewer(&self) -> super::view::Viewer {
+    fn admin_view(&self) -> super::view::AdminView {
         let (process, agent_link) = (Rc::clone(&self.process), Rc::clone(&self.agent_link));
-        super::view::Viewer {
+        super::view::AdminView {
             process,
             agent_link,
             name: self.name.clone(),
--- a/crates/sidecar/src/service.rs
+++ b/crates/sidecar/src/service.rs
@@ -5,10 +5,10 @@
 use super::connections::Connections;
 use super::counts::{OutcomeCounts, ServiceCounts};
 use super::fair_scheduler::ChargedAccount;
+use super::history_recorder::{EndedAttempt, HistoryRecorder};
 use super::limits::RequestLimits;
 use super::pool::{self, ListUpdate, Pool};
 use super::process_state::ProcessState;
-use super::teller::{EndedAttempt, Teller};
 use super::traffic_shares::TrafficShares;
 use super::transaction::{Step, StepQueue};
 use super::warm_start::WarmStart;
@@ -96,7 +96,7 @@
     draining: Cell<bool>,
     tasks: RefCell<Vec<AbortHandle>>,
     /// Records the history of its servers, where this is enabled.
-    pub(super) history_recorder: RefCell<Option<Box<Teller>>>,
+    pub(super) history_recorder: RefCell<Option<Box<HistoryRecorder>>>,
     /// Empty; reused for its allocation.
     actions: Cell<Vec<Action>>,
     /// Whether actions of the balancer are being carried out.
@@ -138,7 +138,7 @@
         let counts = ServiceCounts::default();
         let charged = Rc::new(ChargedAccount::new(process.account(limits.weight)));
         let shared_limits = &process.shared_limits;
-        let connection_slots = shared_limits.server_connections.join(shares.connections);
+        let slots = shared_limits.server_connections.join(shares.connections);
         let service = Rc::new(Service {
             balancer: RefCell::new(balancer),
             level_controller: RefCell::default(),
@@ -149,12 +149,7 @@
                 site.kinds.clone(),
                 process.clock.now(),
             ),
-            connections: Connections::new(
-                process,
-                connection_slots,
-                site.conn_idle,
-                site.connect_timeout,
-            ),
+            connections: Connections::new(process, slots, site.conn_idle, site.connect_timeout),
             active_settings: RefCell::new(Rc::new(ActiveSettings::new(site, &counts))),
             graphql: RefCell::new(graphql.map(Front::new)),
             request_ids: RefCell::default(),
@@ -386,10 +381,12 @@
     pub(super) fn handle(self: &Rc<Self>, now: Micros, event: Event<'_>) {
         match &event {
             Event::DiscoveryUpdated(update) => {
-                self.record_history(|recorder| recorder.listed(self, now, update))
+                self.record_history(|recorder| recorder.record_server_list(self, now, update))
             }
             Event::ProbeCompleted(server, Some(report)) => {
-                self.record_history(|recorder| recorder.reported(now, *server, report.in_flight));
+                self.record_history(|recorder| {
+                    recorder.record_load_report(now, *server, report.in_flight)
+                });
             }
             _ => {}
         }
@@ -415,7 +412,7 @@
     }
 
     /// Calls `record` with the history recorder, where history is enabled.
-    pub(super) fn record_history(&self, record: impl FnOnce(&mut Teller)) {
+    pub(super) fn record_history(&self, record: impl FnOnce(&mut HistoryRecorder)) {
         if let Some(recorder) = self.history_recorder.borrow_mut().as_mut() {
             record(recorder);
         }
@@ -432,7 +429,7 @@
         };
         let mut recorder = self.history_recorder.borrow_mut();
         match recorder.as_mut() {
-            Some(recorder) => recorder.change(now, settings),
+            Some(recorder) => recorder.reconfigure(now, settings),
             None => {
                 let listed: Vec<_> = self
                     .snapshot()
@@ -442,12 +439,12 @@
                     .collect();
                 let slow_start_window =
                     self.active_settings().site.settings.rules.slow_start_window;
-                let new = recorder.insert(Box::new(Teller::new(
+                let new = recorder.insert(Box::new(HistoryRecorder::new(
                     &self.name,
                     settings,
                     slow_start_window,
                 )));
-                new.listed(self, now, &DiscoveryUpdate::FullList(&listed));
+                new.record_server_list(self, now, &DiscoveryUpdate::FullList(&listed));
             }
         }
     }
@@ -474,7 +471,7 @@
         // Local time is looked up only where history is recorded.
         self.record_history(|recorder| {
             let (now, minute) = (self.process.clock.now(), self.process.minute_of_day());
-            recorder.second(self, now, minute, &snapshot);
+            recorder.sample(self, now, minute, &snapshot);
         });
     }
 
@@ -485,11 +482,13 @@
         begun: (RequestId, u32),
         class: u32,
     ) {
-        self.record_history(|recorder| recorder.begun(self, now, server, begun, class));
+        self.record_history(|recorder| {
+            recorder.record_attempt_start(self, now, server, begun, class)
+        });
     }
 
     pub(super) fn record_attempt_end(&self, now: Micros, ended: &EndedAttempt) {
-        self.record_history(|recorder| recorder.ended(now, ended));
+        self.record_history(|recorder| recorder.record_attempt_end(now, ended));
     }
 
     fn dispatch(self: &Rc<Self>, now: Micros, action: Action) {
@@ -560,7 +559,7 @@
 
     fn log(&self, now: Micros, event: LogEvent) {
         let prefix = &self.log_prefix;
-        self.record_history(|recorder| recorder.noted(self, now, event));
+        self.record_history(|recorder| recorder.record_log_event(self, now, event));
         match event {
             LogEvent::ClassOverloaded(class) => {
                 let settings = self.active_settings();
--- a/crates/sidecar/src/transaction.rs
+++ b/crates/sidecar/src/transaction.rs
@@ -243,7 +243,7 @@
             .filter(|_| !matches!(response, FinalResponse::Served(_)))
         {
             self.service.record_history(|history| {
-                history.turned_away(self.service.process.clock.now(), server)
+                history.record_rejection(self.service.process.clock.now(), server)
             });
         }
         if let Some(record) = &request.idempotency_record {
--- a/crates/sidecar/src/view.rs
+++ b/crates/sidecar/src/view.rs
@@ -3,12 +3,12 @@
 use super::agent_link::AgentLink;
 use super::counts::OutcomeCounts;
 use super::fair_scheduler::charged_account;
+use super::history_recorder::{HistoryRecorder, event_text};
 use super::levels;
 use super::limits::SharedLimit;
 use super::listener::Listener;
 use super::process_state::ProcessState;
 use super::service::Service;
-use super::teller::{Teller, words};
 use madderloom_balancer::{Micros, Outcome, RetrySafety, ServerId, ServerState, ServerView};
 use madderloom_endpoint_history::{Interval, LatencySketch, Recording, Subject, Timeline};
 use madderloom_routing::shares::Held;
@@ -21,13 +21,13 @@
 
 /// Where the view looks.
 #[derive(Clone)]
-pub(super) struct Viewer {
+pub(super) struct AdminView {
     pub(super) process: Rc<ProcessState>,
     pub(super) agent_link: Rc<AgentLink>,
     pub(super) name: String,
 }
 
-impl Viewer {
+impl AdminView {
     /// The pool of this name that serves.
     pub(super) fn pool(&self, name: &str) -> Option<Rc<Service>> {
         let services = self.process.services.borrow();
@@ -187,39 +187,39 @@
 /// What of a line's steps is called lately: the minute that goes on, and the one before.
 const LATELY: Micros = 60_000_000;
 
-impl Viewer {
+impl AdminView {
     /// All servers that are listed, and those that left and are remembered, each with what happened lately.
     pub(super) fn servers(&self) -> Value {
         let now = self.process.clock.now();
         let services = self.process.services.borrow();
         let rows = services.iter().flat_map(|service| {
             let snapshot = service.snapshot();
-            let teller = service.history_recorder.borrow();
-            let story = teller.as_deref();
+            let recorder = service.history_recorder.borrow();
+            let story = recorder.as_deref();
             let mut rows: Vec<Value> = snapshot
                 .servers
                 .iter()
                 .map(|seen| row(service, seen, story, now))
                 .collect();
-            if let Some(teller) = story {
-                let left = teller
-                    .story
+            if let Some(recorder) = story {
+                let left = recorder
+                    .history
                     .known_endpoints()
                     .filter_map(|known| Some((known.server, known.left_at?)));
                 rows.extend(
-                    left.map(|(id, at)| left_row(service, teller, id, now.saturating_sub(at))),
+                    left.map(|(id, at)| left_row(service, recorder, id, now.saturating_sub(at))),
                 );
             }
             rows
         });
         let rows: Vec<Value> = rows.collect();
-        let on = self.keeps_stories();
+        let on = self.records_history();
         let shared = services.iter().flat_map(|service| {
-            let teller = service.history_recorder.borrow();
-            let story = teller.as_deref();
-            let all = story.into_iter().flat_map(|teller| {
-                let all = teller.story.active_anomalies().filter(|d| !matches!(d.subject, Subject::Endpoint(_)));
-                all.map(|d| json!({"pool": service.name, "departure": d, "text": teller.told(service, d)}))
+            let recorder = service.history_recorder.borrow();
+            let story = recorder.as_deref();
+            let all = story.into_iter().flat_map(|recorder| {
+                let all = recorder.history.active_anomalies().filter(|d| !matches!(d.subject, Subject::Endpoint(_)));
+                all.map(|d| json!({"pool": service.name, "departure": d, "text": recorder.describe(service, d)}))
             });
             all.collect::<Vec<Value>>()
         });
@@ -230,7 +230,7 @@
     }
 
     /// Whether the story of any servers is kept.
-    pub(super) fn keeps_stories(&self) -> bool {
+    pub(super) fn records_history(&self) -> bool {
         self.process
             .services
             .borrow()
@@ -239,35 +239,35 @@
     }
 
     /// The stories of the servers of this name, one for each pool that has one; of one pool alone where it is named.
-    pub(super) fn stories(&self, name: &str, pool: Option<&str>) -> Vec<Value> {
+    pub(super) fn histories(&self, name: &str, pool: Option<&str>) -> Vec<Value> {
         let now = self.process.clock.now();
         let services = self.process.services.borrow();
         let found = services
             .iter()
             .filter(|service| pool.is_none_or(|pool| service.name == pool));
         let found = found.filter_map(|service| {
-            let teller = service.history_recorder.borrow();
-            let teller = teller.as_deref()?;
-            let id = teller.find(name)?;
-            let line = teller.story.timeline(id)?;
+            let recorder = service.history_recorder.borrow();
+            let recorder = recorder.as_deref()?;
+            let id = recorder.server_id(name)?;
+            let line = recorder.history.timeline(id)?;
             let snapshot = service.snapshot();
             let seen = snapshot.servers.iter().find(|seen| seen.entry.server == id);
-            let left = teller.story.known_endpoints().find(|known| known.server == id).and_then(|known| known.left_at);
+            let left = recorder.history.known_endpoints().find(|known| known.server == id).and_then(|known| known.left_at);
             let mut told = match seen {
-                Some(seen) => row(service, seen, Some(teller), now),
+                Some(seen) => row(service, seen, Some(recorder), now),
                 None => {
                     let ago = now.saturating_sub(left.unwrap_or(now));
-                    left_row(service, teller, id, ago)
+                    left_row(service, recorder, id, ago)
                 }
             };
             let notes = line.events().map(|note| {
-                let (event, text) = words(&note.event);
+                let (event, text) = event_text(&note.event);
                 json!({"at_us": note.first_at, "last_us": note.last_at, "times": note.count, "event": event, "text": text})
             });
             told["now_us"] = now.into();
             told["notes"] = notes.collect();
             told["steps"] = line.finest_entries().iter().map(|entry| step(entry.width, &entry.interval)).collect();
-            let evidence = teller.story.evidence().find(|evidence| evidence.server == id);
+            let evidence = recorder.history.evidence().find(|evidence| evidence.server == id);
             told["evidence"] = json!(evidence);
             told["recording"] = json!(Recording::of(name, line));
             Some(told)
@@ -277,11 +277,11 @@
 
     /// What happened of late: lines of the feed from this number on, of one pool or of all.
     pub(super) fn events(&self, after: u64) -> Vec<u8> {
-        let feed = &self.process.feed;
-        let (oldest, lines) = feed.from(after);
+        let admin_events = &self.process.admin_events;
+        let (oldest, lines) = admin_events.events_from(after);
         let mut told = format!(
             "{{\"version\":{VERSION},\"oldest\":{oldest},\"next\":{},\"events\":[",
-            feed.next()
+            admin_events.next_number()
         );
         let lines: Vec<&str> = lines
             .iter()
@@ -294,38 +294,43 @@
     }
 }
 
-fn row(service: &Service, seen: &ServerView, teller: Option<&Teller>, now: Micros) -> Value {
+fn row(
+    service: &Service,
+    seen: &ServerView,
+    recorder: Option<&HistoryRecorder>,
+    now: Micros,
+) -> Value {
     let mut told = server(service, seen, now);
     told["pool"] = service.name.as_str().into();
-    if let Some(teller) = teller {
-        add_story(&mut told, service, teller, seen.entry.server);
+    if let Some(recorder) = recorder {
+        add_story(&mut told, service, recorder, seen.entry.server);
     }
     told
 }
 
-fn left_row(service: &Service, teller: &Teller, id: ServerId, ago: Micros) -> Value {
-    let known = teller.known(id);
+fn left_row(service: &Service, recorder: &HistoryRecorder, id: ServerId, ago: Micros) -> Value {
+    let known = recorder.last_listing(id);
     let tuned = service.active_settings();
     let zone = known.and_then(|(listed, _)| tuned.site.zones.get(listed.zone as usize));
     let kind = known.and_then(|(listed, _)| tuned.site.kinds.get(listed.kind as usize));
     let mut told = json!({
-        "name": teller.name(id), "pool": service.name, "state": "left", "left_ago_us": ago,
+        "name": recorder.name(id), "pool": service.name, "state": "left", "left_ago_us": ago,
         "address": known.and_then(|(_, at)| at).map(|at| at.to_string()), "zone": zone, "kind": kind,
     });
-    add_story(&mut told, service, teller, id);
+    add_story(&mut told, service, recorder, id);
     told
 }
 
-fn add_story(told: &mut Value, service: &Service, teller: &Teller, id: ServerId) {
-    if let Some(line) = teller.story.timeline(id) {
+fn add_story(told: &mut Value, service: &Service, recorder: &HistoryRecorder, id: ServerId) {
+    if let Some(line) = recorder.history.timeline(id) {
         told["lately"] = lately(line);
     }
-    let own = teller
-        .story
+    let own = recorder
+        .history
         .active_anomalies()
         .filter(|d| d.subject == Subject::Endpoint(id));
     told["departures"] = own
-        .map(|d| json!({"departure": d, "text": teller.told(service, d)}))
+        .map(|d| json!({"departure": d, "text": recorder.describe(service, d)}))
         .collect::<Vec<Value>>()
         .into();
 }
