--- a/crates/admin/src/command.rs
+++ b/crates/admin/src/command.rs
@@ -1,41 +1,41 @@
-//! Calls at the second address: one line to a connection.
+//! Commands on the control address: one line for each connection.
 
 use std::fmt;
 
-/// The longest line, in bytes, without its end.
+/// The longest line in bytes, without its line ending.
 pub const MAX_LINE_BYTES: usize = 64;
 
-/// What is called for.
+/// A command of the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Whether this process can serve.
+    /// Reports whether this process can serve.
     Ping,
-    /// Its figures.
+    /// Reports the statistics of this process.
     Info,
-    /// It is to drain.
+    /// Starts draining.
     LameDuck,
-    /// It is to go back to work.
+    /// Ends draining and serves again.
     Rejoin,
 }
 
-/// Why a line is no call.
+/// Why a line is not a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommandError {
-    /// There is nothing on it.
+    /// The line is empty.
     Empty,
-    /// It goes on beyond [`MAX_LINE_BYTES`].
+    /// The line is longer than [`MAX_LINE_BYTES`].
     TooLong,
-    /// It holds bytes that are not printable ASCII.
+    /// The line contains bytes that are not printable ASCII.
     NotPrintable,
-    /// It is none of the calls.
+    /// The command is unknown.
     Unknown,
-    /// The caller ended, or said nothing more, before its end.
+    /// The caller closed the connection or stopped sending before the line feed.
     Unterminated,
 }
 
 impl fmt::Display for CommandError {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        to.write_str(match self {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
             CommandError::Empty => "the line is empty; call PING, INFO, LAMEDUCK or REJOIN",
             CommandError::TooLong => "the line is too long; call PING, INFO, LAMEDUCK or REJOIN",
             CommandError::NotPrintable => {
@@ -47,21 +47,21 @@
     }
 }
 
-/// Finds the first line in what has come so far. None while more must come. Behind the line nothing is looked at.
-pub fn read(come: &[u8]) -> Option<Result<Command, CommandError>> {
-    let end = come
+/// Parses the first line of the bytes received so far; `None` while the line is incomplete. Bytes after it are ignored.
+pub fn read(received: &[u8]) -> Option<Result<Command, CommandError>> {
+    let end = received
         .iter()
         .take(MAX_LINE_BYTES + 2)
         .position(|byte| *byte == b'\n');
     match end {
-        Some(end) => Some(parse(&come[..end])),
-        // One more is room for the carriage return.
-        None if come.len() > MAX_LINE_BYTES + 1 => Some(Err(CommandError::TooLong)),
+        Some(end) => Some(parse(&received[..end])),
+        // One more byte allows for the carriage return.
+        None if received.len() > MAX_LINE_BYTES + 1 => Some(Err(CommandError::TooLong)),
         None => None,
     }
 }
 
-/// Reads a line without its line feed.
+/// Parses a line without its line feed.
 pub fn parse(line: &[u8]) -> Result<Command, CommandError> {
     let line = line.strip_suffix(b"\r").unwrap_or(line);
     if line.len() > MAX_LINE_BYTES {
@@ -86,7 +86,7 @@
     use proptest::prelude::*;
 
     #[test]
-    fn calls_end_with_a_line_feed_with_or_without_a_carriage_return() {
+    fn commands_end_with_a_line_feed_with_or_without_a_carriage_return() {
         assert_eq!(read(b"PING\n"), Some(Ok(Command::Ping)));
         assert_eq!(read(b"INFO\r\n"), Some(Ok(Command::Info)));
         assert_eq!(read(b"LAMEDUCK\nREJOIN\n"), Some(Ok(Command::LameDuck)));
@@ -96,7 +96,7 @@
     }
 
     #[test]
-    fn what_is_no_call_is_a_fault_by_its_kind() {
+    fn a_line_that_is_not_a_command_is_rejected_with_its_error() {
         assert_eq!(read(b"\n"), Some(Err(CommandError::Empty)));
         assert_eq!(read(b"\r\n"), Some(Err(CommandError::Empty)));
         assert_eq!(read(b"ping\n"), Some(Err(CommandError::Unknown)));
@@ -111,9 +111,9 @@
     }
 
     proptest! {
-        /// A caller that writes in pieces gets what one gets that writes at once, and never more is kept than a line.
+        /// The result is the same whether the bytes arrive at once or in fragments, and no more than one line is buffered.
         #[test]
-        fn pieces_make_no_difference(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+        fn fragmentation_does_not_change_the_result(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
             let at_once = read(&bytes);
             let first = (0..=bytes.len()).find_map(|end| read(&bytes[..end]).map(|found| (end, found)));
             prop_assert_eq!(at_once, first.map(|(_, found)| found));
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,9 +1,9 @@
-//! What on-call staff ask of a running sidecar, free of sockets and clocks: the grammar of their calls, the duty that a
-//! sidecar does while it serves, drains or stops, and the figures that it reports.
+//! The control commands of a running sidecar without sockets and clocks: the command syntax, the lifecycle state (serving,
+//! draining or stopping) and the reported statistics.
 
 pub mod command;
 pub mod lifecycle;
 pub mod stats;
 
-/// A time in microseconds, on a clock whose zero means nothing.
+/// A time in microseconds on a clock with an arbitrary zero.
 pub type Micros = u64;
--- a/crates/admin/src/stats.rs
+++ b/crates/admin/src/stats.rs
@@ -1,13 +1,13 @@
-//! The figures that a sidecar reports, and the lines in which it does.
+//! The statistics that a sidecar reports, and their text format.
 
 use std::fmt::{self, Write};
 
-/// What became of the requests of one class, since the process started.
+/// Requests of one class by result, since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ResultCounts {
     /// Served.
     pub fulfilled: u64,
-    /// Refused: trying again does no harm.
+    /// Rejected: a retry is safe.
     pub throttled: u64,
     /// Failed.
     pub faulted: u64,
@@ -22,45 +22,45 @@
 }
 
 impl ResultCounts {
-    /// All of them.
+    /// The number of requests with any result.
     pub fn total(&self) -> u64 {
         self.fulfilled + self.throttled + self.faulted
     }
 }
 
-/// A sidecar's figures at one moment.
+/// A snapshot of the statistics.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
-    /// By the names of the classes, those that a newer file has dropped among them.
+    /// Results by class name, including classes that a newer operator file no longer has.
     pub operations: Vec<(String, ResultCounts)>,
-    /// Attempts that were written whole to servers, since the process started.
+    /// Attempts that were written completely to servers, since the process started.
     pub relayed: u64,
-    /// Requests that were taken and have not ended.
+    /// Requests in flight.
     pub open_requests: u64,
-    /// Servers in the list.
+    /// Servers in the server lists.
     pub registry_entries: u64,
-    /// Of these, those that get nothing now.
+    /// Listed servers that currently get no requests.
     pub out_of_rotation: u64,
-    /// Files taken at SIGHUP, and those turned down.
+    /// Operator files that were accepted at SIGHUP.
     pub cfg_accepted: u64,
-    /// See above.
+    /// Operator files that were rejected at SIGHUP.
     pub cfg_invalid: u64,
-    /// Long turns of the event loop that used the processor, since the process started.
+    /// Long event loop iterations that used the processor, since the process started.
     pub busy_turns: u64,
-    /// Those that hardly did: the process was stopped or got no processor, or a call blocked.
+    /// Long event loop iterations that hardly used it: the process was stopped, got no processor time, or a call blocked.
     pub stalled_turns: u64,
 }
 
 impl fmt::Display for Stats {
-    /// One line each, `app.NAME=NUMBER`, and `eof` behind them.
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (class, ended) in &self.operations {
+    /// Writes one line `app.NAME=NUMBER` for each value, followed by `eof`.
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        for (class, results) in &self.operations {
             for (name, count) in [
-                ("fulfilled", ended.fulfilled),
-                ("throttled", ended.throttled),
-                ("faulted", ended.faulted),
+                ("fulfilled", results.fulfilled),
+                ("throttled", results.throttled),
+                ("faulted", results.faulted),
             ] {
-                writeln!(to, "app.operations.{}.{name}={count}", Plain(class))?;
+                writeln!(f, "app.operations.{}.{name}={count}", EscapedName(class))?;
             }
         }
         for (name, count) in [
@@ -73,19 +73,19 @@
             ("busy_turns", self.busy_turns),
             ("stalled_turns", self.stalled_turns),
         ] {
-            writeln!(to, "app.{name}={count}")?;
+            writeln!(f, "app.{name}={count}")?;
         }
-        to.write_str("eof\n")
+        f.write_str("eof\n")
     }
 }
 
-/// A class's name as part of a line: what would end the name or the line is written `_`.
-struct Plain<'a>(&'a str);
+/// A class name as part of a line: characters that would end the name or the line are written as `_`.
+struct EscapedName<'a>(&'a str);
 
-impl fmt::Display for Plain<'_> {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
+impl fmt::Display for EscapedName<'_> {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.chars().try_for_each(|c| {
-            to.write_char(if c == '=' || c == '.' || c.is_control() || c == ' ' {
+            f.write_char(if c == '=' || c == '.' || c.is_control() || c == ' ' {
                 '_'
             } else {
                 c
@@ -99,15 +99,15 @@
     use super::*;
 
     #[test]
-    fn figures_are_lines_that_end_with_eof() {
-        let ended = ResultCounts {
+    fn statistics_are_lines_that_end_with_eof() {
+        let results = ResultCounts {
             fulfilled: 812,
             throttled: 3,
             faulted: 1,
         };
-        let figures = Stats {
+        let stats = Stats {
             operations: vec![
-                ("submit-check".to_string(), ended),
+                ("submit-check".to_string(), results),
                 ("a=b\n.c".to_string(), ResultCounts::default()),
             ],
             open_requests: 14,
@@ -115,7 +115,7 @@
             stalled_turns: 5,
             ..Stats::default()
         };
-        let text = figures.to_string();
+        let text = stats.to_string();
         assert!(text.starts_with("app.operations.submit-check.fulfilled=812\n"));
         assert!(text.contains("\napp.operations.a_b__c.faulted=0\n"));
         assert!(text.contains("\napp.open_requests=14\n"));
--- a/crates/sidecar/src/admin_events.rs
+++ b/crates/sidecar/src/admin_events.rs
@@ -1,4 +1,4 @@
-//! What happened of late, as lines for programs, and whoever follows them.
+//! The most recent events as JSON lines, and the streams to the clients that follow them.
 
 use bytes::{Bytes, BytesMut};
 use hyper::body::{Body, Frame};
@@ -13,19 +13,20 @@
 use std::time::Duration;
 use tokio::time::{Instant, Sleep};
 
-/// Lines that are kept, and the most bytes of them together.
+/// The maximum number of retained events.
 pub(super) const MAX_EVENTS: usize = 1_024;
+/// The maximum size of all retained events in bytes.
 pub(super) const MAX_TOTAL_BYTES: usize = 512 << 10;
-/// A text of a line is cut to this: names come from outside.
-const TEXT: usize = 256;
-/// Who follows at once, at most.
+/// Texts of an event are truncated to this number of characters, since names are external input.
+const MAX_TEXT_CHARS: usize = 256;
+/// The maximum number of concurrent followers.
 pub(super) const MAX_FOLLOWERS: usize = 4;
-/// A blank line goes out after so long without another.
-const BEAT: Duration = Duration::from_secs(3);
-/// Lines that go out at once.
-const FRAME: usize = 16 << 10;
+/// A blank line is sent as a heartbeat after this time without an event.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(3);
+/// The size to which a body frame is filled with whole lines, in bytes.
+const MAX_FRAME_BYTES: usize = 16 << 10;
 
-/// Something that is said.
+/// An event about a pool or one of its servers.
 pub(super) struct AdminEvent<'a> {
     pub(super) at: Micros,
     pub(super) pool: &'a str,
@@ -34,106 +35,104 @@
     pub(super) text: &'a str,
 }
 
-/// Lines of what happened, the newest last, each with a number. Bounded: the oldest go.
+/// The most recent events, numbered and serialized, oldest first. The oldest are dropped at the limits.
 #[derive(Default)]
 pub(super) struct AdminEvents {
     lines: RefCell<VecDeque<Bytes>>,
     bytes: Cell<usize>,
-    /// The number of the next line; that of the first is 0.
-    next: Cell<u64>,
-    followers: RefCell<BTreeMap<u64, Waker>>,
-    following: Cell<usize>,
-    last_follower: Cell<u64>,
+    /// The number of the next event; the first event has number 0.
+    next_number: Cell<u64>,
+    /// The wakers of waiting followers by follower id.
+    wakers: RefCell<BTreeMap<u64, Waker>>,
+    follower_count: Cell<usize>,
+    last_follower_id: Cell<u64>,
 }
 
-fn cut(text: &str) -> &str {
+fn truncate(text: &str) -> &str {
     text.char_indices()
-        .nth(TEXT)
+        .nth(MAX_TEXT_CHARS)
         .and_then(|(end, _)| text.get(..end))
         .unwrap_or(text)
 }
 
 impl AdminEvents {
-    pub(super) fn push_with_details(&self, said: AdminEvent<'_>, more: &Value) {
-        let number = self.next.get();
+    pub(super) fn push_with_details(&self, event: AdminEvent<'_>, details: &Value) {
+        let number = self.next_number.get();
         let mut line = json!({
-            "number": number, "at_us": said.at, "pool": cut(said.pool), "server": said.server.map(cut),
-            "event": said.event, "text": cut(said.text),
+            "number": number, "at_us": event.at, "pool": truncate(event.pool), "server": event.server.map(truncate),
+            "event": event.event, "text": truncate(event.text),
         });
-        if let (Some(line), Some(more)) = (line.as_object_mut(), more.as_object()) {
-            line.extend(more.clone());
+        if let (Some(line), Some(details)) = (line.as_object_mut(), details.as_object()) {
+            line.extend(details.clone());
         }
         let line = Bytes::from(format!("{line}\n"));
         let mut lines = self.lines.borrow_mut();
         self.bytes.set(self.bytes.get() + line.len());
         lines.push_back(line);
         while lines.len() > MAX_EVENTS || self.bytes.get() > MAX_TOTAL_BYTES && lines.len() > 1 {
-            let gone = lines.pop_front().map_or(0, |line| line.len());
-            self.bytes.set(self.bytes.get() - gone);
+            let dropped_bytes = lines.pop_front().map_or(0, |line| line.len());
+            self.bytes.set(self.bytes.get() - dropped_bytes);
         }
-        self.next.set(number + 1);
+        self.next_number.set(number + 1);
         drop(lines);
-        self.followers
-            .borrow()
-            .values()
-            .for_each(Waker::wake_by_ref);
+        self.wakers.borrow().values().for_each(Waker::wake_by_ref);
     }
 
-    /// The number that the next line will have.
+    /// The number that the next event will have.
     pub(super) fn next_number(&self) -> u64 {
-        self.next.get()
+        self.next_number.get()
     }
 
-    /// The number of the oldest line that is kept, and the lines from this number on.
+    /// Returns the number of the oldest retained event, and the retained events from `number` on.
     pub(super) fn events_from(&self, number: u64) -> (u64, Vec<Bytes>) {
         let lines = self.lines.borrow();
-        let oldest = self.next.get() - lines.len() as u64;
+        let oldest = self.next_number.get() - lines.len() as u64;
         let skipped = usize::try_from(number.saturating_sub(oldest)).unwrap_or(usize::MAX);
         (oldest, lines.iter().skip(skipped).cloned().collect())
     }
 
-    /// A body that never ends: the lines from this number on, and all that follow. None where too many follow.
+    /// Streams the events from this number on and all later ones; `None` at the maximum number of followers.
     pub(super) fn follow(self: &Rc<Self>, from: u64) -> Option<EventStream> {
-        if self.following.get() >= MAX_FOLLOWERS {
+        if self.follower_count.get() >= MAX_FOLLOWERS {
             return None;
         }
-        self.following.set(self.following.get() + 1);
-        let id = self.last_follower.get() + 1;
-        self.last_follower.set(id);
-        let beat = Box::pin(tokio::time::sleep(BEAT));
+        self.follower_count.set(self.follower_count.get() + 1);
+        let id = self.last_follower_id.get() + 1;
+        self.last_follower_id.set(id);
+        let heartbeat = Box::pin(tokio::time::sleep(HEARTBEAT_INTERVAL));
         Some(EventStream {
             admin_events: Rc::clone(self),
             id,
-            next: from,
-            beat,
+            next_number: from,
+            heartbeat,
         })
     }
 }
 
-/// Lines as they come. What its reader does not take is not held for it: it is told how many it missed.
+/// A body of events that never ends. Nothing is buffered for a slow reader: it gets the number of events that it missed.
 pub(super) struct EventStream {
     admin_events: Rc<AdminEvents>,
     id: u64,
-    next: u64,
-    beat: Pin<Box<Sleep>>,
+    next_number: u64,
+    heartbeat: Pin<Box<Sleep>>,
 }
 
 impl EventStream {
-    fn ready(&mut self) -> Option<Bytes> {
-        let (oldest, lines) = self.admin_events.events_from(self.next);
+    fn next_frame(&mut self) -> Option<Bytes> {
+        let (oldest, lines) = self.admin_events.events_from(self.next_number);
         let mut frame = BytesMut::new();
-        if self.next < oldest {
+        if self.next_number < oldest {
             frame.extend_from_slice(
-                format!("{}\n", json!({"missed": oldest - self.next})).as_bytes(),
+                format!("{}\n", json!({"missed": oldest - self.next_number})).as_bytes(),
             );
-            self.next = oldest;
+            self.next_number = oldest;
         }
         for line in lines {
-            if !frame.is_empty() && frame.len() + line.len() > FRAME {
+            if !frame.is_empty() && frame.len() + line.len() > MAX_FRAME_BYTES {
                 break;
             }
             frame.extend_from_slice(&line);
-            self.next += 1;
+            self.next_number += 1;
         }
         (!frame.is_empty()).then(|| frame.freeze())
     }
@@ -147,29 +146,33 @@
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
-        let own = self.get_mut();
-        let frame = match own.ready() {
+        let stream = self.get_mut();
+        let frame = match stream.next_frame() {
             Some(frame) => frame,
-            None if own.beat.as_mut().poll(context).is_ready() => Bytes::from_static(b"\n"),
+            None if stream.heartbeat.as_mut().poll(context).is_ready() => Bytes::from_static(b"\n"),
             None => {
-                own.admin_events
-                    .followers
+                stream
+                    .admin_events
+                    .wakers
                     .borrow_mut()
-                    .insert(own.id, context.waker().clone());
+                    .insert(stream.id, context.waker().clone());
                 return Poll::Pending;
             }
         };
-        own.beat.as_mut().reset(Instant::now() + BEAT);
+        stream
+            .heartbeat
+            .as_mut()
+            .reset(Instant::now() + HEARTBEAT_INTERVAL);
         Poll::Ready(Some(Ok(Frame::data(frame))))
     }
 }
 
 impl Drop for EventStream {
     fn drop(&mut self) {
-        self.admin_events.followers.borrow_mut().remove(&self.id);
+        self.admin_events.wakers.borrow_mut().remove(&self.id);
         self.admin_events
-            .following
-            .set(self.admin_events.following.get() - 1);
+            .follower_count
+            .set(self.admin_events.follower_count.get() - 1);
     }
 }
 
@@ -192,24 +195,24 @@
     }
 
     #[tokio::test]
-    async fn a_follower_that_falls_behind_is_told_how_much_it_missed() {
+    async fn a_slow_follower_gets_the_number_of_events_that_it_missed() {
         let admin_events = Rc::new(AdminEvents::default());
-        let mut follow = admin_events.follow(0).expect("there is room");
+        let mut follow = admin_events.follow(0).expect("below the follower limit");
         for n in 0..MAX_EVENTS + 10 {
             push(&admin_events, &n.to_string());
         }
-        let mut told = String::new();
-        while told.lines().count() < MAX_EVENTS + 1 {
+        let mut received = String::new();
+        while received.lines().count() < MAX_EVENTS + 1 {
             let frame = follow
                 .frame()
                 .await
-                .expect("it goes on")
-                .expect("it can't fail");
+                .expect("the stream has not ended")
+                .expect("infallible");
             let data = frame.into_data().expect("data");
-            assert!(data.len() <= FRAME);
-            told += std::str::from_utf8(&data).expect("text");
+            assert!(data.len() <= MAX_FRAME_BYTES);
+            received += std::str::from_utf8(&data).expect("text");
         }
-        let lines: Vec<Value> = told
+        let lines: Vec<Value> = received
             .lines()
             .map(|l| serde_json::from_str(l).expect("an object"))
             .collect();
@@ -221,7 +224,7 @@
     }
 
     #[test]
-    fn lines_are_bounded_in_number_in_length_and_in_all() {
+    fn events_are_bounded_in_number_length_and_total_size() {
         let admin_events = AdminEvents::default();
         for _ in 0..3 * MAX_EVENTS {
             push(&admin_events, &"\u{1}ä".repeat(10_000));
@@ -233,13 +236,13 @@
     }
 
     #[tokio::test]
-    async fn no_more_than_a_few_follow_at_once() {
+    async fn the_number_of_concurrent_followers_is_limited() {
         let admin_events = Rc::new(AdminEvents::default());
-        let mut all: Vec<_> = (0..MAX_FOLLOWERS)
-            .map(|_| admin_events.follow(0).expect("there is room"))
+        let mut streams: Vec<_> = (0..MAX_FOLLOWERS)
+            .map(|_| admin_events.follow(0).expect("below the follower limit"))
             .collect();
         assert!(admin_events.follow(0).is_none());
-        all.pop();
+        streams.pop();
         assert!(admin_events.follow(0).is_some());
     }
 }
--- a/crates/sidecar/src/history_event_text_tests.rs
+++ b/crates/sidecar/src/history_event_text_tests.rs
@@ -1,12 +1,12 @@
-//! What happens to a server, as the word that programs read in events and notes, and as the text for people.
+//! The event names for programs and the texts for people.
 
 use super::event_text;
 use madderloom_balancer::Outcome;
 use madderloom_endpoint_history::EndpointEvent;
 
 #[test]
-fn each_happening_has_its_word_and_its_text() {
-    for (happening, word, text) in [
+fn each_event_has_its_name_and_text() {
+    for (event, name, text) in [
         (EndpointEvent::Joined, "joined", "is listed"),
         (EndpointEvent::Restarted, "restarted", "has started anew"),
         (
@@ -38,12 +38,12 @@
             "is as usual again (number 7)",
         ),
     ] {
-        assert_eq!(event_text(&happening), (word, text.to_string()));
+        assert_eq!(event_text(&event), (name, text.to_string()));
     }
 }
 
 #[test]
-fn an_ejection_is_told_with_how_attempts_ended() {
+fn an_ejection_text_says_how_attempts_ended() {
     for (outcome, text) in [
         (Outcome::Ok, "were served"),
         (Outcome::Error, "ended with errors"),
--- a/crates/sidecar/src/history_recorder.rs
+++ b/crates/sidecar/src/history_recorder.rs
@@ -1,4 +1,4 @@
-//! What tells the story of a service's servers what happens to them, and what is said of it to whoever follows.
+//! Records the endpoint history of a service's servers, and publishes its events to the admin view.
 
 use super::admin_events::{AdminEvent, AdminEvents};
 use super::service::Service;
@@ -16,12 +16,12 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The mean of clients' guesses of a class's work rests on about so many of them.
-const GUESSES: f64 = 1_000.0;
-/// Attempts that are out at a server are looked at up to so many: the oldest tell of silence.
-const LOOKED_AT: usize = 64;
+/// The number of samples over which the mean cost hint of a class is averaged.
+const COST_HINT_SAMPLES: f64 = 1_000.0;
+/// How many in-flight attempts of a server are checked: the oldest show that the server does not respond.
+const MAX_CHECKED_ATTEMPTS: usize = 64;
 
-/// An attempt that ended, with what the module is not told of it.
+/// An attempt that ended, with data that the balancer does not get.
 pub(super) struct EndedAttempt {
     pub(super) result: AttemptResult,
     pub(super) class: u32,
@@ -30,39 +30,39 @@
 }
 
 /// A server as it was last listed.
-struct Known {
+struct RecordedServer {
     name: Box<str>,
     listed: ServerEntry,
     address: Option<SocketAddr>,
     is_ejected: bool,
-    /// Attempts that are out there, the oldest first, with their classes.
-    out: BTreeMap<(Micros, RequestId, u32), u32>,
+    /// The classes of its in-flight attempts, oldest first.
+    in_flight: BTreeMap<(Micros, RequestId, u32), u32>,
 }
 
-/// Keeps the story of a service's servers.
+/// Records the history of a service's servers.
 pub(super) struct HistoryRecorder {
     pub(super) history: EndpointHistory,
     settings: Settings,
     pool: Rc<str>,
-    /// How long a server that has started is cold at most.
-    cold: Micros,
-    /// Those that are listed, and those that are remembered.
-    servers: HashMap<ServerId, Known, FixedState>,
+    /// How long a started server warms up at most.
+    slow_start_window: Micros,
+    /// Listed servers, and servers that have left but still have a history.
+    servers: HashMap<ServerId, RecordedServer, FixedState>,
     minute: u16,
-    /// For each class the mean of its guesses, and how many it rests on.
-    guesses: Vec<(f64, f64)>,
+    /// For each class, the mean cost hint and the number of samples behind it.
+    cost_hints: Vec<(f64, f64)>,
 }
 
 impl HistoryRecorder {
-    pub(super) fn new(pool: &str, settings: Settings, cold: Micros) -> Self {
+    pub(super) fn new(pool: &str, settings: Settings, slow_start_window: Micros) -> Self {
         HistoryRecorder {
             history: EndpointHistory::new(settings),
             settings,
             pool: pool.into(),
-            cold,
+            slow_start_window,
             servers: HashMap::default(),
             minute: 0,
-            guesses: Vec::new(),
+            cost_hints: Vec::new(),
         }
     }
 
@@ -73,151 +73,159 @@
         }
     }
 
-    /// The name of a server that is listed or remembered.
+    /// The name of a listed or recorded server; its id where it is neither.
     pub(super) fn name(&self, id: ServerId) -> Box<str> {
         self.servers
             .get(&id)
-            .map_or_else(|| id.to_string().into(), |known| known.name.clone())
+            .map_or_else(|| id.to_string().into(), |server| server.name.clone())
     }
 
-    /// Where a server is, or was last, and how it was listed.
+    /// The last list entry of a server and its last address.
     pub(super) fn last_listing(&self, id: ServerId) -> Option<(&ServerEntry, Option<SocketAddr>)> {
         self.servers
             .get(&id)
-            .map(|known| (&known.listed, known.address))
+            .map(|server| (&server.listed, server.address))
     }
 
-    /// The server of a name, if it is listed or remembered.
+    /// The id of the listed or recorded server with this name.
     pub(super) fn server_id(&self, name: &str) -> Option<ServerId> {
         self.servers
             .iter()
-            .find(|(_, known)| *known.name == *name)
+            .find(|(_, server)| *server.name == *name)
             .map(|(id, _)| *id)
     }
 
-    /// The list of servers, or changes of it.
+    /// Records a server list or changes to it.
     pub(super) fn record_server_list(
         &mut self,
         service: &Service,
         now: Micros,
-        members: &DiscoveryUpdate<'_>,
+        update: &DiscoveryUpdate<'_>,
     ) {
-        let (listed, full) = match members {
+        let (listed, full) = match update {
             DiscoveryUpdate::FullList(listed) => (*listed, true),
             DiscoveryUpdate::ListChanges(listed) => (*listed, false),
             DiscoveryUpdate::CallFailed { .. }
             | DiscoveryUpdate::CallUnanswered { .. }
             | DiscoveryUpdate::WatchOpened => return,
         };
-        // The first list tells of nothing that happened.
+        // The first list contains no changes.
         let is_first = self.servers.is_empty();
         if full {
-            let there: BTreeSet<ServerId> = listed.iter().map(|server| server.server).collect();
-            let gone: Vec<ServerId> = self
+            let present: BTreeSet<ServerId> = listed.iter().map(|server| server.server).collect();
+            let missing: Vec<ServerId> = self
                 .servers
                 .keys()
-                .filter(|id| !there.contains(id))
+                .filter(|id| !present.contains(id))
                 .copied()
                 .collect();
-            gone.into_iter().for_each(|id| self.left(service, now, id));
+            missing
+                .into_iter()
+                .for_each(|id| self.server_left(service, now, id));
         }
         for server in listed {
             match server.state {
-                ServerState::Gone => self.left(service, now, server.server),
-                _ => self.arrived(service, now, server, is_first),
+                ServerState::Gone => self.server_left(service, now, server.server),
+                _ => self.server_listed(service, now, server, is_first),
             }
         }
     }
 
-    fn arrived(&mut self, service: &Service, now: Micros, listed: &ServerEntry, is_first: bool) {
+    fn server_listed(
+        &mut self,
+        service: &Service,
+        now: Micros,
+        listed: &ServerEntry,
+        is_first: bool,
+    ) {
         let id = listed.server;
         let address = service.pool.address(id);
         let former = self
             .servers
             .get(&id)
-            .map(|known| (known.listed, known.address));
-        let is_back = former.is_some_and(|(former, _)| former.state == ServerState::Gone);
+            .map(|server| (server.listed, server.address));
+        let was_gone = former.is_some_and(|(former, _)| former.state == ServerState::Gone);
         let restarted = former.is_some_and(|(former, _)| listed.started_at > former.started_at);
         let warming_up_until = listed
             .started_at
-            .map_or(0, |at| at.saturating_add(self.cold));
-        let arrival = ListedEndpoint {
+            .map_or(0, |at| at.saturating_add(self.slow_start_window));
+        let endpoint = ListedEndpoint {
             zone: listed.zone,
             machine_kind: listed.kind,
             restarted,
             warming_up_until,
         };
-        self.history.endpoint_listed(now, id, arrival);
-        let known = self.servers.entry(id).or_insert_with(|| Known {
+        self.history.endpoint_listed(now, id, endpoint);
+        let server = self.servers.entry(id).or_insert_with(|| RecordedServer {
             name: service.pool.name(id),
             listed: *listed,
             address,
             is_ejected: false,
-            out: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
         });
-        (known.listed, known.address) = (*listed, address);
-        if (former.is_none() || is_back) && !is_first {
-            self.say(service, now, id, "joined", "is listed");
+        (server.listed, server.address) = (*listed, address);
+        if (former.is_none() || was_gone) && !is_first {
+            self.publish(service, now, id, "joined", "is listed");
         }
         if restarted {
-            self.say(service, now, id, "restarted", "has started anew");
+            self.publish(service, now, id, "restarted", "has started anew");
         }
         let was_draining = former.is_some_and(|(former, _)| former.state == ServerState::Draining);
         match (was_draining, listed.state == ServerState::Draining) {
-            (false, true) => self.happened(service, now, id, EndpointEvent::Draining),
-            (true, false) => self.happened(service, now, id, EndpointEvent::Ready),
+            (false, true) => self.record_event(service, now, id, EndpointEvent::Draining),
+            (true, false) => self.record_event(service, now, id, EndpointEvent::Ready),
             _ => {}
         }
-        // Whoever was found there before is not any more.
+        // Another server that had this address has lost it.
         let moved = former.is_none_or(|(_, at)| at != address);
         if moved && let Some(address) = address {
             let former = self
                 .servers
                 .iter()
-                .find(|(other, known)| **other != id && known.address == Some(address));
+                .find(|(other, server)| **other != id && server.address == Some(address));
             if let Some(former) = former.map(|(other, _)| *other) {
-                self.happened(service, now, former, EndpointEvent::AddressTaken);
-                if let Some(known) = self.servers.get_mut(&former) {
-                    known.address = None;
+                self.record_event(service, now, former, EndpointEvent::AddressTaken);
+                if let Some(server) = self.servers.get_mut(&former) {
+                    server.address = None;
                 }
             }
         }
     }
 
-    fn left(&mut self, service: &Service, now: Micros, id: ServerId) {
-        let Some(known) = self
+    fn server_left(&mut self, service: &Service, now: Micros, id: ServerId) {
+        let Some(server) = self
             .servers
             .get_mut(&id)
-            .filter(|known| known.listed.state != ServerState::Gone)
+            .filter(|server| server.listed.state != ServerState::Gone)
         else {
             return;
         };
-        known.listed.state = ServerState::Gone;
-        known.is_ejected = false;
+        server.listed.state = ServerState::Gone;
+        server.is_ejected = false;
         self.history.endpoint_left(now, id);
-        self.say(service, now, id, "left", "is gone from the list");
+        self.publish(service, now, id, "left", "is gone from the list");
     }
 
-    /// The module wrote a line for the operators.
-    pub(super) fn record_log_event(&mut self, service: &Service, now: Micros, note: LogEvent) {
-        let (id, what) = match note {
+    /// Records an event that the balancer logged.
+    pub(super) fn record_log_event(&mut self, service: &Service, now: Micros, event: LogEvent) {
+        let (id, recorded) = match event {
             LogEvent::ServerEjected(id, outcome) => (id, EndpointEvent::Ejected(outcome)),
             LogEvent::ServerRestored(id) => (id, EndpointEvent::Restored),
             LogEvent::ClassOverloaded(_) | LogEvent::DiscoveryFailed => return,
         };
-        if let Some(known) = self.servers.get_mut(&id) {
-            known.is_ejected = matches!(what, EndpointEvent::Ejected(_));
+        if let Some(server) = self.servers.get_mut(&id) {
+            server.is_ejected = matches!(recorded, EndpointEvent::Ejected(_));
         }
-        self.happened(service, now, id, what);
+        self.record_event(service, now, id, recorded);
     }
 
-    fn happened(&mut self, service: &Service, now: Micros, id: ServerId, what: EndpointEvent) {
-        let (name, text) = event_text(&what);
-        self.history.record_event(now, id, what);
-        self.say(service, now, id, name, &text);
+    fn record_event(&mut self, service: &Service, now: Micros, id: ServerId, event: EndpointEvent) {
+        let (name, text) = event_text(&event);
+        self.history.record_event(now, id, event);
+        self.publish(service, now, id, name, &text);
     }
 
-    fn say(&self, service: &Service, now: Micros, id: ServerId, event: &str, text: &str) {
+    fn publish(&self, service: &Service, now: Micros, id: ServerId, event: &str, text: &str) {
         let server = self.name(id);
         let text = format!("{server} {text}");
         service.process.admin_events.push(AdminEvent {
@@ -229,7 +237,7 @@
         });
     }
 
-    /// An attempt was sent.
+    /// Records that an attempt was sent.
     pub(super) fn record_attempt_start(
         &mut self,
         service: &Service,
@@ -238,17 +246,17 @@
         (request, attempt): (RequestId, u32),
         class: u32,
     ) {
-        let Some(known) = self.servers.get_mut(&id) else {
+        let Some(server) = self.servers.get_mut(&id) else {
             return;
         };
-        known.out.insert((now, request, attempt), class);
-        // It gets nothing while it is ejected but on trial.
-        if known.is_ejected {
-            self.happened(service, now, id, EndpointEvent::TrialSent);
+        server.in_flight.insert((now, request, attempt), class);
+        // An ejected server gets only trial requests.
+        if server.is_ejected {
+            self.record_event(service, now, id, EndpointEvent::TrialSent);
         }
     }
 
-    /// An attempt ended.
+    /// Records the result of an attempt.
     pub(super) fn record_attempt_end(&mut self, now: Micros, ended: &EndedAttempt) {
         let AttemptResult {
             request,
@@ -258,51 +266,62 @@
             elapsed,
             ..
         } = ended.result;
-        if let Some(known) = self.servers.get_mut(&server) {
-            known.out.remove(&(ended.sent_at, request, attempt));
+        if let Some(recorded) = self.servers.get_mut(&server) {
+            recorded
+                .in_flight
+                .remove(&(ended.sent_at, request, attempt));
         }
-        let size = self.size(ended.class, ended.cost_hint);
-        let seen = CompletedAttempt {
+        let relative_size = self.relative_size(ended.class, ended.cost_hint);
+        let completed = CompletedAttempt {
             server,
             class: ended.class,
             outcome,
             elapsed,
-            relative_size: size,
+            relative_size,
         };
-        self.history.record_attempt(now, self.minute, &seen);
+        self.history.record_attempt(now, self.minute, &completed);
     }
 
-    /// A request's size over its class's usual one, as clients guess them.
-    fn size(&mut self, class: u32, guess: Option<Micros>) -> f64 {
-        let Some(guess) = guess else { return 1.0 };
-        let place = class as usize;
-        if self.guesses.len() <= place {
-            self.guesses.resize(place + 1, (0.0, 0.0));
+    /// A request's cost hint relative to the mean cost hint of its class.
+    fn relative_size(&mut self, class: u32, cost_hint: Option<Micros>) -> f64 {
+        let Some(cost_hint) = cost_hint else {
+            return 1.0;
+        };
+        let index = class as usize;
+        if self.cost_hints.len() <= index {
+            self.cost_hints.resize(index + 1, (0.0, 0.0));
         }
-        let (mean, weight) = &mut self.guesses[place];
+        let (mean, weight) = &mut self.cost_hints[index];
         let size = if *weight > 0.0 && *mean > 0.0 {
-            guess as f64 / *mean
+            cost_hint as f64 / *mean
         } else {
             1.0
         };
-        *weight = (*weight + 1.0).min(GUESSES);
-        *mean += (guess as f64 - *mean) / *weight;
+        *weight = (*weight + 1.0).min(COST_HINT_SAMPLES);
+        *mean += (cost_hint as f64 - *mean) / *weight;
         size
     }
 
-    /// A server has told how much it holds.
-    pub(super) fn record_load_report(&mut self, now: Micros, id: ServerId, held: f64) {
-        let out = self.servers.get(&id).map_or(0, |known| known.out.len());
-        self.history
-            .record_load_report(now, id, held, u32::try_from(out).unwrap_or(u32::MAX));
+    /// Records the requests in flight that a server reported.
+    pub(super) fn record_load_report(&mut self, now: Micros, id: ServerId, reported: f64) {
+        let in_flight = self
+            .servers
+            .get(&id)
+            .map_or(0, |server| server.in_flight.len());
+        self.history.record_load_report(
+            now,
+            id,
+            reported,
+            u32::try_from(in_flight).unwrap_or(u32::MAX),
+        );
     }
 
-    /// A request ended unserved, and this server had it last.
+    /// Records a request that ended unserved; `id` is the last server that had it.
     pub(super) fn record_rejection(&mut self, now: Micros, id: ServerId) {
         self.history.record_rejection(now, id);
     }
 
-    /// Looks at how all stand, and says what departs from its usual. To be called once a second.
+    /// Samples all servers, and reports anomalies. To be called once a second.
     pub(super) fn sample(
         &mut self,
         service: &Service,
@@ -319,18 +338,18 @@
                     age: now.saturating_sub(at),
                 })
             });
-            let out = u32::try_from(view.in_flight).unwrap_or(u32::MAX);
+            let in_flight = u32::try_from(view.in_flight).unwrap_or(u32::MAX);
             self.history.record_gauges(
                 now,
                 id,
                 EndpointGauges {
-                    in_flight: out,
+                    in_flight,
                     region_fraction: view.traffic_share,
                     reported,
                 },
             );
-            if let Some(known) = self.servers.get(&id) {
-                let oldest = known.out.iter().take(LOOKED_AT);
+            if let Some(server) = self.servers.get(&id) {
+                let oldest = server.in_flight.iter().take(MAX_CHECKED_ATTEMPTS);
                 let waiting = oldest.map(|((sent, ..), class)| WaitingAttempt {
                     class: *class,
                     age: now.saturating_sub(*sent),
@@ -338,21 +357,21 @@
                 self.history.check_waiting_attempts(now, id, waiting);
             }
         }
-        for departure in self.history.poll_anomalies(now) {
-            self.departed(service, &departure);
+        for anomaly in self.history.poll_anomalies(now) {
+            self.report_anomaly(service, &anomaly);
         }
-        let remembered: BTreeSet<ServerId> = self
+        let recorded: BTreeSet<ServerId> = self
             .history
             .known_endpoints()
             .map(|known| known.server)
             .collect();
         self.servers
-            .retain(|id, known| known.listed.state != ServerState::Gone || remembered.contains(id));
+            .retain(|id, server| server.listed.state != ServerState::Gone || recorded.contains(id));
     }
 
-    /// A departure in a line: whom it is about by name, and for which class.
-    pub(super) fn describe(&self, service: &Service, departure: &Anomaly) -> String {
-        let name = match departure.subject {
+    /// Describes an anomaly in one line, with the names of its subject and class.
+    pub(super) fn describe(&self, service: &Service, anomaly: &Anomaly) -> String {
+        let name = match anomaly.subject {
             Subject::Endpoint(id) => self.name(id).into_string(),
             Subject::Zone(zone) => service
                 .active_settings()
@@ -363,45 +382,45 @@
                 .unwrap_or_else(|| zone.to_string()),
             Subject::Fleet => String::new(),
         };
-        let tuned = service.active_settings();
-        let class = departure.class.and_then(|class| tuned.class_at(class));
-        departure.describe(&name, class.map(|class| class.name.as_str()))
+        let settings = service.active_settings();
+        let class = anomaly.class.and_then(|class| settings.class_at(class));
+        anomaly.describe(&name, class.map(|class| class.name.as_str()))
     }
 
-    fn departed(&self, service: &Service, departure: &Anomaly) {
-        let text = self.describe(service, departure);
-        let of = &service.log_prefix;
-        let (event, is_bad) = match departure.phase {
+    fn report_anomaly(&self, service: &Service, anomaly: &Anomaly) {
+        let text = self.describe(service, anomaly);
+        let prefix = &service.log_prefix;
+        let (event_name, is_active) = match anomaly.phase {
             AnomalyPhase::Raised => ("raised", true),
             AnomalyPhase::Updated => ("updated", true),
             AnomalyPhase::Cleared => ("cleared", false),
         };
-        if is_bad {
-            tracing::warn!(number = departure.number, "{of}{text}");
+        if is_active {
+            tracing::warn!(number = anomaly.number, "{prefix}{text}");
         } else {
-            tracing::info!(number = departure.number, "{of}{text}");
+            tracing::info!(number = anomaly.number, "{prefix}{text}");
         }
-        let server = match departure.subject {
+        let server = match anomaly.subject {
             Subject::Endpoint(id) => Some(self.name(id)),
             Subject::Zone(_) | Subject::Fleet => None,
         };
-        let said = AdminEvent {
-            at: departure.reported_at,
+        let event = AdminEvent {
+            at: anomaly.reported_at,
             pool: &self.pool,
             server: server.as_deref(),
-            event,
+            event: event_name,
             text: &text,
         };
         service
             .process
             .admin_events
-            .push_with_details(said, &json!({"departure": departure}));
+            .push_with_details(event, &json!({"departure": anomaly}));
     }
 }
 
-/// A happening as one word for programs, and what people are told behind the server's name.
-pub(super) fn event_text(what: &EndpointEvent) -> (&'static str, String) {
-    match what {
+/// The event name for programs, and the text for people that follows the server's name.
+pub(super) fn event_text(event: &EndpointEvent) -> (&'static str, String) {
+    match event {
         EndpointEvent::Joined => ("joined", "is listed".to_string()),
         EndpointEvent::Restarted => ("restarted", "has started anew".to_string()),
         EndpointEvent::AddressTaken => (
@@ -413,7 +432,10 @@
         EndpointEvent::Left => ("left", "is gone from the list".to_string()),
         EndpointEvent::Ejected(outcome) => (
             "ejected",
-            format!("is ejected, since attempts there {}", ended(*outcome)),
+            format!(
+                "is ejected, since attempts there {}",
+                outcome_text(*outcome)
+            ),
         ),
         EndpointEvent::TrialSent => ("trial", "is sent a request on trial".to_string()),
         EndpointEvent::Restored => ("restored", "is trusted again after its trial".to_string()),
@@ -427,7 +449,7 @@
     }
 }
 
-fn ended(outcome: Outcome) -> &'static str {
+fn outcome_text(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Ok => "were served",
         Outcome::Error => "ended with errors",
@@ -441,9 +463,9 @@
 }
 
 impl AdminEvents {
-    /// Takes in what was said of a server.
-    pub(super) fn push(&self, said: AdminEvent<'_>) {
-        self.push_with_details(said, &json!({}));
+    /// Adds an event without details.
+    pub(super) fn push(&self, event: AdminEvent<'_>) {
+        self.push_with_details(event, &json!({}));
     }
 }
 
