--- a/crates/sidecar/src/admin.rs
+++ b/crates/sidecar/src/admin.rs
@@ -1,9 +1,9 @@
-//! The admin view's way out and in: a small HTTP server on a Unix socket or a loopback address, and what reads it.
+//! The HTTP server of the admin view, on a Unix socket or a loopback address, and its client.
 //!
-//! For programs `GET /v1/status` gives all there is to see of the present, `/v1/servers` and `/v1/servers/NAME` what
-//! became of each server, `/v1/events` what happened of late, and with `?follow=1` all that comes. For people `/` and
-//! `/servers/NAME` are pages. `POST /v1/pools/NAME/level` takes an operator's order on its level, on a Unix socket
-//! alone: that is its owner's, while a loopback address is open to every user and to web pages.
+//! For programs, `GET /v1/status` returns the current state, `/v1/servers` and `/v1/servers/NAME` the history of servers,
+//! and `/v1/events` the recent events, with `?follow=1` also all later ones. `/` and `/servers/NAME` are HTML pages.
+//! `POST /v1/pools/NAME/level` takes an operator's order on the pool's degradation level, only on a Unix socket: that is
+//! accessible to its owner alone, while a loopback address is open to every local user and to web pages.
 
 use super::admin_events::EventStream;
 use super::levels;
@@ -39,24 +39,24 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// Who looks at once, at most; more wait.
-const READERS: usize = 4;
-/// How long one may take to ask and to read.
-const WITHIN: Duration = Duration::from_secs(5);
-/// A follower that takes nothing for so long, not even a blank line, is gone or stuck.
-const STUCK: Duration = Duration::from_secs(10);
-/// The longest order that is read.
-const ORDER: usize = 4 << 10;
-/// The longest answer that is read.
-const ANSWER: usize = 64 << 20;
-
-/// A socket that is bound.
+/// The maximum number of concurrent connections that do not follow events; further ones wait.
+const MAX_CONNECTIONS: usize = 4;
+/// The timeout for a request and its response.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+/// A follower that reads nothing for this long, not even a heartbeat line, is disconnected.
+const FOLLOWER_WRITE_TIMEOUT: Duration = Duration::from_secs(10);
+/// The longest order that is read, in bytes.
+const MAX_ORDER_BYTES: usize = 4 << 10;
+/// The longest response that the client reads, in bytes.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
+
+/// A bound listening socket of the admin view.
 pub(super) struct AdminSocket {
-    at: Admin,
-    listener: Listening,
+    address: Admin,
+    listener: Listener,
 }
 
-enum Listening {
+enum Listener {
     Unix {
         listener: UnixListener,
         _file: SocketFile,
@@ -64,7 +64,7 @@
     Tcp(TcpListener),
 }
 
-/// The file of a Unix socket; it goes when this is dropped, unless another process has put its own there.
+/// The file of a Unix socket. It is removed on drop, unless another process has replaced it.
 struct SocketFile {
     path: PathBuf,
     inode: Option<u64>,
@@ -73,7 +73,7 @@
 impl Drop for SocketFile {
     fn drop(&mut self) {
         if inode(&self.path) == self.inode {
-            // It may be gone already.
+            // The file may already have been removed.
             let _ = std::fs::remove_file(&self.path);
         }
     }
@@ -84,38 +84,38 @@
 }
 
 impl AdminSocket {
-    /// Binds it. The file of a Unix socket that nobody listens on any more is replaced.
-    pub(super) fn bind(at: &Admin) -> Result<Self, String> {
-        let told = |e: std::io::Error| format!("admin: {at}: {e}");
-        let listener = match at {
-            Admin::Listen(address) => {
-                Listening::Tcp(super::listener::bind(*address).map_err(told)?)
+    /// Binds the socket. Replaces the file of a Unix socket on which no process listens any more.
+    pub(super) fn bind(address: &Admin) -> Result<Self, String> {
+        let io_error = |e: std::io::Error| format!("admin: {address}: {e}");
+        let listener = match address {
+            Admin::Listen(socket_address) => {
+                Listener::Tcp(super::listener::bind(*socket_address).map_err(io_error)?)
             }
             Admin::Socket(path) => {
                 let is_socket =
                     std::fs::symlink_metadata(path).is_ok_and(|m| m.file_type().is_socket());
                 if is_socket && std::os::unix::net::UnixStream::connect(path).is_err() {
-                    std::fs::remove_file(path).map_err(told)?;
+                    std::fs::remove_file(path).map_err(io_error)?;
                 }
-                let listener = UnixListener::bind(path).map_err(told)?;
+                let listener = UnixListener::bind(path).map_err(io_error)?;
                 let _file = SocketFile {
                     path: path.clone(),
                     inode: inode(path),
                 };
-                std::fs::set_permissions(path, Permissions::from_mode(0o600)).map_err(told)?;
-                Listening::Unix { listener, _file }
+                std::fs::set_permissions(path, Permissions::from_mode(0o600)).map_err(io_error)?;
+                Listener::Unix { listener, _file }
             }
         };
         Ok(AdminSocket {
-            at: at.clone(),
+            address: address.clone(),
             listener,
         })
     }
 }
 
-/// The server at work; it ends when this is dropped.
+/// The running server; it ends when this is dropped.
 pub(super) struct AdminServer {
-    at: Admin,
+    address: Admin,
     task: AbortHandle,
 }
 
@@ -127,81 +127,81 @@
 
 impl AdminServer {
     pub(super) fn start(socket: AdminSocket, admin_view: &AdminView) -> Self {
-        let AdminSocket { at, listener } = socket;
+        let AdminSocket { address, listener } = socket;
         let admin_view = admin_view.clone();
-        let place = match &listener {
-            Listening::Tcp(tcp) => tcp
+        let bound = match &listener {
+            Listener::Tcp(tcp) => tcp
                 .local_addr()
-                .map_or_else(|_| at.to_string(), |at| at.to_string()),
-            Listening::Unix { .. } => at.to_string(),
+                .map_or_else(|_| address.to_string(), |bound| bound.to_string()),
+            Listener::Unix { .. } => address.to_string(),
         };
-        tracing::info!(at = %place, "admin view on {place}");
+        tracing::info!(at = %bound, "admin view on {bound}");
         let task = watchdog::spawn(TaskKind::AdminListener, async move {
-            let room = Arc::new(Semaphore::new(READERS));
+            let slots = Arc::new(Semaphore::new(MAX_CONNECTIONS));
             loop {
                 // The semaphore is never closed.
-                let Ok(place) = Arc::clone(&room).acquire_owned().await else {
+                let Ok(slot) = Arc::clone(&slots).acquire_owned().await else {
                     return;
                 };
-                let taken: std::io::Result<(Box<dyn Stream>, Caller)> = match &listener {
-                    Listening::Unix { listener, .. } => {
+                let accepted: std::io::Result<(Box<dyn Stream>, Caller)> = match &listener {
+                    Listener::Unix { listener, .. } => {
                         listener.accept().await.map(|(stream, _)| {
                             let user = stream.peer_cred().map(|peer| peer.uid()).ok();
                             (Box::new(stream) as Box<dyn Stream>, Caller::Owner(user))
                         })
                     }
-                    Listening::Tcp(tcp) => tcp
+                    Listener::Tcp(tcp) => tcp
                         .accept()
                         .await
-                        .map(|(s, _)| (Box::new(s) as Box<dyn Stream>, Caller::Anybody)),
+                        .map(|(s, _)| (Box::new(s) as Box<dyn Stream>, Caller::LocalUser)),
                 };
-                let Ok((stream, caller)) = taken else {
-                    // Out of descriptors, most likely: those who serve have them.
+                let Ok((stream, caller)) = accepted else {
+                    // Most likely out of file descriptors, since the data path uses them.
                     tokio::time::sleep(Duration::from_millis(100)).await;
                     continue;
                 };
                 let admin_view = admin_view.clone();
                 watchdog::spawn(TaskKind::AdminConnection, async move {
-                    serve(stream, admin_view, (place, caller)).await;
+                    serve(stream, admin_view, (slot, caller)).await;
                 });
             }
         });
         AdminServer {
-            at,
+            address,
             task: task.abort_handle(),
         }
     }
 
     pub(super) fn address(&self) -> &Admin {
-        &self.at
+        &self.address
     }
 }
 
-/// Who is at the other end.
+/// The peer of a connection.
 #[derive(Clone, Copy)]
 enum Caller {
-    /// Whoever may open the socket's file, with their number where the system tells it.
+    /// A user who may open the socket file, with the user id where the system reports it.
     Owner(Option<u32>),
-    /// Anybody on this machine.
-    Anybody,
+    /// Any local user.
+    LocalUser,
 }
 
 trait Stream: AsyncRead + AsyncWrite + Unpin {}
 impl<T: AsyncRead + AsyncWrite + Unpin> Stream for T {}
 
-/// A connection's place among those who look, until it turns to follow events.
-struct Reader {
-    place: RefCell<Option<OwnedSemaphorePermit>>,
-    follows: Cell<bool>,
+/// The state of a connection: its slot, which it releases when it starts to follow events.
+struct ConnectionState {
+    slot: RefCell<Option<OwnedSemaphorePermit>>,
+    is_following: Cell<bool>,
 }
 
-/// A stream that knows since when its other side has had no room for what is written.
-struct Watched {
+/// A stream that records since when writes have been blocked because the peer does not read.
+struct WriteMonitor {
     stream: Box<dyn Stream>,
-    blocked: Rc<Cell<Option<Instant>>>,
+    blocked_since: Rc<Cell<Option<Instant>>>,
 }
 
-impl AsyncRead for Watched {
+impl AsyncRead for WriteMonitor {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -211,15 +211,16 @@
     }
 }
 
-impl AsyncWrite for Watched {
+impl AsyncWrite for WriteMonitor {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<std::io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write(context, bytes);
-        let since = self.blocked.get().unwrap_or_else(Instant::now);
-        self.blocked.set(written.is_pending().then_some(since));
+        let since = self.blocked_since.get().unwrap_or_else(Instant::now);
+        self.blocked_since
+            .set(written.is_pending().then_some(since));
         written
     }
 
@@ -241,21 +242,21 @@
 async fn serve(
     stream: Box<dyn Stream>,
     admin_view: AdminView,
-    (place, caller): (OwnedSemaphorePermit, Caller),
+    (slot, caller): (OwnedSemaphorePermit, Caller),
 ) {
-    let reader = Rc::new(Reader {
-        place: RefCell::new(Some(place)),
-        follows: Cell::new(false),
+    let state = Rc::new(ConnectionState {
+        slot: RefCell::new(Some(slot)),
+        is_following: Cell::new(false),
     });
-    let own = Rc::clone(&reader);
+    let service_state = Rc::clone(&state);
     let service = service_fn(move |request: Request<Incoming>| {
-        let (admin_view, own) = (admin_view.clone(), Rc::clone(&own));
+        let (admin_view, state) = (admin_view.clone(), Rc::clone(&service_state));
         async move {
-            let answer = match *request.method() {
-                Method::POST => ordered(&admin_view, request, caller).await,
-                _ => answer(&admin_view, &own, &request),
+            let response = match *request.method() {
+                Method::POST => handle_post(&admin_view, request, caller).await,
+                _ => respond(&admin_view, &state, &request),
             };
-            Ok::<_, Infallible>(answer)
+            Ok::<_, Infallible>(response)
         }
     });
     let mut builder = server::Builder::new();
@@ -263,42 +264,48 @@
         .timer(TokioTimer::new())
         .keep_alive(false)
         .max_buf_size(16 << 10);
-    let blocked = Rc::default();
-    let watched = Watched {
+    let blocked_since = Rc::default();
+    let monitored = WriteMonitor {
         stream,
-        blocked: Rc::clone(&blocked),
+        blocked_since: Rc::clone(&blocked_since),
     };
-    let connection = builder.serve_connection(TokioIo::new(watched), service);
+    let connection = builder.serve_connection(TokioIo::new(monitored), service);
     tokio::pin!(connection);
-    // Who follows stays for as long as it reads; all others have but so long.
-    while tokio::time::timeout(WITHIN, connection.as_mut())
+    // A follower stays connected while it reads; other connections end at the timeout.
+    while tokio::time::timeout(REQUEST_TIMEOUT, connection.as_mut())
         .await
         .is_err()
     {
-        let is_stuck = blocked.get().is_some_and(|since| since.elapsed() > STUCK);
-        if !reader.follows.get() || is_stuck {
+        let is_stuck = blocked_since
+            .get()
+            .is_some_and(|since| since.elapsed() > FOLLOWER_WRITE_TIMEOUT);
+        if !state.is_following.get() || is_stuck {
             return;
         }
     }
 }
 
-/// Takes what is posted: an order, or nothing that is known.
-async fn ordered(admin_view: &AdminView, request: Request<Incoming>, caller: Caller) -> Answer {
+/// Handles a POST request: an order on a degradation level, or an error for any other path.
+async fn handle_post(
+    admin_view: &AdminView,
+    request: Request<Incoming>,
+    caller: Caller,
+) -> AdminResponse {
     let path = request.uri().path();
     let pool = path
         .strip_prefix("/v1/pools/")
         .and_then(|rest| rest.strip_suffix("/level"));
     let Some(pool) = pool.map(str::to_string) else {
-        return whole(StatusCode::METHOD_NOT_ALLOWED, JSON, "{}");
+        return buffered_response(StatusCode::METHOD_NOT_ALLOWED, JSON, "{}");
     };
     let (status, body) = take_order(admin_view, &pool, request, caller).await;
-    whole(status, JSON, body.to_string())
+    buffered_response(status, JSON, body.to_string())
 }
 
-type Answer = Response<Either<Full<Bytes>, EventStream>>;
+type AdminResponse = Response<Either<Full<Bytes>, EventStream>>;
 
-/// A query's value of this name, its escapes undone.
-fn value(query: Option<&str>, name: &str) -> Option<String> {
+/// The percent-decoded value of a query parameter.
+fn query_value(query: Option<&str>, name: &str) -> Option<String> {
     let mut pairs = query
         .unwrap_or_default()
         .split('&')
@@ -307,11 +314,15 @@
     Some(percent_decode_str(value).decode_utf8_lossy().into_owned())
 }
 
-fn answer(admin_view: &AdminView, reader: &Reader, request: &Request<Incoming>) -> Answer {
+fn respond(
+    admin_view: &AdminView,
+    connection: &ConnectionState,
+    request: &Request<Incoming>,
+) -> AdminResponse {
     let (path, query) = (request.uri().path(), request.uri().query());
-    let value = |name: &str| value(query, name);
+    let value = |name: &str| query_value(query, name);
     if request.method() != Method::GET {
-        return whole(StatusCode::METHOD_NOT_ALLOWED, JSON, "{}");
+        return buffered_response(StatusCode::METHOD_NOT_ALLOWED, JSON, "{}");
     }
     let pool = value("pool");
     if let Some(name) = path.strip_prefix("/v1/servers/") {
@@ -320,58 +331,62 @@
             None => (name, false),
         };
         let name = percent_decode_str(name).decode_utf8_lossy();
-        let stories = admin_view.histories(&name, pool.as_deref());
-        let Some(first) = stories.first() else {
-            return whole(StatusCode::NOT_FOUND, JSON, "{}");
+        let histories = admin_view.histories(&name, pool.as_deref());
+        let Some(first) = histories.first() else {
+            return buffered_response(StatusCode::NOT_FOUND, JSON, "{}");
         };
         if is_plot {
-            return whole(
+            return buffered_response(
                 StatusCode::OK,
                 SVG,
                 plot::file(first, page::span(value("span").as_deref())),
             );
         }
-        let told = serde_json::json!({"version": 1, "stories": stories});
-        return whole(StatusCode::OK, JSON, told.to_string());
+        let body = serde_json::json!({"version": 1, "stories": histories});
+        return buffered_response(StatusCode::OK, JSON, body.to_string());
     }
     if let Some(name) = path.strip_prefix("/servers/") {
         let name = percent_decode_str(name).decode_utf8_lossy();
         return match admin_view.histories(&name, pool.as_deref()).first() {
-            Some(story) => whole(
+            Some(history) => buffered_response(
                 StatusCode::OK,
                 HTML,
-                page::server(story, page::span(value("span").as_deref())),
+                page::server(history, page::span(value("span").as_deref())),
             ),
             None => {
-                let none = format!("No story is kept of a server {name}.");
-                whole(StatusCode::NOT_FOUND, HTML, page::none(&none))
+                let message = format!("No history is recorded of a server {name}.");
+                buffered_response(StatusCode::NOT_FOUND, HTML, page::not_found(&message))
             }
         };
     }
     match path {
-        "/v1/status" => whole(StatusCode::OK, JSON, admin_view.status().to_string()),
-        "/v1/servers" => whole(StatusCode::OK, JSON, admin_view.servers().to_string()),
+        "/v1/status" => buffered_response(StatusCode::OK, JSON, admin_view.status().to_string()),
+        "/v1/servers" => buffered_response(StatusCode::OK, JSON, admin_view.servers().to_string()),
         "/v1/events" => {
             let after = value("after").and_then(|after| after.parse().ok());
             if value("follow").is_none() {
-                return whole(StatusCode::OK, JSON, admin_view.events(after.unwrap_or(0)));
+                return buffered_response(
+                    StatusCode::OK,
+                    JSON,
+                    admin_view.events(after.unwrap_or(0)),
+                );
             }
-            // Without a story nothing is said, and no descriptors are set apart for those who follow.
+            // Without history there are no events, and no file descriptors are reserved for followers.
             if !admin_view.records_history() {
-                return whole(StatusCode::NOT_FOUND, JSON, "{}");
+                return buffered_response(StatusCode::NOT_FOUND, JSON, "{}");
             }
             let admin_events = &admin_view.process.admin_events;
             let Some(follow) = admin_events.follow(after.unwrap_or(admin_events.next_number()))
             else {
-                return whole(
+                return buffered_response(
                     StatusCode::SERVICE_UNAVAILABLE,
                     JSON,
                     r#"{"problem":"too many follow"}"#,
                 );
             };
-            reader.place.take();
-            reader.follows.set(true);
-            headed(
+            connection.slot.take();
+            connection.is_following.set(true);
+            response_with_body(
                 StatusCode::OK,
                 "application/x-ndjson",
                 Either::Right(follow),
@@ -379,13 +394,13 @@
         }
         "/" => {
             let events = serde_json::from_slice(&admin_view.events(0)).unwrap_or_default();
-            whole(
+            buffered_response(
                 StatusCode::OK,
                 HTML,
                 page::servers(&admin_view.servers(), &events),
             )
         }
-        _ => whole(StatusCode::NOT_FOUND, JSON, "{}"),
+        _ => buffered_response(StatusCode::NOT_FOUND, JSON, "{}"),
     }
 }
 
@@ -393,21 +408,25 @@
 const HTML: &str = "text/html; charset=utf-8";
 const SVG: &str = "image/svg+xml";
 
-fn whole(status: StatusCode, kind: &'static str, body: impl Into<Bytes>) -> Answer {
-    headed(status, kind, Either::Left(Full::from(body.into())))
+fn buffered_response(
+    status: StatusCode,
+    kind: &'static str,
+    body: impl Into<Bytes>,
+) -> AdminResponse {
+    response_with_body(status, kind, Either::Left(Full::from(body.into())))
 }
 
-fn headed(
+fn response_with_body(
     status: StatusCode,
     kind: &'static str,
     body: Either<Full<Bytes>, EventStream>,
-) -> Answer {
+) -> AdminResponse {
     let mut response = Response::new(body);
     *response.status_mut() = status;
     let headers = response.headers_mut();
     for (name, value) in [
         (header::CONTENT_TYPE, kind),
-        // A page holds all that it needs, and nothing of what it shows is to be run.
+        // A page contains everything it needs, and must not run anything that it shows.
         (
             header::CONTENT_SECURITY_POLICY,
             "default-src 'none'; style-src 'unsafe-inline'",
@@ -420,152 +439,168 @@
     response
 }
 
-/// An operator's order on a pool's level.
+/// Applies an operator's order on a pool's degradation level, and stores it.
 async fn take_order(
     admin_view: &AdminView,
     pool: &str,
     request: Request<Incoming>,
     caller: Caller,
 ) -> (StatusCode, Value) {
-    let refused = |status, problem: String| (status, json!({"problem": problem}));
+    let rejected = |status, problem: String| (status, json!({"problem": problem}));
     let Caller::Owner(user) = caller else {
         let problem = "orders are taken on a Unix socket alone: write socket = \"...\" in [admin]";
-        return refused(StatusCode::FORBIDDEN, problem.into());
+        return rejected(StatusCode::FORBIDDEN, problem.into());
     };
     let Some(service) = admin_view.pool(pool) else {
-        return refused(StatusCode::NOT_FOUND, format!("there is no pool {pool}"));
+        return rejected(StatusCode::NOT_FOUND, format!("there is no pool {pool}"));
     };
-    let read = Limited::new(request.into_body(), ORDER).collect().await;
-    let asked = read.map_err(|e| e.to_string()).and_then(|body| {
+    let body = Limited::new(request.into_body(), MAX_ORDER_BYTES)
+        .collect()
+        .await;
+    let order = body.map_err(|e| e.to_string()).and_then(|body| {
         serde_json::from_slice::<levels::OrderRequest>(&body.to_bytes())
             .map_err(|e| format!("makes no sense: {e}"))
     });
-    if let Err(problem) = asked.and_then(|asked| levels::apply_order(&service, asked, user)) {
-        return refused(StatusCode::BAD_REQUEST, problem);
+    if let Err(problem) = order.and_then(|order| levels::apply_order(&service, order, user)) {
+        return rejected(StatusCode::BAD_REQUEST, problem);
     }
     match levels::store_orders(&service).await {
         Ok(()) => (StatusCode::OK, json!({})),
-        Err(problem) => refused(StatusCode::INTERNAL_SERVER_ERROR, problem),
+        Err(problem) => rejected(StatusCode::INTERNAL_SERVER_ERROR, problem),
     }
 }
 
-/// Gives an order on the level of a pool to a process where its admin view is.
-pub async fn post_level_order(at: &Admin, pool: &str, asked: &Value) -> Result<(), String> {
+/// Posts an order on a pool's degradation level to the admin view of a process.
+///
+/// # Errors
+///
+/// Returns one line that says why the order was not applied.
+pub async fn post_level_order(address: &Admin, pool: &str, order: &Value) -> Result<(), String> {
     let request =
         Request::post(format!("/v1/pools/{pool}/level")).header(header::HOST, "madderloom");
     let request = request
-        .body(Full::from(asked.to_string()))
+        .body(Full::from(order.to_string()))
         .map_err(|e| format!("pool {pool}: {e}"))?;
-    ask(at, request).await.map(drop)
+    send_request(address, request).await.map(drop)
 }
 
-async fn ask(at: &Admin, request: Request<Full<Bytes>>) -> Result<Value, String> {
-    let stream = connect(at).await?;
-    let read = async {
+async fn send_request(address: &Admin, request: Request<Full<Bytes>>) -> Result<Value, String> {
+    let stream = connect(address).await?;
+    let exchange = async {
         let (mut sender, connection) = client::handshake(TokioIo::new(stream))
             .await
             .map_err(|e| e.to_string())?;
-        let answer = async {
-            let answer = sender
+        let response = async {
+            let response = sender
                 .send_request(request)
                 .await
                 .map_err(|e| e.to_string())?;
-            let status = answer.status();
-            let body = Limited::new(answer.into_body(), ANSWER)
+            let status = response.status();
+            let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES)
                 .collect()
                 .await
                 .map_err(|e| e.to_string())?;
             let body: Result<Value, _> = serde_json::from_slice(&body.to_bytes());
             match body {
                 Ok(body) if status == StatusCode::OK => Ok(body),
-                Err(e) if status == StatusCode::OK => Err(format!("answered no JSON: {e}")),
+                Err(e) if status == StatusCode::OK => Err(format!("did not answer JSON: {e}")),
                 Ok(Value::Object(mut body)) if body.contains_key("problem") => {
                     let problem = body.remove("problem").unwrap_or_default();
                     Err(problem
                         .as_str()
                         .map_or_else(|| problem.to_string(), str::to_string))
                 }
-                _ => Err(format!("answered {status}; this is no admin view")),
+                _ => Err(format!("answered {status}; this is not an admin view")),
             }
         };
-        tokio::pin!(connection, answer);
+        tokio::pin!(connection, response);
         tokio::select! {
-            answer = answer.as_mut() => answer,
-            // What it has read may still be on its way to the answer.
-            _ = connection.as_mut() => answer.await,
+            response = response.as_mut() => response,
+            // The connection may end before the response that it has read is delivered.
+            _ = connection.as_mut() => response.await,
         }
     };
-    let read = tokio::time::timeout(WITHIN, read)
+    let result = tokio::time::timeout(REQUEST_TIMEOUT, exchange)
         .await
         .unwrap_or_else(|_| Err("does not answer".to_string()));
-    read.map_err(|problem| format!("{at}: {problem}"))
+    result.map_err(|problem| format!("{address}: {problem}"))
 }
 
-/// Why nothing came back.
+/// Why a request to the admin view failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FetchError {
-    /// What was asked for is not there.
+    /// The admin view answered 404.
     NotFound,
-    /// All else, in a line.
+    /// Any other error, in one line.
     Problem(String),
 }
 
 impl From<FetchError> for String {
-    fn from(fault: FetchError) -> Self {
-        match fault {
-            FetchError::NotFound => "answered 404 Not Found; this is no admin view".to_string(),
+    fn from(error: FetchError) -> Self {
+        match error {
+            FetchError::NotFound => "answered 404 Not Found; this is not an admin view".to_string(),
             FetchError::Problem(problem) => problem,
         }
     }
 }
 
-/// A name as it stands in a path or a query.
+/// Percent-encodes a name for a path or a query.
 pub fn percent_encoded(name: &str) -> String {
     page::percent_encoded(name)
 }
 
-async fn connect(at: &Admin) -> Result<Box<dyn Stream>, String> {
-    let told =
-        |e: std::io::Error| format!("{at}: {e}; is the process there, and its admin view on?");
-    Ok(match at {
-        Admin::Socket(path) => Box::new(UnixStream::connect(path).await.map_err(told)?),
-        Admin::Listen(address) => Box::new(TcpStream::connect(address).await.map_err(told)?),
+async fn connect(address: &Admin) -> Result<Box<dyn Stream>, String> {
+    let io_error =
+        |e: std::io::Error| format!("{address}: {e}; is the process there, and its admin view on?");
+    Ok(match address {
+        Admin::Socket(path) => Box::new(UnixStream::connect(path).await.map_err(io_error)?),
+        Admin::Listen(socket_address) => {
+            Box::new(TcpStream::connect(socket_address).await.map_err(io_error)?)
+        }
     })
 }
 
-/// Reads all that a process says where its admin view is, at this path.
-pub async fn fetch_bytes(at: &Admin, path: &str) -> Result<Bytes, FetchError> {
-    let mut said = bytes::BytesMut::new();
-    let reading = read(at, path, |part| {
-        said.extend_from_slice(part);
-        if said.len() > ANSWER {
+/// Reads a complete response of a process's admin view.
+///
+/// # Errors
+///
+/// [`FetchError::NotFound`] for a 404, [`FetchError::Problem`] for all other errors, including a timeout.
+pub async fn fetch_bytes(address: &Admin, path: &str) -> Result<Bytes, FetchError> {
+    let mut body = bytes::BytesMut::new();
+    let reading = read_response(address, path, |part| {
+        body.extend_from_slice(part);
+        if body.len() > MAX_RESPONSE_BYTES {
             ControlFlow::Break(())
         } else {
             ControlFlow::Continue(())
         }
     });
-    let read = tokio::time::timeout(WITHIN, reading).await;
-    read.unwrap_or_else(|_| Err(FetchError::Problem(format!("{at}: does not answer"))))?;
-    Ok(said.freeze())
+    let result = tokio::time::timeout(REQUEST_TIMEOUT, reading).await;
+    result.unwrap_or_else(|_| Err(FetchError::Problem(format!("{address}: does not answer"))))?;
+    Ok(body.freeze())
 }
 
-/// Reads on for as long as the process says something, and this wants more.
+/// Streams the lines of a response to `line`, until the process ends the response or `line` breaks.
+///
+/// # Errors
+///
+/// As [`fetch_bytes`], but without a timeout.
 pub async fn follow_events(
-    at: &Admin,
+    address: &Admin,
     path: &str,
     mut line: impl FnMut(&str) -> ControlFlow<()>,
 ) -> Result<(), FetchError> {
     let mut unread = Vec::new();
-    let reading = read(at, path, |part| {
+    let reading = read_response(address, path, |part| {
         unread.extend_from_slice(part);
         while let Some(end) = unread.iter().position(|byte| *byte == b'\n') {
-            let whole: Vec<u8> = unread.drain(..=end).collect();
-            let text = String::from_utf8_lossy(&whole);
+            let text: Vec<u8> = unread.drain(..=end).collect();
+            let text = String::from_utf8_lossy(&text);
             if !text.trim().is_empty() {
                 line(text.trim())?;
             }
         }
-        if unread.len() > ANSWER {
+        if unread.len() > MAX_RESPONSE_BYTES {
             ControlFlow::Break(())
         } else {
             ControlFlow::Continue(())
@@ -574,63 +609,75 @@
     reading.await
 }
 
-async fn read(
-    at: &Admin,
+async fn read_response(
+    address: &Admin,
     path: &str,
-    mut part: impl FnMut(&[u8]) -> ControlFlow<()>,
+    mut on_data: impl FnMut(&[u8]) -> ControlFlow<()>,
 ) -> Result<(), FetchError> {
-    let problem = |text: String| FetchError::Problem(format!("{at}: {text}"));
-    let stream = connect(at).await.map_err(FetchError::Problem)?;
-    let made = client::handshake(TokioIo::new(stream)).await;
-    let (mut sender, connection) = made.map_err(|e| problem(e.to_string()))?;
+    let problem = |text: String| FetchError::Problem(format!("{address}: {text}"));
+    let stream = connect(address).await.map_err(FetchError::Problem)?;
+    let handshake = client::handshake(TokioIo::new(stream)).await;
+    let (mut sender, connection) = handshake.map_err(|e| problem(e.to_string()))?;
     let request = Request::get(path)
         .header(header::HOST, "madderloom")
         .body(Empty::<Bytes>::new());
     let request = request.map_err(|e| problem(e.to_string()))?;
-    let answer = async {
-        let answer = sender
+    let response = async {
+        let response = sender
             .send_request(request)
             .await
             .map_err(|e| problem(e.to_string()))?;
-        match answer.status() {
+        match response.status() {
             StatusCode::OK => {}
             StatusCode::NOT_FOUND => return Err(FetchError::NotFound),
             StatusCode::SERVICE_UNAVAILABLE => {
-                return Err(problem("too many follow it already".to_string()));
+                return Err(problem("too many followers already".to_string()));
+            }
+            status => {
+                return Err(problem(format!(
+                    "answered {status}; this is not an admin view"
+                )));
             }
-            status => return Err(problem(format!("answered {status}; this is no admin view"))),
         }
-        let mut body = answer.into_body();
+        let mut body = response.into_body();
         while let Some(frame) = body.frame().await {
             let frame = frame.map_err(|e| problem(e.to_string()))?;
             let data = frame.data_ref().map_or(&[][..], |data| data.as_ref());
-            if part(data).is_break() {
+            if on_data(data).is_break() {
                 break;
             }
         }
         Ok(())
     };
-    tokio::pin!(connection, answer);
+    tokio::pin!(connection, response);
     tokio::select! {
-        answer = answer.as_mut() => answer,
-        // What it has read may still be on its way to the answer.
-        _ = connection.as_mut() => answer.await,
+        response = response.as_mut() => response,
+        // The connection may end before the response that it has read is delivered.
+        _ = connection.as_mut() => response.await,
     }
 }
 
-/// Reads what the admin view of a process says at a path, as JSON.
-pub async fn fetch_json(at: &Admin, path: &str) -> Result<serde_json::Value, FetchError> {
-    let said = fetch_bytes(at, path).await?;
-    serde_json::from_slice(&said)
-        .map_err(|e| FetchError::Problem(format!("{at}: answered no JSON: {e}")))
-}
-
-/// Reads the status of a process where its admin view is.
-pub async fn fetch_status(at: &Admin) -> Result<serde_json::Value, String> {
-    fetch_json(at, "/v1/status")
+/// Reads a response of a process's admin view as JSON.
+///
+/// # Errors
+///
+/// As [`fetch_bytes`]; [`FetchError::Problem`] also for a body that is not JSON.
+pub async fn fetch_json(address: &Admin, path: &str) -> Result<serde_json::Value, FetchError> {
+    let body = fetch_bytes(address, path).await?;
+    serde_json::from_slice(&body)
+        .map_err(|e| FetchError::Problem(format!("{address}: did not answer JSON: {e}")))
+}
+
+/// Reads the status of a process from its admin view.
+///
+/// # Errors
+///
+/// Returns one line that says why there is no status.
+pub async fn fetch_status(address: &Admin) -> Result<serde_json::Value, String> {
+    fetch_json(address, "/v1/status")
         .await
-        .map_err(|fault| match fault {
-            FetchError::NotFound => format!("{at}: {}", String::from(fault)),
+        .map_err(|error| match error {
+            FetchError::NotFound => format!("{address}: {}", String::from(error)),
             FetchError::Problem(problem) => problem,
         })
 }
--- a/crates/sidecar/src/agent_link/apply.rs
+++ b/crates/sidecar/src/agent_link/apply.rs
@@ -12,50 +12,50 @@
 use std::sync::Arc;
 
 impl Sidecar {
-    /// Applies an overlay in full, or refuses it and changes nothing.
+    /// Applies an overlay completely, or rejects it and changes nothing.
     pub(super) async fn apply_overlay(self: Rc<Self>, overlay: Overlay) -> Outcome {
-        let _turn = self.agent_link.apply_lock.lock().await;
-        let refused = |field: &str, problem: &str| {
+        let _apply_guard = self.agent_link.apply_lock.lock().await;
+        let rejected = |field: &str, problem: &str| {
             Outcome::Refused(Problem {
                 field: field.to_string(),
                 problem: problem.to_string(),
             })
         };
         if overlay.0.len() > MAX_SETTINGS {
-            return refused("set", &format!("holds more than {MAX_SETTINGS} settings"));
+            return rejected("set", &format!("holds more than {MAX_SETTINGS} settings"));
         }
-        let fault = overlay
+        let invalid = overlay
             .0
             .iter()
             .find_map(|(key, value)| Some((key, value.validate(key).err()?)));
-        if let Some((key, error)) = fault {
-            return refused(&format!("set.{key}"), &error.to_string());
+        if let Some((key, error)) = invalid {
+            return rejected(&format!("set.{key}"), &error.to_string());
         }
         let former = self.agent_link.persisted_state.borrow().overlay.clone();
         let source = self
             .agent_link
-            .file
+            .configured_agent
             .borrow()
             .as_ref()
-            .map(|file| Arc::clone(&file.source));
+            .map(|agent| Arc::clone(&agent.source));
         let Some(source) = source else {
-            return refused("set", "the instance follows no agent any more");
+            return rejected("set", "the instance no longer has an agent");
         };
         let edited = overlay.clone();
         let operator = if same_operator_file_changes(&former, &overlay) {
             None
         } else {
-            // The check of a long file takes a good part of a second, during which requests are served.
+            // Checking a long file takes up to a second; requests are served meanwhile.
             match run_on_thread(move || source.with(&edited)).await {
                 Ok(Ok(operator)) => Some(operator),
                 Ok(Err(problem)) => return Outcome::Refused(problem),
-                Err(problem) => return refused("set", &problem),
+                Err(problem) => return rejected("set", &problem),
             }
         };
         if self.process.is_stopping() {
-            return refused("set", "the instance is stopping");
+            return rejected("set", "the instance is stopping");
         }
-        // There is no await from here on, so that no request sees a part of the change.
+        // No await from here on, so that no request sees a partial change.
         self.process
             .server_overrides
             .replace(server_overrides(&overlay));
@@ -66,7 +66,7 @@
                     self.process
                         .server_overrides
                         .replace(server_overrides(&former));
-                    return refused("set", &problem);
+                    return rejected("set", &problem);
                 }
             }
         }
--- a/crates/sidecar/src/agent_link/connection.rs
+++ b/crates/sidecar/src/agent_link/connection.rs
@@ -1,4 +1,4 @@
-//! The connection to the agent: opened once the keys can be read, and kept while the file names that agent.
+//! The connection to the agent: opened once the key files can be read, and kept while the operator file names that agent.
 
 use super::window::Window;
 use crate::discovery_watch;
@@ -23,12 +23,12 @@
 /// How often the files of the keys are checked for changes.
 const KEY_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Loads the keys, and makes a client for reports and one for the watch.
+/// Loads the keys, and creates one client for reports and one for the watch.
 fn clients(agent: &str, files: &KeyFiles) -> Result<(Arc<Keyring>, Client, Client), String> {
     let keyring = Keyring::load(files.clone())?;
     let client = || Client::with_keyring(agent, &keyring);
-    let (reports, watch) = (client()?, client()?);
-    Ok((keyring, reports, watch))
+    let (report_client, watch_client) = (client()?, client()?);
+    Ok((keyring, report_client, watch_client))
 }
 
 /// Keeps the link to one agent for as long as it is polled.
@@ -43,16 +43,16 @@
         key: control.key.clone(),
         revoked: None,
     };
-    let mut last = None;
-    let (keyring, reports, watch) = loop {
+    let mut last_problem = None;
+    let (keyring, report_client, watch_client) = loop {
         match clients(&control.agent, &files) {
-            Ok(made) => break made,
-            Err(problem) if last.as_ref() == Some(&problem) => {}
+            Ok(clients) => break clients,
+            Err(problem) if last_problem.as_ref() == Some(&problem) => {}
             Err(problem) => {
                 tracing::warn!(
-                    "control: no agent is asked until its keys can be read and used: {problem}"
+                    "control: not connecting to the agent until its keys can be read and used: {problem}"
                 );
-                last = Some(problem);
+                last_problem = Some(problem);
             }
         }
         tokio::time::sleep(KEY_CHECK_INTERVAL).await;
@@ -67,19 +67,24 @@
         );
     }
     let Some(own) = sidecar.upgrade() else { return };
-    let unix = SystemTime::now()
+    let unix_time = SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
         .unwrap_or_default();
-    let who = InstanceId {
+    let instance_id = InstanceId {
         name: control.name.clone(),
         start: RandomState::new().hash_one(&control.name),
-        incarnation: u64::try_from(unix.as_micros()).unwrap_or(u64::MAX / 2),
+        incarnation: u64::try_from(unix_time.as_micros()).unwrap_or(u64::MAX / 2),
     };
     let persisted_state = own.agent_link.persisted_state.borrow().clone();
-    let machine = Instance::new(0, who, traits.borrow().clone(), persisted_state.clone());
-    // Persisted before it is used, so that no two starts have the same incarnation.
+    let instance = Instance::new(
+        0,
+        instance_id,
+        traits.borrow().clone(),
+        persisted_state.clone(),
+    );
+    // Persisted before use, so that no two starts have the same incarnation.
     own.agent_link.persist(&PersistedInstance {
-        incarnation: machine.id().incarnation,
+        incarnation: instance.id().incarnation,
         ..persisted_state
     });
     tracing::info!(
@@ -90,46 +95,46 @@
     let seed = u128::from(RandomState::new().hash_one(0));
     let report_now = own.process.shared_lists.report_signal();
     drop(own);
-    let settings = LinkHost {
+    let host = LinkHost {
         sidecar,
         window: Window::default(),
     };
-    let link = Link::new(machine, settings, reports, watch, seed)
+    let link = Link::new(instance, host, report_client, watch_client, seed)
         .with_traits(traits)
         .reporting_on(report_now);
     tokio::select! {
         () = link.run() => {}
-        () = follow_files(&keyring, &files) => {}
+        () = reload_keys_on_change(&keyring, &files) => {}
     }
 }
 
-/// Loads renewed keys. They are read only where a file has changed.
-async fn follow_files(keyring: &Keyring, files: &KeyFiles) {
-    let stamp = || {
-        let all = [&files.authority, &files.certificate, &files.key];
-        all.map(|file| {
+/// Reloads the keys when a key file has changed.
+async fn reload_keys_on_change(keyring: &Keyring, files: &KeyFiles) {
+    let modification_times = || {
+        let paths = [&files.authority, &files.certificate, &files.key];
+        paths.map(|file| {
             std::fs::metadata(file)
-                .and_then(|about| about.modified())
+                .and_then(|metadata| metadata.modified())
                 .ok()
         })
     };
-    let mut former = stamp();
+    let mut former = modification_times();
     loop {
         tokio::time::sleep(KEY_CHECK_INTERVAL).await;
-        let present = stamp();
+        let present = modification_times();
         if present == former {
             continue;
         }
         match keyring.reload() {
             Ok(true) => tracing::info!("control: the keys were read again"),
             Ok(false) => {}
-            Err(problem) => tracing::warn!("control: the keys stay as they were: {problem}"),
+            Err(problem) => tracing::warn!("control: keeping the previous keys: {problem}"),
         }
         former = present;
     }
 }
 
-/// The sidecar as the link sees it.
+/// The link's interface to the sidecar.
 struct LinkHost {
     sidecar: Weak<Sidecar>,
     window: Window,
@@ -184,20 +189,22 @@
                 .cloned()
         };
         let apply = |pool: &str, offer: &Offer, age| {
-            let service = service(pool).ok_or("no such pool is there any more")?;
+            let service = service(pool).ok_or("the pool no longer exists")?;
             pool::apply_shared_list(&service, offer.version.index, &offer.text, age)
         };
-        let call = |pool: &str| {
+        let poll_for_fleet = |pool: &str| {
             service(pool)
                 .iter()
                 .for_each(discovery_watch::call_for_fleet)
         };
-        let rest = |pool: &str| {
+        let stop_watching = |pool: &str| {
             service(pool)
                 .iter()
                 .for_each(discovery_watch::stop_watching)
         };
-        process.shared_lists.agent_updated(lists, apply, call, rest)
+        process
+            .shared_lists
+            .agent_updated(lists, apply, poll_for_fleet, stop_watching)
     }
 
     fn persist(&mut self, persisted_state: &PersistedInstance) {
--- a/crates/sidecar/src/agent_link/mod.rs
+++ b/crates/sidecar/src/agent_link/mod.rs
@@ -1,11 +1,10 @@
-//! The instance's side of the control protocol. The sidecar registers with the agent that the operator file names,
-//! and applies the agent's changes, each in full or not at all. Where the file names no agent, nothing of this
-//! exists.
+//! The instance's side of the control protocol. The sidecar registers with the agent that the operator file names, and
+//! applies each of the agent's changes completely or not at all. Disabled where the file names no agent.
 //!
-//! The link runs on the same thread as the data path, which never waits for it. The cost is two connections, a
-//! message of less than 1 KB for each report and one for each order, the text of the operator file and two overlays
-//! in memory, and, for a change of limits or routes, a check of the whole file on a thread of its own. At most 8 MiB
-//! of a message of the agent are read, and at most three requests wait for an answer.
+//! The link runs on the same thread as the data path, which never waits for it. It costs two connections, a message of
+//! less than 1 KB for each report and for each order, the text of the operator file and two overlays in memory, and, for a
+//! change of limits or routes, a check of the whole file on a separate thread. At most 8 MiB of a message from the agent
+//! are read, and at most three requests are pending.
 mod apply;
 mod connection;
 mod overlay;
@@ -30,23 +29,23 @@
 use tokio::sync::{Mutex, watch};
 use tokio::task::AbortHandle;
 
-/// The settings of the agent, and the link to it.
+/// The settings that the agent has ordered, and the link to it.
 #[derive(Default)]
 pub(super) struct AgentLink {
-    /// Held while a file or an order is applied, so that one is applied at a time.
+    /// Held while an operator file or an order is applied, so that they are applied one at a time.
     pub(super) apply_lock: Mutex<()>,
-    file: RefCell<Option<ConfiguredAgent>>,
+    configured_agent: RefCell<Option<ConfiguredAgent>>,
     /// The persisted state, with the overlay in effect.
     persisted_state: RefCell<PersistedInstance>,
-    link: RefCell<Option<ActiveLink>>,
-    log: RefCell<Option<LogHook>>,
-    /// Whether the log has been told that the state cannot be persisted.
-    warned: Cell<bool>,
+    active_link: RefCell<Option<ActiveLink>>,
+    log_hook: RefCell<Option<LogHook>>,
+    /// Whether a failure to persist the state has been logged.
+    persist_failure_logged: Cell<bool>,
 }
 
 type LogHook = Box<dyn Fn(Option<LogLevel>)>;
 
-/// The agent that the operator file names, and that file.
+/// The agent that the operator file names, and the source of that file.
 struct ConfiguredAgent {
     control: madderloom_operator_config::Control,
     source: Arc<Source>,
@@ -73,10 +72,10 @@
 }
 
 impl AgentLink {
-    /// The link as the admin endpoint shows it; null where no agent is named.
+    /// The link's JSON object in the admin view; null where no agent is named.
     pub(super) fn view(&self) -> serde_json::Value {
-        let file = self.file.borrow();
-        let Some(ConfiguredAgent { control, .. }) = file.as_ref() else {
+        let configured = self.configured_agent.borrow();
+        let Some(ConfiguredAgent { control, .. }) = configured.as_ref() else {
             return serde_json::Value::Null;
         };
         let persisted_state = self.persisted_state.borrow();
@@ -91,7 +90,7 @@
         })
     }
 
-    /// Reads a file, and applies the overlay to it where the file names an agent.
+    /// Loads an operator file, and applies the overlay where the file names an agent.
     pub(super) async fn load_with_overlay(&self, file: PathBuf) -> Result<LoadedFile, String> {
         let overlay = self.persisted_state.borrow().overlay.clone();
         run_on_thread(move || {
@@ -118,8 +117,8 @@
     }
 
     fn traits(&self) -> Option<Attributes> {
-        let file = self.file.borrow();
-        let ConfiguredAgent { control, source } = file.as_ref()?;
+        let configured = self.configured_agent.borrow();
+        let ConfiguredAgent { control, source } = configured.as_ref()?;
         Some(Attributes {
             zone: control.zone.clone(),
             labels: control.labels.clone(),
@@ -136,24 +135,27 @@
                 (Key::LogLevel, Value::Level(level)) => Some(*level),
                 _ => None,
             });
-        if let Some(log) = self.log.borrow().as_ref() {
+        if let Some(log) = self.log_hook.borrow().as_ref() {
             log(level);
         }
     }
 
-    /// Persists the state for the next start. The file survives the process. A file system that loses it in a power
-    /// failure costs what a lost state does: the agent orders the settings again.
+    /// Persists the state for the next start. The file outlives the process but is not synced: if a power failure loses it,
+    /// the agent orders the settings again.
     fn persist(&self, persisted_state: &PersistedInstance) {
         self.persisted_state.replace(persisted_state.clone());
-        let file = self.file.borrow();
-        let Some(directory) = file.as_ref().and_then(|file| file.control.state.as_ref()) else {
+        let configured = self.configured_agent.borrow();
+        let Some(directory) = configured
+            .as_ref()
+            .and_then(|agent| agent.control.state.as_ref())
+        else {
             return;
         };
         match write(directory, persisted_state) {
-            Ok(()) => self.warned.set(false),
-            Err(problem) if !self.warned.replace(true) => {
+            Ok(()) => self.persist_failure_logged.set(false),
+            Err(problem) if !self.persist_failure_logged.replace(true) => {
                 tracing::warn!(
-                    "control: not kept for the next start: {}: {problem}",
+                    "control: the state is not persisted for the next start: {}: {problem}",
                     directory.display()
                 );
             }
@@ -165,7 +167,7 @@
 impl Sidecar {
     /// Sets the hook that receives the log level of the overlay; `None` stands for the program's own level.
     pub fn set_log(&self, hook: impl Fn(Option<LogLevel>) + 'static) {
-        self.agent_link.log.replace(Some(Box::new(hook)));
+        self.agent_link.log_hook.replace(Some(Box::new(hook)));
         self.agent_link
             .set_log_level(&self.agent_link.persisted_state.borrow().overlay);
     }
@@ -178,7 +180,7 @@
         let source = match Source::load(file) {
             Ok((source, _)) => source,
             Err(faults) => {
-                tracing::warn!("control: off until the file is read again: {faults}");
+                tracing::warn!("control: disabled until the operator file is reloaded: {faults}");
                 return operator;
             }
         };
@@ -189,7 +191,7 @@
             None => operator,
             Some(Ok(with)) => with,
             Some(Err(problem)) => {
-                tracing::warn!("control: what was set beside the file is left out: {problem}");
+                tracing::warn!("control: ignoring the agent's persisted settings: {problem}");
                 (persisted_state.overlay, persisted_state.revision) = Default::default();
                 operator
             }
@@ -198,14 +200,16 @@
             .server_overrides
             .replace(server_overrides(&persisted_state.overlay));
         self.agent_link.persisted_state.replace(persisted_state);
-        self.agent_link.file.replace(Some(ConfiguredAgent {
-            control,
-            source: Arc::new(source),
-        }));
+        self.agent_link
+            .configured_agent
+            .replace(Some(ConfiguredAgent {
+                control,
+                source: Arc::new(source),
+            }));
         operator
     }
 
-    /// Follows a file that has taken effect.
+    /// Updates the agent, the overlay and the link after an operator file has been applied.
     pub(super) fn operator_file_applied(
         self: &Rc<Self>,
         read: (
@@ -213,25 +217,25 @@
             Option<Arc<Source>>,
         ),
     ) {
-        let named = match read {
+        let configured = match read {
             (Some(control), Some(source)) => Some(ConfiguredAgent { control, source }),
             _ => None,
         };
-        let former = self.agent_link.file.replace(named);
-        if self.agent_link.file.borrow().is_none() {
-            let steered = std::mem::take(&mut self.agent_link.persisted_state.borrow_mut().overlay);
+        let former = self.agent_link.configured_agent.replace(configured);
+        if self.agent_link.configured_agent.borrow().is_none() {
+            let overlay = std::mem::take(&mut self.agent_link.persisted_state.borrow_mut().overlay);
             if former.is_some() {
-                self.apply_server_overrides(&steered, &Overlay::default());
+                self.apply_server_overrides(&overlay, &Overlay::default());
                 self.agent_link.set_log_level(&Overlay::default());
             }
         } else if former.is_none() {
-            // The agent orders again what an earlier start had in effect.
+            // The overlay of an earlier start is dropped: the agent orders its settings again.
             let directory = self
                 .agent_link
-                .file
+                .configured_agent
                 .borrow()
                 .as_ref()
-                .and_then(|file| file.control.state.clone());
+                .and_then(|agent| agent.control.state.clone());
             let persisted_state = load(directory.as_deref());
             self.agent_link.persisted_state.replace(PersistedInstance {
                 overlay: Overlay::default(),
@@ -242,20 +246,20 @@
         self.update_agent_link();
     }
 
-    /// Keeps a link to the agent that the file names, and ends every other one.
+    /// Keeps a link to the agent that the operator file names, and closes a link to another agent.
     pub(super) fn update_agent_link(self: &Rc<Self>) {
         let control = self
             .agent_link
-            .file
+            .configured_agent
             .borrow()
             .as_ref()
-            .map(|file| file.control.clone());
+            .map(|agent| agent.control.clone());
         let (Some(control), Some(traits)) = (control, self.agent_link.traits()) else {
-            self.agent_link.link.take();
+            self.agent_link.active_link.take();
             return;
         };
-        let mut link = self.agent_link.link.borrow_mut();
-        if let Some(running) = link.as_mut().filter(|running| {
+        let mut active_link = self.agent_link.active_link.borrow_mut();
+        if let Some(running) = active_link.as_mut().filter(|running| {
             let (zone, labels) = (control.zone.clone(), control.labels.clone());
             let (fleet_limits, share_lists) =
                 (control.fleet_limits.clone(), control.share_lists.clone());
@@ -275,16 +279,16 @@
             return;
         }
         let (sender, receiver) = watch::channel(traits);
-        let (sidecar, own) = (Rc::downgrade(self), control.clone());
+        let (sidecar, link_control) = (Rc::downgrade(self), control.clone());
         let task = watchdog::spawn(TaskKind::AgentLink, async move {
-            let begin = || {
+            let start_link = || {
                 sidecar
                     .upgrade()
-                    .map(|_| keep_link(sidecar.clone(), own.clone(), receiver.clone()))
+                    .map(|_| keep_link(sidecar.clone(), link_control.clone(), receiver.clone()))
             };
-            supervise(TaskKind::AgentLink, "the agent's link", begin).await;
+            supervise(TaskKind::AgentLink, "the agent's link", start_link).await;
         });
-        *link = Some(ActiveLink {
+        *active_link = Some(ActiveLink {
             control,
             traits: sender,
             task: task.abort_handle(),
@@ -292,6 +296,6 @@
     }
 
     pub(super) fn close_agent_link(&self) {
-        self.agent_link.link.take();
+        self.agent_link.active_link.take();
     }
 }
--- a/crates/sidecar/src/agent_link/persisted.rs
+++ b/crates/sidecar/src/agent_link/persisted.rs
@@ -3,28 +3,31 @@
 use madderloom_control_plane::PersistedInstance;
 use std::path::Path;
 
-/// The name of the file.
-const KEPT: &str = "instance.json";
+/// The file name of the persisted state.
+const STATE_FILE: &str = "instance.json";
 
 pub(super) fn write(directory: &Path, persisted_state: &PersistedInstance) -> std::io::Result<()> {
     std::fs::create_dir_all(directory)?;
-    let next = directory.join("instance.next");
-    std::fs::write(&next, serde_json::to_vec(persisted_state)?)?;
-    std::fs::rename(next, directory.join(KEPT))
+    let temporary = directory.join("instance.next");
+    std::fs::write(&temporary, serde_json::to_vec(persisted_state)?)?;
+    std::fs::rename(temporary, directory.join(STATE_FILE))
 }
 
-/// Loads the state that the last start persisted; the default where there is none that can be read.
+/// Loads the persisted state; the default where the file is missing or unreadable.
 pub(super) fn load(directory: Option<&Path>) -> PersistedInstance {
-    let Some(file) = directory.map(|directory| directory.join(KEPT)) else {
+    let Some(file) = directory.map(|directory| directory.join(STATE_FILE)) else {
         return PersistedInstance::default();
     };
-    let read = match std::fs::read(&file) {
+    let state = match std::fs::read(&file) {
         Ok(text) => serde_json::from_slice(&text).map_err(|e| e.to_string()),
         Err(e) if e.kind() == std::io::ErrorKind::NotFound => return PersistedInstance::default(),
         Err(e) => Err(e.to_string()),
     };
-    read.unwrap_or_else(|problem| {
-        tracing::warn!("control: {}: passed over: {problem}", file.display());
+    state.unwrap_or_else(|problem| {
+        tracing::warn!(
+            "control: {}: ignoring the unreadable state: {problem}",
+            file.display()
+        );
         PersistedInstance::default()
     })
 }
--- a/crates/sidecar/src/agent_link/window.rs
+++ b/crates/sidecar/src/agent_link/window.rs
@@ -8,49 +8,52 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The window of the reported counts, and the shortest time between two samples of the counters.
+/// The length of the window of the reported counts.
 const WINDOW: Duration = Duration::from_secs(10);
-const SHORTEST_INTERVAL: Duration = Duration::from_millis(500);
+/// The minimum time between two samples of the counters.
+const MIN_SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The request counts of the last window, over all services.
 #[derive(Default)]
 pub(super) struct Window {
-    all: RequestCounts,
+    /// The counts since the process started.
+    total: RequestCounts,
     /// The counts of each service at the last sample.
-    services: Vec<(Weak<Service>, RequestCounts)>,
+    last_counts: Vec<(Weak<Service>, RequestCounts)>,
     samples: VecDeque<(Instant, RequestCounts)>,
 }
 
 impl Window {
     pub(super) fn sample(&mut self, now: Instant, process: &ProcessState) -> RequestCounts {
-        self.services
+        self.last_counts
             .retain(|(service, _)| service.strong_count() > 0);
         for service in process.services.borrow().iter() {
             let counts = service.counts.total();
-            let away = counts.rejected.get() + counts.failed.get() + counts.rejected_by_limit.get();
+            let unserved =
+                counts.rejected.get() + counts.failed.get() + counts.rejected_by_limit.get();
             let present = RequestCounts {
-                ended: counts.served.get() + away,
-                bad: counts.late.get() + away,
+                ended: counts.served.get() + unserved,
+                bad: counts.late.get() + unserved,
             };
             let known = self
-                .services
+                .last_counts
                 .iter_mut()
                 .find(|(known, _)| known.as_ptr() == Rc::as_ptr(service));
             let former = match known {
                 Some((_, former)) => std::mem::replace(former, present),
                 None => {
-                    self.services.push((Rc::downgrade(service), present));
+                    self.last_counts.push((Rc::downgrade(service), present));
                     RequestCounts::default()
                 }
             };
-            self.all.ended += present.ended - former.ended;
-            self.all.bad += present.bad - former.bad;
+            self.total.ended += present.ended - former.ended;
+            self.total.bad += present.bad - former.bad;
         }
         self.since(now)
     }
 
     fn since(&mut self, now: Instant) -> RequestCounts {
-        // The last sample before the window stands for its beginning.
+        // The last sample before the window is its baseline.
         while self
             .samples
             .get(1)
@@ -65,13 +68,13 @@
         if self
             .samples
             .back()
-            .is_none_or(|(at, _)| now.duration_since(*at) >= SHORTEST_INTERVAL)
+            .is_none_or(|(at, _)| now.duration_since(*at) >= MIN_SAMPLE_INTERVAL)
         {
-            self.samples.push_back((now, self.all));
+            self.samples.push_back((now, self.total));
         }
         RequestCounts {
-            ended: self.all.ended - first.ended,
-            bad: self.all.bad - first.bad,
+            ended: self.total.ended - first.ended,
+            bad: self.total.bad - first.bad,
         }
     }
 }
@@ -81,13 +84,13 @@
     use super::*;
 
     #[test]
-    fn a_window_holds_what_ended_within_it_and_few_looks() {
-        let begin = Instant::now();
+    fn a_window_counts_what_ended_within_it_from_few_samples() {
+        let start = Instant::now();
         let mut window = Window::default();
         for tenth in 0..600 {
-            window.all.ended += 1;
-            window.all.bad += u64::from(tenth < 300);
-            let counts = window.since(begin + Duration::from_millis(100 * tenth));
+            window.total.ended += 1;
+            window.total.bad += u64::from(tenth < 300);
+            let counts = window.since(start + Duration::from_millis(100 * tenth));
             assert!(
                 counts.ended <= 106 && (tenth < 106 || counts.ended >= 100),
                 "{tenth}: {counts:?}"
--- a/crates/sidecar/src/page.rs
+++ b/crates/sidecar/src/page.rs
@@ -1,25 +1,25 @@
-//! The admin view's pages for people: all servers, and one server's story. Whole documents without a script.
+//! The HTML pages of the admin view: the list of servers, and the history of one server. The pages use no scripts.
 
 use super::plot;
 use maud::{DOCTYPE, Markup, html};
 use percent_encoding::{AsciiSet, NON_ALPHANUMERIC, utf8_percent_encode};
 use serde_json::Value;
 
-/// What may stand in a path or a query as it is.
-const PLAIN: &AsciiSet = &NON_ALPHANUMERIC
+/// The characters that are percent-encoded in a path or a query.
+const ENCODED_CHARACTERS: &AsciiSet = &NON_ALPHANUMERIC
     .remove(b'-')
     .remove(b'_')
     .remove(b'.')
     .remove(b'~');
-/// Spans of time that a page offers, in seconds.
+/// The selectable time spans of the plots: name in the URL, and seconds.
 const SPANS: [(&str, f64); 4] = [
     ("2min", 120.0),
     ("15min", 900.0),
     ("2h", 7_200.0),
     ("2d", 172_800.0),
 ];
-/// Events that a page shows.
-const EVENTS: usize = 50;
+/// The maximum number of events on a page.
+const MAX_EVENTS: usize = 50;
 
 const STYLE: &str = "body{font:14px sans-serif;margin:1.5em;color:#222}table{border-collapse:collapse;margin:1em 0}\
 td,th{padding:.25em .7em;border-bottom:1px solid #ddd;text-align:left}td.n{text-align:right;\
@@ -53,55 +53,55 @@
     .into_string()
 }
 
-/// A name as it stands in a path or a query.
+/// Percent-encodes a name for a path or a query.
 pub(super) fn percent_encoded(name: &str) -> String {
-    utf8_percent_encode(name, PLAIN).to_string()
+    utf8_percent_encode(name, ENCODED_CHARACTERS).to_string()
 }
 
 /// The path of a server's page.
 fn path(server: &Value, span: &str) -> String {
-    let part = |value: &Value| percent_encoded(text(value));
+    let encoded = |value: &Value| percent_encoded(text(value));
     format!(
         "/servers/{}?pool={}&span={span}",
-        part(&server["name"]),
-        part(&server["pool"])
+        encoded(&server["name"]),
+        encoded(&server["pool"])
     )
 }
 
-/// How long the plots of a page go back, in seconds, by the name that stands in its address.
+/// The time span of the plots in seconds, by its name in the URL.
 pub(super) fn span(name: Option<&str>) -> f64 {
     let found = SPANS.iter().find(|(known, _)| Some(*known) == name);
     found.map_or(SPANS[1].1, |(_, seconds)| *seconds)
 }
 
-/// A time as people say it: so long ago.
-fn when(at: &Value, now: f64) -> String {
+/// A time as an age for people.
+fn age_text(at: &Value, now: f64) -> String {
     format!("{} ago", plot::ago((now - number(at)).max(0.0) / 1e6))
 }
 
-/// All servers, and what happened of late.
-pub(super) fn servers(told: &Value, events: &Value) -> String {
-    let now = number(&told["now_us"]);
-    let name = told["name"]
+/// The page of all servers and the recent events.
+pub(super) fn servers(view: &Value, events: &Value) -> String {
+    let now = number(&view["now_us"]);
+    let name = view["name"]
         .as_str()
         .filter(|name| !name.is_empty())
         .unwrap_or("madderloom");
-    let shown = list(&events["events"]);
-    let shown = shown.iter().rev().take(EVENTS);
+    let recent_events = list(&events["events"]);
+    let recent_events = recent_events.iter().rev().take(MAX_EVENTS);
     document(
         name,
         html! {
             h1 { (name) }
-            @if told["timelines"] != true {
+            @if view["timelines"] != true {
                 p { "Time lines are off: " code { "[timeline]" } " in the operator file keeps them." }
             }
-            @for shared in list(&told["shared"]) { p { strong { (text(&shared["pool"])) ": " (text(&shared["text"])) } } }
+            @for shared in list(&view["shared"]) { p { strong { (text(&shared["pool"])) ": " (text(&shared["text"])) } } }
             table {
                 tr {
                     th { "server" } th { "pool" } th { "zone" } th { "state" } th { "share" } th { "out" } th { "served" }
                     th { "lost" } th { "refused" } th { "half within" } th { "99% within" } th { "departs" }
                 }
-                @for server in list(&told["servers"]) {
+                @for server in list(&view["servers"]) {
                     @let departures = list(&server["departures"]);
                     @let lately = &server["lately"];
                     tr class=(if departures.is_empty() { "" } else { "bad" }) {
@@ -122,9 +122,9 @@
             p { "Served, lost and refused: attempts of this instance in this minute and the one before." }
             h2 { "Of late" }
             table {
-                @for event in shown {
+                @for event in recent_events {
                     tr {
-                        td { (when(&event["at_us"], now)) }
+                        td { (age_text(&event["at_us"], now)) }
                         td { (text(&event["pool"])) }
                         td { (text(&event["event"])) }
                         td { (text(&event["text"])) }
@@ -135,34 +135,34 @@
     )
 }
 
-/// One server's story.
-pub(super) fn server(story: &Value, seconds: f64) -> String {
-    let now = number(&story["now_us"]);
-    let name = text(&story["name"]);
+/// The page of one server's history.
+pub(super) fn server(history: &Value, seconds: f64) -> String {
+    let now = number(&history["now_us"]);
+    let name = text(&history["name"]);
     document(
         name,
         html! {
             p { a href="/" { "all servers" } }
             h1 { (name) }
             p {
-                "pool " (text(&story["pool"])) ", address " (text(&story["address"])) ", zone " (text(&story["zone"]))
-                ", kind " (text(&story["kind"])) ", " (text(&story["state"]))
+                "pool " (text(&history["pool"])) ", address " (text(&history["address"])) ", zone " (text(&history["zone"]))
+                ", kind " (text(&history["kind"])) ", " (text(&history["state"]))
             }
-            @for departure in list(&story["departures"]) { p { strong { (text(&departure["text"])) } } }
+            @for departure in list(&history["departures"]) { p { strong { (text(&departure["text"])) } } }
             p {
                 @for (name, span) in SPANS {
-                    @if span == seconds { strong { (name) } } @else { a href=(path(story, name)) { (name) } }
+                    @if span == seconds { strong { (name) } } @else { a href=(path(history, name)) { (name) } }
                     " "
                 }
             }
-            (plot::svg(story, seconds))
+            (plot::svg(history, seconds))
             h2 { "What happened" }
             table {
-                @for note in list(&story["notes"]).iter().rev() {
+                @for note in list(&history["notes"]).iter().rev() {
                     tr {
-                        td { (when(&note["at_us"], now)) }
+                        td { (age_text(&note["at_us"], now)) }
                         td { (text(&note["text"])) }
-                        td.n { @if number(&note["times"]) > 1.0 { (number(&note["times"])) " times, last " (when(&note["last_us"], now)) } }
+                        td.n { @if number(&note["times"]) > 1.0 { (number(&note["times"])) " times, last " (age_text(&note["last_us"], now)) } }
                     }
                 }
             }
@@ -170,11 +170,11 @@
     )
 }
 
-/// That there is nothing here.
-pub(super) fn none(what: &str) -> String {
+/// The page for an unknown path or server.
+pub(super) fn not_found(message: &str) -> String {
     document(
         "not found",
-        html! { p { (what) } p { a href="/" { "all servers" } } },
+        html! { p { (message) } p { a href="/" { "all servers" } } },
     )
 }
 
@@ -183,18 +183,22 @@
     use super::*;
     use serde_json::json;
 
-    /// Names come from outside: none of them becomes a part of the page, nor of an address in it.
+    /// Guards against injection: names are external input and must not become markup of the page or alter its links.
     #[test]
-    fn a_page_holds_no_markup_of_others() {
+    fn a_page_contains_no_markup_from_names() {
         let name = "<script>alert(1)</script>\"'&?#/..";
         let departure = json!({"text": name, "departure": {}});
-        let story = json!({
+        let history = json!({
             "name": name, "pool": name, "address": name, "zone": name, "kind": name, "state": name,
             "departures": [departure], "notes": [{"text": name, "event": name, "times": 2}],
         });
-        let all = json!({"name": name, "timelines": true, "servers": [story], "shared": [{"pool": name, "text": name}]});
+        let all = json!({"name": name, "timelines": true, "servers": [history], "shared": [{"pool": name, "text": name}]});
         let events = json!({"events": [{"pool": name, "event": name, "text": name}]});
-        for page in [server(&story, 900.0), servers(&all, &events), none(name)] {
+        for page in [
+            server(&history, 900.0),
+            servers(&all, &events),
+            not_found(name),
+        ] {
             assert!(
                 !page.contains("<script") && page.contains("&lt;script&gt;"),
                 "{page}"
--- a/crates/sidecar/src/plot.rs
+++ b/crates/sidecar/src/plot.rs
@@ -1,31 +1,37 @@
-//! Plots of a server's story as SVG, drawn from what the admin view tells of it.
+//! SVG plots of a server's history, drawn from its JSON object in the admin view.
 
 use maud::{Markup, PreEscaped, html};
 use serde_json::Value;
 
-/// The size of a plot, and where in it the field lies, in pixels.
+/// The width of the image in pixels.
 const WIDTH: f64 = 900.0;
-const FIELD: (f64, f64) = (64.0, 884.0);
-const HEIGHT: f64 = 150.0;
+/// The left edge of the charts in pixels.
+const CHART_LEFT: f64 = 64.0;
+/// The right edge of the charts in pixels.
+const CHART_RIGHT: f64 = 884.0;
+/// The height of a chart in pixels.
+const CHART_HEIGHT: f64 = 150.0;
+/// The vertical space between charts in pixels.
 const GAP: f64 = 34.0;
-/// Lines of one kind that are marked at most: a story has no more notes.
-const MARKS: usize = 64;
+/// The maximum number of event lines; a history keeps no more notes.
+const MAX_NOTES: usize = 64;
 
 const SERVED: &str = "#4c78a8";
 const LOST: &str = "#d1495b";
 const REFUSED: &str = "#edae49";
 const GREY: &str = "#777";
 
-/// What is plotted of a step, in the order of time.
+/// The plotted values of one interval; times in seconds, rates per second.
 struct Point {
     from: f64,
     to: f64,
     served: f64,
     lost: f64,
     refused: f64,
-    /// In milliseconds.
-    middle: Option<f64>,
-    high: Option<f64>,
+    /// The median latency in milliseconds.
+    median: Option<f64>,
+    /// The 99th percentile of latency in milliseconds.
+    p99: Option<f64>,
     out: f64,
     region: f64,
     reported: Option<f64>,
@@ -36,8 +42,8 @@
     value.as_f64().unwrap_or(0.0)
 }
 
-fn points(story: &Value, from: f64) -> Vec<Point> {
-    let steps = story["steps"].as_array().map_or(&[][..], Vec::as_slice);
+fn points(history: &Value, from: f64) -> Vec<Point> {
+    let steps = history["steps"].as_array().map_or(&[][..], Vec::as_slice);
     let point = |step: &Value| {
         let (at, width) = (
             number(&step["from_us"]) / 1e6,
@@ -52,9 +58,9 @@
             served: rate(&["served"]),
             lost: rate(&["error", "timeout", "reset"]),
             refused: rate(&["full", "connect_failed"]),
-            // Of a single second the mean alone is kept.
-            middle: step["p50_us"].as_f64().map(|us| us / 1e3).or(mean),
-            high: step["p99_us"].as_f64().map(|us| us / 1e3),
+            // For intervals of one second only the mean is recorded.
+            median: step["p50_us"].as_f64().map(|us| us / 1e3).or(mean),
+            p99: step["p99_us"].as_f64().map(|us| us / 1e3),
             out: number(&step["most_out"]),
             region: 100.0 * number(&step["region"]),
             reported: step["reported"]["held"].as_f64(),
@@ -68,35 +74,35 @@
         .collect()
 }
 
-/// A field with its axes: from a time to a time, from a value to a value.
-struct Field {
+/// A chart with the ranges of its axes.
+struct Chart {
     top: f64,
     times: (f64, f64),
     values: (f64, f64),
-    by_logarithm: bool,
+    logarithmic: bool,
 }
 
-impl Field {
+impl Chart {
     fn x(&self, time: f64) -> f64 {
         let (from, to) = self.times;
-        let part = ((time - from) / (to - from).max(1e-9)).clamp(0.0, 1.0);
-        FIELD.0 + part * (FIELD.1 - FIELD.0)
+        let fraction = ((time - from) / (to - from).max(1e-9)).clamp(0.0, 1.0);
+        CHART_LEFT + fraction * (CHART_RIGHT - CHART_LEFT)
     }
 
     fn y(&self, value: f64) -> f64 {
         let scale = |value: f64| {
-            if self.by_logarithm {
+            if self.logarithmic {
                 value.max(1e-6).ln()
             } else {
                 value
             }
         };
         let (from, to) = (scale(self.values.0), scale(self.values.1));
-        let part = ((scale(value) - from) / (to - from).max(1e-9)).clamp(0.0, 1.0);
-        self.top + HEIGHT * (1.0 - part)
+        let fraction = ((scale(value) - from) / (to - from).max(1e-9)).clamp(0.0, 1.0);
+        self.top + CHART_HEIGHT * (1.0 - fraction)
     }
 
-    /// A line through the middles of steps; broken where nothing is known.
+    /// A line through the midpoints of the intervals; interrupted where there is no value.
     fn line(
         &self,
         points: &[Point],
@@ -110,12 +116,12 @@
                 last = None;
                 continue;
             };
-            // A gap as long as two steps is one in which nothing happened.
+            // A gap of up to two intervals is bridged: nothing was recorded in it.
             let joined = last.is_some_and(|end| point.from - end <= 2.0 * (point.to - point.from));
             let (x, y) = (self.x((point.from + point.to) / 2.0), self.y(value));
             path += &format!("{}{x:.1} {y:.1}", if joined { "L" } else { "M" });
             if !joined {
-                // What stands alone is still to be seen.
+                // Makes an isolated point visible.
                 path += "h1";
             }
             last = Some(point.to);
@@ -123,7 +129,7 @@
         html! { path d=(path) fill="none" stroke=(colour) stroke-width="1.5" {} }
     }
 
-    /// Bars from one height to another.
+    /// Bars from one value to another.
     fn bars(&self, points: &[Point], span: impl Fn(&Point) -> (f64, f64), colour: &str) -> Markup {
         let mut path = String::new();
         for point in points {
@@ -145,7 +151,7 @@
 
     fn frame(&self, title: &str, legend: &[(&str, &str)], unit: &str) -> Markup {
         let (low, high) = self.values;
-        let ticks: Vec<f64> = if self.by_logarithm {
+        let ticks: Vec<f64> = if self.logarithmic {
             let decades = (low.log10().floor() as i32)..=(high.log10().ceil() as i32);
             decades
                 .map(|power| 10f64.powi(power))
@@ -155,17 +161,17 @@
             [low, (low + high) / 2.0, high].to_vec()
         };
         html! {
-            text x=(FIELD.0) y=(self.top - 6.0) font-weight="bold" { (title) }
+            text x=(CHART_LEFT) y=(self.top - 6.0) font-weight="bold" { (title) }
             @for (at, (name, colour)) in legend.iter().enumerate() {
-                @let x = FIELD.0 + 230.0 + 150.0 * at as f64;
+                @let x = CHART_LEFT + 230.0 + 150.0 * at as f64;
                 rect x=(x) y=(self.top - 15.0) width="10" height="10" fill=(colour) {}
                 text x=(x + 14.0) y=(self.top - 6.0) { (name) }
             }
-            rect x=(FIELD.0) y=(self.top) width=(FIELD.1 - FIELD.0) height=(HEIGHT) fill="none" stroke="#ccc" {}
+            rect x=(CHART_LEFT) y=(self.top) width=(CHART_RIGHT - CHART_LEFT) height=(CHART_HEIGHT) fill="none" stroke="#ccc" {}
             @for tick in ticks {
                 @let y = self.y(tick);
-                line x1=(FIELD.0) x2=(FIELD.1) y1=(y) y2=(y) stroke="#eee" {}
-                text x=(FIELD.0 - 6.0) y=(y + 4.0) text-anchor="end" fill=(GREY) { (short(tick)) (unit) }
+                line x1=(CHART_LEFT) x2=(CHART_RIGHT) y1=(y) y2=(y) stroke="#eee" {}
+                text x=(CHART_LEFT - 6.0) y=(y + 4.0) text-anchor="end" fill=(GREY) { (short(tick)) (unit) }
             }
         }
     }
@@ -180,7 +186,7 @@
     }
 }
 
-/// A span of time in words.
+/// A duration in seconds as text.
 pub(super) fn ago(seconds: f64) -> String {
     match seconds {
         s if s < 120.0 => format!("{s:.0} s"),
@@ -190,56 +196,56 @@
     }
 }
 
-/// A server's story over the last `span` seconds: what it answered, how long that took, how much it had, and when the
-/// sidecar did something about it. `story` is what the admin view tells of it.
-pub(super) fn svg(story: &Value, span: f64) -> Markup {
-    let now = number(&story["now_us"]) / 1e6;
-    let points = points(story, now - span);
-    let began = points.first().map_or(now - 1.0, |point| point.from);
-    let times = (began.max(now - span).min(now - 1.0), now);
-    let most = |value: &dyn Fn(&Point) -> f64| points.iter().map(value).fold(0.0, f64::max);
-    let field = |at: usize, values: (f64, f64), by_logarithm: bool| Field {
-        top: GAP + at as f64 * (HEIGHT + GAP),
+/// Plots a server's history over the last `span` seconds: attempts by outcome, latency, requests in flight, share of new
+/// requests, and the events. `history` is the server's JSON object in the admin view.
+pub(super) fn svg(history: &Value, span: f64) -> Markup {
+    let now = number(&history["now_us"]) / 1e6;
+    let points = points(history, now - span);
+    let first = points.first().map_or(now - 1.0, |point| point.from);
+    let times = (first.max(now - span).min(now - 1.0), now);
+    let maximum = |value: &dyn Fn(&Point) -> f64| points.iter().map(value).fold(0.0, f64::max);
+    let chart = |index: usize, values: (f64, f64), logarithmic: bool| Chart {
+        top: GAP + index as f64 * (CHART_HEIGHT + GAP),
         times,
         values,
-        by_logarithm,
+        logarithmic,
     };
-    let rates = field(
+    let rates = chart(
         0,
-        (0.0, most(&|p| p.served + p.lost + p.refused).max(0.1)),
+        (0.0, maximum(&|p| p.served + p.lost + p.refused).max(0.1)),
         false,
     );
-    let longest = most(&|p| p.high.or(p.middle).unwrap_or(0.0)).max(1.0);
+    let longest = maximum(&|p| p.p99.or(p.median).unwrap_or(0.0)).max(1.0);
     let shortest = points
         .iter()
-        .filter_map(|p| p.middle)
+        .filter_map(|p| p.median)
         .fold(longest, f64::min)
         .max(0.05);
-    let latency = field(1, (shortest / 2.0, longest * 1.2), true);
-    let held = field(
+    let latency = chart(1, (shortest / 2.0, longest * 1.2), true);
+    let in_flight = chart(
         2,
         (
             0.0,
-            most(&|p| p.out.max(p.reported.unwrap_or(0.0))).max(1.0),
+            maximum(&|p| p.out.max(p.reported.unwrap_or(0.0))).max(1.0),
         ),
         false,
     );
-    let region = field(3, (0.0, most(&|p| p.region).max(1.0)), false);
-    let fields = [&rates, &latency, &held, &region];
-    let bottom = region.top + HEIGHT;
+    let region = chart(3, (0.0, maximum(&|p| p.region).max(1.0)), false);
+    let charts = [&rates, &latency, &in_flight, &region];
+    let bottom = region.top + CHART_HEIGHT;
     let height = bottom + GAP;
-    let marks = marks(story, times);
-    let title = format!("{} of {}", text(&story["name"]), text(&story["pool"]));
+    let marks = marks(history, times);
+    let title = format!("{} of {}", text(&history["name"]), text(&history["pool"]));
     html! {
         svg xmlns="http://www.w3.org/2000/svg" viewBox=(format!("0 0 {WIDTH} {height}")) width=(WIDTH) height=(height)
             font-family="sans-serif" font-size="12" role="img" {
             title { (title) }
             rect width=(WIDTH) height=(height) fill="white" {}
-            @for field in fields {
-                @for (from, to, told) in &marks.departures {
-                    @let (left, right) = (field.x(*from), field.x(*to));
-                    rect x=(left) y=(field.top) width=((right - left).max(1.0)) height=(HEIGHT) fill="#d1495b22" {
-                        title { (told) }
+            @for chart in charts {
+                @for (from, to, label) in &marks.anomalies {
+                    @let (left, right) = (chart.x(*from), chart.x(*to));
+                    rect x=(left) y=(chart.top) width=((right - left).max(1.0)) height=(CHART_HEIGHT) fill="#d1495b22" {
+                        title { (label) }
                     }
                 }
             }
@@ -249,17 +255,17 @@
             (rates.bars(&points, |p| (p.served + p.lost, p.served + p.lost + p.refused), REFUSED))
             (rates.line(&points, |p| Some(p.turned_away).filter(|n| *n > 0.0), "#222"))
             (latency.frame("time of what was served", &[("half within", SERVED), ("99% within", LOST)], " ms"))
-            (latency.line(&points, |p| p.middle, SERVED))
-            (latency.line(&points, |p| p.high, LOST))
-            (held.frame("requests there", &[("of this instance, at most", SERVED), ("", "white"), ("as it reports", REFUSED)], ""))
-            (held.line(&points, |p| Some(p.out), SERVED))
-            (held.line(&points, |p| p.reported, REFUSED))
+            (latency.line(&points, |p| p.median, SERVED))
+            (latency.line(&points, |p| p.p99, LOST))
+            (in_flight.frame("requests there", &[("of this instance, at most", SERVED), ("", "white"), ("as it reports", REFUSED)], ""))
+            (in_flight.line(&points, |p| Some(p.out), SERVED))
+            (in_flight.line(&points, |p| p.reported, REFUSED))
             (region.frame("share of new requests", &[], "%"))
             (region.line(&points, |p| Some(p.region), SERVED))
-            @for (at, event, told) in &marks.notes {
+            @for (at, event, label) in &marks.notes {
                 @let x = region.x(*at);
                 line x1=(x) x2=(x) y1=(rates.top) y2=(bottom) stroke=(colour(event)) stroke-dasharray="3 3" {
-                    title { (told) }
+                    title { (label) }
                 }
             }
             @for part in 0..=4 {
@@ -285,17 +291,17 @@
     value.as_str().unwrap_or("")
 }
 
-/// What happened within the time that is plotted.
+/// The anomalies and events within the plotted time.
 struct Marks {
-    /// From, to, what is told of it.
-    departures: Vec<(f64, f64, String)>,
-    /// When, what, what is told of it.
+    /// Start and end in seconds, and text.
+    anomalies: Vec<(f64, f64, String)>,
+    /// Time in seconds, event name and text.
     notes: Vec<(f64, String, String)>,
 }
 
-fn marks(story: &Value, (from, to): (f64, f64)) -> Marks {
+fn marks(history: &Value, (from, to): (f64, f64)) -> Marks {
     let list = |value: &Value| value.as_array().cloned().unwrap_or_default();
-    let notes = list(&story["notes"]);
+    let notes = list(&history["notes"]);
     let notes = notes.iter().map(|note| {
         let at = number(&note["at_us"]) / 1e6;
         (
@@ -306,22 +312,26 @@
     });
     let notes: Vec<_> = notes
         .filter(|(at, ..)| (from..=to).contains(at))
-        .take(MARKS)
+        .take(MAX_NOTES)
         .collect();
-    let departures = list(&story["departures"]);
-    let departures = departures.iter().map(|told| {
-        let began = number(&told["departure"]["began"]) / 1e6;
-        (began.clamp(from, to), to, text(&told["text"]).to_string())
+    let anomalies = list(&history["departures"]);
+    let anomalies = anomalies.iter().map(|anomaly| {
+        let start = number(&anomaly["departure"]["began"]) / 1e6;
+        (
+            start.clamp(from, to),
+            to,
+            text(&anomaly["text"]).to_string(),
+        )
     });
     Marks {
-        departures: departures.collect(),
+        anomalies: anomalies.collect(),
         notes,
     }
 }
 
-/// A plot as a file of its own.
-pub(super) fn file(story: &Value, span: f64) -> String {
-    html! { (PreEscaped("<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n")) (svg(story, span)) }
+/// The plot as a complete SVG file.
+pub(super) fn file(history: &Value, span: f64) -> String {
+    html! { (PreEscaped("<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n")) (svg(history, span)) }
         .into_string()
 }
 
@@ -330,18 +340,18 @@
     use super::*;
     use serde_json::json;
 
-    /// Names come from outside: none of them becomes a part of the drawing.
+    /// Guards against injection: names are external input and must not become markup of the drawing.
     #[test]
-    fn a_plot_holds_no_markup_of_others_and_only_finite_numbers() {
+    fn a_plot_contains_no_markup_from_names_and_only_finite_numbers() {
         let steps: Vec<Value> = (0..50)
             .map(|n| json!({"from_us": n * 1_000_000u64, "width_us": 1_000_000, "served": n, "reset": n % 3, "mean_us": 0}))
             .collect();
-        let story = json!({
+        let history = json!({
             "name": "<script>alert(1)</script>", "pool": "\"><b>", "now_us": 50_000_000u64, "steps": steps,
             "notes": [{"at_us": 10_000_000, "event": "ejected", "text": "</svg><script>"}],
             "departures": [{"departure": {"began": 0}, "text": "<i>"}],
         });
-        let drawn = file(&story, 900.0);
+        let drawn = file(&history, 900.0);
         let parsed = roxmltree::Document::parse(&drawn).expect("it is XML");
         let all = parsed
             .root_element()
@@ -349,13 +359,13 @@
             .filter(|node| node.is_element())
             .count();
         assert!(all > 40, "{all} elements beside each other");
-        for drawn in [file(&story, 900.0), file(&json!({}), 900.0)] {
+        for drawn in [file(&history, 900.0), file(&json!({}), 900.0)] {
             assert!(
                 !drawn.contains("<script") && !drawn.contains("<b>") && !drawn.contains("<i>"),
                 "{drawn}"
             );
             assert!(!drawn.contains("NaN") && !drawn.contains("inf"), "{drawn}");
-            // Each element is closed by its own end, or a reader sees nothing.
+            // Every element must be closed, or a browser shows nothing.
             let parsed = roxmltree::Document::parse(&drawn).expect("it is XML");
             assert_eq!(parsed.root_element().tag_name().name(), "svg");
         }
--- a/crates/sidecar/src/view.rs
+++ b/crates/sidecar/src/view.rs
@@ -1,4 +1,4 @@
-//! What the admin view shows: the process, its listeners, its pools and their servers, as one JSON object.
+//! The JSON objects of the admin view: the process, its listeners, its pools and their servers, and the endpoint history.
 
 use super::agent_link::AgentLink;
 use super::counts::OutcomeCounts;
@@ -16,10 +16,10 @@
 use serde_json::{Value, json};
 use std::rc::Rc;
 
-/// The version of the object.
-const VERSION: u32 = 1;
+/// The format version of the JSON objects.
+const FORMAT_VERSION: u32 = 1;
 
-/// Where the view looks.
+/// The state of the process that the admin view reads.
 #[derive(Clone)]
 pub(super) struct AdminView {
     pub(super) process: Rc<ProcessState>,
@@ -28,7 +28,7 @@
 }
 
 impl AdminView {
-    /// The pool of this name that serves.
+    /// The pool with this name that is not draining.
     pub(super) fn pool(&self, name: &str) -> Option<Rc<Service>> {
         let services = self.process.services.borrow();
         services
@@ -37,17 +37,17 @@
             .cloned()
     }
 
-    /// Everything there is to see.
+    /// The state of the process: listeners, pools, servers, limits and counters.
     pub(super) fn status(&self) -> Value {
         let process = &self.process;
         let now = process.clock.now();
-        let bounds = &process.shared_limits;
+        let limits = &process.shared_limits;
         let [parked, served, servers] = process.connection_bytes();
         let timers = process.timers.stats();
-        let turns = madderloom_watchdog::counts();
-        let all = |bound: &Rc<SharedLimit>| json!({"used": bound.used(), "total": bound.total()});
+        let long_polls = madderloom_watchdog::counts();
+        let usage = |limit: &Rc<SharedLimit>| json!({"used": limit.used(), "total": limit.total()});
         json!({
-            "version": VERSION,
+            "version": FORMAT_VERSION,
             "name": self.name,
             "build": env!("CARGO_PKG_VERSION"),
             "up_us": process.clock.uptime(),
@@ -58,10 +58,10 @@
             "fleet_limits": process.fleet_limits.view(),
             "shared_lists": process.shared_lists.view(),
             "limits": {
-                "client_connections": all(&bounds.client_connections),
-                "server_connections": all(&bounds.server_connections),
-                "open": all(&bounds.requests_by_pool),
-                "bodies": all(&bounds.body_bytes_by_pool),
+                "client_connections": usage(&limits.client_connections),
+                "server_connections": usage(&limits.server_connections),
+                "open": usage(&limits.requests_by_pool),
+                "bodies": usage(&limits.body_bytes_by_pool),
             },
             "state": process.state_writer.get().map(|writer| writer.view()),
             "connections": {
@@ -70,17 +70,17 @@
                 "held": {"parked": parked, "served": served, "servers": servers, "most": process.max_connection_bytes.get()},
             },
             "timers": {"set": timers.pending, "rung": timers.fired, "full_turns": timers.budget_exhausted_runs},
-            "event_loop": {"busy_turns": turns.busy, "stalled_turns": turns.stalled},
+            "event_loop": {"busy_turns": long_polls.busy, "stalled_turns": long_polls.stalled},
             "listeners": process.listeners.borrow().iter().map(|l| listener(l)).collect::<Value>(),
             "pools": process.services.borrow().iter().map(|s| pool(s, now)).collect::<Value>(),
         })
     }
 }
 
-fn held(held: Held) -> Value {
+fn share_usage(usage: Held) -> Value {
     json!({
-        "used": held.used, "peak": held.peak, "guaranteed": held.part.guaranteed, "most": held.part.most,
-        "denied": held.denied,
+        "used": usage.used, "peak": usage.peak, "guaranteed": usage.part.guaranteed, "most": usage.part.most,
+        "denied": usage.denied,
     })
 }
 
@@ -92,7 +92,7 @@
     })
 }
 
-fn spent(spent: Spent) -> Value {
+fn cpu_time(spent: Spent) -> Value {
     json!({"us": spent.nanos / 1_000, "waits": spent.waits})
 }
 
@@ -107,25 +107,25 @@
         },
         "requests": {"senseless": listener.counts.client_errors.get()},
         "limits": {
-            "connections": held(listener.connection_limit.usage()),
-            "open": held(listener.request_limits.in_flight()),
-            "bodies": held(listener.request_limits.body_bytes()),
+            "connections": share_usage(listener.connection_limit.usage()),
+            "open": share_usage(listener.request_limits.in_flight()),
+            "bodies": share_usage(listener.request_limits.body_bytes()),
         },
-        "thread": spent(listener.cpu_time_used()),
+        "thread": cpu_time(listener.cpu_time_used()),
     })
 }
 
 fn pool(service: &Service, now: Micros) -> Value {
     let snapshot = service.snapshot();
-    let ago = |at: Micros| now.saturating_sub(at);
-    let tuned = service.active_settings();
-    let classes = tuned
+    let elapsed_since = |at: Micros| now.saturating_sub(at);
+    let settings = service.active_settings();
+    let classes = settings
         .class_slots
         .iter()
         .zip(&snapshot.classes)
-        .filter(|(place, _)| !place.retired);
-    let classes = classes.map(|(place, seen)| {
-        let class = &place.entry;
+        .filter(|(slot, _)| !slot.retired);
+    let classes = classes.map(|(slot, seen)| {
+        let class = &slot.entry;
         json!({
             "name": class.name,
             "effect": match class.retry_safety() {
@@ -134,7 +134,7 @@
                 RetrySafety::NonIdempotent => "unsafe",
             },
             "open": seen.in_flight, "usual_us": seen.service_time, "slow_us": seen.tail_latency, "delay": seen.latency_ratio,
-            "served_per_s": seen.served_per_second, "refused_ago_us": seen.last_rejected.map(ago),
+            "served_per_s": seen.served_per_second, "refused_ago_us": seen.last_rejected.map(elapsed_since),
         })
     });
     let account =
@@ -153,23 +153,23 @@
         "service_level": levels::view(service, now),
         "connections": {"idle": service.connections.idle_count(), "opened": service.connections.opened_count()},
         "limits": {
-            "connections": held(service.connections.slots.usage()),
-            "open": held(service.request_limits.in_flight()),
-            "bodies": held(service.request_limits.body_bytes()),
+            "connections": share_usage(service.connections.slots.usage()),
+            "open": share_usage(service.request_limits.in_flight()),
+            "bodies": share_usage(service.request_limits.body_bytes()),
         },
-        "thread": spent(account),
+        "thread": cpu_time(account),
     })
 }
 
 fn server(service: &Service, seen: &ServerView, now: Micros) -> Value {
     let listed = &seen.entry;
-    let tuned = service.active_settings();
-    let zone = tuned.site.zones.get(listed.zone as usize);
-    let kind = tuned.site.kinds.get(listed.kind as usize);
+    let settings = service.active_settings();
+    let zone = settings.site.zones.get(listed.zone as usize);
+    let kind = settings.site.kinds.get(listed.kind as usize);
     let ejected = seen.ejected_until.map(|until| until.saturating_sub(now));
     json!({
         "name": service.pool.name(listed.server),
-        "address": service.pool.address(listed.server).map(|at| at.to_string()),
+        "address": service.pool.address(listed.server).map(|address| address.to_string()),
         "zone": zone, "kind": kind, "cell": listed.cell, "capacity": listed.capacity,
         "state": match listed.state {
             ServerState::Ready => "ready",
@@ -184,24 +184,24 @@
     })
 }
 
-/// What of a line's steps is called lately: the minute that goes on, and the one before.
-const LATELY: Micros = 60_000_000;
+/// The length of the intervals in the recent summary of a server, which covers the current interval and the one before.
+const RECENT_INTERVAL_US: Micros = 60_000_000;
 
 impl AdminView {
-    /// All servers that are listed, and those that left and are remembered, each with what happened lately.
+    /// All listed servers, and those that have left but still have a history, each with a summary of its recent attempts.
     pub(super) fn servers(&self) -> Value {
         let now = self.process.clock.now();
         let services = self.process.services.borrow();
         let rows = services.iter().flat_map(|service| {
             let snapshot = service.snapshot();
             let recorder = service.history_recorder.borrow();
-            let story = recorder.as_deref();
+            let history = recorder.as_deref();
             let mut rows: Vec<Value> = snapshot
                 .servers
                 .iter()
-                .map(|seen| row(service, seen, story, now))
+                .map(|seen| server_row(service, seen, history, now))
                 .collect();
-            if let Some(recorder) = story {
+            if let Some(recorder) = history {
                 let left = recorder
                     .history
                     .known_endpoints()
@@ -213,23 +213,23 @@
             rows
         });
         let rows: Vec<Value> = rows.collect();
-        let on = self.records_history();
+        let is_recording = self.records_history();
         let shared = services.iter().flat_map(|service| {
             let recorder = service.history_recorder.borrow();
-            let story = recorder.as_deref();
-            let all = story.into_iter().flat_map(|recorder| {
+            let history = recorder.as_deref();
+            let all = history.into_iter().flat_map(|recorder| {
                 let all = recorder.history.active_anomalies().filter(|d| !matches!(d.subject, Subject::Endpoint(_)));
                 all.map(|d| json!({"pool": service.name, "departure": d, "text": recorder.describe(service, d)}))
             });
             all.collect::<Vec<Value>>()
         });
         json!({
-            "version": VERSION, "name": self.name, "now_us": now, "timelines": on,
+            "version": FORMAT_VERSION, "name": self.name, "now_us": now, "timelines": is_recording,
             "servers": rows, "shared": shared.collect::<Vec<Value>>(),
         })
     }
 
-    /// Whether the story of any servers is kept.
+    /// Whether any pool records the history of its servers.
     pub(super) fn records_history(&self) -> bool {
         self.process
             .services
@@ -238,7 +238,7 @@
             .any(|service| service.history_recorder.borrow().is_some())
     }
 
-    /// The stories of the servers of this name, one for each pool that has one; of one pool alone where it is named.
+    /// The histories of the servers with this name, one for each pool that has such a server; only that of `pool` where given.
     pub(super) fn histories(&self, name: &str, pool: Option<&str>) -> Vec<Value> {
         let now = self.process.clock.now();
         let services = self.process.services.borrow();
@@ -249,38 +249,38 @@
             let recorder = service.history_recorder.borrow();
             let recorder = recorder.as_deref()?;
             let id = recorder.server_id(name)?;
-            let line = recorder.history.timeline(id)?;
+            let timeline = recorder.history.timeline(id)?;
             let snapshot = service.snapshot();
             let seen = snapshot.servers.iter().find(|seen| seen.entry.server == id);
-            let left = recorder.history.known_endpoints().find(|known| known.server == id).and_then(|known| known.left_at);
-            let mut told = match seen {
-                Some(seen) => row(service, seen, Some(recorder), now),
+            let left = recorder.history.known_endpoints().find(|endpoint| endpoint.server == id).and_then(|endpoint| endpoint.left_at);
+            let mut row = match seen {
+                Some(seen) => server_row(service, seen, Some(recorder), now),
                 None => {
                     let ago = now.saturating_sub(left.unwrap_or(now));
                     left_row(service, recorder, id, ago)
                 }
             };
-            let notes = line.events().map(|note| {
+            let notes = timeline.events().map(|note| {
                 let (event, text) = event_text(&note.event);
                 json!({"at_us": note.first_at, "last_us": note.last_at, "times": note.count, "event": event, "text": text})
             });
-            told["now_us"] = now.into();
-            told["notes"] = notes.collect();
-            told["steps"] = line.finest_entries().iter().map(|entry| step(entry.width, &entry.interval)).collect();
+            row["now_us"] = now.into();
+            row["notes"] = notes.collect();
+            row["steps"] = timeline.finest_entries().iter().map(|entry| interval_view(entry.width, &entry.interval)).collect();
             let evidence = recorder.history.evidence().find(|evidence| evidence.server == id);
-            told["evidence"] = json!(evidence);
-            told["recording"] = json!(Recording::of(name, line));
-            Some(told)
+            row["evidence"] = json!(evidence);
+            row["recording"] = json!(Recording::of(name, timeline));
+            Some(row)
         });
         found.collect()
     }
 
-    /// What happened of late: lines of the feed from this number on, of one pool or of all.
+    /// The retained events from this number on, of all pools.
     pub(super) fn events(&self, after: u64) -> Vec<u8> {
         let admin_events = &self.process.admin_events;
         let (oldest, lines) = admin_events.events_from(after);
-        let mut told = format!(
-            "{{\"version\":{VERSION},\"oldest\":{oldest},\"next\":{},\"events\":[",
+        let mut body = format!(
+            "{{\"version\":{FORMAT_VERSION},\"oldest\":{oldest},\"next\":{},\"events\":[",
             admin_events.next_number()
         );
         let lines: Vec<&str> = lines
@@ -288,56 +288,56 @@
             .filter_map(|l| std::str::from_utf8(l).ok())
             .map(str::trim_end)
             .collect();
-        told += &lines.join(",");
-        told += "]}";
-        told.into_bytes()
+        body += &lines.join(",");
+        body += "]}";
+        body.into_bytes()
     }
 }
 
-fn row(
+fn server_row(
     service: &Service,
     seen: &ServerView,
     recorder: Option<&HistoryRecorder>,
     now: Micros,
 ) -> Value {
-    let mut told = server(service, seen, now);
-    told["pool"] = service.name.as_str().into();
+    let mut row = server(service, seen, now);
+    row["pool"] = service.name.as_str().into();
     if let Some(recorder) = recorder {
-        add_story(&mut told, service, recorder, seen.entry.server);
+        add_history(&mut row, service, recorder, seen.entry.server);
     }
-    told
+    row
 }
 
 fn left_row(service: &Service, recorder: &HistoryRecorder, id: ServerId, ago: Micros) -> Value {
     let known = recorder.last_listing(id);
-    let tuned = service.active_settings();
-    let zone = known.and_then(|(listed, _)| tuned.site.zones.get(listed.zone as usize));
-    let kind = known.and_then(|(listed, _)| tuned.site.kinds.get(listed.kind as usize));
-    let mut told = json!({
+    let settings = service.active_settings();
+    let zone = known.and_then(|(listed, _)| settings.site.zones.get(listed.zone as usize));
+    let kind = known.and_then(|(listed, _)| settings.site.kinds.get(listed.kind as usize));
+    let mut row = json!({
         "name": recorder.name(id), "pool": service.name, "state": "left", "left_ago_us": ago,
-        "address": known.and_then(|(_, at)| at).map(|at| at.to_string()), "zone": zone, "kind": kind,
+        "address": known.and_then(|(_, address)| address).map(|address| address.to_string()), "zone": zone, "kind": kind,
     });
-    add_story(&mut told, service, recorder, id);
-    told
+    add_history(&mut row, service, recorder, id);
+    row
 }
 
-fn add_story(told: &mut Value, service: &Service, recorder: &HistoryRecorder, id: ServerId) {
-    if let Some(line) = recorder.history.timeline(id) {
-        told["lately"] = lately(line);
+fn add_history(row: &mut Value, service: &Service, recorder: &HistoryRecorder, id: ServerId) {
+    if let Some(timeline) = recorder.history.timeline(id) {
+        row["lately"] = recent_summary(timeline);
     }
     let own = recorder
         .history
         .active_anomalies()
         .filter(|d| d.subject == Subject::Endpoint(id));
-    told["departures"] = own
+    row["departures"] = own
         .map(|d| json!({"departure": d, "text": recorder.describe(service, d)}))
         .collect::<Vec<Value>>()
         .into();
 }
 
-/// The outcomes of steps, summed up, and the latencies of what was served.
-fn lately(line: &Timeline) -> Value {
-    let mut steps: Vec<&Interval> = line.intervals(LATELY).collect();
+/// Counts of the outcomes in the most recent intervals, and the latency quantiles of the served attempts.
+fn recent_summary(timeline: &Timeline) -> Value {
+    let mut steps: Vec<&Interval> = timeline.intervals(RECENT_INTERVAL_US).collect();
     let steps = steps.split_off(steps.len().saturating_sub(2));
     let sum = |outcomes: &[Outcome]| -> u64 {
         steps
@@ -360,7 +360,7 @@
     })
 }
 
-fn step(width: Micros, step: &Interval) -> Value {
+fn interval_view(width: Micros, step: &Interval) -> Value {
     let served = step.ended(Outcome::Ok);
     let quantile = |part: f64| {
         step.latencies
