--- a/crates/sidecar/src/agent_link/apply.rs
+++ b/crates/sidecar/src/agent_link/apply.rs
@@ -1,6 +1,6 @@
 //! Application of the agent's overlays.
 
-use super::overlay::{same_operator_file_changes, server_overrides};
+use super::overlay::{overrides, same_operator_file_changes};
 use crate::pool;
 use crate::process::Sidecar;
 use crate::reload::run_on_thread;
@@ -31,7 +31,7 @@
         if let Some((key, error)) = invalid {
             return rejected(&format!("set.{key}"), &error.to_string());
         }
-        let former = self.agent_link.persisted_state.borrow().overlay.clone();
+        let former = self.agent_link.persisted.borrow().overlay.clone();
         let source = self
             .agent_link
             .configured_agent
@@ -45,7 +45,7 @@
         let operator = if same_operator_file_changes(&former, &overlay) {
             None
         } else {
-            // Checking a long file takes up to a second; requests are served meanwhile.
+            // Checking a long file takes a large part of a second, during which requests are served.
             match run_on_thread(move || source.with(&edited)).await {
                 Ok(Ok(operator)) => Some(operator),
                 Ok(Err(problem)) => return Outcome::Refused(problem),
@@ -56,16 +56,12 @@
             return rejected("set", "the instance is stopping");
         }
         // No await from here on, so that no request sees a partial change.
-        self.process
-            .server_overrides
-            .replace(server_overrides(&overlay));
+        self.process.server_overrides.replace(overrides(&overlay));
         if let Some(operator) = operator {
             match self.apply(operator) {
                 Ok(summary) => tracing::info!("control: {summary}"),
                 Err(problem) => {
-                    self.process
-                        .server_overrides
-                        .replace(server_overrides(&former));
+                    self.process.server_overrides.replace(overrides(&former));
                     return rejected("set", &problem);
                 }
             }
@@ -75,12 +71,12 @@
         for line in former.diff(&overlay) {
             tracing::info!("control: {line}");
         }
-        self.agent_link.persisted_state.borrow_mut().overlay = overlay;
+        self.agent_link.persisted.borrow_mut().overlay = overlay;
         Outcome::Applied
     }
 
     pub(super) fn apply_server_overrides(&self, former: &Overlay, overlay: &Overlay) {
-        let (former, present) = (server_overrides(former), server_overrides(overlay));
+        let (former, present) = (overrides(former), overrides(overlay));
         for service in self.process.services.borrow().iter() {
             pool::update_overrides(service, &former, &present);
         }
--- a/crates/sidecar/src/agent_link/connection.rs
+++ b/crates/sidecar/src/agent_link/connection.rs
@@ -75,17 +75,12 @@
         start: RandomState::new().hash_one(&control.name),
         incarnation: u64::try_from(unix_time.as_micros()).unwrap_or(u64::MAX / 2),
     };
-    let persisted_state = own.agent_link.persisted_state.borrow().clone();
-    let instance = Instance::new(
-        0,
-        instance_id,
-        traits.borrow().clone(),
-        persisted_state.clone(),
-    );
+    let state = own.agent_link.persisted.borrow().clone();
+    let instance = Instance::new(0, instance_id, traits.borrow().clone(), state.clone());
     // Persisted before use, so that no two starts have the same incarnation.
     own.agent_link.persist(&PersistedInstance {
         incarnation: instance.id().incarnation,
-        ..persisted_state
+        ..state
     });
     tracing::info!(
         "control: {} registers with the agent at {}",
@@ -207,9 +202,9 @@
             .agent_updated(lists, apply, poll_for_fleet, stop_watching)
     }
 
-    fn persist(&mut self, persisted_state: &PersistedInstance) {
+    fn persist(&mut self, state: &PersistedInstance) {
         if let Some(sidecar) = self.sidecar.upgrade() {
-            sidecar.agent_link.persist(persisted_state);
+            sidecar.agent_link.persist(state);
         }
     }
 }
--- a/crates/sidecar/src/agent_link/mod.rs
+++ b/crates/sidecar/src/agent_link/mod.rs
@@ -19,7 +19,7 @@
 use madderloom_control_plane::settings::{Key, LogLevel, Overlay, Value};
 use madderloom_operator_config::{Operator, Source};
 use madderloom_watchdog::{self as watchdog, TaskKind};
-use overlay::{changes_operator_file, server_overrides};
+use overlay::{changes_operator_file, overrides};
 use persisted::{load, write};
 use serde_json::json;
 use std::cell::{Cell, RefCell};
@@ -36,7 +36,7 @@
     pub(super) apply_lock: Mutex<()>,
     configured_agent: RefCell<Option<ConfiguredAgent>>,
     /// The persisted state, with the overlay in effect.
-    persisted_state: RefCell<PersistedInstance>,
+    persisted: RefCell<PersistedInstance>,
     active_link: RefCell<Option<ActiveLink>>,
     log_hook: RefCell<Option<LogHook>>,
     /// Whether a failure to persist the state has been logged.
@@ -78,21 +78,21 @@
         let Some(ConfiguredAgent { control, .. }) = configured.as_ref() else {
             return serde_json::Value::Null;
         };
-        let persisted_state = self.persisted_state.borrow();
+        let persisted = self.persisted.borrow();
         json!({
             "agent": control.agent,
             "name": control.name,
-            "incarnation": persisted_state.incarnation,
-            "term": persisted_state.term,
-            "revision": persisted_state.revision,
-            "fingerprint": persisted_state.overlay.fingerprint(),
-            "set": persisted_state.overlay,
+            "incarnation": persisted.incarnation,
+            "term": persisted.term,
+            "revision": persisted.revision,
+            "fingerprint": persisted.overlay.fingerprint(),
+            "set": persisted.overlay,
         })
     }
 
     /// Loads an operator file, and applies the overlay where the file names an agent.
     pub(super) async fn load_with_overlay(&self, file: PathBuf) -> Result<LoadedFile, String> {
-        let overlay = self.persisted_state.borrow().overlay.clone();
+        let overlay = self.persisted.borrow().overlay.clone();
         run_on_thread(move || {
             let (source, operator) = Source::load(&file).map_err(|faults| faults.to_string())?;
             if operator.control.is_none() {
@@ -142,8 +142,8 @@
 
     /// Persists the state for the next start. The file outlives the process but is not synced: if a power failure loses it,
     /// the agent orders the settings again.
-    fn persist(&self, persisted_state: &PersistedInstance) {
-        self.persisted_state.replace(persisted_state.clone());
+    fn persist(&self, persisted: &PersistedInstance) {
+        self.persisted.replace(persisted.clone());
         let configured = self.configured_agent.borrow();
         let Some(directory) = configured
             .as_ref()
@@ -151,7 +151,7 @@
         else {
             return;
         };
-        match write(directory, persisted_state) {
+        match write(directory, persisted) {
             Ok(()) => self.persist_failure_logged.set(false),
             Err(problem) if !self.persist_failure_logged.replace(true) => {
                 tracing::warn!(
@@ -169,7 +169,7 @@
     pub fn set_log(&self, hook: impl Fn(Option<LogLevel>) + 'static) {
         self.agent_link.log_hook.replace(Some(Box::new(hook)));
         self.agent_link
-            .set_log_level(&self.agent_link.persisted_state.borrow().overlay);
+            .set_log_level(&self.agent_link.persisted.borrow().overlay);
     }
 
     /// Restores the overlay of the last start, where it is still valid for the file.
@@ -184,22 +184,22 @@
                 return operator;
             }
         };
-        let mut persisted_state = load(control.state.as_deref());
-        let operator = match changes_operator_file(&persisted_state.overlay)
-            .then(|| source.with(&persisted_state.overlay))
+        let mut persisted = load(control.state.as_deref());
+        let operator = match changes_operator_file(&persisted.overlay)
+            .then(|| source.with(&persisted.overlay))
         {
             None => operator,
             Some(Ok(with)) => with,
             Some(Err(problem)) => {
                 tracing::warn!("control: ignoring the agent's persisted settings: {problem}");
-                (persisted_state.overlay, persisted_state.revision) = Default::default();
+                (persisted.overlay, persisted.revision) = Default::default();
                 operator
             }
         };
         self.process
             .server_overrides
-            .replace(server_overrides(&persisted_state.overlay));
-        self.agent_link.persisted_state.replace(persisted_state);
+            .replace(overrides(&persisted.overlay));
+        self.agent_link.persisted.replace(persisted);
         self.agent_link
             .configured_agent
             .replace(Some(ConfiguredAgent {
@@ -223,7 +223,7 @@
         };
         let former = self.agent_link.configured_agent.replace(configured);
         if self.agent_link.configured_agent.borrow().is_none() {
-            let overlay = std::mem::take(&mut self.agent_link.persisted_state.borrow_mut().overlay);
+            let overlay = std::mem::take(&mut self.agent_link.persisted.borrow_mut().overlay);
             if former.is_some() {
                 self.apply_server_overrides(&overlay, &Overlay::default());
                 self.agent_link.set_log_level(&Overlay::default());
@@ -236,11 +236,11 @@
                 .borrow()
                 .as_ref()
                 .and_then(|agent| agent.control.state.clone());
-            let persisted_state = load(directory.as_deref());
-            self.agent_link.persisted_state.replace(PersistedInstance {
+            let persisted = load(directory.as_deref());
+            self.agent_link.persisted.replace(PersistedInstance {
                 overlay: Overlay::default(),
                 revision: 0,
-                ..persisted_state
+                ..persisted
             });
         }
         self.update_agent_link();
--- a/crates/sidecar/src/agent_link/overlay.rs
+++ b/crates/sidecar/src/agent_link/overlay.rs
@@ -19,7 +19,7 @@
     file_settings(one).eq(file_settings(other))
 }
 
-pub(super) fn server_overrides(overlay: &Overlay) -> ServerOverrides {
+pub(super) fn overrides(overlay: &Overlay) -> ServerOverrides {
     let mut overrides = ServerOverrides::default();
     for (key, value) in &overlay.0 {
         match (key, value) {
--- a/crates/sidecar/src/agent_link/persisted.rs
+++ b/crates/sidecar/src/agent_link/persisted.rs
@@ -6,10 +6,10 @@
 /// The file name of the persisted state.
 const STATE_FILE: &str = "instance.json";
 
-pub(super) fn write(directory: &Path, persisted_state: &PersistedInstance) -> std::io::Result<()> {
+pub(super) fn write(directory: &Path, state: &PersistedInstance) -> std::io::Result<()> {
     std::fs::create_dir_all(directory)?;
     let temporary = directory.join("instance.next");
-    std::fs::write(&temporary, serde_json::to_vec(persisted_state)?)?;
+    std::fs::write(&temporary, serde_json::to_vec(state)?)?;
     std::fs::rename(temporary, directory.join(STATE_FILE))
 }
 
