--- a/crates/sidecar/src/attempt.rs
+++ b/crates/sidecar/src/attempt.rs
@@ -4,11 +4,11 @@
 use super::connections::ConnectError;
 use super::counts::increment;
 use super::exchange::{self, BodyRead, CompleteBody, ExchangeError, RequestMessage, SendProgress};
+use super::history_recorder::EndedAttempt;
 use super::readiness;
 use super::response_body::{ResponseBody, StreamedResponseBody};
 use super::service::Service;
 use super::state_writer::{IdempotencyRecord, WriteBarrier};
-use super::teller::EndedAttempt;
 use super::transaction::FinalResponse;
 use super::upload::{self, BodyLength, RequestBody};
 use bytes::{Bytes, BytesMut};
@@ -104,6 +104,7 @@
     pub(super) cost_hint: Option<Micros>,
     /// When the attempt started; after a streamed request body, when its last byte was written.
     pub(super) sent_at: Cell<Micros>,
+    /// When the attempt times out. With a streamed request body, its time limit starts over with the last byte.
     pub(super) timeout_at: Micros,
     /// From this time on the last byte of the request must not be written.
     pub(super) write_by: Micros,
@@ -120,6 +121,7 @@
         forwarded.body.streamed().is_none() && self.service.process.clock.now() >= self.timeout_at
     }
 
+    /// Reports the outcome to the service and the balancer, unless one was reported before.
     fn report_outcome(&mut self, outcome: Outcome) {
         if std::mem::replace(&mut self.outcome_reported, true) {
             return;
@@ -138,10 +140,10 @@
             request_ended: self.transaction_ended.get(),
         };
         let ended = EndedAttempt {
-            closed,
+            result: closed,
             class: self.class,
-            cost: self.cost_hint,
-            sent: self.sent_at.get(),
+            cost_hint: self.cost_hint,
+            sent_at: self.sent_at.get(),
         };
         self.service.record_attempt_end(now, &ended);
         self.service.handle(now, Event::AttemptEnded(closed));
@@ -465,6 +467,7 @@
     result
 }
 
+/// Encodes data as one chunk of the chunked transfer coding.
 fn encode_chunk(data: &Bytes) -> Bytes {
     let mut chunk = BytesMut::with_capacity(data.len() + 20);
     chunk.extend_from_slice(format!("{:x}\r\n", data.len()).as_bytes());
@@ -516,6 +519,7 @@
     message
 }
 
+/// The outcome that a complete response stands for, and the response to return if it counts as served.
 fn interpret_response(
     status: StatusCode,
     headers: HeaderMap,
