--- a/crates/fault-testing/src/fake_discovery.rs
+++ b/crates/fault-testing/src/fake_discovery.rs
@@ -67,8 +67,8 @@
     list: watch::Sender<String>,
     state: Mutex<State>,
     processing: Semaphore,
-    /// Number of crashes and of other events that close all connections.
-    crash_count: watch::Sender<usize>,
+    /// Counts crashes and other events, each of which closes all connections.
+    disconnect_count: watch::Sender<usize>,
 }
 
 /// A fake discovery service, controlled by the test. It implements only the watch of the protocol.
@@ -120,7 +120,7 @@
             calls,
             notified_watches,
         };
-        let (list, crash_count) = (
+        let (list, disconnect_count) = (
             watch::Sender::new(list_json(2, servers)),
             watch::Sender::new(0),
         );
@@ -128,7 +128,7 @@
             list,
             state: Mutex::new(state),
             processing: Semaphore::new(1),
-            crash_count,
+            disconnect_count,
         });
         let task = runtime()
             .spawn(accept(listener, Arc::clone(&shared)))
@@ -160,7 +160,9 @@
     /// From now on, answers each call with 503 this long after its arrival and does no work for it. Closes open watches.
     pub fn reject_calls(&self, after: Duration) {
         lock(&self.shared.state).reject_after = Some(after);
-        self.shared.crash_count.send_modify(|count| *count += 1);
+        self.shared
+            .disconnect_count
+            .send_modify(|count| *count += 1);
     }
 
     /// Accepts calls again. Calls that are already being rejected are still rejected.
@@ -200,7 +202,7 @@
 fn crash(shared: &Shared, state: &mut State, down: Duration) {
     state.crashes.push(Instant::now());
     state.down_until = Some(Instant::now() + down);
-    shared.crash_count.send_modify(|count| *count += 1);
+    shared.disconnect_count.send_modify(|count| *count += 1);
 }
 
 async fn accept(listener: std::net::TcpListener, shared: Arc<Shared>) {
@@ -217,10 +219,11 @@
         if is_down {
             continue;
         }
-        let (shared, mut crash_count) = (Arc::clone(&shared), shared.crash_count.subscribe());
+        let (shared, mut disconnect_count) =
+            (Arc::clone(&shared), shared.disconnect_count.subscribe());
         open.spawn(async move {
             tokio::select! {
-                _ = crash_count.changed() => {}
+                _ = disconnect_count.changed() => {}
                 _ = serve(stream, Arc::clone(&shared)) => {}
             }
         });
@@ -231,9 +234,9 @@
 struct CountGuard<'o>(&'o Shared, fn(&mut State) -> &mut usize);
 
 impl<'o> CountGuard<'o> {
-    fn new(shared: &'o Shared, which: fn(&mut State) -> &mut usize) -> Self {
-        *which(&mut lock(&shared.state)) += 1;
-        CountGuard(shared, which)
+    fn new(shared: &'o Shared, counter: fn(&mut State) -> &mut usize) -> Self {
+        *counter(&mut lock(&shared.state)) += 1;
+        CountGuard(shared, counter)
     }
 }
 
