--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -3,7 +3,7 @@
 use crate::output::{Output, tell, tell_problems};
 use madderloom_config_reader::Problem;
 use madderloom_endpoint_sharing::DiscoveryCallSchedule;
-use madderloom_operator_config::{Operator, PoolLevels};
+use madderloom_operator_config::{OperatorConfig, PoolLevels};
 use madderloom_quota_leases::{Capacity, ONE_REQUEST, SafeCapacity, UNBOUNDED};
 use madderloom_sidecar::Config;
 use std::path::PathBuf;
@@ -46,7 +46,7 @@
                 )
             })
         } else if operator {
-            Operator::load(&self.file)
+            OperatorConfig::load(&self.file)
                 .map(|o| (o.summary(), safe_parts(&o), shared_lists(&o), o.levels()))
                 .map_err(|faults| faults.problems)
         } else {
@@ -121,14 +121,14 @@
 }
 
 /// What an instance may let in of each fleet-wide limit while it has no lease.
-fn safe_parts(operator: &Operator) -> Vec<String> {
+fn safe_parts(operator: &OperatorConfig) -> Vec<String> {
     let limits = operator
         .control
         .iter()
         .flat_map(|control| &control.fleet_limits);
     let told = limits.map(|limit| {
         let name = &limit.name;
-        let own = match limit.safe {
+        let own = match limit.safe_capacity {
             SafeCapacity::Zero => "nothing".to_string(),
             SafeCapacity::Fraction(of) => format!("a part in {of} of the limit, as the last lease told it; nothing before one came"),
             SafeCapacity::Fixed(Capacity {
@@ -149,7 +149,7 @@
 }
 
 /// How old a list of each pool that is shared with the fleet may be.
-fn shared_lists(operator: &Operator) -> Vec<String> {
+fn shared_lists(operator: &OperatorConfig) -> Vec<String> {
     let shares = operator
         .control
         .as_ref()
--- a/crates/cli/src/place.rs
+++ b/crates/cli/src/place.rs
@@ -1,6 +1,6 @@
 //! Where a running process's admin view is, as command lines name it.
 
-use madderloom_operator_config::{Admin, Operator};
+use madderloom_operator_config::{Admin, OperatorConfig};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
@@ -25,7 +25,7 @@
             (_, Some(path), _) => Ok(Admin::Socket(path.clone())),
             (_, _, Some(address)) => Ok(Admin::Listen(address)),
             (Some(file), ..) => {
-                let operator = Operator::load(file).map_err(|faults| faults.to_string())?;
+                let operator = OperatorConfig::load(file).map_err(|faults| faults.to_string())?;
                 let none = || format!("{}: has no [admin]: the view is off", file.display());
                 operator.admin.ok_or_else(none)
             }
--- a/crates/cli/src/route.rs
+++ b/crates/cli/src/route.rs
@@ -3,7 +3,7 @@
 use crate::output::{Output, table, tell, tell_problems};
 use http::header::{HOST, HeaderName, HeaderValue};
 use http::{HeaderMap, Method, Uri, Version};
-use madderloom_operator_config::{Operator, PLATFORM};
+use madderloom_operator_config::{OperatorConfig, PLATFORM};
 use madderloom_routing::request::{Asked, split_key};
 use madderloom_routing::routes::Verdict;
 use serde_json::{Value, json};
@@ -53,7 +53,7 @@
 
 impl Explain {
     fn run(self) -> Result<ExitCode, String> {
-        let operator = match Operator::load(&self.operator) {
+        let operator = match OperatorConfig::load(&self.operator) {
             Ok(operator) => operator,
             Err(faults) => {
                 tell_problems(&faults.file, &faults.problems, self.output);
@@ -77,7 +77,7 @@
         };
         let method: Method = self.method.parse().map_err(|e| format!("METHOD: {e}"))?;
         let (uri, headers) = self.head()?;
-        let (table, routes) = (operator.table(), &operator.routes);
+        let (table, routes) = (operator.route_table(), &operator.routes);
         let asked = match Asked::read(&method, &uri, Version::HTTP_11, &headers) {
             Ok(asked) => asked,
             Err(fault) => {
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -1,7 +1,7 @@
 //! `madderloom serve`: one sidecar, from its environment to a program that serves until it is told to stop.
 
 use crate::logging::{LAST_LINES, Logging};
-use madderloom_operator_config::Operator;
+use madderloom_operator_config::OperatorConfig;
 use madderloom_sidecar::{Config, Sidecar};
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use std::path::PathBuf;
@@ -37,7 +37,8 @@
             let (stop, mut changed) = (stop()?, listen_for(SignalKind::hangup())?);
             let operator = match self.operator {
                 Some(file) => {
-                    let operator = Operator::load(&file).map_err(|faults| faults.to_string())?;
+                    let operator =
+                        OperatorConfig::load(&file).map_err(|faults| faults.to_string())?;
                     Some((file, operator))
                 }
                 None => None,
--- a/crates/cli/tests/file_keys/operator.rs
+++ b/crates/cli/tests/file_keys/operator.rs
@@ -1,6 +1,6 @@
 use crate::{Keys, Refusal, Table, check, keys};
 use madderloom_config_reader::Problem;
-use madderloom_operator_config::Operator;
+use madderloom_operator_config::OperatorConfig;
 
 const SETTINGS: &str = include_str!("../../../../examples/try/config.json");
 
@@ -606,7 +606,7 @@
 ];
 
 fn read(text: &str) -> Result<(), Vec<Problem>> {
-    Operator::parse(text, &|name| match name {
+    OperatorConfig::parse(text, &|name| match name {
         "config.json" => Ok(SETTINGS.to_string()),
         _ => Err("No such file".to_string()),
     })
--- a/crates/config-reader/src/document.rs
+++ b/crates/config-reader/src/document.rs
@@ -98,7 +98,7 @@
     /// Notes a problem with a field; of one that is not there, the place is that of the innermost table round it.
     pub fn problem(&mut self, field: &str, problem: impl fmt::Display) {
         if self.problems.len() < MOST {
-            let (line, column) = self.place(field);
+            let (line, column) = self.position(field);
             let problem = problem.to_string();
             self.problems.push(Problem {
                 line,
@@ -117,7 +117,7 @@
     }
 
     /// Line and column, from 1, of a field such as `a.b[2].c`.
-    pub fn place(&self, field: &str) -> (usize, usize) {
+    pub fn position(&self, field: &str) -> (usize, usize) {
         place(self.text, self.nearest(field).0.span().start)
     }
 
--- a/crates/lab/src/scale/child.rs
+++ b/crates/lab/src/scale/child.rs
@@ -5,7 +5,7 @@
 use madderloom_agent::relay::{Relay, RelayConfig};
 use madderloom_agent::{Agent, AgentConfig, DurableStorage, MemoryStorage, Storage};
 use madderloom_config_reader::Problem;
-use madderloom_operator_config::Operator;
+use madderloom_operator_config::OperatorConfig;
 use madderloom_sidecar::Sidecar;
 use std::os::unix::process::CommandExt;
 use std::path::{Path, PathBuf};
@@ -104,7 +104,7 @@
 }
 
 fn serve_sidecar(file: &Path) -> Result<(), String> {
-    let operator = Operator::load(file).map_err(|faults| faults.to_string())?;
+    let operator = OperatorConfig::load(file).map_err(|faults| faults.to_string())?;
     on_one_thread(async {
         let stop = told_to_stop()?;
         let sidecar = Sidecar::new(None, Some((file.to_path_buf(), operator)))?;
--- a/crates/operator-config/src/fleet_limits.rs
+++ b/crates/operator-config/src/fleet_limits.rs
@@ -41,7 +41,7 @@
 
 impl Pattern {
     /// Whether it fits a name.
-    pub fn fits(&self, name: &str) -> bool {
+    pub fn matches(&self, name: &str) -> bool {
         madderloom_quota_leases::matches_pattern(&self.0, name)
     }
 }
@@ -60,7 +60,7 @@
     /// It is for each server of the pools by itself, and counts attempts.
     pub each_server: bool,
     /// What may be let in while no lease holds.
-    pub safe: SafeCapacity,
+    pub safe_capacity: SafeCapacity,
 }
 
 pub(crate) fn check(
@@ -103,7 +103,7 @@
         } else {
             self.pool
         });
-        if !(0..pools.len()).any(|place| pool.fits(pools.name(place))) {
+        if !(0..pools.len()).any(|place| pool.matches(pools.name(place))) {
             let known: Vec<&str> = (0..pools.len()).map(|place| pools.name(place)).collect();
             document.problem(
                 &field("pool"),
@@ -145,14 +145,14 @@
                 None
             }
         };
-        let safe = self.safe.check(document, field);
+        let safe_capacity = self.safe.check(document, field);
         FleetLimit {
             name: self.name,
             pool,
             class,
             header,
             each_server: self.each_server,
-            safe,
+            safe_capacity,
         }
     }
 }
@@ -177,15 +177,19 @@
             &field("safe.open"),
             "must be 100000000 at most",
         );
-        if let Some(parts) = divide_by {
+        if let Some(resource_shares) = divide_by {
             let alone = rate.is_none() && burst.is_none() && open.is_none();
             document.require(
                 alone,
                 &field("safe.divide_by"),
                 "stands alone, without figures",
             );
-            document.require(parts > 0, &field("safe.divide_by"), "must be 1 or more");
-            return SafeCapacity::Fraction(parts.max(1));
+            document.require(
+                resource_shares > 0,
+                &field("safe.divide_by"),
+                "must be 1 or more",
+            );
+            return SafeCapacity::Fraction(resource_shares.max(1));
         }
         if rate.is_none() && open.is_none() {
             document.require(
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -25,14 +25,14 @@
 pub use control::Control;
 pub use fleet_limits::{FleetLimit, Pattern};
 pub use levels::PoolLevels;
-pub use limits::{Bounds, Limits, MemberLimits, RateLimit, parts};
+pub use limits::{Limits, RateLimit, ResourceLimits, ShareBounds, resource_shares};
 pub use listeners::Listener;
 pub use madderloom_config_reader::Problem;
 pub use names::PLATFORM;
 pub use pools::{Pool, Server};
 pub use process::Process;
 pub use source::Source;
-pub use state::{Kept, State};
+pub use state::{PersistenceOptions, State};
 
 use madderloom_config_reader::Document;
 use madderloom_routing::routes::{Route, Table};
@@ -42,7 +42,7 @@
 use std::path::{Path, PathBuf};
 
 /// The version of the format that this program reads.
-pub const VERSION: u32 = 1;
+pub const FORMAT_VERSION: u32 = 1;
 
 /// The file as it is written.
 #[derive(Default, Deserialize)]
@@ -62,7 +62,7 @@
 
 /// The file as it is used: every name in it is known, every figure is within its bounds, no two routes clash.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Operator {
+pub struct OperatorConfig {
     /// What concerns the whole process.
     pub process: Process,
     /// In the file's order. Routes name them by their place here plus 1: 0 is the platform's.
@@ -85,14 +85,14 @@
 
 /// Why a file can't be used.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Faults {
+pub struct ConfigErrors {
     /// The file.
     pub file: PathBuf,
     /// All that is wrong with it, in its order; never empty.
     pub problems: Vec<Problem>,
 }
 
-impl fmt::Display for Faults {
+impl fmt::Display for ConfigErrors {
     /// All in one line, for the log.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let told: Vec<String> = self
@@ -104,11 +104,11 @@
     }
 }
 
-impl Operator {
+impl OperatorConfig {
     /// Reads the file and those that it names.
-    pub fn load(file: &Path) -> Result<Self, Faults> {
-        let read = Operator::parse(&text_of(file)?, &beside(file));
-        let read = read.map_err(|problems| Faults {
+    pub fn load(file: &Path) -> Result<Self, ConfigErrors> {
+        let read = OperatorConfig::parse(&text_of(file)?, &beside(file));
+        let read = read.map_err(|problems| ConfigErrors {
             file: file.to_path_buf(),
             problems,
         });
@@ -133,12 +133,15 @@
         if !document.has("version") {
             document.problem(
                 "version",
-                format_args!("is missing; write version = {VERSION}"),
+                format_args!("is missing; write version = {FORMAT_VERSION}"),
             );
-        } else if file.version.is_some_and(|version| version != VERSION) {
+        } else if file
+            .version
+            .is_some_and(|version| version != FORMAT_VERSION)
+        {
             document.problem(
                 "version",
-                format_args!("is not known to this program; it reads {VERSION}"),
+                format_args!("is not known to this program; it reads {FORMAT_VERSION}"),
             );
         }
         let listeners = Names::of(
@@ -155,7 +158,7 @@
         let checked = pools::check(&mut document, file.pools, state.as_ref(), read);
         let known = |place: usize| checked.get(place.checked_sub(1)?)?.as_ref();
         let name = file.process.name().to_string();
-        let operator = Operator {
+        let operator = OperatorConfig {
             process: file.process.check(&mut document),
             routes: routes::check(&mut document, &file.routes, &listeners, &pools, &known),
             listeners: listeners::check(&mut document, file.listeners),
@@ -174,7 +177,7 @@
         let timeline = file
             .timeline
             .map(|section| section.check(&mut document, memory, pools));
-        let operator = Operator {
+        let operator = OperatorConfig {
             timeline,
             ..operator
         };
@@ -191,7 +194,7 @@
     }
 
     /// The routes, ready to be looked up. The platform's listener has the place 0, the file's follow.
-    pub fn table(&self) -> Table {
+    pub fn route_table(&self) -> Table {
         // No two clash: that is checked with the file.
         Table::new(self.routes.clone(), self.listeners.len() + 1).unwrap_or_default()
     }
@@ -251,10 +254,10 @@
 }
 
 /// The text of an operator file.
-fn text_of(file: &Path) -> Result<String, Faults> {
+fn text_of(file: &Path) -> Result<String, ConfigErrors> {
     std::fs::read_to_string(file).map_err(|e| {
         let (line, column, field, problem) = (1, 1, String::new(), format!("can't be read: {e}"));
-        Faults {
+        ConfigErrors {
             file: file.to_path_buf(),
             problems: vec![Problem {
                 line,
--- a/crates/operator-config/src/limits.rs
+++ b/crates/operator-config/src/limits.rs
@@ -1,6 +1,6 @@
 //! `[limits]`, and the `limits` of listeners and pools: who may hold how much.
 
-use crate::Operator;
+use crate::OperatorConfig;
 use madderloom_config_reader::{Document, Size};
 use madderloom_routing::rate::Rate;
 use madderloom_routing::shares::Part;
@@ -105,11 +105,11 @@
 
 /// Bounds of one thing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Bounds {
+pub struct ShareBounds {
     /// What is lent to nobody. Where it is not given: an equal part of half of what there is.
     pub guaranteed: Option<u64>,
     /// What may be held in all, borrowed or not. Where it is not given: all that there is.
-    pub most: Option<u64>,
+    pub max: Option<u64>,
 }
 
 /// How many requests come in a second.
@@ -130,23 +130,23 @@
 
 /// What the clients of a listener, or the requests of a pool, may hold together.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct MemberLimits {
+pub struct ResourceLimits {
     /// Requests that are open.
-    pub open: Bounds,
+    pub open: ShareBounds,
     /// Bytes of their bodies.
-    pub bodies: Bounds,
+    pub bodies: ShareBounds,
     /// Connections: of clients at a listener, to servers at a pool.
-    pub connections: Bounds,
+    pub connections: ShareBounds,
     /// No bound where it is not given.
     pub rate: Option<RateLimit>,
     /// Its part of the thread's time beside the others'. Usually 1; 1 to 1,000.
     pub weight: u32,
 }
 
-impl Default for MemberLimits {
+impl Default for ResourceLimits {
     fn default() -> Self {
-        let all = Bounds::default();
-        MemberLimits {
+        let all = ShareBounds::default();
+        ResourceLimits {
             open: all,
             bodies: all,
             connections: all,
@@ -157,7 +157,7 @@
 }
 
 impl MemberSection {
-    pub(crate) fn check(&self, document: &mut Document<'_>, at: &str) -> MemberLimits {
+    pub(crate) fn check(&self, document: &mut Document<'_>, at: &str) -> ResourceLimits {
         let mut bounds = |name: &str, guaranteed: Option<u64>, most: Option<u64>| {
             let sound = guaranteed.zip(most).is_none_or(|(g, m)| g <= m);
             document.require(
@@ -170,7 +170,10 @@
                 &format!("{at}.{name}.most"),
                 "must be at least 1",
             );
-            Bounds { guaranteed, most }
+            ShareBounds {
+                guaranteed,
+                max: most,
+            }
         };
         let open = bounds("open", self.open.guaranteed, self.open.most);
         let connections = bounds(
@@ -217,7 +220,7 @@
             &format!("{at}.weight"),
             "must lie in 1 to 1000",
         );
-        MemberLimits {
+        ResourceLimits {
             open,
             bodies,
             connections,
@@ -229,7 +232,7 @@
 
 /// The parts of members in so many units. Members whose guaranteed part is not given have an equal part of half of
 /// the units each, or of what the others leave of it. The guaranteed parts never come to more than the units.
-pub fn parts(total: u64, members: &[Bounds]) -> Vec<Part> {
+pub fn resource_shares(total: u64, members: &[ShareBounds]) -> Vec<Part> {
     let given: u64 = members
         .iter()
         .filter_map(|b| b.guaranteed)
@@ -242,8 +245,8 @@
     } else {
         1.0
     };
-    let part = |bounds: &Bounds| {
-        let most = bounds.most.unwrap_or(total).min(total);
+    let part = |bounds: &ShareBounds| {
+        let most = bounds.max.unwrap_or(total).min(total);
         let own = bounds
             .guaranteed
             .map_or(usual, |g| (g as f64 * scale) as u64);
@@ -256,8 +259,8 @@
 }
 
 /// Notes guaranteed parts that come to more than the process has.
-pub(crate) fn check_parts(document: &mut Document<'_>, operator: &Operator) {
-    type Pick = fn(&MemberLimits) -> Bounds;
+pub(crate) fn check_parts(document: &mut Document<'_>, operator: &OperatorConfig) {
+    type Pick = fn(&ResourceLimits) -> ShareBounds;
     let limits = &operator.limits;
     let half = limits.descriptors.map(|d| d / 2);
     let bodies = limits
@@ -269,11 +272,11 @@
         ("bodies", bodies, |m| m.bodies),
         ("connections", half, |m| m.connections),
     ];
-    let listeners: Vec<&MemberLimits> = operator.listeners.iter().map(|l| &l.limits).collect();
-    let pools: Vec<&MemberLimits> = operator.pools.iter().map(|p| &p.limits).collect();
+    let listeners: Vec<&ResourceLimits> = operator.listeners.iter().map(|l| &l.limits).collect();
+    let pools: Vec<&ResourceLimits> = operator.pools.iter().map(|p| &p.limits).collect();
     for (section, members) in [("listeners", listeners), ("pools", pools)] {
         for (name, total, pick) in &totals {
-            let given = |m: &&MemberLimits| pick(m).guaranteed;
+            let given = |m: &&ResourceLimits| pick(m).guaranteed;
             let sum = members
                 .iter()
                 .filter_map(given)
--- a/crates/operator-config/src/listeners.rs
+++ b/crates/operator-config/src/listeners.rs
@@ -1,6 +1,6 @@
 //! `[[listeners]]`: where clients connect.
 
-use crate::limits::{MemberLimits, MemberSection};
+use crate::limits::{MemberSection, ResourceLimits};
 use madderloom_config_reader::{Document, Size, Span};
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -26,16 +26,16 @@
     /// Where clients connect. With the port 0 the system chooses one.
     pub address: SocketAddr,
     /// A connection that has sent no whole head for this long is closed. Usually 2 s; 10 ms to 1 min.
-    pub head_within: Span,
+    pub head_timeout: Span,
     /// A connection on which nothing at all has come for this long, since it began or since its last answer, is closed.
     /// Usually as `head_within`; 10 ms to 1 day.
-    pub idle_within: Span,
+    pub idle_timeout: Span,
     /// How long the rest of a request may take behind its head. Usually 900 ms; 10 ms to 1 min.
-    pub body_within: Span,
+    pub body_timeout: Span,
     /// The longest body that is taken. Usually, and at most, 64 KiB.
-    pub body_size: Size,
+    pub max_body_size: Size,
     /// What its clients may hold together.
-    pub limits: MemberLimits,
+    pub limits: ResourceLimits,
 }
 
 const BODY: Size = Size(64 << 10);
@@ -71,12 +71,12 @@
                 span
             };
         let (minute, day) = ((Span::s(60), "1m"), (Span::s(86_400), "24h"));
-        let head_within = span("head_within", section.head_within, Span::s(2), minute);
-        let idle_within = span("idle_within", section.idle_within, head_within, day);
-        let body_within = span("body_within", section.body_within, Span::ms(900), minute);
-        let body_size = section.body_size.unwrap_or(BODY);
+        let head_timeout = span("head_within", section.head_within, Span::s(2), minute);
+        let idle_timeout = span("idle_within", section.idle_within, head_timeout, day);
+        let body_timeout = span("body_within", section.body_within, Span::ms(900), minute);
+        let max_body_size = section.body_size.unwrap_or(BODY);
         document.require(
-            body_size <= BODY,
+            max_body_size <= BODY,
             &own("body_size"),
             format_args!("is over {BODY}; write less"),
         );
@@ -84,10 +84,10 @@
         Listener {
             name: section.name,
             address,
-            head_within,
-            idle_within,
-            body_within,
-            body_size,
+            head_timeout,
+            idle_timeout,
+            body_timeout,
+            max_body_size,
             limits,
         }
     };
--- a/crates/operator-config/src/pools.rs
+++ b/crates/operator-config/src/pools.rs
@@ -1,8 +1,8 @@
 //! `[[pools]]`: the servers of a service, and how requests are distributed over them.
 
-use crate::limits::{MemberLimits, MemberSection};
+use crate::limits::{MemberSection, ResourceLimits};
 use crate::names::is_name;
-use crate::state::{Kept, PoolSection, State};
+use crate::state::{PersistenceOptions, PoolSection, State};
 use madderloom_balancer::RetrySafety;
 use madderloom_balancer::settings::{Site, settings_key};
 use madderloom_config_reader::Document;
@@ -66,13 +66,13 @@
     /// Its classes, zones and all that its decision module is told.
     pub site: Site,
     /// What its requests may hold together.
-    pub limits: MemberLimits,
+    pub limits: ResourceLimits,
     /// What it gives up when; it always gives full service where there are none.
     pub levels: Option<LevelPlan>,
     /// How its GraphQL operations are classed, if it has any.
     pub graphql: Option<Policy>,
     /// What of it outlasts the process.
-    pub kept: Kept,
+    pub persistence: PersistenceOptions,
 }
 
 /// A server that the file names.
@@ -112,11 +112,11 @@
     state: Option<&State>,
     read: &dyn Fn(&str) -> Result<String, String>,
 ) -> Option<Pool> {
-    let kept = PoolSection {
+    let persistence = PoolSection {
         ledger: section.ledger,
         warm_start: section.warm_start,
     };
-    let kept = kept.check(document, at, state);
+    let persistence = persistence.check(document, at, state);
     let limits = section.limits.check(document, &format!("{at}.limits"));
     if !document.has(&format!("{at}.discovery")) && !document.has(&format!("{at}.servers")) {
         let problem =
@@ -152,7 +152,7 @@
         limits,
         levels,
         graphql,
-        kept,
+        persistence,
     })
 }
 
--- a/crates/operator-config/src/routes.rs
+++ b/crates/operator-config/src/routes.rs
@@ -105,7 +105,7 @@
             listener,
         } in clashes
         {
-            let (line, _) = document.place(&format!("routes[{first}].name"));
+            let (line, _) = document.position(&format!("routes[{first}].name"));
             let (other, listener) = (&sections[first].name, listeners.name(listener));
             let problem = format!(
                 "clashes with {other} of line {line} on listener {listener}: both match some request and neither is \
--- a/crates/operator-config/src/source.rs
+++ b/crates/operator-config/src/source.rs
@@ -1,6 +1,6 @@
 //! An operator file as it was read, to be read again with what the fleet's operators set beside it.
 
-use crate::{Faults, Operator, Problem};
+use crate::{ConfigErrors, OperatorConfig, Problem};
 use madderloom_control_plane::settings::{Fingerprint, Key, Overlay, Value};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -23,7 +23,7 @@
     ///
     /// # Errors
     /// All that is wrong with them.
-    pub fn load(file: &Path) -> Result<(Self, Operator), Faults> {
+    pub fn load(file: &Path) -> Result<(Self, OperatorConfig), ConfigErrors> {
         let text = crate::text_of(file)?;
         let named = RefCell::new(BTreeMap::new());
         let beside = crate::beside(file);
@@ -32,8 +32,8 @@
             named.borrow_mut().insert(name.to_string(), text.clone());
             text
         };
-        let read = Operator::parse(&text, &read);
-        let operator = read.map_err(|problems| Faults {
+        let read = OperatorConfig::parse(&text, &read);
+        let operator = read.map_err(|problems| ConfigErrors {
             file: file.to_path_buf(),
             problems,
         })?;
@@ -59,7 +59,10 @@
     /// # Errors
     /// The setting at fault, as `set.limit/SERVICE/LIMIT` or `set.route/NAME` with what is below it, or `set` where
     /// it is the file that no longer fits.
-    pub fn with(&self, overlay: &Overlay) -> Result<Operator, madderloom_control_plane::Problem> {
+    pub fn apply(
+        &self,
+        overlay: &Overlay,
+    ) -> Result<OperatorConfig, madderloom_control_plane::Problem> {
         let (text, places) = self.edited(overlay)?;
         let read = |name: &str| {
             self.named
@@ -67,7 +70,7 @@
                 .cloned()
                 .unwrap_or_else(|| Err("was not read".into()))
         };
-        let read = Operator::parse(&text, &read).map_err(|problems| told(&problems, &places));
+        let read = OperatorConfig::parse(&text, &read).map_err(|problems| told(&problems, &places));
         read.map(|operator| operator.beside(&self.file))
     }
 
--- a/crates/operator-config/src/state.rs
+++ b/crates/operator-config/src/state.rs
@@ -26,21 +26,21 @@
     /// The directory of the store. It must be there; a relative path counts from the operator file.
     pub dir: PathBuf,
     /// What the platform's pool keeps, and every pool that says nothing of it.
-    pub usual: Kept,
+    pub defaults: PersistenceOptions,
     /// The headers that tell a request from another, in lower case: the first of them that a request has is its
     /// identity. Usually `Idempotency-Key`, then `X-Trace-Id`.
-    pub ids: Vec<String>,
+    pub id_headers: Vec<String>,
     /// How long entries of the ledger last, and how many there may be. Usually 5 minutes and 200,000.
-    pub rules: IdempotencyLimits,
+    pub idempotency_limits: IdempotencyLimits,
     /// Between two snapshots for the warm start. Usually 5 s.
-    pub warm_every: Span,
+    pub snapshot_interval: Span,
     /// How what was measured loses weight. Usually half of it in 30 s, and all beyond 5 minutes.
-    pub aging: SnapshotDecay,
+    pub snapshot_decay: SnapshotDecay,
 }
 
 /// What is kept of a pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Kept {
+pub struct PersistenceOptions {
     /// Of submissions.
     pub ledger: IdempotencyMode,
     /// Whether what was measured of its servers is.
@@ -111,17 +111,17 @@
         );
         State {
             dir: dir.unwrap_or_default(),
-            usual: Kept {
+            defaults: PersistenceOptions {
                 ledger: ledger.unwrap_or_default(),
                 warm_start,
             },
-            ids: ids.iter().map(|name| name.to_ascii_lowercase()).collect(),
-            rules: IdempotencyLimits {
+            id_headers: ids.iter().map(|name| name.to_ascii_lowercase()).collect(),
+            idempotency_limits: IdempotencyLimits {
                 retention: window.micros(),
                 max_records: entries as usize,
             },
-            warm_every,
-            aging: SnapshotDecay {
+            snapshot_interval: warm_every,
+            snapshot_decay: SnapshotDecay {
                 half_life: half.micros(),
                 max_age: oldest.micros(),
             },
@@ -135,7 +135,7 @@
 impl State {
     /// Whether what is held in memory of it fits into what the file grants.
     pub(crate) fn check_memory(&self, document: &mut Document<'_>, memory: Option<u64>) {
-        let bytes = (self.rules.max_records as u64).saturating_mul(ENTRY);
+        let bytes = (self.idempotency_limits.max_records as u64).saturating_mul(ENTRY);
         document.require(
             memory.is_none_or(|memory| bytes <= memory / 2),
             "state.entries",
@@ -154,9 +154,9 @@
         document: &mut Document<'_>,
         at: &str,
         state: Option<&State>,
-    ) -> Kept {
-        let usual = state.map(|state| state.usual).unwrap_or_default();
-        let kept = Kept {
+    ) -> PersistenceOptions {
+        let usual = state.map(|state| state.defaults).unwrap_or_default();
+        let kept = PersistenceOptions {
             ledger: self.ledger.unwrap_or(usual.ledger),
             warm_start: self.warm_start.unwrap_or(usual.warm_start),
         };
--- a/crates/operator-config/tests/file.rs
+++ b/crates/operator-config/tests/file.rs
@@ -1,7 +1,9 @@
 //! The operator file: what it says, and what is said of one that makes no sense.
 
 use madderloom_config_reader::Problem;
-use madderloom_operator_config::{Admin, Bounds, Kept, Operator, parts};
+use madderloom_operator_config::{
+    Admin, OperatorConfig, PersistenceOptions, ShareBounds, resource_shares,
+};
 use madderloom_sidecar_state::IdempotencyMode;
 use proptest::prelude::*;
 use rstest::rstest;
@@ -10,8 +12,8 @@
 const EXAMPLE: &str = include_str!("../../../examples/services/operator.toml");
 const SITE: &str = include_str!("../../../examples/try/config.json");
 
-fn parse(text: &str) -> Result<Operator, Vec<Problem>> {
-    Operator::parse(text, &|name| match name {
+fn parse(text: &str) -> Result<OperatorConfig, Vec<Problem>> {
+    OperatorConfig::parse(text, &|name| match name {
         "../try/config.json" => Ok(SITE.to_string()),
         "odd.json" => Ok(SITE.replace("\"cold_from\": 0.31", "\"cold_from\": 7")),
         "bad.json" => Ok("{\"group_size\": \"many\"}".to_string()),
@@ -40,9 +42,9 @@
     assert_eq!(operator.pools[0].site.classes, ["submit-check", "recheck"]);
     assert_eq!(
         operator.pools[0].limits.bodies,
-        Bounds {
+        ShareBounds {
             guaranteed: Some(8 << 20),
-            most: None
+            max: None
         }
     );
     assert_eq!(
@@ -52,7 +54,7 @@
             .map(|r| (r.per_second, r.burst)),
         Some((200.0, 50))
     );
-    assert_eq!(operator.listeners[0].head_within.micros(), 2_000_000);
+    assert_eq!(operator.listeners[0].head_timeout.micros(), 2_000_000);
     // Places count the platform's own pool as the first.
     assert_eq!(operator.routes[1].to, [(2, 90), (3, 10)]);
     assert!(!operator.needs_platform());
@@ -145,8 +147,8 @@
 #[test]
 fn what_pools_keep_is_their_own_or_the_usual() {
     assert_eq!(
-        parse(EXAMPLE).expect("it makes sense").pools[0].kept,
-        Kept::default()
+        parse(EXAMPLE).expect("it makes sense").pools[0].persistence,
+        PersistenceOptions::default()
     );
     let text = EXAMPLE.replacen("version = 1", STATE, 1).replacen(
         "name = \"reports\"\n",
@@ -155,13 +157,17 @@
     );
     let operator = parse(&text).expect("it makes sense");
     let state = operator.state.expect("it is there");
-    assert_eq!(state.ids, ["idempotency-key", "x-trace-id"]);
+    assert_eq!(state.id_headers, ["idempotency-key", "x-trace-id"]);
     assert_eq!(
-        (state.rules.retention, state.rules.max_records),
+        (
+            state.idempotency_limits.retention,
+            state.idempotency_limits.max_records
+        ),
         (300_000_000, 200_000)
     );
-    let kept = |ledger, warm_start| Kept { ledger, warm_start };
-    let pools: Vec<Kept> = operator.pools.iter().map(|pool| pool.kept).collect();
+    let kept = |ledger, warm_start| PersistenceOptions { ledger, warm_start };
+    let pools: Vec<PersistenceOptions> =
+        operator.pools.iter().map(|pool| pool.persistence).collect();
     assert_eq!(
         pools,
         [
@@ -476,14 +482,14 @@
 #[test]
 fn parts_that_are_not_given_are_equal_and_never_come_to_more_than_there_is() {
     let of = |guaranteed: &[Option<u64>], total| {
-        let bounds: Vec<Bounds> = guaranteed
+        let bounds: Vec<ShareBounds> = guaranteed
             .iter()
-            .map(|g| Bounds {
+            .map(|g| ShareBounds {
                 guaranteed: *g,
-                most: None,
+                max: None,
             })
             .collect();
-        parts(total, &bounds)
+        resource_shares(total, &bounds)
             .iter()
             .map(|p| p.guaranteed)
             .collect::<Vec<_>>()
@@ -498,8 +504,8 @@
 #[test]
 fn a_file_is_read_with_those_that_it_names_beside_it() {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/services/operator.toml");
-    assert_eq!(Operator::load(&file).map(|o| o.pools.len()), Ok(3));
-    let lost = Operator::load(Path::new("no/such/file.toml")).expect_err("it is not there");
+    assert_eq!(OperatorConfig::load(&file).map(|o| o.pools.len()), Ok(3));
+    let lost = OperatorConfig::load(Path::new("no/such/file.toml")).expect_err("it is not there");
     assert!(
         lost.to_string()
             .starts_with("no/such/file.toml:1:1: can't be read"),
@@ -529,7 +535,7 @@
         let count = text.split('\n').count();
         match parse(&text) {
             // What is read is good to be used: its table can be made, and its parts fit.
-            Ok(operator) => prop_assert_eq!(operator.table().routes().len(), operator.routes.len()),
+            Ok(operator) => prop_assert_eq!(operator.route_table().routes().len(), operator.routes.len()),
             Err(problems) => {
                 prop_assert!(!problems.is_empty());
                 for problem in problems {
--- a/crates/operator-config/tests/beside.rs
+++ b/crates/operator-config/tests/overlay.rs
@@ -1,7 +1,7 @@
 //! What is set beside an operator file is checked with it, whole, and refused by the name of the setting.
 
 use madderloom_control_plane::settings::{Key, Overlay, Value};
-use madderloom_operator_config::{Operator, Source};
+use madderloom_operator_config::{OperatorConfig, Source};
 use std::collections::BTreeMap;
 
 const FILE: &str = r#"
@@ -34,7 +34,7 @@
     "limits": {"cancel": true, "max_attempts": 3, "retry_after": true, "max_retry_after": 2000000},
     "safety": {"cold": 8400000, "cold_from": 0.31, "fall": 2000000}}"#;
 
-fn source() -> (tempfile::TempDir, Source, Operator) {
+fn source() -> (tempfile::TempDir, Source, OperatorConfig) {
     let directory = tempfile::TempDir::new().expect("a directory");
     std::fs::write(directory.path().join("site.json"), SITE).expect("written");
     std::fs::write(directory.path().join("operator.toml"), FILE).expect("written");
@@ -74,10 +74,10 @@
         ("weight/s1", Value::Weight(500)),
         ("drain/s1", Value::Drained(true)),
     ]);
-    let operator = source.with(&settings).expect("it makes sense");
+    let operator = source.apply(&settings).expect("it makes sense");
     let limits = operator.pools[0].limits;
     assert_eq!(
-        (limits.open.most, limits.bodies.most),
+        (limits.open.max, limits.bodies.max),
         (Some(7), Some(1 << 20))
     );
     assert_eq!(
@@ -92,7 +92,7 @@
         (&operator.listeners, &operator.control),
         (&own.listeners, &own.control)
     );
-    assert_eq!(source.with(&overlay(&[])), Ok(own));
+    assert_eq!(source.apply(&overlay(&[])), Ok(own));
 }
 
 #[test]
@@ -156,7 +156,7 @@
             "not known",
         ),
     ] {
-        let problem = source.with(&overlay(&[(key, value)])).expect_err(key);
+        let problem = source.apply(&overlay(&[(key, value)])).expect_err(key);
         assert_eq!(problem.field, field, "{problem}");
         assert!(problem.problem.contains(words), "{problem}");
     }
@@ -176,7 +176,7 @@
         ("state = ", "zone = \"no zone\"\nstate = ", "control.zone"),
         ("shop-any.pem", "", "control.keys.certificate"),
     ] {
-        let problems = Operator::parse(&FILE.replace(from, to), &read).expect_err(field);
+        let problems = OperatorConfig::parse(&FILE.replace(from, to), &read).expect_err(field);
         assert!(
             problems.iter().any(|p| p.field == field),
             "{field}: {problems:?}"
@@ -186,6 +186,6 @@
     let named = FILE
         .replace("name = \"shop-1\"\n", "")
         .replace("[control]", "[process]\nname = \"shop-2\"\n[control]");
-    let operator = Operator::parse(&named, &read).expect("it makes sense");
+    let operator = OperatorConfig::parse(&named, &read).expect("it makes sense");
     assert_eq!(operator.control.map(|c| c.name), Some("shop-2".to_string()));
 }
--- a/crates/sidecar/src/agent_link/apply.rs
+++ b/crates/sidecar/src/agent_link/apply.rs
@@ -46,7 +46,7 @@
             None
         } else {
             // The check of a long file takes a good part of a second, during which requests are served.
-            match run_on_thread(move || source.with(&edited)).await {
+            match run_on_thread(move || source.apply(&edited)).await {
                 Ok(Ok(operator)) => Some(operator),
                 Ok(Err(problem)) => return Outcome::Refused(problem),
                 Err(problem) => return refused("set", &problem),
--- a/crates/sidecar/src/agent_link/mod.rs
+++ b/crates/sidecar/src/agent_link/mod.rs
@@ -18,7 +18,7 @@
 use madderloom_control_plane::PersistedInstance;
 use madderloom_control_plane::selector::Attributes;
 use madderloom_control_plane::settings::{Key, LogLevel, Overlay, Value};
-use madderloom_operator_config::{Operator, Source};
+use madderloom_operator_config::{OperatorConfig, Source};
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use overlay::{changes_file, steering};
 use persisted::{load, write};
@@ -67,7 +67,7 @@
 
 /// An operator file with the overlay applied to it.
 pub(super) struct Read {
-    pub(super) operator: Operator,
+    pub(super) operator: OperatorConfig,
     /// `None` where the file names no agent: then there is no overlay.
     pub(super) source: Option<Arc<Source>>,
 }
@@ -104,7 +104,7 @@
             }
             let operator = if changes_file(&overlay) {
                 source
-                    .with(&overlay)
+                    .apply(&overlay)
                     .map_err(|e| format!("{}: beside it is set: {e}", file.display()))?
             } else {
                 operator
@@ -171,7 +171,7 @@
     }
 
     /// Restores the overlay of the last start, where it is still valid for the file.
-    pub(super) fn begin_control(&self, file: &Path, operator: Operator) -> Operator {
+    pub(super) fn begin_control(&self, file: &Path, operator: OperatorConfig) -> OperatorConfig {
         let Some(control) = operator.control.clone() else {
             return operator;
         };
@@ -183,7 +183,7 @@
             }
         };
         let mut memory = load(control.state.as_deref());
-        let operator = match changes_file(&memory.overlay).then(|| source.with(&memory.overlay)) {
+        let operator = match changes_file(&memory.overlay).then(|| source.apply(&memory.overlay)) {
             None => operator,
             Some(Ok(with)) => with,
             Some(Err(problem)) => {
--- a/crates/sidecar/src/fleet_limits.rs
+++ b/crates/sidecar/src/fleet_limits.rs
@@ -40,7 +40,9 @@
 impl FleetLimits {
     /// Replaces the limits. A valid lease stays valid, and requests in flight stay counted.
     pub(super) fn set_limits(&self, limits: &[FleetLimit]) {
-        let named = limits.iter().map(|limit| (limit.name.clone(), limit.safe));
+        let named = limits
+            .iter()
+            .map(|limit| (limit.name.clone(), limit.safe_capacity));
         self.holder.borrow_mut().set_limits(now(), named);
         self.limits.replace(limits.into());
     }
@@ -58,16 +60,16 @@
         let limits = Rc::clone(&self.limits.borrow());
         let applies = |limit: &&FleetLimit| {
             !limit.each_server
-                && limit.pool.fits(pool)
+                && limit.pool.matches(pool)
                 && limit
                     .class
                     .as_ref()
-                    .is_none_or(|pattern| class.is_some_and(|class| pattern.fits(class)))
+                    .is_none_or(|pattern| class.is_some_and(|class| pattern.matches(class)))
                 && limit.header.as_ref().is_none_or(|(name, pattern)| {
                     headers
                         .get(name)
                         .and_then(|value| value.to_str().ok())
-                        .is_some_and(|value| pattern.fits(value))
+                        .is_some_and(|value| pattern.matches(value))
                 })
         };
         let mut admitted: Option<FleetPermit> = None;
@@ -95,7 +97,7 @@
         let mut admitted: Option<FleetPermit> = None;
         for limit in limits
             .iter()
-            .filter(|limit| limit.each_server && limit.pool.fits(pool))
+            .filter(|limit| limit.each_server && limit.pool.matches(pool))
         {
             let permit = admitted.get_or_insert_with(|| FleetPermit {
                 fleet_limits: Rc::clone(self),
--- a/crates/sidecar/src/listener.rs
+++ b/crates/sidecar/src/listener.rs
@@ -9,7 +9,7 @@
 use super::routing::Routing;
 use super::service::{ResourceShares, Service};
 use madderloom_balancer::Micros;
-use madderloom_operator_config::MemberLimits;
+use madderloom_operator_config::ResourceLimits;
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use std::cell::{Cell, RefCell};
 use std::io::ErrorKind;
@@ -115,7 +115,7 @@
 }
 
 /// Half of the connections that a listener may hold. Without an operator file only the count of the whole process matters.
-fn congestion_threshold_of(limits: Option<MemberLimits>, shares: ResourceShares) -> usize {
+fn congestion_threshold_of(limits: Option<ResourceLimits>, shares: ResourceShares) -> usize {
     let half = usize::try_from(shares.connections.most / 2).unwrap_or(usize::MAX);
     limits.map_or(usize::MAX, |_| half.max(1))
 }
@@ -131,7 +131,7 @@
             shared,
         }: BoundSocket,
         (settings, routing): (ListenerSettings, Routing),
-        (limits, shares): (Option<MemberLimits>, ResourceShares),
+        (limits, shares): (Option<ResourceLimits>, ResourceShares),
     ) -> Rc<Self> {
         // A bound socket has an address, so the fallback is never used.
         let address = socket.local_addr().unwrap_or(configured_address);
@@ -172,7 +172,7 @@
         &self,
         settings: ListenerSettings,
         routing: Routing,
-        limits: MemberLimits,
+        limits: ResourceLimits,
         shares: ResourceShares,
     ) {
         self.draining.send_replace(false);
--- a/crates/sidecar/src/process.rs
+++ b/crates/sidecar/src/process.rs
@@ -13,7 +13,7 @@
 use super::supervision::supervise;
 use super::{control_address, timers, warm_start};
 use madderloom_balancer::Micros;
-use madderloom_operator_config::{Kept, MemberLimits, Operator, PLATFORM};
+use madderloom_operator_config::{OperatorConfig, PLATFORM, PersistenceOptions, ResourceLimits};
 use madderloom_routing::shares::Part;
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use std::cell::RefCell;
@@ -66,7 +66,7 @@
     /// least one of the two must be given. To be called in a local set.
     pub fn new(
         mut config: Option<Config>,
-        operator: Option<(PathBuf, Operator)>,
+        operator: Option<(PathBuf, OperatorConfig)>,
     ) -> Result<Rc<Self>, String> {
         if config.is_none() && operator.is_none() {
             return Err("RELAY_CONFIG: is not set, and no operator file is named".to_string());
@@ -108,7 +108,10 @@
             .await;
         });
         let state = operator_config.and_then(|operator| operator.state.clone());
-        let persistence = state.as_ref().map(|state| state.usual).unwrap_or_default();
+        let persistence = state
+            .as_ref()
+            .map(|state| state.defaults)
+            .unwrap_or_default();
         if let Some((state, (file, _))) = state.zip(operator.as_ref()) {
             let writer = StateWriter::open(state)
                 .map_err(|problem| format!("{}: {problem}", file.display()))?;
@@ -223,7 +226,7 @@
 pub(super) fn resource_totals(
     descriptors: usize,
     memory: u64,
-    operator: Option<&Operator>,
+    operator: Option<&OperatorConfig>,
     platform: bool,
 ) -> ResourceTotals {
     let Some(operator) = operator else {
@@ -274,7 +277,7 @@
     process: &Rc<ProcessState>,
     config: Config,
     named: bool,
-    persistence: Kept,
+    persistence: PersistenceOptions,
 ) -> Result<(Rc<Service>, Rc<Listener>), String> {
     let log_prefix = if named {
         format!("{PLATFORM}: ")
@@ -297,7 +300,7 @@
         site: config.settings,
         discovery: Some(config.discovery),
         initial_list: config.known,
-        limits: MemberLimits::default(),
+        limits: ResourceLimits::default(),
         levels: None,
         graphql: None,
         persistence,
--- a/crates/sidecar/src/reload.rs
+++ b/crates/sidecar/src/reload.rs
@@ -11,7 +11,9 @@
 use super::routing::{ListenerRoutes, Routing};
 use super::service::{ResourceShares, Service, ServiceSpec};
 use madderloom_balancer::settings::Site;
-use madderloom_operator_config::{Bounds, MemberLimits, Operator, PLATFORM, Pool, parts};
+use madderloom_operator_config::{
+    OperatorConfig, PLATFORM, Pool, ResourceLimits, ShareBounds, resource_shares,
+};
 use madderloom_routing::routes::{Route, Table};
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use std::hash::BuildHasher;
@@ -74,7 +76,7 @@
 
     /// Applies an operator file, completely or not at all, and returns a summary of what changed. Requests in flight go on:
     /// pools and listeners that the file no longer has are drained.
-    pub fn apply(&self, operator: Operator) -> Result<String, String> {
+    pub fn apply(&self, operator: OperatorConfig) -> Result<String, String> {
         if self.platform.is_none() {
             check_self_contained(&operator)?;
         }
@@ -111,7 +113,7 @@
     }
 
     /// Does everything that may fail: binds the sockets that the file adds.
-    fn prepare(&self, operator: &Operator) -> Result<Prepared, String> {
+    fn prepare(&self, operator: &OperatorConfig) -> Result<Prepared, String> {
         let mut sockets = Vec::new();
         let reusable = self.reusable_listeners(operator);
         for (index, listener) in operator
@@ -146,7 +148,7 @@
 
     fn commit(
         &self,
-        operator: Operator,
+        operator: OperatorConfig,
         prepared: Prepared,
         mut created: Vec<Rc<Service>>,
         pool_shares: &[ResourceShares],
@@ -195,7 +197,7 @@
             services.push(service);
         }
         let listener_shares = self.resource_shares(&operator, false);
-        let table = Rc::new(operator.table());
+        let table = Rc::new(operator.route_table());
         let platform = self
             .platform
             .as_ref()
@@ -204,13 +206,13 @@
             .chain(services.iter().cloned().map(Some))
             .collect();
         if let Some((service, listener)) = &self.platform {
-            let (limits, shares) = (MemberLimits::default(), listener_shares[0]);
+            let (limits, shares) = (ResourceLimits::default(), listener_shares[0]);
             service.set_limits(limits, pool_shares[0]);
             service.persistence.set(
                 operator
                     .state
                     .as_ref()
-                    .map(|state| state.usual)
+                    .map(|state| state.defaults)
                     .unwrap_or_default(),
             );
             listener.update(
@@ -228,11 +230,11 @@
         let mut listeners = Vec::new();
         for (index, spec) in operator.listeners.iter().enumerate() {
             let settings = ListenerSettings {
-                head_timeout: spec.head_within.micros(),
-                idle_timeout: spec.idle_within.micros(),
-                body_timeout: spec.body_within.micros(),
-                max_body_size: spec.body_size.0 as usize,
-                max_message_size: spec.body_size.0 as usize,
+                head_timeout: spec.head_timeout.micros(),
+                idle_timeout: spec.idle_timeout.micros(),
+                body_timeout: spec.body_timeout.micros(),
+                max_body_size: spec.max_body_size.0 as usize,
+                max_message_size: spec.max_body_size.0 as usize,
                 drains_rejected_bodies: true,
             };
             let (routing, shares) = (
@@ -324,7 +326,7 @@
 
     /// For each listener of a new file, the existing listener that it can use: one with the same address, preferably with
     /// the same name.
-    fn reusable_listeners(&self, operator: &Operator) -> Vec<Option<Rc<Listener>>> {
+    fn reusable_listeners(&self, operator: &OperatorConfig) -> Vec<Option<Rc<Listener>>> {
         let mut available = self.listeners.borrow().clone();
         // Listeners that an earlier file has removed still hold their addresses for a moment.
         available.extend(
@@ -365,16 +367,16 @@
             limits: pool.limits,
             levels: pool.levels.clone(),
             graphql: pool.graphql.clone(),
-            persistence: pool.kept,
+            persistence: pool.persistence,
             seed: foldhash::quality::FixedState::with_seed(self.seed).hash_one(&pool.name),
             ordinal: ordinal_in_name(&self.name),
         }
     }
 
     /// The resource shares of all pools, or else of all listeners. The platform's come first.
-    fn resource_shares(&self, operator: &Operator, pools: bool) -> Vec<ResourceShares> {
-        let mut members: Vec<MemberLimits> = Vec::new();
-        members.extend(self.platform.is_some().then(MemberLimits::default));
+    fn resource_shares(&self, operator: &OperatorConfig, pools: bool) -> Vec<ResourceShares> {
+        let mut members: Vec<ResourceLimits> = Vec::new();
+        members.extend(self.platform.is_some().then(ResourceLimits::default));
         if pools {
             members.extend(operator.pools.iter().map(|pool| pool.limits));
         } else {
@@ -386,8 +388,11 @@
             Some(operator),
             self.platform.is_some(),
         );
-        let shares_of = |total: u64, bounds: fn(&MemberLimits) -> Bounds| {
-            parts(total, &members.iter().map(bounds).collect::<Vec<Bounds>>())
+        let shares_of = |total: u64, bounds: fn(&ResourceLimits) -> ShareBounds| {
+            resource_shares(
+                total,
+                &members.iter().map(bounds).collect::<Vec<ShareBounds>>(),
+            )
         };
         let connections = shares_of(totals.connections, |m| m.connections);
         let (requests, body_bytes) = (
@@ -452,7 +457,7 @@
 }
 
 /// Checks that a file needs nothing from the platform's configuration.
-fn check_self_contained(operator: &Operator) -> Result<(), String> {
+fn check_self_contained(operator: &OperatorConfig) -> Result<(), String> {
     if operator.needs_platform() {
         return Err(
             "names no listener or no pool, and RELAY_CONFIG is not set; name both".to_string(),
--- a/crates/sidecar/src/service.rs
+++ b/crates/sidecar/src/service.rs
@@ -22,7 +22,7 @@
 };
 use madderloom_degradation::{LevelController, LevelPlan};
 use madderloom_graphql::{Front, Policy};
-use madderloom_operator_config::{Kept, MemberLimits};
+use madderloom_operator_config::{PersistenceOptions, ResourceLimits};
 use madderloom_routing::shares::Part;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -42,12 +42,12 @@
     pub(super) discovery: Option<SocketAddr>,
     /// The server list at the start, or the fixed one.
     pub(super) initial_list: ListUpdate,
-    pub(super) limits: MemberLimits,
+    pub(super) limits: ResourceLimits,
     pub(super) levels: Option<LevelPlan>,
     /// How its GraphQL operations are classified, if it serves any.
     pub(super) graphql: Option<Policy>,
     /// Which of the service's state outlasts the process.
-    pub(super) persistence: Kept,
+    pub(super) persistence: PersistenceOptions,
     pub(super) seed: u64,
     /// The ordinal of this instance in its fleet, where its name contains one.
     pub(super) ordinal: Option<u32>,
@@ -88,7 +88,7 @@
     pub(super) charged: Rc<ChargedAccount>,
     pub(super) counts: ServiceCounts,
     /// Which of its state outlasts the process.
-    pub(super) persistence: Cell<Kept>,
+    pub(super) persistence: Cell<PersistenceOptions>,
     /// What an earlier process measured of servers that are not listed yet.
     warm_start: RefCell<WarmStart>,
     /// Notified when a request has ended.
@@ -196,7 +196,7 @@
         shares: ResourceShares,
     ) {
         self.set_limits(pool.limits, shares);
-        self.persistence.set(pool.kept);
+        self.persistence.set(pool.persistence);
         let mut front = self.graphql.borrow_mut();
         if front.as_ref().map(Front::policy) != pool.graphql.as_ref() {
             *front = pool.graphql.clone().map(Front::new);
@@ -221,7 +221,7 @@
             .map(|age| shared.map_or(age, |shared| shared.min(age)))
     }
 
-    pub(super) fn set_limits(&self, limits: MemberLimits, shares: ResourceShares) {
+    pub(super) fn set_limits(&self, limits: ResourceLimits, shares: ResourceShares) {
         self.connections.slots.update(shares.connections);
         self.request_limits
             .update(shares.requests, shares.body_bytes, limits.rate);
--- a/crates/sidecar/src/state_writer/mod.rs
+++ b/crates/sidecar/src/state_writer/mod.rs
@@ -139,7 +139,7 @@
         let (withdrawals, withdrawal_results) = unbounded_channel();
         StateWriter {
             key_headers: RefCell::new(key_headers(&state)),
-            tracker: RefCell::new(IdempotencyTracker::empty(state.rules)),
+            tracker: RefCell::new(IdempotencyTracker::empty(state.idempotency_limits)),
             state: RefCell::new(state),
             store: RefCell::default(),
             started_at: Instant::now(),
@@ -154,7 +154,8 @@
     /// Restores the state from a store, and writes to it from now on.
     fn start_store<D: Disk>(&self, store: Store<D>) -> Result<(), Error> {
         let (snapshot, started_at) = (store.snapshot(), self.started_at);
-        let tracker = IdempotencyTracker::open(self.state.borrow().rules, &snapshot, 0);
+        let tracker =
+            IdempotencyTracker::open(self.state.borrow().idempotency_limits, &snapshot, 0);
         let store_time_at_start = tracker.store_time(0);
         self.tracker.replace(tracker);
         // A snapshot that cannot be read counts as none.
@@ -184,7 +185,9 @@
 
     pub(super) fn reconfigure(&self, state: State) {
         self.key_headers.replace(key_headers(&state));
-        self.tracker.borrow_mut().set_limits(state.rules);
+        self.tracker
+            .borrow_mut()
+            .set_limits(state.idempotency_limits);
         self.state.replace(state);
     }
 
@@ -290,7 +293,7 @@
 
 fn key_headers(state: &State) -> Vec<HeaderName> {
     state
-        .ids
+        .id_headers
         .iter()
         .filter_map(|name| HeaderName::try_from(name.as_str()).ok())
         .collect()
--- a/crates/sidecar/src/state_writer/state_writer_tests.rs
+++ b/crates/sidecar/src/state_writer/state_writer_tests.rs
@@ -10,14 +10,14 @@
 fn writer() -> StateWriter {
     StateWriter::without_store(State {
         dir: "state".into(),
-        usual: madderloom_operator_config::Kept::default(),
-        ids: Vec::new(),
-        rules: IdempotencyLimits {
+        defaults: madderloom_operator_config::PersistenceOptions::default(),
+        id_headers: Vec::new(),
+        idempotency_limits: IdempotencyLimits {
             retention: 60_000_000,
             max_records: 1_000,
         },
-        warm_every: madderloom_config_reader::Span::s(5),
-        aging: SnapshotDecay {
+        snapshot_interval: madderloom_config_reader::Span::s(5),
+        snapshot_decay: SnapshotDecay {
             half_life: 1,
             max_age: 1,
         },
--- a/crates/sidecar/src/warm_start.rs
+++ b/crates/sidecar/src/warm_start.rs
@@ -59,7 +59,7 @@
 
     /// The snapshot, decayed by its present age; none if its weight is zero.
     fn decayed(&self, writer: &StateWriter) -> Option<DecayedSnapshot> {
-        let decay = writer.state().aging;
+        let decay = writer.state().snapshot_decay;
         let decayed = self.snapshot.as_ref()?.decayed(unix_now(), decay);
         (decayed.weight > 0.0).then_some(decayed)
     }
@@ -129,7 +129,10 @@
 pub(super) async fn write_periodically(process: Rc<ProcessState>, writer: Rc<StateWriter>) {
     delete_unused(&process, &writer).await;
     loop {
-        tokio::time::sleep(Duration::from_micros(writer.state().warm_every.micros())).await;
+        tokio::time::sleep(Duration::from_micros(
+            writer.state().snapshot_interval.micros(),
+        ))
+        .await;
         write_snapshots(&process, &writer).await;
     }
 }
