--- a/crates/config-reader/src/document.rs
+++ b/crates/config-reader/src/document.rs
@@ -1,4 +1,4 @@
-//! Reading a TOML document, with the place of everything in it.
+//! Reads a TOML document and keeps the source position of every value.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -7,19 +7,19 @@
 use toml::Spanned;
 use toml::de::{DeTable, DeValue};
 
-/// Problems told of one file at most: behind so many, it is another kind of file.
-const MOST: usize = 64;
+/// Maximum number of problems reported for one file. A file with more is probably of another kind.
+const MAX_PROBLEMS: usize = 64;
 
-/// What is wrong with a file, and where.
+/// A problem in a file and its position.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct Problem {
-    /// Its line, counted from 1.
+    /// Line, counted from 1.
     pub line: usize,
-    /// Its column in characters, counted from 1.
+    /// Column in characters, counted from 1.
     pub column: usize,
-    /// The field at fault, such as `pools[1].limits.open`; empty for the file itself.
+    /// The invalid field, such as `pools[1].limits.open`; empty for the file itself.
     pub field: String,
-    /// What is wrong, and what to write instead.
+    /// What is wrong and what to write instead.
     pub problem: String,
 }
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// A TOML text, the places in it, and the problems found with it so far.
+/// A TOML text, the positions of its values, and the problems found so far.
 pub struct Document<'t> {
     text: &'t str,
     root: Spanned<DeValue<'t>>,
@@ -44,21 +44,24 @@
 }
 
 impl<'t> Document<'t> {
-    /// Reads a text as a `T`. What can't be read is a problem of the document and left at its default, unless the
-    /// text is no TOML at all.
+    /// Deserializes a text into a `T`. A value that cannot be read is recorded as a problem of the document, and its field
+    /// keeps its default.
+    ///
+    /// If the text is not valid TOML, the result is an `Err` with the syntax errors.
     pub fn read<T: DeserializeOwned + Default>(text: &'t str) -> Result<(Self, T), Vec<Problem>> {
-        let (root, faults) = DeTable::parse_recoverable(text);
-        if !faults.is_empty() {
-            let told = faults.iter().map(|fault| {
-                let (line, column) = place(text, fault.span().map_or(0, |span| span.start));
+        let (root, syntax_errors) = DeTable::parse_recoverable(text);
+        if !syntax_errors.is_empty() {
+            let problems = syntax_errors.iter().map(|error| {
+                let (line, column) =
+                    line_and_column(text, error.span().map_or(0, |span| span.start));
                 Problem {
                     line,
                     column,
                     field: String::new(),
-                    problem: one_line(fault.message()),
+                    problem: to_one_line(error.message()),
                 }
             });
-            return Err(told.take(MOST).collect());
+            return Err(problems.take(MAX_PROBLEMS).collect());
         }
         let span = root.span();
         let root = Spanned::new(span, DeValue::Table(root.into_inner()));
@@ -67,25 +70,27 @@
             root,
             problems: Vec::new(),
         };
-        let mut rest = document.root.clone();
+        let mut remaining = document.root.clone();
         let value = loop {
-            let reader = toml::de::ValueDeserializer::from(rest.clone());
-            match serde_path_to_error::deserialize::<_, T>(reader) {
+            let deserializer = toml::de::ValueDeserializer::from(remaining.clone());
+            match serde_path_to_error::deserialize::<_, T>(deserializer) {
                 Ok(value) => break value,
-                Err(_) if document.problems.len() >= MOST => break T::default(),
-                Err(fault) => {
-                    let mut path: Vec<Segment> = fault.path().iter().cloned().collect();
-                    let message = one_line(fault.inner().message());
-                    // Of a field that is not known the path tells the table alone.
-                    let unknown = unknown_name(&message);
+                Err(_) if document.problems.len() >= MAX_PROBLEMS => break T::default(),
+                Err(error) => {
+                    let mut path: Vec<Segment> = error.path().iter().cloned().collect();
+                    let message = to_one_line(error.inner().message());
+                    // For an unknown field, the path of the error ends at the table that contains it.
+                    let unknown = parse_unknown_field(&message);
                     if let Some((name, _)) = &unknown
                         && !matches!(path.last(), Some(Segment::Map { key }) if key == name)
                     {
                         path.push(Segment::Map { key: name.clone() });
                     }
-                    let message = unknown.map_or(message, |(name, known)| suggest(&name, &known));
-                    let removed = remove(rest.get_mut(), &path);
-                    document.problem(&written(&path), message);
+                    let message = unknown.map_or(message, |(name, known)| {
+                        unknown_field_message(&name, &known)
+                    });
+                    let removed = remove_value(remaining.get_mut(), &path);
+                    document.problem(&format_path(&path), message);
                     if !removed {
                         break T::default();
                     }
@@ -95,9 +100,9 @@
         Ok((document, value))
     }
 
-    /// Notes a problem with a field; of one that is not there, the place is that of the innermost table round it.
+    /// Records a problem with a field. If the field is absent, the position is that of the innermost enclosing value.
     pub fn problem(&mut self, field: &str, problem: impl fmt::Display) {
-        if self.problems.len() < MOST {
+        if self.problems.len() < MAX_PROBLEMS {
             let (line, column) = self.position(field);
             let problem = problem.to_string();
             self.problems.push(Problem {
@@ -109,47 +114,46 @@
         }
     }
 
-    /// Notes a problem with a field unless a condition holds.
-    pub fn require(&mut self, holds: bool, field: &str, problem: impl fmt::Display) {
-        if !holds {
+    /// Records a problem with a field unless a condition holds.
+    pub fn require(&mut self, condition: bool, field: &str, problem: impl fmt::Display) {
+        if !condition {
             self.problem(field, problem);
         }
     }
 
-    /// Line and column, from 1, of a field such as `a.b[2].c`.
+    /// Line and column, counted from 1, of a field such as `a.b[2].c`.
     pub fn position(&self, field: &str) -> (usize, usize) {
-        place(self.text, self.nearest(field).0.span().start)
+        line_and_column(self.text, self.find_nearest(field).0.span().start)
     }
 
-    /// Whether the field stands in the file.
+    /// Whether the file contains the field.
     pub fn has(&self, field: &str) -> bool {
-        self.nearest(field).1
+        self.find_nearest(field).1
     }
 
-    /// The value of a field, or the innermost of those round it that is there, and whether it is the field's own.
-    fn nearest(&self, field: &str) -> (&Spanned<DeValue<'t>>, bool) {
-        let mut at = &self.root;
+    /// Returns the value of a field and `true`, or the innermost enclosing value and `false` if the field is absent.
+    fn find_nearest(&self, field: &str) -> (&Spanned<DeValue<'t>>, bool) {
+        let mut current = &self.root;
         for step in field
             .split(['.', '['])
             .map(|step| step.trim_end_matches(']'))
         {
-            let inner = match at.get_ref() {
-                DeValue::Array(list) => step
-                    .parse::<usize>()
-                    .ok()
-                    .and_then(|number| list.get(number)),
+            let inner = match current.get_ref() {
+                DeValue::Array(list) => {
+                    step.parse::<usize>().ok().and_then(|index| list.get(index))
+                }
                 DeValue::Table(table) => table.get(step),
                 _ => None,
             };
             let Some(inner) = inner else {
-                return (at, false);
+                return (current, false);
             };
-            at = inner;
+            current = inner;
         }
-        (at, true)
+        (current, true)
     }
 
-    /// The value, if nothing was wrong with the file, else all that was, in the order of the file.
+    /// Returns the value if no problem was recorded, else all problems, sorted by position and without duplicates.
     pub fn finish<T>(mut self, value: T) -> Result<T, Vec<Problem>> {
         if self.problems.is_empty() {
             return Ok(value);
@@ -160,12 +164,12 @@
     }
 }
 
-fn one_line(text: &str) -> String {
+fn to_one_line(text: &str) -> String {
     text.trim().replace(['\n', '\r'], "; ")
 }
 
-/// Line and column in characters, from 1.
-fn place(text: &str, offset: usize) -> (usize, usize) {
+/// Converts a byte offset to line and column, counted from 1; columns are in characters.
+fn line_and_column(text: &str, offset: usize) -> (usize, usize) {
     let before = text.get(..offset.min(text.len())).unwrap_or_default();
     let line_start = before.rfind('\n').map_or(0, |end| end + 1);
     (
@@ -174,33 +178,34 @@
     )
 }
 
-fn written(path: &[Segment]) -> String {
-    let mut written = String::new();
+/// Formats a path as in `a.b[2].c`.
+fn format_path(path: &[Segment]) -> String {
+    let mut formatted = String::new();
     for segment in path {
         match segment {
-            Segment::Seq { index } => written += &format!("[{index}]"),
+            Segment::Seq { index } => formatted += &format!("[{index}]"),
             Segment::Map { key } | Segment::Enum { variant: key } => {
-                if !written.is_empty() {
-                    written.push('.');
+                if !formatted.is_empty() {
+                    formatted.push('.');
                 }
-                written += key;
+                formatted += key;
             }
             Segment::Unknown => {}
         }
     }
-    written
+    formatted
 }
 
-/// The name that an error of serde says is not known, and those that are.
-fn unknown_name(message: &str) -> Option<(String, Vec<String>)> {
+/// Parses serde's message for an unknown field into the name of the field and the known names.
+fn parse_unknown_field(message: &str) -> Option<(String, Vec<String>)> {
     let rest = message.strip_prefix("unknown field `")?;
     let mut names = rest.split('`');
     let name = names.next()?.to_string();
-    // Between the names stand the words.
+    // The names are in backquotes, so every second part of the split is text between names.
     Some((name, names.skip(1).step_by(2).map(str::to_string).collect()))
 }
 
-fn suggest(name: &str, known: &[String]) -> String {
+fn unknown_field_message(name: &str, known: &[String]) -> String {
     let nearest = known.iter().max_by(|a, b| {
         strsim::jaro_winkler(name, a)
             .total_cmp(&strsim::jaro_winkler(name, b))
@@ -215,25 +220,25 @@
     }
 }
 
-/// Sets a value aside, so that reading goes on behind it. False where there is none.
-fn remove(from: &mut DeValue<'_>, path: &[Segment]) -> bool {
+/// Removes an invalid value, so that reading can continue with the rest. Returns `false` if there is no value to remove.
+fn remove_value(from: &mut DeValue<'_>, path: &[Segment]) -> bool {
     let Some((first, rest)) = path.split_first() else {
         return false;
     };
     match (first, from) {
         (Segment::Seq { index }, DeValue::Array(list)) => match list.get_mut(*index) {
-            // An element alone stays in its place, for those behind it keep their numbers; so all of the list goes.
-            Some(inner) if !rest.is_empty() => remove(inner.get_mut(), rest),
+            // Removing one element would change the indexes of those after it, so the whole list is removed instead.
+            Some(inner) if !rest.is_empty() => remove_value(inner.get_mut(), rest),
             _ => false,
         },
         (Segment::Map { key }, DeValue::Table(table)) => {
             let inner = table.get_mut(key.as_str());
-            let deeper =
-                inner.is_some_and(|inner| !rest.is_empty() && remove(inner.get_mut(), rest));
-            deeper || table.remove(key.as_str()).is_some()
+            let removed_inside =
+                inner.is_some_and(|inner| !rest.is_empty() && remove_value(inner.get_mut(), rest));
+            removed_inside || table.remove(key.as_str()).is_some()
         }
-        // The variant of an enum is no place of its own.
-        (Segment::Enum { .. } | Segment::Unknown, from) => remove(from, rest),
+        // The variant of an enum has no value of its own in the document.
+        (Segment::Enum { .. } | Segment::Unknown, from) => remove_value(from, rest),
         _ => false,
     }
 }
@@ -270,41 +275,48 @@
     }
 
     #[test]
-    fn every_problem_is_told_at_once_with_its_place() {
-        let told = problems(
+    fn all_problems_are_reported_at_once_with_their_positions() {
+        let reported = problems(
             "version = \"one\"\nwait = 5\n[[pools]]\nname = \"a\"\nopne = 3\n[[pools]]\nopen = -1\nsides = [1, 999]\n[one]\nzzz = 1\n",
         );
-        let begin = [
+        let prefixes = [
             "1:11: version: ",
             "2:8: wait: ",
             "5:8: pools[0].opne: ",
             "7:8: pools[1].open: ",
         ];
-        for (told, begin) in told.iter().zip(begin) {
-            assert!(told.starts_with(begin), "{told} is not {begin}");
+        for (problem, prefix) in reported.iter().zip(prefixes) {
+            assert!(
+                problem.starts_with(prefix),
+                "{problem} does not start with {prefix}"
+            );
         }
-        assert!(told[2].ends_with("did you mean open?"), "{}", told[2]);
         assert!(
-            told[4].starts_with("8:13: pools[1].sides[1]: "),
+            reported[2].ends_with("did you mean open?"),
+            "{}",
+            reported[2]
+        );
+        assert!(
+            reported[4].starts_with("8:13: pools[1].sides[1]: "),
             "{}",
-            told[4]
+            reported[4]
         );
         assert!(
-            told[5].starts_with("10:7: one.zzz: is not known; there are name, open"),
+            reported[5].starts_with("10:7: one.zzz: is not known; there are name, open"),
             "{}",
-            told[5]
+            reported[5]
         );
-        assert_eq!(told.len(), 6);
+        assert_eq!(reported.len(), 6);
     }
 
     #[test]
-    fn what_is_no_toml_is_told_with_its_place() {
-        let told = problems("version = 1\nwait = \n");
-        assert!(told[0].starts_with("2:"), "{told:?}");
+    fn a_syntax_error_is_reported_with_its_position() {
+        let reported = problems("version = 1\nwait = \n");
+        assert!(reported[0].starts_with("2:"), "{reported:?}");
     }
 
     #[test]
-    fn a_check_names_places_of_what_is_there_and_of_what_is_missing() {
+    fn a_check_reports_positions_of_present_and_missing_fields() {
         let (mut document, file) =
             Document::read::<File>("version = 1\n[[pools]]\nname = \"é\"\nopen = 2\n")
                 .expect("TOML");
@@ -315,17 +327,20 @@
             "is missing",
         );
         assert!(document.has("pools[0].open") && !document.has("pools[0].sides"));
-        let told = document.finish(file).expect_err("two problems");
-        assert_eq!(told[1].to_string(), "4:8: pools[0].open: must be above 2");
+        let reported = document.finish(file).expect_err("two problems");
+        assert_eq!(
+            reported[1].to_string(),
+            "4:8: pools[0].open: must be above 2"
+        );
         assert_eq!(
-            (told[0].line, told[0].field.as_str()),
+            (reported[0].line, reported[0].field.as_str()),
             (2, "pools[0].sides")
         );
     }
 
     proptest! {
         #[test]
-        fn no_text_is_too_odd(text in "([a-z]{1,6} ?= ?[\\[\\]{}\"0-9a-z., ]{0,12}\n|\\[{1,2}(pools|one|wait)\\]{1,2}\n|\\PC{0,8}\n){0,12}") {
+        fn no_text_causes_a_panic(text in "([a-z]{1,6} ?= ?[\\[\\]{}\"0-9a-z., ]{0,12}\n|\\[{1,2}(pools|one|wait)\\]{1,2}\n|\\PC{0,8}\n){0,12}") {
             let _ = Document::read::<File>(&text).and_then(|(document, file)| document.finish(file));
         }
     }
--- a/crates/config-reader/src/lib.rs
+++ b/crates/config-reader/src/lib.rs
@@ -1,11 +1,11 @@
-//! TOML files of madderloom's own: the operator file, the agent's, the lab's experiments.
+//! Reads madderloom's TOML files: the operator file, the agent's file and the experiment files of the lab.
 //!
-//! [`Document::read`] gives a value or *every* problem of the file at once, each with field, line and column
-//! and, for a name that is not known, the nearest one that is. A type that is read should give every field a
-//! default (`#[serde(default, deny_unknown_fields)]`) and say in its own check what must not be missing: a
-//! field at fault is then reported, set aside, and reading goes on behind it.
+//! [`Document::read`] returns a value or *all* problems of the file at once, each with field, line and column and, for an
+//! unknown name, the most similar known name. A type to be read should have a default for every field
+//! (`#[serde(default, deny_unknown_fields)]`) and report missing required fields in its own check: an invalid field is
+//! then reported and removed, and reading continues with the rest.
 //!
-//! [`Span`] and [`Size`] are times and sizes as people write them, with their unit.
+//! [`Span`] and [`Size`] are durations and sizes written with a unit.
 
 mod document;
 mod units;
--- a/crates/config-reader/src/units.rs
+++ b/crates/config-reader/src/units.rs
@@ -1,34 +1,34 @@
-//! Times and sizes as people write them.
+//! Durations and sizes written with a unit.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de::Error};
 use std::fmt;
 use std::str::FromStr;
 
-/// A span of time in whole microseconds, written with its unit: `"250ms"`, `"1m 30s"`, `"50us"`; a bare `0` needs
-/// none. At most a hundred years, so that sums of a few of them never overflow.
+/// A duration in whole microseconds, written with a unit: `"250ms"`, `"1m 30s"`, `"50us"`. A bare `0` needs no unit. At
+/// most 100 years, so that the sum of a few durations cannot overflow.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Span(pub u64);
 
-/// The longest span.
-const LONGEST: u64 = 100 * 365 * 86_400 * 1_000_000;
+/// The longest duration: 100 years.
+const MAX_MICROS: u64 = 100 * 365 * 86_400 * 1_000_000;
 
 impl Span {
-    /// So many milliseconds.
+    /// Creates a duration from milliseconds.
     pub const fn ms(ms: u64) -> Self {
         Span(ms * 1_000)
     }
 
-    /// So many seconds.
+    /// Creates a duration from seconds.
     pub const fn s(s: u64) -> Self {
         Span(s * 1_000_000)
     }
 
-    /// In whole microseconds.
+    /// The duration in whole microseconds.
     pub const fn micros(self) -> u64 {
         self.0
     }
 
-    /// In seconds.
+    /// The duration in seconds.
     pub fn seconds(self) -> f64 {
         self.0 as f64 / 1e6
     }
@@ -42,11 +42,11 @@
         if text == "0" {
             return Ok(Span(0));
         }
-        // Decimals ("1.5s") are not known to the library: a plain number with one unit is read here.
-        let unit_at = text
+        // humantime does not accept decimals ("1.5s"), so a decimal number with one unit is parsed here.
+        let unit_start = text
             .find(|c: char| !c.is_ascii_digit() && c != '.')
             .unwrap_or(text.len());
-        let (number, unit) = text.split_at(unit_at);
+        let (number, unit) = text.split_at(unit_start);
         let micros = match (number.contains('.'), number.parse::<f64>(), unit) {
             (true, Ok(number), "us" | "ms" | "s" | "m" | "min" | "h") => {
                 let scale = match unit {
@@ -59,19 +59,19 @@
                 (number * scale).round() as u64
             }
             _ => {
-                let span = humantime::parse_duration(text).map_err(|_| wanted(text))?;
+                let span = humantime::parse_duration(text).map_err(|_| invalid_duration(text))?;
                 u64::try_from(span.as_micros()).unwrap_or(u64::MAX)
             }
         };
-        if micros > LONGEST {
-            Err(format!("{text} is more than a hundred years"))
+        if micros > MAX_MICROS {
+            Err(format!("{text} is longer than 100 years"))
         } else {
             Ok(Span(micros))
         }
     }
 }
 
-fn wanted(text: &str) -> String {
+fn invalid_duration(text: &str) -> String {
     format!(
         "{text:?} is no span of time; write a number with its unit, such as \"250ms\" or \"1.5s\""
     )
@@ -88,7 +88,7 @@
 }
 
 impl<'a> Deserialize<'a> for Span {
-    fn deserialize<D: Deserializer<'a>>(reader: D) -> Result<Self, D::Error> {
+    fn deserialize<D: Deserializer<'a>>(deserializer: D) -> Result<Self, D::Error> {
         struct Visitor;
         impl serde::de::Visitor<'_> for Visitor {
             type Value = Span;
@@ -105,7 +105,7 @@
                 if number == 0 {
                     Ok(Span(0))
                 } else {
-                    Err(E::custom(wanted(&number.to_string())))
+                    Err(E::custom(invalid_duration(&number.to_string())))
                 }
             }
 
@@ -113,24 +113,25 @@
                 if number == 0 {
                     Ok(Span(0))
                 } else {
-                    Err(E::custom(wanted(&number.to_string())))
+                    Err(E::custom(invalid_duration(&number.to_string())))
                 }
             }
         }
-        reader.deserialize_any(Visitor)
+        deserializer.deserialize_any(Visitor)
     }
 }
 
 impl Serialize for Span {
-    fn serialize<S: Serializer>(&self, writer: S) -> Result<S::Ok, S::Error> {
-        writer.collect_str(self)
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        serializer.collect_str(self)
     }
 }
 
-/// A number of bytes, written with its unit (`"64KiB"`, `"1.5 MB"`) or as a bare number. At most 2^53.
+/// A number of bytes, written with a unit (`"64KiB"`, `"1.5 MB"`) or as a bare number. At most 2^53.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Size(pub u64);
 
+/// Units of sizes with their number of bytes. The first five, in ascending order, are used to format a size.
 const UNITS: [(&str, u64); 9] = [
     ("B", 1),
     ("KiB", 1 << 10),
@@ -147,21 +148,24 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
-        let wanted = || {
+        let invalid_size = || {
             format!(
-                "{text:?} is no size; write a number with its unit, such as \"64KiB\" or \"1.5MB\""
+                "{text:?} is not a size; write a number with its unit, such as \"64KiB\" or \"1.5MB\""
             )
         };
         let trimmed = text.trim();
-        let unit_at = trimmed
+        let unit_start = trimmed
             .find(|c: char| !c.is_ascii_digit() && c != '.')
             .unwrap_or(trimmed.len());
-        let (number, unit) = trimmed.split_at(unit_at);
+        let (number, unit) = trimmed.split_at(unit_start);
         let unit = unit.trim();
         let scale = if unit.is_empty() {
             Some(1)
         } else {
-            UNITS.iter().find(|u| u.0 == unit).map(|u| u.1)
+            UNITS
+                .iter()
+                .find(|known| known.0 == unit)
+                .map(|known| known.1)
         };
         let bytes = number
             .parse::<f64>()
@@ -171,18 +175,18 @@
         match bytes {
             Some(bytes) if bytes <= (1u64 << 53) as f64 => Ok(Size(bytes.round() as u64)),
             Some(_) => Err(format!("{text:?} is more than 8 PiB")),
-            None => Err(wanted()),
+            None => Err(invalid_size()),
         }
     }
 }
 
 impl fmt::Display for Size {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let whole = UNITS[..5]
+        let largest_exact_unit = UNITS[..5]
             .iter()
             .rev()
             .find(|(_, scale)| self.0 >= *scale && self.0.is_multiple_of(*scale));
-        match whole {
+        match largest_exact_unit {
             Some((unit, scale)) => write!(f, "{}{unit}", self.0 / scale),
             None => write!(f, "{}B", self.0),
         }
@@ -190,7 +194,7 @@
 }
 
 impl<'a> Deserialize<'a> for Size {
-    fn deserialize<D: Deserializer<'a>>(reader: D) -> Result<Self, D::Error> {
+    fn deserialize<D: Deserializer<'a>>(deserializer: D) -> Result<Self, D::Error> {
         struct Visitor;
         impl serde::de::Visitor<'_> for Visitor {
             type Value = Size;
@@ -206,20 +210,20 @@
             fn visit_i64<E: Error>(self, number: i64) -> Result<Size, E> {
                 u64::try_from(number)
                     .map(Size)
-                    .map_err(|_| E::custom("a size is not negative"))
+                    .map_err(|_| E::custom("a size cannot be negative"))
             }
 
             fn visit_u64<E: Error>(self, number: u64) -> Result<Size, E> {
                 Ok(Size(number))
             }
         }
-        reader.deserialize_any(Visitor)
+        deserializer.deserialize_any(Visitor)
     }
 }
 
 impl Serialize for Size {
-    fn serialize<S: Serializer>(&self, writer: S) -> Result<S::Ok, S::Error> {
-        writer.collect_str(self)
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        serializer.collect_str(self)
     }
 }
 
@@ -229,7 +233,7 @@
     use proptest::prelude::*;
 
     #[test]
-    fn spans_and_sizes_are_read_with_their_units() {
+    fn durations_and_sizes_are_parsed_with_their_units() {
         for (text, micros) in [
             ("250ms", 250_000),
             ("1.5s", 1_500_000),
@@ -264,13 +268,13 @@
 
     proptest! {
         #[test]
-        fn what_is_written_is_read_again(micros in 0..LONGEST, bytes in 0u64..1 << 53) {
+        fn formatted_values_are_parsed_back(micros in 0..MAX_MICROS, bytes in 0u64..1 << 53) {
             prop_assert_eq!(Span(micros).to_string().parse(), Ok(Span(micros)));
             prop_assert_eq!(Size(bytes).to_string().parse(), Ok(Size(bytes)));
         }
 
         #[test]
-        fn no_text_is_too_odd(text in "\\PC{0,40}") {
+        fn no_text_causes_a_panic(text in "\\PC{0,40}") {
             let _ = (text.parse::<Span>(), text.parse::<Size>());
         }
     }
