--- a/crates/operator-config/src/admin.rs
+++ b/crates/operator-config/src/admin.rs
@@ -1,4 +1,4 @@
-//! `[admin]`: where the admin view is served.
+//! `[admin]`: the address of the admin view.
 
 use madderloom_config_reader::Document;
 use serde::Deserialize;
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The section as it is written.
+/// The section as written in the file.
 #[derive(Clone, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Section {
@@ -14,12 +14,12 @@
     listen: Option<SocketAddr>,
 }
 
-/// Where the admin view is served. It shows all and changes nothing.
+/// The address of the admin view, which is read-only.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Admin {
-    /// On a Unix socket, which only its owner may open.
+    /// A Unix socket that only its owner may open.
     Socket(PathBuf),
-    /// On an address of the loopback interface.
+    /// An address of the loopback interface.
     Listen(SocketAddr),
 }
 
@@ -32,19 +32,21 @@
     }
 }
 
-/// The longest path that a Unix socket may have, with the zero byte behind it.
-const LONGEST: usize = 108;
+/// Maximum length in bytes of the path of a Unix socket, including the terminating zero byte.
+const MAX_SOCKET_PATH_BYTES: usize = 108;
 
 impl Section {
     pub(crate) fn check(self, document: &mut Document<'_>) -> Admin {
         match (self.socket, self.listen) {
-            (Some(_), Some(_)) => {
-                document.problem("admin.listen", "is given beside socket; write one of them")
-            }
+            (Some(_), Some(_)) => document.problem(
+                "admin.listen",
+                "cannot be combined with socket; write one of them",
+            ),
             (Some(path), None) => {
-                let sound = !path.as_os_str().is_empty() && path.as_os_str().len() < LONGEST;
+                let is_valid =
+                    !path.as_os_str().is_empty() && path.as_os_str().len() < MAX_SOCKET_PATH_BYTES;
                 document.require(
-                    sound,
+                    is_valid,
                     "admin.socket",
                     "is empty or too long; write a path of up to 107 bytes",
                 );
@@ -60,7 +62,7 @@
                 if !document.has("admin.socket") && !document.has("admin.listen") {
                     document.problem(
                         "admin",
-                        "names no place; write socket = \"...\" or listen = \"127.0.0.1:9901\"",
+                        "has no address; write socket = \"...\" or listen = \"127.0.0.1:9901\"",
                     );
                 }
             }
--- a/crates/operator-config/src/control.rs
+++ b/crates/operator-config/src/control.rs
@@ -1,4 +1,4 @@
-//! `[control]`: the agent that this instance registers with, and as whom.
+//! `[control]`: the agent that this instance registers with, and the identity that it uses.
 
 use crate::fleet_limits::{self, FleetLimit};
 use crate::names::Names;
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-/// The section as it is written.
+/// The section as written in the file.
 #[derive(Clone, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Section {
@@ -31,28 +31,28 @@
     key: PathBuf,
 }
 
-/// The agent that this instance registers with, and as whom.
+/// The agent that this instance registers with, and the identity that it uses.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Control {
-    /// The agent, as HOST:PORT.
+    /// Address of the agent as HOST:PORT.
     pub agent: String,
-    /// The name that it goes by; usually that of the process.
+    /// Name of the instance; by default that of the process.
     pub name: String,
-    /// Its zone, by which changes select it; may be empty.
+    /// Zone of the instance, used by the selectors of changes; may be empty.
     pub zone: String,
-    /// Labels, by which changes select it.
+    /// Labels of the instance, used by the selectors of changes.
     pub labels: BTreeMap<String, String>,
-    /// Where it keeps its incarnation, the term of the agent and what is set beside the file, for its next start.
+    /// File that stores the incarnation, the agent's term and the overlay for the next start.
     pub state: Option<PathBuf>,
-    /// Certificates of the authorities that it trusts.
+    /// File with the certificates of the trusted authorities.
     pub authority: PathBuf,
-    /// Its certificate.
+    /// File with the certificate of the instance.
     pub certificate: PathBuf,
-    /// Its key.
+    /// File with the private key of the instance.
     pub key: PathBuf,
-    /// Under which name it shares the lists of its pools with the fleet; none where it shares nothing.
+    /// Name under which the instance shares the server lists of its pools with the fleet; none if it does not share them.
     pub share_lists: Option<String>,
-    /// The fleet-wide limits that it takes part in.
+    /// The fleet-wide limits that apply to the instance.
     pub fleet_limits: Vec<FleetLimit>,
 }
 
@@ -78,11 +78,11 @@
             .rsplit_once(':')
             .filter(|(host, _)| !host.is_empty())
             .map(|(_, port)| port);
-        let sound = port.is_some_and(|port| port.parse::<u16>().is_ok());
+        let has_port = port.is_some_and(|port| port.parse::<u16>().is_ok());
         document.require(
-            sound,
+            has_port,
             "control.agent",
-            "is no HOST:PORT; write one such as \"10.0.0.5:7070\"",
+            "is not HOST:PORT; write one such as \"10.0.0.5:7070\"",
         );
         let name = if name.is_empty() {
             process.to_string()
@@ -92,15 +92,15 @@
         if let Err(problem) = check_name(&name) {
             document.problem(
                 "control.name",
-                format_args!("{problem}; it is what the agent lists"),
+                format_args!("{problem}; it is the name of the instance at the agent"),
             );
         }
-        let traits = Attributes {
+        let attributes = Attributes {
             zone: zone.clone(),
             labels: labels.clone(),
             ..Attributes::default()
         };
-        if let Err(problem) = traits.check() {
+        if let Err(problem) = attributes.check() {
             document.problem(&format!("control.{}", problem.field), problem.problem);
         }
         let paths = [
@@ -120,7 +120,7 @@
         if let Some(Err(problem)) = share_lists.as_deref().map(check_name) {
             document.problem(
                 "control.share_lists",
-                format_args!("{problem}; it is the same for all that share"),
+                format_args!("{problem}; it must be the same for all instances that share lists"),
             );
         }
         let Keys {
@@ -144,15 +144,15 @@
 }
 
 impl Control {
-    /// The same with its paths beside this file.
-    pub(crate) fn beside(self, file: &Path) -> Self {
+    /// Resolves relative paths against the directory of this file.
+    pub(crate) fn resolve_paths(self, file: &Path) -> Self {
         let directory = file.parent().unwrap_or(Path::new(""));
-        let at = |path: PathBuf| directory.join(path);
+        let resolve = |path: PathBuf| directory.join(path);
         Control {
-            state: self.state.map(at),
-            authority: at(self.authority),
-            certificate: at(self.certificate),
-            key: at(self.key),
+            state: self.state.map(resolve),
+            authority: resolve(self.authority),
+            certificate: resolve(self.certificate),
+            key: resolve(self.key),
             ..self
         }
     }
--- a/crates/operator-config/src/fleet_limits.rs
+++ b/crates/operator-config/src/fleet_limits.rs
@@ -1,5 +1,5 @@
-//! `[[control.fleet_limits]]`: the fleet-wide limits that this instance takes part in, for which of its requests, and what
-//! it may let in while it has no lease.
+//! `[[control.fleet_limits]]`: the fleet-wide limits that apply to this instance, the requests that they apply to, and the
+//! capacity that the instance may use while it has no lease.
 
 use crate::names::{Names, is_name};
 use http::HeaderName;
@@ -8,12 +8,12 @@
 use madderloom_quota_leases::{Capacity, ONE_REQUEST, SafeCapacity, UNBOUNDED};
 use serde::Deserialize;
 
-/// The most limits of one instance.
-const MOST: usize = 128;
-/// The most requests of a safe part, a second, at once or open.
-const MOST_REQUESTS: f64 = 1e8;
+/// Maximum number of limits of one instance.
+const MAX_LIMITS: usize = 128;
+/// Maximum rate in requests per second, and maximum number of requests in flight, of a safe capacity.
+const MAX_REQUESTS: f64 = 1e8;
 
-/// One limit as it is written.
+/// One limit as written in the file.
 #[derive(Clone, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Section {
@@ -23,43 +23,44 @@
     header: Option<String>,
     value: Option<String>,
     each_server: bool,
-    safe: SafePart,
+    safe: SafeSection,
 }
 
 #[derive(Clone, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-struct SafePart {
+struct SafeSection {
     requests_per_second: Option<f64>,
     burst: Option<u32>,
     open: Option<u64>,
     divide_by: Option<u64>,
 }
 
-/// A name, or the beginning of several with `*` behind it.
+/// A name, or a name prefix followed by `*`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Pattern(String);
 
 impl Pattern {
-    /// Whether it fits a name.
+    /// Whether the pattern matches a name.
     pub fn matches(&self, name: &str) -> bool {
         madderloom_quota_leases::matches_pattern(&self.0, name)
     }
 }
 
-/// One limit that this instance takes part in.
+/// One fleet-wide limit that applies to this instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetLimit {
-    /// As the agent's file names it.
+    /// Its name in the agent's file.
     pub name: String,
-    /// Of the requests to which pools it is.
+    /// The pools whose requests it limits.
     pub pool: Pattern,
-    /// Of which class; of GraphQL operations, which have theirs later, none. All, where none is given.
+    /// The class that it limits; all classes if none. GraphQL operations get their class later, so a limit with a class
+    /// does not apply to them.
     pub class: Option<Pattern>,
-    /// Of those that carry this header with such a value, such as a tenant's.
+    /// Limits only requests that have this header with a matching value, such as the name of a tenant.
     pub header: Option<(HeaderName, Pattern)>,
-    /// It is for each server of the pools by itself, and counts attempts.
+    /// Whether the limit applies to each server of the pools separately and counts attempts.
     pub each_server: bool,
-    /// What may be let in while no lease holds.
+    /// The capacity that may be used while the instance has no valid lease.
     pub safe_capacity: SafeCapacity,
 }
 
@@ -69,21 +70,21 @@
     pools: &Names,
 ) -> Vec<FleetLimit> {
     document.require(
-        sections.len() <= MOST,
+        sections.len() <= MAX_LIMITS,
         "control.fleet_limits",
-        "are too many; there are 128 at most",
+        "are too many; at most 128 are allowed",
     );
     let mut names: Vec<String> = Vec::new();
     let mut limits = Vec::new();
-    for (at, section) in sections.into_iter().take(MOST).enumerate() {
-        let field = |name: &str| format!("control.fleet_limits[{at}].{name}");
+    for (index, section) in sections.into_iter().take(MAX_LIMITS).enumerate() {
+        let field = |name: &str| format!("control.fleet_limits[{index}].{name}");
         if let Err(problem) = check_name(&section.name) {
             document.problem(&field("name"), problem);
         }
         document.require(
             !names.contains(&section.name),
             &field("name"),
-            "is there twice; names are unique",
+            "is not unique",
         );
         names.push(section.name.clone());
         limits.push(section.check(document, &field, pools));
@@ -103,45 +104,45 @@
         } else {
             self.pool
         });
-        if !(0..pools.len()).any(|place| pool.matches(pools.name(place))) {
-            let known: Vec<&str> = (0..pools.len()).map(|place| pools.name(place)).collect();
+        if !(0..pools.len()).any(|index| pool.matches(pools.name(index))) {
+            let known: Vec<&str> = (0..pools.len()).map(|index| pools.name(index)).collect();
             document.problem(
                 &field("pool"),
-                format_args!("fits no pool; there are {}", known.join(", ")),
+                format_args!("matches no pool; there are {}", known.join(", ")),
             );
         }
         let class = self.class.map(Pattern);
-        let sound = |class: &Pattern| {
+        let is_valid = |class: &Pattern| {
             is_name(class.0.strip_suffix('*').unwrap_or(&class.0)) || class.0 == "*"
         };
         document.require(
-            class.as_ref().is_none_or(sound),
+            class.as_ref().is_none_or(is_valid),
             &field("class"),
-            "is no class, nor the beginning of one",
+            "is not a class name or a prefix followed by *",
         );
         document.require(
             !self.each_server || (class.is_none() && self.header.is_none()),
             &field("each_server"),
-            "counts all attempts at a server; take class and header out",
+            "counts all attempts at a server; remove class and header",
         );
         let header = match (self.header, self.value) {
             (None, None) => None,
             (Some(header), Some(value)) => match header.parse::<HeaderName>() {
                 Ok(name) => Some((name, Pattern(value))),
                 Err(_) => {
-                    document.problem(&field("header"), "is no header's name");
+                    document.problem(&field("header"), "is not a header name");
                     None
                 }
             },
             (Some(_), None) => {
                 document.problem(
                     &field("value"),
-                    "is missing; write the header's value, or its beginning and *",
+                    "is missing; write the header's value, or a prefix followed by *",
                 );
                 None
             }
             (None, Some(_)) => {
-                document.problem(&field("value"), "goes with a header");
+                document.problem(&field("value"), "needs header");
                 None
             }
         };
@@ -157,54 +158,50 @@
     }
 }
 
-impl SafePart {
+impl SafeSection {
     fn check(self, document: &mut Document<'_>, field: &dyn Fn(&str) -> String) -> SafeCapacity {
-        let SafePart {
+        let SafeSection {
             requests_per_second: rate,
             burst,
             open,
             divide_by,
         } = self;
-        let sound = rate.is_none_or(|rate| (0.0..=MOST_REQUESTS).contains(&rate));
+        let rate_is_valid = rate.is_none_or(|rate| (0.0..=MAX_REQUESTS).contains(&rate));
         document.require(
-            sound,
+            rate_is_valid,
             &field("safe.requests_per_second"),
             "must lie in 0 to 100000000",
         );
-        let open_is_sound = open.is_none_or(|open| open as f64 <= MOST_REQUESTS);
+        let open_is_valid = open.is_none_or(|open| open as f64 <= MAX_REQUESTS);
         document.require(
-            open_is_sound,
+            open_is_valid,
             &field("safe.open"),
             "must be 100000000 at most",
         );
-        if let Some(resource_shares) = divide_by {
-            let alone = rate.is_none() && burst.is_none() && open.is_none();
+        if let Some(divisor) = divide_by {
+            let has_no_figures = rate.is_none() && burst.is_none() && open.is_none();
             document.require(
-                alone,
+                has_no_figures,
                 &field("safe.divide_by"),
-                "stands alone, without figures",
+                "cannot be combined with other fields of safe",
             );
-            document.require(
-                resource_shares > 0,
-                &field("safe.divide_by"),
-                "must be 1 or more",
-            );
-            return SafeCapacity::Fraction(resource_shares.max(1));
+            document.require(divisor > 0, &field("safe.divide_by"), "must be 1 or more");
+            return SafeCapacity::Fraction(divisor.max(1));
         }
         if rate.is_none() && open.is_none() {
             document.require(
                 burst.is_none(),
                 &field("safe.burst"),
-                "goes with requests_per_second",
+                "needs requests_per_second",
             );
             return SafeCapacity::Zero;
         }
-        let thousandths =
-            |figure: f64| (figure.clamp(0.0, MOST_REQUESTS) * ONE_REQUEST as f64).round() as u64;
+        let to_units =
+            |requests: f64| (requests.clamp(0.0, MAX_REQUESTS) * ONE_REQUEST as f64).round() as u64;
         SafeCapacity::Fixed(Capacity {
-            // A safe part that bounds only what is open lets in no more than that at once.
-            rate: rate.map_or(UNBOUNDED, thousandths),
-            burst: rate.map_or(UNBOUNDED, |_| thousandths(f64::from(burst.unwrap_or(1)))),
+            // A safe capacity without a rate is limited only by the requests in flight.
+            rate: rate.map_or(UNBOUNDED, to_units),
+            burst: rate.map_or(UNBOUNDED, |_| to_units(f64::from(burst.unwrap_or(1)))),
             in_flight: open.unwrap_or(UNBOUNDED),
         })
     }
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,11 +1,12 @@
-//! The operator file: what an installation wants of madderloom beyond what its platform tells it.
+//! The operator file: the configuration of madderloom that does not come from the platform.
 //!
-//! One TOML file, in sections with a module each. A module has the section as it is written (its fields are the
-//! file's) and a check, which notes every problem at its place in the [`Document`] and gives the section as it is
-//! used. A later subsystem adds a module with its section, a field in `File`, and a line in [`Operator::parse`].
+//! The file is TOML; each of its sections has a module. A module defines the section as written in the file (with the
+//! field names of the file) and a check, which reports every problem with its position to the [`Document`] and returns the
+//! validated section. A new subsystem adds a module with its section, a field in `File`, and a line in
+//! [`OperatorConfig::parse`].
 //!
-//! Beside the file there may be the platform's own configuration (`RELAY_CONFIG`). It stands for one listener and
-//! one pool, both named [`PLATFORM`], which routes of the file may name like those of its own.
+//! In addition to the file there may be the platform's own configuration (`RELAY_CONFIG`). It defines one listener and one
+//! pool, both named [`PLATFORM`], which routes of the file may refer to.
 
 mod admin;
 mod control;
@@ -41,10 +42,10 @@
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-/// The version of the format that this program reads.
+/// The format version of the operator file that this program supports.
 pub const FORMAT_VERSION: u32 = 1;
 
-/// The file as it is written.
+/// The file as written.
 #[derive(Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 struct File {
@@ -60,71 +61,72 @@
     state: Option<state::Section>,
 }
 
-/// The file as it is used: every name in it is known, every figure is within its bounds, no two routes clash.
+/// The validated file: all references resolve, all values are within their bounds, and no two routes conflict.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OperatorConfig {
-    /// What concerns the whole process.
+    /// Settings of the whole process.
     pub process: Process,
-    /// In the file's order. Routes name them by their place here plus 1: 0 is the platform's.
+    /// In the order of the file. Routes refer to them by their index here plus 1; 0 is that of the platform.
     pub listeners: Vec<Listener>,
-    /// In the file's order. Routes name them by their place here plus 1: 0 is the platform's.
+    /// In the order of the file. Routes refer to them by their index here plus 1; 0 is that of the platform.
     pub pools: Vec<Pool>,
-    /// In the file's order.
+    /// In the order of the file.
     pub routes: Vec<Route>,
-    /// What all services have together.
+    /// Limits that all services share.
     pub limits: Limits,
-    /// Where the admin view is served; nowhere if it is not named.
+    /// Address of the admin view; not served if absent.
     pub admin: Option<Admin>,
-    /// How the story of each pool's servers is kept; not at all if it is not named.
+    /// How the history of each pool's servers is recorded; not recorded if absent.
     pub timeline: Option<madderloom_endpoint_history::Settings>,
-    /// The agent that it registers with; none if none is named.
+    /// The agent to register with, if any.
     pub control: Option<Control>,
-    /// What outlasts the process; nothing if it is not named.
+    /// State that is persisted across restarts; none if absent.
     pub state: Option<State>,
 }
 
-/// Why a file can't be used.
+/// The reasons why a file is invalid.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfigErrors {
-    /// The file.
+    /// Path of the file.
     pub file: PathBuf,
-    /// All that is wrong with it, in its order; never empty.
+    /// All problems in the order of the file; never empty.
     pub problems: Vec<Problem>,
 }
 
 impl fmt::Display for ConfigErrors {
-    /// All in one line, for the log.
+    /// Formats all problems in one line, for the log.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let told: Vec<String> = self
+        let problems: Vec<String> = self
             .problems
             .iter()
             .map(|p| format!("{}:{p}", self.file.display()))
             .collect();
-        f.write_str(&told.join("; "))
+        f.write_str(&problems.join("; "))
     }
 }
 
 impl OperatorConfig {
-    /// Reads the file and those that it names.
+    /// Reads the file and the files that it refers to.
     pub fn load(file: &Path) -> Result<Self, ConfigErrors> {
-        let read = OperatorConfig::parse(&text_of(file)?, &beside(file));
-        let read = read.map_err(|problems| ConfigErrors {
+        let parsed =
+            OperatorConfig::parse(&read_operator_file(file)?, &referenced_file_reader(file));
+        let parsed = parsed.map_err(|problems| ConfigErrors {
             file: file.to_path_buf(),
             problems,
         });
-        read.map(|operator| operator.beside(file))
+        parsed.map(|operator| operator.resolve_paths(file))
     }
 
-    /// The same with the directories that it names beside this file.
-    fn beside(mut self, file: &Path) -> Self {
+    /// Resolves relative paths against the directory of this file.
+    fn resolve_paths(mut self, file: &Path) -> Self {
         if let Some(state) = &mut self.state {
             state.dir = file.parent().unwrap_or(Path::new("")).join(&state.dir);
         }
-        self.control = self.control.map(|control| control.beside(file));
+        self.control = self.control.map(|control| control.resolve_paths(file));
         self
     }
 
-    /// Reads the file's text. `read` gives the text of a file that it names, by the name that stands there.
+    /// Parses and checks the text of the file. `read` returns the text of a referenced file by the path in the operator file.
     pub fn parse(
         text: &str,
         read: &dyn Fn(&str) -> Result<String, String>,
@@ -155,15 +157,15 @@
             file.pools.iter().map(|p| p.name.as_str()),
         );
         let state = file.state.map(|state| state.check(&mut document));
-        let checked = pools::check(&mut document, file.pools, state.as_ref(), read);
-        let known = |place: usize| checked.get(place.checked_sub(1)?)?.as_ref();
+        let checked_pools = pools::check(&mut document, file.pools, state.as_ref(), read);
+        let pool_at = |index: usize| checked_pools.get(index.checked_sub(1)?)?.as_ref();
         let name = file.process.name().to_string();
         let operator = OperatorConfig {
             process: file.process.check(&mut document),
-            routes: routes::check(&mut document, &file.routes, &listeners, &pools, &known),
+            routes: routes::check(&mut document, &file.routes, &listeners, &pools, &pool_at),
             listeners: listeners::check(&mut document, file.listeners),
-            // One that is missing here is a problem of the document.
-            pools: checked.into_iter().flatten().collect(),
+            // An invalid pool is none here and has a problem in the document.
+            pools: checked_pools.into_iter().flatten().collect(),
             admin: file.admin.map(|admin| admin.check(&mut document)),
             limits: file.limits.check(&mut document),
             timeline: None,
@@ -184,49 +186,49 @@
         if let Some(state) = &operator.state {
             state.check_memory(&mut document, operator.limits.memory.map(|size| size.0));
         }
-        limits::check_parts(&mut document, &operator);
+        limits::check_guaranteed_shares(&mut document, &operator);
         document.finish(operator)
     }
 
-    /// Whether it is of use only beside the platform's configuration.
+    /// Whether it can only be used together with the platform's configuration.
     pub fn needs_platform(&self) -> bool {
         self.listeners.is_empty() || self.pools.is_empty()
     }
 
-    /// The routes, ready to be looked up. The platform's listener has the place 0, the file's follow.
+    /// The routing table. The platform's listener has index 0; those of the file follow.
     pub fn route_table(&self) -> Table {
-        // No two clash: that is checked with the file.
+        // The check of the file has already rejected conflicting routes.
         Table::new(self.routes.clone(), self.listeners.len() + 1).unwrap_or_default()
     }
 
-    /// The name of a listener by the place that routes know it by.
-    pub fn listener_name(&self, place: usize) -> &str {
-        place
+    /// The name of a listener by the index that routes use.
+    pub fn listener_name(&self, index: usize) -> &str {
+        index
             .checked_sub(1)
-            .and_then(|at| self.listeners.get(at))
+            .and_then(|index| self.listeners.get(index))
             .map_or(PLATFORM, |l| &l.name)
     }
 
-    /// The name of a pool by the place that routes know it by.
-    pub fn pool_name(&self, place: usize) -> &str {
-        place
+    /// The name of a pool by the index that routes use.
+    pub fn pool_name(&self, index: usize) -> &str {
+        index
             .checked_sub(1)
-            .and_then(|at| self.pools.get(at))
+            .and_then(|index| self.pools.get(index))
             .map_or(PLATFORM, |p| &p.name)
     }
 
-    /// What the pools give up when, for people and programs; those without levels are left out.
+    /// The degradation levels of the pools; pools without levels are left out.
     pub fn levels(&self) -> Vec<PoolLevels> {
-        let of = |pool: &Pool| {
+        let levels_of = |pool: &Pool| {
             Some(PoolLevels {
                 pool: pool.name.clone(),
                 plan: pool.levels.clone()?,
             })
         };
-        self.pools.iter().filter_map(of).collect()
+        self.pools.iter().filter_map(levels_of).collect()
     }
 
-    /// What it configures, in a few words.
+    /// A one-line summary of the configuration.
     pub fn summary(&self) -> String {
         let list = |names: Vec<&str>| {
             if names.is_empty() {
@@ -253,8 +255,8 @@
     }
 }
 
-/// The text of an operator file.
-fn text_of(file: &Path) -> Result<String, ConfigErrors> {
+/// Reads the text of an operator file.
+fn read_operator_file(file: &Path) -> Result<String, ConfigErrors> {
     std::fs::read_to_string(file).map_err(|e| {
         let (line, column, field, problem) = (1, 1, String::new(), format!("can't be read: {e}"));
         ConfigErrors {
@@ -269,8 +271,8 @@
     })
 }
 
-/// Reads files that an operator file names.
-fn beside(file: &Path) -> impl Fn(&str) -> Result<String, String> {
+/// Returns a function that reads the files that an operator file refers to, relative to its directory.
+fn referenced_file_reader(file: &Path) -> impl Fn(&str) -> Result<String, String> {
     let directory = file.parent().unwrap_or(Path::new("")).to_path_buf();
     move |name| std::fs::read_to_string(directory.join(name)).map_err(|e| e.to_string())
 }
--- a/crates/operator-config/src/limits.rs
+++ b/crates/operator-config/src/limits.rs
@@ -1,4 +1,4 @@
-//! `[limits]`, and the `limits` of listeners and pools: who may hold how much.
+//! `[limits]`, and the `limits` of listeners and pools: limits of shared resources.
 
 use crate::OperatorConfig;
 use madderloom_config_reader::{Document, Size};
@@ -6,7 +6,7 @@
 use madderloom_routing::shares::Part;
 use serde::Deserialize;
 
-/// The section of the whole process as it is written.
+/// The section of the whole process as written in the file.
 #[derive(Clone, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Section {
@@ -16,17 +16,17 @@
     bodies: Option<Size>,
 }
 
-/// What the whole process may hold.
+/// Resource limits of the whole process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// File descriptors; clients and servers get half of them each, less a few. The platform's and the system's bound
-    /// where they are less. At least 64.
+    /// Maximum number of file descriptors. Clients and servers get half of them each, minus a few reserved ones. Lower limits
+    /// of the platform or the system apply. At least 64.
     pub descriptors: Option<u64>,
-    /// Memory. The platform's where that is less. At least 8 MiB.
+    /// Maximum memory. A lower limit of the platform applies. At least 8 MiB.
     pub memory: Option<Size>,
-    /// Requests that are open at once, of all services together. Usually 20,000; 1 to 1,000,000.
+    /// Maximum number of requests in flight, over all services. Default 20,000; 1 to 1,000,000.
     pub open: u64,
-    /// Bytes of bodies that open requests hold together. Usually a quarter of the memory, and at most half of it.
+    /// Maximum size of all bodies of requests in flight. Default a quarter of the memory; at most half of it.
     pub bodies: Option<Size>,
 }
 
@@ -58,7 +58,7 @@
             document.require(
                 bodies.0 <= memory.0 / 2,
                 "limits.bodies",
-                "is over half of the memory; write less",
+                "must be at most half of limits.memory",
             );
         }
         document.require(
@@ -75,81 +75,81 @@
     }
 }
 
-/// Bounds of a count as they are written.
+/// Bounds of a count as written in the file.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-struct Counts {
+struct CountSection {
     guaranteed: Option<u64>,
     most: Option<u64>,
 }
 
-/// Bounds of a size as they are written.
+/// Bounds of a size as written in the file.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-struct Sizes {
+struct SizeSection {
     guaranteed: Option<Size>,
     most: Option<Size>,
 }
 
-/// The limits of a listener or a pool as they are written.
+/// The limits of a listener or a pool as written in the file.
 #[derive(Clone, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct MemberSection {
-    open: Counts,
-    bodies: Sizes,
-    connections: Counts,
+    open: CountSection,
+    bodies: SizeSection,
+    connections: CountSection,
     requests_per_second: Option<f64>,
     burst: Option<u32>,
     weight: Option<u32>,
 }
 
-/// Bounds of one thing.
+/// Bounds of a member's share of one resource. A member is a listener or a pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ShareBounds {
-    /// What is lent to nobody. Where it is not given: an equal part of half of what there is.
+    /// The share reserved for the member, which is not lent to others. If absent: an equal share of half of the resource.
     pub guaranteed: Option<u64>,
-    /// What may be held in all, borrowed or not. Where it is not given: all that there is.
+    /// The maximum share including what is borrowed. If absent: the whole resource.
     pub max: Option<u64>,
 }
 
-/// How many requests come in a second.
+/// A limit of the request rate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateLimit {
-    /// On average; 0.001 to 1,000,000.
+    /// Average requests per second; 0.001 to 1,000,000.
     pub per_second: f64,
-    /// At once; 1 to 1,000,000, usually a tenth of a second's.
+    /// Burst size in requests; 1 to 1,000,000. Default: the requests of a tenth of a second.
     pub burst: u32,
 }
 
 impl RateLimit {
-    /// The bucket, full.
+    /// Creates a full token bucket.
     pub fn bucket(&self) -> Rate {
         Rate::new(self.per_second, self.burst)
     }
 }
 
-/// What the clients of a listener, or the requests of a pool, may hold together.
+/// Limits of the resources that the clients of a listener, or the requests of a pool, use together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ResourceLimits {
-    /// Requests that are open.
+    /// Requests in flight.
     pub open: ShareBounds,
-    /// Bytes of their bodies.
+    /// Bytes of the request bodies.
     pub bodies: ShareBounds,
-    /// Connections: of clients at a listener, to servers at a pool.
+    /// Connections: from clients for a listener, to servers for a pool.
     pub connections: ShareBounds,
-    /// No bound where it is not given.
+    /// Limit of the request rate; unlimited if absent.
     pub rate: Option<RateLimit>,
-    /// Its part of the thread's time beside the others'. Usually 1; 1 to 1,000.
+    /// Weight of its share of the thread's time, relative to the others. Default 1; 1 to 1,000.
     pub weight: u32,
 }
 
 impl Default for ResourceLimits {
     fn default() -> Self {
-        let all = ShareBounds::default();
+        let unbounded = ShareBounds::default();
         ResourceLimits {
-            open: all,
-            bodies: all,
-            connections: all,
+            open: unbounded,
+            bodies: unbounded,
+            connections: unbounded,
             rate: None,
             weight: 1,
         }
@@ -157,23 +157,22 @@
 }
 
 impl MemberSection {
-    pub(crate) fn check(&self, document: &mut Document<'_>, at: &str) -> ResourceLimits {
-        let mut bounds = |name: &str, guaranteed: Option<u64>, most: Option<u64>| {
-            let sound = guaranteed.zip(most).is_none_or(|(g, m)| g <= m);
+    pub(crate) fn check(&self, document: &mut Document<'_>, section: &str) -> ResourceLimits {
+        let mut bounds = |name: &str, guaranteed: Option<u64>, max: Option<u64>| {
+            let is_valid = guaranteed
+                .zip(max)
+                .is_none_or(|(guaranteed, max)| guaranteed <= max);
             document.require(
-                sound,
-                &format!("{at}.{name}.guaranteed"),
+                is_valid,
+                &format!("{section}.{name}.guaranteed"),
                 "is over `most`; write less",
             );
             document.require(
-                most != Some(0),
-                &format!("{at}.{name}.most"),
+                max != Some(0),
+                &format!("{section}.{name}.most"),
                 "must be at least 1",
             );
-            ShareBounds {
-                guaranteed,
-                max: most,
-            }
+            ShareBounds { guaranteed, max }
         };
         let open = bounds("open", self.open.guaranteed, self.open.most);
         let connections = bounds(
@@ -181,43 +180,43 @@
             self.connections.guaranteed,
             self.connections.most,
         );
-        let (guaranteed, most) = (
+        let (guaranteed, max) = (
             self.bodies.guaranteed.map(|s| s.0),
             self.bodies.most.map(|s| s.0),
         );
-        let bodies = bounds("bodies", guaranteed, most);
+        let bodies = bounds("bodies", guaranteed, max);
         let per_second = self.requests_per_second;
-        let sound = per_second.is_none_or(|r| (0.001..=1e6).contains(&r));
+        let is_valid = per_second.is_none_or(|r| (0.001..=1e6).contains(&r));
         document.require(
-            sound,
-            &format!("{at}.requests_per_second"),
+            is_valid,
+            &format!("{section}.requests_per_second"),
             "must lie in 0.001 to 1000000",
         );
-        let (named, burst) = (format!("{at}.burst"), self.burst);
+        let (burst_field, burst) = (format!("{section}.burst"), self.burst);
         document.require(
             burst.is_none_or(|b| (1..=1_000_000).contains(&b)),
-            &named,
+            &burst_field,
             "must lie in 1 to 1000000",
         );
-        let alone = burst.is_some()
+        let lacks_rate = burst.is_some()
             && per_second.is_none()
-            && !document.has(&format!("{at}.requests_per_second"));
+            && !document.has(&format!("{section}.requests_per_second"));
         document.require(
-            !alone,
-            &named,
+            !lacks_rate,
+            &burst_field,
             "has no effect without requests_per_second; write both",
         );
         let rate = per_second.map(|per_second| {
-            let usual = (per_second / 10.0).ceil().clamp(1.0, 1e6) as u32;
+            let default_burst = (per_second / 10.0).ceil().clamp(1.0, 1e6) as u32;
             RateLimit {
                 per_second,
-                burst: burst.unwrap_or(usual),
+                burst: burst.unwrap_or(default_burst),
             }
         });
         let weight = self.weight.unwrap_or(1);
         document.require(
             (1..=1_000).contains(&weight),
-            &format!("{at}.weight"),
+            &format!("{section}.weight"),
             "must lie in 1 to 1000",
         );
         ResourceLimits {
@@ -230,64 +229,64 @@
     }
 }
 
-/// The parts of members in so many units. Members whose guaranteed part is not given have an equal part of half of
-/// the units each, or of what the others leave of it. The guaranteed parts never come to more than the units.
+/// Divides `total` units of a resource among members. Members without a configured guaranteed share get equal shares of half
+/// of the units, or of what the configured shares leave if that is less. The guaranteed shares never exceed `total` in sum.
 pub fn resource_shares(total: u64, members: &[ShareBounds]) -> Vec<Part> {
-    let given: u64 = members
+    let configured: u64 = members
         .iter()
         .filter_map(|b| b.guaranteed)
         .fold(0, u64::saturating_add);
-    let silent = members.iter().filter(|b| b.guaranteed.is_none()).count() as u64;
-    let usual = (total / 2).min(total.saturating_sub(given)) / silent.max(1);
-    // More than there is was refused with the file; here it may be that the system gives less than the file says.
-    let scale = if given > total {
-        total as f64 / given as f64
+    let unconfigured = members.iter().filter(|b| b.guaranteed.is_none()).count() as u64;
+    let default_share = (total / 2).min(total.saturating_sub(configured)) / unconfigured.max(1);
+    // The check of the file rejects shares above the configured total, but the system may provide less than configured.
+    let scale = if configured > total {
+        total as f64 / configured as f64
     } else {
         1.0
     };
-    let part = |bounds: &ShareBounds| {
-        let most = bounds.max.unwrap_or(total).min(total);
-        let own = bounds
+    let share_of = |bounds: &ShareBounds| {
+        let max = bounds.max.unwrap_or(total).min(total);
+        let guaranteed = bounds
             .guaranteed
-            .map_or(usual, |g| (g as f64 * scale) as u64);
+            .map_or(default_share, |g| (g as f64 * scale) as u64);
         Part {
-            guaranteed: own.min(most),
-            most,
+            guaranteed: guaranteed.min(max),
+            most: max,
         }
     };
-    members.iter().map(part).collect()
+    members.iter().map(share_of).collect()
 }
 
-/// Notes guaranteed parts that come to more than the process has.
-pub(crate) fn check_parts(document: &mut Document<'_>, operator: &OperatorConfig) {
-    type Pick = fn(&ResourceLimits) -> ShareBounds;
+/// Reports guaranteed shares whose sum exceeds the resources of the process.
+pub(crate) fn check_guaranteed_shares(document: &mut Document<'_>, operator: &OperatorConfig) {
+    type SelectBounds = fn(&ResourceLimits) -> ShareBounds;
     let limits = &operator.limits;
-    let half = limits.descriptors.map(|d| d / 2);
+    let connections = limits.descriptors.map(|d| d / 2);
     let bodies = limits
         .bodies
         .or(limits.memory.map(|m| Size(m.0 / 4)))
         .map(|b| b.0);
-    let totals: [(&str, Option<u64>, Pick); 3] = [
+    let totals: [(&str, Option<u64>, SelectBounds); 3] = [
         ("open", Some(limits.open), |m| m.open),
         ("bodies", bodies, |m| m.bodies),
-        ("connections", half, |m| m.connections),
+        ("connections", connections, |m| m.connections),
     ];
     let listeners: Vec<&ResourceLimits> = operator.listeners.iter().map(|l| &l.limits).collect();
     let pools: Vec<&ResourceLimits> = operator.pools.iter().map(|p| &p.limits).collect();
     for (section, members) in [("listeners", listeners), ("pools", pools)] {
-        for (name, total, pick) in &totals {
-            let given = |m: &&ResourceLimits| pick(m).guaranteed;
+        for (name, total, bounds_of) in &totals {
+            let guaranteed = |m: &&ResourceLimits| bounds_of(m).guaranteed;
             let sum = members
                 .iter()
-                .filter_map(given)
+                .filter_map(guaranteed)
                 .fold(0, u64::saturating_add);
-            let last = members.iter().rposition(|m| given(m).is_some());
+            let last = members.iter().rposition(|m| guaranteed(m).is_some());
             if let (Some(total), Some(last)) =
                 (total, last.filter(|_| total.is_some_and(|t| sum > t)))
             {
                 let field = format!("{section}[{last}].limits.{name}.guaranteed");
                 let problem = format!(
-                    "the guaranteed parts of all {section} come to {sum}, and there are {total}"
+                    "the guaranteed shares of all {section} come to {sum}, and there are {total}"
                 );
                 document.problem(&field, problem);
             }
--- a/crates/operator-config/src/names.rs
+++ b/crates/operator-config/src/names.rs
@@ -1,26 +1,26 @@
-//! Names of listeners, pools and routes, and what refers to them.
+//! Names of listeners, pools and routes, and references to them.
 
 use madderloom_config_reader::Document;
 
-/// The name of the listener and of the pool that the platform's configuration stands for.
+/// The name of the listener and of the pool that the platform's configuration defines.
 pub const PLATFORM: &str = "platform";
 
-/// The longest name.
-const LONGEST: usize = 64;
+/// Maximum length of a name.
+const MAX_NAME_BYTES: usize = 64;
 
-/// The names of one section, by their places; the first is the platform's.
+/// The names of one section by index; the first is that of the platform.
 pub(crate) struct Names(Vec<String>);
 
 impl Names {
-    /// Takes in the names of a section's entries, and notes those that are no names, or are there twice.
+    /// Collects the names of a section's entries and reports invalid and duplicate ones.
     pub(crate) fn of<'a>(
         document: &mut Document<'_>,
         section: &str,
         names: impl Iterator<Item = &'a str>,
     ) -> Names {
-        let mut all = vec![PLATFORM.to_string()];
-        for (at, name) in names.enumerate() {
-            let field = format!("{section}[{at}].name");
+        let mut collected = vec![PLATFORM.to_string()];
+        for (index, name) in names.enumerate() {
+            let field = format!("{section}[{index}].name");
             if !document.has(&field) {
                 document.problem(&field, "is missing; every entry has a name of its own");
             } else if !is_name(name) && !name.is_empty() {
@@ -33,45 +33,45 @@
             } else if name == PLATFORM {
                 document.problem(
                     &field,
-                    "is the name of what RELAY_CONFIG names; choose another",
+                    "is reserved for the configuration in RELAY_CONFIG; choose another",
                 );
-            } else if all.iter().any(|other| other == name) {
+            } else if collected.iter().any(|other| other == name) {
                 document.problem(
                     &field,
                     format_args!("is there twice: {name}; names are unique"),
                 );
             }
-            all.push(name.to_string());
+            collected.push(name.to_string());
         }
-        Names(all)
+        Names(collected)
     }
 
-    /// The place of a name; a problem of this field where there is none.
+    /// Returns the index of a name. If the name is unknown, a problem is reported for `field`.
     pub(crate) fn find(
         &self,
         document: &mut Document<'_>,
         field: &str,
         name: &str,
     ) -> Option<usize> {
-        let place = self.0.iter().position(|other| other == name);
-        if place.is_none() {
+        let index = self.0.iter().position(|other| other == name);
+        if index.is_none() {
             let known = self.0.join(", ");
             document.problem(field, format_args!("there is no {name}; there are {known}"));
         }
-        place
+        index
     }
 
-    /// How many there are, the platform's included.
+    /// Number of names, including that of the platform.
     pub(crate) fn len(&self) -> usize {
         self.0.len()
     }
 
-    pub(crate) fn name(&self, place: usize) -> &str {
-        self.0.get(place).map_or("", String::as_str)
+    pub(crate) fn name(&self, index: usize) -> &str {
+        self.0.get(index).map_or("", String::as_str)
     }
 }
 
 pub(crate) fn is_name(name: &str) -> bool {
-    let sound = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
-    !name.is_empty() && name.len() <= LONGEST && name.bytes().all(sound)
+    let is_allowed = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
+    !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.bytes().all(is_allowed)
 }
--- a/crates/operator-config/src/pools.rs
+++ b/crates/operator-config/src/pools.rs
@@ -1,4 +1,4 @@
-//! `[[pools]]`: the servers of a service, and how requests are distributed over them.
+//! `[[pools]]`: the servers of a service and how requests are distributed over them.
 
 use crate::limits::{MemberSection, ResourceLimits};
 use crate::names::is_name;
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Deserializer};
 use std::net::SocketAddr;
 
-/// An entry as it is written.
+/// An entry as written in the file.
 #[derive(Clone, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Section {
@@ -39,60 +39,63 @@
     weight: Option<f64>,
 }
 
-/// The settings object in the file itself, and the names in it that nothing reads.
+/// The settings in the operator file itself, and the names in them that are not known.
 #[derive(Clone)]
 struct Settings {
     site: Site,
-    unread: Vec<String>,
+    unknown_names: Vec<String>,
 }
 
 impl<'a> Deserialize<'a> for Settings {
     fn deserialize<D: Deserializer<'a>>(reader: D) -> Result<Self, D::Error> {
-        let mut unread = Vec::new();
-        let site = serde_ignored::deserialize(reader, |path| unread.push(path.to_string()))?;
-        Ok(Settings { site, unread })
+        let mut unknown_names = Vec::new();
+        let site = serde_ignored::deserialize(reader, |path| unknown_names.push(path.to_string()))?;
+        Ok(Settings {
+            site,
+            unknown_names,
+        })
     }
 }
 
 /// A pool.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Pool {
-    /// Its name.
+    /// Name of the pool.
     pub name: String,
-    /// Where its list of servers comes from; without it, `servers` is the list.
+    /// Address of the discovery service that lists its servers. If absent, `servers` is the list.
     pub discovery: Option<SocketAddr>,
-    /// Its servers, or those that are known until discovery tells.
+    /// Its servers, or the initial servers until discovery has answered.
     pub servers: Vec<Server>,
-    /// Its classes, zones and all that its decision module is told.
+    /// Its classes, zones and settings of the decision module.
     pub site: Site,
-    /// What its requests may hold together.
+    /// Limits that all its requests share.
     pub limits: ResourceLimits,
-    /// What it gives up when; it always gives full service where there are none.
+    /// Its degradation levels; if absent, it never degrades.
     pub levels: Option<LevelPlan>,
-    /// How its GraphQL operations are classed, if it has any.
+    /// How its GraphQL operations are classified, if it serves any.
     pub graphql: Option<Policy>,
-    /// What of it outlasts the process.
+    /// The state of the pool that is persisted across restarts.
     pub persistence: PersistenceOptions,
 }
 
-/// A server that the file names.
+/// A server in the operator file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Server {
-    /// Its name; the same at every instance, so that instances agree on it.
+    /// Name of the server; must be the same at every instance.
     pub name: String,
-    /// Where it is.
+    /// Address of the server.
     pub address: SocketAddr,
-    /// Its zone, by the name in the settings.
+    /// Name of its zone in the settings.
     pub zone: String,
-    /// The kind of machine, by the name in the settings.
+    /// Name of its machine kind in the settings.
     pub kind: String,
-    /// Its cell.
+    /// Cell of the server.
     pub group: u32,
-    /// Its capacity beside the others'.
+    /// Its capacity relative to the other servers.
     pub weight: f64,
 }
 
-/// The pools by their places; none where its settings can't be read, which is noted.
+/// Returns the pools by index. A pool with invalid settings is `None`, and its problem is reported.
 pub(crate) fn check(
     document: &mut Document<'_>,
     sections: Vec<Section>,
@@ -101,13 +104,15 @@
 ) -> Vec<Option<Pool>> {
     let pools = sections.into_iter().enumerate();
     pools
-        .map(|(at, section)| check_one(document, &format!("pools[{at}]"), section, state, read))
+        .map(|(index, section)| {
+            check_one(document, &format!("pools[{index}]"), section, state, read)
+        })
         .collect()
 }
 
 fn check_one(
     document: &mut Document<'_>,
-    at: &str,
+    entry: &str,
     section: Section,
     state: Option<&State>,
     read: &dyn Fn(&str) -> Result<String, String>,
@@ -116,33 +121,43 @@
         ledger: section.ledger,
         warm_start: section.warm_start,
     };
-    let persistence = persistence.check(document, at, state);
-    let limits = section.limits.check(document, &format!("{at}.limits"));
-    if !document.has(&format!("{at}.discovery")) && !document.has(&format!("{at}.servers")) {
+    let persistence = persistence.check(document, entry, state);
+    let limits = section.limits.check(document, &format!("{entry}.limits"));
+    if !document.has(&format!("{entry}.discovery")) && !document.has(&format!("{entry}.servers")) {
         let problem =
             "has neither discovery nor servers; write one such as discovery = \"127.0.0.1:8500\"";
-        document.problem(at, problem);
+        document.problem(entry, problem);
     }
-    let servers = check_servers(document, at, section.servers);
-    let site = site(document, at, section.settings_file, section.settings, read)?;
-    for (place, server) in servers.iter().enumerate() {
+    let servers = check_servers(document, entry, section.servers);
+    let site = read_settings(
+        document,
+        entry,
+        section.settings_file,
+        section.settings,
+        read,
+    )?;
+    for (index, server) in servers.iter().enumerate() {
         for (name, given, known) in [
             ("zone", &server.zone, &site.zones),
             ("kind", &server.kind, &site.kinds),
         ] {
-            let sound = given.is_empty() || known.contains(given);
+            let is_known = given.is_empty() || known.contains(given);
             let known = known.join(", ");
             let problem = format!("there is no {given} in the settings; there are {known}");
-            document.require(sound, &format!("{at}.servers[{place}].{name}"), problem);
+            document.require(
+                is_known,
+                &format!("{entry}.servers[{index}].{name}"),
+                problem,
+            );
         }
     }
     let classes = class_infos(&site);
     let graphql = section
         .graphql
-        .and_then(|graphql| graphql.check(document, &format!("{at}.graphql"), &classes));
+        .and_then(|graphql| graphql.check(document, &format!("{entry}.graphql"), &classes));
     let levels = section
         .levels
-        .map(|levels| levels.check(document, &format!("{at}.levels"), &facts(&site)));
+        .map(|levels| levels.check(document, &format!("{entry}.levels"), &class_traits(&site)));
     let (name, discovery) = (section.name, section.discovery);
     Some(Pool {
         name,
@@ -156,46 +171,46 @@
     })
 }
 
-/// What levels need to know of the classes.
-fn facts(site: &Site) -> Vec<ClassTraits> {
+/// Returns the properties of the classes that the check of degradation levels needs.
+fn class_traits(site: &Site) -> Vec<ClassTraits> {
     let classes = site.classes.iter().zip(&site.settings.classes);
-    let facts = classes.map(|(name, class)| ClassTraits {
+    let traits = classes.map(|(name, class)| ClassTraits {
         name: name.clone(),
         is_idempotent: class.retry_safety != RetrySafety::NonIdempotent,
     });
-    facts.collect()
+    traits.collect()
 }
 
 fn check_servers(
     document: &mut Document<'_>,
-    at: &str,
+    entry: &str,
     sections: Vec<ServerSection>,
 ) -> Vec<Server> {
     let mut servers: Vec<Server> = Vec::new();
-    for (place, section) in sections.into_iter().enumerate() {
-        let own = |name: &str| format!("{at}.servers[{place}].{name}");
-        if !is_name(&section.name) && (section.name.is_empty() || document.has(&own("name"))) {
+    for (index, section) in sections.into_iter().enumerate() {
+        let field = |name: &str| format!("{entry}.servers[{index}].{name}");
+        if !is_name(&section.name) && (section.name.is_empty() || document.has(&field("name"))) {
             document.problem(
-                &own("name"),
-                "is missing or no name; use letters, digits, `-`, `_` and `.`",
+                &field("name"),
+                "is missing or not a name; use letters, digits, `-`, `_` and `.`",
             );
         }
-        let twice = servers.iter().any(|s| s.name == section.name);
+        let is_duplicate = servers.iter().any(|s| s.name == section.name);
         document.require(
-            !twice,
-            &own("name"),
+            !is_duplicate,
+            &field("name"),
             "is there twice; names are unique in a pool",
         );
-        if section.address.is_none() && !document.has(&own("address")) {
+        if section.address.is_none() && !document.has(&field("address")) {
             document.problem(
-                &own("address"),
+                &field("address"),
                 "is missing; write one such as \"127.0.0.1:6001\"",
             );
         }
         let weight = section.weight.unwrap_or(1.0);
         document.require(
             weight.is_finite() && weight > 0.0,
-            &own("weight"),
+            &field("weight"),
             "must be above 0",
         );
         let address = section
@@ -220,43 +235,49 @@
     servers
 }
 
-/// The settings, from the file itself or from the one that it names.
-fn site(
+/// Reads the settings from the operator file itself or from the file that it refers to.
+fn read_settings(
     document: &mut Document<'_>,
-    at: &str,
+    entry: &str,
     file: Option<String>,
     inline: Option<Settings>,
     read: &dyn Fn(&str) -> Result<String, String>,
 ) -> Option<Site> {
-    let (in_file, in_place) = (format!("{at}.settings_file"), format!("{at}.settings"));
+    let (file_field, inline_field) = (
+        format!("{entry}.settings_file"),
+        format!("{entry}.settings"),
+    );
     let (field, site, prefix) = match (file, inline) {
         (Some(_), Some(_)) => {
-            document.problem(&in_file, "is given beside settings; write one of them");
+            document.problem(
+                &file_field,
+                "cannot be combined with settings; write one of them",
+            );
             return None;
         }
-        (Some(name), None) => match from_json(&name, read) {
-            Ok(site) => (in_file, site, format!("{name}: ")),
+        (Some(name), None) => match read_settings_file(&name, read) {
+            Ok(site) => (file_field, site, format!("{name}: ")),
             Err(problem) => {
-                document.problem(&in_file, problem);
+                document.problem(&file_field, problem);
                 return None;
             }
         },
         (None, Some(settings)) => {
-            for name in &settings.unread {
-                // Of a list, the path is written with dots.
-                let name = bracketed(name);
+            for name in &settings.unknown_names {
+                // serde_ignored writes list indexes with dots.
+                let path = bracket_indexes(name);
                 document.problem(
-                    &format!("{in_place}.{name}"),
-                    "is no setting that is read; take it out",
+                    &format!("{inline_field}.{path}"),
+                    "is no setting that is read; remove it",
                 );
             }
-            (in_place, settings.site, String::new())
+            (inline_field, settings.site, String::new())
         }
         (None, None) => {
-            // Settings that can't be read have been told of.
-            if !document.has(&in_file) && !document.has(&in_place) {
+            // Settings that are present but invalid have already been reported.
+            if !document.has(&file_field) && !document.has(&inline_field) {
                 document.problem(
-                    at,
+                    entry,
                     "has no settings; write settings_file = \"...\" or [pools.settings]",
                 );
             }
@@ -265,18 +286,18 @@
     };
     if let Err(problem) = site.settings.validate() {
         let inner = settings_key(&problem.field);
-        let (at, inner) = if prefix.is_empty() {
+        let (field, inner) = if prefix.is_empty() {
             (format!("{field}.{inner}"), String::new())
         } else {
             (field, inner + ": ")
         };
-        document.problem(&at, format_args!("{prefix}{inner}{}", problem.problem));
+        document.problem(&field, format_args!("{prefix}{inner}{}", problem.problem));
         return None;
     }
     Some(site)
 }
 
-/// The classes of the settings, as far as GraphQL operations are given them.
+/// Returns the properties of the classes that the classification of GraphQL operations needs.
 fn class_infos(site: &Site) -> Vec<ClassInfo> {
     let classes = site.classes.iter().zip(&site.settings.classes);
     let info = |(name, class): (&String, &madderloom_balancer::Class)| ClassInfo {
@@ -287,34 +308,37 @@
     classes.map(info).collect()
 }
 
-/// A settings object, or a whole configuration of a sidecar that holds one.
-fn from_json(name: &str, read: &dyn Fn(&str) -> Result<String, String>) -> Result<Site, String> {
+/// Reads a settings object, or the settings of a complete sidecar configuration.
+fn read_settings_file(
+    name: &str,
+    read: &dyn Fn(&str) -> Result<String, String>,
+) -> Result<Site, String> {
     #[derive(Deserialize)]
     struct Configuration<'t> {
         #[serde(borrow)]
         settings: Option<&'t serde_json::value::RawValue>,
     }
     let text = read(name).map_err(|e| format!("{name}: {e}"))?;
-    let whole: Configuration<'_> =
+    let configuration: Configuration<'_> =
         serde_json::from_str(&text).map_err(|e| format!("{name}: {e}"))?;
-    let told = |e: String| format!("{name}: {}", e.replace(['\n', '\r'], " "));
+    let error = |e: String| format!("{name}: {}", e.replace(['\n', '\r'], " "));
     Site::from_json(
-        whole
+        configuration
             .settings
             .map_or(text.as_str(), |settings| settings.get()),
     )
-    .map_err(told)
+    .map_err(error)
 }
 
-/// `a.0.b` as `a[0].b`.
-fn bracketed(path: &str) -> String {
-    let mut written = String::new();
+/// Converts a path such as `a.0.b` to `a[0].b`.
+fn bracket_indexes(path: &str) -> String {
+    let mut bracketed = String::new();
     for step in path.split('.') {
         match step.parse::<usize>() {
-            Ok(number) => written += &format!("[{number}]"),
-            Err(_) if written.is_empty() => written += step,
-            Err(_) => written += &format!(".{step}"),
+            Ok(number) => bracketed += &format!("[{number}]"),
+            Err(_) if bracketed.is_empty() => bracketed += step,
+            Err(_) => bracketed += &format!(".{step}"),
         }
     }
-    written
+    bracketed
 }
--- a/crates/operator-config/src/process.rs
+++ b/crates/operator-config/src/process.rs
@@ -1,9 +1,9 @@
-//! `[process]`: what concerns the whole process.
+//! `[process]`: settings of the whole process.
 
 use madderloom_config_reader::{Document, Span};
 use serde::Deserialize;
 
-/// The section as it is written.
+/// The section as written in the file.
 #[derive(Clone, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Section {
@@ -11,18 +11,18 @@
     drain: Option<Span>,
 }
 
-/// What concerns the whole process.
+/// Settings of the whole process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Process {
-    /// Its name; empty if the file gives none.
+    /// The name of the process; empty if the file does not set one.
     pub name: String,
-    /// How long after a reload a pool that the file no longer has may still begin new attempts for the requests that
-    /// it has. Usually 2 s; at most 3 s, which is the time that servers are told to leave a drained one.
+    /// How long a pool that a reload removed may still start new attempts for its requests. Default 2 s; at most 3 s, the
+    /// time that servers are told to leave for draining.
     pub drain: Span,
 }
 
-/// The longest drain.
-const LONGEST: Span = Span::s(3);
+/// Maximum of [`Process::drain`].
+const MAX_DRAIN: Span = Span::s(3);
 
 impl Section {
     pub(crate) fn name(&self) -> &str {
@@ -32,9 +32,9 @@
     pub(crate) fn check(self, document: &mut Document<'_>) -> Process {
         let drain = self.drain.unwrap_or(Span::s(2));
         document.require(
-            drain <= LONGEST,
+            drain <= MAX_DRAIN,
             "process.drain",
-            format_args!("is over {LONGEST}; write less"),
+            format_args!("must be at most {MAX_DRAIN}"),
         );
         Process {
             name: self.name,
--- a/crates/operator-config/src/routes.rs
+++ b/crates/operator-config/src/routes.rs
@@ -1,4 +1,4 @@
-//! `[[routes]]`: which requests go to which pool.
+//! `[[routes]]`: the mapping of requests to pools.
 
 use crate::names::Names;
 use crate::pools::Pool;
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// An entry as it is written.
+/// An entry as written in the file.
 #[derive(Clone, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Section {
@@ -19,44 +19,44 @@
     path: Option<String>,
     path_prefix: Option<String>,
     methods: Vec<String>,
-    headers: BTreeMap<String, Wanted>,
+    headers: BTreeMap<String, HeaderSection>,
     class: Option<String>,
     set_class: Option<String>,
     graphql: bool,
     pool: Option<String>,
-    split: Vec<Part>,
+    split: Vec<SplitSection>,
 }
 
 #[derive(Clone, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-struct Part {
+struct SplitSection {
     pool: String,
     weight: u32,
 }
 
-/// A header's value, or `true` where any will do.
+/// A header value, or none if any value matches (`true` in the file).
 #[derive(Clone)]
-struct Wanted(Option<String>);
+struct HeaderSection(Option<String>);
 
-impl<'a> Deserialize<'a> for Wanted {
+impl<'a> Deserialize<'a> for HeaderSection {
     fn deserialize<D: Deserializer<'a>>(reader: D) -> Result<Self, D::Error> {
         struct Visitor;
         impl serde::de::Visitor<'_> for Visitor {
-            type Value = Wanted;
+            type Value = HeaderSection;
 
             fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-                f.write_str("a value in quotes, or true where any will do")
+                f.write_str("a value in quotes, or true to match any value")
             }
 
-            fn visit_str<E: Error>(self, text: &str) -> Result<Wanted, E> {
-                Ok(Wanted(Some(text.to_string())))
+            fn visit_str<E: Error>(self, text: &str) -> Result<HeaderSection, E> {
+                Ok(HeaderSection(Some(text.to_string())))
             }
 
-            fn visit_bool<E: Error>(self, any: bool) -> Result<Wanted, E> {
+            fn visit_bool<E: Error>(self, any: bool) -> Result<HeaderSection, E> {
                 if any {
-                    Ok(Wanted(None))
+                    Ok(HeaderSection(None))
                 } else {
-                    Err(E::custom("false is not known; leave the header out"))
+                    Err(E::custom("false is not allowed; remove the header"))
                 }
             }
         }
@@ -64,41 +64,41 @@
     }
 }
 
-/// The most routes of a file.
-const MOST: usize = 20_000;
+/// Maximum number of routes of a file.
+const MAX_ROUTES: usize = 20_000;
 
 pub(crate) fn check<'c>(
     document: &mut Document<'_>,
     sections: &[Section],
     listeners: &Names,
     pools: &Names,
-    known: &dyn Fn(usize) -> Option<&'c Pool>,
+    pool_at: &dyn Fn(usize) -> Option<&'c Pool>,
 ) -> Vec<Route> {
     document.require(
-        sections.len() <= MOST,
+        sections.len() <= MAX_ROUTES,
         "routes",
-        format_args!("are more than {MOST}"),
+        format_args!("must be at most {MAX_ROUTES}"),
     );
-    // Notes what is wrong with the names; nothing refers to routes.
+    // Reports invalid names. Nothing refers to routes, so the names themselves are not needed.
     let _ = Names::of(document, "routes", sections.iter().map(|r| r.name.as_str()));
     let routes: Vec<Route> = sections
         .iter()
         .enumerate()
-        .map(|(at, section)| {
+        .map(|(index, section)| {
             check_one(
                 document,
-                &format!("routes[{at}]"),
+                &format!("routes[{index}]"),
                 section,
                 listeners,
                 pools,
             )
         })
         .collect();
-    for (at, route) in routes.iter().enumerate() {
-        check_classes(document, &format!("routes[{at}]"), route, pools, known);
+    for (index, route) in routes.iter().enumerate() {
+        check_classes(document, &format!("routes[{index}]"), route, pools, pool_at);
     }
     if let Err(mut clashes) = Table::new(routes.clone(), listeners.len()) {
-        // Told once, however many listeners have both.
+        // A conflict is reported once, even if several listeners have both routes.
         clashes.dedup_by_key(|clash| clash.routes);
         for Clash {
             routes: (first, second),
@@ -109,7 +109,7 @@
             let (other, listener) = (&sections[first].name, listeners.name(listener));
             let problem = format!(
                 "clashes with {other} of line {line} on listener {listener}: both match some request and neither is \
-                 more specific; tell them apart by host, path, method, header or class"
+                 more specific; distinguish them by host, path, method, header or class"
             );
             document.problem(&format!("routes[{second}].name"), problem);
         }
@@ -119,88 +119,91 @@
 
 fn check_one(
     document: &mut Document<'_>,
-    at: &str,
+    entry: &str,
     section: &Section,
     listeners: &Names,
     pools: &Names,
 ) -> Route {
-    let own = |name: &str| format!("{at}.{name}");
+    let field = |name: &str| format!("{entry}.{name}");
     let mut route = Route {
         name: section.name.clone(),
         ..Route::default()
     };
-    for (place, name) in section.listeners.iter().enumerate() {
+    for (index, name) in section.listeners.iter().enumerate() {
         route.listeners.extend(listeners.find(
             document,
-            &own(&format!("listeners[{place}]")),
+            &field(&format!("listeners[{index}]")),
             name,
         ));
     }
     if let Some(host) = &section.host {
         match host.parse() {
             Ok(pattern) => route.host = pattern,
-            Err(problem) => document.problem(&own("host"), problem),
+            Err(problem) => document.problem(&field("host"), problem),
         }
     }
-    route.path = path(document, at, section);
-    for (place, name) in section.methods.iter().enumerate() {
+    route.path = path_pattern(document, entry, section);
+    for (index, name) in section.methods.iter().enumerate() {
         match Method::from_bytes(name.as_bytes()) {
             Ok(method) if name.bytes().all(|b| b.is_ascii_uppercase()) => {
                 route.methods.push(method)
             }
             _ => document.problem(
-                &own(&format!("methods[{place}]")),
+                &field(&format!("methods[{index}]")),
                 "is no method; write one such as \"GET\"",
             ),
         }
     }
-    for (name, wanted) in &section.headers {
-        let field = own(&format!("headers.{name}"));
-        let value = wanted.0.as_ref().map(|value| value.parse::<HeaderValue>());
+    for (name, expected) in &section.headers {
+        let header_field = field(&format!("headers.{name}"));
+        let value = expected
+            .0
+            .as_ref()
+            .map(|value| value.parse::<HeaderValue>());
         match (name.parse::<HeaderName>(), value) {
             (Ok(name), None) => route.headers.push((name, HeaderPattern::Present)),
             (Ok(name), Some(Ok(value))) => route.headers.push((name, HeaderPattern::Is(value))),
-            (Err(_), _) => document.problem(&field, "is no name of a header"),
-            (_, Some(Err(_))) => document.problem(&field, "is no value of a header"),
+            (Err(_), _) => document.problem(&header_field, "is no name of a header"),
+            (_, Some(Err(_))) => document.problem(&header_field, "is not a valid header value"),
         }
     }
-    let twice = |(n, (name, _)): (usize, &(HeaderName, HeaderPattern))| {
+    let is_duplicate = |(n, (name, _)): (usize, &(HeaderName, HeaderPattern))| {
         route.headers[..n].iter().any(|h| h.0 == *name)
     };
-    let twice = route.headers.iter().enumerate().any(twice);
+    let has_duplicate = route.headers.iter().enumerate().any(is_duplicate);
     document.require(
-        !twice,
-        &own("headers"),
-        "name one header twice; its case makes no difference",
+        !has_duplicate,
+        &field("headers"),
+        "contain the same header twice; header names are case-insensitive",
     );
     (route.class, route.set_class) = (section.class.clone(), section.set_class.clone());
     route.graphql = section.graphql;
     if section.graphql && section.set_class.is_some() {
         document.problem(
-            &own("set_class"),
-            "is given beside graphql; the class follows from what is asked",
+            &field("set_class"),
+            "is given beside graphql; the class follows from the operation",
         );
     }
-    route.to = to(document, at, section, pools);
+    route.to = destinations(document, entry, section, pools);
     route
 }
 
-fn path(document: &mut Document<'_>, at: &str, section: &Section) -> PathPattern {
-    let (whole, prefix) = (format!("{at}.path"), format!("{at}.path_prefix"));
-    let (field, read) = match (&section.path, &section.path_prefix) {
+fn path_pattern(document: &mut Document<'_>, entry: &str, section: &Section) -> PathPattern {
+    let (path_field, prefix_field) = (format!("{entry}.path"), format!("{entry}.path_prefix"));
+    let (field, parsed) = match (&section.path, &section.path_prefix) {
         (Some(_), Some(_)) => (
-            prefix,
-            Err("is given beside path; write one of them".to_string()),
+            prefix_field,
+            Err("cannot be combined with path; write one of them".to_string()),
         ),
-        (Some(path), None) => (whole, PathPattern::whole(path)),
-        (None, Some(path)) => (prefix, PathPattern::prefix(path)),
-        (None, None) => (whole, Ok(PathPattern::any())),
+        (Some(path), None) => (path_field, PathPattern::whole(path)),
+        (None, Some(path)) => (prefix_field, PathPattern::prefix(path)),
+        (None, None) => (path_field, Ok(PathPattern::any())),
     };
-    match read {
+    match parsed {
         Ok(pattern) => {
-            let ready = pattern.pieces == [Piece::Literal("ready".to_string())];
+            let is_ready_path = pattern.pieces == [Piece::Literal("ready".to_string())];
             document.require(
-                !ready,
+                !is_ready_path,
                 &field,
                 "is answered by the program itself; choose another",
             );
@@ -213,106 +216,111 @@
     }
 }
 
-fn to(
+fn destinations(
     document: &mut Document<'_>,
-    at: &str,
+    entry: &str,
     section: &Section,
     pools: &Names,
 ) -> Vec<(usize, u32)> {
-    let (one, several) = (format!("{at}.pool"), format!("{at}.split"));
+    let (pool_field, split_field) = (format!("{entry}.pool"), format!("{entry}.split"));
     match &section.pool {
-        Some(_) if !section.split.is_empty() => {
-            document.problem(&several, "is given beside pool; write one of them")
-        }
+        Some(_) if !section.split.is_empty() => document.problem(
+            &split_field,
+            "cannot be combined with pool; write one of them",
+        ),
         Some(name) => {
             return pools
-                .find(document, &one, name)
+                .find(document, &pool_field, name)
                 .map(|pool| vec![(pool, 1)])
                 .unwrap_or_default();
         }
         None if section.split.is_empty() => {
-            if !document.has(&one) && !document.has(&several) {
+            if !document.has(&pool_field) && !document.has(&split_field) {
                 document.problem(
-                    &one,
+                    &pool_field,
                     "is missing; write the name of a pool, or split between several",
                 );
             }
         }
         None => {
-            let all: u64 = section
+            let total_weight: u64 = section
                 .split
                 .iter()
-                .map(|part| u64::from(part.weight))
+                .map(|split| u64::from(split.weight))
                 .sum();
-            let read =
-                (0..section.split.len()).all(|n| document.has(&format!("{several}[{n}].weight")));
+            let has_weights = (0..section.split.len())
+                .all(|n| document.has(&format!("{split_field}[{n}].weight")));
             document.require(
-                all > 0 || !read,
-                &several,
+                total_weight > 0 || !has_weights,
+                &split_field,
                 "has no weight above 0, so no pool would get a request",
             );
-            let mut to: Vec<(usize, u32)> = Vec::new();
-            for (n, part) in section.split.iter().enumerate() {
-                let field = format!("{several}[{n}]");
+            let mut destinations: Vec<(usize, u32)> = Vec::new();
+            for (n, split) in section.split.iter().enumerate() {
+                let field = format!("{split_field}[{n}]");
                 document.require(
                     document.has(&format!("{field}.weight")),
                     &field,
                     "has no weight; write one such as 5",
                 );
-                let Some(pool) = pools.find(document, &format!("{field}.pool"), &part.pool) else {
+                let Some(pool) = pools.find(document, &format!("{field}.pool"), &split.pool) else {
                     continue;
                 };
-                let twice = to.iter().any(|other| other.0 == pool);
+                let is_duplicate = destinations.iter().any(|other| other.0 == pool);
                 document.require(
-                    !twice,
+                    !is_duplicate,
                     &format!("{field}.pool"),
-                    "is there twice; add its weights up",
+                    "is listed twice; add its weights",
                 );
-                to.push((pool, part.weight));
+                destinations.push((pool, split.weight));
             }
-            return to;
+            return destinations;
         }
     }
     Vec::new()
 }
 
-/// A class that a route's pools do not have would turn every request away.
+/// Reports classes that the pools of a route do not have; every request of such a class would be rejected.
 fn check_classes<'c>(
     document: &mut Document<'_>,
-    at: &str,
+    entry: &str,
     route: &Route,
     pools: &Names,
-    known: &dyn Fn(usize) -> Option<&'c Pool>,
+    pool_at: &dyn Fn(usize) -> Option<&'c Pool>,
 ) {
     for (pool, _) in &route.to {
         if route.graphql {
-            let classed = known(*pool).map_or(*pool > 0, |pool| pool.graphql.is_some());
-            // One whose section can't be read has a problem of its own.
-            let told = pool
+            let has_graphql = pool_at(*pool).map_or(*pool > 0, |pool| pool.graphql.is_some());
+            // An invalid section has already been reported.
+            let already_reported = pool
                 .checked_sub(1)
-                .is_some_and(|at| document.has(&format!("pools[{at}].graphql")));
+                .is_some_and(|index| document.has(&format!("pools[{index}].graphql")));
             let problem = format!(
                 "is set, and pool {} has no [pools.graphql]; add it",
                 pools.name(*pool)
             );
-            document.require(classed || told, &format!("{at}.graphql"), problem);
+            document.require(
+                has_graphql || already_reported,
+                &format!("{entry}.graphql"),
+                problem,
+            );
             continue;
         }
-        // The platform's classes are not known here.
-        let Some(classes) = known(*pool).map(|pool| pool.site.classes.as_slice()) else {
+        // The classes of the platform's pool are not known here.
+        let Some(classes) = pool_at(*pool).map(|pool| pool.site.classes.as_slice()) else {
             continue;
         };
-        let first = match route.path.pieces.first() {
+        let first_segment = match route.path.pieces.first() {
             Some(Piece::Literal(name)) if route.set_class.is_none() => Some(name),
             _ => None,
         };
-        let wanted = [
+        let referenced_classes = [
             ("set_class", route.set_class.as_ref()),
             ("class", route.class.as_ref()),
-            ("path", first),
+            ("path", first_segment),
         ];
-        for (field, class) in wanted {
-            // A request that is given a class may name any.
+        for (field, class) in referenced_classes {
+            // With set_class, the class in the request is replaced and may be any.
             let Some(class) = class.filter(|c| !classes.contains(c)) else {
                 continue;
             };
@@ -331,7 +339,7 @@
                 field
             };
             let problem = format!("pool {pool} has no class {class}, it has {known}{hint}");
-            document.problem(&format!("{at}.{field}"), problem);
+            document.problem(&format!("{entry}.{field}"), problem);
         }
     }
 }
--- a/crates/operator-config/src/state.rs
+++ b/crates/operator-config/src/state.rs
@@ -1,11 +1,11 @@
-//! `[state]`: what outlasts the process, and where. Without the section nothing does.
+//! `[state]`: the state that is persisted across restarts, and its directory. Without the section nothing is persisted.
 
 use madderloom_config_reader::{Document, Span};
 use madderloom_sidecar_state::{IdempotencyLimits, IdempotencyMode, SnapshotDecay};
 use serde::Deserialize;
 use std::path::PathBuf;
 
-/// The section as it is written.
+/// The section as written in the file.
 #[derive(Clone, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Section {
@@ -20,34 +20,34 @@
     warm_oldest: Option<Span>,
 }
 
-/// What outlasts the process, and where.
+/// The state that is persisted across restarts, and its directory.
 #[derive(Clone, Debug, PartialEq)]
 pub struct State {
-    /// The directory of the store. It must be there; a relative path counts from the operator file.
+    /// The directory of the store, which must exist. A relative path is resolved against the directory of the operator file.
     pub dir: PathBuf,
-    /// What the platform's pool keeps, and every pool that says nothing of it.
+    /// Persistence options of the platform's pool and default for every other pool.
     pub defaults: PersistenceOptions,
-    /// The headers that tell a request from another, in lower case: the first of them that a request has is its
-    /// identity. Usually `Idempotency-Key`, then `X-Trace-Id`.
+    /// The headers that identify a request, in lower case; the first of them that a request has is used. Default:
+    /// `Idempotency-Key`, then `X-Trace-Id`.
     pub id_headers: Vec<String>,
-    /// How long entries of the ledger last, and how many there may be. Usually 5 minutes and 200,000.
+    /// Retention and maximum number of the entries of the ledger. Default: 5 minutes and 200,000.
     pub idempotency_limits: IdempotencyLimits,
-    /// Between two snapshots for the warm start. Usually 5 s.
+    /// Interval between two snapshots for the warm start. Default: 5 s.
     pub snapshot_interval: Span,
-    /// How what was measured loses weight. Usually half of it in 30 s, and all beyond 5 minutes.
+    /// How restored measurements lose weight with age. Default: half-life 30 s, discarded after 5 minutes.
     pub snapshot_decay: SnapshotDecay,
 }
 
-/// What is kept of a pool.
+/// The state of a pool that is persisted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PersistenceOptions {
-    /// Of submissions.
+    /// Idempotency mode of the ledger of submissions.
     pub ledger: IdempotencyMode,
-    /// Whether what was measured of its servers is.
+    /// Whether measurements of its servers are persisted.
     pub warm_start: bool,
 }
 
-/// What a pool says of it.
+/// The persistence fields of an entry of `[[pools]]`.
 #[derive(Clone, Copy)]
 pub(crate) struct PoolSection {
     pub(crate) ledger: Option<IdempotencyMode>,
@@ -84,28 +84,32 @@
             "state.ids",
             "names no header, or more than 8; write such as [\"Idempotency-Key\", \"X-Trace-Id\"]",
         );
-        for (at, name) in ids.iter().enumerate() {
-            let sound = http::HeaderName::try_from(name.as_str()).is_ok();
-            document.require(sound, &format!("state.ids[{at}]"), "is no name of a header");
+        for (index, name) in ids.iter().enumerate() {
+            let is_valid = http::HeaderName::try_from(name.as_str()).is_ok();
+            document.require(
+                is_valid,
+                &format!("state.ids[{index}]"),
+                "is no name of a header",
+            );
         }
-        let mut span = |field: &str, given: Option<Span>, usual: Span, least: Span, most: Span| {
-            let span = given.unwrap_or(usual);
-            let sound = (least..=most).contains(&span);
+        let mut span = |field: &str, given: Option<Span>, default: Span, min: Span, max: Span| {
+            let span = given.unwrap_or(default);
+            let is_valid = (min..=max).contains(&span);
             document.require(
-                sound,
+                is_valid,
                 &format!("state.{field}"),
-                format_args!("must lie in {least} to {most}"),
+                format_args!("must lie in {min} to {max}"),
             );
             span
         };
         let (s, ms) = (Span::s, Span::ms);
-        let window = span("window", self.window, s(300), s(1), DAY);
-        let warm_every = span("warm_every", self.warm_every, s(5), ms(200), s(3_600));
-        let half = span("warm_half", self.warm_half, s(30), s(1), DAY);
-        let oldest = span("warm_oldest", self.warm_oldest, s(300), s(1), DAY);
-        let entries = self.entries.unwrap_or(200_000);
+        let retention = span("window", self.window, s(300), s(1), DAY);
+        let snapshot_interval = span("warm_every", self.warm_every, s(5), ms(200), s(3_600));
+        let half_life = span("warm_half", self.warm_half, s(30), s(1), DAY);
+        let max_age = span("warm_oldest", self.warm_oldest, s(300), s(1), DAY);
+        let max_records = self.entries.unwrap_or(200_000);
         document.require(
-            (1..=10_000_000).contains(&entries),
+            (1..=10_000_000).contains(&max_records),
             "state.entries",
             "must lie in 1 to 10000000; each takes about 150 bytes of memory",
         );
@@ -117,30 +121,30 @@
             },
             id_headers: ids.iter().map(|name| name.to_ascii_lowercase()).collect(),
             idempotency_limits: IdempotencyLimits {
-                retention: window.micros(),
-                max_records: entries as usize,
+                retention: retention.micros(),
+                max_records: max_records as usize,
             },
-            snapshot_interval: warm_every,
+            snapshot_interval,
             snapshot_decay: SnapshotDecay {
-                half_life: half.micros(),
-                max_age: oldest.micros(),
+                half_life: half_life.micros(),
+                max_age: max_age.micros(),
             },
         }
     }
 }
 
-/// What an entry of the ledger takes of the memory, in bytes, those of its header and id left out.
-const ENTRY: u64 = 150;
+/// Memory of one ledger entry, without its header name and id.
+const LEDGER_ENTRY_BYTES: u64 = 150;
 
 impl State {
-    /// Whether what is held in memory of it fits into what the file grants.
+    /// Checks that the ledger takes at most half of `limits.memory`, given in bytes.
     pub(crate) fn check_memory(&self, document: &mut Document<'_>, memory: Option<u64>) {
-        let bytes = (self.idempotency_limits.max_records as u64).saturating_mul(ENTRY);
+        let bytes = (self.idempotency_limits.max_records as u64).saturating_mul(LEDGER_ENTRY_BYTES);
         document.require(
             memory.is_none_or(|memory| bytes <= memory / 2),
             "state.entries",
             format_args!(
-                "may take {} MiB, over half of limits.memory; write less",
+                "may take {} MiB, which is over half of limits.memory; write less",
                 bytes >> 20
             ),
         );
@@ -148,27 +152,31 @@
 }
 
 impl PoolSection {
-    /// What a pool keeps, where the file has the section `[state]` or not.
+    /// Returns the persistence options of a pool. `state` is the section `[state]` if the file has it.
     pub(crate) fn check(
         self,
         document: &mut Document<'_>,
-        at: &str,
+        entry: &str,
         state: Option<&State>,
     ) -> PersistenceOptions {
-        let usual = state.map(|state| state.defaults).unwrap_or_default();
-        let kept = PersistenceOptions {
-            ledger: self.ledger.unwrap_or(usual.ledger),
-            warm_start: self.warm_start.unwrap_or(usual.warm_start),
+        let defaults = state.map(|state| state.defaults).unwrap_or_default();
+        let persistence = PersistenceOptions {
+            ledger: self.ledger.unwrap_or(defaults.ledger),
+            warm_start: self.warm_start.unwrap_or(defaults.warm_start),
         };
-        let there = |on: bool| !on || state.is_some();
+        let has_directory = |enabled: bool| !enabled || state.is_some();
         let problem =
             "needs a directory; write one in [state], such as dir = \"/var/lib/madderloom\"";
         document.require(
-            there(kept.ledger != IdempotencyMode::Off),
-            &format!("{at}.ledger"),
+            has_directory(persistence.ledger != IdempotencyMode::Off),
+            &format!("{entry}.ledger"),
+            problem,
+        );
+        document.require(
+            has_directory(persistence.warm_start),
+            &format!("{entry}.warm_start"),
             problem,
         );
-        document.require(there(kept.warm_start), &format!("{at}.warm_start"), problem);
-        kept
+        persistence
     }
 }
