--- a/crates/operator-config/src/routes.rs
+++ b/crates/operator-config/src/routes.rs
@@ -154,12 +154,9 @@
             ),
         }
     }
-    for (name, expected) in &section.headers {
+    for (name, header) in &section.headers {
         let header_field = field(&format!("headers.{name}"));
-        let value = expected
-            .0
-            .as_ref()
-            .map(|value| value.parse::<HeaderValue>());
+        let value = header.0.as_ref().map(|value| value.parse::<HeaderValue>());
         match (name.parse::<HeaderName>(), value) {
             (Ok(name), None) => route.headers.push((name, HeaderPattern::Present)),
             (Ok(name), Some(Ok(value))) => route.headers.push((name, HeaderPattern::Is(value))),
--- a/crates/operator-config/tests/file.rs
+++ b/crates/operator-config/tests/file.rs
@@ -1,4 +1,4 @@
-//! The operator file: what it says, and what is said of one that makes no sense.
+//! Parsing of the operator file, and the problems reported for an invalid file.
 
 use madderloom_config_reader::Problem;
 use madderloom_operator_config::{
@@ -15,14 +15,14 @@
 fn parse(text: &str) -> Result<OperatorConfig, Vec<Problem>> {
     OperatorConfig::parse(text, &|name| match name {
         "../try/config.json" => Ok(SITE.to_string()),
-        "odd.json" => Ok(SITE.replace("\"cold_from\": 0.31", "\"cold_from\": 7")),
+        "invalid_value.json" => Ok(SITE.replace("\"cold_from\": 0.31", "\"cold_from\": 7")),
         "bad.json" => Ok("{\"group_size\": \"many\"}".to_string()),
         _ => Err("No such file".to_string()),
     })
 }
 
-/// The problems of the example with some of its text replaced, as lines.
-fn told(from: &str, to: &str) -> Vec<String> {
+/// Replaces some text of the example and returns the resulting problems as lines.
+fn problems_after_edit(from: &str, to: &str) -> Vec<String> {
     assert!(EXAMPLE.contains(from), "the example has no {from}");
     match parse(&EXAMPLE.replacen(from, to, 1)) {
         Ok(operator) => panic!("{operator:?}"),
@@ -31,8 +31,8 @@
 }
 
 #[test]
-fn the_example_is_read_with_what_it_leaves_out() {
-    let operator = parse(EXAMPLE).expect("it makes sense");
+fn the_example_is_parsed_with_its_defaults() {
+    let operator = parse(EXAMPLE).expect("a valid file");
     assert_eq!(
         operator.admin,
         Some(Admin::Listen("127.0.0.1:9901".parse().expect("an address")))
@@ -55,29 +55,29 @@
         Some((200.0, 50))
     );
     assert_eq!(operator.listeners[0].head_timeout.micros(), 2_000_000);
-    // Places count the platform's own pool as the first.
+    // Index 0 is the platform's pool.
     assert_eq!(operator.routes[1].to, [(2, 90), (3, 10)]);
     assert!(!operator.needs_platform());
 }
 
 #[test]
-fn a_file_beside_which_the_platform_configures_all_may_be_almost_empty() {
+fn a_file_may_be_almost_empty_if_the_platform_configures_the_rest() {
     let operator =
-        parse("version = 1\n[admin]\nsocket = \"/run/madderloom.sock\"").expect("it makes sense");
+        parse("version = 1\n[admin]\nsocket = \"/run/madderloom.sock\"").expect("a valid file");
     assert!(operator.needs_platform() && operator.routes.is_empty());
 }
 
 #[test]
-fn the_file_that_is_deployed_makes_sense() {
-    let operator = parse(include_str!("../../../deploy/operator.toml")).expect("it makes sense");
+fn the_deployed_file_is_valid() {
+    let operator = parse(include_str!("../../../deploy/operator.toml")).expect("a valid file");
     assert!(operator.needs_platform() && operator.admin.is_none());
 }
 
 const GRAPHQL: &str = include_str!("../../../examples/graphql/operator.toml");
 
 #[test]
-fn the_example_with_graphql_makes_sense_and_its_pools_classes_are_known() {
-    let operator = parse(GRAPHQL).expect("it makes sense");
+fn the_example_with_graphql_is_valid() {
+    let operator = parse(GRAPHQL).expect("a valid file");
     assert!(operator.pools[0].graphql.is_some() && operator.routes[0].graphql);
 }
 
@@ -112,42 +112,42 @@
     "routes[0].graphql",
     "no [pools.graphql]"
 )]
-fn what_graphql_lacks_is_told(
+fn graphql_problems_are_reported_with_their_field(
     #[case] from: &str,
     #[case] to: &str,
     #[case] field: &str,
     #[case] words: &str,
 ) {
     assert!(GRAPHQL.contains(from), "the example has no {from}");
-    // Sections of a pool without its first one make sense no more.
+    // The section is removed with its subsections, which are invalid without it.
     let text = GRAPHQL.replacen(from, to, 1);
     let text = match field {
         "routes[0].graphql" => {
-            let (begin, end) = (
+            let (section_start, section_end) = (
                 GRAPHQL.find("# Queries").expect("there"),
                 GRAPHQL.find("[[routes]]").expect("there"),
             );
-            [&GRAPHQL[..begin], &GRAPHQL[end..]].concat()
+            [&GRAPHQL[..section_start], &GRAPHQL[section_end..]].concat()
         }
         _ => text,
     };
-    let told: Vec<String> = parse(&text)
+    let reported: Vec<String> = parse(&text)
         .expect_err("a problem")
         .iter()
         .map(Problem::to_string)
         .collect();
-    let found = told
+    let found = reported
         .iter()
-        .any(|told| told.contains(&format!(" {field}: ")) && told.contains(words));
-    assert!(found, "{told:#?}");
+        .any(|reported| reported.contains(&format!(" {field}: ")) && reported.contains(words));
+    assert!(found, "{reported:#?}");
 }
 
 const STATE: &str = "version = 1\n[state]\ndir = \"state\"\nledger = \"relaxed\"\n";
 
 #[test]
-fn what_pools_keep_is_their_own_or_the_usual() {
+fn pools_override_the_default_persistence_options() {
     assert_eq!(
-        parse(EXAMPLE).expect("it makes sense").pools[0].persistence,
+        parse(EXAMPLE).expect("a valid file").pools[0].persistence,
         PersistenceOptions::default()
     );
     let text = EXAMPLE.replacen("version = 1", STATE, 1).replacen(
@@ -155,8 +155,8 @@
         "name = \"reports\"\nledger = \"durable\"\nwarm_start = true\n",
         1,
     );
-    let operator = parse(&text).expect("it makes sense");
-    let state = operator.state.expect("it is there");
+    let operator = parse(&text).expect("a valid file");
+    let state = operator.state.expect("a state section");
     assert_eq!(state.id_headers, ["idempotency-key", "x-trace-id"]);
     assert_eq!(
         (
@@ -165,15 +165,15 @@
         ),
         (300_000_000, 200_000)
     );
-    let kept = |ledger, warm_start| PersistenceOptions { ledger, warm_start };
+    let options = |ledger, warm_start| PersistenceOptions { ledger, warm_start };
     let pools: Vec<PersistenceOptions> =
         operator.pools.iter().map(|pool| pool.persistence).collect();
     assert_eq!(
         pools,
         [
-            kept(IdempotencyMode::Relaxed, false),
-            kept(IdempotencyMode::Durable, true),
-            kept(IdempotencyMode::Relaxed, false)
+            options(IdempotencyMode::Relaxed, false),
+            options(IdempotencyMode::Durable, true),
+            options(IdempotencyMode::Relaxed, false)
         ]
     );
 }
@@ -208,38 +208,42 @@
     "state.entries",
     "over half of"
 )]
-fn what_the_state_lacks_is_told(
+fn state_problems_are_reported_with_their_field(
     #[case] from: &str,
     #[case] to: &str,
     #[case] field: &str,
     #[case] words: &str,
 ) {
-    let told = parse(&STATE.replacen(from, to, 1)).expect_err("a problem");
-    let told: Vec<String> = told.iter().map(Problem::to_string).collect();
+    let reported = parse(&STATE.replacen(from, to, 1)).expect_err("a problem");
+    let reported: Vec<String> = reported.iter().map(Problem::to_string).collect();
     assert!(
-        told.len() == 1 && told[0].contains(&format!(" {field}: ")) && told[0].contains(words),
-        "{told:#?}"
+        reported.len() == 1
+            && reported[0].contains(&format!(" {field}: "))
+            && reported[0].contains(words),
+        "{reported:#?}"
     );
 }
 
 #[rstest]
 #[case("ledger = \"durable\"", "pools[0].ledger")]
 #[case("warm_start = true", "pools[0].warm_start")]
-fn a_pool_that_keeps_something_needs_a_directory(#[case] line: &str, #[case] field: &str) {
+fn a_pool_with_persistence_needs_a_state_directory(#[case] line: &str, #[case] field: &str) {
     let text = EXAMPLE.replacen(
         "name = \"submissions\"\n",
         &format!("name = \"submissions\"\n{line}\n"),
         1,
     );
-    let told = parse(&text).expect_err("a problem");
+    let reported = parse(&text).expect_err("a problem");
     assert!(
-        told.len() == 1 && told[0].field == field && told[0].problem.contains("[state]"),
-        "{told:#?}"
+        reported.len() == 1
+            && reported[0].field == field
+            && reported[0].problem.contains("[state]"),
+        "{reported:#?}"
     );
 }
 
 #[test]
-fn every_problem_is_told_at_once_with_its_place() {
+fn all_problems_are_reported_at_once_with_their_positions() {
     let text = EXAMPLE
         .replace("weight = 4", "weigth = 4")
         .replace("requests_per_second = 200", "requests_per_second = -1")
@@ -248,9 +252,9 @@
             "[\"GET\"]\nset_class = \"view\"\npool",
             "[\"get\"]\nset_class = \"view\"\npool",
         );
-    let problems = parse(&text).expect_err("it makes no sense");
-    let told: Vec<String> = problems.iter().map(Problem::to_string).collect();
-    let wanted = [
+    let problems = parse(&text).expect_err("an invalid file");
+    let reported: Vec<String> = problems.iter().map(Problem::to_string).collect();
+    let expected = [
         ("pools[0].limits.weigth", "did you mean weight?"),
         ("pools[1].limits.requests_per_second", "must lie in"),
         (
@@ -259,11 +263,11 @@
         ),
         ("routes[2].methods[0]", "is no method"),
     ];
-    assert_eq!(told.len(), wanted.len(), "{told:#?}");
-    for (told, (field, words)) in told.iter().zip(wanted) {
+    assert_eq!(reported.len(), expected.len(), "{reported:#?}");
+    for (reported, (field, words)) in reported.iter().zip(expected) {
         assert!(
-            told.contains(&format!(" {field}: ")) && told.contains(words),
-            "{told}"
+            reported.contains(&format!(" {field}: ")) && reported.contains(words),
+            "{reported}"
         );
     }
     for problem in &problems {
@@ -353,7 +357,7 @@
 )]
 #[case::odd_settings(
     "../try/config.json",
-    "odd.json",
+    "invalid_value.json",
     "pools[0].settings_file",
     "safety.cold_from: must lie"
 )]
@@ -438,14 +442,14 @@
     "routes[2].name",
     "clashes with reports of line 64 on listener platform"
 )]
-fn what_makes_no_sense_is_named_with_what_to_write_instead(
+fn an_invalid_value_is_reported_with_its_field_and_a_hint(
     #[case] from: &str,
     #[case] to: &str,
     #[case] field: &str,
     #[case] words: &str,
 ) {
     if field.is_empty() {
-        // A weight of 0 is how a pool is set aside; of all it makes no sense.
+        // A weight of 0 takes one pool out of the split; not all weights may be 0.
         assert!(parse(&EXAMPLE.replacen(from, to, 1)).is_ok());
         let both = EXAMPLE
             .replacen(from, to, 1)
@@ -453,17 +457,17 @@
         assert!(parse(&both).is_err_and(|p| p[0].field == "routes[1].split"));
         return;
     }
-    let told = told(from, to);
-    let found = told
+    let reported = problems_after_edit(from, to);
+    let found = reported
         .iter()
         .any(|t| t.contains(&format!(" {field}: ")) && t.contains(words));
-    assert!(found, "{told:#?}");
+    assert!(found, "{reported:#?}");
 }
 
 #[test]
-fn guaranteed_parts_that_come_to_more_than_there_is_are_refused() {
-    let more = "[limits]\nopen = 100\n[[listeners]]";
-    let text = EXAMPLE.replacen("[[listeners]]", more, 1).replacen(
+fn guaranteed_shares_above_the_total_are_rejected() {
+    let low_total = "[limits]\nopen = 100\n[[listeners]]";
+    let text = EXAMPLE.replacen("[[listeners]]", low_total, 1).replacen(
         "open = { most = 500 }",
         "open = { guaranteed = 101 }",
         1,
@@ -480,8 +484,8 @@
 }
 
 #[test]
-fn parts_that_are_not_given_are_equal_and_never_come_to_more_than_there_is() {
-    let of = |guaranteed: &[Option<u64>], total| {
+fn unconfigured_shares_are_equal_and_the_sum_never_exceeds_the_total() {
+    let shares_of = |guaranteed: &[Option<u64>], total| {
         let bounds: Vec<ShareBounds> = guaranteed
             .iter()
             .map(|g| ShareBounds {
@@ -494,29 +498,31 @@
             .map(|p| p.guaranteed)
             .collect::<Vec<_>>()
     };
-    assert_eq!(of(&[None, None], 100), [25, 25]);
-    assert_eq!(of(&[Some(80), None], 100), [80, 20]);
-    assert_eq!(of(&[Some(10), None, None], 100), [10, 25, 25]);
-    assert_eq!(of(&[Some(150), Some(50)], 100), [75, 25]);
-    assert_eq!(of(&[], 100), [0; 0]);
+    assert_eq!(shares_of(&[None, None], 100), [25, 25]);
+    assert_eq!(shares_of(&[Some(80), None], 100), [80, 20]);
+    assert_eq!(shares_of(&[Some(10), None, None], 100), [10, 25, 25]);
+    assert_eq!(shares_of(&[Some(150), Some(50)], 100), [75, 25]);
+    assert_eq!(shares_of(&[], 100), [0; 0]);
 }
 
 #[test]
-fn a_file_is_read_with_those_that_it_names_beside_it() {
+fn referenced_files_are_read_relative_to_the_operator_file() {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/services/operator.toml");
     assert_eq!(OperatorConfig::load(&file).map(|o| o.pools.len()), Ok(3));
-    let lost = OperatorConfig::load(Path::new("no/such/file.toml")).expect_err("it is not there");
+    let missing =
+        OperatorConfig::load(Path::new("no/such/file.toml")).expect_err("it is not there");
     assert!(
-        lost.to_string()
+        missing
+            .to_string()
             .starts_with("no/such/file.toml:1:1: can't be read"),
-        "{lost}"
+        "{missing}"
     );
 }
 
 proptest! {
-    /// The example with some of its lines gone, doubled, or with a character in place of another.
+    /// Removes or duplicates lines of the example, or replaces characters.
     #[test]
-    fn no_file_is_too_odd(edits in prop::collection::vec((0u8..3, any::<prop::sample::Index>(), any::<char>()), 1..6)) {
+    fn no_file_causes_a_panic(edits in prop::collection::vec((0u8..3, any::<prop::sample::Index>(), any::<char>()), 1..6)) {
         let mut lines: Vec<String> = EXAMPLE.lines().map(str::to_string).collect();
         for (what, at, with) in edits {
             let line = at.index(lines.len());
@@ -531,10 +537,10 @@
             }
         }
         let text = lines.join("\n");
-        // A character put in may be the end of a line.
+        // An inserted character may be a line break.
         let count = text.split('\n').count();
         match parse(&text) {
-            // What is read is good to be used: its table can be made, and its parts fit.
+            // The routing table of a valid file can be built and contains all its routes.
             Ok(operator) => prop_assert_eq!(operator.route_table().routes().len(), operator.routes.len()),
             Err(problems) => {
                 prop_assert!(!problems.is_empty());
@@ -548,54 +554,59 @@
 }
 
 #[test]
-fn time_lines_are_kept_where_a_section_asks_for_them_and_within_the_memory_that_the_file_grants() {
+fn timelines_are_optional_and_limited_by_the_configured_memory() {
     let with =
         |section: &str| parse(&EXAMPLE.replacen("[admin]", &format!("{section}\n[admin]"), 1));
-    let told = |section: &str| -> Vec<String> {
+    let reported = |section: &str| -> Vec<String> {
         with(section)
-            .expect_err("it makes no sense")
+            .expect_err("an invalid file")
             .iter()
             .map(Problem::to_string)
             .collect()
     };
-    assert_eq!(parse(EXAMPLE).expect("it makes sense").timeline, None);
-    let usual = with("[timeline]")
-        .expect("it makes sense")
+    assert_eq!(parse(EXAMPLE).expect("a valid file").timeline, None);
+    let defaults = with("[timeline]")
+        .expect("a valid file")
         .timeline
         .expect("it is on");
     assert_eq!(
-        (usual.max_endpoints, usual.false_alarms_per_day),
+        (defaults.max_endpoints, defaults.false_alarms_per_day),
         (1_024, 0.1)
     );
-    let little = with("[limits]\nmemory = \"64MiB\"\n[timeline]")
-        .expect("it makes sense")
+    let low_memory = with("[limits]\nmemory = \"64MiB\"\n[timeline]")
+        .expect("a valid file")
         .timeline
         .expect("it is on");
     let bytes = 3
-        * little.max_endpoints
+        * low_memory.max_endpoints
         * madderloom_endpoint_history::EndpointHistory::max_bytes_per_endpoint();
     assert!(
         (30 << 20..=32 << 20).contains(&bytes),
         "{} servers: half of the memory in 3 pools",
-        little.max_endpoints
+        low_memory.max_endpoints
     );
-    let own = with("[timeline]\nservers = 10\nfalse_alarms_a_day = 2\nremember_left = \"2h\"");
-    let own = own.expect("it makes sense").timeline.expect("it is on");
+    let configured =
+        with("[timeline]\nservers = 10\nfalse_alarms_a_day = 2\nremember_left = \"2h\"");
+    let configured = configured
+        .expect("a valid file")
+        .timeline
+        .expect("it is on");
     assert_eq!(
         (
-            own.max_endpoints,
-            own.false_alarms_per_day,
-            own.retention_after_leaving
+            configured.max_endpoints,
+            configured.false_alarms_per_day,
+            configured.retention_after_leaving
         ),
         (10, 2.0, 7_200_000_000)
     );
-    let bad = told("[timeline]\nservers = 0\nfalse_alarms_a_day = 0\nremember_left = \"8d\"");
-    assert_eq!(bad.len(), 3, "{bad:?}");
-    let much = told("[limits]\nmemory = \"64MiB\"\n[timeline]\nservers = 200");
+    let invalid =
+        reported("[timeline]\nservers = 0\nfalse_alarms_a_day = 0\nremember_left = \"8d\"");
+    assert_eq!(invalid.len(), 3, "{invalid:?}");
+    let too_much = reported("[limits]\nmemory = \"64MiB\"\n[timeline]\nservers = 200");
     assert!(
-        much.len() == 1
-            && much[0].contains("timeline.servers")
-            && much[0].contains("MiB in 3 pools"),
-        "{much:?}"
+        too_much.len() == 1
+            && too_much[0].contains("timeline.servers")
+            && too_much[0].contains("MiB in 3 pools"),
+        "{too_much:?}"
     );
 }
--- a/crates/operator-config/tests/overlay.rs
+++ b/crates/operator-config/tests/overlay.rs
@@ -1,4 +1,4 @@
-//! What is set beside an operator file is checked with it, whole, and refused by the name of the setting.
+//! An overlay is checked together with its operator file, and its problems are reported by the name of the setting.
 
 use madderloom_control_plane::settings::{Key, Overlay, Value};
 use madderloom_operator_config::{OperatorConfig, Source};
@@ -39,7 +39,7 @@
     std::fs::write(directory.path().join("site.json"), SITE).expect("written");
     std::fs::write(directory.path().join("operator.toml"), FILE).expect("written");
     let (source, operator) =
-        Source::load(&directory.path().join("operator.toml")).expect("it makes sense");
+        Source::load(&directory.path().join("operator.toml")).expect("a valid file");
     (directory, source, operator)
 }
 
@@ -55,9 +55,9 @@
 }
 
 #[test]
-fn limits_and_routes_of_an_overlay_are_those_of_the_file() {
-    let (directory, source, own) = source();
-    // What has changed on disk since is not looked at: an overlay is on the file as it was read.
+fn an_overlay_changes_limits_and_routes_of_the_file() {
+    let (directory, source, unchanged) = source();
+    // Later changes on disk have no effect: an overlay is applied to the file as it was read.
     std::fs::write(directory.path().join("site.json"), "{}").expect("written");
     let settings = overlay(&[
         ("limit/a/open", Value::Limit(7)),
@@ -74,7 +74,7 @@
         ("weight/s1", Value::Weight(500)),
         ("drain/s1", Value::Drained(true)),
     ]);
-    let operator = source.apply(&settings).expect("it makes sense");
+    let operator = source.apply(&settings).expect("a valid file");
     let limits = operator.pools[0].limits;
     assert_eq!(
         (limits.open.max, limits.bodies.max),
@@ -86,17 +86,17 @@
     );
     let names: Vec<&str> = operator.routes.iter().map(|r| r.name.as_str()).collect();
     assert_eq!(names, ["all", "more"]);
-    assert_ne!(operator.routes[0].path, own.routes[0].path);
-    // All else is the file's, and without the overlay so is this.
+    assert_ne!(operator.routes[0].path, unchanged.routes[0].path);
+    // Everything else comes from the file, and an empty overlay changes nothing.
     assert_eq!(
         (&operator.listeners, &operator.control),
-        (&own.listeners, &own.control)
+        (&unchanged.listeners, &unchanged.control)
     );
-    assert_eq!(source.apply(&overlay(&[])), Ok(own));
+    assert_eq!(source.apply(&overlay(&[])), Ok(unchanged));
 }
 
 #[test]
-fn what_makes_no_sense_is_refused_by_the_name_of_the_setting() {
+fn an_invalid_setting_is_rejected_by_its_name() {
     let (_directory, source, _) = source();
     for (key, value, field, words) in [
         (
@@ -163,9 +163,9 @@
 }
 
 #[test]
-fn the_section_names_an_agent_and_keys_beside_the_file() {
+fn the_control_section_is_checked_and_its_paths_are_relative_to_the_file() {
     let (directory, _, operator) = source();
-    let control = operator.control.expect("it is named");
+    let control = operator.control.expect("a control section");
     assert_eq!(control.state, Some(directory.path().join("kept")));
     assert_eq!(control.key, directory.path().join("shop-any.key"));
     let read = |_: &str| Ok(SITE.to_string());
@@ -182,10 +182,10 @@
             "{field}: {problems:?}"
         );
     }
-    // The process's own name will do.
+    // The name defaults to that of the process.
     let named = FILE
         .replace("name = \"shop-1\"\n", "")
         .replace("[control]", "[process]\nname = \"shop-2\"\n[control]");
-    let operator = OperatorConfig::parse(&named, &read).expect("it makes sense");
+    let operator = OperatorConfig::parse(&named, &read).expect("a valid file");
     assert_eq!(operator.control.map(|c| c.name), Some("shop-2".to_string()));
 }
