--- a/crates/sidecar/src/admin.rs
+++ b/crates/sidecar/src/admin.rs
@@ -503,7 +503,7 @@
             let body: Result<Value, _> = serde_json::from_slice(&body.to_bytes());
             match body {
                 Ok(body) if status == StatusCode::OK => Ok(body),
-                Err(e) if status == StatusCode::OK => Err(format!("did not answer JSON: {e}")),
+                Err(e) if status == StatusCode::OK => Err(format!("the response is not JSON: {e}")),
                 Ok(Value::Object(mut body)) if body.contains_key("problem") => {
                     let problem = body.remove("problem").unwrap_or_default();
                     Err(problem
@@ -665,7 +665,7 @@
 pub async fn fetch_json(address: &Admin, path: &str) -> Result<serde_json::Value, FetchError> {
     let body = fetch_bytes(address, path).await?;
     serde_json::from_slice(&body)
-        .map_err(|e| FetchError::Problem(format!("{address}: did not answer JSON: {e}")))
+        .map_err(|e| FetchError::Problem(format!("{address}: the response is not JSON: {e}")))
 }
 
 /// Reads the status of a process from its admin view.
--- a/crates/sidecar/src/agent_link/connection.rs
+++ b/crates/sidecar/src/agent_link/connection.rs
@@ -46,7 +46,7 @@
     let mut last_problem = None;
     let (keyring, report_client, watch_client) = loop {
         match clients(&control.agent, &files) {
-            Ok(clients) => break clients,
+            Ok(loaded) => break loaded,
             Err(problem) if last_problem.as_ref() == Some(&problem) => {}
             Err(problem) => {
                 tracing::warn!(
--- a/crates/sidecar/src/agent_link/window.rs
+++ b/crates/sidecar/src/agent_link/window.rs
@@ -16,7 +16,7 @@
 /// The request counts of the last window, over all services.
 #[derive(Default)]
 pub(super) struct Window {
-    /// The counts since the process started.
+    /// The sum over all services, including those that are gone.
     total: RequestCounts,
     /// The counts of each service at the last sample.
     last_counts: Vec<(Weak<Service>, RequestCounts)>,
--- a/crates/sidecar/src/plot.rs
+++ b/crates/sidecar/src/plot.rs
@@ -116,7 +116,7 @@
                 last = None;
                 continue;
             };
-            // A gap of up to two intervals is bridged: nothing was recorded in it.
+            // A gap longer than two intervals interrupts the line: nothing happened in it.
             let joined = last.is_some_and(|end| point.from - end <= 2.0 * (point.to - point.from));
             let (x, y) = (self.x((point.from + point.to) / 2.0), self.y(value));
             path += &format!("{}{x:.1} {y:.1}", if joined { "L" } else { "M" });
