--- a/crates/sidecar/src/process.rs
+++ b/crates/sidecar/src/process.rs
@@ -1,5 +1,16 @@
 //! The sidecar as a whole, created from the platform's configuration, the operator file, or both.
 
+use madderloom_balancer::Micros;
+use madderloom_operator_config::{OperatorConfig, PLATFORM, PersistenceOptions, ResourceLimits};
+use madderloom_routing::shares::Part;
+use madderloom_watchdog::{TaskKind, self as watchdog};
+use std::cell::RefCell;
+use std::hash::{BuildHasher, RandomState};
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::rc::Rc;
+use std::time::Duration;
+use super::{control_address, timers, warm_start};
 use super::admin::AdminServer;
 use super::admin_events::MAX_FOLLOWERS;
 use super::agent_link::AgentLink;
@@ -11,17 +22,6 @@
 use super::service::{ResourceShares, Service, ServiceSpec};
 use super::state_writer::StateWriter;
 use super::supervision::supervise;
-use super::{control_address, timers, warm_start};
-use madderloom_balancer::Micros;
-use madderloom_operator_config::{Kept, MemberLimits, Operator, PLATFORM};
-use madderloom_routing::shares::Part;
-use madderloom_watchdog::{self as watchdog, TaskKind};
-use std::cell::RefCell;
-use std::hash::{BuildHasher, RandomState};
-use std::net::SocketAddr;
-use std::path::PathBuf;
-use std::rc::Rc;
-use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::task::AbortHandle;
 
@@ -66,7 +66,7 @@
     /// least one of the two must be given. To be called in a local set.
     pub fn new(
         mut config: Option<Config>,
-        operator: Option<(PathBuf, Operator)>,
+        operator: Option<(PathBuf, OperatorConfig)>,
     ) -> Result<Rc<Self>, String> {
         if config.is_none() && operator.is_none() {
             return Err("RELAY_CONFIG: is not set, and no operator file is named".to_string());
@@ -108,7 +108,10 @@
             .await;
         });
         let state = operator_config.and_then(|operator| operator.state.clone());
-        let persistence = state.as_ref().map(|state| state.usual).unwrap_or_default();
+        let persistence = state
+            .as_ref()
+            .map(|state| state.defaults)
+            .unwrap_or_default();
         if let Some((state, (file, _))) = state.zip(operator.as_ref()) {
             let writer = StateWriter::open(state)
                 .map_err(|problem| format!("{}: {problem}", file.display()))?;
@@ -226,7 +229,7 @@
 pub(super) fn resource_totals(
     descriptors: usize,
     memory: u64,
-    operator: Option<&Operator>,
+    operator: Option<&OperatorConfig>,
     platform: bool,
 ) -> ResourceTotals {
     let Some(operator) = operator else {
@@ -277,7 +280,7 @@
     process: &Rc<ProcessState>,
     config: Config,
     named: bool,
-    persistence: Kept,
+    persistence: PersistenceOptions,
 ) -> Result<(Rc<Service>, Rc<Listener>), String> {
     let log_prefix = if named {
         format!("{PLATFORM}: ")
@@ -300,7 +303,7 @@
         site: config.settings,
         discovery: Some(config.discovery),
         initial_list: config.known,
-        limits: MemberLimits::default(),
+        limits: ResourceLimits::default(),
         levels: None,
         graphql: None,
         persistence,
