--- a/crates/sidecar/src/process.rs
+++ b/crates/sidecar/src/process.rs
@@ -1,16 +1,5 @@
 //! The sidecar as a whole, created from the platform's configuration, the operator file, or both.
 
-use madderloom_balancer::Micros;
-use madderloom_operator_config::{OperatorConfig, PLATFORM, PersistenceOptions, ResourceLimits};
-use madderloom_routing::shares::Part;
-use madderloom_watchdog::{TaskKind, self as watchdog};
-use std::cell::RefCell;
-use std::hash::{BuildHasher, RandomState};
-use std::net::SocketAddr;
-use std::path::PathBuf;
-use std::rc::Rc;
-use std::time::Duration;
-use super::{control_address, timers, warm_start};
 use super::admin::AdminServer;
 use super::admin_events::MAX_FOLLOWERS;
 use super::agent_link::AgentLink;
@@ -22,6 +11,17 @@
 use super::service::{ResourceShares, Service, ServiceSpec};
 use super::state_writer::StateWriter;
 use super::supervision::supervise;
+use super::{control_address, timers, warm_start};
+use madderloom_balancer::Micros;
+use madderloom_operator_config::{OperatorConfig, PLATFORM, PersistenceOptions, ResourceLimits};
+use madderloom_routing::shares::Part;
+use madderloom_watchdog::{self as watchdog, TaskKind};
+use std::cell::RefCell;
+use std::hash::{BuildHasher, RandomState};
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::rc::Rc;
+use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::task::AbortHandle;
 
--- a/crates/sidecar/src/service.rs
+++ b/crates/sidecar/src/service.rs
@@ -1,10 +1,25 @@
 //! A service: one pool of servers with its own balancer, and all state that belongs to it alone. Services affect one
 //! another only through the limits of the process.
 
+use super::active_settings::ActiveSettings;
+use super::connections::Connections;
+use super::counts::{OutcomeCounts, ServiceCounts};
+use super::fair_scheduler::ChargedAccount;
+use super::history_recorder::{EndedAttempt, HistoryRecorder};
+use super::limits::RequestLimits;
+use super::pool::{self, ListUpdate, Pool};
+use super::process_state::ProcessState;
+use super::traffic_shares::TrafficShares;
+use super::transaction::{Step, StepQueue};
+use super::warm_start::WarmStart;
+use super::{discovery_watch, event_log, levels, probe};
 use foldhash::quality::FixedState;
 use hyper::header::HeaderValue;
-use madderloom_balancer::{Action, Balancer, DiscoveryUpdate, Event, LogEvent, Measurements, Micros, NewRequest, RequestId, ServerId, Snapshot, Timer};
 use madderloom_balancer::settings::Site;
+use madderloom_balancer::{
+    Action, Balancer, DiscoveryUpdate, Event, LogEvent, Measurements, Micros, NewRequest,
+    RequestId, ServerId, Snapshot, Timer,
+};
 use madderloom_degradation::{LevelController, LevelPlan};
 use madderloom_graphql::{Front, Policy};
 use madderloom_operator_config::{PersistenceOptions, ResourceLimits};
@@ -14,18 +29,6 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use super::{discovery_watch, event_log, levels, probe};
-use super::active_settings::ActiveSettings;
-use super::connections::Connections;
-use super::counts::{OutcomeCounts, ServiceCounts};
-use super::fair_scheduler::ChargedAccount;
-use super::history_recorder::{EndedAttempt, HistoryRecorder};
-use super::limits::RequestLimits;
-use super::pool::{ListUpdate, Pool, self};
-use super::process_state::ProcessState;
-use super::traffic_shares::TrafficShares;
-use super::transaction::{Step, StepQueue};
-use super::warm_start::WarmStart;
 use tokio::sync::Notify;
 use tokio::task::AbortHandle;
 
