--- a/crates/sidecar/src/process.rs
+++ b/crates/sidecar/src/process.rs
@@ -1,9 +1,9 @@
 //! The sidecar as a whole, created from the platform's configuration, the operator file, or both.
 
 use super::admin::AdminServer;
+use super::admin_events::MAX_FOLLOWERS;
 use super::agent_link::AgentLink;
 use super::config::{Config, ConfigKeys, descriptor_limit};
-use super::feed::FOLLOWERS;
 use super::listener::{BoundSocket, Listener, ListenerSettings, bind};
 use super::ordinal::ordinal_in_name;
 use super::process_state::{ProcessState, ResourceTotals};
@@ -115,7 +115,10 @@
         if let Some((state, (file, _))) = state.zip(operator.as_ref()) {
             let writer = StateWriter::open(state)
                 .map_err(|problem| format!("{}: {problem}", file.display()))?;
-            watchdog::spawn(TaskKind::State, Rc::clone(&writer).process_withdrawals());
+            watchdog::spawn(
+                TaskKind::PersistedState,
+                Rc::clone(&writer).process_withdrawals(),
+            );
             process.state_writer.get_or_init(|| writer);
         }
         let name = match (&config, operator_config) {
@@ -149,7 +152,7 @@
             agent_link: Rc::default(),
         });
         if let Some((file, operator)) = operator {
-            let operator = sidecar.begin_control(&file, operator);
+            let operator = sidecar.restore_overlay(&file, operator);
             sidecar
                 .apply(operator)
                 .map_err(|problem| format!("{}: {problem}", file.display()))?;
@@ -159,10 +162,10 @@
 
     /// Serves until `stop` completes, then finishes the requests it has accepted and shuts down.
     pub async fn serve(self: Rc<Self>, stop: impl Future<Output = ()>) -> Result<(), String> {
-        self.follow_agent();
+        self.update_agent_link();
         let process = Rc::clone(&self.process);
-        watchdog::spawn(TaskKind::Upkeep, async move {
-            supervise(TaskKind::Upkeep, "upkeep", || {
+        watchdog::spawn(TaskKind::Maintenance, async move {
+            supervise(TaskKind::Maintenance, "upkeep", || {
                 Some(run_upkeep(Rc::clone(&process)))
             })
             .await
@@ -173,7 +176,7 @@
         let warm_state_task = self.process.state_writer.get().map(|writer| {
             let writing =
                 warm_start::write_periodically(Rc::clone(&self.process), Rc::clone(writer));
-            watchdog::spawn(TaskKind::WarmState, writing).abort_handle()
+            watchdog::spawn(TaskKind::WarmStartSnapshot, writing).abort_handle()
         });
         stop.await;
         tracing::info!("stopping");
@@ -182,7 +185,7 @@
             self.process
                 .set_answer_deadline(service.active_settings().max_deadline.as_micros() as Micros);
         }
-        self.end_control();
+        self.close_agent_link();
         self.process
             .listeners
             .borrow()
@@ -247,7 +250,7 @@
         .filter(|pool| pool.discovery.is_some())
         .count();
     let followers = if operator.timeline.is_some() {
-        FOLLOWERS
+        MAX_FOLLOWERS
     } else {
         0
     };
