--- a/crates/sidecar/src/agent_link/mod.rs
+++ b/crates/sidecar/src/agent_link/mod.rs
@@ -17,7 +17,7 @@
 use madderloom_control_plane::PersistedInstance;
 use madderloom_control_plane::selector::Attributes;
 use madderloom_control_plane::settings::{Key, LogLevel, Overlay, Value};
-use madderloom_operator_config::{Operator, Source};
+use madderloom_operator_config::{OperatorConfig, Source};
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use overlay::{changes_operator_file, overrides};
 use persisted::{load, write};
@@ -66,7 +66,7 @@
 
 /// An operator file with the overlay applied to it.
 pub(super) struct LoadedFile {
-    pub(super) operator: Operator,
+    pub(super) operator: OperatorConfig,
     /// `None` where the file names no agent: then there is no overlay.
     pub(super) source: Option<Arc<Source>>,
 }
@@ -103,7 +103,7 @@
             }
             let operator = if changes_operator_file(&overlay) {
                 source
-                    .with(&overlay)
+                    .apply(&overlay)
                     .map_err(|e| format!("{}: beside it is set: {e}", file.display()))?
             } else {
                 operator
@@ -173,7 +173,7 @@
     }
 
     /// Restores the overlay of the last start, where it is still valid for the file.
-    pub(super) fn restore_overlay(&self, file: &Path, operator: Operator) -> Operator {
+    pub(super) fn restore_overlay(&self, file: &Path, operator: OperatorConfig) -> OperatorConfig {
         let Some(control) = operator.control.clone() else {
             return operator;
         };
@@ -186,7 +186,7 @@
         };
         let mut persisted = load(control.state.as_deref());
         let operator = match changes_operator_file(&persisted.overlay)
-            .then(|| source.with(&persisted.overlay))
+            .then(|| source.apply(&persisted.overlay))
         {
             None => operator,
             Some(Ok(with)) => with,
