--- /dev/null
+++ b/crates/sidecar/src/attempt.rs
@@ -0,0 +1,553 @@
+//! One attempt to serve a request by a server, from acquiring a connection to its single outcome.
+
+use super::client::Client;
+use super::connections::ConnectError;
+use super::counts::increment;
+use super::exchange::{self, BodyRead, CompleteBody, ExchangeError, RequestMessage, SendProgress};
+use super::history_recorder::EndedAttempt;
+use super::readiness;
+use super::response_body::{ResponseBody, StreamedResponseBody};
+use super::service::Service;
+use super::state_writer::{IdempotencyRecord, WriteBarrier};
+use super::transaction::FinalResponse;
+use super::upload::{self, BodyLength, RequestBody};
+use bytes::{Bytes, BytesMut};
+use http_body_util::Full;
+use hyper::header::{self, HeaderName, HeaderValue};
+use hyper::http::uri::PathAndQuery;
+use hyper::{HeaderMap, Method, Response, StatusCode, Uri};
+use madderloom_balancer::{AttemptResult, Event, Micros, Outcome, RequestId, ServerId};
+use madderloom_graphql::Verdict;
+use std::cell::Cell;
+use std::future::poll_fn;
+use std::net::SocketAddr;
+use std::pin::{Pin, pin};
+use std::rc::Rc;
+use std::task::Poll;
+use tokio::net::TcpStream;
+
+/// A response body of unknown length that is not complete after this time is streamed to the client.
+const MAX_BUFFERING_TIME: Micros = 50_000;
+/// A response body that is being buffered fails when no byte arrives for this time.
+const BODY_STALL_TIMEOUT: Micros = 400_000;
+/// A server that accepts no byte of a streamed request body for this time counts as hung.
+const BODY_WRITE_TIMEOUT: Micros = 10_000_000;
+/// How long the last byte of a non-idempotent request is held back after connections have broken. A server in the same zone
+/// reports a dropped connection within this time of the first bytes.
+const LAST_BYTE_DELAY: Micros = 1_000;
+
+const EXPIRES_IN_MS: HeaderName = HeaderName::from_static("x-expires-in-ms");
+const NEVER_RAN: HeaderName = HeaderName::from_static("x-never-ran");
+
+/// Headers that apply to one connection and are not forwarded.
+pub(super) const HOP_BY_HOP_HEADERS: [HeaderName; 8] = [
+    header::CONNECTION,
+    header::TRANSFER_ENCODING,
+    header::CONTENT_LENGTH,
+    header::TE,
+    header::TRAILER,
+    header::UPGRADE,
+    header::EXPECT,
+    HeaderName::from_static("keep-alive"),
+];
+
+/// The part of a client's request that is forwarded to a server.
+pub(super) struct ForwardedRequest {
+    pub(super) client: Rc<Client>,
+    pub(super) method: Method,
+    pub(super) uri: Uri,
+    pub(super) headers: HeaderMap,
+    pub(super) body: RequestBody,
+    pub(super) non_idempotent: bool,
+    pub(super) protocol: ResponseProtocol,
+    /// Set if the pool keeps idempotency records and the request must not run twice.
+    pub(super) idempotency_record: Option<IdempotencyRecord>,
+}
+
+impl ForwardedRequest {
+    /// Returns immediately while the client is connected. Once it has disconnected this never completes, and the request's
+    /// task is dropped shortly after. To be awaited before work starts that nobody would use.
+    pub(super) async fn wait_forever_if_client_gone(&self) {
+        if self.client.has_disconnected() {
+            std::future::pending().await
+        }
+    }
+}
+
+/// How a server's response is interpreted.
+#[derive(Clone, Copy)]
+pub(super) enum ResponseProtocol {
+    /// Status 200 counts as served.
+    Http,
+    /// The outcome follows from the GraphQL response.
+    Graphql {
+        /// The request contained only hashes of persisted queries.
+        hash_only: bool,
+    },
+}
+
+impl ResponseProtocol {
+    /// Whether a long response is streamed to the client. A GraphQL response is buffered, since it has to be interpreted first.
+    fn allows_streaming(self) -> bool {
+        matches!(self, ResponseProtocol::Http)
+    }
+}
+
+/// An attempt whose outcome the balancer expects. It is reported exactly once: when the attempt ends or is dropped.
+pub(super) struct Attempt {
+    pub(super) service: Rc<Service>,
+    pub(super) request: RequestId,
+    pub(super) number: u32,
+    pub(super) server: ServerId,
+    pub(super) class: u32,
+    /// The client's estimate of the work, in microseconds.
+    pub(super) cost_hint: Option<Micros>,
+    /// When the attempt started; after a streamed request body, when its last byte was written.
+    pub(super) sent_at: Cell<Micros>,
+    /// When the attempt times out. With a streamed request body, its time limit starts over with the last byte.
+    pub(super) timeout_at: Micros,
+    /// From this time on the last byte of the request must not be written.
+    pub(super) write_by: Micros,
+    /// The transaction has its final response.
+    pub(super) transaction_ended: Rc<Cell<bool>>,
+    pub(super) outcome_reported: bool,
+}
+
+impl Attempt {
+    /// Whether the request timed out before any of it was written, for example because the process was suspended while the
+    /// connection was established. The request is not written then, so the client can be told that it was not executed.
+    /// The time limit of a streamed body starts with its last byte.
+    fn has_expired_unsent(&self, forwarded: &ForwardedRequest) -> bool {
+        forwarded.body.streamed().is_none() && self.service.process.clock.now() >= self.timeout_at
+    }
+
+    /// Reports the outcome to the service and the balancer, unless one was reported before.
+    fn report_outcome(&mut self, outcome: Outcome) {
+        if std::mem::replace(&mut self.outcome_reported, true) {
+            return;
+        }
+        let now = self.service.process.clock.now();
+        // A served response is returned to the client, which ends the transaction.
+        if outcome == Outcome::Ok {
+            self.transaction_ended.set(true);
+        }
+        let closed = AttemptResult {
+            request: self.request,
+            attempt: self.number,
+            server: self.server,
+            outcome,
+            elapsed: now.saturating_sub(self.sent_at.get()),
+            request_ended: self.transaction_ended.get(),
+        };
+        let ended = EndedAttempt {
+            result: closed,
+            class: self.class,
+            cost_hint: self.cost_hint,
+            sent_at: self.sent_at.get(),
+        };
+        self.service.record_attempt_end(now, &ended);
+        self.service.handle(now, Event::AttemptEnded(closed));
+    }
+}
+
+impl Drop for Attempt {
+    /// The connection is closed because the future that uses it is dropped too.
+    fn drop(&mut self) {
+        self.report_outcome(Outcome::Cancelled);
+    }
+}
+
+/// Makes the attempt. Returns a response if the request was served, or if its idempotency record does not allow it to be
+/// sent. Otherwise the balancer was notified of the outcome and decides on the next step.
+pub(super) async fn run(
+    mut attempt: Attempt,
+    forwarded: Rc<ForwardedRequest>,
+) -> Option<FinalResponse> {
+    if let Some(record) = &forwarded.idempotency_record {
+        let barrier = record.pass_barrier().await;
+        if barrier != WriteBarrier::Open {
+            attempt.transaction_ended.set(true);
+            attempt.report_outcome(Outcome::Moot);
+            return Some(match barrier {
+                WriteBarrier::MayHaveRun => FinalResponse::Failed,
+                _ => FinalResponse::Rejected {
+                    retry_after: attempt.service.retry_after(),
+                },
+            });
+        }
+        // The time of the disk write does not count as the server's.
+        attempt.sent_at.set(attempt.service.process.clock.now());
+    }
+    let (outcome, response) = {
+        let progress = SendProgress::default();
+        let service = &attempt.service;
+        let exchange = exchange(&attempt, &forwarded, &progress);
+        match with_time_limit(&attempt, &forwarded, exchange).await {
+            Some(done) => done,
+            None if progress.complete.get() => {
+                service
+                    .connections
+                    .drop_idle_if_silent(attempt.server, attempt.sent_at.get());
+                (Outcome::Timeout, None)
+            }
+            // The request was not completely written and never will be, so it cannot have run.
+            None => (Outcome::ConnectFailed, None),
+        }
+    };
+    attempt.report_outcome(outcome);
+    response.map(FinalResponse::Served)
+}
+
+/// Applies the attempt's time limit. For a streamed request body it starts with the body's last byte.
+async fn with_time_limit<T>(
+    attempt: &Attempt,
+    forwarded: &ForwardedRequest,
+    exchange: impl Future<Output = T>,
+) -> Option<T> {
+    let process = &attempt.service.process;
+    let Some(streamed) = forwarded.body.streamed() else {
+        return process.timeout_at(attempt.timeout_at, exchange).await;
+    };
+    let time_limit = attempt.timeout_at.saturating_sub(attempt.sent_at.get());
+    let mut exchange = pin!(exchange);
+    let mut timer = None;
+    poll_fn(|context| {
+        if let Poll::Ready(done) = exchange.as_mut().poll(context) {
+            return Poll::Ready(Some(done));
+        }
+        let Some(completed_at) = streamed.completed_at.get() else {
+            return Poll::Pending;
+        };
+        let timer = timer
+            .get_or_insert_with(|| process.sleep_until(completed_at.saturating_add(time_limit)));
+        Pin::new(timer).poll(context).map(|()| None)
+    })
+    .await
+}
+
+type ExchangeResult = (Outcome, Option<Response<ResponseBody>>);
+
+async fn exchange(
+    attempt: &Attempt,
+    forwarded: &ForwardedRequest,
+    progress: &SendProgress,
+) -> ExchangeResult {
+    let service = &attempt.service;
+    let Some(address) = service.pool.address(attempt.server) else {
+        return (Outcome::Moot, None);
+    };
+    if forwarded
+        .body
+        .streamed()
+        .is_some_and(|streamed| !streamed.can_be_sent())
+    {
+        return (Outcome::Moot, None);
+    }
+    // The fleet-wide limit for this server is reached: nothing was sent, and the balancer may choose another server.
+    let limits = &service.process.fleet_limits;
+    let Ok(_permit) = limits.admit_to_server(&service.name, || service.pool.name(attempt.server))
+    else {
+        return (Outcome::Moot, None);
+    };
+    let left_ms = attempt
+        .timeout_at
+        .saturating_sub(attempt.sent_at.get())
+        .div_ceil(1_000);
+    // A request that may have run must not run twice. If the connection breaks before the last byte, it has not run.
+    let delays_last_byte = forwarded.non_idempotent
+        && service.connections.recently_broke()
+        && !forwarded.body.buffered().is_empty();
+    let delays_last_byte = delays_last_byte && forwarded.body.streamed().is_none();
+    let message = build_request(forwarded, address, left_ms);
+    let (mut connection, mut response, head) = loop {
+        let connecting = service.connections.acquire(attempt.server, address);
+        let mut connection = match service
+            .process
+            .strict_timeout_at(attempt.write_by, connecting)
+            .await
+        {
+            Some(Ok(connection)) => connection,
+            Some(Err(ConnectError::Failed)) => return (Outcome::ConnectFailed, None),
+            // Also when the idempotency window ends: servers that have forgotten the first attempt would run this one.
+            Some(Err(ConnectError::NoCapacity)) | None => return (Outcome::Moot, None),
+        };
+        if !service.pool.accepts_new_attempts(
+            attempt.server,
+            address,
+            &service.process.server_overrides.borrow(),
+        ) {
+            return (Outcome::Moot, None);
+        }
+        forwarded.wait_forever_if_client_gone().await;
+        if attempt.has_expired_unsent(forwarded) {
+            service.connections.release(connection);
+            return (Outcome::Moot, None);
+        }
+        let delay = delays_last_byte.then(|| service.process.sleep(LAST_BYTE_DELAY));
+        let send = exchange::send(&connection.stream, &message, delay, progress);
+        let Some(mut send_result) = service
+            .process
+            .strict_timeout_at(attempt.write_by, send)
+            .await
+        else {
+            if !progress.started.get() {
+                service.connections.release(connection);
+            }
+            return (Outcome::Moot, None);
+        };
+        if let (Some(streamed), Ok(())) = (forwarded.body.streamed(), &send_result) {
+            let buffered_part_sent = progress.complete.replace(false);
+            if buffered_part_sent {
+                send_result =
+                    stream_request_body(attempt, streamed, &connection.stream, progress).await;
+            }
+        }
+        if progress.complete.get() {
+            increment(&service.counts.attempts_sent);
+        }
+        let mut response = exchange::ResponseReader::default();
+        let head = match send_result {
+            Ok(_) => response.read_head(&mut connection.stream).await,
+            Err(error) => Err(error),
+        };
+        match head {
+            Ok(head) => break (connection, response, head),
+            // The server closed the idle connection and no byte was sent: retry within the same attempt.
+            Err(_) if connection.reused && !progress.started.get() => {}
+            Err(error) => {
+                // A malformed response is no sign that connections are breaking.
+                if error == ExchangeError::Connection && progress.started.get() {
+                    service.connections.record_break();
+                }
+                // Once the last byte is written the request may have run: a non-idempotent one must not be sent again.
+                let request_complete = progress.complete.get();
+                return (
+                    if request_complete {
+                        Outcome::Reset
+                    } else {
+                        Outcome::ConnectFailed
+                    },
+                    None,
+                );
+            }
+        }
+    };
+    let body_read = match response.take_buffered_body(&head) {
+        Some(body) => BodyRead::Complete(body),
+        None => {
+            let buffer_timer = service.process.sleep(MAX_BUFFERING_TIME);
+            let new_stall_timer = || service.process.sleep(BODY_STALL_TIMEOUT);
+            let rest = response.read_body_start(
+                &head,
+                &mut connection.stream,
+                buffer_timer,
+                new_stall_timer,
+            );
+            match rest.await {
+                Ok(body_read) => body_read,
+                // The body ended early or stalled.
+                Err(_) => return (Outcome::Reset, None),
+            }
+        }
+    };
+    service.connections.record_response(attempt.server);
+    let request_complete = progress.complete.get();
+    match body_read {
+        BodyRead::Complete(CompleteBody { body, reusable }) => {
+            // Not reused if the server has left or moved, or has not received the complete request.
+            if reusable && request_complete && service.pool.address(attempt.server) == Some(address)
+            {
+                service.connections.release(connection);
+            }
+            interpret_response(head.status, head.headers, body, forwarded.protocol)
+        }
+        // The client reads the rest of the body. The body of an error response is not needed.
+        BodyRead::Partial { decoded, decoder }
+            if head.status == StatusCode::OK && forwarded.protocol.allows_streaming() =>
+        {
+            let reusable = head.keep_alive && request_complete;
+            let unread = response.into_unread();
+            let (service, server) = (Rc::clone(service), attempt.server);
+            let connection = Some(connection);
+            let streamed_body = StreamedResponseBody {
+                service,
+                server,
+                address,
+                connection,
+                reusable,
+                undecoded: unread,
+                decoder,
+                decoded,
+                resources: None,
+            };
+            let mut served = Response::new(ResponseBody::Streamed(Box::new(streamed_body)));
+            *served.headers_mut() = head.headers;
+            (Outcome::Ok, Some(served))
+        }
+        BodyRead::Partial { .. } if forwarded.protocol.allows_streaming() => {
+            interpret_response(head.status, head.headers, Bytes::new(), forwarded.protocol)
+        }
+        // Longer than the limit for a buffered response.
+        BodyRead::Partial { .. } => (Outcome::Reset, None),
+    }
+}
+
+/// Writes the rest of a request body as the client sends it, and notifies the balancer when the body is complete. Stops if
+/// the server responds or closes the connection before that.
+async fn stream_request_body(
+    attempt: &Attempt,
+    streamed: &upload::StreamedRequestBody,
+    stream: &TcpStream,
+    progress: &SendProgress,
+) -> Result<(), ExchangeError> {
+    let service = &attempt.service;
+    let Some(mut reader) = streamed.take_remainder() else {
+        return Ok(());
+    };
+    let chunked = streamed.length == BodyLength::Chunked;
+    let mut result = Ok(());
+    let request_complete = loop {
+        let piece = {
+            let (mut next, mut readable) = (
+                pin!(reader.next(&service.process)),
+                pin!(readiness::peer_readable(stream)),
+            );
+            poll_fn(|context| match next.as_mut().poll(context) {
+                Poll::Ready(piece) => Poll::Ready(Some(piece)),
+                Poll::Pending => readable.as_mut().poll(context).map(|()| None),
+            })
+            .await
+        };
+        let Some(piece) = piece else { break false };
+        let (bytes, last) = match piece {
+            Ok(Some(data)) => {
+                // This part of the body is not buffered, so the request can't be retried.
+                if !streamed.consumed.replace(true) {
+                    service.handle(
+                        service.process.clock.now(),
+                        Event::RetriesDisabled(attempt.request),
+                    );
+                }
+                (if chunked { encode_chunk(&data) } else { data }, false)
+            }
+            Ok(None) => (
+                Bytes::from_static(if chunked { b"0\r\n\r\n" } else { b"" }),
+                true,
+            ),
+            Err(request_error) => {
+                streamed.failure.replace(Some(request_error));
+                // The client's body is incomplete, so no response is awaited.
+                result = Err(ExchangeError::Malformed);
+                break false;
+            }
+        };
+        let written = service
+            .process
+            .timeout(BODY_WRITE_TIMEOUT, exchange::write_body(stream, &bytes))
+            .await;
+        match written.unwrap_or(Err(ExchangeError::Connection)) {
+            Ok(true) if last => break true,
+            Ok(true) => {}
+            Ok(false) => break false,
+            Err(error) => {
+                result = Err(error);
+                break false;
+            }
+        }
+    };
+    if request_complete {
+        let now = service.process.clock.now();
+        progress.complete.set(true);
+        streamed.completed_at.set(Some(now));
+        attempt.sent_at.set(now);
+        service.handle(now, Event::RequestBodyReceived(attempt.request));
+    } else {
+        streamed.return_remainder(reader);
+    }
+    result
+}
+
+/// Encodes data as one chunk of the chunked transfer coding.
+fn encode_chunk(data: &Bytes) -> Bytes {
+    let mut chunk = BytesMut::with_capacity(data.len() + 20);
+    chunk.extend_from_slice(format!("{:x}\r\n", data.len()).as_bytes());
+    chunk.extend_from_slice(data);
+    chunk.extend_from_slice(b"\r\n");
+    chunk.freeze()
+}
+
+fn build_request(
+    forwarded: &ForwardedRequest,
+    address: SocketAddr,
+    left_ms: u64,
+) -> RequestMessage {
+    let target = forwarded
+        .uri
+        .path_and_query()
+        .map_or("/", PathAndQuery::as_str);
+    let mut message = RequestMessage::new(&forwarded.method, target);
+    for (name, value) in &forwarded.headers {
+        if *name != EXPIRES_IN_MS && !HOP_BY_HOP_HEADERS.contains(name) {
+            message.add_header(name, value);
+        }
+    }
+    message.add_number_header(&EXPIRES_IN_MS, left_ms);
+    if !forwarded.headers.contains_key(header::HOST)
+        && let Ok(host) = HeaderValue::from_maybe_shared(Bytes::from(address.to_string()))
+    {
+        message.add_header(&header::HOST, &host);
+    }
+    let body = forwarded.body.buffered().clone();
+    match forwarded.body.streamed().map(|streamed| streamed.length) {
+        Some(BodyLength::Known(length)) => {
+            message.add_number_header(&header::CONTENT_LENGTH, length)
+        }
+        Some(BodyLength::Chunked) => {
+            message.add_header(
+                &header::TRANSFER_ENCODING,
+                &HeaderValue::from_static("chunked"),
+            );
+            message.finish(encode_chunk(&body));
+            return message;
+        }
+        None if forwarded.method != Method::GET || !body.is_empty() => {
+            message.add_number_header(&header::CONTENT_LENGTH, body.len() as u64);
+        }
+        None => {}
+    }
+    message.finish(body);
+    message
+}
+
+/// The outcome that a complete response stands for, and the response to return if it counts as served.
+fn interpret_response(
+    status: StatusCode,
+    headers: HeaderMap,
+    body: Bytes,
+    protocol: ResponseProtocol,
+) -> ExchangeResult {
+    let never_ran = headers.get(NEVER_RAN).is_some_and(|v| v == "1");
+    let is_served = match protocol {
+        ResponseProtocol::Http => status == StatusCode::OK,
+        ResponseProtocol::Graphql { hash_only } => {
+            let content_type = headers
+                .get(header::CONTENT_TYPE)
+                .and_then(|content_type| content_type.to_str().ok());
+            // "Persisted query not found" counts as served: nothing ran, and the client knows what to send.
+            madderloom_graphql::judge(status.as_u16(), content_type, &body, hash_only)
+                != Verdict::Failure
+        }
+    };
+    match status {
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if never_ran => {
+            (Outcome::Full, None)
+        }
+        _ if is_served => {
+            let mut response = Response::new(ResponseBody::Buffered(Full::new(body)));
+            *response.status_mut() = status;
+            *response.headers_mut() = headers;
+            (Outcome::Ok, Some(response))
+        }
+        _ => (Outcome::Error, None),
+    }
+}
--- a/crates/sidecar/src/counts.rs
+++ b/crates/sidecar/src/counts.rs
@@ -1,125 +1,125 @@
-//! What became of requests, by their classes: the one registry that the second address, the admin view and the agent's
-//! link read. Written where a request ends.
+//! Outcomes of requests by class. Incremented where a request ends; read by the control address, the admin view and the agent
+//! link.
 
-use madderloom_admin::figures::Ended;
+use madderloom_admin::stats::ResultCounts;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Classes that are counted apart, at most: newer files may drop some and add others without end.
-pub(super) const CLASSES: usize = 256;
+/// Maximum number of classes with counts of their own. Configuration reloads may drop classes and add others any number of
+/// times.
+pub(super) const MAX_COUNTED_CLASSES: usize = 256;
 
-/// What became of requests of one class, since the start.
+/// Outcomes of the requests of one class, since the start.
 #[derive(Clone, Default)]
-pub(super) struct Counts {
+pub(super) struct OutcomeCounts {
     /// Answered by a server.
     pub(super) served: Cell<u64>,
-    /// Of these, after the time within which an answer is of full worth. Of GraphQL operations none is counted.
+    /// Those of them answered after the latency objective. Not counted for GraphQL operations.
     pub(super) late: Cell<u64>,
-    /// Refused by the module.
-    pub(super) refused: Cell<u64>,
-    /// Failed.
+    /// Rejected by the balancer.
+    pub(super) rejected: Cell<u64>,
     pub(super) failed: Cell<u64>,
-    /// Turned away by a limit of this service or of the listener, before the module heard of them.
-    pub(super) turned_away: Cell<u64>,
-    /// Of these, by the bound on requests a second.
-    pub(super) over_rate: Cell<u64>,
-    /// Answered 4xx.
-    pub(super) senseless: Cell<u64>,
+    /// Rejected by a limit of this service, of the listener or of the fleet, before they reached the balancer.
+    pub(super) rejected_by_limit: Cell<u64>,
+    /// Those of them rejected by a limit on requests per second or by a fleet-wide limit.
+    pub(super) over_rate_limit: Cell<u64>,
+    /// Answered with a 4xx status.
+    pub(super) client_errors: Cell<u64>,
 }
 
-impl Counts {
-    fn add(&self, other: &Counts) {
+impl OutcomeCounts {
+    fn add(&self, other: &OutcomeCounts) {
         for (to, from) in [
             (&self.served, &other.served),
             (&self.late, &other.late),
-            (&self.refused, &other.refused),
+            (&self.rejected, &other.rejected),
             (&self.failed, &other.failed),
-            (&self.turned_away, &other.turned_away),
-            (&self.over_rate, &other.over_rate),
-            (&self.senseless, &other.senseless),
+            (&self.rejected_by_limit, &other.rejected_by_limit),
+            (&self.over_rate_limit, &other.over_rate_limit),
+            (&self.client_errors, &other.client_errors),
         ] {
             to.set(to.get() + from.get());
         }
     }
 
-    /// In the words of the second address.
-    pub(super) fn ended(&self) -> Ended {
-        Ended {
+    /// The outcomes as the control address reports them.
+    pub(super) fn result_totals(&self) -> ResultCounts {
+        ResultCounts {
             fulfilled: self.served.get(),
-            throttled: self.refused.get() + self.turned_away.get(),
-            faulted: self.failed.get() + self.senseless.get(),
+            throttled: self.rejected.get() + self.rejected_by_limit.get(),
+            faulted: self.failed.get() + self.client_errors.get(),
         }
     }
 }
 
-pub(super) fn count(counter: &Cell<u64>) {
+pub(super) fn increment(counter: &Cell<u64>) {
     counter.set(counter.get() + 1);
 }
 
-/// The requests of a service.
+/// The request counts of one service.
 #[derive(Default)]
-pub(super) struct Registry {
-    by_class: RefCell<BTreeMap<String, Rc<Counts>>>,
-    /// Of those that name no class, and of classes beyond the bound.
-    unclassed: Rc<Counts>,
-    /// Attempts that were written whole.
-    pub(super) relayed: Cell<u64>,
-    /// Held once by each request that was taken and has not ended.
-    open: Rc<()>,
+pub(super) struct ServiceCounts {
+    by_class: RefCell<BTreeMap<String, Rc<OutcomeCounts>>>,
+    /// Of requests without a class, and of classes beyond [`MAX_COUNTED_CLASSES`].
+    unclassed: Rc<OutcomeCounts>,
+    /// Attempts that were written completely.
+    pub(super) attempts_sent: Cell<u64>,
+    /// Cloned once for each request in flight.
+    in_flight: Rc<()>,
 }
 
-/// A request that was taken and has not ended.
-pub(super) struct Open {
-    _place: Rc<()>,
+/// Counts one request as in flight until it is dropped.
+pub(super) struct OpenRequest {
+    _in_flight: Rc<()>,
 }
 
-impl Registry {
-    /// The counts of a class; they go on where a class is dropped and comes back.
-    pub(super) fn class(&self, name: &str) -> Rc<Counts> {
+impl ServiceCounts {
+    /// The counts of a class. They continue if a class is removed from the configuration and added again.
+    pub(super) fn class(&self, name: &str) -> Rc<OutcomeCounts> {
         let mut by_class = self.by_class.borrow_mut();
         if let Some(counts) = by_class.get(name) {
             return Rc::clone(counts);
         }
-        if by_class.len() >= CLASSES {
+        if by_class.len() >= MAX_COUNTED_CLASSES {
             return Rc::clone(&self.unclassed);
         }
         Rc::clone(by_class.entry(name.to_string()).or_default())
     }
 
-    pub(super) fn unclassed(&self) -> Rc<Counts> {
+    pub(super) fn unclassed(&self) -> Rc<OutcomeCounts> {
         Rc::clone(&self.unclassed)
     }
 
-    /// A request has been taken.
-    pub(super) fn open(&self) -> Open {
-        Open {
-            _place: Rc::clone(&self.open),
+    /// Counts a request as in flight until the returned value is dropped.
+    pub(super) fn track_request(&self) -> OpenRequest {
+        OpenRequest {
+            _in_flight: Rc::clone(&self.in_flight),
         }
     }
 
-    /// How many are open: by those that are, not by a difference.
-    pub(super) fn opened(&self) -> u64 {
-        Rc::strong_count(&self.open) as u64 - 1
+    /// The number of requests in flight. Derived from the live values, not from a difference of counters.
+    pub(super) fn open_requests(&self) -> u64 {
+        Rc::strong_count(&self.in_flight) as u64 - 1
     }
 
-    /// Of all classes and of none.
-    pub(super) fn sum(&self) -> Counts {
-        let sum = Counts::default();
-        sum.add(&self.unclassed);
+    /// The counts of all classes and of requests without a class.
+    pub(super) fn total(&self) -> OutcomeCounts {
+        let total = OutcomeCounts::default();
+        total.add(&self.unclassed);
         self.by_class
             .borrow()
             .values()
-            .for_each(|counts| sum.add(counts));
-        sum
+            .for_each(|counts| total.add(counts));
+        total
     }
 
-    /// By class.
-    pub(super) fn operations(&self) -> Vec<(String, Ended)> {
+    /// The outcomes of each class.
+    pub(super) fn by_class(&self) -> Vec<(String, ResultCounts)> {
         self.by_class
             .borrow()
             .iter()
-            .map(|(name, counts)| (name.clone(), counts.ended()))
+            .map(|(name, counts)| (name.clone(), counts.result_totals()))
             .collect()
     }
 }
@@ -130,35 +130,36 @@
     use proptest::prelude::*;
 
     proptest! {
-        /// Whatever comes and ends in whatever order, what was taken has ended, has left or is open; and no count falls.
+        /// Guards against counts that drift: in any order of starts and ends, each accepted request has ended, was abandoned
+        /// or is in flight.
         #[test]
-        fn what_was_taken_has_ended_has_left_or_is_open(history in proptest::collection::vec((0..5u8, 0..400usize), 0..600)) {
-            let registry = Registry::default();
-            let mut open: Vec<(Open, Rc<Counts>)> = Vec::new();
-            let (mut taken, mut left, mut ended) = (0, 0, 0);
-            for (what, which) in history {
-                match what {
-                    // More classes than are counted apart.
+        fn each_accepted_request_has_ended_was_abandoned_or_is_in_flight(history in proptest::collection::vec((0..5u8, 0..400usize), 0..600)) {
+            let service_counts = ServiceCounts::default();
+            let mut open: Vec<(OpenRequest, Rc<OutcomeCounts>)> = Vec::new();
+            let (mut accepted, mut abandoned, mut ended) = (0, 0, 0);
+            for (action, number) in history {
+                match action {
+                    // More classes than have counts of their own.
                     0 | 1 => {
-                        taken += 1;
-                        open.push((registry.open(), registry.class(&format!("class-{which}"))));
+                        accepted += 1;
+                        open.push((service_counts.track_request(), service_counts.class(&format!("class-{number}"))));
                     }
                     _ if open.is_empty() => {}
                     2 => {
-                        left += 1;
-                        drop(open.swap_remove(which % open.len()));
+                        abandoned += 1;
+                        drop(open.swap_remove(number % open.len()));
                     }
                     _ => {
-                        let (_place, counts) = open.swap_remove(which % open.len());
-                        count([&counts.served, &counts.refused, &counts.turned_away, &counts.failed][which % 4]);
+                        let (_in_flight, counts) = open.swap_remove(number % open.len());
+                        increment([&counts.served, &counts.rejected, &counts.rejected_by_limit, &counts.failed][number % 4]);
                         ended += 1;
                     }
                 }
-                let sum = registry.sum().ended().all();
-                prop_assert_eq!((registry.opened(), sum), (open.len() as u64, ended));
-                prop_assert_eq!(taken, ended + left + registry.opened());
+                let sum = service_counts.total().result_totals().total();
+                prop_assert_eq!((service_counts.open_requests(), sum), (open.len() as u64, ended));
+                prop_assert_eq!(accepted, ended + abandoned + service_counts.open_requests());
             }
-            prop_assert!(registry.operations().len() <= CLASSES);
+            prop_assert!(service_counts.by_class().len() <= MAX_COUNTED_CLASSES);
         }
     }
 }
--- a/crates/sidecar/src/probe.rs
+++ b/crates/sidecar/src/probe.rs
@@ -1,56 +1,63 @@
-//! Load probes: a server is asked for its load report.
+//! Load probes: requests to a server for its load report.
 
-use super::exchange::{self, Answer, Message, Progress, Whole};
+use super::exchange::{self, CompleteBody, RequestMessage, ResponseReader, SendProgress};
 use super::service::Service;
 use bytes::Bytes;
 use hyper::header::{self, HeaderValue};
 use hyper::{Method, StatusCode};
-use madderloom_balancer::{Event, Micros, Report, ServerId};
+use madderloom_balancer::{Event, LoadReport, Micros, ServerId};
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use std::future::Ready;
 use std::rc::Rc;
 
-/// A server that has not answered by then has nothing to tell that is still true.
-const WAIT: Micros = 300_000;
+/// Timeout of a probe. A report that takes longer is outdated.
+const PROBE_TIMEOUT: Micros = 300_000;
 
-/// Asks, and tells the module what came back.
+/// Sends a probe and reports the result to the balancer.
 pub(super) fn start(service: &Rc<Service>, server: ServerId) {
-    let own = Rc::clone(service);
+    let task_service = Rc::clone(service);
     watchdog::spawn(TaskKind::LoadProbe, async move {
-        let report = own.common.within(WAIT, ask(&own, server)).await.flatten();
-        let now = own.common.clock.now();
-        own.handle(now, Event::Probed(server, report));
+        let report = task_service
+            .process
+            .timeout(PROBE_TIMEOUT, fetch_report(&task_service, server))
+            .await
+            .flatten();
+        let now = task_service.process.clock.now();
+        task_service.handle(now, Event::ProbeCompleted(server, report));
     });
 }
 
-async fn ask(service: &Rc<Service>, server: ServerId) -> Option<Report> {
+async fn fetch_report(service: &Rc<Service>, server: ServerId) -> Option<LoadReport> {
     let address = service.pool.address(server)?;
-    let mut message = Message::new(&Method::GET, "/status/load");
-    message.header(
+    let mut message = RequestMessage::new(&Method::GET, "/status/load");
+    message.add_header(
         &header::HOST,
         &HeaderValue::from_maybe_shared(Bytes::from(address.to_string())).ok()?,
     );
-    message.end(Bytes::new());
-    let mut lease = service.connections.take(server, address).await.ok()?;
-    let progress = Progress::default();
-    exchange::send(&lease.stream, &message, None::<Ready<()>>, &progress)
+    message.finish(Bytes::new());
+    let mut connection = service.connections.acquire(server, address).await.ok()?;
+    let progress = SendProgress::default();
+    exchange::send(&connection.stream, &message, None::<Ready<()>>, &progress)
         .await
         .ok()?;
-    let mut answer = Answer::default();
-    let head = answer.head(&mut lease.stream).await.ok()?;
-    let Whole { body, reusable } = answer.body(&head, &mut lease.stream).await.ok()?;
-    service.connections.heard(server);
-    if reusable && progress.whole.get() {
-        service.connections.keep(lease);
+    let mut response = ResponseReader::default();
+    let head = response.read_head(&mut connection.stream).await.ok()?;
+    let CompleteBody { body, reusable } = response
+        .read_complete_body(&head, &mut connection.stream)
+        .await
+        .ok()?;
+    service.connections.record_response(server);
+    if reusable && progress.complete.get() {
+        service.connections.release(connection);
     }
     std::str::from_utf8(&body)
         .ok()
         .filter(|_| head.status == StatusCode::OK)
-        .and_then(report)
+        .and_then(parse_report)
 }
 
-/// Reads `TEXT inflight=7, queue=2, util=0.61`; names that are not known are passed over.
-fn report(text: &str) -> Option<Report> {
+/// Parses `TEXT inflight=7, queue=2, util=0.61`; unknown names are ignored.
+fn parse_report(text: &str) -> Option<LoadReport> {
     let text = text.trim().strip_prefix("TEXT ")?;
     let value = |wanted: &str| {
         let mut pairs = text
@@ -62,11 +69,11 @@
             .ok()
             .filter(|v: &f64| v.is_finite() && *v >= 0.0)
     };
-    // The protocol's words, or those of the settings: nodes have been seen to use the latter.
-    let either = |one, other| value(one).or_else(|| value(other));
-    let held = either("inflight", "rif").or_else(|| either("queue", "q"))?;
-    Some(Report {
-        held,
-        errors: either("eps", "fail_rate").unwrap_or(0.0),
+    // The names of the protocol or those of the settings: some servers send the latter.
+    let first_of = |name, alternative| value(name).or_else(|| value(alternative));
+    let reported_in_flight = first_of("inflight", "rif").or_else(|| first_of("queue", "q"))?;
+    Some(LoadReport {
+        in_flight: reported_in_flight,
+        errors_per_second: first_of("eps", "fail_rate").unwrap_or(0.0),
     })
 }
--- a/crates/sidecar/src/virtual_server.rs
+++ b/crates/sidecar/src/virtual_server.rs
@@ -1,279 +1,295 @@
-//! The virtual server: the client's side of one request. It reads it, finds the service that it is for, makes room
-//! for it, and gives the answer back.
+//! The virtual server: the client's side of one request. It validates the request, routes it to a service, applies the limits,
+//! and returns the response.
 
+use super::active_settings::ClassEntry;
+use super::attempt::{ForwardedRequest, ResponseProtocol};
 use super::client::Client;
-use super::common::Common;
-use super::counts::count;
-use super::fleet_limits::LetIn;
-use super::flow::{Onward, Reading};
+use super::counts::increment;
+use super::fleet_limits::FleetPermit;
 use super::graphql;
-use super::limits::Full;
-use super::listener::{Listener, Manner};
-use super::passing::{HeldByAnswer, Reply};
-use super::routing::{ClassFrom, Routing};
+use super::limits::LimitExceeded;
+use super::listener::{Listener, ListenerSettings};
+use super::process_state::ProcessState;
+use super::response_body::{ResponseBody, ResponseResources};
+use super::routing::{ClassSource, Routing};
 use super::service::Service;
 use super::state_writer::IdempotencyRecord;
-use super::transaction::{self, Answer};
-use super::tuned::ClassEntry;
-use super::upload::{self, Length, Room};
+use super::transaction::{self, FinalResponse};
+use super::upload::{self, BodyLength, BodyReservations};
 use bytes::Bytes;
-use http_body_util::{BodyExt, Full as Whole};
+use http_body_util::{BodyExt, Full};
+use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::http::request::Parts;
-use hyper::{Method, Request, Response, StatusCode, Uri, body::Body, body::Incoming};
-use madderloom_balancer::{Effect, Micros, NewRequest, RequestId};
+use hyper::{Method, Request, Response, StatusCode, Uri};
+use madderloom_balancer::{Micros, NewRequest, RequestId, RetrySafety};
 use madderloom_routing::request::{Asked, Fault, split_key, subject};
 use madderloom_watchdog::{self as watchdog, TaskKind};
 use std::rc::Rc;
 
-/// A client counts its time from the sending, which is a little before the reading.
-pub(super) const MARGIN: Micros = 1_000;
+/// Subtracted from a client's remaining time, which counts from when the client sent the request, not from when it was read.
+pub(super) const CLIENT_DEADLINE_MARGIN: Micros = 1_000;
 
 pub(super) const TRACE_ID: HeaderName = HeaderName::from_static("x-trace-id");
-const EXPIRES: HeaderName = HeaderName::from_static("x-expires-in-ms");
+const EXPIRES_IN_MS: HeaderName = HeaderName::from_static("x-expires-in-ms");
 const SECOND_TRY: HeaderName = HeaderName::from_static("x-second-try");
 const SIZE_HINT: HeaderName = HeaderName::from_static("x-size-hint");
 const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
-/// One request's id among those that are open at its service; free again when this is dropped.
-pub(super) struct OpenId<'a> {
-    of: &'a Service,
+/// Holds the id of a request in flight, unique within its service. Dropping it frees the id.
+pub(super) struct InFlightRequestId<'a> {
+    service: &'a Service,
     id: HeaderValue,
 }
 
-impl<'a> OpenId<'a> {
-    pub(super) fn new(of: &'a Service, id: &HeaderValue) -> Result<Self, Reject> {
-        if !of.ids.borrow_mut().insert(id.clone()) {
-            return Err(Reject::Senseless(
+impl<'a> InFlightRequestId<'a> {
+    /// # Errors
+    /// Another request in flight has this id.
+    pub(super) fn new(service: &'a Service, id: &HeaderValue) -> Result<Self, RequestError> {
+        if !service.request_ids.borrow_mut().insert(id.clone()) {
+            return Err(RequestError::Invalid(
                 StatusCode::CONFLICT,
                 "a request with this X-Trace-Id is open",
             ));
         }
-        Ok(OpenId { of, id: id.clone() })
+        Ok(InFlightRequestId {
+            service,
+            id: id.clone(),
+        })
     }
 }
 
-impl Drop for OpenId<'_> {
+impl Drop for InFlightRequestId<'_> {
     fn drop(&mut self) {
-        self.of.forget(&self.id);
+        self.service.release_request_id(&self.id);
     }
 }
 
-/// Why a request goes no further than here.
-pub(super) enum Reject {
-    /// It makes no sense. What else comes on its connection may be a part of it, so the connection is closed.
-    Senseless(StatusCode, &'static str),
-    /// There is no room for it now.
-    Refused(&'static str, Option<Micros>),
+/// Why a request is rejected before it reaches the balancer.
+pub(super) enum RequestError {
+    /// The request is invalid. Further bytes on the connection may belong to it, so the connection is closed.
+    Invalid(StatusCode, &'static str),
+    /// A limit is reached; with the advice for `Retry-After`, if any.
+    LimitReached(&'static str, Option<Micros>),
 }
 
-/// Too long to be recorded, so that it could never be sent.
-const LONG_ID: Reject = senseless(
+/// The id of a non-idempotent request that is too long to be recorded, so that the request could never be sent.
+const ID_TOO_LONG: RequestError = bad_request(
     "the id of a request that must not run twice is over 1,024 bytes with its header's name",
 );
 
-pub(super) const fn senseless(problem: &'static str) -> Reject {
-    Reject::Senseless(StatusCode::BAD_REQUEST, problem)
+pub(super) const fn bad_request(message: &'static str) -> RequestError {
+    RequestError::Invalid(StatusCode::BAD_REQUEST, message)
 }
 
-/// One request and its answer.
-pub(super) async fn answer(
+/// Handles one request.
+pub(super) async fn handle_request(
     listener: &Rc<Listener>,
     client: &Rc<Client>,
     request: Request<Incoming>,
-) -> Response<Reply> {
-    let came = listener.common.clock.now();
-    if client.ambiguous.get() {
-        count(&listener.counts.senseless);
-        return rejected(senseless("it is not certain where the message ends"));
+) -> Response<ResponseBody> {
+    let received_at = listener.process.clock.now();
+    if client.ambiguous_framing.get() {
+        increment(&listener.counts.client_errors);
+        return rejected(bad_request("it is not certain where the message ends"));
     }
     if request.uri().path() == "/ready" && request.method() == Method::GET {
         return ready(listener, request.uri().query());
     }
     let (head, body) = request.into_parts();
-    let (service, class) = match find(listener, &head) {
-        Ok(found) => found,
-        Err(reject) => {
-            count(&listener.counts.senseless);
-            return rejected(reject);
+    let (service, class_source) = match route(listener, &head) {
+        Ok(routed) => routed,
+        Err(error) => {
+            increment(&listener.counts.client_errors);
+            return rejected(error);
         }
     };
     listener.charge(&client.charged, &service);
-    let class = match class {
-        ClassFrom::Graphql => {
-            return graphql::answer(listener, client, &service, came, head, body).await;
+    let class = match class_source {
+        ClassSource::Graphql => {
+            return graphql::handle_request(listener, client, &service, received_at, head, body)
+                .await;
         }
-        ClassFrom::Route(class) => Some(class),
-        ClassFrom::Path => None,
+        ClassSource::Route(class) => Some(class),
+        ClassSource::Path => None,
     };
-    let manner = listener.manner.get();
+    let settings = listener.settings.get();
     let mut body = Some(body);
-    // Held to the end of the request: until then its rules stay those that it came under.
-    let entry = class_of(&service, class.as_deref(), &head);
-    let mut room = Room::new();
-    let taken = async {
-        let new = read(&service, entry.as_deref(), &head)?;
-        let length = Length::of(body.as_ref(), &head.headers, manner.body_size)?;
+    // Held until the request ends, so that the class settings in force when it arrived stay valid for it.
+    let class_entry = class_of(&service, class.as_deref(), &head);
+    let mut reservations = BodyReservations::new();
+    let admission = async {
+        let new_request = read_head(&service, class_entry.as_deref(), &head)?;
+        let length = BodyLength::from_head(body.as_ref(), &head.headers, settings.max_body_size)?;
         let id = head
             .headers
             .get(TRACE_ID)
-            .ok_or(senseless("X-Trace-Id is missing"))?;
-        let held = (
-            admit(listener, &service, came, 0)?,
-            let_in(&service, entry.as_deref(), &head.headers)?,
+            .ok_or(bad_request("X-Trace-Id is missing"))?;
+        let permits = (
+            admit(listener, &service, received_at, 0)?,
+            admit_by_fleet_limits(&service, class_entry.as_deref(), &head.headers)?,
         );
-        let id = OpenId::new(&service, id)?;
-        let upload = upload::take(
+        let id = InFlightRequestId::new(&service, id)?;
+        let body = upload::read_body(
             listener,
             &service,
             &mut body,
             length,
-            manner.body_size,
-            &mut room,
+            settings.max_body_size,
+            &mut reservations,
         )
         .await?;
-        if service.transactions.borrow().len() >= service.tuned().site.max_open {
-            return Err(Reject::Refused(
+        if service.transactions.borrow().len() >= service.active_settings().site.max_open {
+            return Err(RequestError::LimitReached(
                 "too many requests are open",
                 service.retry_after(),
             ));
         }
-        Ok((new, upload, (held, id)))
+        Ok((new_request, body, (permits, id)))
     };
-    let (mut new, body, (held, id)) = match taken.await {
-        Ok(taken) => taken,
-        Err(reject) => {
-            note(&service, entry.as_deref(), &reject, body.take(), manner);
-            return rejected(reject);
+    let (mut new_request, body, (permits, id)) = match admission.await {
+        Ok(admitted) => admitted,
+        Err(error) => {
+            record_rejection(
+                &service,
+                class_entry.as_deref(),
+                &error,
+                body.take(),
+                settings,
+            );
+            return rejected(error);
         }
     };
-    client.body_read.set(body.passing().is_none());
-    let open = service.counts.open();
-    let counts = service.class_counts(new.class);
-    let now = listener.common.clock.now();
-    // Its time counts from its last byte, and what its client took to write it is not the answer's.
-    new.time_left = listener
-        .common
-        .time_left(now, new.time_left.saturating_sub(MARGIN));
-    // An absolute target names this sidecar; the node is to see the path alone.
-    let path = head.uri.into_parts().path_and_query;
-    let uri = path.map_or_else(|| Uri::from_static("/"), Uri::from);
-    let unsafe_to_repeat = entry
+    client.body_complete.set(body.streamed().is_none());
+    let in_flight = service.counts.track_request();
+    let counts = service.class_counts(new_request.class);
+    let now = listener.process.clock.now();
+    // A request's time runs from its last byte; the time that its client took to send it does not count.
+    new_request.time_left = listener.process.cap_time_left(
+        now,
+        new_request.time_left.saturating_sub(CLIENT_DEADLINE_MARGIN),
+    );
+    // A target in absolute form names this sidecar; the server gets the path only.
+    let target = head.uri.into_parts().path_and_query;
+    let uri = target.map_or_else(|| Uri::from_static("/"), Uri::from);
+    let non_idempotent = class_entry
         .as_ref()
-        .is_none_or(|class| class.effect() == Effect::Unsafe);
-    let aim = service.aim(&new);
-    let reading = Reading::Plain;
-    let idempotency_record = if unsafe_to_repeat {
+        .is_none_or(|class| class.retry_safety() == RetrySafety::NonIdempotent);
+    let latency_objective = service.latency_objective(&new_request);
+    let protocol = ResponseProtocol::Http;
+    let idempotency_record = if non_idempotent {
         IdempotencyRecord::for_request(&service, &head.headers, None)
     } else {
         Ok(None)
     };
     let Ok(idempotency_record) = idempotency_record else {
-        count(&counts.senseless);
-        return rejected(LONG_ID);
+        increment(&counts.client_errors);
+        return rejected(ID_TOO_LONG);
     };
     let (method, headers) = (head.method, head.headers);
     let client = Rc::clone(client);
-    let onward = Onward {
+    let request = ForwardedRequest {
         client,
         method,
         uri,
         headers,
         body,
-        unsafe_to_repeat,
-        reading,
+        non_idempotent,
+        protocol,
         idempotency_record,
     };
-    let onward = Rc::new(onward);
-    let answer = transaction::run(&service, now, new, Rc::clone(&onward)).await;
-    let came = onward
-        .body
-        .passing()
-        .map_or(now, |passing| passing.whole.get().unwrap_or(came));
-    if let Some(passing) = onward.body.passing() {
-        // What is left of it is read and dropped behind the answer, so that the answer arrives.
-        match passing.unread() {
-            Some(unread) if passing.whole.get().is_none() => {
-                drain(&service.common, unread, DRAINED_FOR)
+    let request = Rc::new(request);
+    let response = transaction::run(&service, now, new_request, Rc::clone(&request)).await;
+    let started_at = request.body.streamed().map_or(now, |streamed| {
+        streamed.completed_at.get().unwrap_or(received_at)
+    });
+    if let Some(streamed) = request.body.streamed() {
+        // The unread remainder is read and dropped after the response, or the client could lose the response.
+        match streamed.take_unread() {
+            Some(unread) if streamed.completed_at.get().is_none() => {
+                drain(&service.process, unread, BODY_DRAIN_TIMEOUT)
             }
-            _ => onward.client.body_read.set(passing.whole.get().is_some()),
+            _ => request
+                .client
+                .body_complete
+                .set(streamed.completed_at.get().is_some()),
         }
-        if let Some(reject) = passing.broken.take() {
-            count(&counts.senseless);
-            return rejected(reject);
+        if let Some(error) = streamed.failure.take() {
+            increment(&counts.client_errors);
+            return rejected(error);
         }
     }
-    match answer {
-        Answer::Served(mut response) => {
-            if listener.common.clock.now() - came > aim {
-                count(&counts.late);
+    match response {
+        FinalResponse::Served(mut response) => {
+            if listener.process.clock.now() - started_at > latency_objective {
+                increment(&counts.late);
             }
             match response.body_mut() {
-                Reply::Whole(_) => count(&counts.served),
-                // It is open to its last byte, and so is all that it holds.
-                Reply::Passing(passing) => {
-                    let _rest = Box::new((open, room, entry, held));
+                ResponseBody::Buffered(_) => increment(&counts.served),
+                // The request counts as in flight, and keeps its reservations, until the last byte of its response.
+                ResponseBody::Streamed(streamed) => {
+                    let _guards = Box::new((in_flight, reservations, class_entry, permits));
                     drop(id);
-                    passing.held = Some(HeldByAnswer {
+                    streamed.resources = Some(ResponseResources {
                         counts,
-                        client: Rc::clone(&onward.client),
-                        common: Rc::clone(&listener.common),
-                        _rest,
+                        client: Rc::clone(&request.client),
+                        process: Rc::clone(&listener.process),
+                        _guards,
                     });
                 }
             }
             response
         }
-        Answer::Refused { retry_after } => {
-            count(&counts.refused);
-            refusal("refused", retry_after)
+        FinalResponse::Rejected { retry_after } => {
+            increment(&counts.rejected);
+            unavailable_response("refused", retry_after)
         }
-        Answer::Failed => {
-            count(&counts.failed);
-            plain(StatusCode::BAD_GATEWAY, "failed")
+        FinalResponse::Failed => {
+            increment(&counts.failed);
+            text_response(StatusCode::BAD_GATEWAY, "failed")
         }
     }
 }
 
-/// How long what is left of a body is read behind an answer that did not need it.
-pub(super) const DRAINED_FOR: Micros = 5_000_000;
+/// How long the unread remainder of a body is drained after a response that did not need it.
+pub(super) const BODY_DRAIN_TIMEOUT: Micros = 5_000_000;
 
-/// Counts a request that goes no further, and reads the body that it came with where that is wanted.
-pub(super) fn note(
+/// Counts a rejected request, and drains its unread body if a limit was reached and the listener drains rejected bodies.
+pub(super) fn record_rejection(
     service: &Service,
     class: Option<&ClassEntry>,
-    reject: &Reject,
+    error: &RequestError,
     unread: Option<Incoming>,
-    manner: Manner,
+    settings: ListenerSettings,
 ) {
-    let turned_away = matches!(reject, Reject::Refused(..));
+    let limit_reached = matches!(error, RequestError::LimitReached(..));
     let counts = class.map_or_else(
         || service.counts.unclassed(),
         |class| Rc::clone(&class.counts),
     );
-    count(if turned_away {
-        &counts.turned_away
+    increment(if limit_reached {
+        &counts.rejected_by_limit
     } else {
-        &counts.senseless
+        &counts.client_errors
     });
-    if let Some(unread) = unread.filter(|_| turned_away && manner.drains) {
-        drain(&service.common, unread, manner.body_within);
+    if let Some(unread) = unread.filter(|_| limit_reached && settings.drains_rejected_bodies) {
+        drain(&service.process, unread, settings.body_timeout);
     }
 }
 
-/// Whether the listener leads to a service that knows a server, or, where one is named, whether that one does.
-fn ready(listener: &Listener, query: Option<&str>) -> Response<Reply> {
+/// The response of the readiness check: whether any service that the listener routes to has servers, or, with `pool=NAME` in the
+/// query, whether that service has; and whether neither the process nor the listener drains.
+fn ready(listener: &Listener, query: Option<&str>) -> Response<ResponseBody> {
     let routing = Rc::clone(&listener.routing.borrow());
-    let named =
-        query.and_then(|query| query.split('&').find_map(|pair| pair.strip_prefix("pool=")));
-    let mut wanted = routing
-        .reached()
+    let pool = query.and_then(|query| query.split('&').find_map(|pair| pair.strip_prefix("pool=")));
+    let mut checked = routing
+        .reachable_services()
         .iter()
-        .filter(|service| named.is_none_or(|name| service.name == name));
-    let ready = wanted.any(|service| service.pool.is_known());
-    let wanted = listener.common.duty.borrow().is_serving() && !listener.is_leaving();
-    plain(
-        if ready && wanted {
+        .filter(|service| pool.is_none_or(|name| service.name == name));
+    let has_servers = checked.any(|service| service.pool.has_servers());
+    let takes_work = listener.process.lifecycle.borrow().is_serving() && !listener.is_draining();
+    text_response(
+        if has_servers && takes_work {
             StatusCode::OK
         } else {
             StatusCode::SERVICE_UNAVAILABLE
@@ -282,92 +298,107 @@
     )
 }
 
-/// The service that a request is for, and what its class follows from.
-fn find(listener: &Listener, head: &Parts) -> Result<(Rc<Service>, ClassFrom), Reject> {
+/// Routes a request: its service and the source of its class.
+///
+/// # Errors
+/// The request cannot be matched against routes, or none matches.
+fn route(listener: &Listener, head: &Parts) -> Result<(Rc<Service>, ClassSource), RequestError> {
     let routing = Rc::clone(&listener.routing.borrow());
-    let routed = match &*routing {
-        Routing::One(service) => return Ok((Rc::clone(service), ClassFrom::Path)),
-        Routing::Table(routed) => routed,
+    let routes = match &*routing {
+        Routing::SingleService(service) => return Ok((Rc::clone(service), ClassSource::Path)),
+        Routing::Routes(routes) => routes,
     };
-    let asked = Asked::read(&head.method, &head.uri, head.version, &head.headers);
-    let asked = asked.map_err(|fault: Fault| senseless(fault.text()))?;
-    // What has no key is split by chance: its count is as good as that.
-    let key = split_key(&head.headers).unwrap_or_else(|| listener.clients.entered());
-    let none = Reject::Senseless(StatusCode::NOT_FOUND, "no route takes it");
-    routed.find(&asked, key).ok_or(none)
+    let attributes = Asked::read(&head.method, &head.uri, head.version, &head.headers);
+    let attributes = attributes.map_err(|fault: Fault| bad_request(fault.text()))?;
+    // Requests without a key are split by the count of connections, which serves as a random value.
+    let key = split_key(&head.headers).unwrap_or_else(|| listener.clients.accepted());
+    let no_route = RequestError::Invalid(StatusCode::NOT_FOUND, "no route takes it");
+    routes.find(&attributes, key).ok_or(no_route)
 }
 
-/// Makes room for a request in its listener and its service, before its body is read.
+/// Reserves capacity for a request with `size` bytes of body in its service and its listener, before the body is read.
+///
+/// # Errors
+/// A limit is reached.
 pub(super) fn admit(
     listener: &Listener,
     service: &Service,
     now: Micros,
     size: u64,
-) -> Result<[[super::limits::Held; 2]; 2], Reject> {
-    let held = service
-        .allowance
+) -> Result<[[super::limits::Reservation; 2]; 2], RequestError> {
+    let reservations = service
+        .request_limits
         .admit(now, size)
-        .and_then(|held| Ok([held, listener.allowance.admit(now, size)?]));
-    held.map_err(|full| {
-        let usual = service.retry_after();
-        match full {
-            Full::Open => Reject::Refused("too many requests are open", usual),
-            Full::Bodies => Reject::Refused("too much is open", usual),
-            Full::Rate(wait) => {
-                count(&service.counts.unclassed().over_rate);
-                // Clients honour no longer advice than the settings say.
-                Reject::Refused(
+        .and_then(|of_service| Ok([of_service, listener.request_limits.admit(now, size)?]));
+    reservations.map_err(|exceeded| {
+        let max_retry_after = service.retry_after();
+        match exceeded {
+            LimitExceeded::InFlight => {
+                RequestError::LimitReached("too many requests are open", max_retry_after)
+            }
+            LimitExceeded::BodyBytes => {
+                RequestError::LimitReached("too much is open", max_retry_after)
+            }
+            LimitExceeded::Rate(retry_after) => {
+                increment(&service.counts.unclassed().over_rate_limit);
+                // Clients honour no advice that is longer than the settings allow.
+                RequestError::LimitReached(
                     "too many requests have come",
-                    usual.map(|most| wait.min(most)),
+                    max_retry_after.map(|max| retry_after.min(max)),
                 )
             }
         }
     })
 }
 
-/// Lets a request in under the fleet-wide limits that are for it.
-pub(super) fn let_in(
+/// Admits a request under the fleet-wide limits that apply to it.
+///
+/// # Errors
+/// A limit is reached, or no lease for it is valid.
+pub(super) fn admit_by_fleet_limits(
     service: &Service,
     class: Option<&ClassEntry>,
     headers: &HeaderMap,
-) -> Result<Option<LetIn>, Reject> {
+) -> Result<Option<FleetPermit>, RequestError> {
     let class = class.map(|class| &*class.name);
     service
-        .common
+        .process
         .fleet_limits
         .admit(&service.name, class, headers)
         .map_err(|denied| {
-            count(&service.counts.unclassed().over_rate);
-            let problem = if denied.without_lease {
+            increment(&service.counts.unclassed().over_rate_limit);
+            let message = if denied.without_lease {
                 "a fleet limit lets no more in, and no lease of it holds"
             } else {
                 "a fleet limit lets no more in"
             };
-            // Clients honour no longer advice than the settings say.
-            let usual = service.retry_after();
-            Reject::Refused(
-                problem,
-                usual.map(|most| denied.retry_after.map_or(most, |after| after.min(most))),
+            // Clients honour no advice that is longer than the settings allow.
+            let max_retry_after = service.retry_after();
+            RequestError::LimitReached(
+                message,
+                max_retry_after.map(|max| denied.retry_after.map_or(max, |after| after.min(max))),
             )
         })
 }
 
-/// Reads the body of a request that is answered already. Left unread, it would have the connection reset, and the
-/// answer lost on the way.
-fn drain(common: &Rc<Common>, mut body: Incoming, within: Micros) {
-    let common = Rc::clone(common);
+/// Reads and drops the body of a request that already has its response. Unread bytes would reset the connection, and the client
+/// could lose the response.
+fn drain(process: &Rc<ProcessState>, mut body: Incoming, timeout: Micros) {
+    let process = Rc::clone(process);
     watchdog::spawn(TaskKind::BodyDrain, async move {
         let read = async { while body.frame().await.is_some_and(|frame| frame.is_ok()) {} };
-        // What has not come by then never will, and the connection ends with it.
-        let _ = common.within(within, read).await;
+        // A body that is still incomplete then ends the connection.
+        let _ = process.timeout(timeout, read).await;
     });
 }
 
-fn rejected(reject: Reject) -> Response<Reply> {
-    match reject {
-        Reject::Refused(problem, retry_after) => refusal(problem, retry_after),
-        Reject::Senseless(status, problem) => {
-            let mut response = plain(status, problem);
+fn rejected(error: RequestError) -> Response<ResponseBody> {
+    match error {
+        RequestError::LimitReached(message, retry_after) => {
+            unavailable_response(message, retry_after)
+        }
+        RequestError::Invalid(status, message) => {
+            let mut response = text_response(status, message);
             response
                 .headers_mut()
                 .insert(header::CONNECTION, HeaderValue::from_static("close"));
@@ -376,33 +407,38 @@
     }
 }
 
-fn plain(status: StatusCode, text: &'static str) -> Response<Reply> {
-    let mut response = Response::new(Reply::Whole(Whole::from(text)));
+fn text_response(status: StatusCode, text: &'static str) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::Buffered(Full::from(text)));
     *response.status_mut() = status;
     response
 }
 
-fn refusal(text: &'static str, retry_after: Option<Micros>) -> Response<Reply> {
-    let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, text);
-    if let Some(wait) = retry_after.and_then(seconds) {
-        response.headers_mut().insert(header::RETRY_AFTER, wait);
+fn unavailable_response(text: &'static str, retry_after: Option<Micros>) -> Response<ResponseBody> {
+    let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, text);
+    if let Some(retry_after) = retry_after.and_then(retry_after_value) {
+        response
+            .headers_mut()
+            .insert(header::RETRY_AFTER, retry_after);
     }
     response
 }
 
-pub(super) fn seconds(span: Micros) -> Option<HeaderValue> {
+pub(super) fn retry_after_value(span: Micros) -> Option<HeaderValue> {
     HeaderValue::from_maybe_shared(Bytes::from((span as f64 / 1e6).to_string())).ok()
 }
 
-/// How long the body is, known before any of it is read. Where a request has both a length and chunks, hyper
-/// shows the chunks alone, while to another reader the rest may hide a request: so a length must be given.
-pub(super) fn length(
+/// The length of the body, before any of it is read. Chunked bodies are rejected: if a request has both a length and chunked
+/// coding, hyper shows the chunked coding only, while another reader may find a request hidden in the body.
+///
+/// # Errors
+/// The length is missing or over `max_bytes`.
+pub(super) fn declared_length(
     body: Option<&Incoming>,
     headers: &HeaderMap,
-    most: usize,
-) -> Result<usize, Reject> {
+    max_bytes: usize,
+) -> Result<usize, RequestError> {
     if headers.contains_key(header::TRANSFER_ENCODING) {
-        return Err(Reject::Senseless(
+        return Err(RequestError::Invalid(
             StatusCode::LENGTH_REQUIRED,
             "Content-Length is missing",
         ));
@@ -410,40 +446,50 @@
     let size = body
         .and_then(|body| body.size_hint().exact())
         .and_then(|size| usize::try_from(size).ok());
-    let problem = match most {
-        super::BODY => "the body holds more than 64 KiB",
+    let message = match max_bytes {
+        super::MAX_BUFFERED_BODY_BYTES => "the body holds more than 64 KiB",
         _ => "the body is longer than this listener takes",
     };
-    size.filter(|size| *size <= most)
-        .ok_or(Reject::Senseless(StatusCode::PAYLOAD_TOO_LARGE, problem))
+    size.filter(|size| *size <= max_bytes)
+        .ok_or(RequestError::Invalid(
+            StatusCode::PAYLOAD_TOO_LARGE,
+            message,
+        ))
 }
 
-pub(super) async fn whole(
-    common: &Common,
+pub(super) async fn read_complete_body(
+    process: &ProcessState,
     body: Option<Incoming>,
-    within: Micros,
-) -> Result<Bytes, Reject> {
+    timeout: Micros,
+) -> Result<Bytes, RequestError> {
     let Some(body) = body else {
         return Ok(Bytes::new());
     };
-    match common.within(within, body.collect()).await {
+    match process.timeout(timeout, body.collect()).await {
         Some(Ok(body)) => Ok(body.to_bytes()),
-        Some(Err(_)) => Err(senseless("the body has broken off")),
-        None => Err(Reject::Senseless(
+        Some(Err(_)) => Err(bad_request("the body has broken off")),
+        None => Err(RequestError::Invalid(
             StatusCode::REQUEST_TIMEOUT,
             "the body has not come",
         )),
     }
 }
 
-/// The class that a request names. A route's class goes before that of the path.
+/// The settings of a request's class: `class` if its route sets one, else the first segment of its path.
 fn class_of(service: &Service, class: Option<&str>, head: &Parts) -> Option<Rc<ClassEntry>> {
     let class = class.unwrap_or_else(|| head.uri.path().split('/').nth(1).unwrap_or_default());
-    service.tuned().named(class)
+    service.active_settings().class_named(class)
 }
 
-/// Takes out of a request what the module needs of it.
-fn read(service: &Service, class: Option<&ClassEntry>, head: &Parts) -> Result<NewRequest, Reject> {
+/// Builds the balancer's view of a request from its head.
+///
+/// # Errors
+/// The class is unknown or its method differs, or a required header is missing, repeated or invalid.
+fn read_head(
+    service: &Service,
+    class: Option<&ClassEntry>,
+    head: &Parts,
+) -> Result<NewRequest, RequestError> {
     let headers = &head.headers;
     let text = |name: &HeaderName| {
         headers
@@ -451,75 +497,81 @@
             .and_then(|v| v.to_str().ok())
             .map(str::trim)
     };
-    let several = |name: &HeaderName| headers.get_all(name).iter().nth(1).is_some();
-    let class = class.ok_or(Reject::Senseless(
+    let repeated = |name: &HeaderName| headers.get_all(name).iter().nth(1).is_some();
+    let class = class.ok_or(RequestError::Invalid(
         StatusCode::NOT_FOUND,
         "there is no such class",
     ))?;
-    let effect = class.effect();
+    let retry_safety = class.retry_safety();
     if head.method
-        != if effect == Effect::Safe {
+        != if retry_safety == RetrySafety::Idempotent {
             Method::GET
         } else {
             Method::POST
         }
     {
-        return Err(Reject::Senseless(
+        return Err(RequestError::Invalid(
             StatusCode::METHOD_NOT_ALLOWED,
             "the class wants another method",
         ));
     }
-    if text(&TRACE_ID).is_none_or(str::is_empty) || several(&TRACE_ID) {
-        return Err(senseless("X-Trace-Id is missing, or there are several"));
+    if text(&TRACE_ID).is_none_or(str::is_empty) || repeated(&TRACE_ID) {
+        return Err(bad_request("X-Trace-Id is missing, or there are several"));
     }
-    // Without one key that all servers read alike, they could not tell a repeat from another request.
-    let keyed = matches!(effect, Effect::Keyed { .. });
-    if keyed && (text(&IDEMPOTENCY_KEY).is_none_or(str::is_empty) || several(&IDEMPOTENCY_KEY)) {
-        return Err(senseless(
+    // Without exactly one key, servers could not tell a retry from another request.
+    let requires_key = matches!(retry_safety, RetrySafety::IdempotentWithKey { .. });
+    if requires_key
+        && (text(&IDEMPOTENCY_KEY).is_none_or(str::is_empty) || repeated(&IDEMPOTENCY_KEY))
+    {
+        return Err(bad_request(
             "Idempotency-Key is missing, or there are several",
         ));
     }
-    let left = time_left(headers)?.ok_or(senseless(
+    let time_left = client_time_left(headers)?.ok_or(bad_request(
         "X-Expires-In-Ms is missing, or there are several",
     ))?;
     Ok(NewRequest {
-        id: next_request(service),
-        class: class.place,
+        id: next_request_id(service),
+        class: class.index,
         tenant: 0,
         key: subject(headers),
-        time_left: left,
-        cost: text(&SIZE_HINT).and_then(|hint| hint.parse().ok()),
-        repeat: text(&SECOND_TRY) == Some("1"),
+        time_left,
+        cost_hint: text(&SIZE_HINT).and_then(|hint| hint.parse().ok()),
+        client_retry: text(&SECOND_TRY) == Some("1"),
     })
 }
 
-/// How long the client waits, if it says so.
-pub(super) fn time_left(headers: &HeaderMap) -> Result<Option<Micros>, Reject> {
-    let mut given = headers.get_all(&EXPIRES).iter();
-    let Some(left) = given.next() else {
+/// How long the client still waits, if its request says so; at most a day.
+///
+/// # Errors
+/// The header is repeated or is not a whole number.
+pub(super) fn client_time_left(headers: &HeaderMap) -> Result<Option<Micros>, RequestError> {
+    let mut values = headers.get_all(&EXPIRES_IN_MS).iter();
+    let Some(time_left_ms) = values.next() else {
         return Ok(None);
     };
-    if given.next().is_some() {
-        return Err(senseless(
+    if values.next().is_some() {
+        return Err(bad_request(
             "X-Expires-In-Ms is missing, or there are several",
         ));
     }
-    let left = left
+    let time_left_ms = time_left_ms
         .to_str()
         .ok()
         .map(str::trim)
-        .filter(|left| left.bytes().all(|b| b.is_ascii_digit()));
-    let left: Option<Micros> = left.and_then(|left| left.parse().ok());
-    let left = left.ok_or(senseless("X-Expires-In-Ms is not a whole number"))?;
-    Ok(Some(left.min(DAY_MS) * 1_000))
+        .filter(|time_left_ms| time_left_ms.bytes().all(|b| b.is_ascii_digit()));
+    let time_left_ms: Option<Micros> =
+        time_left_ms.and_then(|time_left_ms| time_left_ms.parse().ok());
+    let time_left_ms = time_left_ms.ok_or(bad_request("X-Expires-In-Ms is not a whole number"))?;
+    Ok(Some(time_left_ms.min(MAX_CLIENT_WAIT_MS) * 1_000))
 }
 
-/// The number of the next request.
-pub(super) fn next_request(service: &Service) -> RequestId {
-    let id = service.last_request.get() + 1;
-    service.last_request.set(id);
+/// Assigns the id of the next request.
+pub(super) fn next_request_id(service: &Service) -> RequestId {
+    let id = service.last_request_id.get() + 1;
+    service.last_request_id.set(id);
     id
 }
 
-/// No client waits longer than a day.
-const DAY_MS: u64 = 86_400_000;
+/// The longest time that a client is assumed to wait: a day.
+const MAX_CLIENT_WAIT_MS: u64 = 86_400_000;
--- a/crates/sidecar/src/warm_start.rs
+++ b/crates/sidecar/src/warm_start.rs
@@ -1,10 +1,10 @@
-//! The warm start: what the balancer has measured is written to the store every few seconds and at a graceful shutdown, and
-//! is used after a restart, weighted by its age.
+//! The warm start: the balancer's measurements are written to the store every few seconds and at a graceful shutdown, and are
+//! used after a restart, weighted by their age.
 
-use super::common::Common;
+use super::process_state::ProcessState;
 use super::service::Service;
 use super::state_writer::StateWriter;
-use madderloom_balancer::{Memory, Micros, ServerId, ServerMemory};
+use madderloom_balancer::{Measurements, Micros, ServerId, ServerMeasurements};
 use madderloom_sidecar_state::{
     ClassSnapshot, DecayedSnapshot, Means, PendingSnapshot, RestoredService, ServerSnapshot,
     SnapshotWriter, WarmStartSnapshot, blend,
@@ -14,15 +14,15 @@
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// The snapshot of an earlier process, as far as it is not used yet.
+/// The snapshot of an earlier process, and which of its servers are not restored yet.
 #[derive(Default)]
 pub(super) struct WarmStart {
     snapshot: Option<WarmStartSnapshot>,
-    /// The servers that were not listed yet since the start.
+    /// The servers that discovery has not listed since the start.
     unlisted: BTreeSet<ServerId>,
 }
 
-/// The machine's clock, in microseconds since 1970: the only clock that runs while the program does not.
+/// Unix time in microseconds. Snapshots need a clock that runs while the program does not.
 fn unix_now() -> u64 {
     let since = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -30,80 +30,84 @@
     u64::try_from(since.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// What the balancer takes in of a server's snapshot.
-fn memory_of(server: ServerId, snapshot: &ServerSnapshot) -> ServerMemory {
-    ServerMemory {
+/// The measurements that the balancer restores from a server's snapshot.
+fn measurements_of(server: ServerId, snapshot: &ServerSnapshot) -> ServerMeasurements {
+    ServerMeasurements {
         server,
-        started: snapshot.incarnation_started_at,
+        started_at: snapshot.incarnation_started_at,
         work: snapshot.work,
-        time: snapshot.attempt_time,
-        failures: snapshot.consecutive_failures,
-        ejected: snapshot.ejection_left,
-        ejection: snapshot.ejection_time,
+        attempt_time: snapshot.attempt_time,
+        failure_score: snapshot.consecutive_failures,
+        ejection_remaining: snapshot.ejection_left,
+        ejection_duration: snapshot.ejection_time,
     }
 }
 
 impl WarmStart {
-    /// What an earlier process has stored of a pool that has a warm start. Each snapshot is handed out once.
-    pub(super) fn of(writer: &StateWriter, pool: &str) -> Self {
+    /// The stored snapshot of a pool that has a warm start. Each snapshot is returned once.
+    pub(super) fn from_store(writer: &StateWriter, pool: &str) -> Self {
         let mut restored_services = writer.restored_services.borrow_mut();
         let snapshot = restored_services
             .get_mut(pool)
             .and_then(|restored| restored.snapshot.take());
         let servers = snapshot.iter().flat_map(|snapshot| &snapshot.servers);
         let unlisted = servers
-            .map(|server| ServerId::named(&server.name))
+            .map(|server| ServerId::from_name(&server.name))
             .collect();
         WarmStart { snapshot, unlisted }
     }
 
-    /// The snapshot at its present age; none if it has no weight any more.
+    /// The snapshot, decayed by its present age; none if its weight is zero.
     fn decayed(&self, writer: &StateWriter) -> Option<DecayedSnapshot> {
-        let decay = writer.state().aging;
+        let decay = writer.state().snapshot_decay;
         let decayed = self.snapshot.as_ref()?.decayed(unix_now(), decay);
         (decayed.weight > 0.0).then_some(decayed)
     }
 
-    /// The servers as they were listed; none if the snapshot is too old.
-    pub(super) fn listed(&self, writer: &StateWriter) -> Vec<ServerSnapshot> {
+    /// The servers of the snapshot; none if it is too old.
+    pub(super) fn stored_servers(&self, writer: &StateWriter) -> Vec<ServerSnapshot> {
         self.decayed(writer)
             .map(|decayed| decayed.servers)
             .unwrap_or_default()
     }
 
-    /// What was measured of request classes and over all requests, blended into what the balancer assumes at a start.
-    pub(super) fn classes(
+    /// The stored measurements of request classes and of all requests, blended with the balancer's initial assumptions.
+    pub(super) fn restore_classes(
         &self,
         writer: &StateWriter,
         service: &Service,
-        assumed: &Memory,
-    ) -> Option<Memory> {
+        initial: &Measurements,
+    ) -> Option<Measurements> {
         let DecayedSnapshot {
             weight,
             classes,
             means,
             ..
         } = self.decayed(writer)?;
-        let blended = |assumed: f64, stored: f64| blend(assumed, stored, weight);
-        let mut memory = assumed.clone();
-        for (class, name) in memory.classes.iter_mut().zip(&service.tuned().site.classes) {
+        let blended = |initial: f64, stored: f64| blend(initial, stored, weight);
+        let mut measurements = initial.clone();
+        for (class, name) in measurements
+            .classes
+            .iter_mut()
+            .zip(&service.active_settings().site.classes)
+        {
             if let Some(stored) = classes.iter().find(|stored| stored.name == *name) {
-                class.usual = blended(class.usual, stored.usual_work);
-                class.slow = blended(class.slow, stored.slow_time);
+                class.service_time = blended(class.service_time, stored.usual_work);
+                class.tail_latency = blended(class.tail_latency, stored.slow_time);
             }
         }
-        memory.means = (
-            blended(assumed.means.0, means.work),
-            blended(assumed.means.1, means.answer_time),
+        measurements.mean_work_and_time = (
+            blended(initial.mean_work_and_time.0, means.work),
+            blended(initial.mean_work_and_time.1, means.answer_time),
         );
-        Some(memory)
+        Some(measurements)
     }
 
-    /// Passes each server that was not listed yet to `recall`, which returns whether it has taken the server.
-    pub(super) fn servers(
+    /// Passes each server that is not restored yet to `restore`, which returns whether the balancer has accepted it.
+    pub(super) fn restore_servers(
         &mut self,
         writer: &StateWriter,
-        mut recall: impl FnMut(&ServerMemory) -> bool,
+        mut restore: impl FnMut(&ServerMeasurements) -> bool,
     ) {
         if self.unlisted.is_empty() {
             return;
@@ -113,55 +117,58 @@
             return;
         };
         for server in &servers {
-            let id = ServerId::named(&server.name);
-            if self.unlisted.contains(&id) && recall(&memory_of(id, server)) {
+            let id = ServerId::from_name(&server.name);
+            if self.unlisted.contains(&id) && restore(&measurements_of(id, server)) {
                 self.unlisted.remove(&id);
             }
         }
     }
 }
 
-/// Writes snapshots for as long as the process serves.
-pub(super) async fn run(common: Rc<Common>, writer: Rc<StateWriter>) {
-    delete_unused(&common, &writer).await;
+/// Writes snapshots periodically while the process serves.
+pub(super) async fn write_periodically(process: Rc<ProcessState>, writer: Rc<StateWriter>) {
+    delete_unused(&process, &writer).await;
     loop {
-        tokio::time::sleep(Duration::from_micros(writer.state().warm_every.micros())).await;
-        write(&common, &writer).await;
+        tokio::time::sleep(Duration::from_micros(
+            writer.state().snapshot_interval.micros(),
+        ))
+        .await;
+        write_snapshots(&process, &writer).await;
     }
 }
 
-/// Deletes the snapshots of services that have no warm start any more.
-async fn delete_unused(common: &Common, writer: &StateWriter) {
+/// Deletes the snapshots of services that no longer have a warm start.
+async fn delete_unused(process: &ProcessState, writer: &StateWriter) {
     let mut batches = Vec::new();
     writer
         .restored_services
         .borrow_mut()
         .retain(|name, restored| {
-            let services = common.services.borrow();
+            let services = process.services.borrow();
             let is_used = services
                 .iter()
-                .any(|service| service.name == *name && service.kept.get().warm_start);
+                .any(|service| service.name == *name && service.persistence.get().warm_start);
             if !is_used {
                 batches.push(restored.writer.delete_batch());
             }
             is_used
         });
     for batch in batches {
-        // What cannot be deleted now is deleted at the next start.
+        // Snapshots that can't be deleted now are deleted at the next start.
         let _ = writer.write(batch, Durability::Relaxed).await;
     }
 }
 
 /// Writes one snapshot of each service that has a warm start.
-pub(super) async fn write(common: &Common, writer: &StateWriter) {
-    let services = common.services.borrow().clone();
+pub(super) async fn write_snapshots(process: &ProcessState, writer: &StateWriter) {
+    let services = process.services.borrow().clone();
     for service in services
         .iter()
-        .filter(|service| service.kept.get().warm_start && !service.is_leaving())
+        .filter(|service| service.persistence.get().warm_start && !service.is_draining())
     {
         let mut pending = prepare(writer, service);
         let batch = std::mem::take(&mut pending.batch);
-        // If it is not written, the next snapshot contains all changes since the last one that was.
+        // If the write fails, the next snapshot contains all changes since the last successful one.
         if writer.write(batch, Durability::Relaxed).await.is_ok()
             && let Some(restored) = writer.restored_services.borrow_mut().get_mut(&service.name)
         {
@@ -183,33 +190,33 @@
 }
 
 fn take_snapshot(service: &Service) -> WarmStartSnapshot {
-    let now: Micros = service.common.clock.now();
-    let memory = service.memory(now);
-    let measured: BTreeMap<ServerId, &ServerMemory> =
-        memory.servers.iter().map(|s| (s.server, s)).collect();
+    let now: Micros = service.process.clock.now();
+    let measurements = service.measurements(now);
+    let measured: BTreeMap<ServerId, &ServerMeasurements> =
+        measurements.servers.iter().map(|s| (s.server, s)).collect();
     let mut servers = service.pool.server_snapshots();
     for (id, server) in &mut servers {
         if let Some(measured) = measured.get(id) {
-            server.incarnation_started_at = measured.started;
+            server.incarnation_started_at = measured.started_at;
             server.work = measured.work;
-            server.attempt_time = measured.time;
-            server.consecutive_failures = measured.failures;
-            server.ejection_left = measured.ejected;
-            server.ejection_time = measured.ejection;
+            server.attempt_time = measured.attempt_time;
+            server.consecutive_failures = measured.failure_score;
+            server.ejection_left = measured.ejection_remaining;
+            server.ejection_time = measured.ejection_duration;
         }
     }
-    let tuned = service.tuned();
-    let places = tuned.places.iter().zip(&memory.classes);
-    let classes = places
-        .filter(|(place, _)| !place.retired)
-        .map(|(place, class)| ClassSnapshot {
-            name: place.entry.name.clone(),
-            usual_work: class.usual,
-            slow_time: class.slow,
+    let settings = service.active_settings();
+    let slots = settings.class_slots.iter().zip(&measurements.classes);
+    let classes = slots
+        .filter(|(slot, _)| !slot.retired)
+        .map(|(slot, class)| ClassSnapshot {
+            name: slot.entry.name.clone(),
+            usual_work: class.service_time,
+            slow_time: class.tail_latency,
         });
     WarmStartSnapshot {
         taken_at: unix_now(),
-        means: Means::from(memory.means),
+        means: Means::from(measurements.mean_work_and_time),
         servers: servers.into_values().collect(),
         classes: classes.collect(),
     }
