--- a/crates/operator-config/src/pools.rs
+++ b/crates/operator-config/src/pools.rs
@@ -268,7 +268,7 @@
                 let path = bracket_indexes(name);
                 document.problem(
                     &format!("{inline_field}.{path}"),
-                    "is no setting that is read; remove it",
+                    "is no setting that is read; take it out",
                 );
             }
             (inline_field, settings.site, String::new())
--- a/crates/operator-config/src/process.rs
+++ b/crates/operator-config/src/process.rs
@@ -17,7 +17,7 @@
     /// The name of the process; empty if the file does not set one.
     pub name: String,
     /// How long a pool that a reload removed may still start new attempts for its requests. Default 2 s; at most 3 s, the
-    /// time that servers are told to leave for draining.
+    /// time that servers are told to allow for draining.
     pub drain: Span,
 }
 
